--- /dev/null
+++ b/tests/workshop/test_recorded.py
@@ -0,0 +1,99 @@
+"""What earlier versions sent and wrote: digests of days, and folders of core machines and stores."""
+
+import json
+import shutil
+import sqlite3
+import subprocess
+import sys
+from pathlib import Path
+from typing import Any
+
+import pytest
+
+from workshop.chest.drawer import open_drawer
+from workshop.jig.digest import differences
+from workshop.vise.shelf import open_shelf
+
+DATA = Path(__file__).parents[1] / "data"
+TABLES = {"core/vise.db": ("state", "log"), "storage/chest.db": ("about", "fence", "message")}
+
+
+def dump(path: Path, tables: tuple[str, ...]) -> dict[str, list[tuple[Any, ...]]]:
+    base = sqlite3.connect(path)
+    rows = {table: base.execute(f"select * from {table} order by 1").fetchall() for table in tables}
+    base.close()
+    return rows
+
+
+def copy_of(name: str, folder: Path) -> Path:
+    shutil.copy(DATA / "folders" / name, folder)
+    return folder / Path(name).name
+
+
+def test_days_send_and_write_what_was_recorded() -> None:
+    done = subprocess.run(
+        [sys.executable, "-m", "workshop.jig", "digest", "--every", "14", "--jobs", "2"],
+        capture_output=True,
+        text=True,
+        check=False,
+    )
+    assert done.stdout.splitlines()[-1] == "5 days, 0 explorations, 0 moved", done.stdout
+    assert done.returncode == 0
+
+
+def test_a_digest_that_moved_is_told() -> None:
+    recorded = json.loads((DATA / "simulation_digests.json").read_text())
+    assert len(recorded["days"]) >= 60
+    assert differences(recorded, recorded) == []
+    moved = json.loads(json.dumps(recorded))
+    moved["days"][3]["digest"] = "0"
+    moved["explored"][0][1] += 1
+    assert len(differences(recorded, moved)) == 2
+
+
+def test_a_core_folder_is_read_and_left_as_it_is(tmp_path: Path) -> None:
+    path = copy_of("core/vise.db", tmp_path)
+    before = dump(path, TABLES["core/vise.db"])
+    saved, disk, anew = open_shelf(tmp_path, lambda: pytest.fail("it was begun anew"), lambda act: None)
+    disk.close()
+    assert not anew
+    assert (saved.start + len(saved.entries)) == before["log"][-1][0]
+    assert saved.term >= 1
+    assert dump(path, TABLES["core/vise.db"]) == before
+
+
+def test_a_core_folder_is_written_as_it_was(tmp_path: Path) -> None:
+    path = copy_of("core/vise.db", tmp_path)
+    before = dump(path, TABLES["core/vise.db"])
+    saved, disk, _ = open_shelf(tmp_path, lambda: pytest.fail("it was begun anew"), lambda act: None)
+    rows: list[tuple[str, tuple[Any, ...]]] = [("cut", (saved.start + 1,))]
+    rows += [("term", (saved.term, saved.vote))]
+    rows += [
+        ("entry", (at, term, command)) for at, (term, command) in enumerate(saved.entries, saved.start + 1)
+    ]
+    disk.write(rows, lambda error: None)
+    disk.close()
+    assert dump(path, TABLES["core/vise.db"]) == before
+
+
+def test_a_store_folder_is_read_and_written_as_it_was(tmp_path: Path) -> None:
+    path = copy_of("storage/chest.db", tmp_path)
+    before = dump(path, TABLES["storage/chest.db"])
+    contents, drawer = open_drawer(tmp_path, lambda: pytest.fail("it was begun anew"), lambda act: None)
+    assert sorted(contents.kept) == [row[0] for row in before["message"]]
+    assert contents.fences == dict(before["fence"])
+    assert contents.spoilt == []
+    bodies = {row[0]: row[5] for row in before["message"]}
+    rows: list[tuple[str, tuple[Any, ...]]] = []
+    for name, kept in contents.kept.items():
+        rows.append(("put", (name, kept.shard, kept.epoch, kept.seq, kept.meta, bodies[name] or b"")))
+        if kept.end:
+            rows.append(("end", (name, kept.shard, kept.end, kept.seal, kept.keep_until)))
+    drawer.write(rows, lambda error: None)
+    drawer.close()
+    after = dump(path, TABLES["storage/chest.db"])
+    assert {table: after[table] for table in ("about", "fence")} == {
+        table: before[table] for table in ("about", "fence")
+    }
+    # The check sum stands beside the body that was put, which is gone from those that have ended.
+    assert [row[:6] + row[7:] for row in after["message"]] == [row[:6] + row[7:] for row in before["message"]]
--- a/workshop/jig/__main__.py
+++ b/workshop/jig/__main__.py
@@ -2,19 +2,24 @@
 
 from __future__ import annotations
 
+import json
 import os
 import sys
 from collections import Counter
+from pathlib import Path
 
 import click
 from absl import logging
 
 from workshop.jig.days import Day
+from workshop.jig.digest import differences, measure, record_frames, write_record
 from workshop.jig.explore import CHANGES, STARTS, explore, old_self, stranger
 from workshop.jig.hunt import hunt
 from workshop.jig.mutants import MUTANTS, mutated
 
 AIM = click.option("--aim", default="", help="Kind of trouble that the days are drawn from.")
+FRAME_AIMS = ("", "control", "footing", "losses-stores", "answers", "core")
+RECORD = "tests/data/simulation_digests.json"
 MUTANT = click.option(
     "--mutant", default="", type=click.Choice(["", *MUTANTS]), help="A fault put into the program."
 )
@@ -84,6 +89,33 @@
     sys.exit(bool(bad))
 
 
+@main.command("digest")
+@click.option("--file", "path", default=RECORD, type=click.Path(path_type=Path), help="Digests on record.")
+@click.option("--record", is_flag=True, help="Write the file, in place of comparing with it.")
+@click.option("--jobs", default=6, help="Processes.")
+@click.option("--every", default=1, help="Play each so-manieth day alone, and explore nothing.")
+def digest_all(path: Path, record: bool, jobs: int, every: int) -> None:
+    """Play and explore what is on record, and tell of each digest that has moved."""
+    measured = measure(jobs, every)
+    if record:
+        write_record(path, measured)
+        moved = []
+    else:
+        moved = differences(json.loads(path.read_text()), measured)
+    print("\n".join(moved))
+    print(f"{len(measured['days'])} days, {len(measured['explored'])} explorations, {len(moved)} moved")
+    sys.exit(bool(moved))
+
+
+@main.command("frames")
+@click.argument("path", type=click.Path(path_type=Path))
+def keep_frames(path: Path) -> None:
+    """Write a frame of each kind that is sent on some days."""
+    logging.set_verbosity(logging.FATAL)
+    days = [(seed, aim) for aim in FRAME_AIMS for seed in range(1, 7)]
+    path.write_text(json.dumps(record_frames(days), indent=1) + "\n")
+
+
 if __name__ == "__main__":
     if os.environ.get("PYTHONHASHSEED") != "0":
         # Guards against days that differ from run to run: the program goes through sets of names.
--- a/workshop/jig/deployment.py
+++ b/workshop/jig/deployment.py
@@ -66,6 +66,7 @@
             make = Shelf if kind == "core" else Chest
             chance = deployment.draw(f"disk {name} {address}")
             self.disk = make(deployment.clock, chance, deployment.sync_s)
+            self.disk.name, self.disk.digest = name, deployment.digest
             if isinstance(self.disk, Chest):
                 self.disk.on_anew = partial(deployment.history.store_emptied, name)
 
@@ -213,6 +214,7 @@
         self.sync_s = 0.002
         self.net = Network(self.clock, self.draw("network"), self.chance.choice((0.0005, 0.0009, 0.003)))
         self.net.told = self.history.links_are
+        self.digest = self.net.digest
         self.seeds: list[Machine] = []  # the settings file's; the first core machines where there are none
         self.zones = [f"z{number}" for number in range(zones)]
         self.regions = {zone: f"r{number % regions}" for number, zone in enumerate(self.zones)}
@@ -314,6 +316,7 @@
                 end(CLOSED, None)
 
             def answer(*said: Any) -> None:
+                self.digest.add("answer", machine.name, *said)
                 life.calls.pop(close, None)
                 if not life.over:
                     clock.later(OUTSIDE_S, lambda: end(*said))
@@ -338,6 +341,7 @@
     ) -> None:
         """Call a control relay; `leaves` hears of its answer at the moment at which it is sent."""
         request = Request(method, target, headers, body)
+        self.digest.add("request", core.name, method, target, headers, body)
 
         def ask(life: Life, answer: Callable[..., None]) -> None:
             def say(said: Said) -> None:
@@ -356,6 +360,7 @@
         then: Callable[..., None],
     ) -> None:
         """Call an edge's front; `then` hears status, body, headers, bytes and the process that was asked."""
+        self.digest.add("request", edge.name, request.method, request.target, request.headers, request.body)
 
         def ask(life: Life, answer: Callable[..., None]) -> None:
             def finish(
--- a/workshop/jig/disk.py
+++ b/workshop/jig/disk.py
@@ -8,10 +8,13 @@
 from functools import partial
 from typing import Any
 
+from workshop.chest import drawer
 from workshop.chest.drawer import Contents, Kept
 from workshop.jig.clock import Clock
+from workshop.jig.digest import BoundaryDigest
 from workshop.jig.network import Life
 from workshop.ports import Json
+from workshop.vise import shelf
 from workshop.vise.log import Saved, assemble
 
 Row = tuple[str, tuple[Any, ...]]
@@ -29,6 +32,7 @@
         self._queue: list[tuple[list[Row] | None, Callable[[Any], None]]] = []
         self._batch: list[tuple[list[Row] | None, Callable[[Any], None]]] = []
         self._number = 0
+        self.name, self.digest = "", BoundaryDigest(lambda: clock.now)
 
     def put(self, rows: list[Row] | None, then: Callable[[Any], None]) -> None:
         """Queue a write, or with None a look behind the writes before it."""
@@ -57,8 +61,7 @@
             if self.full and any(kind in ("put", "entry") for kind, _ in rows or ()):
                 then("no space is left")
                 continue
-            for kind, values in rows or ():
-                self.keep(kind, values)
+            self._keep_all(rows or [])
             then(None)
         if not self.full and any(kind in ("put", "entry") for rows, _ in batch for kind, _ in rows or ()):
             self.on_kept()
@@ -71,17 +74,24 @@
         self._number += 1
         if self.chance.random() < 0.5 and not self.full:
             for rows, _ in batch:
-                for kind, values in rows or ():
-                    self.keep(kind, values)
+                self._keep_all(rows or [])
 
     def close(self) -> None:
         """An orderly end: what is queued is written."""
         for rows, _ in self._batch + self._queue:
-            for kind, values in rows or ():
-                self.keep(kind, values)
+            self._keep_all(rows or [])
         self._batch, self._queue = [], []
         self._number += 1
 
+    def _keep_all(self, rows: list[Row]) -> None:
+        self.digest.commit(self.name, self.execute, rows)
+        for kind, values in rows:
+            self.keep(kind, values)
+
+    def execute(self, base: Any, rows: list[Row]) -> None:
+        """Execute the statements that write these rows, as the program does."""
+        raise NotImplementedError
+
     def copied(self, kind: str, values: tuple[Any, ...]) -> tuple[Any, ...]:
         """A row's values as they are when they are written."""
         raise NotImplementedError
@@ -115,6 +125,9 @@
             self._saved = Saved(found.me, found.term, found.vote, start, term, found.state, found.members)
         return found
 
+    def execute(self, base: Any, rows: list[Row]) -> None:
+        shelf._work(base, rows)
+
     def wipe(self) -> None:
         self._saved = None
         self._rows.clear()
@@ -150,6 +163,9 @@
         self.on_anew: Callable[[], None] = lambda: None  # its store empties it and begins as another disk
         self.wipe()
 
+    def execute(self, base: Any, rows: list[Row]) -> None:
+        drawer._work(base, rows)
+
     def wipe(self) -> None:
         self._disk, self._enrolled = f"{self.chance.getrandbits(64):x}", 0
         self._fences: dict[int, int] = {}
--- a/workshop/jig/endpoints.py
+++ b/workshop/jig/endpoints.py
@@ -317,8 +317,10 @@
             connection.open = False  # on an idle one it belongs to no call
 
     def call(self, delivery: Delivery, then: Callable[[Called], None]) -> None:
-        clock, life = self.town.deployment.clock, self.life
+        clock, life, digest = self.town.deployment.clock, self.life, self.town.deployment.digest
         sent = clock.now
+        digest.add("call", life.name, delivery.address, delivery.method, delivery.target, delivery.headers)
+        digest.add("call body", delivery.body, delivery.instance, delivery.attempt, delivery.seconds)
         over = False
 
         def end(called: Called) -> None:
@@ -350,6 +352,7 @@
         connection.hear = hear
 
         def back(called: Called) -> None:
+            digest.add("call answer", delivery.address, called.verdict.value, called.status, called.headers)
             clock.later(DELAY_S, lambda: life.do(partial(self._arrived, connection, called)))
 
         def arrive() -> None:
--- a/workshop/jig/network.py
+++ b/workshop/jig/network.py
@@ -14,6 +14,7 @@
 
 from workshop.belt.netstring import MOST
 from workshop.jig.clock import Clock, Timer
+from workshop.jig.digest import BoundaryDigest
 from workshop.ports import Json, Lost, Reply, Then
 
 DIAL_S = 0.7  # until a connection that does not come up is given up
@@ -76,6 +77,7 @@
 
     def __init__(self, clock: Clock, chance: random.Random, between_zones: float) -> None:
         self.clock, self.chance, self.between_zones = clock, chance, between_zones
+        self.digest = BoundaryDigest(lambda: clock.now)
         self.hosts: dict[str, Host] = {}  # by address
         self.regions: dict[str, str] = {}  # by zone; those of one region where there are none
         self.numbers = itertools.count(1)
@@ -211,6 +213,7 @@
         """Send; nobody hears whether it came."""
         text = json.dumps(body)
         if not self._too_long(text, blob):
+            self._record(None, word, text, blob)
             self._send(None, len(text) + len(blob), partial(self._arrive, None, word, text, blob))
 
     def ask(self, word: str, body: Json, blob: bytes, within: float, then: Then) -> None:
@@ -225,8 +228,15 @@
         timer = Timer(partial(self._late, number))
         self._asked[number] = then, timer
         self.net.clock.later(within, partial(source.do, timer.fire))
+        self._record(number, word, text, blob)
         self._send(number, len(text) + len(blob), partial(self._arrive, number, word, text, blob))
 
+    def _record(self, number: int | None, word: str, text: str, blob: bytes, side: int = 0) -> None:
+        here, there = self.ends[side], self.ends[1 - side]
+        assert here is not None, "a frame has a sender"
+        target = there.name if side and there is not None else self.to
+        self.net.digest.frame(here.name, target, number, word, text, blob)
+
     def _too_long(self, text: str, blob: bytes) -> bool:
         """Whether a frame is refused where it is packed."""
         if max(len(text), len(blob)) <= MOST:
@@ -258,6 +268,7 @@
             if number is not None and self.open[1]:
                 text = json.dumps(body)
                 if not self._too_long(text, blob):
+                    self._record(number, f"{word}/reply", text, blob, side=1)
                     self._transmit(1, len(text) + len(blob), partial(self._replied, number, text, blob))
 
         def hear() -> None:
