--- a/amberlug/cli/learnings.py
+++ b/amberlug/cli/learnings.py
@@ -118,12 +118,15 @@
             partners.append(_partner(kept, waits, endpoint, now_us))
     usual = [
         {
-            "of": sort, "name": name, "answer_s": round(it.answer_us / SECOND, 3),
-            "failure_rate": round(it.failure_rate, 3), "per_second": round(it.rate, 3),
+            "of": sort,
+            "name": name,
+            "answer_s": round(it.answer_us / SECOND, 3),
+            "failure_rate": round(it.failure_rate, 3),
+            "per_second": round(it.rate, 3),
             "weight": round(ageing.weight(now_us - it.seen_us, ageing.USUAL_US), 3),
         }
         for sort, name, it in learner.usual()
-    ]  # fmt: skip
+    ]
     return {"destinations": partners, "usual": usual if destination is None and endpoint is None else []}
 
 
@@ -132,40 +135,52 @@
     routes = []
     for told in kept.known.routes:
         it = ageing.route(told, now_us, gap_us, 0.0)
-        routes.append({
-            "route": it.route, "answer_s": round(it.usual_us / SECOND, 3),
-            "limit": None if it.learned == OPEN else round(it.learned, 3),
-            "weights": {
-                "answer_s": round(ageing.weight(gap_us, ageing.ANSWERS_US), 3),
-                "limit": round(ageing.weight(gap_us, ageing.LIMIT_US), 3),
-            },
-        })  # fmt: skip
+        routes.append(
+            {
+                "route": it.route,
+                "answer_s": round(it.usual_us / SECOND, 3),
+                "limit": None if it.learned == OPEN else round(it.learned, 3),
+                "weights": {
+                    "answer_s": round(ageing.weight(gap_us, ageing.ANSWERS_US), 3),
+                    "limit": round(ageing.weight(gap_us, ageing.LIMIT_US), 3),
+                },
+            }
+        )
     endpoints = []
     for known in kept.known.endpoints:
         if only in (None, known.entry.endpoint):
             now = ageing.endpoint(known, now_us, gap_us, 0.0)
-            endpoints.append({
-                "endpoint": known.entry.endpoint, "kind": known.entry.kind, "zone": known.entry.zone,
-                "state": _state(now.cold, now.back_us), "failure_rate": round(now.failure_rate, 3),
-                "learned_failure_rate": round(known.failure_rate, 3),
-                "since_s": _age(known.since_us, now_us), "failed_s": _age(known.failed_us, now_us),
-                "delivered_s": _age(known.done_us, now_us),
-                "weight": round(ageing.weight(gap_us, ageing.FAILURES_US), 3),
-                "resets_by_idle_ms": {
-                    f"< {1 << at}": f"{resets:.1f} of {used:.1f}"
-                    for at, (used, resets) in sorted(kept.idle.get(known.entry.endpoint, {}).items())
-                },
-            })  # fmt: skip
+            endpoints.append(
+                {
+                    "endpoint": known.entry.endpoint,
+                    "kind": known.entry.kind,
+                    "zone": known.entry.zone,
+                    "state": _state(now.cold, now.back_us),
+                    "failure_rate": round(now.failure_rate, 3),
+                    "learned_failure_rate": round(known.failure_rate, 3),
+                    "since_s": _age(known.since_us, now_us),
+                    "failed_s": _age(known.failed_us, now_us),
+                    "delivered_s": _age(known.done_us, now_us),
+                    "weight": round(ageing.weight(gap_us, ageing.FAILURES_US), 3),
+                    "resets_by_idle_ms": {
+                        f"< {1 << at}": f"{resets:.1f} of {used:.1f}"
+                        for at, (used, resets) in sorted(kept.idle.get(known.entry.endpoint, {}).items())
+                    },
+                }
+            )
     week = Now().wall_ms() // 3_600_000 // facts.WEEK_HOURS
     hours = {hour: round(ageing.hour_weight(was, week), 2) for hour, was in sorted(kept.hours.items())}
     return {
-        "destination": kept.known.destination, "learned_s": round(gap_us / SECOND, 1),
+        "destination": kept.known.destination,
+        "learned_s": round(gap_us / SECOND, 1),
         "waits": [{"route": route, "left_s": round(left_us / SECOND, 3)} for route, left_us in waits],
         "answers_s": {
             f"p{part}": round(facts.quantile(kept.answers, part / 100) / SECOND, 3) for part in (50, 95, 99)
         },
-        "routes": routes, "endpoints": endpoints, "awake_in_hours_of_week": hours,
-    }  # fmt: skip
+        "routes": routes,
+        "endpoints": endpoints,
+        "awake_in_hours_of_week": hours,
+    }
 
 
 def _state(cold: bool, back_us: int | None) -> str:
@@ -209,17 +224,21 @@
         for route in it["routes"]:
             limit = "no limit" if route["limit"] is None else f"limit {route['limit']}"
             weights = route["weights"]
-            print(f"  {route['route'] or 'all'}: {limit} (weighs {weights['limit']}), "
-                  f"answers in {route['answer_s']} s (weighs {weights['answer_s']})")  # fmt: skip
+            print(
+                f"  {route['route'] or 'all'}: {limit} (weighs {weights['limit']}), "
+                f"answers in {route['answer_s']} s (weighs {weights['answer_s']})"
+            )
         for one in it["endpoints"]:
             ages = ", ".join(
                 f"{what} {one[name]} s ago"
                 for what, name in (("since", "since_s"), ("failed", "failed_s"), ("delivered", "delivered_s"))
                 if one[name] is not None
             )
-            print(f"  {one['endpoint']} ({one['kind']}, {one['zone']}): {one['state']}, failure rate "
-                  f"{one['failure_rate']} (learned {one['learned_failure_rate']}, weighs {one['weight']}); "
-                  f"{ages or 'never called'}")  # fmt: skip
+            print(
+                f"  {one['endpoint']} ({one['kind']}, {one['zone']}): {one['state']}, failure rate "
+                f"{one['failure_rate']} (learned {one['learned_failure_rate']}, weighs {one['weight']}); "
+                f"{ages or 'never called'}"
+            )
             if resets := ", ".join(f"{ms}: {count}" for ms, count in one["resets_by_idle_ms"].items()):
                 print(f"    resets on connections that idled (ms): {resets}")
     for it in found.get("usual", ()):
--- a/amberlug/copies/journal.py
+++ b/amberlug/copies/journal.py
@@ -152,9 +152,14 @@
 
     def _taken_record(self, message: Message, now_ms: int) -> list[Any]:
         return [
-            message.message_class, message.tenant, message.destination, message.key, message.body,
-            message.deadline_ms, now_ms,
-        ]  # fmt: skip
+            message.message_class,
+            message.tenant,
+            message.destination,
+            message.key,
+            message.body,
+            message.deadline_ms,
+            now_ms,
+        ]
 
     # What the core asks and tells.
 
@@ -334,9 +339,10 @@
         """Keep which logs there are; before anything is recorded in a new one."""
         owners = self.machine.owners
         self._metas = {
-            log: it for log, it in self._metas.items()
+            log: it
+            for log, it in self._metas.items()
             if log in owners or log in self.machine.newest.values() or log not in self._older
-        }  # fmt: skip
+        }
         told = {
             "metas": [it.packed() for it in self._metas.values()],
             "older": {log: names for log, names in self._older.items() if log in self._metas},
--- a/amberlug/copies/machine.py
+++ b/amberlug/copies/machine.py
@@ -376,10 +376,20 @@
                 self._above[log] = max(self._above.get(log, 0), ballot_of(more)[0])
 
     _handlers: dict[str, Callable[..., None]] = {  # noqa: RUF012 - one table for all
-        "open": _on_open, "recs": _on_records, "fence": _on_fence, "leave": _on_leave,
-        "drop": _on_drop, "opened": _on_opened, "live": _on_live, "ack": _on_ack, "nack": _on_nack,
-        "water": _on_water, "state": _on_state, "promise": _on_promise, "deny": _on_deny,
-    }  # fmt: skip
+        "open": _on_open,
+        "recs": _on_records,
+        "fence": _on_fence,
+        "leave": _on_leave,
+        "drop": _on_drop,
+        "opened": _on_opened,
+        "live": _on_live,
+        "ack": _on_ack,
+        "nack": _on_nack,
+        "water": _on_water,
+        "state": _on_state,
+        "promise": _on_promise,
+        "deny": _on_deny,
+    }
 
     def _later(self, log: str, now_us: int) -> None:
         self._retry_us[log] = now_us + int((0.3 + self._host.draw()) * self.fleet.suspect_s * 5e5)
@@ -408,9 +418,10 @@
         copies = following.read()
         forgotten_ms = self._host.wall_ms() - int(self.fleet.remember_s * 1000)
         live = {
-            name: copy for name, copy in copies.items()
+            name: copy
+            for name, copy in copies.items()
             if copy.live and (copy.taken is None or int(copy.taken[5]) > forgotten_ms)
-        }  # fmt: skip
+        }
         say(f"copies: follows in {log}, {len(live)} messages")
         owner = self._owner(following.meta, following.ballot, None)
         for name, copy in live.items():
--- a/amberlug/copies/owner.py
+++ b/amberlug/copies/owner.py
@@ -208,9 +208,10 @@
     def _able(self, now_us: int) -> list[str]:
         """Holders that can be asked, the first ones first."""
         return [
-            name for name, it in self.peers.items()
+            name
+            for name, it in self.peers.items()
             if it.opened and it.away_since_us is None and it.full_until_us <= now_us
-        ]  # fmt: skip
+        ]
 
     def _send_batch(self, name: str, entries: list[Entry], now_us: int) -> None:
         part: list[Entry] = []
@@ -333,9 +334,11 @@
             for number in [number for number, it in peer.out.items() if it.at_us + LOST_US <= now_us]:
                 self._again(name, peer.out.pop(number))
         late = [
-            entry for entries in self._waiting.values() for entry in entries
+            entry
+            for entries in self._waiting.values()
+            for entry in entries
             if entry.at_us + HEDGE_US <= now_us and entry not in self._unsent
-        ]  # fmt: skip
+        ]
         for entry in late:
             spare = [it for it in self._order(entry.name, self._able(now_us)) if entry.fits(it)]
             if spare and self.state is State.OPEN:
--- a/amberlug/copies/service.py
+++ b/amberlug/copies/service.py
@@ -56,9 +56,15 @@
             self._begin_anew(folder)
             store, fresh = self._store(folder), True
         self._journal = CopiedJournal(
-            self._inner, self._fleet, identity.incarnation(folder), fresh, store, folder, self._settings,
+            self._inner,
+            self._fleet,
+            identity.incarnation(folder),
+            fresh,
+            store,
+            folder,
+            self._settings,
             self._clock,
-        )  # fmt: skip
+        )
         self._disk_store = store
 
     def _store(self, folder: Path) -> CopyStore:
--- a/amberlug/copies/states.py
+++ b/amberlug/copies/states.py
@@ -194,9 +194,12 @@
     try:
         origin, incarnation, serial, need, ensemble = told
         meta = Meta(
-            str(origin), str(incarnation), int(serial), int(need),
+            str(origin),
+            str(incarnation),
+            int(serial),
+            int(need),
             tuple((str(name), str(own)) for name, own in ensemble),
-        )  # fmt: skip
+        )
     except (TypeError, ValueError) as error:
         raise ValueError(f"no log: {error!r}") from None
     names = [name for name, _ in meta.ensemble]
--- a/amberlug/core/usual.py
+++ b/amberlug/core/usual.py
@@ -34,9 +34,16 @@
     if worth < 0 or not 0 <= late_worth <= 1:
         raise ValueError(f"class {name!r}: worth is out of range")
     return MessageClass(
-        name, effect, int(wanted * SECOND), int(deadline * SECOND), worth, late_worth, Group.ALL,
-        int(key_life * SECOND), keep_order,
-    )  # fmt: skip
+        name,
+        effect,
+        int(wanted * SECOND),
+        int(deadline * SECOND),
+        worth,
+        late_worth,
+        Group.ALL,
+        int(key_life * SECOND),
+        keep_order,
+    )
 
 
 def settings(
--- a/amberlug/lab/copies.py
+++ b/amberlug/lab/copies.py
@@ -231,12 +231,13 @@
     def __init__(self, relays: int, copies: int, seed: int) -> None:
         self.chance = random.Random(seed)
         self.now_us = 10_000_000
-        members = tuple(
-            Member(f"n{at}", ("127.0.0.1", 1), f"m{at}", "ab"[at % 2]) for at in range(relays)
-        )  # fmt: skip
-        self._fleets = {it.name: Fleet(it.name, members, copies, suspect_s=0.6, stagger_s=0.2, replace_s=1.0,
-                              confirm_s=86_400.0)
-                        for it in members}  # fmt: skip
+        members = tuple(Member(f"n{at}", ("127.0.0.1", 1), f"m{at}", "ab"[at % 2]) for at in range(relays))
+        self._fleets = {
+            it.name: Fleet(
+                it.name, members, copies, suspect_s=0.6, stagger_s=0.2, replace_s=1.0, confirm_s=86_400.0
+            )
+            for it in members
+        }
         self.disks = {name: Disk(f"{name}-0") for name in self._fleets}
         self.checker = Checker()
         self.relays: dict[str, Relay] = {}
@@ -471,5 +472,3 @@
         for _ in range(chance.randrange(10, 60)):
             world.tick()
     world.collect()
-
-
--- a/amberlug/lab/days.py
+++ b/amberlug/lab/days.py
@@ -30,18 +30,28 @@
     answer_ms = float(chance.uniform(60, 250))
     serves = rate / places * float(chance.uniform(*SERVES))
     world = World(
-        seconds=seconds, relays=relays, destinations=partners, endpoints=places,
+        seconds=seconds,
+        relays=relays,
+        destinations=partners,
+        endpoints=places,
         slots=max(LEAST_SLOTS, round(2 * load / relays)),
         max_open=max(LEAST_HELD, round(HELD_S * load / relays)),
-        network_ms=float(chance.uniform(1, 30)), idle_s=10.0, list_s=float(chance.uniform(0.2, 3.0)),
+        network_ms=float(chance.uniform(1, 30)),
+        idle_s=10.0,
+        list_s=float(chance.uniform(0.2, 3.0)),
         uneven=float(chance.uniform(0, 1.2)),
-    )  # fmt: skip
+    )
     partner = Partner(
-        answer_ms=answer_ms, concurrency=max(1, round(serves * answer_ms / 1000)), queue=12, rate=rate,
-        tells_wait=float(chance.uniform(0.1, 0.9)), wait_ms=float(chance.uniform(250, 900)),
-        errors=float(chance.choice([0.0, 0.02])), resets=float(chance.choice([0.0, 0.2])),
+        answer_ms=answer_ms,
+        concurrency=max(1, round(serves * answer_ms / 1000)),
+        queue=12,
+        rate=rate,
+        tells_wait=float(chance.uniform(0.1, 0.9)),
+        wait_ms=float(chance.uniform(250, 900)),
+        errors=float(chance.choice([0.0, 0.02])),
+        resets=float(chance.choice([0.0, 0.2])),
         lost=float(chance.choice([0.0, 0.03])),
-    )  # fmt: skip
+    )
     faults = tuple(_trouble(chance, world) for _ in range(int(chance.integers(2, troubles + 1))))
     # Drawn apart, so that the days of before are the same but for these.
     more = np.random.default_rng(np.random.SeedSequence(seed, spawn_key=(relays, 1)))
--- a/amberlug/lab/fleet.py
+++ b/amberlug/lab/fleet.py
@@ -93,15 +93,41 @@
 def settings(relays: int, bundle: int = 1) -> api.Settings:
     """Settings of a relay of such a fleet."""
     return api.Settings(
-        relays=relays, ordinal=0, zone="here", classes=_KINDS, tenants={},
-        kinds={"plain": api.Kind("plain", bundle, False)}, fees={"here": 0.0}, slots=12, max_open=60,
-        most_attempts=12, second_copies=False, may_cancel=True, may_probe=True, may_tell_peers=False,
-        may_advise=True, max_advice_us=2 * SECOND, idle_us=10 * SECOND, dial_us=3 * SECOND // 2, asks=False,
-        rates_listed=True, rates_rough=False, halving=False, over_share_worth=1.0, refusal_cost=0.05,
-        report_names=(), answer_slack_us=20_000, ask_within_us=1 << 62, drain_grace_us=2 * SECOND,
-        cold_share=0.15, warm_us=12 * SECOND, overload_factor=2.5, overload_us=2 * SECOND, key_quiet_us=0,
+        relays=relays,
+        ordinal=0,
+        zone="here",
+        classes=_KINDS,
+        tenants={},
+        kinds={"plain": api.Kind("plain", bundle, False)},
+        fees={"here": 0.0},
+        slots=12,
+        max_open=60,
+        most_attempts=12,
+        second_copies=False,
+        may_cancel=True,
+        may_probe=True,
+        may_tell_peers=False,
+        may_advise=True,
+        max_advice_us=2 * SECOND,
+        idle_us=10 * SECOND,
+        dial_us=3 * SECOND // 2,
+        asks=False,
+        rates_listed=True,
+        rates_rough=False,
+        halving=False,
+        over_share_worth=1.0,
+        refusal_cost=0.05,
+        report_names=(),
+        answer_slack_us=20_000,
+        ask_within_us=1 << 62,
+        drain_grace_us=2 * SECOND,
+        cold_share=0.15,
+        warm_us=12 * SECOND,
+        overload_factor=2.5,
+        overload_us=2 * SECOND,
+        key_quiet_us=0,
         granularity_us=5000,
-    )  # fmt: skip
+    )
 
 
 class _Limit:
@@ -191,9 +217,14 @@
         self._of.at(self._of.now + took_us, self._ended, self.sender, sends, result, took_us, wait_us, reused)
 
     def _ended(
-        self, sender: LastingSender, sends: list[api.Send], result: Result, took_us: int, wait_us: int,
+        self,
+        sender: LastingSender,
+        sends: list[api.Send],
+        result: Result,
+        took_us: int,
+        wait_us: int,
         reused: bool,
-    ) -> None:  # fmt: skip
+    ) -> None:
         if sender is not self.sender:  # it was restarted: nobody hears of it
             self._of.connections -= 1
             return
--- a/amberlug/lab/play.py
+++ b/amberlug/lab/play.py
@@ -56,11 +56,18 @@
     """What the platform would tell a relay of this world."""
     world, told = scenario.world, usual_settings()
     told["Categories"] = [
-        {"Name": it.name, "Semantics": it.repeat.value, "Group": "all", "KeyTtlUs": int(KEY_LIFE_S * SECOND),
-         "AimUs": int(it.aim_s * SECOND), "DeadlineUs": int(it.deadline_s * SECOND), "Worth": it.worth,
-         "LateWorth": it.late_worth}
+        {
+            "Name": it.name,
+            "Semantics": it.repeat.value,
+            "Group": "all",
+            "KeyTtlUs": int(KEY_LIFE_S * SECOND),
+            "AimUs": int(it.aim_s * SECOND),
+            "DeadlineUs": int(it.deadline_s * SECOND),
+            "Worth": it.worth,
+            "LateWorth": it.late_worth,
+        }
         for it in KINDS
-    ]  # fmt: skip
+    ]
     told |= {"Balancers": world.relays, "Weights": "nominal" if scenario.partner.rate else "none"}
     told["FamilyInfo"]["Slots"] = world.slots
     told["Bounds"] |= {"MaxOpen": world.max_open, "ConnIdleUs": int(world.idle_s * SECOND)}
--- a/amberlug/lab/relay.py
+++ b/amberlug/lab/relay.py
@@ -117,9 +117,15 @@
         learner = Learner(Store(self._disk, room // SHARE, clock.now_us), clock)
         idle_us = int(self._world.idle_s * SECOND)
         self._transport = ModelTransport(
-            self._endpoints, clock, self._network_us, idle_us, self.work, self.checker,
-            self._settings.dial_us, self._cut_off,
-        )  # fmt: skip
+            self._endpoints,
+            clock,
+            self._network_us,
+            idle_us,
+            self.work,
+            self.checker,
+            self._settings.dial_us,
+            self._cut_off,
+        )
         ends = ModelEnds(clock, self._network_us, self._told)
         self.node = Node(self._settings, self._seed, journal, learner, self._transport, ends, clock)
         self._learner = learner
--- a/amberlug/lab/scenario.py
+++ b/amberlug/lab/scenario.py
@@ -68,8 +68,19 @@
 
 
 FAULTS = (
-    "down", "silent", "shut", "errors", "slow", "drain", "restart", "kill", "burst", "limit", "deaf", "cut",
-)  # fmt: skip
+    "down",
+    "silent",
+    "shut",
+    "errors",
+    "slow",
+    "drain",
+    "restart",
+    "kill",
+    "burst",
+    "limit",
+    "deaf",
+    "cut",
+)
 
 
 @dataclass(frozen=True, slots=True)
--- a/amberlug/lab/transport.py
+++ b/amberlug/lab/transport.py
@@ -157,4 +157,3 @@
 
     def close_idle(self, endpoint: str) -> None:
         self._idle.pop(endpoint, None)
-
--- a/amberlug/learning/ageing.py
+++ b/amberlug/learning/ageing.py
@@ -75,9 +75,15 @@
         return replace(it, failure_rate=max(rate, OUTAGE_RATE) if it.back_us is None else rate)
     if gap_us > FAILURES_US:
         return replace(
-            it, cold=False, back_us=None, swallows=False, failure_rate=rate, failed_us=NEVER, since_us=NEVER,
+            it,
+            cold=False,
+            back_us=None,
+            swallows=False,
+            failure_rate=rate,
+            failed_us=NEVER,
+            since_us=NEVER,
             starts=(),
-        )  # fmt: skip
+        )
     return replace(it, cold=False, back_us=None, failure_rate=rate, starts=())
 
 
@@ -86,5 +92,3 @@
     if was is None:
         return 0.0
     return was[1] * weight((week - was[0]) * 7 * DAY, 2 * USUAL_US)
-
-
--- a/amberlug/learning/facts.py
+++ b/amberlug/learning/facts.py
@@ -89,18 +89,33 @@
     known = kept.known
     routes = [
         [
-            it.route, min(it.usual_us, WAIT_MOST_US), it.pace, it.pace_us,
-            it.learned if it.learned < OPEN else None, it.learned_us,
+            it.route,
+            min(it.usual_us, WAIT_MOST_US),
+            it.pace,
+            it.pace_us,
+            it.learned if it.learned < OPEN else None,
+            it.learned_us,
         ]
         for it in known.routes
-    ]  # fmt: skip
+    ]
     endpoints = [
         [
-            it.entry.endpoint, it.entry.kind, it.entry.zone, it.entry.up_since_ms, it.cold, it.since_us,
-            it.failed_us, it.done_us, it.back_us, it.failure_rate, it.swallows, it.spread, it.starts,
+            it.entry.endpoint,
+            it.entry.kind,
+            it.entry.zone,
+            it.entry.up_since_ms,
+            it.cold,
+            it.since_us,
+            it.failed_us,
+            it.done_us,
+            it.back_us,
+            it.failure_rate,
+            it.swallows,
+            it.spread,
+            it.starts,
         ]
         for it in known.endpoints
-    ]  # fmt: skip
+    ]
     return bytes(
         msgpack.packb(
             [known.destination, kept.seen_us, routes, endpoints, kept.answers, kept.hours, kept.idle]
@@ -108,24 +123,28 @@
     )
 
 
+def _known_endpoint(destination: int, row: list[Any]) -> api.KnownEndpoint:
+    """What is known of one endpoint, from its row in a destination's record."""
+    name, kind, zone, up_since_ms, cold, since, failed, done, back, rate, swallows, spread, starts = row
+    entry = api.Entry(name, zone, kind, destination, api.State.IN, 0.0, up_since_ms=up_since_ms)
+    return api.KnownEndpoint(entry, cold, since, failed, done, back, rate, swallows, spread, tuple(starts))
+
+
 def unpack(record: bytes, latest_us: int) -> Kept:
     """Read a destination's record, no time of which is later than that; `ValueError` where it is bad."""
     number, seen_us, routes, endpoints, answers, hours, idle = _sound(record, latest_us + AHEAD_US)
     known = api.Known(
         number,
-        tuple([
-            api.KnownRoute(route, usual_us, pace, pace_us, OPEN if learned is None else learned, learned_us)
-            for route, usual_us, pace, pace_us, learned, learned_us in routes
-        ]),
-        tuple([
-            api.KnownEndpoint(
-                api.Entry(name, zone, kind, number, api.State.IN, 0.0, up_since_ms=up_since_ms),
-                cold, since, failed, done, back, rate, swallows, spread, tuple(starts),
-            )
-            for name, kind, zone, up_since_ms, cold, since, failed, done, back, rate, swallows, spread, starts
-            in endpoints
-        ]),
-    )  # fmt: skip
+        tuple(
+            [
+                api.KnownRoute(
+                    route, usual_us, pace, pace_us, OPEN if learned is None else learned, learned_us
+                )
+                for route, usual_us, pace, pace_us, learned, learned_us in routes
+            ]
+        ),
+        tuple([_known_endpoint(number, row) for row in endpoints]),
+    )
     idled = {name: {at: (it[0], it[1]) for at, it in bins.items()} for name, bins in idle.items()}
     return Kept(known, seen_us, answers, {hour: (was[0], was[1]) for hour, was in hours.items()}, idled)
 
@@ -144,29 +163,45 @@
         for route, usual_us, pace, pace_us, learned, learned_us in routes:
             sound = (
                 sound
-                and type(route) is str and len(route) <= NAME_MOST
-                and type(usual_us) is int and 0 <= usual_us <= WAIT_MOST_US
-                and type(pace) in _REAL and 0 <= pace <= RATE_MOST
-                and type(pace_us) is int and NEVER <= pace_us <= latest_us
+                and type(route) is str
+                and len(route) <= NAME_MOST
+                and type(usual_us) is int
+                and 0 <= usual_us <= WAIT_MOST_US
+                and type(pace) in _REAL
+                and 0 <= pace <= RATE_MOST
+                and type(pace_us) is int
+                and NEVER <= pace_us <= latest_us
                 and (learned is None or (type(learned) in _REAL and 1e-9 <= learned <= RATE_MOST))
-                and type(learned_us) is int and NEVER <= learned_us <= latest_us
-            )  # fmt: skip
+                and type(learned_us) is int
+                and NEVER <= learned_us <= latest_us
+            )
         for name, kind, zone, up, cold, since, failed, done, back, rate, swallows, wide, starts in endpoints:
             sound = (
                 sound
-                and type(name) is str and 0 < len(name) <= NAME_MOST
-                and type(kind) is str and len(kind) <= NAME_MOST
-                and type(zone) is str and len(zone) <= NAME_MOST
-                and type(up) is int and 0 <= up < 1 << 63
-                and type(cold) is bool and type(swallows) is bool
-                and type(since) is int and NEVER <= since <= latest_us
-                and type(failed) is int and NEVER <= failed <= latest_us
-                and type(done) is int and NEVER <= done <= latest_us
+                and type(name) is str
+                and 0 < len(name) <= NAME_MOST
+                and type(kind) is str
+                and len(kind) <= NAME_MOST
+                and type(zone) is str
+                and len(zone) <= NAME_MOST
+                and type(up) is int
+                and 0 <= up < 1 << 63
+                and type(cold) is bool
+                and type(swallows) is bool
+                and type(since) is int
+                and NEVER <= since <= latest_us
+                and type(failed) is int
+                and NEVER <= failed <= latest_us
+                and type(done) is int
+                and NEVER <= done <= latest_us
                 and (back is None or (type(back) is int and NEVER <= back <= latest_us))
-                and type(rate) in _REAL and 0 <= rate <= 1
-                and type(wide) in _REAL and 0 <= wide <= 10
-                and type(starts) is list and len(starts) <= KEPT
-            )  # fmt: skip
+                and type(rate) in _REAL
+                and 0 <= rate <= 1
+                and type(wide) in _REAL
+                and 0 <= wide <= 10
+                and type(starts) is list
+                and len(starts) <= KEPT
+            )
             for start in starts:
                 sound = sound and type(start) is int and NEVER <= start <= latest_us
         for at, weight in answers.items():
@@ -189,9 +224,7 @@
 
 def pack_wait(wait: Wait) -> bytes:
     """A told wait's record."""
-    return bytes(
-        msgpack.packb([wait.destination, wait.route, wait.length_us, wait.until_us, wait.boot])
-    )
+    return bytes(msgpack.packb([wait.destination, wait.route, wait.length_us, wait.until_us, wait.boot]))
 
 
 def unpack_wait(record: bytes, latest_us: int) -> Wait:
--- a/amberlug/learning/learner.py
+++ b/amberlug/learning/learner.py
@@ -369,11 +369,19 @@
     for number, ones in grouped.items():
         endpoints = [
             api.KnownEndpoint(
-                entry, it.cold, it.since_us, it.failed_us, it.done_us, it.back_us, it.failure_rate,
-                it.swallows, 1.0, (),
+                entry,
+                it.cold,
+                it.since_us,
+                it.failed_us,
+                it.done_us,
+                it.back_us,
+                it.failure_rate,
+                it.swallows,
+                1.0,
+                (),
             )
             for entry, it in ones
-        ]  # fmt: skip
+        ]
         limits = {
             route: api.KnownRoute(route, FIRST_GUESS_US, 1.0, 0, it.learned, it.learned_us)
             for entry, it in ones
@@ -393,9 +401,13 @@
 def _anew(it: api.KnownEndpoint) -> api.KnownEndpoint:
     """What applies of an endpoint that started anew: after an outage it is back, and cold."""
     return replace(
-        it, failure_rate=0.0, swallows=False, done_us=NEVER, back_us=None,
+        it,
+        failure_rate=0.0,
+        swallows=False,
+        done_us=NEVER,
+        back_us=None,
         failed_us=it.failed_us if it.cold else NEVER,
-    )  # fmt: skip
+    )
 
 
 def shift(known: api.Known, by_us: int) -> api.Known:
--- a/amberlug/library/messages.py
+++ b/amberlug/library/messages.py
@@ -76,7 +76,12 @@
             raise BadMessageError(f"deadline is out of range: {seconds!r}")
         left_us = int(seconds * 1e6)
         message = core.Message(
-            self.id, self.message_class, self.tenant, self.destination, self.key, self.body,
+            self.id,
+            self.message_class,
+            self.tenant,
+            self.destination,
+            self.key,
+            self.body,
             now_ms + left_us // 1000,
-        )  # fmt: skip
+        )
         return message, left_us
--- a/amberlug/library/relay.py
+++ b/amberlug/library/relay.py
@@ -130,9 +130,7 @@
             stack.callback(self._lock.release)
             self._clock = LoopClock()
             part = self._disk_bytes // SHARE
-            self._journal = open_journal(
-                self._folder, self._disk_bytes - part, self._clock, self._durability
-            )
+            self._journal = open_journal(self._folder, self._disk_bytes - part, self._clock, self._durability)
             stack.callback(self._journal.close)
             self._learning = open_learning(self._folder, part, self._clock, self._durability)
             stack.callback(self._learning.close)
@@ -144,9 +142,15 @@
             )
             observer = None if self._observer is None else Shielded(self._observer)
             self._node = Node(
-                self.settings, self._seed, self._journal, self._learning, self._transport, self._desk,
-                self._clock, observer,
-            )  # fmt: skip
+                self.settings,
+                self._seed,
+                self._journal,
+                self._learning,
+                self._transport,
+                self._desk,
+                self._clock,
+                observer,
+            )
             if isinstance(self._endpoints, Discovery):
                 self._endpoints.confirms(self._node.current, Heard(self._folder, self._clock))
             self._endpoints.start(self.settings, self._node.listing)
--- a/amberlug/mqtt/link.py
+++ b/amberlug/mqtt/link.py
@@ -197,10 +197,15 @@
         password = None if login.password is None else login.password.encode()
         wire.write(
             Connect(
-                login.client_id, login.version, not keep, login.keep_alive, login.username, password,
+                login.client_id,
+                login.version,
+                not keep,
+                login.keep_alive,
+                login.username,
+                password,
                 properties=own,
             )
-        )  # fmt: skip
+        )
 
     def _stand(self, session: Session) -> None:
         """Go on with a connection that the broker has accepted."""
--- a/amberlug/mqtt/listener.py
+++ b/amberlug/mqtt/listener.py
@@ -122,9 +122,13 @@
         most = allowed.keep_alive
         keep_alive = min(packet.keep_alive or most, most)
         told: dict[P, object] = {
-            P.RECEIVE_MAXIMUM: allowed.window, P.MAXIMUM_PACKET_SIZE: PACKET_MOST, P.SESSION_EXPIRY: 0,
-            P.RETAIN_AVAILABLE: 0, P.SHARED_AVAILABLE: 0, P.SUBSCRIPTION_ID_AVAILABLE: 0,
-        }  # fmt: skip
+            P.RECEIVE_MAXIMUM: allowed.window,
+            P.MAXIMUM_PACKET_SIZE: PACKET_MOST,
+            P.SESSION_EXPIRY: 0,
+            P.RETAIN_AVAILABLE: 0,
+            P.SHARED_AVAILABLE: 0,
+            P.SUBSCRIPTION_ID_AVAILABLE: 0,
+        }
         if keep_alive != packet.keep_alive:
             told[P.SERVER_KEEP_ALIVE] = keep_alive
         self.client_id = packet.client_id
--- a/amberlug/mqtt/mapping.py
+++ b/amberlug/mqtt/mapping.py
@@ -398,10 +398,16 @@
     if password is not None and username is None:
         table.wrong("password", "without a username")
     login = Login(
-        name, where, client_id, version or V5, table.number("keep_alive", 30, 1, 3600),
-        table.number("session_expiry", 86_400, 1, 2**32 - 2), table.number("window", 64, 1, 1000),
-        username, password,
-    )  # fmt: skip
+        name,
+        where,
+        client_id,
+        version or V5,
+        table.number("keep_alive", 30, 1, 3600),
+        table.number("session_expiry", 86_400, 1, 2**32 - 2),
+        table.number("window", 64, 1, 1000),
+        username,
+        password,
+    )
     if needs_address:
         table.finish()
     return login
@@ -413,9 +419,12 @@
         if not isinstance(secret, str):
             table.wrong(f"users.{name}", "its password is no text")
     listener = Listener(
-        table.address("address"), table.number("connections", 256, 1, 10_000),
-        table.number("keep_alive", 60, 1, 3600), table.number("window", 16, 1, 1000), users,
-    )  # fmt: skip
+        table.address("address"),
+        table.number("connections", 256, 1, 10_000),
+        table.number("keep_alive", 60, 1, 3600),
+        table.number("window", 16, 1, 1000),
+        users,
+    )
     table.finish()
     return listener
 
@@ -457,9 +466,20 @@
         return None
     effect = kind.effect if kind is not None else Effect.UNSAFE
     return Route(
-        name, frozenset(sources), message_class, effect, destination, tenant, identity, key, deadline_ms,
-        deadline, ends, qos, share,
-    )  # fmt: skip
+        name,
+        frozenset(sources),
+        message_class,
+        effect,
+        destination,
+        tenant,
+        identity,
+        key,
+        deadline_ms,
+        deadline,
+        ends,
+        qos,
+        share,
+    )
 
 
 def _sources(table: _Table, known: Collection[str]) -> list[str]:
--- a/amberlug/mqtt/topics.py
+++ b/amberlug/mqtt/topics.py
@@ -18,9 +18,10 @@
     if not name or "\0" in name or len(name.encode()) > 0xFFFF:
         return False
     levels = name.split("/")
-    return all(
-        level in ("+", "#") or not ("+" in level or "#" in level) for level in levels
-    ) and "#" not in levels[:-1]  # fmt: skip
+    return (
+        all(level in ("+", "#") or not ("+" in level or "#" in level) for level in levels)
+        and "#" not in levels[:-1]
+    )
 
 
 def matches(name: str, topic: str) -> bool:
--- a/amberlug/peers/fleet.py
+++ b/amberlug/peers/fleet.py
@@ -73,10 +73,15 @@
 
 # Each number: its least and most.
 _BOUNDS: dict[str, tuple[float, float]] = {
-    "copies": (0, 8), "bound_ms": (10, 390), "suspect_s": (0.2, 60), "stagger_s": (0.0, 60),
-    "replace_s": (0.2, 3600), "confirm_s": (0.0, 86_400),
-    "remember_s": (30, 86_400), "room_mb": (0.1, 1e6),
-}  # fmt: skip
+    "copies": (0, 8),
+    "bound_ms": (10, 390),
+    "suspect_s": (0.2, 60),
+    "stagger_s": (0.0, 60),
+    "replace_s": (0.2, 3600),
+    "confirm_s": (0.0, 86_400),
+    "remember_s": (30, 86_400),
+    "room_mb": (0.1, 1e6),
+}
 _WHOLE = ("copies", "bound_ms")
 _TEXTS = ("name", "when_short", "key_file", "listen")
 _MEMBER = ("name", "address", "machine", "zone")
--- a/amberlug/peers/frames.py
+++ b/amberlug/peers/frames.py
@@ -103,9 +103,13 @@
 def _unpacked(payload: bytes) -> Any:
     try:
         return msgpack.unpackb(
-            payload, raw=False, use_list=True, strict_map_key=True,
-            max_array_len=DEEP_MOST, max_map_len=DEEP_MOST,
-        )  # fmt: skip
+            payload,
+            raw=False,
+            use_list=True,
+            strict_map_key=True,
+            max_array_len=DEEP_MOST,
+            max_map_len=DEEP_MOST,
+        )
     except (ValueError, msgpack.exceptions.UnpackException) as error:
         raise BadFrameError(f"a payload that can't be read: {error!r}") from None
 
--- a/amberlug/standin/broker.py
+++ b/amberlug/standin/broker.py
@@ -16,14 +16,59 @@
 
 from amberlug.standin.wire import PATIENCE
 
-(CONNECT, CONNACK, PUBLISH, PUBACK, PUBREC, PUBREL, PUBCOMP, SUBSCRIBE, SUBACK, UNSUBSCRIBE, UNSUBACK,
- PINGREQ, PINGRESP, DISCONNECT) = range(1, 15)  # fmt: skip
-NAMES = dict(enumerate("connect connack publish puback pubrec pubrel pubcomp subscribe suback unsubscribe "
-                       "unsuback pingreq pingresp disconnect".split(), 1))  # fmt: skip
+(
+    CONNECT,
+    CONNACK,
+    PUBLISH,
+    PUBACK,
+    PUBREC,
+    PUBREL,
+    PUBCOMP,
+    SUBSCRIBE,
+    SUBACK,
+    UNSUBSCRIBE,
+    UNSUBACK,
+    PINGREQ,
+    PINGRESP,
+    DISCONNECT,
+) = range(1, 15)
+NAMES = dict(
+    enumerate(
+        "connect connack publish puback pubrec pubrel pubcomp subscribe suback unsubscribe "
+        "unsuback pingreq pingresp disconnect".split(),
+        1,
+    )
+)
 # How each property is written: b byte, h two bytes, i four, v variable, s string, d data, p pair of strings.
-FORMS = {1: "b", 2: "i", 3: "s", 8: "s", 9: "d", 11: "v", 17: "i", 18: "s", 19: "h", 21: "s", 22: "d",
-         23: "b", 24: "i", 25: "b", 26: "s", 28: "s", 31: "s", 33: "h", 34: "h", 35: "h", 36: "b", 37: "b",
-         38: "p", 39: "i", 40: "b", 41: "b", 42: "b"}  # fmt: skip
+FORMS = {
+    1: "b",
+    2: "i",
+    3: "s",
+    8: "s",
+    9: "d",
+    11: "v",
+    17: "i",
+    18: "s",
+    19: "h",
+    21: "s",
+    22: "d",
+    23: "b",
+    24: "i",
+    25: "b",
+    26: "s",
+    28: "s",
+    31: "s",
+    33: "h",
+    34: "h",
+    35: "h",
+    36: "b",
+    37: "b",
+    38: "p",
+    39: "i",
+    40: "b",
+    41: "b",
+    42: "b",
+}
 RESPONSE, CORRELATION, SESSION_EXPIRY, REASON, RECEIVE_MAXIMUM, USER = 8, 9, 17, 31, 33, 38
 Packet = dict[str, Any]
 
@@ -474,9 +519,17 @@
     def _fly(self, session: Session, packet_id: int, message: Packet, dup: bool = False) -> None:
         self.write(
             session,
-            publish(message["topic"], message["payload"], message["qos"], packet_id, session.v5, dup=dup,
-                    properties=message["properties"], retain=message.get("kept", False)),
-        )  # fmt: skip
+            publish(
+                message["topic"],
+                message["payload"],
+                message["qos"],
+                packet_id,
+                session.v5,
+                dup=dup,
+                properties=message["properties"],
+                retain=message.get("kept", False),
+            ),
+        )
 
     def write(self, session: Session, data: bytes) -> None:
         """Write to a client, if it is there."""
--- a/amberlug/standin/crowd.py
+++ b/amberlug/standin/crowd.py
@@ -82,10 +82,15 @@
         """An endpoint as discovery lists it; each `life` has an id of its own."""
         port = self._ports[destination % self.listeners]
         return {
-            "id": f"s-{destination:06x}-{life}", "host_port": f"127.0.0.1:{port}",
-            "locality": "a", "flavor": "plain", "cell": destination, "phase": phase, "size": 0.0,
+            "id": f"s-{destination:06x}-{life}",
+            "host_port": f"127.0.0.1:{port}",
+            "locality": "a",
+            "flavor": "plain",
+            "cell": destination,
+            "phase": phase,
+            "size": 0.0,
             "up_since_ms": 0,
-        }  # fmt: skip
+        }
 
     def members(self, destinations: Iterable[int], life: int = 0) -> list[dict[str, Any]]:
         return [self.member(destination, life=life) for destination in destinations]
--- a/amberlug/standin/deployment.py
+++ b/amberlug/standin/deployment.py
@@ -27,23 +27,54 @@
 def settings() -> dict[str, Any]:
     """The settings object that the platform would give."""
     classes = [
-        {"Name": name, "Semantics": repeat.value, "Group": "all", "KeyTtlUs": int(KEY_LIFE * SECOND),
-         "AimUs": int(WANTED * SECOND), "DeadlineUs": int(DEADLINE * SECOND),
-         "Worth": 4.0 if repeat is Repeat.UNSAFE else 1.0, "LateWorth": 0.5}
+        {
+            "Name": name,
+            "Semantics": repeat.value,
+            "Group": "all",
+            "KeyTtlUs": int(KEY_LIFE * SECOND),
+            "AimUs": int(WANTED * SECOND),
+            "DeadlineUs": int(DEADLINE * SECOND),
+            "Worth": 4.0 if repeat is Repeat.UNSAFE else 1.0,
+            "LateWorth": 0.5,
+        }
         for name, repeat in CLASSES.items()
-    ]  # fmt: skip
+    ]
     return {
-        "Accounts": [], "Balancers": 1, "Ordinal": 0, "Locality": "a", "Zones": ["a"], "Kinds": ["plain"],
-        "Categories": classes, "OverShareWorth": 1.0, "Weights": "none", "GranularityUs": 1000,
-        "RegistryMode": "push", "LoadReport": {"Names": [], "Via": "none"},
+        "Accounts": [],
+        "Balancers": 1,
+        "Ordinal": 0,
+        "Locality": "a",
+        "Zones": ["a"],
+        "Kinds": ["plain"],
+        "Categories": classes,
+        "OverShareWorth": 1.0,
+        "Weights": "none",
+        "GranularityUs": 1000,
+        "RegistryMode": "push",
+        "LoadReport": {"Names": [], "Via": "none"},
         "FamilyInfo": {"BundleMax": [1], "RoutesApart": [False], "Slots": 32, "Late": "linear"},
-        "Bounds": {"Cancel": True, "ConnIdleUs": 5 * SECOND, "DialTimeoutUs": SECOND, "MaxOpen": 500,
-                   "MaxRetryAfterUs": SECOND, "MostTries": 12, "Peers": False, "Probes": False,
-                   "RetryAfter": True, "SecondCopies": False},
-        "Rules": {"AnswerSlackUs": 50_000, "AskWithinUs": 10 * SECOND, "ColdShare": 0.15,
-                  "DrainGraceUs": 2 * SECOND, "OverloadFactor": 2.5, "OverloadForUs": 2 * SECOND,
-                  "WarmWithinUs": 12 * SECOND},
-    }  # fmt: skip
+        "Bounds": {
+            "Cancel": True,
+            "ConnIdleUs": 5 * SECOND,
+            "DialTimeoutUs": SECOND,
+            "MaxOpen": 500,
+            "MaxRetryAfterUs": SECOND,
+            "MostTries": 12,
+            "Peers": False,
+            "Probes": False,
+            "RetryAfter": True,
+            "SecondCopies": False,
+        },
+        "Rules": {
+            "AnswerSlackUs": 50_000,
+            "AskWithinUs": 10 * SECOND,
+            "ColdShare": 0.15,
+            "DrainGraceUs": 2 * SECOND,
+            "OverloadFactor": 2.5,
+            "OverloadForUs": 2 * SECOND,
+            "WarmWithinUs": 12 * SECOND,
+        },
+    }
 
 
 @dataclass(slots=True)
@@ -103,11 +134,14 @@
         state.mkdir()
         members = [member(it) for it in self.partners]
         config = {
-            "name": "try", "seed": "1", "listen": f"127.0.0.1:{self._port}",
+            "name": "try",
+            "seed": "1",
+            "listen": f"127.0.0.1:{self._port}",
             "discovery": f"127.0.0.1:{self.platform.port}",
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 512, "disk_mb": 3},
-            "known": {"revision": 1, "complete": True, "members": members}, "settings": settings(),
-        }  # fmt: skip
+            "known": {"revision": 1, "complete": True, "members": members},
+            "settings": settings(),
+        }
         path = self._folder / "config.json"
         path.write_text(json.dumps(config), encoding="utf-8")
         variables = os.environ | {"ROUTER_CONFIG": str(path), "ROUTER_STATE": str(state)}
@@ -137,9 +171,11 @@
         self.checker.handed_in(Track(name, destination, repeat, KEY_LIFE, now, now + DEADLINE))
         self.tally.handed_in += 1
         headers = [
-            ("Req-Id", name), ("Req-Kind", message_class), ("Req-Deadline-Ms", str(int(DEADLINE * 1000))),
+            ("Req-Id", name),
+            ("Req-Kind", message_class),
+            ("Req-Deadline-Ms", str(int(DEADLINE * 1000))),
             ("Envelope", f"dest={destination}"),
-        ]  # fmt: skip
+        ]
         if repeat is Repeat.KEYED:
             headers.append(("Idempotency-Key", f"key-{name}"))
         while (link := self._links.pop() if self._links else None) is not None and not link.usable:
@@ -196,6 +232,12 @@
 def member(partner: Partner, phase: str = "in_service") -> dict[str, Any]:
     """An endpoint as discovery lists it."""
     return {
-        "id": partner.endpoint, "host_port": f"127.0.0.1:{partner.port}", "locality": "a", "flavor": "plain",
-        "cell": partner.destination, "phase": phase, "size": 0.0, "up_since_ms": 0,
-    }  # fmt: skip
+        "id": partner.endpoint,
+        "host_port": f"127.0.0.1:{partner.port}",
+        "locality": "a",
+        "flavor": "plain",
+        "cell": partner.destination,
+        "phase": phase,
+        "size": 0.0,
+        "up_since_ms": 0,
+    }
--- a/amberlug/standin/drill.py
+++ b/amberlug/standin/drill.py
@@ -101,9 +101,7 @@
     return verdict
 
 
-async def _strike(
-    rig: Fleet, fault: Fault, shown: Callable[[Fleet, str], None], verdict: Verdict
-) -> None:
+async def _strike(rig: Fleet, fault: Fault, shown: Callable[[Fleet, str], None], verdict: Verdict) -> None:
     await asyncio.sleep(fault.at)
     struck = [rig.relays[it] for it in fault.relays]
     names = ", ".join(it.name for it in struck)
--- a/amberlug/standin/fleet.py
+++ b/amberlug/standin/fleet.py
@@ -59,8 +59,10 @@
         config.write_text(json.dumps(self._rig.config(self)), encoding="utf-8")
         fleet.write_text(self._rig.fleet_file(self), encoding="utf-8")
         variables = os.environ | {
-            "ROUTER_CONFIG": str(config), "ROUTER_STATE": str(self.state), "AMBERLUG_FLEET": str(fleet),
-        }  # fmt: skip
+            "ROUTER_CONFIG": str(config),
+            "ROUTER_STATE": str(self.state),
+            "AMBERLUG_FLEET": str(fleet),
+        }
         self.process = await asyncio.create_subprocess_exec(
             sys.executable, "-m", "amberlug", "serve", env=variables, stderr=asyncio.subprocess.PIPE
         )
@@ -176,17 +178,27 @@
         told["Balancers"] = len(self.relays)
         told["Ordinal"] = int(relay.name[1:])
         return {
-            "name": relay.name, "seed": f"{self._seed:x}", "listen": f"127.0.0.1:{relay.port}",
+            "name": relay.name,
+            "seed": f"{self._seed:x}",
+            "listen": f"127.0.0.1:{relay.port}",
             "discovery": f"127.0.0.1:{self.platform.port}",
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 512, "disk_mb": 30},
-            "known": {"revision": 1, "complete": True, "members": [self.endpoint()]}, "settings": told,
-        }  # fmt: skip
+            "known": {"revision": 1, "complete": True, "members": [self.endpoint()]},
+            "settings": told,
+        }
 
     def endpoint(self) -> dict[str, Any]:
         """The partner as discovery lists it."""
-        return {"id": "partner", "host_port": f"127.0.0.1:{self.partner.port}", "locality": "a",
-                "flavor": "plain", "cell": 1, "phase": "in_service", "size": 0.0,
-                "up_since_ms": 0}  # fmt: skip
+        return {
+            "id": "partner",
+            "host_port": f"127.0.0.1:{self.partner.port}",
+            "locality": "a",
+            "flavor": "plain",
+            "cell": 1,
+            "phase": "in_service",
+            "size": 0.0,
+            "up_since_ms": 0,
+        }
 
     def fleet_file(self, relay: Relay) -> str:
         """The operator's file as a relay has it: each link of its goes through a proxy."""
@@ -195,8 +207,12 @@
         named = {it.name: it for it in self.relays}
         for number, (name, it) in enumerate(named.items()):
             port = relay.link_port if name == relay.name else self.links[relay.name, name].port
-            lines += ["[[member]]", f'name = "{it.name}"', f'address = "127.0.0.1:{port}"',
-                      f'zone = "{"ab"[number % 2]}"']  # fmt: skip
+            lines += [
+                "[[member]]",
+                f'name = "{it.name}"',
+                f'address = "127.0.0.1:{port}"',
+                f'zone = "{"ab"[number % 2]}"',
+            ]
         return "\n".join(lines) + "\n"
 
     # Clients.
@@ -206,8 +222,12 @@
         self._names += 1
         name = name or f"m{self._names}"
         self.promises.handed_in(name, kind == UNSAFE, self.clock() + DEADLINE)
-        headers = [("Req-Id", name), ("Req-Kind", kind), ("Req-Deadline-Ms", str(int(DEADLINE * 1000))),
-                   ("Envelope", "dest=1")]  # fmt: skip
+        headers = [
+            ("Req-Id", name),
+            ("Req-Kind", kind),
+            ("Req-Deadline-Ms", str(int(DEADLINE * 1000))),
+            ("Envelope", "dest=1"),
+        ]
         if kind == "entry":
             headers.append(("Idempotency-Key", f"key-{name}"))
         link = await dial("127.0.0.1", relay.port, wait)
--- a/benchmarks/cost.py
+++ b/benchmarks/cost.py
@@ -111,14 +111,25 @@
     """Measure the daemon of a checkout."""
     platform, port = await Platform().start(), free_port()
     with tempfile.TemporaryDirectory() as folder:
-        member = {"id": "e", "host_port": f"127.0.0.1:{endpoint}", "locality": "a", "flavor": "plain",
-                  "cell": 1, "phase": "in_service", "size": 0.0, "up_since_ms": 0}  # fmt: skip
+        member = {
+            "id": "e",
+            "host_port": f"127.0.0.1:{endpoint}",
+            "locality": "a",
+            "flavor": "plain",
+            "cell": 1,
+            "phase": "in_service",
+            "size": 0.0,
+            "up_since_ms": 0,
+        }
         config = {
-            "name": "n", "seed": "1", "listen": f"127.0.0.1:{port}", "settings": settings(),
+            "name": "n",
+            "seed": "1",
+            "listen": f"127.0.0.1:{port}",
+            "settings": settings(),
             "discovery": f"127.0.0.1:{platform.port}",
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 512, "disk_mb": 3},
             "known": {"revision": 1, "complete": True, "members": [member]},
-        }  # fmt: skip
+        }
         path, state = Path(folder) / "config.json", Path(folder) / "state"
         state.mkdir()
         path.write_text(json.dumps(config), encoding="utf-8")
@@ -138,9 +149,15 @@
 async def library(endpoint: int, rate: float, seconds: float) -> float:
     """Measure the library in a host that hands in by itself; endpoint 0 stands for a transport of its own."""
     process = await asyncio.create_subprocess_exec(
-        sys.executable, "-m", "benchmarks.library_host", str(endpoint), str(rate), str(seconds), cwd=ROOT,
+        sys.executable,
+        "-m",
+        "benchmarks.library_host",
+        str(endpoint),
+        str(rate),
+        str(seconds),
+        cwd=ROOT,
         stdout=asyncio.subprocess.PIPE,
-    )  # fmt: skip
+    )
     out, _ = await process.communicate()
     return float(json.loads(out)["cpu_us"])
 
--- a/benchmarks/drills.py
+++ b/benchmarks/drills.py
@@ -19,10 +19,23 @@
     """Play one drill in a process of its own."""
     async with turn:
         process = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "amberlug", "drill", "loss", "--json", "--seed", str(seed),
-            "--relays", str(options.relays), "--copies", str(options.copies),
-            "--seconds", str(options.seconds), stdout=subprocess.PIPE, stderr=subprocess.PIPE,
-        )  # fmt: skip
+            sys.executable,
+            "-m",
+            "amberlug",
+            "drill",
+            "loss",
+            "--json",
+            "--seed",
+            str(seed),
+            "--relays",
+            str(options.relays),
+            "--copies",
+            str(options.copies),
+            "--seconds",
+            str(options.seconds),
+            stdout=subprocess.PIPE,
+            stderr=subprocess.PIPE,
+        )
         out, error = await asyncio.wait_for(process.communicate(), PATIENCE)
         if not out:
             return {"seed": seed, "failed": error.decode()[-300:]}
--- a/benchmarks/hollow/deployment.py
+++ b/benchmarks/hollow/deployment.py
@@ -117,7 +117,12 @@
 def beat(number: int, sequence: int) -> Json:
     """What an endpoint says."""
     return {
-        "targetService": f"s{number % 20}", "address": f"10.9.{number // 250 % 250}.{number % 250}:8080",
-        "zone": f"z{number % ZONES}", "edition": "1.0", "capacity": 8, "condition": "ready",
-        "warmupLeftMs": 0, "sequence": sequence,
-    }  # fmt: skip
+        "targetService": f"s{number % 20}",
+        "address": f"10.9.{number // 250 % 250}.{number % 250}:8080",
+        "zone": f"z{number % ZONES}",
+        "edition": "1.0",
+        "capacity": 8,
+        "condition": "ready",
+        "warmupLeftMs": 0,
+        "sequence": sequence,
+    }
--- a/benchmarks/hollow/net.py
+++ b/benchmarks/hollow/net.py
@@ -27,10 +27,20 @@
 
 SYNC_S = 0.002
 BOUNDS = {
-    "seedLagS": 3.0, "reuseAfterS": 2.0, "contactMs": 4000.0, "ackMs": 5000.0, "catchUpS": 4.5,
-    "drainMs": 3000.0, "graceS": 6.0, "configApplyMs": 3000.0, "completedS": 10.0, "statusTtlS": 120.0,
-    "earlyMs": 100.0, "ceilingWindowS": 5.0, "ceilingOver": 1.1,
-}  # fmt: skip
+    "seedLagS": 3.0,
+    "reuseAfterS": 2.0,
+    "contactMs": 4000.0,
+    "ackMs": 5000.0,
+    "catchUpS": 4.5,
+    "drainMs": 3000.0,
+    "graceS": 6.0,
+    "configApplyMs": 3000.0,
+    "completedS": 10.0,
+    "statusTtlS": 120.0,
+    "earlyMs": 100.0,
+    "ceilingWindowS": 5.0,
+    "ceilingOver": 1.1,
+}
 
 
 @dataclass(slots=True)
@@ -219,9 +229,25 @@
     ip = host.address.rpartition(":")[0]
     control = (ip, 7000) if host.role == "core" else None
     return Settings(
-        host.name, ip, host.zone, "r", frozenset(), host.role, None, None, control, range(7300, 7316),
-        tuple((it, 7000) for it in seeds), True, None, 1.0, Tolerance(1, 0, 0), 300.0, 360.0, BOUNDS,
-    )  # fmt: skip
+        host.name,
+        ip,
+        host.zone,
+        "r",
+        frozenset(),
+        host.role,
+        None,
+        None,
+        control,
+        range(7300, 7316),
+        tuple((it, 7000) for it in seeds),
+        True,
+        None,
+        1.0,
+        Tolerance(1, 0, 0),
+        300.0,
+        360.0,
+        BOUNDS,
+    )
 
 
 @contextmanager
--- a/benchmarks/hollow/steps.py
+++ b/benchmarks/hollow/steps.py
@@ -58,9 +58,21 @@
     """One that is not due for a day."""
     name = f"{number % SHARDS:x}-a{number:012d}"
     held = Message(
-        name, number % SHARDS, f"a{number:012d}", "host.example", "POST", f"/p00000/{number}", "r-p00000", "",
-        1.79e9, 1.79e9 + 86400.0, (("content-type", "application/json"),), bytes(body), body, (7, number),
-    )  # fmt: skip
+        name,
+        number % SHARDS,
+        f"a{number:012d}",
+        "host.example",
+        "POST",
+        f"/p00000/{number}",
+        "r-p00000",
+        "",
+        1.79e9,
+        1.79e9 + 86400.0,
+        (("content-type", "application/json"),),
+        bytes(body),
+        body,
+        (7, number),
+    )
     held.holders, held.asked = {"disk-store-1", "disk-store-2"}, {"disk-store-1", "disk-store-2"}
     return held
 
@@ -80,11 +92,15 @@
         edge.news.offer("config", [1], config(1000))
         stores = {
             f"disk-store-{it}": {
-                "name": f"store-{it}", "addr": f"10.2.0.{it}:7300", "zone": "z0", "region": "r",
-                "state": "full", "at": 1,
+                "name": f"store-{it}",
+                "addr": f"10.2.0.{it}:7300",
+                "zone": "z0",
+                "region": "r",
+                "state": "full",
+                "at": 1,
             }
             for it in range(STORES)
-        }  # fmt: skip
+        }
         edge.news.offer("roster", [1], stores)
         for body in (0, 1000):
             rack, size = _room(partial(_hold, world, count, body))
@@ -179,11 +195,15 @@
 
 def _session_body(number: int) -> Json:
     return {
-        "name": f"edge-{number}", "incarnation": f"19f0a1b2c3d{number:04x}",
+        "name": f"edge-{number}",
+        "incarnation": f"19f0a1b2c3d{number:04x}",
         "address": f"10.3.0.{number}:7300",
-        "machine_class": "edge", "zone": f"z{number % ZONES}", "region": "r", "state": "up",
+        "machine_class": "edge",
+        "zone": f"z{number % ZONES}",
+        "region": "r",
+        "state": "up",
         "extra": {"roster": 7, "table": 12, "loading": 0, "short": 0},
-    }  # fmt: skip
+    }
 
 
 def _session_steps() -> Iterator[Figure]:
@@ -237,14 +257,22 @@
         yield Figure("steps", "endpoints", count, "edge", "bytes of memory beside the news", room)
         report = sorted(cell.beaten)
         yield Figure(
-            "steps", "endpoints", count, "core", "bytes of a report of beats",
+            "steps",
+            "endpoints",
+            count,
+            "core",
+            "bytes of a report of beats",
             len(pack({"w": "sessions", "b": {"rows": [], "seen": report}}).unwrap()),
-        )  # fmt: skip
+        )
         versions = {key: item[0] for key, item in cell.news.items.items()}
         yield Figure(
-            "steps", "endpoints", count, "edge", "bytes of versions for one gap",
+            "steps",
+            "endpoints",
+            count,
+            "edge",
+            "bytes of versions for one gap",
             len(json.dumps({"versions": versions}, separators=(",", ":"))),
-        )  # fmt: skip
+        )
         steps: dict[str, Callable[[], object]] = {
             "sweep": partial(cell.sweep, lambda name: None),
             "heard elsewhere": partial(cell.heard_elsewhere, report),
@@ -345,8 +373,13 @@
     """The log's own disk: entries one after the other and 64 at once, and snapshots."""
     for size in (1_000, 20_000, 200_000):
         for at_once in (1, 64):
-            rate = _written([("entry", (it + 1, 1, {"do": "config", "config": config(size)})) for it in range(
-                64 if size > 100_000 else 192)], at_once)  # fmt: skip
+            rate = _written(
+                [
+                    ("entry", (it + 1, 1, {"do": "config", "config": config(size)}))
+                    for it in range(64 if size > 100_000 else 192)
+                ],
+                at_once,
+            )
             yield Figure(f"log, {at_once} at once", "bytes of an entry", size, "core", "entries/real s", rate)
         state = {"config": config(size), "drains": {f"endpoint-{it}": [2, it] for it in range(4096)}}
         rate = _written([("snap", (it, 1, state, {})) for it in range(8)], 1)
--- a/benchmarks/learning.py
+++ b/benchmarks/learning.py
@@ -106,10 +106,16 @@
         live = sum(len(key) + len(value) for key, value in again._store.records.items())
         again.close()
         return {
-            "known": known, "active": active, "KB written a minute": (disk.written - before) / 1e3,
-            "longest turn ms": longest * 1e3, "CPU ms a minute": took * 1e3, "bytes each": live / known,
-            "bytes on disk each": size / known, "ms to open": opened * 1e3, "us to recall": recalled * 1e6,
-        }  # fmt: skip
+            "known": known,
+            "active": active,
+            "KB written a minute": (disk.written - before) / 1e3,
+            "longest turn ms": longest * 1e3,
+            "CPU ms a minute": took * 1e3,
+            "bytes each": live / known,
+            "bytes on disk each": size / known,
+            "ms to open": opened * 1e3,
+            "us to recall": recalled * 1e6,
+        }
 
 
 # Predictions: worlds in which a figure was learned, and what it is after a pause.
--- a/benchmarks/memory.py
+++ b/benchmarks/memory.py
@@ -37,8 +37,10 @@
     for name in FIGURES:
         differences = [it[name] - was[name] for was, it in zip(without, with_it, strict=True)]
         means = [statistics.fmean(it[name] for it in side) for side in (without, with_it)]
-        print(f"| {name} | {means[0]:.4f} | {means[1]:.4f} | {statistics.fmean(differences):+.4f} "
-              f"± {half_width(differences):.4f} |")  # fmt: skip
+        print(
+            f"| {name} | {means[0]:.4f} | {means[1]:.4f} | {statistics.fmean(differences):+.4f} "
+            f"± {half_width(differences):.4f} |"
+        )
     broken = [statistics.fmean(len(it["broken"]) for it in side) for side in (without, with_it)]
     print(f"| rules broken a play | {broken[0]:.1f} | {broken[1]:.1f} | |")
 
--- a/benchmarks/mqtt.py
+++ b/benchmarks/mqtt.py
@@ -117,9 +117,10 @@
         (folder / "mqtt.toml").write_text(FILE.format(broker=self.hall.port, listener=self.listener))
         (folder / "config.json").write_text(json.dumps(self._config(endpoint)))
         variables = os.environ | {
-            "ROUTER_CONFIG": str(folder / "config.json"), "ROUTER_STATE": str(folder / "state"),
+            "ROUTER_CONFIG": str(folder / "config.json"),
+            "ROUTER_STATE": str(folder / "state"),
             "AMBERLUG_MQTT": str(folder / "mqtt.toml"),
-        }  # fmt: skip
+        }
         self.process = await asyncio.create_subprocess_exec(
             sys.executable, "-m", "amberlug", cwd=ROOT, env=variables, stderr=asyncio.subprocess.PIPE
         )
@@ -142,11 +143,14 @@
             usual | {"id": "t", "host_port": f"127.0.0.1:{self.hall.port}", "flavor": "topic", "cell": 2},
         ]
         return {
-            "name": "n", "seed": "1", "listen": f"127.0.0.1:{self.port}", "settings": table,
+            "name": "n",
+            "seed": "1",
+            "listen": f"127.0.0.1:{self.port}",
+            "settings": table,
             "discovery": f"127.0.0.1:{self.platform.port}",
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024, "disk_mb": 16},
             "known": {"revision": 1, "complete": True, "members": members},
-        }  # fmt: skip
+        }
 
     async def __aexit__(self, *error: object) -> None:
         self.process.kill()
--- a/benchmarks/restarts.py
+++ b/benchmarks/restarts.py
@@ -121,23 +121,33 @@
         """Start the relay; how long until it was ready."""
         began = time.monotonic()
         members = [
-            {"id": f"e{it.number}", "host_port": f"127.0.0.1:{it.peer.port}", "locality": "a",
-             "flavor": "plain", "cell": it.number, "phase": "in_service",
-             "size": 0.0 if it.sort == "limited" else RATE, "up_since_ms": 0}
+            {
+                "id": f"e{it.number}",
+                "host_port": f"127.0.0.1:{it.peer.port}",
+                "locality": "a",
+                "flavor": "plain",
+                "cell": it.number,
+                "phase": "in_service",
+                "size": 0.0 if it.sort == "limited" else RATE,
+                "up_since_ms": 0,
+            }
             for it in self.partners
-        ]  # fmt: skip
+        ]
         config = {
-            "name": "n0", "seed": "1", "listen": f"127.0.0.1:{self.port}",
+            "name": "n0",
+            "seed": "1",
+            "listen": f"127.0.0.1:{self.port}",
             "discovery": f"127.0.0.1:{self.platform.port}",
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 512, "disk_mb": 3},
             "known": {"revision": 1, "complete": True, "members": members},
             "settings": settings() | {"Weights": "nominal"},
-        }  # fmt: skip
+        }
         (self.folder / "config.json").write_text(json.dumps(config), encoding="utf-8")
         variables = os.environ | {
-            "ROUTER_CONFIG": str(self.folder / "config.json"), "ROUTER_STATE": str(self.folder / "state"),
+            "ROUTER_CONFIG": str(self.folder / "config.json"),
+            "ROUTER_STATE": str(self.folder / "state"),
             "PYTHONPATH": str(self.checkout),
-        }  # fmt: skip
+        }
         self.process = await asyncio.create_subprocess_exec(
             sys.executable, "-m", "amberlug", cwd=self.checkout, env=variables, stderr=asyncio.subprocess.PIPE
         )
@@ -153,8 +163,13 @@
         began = time.monotonic()
         self.handed[name], self.to[name] = (began, False), destination
         while (left := began + DEADLINE - time.monotonic()) > 0.5:
-            headers = [("Req-Id", name), ("Req-Kind", kind), ("Req-Deadline-Ms", str(int(left * 1000))),
-                       ("Envelope", f"dest={destination}"), ("Idempotency-Key", f"key-{name}")]  # fmt: skip
+            headers = [
+                ("Req-Id", name),
+                ("Req-Kind", kind),
+                ("Req-Deadline-Ms", str(int(left * 1000))),
+                ("Envelope", f"dest={destination}"),
+                ("Idempotency-Key", f"key-{name}"),
+            ]
             link = await dial("127.0.0.1", self.port, 1.0)
             if link is not None:
                 try:
@@ -231,17 +246,23 @@
         for peer in (world.platform, *(it.peer for it in world.partners)):
             await peer.stop()
         return {
-            "failed": sum(failed.values()), **{f"failed {sort}": count for sort, count in failed.items()},
+            "failed": sum(failed.values()),
+            **{f"failed {sort}": count for sort, count in failed.items()},
             "into waits": sum(call.in_wait for _, call in calls),
-            "late": later, "worth": worth, "worth in 5 s": world.worth(soon)[0],
+            "late": later,
+            "worth": worth,
+            "worth in 5 s": world.worth(soon)[0],
             "calls to the better one": sum(call.at >= began for call in better.calls),
-            "better one's worth after 5 s": world.worth([
-                name
-                for name in late
-                if world.handed[name][0] >= began + 5 and world.to[name] == better.number
-            ])[0],
-            "calls": len(calls), "ready s": ready,
-        }  # fmt: skip
+            "better one's worth after 5 s": world.worth(
+                [
+                    name
+                    for name in late
+                    if world.handed[name][0] >= began + 5 and world.to[name] == better.number
+                ]
+            )[0],
+            "calls": len(calls),
+            "ready s": ready,
+        }
 
 
 def main() -> None:
--- a/benchmarks/sleeping.py
+++ b/benchmarks/sleeping.py
@@ -60,11 +60,19 @@
         state, path = self._folder / "state", self._folder / "config.json"
         state.mkdir()
         known = {"revision": 1, "complete": True, "members": self._crowd.members(range(self._listed))}
-        path.write_text(json.dumps({
-            "name": "sleeping", "seed": "1", "listen": f"127.0.0.1:{self.port}",
-            "discovery": f"127.0.0.1:{self.platform.port}", "settings": table, "known": known,
-            "limits": {"cores": 1.0, "memory_mb": 64, "sockets": 1024, "disk_mb": 16},
-        }))  # fmt: skip
+        path.write_text(
+            json.dumps(
+                {
+                    "name": "sleeping",
+                    "seed": "1",
+                    "listen": f"127.0.0.1:{self.port}",
+                    "discovery": f"127.0.0.1:{self.platform.port}",
+                    "settings": table,
+                    "known": known,
+                    "limits": {"cores": 1.0, "memory_mb": 64, "sockets": 1024, "disk_mb": 16},
+                }
+            )
+        )
         variables = os.environ | {"ROUTER_CONFIG": str(path), "ROUTER_STATE": str(state)}
         start = time.perf_counter()
         self.process = await asyncio.create_subprocess_exec(
--- a/stoatusher/folding.py
+++ b/stoatusher/folding.py
@@ -88,16 +88,34 @@
 
 def _account_numbers(it: Account) -> tuple[float | int | None, ...]:
     return (
-        it.rate, it.listed, it.blocked_until, it.usual_us, it.learned, it.learned_us, it.stretched,
-        it.pace, it.pace_us, it.streak, it.paused_until,
-    )  # fmt: skip
+        it.rate,
+        it.listed,
+        it.blocked_until,
+        it.usual_us,
+        it.learned,
+        it.learned_us,
+        it.stretched,
+        it.pace,
+        it.pace_us,
+        it.streak,
+        it.paused_until,
+    )
 
 
 def _endpoint_numbers(it: Endpoint) -> tuple[object, ...]:
     return (
-        it.failed_us, it.done_us, it.swallows, it.failure_rate, it.cold, it.since_us, it.spread, it.back_us,
-        it.keep_us, it.unmet, tuple(it.starts),
-    )  # fmt: skip
+        it.failed_us,
+        it.done_us,
+        it.swallows,
+        it.failure_rate,
+        it.cold,
+        it.since_us,
+        it.spread,
+        it.back_us,
+        it.keep_us,
+        it.unmet,
+        tuple(it.starts),
+    )
 
 
 def fold(to: Destination, now_us: int, settings: Settings) -> bytes:
@@ -126,15 +144,31 @@
         rate, account.listed, *rest = numbers
         account.set_rate(rate)
         (
-            account.blocked_until, account.usual_us, account.learned, account.learned_us, account.stretched,
-            account.pace, account.pace_us, account.streak, account.paused_until,
-        ) = rest  # fmt: skip
+            account.blocked_until,
+            account.usual_us,
+            account.learned,
+            account.learned_us,
+            account.stretched,
+            account.pace,
+            account.pace_us,
+            account.streak,
+            account.paused_until,
+        ) = rest
     for name, numbers in endpoints.items():
         it = to.endpoints[name]
         (
-            it.failed_us, it.done_us, it.swallows, it.failure_rate, it.cold, it.since_us, it.spread,
-            it.back_us, it.keep_us, it.unmet, starts,
-        ) = numbers  # fmt: skip
+            it.failed_us,
+            it.done_us,
+            it.swallows,
+            it.failure_rate,
+            it.cold,
+            it.since_us,
+            it.spread,
+            it.back_us,
+            it.keep_us,
+            it.unmet,
+            starts,
+        ) = numbers
         it.starts = deque(starts, maxlen=KEPT)
 
 
@@ -146,11 +180,19 @@
     ]
     endpoints = [
         KnownEndpoint(
-            it.entry, it.cold, it.since_us, it.failed_us, it.done_us, it.back_us, it.failure_rate,
-            it.swallows, it.spread, tuple(it.starts) if it.cold else (),
+            it.entry,
+            it.cold,
+            it.since_us,
+            it.failed_us,
+            it.done_us,
+            it.back_us,
+            it.failure_rate,
+            it.swallows,
+            it.spread,
+            tuple(it.starts) if it.cold else (),
         )
         for it in to.endpoints.values()
-    ]  # fmt: skip
+    ]
     return Known(to.number, tuple(routes), tuple(endpoints))
 
 
--- a/tests/asgi_host.py
+++ b/tests/asgi_host.py
@@ -110,12 +110,20 @@
     async def run(self, app: Application, request: h11.Request, host: Host) -> None:
         path, _, query = request.target.partition(b"?")
         scope = {
-            "type": "http", "asgi": {"version": "3.0", "spec_version": "2.3"}, "http_version": "1.1",
-            "method": request.method.decode(), "scheme": "http", "path": path.decode("latin-1"),
-            "raw_path": path, "query_string": query, "root_path": "", "headers": list(request.headers),
-            "client": self._writer.get_extra_info("peername"), "server": ("127.0.0.1", host.port),
+            "type": "http",
+            "asgi": {"version": "3.0", "spec_version": "2.3"},
+            "http_version": "1.1",
+            "method": request.method.decode(),
+            "scheme": "http",
+            "path": path.decode("latin-1"),
+            "raw_path": path,
+            "query_string": query,
+            "root_path": "",
+            "headers": list(request.headers),
+            "client": self._writer.get_extra_info("peername"),
+            "server": ("127.0.0.1", host.port),
             "state": host.lifespan.state.copy(),
-        }  # fmt: skip
+        }
         await app(scope, self._receive, self._send)
 
     async def _receive(self) -> Event:
--- a/tests/hosts.py
+++ b/tests/hosts.py
@@ -74,10 +74,15 @@
     path = folder / "host.py"
     path.write_text(script)
     process = await asyncio.create_subprocess_exec(
-        sys.executable, str(path), str(folder / "state"), *arguments,
-        cwd=ROOT, env=os.environ | {"PYTHONPATH": str(ROOT)},
-        stdout=asyncio.subprocess.PIPE, stderr=asyncio.subprocess.PIPE,
-    )  # fmt: skip
+        sys.executable,
+        str(path),
+        str(folder / "state"),
+        *arguments,
+        cwd=ROOT,
+        env=os.environ | {"PYTHONPATH": str(ROOT)},
+        stdout=asyncio.subprocess.PIPE,
+        stderr=asyncio.subprocess.PIPE,
+    )
     async with asyncio.timeout(PATIENCE):
         out, errors = await process.communicate()
     assert process.returncode is not None
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -40,8 +40,16 @@
 
 
 def member(port: int, name: str = "e", phase: str = "in_service", kind: str = "plain") -> dict[str, Any]:
-    return {"id": name, "host_port": f"127.0.0.1:{port}", "locality": "north", "flavor": kind, "cell": 1,
-            "phase": phase, "size": 50.0, "up_since_ms": 0}  # fmt: skip
+    return {
+        "id": name,
+        "host_port": f"127.0.0.1:{port}",
+        "locality": "north",
+        "flavor": kind,
+        "cell": 1,
+        "phase": phase,
+        "size": 50.0,
+        "up_since_ms": 0,
+    }
 
 
 def news(*members: dict[str, Any], revision: int = 2, complete: bool = False) -> bytes:
@@ -89,29 +97,40 @@
         return self.folder / "config.json"
 
     def configure(self) -> None:
-        self.config.write_text(json.dumps({
-            "name": "n0", "seed": "8c1f30d27a5be964", "limits": self.limits,
-            "listen": f"127.0.0.1:{self.port}", "discovery": f"127.0.0.1:{self.platform.port}",
-            "known": {"revision": 1, "complete": True, "members": self.members}, "settings": self.settings,
-            **self.options,
-        }))  # fmt: skip
+        self.config.write_text(
+            json.dumps(
+                {
+                    "name": "n0",
+                    "seed": "8c1f30d27a5be964",
+                    "limits": self.limits,
+                    "listen": f"127.0.0.1:{self.port}",
+                    "discovery": f"127.0.0.1:{self.platform.port}",
+                    "known": {"revision": 1, "complete": True, "members": self.members},
+                    "settings": self.settings,
+                    **self.options,
+                }
+            )
+        )
 
     async def start(self) -> None:
         state = self.folder / "state"
         state.mkdir(exist_ok=True)
         self.configure()
         variables = os.environ | {
-            "ROUTER_CONFIG": str(self.config), "ROUTER_STATE": str(state),
+            "ROUTER_CONFIG": str(self.config),
+            "ROUTER_STATE": str(state),
             "ROUTER_DISCOVERY": f"127.0.0.1:{self.platform.port}",
             **self.environ,
-        }  # fmt: skip
+        }
         command = [sys.executable, "-m", "amberlug"]
         if self.blocks:
             command = ["/bin/sh", "-c", f'ulimit -f {self.blocks}; exec "$0" "$@"', *command]
         self.process = await asyncio.create_subprocess_exec(
-            *command, cwd=ROOT, env=variables,
+            *command,
+            cwd=ROOT,
+            env=variables,
             stderr=asyncio.subprocess.PIPE,
-        )  # fmt: skip
+        )
         await self.said("ready on")
         async with asyncio.timeout(PATIENCE):
             assert (await self.ask("GET", "/up")).status == 200
--- a/tests/test_account.py
+++ b/tests/test_account.py
@@ -168,9 +168,15 @@
     relay.advance(relay.now + 20 * SECOND)
     sender = relay.sender
     for kept in (
-        sender.timers, sender.lanes, sender.rests, sender.endpoints, sender.messages, sender.calls,
-        sender.destinations, sender.folded,
-    ):  # fmt: skip
+        sender.timers,
+        sender.lanes,
+        sender.rests,
+        sender.endpoints,
+        sender.messages,
+        sender.calls,
+        sender.destinations,
+        sender.folded,
+    ):
         assert kept == {}
     assert len(sender.members) == 0
 
--- a/tests/test_asgi.py
+++ b/tests/test_asgi.py
@@ -316,10 +316,17 @@
         endpoint = await StandIn(None).start()
         port = free_port()
         process = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "tests.asgi_host", "tests.test_asgi:hosted_app", str(port),
-            str(tmp_path), str(endpoint.port),
-            cwd=ROOT, env=os.environ | {"PYTHONPATH": str(ROOT)}, stdout=asyncio.subprocess.PIPE,
-        )  # fmt: skip
+            sys.executable,
+            "-m",
+            "tests.asgi_host",
+            "tests.test_asgi:hosted_app",
+            str(port),
+            str(tmp_path),
+            str(endpoint.port),
+            cwd=ROOT,
+            env=os.environ | {"PYTHONPATH": str(ROOT)},
+            stdout=asyncio.subprocess.PIPE,
+        )
         assert process.stdout is not None
         async with asyncio.timeout(PATIENCE):
             assert await process.stdout.readline() == b"serving\n"
--- a/tests/test_commands.py
+++ b/tests/test_commands.py
@@ -27,10 +27,14 @@
 
 def config(**changes: Any) -> dict[str, Any]:
     return {
-        "name": "n0", "seed": "8c1f30d27a5be964", "listen": "127.0.0.1:7070", "discovery": "127.0.0.1:7071",
+        "name": "n0",
+        "seed": "8c1f30d27a5be964",
+        "listen": "127.0.0.1:7070",
+        "discovery": "127.0.0.1:7071",
         "limits": {"disk_mb": 3.0, "memory_mb": 64, "sockets": 256},
-        "known": {"revision": 1, "complete": True, "members": [member(7072)]}, "settings": setup(),
-    } | changes  # fmt: skip
+        "known": {"revision": 1, "complete": True, "members": [member(7072)]},
+        "settings": setup(),
+    } | changes
 
 
 def found(data: Any) -> dict[str, str]:
@@ -48,14 +52,30 @@
     del settings["FamilyInfo"]["Slots"]
     members = [member(7072), member(7073), member(7074, "e2", kind="none"), 5, member(99999, "e4")]
     problems = found(
-        config(listen="here", seed="xyz", settings=settings, limits={"sockets": -1, "memory_mb": 64},
-               known={"revision": "one", "members": members})
-    )  # fmt: skip
+        config(
+            listen="here",
+            seed="xyz",
+            settings=settings,
+            limits={"sockets": -1, "memory_mb": 64},
+            known={"revision": "one", "members": members},
+        )
+    )
     assert list(problems) == [
-        "listen", "seed", "limits.sockets", "limits.disk_mb", "settings.KeyTtlUs",
-        "settings.FamilyInfo.Slots", "settings.Bounds.MaxOpen", "settings.Weights",
-        "settings.Rules.ColdShare", "known.revision", "known.members[1]", "known.members[2]",
-        "known.members[3]", "known.members[4]", ]  # fmt: skip
+        "listen",
+        "seed",
+        "limits.sockets",
+        "limits.disk_mb",
+        "settings.KeyTtlUs",
+        "settings.FamilyInfo.Slots",
+        "settings.Bounds.MaxOpen",
+        "settings.Weights",
+        "settings.Rules.ColdShare",
+        "known.revision",
+        "known.members[1]",
+        "known.members[2]",
+        "known.members[3]",
+        "known.members[4]",
+    ]
     assert "listed twice" in problems["known.members[1]"]
     assert "unknown kind" in problems["known.members[2]"]
 
@@ -115,9 +135,14 @@
 
 @pytest.mark.parametrize(
     ("text", "where"),
-    [("", "line 1 column 1"), ('{\n "name" 3}', "line 2 column 9"), ("[]", "the whole"),
-     ("[" * 100_000, "the whole"), ("{}", "seed")],
-)  # fmt: skip
+    [
+        ("", "line 1 column 1"),
+        ('{\n "name" 3}', "line 2 column 9"),
+        ("[]", "the whole"),
+        ("[" * 100_000, "the whole"),
+        ("{}", "seed"),
+    ],
+)
 def test_what_is_no_configuration_at_all_is_one_clear_problem(text: str, where: str) -> None:
     assert check(text)[0].where == where
 
@@ -163,15 +188,27 @@
     assert (figures["handed_in"], figures["broken"]) == (60, [])
     assert figures["taken"] + figures["refused"] + figures["unanswered"] == 60
     assert [row["partner"] for row in figures["partners"]] == [
-        "steady", "slow", "limited", "dropping", "draining"
-    ]  # fmt: skip
+        "steady",
+        "slow",
+        "limited",
+        "dropping",
+        "draining",
+    ]
     ends = sum(row["delivered"] + row["handed_back"] + row["given_up"] for row in figures["partners"])
     assert ends == figures["taken"]
 
 
 def test_try_shows_a_table_and_tells_what_was_broken() -> None:
-    row = {"partner": "steady", "messages": 1, "calls": 2, "delivered": 1, "handed_back": 0, "given_up": 0,
-           "waits": 0, "median_ms": None}  # fmt: skip
+    row = {
+        "partner": "steady",
+        "messages": 1,
+        "calls": 2,
+        "delivered": 1,
+        "handed_back": 0,
+        "given_up": 0,
+        "waits": 0,
+        "median_ms": None,
+    }
     figures = {"handed_in": 1, "taken": 1, "refused": 0, "unanswered": 0, "partners": [row], "broken": []}
     assert trial.table(figures).splitlines()[-1] == "every rule was kept"
     text = trial.table(figures | {"broken": ["m1: lost, with 0 calls"]})
@@ -216,8 +253,9 @@
     assert main(["journal", "verify", str(saved)]) == 0
     held = journal_in(saved).held
     assert {name: one.end for name, one in held.items()} == {
-        "a": End("a", Outcome.GIVEN_UP), "b": End("b", Outcome.GIVEN_UP)
-    }  # fmt: skip
+        "a": End("a", Outcome.GIVEN_UP),
+        "b": End("b", Outcome.GIVEN_UP),
+    }
     capsys.readouterr()
     assert main(["journal", "salvage", str(folder), str(saved)]) == 2
     assert main(["journal", "inspect", str(tmp_path / "none")]) == 2
@@ -230,9 +268,14 @@
         unset = b"ROUTER_CONFIG is not set"
         for arguments, said in (((), unset), (("serve",), unset), (("none",), b"usage")):
             process = await asyncio.create_subprocess_exec(
-                sys.executable, "-m", "amberlug", *arguments,
-                cwd=ROOT, env=environ, stderr=asyncio.subprocess.PIPE,
-            )  # fmt: skip
+                sys.executable,
+                "-m",
+                "amberlug",
+                *arguments,
+                cwd=ROOT,
+                env=environ,
+                stderr=asyncio.subprocess.PIPE,
+            )
             _, errors = await process.communicate()
             assert (process.returncode, said in errors) == (2, True)
 
--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -84,18 +84,40 @@
 SLOW = replace(FLEET.partner, answer_ms=700)
 # What is found; which guards are taken out, and what stands in their place; the day.
 SPOILT: list[tuple[str, list[tuple[object, str]], Callable[..., Any], Scenario]] = [
-    ("drains", [(Node, "current")], _nothing, replace(
-        FLEET, faults=(Fault("deaf", 0.5, 20, relays=RELAYS), Fault("drain", 1.0, destinations=4)))),
-    ("told wait", [(Learner, "told")], _nothing, replace(
-        FLEET, partner=replace(FLEET.partner, wait_ms=2500), load=Load(per_second=200), faults=KILLED)),
+    (
+        "drains",
+        [(Node, "current")],
+        _nothing,
+        replace(FLEET, faults=(Fault("deaf", 0.5, 20, relays=RELAYS), Fault("drain", 1.0, destinations=4))),
+    ),
+    (
+        "told wait",
+        [(Learner, "told")],
+        _nothing,
+        replace(
+            FLEET, partner=replace(FLEET.partner, wait_ms=2500), load=Load(per_second=200), faults=KILLED
+        ),
+    ),
     ("lost", [(Node, "_resume")], _nothing, replace(FLEET, partner=SLOW, faults=KILLED)),
-    ("may have run", [(decide, "may_repeat"), (lasting, "may_repeat")], _always, replace(
-        FLEET, partner=SLOW, faults=KILLED)),
-    ("may have run", [(decide, "may_repeat")], _always, replace(
-        FLEET, partner=replace(FLEET.partner, lost=0.2))),
-    ("pushed over", [(decide.Sender, "cold_opening")], _at_once, replace(
-        FLEET, partner=replace(FLEET.partner, concurrency=2), faults=(Fault("down", 2.0, 4.0, 1),))),
-]  # fmt: skip
+    (
+        "may have run",
+        [(decide, "may_repeat"), (lasting, "may_repeat")],
+        _always,
+        replace(FLEET, partner=SLOW, faults=KILLED),
+    ),
+    (
+        "may have run",
+        [(decide, "may_repeat")],
+        _always,
+        replace(FLEET, partner=replace(FLEET.partner, lost=0.2)),
+    ),
+    (
+        "pushed over",
+        [(decide.Sender, "cold_opening")],
+        _at_once,
+        replace(FLEET, partner=replace(FLEET.partner, concurrency=2), faults=(Fault("down", 2.0, 4.0, 1),)),
+    ),
+]
 
 
 @pytest.mark.parametrize("number", range(len(SPOILT)))
@@ -134,7 +156,7 @@
             max_open=24,
             uneven=0.8,
             network_ms=10,
-        ),  # fmt: skip
+        ),
         Load(per_second=3 * rate, skew=0.3),
         Partner(rate=rate, answer_ms=100, concurrency=max(2, int(rate * 0.15)), tells_wait=0.5),
     )
--- a/tests/test_fleet_file.py
+++ b/tests/test_fleet_file.py
@@ -161,10 +161,14 @@
 
 
 RECORDS = [
-    (Kind.TAKEN, ["payment", None, 1, None, b"x", 9, 1]), (Kind.ATTEMPT, [0, 5, "e"]),
-    (Kind.ATTEMPT, [1, 6, "f"]), (Kind.OUTCOME, [0, "refused"]), (Kind.REPLY, [1, True, b"here"]),
-    (Kind.OWED, ["given_up", 0]), (Kind.ENDED, [99]),
-]  # fmt: skip
+    (Kind.TAKEN, ["payment", None, 1, None, b"x", 9, 1]),
+    (Kind.ATTEMPT, [0, 5, "e"]),
+    (Kind.ATTEMPT, [1, 6, "f"]),
+    (Kind.OUTCOME, [0, "refused"]),
+    (Kind.REPLY, [1, True, b"here"]),
+    (Kind.OWED, ["given_up", 0]),
+    (Kind.ENDED, [99]),
+]
 BALLOTS = [(0, "a", "1"), (1, "b", "1"), (2, "a", "2")]
 
 
--- a/tests/test_folding.py
+++ b/tests/test_folding.py
@@ -321,9 +321,14 @@
     sender = relay.sender
     assert len(sender.members) == 20
     for kept in (
-        sender.destinations, sender.endpoints, sender.folded, sender.looks,
-        sender.folded_looks, sender.timers, sender.touched,
-    ):  # fmt: skip
+        sender.destinations,
+        sender.endpoints,
+        sender.folded,
+        sender.looks,
+        sender.folded_looks,
+        sender.timers,
+        sender.touched,
+    ):
         assert len(kept) <= 40, kept
 
 
--- a/tests/test_imports.py
+++ b/tests/test_imports.py
@@ -13,9 +13,15 @@
 ON_TOP = "amberlug.cli"
 # Neither runs nor is imported in a relay that no operator's file asks for it.
 OFF = (
-    "amberlug.mqtt", "amberlug.library", "amberlug.peers", "amberlug.copies",
-    "paho", "blake3", "xxhash", "rich",
-)  # fmt: skip
+    "amberlug.mqtt",
+    "amberlug.library",
+    "amberlug.peers",
+    "amberlug.copies",
+    "paho",
+    "blake3",
+    "xxhash",
+    "rich",
+)
 
 
 def layer(module: str) -> int:
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -87,9 +87,16 @@
         scenario_of("bad", data)
     places = [problem.partition(":")[0] for problem in error.value.problems]
     assert places == [
-        "weather", "world.seconds", "world.relays", "world.colour", "load", "fault[1].at", "fault[2]",
-        "fault[1].what", "fault[2].what",
-    ]  # fmt: skip
+        "weather",
+        "world.seconds",
+        "world.relays",
+        "world.colour",
+        "load",
+        "fault[1].at",
+        "fault[2]",
+        "fault[1].what",
+        "fault[2].what",
+    ]
 
 
 def test_runs_are_kept_and_never_played_twice(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
--- a/tests/test_lasting.py
+++ b/tests/test_lasting.py
@@ -55,10 +55,17 @@
         assert not of(actions, api.Send)
 
 
-@pytest.mark.parametrize(("boot", "now_us", "left_us"), [
-    ("a", 1_000, 9_000), ("a", 9_999, 1), ("a", 60_000, 0), ("b", 60_000, 10_000), ("", 60_000, 10_000),
-    ("a", 0, 10_000),
-])  # fmt: skip
+@pytest.mark.parametrize(
+    ("boot", "now_us", "left_us"),
+    [
+        ("a", 1_000, 9_000),
+        ("a", 9_999, 1),
+        ("a", 60_000, 0),
+        ("b", 60_000, 10_000),
+        ("", 60_000, 10_000),
+        ("a", 0, 10_000),
+    ],
+)
 def test_a_told_wait_is_neither_cut_short_nor_made_longer(boot: str, now_us: int, left_us: int) -> None:
     assert Wait(1, "", 10_000, 10_000, "a").left_us(now_us, boot) == left_us
 
--- a/tests/test_learning.py
+++ b/tests/test_learning.py
@@ -75,9 +75,16 @@
 ) -> api.Known:
     """A destination as it was learned of at that time, well unless told otherwise."""
     usual: dict[str, Any] = {
-        "cold": False, "since_us": NEVER, "failed_us": NEVER, "done_us": at, "back_us": None,
-        "failure_rate": 0.0, "swallows": False, "spread": 1.0, "starts": (),
-    }  # fmt: skip
+        "cold": False,
+        "since_us": NEVER,
+        "failed_us": NEVER,
+        "done_us": at,
+        "back_us": None,
+        "failure_rate": 0.0,
+        "swallows": False,
+        "spread": 1.0,
+        "starts": (),
+    }
     told = api.KnownEndpoint(of or entry(f"e{destination}", destination), **(usual | health))
     limits: dict[str, Any] = {"usual_us": 250_000, "pace": 2.0, "pace_us": at, "learned": OPEN}
     limits |= {"learned_us": 0} | (route or {})
@@ -425,8 +432,11 @@
 
 
 COLD: dict[str, Any] = {
-    "cold": True, "since_us": START - 9 * SECOND, "failed_us": START - SECOND, "failure_rate": 0.9,
-}  # fmt: skip
+    "cold": True,
+    "since_us": START - 9 * SECOND,
+    "failed_us": START - SECOND,
+    "failure_rate": 0.9,
+}
 
 
 @pytest.mark.parametrize("shift_ms", [-3_600_000, 0, DAY_MS, -WALL])
--- a/tests/test_listing.py
+++ b/tests/test_listing.py
@@ -29,9 +29,15 @@
 
 def item(number: int, **changes: Any) -> dict[str, Any]:
     usual = {
-        "id": f"e{number}", "host_port": f"127.0.0.1:{7000 + number}", "locality": "north", "flavor": "plain",
-        "cell": number, "phase": "in_service", "size": 1.0, "up_since_ms": 0,
-    }  # fmt: skip
+        "id": f"e{number}",
+        "host_port": f"127.0.0.1:{7000 + number}",
+        "locality": "north",
+        "flavor": "plain",
+        "cell": number,
+        "phase": "in_service",
+        "size": 1.0,
+        "up_since_ms": 0,
+    }
     return usual | changes
 
 
@@ -58,14 +64,29 @@
 
 
 BROKEN = [
-        "", "[]", "{", "{}", '{"members": []}', line(item(1))[:-1], line(item(1)) + "x", line(item(1)) * 2,
-        line(item(1)).replace('"revision"', '"members": [], "revision"'), line(item(1), {}),
-        line(item(1, flavor="odd")), line(item(1, host_port="host:1")), line(item(1, host_port="1.2.3.04:1")),
-        line(item(1, host_port="1.2.3.4:65536")), line(item(1, phase="odd")), line(item(1, host_port=7)),
-        line(item(1, cell=1 << 63)), line(item(1, locality="a\0b")), line(item(1, id="\ud800")),
-    line(item(1)).replace("}]", "}}"), line(item(1)).replace('"complete": true', '"complete": '),
-        '{"revision": 1, "complete": true, "members": ' + "[" * 100_000,
-]  # fmt: skip
+    "",
+    "[]",
+    "{",
+    "{}",
+    '{"members": []}',
+    line(item(1))[:-1],
+    line(item(1)) + "x",
+    line(item(1)) * 2,
+    line(item(1)).replace('"revision"', '"members": [], "revision"'),
+    line(item(1), {}),
+    line(item(1, flavor="odd")),
+    line(item(1, host_port="host:1")),
+    line(item(1, host_port="1.2.3.04:1")),
+    line(item(1, host_port="1.2.3.4:65536")),
+    line(item(1, phase="odd")),
+    line(item(1, host_port=7)),
+    line(item(1, cell=1 << 63)),
+    line(item(1, locality="a\0b")),
+    line(item(1, id="\ud800")),
+    line(item(1)).replace("}]", "}}"),
+    line(item(1)).replace('"complete": true', '"complete": '),
+    '{"revision": 1, "complete": true, "members": ' + "[" * 100_000,
+]
 
 
 @pytest.mark.parametrize("number", range(len(BROKEN)))
--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -86,14 +86,19 @@
     transport = Answers(clock)
     disk = MemoryDisk(3_000_000)
     node = Node(
-        settings_of(Scenario("long", World(slots=60, destinations=5))), 1,
+        settings_of(Scenario("long", World(slots=60, destinations=5))),
+        1,
         Journal(disk, 2_500_000, clock.wall_ms(), clock.now_us),
-        Learner(Store(disk, 160_000, clock.now_us), clock), transport, ModelEnds(clock, 300, told), clock,
-    )  # fmt: skip
+        Learner(Store(disk, 160_000, clock.now_us), clock),
+        transport,
+        ModelEnds(clock, 300, told),
+        clock,
+    )
     entries = [
         api.Entry(f"e{number}{part}", "a", "plain", number, api.State.IN, 0.0, "127.0.0.1:1")
-        for number in range(5) for part in "ab"
-    ]  # fmt: skip
+        for number in range(5)
+        for part in "ab"
+    ]
     node.listed(News(entries, 1, True))
     node.restore()
 
--- a/tests/test_mqtt.py
+++ b/tests/test_mqtt.py
@@ -107,9 +107,15 @@
 
 @asynccontextmanager
 async def world(
-    folder: Path, partner: StandIn | None = None, version: str = "5.0", window: int = 20,
-    id: str = "property:id", broker: Broker | None = None, users: str = "", **changes: Any,
-) -> AsyncIterator[World]:  # fmt: skip
+    folder: Path,
+    partner: StandIn | None = None,
+    version: str = "5.0",
+    window: int = 20,
+    id: str = "property:id",
+    broker: Broker | None = None,
+    users: str = "",
+    **changes: Any,
+) -> AsyncIterator[World]:
     platform, partner, broker = Platform(), partner or StandIn(OK), broker or Broker()
     await platform.start()
     await partner.start()
@@ -122,11 +128,19 @@
         member(broker.port, "topic-2", kind="topic") | {"cell": 2},
         member(partner.port, "http-3") | {"cell": 3},
         member(broker.port, "topic-3", kind="topic") | {"cell": 3},
-    ]  # fmt: skip
+    ]
     settings = setup(
-        **({"Kinds": ["plain", "topic"], "FamilyInfo__BundleMax": [1, 1], "FamilyInfo__Carriage": [0.0, 0.0],
-            "FamilyInfo__RoutesApart": [False, False], "GranularityUs": 1000} | changes)
-    )  # fmt: skip
+        **(
+            {
+                "Kinds": ["plain", "topic"],
+                "FamilyInfo__BundleMax": [1, 1],
+                "FamilyInfo__Carriage": [0.0, 0.0],
+                "FamilyInfo__RoutesApart": [False, False],
+                "GranularityUs": 1000,
+            }
+            | changes
+        )
+    )
     limits = {"disk_mb": 3.0, "memory_mb": 64, "sockets": 256}
     relay = Relay(folder, platform, members, settings, limits)
     relay.environ = {"AMBERLUG_MQTT": str(folder / "mqtt.toml")}
@@ -474,18 +488,22 @@
 
 
 BAD: dict[str, Callable[[], bytes]] = {
-    "malformed": lambda: b"\x00\x00", "ahead of connect": lambda: mqtt.frame(mqtt.PINGREQ, b""),
-    "huge": lambda: b"\x30\xff\xff\xff\x7f", "http": lambda: b"GET / HTTP/1.1\r\n\r\n",
+    "malformed": lambda: b"\x00\x00",
+    "ahead of connect": lambda: mqtt.frame(mqtt.PINGREQ, b""),
+    "huge": lambda: b"\x30\xff\xff\xff\x7f",
+    "http": lambda: b"GET / HTTP/1.1\r\n\r\n",
     "level 9": lambda: mqtt.frame(mqtt.CONNECT, b"\0\x04MQTT\x09\x02\0\x3c\0\0\0"),
-}  # fmt: skip
+}
 AFTER = {
-    "wildcard": mqtt.publish("pay/#", b"x", 1, 1), "NUL": mqtt.publish("pay/\0", b"x", 1, 1),
+    "wildcard": mqtt.publish("pay/#", b"x", 1, 1),
+    "NUL": mqtt.publish("pay/\0", b"x", 1, 1),
     "property twice": mqtt.frame(mqtt.PUBLISH, b"\0\x05pay/1\0\x01\x0a\x02\0\0\0\x01\x02\0\0\0\x01x", 2),
     "second connect": mqtt.frame(mqtt.CONNECT, b"\0\x04MQTT\x05\x02\0\x3c\0\0\x01c"),
     "packet id 0": mqtt.publish("pay/1", b"x", 1, 0),
     "retained": mqtt.publish("pay/1", b"x", 1, 1, retain=True),
-    "server's packet": mqtt.frame(mqtt.SUBACK, b"\0\x01\0\0"), "too large": b"\x30\x80\x80\x08",
-}  # fmt: skip
+    "server's packet": mqtt.frame(mqtt.SUBACK, b"\0\x01\0\0"),
+    "too large": b"\x30\x80\x80\x08",
+}
 
 
 def test_what_breaks_the_protocol_ends_its_connection_alone(tmp_path: Path) -> None:
@@ -639,13 +657,20 @@
 @pytest.mark.parametrize(
     ("fault", "kind", "publishes", "end"),
     [
-        (taken_and_dropped, "safe", 1, None), (cut, "safe", 2, None), (drop, "safe", 2, None),
-        (twice, "safe", 1, None), (twice, "unsafe", 1, None), (other_id, "safe", 1, None),
-        (cut, "unsafe", 1, "given_up"), (drop, "unsafe", 1, "given_up"),
-        (refuse(0x97, 300), "unsafe", 2, None), (refuse(0x87), "unsafe", 2, None),
-        (refuse(0x80), "unsafe", 1, "given_up"), (refuse(0x80), "safe", 2, None),
+        (taken_and_dropped, "safe", 1, None),
+        (cut, "safe", 2, None),
+        (drop, "safe", 2, None),
+        (twice, "safe", 1, None),
+        (twice, "unsafe", 1, None),
+        (other_id, "safe", 1, None),
+        (cut, "unsafe", 1, "given_up"),
+        (drop, "unsafe", 1, "given_up"),
+        (refuse(0x97, 300), "unsafe", 2, None),
+        (refuse(0x87), "unsafe", 2, None),
+        (refuse(0x80), "unsafe", 1, "given_up"),
+        (refuse(0x80), "safe", 2, None),
     ],
-)  # fmt: skip
+)
 def test_what_a_broker_does_with_a_publish(
     tmp_path: Path, fault: Any, kind: str, publishes: int, end: str | None
 ) -> None:
--- a/tests/test_mqtt_mapping.py
+++ b/tests/test_mqtt_mapping.py
@@ -18,16 +18,20 @@
 ROOT = Path(__file__).parents[1]
 NOW_MS = 1_000_000
 CLASSES = [
-    message_class("fee-payment", "unsafe"), message_class("game-result", "safe"),
+    message_class("fee-payment", "unsafe"),
+    message_class("game-result", "safe"),
     message_class("entry", "keyed"),
-]  # fmt: skip
+]
 SETTINGS = read_settings(
     setup(
-        Categories=CLASSES, Kinds=["plain", "scoreboard", "bundled"], FamilyInfo__BundleMax=[1, 1, 3],
-        Accounts=[{"Name": "north", "QuotaPerS": 5.0}], FamilyInfo__RoutesApart=[False] * 3,
+        Categories=CLASSES,
+        Kinds=["plain", "scoreboard", "bundled"],
+        FamilyInfo__BundleMax=[1, 1, 3],
+        Accounts=[{"Name": "north", "QuotaPerS": 5.0}],
+        FamilyInfo__RoutesApart=[False] * 3,
         FamilyInfo__Carriage=[0.0] * 3,
     )
-)  # fmt: skip
+)
 FILE = """
 [broker.hall]
 address = "127.0.0.1:1883"
@@ -168,39 +172,39 @@
 
 
 BAD_FILES = {
-    ("client_id = \"relay-1\"", "client_id = 7"): ("broker.hall.client_id", "no text"),
-    ("client_id = \"relay-1\"", ""): ("broker.hall.client_id", "missing"),
+    ('client_id = "relay-1"', "client_id = 7"): ("broker.hall.client_id", "no text"),
+    ('client_id = "relay-1"', ""): ("broker.hall.client_id", "missing"),
     ("127.0.0.1:1883", "broker.example:1883"): ("broker.hall.address", "not an IP address"),
-    ("client_id = \"relay-1\"", "client_id = \"a\"\nversion = \"4\""): ("broker.hall.version", "neither"),
-    ("client_id = \"relay-1\"", "client_id = \"a\"\nwindow = 0"): ("broker.hall.window", "not from 1"),
-    ("client_id = \"relay-1\"", "client_id = \"a\"\npassword = \"x\""): ("broker.hall.password", "username"),
-    ("client_id = \"relay-1\"", "client_id = \"a\"\nclean = true"): ("broker.hall.clean", "unknown"),
+    ('client_id = "relay-1"', 'client_id = "a"\nversion = "4"'): ("broker.hall.version", "neither"),
+    ('client_id = "relay-1"', 'client_id = "a"\nwindow = 0'): ("broker.hall.window", "not from 1"),
+    ('client_id = "relay-1"', 'client_id = "a"\npassword = "x"'): ("broker.hall.password", "username"),
+    ('client_id = "relay-1"', 'client_id = "a"\nclean = true'): ("broker.hall.clean", "unknown"),
     ("[broker.hall]", "[broker.listener]"): ("broker.listener", "can't be called so"),
     ("127.0.0.1:1884", "127.0.0.1"): ("listener.address", "not an IP address"),
-    ("[\"hall\"]", "[\"hell\"]"): ("in[0].from", "no such broker"),
+    ('["hall"]', '["hell"]'): ("in[0].from", "no such broker"),
     ("fees/+/paid", "fees/#/paid"): ("in[0].filter", "no topic filter"),
     ("fees/+/paid", "$share/g/fees/+"): ("in[0].filter", "share"),
     ("fees/+/paid", "fees/paid"): ("in[0].destination", "0 levels"),
-    ("\"level:1\"", "\"level:2\""): ("in[0].destination", "1 levels"),
-    ("\"level:1\"", "\"somewhere\""): ("in[0].destination", "none of topic"),
-    ("destination = \"level:1\"", ""): ("in[0].destination", "missing"),
-    ("class = \"fee-payment\"", "class = \"fees\""): ("in[0].class", "known are"),
-    ("id = \"property:id\"", ""): ("in[0].id", "may not take effect twice"),
+    ('"level:1"', '"level:2"'): ("in[0].destination", "1 levels"),
+    ('"level:1"', '"somewhere"'): ("in[0].destination", "none of topic"),
+    ('destination = "level:1"', ""): ("in[0].destination", "missing"),
+    ('class = "fee-payment"', 'class = "fees"'): ("in[0].class", "known are"),
+    ('id = "property:id"', ""): ("in[0].id", "may not take effect twice"),
     ("deadline_ms = 20000\nqos = 2", "deadline_ms = 20000\nqos = 0"): ("in[0].qos", "nobody would be told"),
     ("deadline_ms = 20000", "deadline_ms = 0"): ("in[0].deadline_ms", "not from 1"),
     ("deadline_ms = 20000", ""): ("in[0].deadline_ms", "missing"),
-    ("tenant = \"north\"", "tenant = \"south\""): ("in[0].tenant", "unknown"),
-    ("tenant = \"north\"", ""): ("in[0].tenant", "tell tenants apart"),
-    ("share = \"relays\"", "share = \"a/+\""): ("in[1].share", "no name of a group"),
+    ('tenant = "north"', 'tenant = "south"'): ("in[0].tenant", "unknown"),
+    ('tenant = "north"', ""): ("in[0].tenant", "tell tenants apart"),
+    ('share = "relays"', 'share = "a/+"'): ("in[1].share", "no name of a group"),
     ("ends/{1}", "ends/{2}"): ("in[1].ends", "does not have"),
     ("ends/{1}", "ends/#"): ("in[1].ends", "no topic"),
     ("ends/{1}", "results/{1}/end"): ("ends 'results/{1}/end'", "come back as messages"),
     ("{ digest = [", "{ hash = ["): ("in[1].id", "digest"),
-    ("\"field:match\"", "\"match\""): ("in[1].id", "none of topic"),
-    ("key = \"field:key\"", ""): ("in[2].key", "told apart"),
+    ('"field:match"', '"match"'): ("in[1].id", "none of topic"),
+    ('key = "field:key"', ""): ("in[2].key", "told apart"),
     ("destination = 7", "destination = -7"): ("in[2].destination", "not from 0"),
     ("[listener]", "[lisener]"): ("lisener", "unknown; known are"),
-}  # fmt: skip
+}
 OUT = '[out.scoreboard]\ntopic = "clubs/{destination}"\nclient_id = "out"\nqos = { fee-payment = 2 }\n'
 BAD_OUTS = {
     ("scoreboard", "telex"): ("out.telex", "no such kind"),
@@ -210,7 +214,7 @@
     ("payment = 2", "payment = 0"): ("out.scoreboard.qos.fee-payment", "neither 1 nor 2"),
     ("{ fee-payment", "{ fees"): ("out.scoreboard.qos.fees", "no such class"),
     ('"out"', '"relay-1"'): ("out.scoreboard.client_id", "the same as in broker.hall"),
-}  # fmt: skip
+}
 
 
 @pytest.mark.parametrize("number", range(len(BAD_FILES) + len(BAD_OUTS)))
--- a/tests/test_mqtt_packets.py
+++ b/tests/test_mqtt_packets.py
@@ -33,29 +33,78 @@
 PACKET_ID = st.integers(1, 0xFFFF)
 USER = st.fixed_dictionaries({P.USER: st.lists(st.tuples(TEXT, TEXT), min_size=1, max_size=3)})
 OF_PUBLISH = st.fixed_dictionaries(
-    {}, optional={P.RESPONSE_TOPIC: TOPIC, P.CORRELATION_DATA: st.binary(max_size=5),
-                  P.MESSAGE_EXPIRY: st.integers(0, 2**32 - 1), P.SUBSCRIPTION_ID: st.lists(
-                      st.integers(1, 268_435_455), min_size=1, max_size=2)},
-)  # fmt: skip
+    {},
+    optional={
+        P.RESPONSE_TOPIC: TOPIC,
+        P.CORRELATION_DATA: st.binary(max_size=5),
+        P.MESSAGE_EXPIRY: st.integers(0, 2**32 - 1),
+        P.SUBSCRIPTION_ID: st.lists(st.integers(1, 268_435_455), min_size=1, max_size=2),
+    },
+)
 PACKETS: st.SearchStrategy[Packet] = st.one_of(
-    st.builds(Connect, TEXT, st.just(V5), st.booleans(), st.integers(0, 0xFFFF), st.none() | TEXT,
-              st.none() | st.binary(max_size=4), properties=USER),
+    st.builds(
+        Connect,
+        TEXT,
+        st.just(V5),
+        st.booleans(),
+        st.integers(0, 0xFFFF),
+        st.none() | TEXT,
+        st.none() | st.binary(max_size=4),
+        properties=USER,
+    ),
     st.builds(Connack, st.integers(0, 255), st.booleans(), USER),
-    st.builds(Publish, TOPIC, st.binary(max_size=300), st.just(0), st.just(0), st.just(False), st.booleans(),
-              OF_PUBLISH),
-    st.builds(Publish, TOPIC, st.binary(max_size=9), st.integers(1, 2), PACKET_ID, st.booleans(),
-              st.booleans(), OF_PUBLISH),
-    st.builds(Ack, st.sampled_from([Kind.PUBACK, Kind.PUBREC, Kind.PUBREL, Kind.PUBCOMP]), PACKET_ID,
-              st.integers(0, 255), st.just({}) | USER),
-    st.builds(Subscribe, PACKET_ID, st.tuples(st.builds(
-        Wanted, st.sampled_from(["a/+", "#", "$share/g/a"]), st.integers(0, 2), st.booleans(), st.booleans(),
-        st.integers(0, 2))), USER),
+    st.builds(
+        Publish,
+        TOPIC,
+        st.binary(max_size=300),
+        st.just(0),
+        st.just(0),
+        st.just(False),
+        st.booleans(),
+        OF_PUBLISH,
+    ),
+    st.builds(
+        Publish,
+        TOPIC,
+        st.binary(max_size=9),
+        st.integers(1, 2),
+        PACKET_ID,
+        st.booleans(),
+        st.booleans(),
+        OF_PUBLISH,
+    ),
+    st.builds(
+        Ack,
+        st.sampled_from([Kind.PUBACK, Kind.PUBREC, Kind.PUBREL, Kind.PUBCOMP]),
+        PACKET_ID,
+        st.integers(0, 255),
+        st.just({}) | USER,
+    ),
+    st.builds(
+        Subscribe,
+        PACKET_ID,
+        st.tuples(
+            st.builds(
+                Wanted,
+                st.sampled_from(["a/+", "#", "$share/g/a"]),
+                st.integers(0, 2),
+                st.booleans(),
+                st.booleans(),
+                st.integers(0, 2),
+            )
+        ),
+        USER,
+    ),
     st.builds(Unsubscribe, PACKET_ID, st.tuples(st.just("a/#"), st.just("b"))),
-    st.builds(Granted, st.sampled_from([Kind.SUBACK, Kind.UNSUBACK]), PACKET_ID,
-              st.lists(st.integers(0, 255), min_size=1, max_size=3).map(tuple)),
+    st.builds(
+        Granted,
+        st.sampled_from([Kind.SUBACK, Kind.UNSUBACK]),
+        PACKET_ID,
+        st.lists(st.integers(0, 255), min_size=1, max_size=3).map(tuple),
+    ),
     st.builds(Ping, st.sampled_from([Kind.PINGREQ, Kind.PINGRESP])),
     st.builds(Disconnect, st.integers(0, 255), USER),
-)  # fmt: skip
+)
 
 
 def read(data: bytes, version: int = V5, piece: int = 1 << 20, most: int = 1 << 20) -> list[Packet]:
@@ -94,7 +143,13 @@
     assert packets.encode(Ack(Kind.PUBREL, 10), V5) == bytes.fromhex("62 02 000a")
     assert packets.encode(Ack(Kind.PUBACK, 10, 0x97), V5) == bytes.fromhex("40 03 000a 97")
     assert [variable(it).hex() for it in (0, 127, 128, 16_383, 16_384, 268_435_455)] == [
-        "00", "7f", "8001", "ff7f", "808001", "ffffff7f"]  # fmt: skip
+        "00",
+        "7f",
+        "8001",
+        "ff7f",
+        "808001",
+        "ffffff7f",
+    ]
 
 
 def frame(first: int, body: bytes) -> bytes:
@@ -103,35 +158,50 @@
 
 CONNECT = b"\0\x04MQTT\x05\x02\0\x3c\0\0\0"
 BROKEN = {
-    "type 0": b"\0\0", "flags": b"\x41\x02\0\x01", "subscribe flags": b"\x80\x06\0\x01\0\0\x01a",
-    "length of five bytes": b"\x30\xff\xff\xff\xff\x01", "length in too many bytes": b"\x30\x05\0\x01a\x80\0",
-    "auth": frame(0xF0, b""), "qos 3": frame(0x36, b"\0\x01a\0\x01\0"),
-    "dup at qos 0": frame(0x38, b"\0\x01a\0"), "no topic": frame(0x30, b"\0\0\0"),
-    "wildcard": frame(0x30, b"\0\x03a/#\0"), "plus": frame(0x30, b"\0\x01+\0"),
-    "NUL": frame(0x30, b"\0\x01\0\0"), "surrogate": frame(0x30, b"\0\x03\xed\xa0\x80\0"),
-    "no utf-8": frame(0x30, b"\0\x01\xff\0"), "packet id 0": frame(0x32, b"\0\x01a\0\0\0"),
-    "topic beyond its end": frame(0x30, b"\0\x09a"), "no packet id": frame(0x32, b"\0\x01a"),
+    "type 0": b"\0\0",
+    "flags": b"\x41\x02\0\x01",
+    "subscribe flags": b"\x80\x06\0\x01\0\0\x01a",
+    "length of five bytes": b"\x30\xff\xff\xff\xff\x01",
+    "length in too many bytes": b"\x30\x05\0\x01a\x80\0",
+    "auth": frame(0xF0, b""),
+    "qos 3": frame(0x36, b"\0\x01a\0\x01\0"),
+    "dup at qos 0": frame(0x38, b"\0\x01a\0"),
+    "no topic": frame(0x30, b"\0\0\0"),
+    "wildcard": frame(0x30, b"\0\x03a/#\0"),
+    "plus": frame(0x30, b"\0\x01+\0"),
+    "NUL": frame(0x30, b"\0\x01\0\0"),
+    "surrogate": frame(0x30, b"\0\x03\xed\xa0\x80\0"),
+    "no utf-8": frame(0x30, b"\0\x01\xff\0"),
+    "packet id 0": frame(0x32, b"\0\x01a\0\0\0"),
+    "topic beyond its end": frame(0x30, b"\0\x09a"),
+    "no packet id": frame(0x32, b"\0\x01a"),
     "expiry twice": frame(0x30, b"\0\x01a\x0a\x02\0\0\0\x01\x02\0\0\0\x01"),
     "response topic twice": frame(0x30, b"\0\x01a\x08\x08\0\x01r\x08\0\x01r"),
     "response topic with a wildcard": frame(0x30, b"\0\x01a\x04\x08\0\x01#"),
     "property of another packet": frame(0x30, b"\0\x01a\x03\x21\0\x01"),
-    "unknown property": frame(0x30, b"\0\x01a\x02\x7f\0"), "alias 0": frame(0x30, b"\0\x01a\x03\x23\0\0"),
-    "format 2": frame(0x30, b"\0\x01a\x02\x01\x02"), "properties beyond the end": frame(0x30, b"\0\x01a\x05"),
-    "behind an ack": frame(0x40, b"\0\x01\0\0\0"), "no filter": frame(0x82, b"\0\x01\0"),
-    "bad filter": frame(0x82, b"\0\x01\0\0\x03a/#b\0"), "hash inside": frame(0x82, b"\0\x01\0\0\x03#/a\0"),
+    "unknown property": frame(0x30, b"\0\x01a\x02\x7f\0"),
+    "alias 0": frame(0x30, b"\0\x01a\x03\x23\0\0"),
+    "format 2": frame(0x30, b"\0\x01a\x02\x01\x02"),
+    "properties beyond the end": frame(0x30, b"\0\x01a\x05"),
+    "behind an ack": frame(0x40, b"\0\x01\0\0\0"),
+    "no filter": frame(0x82, b"\0\x01\0"),
+    "bad filter": frame(0x82, b"\0\x01\0\0\x03a/#b\0"),
+    "hash inside": frame(0x82, b"\0\x01\0\0\x03#/a\0"),
     "share without a group": frame(0x82, b"\0\x01\0\0\x09$share//a\0"),
-    "options": frame(0x82, b"\0\x01\0\0\x01a\xc0"), "wanted qos 3": frame(0x82, b"\0\x01\0\0\x01a\x03"),
+    "options": frame(0x82, b"\0\x01\0\0\x01a\xc0"),
+    "wanted qos 3": frame(0x82, b"\0\x01\0\0\x01a\x03"),
     "ping with a body": frame(0xC0, b"x"),
-}  # fmt: skip
+}
 BROKEN_CONNECT = {
-    "ahead of CONNECT": frame(0xC0, b""), "protocol": frame(0x10, CONNECT.replace(b"MQTT", b"MQTX")),
+    "ahead of CONNECT": frame(0xC0, b""),
+    "protocol": frame(0x10, CONNECT.replace(b"MQTT", b"MQTX")),
     "level": frame(0x10, CONNECT.replace(b"\x05\x02", b"\x06\x02")),
     "reserved": frame(0x10, CONNECT.replace(b"\x05\x02", b"\x05\x03")),
     "will qos without a will": frame(0x10, CONNECT.replace(b"\x05\x02", b"\x05\x0a")),
     "cut off": frame(0x10, CONNECT[:-1]),
     "receive maximum 0": frame(0x10, CONNECT[:-3] + b"\x03\x21\0\0\0\0"),
     "password without a name": frame(0x10, b"\0\x04MQTT\x04\x42\0\x3c\0\0\0\0"),
-}  # fmt: skip
+}
 
 
 @pytest.mark.parametrize("case", [*BROKEN, *BROKEN_CONNECT])
@@ -164,11 +234,20 @@
 @pytest.mark.parametrize(
     ("name", "topic", "levels"),
     [
-        ("a/+/c", "a/b/c", ("b",)), ("a/+/c", "a/b/d", None), ("#", "a/b", ()), ("a/#", "a", ()),
-        ("+/+", "/x", ("", "x")), ("+", "/x", None), ("a/+", "a", None), ("#", "$SYS/x", None),
-        ("+/x", "$SYS/x", None), ("$SYS/#", "$SYS/x", ()), ("a", "a/b", None), ("a/+/#", "a/b/c/d", ("b",)),
+        ("a/+/c", "a/b/c", ("b",)),
+        ("a/+/c", "a/b/d", None),
+        ("#", "a/b", ()),
+        ("a/#", "a", ()),
+        ("+/+", "/x", ("", "x")),
+        ("+", "/x", None),
+        ("a/+", "a", None),
+        ("#", "$SYS/x", None),
+        ("+/x", "$SYS/x", None),
+        ("$SYS/#", "$SYS/x", ()),
+        ("a", "a/b", None),
+        ("a/+/#", "a/b/c/d", ("b",)),
     ],
-)  # fmt: skip
+)
 def test_filters_match_as_the_standard_says(name: str, topic: str, levels: Any) -> None:
     assert captured(name, topic) == levels
 
--- a/tests/test_mqtt_sessions.py
+++ b/tests/test_mqtt_sessions.py
@@ -100,8 +100,16 @@
     assert side.fates["b"] is Fate.DROPPED
 
 
-@given(st.lists(st.tuples(st.sampled_from(["publish", "puback", "pubrec", "pubcomp", "lost", "kept", "new"]),
-                          st.integers(1, 6), st.sampled_from([0, 0x87])), max_size=40))  # fmt: skip
+@given(
+    st.lists(
+        st.tuples(
+            st.sampled_from(["publish", "puback", "pubrec", "pubcomp", "lost", "kept", "new"]),
+            st.integers(1, 6),
+            st.sampled_from([0, 0x87]),
+        ),
+        max_size=40,
+    )
+)
 def test_each_publish_has_one_fate_whatever_comes(steps: list[tuple[str, int, int]]) -> None:
     side, names, up = Side(), 0, True
     kinds = {"puback": Kind.PUBACK, "pubrec": Kind.PUBREC, "pubcomp": Kind.PUBCOMP}
@@ -211,11 +219,15 @@
 
 def test_what_a_fate_means_for_an_attempt() -> None:
     results = {
-        (Fate.ACKNOWLEDGED, 0): Result.DONE, (Fate.ACKNOWLEDGED, 0x10): Result.DONE,
-        (Fate.DROPPED, 0): Result.UNCONNECTED, (Fate.LOST, 0): Result.RESET,
-        (Fate.REFUSED, 0x97): Result.REFUSED, (Fate.REFUSED, 0x87): Result.UNSENT,
-        (Fate.REFUSED, 0x80): Result.ERROR, (Fate.REFUSED, 0xFF): Result.ERROR,
-    }  # fmt: skip
+        (Fate.ACKNOWLEDGED, 0): Result.DONE,
+        (Fate.ACKNOWLEDGED, 0x10): Result.DONE,
+        (Fate.DROPPED, 0): Result.UNCONNECTED,
+        (Fate.LOST, 0): Result.RESET,
+        (Fate.REFUSED, 0x97): Result.REFUSED,
+        (Fate.REFUSED, 0x87): Result.UNSENT,
+        (Fate.REFUSED, 0x80): Result.ERROR,
+        (Fate.REFUSED, 0xFF): Result.ERROR,
+    }
     assert {case: ending(*case, {}).result for case in results} == results
 
 
--- a/tests/test_parity.py
+++ b/tests/test_parity.py
@@ -206,16 +206,29 @@
 
     async def start(self) -> None:
         config = self._folder / "config.json"
-        config.write_text(json.dumps({
-            "seed": "8c1f30d27a5be964", "discovery": f"127.0.0.1:{self._platform.port}",
-            "known": {"revision": 1, "complete": True, "members": self._members},
-            "settings": setup(Weights="nominal", FamilyInfo__Slots=1), "held": list(self._taken),
-        }))  # fmt: skip
+        config.write_text(
+            json.dumps(
+                {
+                    "seed": "8c1f30d27a5be964",
+                    "discovery": f"127.0.0.1:{self._platform.port}",
+                    "known": {"revision": 1, "complete": True, "members": self._members},
+                    "settings": setup(Weights="nominal", FamilyInfo__Slots=1),
+                    "held": list(self._taken),
+                }
+            )
+        )
         watches = len(self._platform.watches)
         self._process = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "tests.parity_host", str(config), str(self._folder / "state"), cwd=ROOT,
-            env=os.environ, stdin=asyncio.subprocess.PIPE, stdout=asyncio.subprocess.PIPE,
-        )  # fmt: skip
+            sys.executable,
+            "-m",
+            "tests.parity_host",
+            str(config),
+            str(self._folder / "state"),
+            cwd=ROOT,
+            env=os.environ,
+            stdin=asyncio.subprocess.PIPE,
+            stdout=asyncio.subprocess.PIPE,
+        )
         assert self._process.stdout is not None
         async with asyncio.timeout(PATIENCE):
             while b"ready" not in (line := await self._process.stdout.readline()):
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -194,10 +194,18 @@
         endpoint = StandIn()
         async with world(tmp_path, endpoint, Accounts=[{"Name": "acme", "QuotaPerS": 9.0}]) as (relay, _):
             good = hand_in("m1", "keyed", Req_Owner="acme")
-            bad = [good | change for change in (
-                {"Req-Id": "a b"}, {"Req-Kind": "other"}, {"Req-Owner": "who"}, {"Req-Deadline-Ms": "-5"},
-                {"Req-Deadline-Ms": "1e3"}, {"Envelope": "dest=x"}, {"Envelope": "cell=1"},
-            )] + [{key: value for key, value in good.items() if key != gone} for gone in good]  # fmt: skip
+            bad = [
+                good | change
+                for change in (
+                    {"Req-Id": "a b"},
+                    {"Req-Kind": "other"},
+                    {"Req-Owner": "who"},
+                    {"Req-Deadline-Ms": "-5"},
+                    {"Req-Deadline-Ms": "1e3"},
+                    {"Envelope": "dest=x"},
+                    {"Envelope": "cell=1"},
+                )
+            ] + [{key: value for key, value in good.items() if key != gone} for gone in good]
             for headers in bad:
                 reply = await relay.ask("POST", "/keyed", headers, b"x")
                 assert reply.status == 400
--- a/tests/test_restart.py
+++ b/tests/test_restart.py
@@ -163,8 +163,11 @@
             relay.signal(signal.SIGTERM)
             # What loses most of its worth in a restart is handed back when the relay closes.
             assert [it["outcome"] for it in await platform.noticed()] == ["handed_back"]
-            late = await link.request("POST", "/safe", [("Req-Id", "m3"), ("Req-Kind", "safe"),
-                                      ("Req-Deadline-Ms", "5000"), ("Envelope", "dest=1")])  # fmt: skip
+            late = await link.request(
+                "POST",
+                "/safe",
+                [("Req-Id", "m3"), ("Req-Kind", "safe"), ("Req-Deadline-Ms", "5000"), ("Envelope", "dest=1")],
+            )
             assert (late.status, late.headers["connection"]) == (503, "close")
             assert (await relay.hand_in("m4")).status == 503
             out.answer(OK)
@@ -184,9 +187,12 @@
             for text in ("", "[]", "{}", '{"settings": {}, "known": 3}'):
                 (tmp_path / "bad.json").write_text(text)
                 process = await asyncio.create_subprocess_exec(
-                    sys.executable, "-m", "amberlug", stderr=asyncio.subprocess.PIPE,
+                    sys.executable,
+                    "-m",
+                    "amberlug",
+                    stderr=asyncio.subprocess.PIPE,
                     env=os.environ | {"ROUTER_CONFIG": str(tmp_path / "bad.json")},
-                )  # fmt: skip
+                )
                 _, said = await process.communicate()
                 assert (process.returncode, said.count(b"\n")) == (2, 1)
 
--- a/tests/workshop/fakes.py
+++ b/tests/workshop/fakes.py
@@ -38,6 +38,8 @@
     """The settings file of a machine of some kind in a small deployment."""
     deployment = Deployment(1, 3, 1, 3, 3, [], 1.0)
     machines: dict[str, list[Machine]] = {
-        "edge": deployment.edges, "store": deployment.stores, "core": deployment.cores
-    }  # fmt: skip
+        "edge": deployment.edges,
+        "store": deployment.stores,
+        "core": deployment.cores,
+    }
     return deployment.settings(machines[kind][0])
--- a/tests/workshop/group.py
+++ b/tests/workshop/group.py
@@ -65,7 +65,7 @@
         self.state: Json = {"numbers": [], "config": None}
         self.vise = Vise(
             world, disk, saved, self._apply, lambda: dict(self.state), self._restore, lambda: None
-        )  # fmt: skip
+        )
         self.words = words_of(self.vise)
 
     def _apply(self, index: int, command: Json) -> Json:
--- a/tests/workshop/test_endpoint_answers.py
+++ b/tests/workshop/test_endpoint_answers.py
@@ -26,10 +26,33 @@
 MAX_ATTEMPTS = 3
 MESSAGES = 30
 TROUBLES = (
-    "fine", "fine", "fine", "fine", "fine", "fine", "fails", "fails", "full", "dead", "late",
-    "doubled", "doubled later", "doubled later", "doubled later", "stale", "nameless", "cut", "never",
-    "reset", "closes", "closes later", "garbage", "informs", "large", "just in time",
-)  # fmt: skip
+    "fine",
+    "fine",
+    "fine",
+    "fine",
+    "fine",
+    "fine",
+    "fails",
+    "fails",
+    "full",
+    "dead",
+    "late",
+    "doubled",
+    "doubled later",
+    "doubled later",
+    "doubled later",
+    "stale",
+    "nameless",
+    "cut",
+    "never",
+    "reset",
+    "closes",
+    "closes later",
+    "garbage",
+    "informs",
+    "large",
+    "just in time",
+)
 
 
 @dataclass(eq=False)
@@ -189,9 +212,15 @@
         self.calls += 1
         number = str(self.calls)
         numbered = Delivery(
-            delivery.address, delivery.instance, delivery.attempt, delivery.method, delivery.target,
-            (*delivery.headers, ("X-Call", number)), delivery.body, delivery.seconds,
-        )  # fmt: skip
+            delivery.address,
+            delivery.instance,
+            delivery.attempt,
+            delivery.method,
+            delivery.target,
+            (*delivery.headers, ("X-Call", number)),
+            delivery.body,
+            delivery.seconds,
+        )
 
         until = self.loop.time() + delivery.seconds
 
--- a/tests/workshop/test_explore.py
+++ b/tests/workshop/test_explore.py
@@ -7,13 +7,22 @@
 
 # As `python -m workshop.jig explore --mutant` tells them.
 TWO_LEADERS: list[Step] = [
-    ("stand", "a", 0), ("deliver", "b", 1), ("deliver", "a", 3), ("wipe", "a", 0), ("stand", "a", 0),
-    ("deliver", "b", 6), ("deliver", "a", 7),
-]  # fmt: skip
+    ("stand", "a", 0),
+    ("deliver", "b", 1),
+    ("deliver", "a", 3),
+    ("wipe", "a", 0),
+    ("stand", "a", 0),
+    ("deliver", "b", 6),
+    ("deliver", "a", 7),
+]
 TAKEN_BACK: list[Step] = [
-    ("deliver", "c", 8), ("unsynced", "a", 9), ("power", "a", 0), ("stand", "b", 0), ("deliver", "a", 12),
+    ("deliver", "c", 8),
+    ("unsynced", "a", 9),
+    ("power", "a", 0),
+    ("stand", "b", 0),
+    ("deliver", "a", 12),
     ("deliver", "b", 14),
-]  # fmt: skip
+]
 
 
 @pytest.mark.parametrize("start", list(STARTS))
--- a/tests/workshop/test_foreman.py
+++ b/tests/workshop/test_foreman.py
@@ -83,8 +83,18 @@
     core = Core(world, settings, "127.0.1.10:7300", Disk(), blank(settings, world.chance.getrandbits))
     for kind, name in (("edge", "e1"), ("edge", "e2"), ("storage", "s1")):
         core.sessions.hello(
-            {"name": name, "incarnation": "1", "address": name, "machine_class": kind, "zone": "north",
-             "region": "valley", "state": "up", "extra": {"disk": f"disk of {name}"}}, 9.0)  # fmt: skip
+            {
+                "name": name,
+                "incarnation": "1",
+                "address": name,
+                "machine_class": kind,
+                "zone": "north",
+                "region": "valley",
+                "state": "up",
+                "extra": {"disk": f"disk of {name}"},
+            },
+            9.0,
+        )
     for name in ("s1", "s2"):
         store = {"name": name, "addr": name, "zone": "north", "region": "valley", "state": "full"}
         core.book.apply(1, {"do": "roster", "set": {f"disk of {name}": store}})
@@ -100,8 +110,16 @@
     return answer.status, answer.body
 
 
-EDGE = {"ready": True, "edition": 3, "shards": 9, "in hand": 2, "bytes": 5, "out": 1, "copies short": 2,
-        "counts": {"taken": 4}}  # fmt: skip
+EDGE = {
+    "ready": True,
+    "edition": 3,
+    "shards": 9,
+    "in hand": 2,
+    "bytes": 5,
+    "out": 1,
+    "copies short": 2,
+    "counts": {"taken": 4},
+}
 
 
 def test_the_status_shows_all_where_some_are_silent(tmp_path: Path) -> None:
@@ -375,7 +393,7 @@
     (STORE + CORE + EDGE_ROLE.replace("python3", "env A=1 python3"), ["roles.e.run"]),
     (STORE + CORE + EDGE_ROLE.replace("workshop run", "workshop run | cat"), ["roles.e.run"]),
     (STORE + CORE + EDGE_ROLE + EDGE_ROLE.replace("roles.e", "roles.f"), ["roles: 2 on the class edge"]),
-]  # fmt: skip
+]
 
 
 @pytest.mark.parametrize(("text", "places"), DEPLOYS)
--- a/tests/workshop/test_shelf.py
+++ b/tests/workshop/test_shelf.py
@@ -26,12 +26,17 @@
         self.state: Json = {}
         self.saved, self.disk, self.anew = open_shelf(
             folder, lambda: Saved("a", members=ALONE), self.posted.put
-        )  # fmt: skip
+        )
         clock = Clock()
         self.vise = Vise(
-            Alone(clock), self.disk, self.saved, self._apply, lambda: dict(self.state), self.state.update,
+            Alone(clock),
+            self.disk,
+            self.saved,
+            self._apply,
+            lambda: dict(self.state),
+            self.state.update,
             lambda: None,
-        )  # fmt: skip
+        )
         self.vise.begin()
         clock.run(0.4)
         self.until(lambda: self.vise.role is Role.LEADER and self.vise.commit == self.vise.last)
--- a/tests/workshop/test_vise.py
+++ b/tests/workshop/test_vise.py
@@ -38,9 +38,14 @@
 def test_entries_that_the_disk_refused_are_not_acknowledged_and_are_written_again() -> None:
     clock, disk = Clock(), Refusing()
     vise = Vise(
-        Alone(clock), disk, Saved("a", members=MEMBERS), lambda index, command: {}, dict, lambda state: None,
+        Alone(clock),
+        disk,
+        Saved("a", members=MEMBERS),
+        lambda index, command: {},
+        dict,
+        lambda state: None,
         lambda: None,
-    )  # fmt: skip
+    )
 
     def append(before: int, *entries: tuple[int, Json]) -> list[Json]:
         said: list[Json] = []
@@ -71,9 +76,14 @@
     def start(self) -> None:
         saved = self.shelf.begun(lambda: Saved("d"))
         self.vise = Vise(
-            Alone(self.clock), _DiskOf(self.shelf), saved, lambda index, command: {}, dict,
-            self.restored.append, lambda: None,
-        )  # fmt: skip
+            Alone(self.clock),
+            _DiskOf(self.shelf),
+            saved,
+            lambda index, command: {},
+            dict,
+            self.restored.append,
+            lambda: None,
+        )
 
     def part(
         self, sending: Sending, offset: int, data: bytes, term: int = 1, leader: str = "b"
@@ -169,7 +179,7 @@
     saved = Saved("a", 4, "b", members=MEMBERS, entries=[(4, {"n": 1}), (5, {"n": 2})])
     vise = Vise(
         Alone(Clock()), Refusing(), saved, lambda index, command: {}, dict, lambda state: None, lambda: None
-    )  # fmt: skip
+    )
     said: list[Json] = []
     body = {"term": 4, "me": "b", "to": "a", "commit": 0, "prev": 1, "prev_term": 4, "entries": [(4, None)]}
     vise.on_append(body, b"", "b", lambda body, blob: said.append(body))
--- a/workshop/foreman/commands.py
+++ b/workshop/foreman/commands.py
@@ -172,8 +172,14 @@
 @click.argument("path", metavar="FILE", type=_FILE)
 @_control
 @click.option("--base", type=click.IntRange(0), help="The edition it builds on; else the one in force.")
-@click.option("--for", "seconds", type=click.FloatRange(0), default=10.0, show_default=True,
-              help="Seconds to send it again, unchanged, while the answer is unclear.")  # fmt: skip
+@click.option(
+    "--for",
+    "seconds",
+    type=click.FloatRange(0),
+    default=10.0,
+    show_default=True,
+    help="Seconds to send it again, unchanged, while the answer is unclear.",
+)
 @_json
 def push(path: Path, at: tuple[str, ...], base: int | None, seconds: float, as_json: bool) -> None:
     """Put FILE in force."""
--- a/workshop/foreman/wire.py
+++ b/workshop/foreman/wire.py
@@ -66,9 +66,7 @@
         host, _, port = at.rpartition(":")
         connection = http.client.HTTPConnection(host, int(port), timeout=within)
         try:
-            connection.putrequest(
-                call.method, path, skip_accept_encoding=True, skip_host=_names_host(call)
-            )  # fmt: skip
+            connection.putrequest(call.method, path, skip_accept_encoding=True, skip_host=_names_host(call))
             for name, value in (*call.headers, ("Content-Length", str(len(call.body)))):
                 connection.putheader(name, value)
             connection.endheaders(call.body)
--- a/workshop/jig/checker.py
+++ b/workshop/jig/checker.py
@@ -42,7 +42,7 @@
             it
             for it in history.versions
             if it.valid and it.status in (0, 200) and (it.acked or it.base not in won)
-        ]  # fmt: skip
+        ]
         self.ended = {name: self._ended(sent) for name, sent in history.sent.items()}
 
     def _ended(self, sent: Sent) -> float:
@@ -323,10 +323,8 @@
                         f" by {core} at {at:.3f}",
                     )
                 elif it.valid and not any(
-                    other.base >= it.base and other.at < at
-                    for other in self.in_force
-                    if other is not it
-                ):  # fmt: skip
+                    other.base >= it.base and other.at < at for other in self.in_force if other is not it
+                ):
                     self._say(
                         "CONFIG",
                         f"edition {it.edition} on top of {it.base} is refused with {status} by {core}"
@@ -404,10 +402,11 @@
         sent = [
             it
             for it in self.history.sent.values()
-            if it.status in (202, 404, 429, 503) and not it.target.startswith("/x")
+            if it.status in (202, 404, 429, 503)
+            and not it.target.startswith("/x")
             and 2 * CONTACT_S < it.at < over
             and self.contact.in_touch(it.life.partition("#")[0], it.at, it.answered_at)
-        ]  # fmt: skip
+        ]
         served = sum(1 for it in sent if it.status == 202)
         if len(sent) >= 20 and served < SERVED * len(sent):
             self._say("RECOVER", f"{served} of {len(sent)} are accepted by edges in touch")
--- a/workshop/jig/clients.py
+++ b/workshop/jig/clients.py
@@ -104,9 +104,15 @@
         if left <= 0.02:
             return
         sent = Sent(
-            f"{self.chance.getrandbits(64):016x}", HOST, f"{path}a", key, body, clock.now, first,
+            f"{self.chance.getrandbits(64):016x}",
+            HOST,
+            f"{path}a",
+            key,
+            body,
+            clock.now,
+            first,
             clock.now + delay / 1000,
-        )  # fmt: skip
+        )
         self.history.sent[sent.attempt] = sent
         if fate:
             self.deployment.town.fates[sent.attempt] = fate
@@ -164,9 +170,14 @@
         def hear(status: int, body: Any, headers: object = None, blob: bytes = b"", life: str = "") -> None:
             said = body if isinstance(body, dict) else {}
             standing = Standing(
-                name, asked, self.clock.now, status, said.get("condition", ""), said.get("seal", ""),
+                name,
+                asked,
+                self.clock.now,
+                status,
+                said.get("condition", ""),
+                said.get("seal", ""),
                 blob if status == 200 and body is None else None,
-            )  # fmt: skip
+            )
             if status not in (REFUSED, CLOSED):
                 self.history.standings.append(standing)
             then(standing)
--- a/workshop/jig/control.py
+++ b/workshop/jig/control.py
@@ -62,9 +62,12 @@
             self.new_seeds(seconds)
         elif then != "none":
             act = {
-                "kill": self._kill_all, "leader": self._kill_leader, "freeze": self._freeze_leader,
-                "roll": self._roll, "loss": self._lose_packets,
-            }[then]  # fmt: skip
+                "kill": self._kill_all,
+                "leader": self._kill_leader,
+                "freeze": self._freeze_leader,
+                "roll": self._roll,
+                "loss": self._lose_packets,
+            }[then]
             self.clock.later(self.chance.uniform(0.5, seconds), act)
         if self.chance.random() < 0.6:
             self.storm(self.clock.now + self.chance.uniform(1.0, 3.0))
@@ -309,9 +312,15 @@
             return
         chance, operator = self.chance, self.operator
         acts: list[Callable[[], object]] = [
-            operator.order, operator.order, operator.order, operator.pair, operator.many, operator.read,
-            operator.invalid, self.day.replace_endpoint,
-        ]  # fmt: skip
+            operator.order,
+            operator.order,
+            operator.order,
+            operator.pair,
+            operator.many,
+            operator.read,
+            operator.invalid,
+            self.day.replace_endpoint,
+        ]
         chance.choice(acts)()
         self.day.look_at_routes()
         self.clock.later(chance.uniform(*ORDERS_S), lambda: self._orders(end))
--- a/workshop/jig/days.py
+++ b/workshop/jig/days.py
@@ -46,9 +46,13 @@
         self.seed, self.aim = seed, aim
         chance = self.chance = random.Random(f"{seed} day")
         size = self.size = Size(
-            chance.choice((2, 3, 3, 4)), chance.randrange(2, 6), chance.choice((3, 3, 4)),
-            chance.choice((3, 3, 3, 4, 5)), chance.uniform(12.0, 20.0), chance.uniform(20.0, 40.0),
-        )  # fmt: skip
+            chance.choice((2, 3, 3, 4)),
+            chance.randrange(2, 6),
+            chance.choice((3, 3, 4)),
+            chance.choice((3, 3, 3, 4, 5)),
+            chance.uniform(12.0, 20.0),
+            chance.uniform(20.0, 40.0),
+        )
         if aim in ("closing", "core"):
             # The fault is all that counts: many messages are under way when it strikes, or few.
             size = self.size = replace(size, seconds=6.5, rate=100.0 if aim == "closing" else 8.0)
@@ -91,7 +95,7 @@
                 service("gamma", ceiling, dedup),
             ],
             "limits": {"maxHeaderBytes": 16384},
-        }  # fmt: skip
+        }
         self.operator = Operator(self.deployment, first)
         self.compact = log.COMPACT  # entries in the core's log until a snapshot takes their place
         self.footing = Losses(self) if aim.startswith("losses") else Footing(self)
@@ -155,9 +159,17 @@
         chance, self.end = self.chance, end
         free = {"system": start, "other": start}
         system: list[Callable[[], float]] = [
-            self._kill, self._power, self._freeze, self._roll, self._cut, self._leader_acks, self._drop_links,
-            self._stall, self._leader_drains, self._core_cut,
-        ]  # fmt: skip
+            self._kill,
+            self._power,
+            self._freeze,
+            self._roll,
+            self._cut,
+            self._leader_acks,
+            self._drop_links,
+            self._stall,
+            self._leader_drains,
+            self._core_cut,
+        ]
         aims: dict[str, list[Callable[[], float]]] = {
             "edges": [self._edge_freeze, self._edge_kill, self._edge_roll, self._edge_cut],
             "roll": [self._edge_roll],
@@ -300,9 +312,11 @@
         if self.clock.now + CORE_CUT_S[1] + BACK_S > self.end + 1.0:
             return self._cut()
         control.cut_off(
-            self._any(self.deployment.cores), self.chance.uniform(*CORE_CUT_S), self.chance.choice(FORMS),
+            self._any(self.deployment.cores),
+            self.chance.uniform(*CORE_CUT_S),
+            self.chance.choice(FORMS),
             self.chance.random() < 0.5,
-        )  # fmt: skip
+        )
         assert control.cut is not None, "a machine was just cut off"
         control.meet(control.cut)
         return CORE_CUT_S[1]
--- a/workshop/jig/deployment.py
+++ b/workshop/jig/deployment.py
@@ -28,10 +28,21 @@
 ONE_MACHINE = Tolerance(1, 0, 0)
 REFUSED, CLOSED, SILENT = 0, -1, -2  # instead of an answer's status
 BOUNDS = {
-    "seedLagS": 3.0, "reuseAfterS": 2.0, "contactMs": 4000.0, "ackMs": 5000.0, "catchUpS": 4.5,
-    "drainMs": 3000.0, "graceS": 6.0, "configApplyMs": 3000.0, "completedS": 10.0, "statusTtlS": 120.0,
-    "earlyMs": 100.0, "stretchMaxMs": 12000.0, "ceilingWindowS": 5.0, "ceilingOver": 1.1,
-}  # fmt: skip
+    "seedLagS": 3.0,
+    "reuseAfterS": 2.0,
+    "contactMs": 4000.0,
+    "ackMs": 5000.0,
+    "catchUpS": 4.5,
+    "drainMs": 3000.0,
+    "graceS": 6.0,
+    "configApplyMs": 3000.0,
+    "completedS": 10.0,
+    "statusTtlS": 120.0,
+    "earlyMs": 100.0,
+    "stretchMaxMs": 12000.0,
+    "ceilingWindowS": 5.0,
+    "ceilingOver": 1.1,
+}
 
 
 @dataclass(frozen=True, slots=True)
@@ -270,12 +281,25 @@
         """The settings file of a machine."""
         serves = {"edge": "edge", "store": "storage", "core": "control_plane"}[machine.kind]
         return Settings(
-            machine.name, machine.ip, machine.zone, self.regions[machine.zone],
-            frozenset((serves,)), machine.kind, None, None,
-            (machine.ip, 7000) if machine.kind == "core" else None, range(7300, 7316),
-            tuple((it.ip, 7000) for it in self.seeds or self.cores[:3]), machine.first, "data",
-            self.heartbeat_s, self.tolerance, 300.0, 360.0, BOUNDS,
-        )  # fmt: skip
+            machine.name,
+            machine.ip,
+            machine.zone,
+            self.regions[machine.zone],
+            frozenset((serves,)),
+            machine.kind,
+            None,
+            None,
+            (machine.ip, 7000) if machine.kind == "core" else None,
+            range(7300, 7316),
+            tuple((it.ip, 7000) for it in self.seeds or self.cores[:3]),
+            machine.first,
+            "data",
+            self.heartbeat_s,
+            self.tolerance,
+            300.0,
+            360.0,
+            BOUNDS,
+        )
 
     def failed(self, life: Life, error: AssertionError) -> None:
         """A broken invariant ends its process, as it does in the program."""
--- a/workshop/jig/digest.py
+++ b/workshop/jig/digest.py
@@ -21,10 +21,26 @@
 from absl import logging
 
 RECORDED_AIMS = {
-    "": 6, "edges": 4, "roll": 4, "drain": 4, "closing": 4, "core": 4, "config": 4, "rate": 4, "freeze": 4,
-    "quiet": 2, "answers": 4, "footing": 5, "control": 8, "losses": 2, "losses-core": 2, "losses-stores": 2,
-    "losses-zone": 2, "losses-stores-zone": 2, "losses-stores-region": 2,
-}  # fmt: skip
+    "": 6,
+    "edges": 4,
+    "roll": 4,
+    "drain": 4,
+    "closing": 4,
+    "core": 4,
+    "config": 4,
+    "rate": 4,
+    "freeze": 4,
+    "quiet": 2,
+    "answers": 4,
+    "footing": 5,
+    "control": 8,
+    "losses": 2,
+    "losses-core": 2,
+    "losses-stores": 2,
+    "losses-zone": 2,
+    "losses-stores-zone": 2,
+    "losses-stores-region": 2,
+}
 EXPLORED_DEPTH = 4  # steps from each start; the largest of them takes seconds
 
 
--- a/workshop/jig/endpoints.py
+++ b/workshop/jig/endpoints.py
@@ -67,9 +67,15 @@
             return
         now, history = self.deployment.clock.now, self.deployment.history
         run = Run(
-            delivery.attempt, self.name, self.kind.name, life.name, sent, now,
-            int(names["amberlug-time-remaining"]) / 1000, delivery.body,
-        )  # fmt: skip
+            delivery.attempt,
+            self.name,
+            self.kind.name,
+            life.name,
+            sent,
+            now,
+            int(names["amberlug-time-remaining"]) / 1000,
+            delivery.body,
+        )
         history.runs.append(run)
         first = self.town.done.get(delivery.attempt) if self.kind.dedup else None
         if first == "":
@@ -179,10 +185,15 @@
     def _announce(self, then: Callable[[bool], None]) -> None:
         self._sequence += 1
         body = {
-            "targetService": self.kind.name, "address": self.address, "zone": self.zone, "edition": "v1",
-            "capacity": self.kind.slots, "condition": self.condition, "warmupLeftMs": 0,
+            "targetService": self.kind.name,
+            "address": self.address,
+            "zone": self.zone,
+            "edition": "v1",
+            "capacity": self.kind.slots,
+            "condition": self.condition,
+            "warmupLeftMs": 0,
             "sequence": self._sequence,
-        }  # fmt: skip
+        }
         self._call(f"/-/Instances.Announce/{self.name}", json.dumps(body).encode(), 4, then)
 
     def _call(self, target: str, body: bytes, tries: int, then: Callable[[bool], None]) -> None:
@@ -265,11 +276,7 @@
 
     def up(self, service: str = "") -> list[Endpoint]:
         """Those that are ready."""
-        return [
-            it
-            for it in self.all
-            if it.up and it.condition == "ready" and service in ("", it.kind.name)
-        ]  # fmt: skip
+        return [it for it in self.all if it.up and it.condition == "ready" and service in ("", it.kind.name)]
 
     def closed(self, life: Life) -> None:
         for endpoint in self.all:
--- a/workshop/jig/explore.py
+++ b/workshop/jig/explore.py
@@ -91,13 +91,20 @@
 STARTS = {
     "fresh": Start({name: (0, "", []) for name in NAMES}, 2, 1, 1),
     "older": Start(
-        {"a": (2, "", [1]), "b": (2, "b", [2]), "c": (2, "b", [])}, 2, 1, 0,
+        {"a": (2, "", [1]), "b": (2, "b", [2]), "c": (2, "b", [])},
+        2,
+        1,
+        0,
         (
-            ("stand", "a", ""), ("deliver", "b", "a"), ("deliver", "c", "a"), ("unsynced", "a", "c"),
-            ("deliver", "c", 'a ["vise.append'), ("unsynced", "a", 'c ["vise.append'),
+            ("stand", "a", ""),
+            ("deliver", "b", "a"),
+            ("deliver", "c", "a"),
+            ("unsynced", "a", "c"),
+            ("deliver", "c", 'a ["vise.append'),
+            ("unsynced", "a", 'c ["vise.append'),
         ),
     ),
-}  # fmt: skip
+}
 
 
 # With a newcomer, from a leader that all follow; the depth to which the tests look at all.
@@ -185,9 +192,14 @@
     def __init__(self, start: Start, blank: Callable[[str, int], Saved], like: Play | None = None) -> None:
         self.start, self.blank, self.now = start, blank, 0.0
         self.left = {
-            "stand": start.stands, "power": start.losses, "wipe": start.wipes, "write": start.writes,
-            "change": start.changes, "cut": start.cuts, "away": start.away,
-        }  # fmt: skip
+            "stand": start.stands,
+            "power": start.losses,
+            "wipe": start.wipes,
+            "write": start.writes,
+            "change": start.changes,
+            "cut": start.cuts,
+            "away": start.away,
+        }
         self.messages: dict[int, _Message] = {}
         self._numbers = 0
         self.leaders: dict[int, str] = {}
@@ -238,9 +250,14 @@
         member.waiting = []
         member.book = {}
         member.vise = Vise(
-            _World(self, name), _Disk(member, member.life), replace(saved, entries=list(saved.entries)),
-            member.apply, member.snapshot, member.restore, lambda: None,
-        )  # fmt: skip
+            _World(self, name),
+            _Disk(member, member.life),
+            replace(saved, entries=list(saved.entries)),
+            member.apply,
+            member.snapshot,
+            member.restore,
+            lambda: None,
+        )
         member.words = words_of(member.vise)
         member.vise.heard = -1e9
 
--- a/workshop/jig/footing.py
+++ b/workshop/jig/footing.py
@@ -29,10 +29,19 @@
         self.history, self.clock = day.history, day.clock
         self.retired: dict[str, float] = {}  # stores that were emptied, and when that was told
         self.acts: list[Callable[[], float]] = [
-            self.wipe_after_put, self.wipe_after_put, self.wipe_core, self.replace_store, self.replace_core,
-            self.add_store, self.retire, self.retire, self.freeze_store, self.cut_off, self.slow_disk,
+            self.wipe_after_put,
+            self.wipe_after_put,
+            self.wipe_core,
+            self.replace_store,
+            self.replace_core,
+            self.add_store,
+            self.retire,
+            self.retire,
+            self.freeze_store,
+            self.cut_off,
+            self.slow_disk,
             self.split_core,
-        ]  # fmt: skip
+        ]
 
     def begin(self, start: float, end: float) -> None:
         """One after another, each once the one before it no longer counts as a loss."""
--- a/workshop/jig/losses.py
+++ b/workshop/jig/losses.py
@@ -22,9 +22,13 @@
 PATIENCE_S = 25.0  # for a store to be emptied while others are lost
 NOTICED_S = 2.5  # until the system must know that a store is silent or has lost its disk
 SPREADS = (
-    (Tolerance(1, 0, 0), 4), (Tolerance(2, 0, 0), 2), (Tolerance(0, 1, 0), 3), (Tolerance(1, 1, 0), 2),
-    (Tolerance(0, 0, 1), 2), (Tolerance(0, 0, 0), 1),
-)  # fmt: skip
+    (Tolerance(1, 0, 0), 4),
+    (Tolerance(2, 0, 0), 2),
+    (Tolerance(0, 1, 0), 3),
+    (Tolerance(1, 1, 0), 2),
+    (Tolerance(0, 0, 1), 2),
+    (Tolerance(0, 0, 0), 1),
+)
 
 
 @dataclass(frozen=True, slots=True)
@@ -49,9 +53,14 @@
     least = 5 if tolerance.machines == 2 else 3
     stores = chance.choice((zones, zones, 2 * zones, zones + 1))
     return Site(
-        tolerance, zones, regions, chance.randrange(max(2, zones - 1), zones + 2), max(least, stores),
-        chance.randrange(least, 7), "stores" in aim and chance.random() < 0.5,
-    )  # fmt: skip
+        tolerance,
+        zones,
+        regions,
+        chance.randrange(max(2, zones - 1), zones + 2),
+        max(least, stores),
+        chance.randrange(least, 7),
+        "stores" in aim and chance.random() < 0.5,
+    )
 
 
 class Losses(Footing):
@@ -93,9 +102,10 @@
         if not wide or (tolerance.machines and chance.random() < 0.5):
             return [first]
         whole = [
-            it for it in counted
+            it
+            for it in counted
             if it.zone == first.zone or (tolerance.regions and regions[it.zone] == regions[first.zone])
-        ]  # fmt: skip
+        ]
         return whole if chance.random() < 0.7 else chance.sample(whole, chance.randrange(1, len(whole) + 1))
 
     def _lose(self, line: int) -> None:
--- a/workshop/jig/operator.py
+++ b/workshop/jig/operator.py
@@ -25,18 +25,35 @@
 def service(name: str, rate: float = 0.0, dedup: bool = False) -> Json:
     """One service of a configuration."""
     return {
-        "name": name, "healthPath": "/health", "maxConnections": 100, "protocol": "h1", "tls": False,
-        "ratePerS": rate, "dedupCapable": dedup, "pull": False, "fixedAddress": None,
-    }  # fmt: skip
+        "name": name,
+        "healthPath": "/health",
+        "maxConnections": 100,
+        "protocol": "h1",
+        "tls": False,
+        "ratePerS": rate,
+        "dedupCapable": dedup,
+        "pull": False,
+        "fixedAddress": None,
+    }
 
 
 def route(prefix: str, to: str, in_sequence: bool = False, expiry_ms: int = 1500, rank: int = 1) -> Json:
     """One route of a configuration."""
     return {
-        "name": f"r-{prefix.strip('/')}", "authority": HOST, "pathPrefix": prefix, "routeType": "deferred",
-        "expiryMs": expiry_ms, "targetMs": 100, "precedence": rank, "targetService": to, "maxAttempts": 3,
-        "inSequence": in_sequence, "retentionS": 90.0, "notifyUri": False, "startTargetMs": 1200,
-    }  # fmt: skip
+        "name": f"r-{prefix.strip('/')}",
+        "authority": HOST,
+        "pathPrefix": prefix,
+        "routeType": "deferred",
+        "expiryMs": expiry_ms,
+        "targetMs": 100,
+        "precedence": rank,
+        "targetService": to,
+        "maxAttempts": 3,
+        "inSequence": in_sequence,
+        "retentionS": 90.0,
+        "notifyUri": False,
+        "startTargetMs": 1200,
+    }
 
 
 class Operator:
--- a/workshop/lathe/message.py
+++ b/workshop/lathe/message.py
@@ -59,9 +59,22 @@
 def read(name: str, shard: int, epoch: int, seq: int, meta: Json, body: bytes | None, size: int) -> Message:
     """A message from what is kept of it."""
     return Message(
-        name, shard, meta["a"], meta["h"], meta["m"], meta["t"], meta["r"], meta["k"], meta["w"], meta["d"],
-        tuple((key, value) for key, value in meta["x"]), body, size, (epoch, seq), seen=meta["c"],
-    )  # fmt: skip
+        name,
+        shard,
+        meta["a"],
+        meta["h"],
+        meta["m"],
+        meta["t"],
+        meta["r"],
+        meta["k"],
+        meta["w"],
+        meta["d"],
+        tuple((key, value) for key, value in meta["x"]),
+        body,
+        size,
+        (epoch, seq),
+        seen=meta["c"],
+    )
 
 
 def shard_of(key: str, count: int) -> int:
--- a/workshop/lathe/service.py
+++ b/workshop/lathe/service.py
@@ -153,9 +153,15 @@
         if not self.fixed:
             headers.append(("Amberlug-Target-Instance", endpoint.id))
         delivery = Delivery(
-            endpoint.address, endpoint.id, message.attempt, message.method, message.target, tuple(headers),
-            message.body, seconds + SLACK_S,
-        )  # fmt: skip
+            endpoint.address,
+            endpoint.id,
+            message.attempt,
+            message.method,
+            message.target,
+            tuple(headers),
+            message.body,
+            seconds + SLACK_S,
+        )
         self.endpoints.call(delivery, lambda called: self._ended(out, called))
 
     def _ended(self, out: Out, called: Called) -> None:
--- a/workshop/lathe/shards.py
+++ b/workshop/lathe/shards.py
@@ -228,9 +228,7 @@
             if name not in load.fenced and name not in load.asked:
                 load.asked.add(name)
                 body = {"shards": {str(number): epoch for number, epoch in load.shards.items()}}
-                self.world.ask(
-                    store.address, "fence", body, FENCE_S, partial(self._fenced, load, name)
-                )  # fmt: skip
+                self.world.ask(store.address, "fence", body, FENCE_S, partial(self._fenced, load, name))
         self.world.later(AGAIN_S, lambda: self._fence(load))
 
     def _fenced(self, load: _Load, name: str, reply: Result[Reply, Lost]) -> None:
@@ -388,7 +386,7 @@
         def done(put: Put) -> None:
             said = {Put.HELD: Taken.HELD, Put.REFUSED: Taken.REFUSED, Put.FENCED: Taken.ELSEWHERE}.get(
                 put, Taken.UNCLEAR
-            )  # fmt: skip
+            )
             held = self.mine.get(number)
             still = held is not None and held.epoch == shard.epoch
             if put is Put.HELD and message.end:
--- a/workshop/machine/core.py
+++ b/workshop/machine/core.py
@@ -63,13 +63,11 @@
     def __init__(self, world: World, settings: Settings, address: str, disk: Disk, saved: Saved) -> None:
         self.world, self.settings, self.address = world, settings, address
         self.book, self.sessions = Book(), Sessions()
-        self.news = News(
-            world, self._others, lambda key, value: None, to_all=True, known_at=self._known_at
-        )  # fmt: skip
+        self.news = News(world, self._others, lambda key, value: None, to_all=True, known_at=self._known_at)
         self.cell = Cell(world, self.news, settings.heartbeat_s)
         self.vise = Vise(
             world, disk, saved, self._apply, self.book.to_json, self.book.from_json, self._changed
-        )  # fmt: skip
+        )
         lookout = Lookout(self)
         self.counter = Counter(self, lookout)
         self.words = {**words_of(self), **words_of(self.vise), **words_of(self.news), **words_of(lookout)}
@@ -392,12 +390,17 @@
         committed, self._committed = self._committed, vise.commit
         seats = [
             Seat(
-                name, it["voter"], it["zone"], it.get("region", ""),
-                vise.holds(name, min(committed, vise.commit)), vise.silent_s(name), it.get("gone", False),
+                name,
+                it["voter"],
+                it["zone"],
+                it.get("region", ""),
+                vise.holds(name, min(committed, vise.commit)),
+                vise.silent_s(name),
+                it.get("gone", False),
                 self.world.now() - self._leaving.get(name, -1e9) < LEAVING_S,
             )
             for name, it in vise.members.items()
-        ]  # fmt: skip
+        ]
         short = margin((it for it in seats if it.voter), tolerance) < 0
         if short != self._short:
             self._short = short
--- a/workshop/machine/edge.py
+++ b/workshop/machine/edge.py
@@ -38,11 +38,23 @@
 RATE_WAIT_S = 1.0  # until a larger part of a service's rate is used: others have heard of it by then
 KEPT_BACK = frozenset(
     (
-        "host", "content-length", "transfer-encoding", "connection", "keep-alive", "te", "trailer", "upgrade",
-        "expect", "proxy-connection", "amberlug-time-remaining", "amberlug-attempt-id", "amberlug-not-before",
-        "amberlug-target-instance", "amberlug-notify-uri",
+        "host",
+        "content-length",
+        "transfer-encoding",
+        "connection",
+        "keep-alive",
+        "te",
+        "trailer",
+        "upgrade",
+        "expect",
+        "proxy-connection",
+        "amberlug-time-remaining",
+        "amberlug-attempt-id",
+        "amberlug-not-before",
+        "amberlug-target-instance",
+        "amberlug-notify-uri",
     )
-)  # fmt: skip
+)
 
 
 class Request(Asked, Protocol):
@@ -337,11 +349,21 @@
             return
         wall = self.world.wall()
         message = Message(
-            name_of(shard, attempt), shard, attempt, asked.header("host") or "", asked.method, asked.target,
-            route.name, key, wall, wall + int(delay) / 1000,
+            name_of(shard, attempt),
+            shard,
+            attempt,
+            asked.header("host") or "",
+            asked.method,
+            asked.target,
+            route.name,
+            key,
+            wall,
+            wall + int(delay) / 1000,
             tuple((name, value) for name, value in asked.headers if name not in KEPT_BACK),
-            asked.body, len(asked.body), seen=self.routes.index,
-        )  # fmt: skip
+            asked.body,
+            len(asked.body),
+            seen=self.routes.index,
+        )
         seconds = int(left) / 1000 if left is not None and left.isdigit() else CLIENT_S
 
         def say(taken: Taken) -> None:
--- a/workshop/machine/lookout.py
+++ b/workshop/machine/lookout.py
@@ -83,7 +83,7 @@
             disk
             for disk, store in core.book.roster.items()
             if store["state"] == "full" and self._has_session(members, disk, store)
-        ]  # fmt: skip
+        ]
         confirmed: list[int] = []
 
         def told(heard: dict[str, Result[Reply, Lost]]) -> None:
--- a/workshop/machine/store.py
+++ b/workshop/machine/store.py
@@ -204,7 +204,7 @@
             messages = [
                 [name, *it.place(), it.meta, it.size, len(bodies[name]) if name in bodies else -1]
                 for name, it in there
-            ]  # fmt: skip
+            ]
             parts = b"".join(bodies[name] for name, _ in there if name in bodies)
             respond({"ok": True, "disk": self.disk, "refused": refused, "open": messages}, parts)
 
--- a/workshop/settings.py
+++ b/workshop/settings.py
@@ -24,10 +24,20 @@
 _ADDRESS = t.String() & _address
 _POSITIVE = t.ToFloat(gte=0)
 _BOUNDS = {
-    "seedLagS": 3.0, "reuseAfterS": 2.0, "contactMs": 4000.0, "ackMs": 5000.0, "catchUpS": 5.0,
-    "drainMs": 3000.0, "graceS": 6.0, "configApplyMs": 3000.0, "completedS": 10.0, "statusTtlS": 120.0,
-    "earlyMs": 100.0, "ceilingWindowS": 5.0, "ceilingOver": 1.1,
-}  # fmt: skip
+    "seedLagS": 3.0,
+    "reuseAfterS": 2.0,
+    "contactMs": 4000.0,
+    "ackMs": 5000.0,
+    "catchUpS": 5.0,
+    "drainMs": 3000.0,
+    "graceS": 6.0,
+    "configApplyMs": 3000.0,
+    "completedS": 10.0,
+    "statusTtlS": 120.0,
+    "earlyMs": 100.0,
+    "ceilingWindowS": 5.0,
+    "ceilingOver": 1.1,
+}
 _TOLERANCE = {"machines": 1, "zones": 0, "regions": 0}
 
 SCHEMA = t.Dict(
--- a/workshop/standin/commands.py
+++ b/workshop/standin/commands.py
@@ -54,10 +54,18 @@
 
 @click.command("try")
 @click.option("--seconds", type=click.FloatRange(1, 600), default=8.0, show_default=True, help="Of load.")
-@click.option("--rate", type=click.FloatRange(0, 200, min_open=True), default=30.0, show_default=True,
-              help="Messages a second.")  # fmt: skip
-@click.option("--keep", type=click.Path(file_okay=False, path_type=Path),
-              help="A new or empty folder that keeps settings, logs and data.")  # fmt: skip
+@click.option(
+    "--rate",
+    type=click.FloatRange(0, 200, min_open=True),
+    default=30.0,
+    show_default=True,
+    help="Messages a second.",
+)
+@click.option(
+    "--keep",
+    type=click.Path(file_okay=False, path_type=Path),
+    help="A new or empty folder that keeps settings, logs and data.",
+)
 @click.option("--net", help="First three numbers of the loopback addresses; else free ones are taken.")
 @click.option("--json", "as_json", is_flag=True, help="Print one JSON object.")
 def trial(seconds: float, rate: float, keep: Path | None, net: str | None, as_json: bool) -> None:
--- a/workshop/standin/deployment.py
+++ b/workshop/standin/deployment.py
@@ -77,8 +77,12 @@
 def free_net(chance: random.Random) -> str:
     """Three numbers of loopback addresses at which nobody listens: the usual ones, else some."""
     net = USUAL
-    while not all(_free(f"{net}.{first + at}", port) for _, _, _, first in KINDS for at in range(3)
-                  for port in (CONTROL, FRONT, READINESS, INTERNAL[0])):  # fmt: skip
+    while not all(
+        _free(f"{net}.{first + at}", port)
+        for _, _, _, first in KINDS
+        for at in range(3)
+        for port in (CONTROL, FRONT, READINESS, INTERNAL[0])
+    ):
         net = f"127.{chance.randrange(1, 255)}.{chance.randrange(1, 255)}"
     return net
 
