--- a/amberlug/cli/checking.py
+++ b/amberlug/cli/checking.py
@@ -9,7 +9,7 @@
 from pathlib import Path
 
 from amberlug.platform.checking import Problem, check
-from stoatusher.settings import read_settings
+from amberlug.policy.settings import read_settings
 
 
 def main(path: Path, config: Path | None, as_json: bool) -> int:
--- a/amberlug/cli/learnings.py
+++ b/amberlug/cli/learnings.py
@@ -19,8 +19,8 @@
 from amberlug.learning.facts import Kept
 from amberlug.learning.learner import Learner
 from amberlug.learning.store import Store
-from stoatusher.account import OPEN
-from stoatusher.state import NEVER
+from amberlug.policy.account import OPEN
+from amberlug.policy.state import NEVER
 
 ROOM = 1 << 30  # bytes: a folder of any installation is read
 
--- a/amberlug/copies/journal.py
+++ b/amberlug/copies/journal.py
@@ -23,7 +23,7 @@
 from amberlug.core.messages import Attempt, End, Ending, Message, Outcome, Reason, Refusal
 from amberlug.core.ports import Clock, Earlier, Held, Tried
 from amberlug.peers.fleet import Fleet, WhenShort
-from stoatusher.interface import Effect, Result, Settings
+from amberlug.policy.interface import Effect, Result, Settings
 
 LOGS = "logs.json"  # which logs are this folder's own
 SHORT_RETRY_US = 1_000_000  # when a client may come again that too few relays are there for
--- a/amberlug/copies/service.py
+++ b/amberlug/copies/service.py
@@ -18,7 +18,7 @@
 from amberlug.peers import fleet as fleets
 from amberlug.peers import identity
 from amberlug.peers.links import Links
-from stoatusher.interface import Settings
+from amberlug.policy.interface import Settings
 
 FOLDER = "copies"  # within the state folder
 TICK = 0.05  # seconds: a holder that is slow is passed over after some of them
--- a/amberlug/core/journal/legacy.py
+++ b/amberlug/core/journal/legacy.py
@@ -17,7 +17,7 @@
 from amberlug.core.log import log
 from amberlug.core.messages import End, Message, Outcome
 from amberlug.core.ports import Earlier, Held, Seen, Tried
-from stoatusher.interface import Result
+from amberlug.policy.interface import Result
 
 FILE, ASIDE = "journal.log", "journal.new"  # the second one was never needed after the process
 _HEAD = struct.Struct(">2scII")
--- a/amberlug/core/journal/recovery.py
+++ b/amberlug/core/journal/recovery.py
@@ -12,7 +12,7 @@
 from amberlug.core.journal.disk import Disk
 from amberlug.core.messages import End, Message, Outcome
 from amberlug.core.ports import Earlier, Held, Seen, Tried, Wait
-from stoatusher import interface as api
+from amberlug.policy import interface as api
 
 TAKE = struct.Struct(">QQQI")  # order, wall clock when taken and when its time is up, destination
 ATTEMPT = struct.Struct(">HQ")
--- a/amberlug/core/listing.py
+++ b/amberlug/core/listing.py
@@ -11,8 +11,8 @@
 from typing import Any
 
 from amberlug.core.ports import Address, News
-from stoatusher.interface import Entry, State
-from stoatusher.membership import pack, unpack
+from amberlug.policy.interface import Entry, State
+from amberlug.policy.membership import pack, unpack
 
 _STATES = {"in_service": State.IN, "terminating": State.DRAINING, "terminated": State.GONE}
 _MALFORMED = KeyError, TypeError, AttributeError, OverflowError
--- a/amberlug/core/messages.py
+++ b/amberlug/core/messages.py
@@ -6,7 +6,7 @@
 from enum import Enum
 from typing import Protocol
 
-from stoatusher.interface import Result
+from amberlug.policy.interface import Result
 
 NAME_MOST = 128  # longest id, key or name of a tenant
 BODY_MOST = 1 << 16  # longest body, in bytes
--- a/amberlug/core/node.py
+++ b/amberlug/core/node.py
@@ -13,10 +13,10 @@
 from amberlug.core.places import Places
 from amberlug.core.ports import Clock, Ends, Handle, Held, Journal, Learning, News, Observer, Transport, Wait
 from amberlug.core.timers import Timers
-from stoatusher import interface as api
-from stoatusher.interface import Result
-from stoatusher.lasting import LastingSender
-from stoatusher.membership import BATCH, Comparison
+from amberlug.policy import interface as api
+from amberlug.policy.interface import Result
+from amberlug.policy.lasting import LastingSender
+from amberlug.policy.membership import BATCH, Comparison
 
 BUSY_RETRY_US = SECOND  # when a client may come again that this relay has no room for
 REPLIES_MOST = 100  # how often a message's end may be asked for at another place: each is a record
--- a/amberlug/core/places.py
+++ b/amberlug/core/places.py
@@ -6,7 +6,7 @@
 
 from amberlug.core.listing import address
 from amberlug.core.ports import Transport
-from stoatusher import interface as api
+from amberlug.policy import interface as api
 
 
 class Places:
--- a/amberlug/core/ports.py
+++ b/amberlug/core/ports.py
@@ -10,7 +10,7 @@
 from typing import Protocol
 
 from amberlug.core.messages import Attempt, End, Ending, Message, Refusal
-from stoatusher import interface as api
+from amberlug.policy import interface as api
 
 Address = tuple[str, int]
 
--- a/amberlug/core/usual.py
+++ b/amberlug/core/usual.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Sequence
 
-from stoatusher.interface import Effect, Group, Kind, MessageClass, Settings
+from amberlug.policy.interface import Effect, Group, Kind, MessageClass, Settings
 
 SECOND = 1_000_000
 
--- a/amberlug/http/calls.py
+++ b/amberlug/http/calls.py
@@ -12,7 +12,7 @@
 from amberlug.core.messages import Attempt, Ending, Message
 from amberlug.core.ports import Address, Calls, Clock
 from amberlug.http.link import Link, LinkLostError, Reply, dial
-from stoatusher.interface import Result, Settings
+from amberlug.policy.interface import Result, Settings
 
 IDLE_MARGIN = 0.5  # seconds that an idle connection is closed before the endpoint may close it
 WAIT_MOST_MS = 3_600_000  # longest told wait that is kept
--- a/amberlug/http/handin.py
+++ b/amberlug/http/handin.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable, Mapping, Sequence
 
 from amberlug.core.messages import BODY_MOST, Message, Reason, Refusal, is_word
-from stoatusher.interface import Effect, Settings
+from amberlug.policy.interface import Effect, Settings
 
 TOO_LONG = "the body is over 64 KiB"
 FIELDS = ("req-id", "req-kind", "req-owner", "req-deadline-ms", "envelope", "idempotency-key")
--- a/amberlug/http/server.py
+++ b/amberlug/http/server.py
@@ -13,7 +13,7 @@
 
 from amberlug.core.messages import BODY_MOST, Exchange, Message, Refusal
 from amberlug.http.handin import TOO_LONG, BadRequestError, answer, check_route, read_message, refusal_of
-from stoatusher.interface import Settings
+from amberlug.policy.interface import Settings
 
 UNREAD_MOST = 1 << 20  # so much is passed over behind an error: closing at once would lose the answer
 AHEAD_MOST = 1 << 16  # bytes kept beyond an open request; with more, it is the connection's last
--- a/amberlug/lab/fleet.py
+++ b/amberlug/lab/fleet.py
@@ -16,9 +16,9 @@
 
 import numpy as np
 
-from stoatusher import interface as api
-from stoatusher.interface import Effect, Group, Result
-from stoatusher.lasting import LastingSender
+from amberlug.policy import interface as api
+from amberlug.policy.interface import Effect, Group, Result
+from amberlug.policy.lasting import LastingSender
 
 SECOND = 1_000_000
 NETWORK_US = 50_000  # to an endpoint and back
--- a/amberlug/lab/partners.py
+++ b/amberlug/lab/partners.py
@@ -10,8 +10,8 @@
 
 from amberlug.lab.clock import SECOND, Time
 from amberlug.lab.scenario import Partner
+from amberlug.policy.interface import Result
 from amberlug.standin.checker import Call, Checker, Ran
-from stoatusher.interface import Result
 
 SLACK = 3  # calls more than that: chance brings so many together
 KNEW = 2 / 3  # of what pushes one over, from relays that had learned of its outage: the rule is broken
--- a/amberlug/lab/play.py
+++ b/amberlug/lab/play.py
@@ -15,10 +15,10 @@
 from amberlug.lab.partners import Destination, Endpoint
 from amberlug.lab.relay import Relay
 from amberlug.lab.scenario import Fault, Scenario
+from amberlug.policy import interface as api
+from amberlug.policy.settings import read_settings
 from amberlug.standin.checker import LATE, Repeat, Track
 from amberlug.standin.deployment import settings as usual_settings
-from stoatusher import interface as api
-from stoatusher.settings import read_settings
 
 KEY_LIFE_S = 15.0
 TOLD_BY_S = 6.0  # after which a change counts as told, whether or not it arrived
--- a/amberlug/lab/relay.py
+++ b/amberlug/lab/relay.py
@@ -18,8 +18,8 @@
 from amberlug.learning.learner import Learner
 from amberlug.learning.store import Store
 from amberlug.platform.pauses import Pauses
+from amberlug.policy import interface as api
 from amberlug.standin.checker import Checker
-from stoatusher import interface as api
 
 DISK_SHARE = 0.9  # of the folder's room, as the daemon has it
 COLLECT_US = 3 * SECOND  # that one which closes waits for its calls
--- a/amberlug/lab/runs.py
+++ b/amberlug/lab/runs.py
@@ -23,7 +23,7 @@
 _TABLE = """CREATE TABLE IF NOT EXISTS runs (
     scenario TEXT, digest TEXT, seed INTEGER, build TEXT, figures TEXT, PRIMARY KEY (digest, seed, build)
 )"""
-SOURCES = ("amberlug", "stoatusher")
+SOURCES = ("amberlug", "amberlug.policy")
 CONFIDENCE = 0.95
 
 
--- a/amberlug/lab/transport.py
+++ b/amberlug/lab/transport.py
@@ -10,8 +10,8 @@
 from amberlug.core.ports import Address, Calls
 from amberlug.lab.clock import LifeClock, Timer
 from amberlug.lab.partners import Answer, Endpoint, Pending
+from amberlug.policy.interface import Result
 from amberlug.standin.checker import Checker
-from stoatusher.interface import Result
 
 UNCONNECTED = Answer(Result.UNCONNECTED)
 
--- a/amberlug/learning/ageing.py
+++ b/amberlug/learning/ageing.py
@@ -8,9 +8,9 @@
 
 from dataclasses import replace
 
-from stoatusher import interface as api
-from stoatusher.account import FIRST_GUESS_US, OPEN, SECOND
-from stoatusher.state import NEVER
+from amberlug.policy import interface as api
+from amberlug.policy.account import FIRST_GUESS_US, OPEN, SECOND
+from amberlug.policy.state import NEVER
 
 MINUTE = 60 * SECOND
 HOUR = 60 * MINUTE
--- a/amberlug/learning/facts.py
+++ b/amberlug/learning/facts.py
@@ -13,9 +13,9 @@
 import msgpack
 
 from amberlug.core.ports import Wait
-from stoatusher import interface as api
-from stoatusher.account import KEPT, OPEN
-from stoatusher.state import NEVER
+from amberlug.policy import interface as api
+from amberlug.policy.account import KEPT, OPEN
+from amberlug.policy.state import NEVER
 
 DESTINATION, WAIT, KIND, TENANT = b"D", b"W", b"K", b"T"
 NAME_MOST = 1024  # characters of an endpoint's, kind's or zone's name
--- a/amberlug/learning/learner.py
+++ b/amberlug/learning/learner.py
@@ -16,9 +16,9 @@
 from amberlug.learning.blocks import Stamp
 from amberlug.learning.facts import Kept, Usual
 from amberlug.learning.store import Store
-from stoatusher import interface as api
-from stoatusher.account import FIRST_GUESS_US, OPEN
-from stoatusher.state import NEVER
+from amberlug.policy import interface as api
+from amberlug.policy.account import FIRST_GUESS_US, OPEN
+from amberlug.policy.state import NEVER
 
 HOUR_MS = 3_600_000
 TOLD_US = 600_000_000  # for so long beyond its end a told wait is known: another one may be as long
--- a/amberlug/library/__init__.py
+++ b/amberlug/library/__init__.py
@@ -24,7 +24,7 @@
 from amberlug.library.settings import message_class, settings
 from amberlug.library.taken import Taken
 from amberlug.library.transport import Call, Deliver, NotSentError, Outgoing, TurnedAwayError
-from stoatusher.interface import Effect, Kind, MessageClass, Settings
+from amberlug.policy.interface import Effect, Kind, MessageClass, Settings
 
 __all__ = [
     "AcknowledgedError",
--- a/amberlug/library/endpoints.py
+++ b/amberlug/library/endpoints.py
@@ -15,8 +15,8 @@
 from amberlug.platform.discovery import Watch
 from amberlug.platform.heard import Heard
 from amberlug.platform.pauses import Pauses
-from stoatusher.account import SECOND
-from stoatusher.interface import Entry, Settings, State
+from amberlug.policy.account import SECOND
+from amberlug.policy.interface import Entry, Settings, State
 
 Listed = Callable[[News], Iterator[None]]  # makes the work of news, to be done at once or in slices
 FILE_MOST = 1 << 26  # bytes of a list's file
--- a/amberlug/library/messages.py
+++ b/amberlug/library/messages.py
@@ -7,7 +7,7 @@
 
 from amberlug.core import messages as core
 from amberlug.core.messages import BODY_MOST, Reason, is_word
-from stoatusher.interface import Effect, Settings
+from amberlug.policy.interface import Effect, Settings
 
 DEADLINE_MOST = 1_000_000.0  # seconds
 
--- a/amberlug/library/observers.py
+++ b/amberlug/library/observers.py
@@ -7,7 +7,7 @@
 
 from amberlug.core.messages import Attempt, End, Ending, Message
 from amberlug.core.ports import Observer
-from stoatusher import interface as api
+from amberlug.policy import interface as api
 
 
 class Shielded:
--- a/amberlug/library/relay.py
+++ b/amberlug/library/relay.py
@@ -38,7 +38,7 @@
 from amberlug.library.transport import Deliver, HostTransport
 from amberlug.platform.discovery import ASK_FOR
 from amberlug.platform.heard import Heard
-from stoatusher.interface import Settings
+from amberlug.policy.interface import Settings
 
 GRACE = 3.0  # seconds that `close` waits for calls that are out
 LOOK_AGAIN = 0.01
--- a/amberlug/library/transport.py
+++ b/amberlug/library/transport.py
@@ -11,7 +11,7 @@
 from amberlug.core.log import log
 from amberlug.core.messages import Attempt, Ending
 from amberlug.core.ports import Address, Calls, Clock
-from stoatusher.interface import Result
+from amberlug.policy.interface import Result
 
 
 class NotSentError(Exception):
--- a/amberlug/mqtt/front.py
+++ b/amberlug/mqtt/front.py
@@ -12,7 +12,7 @@
 from amberlug.mqtt.listener import Listener
 from amberlug.mqtt.publisher import Publisher
 from amberlug.mqtt.subscriber import Subscriber
-from stoatusher.interface import Settings
+from amberlug.policy.interface import Settings
 
 
 class Mqtt:
--- a/amberlug/mqtt/intake.py
+++ b/amberlug/mqtt/intake.py
@@ -13,7 +13,7 @@
 from amberlug.mqtt.packets import INVALID_TOPIC, Publish
 from amberlug.mqtt.properties import P
 from amberlug.mqtt.replies import Reply
-from stoatusher.interface import Effect, Settings
+from amberlug.policy.interface import Effect, Settings
 
 REPLY_MOST = 512  # bytes of a response topic with its correlation data: they are kept with the message
 
--- a/amberlug/mqtt/mapping.py
+++ b/amberlug/mqtt/mapping.py
@@ -22,7 +22,7 @@
 from amberlug.mqtt.properties import P, user
 from amberlug.mqtt.topics import captured, is_filter, is_topic
 from amberlug.platform.checking import Problem
-from stoatusher.interface import Effect, Settings
+from amberlug.policy.interface import Effect, Settings
 
 NOT_VALID = 0x99  # payload format invalid: what is to be read from a publish is not there
 NOT_AUTHORIZED = 0x87
--- a/amberlug/mqtt/publisher.py
+++ b/amberlug/mqtt/publisher.py
@@ -15,7 +15,7 @@
 from amberlug.mqtt.properties import P, Properties, user
 from amberlug.mqtt.replies import RETRY
 from amberlug.mqtt.sessions import Fate
-from stoatusher.interface import Result
+from amberlug.policy.interface import Result
 
 WAIT_MOST_MS = 3_600_000  # longest told wait that is kept
 NEVER_RAN = frozenset((0x87, 0x90, 0x91, 0x95, 0x99))  # not taken, and for this message never will be
--- a/amberlug/platform/checking.py
+++ b/amberlug/platform/checking.py
@@ -10,7 +10,7 @@
 from amberlug.core.journal import Durability
 from amberlug.core.listing import address, read_news
 from amberlug.platform.config import read_durability, read_learning_key, read_limits
-from stoatusher import settings
+from amberlug.policy import settings
 
 LIMITS = ("sockets", "memory_mb", "disk_mb")
 
--- a/amberlug/platform/config.py
+++ b/amberlug/platform/config.py
@@ -13,8 +13,8 @@
 from amberlug.core.messages import BODY_MOST
 from amberlug.core.ports import Address, News
 from amberlug.learning import read_key
-from stoatusher.interface import Settings
-from stoatusher.settings import read_settings
+from amberlug.policy.interface import Settings
+from amberlug.policy.settings import read_settings
 
 SPARE = 48  # descriptors for watch, notices, files and signals, and for what is accepted or dialed meanwhile
 CLIENTS = (
--- a/amberlug/platform/daemon.py
+++ b/amberlug/platform/daemon.py
@@ -31,7 +31,7 @@
 from amberlug.platform.pauses import Pauses
 from amberlug.platform.trace import Trace
 from amberlug.platform.turns import Turns
-from stoatusher.interface import Settings
+from amberlug.policy.interface import Settings
 
 OPEN_FOR = 0.6  # seconds after SIGTERM that connections are still taken: they go on coming for 0.4 s
 COLLECT_FOR = 3.0  # seconds after SIGTERM for calls that are out: SIGKILL comes at 3.7 s
--- a/amberlug/platform/trace.py
+++ b/amberlug/platform/trace.py
@@ -23,7 +23,7 @@
 
 from amberlug.core.log import log
 from amberlug.core.messages import Attempt, End, Ending, Message
-from stoatusher import interface as api
+from amberlug.policy import interface as api
 
 _APART = re.compile(r"[\s:]")
 
--- a/stoatusher/account.py
+++ b/amberlug/policy/account.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass, field
 from typing import Protocol
 
-from stoatusher import interface as api
+from amberlug.policy import interface as api
 
 SECOND = 1_000_000
 OPEN = float("inf")
--- a/stoatusher/decide.py
+++ b/amberlug/policy/decide.py
@@ -1,19 +1,19 @@
 """When, where and whether each message is sent: every decision of a relay in one life.
 
-Types, events, actions: `stoatusher/interface.py`; records: `stoatusher/state.py`. Ordinary path: a message
-goes when its destination's account has a unit to spend (`stoatusher/account.py`), else at a timer at its
+Types, events, actions: `amberlug/policy/interface.py`; records: `amberlug/policy/state.py`. Ordinary path: a message
+goes when its destination's account has a unit to spend (`amberlug/policy/account.py`), else at a timer at its
 opening.
 """
 
 import itertools
 from collections.abc import Iterator, Sequence
 
-from stoatusher import folding
-from stoatusher import interface as api
-from stoatusher.account import FIRST_GUESS_US, OPEN, SECOND, SLOT_SHARE
-from stoatusher.interface import Effect, Group, ListKind, Result
-from stoatusher.state import TURNS, Call, Destination, Endpoint, Message
-from stoatusher.tables import SPREAD, Tables
+from amberlug.policy import folding
+from amberlug.policy import interface as api
+from amberlug.policy.account import FIRST_GUESS_US, OPEN, SECOND, SLOT_SHARE
+from amberlug.policy.interface import Effect, Group, ListKind, Result
+from amberlug.policy.state import TURNS, Call, Destination, Endpoint, Message
+from amberlug.policy.tables import SPREAD, Tables
 
 RATE_NOISE = 0.3  # a reported limit this far from the one in use replaces it; nearer is noise
 SHUT = 3  # windows of one told wait that look like a destination that is shut
--- a/stoatusher/folding.py
+++ b/amberlug/policy/folding.py
@@ -11,9 +11,9 @@
 import marshal
 from collections import deque
 
-from stoatusher.account import FIRST_GUESS_US, KEPT, OPEN, SECOND, TRIES, Account
-from stoatusher.interface import Known, KnownEndpoint, KnownRoute, Settings
-from stoatusher.state import NEVER, Destination, Endpoint
+from amberlug.policy.account import FIRST_GUESS_US, KEPT, OPEN, SECOND, TRIES, Account
+from amberlug.policy.interface import Known, KnownEndpoint, KnownRoute, Settings
+from amberlug.policy.state import NEVER, Destination, Endpoint
 
 QUIET_US = 10 * SECOND  # least time without a message or call until a destination is folded away
 FORGET_US = 600 * SECOND  # after so long answer times, pace and failures of what was not in an outage are old
--- a/stoatusher/lasting.py
+++ b/amberlug/policy/lasting.py
@@ -1,7 +1,7 @@
 """What a relay decides beyond a single life, and between a decision and its first byte.
 
 A `Sender` forgets all with its process. One on real sockets goes on with what it held, and its sends take
-time to leave: both are decided here, with the records and guards of `stoatusher/decide.py`.
+time to leave: both are decided here, with the records and guards of `amberlug/policy/decide.py`.
 """
 
 import itertools
@@ -10,12 +10,12 @@
 from dataclasses import replace
 from itertools import chain
 
-from stoatusher import folding
-from stoatusher import interface as api
-from stoatusher.account import OPEN, Account
-from stoatusher.decide import ANSWER_WEIGHT, MAY_HAVE_RUN, Sender, may_refuse, may_repeat
-from stoatusher.interface import Effect, Group, Result, State
-from stoatusher.state import NEVER, Call, Destination, Endpoint, Message
+from amberlug.policy import folding
+from amberlug.policy import interface as api
+from amberlug.policy.account import OPEN, Account
+from amberlug.policy.decide import ANSWER_WEIGHT, MAY_HAVE_RUN, Sender, may_refuse, may_repeat
+from amberlug.policy.interface import Effect, Group, Result, State
+from amberlug.policy.state import NEVER, Call, Destination, Endpoint, Message
 
 LEAST_ADVICE_US = 500_000  # how long a refused client stays away at least: a queue takes as long to go
 AWAY_US = 5_000_000  # how long a planned restart takes: ending, starting, and what waits by then
--- a/stoatusher/membership.py
+++ b/amberlug/policy/membership.py
@@ -2,7 +2,7 @@
 
 A row is one string of bytes, which the collector need not look at: of tens of thousands most are never asked
 for between two lists. Nothing here knows of calls, health or limits; what is known of those stands in
-`stoatusher/state.py` while a destination is awake, and in `stoatusher/folding.py` while it sleeps.
+`amberlug/policy/state.py` while a destination is awake, and in `amberlug/policy/folding.py` while it sleeps.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 from dataclasses import replace
 from itertools import chain, islice
 
-from stoatusher.interface import Entry, State
+from amberlug.policy.interface import Entry, State
 
 _ROW = struct.Struct("<qd?q")  # destination, rate, whether it drains, when it last started
 _SEPARATOR = "\0"
--- a/stoatusher/settings.py
+++ b/amberlug/policy/settings.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable, Mapping
 from typing import Any
 
-from stoatusher.interface import Effect, Group, Kind, MessageClass, Settings, Tenant
+from amberlug.policy.interface import Effect, Group, Kind, MessageClass, Settings, Tenant
 
 _NEVER = 1 << 62
 
--- a/stoatusher/state.py
+++ b/amberlug/policy/state.py
@@ -7,9 +7,9 @@
 from collections.abc import Iterator
 from dataclasses import dataclass, field
 
-from stoatusher.account import Account
-from stoatusher.interface import Action, Entry, MessageClass, Timer
-from stoatusher.membership import Members
+from amberlug.policy.account import Account
+from amberlug.policy.interface import Action, Entry, MessageClass, Timer
+from amberlug.policy.membership import Members
 
 NEVER = -(1 << 62)
 TURNS = 64  # of those that wait for a slot, so many are weighed against each other at once: a turn each
--- a/stoatusher/tables.py
+++ b/amberlug/policy/tables.py
@@ -6,11 +6,11 @@
 
 import random
 
-from stoatusher import interface as api
-from stoatusher.account import OPEN, SECOND
-from stoatusher.interface import Result
-from stoatusher.state import Endpoint
-from stoatusher.waking import Awake
+from amberlug.policy import interface as api
+from amberlug.policy.account import OPEN, SECOND
+from amberlug.policy.interface import Result
+from amberlug.policy.state import Endpoint
+from amberlug.policy.waking import Awake
 
 SPREAD = 0.7, 1.3  # drawn part of that window: relays that fail together must not come back together
 TABLE_PAUSE_US = SECOND // 10  # first pause after a full table, doubled with each in a row
--- a/stoatusher/waking.py
+++ b/amberlug/policy/waking.py
@@ -1,16 +1,16 @@
 """Who is listed and who is awake: the list's news, the first message after a sleep, and falling asleep again.
 
-Only the list's news and what is awake cost anything: what sleeps is a row of `stoatusher/membership.py`, and
-at most a few numbers of `stoatusher/folding.py`.
+Only the list's news and what is awake cost anything: what sleeps is a row of `amberlug/policy/membership.py`, and
+at most a few numbers of `amberlug/policy/folding.py`.
 """
 
 from collections import deque
 
-from stoatusher import folding
-from stoatusher import interface as api
-from stoatusher.account import KEPT, Account
-from stoatusher.interface import ListKind, State
-from stoatusher.state import Destination, Endpoint, Message, Records
+from amberlug.policy import folding
+from amberlug.policy import interface as api
+from amberlug.policy.account import KEPT, Account
+from amberlug.policy.interface import ListKind, State
+from amberlug.policy.state import Destination, Endpoint, Message, Records
 
 
 def elsewhere(was: api.Entry, entry: api.Entry) -> bool:
--- a/stoatusher/wirehost.py
+++ b/amberlug/policy/wirehost.py
@@ -1,6 +1,6 @@
 """Host one `Sender` per relay on the simulator's text wire: parse, translate, write.
 
-Run as `python -m stoatusher.wirehost`. Standard input carries batches, standard output the replies.
+Run as `python -m amberlug.policy.wirehost`. Standard input carries batches, standard output the replies.
 """
 
 import json
@@ -9,9 +9,9 @@
 from dataclasses import dataclass, field
 from typing import IO, TypeVar
 
-from stoatusher import interface as api
-from stoatusher.lasting import LastingSender
-from stoatusher.settings import read_settings
+from amberlug.policy import interface as api
+from amberlug.policy.lasting import LastingSender
+from amberlug.policy.settings import read_settings
 
 _RESULTS = {
     "done": api.Result.DONE,
--- a/benchmarks/fleet_model.py
+++ b/benchmarks/fleet_model.py
@@ -64,7 +64,7 @@
         "print(json.dumps(figures(int(sys.argv[2]), int(sys.argv[3]))))"
     )
     with tempfile.TemporaryDirectory() as place:
-        (Path(place) / "stoatusher").symlink_to((folder / "stoatusher").resolve())
+        (Path(place) / "amberlug.policy").symlink_to((folder / "amberlug.policy").resolve())
         words = [sys.executable, "-c", code, place, str(seeds), str(jobs)]
         out = subprocess.run(words, cwd=ROOT, capture_output=True, text=True, check=True).stdout
     return [float(it) for it in json.loads(out)]
--- a/benchmarks/learning.py
+++ b/benchmarks/learning.py
@@ -20,9 +20,9 @@
 from amberlug.learning import ageing
 from amberlug.learning.learner import Learner
 from amberlug.learning.store import Store
-from stoatusher import interface as api
-from stoatusher.account import OPEN, SECOND
-from stoatusher.state import NEVER
+from amberlug.policy import interface as api
+from amberlug.policy.account import OPEN, SECOND
+from amberlug.policy.state import NEVER
 
 MINUTE, HOUR, WEEK = 60.0, 3600.0, 7 * 86400.0
 ROOM = 64_000_000
--- a/benchmarks/sleeping.py
+++ b/benchmarks/sleeping.py
@@ -24,11 +24,11 @@
 from amberlug.platform.discovery import Watch
 from amberlug.platform.notices import Notices
 from amberlug.platform.pauses import Pauses
+from amberlug.policy.settings import read_settings
 from amberlug.standin.crowd import Client, Crowd, Directory, Mood, Told, ends
 from amberlug.standin.deployment import settings
 from amberlug.standin.wire import PATIENCE
 from benchmarks.cost import ROOT, cpu_seconds, free_port
-from stoatusher.settings import read_settings
 
 PAGE = os.sysconf("SC_PAGE_SIZE")
 BUSY = 20  # destinations that are busy throughout
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -10,10 +10,10 @@
 from hypothesis import settings as hypothesis_settings
 
 from amberlug.library.claims import CLAIMS
-from stoatusher import interface as api
-from stoatusher.decide import Sender
-from stoatusher.settings import read_settings
-from stoatusher.state import Endpoint
+from amberlug.policy import interface as api
+from amberlug.policy.decide import Sender
+from amberlug.policy.settings import read_settings
+from amberlug.policy.state import Endpoint
 
 
 def pytest_collection_finish() -> None:
--- a/tests/parity_host.py
+++ b/tests/parity_host.py
@@ -12,7 +12,7 @@
 from amberlug.core.listing import read_news
 from amberlug.library import AcknowledgedError, Discovery, Message, RefusedError, Relay
 from amberlug.library.taken import Taken
-from stoatusher.settings import read_settings
+from amberlug.policy.settings import read_settings
 
 
 def say(**fields: Any) -> None:
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -24,8 +24,8 @@
 from amberlug.learning import Learner
 from amberlug.learning.store import Store
 from amberlug.platform.notices import Notices
+from amberlug.policy.interface import Settings
 from amberlug.standin.wire import PATIENCE, Platform, StandIn
-from stoatusher.interface import Settings
 from tests.conftest import setup
 
 ROOT = Path(__file__).parents[1]
--- a/tests/test_account.py
+++ b/tests/test_account.py
@@ -2,11 +2,11 @@
 
 import pytest
 
-from stoatusher import interface as api
-from stoatusher.account import LIFT, OPEN, PAUSE_US, RISE, Account
-from stoatusher.interface import Entry, Result, State
-from stoatusher.settings import read_settings
-from stoatusher.state import Call, Endpoint
+from amberlug.policy import interface as api
+from amberlug.policy.account import LIFT, OPEN, PAUSE_US, RISE, Account
+from amberlug.policy.interface import Entry, Result, State
+from amberlug.policy.settings import read_settings
+from amberlug.policy.state import Call, Endpoint
 from tests.conftest import SECOND, Relay, of, setup
 
 
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -9,8 +9,8 @@
 
 from amberlug.http.calls import report, wait_us
 from amberlug.http.link import Reply
+from amberlug.policy.interface import Result
 from amberlug.standin.wire import OK, Seen, StandIn
-from stoatusher.interface import Result
 from tests.conftest import Relay, of
 from tests.rig import member, run, world
 
--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -22,9 +22,9 @@
 from amberlug.lab.runs import day
 from amberlug.lab.scenario import Fault, Load, Partner, Scenario, World
 from amberlug.learning.learner import Learner
-from stoatusher import decide, lasting
-from stoatusher.lasting import LastingSender
-from stoatusher.state import Records
+from amberlug.policy import decide, lasting
+from amberlug.policy.lasting import LastingSender
+from amberlug.policy.state import Records
 
 RELAYS = 40  # `amberlug lab days` plays 200
 
--- a/tests/test_folding.py
+++ b/tests/test_folding.py
@@ -9,14 +9,14 @@
 from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
 
-from stoatusher import folding
-from stoatusher import interface as api
-from stoatusher.account import FIRST_GUESS_US
-from stoatusher.decide import FEW, FRESH_SHARE
-from stoatusher.interface import Result, State
-from stoatusher.lasting import LastingSender
-from stoatusher.settings import read_settings
-from stoatusher.state import TURNS
+from amberlug.policy import folding
+from amberlug.policy import interface as api
+from amberlug.policy.account import FIRST_GUESS_US
+from amberlug.policy.decide import FEW, FRESH_SHARE
+from amberlug.policy.interface import Result, State
+from amberlug.policy.lasting import LastingSender
+from amberlug.policy.settings import read_settings
+from amberlug.policy.state import TURNS
 from tests.conftest import SECOND, Relay, of, setup
 
 HOUR = 3600 * SECOND
--- a/tests/test_histories.py
+++ b/tests/test_histories.py
@@ -6,8 +6,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from stoatusher import interface as api
-from stoatusher.interface import Result, State
+from amberlug.policy import interface as api
+from amberlug.policy.interface import Result, State
 from tests.conftest import SECOND, Relay, of
 
 CLASSES = ["safe", "keyed", "zoned", "unsafe", "ordered"]
--- a/tests/test_imports.py
+++ b/tests/test_imports.py
@@ -9,7 +9,7 @@
 
 ROOT = Path(__file__).parents[1]
 # Each may import what stands before it, and itself.
-LAYERS = ("stoatusher", "amberlug.core", "amberlug.learning", "amberlug.http", "amberlug.platform")
+LAYERS = ("amberlug.policy", "amberlug.core", "amberlug.learning", "amberlug.http", "amberlug.platform")
 ON_TOP = "amberlug.cli"
 # Neither runs nor is imported in a relay that no operator's file asks for it.
 OFF = (
@@ -40,12 +40,12 @@
             names += [alias.name for alias in node.names]
         elif isinstance(node, ast.ImportFrom) and node.module is not None:
             names.append(node.module)
-    return [name for name in names if name.partition(".")[0] in ("stoatusher", "amberlug")]
+    return [name for name in names if name.partition(".")[0] == "amberlug"]
 
 
 def test_imports_run_one_way() -> None:
     against = []
-    for path in sorted([*ROOT.glob("amberlug/**/*.py"), *ROOT.glob("stoatusher/**/*.py")]):
+    for path in sorted(ROOT.glob("amberlug/**/*.py")):
         module = ".".join(path.relative_to(ROOT).with_suffix("").parts)
         against += [f"{module} -> {name}" for name in imported(path) if layer(name) > layer(module)]
     assert against == []
@@ -53,7 +53,7 @@
 
 def test_no_module_needs_itself() -> None:
     graph = {}
-    for path in [*ROOT.glob("amberlug/**/*.py"), *ROOT.glob("stoatusher/**/*.py")]:
+    for path in ROOT.glob("amberlug/**/*.py"):
         if path.name != "__init__.py":  # what a package offers is gathered there
             graph[".".join(path.relative_to(ROOT).with_suffix("").parts)] = imported(path)
     assert list(graphlib.TopologicalSorter(graph).static_order())  # raises where there is a circle
@@ -70,7 +70,7 @@
 
 
 def test_the_core_knows_no_sockets() -> None:
-    for path in [*ROOT.glob("amberlug/core/**/*.py"), *ROOT.glob("stoatusher/*.py")]:
+    for path in [*ROOT.glob("amberlug/core/**/*.py"), *ROOT.glob("amberlug/policy/*.py")]:
         names = {
             alias.name
             for node in ast.walk(ast.parse(path.read_text(encoding="utf-8")))
--- a/tests/test_journal.py
+++ b/tests/test_journal.py
@@ -21,7 +21,7 @@
 from amberlug.core.journal import records as rec
 from amberlug.core.messages import Attempt, End, Ending, Message, Outcome
 from amberlug.core.ports import Earlier, Seen, Wait
-from stoatusher.interface import Result
+from amberlug.policy.interface import Result
 from tests.faulty import DiedError, FaultyDisk
 
 NOW = 1_000_000_000_000
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -16,7 +16,7 @@
 from amberlug.lab.play import Play
 from amberlug.lab.scenario import BadScenarioError, Load, Scenario, read, scenario_of
 from amberlug.learning.learner import Learner
-from stoatusher.lasting import LastingSender
+from amberlug.policy.lasting import LastingSender
 from tests.rig import ROOT
 
 
--- a/tests/test_lasting.py
+++ b/tests/test_lasting.py
@@ -7,10 +7,10 @@
 import pytest
 
 from amberlug.core.ports import Wait
-from stoatusher import interface as api
-from stoatusher.interface import Result, State
-from stoatusher.lasting import BEHIND_US, LastingSender
-from stoatusher.settings import read_settings
+from amberlug.policy import interface as api
+from amberlug.policy.interface import Result, State
+from amberlug.policy.lasting import BEHIND_US, LastingSender
+from amberlug.policy.settings import read_settings
 from tests.conftest import SECOND, of, setup
 
 START = 100 * SECOND
--- a/tests/test_learning.py
+++ b/tests/test_learning.py
@@ -20,12 +20,12 @@
 from amberlug.learning.facts import Kept
 from amberlug.learning.learner import Learner
 from amberlug.learning.store import RETRY_US, Store
-from stoatusher import interface as api
-from stoatusher.account import FIRST_GUESS_US, LIFT, OPEN, SECOND
-from stoatusher.interface import Result, State
-from stoatusher.lasting import LastingSender
-from stoatusher.settings import read_settings
-from stoatusher.state import NEVER
+from amberlug.policy import interface as api
+from amberlug.policy.account import FIRST_GUESS_US, LIFT, OPEN, SECOND
+from amberlug.policy.interface import Result, State
+from amberlug.policy.lasting import LastingSender
+from amberlug.policy.settings import read_settings
+from amberlug.policy.state import NEVER
 from tests.conftest import of, setup
 from tests.faulty import DiedError, FaultyDisk
 
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -2,9 +2,9 @@
 
 from pathlib import Path
 
-import stoatusher.decide
+import amberlug.policy.decide
 
-SOURCE = Path(stoatusher.decide.__file__).read_text(encoding="utf-8").splitlines()
+SOURCE = Path(amberlug.policy.decide.__file__).read_text(encoding="utf-8").splitlines()
 
 
 def test_no_line_is_longer_than_110_columns() -> None:
--- a/tests/test_listing.py
+++ b/tests/test_listing.py
@@ -17,10 +17,10 @@
 from amberlug.core.slices import Slices
 from amberlug.platform.discovery import LINE_MOST, SETTLED, Watch
 from amberlug.platform.pauses import Pauses
-from stoatusher import interface as api
-from stoatusher.interface import State
-from stoatusher.membership import BATCH, Comparison, Members
-from stoatusher.settings import read_settings
+from amberlug.policy import interface as api
+from amberlug.policy.interface import State
+from amberlug.policy.membership import BATCH, Comparison, Members
+from amberlug.policy.settings import read_settings
 from tests.conftest import setup
 from tests.rig import node_in
 
--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -18,8 +18,8 @@
 from amberlug.lab.scenario import Scenario, World
 from amberlug.learning.learner import Learner
 from amberlug.learning.store import Store
-from stoatusher import interface as api
-from stoatusher.interface import Result
+from amberlug.policy import interface as api
+from amberlug.policy.interface import Result
 from tests.rig import ROOT
 
 MESSAGES, EVERY_US = 200_000, 2_500
--- a/tests/test_mqtt_mapping.py
+++ b/tests/test_mqtt_mapping.py
@@ -12,7 +12,7 @@
 from amberlug.mqtt.mapping import BadPublishError, Heard, Mapped
 from amberlug.mqtt.packets import Publish
 from amberlug.mqtt.properties import P
-from stoatusher.settings import read_settings
+from amberlug.policy.settings import read_settings
 from tests.conftest import message_class, setup
 
 ROOT = Path(__file__).parents[1]
--- a/tests/test_mqtt_sessions.py
+++ b/tests/test_mqtt_sessions.py
@@ -17,7 +17,7 @@
 from amberlug.mqtt.replies import Reply, decode
 from amberlug.mqtt.sessions import Fate, Incoming, Outgoing
 from amberlug.mqtt.wire import Wire
-from stoatusher.interface import Result
+from amberlug.policy.interface import Result
 
 
 @dataclass
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -10,9 +10,9 @@
 from amberlug.core.messages import Message, Refusal
 from amberlug.http.calls import batch_endings
 from amberlug.http.link import Reply
+from amberlug.policy.interface import Result
+from amberlug.policy.settings import read_settings
 from amberlug.standin.wire import OK, Answer, Seen, StandIn
-from stoatusher.interface import Result
-from stoatusher.settings import read_settings
 from tests.conftest import SECOND, setup
 from tests.rig import caller_of, hand_in, journal_in, member, news, node_in, run, world
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -4,8 +4,8 @@
 
 import pytest
 
-from stoatusher import interface as api
-from stoatusher.interface import Result
+from amberlug.policy import interface as api
+from amberlug.policy.interface import Result
 from tests.conftest import SECOND, Relay, of
 
 MAY_HAVE_RUN = [Result.ERROR, Result.TIMED_OUT, Result.RESET, Result.CALLED_OFF]
--- a/tests/test_tables.py
+++ b/tests/test_tables.py
@@ -1,8 +1,8 @@
 """Endpoints that hold few connections, which the relays of a large fleet share."""
 
-from stoatusher import interface as api
-from stoatusher.interface import Result
-from stoatusher.tables import KEEP_STEP_US, TABLE_PAUSE_US, UNMET
+from amberlug.policy import interface as api
+from amberlug.policy.interface import Result
+from amberlug.policy.tables import KEEP_STEP_US, TABLE_PAUSE_US, UNMET
 from tests.conftest import SECOND, Relay, of
 
 
--- a/tests/test_turns.py
+++ b/tests/test_turns.py
@@ -12,8 +12,8 @@
 from amberlug.core.listing import read_news
 from amberlug.http.server import Server
 from amberlug.platform.turns import Turns
+from amberlug.policy.settings import read_settings
 from amberlug.standin.wire import StandIn
-from stoatusher.settings import read_settings
 from tests.conftest import setup
 from tests.rig import hand_in, member, news, node_in
 
--- a/tests/test_wirehost.py
+++ b/tests/test_wirehost.py
@@ -39,7 +39,7 @@
     lines: list[str] = []
     for number, batch in enumerate(batches):
         lines += [f"MARK SimTimeUs={1000 + number * 5000}", *batch, "EOB"]
-    command = [sys.executable, "-m", "stoatusher.wirehost"]
+    command = [sys.executable, "-m", "amberlug.policy.wirehost"]
     return subprocess.run(command, input="\n".join(lines) + "\n", capture_output=True, text=True, timeout=60)
 
 
--- a/workshop/lathe/service.py
+++ b/workshop/lathe/service.py
@@ -9,8 +9,8 @@
 from dataclasses import dataclass
 
 from amberlug.core.usual import message_class, settings
-from stoatusher.account import SECOND, WINDOW_US, Account
-from stoatusher.interface import Effect
+from amberlug.policy.account import SECOND, WINDOW_US, Account
+from amberlug.policy.interface import Effect
 from workshop.lathe.endpoints import FULL_S, Endpoint, Pool
 from workshop.lathe.message import Message
 from workshop.ports import Called, Delivery, Endpoints, Handle, Verdict, World
