--- a/workshop/__main__.py
+++ b/amberlug/cluster/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m workshop`: the program of every machine."""
+"""`python -m amberlug.cluster`: the program of every machine."""
 
 from __future__ import annotations
 
@@ -9,16 +9,16 @@
 
 import click
 
-from workshop.settings import DEFAULT, VARIABLE
+from amberlug.cluster.settings import DEFAULT, VARIABLE
 
 
 class Lazy(click.Group):
     """Imports a command's module only once it is asked for, so that `run` starts without them."""
 
     LATER: ClassVar = {
-        "foreman": "workshop.foreman.commands:foreman",
-        "stand-in": "workshop.standin.commands:stand_in",
-        "try": "workshop.standin.commands:trial",
+        "foreman": "amberlug.cluster.foreman.commands:foreman",
+        "stand-in": "amberlug.cluster.standin.commands:stand_in",
+        "try": "amberlug.cluster.standin.commands:trial",
     }
 
     def list_commands(self, ctx: click.Context) -> list[str]:
@@ -42,10 +42,10 @@
 @cli.command()
 def run() -> None:
     """Serve as the settings file says."""
-    from workshop.program import main
+    from amberlug.cluster.process import main
 
     sys.exit(main(os.environ.get(VARIABLE, DEFAULT)))
 
 
 if __name__ == "__main__":
-    cli(prog_name="workshop")
+    cli(prog_name="python -m amberlug.cluster")
--- a/workshop/chest/drawer.py
+++ b/amberlug/cluster/chest/drawer.py
@@ -10,8 +10,8 @@
 from pathlib import Path
 from typing import Any
 
-from workshop.chest.cabinet import Cabinet, Row, open_file
-from workshop.ports import Json
+from amberlug.cluster.chest.cabinet import Cabinet, Row, open_file
+from amberlug.cluster.interfaces import Json
 
 FORMAT = 1
 SCHEMA = """
--- a/workshop/crib/check.py
+++ b/amberlug/cluster/crib/check.py
@@ -8,7 +8,7 @@
 import trafaret as t
 from result import Err, Ok, Result
 
-from workshop.ports import Json
+from amberlug.cluster.interfaces import Json
 
 MOST = 4 << 20  # bytes of a configuration
 DEEP = 32  # levels of nesting
--- a/workshop/crib/orders.py
+++ b/amberlug/cluster/crib/orders.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 from typing import Any, Protocol
 
-from workshop.ports import Json
+from amberlug.cluster.interfaces import Json
 
 
 class Asked(Protocol):
--- a/workshop/crib/sessions.py
+++ b/amberlug/cluster/crib/sessions.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-from workshop.ports import Json
+from amberlug.cluster.interfaces import Json
 
 BEAT_S = 0.25  # between a member's words to its control relay
 SILENT_S = 1.2  # without a word until a session is over
--- a/workshop/foreman/commands.py
+++ b/amberlug/cluster/foreman/commands.py
@@ -1,4 +1,4 @@
-"""`python -m workshop foreman`: look at a deployment, change its configuration, check its files."""
+"""`python -m amberlug.cluster foreman`: look at a deployment, change its configuration, check its files."""
 
 from __future__ import annotations
 
@@ -14,10 +14,10 @@
 import click
 from result import Err, Ok, Result
 
-from workshop.foreman.files import check_deploy, check_settings, differences, read_config
-from workshop.foreman.show import status_lines
-from workshop.foreman.wire import Call, Told, ask, hand_in, insist
-from workshop.ports import Json
+from amberlug.cluster.foreman.files import check_deploy, check_settings, differences, read_config
+from amberlug.cluster.foreman.show import status_lines
+from amberlug.cluster.foreman.wire import Call, Told, ask, hand_in, insist
+from amberlug.cluster.interfaces import Json
 
 DONE, REFUSED, BAD, UNCLEAR = 0, 1, 2, 3
 AGAIN_S = 5.0  # for a dead message to be taken anew, while it is surely not taken
--- a/workshop/foreman/files.py
+++ b/amberlug/cluster/foreman/files.py
@@ -11,9 +11,9 @@
 import trafaret as t
 from result import Err, Ok, Result
 
-from workshop import settings as told
-from workshop.crib.check import check, parse
-from workshop.ports import Json
+from amberlug.cluster import settings as told
+from amberlug.cluster.crib.check import check, parse
+from amberlug.cluster.interfaces import Json
 
 PARTS = ("edge", "storage", "control_plane")
 NEEDS = {  # what a part can't begin without
--- a/workshop/foreman/show.py
+++ b/amberlug/cluster/foreman/show.py
@@ -6,7 +6,7 @@
 from collections.abc import Iterable, Iterator
 from typing import Any
 
-from workshop.ports import Json
+from amberlug.cluster.interfaces import Json
 
 SILENT = "does not answer"
 
--- a/workshop/hatch/routes.py
+++ b/amberlug/cluster/hatch/routes.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 from types import MappingProxyType
 
-from workshop.ports import Json
+from amberlug.cluster.interfaces import Json
 
 
 @dataclass(frozen=True, slots=True)
--- a/workshop/jig/days.py
+++ b/amberlug/cluster/jig/days.py
@@ -8,16 +8,16 @@
 from functools import partial
 from unittest.mock import patch
 
-from workshop.jig.checker import Checker
-from workshop.jig.clients import Clients, Load
-from workshop.jig.control import FORMS, Control
-from workshop.jig.deployment import BOUNDS, ONE_MACHINE, RESTART_S, Deployment, Machine
-from workshop.jig.endpoints import Kind
-from workshop.jig.footing import Footing
-from workshop.jig.history import Broken
-from workshop.jig.losses import Losses, draw_site
-from workshop.jig.operator import Operator, route, service
-from workshop.vise import log
+from amberlug.cluster.jig.checker import Checker
+from amberlug.cluster.jig.clients import Clients, Load
+from amberlug.cluster.jig.control import FORMS, Control
+from amberlug.cluster.jig.deployment import BOUNDS, ONE_MACHINE, RESTART_S, Deployment, Machine
+from amberlug.cluster.jig.endpoints import Kind
+from amberlug.cluster.jig.footing import Footing
+from amberlug.cluster.jig.history import Broken
+from amberlug.cluster.jig.losses import Losses, draw_site
+from amberlug.cluster.jig.operator import Operator, route, service
+from amberlug.cluster.vise import log
 
 TRAFFIC_S = 3.5  # machines start so long before traffic does
 AFTER_S = 10.0  # for what was accepted to be done
--- a/workshop/jig/deployment.py
+++ b/amberlug/cluster/jig/deployment.py
@@ -8,18 +8,18 @@
 from functools import partial
 from typing import Any
 
-from workshop.crib.orders import Said
-from workshop.jig.clock import Clock
-from workshop.jig.disk import Chest, DiskOf, DrawerOf, Platter, Shelf
-from workshop.jig.endpoints import Caller, Kind, Town
-from workshop.jig.history import Broken, History, Place, What
-from workshop.jig.network import Host, Life, LifeWorld, Network
-from workshop.machine.core import Core, blank
-from workshop.machine.edge import Edge
-from workshop.machine.store import Store
-from workshop.ports import Json, Lost
-from workshop.program import SPARE_S, STILL_SERVED_S
-from workshop.settings import Settings, Tolerance
+from amberlug.cluster.crib.orders import Said
+from amberlug.cluster.interfaces import Json, Lost
+from amberlug.cluster.jig.clock import Clock
+from amberlug.cluster.jig.disk import Chest, DiskOf, DrawerOf, Platter, Shelf
+from amberlug.cluster.jig.endpoints import Caller, Kind, Town
+from amberlug.cluster.jig.history import Broken, History, Place, What
+from amberlug.cluster.jig.network import Host, Life, LifeWorld, Network
+from amberlug.cluster.machine.core import Core, blank
+from amberlug.cluster.machine.edge import Edge
+from amberlug.cluster.machine.store import Store
+from amberlug.cluster.process import SPARE_S, STILL_SERVED_S
+from amberlug.cluster.settings import Settings, Tolerance
 
 OUTSIDE_S = 0.001  # from outside to a machine, one way
 RESTART_S = 0.8
--- a/workshop/jig/disk.py
+++ b/amberlug/cluster/jig/disk.py
@@ -8,14 +8,14 @@
 from functools import partial
 from typing import Any
 
-from workshop.chest import drawer
-from workshop.chest.drawer import Contents, Kept
-from workshop.jig.clock import Clock
-from workshop.jig.digest import BoundaryDigest
-from workshop.jig.network import Life
-from workshop.ports import Json
-from workshop.vise import shelf
-from workshop.vise.log import Saved, assemble
+from amberlug.cluster.chest import drawer
+from amberlug.cluster.chest.drawer import Contents, Kept
+from amberlug.cluster.interfaces import Json
+from amberlug.cluster.jig.clock import Clock
+from amberlug.cluster.jig.digest import BoundaryDigest
+from amberlug.cluster.jig.network import Life
+from amberlug.cluster.vise import shelf
+from amberlug.cluster.vise.log import Saved, assemble
 
 Row = tuple[str, tuple[Any, ...]]
 READ_S = 0.0005
--- a/workshop/jig/endpoints.py
+++ b/amberlug/cluster/jig/endpoints.py
@@ -8,14 +8,14 @@
 from functools import partial
 from typing import TYPE_CHECKING
 
+from amberlug.cluster.interfaces import Called, Delivery, Verdict
+from amberlug.cluster.jig.history import Run
+from amberlug.cluster.jig.network import Life
+from amberlug.cluster.lathe.caller import Caller as RealCaller
 from amberlug.http.link import Reply
-from workshop.jig.history import Run
-from workshop.jig.network import Life
-from workshop.lathe.caller import Caller as RealCaller
-from workshop.ports import Called, Delivery, Verdict
 
 if TYPE_CHECKING:
-    from workshop.jig.deployment import Deployment, Machine
+    from amberlug.cluster.jig.deployment import Deployment, Machine
 
 DELAY_S = 0.0006
 QUEUE = 3
--- a/workshop/jig/explore.py
+++ b/amberlug/cluster/jig/explore.py
@@ -20,11 +20,11 @@
 
 from result import Ok
 
-from workshop.jig.clock import Timer
-from workshop.ports import Json, Reply, Then, words_of
-from workshop.vise import log
-from workshop.vise.agree import Role, Vise
-from workshop.vise.log import Entry, Saved
+from amberlug.cluster.interfaces import Json, Reply, Then, words_of
+from amberlug.cluster.jig.clock import Timer
+from amberlug.cluster.vise import log
+from amberlug.cluster.vise.agree import Role, Vise
+from amberlug.cluster.vise.log import Entry, Saved
 
 NAMES = ("a", "b", "c")
 VOTERS: Json = {name: {"addr": name, "voter": True} for name in NAMES}
--- a/workshop/jig/faults_answers.py
+++ b/amberlug/cluster/jig/faults_answers.py
@@ -10,17 +10,17 @@
 
 from result import Err, Result
 
+from amberlug.cluster.belt.links import Belt, _Incoming, _Outgoing
+from amberlug.cluster.hatch.server import Answer, _Reply
+from amberlug.cluster.interfaces import Called, Delivery, Json, Lost, Respond, Verdict
+from amberlug.cluster.lathe.caller import Caller
+from amberlug.cluster.lathe.message import Message
+from amberlug.cluster.lathe.service import Outcome, judge
+from amberlug.cluster.lathe.shards import Shards
+from amberlug.cluster.machine import edge
+from amberlug.cluster.machine.core import Core
+from amberlug.cluster.vise.agree import NotTaken
 from amberlug.http.link import Link
-from workshop.belt.links import Belt, _Incoming, _Outgoing
-from workshop.hatch.server import Answer, _Reply
-from workshop.lathe.caller import Caller
-from workshop.lathe.message import Message
-from workshop.lathe.service import Outcome, judge
-from workshop.lathe.shards import Shards
-from workshop.machine import edge
-from workshop.machine.core import Core
-from workshop.ports import Called, Delivery, Json, Lost, Respond, Verdict
-from workshop.vise.agree import NotTaken
 
 
 def _answer_by_order() -> AbstractContextManager[Any]:
--- a/workshop/jig/faults_frames.py
+++ b/amberlug/cluster/jig/faults_frames.py
@@ -7,12 +7,12 @@
 from typing import Any
 from unittest.mock import patch
 
-from workshop.jig import disk
-from workshop.ports import Json
-from workshop.vise import agree, log
-from workshop.vise.agree import Vise
-from workshop.vise.log import Log, Saved
-from workshop.vise.parts import Receiving, Sending
+from amberlug.cluster.interfaces import Json
+from amberlug.cluster.jig import disk
+from amberlug.cluster.vise import agree, log
+from amberlug.cluster.vise.agree import Vise
+from amberlug.cluster.vise.log import Log, Saved
+from amberlug.cluster.vise.parts import Receiving, Sending
 
 
 @contextmanager
--- a/workshop/jig/faults_losses.py
+++ b/amberlug/cluster/jig/faults_losses.py
@@ -7,13 +7,13 @@
 from typing import Any
 from unittest.mock import patch
 
-from workshop.crib.sessions import Session
-from workshop.lathe.shards import Shards
-from workshop.lathe.spread import Spread
-from workshop.machine.core import Core
-from workshop.machine.edge import Edge
-from workshop.machine.store import Store
-from workshop.ports import Json
+from amberlug.cluster.crib.sessions import Session
+from amberlug.cluster.interfaces import Json
+from amberlug.cluster.lathe.shards import Shards
+from amberlug.cluster.lathe.spread import Spread
+from amberlug.cluster.machine.core import Core
+from amberlug.cluster.machine.edge import Edge
+from amberlug.cluster.machine.store import Store
 
 
 def _retire_short() -> AbstractContextManager[Any]:
--- a/workshop/jig/faults_seats.py
+++ b/amberlug/cluster/jig/faults_seats.py
@@ -7,13 +7,13 @@
 from typing import Any
 from unittest.mock import patch
 
-from workshop.ports import Json
-from workshop.settings import Tolerance
-from workshop.vise import book, seats
-from workshop.vise.agree import Answered, Vise
-from workshop.vise.floors import Floors
-from workshop.vise.log import Log
-from workshop.vise.seats import Seat
+from amberlug.cluster.interfaces import Json
+from amberlug.cluster.settings import Tolerance
+from amberlug.cluster.vise import book, seats
+from amberlug.cluster.vise.agree import Answered, Vise
+from amberlug.cluster.vise.floors import Floors
+from amberlug.cluster.vise.log import Log
+from amberlug.cluster.vise.seats import Seat
 
 
 def _voters_in_one_zone() -> AbstractContextManager[Any]:
--- a/workshop/jig/history.py
+++ b/amberlug/cluster/jig/history.py
@@ -5,8 +5,8 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from workshop.jig.clock import Clock
-from workshop.ports import Json
+from amberlug.cluster.interfaces import Json
+from amberlug.cluster.jig.clock import Clock
 
 
 @dataclass(slots=True, eq=False)
--- a/workshop/jig/hunt.py
+++ b/amberlug/cluster/jig/hunt.py
@@ -8,9 +8,9 @@
 
 from absl import logging
 
-from workshop.jig.days import play
-from workshop.jig.history import Broken
-from workshop.jig.mutants import mutated
+from amberlug.cluster.jig.days import play
+from amberlug.cluster.jig.history import Broken
+from amberlug.cluster.jig.mutants import mutated
 
 Found = tuple[int, list[Broken]]
 
--- a/workshop/jig/losses.py
+++ b/amberlug/cluster/jig/losses.py
@@ -8,13 +8,13 @@
 from functools import partial
 from typing import TYPE_CHECKING
 
-from workshop.jig.deployment import BOUNDS, Machine
-from workshop.jig.footing import ASK_S, BACK_S, RETIRE_S, Footing
-from workshop.jig.history import Broken, Call
-from workshop.settings import Tolerance
+from amberlug.cluster.jig.deployment import BOUNDS, Machine
+from amberlug.cluster.jig.footing import ASK_S, BACK_S, RETIRE_S, Footing
+from amberlug.cluster.jig.history import Broken, Call
+from amberlug.cluster.settings import Tolerance
 
 if TYPE_CHECKING:
-    from workshop.jig.days import Day
+    from amberlug.cluster.jig.days import Day
 
 ACK_S = BOUNDS["ackMs"] / 1000
 CONTACT_S = BOUNDS["contactMs"] / 1000
--- a/workshop/jig/mutants.py
+++ b/amberlug/cluster/jig/mutants.py
@@ -9,24 +9,24 @@
 
 from result import Ok, Result
 
-from workshop.crib.orders import Said, Say
-from workshop.crib.sessions import Session
-from workshop.hatch.routes import Routes
-from workshop.jig import faults_answers, faults_cuts, faults_frames, faults_losses, faults_seats
-from workshop.lathe import spread
-from workshop.lathe.message import Message
-from workshop.lathe.shards import Shards, Taken
-from workshop.lathe.spread import Put
-from workshop.machine import core, edge
-from workshop.machine.core import Core
-from workshop.machine.edge import Edge
-from workshop.machine.store import Store
-from workshop.ports import Called, Json, Lost, Reply
-from workshop.settings import Settings
-from workshop.vise.agree import Vise
-from workshop.vise.floors import Floors
-from workshop.vise.log import Saved
-from workshop.whistle.news import News
+from amberlug.cluster.crib.orders import Said, Say
+from amberlug.cluster.crib.sessions import Session
+from amberlug.cluster.hatch.routes import Routes
+from amberlug.cluster.interfaces import Called, Json, Lost, Reply
+from amberlug.cluster.jig import faults_answers, faults_cuts, faults_frames, faults_losses, faults_seats
+from amberlug.cluster.lathe import spread
+from amberlug.cluster.lathe.message import Message
+from amberlug.cluster.lathe.shards import Shards, Taken
+from amberlug.cluster.lathe.spread import Put
+from amberlug.cluster.machine import core, edge
+from amberlug.cluster.machine.core import Core
+from amberlug.cluster.machine.edge import Edge
+from amberlug.cluster.machine.store import Store
+from amberlug.cluster.settings import Settings
+from amberlug.cluster.vise.agree import Vise
+from amberlug.cluster.vise.floors import Floors
+from amberlug.cluster.vise.log import Saved
+from amberlug.cluster.whistle.news import News
 
 Mutant = Callable[[], AbstractContextManager[Any]]
 
@@ -52,7 +52,7 @@
         return Saved(f"{settings.ip}/0", members=core.founding(settings))
 
     untold = patch.object(Floors, "short", lambda self, said: False)
-    return _both(patch("workshop.jig.deployment.blank", blank), untold)
+    return _both(patch("amberlug.cluster.jig.deployment.blank", blank), untold)
 
 
 def _no_fence() -> AbstractContextManager[Any]:
--- a/workshop/jig/network.py
+++ b/amberlug/cluster/jig/network.py
@@ -1,4 +1,4 @@
-"""Machines' processes and the connections between them, as `workshop.belt` and the kernel would have them."""
+"""Processes of simulated machines and their connections, as the transport and the kernel have them."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
 
 from result import Err, Ok
 
-from workshop.belt.netstring import MOST
-from workshop.jig.clock import Clock, Timer
-from workshop.jig.digest import BoundaryDigest
-from workshop.ports import Json, Lost, Reply, Then
+from amberlug.cluster.belt.netstring import MOST
+from amberlug.cluster.interfaces import Json, Lost, Reply, Then
+from amberlug.cluster.jig.clock import Clock, Timer
+from amberlug.cluster.jig.digest import BoundaryDigest
 
 DIAL_S = 0.7  # until a connection that does not come up is given up
 GIVE_UP_S = 1.5  # until one whose bytes are not acknowledged is closed by the kernel
--- a/workshop/jig/operator.py
+++ b/amberlug/cluster/jig/operator.py
@@ -7,10 +7,10 @@
 from copy import deepcopy
 from typing import Any
 
-from workshop.jig.clients import HOST
-from workshop.jig.deployment import Deployment, Machine
-from workshop.jig.history import Call, Version
-from workshop.ports import Json
+from amberlug.cluster.interfaces import Json
+from amberlug.cluster.jig.clients import HOST
+from amberlug.cluster.jig.deployment import Deployment, Machine
+from amberlug.cluster.jig.history import Call, Version
 
 WITHIN_S = 1.0
 PAUSE_S = (0.05, 0.8)
--- a/workshop/lathe/caller.py
+++ b/amberlug/cluster/lathe/caller.py
@@ -7,8 +7,8 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
+from amberlug.cluster.interfaces import Called, Delivery, Verdict
 from amberlug.http.link import Link, LinkLostError, Reply, dial
-from workshop.ports import Called, Delivery, Verdict
 
 DIAL_S = 0.7  # for a connection to come up
 KEPT_MOST = 8  # idle connections kept for one endpoint
--- a/workshop/lathe/endpoints.py
+++ b/amberlug/cluster/lathe/endpoints.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from workshop.ports import Json
+from amberlug.cluster.interfaces import Json
 
 DOUBT_S = (0.25, 4.0)  # an endpoint that can't be reached is left alone for so long, doubled each time
 FULL_S = 0.15  # one that says it is full
--- a/workshop/lathe/message.py
+++ b/amberlug/cluster/lathe/message.py
@@ -5,7 +5,7 @@
 import zlib
 from dataclasses import dataclass, field
 
-from workshop.ports import Json
+from amberlug.cluster.interfaces import Json
 
 
 @dataclass(slots=True, eq=False)
--- a/workshop/lathe/rack.py
+++ b/amberlug/cluster/lathe/rack.py
@@ -7,8 +7,8 @@
 import itertools
 from collections.abc import Callable
 
-from workshop.lathe.message import Message
-from workshop.ports import Handle, World
+from amberlug.cluster.interfaces import Handle, World
+from amberlug.cluster.lathe.message import Message
 
 
 class Rack:
--- a/workshop/lathe/service.py
+++ b/amberlug/cluster/lathe/service.py
@@ -8,12 +8,12 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
+from amberlug.cluster.interfaces import Called, Delivery, Endpoints, Handle, Verdict, World
+from amberlug.cluster.lathe.endpoints import FULL_S, Endpoint, Pool
+from amberlug.cluster.lathe.message import Message
 from amberlug.core.usual import message_class, settings
 from amberlug.policy.account import SECOND, WINDOW_US, Account
 from amberlug.policy.interface import Effect
-from workshop.lathe.endpoints import FULL_S, Endpoint, Pool
-from workshop.lathe.message import Message
-from workshop.ports import Called, Delivery, Endpoints, Handle, Verdict, World
 
 SLOTS = 1024  # calls that one edge has out at most
 SLACK_S = 0.15  # beyond the time that an endpoint is given until it counts as silent
--- a/workshop/lathe/spread.py
+++ b/amberlug/cluster/lathe/spread.py
@@ -9,9 +9,9 @@
 
 from result import Err, Ok, Result
 
-from workshop.lathe.message import Message
-from workshop.ports import Handle, Json, Lost, Reply, World
-from workshop.settings import Tolerance
+from amberlug.cluster.interfaces import Handle, Json, Lost, Reply, World
+from amberlug.cluster.lathe.message import Message
+from amberlug.cluster.settings import Tolerance
 
 HEDGE_S = 0.03  # for a store to answer until a further one is asked as well
 PUT_S = 1.2  # for enough stores to hold a message
--- a/workshop/machine/__init__.py
+++ b/amberlug/cluster/machine/__init__.py
@@ -1,1 +1,1 @@
-"""The parts of each kind of machine, put together. No I/O: see `workshop.program`."""
+"""The parts of each kind of machine, put together. No I/O: see `amberlug.cluster.process`."""
--- a/workshop/machine/core.py
+++ b/amberlug/cluster/machine/core.py
@@ -9,20 +9,20 @@
 from absl import logging
 from result import Err, Ok, Result
 
-from workshop.crib.cell import DRAINING, GONE, MOST, Cell, read_announce
-from workshop.crib.check import changed, check, parse
-from workshop.crib.orders import Asked, Counter, Said, Say, order
-from workshop.crib.sessions import BEAT_S, Session, Sessions
-from workshop.machine.lookout import Lookout
-from workshop.machine.member import internal
-from workshop.ports import Disk, Json, Lost, Reply, Respond, World, on, words_of
-from workshop.settings import Settings
-from workshop.vise.agree import NotTaken, Role, Vise
-from workshop.vise.book import SHARDS, Book, digest
-from workshop.vise.log import Saved
-from workshop.vise.seats import Seat, margin, next_step
-from workshop.vise.sharing import share_out
-from workshop.whistle.news import News
+from amberlug.cluster.crib.cell import DRAINING, GONE, MOST, Cell, read_announce
+from amberlug.cluster.crib.check import changed, check, parse
+from amberlug.cluster.crib.orders import Asked, Counter, Said, Say, order
+from amberlug.cluster.crib.sessions import BEAT_S, Session, Sessions
+from amberlug.cluster.interfaces import Disk, Json, Lost, Reply, Respond, World, on, words_of
+from amberlug.cluster.machine.lookout import Lookout
+from amberlug.cluster.machine.member import internal
+from amberlug.cluster.settings import Settings
+from amberlug.cluster.vise.agree import NotTaken, Role, Vise
+from amberlug.cluster.vise.book import SHARDS, Book, digest
+from amberlug.cluster.vise.log import Saved
+from amberlug.cluster.vise.seats import Seat, margin, next_step
+from amberlug.cluster.vise.sharing import share_out
+from amberlug.cluster.whistle.news import News
 
 DUTY_S = 0.1  # between looks at what is to be done while leading
 SETTLED_S = 1.5  # a new leader waits so long for reports before it calls anyone gone
--- a/workshop/machine/edge.py
+++ b/amberlug/cluster/machine/edge.py
@@ -9,20 +9,20 @@
 from absl import logging
 from result import Err, Ok, Result
 
-from workshop.crib.orders import Asked, Counter, Said, Say, order
-from workshop.hatch.routes import Route, Routes, build
-from workshop.lathe.endpoints import Pool
-from workshop.lathe.message import Message, name_of, read, shard_in, shard_of
-from workshop.lathe.rack import Rack
-from workshop.lathe.service import Service, judge
-from workshop.lathe.shards import Shards, Taken
-from workshop.lathe.spread import Spread
-from workshop.machine.member import Member, internal
-from workshop.machine.views import EdgeView
-from workshop.ports import Called, Endpoints, Json, Lost, Reply, Respond, World, on, words_of
-from workshop.settings import Settings
-from workshop.vise.book import SHARDS
-from workshop.whistle.news import News
+from amberlug.cluster.crib.orders import Asked, Counter, Said, Say, order
+from amberlug.cluster.hatch.routes import Route, Routes, build
+from amberlug.cluster.interfaces import Called, Endpoints, Json, Lost, Reply, Respond, World, on, words_of
+from amberlug.cluster.lathe.endpoints import Pool
+from amberlug.cluster.lathe.message import Message, name_of, read, shard_in, shard_of
+from amberlug.cluster.lathe.rack import Rack
+from amberlug.cluster.lathe.service import Service, judge
+from amberlug.cluster.lathe.shards import Shards, Taken
+from amberlug.cluster.lathe.spread import Spread
+from amberlug.cluster.machine.member import Member, internal
+from amberlug.cluster.machine.views import EdgeView
+from amberlug.cluster.settings import Settings
+from amberlug.cluster.vise.book import SHARDS
+from amberlug.cluster.whistle.news import News
 
 MEND_S = 0.1  # between looks for messages that lack copies
 MEND_MOST = 16  # copied at once: what is mended must not hold up what is taken in
--- a/workshop/machine/lookout.py
+++ b/amberlug/cluster/machine/lookout.py
@@ -11,14 +11,14 @@
 
 from result import Err, Ok, Result
 
-from workshop.crib import counts
-from workshop.crib.orders import Asked, Said, Say, order
-from workshop.crib.sessions import Session
-from workshop.machine.views import DEAD_MOST
-from workshop.ports import Json, Lost, Reply, Respond, on
+from amberlug.cluster.crib import counts
+from amberlug.cluster.crib.orders import Asked, Said, Say, order
+from amberlug.cluster.crib.sessions import Session
+from amberlug.cluster.interfaces import Json, Lost, Reply, Respond, on
+from amberlug.cluster.machine.views import DEAD_MOST
 
 if TYPE_CHECKING:
-    from workshop.machine.core import Core
+    from amberlug.cluster.machine.core import Core
 
 LOOK_S = 0.6  # for peers to answer: operators wait a second
 
--- a/workshop/machine/member.py
+++ b/amberlug/cluster/machine/member.py
@@ -6,10 +6,10 @@
 
 from result import Err, Ok, Result
 
-from workshop.crib.sessions import BEAT_S
-from workshop.ports import Json, Lost, Reply, World
-from workshop.settings import Settings
-from workshop.whistle.news import News
+from amberlug.cluster.crib.sessions import BEAT_S
+from amberlug.cluster.interfaces import Json, Lost, Reply, World
+from amberlug.cluster.settings import Settings
+from amberlug.cluster.whistle.news import News
 
 ANSWER_S = 0.4  # for a control relay to answer a beat
 HELLO_S = 0.8
--- a/workshop/machine/views.py
+++ b/amberlug/cluster/machine/views.py
@@ -4,11 +4,11 @@
 
 from typing import TYPE_CHECKING
 
-from workshop.ports import Json, Respond, on
+from amberlug.cluster.interfaces import Json, Respond, on
 
 if TYPE_CHECKING:
-    from workshop.machine.edge import Edge
-    from workshop.machine.store import Store
+    from amberlug.cluster.machine.edge import Edge
+    from amberlug.cluster.machine.store import Store
 
 DEAD_MOST = 200  # messages on one page
 
--- a/workshop/program.py
+++ b/amberlug/cluster/process.py
@@ -16,12 +16,12 @@
 from absl import logging
 from result import Err
 
-from workshop import settings as told
-from workshop.belt.links import Belt
-from workshop.crib.counts import PATH, page
-from workshop.crib.orders import Said, pack
-from workshop.hatch.server import Answer, Limits, Request, Server
-from workshop.ports import Handle, Json, Respond, Then
+from amberlug.cluster import settings as told
+from amberlug.cluster.belt.links import Belt
+from amberlug.cluster.crib.counts import PATH, page
+from amberlug.cluster.crib.orders import Said, pack
+from amberlug.cluster.hatch.server import Answer, Limits, Request, Server
+from amberlug.cluster.interfaces import Handle, Json, Respond, Then
 
 COUNTERS_S = 10.0  # between lines of counters
 WATCH_S = 2.0  # between looks at the settings file
@@ -101,8 +101,8 @@
 
         folder = Path(settings.data_dir) if settings.data_dir else None
         if "control_plane" in settings.serves:
-            from workshop.machine.core import Core, blank
-            from workshop.vise.shelf import open_shelf
+            from amberlug.cluster.machine.core import Core, blank
+            from amberlug.cluster.vise.shelf import open_shelf
 
             assert folder is not None, "a control relay needs a dataDir"
             saved, cabinet, _ = open_shelf(folder, lambda: blank(settings, world.chance.getrandbits), post)
@@ -112,8 +112,8 @@
                 settings.control, lambda asked, answer: core.counter.take(asked, _saying(answer))
             )
         elif "storage" in settings.serves:
-            from workshop.chest.drawer import open_drawer
-            from workshop.machine.store import Store
+            from amberlug.cluster.chest.drawer import open_drawer
+            from amberlug.cluster.machine.store import Store
 
             assert folder is not None, "a store needs a dataDir"
             contents, drawer = open_drawer(folder, lambda: f"{world.chance.getrandbits(64):x}", post)
@@ -123,8 +123,8 @@
             await self._build_edge(world)
 
     async def _build_edge(self, world: AsyncWorld) -> None:
-        from workshop.lathe.caller import Caller
-        from workshop.machine.edge import Edge
+        from amberlug.cluster.lathe.caller import Caller
+        from amberlug.cluster.machine.edge import Edge
 
         caller = Caller()
         edge = self.machine = Edge(world, self.settings, self.belt.address, caller)
--- a/workshop/standin/asking.py
+++ b/amberlug/cluster/standin/asking.py
@@ -6,8 +6,8 @@
 
 from result import Err, Ok, Result
 
+from amberlug.cluster.interfaces import Lost
 from amberlug.http.link import LinkLostError, Reply, dial
-from workshop.ports import Lost
 
 WITHIN_S = 2.0
 
--- a/workshop/standin/commands.py
+++ b/amberlug/cluster/standin/commands.py
@@ -1,4 +1,4 @@
-"""`python -m workshop try` and `stand-in`."""
+"""`python -m amberlug.cluster try` and `stand-in`."""
 
 from __future__ import annotations
 
@@ -14,9 +14,9 @@
 
 import click
 
-from workshop.standin.deployment import free_net
-from workshop.standin.endpoint import StandIn
-from workshop.standin.trial import Tale, play
+from amberlug.cluster.standin.deployment import free_net
+from amberlug.cluster.standin.endpoint import StandIn
+from amberlug.cluster.standin.trial import Tale, play
 
 ENDED = 130  # as shells say of a command that Ctrl-C ended
 
@@ -90,7 +90,7 @@
 def _in_folder(keep: Path | None, run: Callable[[Path], int]) -> int:
     try:
         if keep is None:
-            with tempfile.TemporaryDirectory(prefix="workshop-") as folder:
+            with tempfile.TemporaryDirectory(prefix="amberlug-cluster-") as folder:
                 return run(Path(folder))
         keep.mkdir(parents=True, exist_ok=True)
         if any(keep.iterdir()):
--- a/workshop/standin/deployment.py
+++ b/amberlug/cluster/standin/deployment.py
@@ -17,9 +17,9 @@
 import yaml
 from result import Ok
 
-from workshop.ports import Json
-from workshop.settings import VARIABLE
-from workshop.standin.asking import ask
+from amberlug.cluster.interfaces import Json
+from amberlug.cluster.settings import VARIABLE
+from amberlug.cluster.standin.asking import ask
 
 FRONT, READINESS, CONTROL, INTERNAL, ENDPOINT = 8263, 8268, 8262, (7300, 7315), 8080
 ZONES = {"north": "valley", "south": "valley"}
@@ -169,7 +169,7 @@
         paths = [above, *filter(None, [os.environ.get("PYTHONPATH")])]
         with (self.folder / f"{machine.name}.log").open("ab") as log:
             machine.process = subprocess.Popen(
-                [sys.executable, "-m", "workshop", "run"],
+                [sys.executable, "-m", "amberlug.cluster", "run"],
                 env={**os.environ, VARIABLE: str(machine.path), "PYTHONPATH": os.pathsep.join(paths)},
                 stdin=subprocess.DEVNULL,
                 stdout=log,
--- a/workshop/standin/endpoint.py
+++ b/amberlug/cluster/standin/endpoint.py
@@ -9,8 +9,8 @@
 
 from result import Ok
 
-from workshop.hatch.server import Answer, Limits, Request, Server
-from workshop.standin.asking import ask
+from amberlug.cluster.hatch.server import Answer, Limits, Request, Server
+from amberlug.cluster.standin.asking import ask
 
 BEAT_S = 0.5
 WAITING_MOST = 8  # messages that wait for a slot
--- a/workshop/standin/trial.py
+++ b/amberlug/cluster/standin/trial.py
@@ -1,4 +1,4 @@
-"""`python -m workshop try`: a small deployment under load, with an edge and a store lost on the way."""
+"""`python -m amberlug.cluster try`: a small deployment under load that loses an edge and a store."""
 
 from __future__ import annotations
 
@@ -13,10 +13,10 @@
 
 from result import Err, Ok
 
-from workshop.ports import Json, Lost
-from workshop.standin.asking import ask
-from workshop.standin.deployment import ENDPOINT, HOST, SERVICES, Deployment, config
-from workshop.standin.endpoint import POISON, Run, StandIn
+from amberlug.cluster.interfaces import Json, Lost
+from amberlug.cluster.standin.asking import ask
+from amberlug.cluster.standin.deployment import ENDPOINT, HOST, SERVICES, Deployment, config
+from amberlug.cluster.standin.endpoint import POISON, Run, StandIn
 
 ENDPOINTS = 2  # of each service
 KEYS = 5  # things whose messages go in sequence
--- a/workshop/vise/agree.py
+++ b/amberlug/cluster/vise/agree.py
@@ -16,10 +16,20 @@
 from absl import logging
 from result import Err, Ok, Result
 
-from workshop.ports import Disk, Handle, Json, Lost, Reply, Respond, World, on
-from workshop.vise.floors import Floors
-from workshop.vise.log import Entry, Log, Saved
-from workshop.vise.parts import ANSWER_S, PART, Pace, Part, Receiving, Sending, Whole, patience, whole_of
+from amberlug.cluster.interfaces import Disk, Handle, Json, Lost, Reply, Respond, World, on
+from amberlug.cluster.vise.floors import Floors
+from amberlug.cluster.vise.log import Entry, Log, Saved
+from amberlug.cluster.vise.parts import (
+    ANSWER_S,
+    PART,
+    Pace,
+    Part,
+    Receiving,
+    Sending,
+    Whole,
+    patience,
+    whole_of,
+)
 
 BEAT_S = 0.1  # between a leader's messages to a member
 FIRST_S = (0.05, 0.3)  # the same right after a start, when nobody was heard yet
--- a/workshop/vise/book.py
+++ b/amberlug/cluster/vise/book.py
@@ -9,7 +9,7 @@
 import hashlib
 import json
 
-from workshop.ports import Json
+from amberlug.cluster.interfaces import Json
 
 SHARDS = 256  # pieces that all messages are cut into by key; more than any deployment has edges
 EDITIONS_S = 3600.0  # the hash of each change is kept so long, to know a call that comes again,
--- a/workshop/vise/floors.py
+++ b/amberlug/cluster/vise/floors.py
@@ -13,10 +13,10 @@
 
 from result import Ok, Result
 
-from workshop.ports import Json, Lost, Reply
+from amberlug.cluster.interfaces import Json, Lost, Reply
 
 if TYPE_CHECKING:
-    from workshop.vise.agree import Vise
+    from amberlug.cluster.vise.agree import Vise
 
 ASK_S = 0.1  # between tries to hear of the own floor
 WITHIN_S = 0.4  # for an answer
--- a/workshop/vise/seats.py
+++ b/amberlug/cluster/vise/seats.py
@@ -10,7 +10,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from workshop.settings import Tolerance
+from amberlug.cluster.settings import Tolerance
 
 FEWEST, MOST = 3, 7  # voters, where there are as many members
 SILENT_S = 1.5  # without an answer until a voter is taken for lost, and a spare one votes in its place
--- a/workshop/vise/shelf.py
+++ b/amberlug/cluster/vise/shelf.py
@@ -9,9 +9,9 @@
 from pathlib import Path
 from typing import Any
 
-from workshop.chest.cabinet import Cabinet, Row, open_file
-from workshop.ports import Json
-from workshop.vise.log import Saved, assemble
+from amberlug.cluster.chest.cabinet import Cabinet, Row, open_file
+from amberlug.cluster.interfaces import Json
+from amberlug.cluster.vise.log import Saved, assemble
 
 FORMAT = 1
 SCHEMA = """
--- a/workshop/whistle/news.py
+++ b/amberlug/cluster/whistle/news.py
@@ -14,7 +14,7 @@
 
 from result import Ok, Result
 
-from workshop.ports import Json, Lost, Reply, Respond, World, on
+from amberlug.cluster.interfaces import Json, Lost, Reply, Respond, World, on
 
 DIGEST_S = 1.0  # between comparisons with one other
 PASS_ON = 2  # others that an edge tells of what it has heard
--- a/amberlug/policy/decide.py
+++ b/amberlug/policy/decide.py
@@ -1,8 +1,7 @@
 """When, where and whether each message is sent: every decision of a relay in one life.
 
-Types, events, actions: `amberlug/policy/interface.py`; records: `amberlug/policy/state.py`. Ordinary path: a message
-goes when its destination's account has a unit to spend (`amberlug/policy/account.py`), else at a timer at its
-opening.
+Types, events, actions: `interface.py`; records: `state.py`. Ordinary path: a message goes when its
+destination's account has a unit to spend (`account.py`), else at a timer at its opening.
 """
 
 import itertools
--- a/amberlug/policy/waking.py
+++ b/amberlug/policy/waking.py
@@ -1,7 +1,7 @@
 """Who is listed and who is awake: the list's news, the first message after a sleep, and falling asleep again.
 
-Only the list's news and what is awake cost anything: what sleeps is a row of `amberlug/policy/membership.py`, and
-at most a few numbers of `amberlug/policy/folding.py`.
+Only the list's news and what is awake cost anything: what sleeps is a row of `membership.py`, and at most a
+few numbers of `folding.py`.
 """
 
 from collections import deque
--- a/benchmarks/core_away.py
+++ b/benchmarks/core_away.py
@@ -20,10 +20,10 @@
 
 from result import Ok, Result
 
+from amberlug.cluster.interfaces import Json, Lost
+from amberlug.cluster.standin.asking import ask
+from amberlug.cluster.standin.deployment import CONTROL, Deployment, Machine, config, free_net
 from amberlug.http.link import Reply
-from workshop.ports import Json, Lost
-from workshop.standin.asking import ask
-from workshop.standin.deployment import CONTROL, Deployment, Machine, config, free_net
 
 ROUTE_BYTES = 275  # of one route, about
 SETTLE_S = 2.0
--- a/benchmarks/hollow/deployment.py
+++ b/benchmarks/hollow/deployment.py
@@ -6,16 +6,16 @@
 import json
 from functools import partial
 
+from amberlug.cluster.chest.drawer import Contents
+from amberlug.cluster.crib.orders import Said
+from amberlug.cluster.interfaces import Json
+from amberlug.cluster.jig.deployment import Request
+from amberlug.cluster.jig.operator import route, service
+from amberlug.cluster.machine.core import Core, blank
+from amberlug.cluster.machine.edge import Edge
+from amberlug.cluster.machine.store import Store
+from amberlug.cluster.vise.agree import Role
 from benchmarks.hollow.net import HollowDisk, HollowNet, HollowWorld, Host, Meter, Prompt, settings
-from workshop.chest.drawer import Contents
-from workshop.crib.orders import Said
-from workshop.jig.deployment import Request
-from workshop.jig.operator import route, service
-from workshop.machine.core import Core, blank
-from workshop.machine.edge import Edge
-from workshop.machine.store import Store
-from workshop.ports import Json
-from workshop.vise.agree import Role
 
 ZONES = 4
 CORES = 3
--- a/benchmarks/hollow/plays.py
+++ b/benchmarks/hollow/plays.py
@@ -6,13 +6,13 @@
 from collections.abc import Iterator
 from statistics import median
 
+from amberlug.cluster.interfaces import Json
+from amberlug.cluster.jig.clients import HOST
+from amberlug.cluster.jig.deployment import Request
+from amberlug.cluster.vise.agree import Role
 from benchmarks.hollow.deployment import Play, beat, config
 from benchmarks.hollow.figures import Figure, by_cause, summed, upto
 from benchmarks.hollow.net import Host, Meter
-from workshop.jig.clients import HOST
-from workshop.jig.deployment import Request
-from workshop.ports import Json
-from workshop.vise.agree import Role
 
 SETTLE_S = 6.0  # virtual, from the start until figures are taken
 SPAN_S = 4.0  # virtual, for which they are taken
--- a/benchmarks/hollow/steps.py
+++ b/benchmarks/hollow/steps.py
@@ -15,27 +15,27 @@
 
 from result import Ok
 
+from amberlug.cluster.belt.netstring import pack
+from amberlug.cluster.chest.drawer import Contents, Kept
+from amberlug.cluster.crib.cell import Cell
+from amberlug.cluster.crib.check import check, parse
+from amberlug.cluster.crib.sessions import Sessions
+from amberlug.cluster.hatch.routes import build
+from amberlug.cluster.interfaces import Json
+from amberlug.cluster.lathe.endpoints import Pool
+from amberlug.cluster.lathe.message import Message
+from amberlug.cluster.lathe.rack import Rack
+from amberlug.cluster.lathe.spread import Spread
+from amberlug.cluster.machine.core import Core, blank
+from amberlug.cluster.machine.edge import Edge
+from amberlug.cluster.machine.store import Store
+from amberlug.cluster.vise.book import SHARDS, Book, digest
+from amberlug.cluster.vise.sharing import share_out
+from amberlug.cluster.vise.shelf import open_shelf
+from amberlug.cluster.whistle.news import News
 from benchmarks.hollow.deployment import STORES, ZONES, beat, config
 from benchmarks.hollow.figures import Figure, upto
 from benchmarks.hollow.net import HollowDisk, HollowNet, HollowWorld, Host, Prompt, processor, settings
-from workshop.belt.netstring import pack
-from workshop.chest.drawer import Contents, Kept
-from workshop.crib.cell import Cell
-from workshop.crib.check import check, parse
-from workshop.crib.sessions import Sessions
-from workshop.hatch.routes import build
-from workshop.lathe.endpoints import Pool
-from workshop.lathe.message import Message
-from workshop.lathe.rack import Rack
-from workshop.lathe.spread import Spread
-from workshop.machine.core import Core, blank
-from workshop.machine.edge import Edge
-from workshop.machine.store import Store
-from workshop.ports import Json
-from workshop.vise.book import SHARDS, Book, digest
-from workshop.vise.sharing import share_out
-from workshop.vise.shelf import open_shelf
-from workshop.whistle.news import News
 
 
 def _room(make: Callable[[], object]) -> tuple[object, int]:
--- a/tests/workshop/fakes.py
+++ b/tests/cluster/fakes.py
@@ -3,10 +3,10 @@
 import random
 from collections.abc import Callable
 
-from workshop.jig.clock import Clock, Timer
-from workshop.jig.deployment import Deployment, Machine
-from workshop.ports import Json, Then
-from workshop.settings import Settings
+from amberlug.cluster.interfaces import Json, Then
+from amberlug.cluster.jig.clock import Clock, Timer
+from amberlug.cluster.jig.deployment import Deployment, Machine
+from amberlug.cluster.settings import Settings
 
 
 class Alone:
--- a/tests/workshop/group.py
+++ b/tests/cluster/group.py
@@ -5,12 +5,12 @@
 
 from result import Ok, Result
 
-from workshop.jig.clock import Clock
-from workshop.jig.disk import DiskOf, Shelf
-from workshop.jig.network import Host, Life, LifeWorld, Network
-from workshop.ports import Json, words_of
-from workshop.vise.agree import NotTaken, Role, Vise
-from workshop.vise.log import Saved
+from amberlug.cluster.interfaces import Json, words_of
+from amberlug.cluster.jig.clock import Clock
+from amberlug.cluster.jig.disk import DiskOf, Shelf
+from amberlug.cluster.jig.network import Host, Life, LifeWorld, Network
+from amberlug.cluster.vise.agree import NotTaken, Role, Vise
+from amberlug.cluster.vise.log import Saved
 
 SLOW = 15e6 / 8  # bytes a second
 
--- a/tests/workshop/test_book.py
+++ b/tests/cluster/test_book.py
@@ -3,9 +3,9 @@
 import json
 from typing import Any
 
-from workshop.jig.mutants import mutated
-from workshop.ports import Json
-from workshop.vise.book import EDITIONS, EDITIONS_S, GONE, GONE_S, LEAVING, LEAVING_S, Book
+from amberlug.cluster.interfaces import Json
+from amberlug.cluster.jig.mutants import mutated
+from amberlug.cluster.vise.book import EDITIONS, EDITIONS_S, GONE, GONE_S, LEAVING, LEAVING_S, Book
 
 
 class Log:
--- a/tests/workshop/test_client_answers.py
+++ b/tests/cluster/test_client_answers.py
@@ -7,9 +7,9 @@
 
 import pytest
 
-from tests.workshop.wires import End, Loop, run
-from workshop.hatch.server import Answer, Limits, Request, Server
-from workshop.jig.faults_answers import FAULTS
+from amberlug.cluster.hatch.server import Answer, Limits, Request, Server
+from amberlug.cluster.jig.faults_answers import FAULTS
+from tests.cluster.wires import End, Loop, run
 
 AT = "10.0.0.3", 8080
 CONNECTIONS = 25
--- a/tests/workshop/test_contact.py
+++ b/tests/cluster/test_contact.py
@@ -8,16 +8,16 @@
 from absl import logging
 from result import Ok
 
-from tests.workshop.fakes import Alone, settings
-from workshop.chest.drawer import Kept
-from workshop.jig.clock import Clock
-from workshop.jig.days import Day
-from workshop.jig.deployment import Machine
-from workshop.lathe.message import Message
-from workshop.machine.core import Core
-from workshop.ports import Reply
-from workshop.vise.log import Saved
-from workshop.whistle import news
+from amberlug.cluster.chest.drawer import Kept
+from amberlug.cluster.interfaces import Reply
+from amberlug.cluster.jig.clock import Clock
+from amberlug.cluster.jig.days import Day
+from amberlug.cluster.jig.deployment import Machine
+from amberlug.cluster.lathe.message import Message
+from amberlug.cluster.machine.core import Core
+from amberlug.cluster.vise.log import Saved
+from amberlug.cluster.whistle import news
+from tests.cluster.fakes import Alone, settings
 
 BEFORE_S, CUT_S, APPLY_S = 6.0, 20.0, 3.0
 
--- a/tests/workshop/test_control_days.py
+++ b/tests/cluster/test_control_days.py
@@ -9,11 +9,11 @@
 import pytest
 from absl import logging
 
-from workshop.jig.clock import Clock
-from workshop.jig.contact import Contact
-from workshop.jig.days import Day, play
-from workshop.jig.history import Broken, History, Place, What
-from workshop.jig.mutants import mutated
+from amberlug.cluster.jig.clock import Clock
+from amberlug.cluster.jig.contact import Contact
+from amberlug.cluster.jig.days import Day, play
+from amberlug.cluster.jig.history import Broken, History, Place, What
+from amberlug.cluster.jig.mutants import mutated
 
 Plan = Callable[[Day, float, float], None]
 
--- a/tests/workshop/test_core.py
+++ b/tests/cluster/test_core.py
@@ -5,11 +5,11 @@
 
 import pytest
 
-from tests.workshop.fakes import Alone, settings
-from workshop.crib.sessions import Session
-from workshop.jig.clock import Clock
-from workshop.machine.core import Core, blank
-from workshop.ports import Json
+from amberlug.cluster.crib.sessions import Session
+from amberlug.cluster.interfaces import Json
+from amberlug.cluster.jig.clock import Clock
+from amberlug.cluster.machine.core import Core, blank
+from tests.cluster.fakes import Alone, settings
 
 Rows = list[tuple[str, tuple[Any, ...]]]
 
--- a/tests/workshop/test_edge.py
+++ b/tests/cluster/test_edge.py
@@ -3,14 +3,14 @@
 from collections.abc import Callable
 from functools import partial
 
-from tests.workshop.fakes import Alone, settings
-from workshop.jig.clients import HOST
-from workshop.jig.clock import Clock
-from workshop.jig.days import Day
-from workshop.jig.deployment import Request
-from workshop.lathe.message import Message
-from workshop.machine.edge import Edge
-from workshop.ports import Called, Delivery
+from amberlug.cluster.interfaces import Called, Delivery
+from amberlug.cluster.jig.clients import HOST
+from amberlug.cluster.jig.clock import Clock
+from amberlug.cluster.jig.days import Day
+from amberlug.cluster.jig.deployment import Request
+from amberlug.cluster.lathe.message import Message
+from amberlug.cluster.machine.edge import Edge
+from tests.cluster.fakes import Alone, settings
 
 
 class Nowhere:
--- a/tests/workshop/test_endpoint_answers.py
+++ b/tests/cluster/test_endpoint_answers.py
@@ -11,16 +11,16 @@
 
 import pytest
 
+from amberlug.cluster.belt.links import Belt
+from amberlug.cluster.interfaces import Called, Delivery, Verdict
+from amberlug.cluster.jig.faults_answers import FAULTS
+from amberlug.cluster.lathe.caller import Caller
+from amberlug.cluster.lathe.endpoints import Pool
+from amberlug.cluster.lathe.message import Message
+from amberlug.cluster.lathe.service import SLACK_S, Service, judge
+from amberlug.cluster.process import AsyncWorld
 from amberlug.http.link import BODY_MOST
-from tests.workshop.wires import End, Loop, run
-from workshop.belt.links import Belt
-from workshop.jig.faults_answers import FAULTS
-from workshop.lathe.caller import Caller
-from workshop.lathe.endpoints import Pool
-from workshop.lathe.message import Message
-from workshop.lathe.service import SLACK_S, Service, judge
-from workshop.ports import Called, Delivery, Verdict
-from workshop.program import AsyncWorld
+from tests.cluster.wires import End, Loop, run
 
 EXPIRY_S = 0.4
 MAX_ATTEMPTS = 3
--- a/tests/workshop/test_explore.py
+++ b/tests/cluster/test_explore.py
@@ -2,10 +2,10 @@
 
 import pytest
 
-from workshop.jig.explore import CHANGES, STARTS, FoundError, Play, Step, explore, old_self, stranger
-from workshop.jig.mutants import mutated
+from amberlug.cluster.jig.explore import CHANGES, STARTS, FoundError, Play, Step, explore, old_self, stranger
+from amberlug.cluster.jig.mutants import mutated
 
-# As `python -m workshop.jig explore --mutant` tells them.
+# As `python -m amberlug.cluster.jig explore --mutant` tells them.
 TWO_LEADERS: list[Step] = [
     ("stand", "a", 0),
     ("deliver", "b", 1),
--- a/tests/workshop/test_faults_frames.py
+++ b/tests/cluster/test_faults_frames.py
@@ -6,9 +6,9 @@
 import pytest
 from absl import logging
 
-from tests.workshop import test_replication, test_vise
-from workshop.jig.faults_frames import FAULTS
-from workshop.jig.mutants import mutated
+from amberlug.cluster.jig.faults_frames import FAULTS
+from amberlug.cluster.jig.mutants import mutated
+from tests.cluster import test_replication, test_vise
 
 FOUND_BY: dict[str, Callable[[], None]] = {
     "batch-unbounded": test_replication.test_a_slow_member_stays_a_follower_while_it_is_sent_what_is_large,
--- a/tests/workshop/test_found.py
+++ b/tests/cluster/test_found.py
@@ -6,9 +6,9 @@
 import pytest
 from absl import logging
 
-from workshop.jig.days import TRAFFIC_S, Day
-from workshop.jig.history import Broken
-from workshop.lathe.message import Message
+from amberlug.cluster.jig.days import TRAFFIC_S, Day
+from amberlug.cluster.jig.history import Broken
+from amberlug.cluster.lathe.message import Message
 
 
 @pytest.fixture(autouse=True)
--- a/tests/workshop/test_handover.py
+++ b/tests/cluster/test_handover.py
@@ -5,8 +5,8 @@
 import pytest
 from absl import logging
 
-from workshop.jig.days import play
-from workshop.machine import core
+from amberlug.cluster.jig.days import play
+from amberlug.cluster.machine import core
 
 
 @pytest.fixture(autouse=True)
--- a/tests/workshop/test_internal_replies.py
+++ b/tests/cluster/test_internal_replies.py
@@ -7,11 +7,11 @@
 import pytest
 from result import Err, Ok, Result
 
-from tests.workshop.wires import Loop, run
-from workshop.belt.links import DIAL_S, Belt
-from workshop.belt.netstring import pack
-from workshop.jig.faults_answers import FAULTS
-from workshop.ports import Json, Lost, Reply, Respond
+from amberlug.cluster.belt.links import DIAL_S, Belt
+from amberlug.cluster.belt.netstring import pack
+from amberlug.cluster.interfaces import Json, Lost, Reply, Respond
+from amberlug.cluster.jig.faults_answers import FAULTS
+from tests.cluster.wires import Loop, run
 
 ASKS = 60
 WITHIN_S = 0.3
--- a/tests/workshop/test_jig.py
+++ b/tests/cluster/test_jig.py
@@ -5,9 +5,9 @@
 import pytest
 from absl import logging
 
-from workshop.jig.days import Day, play
-from workshop.jig.hunt import one
-from workshop.jig.mutants import MUTANTS
+from amberlug.cluster.jig.days import Day, play
+from amberlug.cluster.jig.hunt import one
+from amberlug.cluster.jig.mutants import MUTANTS
 
 
 @pytest.fixture(autouse=True)
--- a/tests/workshop/test_killed_steps.py
+++ b/tests/cluster/test_killed_steps.py
@@ -6,9 +6,9 @@
 import pytest
 from absl import logging
 
-from workshop.jig.days import TRAFFIC_S, Day
-from workshop.jig.history import Broken
-from workshop.lathe.spread import Put, Spread
+from amberlug.cluster.jig.days import TRAFFIC_S, Day
+from amberlug.cluster.jig.history import Broken
+from amberlug.cluster.lathe.spread import Put, Spread
 
 STEPS_MS = (
     0,
--- a/tests/workshop/test_losses.py
+++ b/tests/cluster/test_losses.py
@@ -9,17 +9,17 @@
 from absl import logging
 from result import Ok
 
-from tests.workshop.test_core import Rig as Leader
-from tests.workshop.test_shards import STORES, fresh
-from tests.workshop.test_shards import Rig as Owner
-from tests.workshop.test_store import Rig
-from workshop.jig.days import Day, play
-from workshop.jig.history import Broken
-from workshop.jig.hunt import one
-from workshop.jig.mutants import mutated
-from workshop.lathe.shards import Taken
-from workshop.ports import Json, Reply
-from workshop.whistle.news import News
+from amberlug.cluster.interfaces import Json, Reply
+from amberlug.cluster.jig.days import Day, play
+from amberlug.cluster.jig.history import Broken
+from amberlug.cluster.jig.hunt import one
+from amberlug.cluster.jig.mutants import mutated
+from amberlug.cluster.lathe.shards import Taken
+from amberlug.cluster.whistle.news import News
+from tests.cluster.test_core import Rig as Leader
+from tests.cluster.test_shards import STORES, fresh
+from tests.cluster.test_shards import Rig as Owner
+from tests.cluster.test_store import Rig
 
 
 @pytest.fixture(autouse=True)
--- a/tests/workshop/test_measured.py
+++ b/tests/cluster/test_measured.py
@@ -5,15 +5,15 @@
 
 import pytest
 
-from tests.workshop.test_rates import OneEndpoint
-from workshop.hatch.server import Answer, Limits, Server
-from workshop.jig.clock import Clock
-from workshop.jig.network import Host, Life, LifeWorld, Network
-from workshop.lathe.endpoints import Pool
-from workshop.lathe.message import Message
-from workshop.lathe.service import Service
-from workshop.ports import Called, Delivery, Verdict
-from workshop.vise.sharing import share_out
+from amberlug.cluster.hatch.server import Answer, Limits, Server
+from amberlug.cluster.interfaces import Called, Delivery, Verdict
+from amberlug.cluster.jig.clock import Clock
+from amberlug.cluster.jig.network import Host, Life, LifeWorld, Network
+from amberlug.cluster.lathe.endpoints import Pool
+from amberlug.cluster.lathe.message import Message
+from amberlug.cluster.lathe.service import Service
+from amberlug.cluster.vise.sharing import share_out
+from tests.cluster.test_rates import OneEndpoint
 
 
 class FullAtFirst(OneEndpoint):
--- a/tests/workshop/test_news.py
+++ b/tests/cluster/test_news.py
@@ -6,11 +6,11 @@
 
 from result import Ok
 
-from workshop.jig.clock import Clock
-from workshop.jig.network import Host, Life, LifeWorld, Network
-from workshop.ports import words_of
-from workshop.whistle import news
-from workshop.whistle.news import PAGE, PAGE_BYTES, News
+from amberlug.cluster.interfaces import words_of
+from amberlug.cluster.jig.clock import Clock
+from amberlug.cluster.jig.network import Host, Life, LifeWorld, Network
+from amberlug.cluster.whistle import news
+from amberlug.cluster.whistle.news import PAGE, PAGE_BYTES, News
 
 
 class Hearer:
--- a/tests/workshop/test_rack.py
+++ b/tests/cluster/test_rack.py
@@ -2,10 +2,10 @@
 
 import random
 
-from workshop.jig.clock import Clock
-from workshop.jig.network import Host, Life, LifeWorld, Network
-from workshop.lathe.message import Message
-from workshop.lathe.rack import Rack
+from amberlug.cluster.jig.clock import Clock
+from amberlug.cluster.jig.network import Host, Life, LifeWorld, Network
+from amberlug.cluster.lathe.message import Message
+from amberlug.cluster.lathe.rack import Rack
 
 
 def message(name: str, number: int) -> Message:
--- a/tests/workshop/test_rates.py
+++ b/tests/cluster/test_rates.py
@@ -4,12 +4,12 @@
 from collections.abc import Callable
 from functools import partial
 
-from workshop.jig.clock import Clock
-from workshop.jig.network import Host, Life, LifeWorld, Network
-from workshop.lathe.endpoints import Pool
-from workshop.lathe.message import Message
-from workshop.lathe.service import Service
-from workshop.ports import Called, Delivery, Verdict
+from amberlug.cluster.interfaces import Called, Delivery, Verdict
+from amberlug.cluster.jig.clock import Clock
+from amberlug.cluster.jig.network import Host, Life, LifeWorld, Network
+from amberlug.cluster.lathe.endpoints import Pool
+from amberlug.cluster.lathe.message import Message
+from amberlug.cluster.lathe.service import Service
 
 
 class OneEndpoint:
--- a/tests/workshop/test_replication.py
+++ b/tests/cluster/test_replication.py
@@ -8,9 +8,9 @@
 import pytest
 from absl import logging
 
-from tests.workshop.group import SLOW, Group, Member
-from workshop.vise.agree import ELECTION_S
-from workshop.vise.log import COMPACT_BYTES, TAIL_BYTES
+from amberlug.cluster.vise.agree import ELECTION_S
+from amberlug.cluster.vise.log import COMPACT_BYTES, TAIL_BYTES
+from tests.cluster.group import SLOW, Group, Member
 
 
 @pytest.fixture(autouse=True)
--- a/tests/workshop/test_shards.py
+++ b/tests/cluster/test_shards.py
@@ -2,13 +2,13 @@
 
 from result import Err, Ok
 
-from tests.workshop.fakes import Alone
-from workshop.jig.clock import Clock
-from workshop.lathe.message import Message
-from workshop.lathe.shards import Shards, Taken
-from workshop.lathe.spread import Spread
-from workshop.ports import Json, Lost, Reply
-from workshop.settings import Tolerance
+from amberlug.cluster.interfaces import Json, Lost, Reply
+from amberlug.cluster.jig.clock import Clock
+from amberlug.cluster.lathe.message import Message
+from amberlug.cluster.lathe.shards import Shards, Taken
+from amberlug.cluster.lathe.spread import Spread
+from amberlug.cluster.settings import Tolerance
+from tests.cluster.fakes import Alone
 
 META = {"a": "x", "h": "", "m": "POST", "t": "/", "r": "r", "k": "", "w": 0.0, "d": 0.0, "x": [], "c": 0}
 OPEN = ["0-x", 0, 1, 1, META, 2, 2]
--- a/tests/workshop/test_shelf.py
+++ b/tests/cluster/test_shelf.py
@@ -7,13 +7,13 @@
 from collections.abc import Callable
 from pathlib import Path
 
-from tests.workshop.fakes import Alone
-from workshop.chest.cabinet import Cabinet
-from workshop.jig.clock import Clock
-from workshop.ports import Json
-from workshop.vise.agree import Role, Vise
-from workshop.vise.log import Saved
-from workshop.vise.shelf import open_shelf
+from amberlug.cluster.chest.cabinet import Cabinet
+from amberlug.cluster.interfaces import Json
+from amberlug.cluster.jig.clock import Clock
+from amberlug.cluster.vise.agree import Role, Vise
+from amberlug.cluster.vise.log import Saved
+from amberlug.cluster.vise.shelf import open_shelf
+from tests.cluster.fakes import Alone
 
 ALONE: Json = {"a": {"addr": "a", "voter": True}}
 
--- a/tests/workshop/test_store.py
+++ b/tests/cluster/test_store.py
@@ -3,11 +3,11 @@
 from collections.abc import Callable
 from typing import Any
 
-from tests.workshop.fakes import Alone, settings
-from workshop.chest.drawer import Contents
-from workshop.jig.clock import Clock
-from workshop.machine.store import Store
-from workshop.ports import Json
+from amberlug.cluster.chest.drawer import Contents
+from amberlug.cluster.interfaces import Json
+from amberlug.cluster.jig.clock import Clock
+from amberlug.cluster.machine.store import Store
+from tests.cluster.fakes import Alone, settings
 
 Rows = list[tuple[str, tuple[Any, ...]]]
 
--- a/tests/workshop/test_unclear_asks.py
+++ b/tests/cluster/test_unclear_asks.py
@@ -5,18 +5,18 @@
 import pytest
 from result import Err, Ok
 
-from tests.workshop.fakes import Alone, settings
-from tests.workshop.test_core import Fast
-from tests.workshop.test_edge import Nowhere
-from workshop.crib.orders import Said
-from workshop.jig.clock import Clock
-from workshop.jig.deployment import Request
-from workshop.jig.faults_answers import FAULTS
-from workshop.lathe.message import Message
-from workshop.lathe.shards import Taken
-from workshop.machine.core import Core, blank
-from workshop.machine.edge import Edge, _Offer
-from workshop.ports import Json, Lost, Reply, Then
+from amberlug.cluster.crib.orders import Said
+from amberlug.cluster.interfaces import Json, Lost, Reply, Then
+from amberlug.cluster.jig.clock import Clock
+from amberlug.cluster.jig.deployment import Request
+from amberlug.cluster.jig.faults_answers import FAULTS
+from amberlug.cluster.lathe.message import Message
+from amberlug.cluster.lathe.shards import Taken
+from amberlug.cluster.machine.core import Core, blank
+from amberlug.cluster.machine.edge import Edge, _Offer
+from tests.cluster.fakes import Alone, settings
+from tests.cluster.test_core import Fast
+from tests.cluster.test_edge import Nowhere
 
 AWAY = {"owners": [["edge/other", {"addr": "10.0.0.9:7300"}]], "shards": [[0, 1, -1]]}
 FATES = [*Lost, *Taken]
--- a/tests/workshop/test_vise.py
+++ b/tests/cluster/test_vise.py
@@ -5,13 +5,13 @@
 from dataclasses import asdict
 from typing import Any
 
-from tests.workshop.fakes import Alone
-from workshop.jig.clock import Clock
-from workshop.jig.disk import Shelf
-from workshop.ports import Json
-from workshop.vise.agree import Vise
-from workshop.vise.log import Saved, text_of
-from workshop.vise.parts import PART, Pace, Sending, whole_of
+from amberlug.cluster.interfaces import Json
+from amberlug.cluster.jig.clock import Clock
+from amberlug.cluster.jig.disk import Shelf
+from amberlug.cluster.vise.agree import Vise
+from amberlug.cluster.vise.log import Saved, text_of
+from amberlug.cluster.vise.parts import PART, Pace, Sending, whole_of
+from tests.cluster.fakes import Alone
 
 MEMBERS = {name: {"addr": name, "voter": True} for name in "abc"}
 
