--- a/amberlug/cluster/vise/log.py
+++ b/amberlug/cluster/consensus/log.py
@@ -12,8 +12,8 @@
 from dataclasses import dataclass, field
 from itertools import islice
 
+from amberlug.cluster.consensus.snapshot_transfer import PART
 from amberlug.cluster.interfaces import Disk, Json, World
-from amberlug.cluster.vise.parts import PART
 
 BATCH = 64  # entries in one message, which are of PART bytes at most in all
 COMPACT = 512  # entries since the last snapshot until another one is made
--- a/amberlug/cluster/vise/agree.py
+++ b/amberlug/cluster/consensus/raft.py
@@ -16,10 +16,9 @@
 from absl import logging
 from result import Err, Ok, Result
 
-from amberlug.cluster.interfaces import Disk, Handle, Json, Lost, Reply, Respond, World, on
-from amberlug.cluster.vise.floors import Floors
-from amberlug.cluster.vise.log import Entry, Log, Saved
-from amberlug.cluster.vise.parts import (
+from amberlug.cluster.consensus.log import Entry, Log, Saved
+from amberlug.cluster.consensus.rollback_guard import Floors
+from amberlug.cluster.consensus.snapshot_transfer import (
     ANSWER_S,
     PART,
     Pace,
@@ -30,6 +29,7 @@
     patience,
     whole_of,
 )
+from amberlug.cluster.interfaces import Disk, Handle, Json, Lost, Reply, Respond, World, on
 
 BEAT_S = 0.1  # between a leader's messages to a member
 FIRST_S = (0.05, 0.3)  # the same right after a start, when nobody was heard yet
--- a/amberlug/cluster/vise/floors.py
+++ b/amberlug/cluster/consensus/rollback_guard.py
@@ -16,7 +16,7 @@
 from amberlug.cluster.interfaces import Json, Lost, Reply
 
 if TYPE_CHECKING:
-    from amberlug.cluster.vise.agree import Vise
+    from amberlug.cluster.consensus.raft import Vise
 
 ASK_S = 0.1  # between tries to hear of the own floor
 WITHIN_S = 0.4  # for an answer
--- a/amberlug/cluster/vise/shelf.py
+++ b/amberlug/cluster/consensus/storage.py
@@ -10,8 +10,8 @@
 from typing import Any
 
 from amberlug.cluster.chest.cabinet import Cabinet, Row, open_file
+from amberlug.cluster.consensus.log import Saved, assemble
 from amberlug.cluster.interfaces import Json
-from amberlug.cluster.vise.log import Saved, assemble
 
 FORMAT = 1
 SCHEMA = """
--- /dev/null
+++ b/amberlug/cluster/control/__init__.py
@@ -0,0 +1,1 @@
+"""The control plane: service registry, configuration, membership, sessions and the operators' API."""
--- a/amberlug/cluster/jig/days.py
+++ b/amberlug/cluster/jig/days.py
@@ -8,6 +8,7 @@
 from functools import partial
 from unittest.mock import patch
 
+from amberlug.cluster.consensus import log
 from amberlug.cluster.jig.checker import Checker
 from amberlug.cluster.jig.clients import Clients, Load
 from amberlug.cluster.jig.control import FORMS, Control
@@ -17,7 +18,6 @@
 from amberlug.cluster.jig.history import Broken
 from amberlug.cluster.jig.losses import Losses, draw_site
 from amberlug.cluster.jig.operator import Operator, route, service
-from amberlug.cluster.vise import log
 
 TRAFFIC_S = 3.5  # machines start so long before traffic does
 AFTER_S = 10.0  # for what was accepted to be done
--- a/amberlug/cluster/jig/disk.py
+++ b/amberlug/cluster/jig/disk.py
@@ -10,12 +10,12 @@
 
 from amberlug.cluster.chest import drawer
 from amberlug.cluster.chest.drawer import Contents, Kept
+from amberlug.cluster.consensus import storage
+from amberlug.cluster.consensus.log import Saved, assemble
 from amberlug.cluster.interfaces import Json
 from amberlug.cluster.jig.clock import Clock
 from amberlug.cluster.jig.digest import BoundaryDigest
 from amberlug.cluster.jig.network import Life
-from amberlug.cluster.vise import shelf
-from amberlug.cluster.vise.log import Saved, assemble
 
 Row = tuple[str, tuple[Any, ...]]
 READ_S = 0.0005
@@ -126,7 +126,7 @@
         return found
 
     def execute(self, base: Any, rows: list[Row]) -> None:
-        shelf._work(base, rows)
+        storage._work(base, rows)
 
     def wipe(self) -> None:
         self._saved = None
--- a/amberlug/cluster/jig/explore.py
+++ b/amberlug/cluster/jig/explore.py
@@ -20,11 +20,11 @@
 
 from result import Ok
 
+from amberlug.cluster.consensus import log
+from amberlug.cluster.consensus.log import Entry, Saved
+from amberlug.cluster.consensus.raft import Role, Vise
 from amberlug.cluster.interfaces import Json, Reply, Then, words_of
 from amberlug.cluster.jig.clock import Timer
-from amberlug.cluster.vise import log
-from amberlug.cluster.vise.agree import Role, Vise
-from amberlug.cluster.vise.log import Entry, Saved
 
 NAMES = ("a", "b", "c")
 VOTERS: Json = {name: {"addr": name, "voter": True} for name in NAMES}
--- a/amberlug/cluster/jig/faults_cuts.py
+++ b/amberlug/cluster/jig/faults_cuts.py
@@ -9,12 +9,12 @@
 
 from result import Result
 
+from amberlug.cluster.consensus.raft import NotTaken
+from amberlug.cluster.control.cluster_state import Book
 from amberlug.cluster.crib.orders import Asked, Said, Say
 from amberlug.cluster.interfaces import Json
 from amberlug.cluster.machine.core import Core
 from amberlug.cluster.machine.member import Member
-from amberlug.cluster.vise.agree import NotTaken
-from amberlug.cluster.vise.book import Book
 
 Then = Callable[[Result[Json, NotTaken]], None]
 
--- a/amberlug/cluster/jig/faults_frames.py
+++ b/amberlug/cluster/jig/faults_frames.py
@@ -7,12 +7,12 @@
 from typing import Any
 from unittest.mock import patch
 
+from amberlug.cluster.consensus import log, raft
+from amberlug.cluster.consensus.log import Log, Saved
+from amberlug.cluster.consensus.raft import Vise
+from amberlug.cluster.consensus.snapshot_transfer import Receiving, Sending
 from amberlug.cluster.interfaces import Json
 from amberlug.cluster.jig import disk
-from amberlug.cluster.vise import agree, log
-from amberlug.cluster.vise.agree import Vise
-from amberlug.cluster.vise.log import Log, Saved
-from amberlug.cluster.vise.parts import Receiving, Sending
 
 
 @contextmanager
@@ -23,7 +23,7 @@
 
 def _batch_unbounded() -> AbstractContextManager[Any]:
     """A message takes so many entries, whatever their size."""
-    return _both(patch.object(agree, "PART", 1 << 40), patch.object(log, "PART", 1 << 40))
+    return _both(patch.object(raft, "PART", 1 << 40), patch.object(log, "PART", 1 << 40))
 
 
 def _members_left_behind() -> AbstractContextManager[Any]:
@@ -93,10 +93,10 @@
     """The next beat is set once all was sent, and an error for one peer ends it."""
 
     def beat(self: Vise) -> None:
-        if self.role is not agree.Role.LEADER or self._stopped:
+        if self.role is not raft.Role.LEADER or self._stopped:
             return
         now = self.world.now()
-        heard = {name for name, it in self._peers.items() if now - it.heard < agree.ELECTION_S[1]}
+        heard = {name for name, it in self._peers.items() if now - it.heard < raft.ELECTION_S[1]}
         if not self._majority(heard | {self.me}):
             self._step_down()
             return
@@ -105,7 +105,7 @@
                 self._send_next(name, peer)
             except ValueError:
                 return
-        self._after(agree.BEAT_S, self._beat)
+        self._after(raft.BEAT_S, self._beat)
 
     return patch.object(Vise, "_beat", beat)
 
--- a/amberlug/cluster/jig/faults_seats.py
+++ b/amberlug/cluster/jig/faults_seats.py
@@ -7,13 +7,14 @@
 from typing import Any
 from unittest.mock import patch
 
+from amberlug.cluster.consensus import voter_selection
+from amberlug.cluster.consensus.log import Log
+from amberlug.cluster.consensus.raft import Answered, Vise
+from amberlug.cluster.consensus.rollback_guard import Floors
+from amberlug.cluster.consensus.voter_selection import Seat
+from amberlug.cluster.control import cluster_state
 from amberlug.cluster.interfaces import Json
 from amberlug.cluster.settings import Tolerance
-from amberlug.cluster.vise import book, seats
-from amberlug.cluster.vise.agree import Answered, Vise
-from amberlug.cluster.vise.floors import Floors
-from amberlug.cluster.vise.log import Log
-from amberlug.cluster.vise.seats import Seat
 
 
 def _voters_in_one_zone() -> AbstractContextManager[Any]:
@@ -24,7 +25,7 @@
         wanted = max(3, 2 * max(tolerance.machines, tolerance.zones, tolerance.regions) + 1)
         return sorted(live, key=lambda it: (it.name != me, not it.voter, it.name))[:wanted]
 
-    return patch.object(seats, "best", by_name)
+    return patch.object(voter_selection, "best", by_name)
 
 
 @contextmanager
@@ -83,7 +84,7 @@
 
 def _editions_by_count() -> AbstractContextManager[Any]:
     """The hashes of the newest 256 changes are kept, and no others."""
-    return patch.object(book, "EDITIONS", (256, 256))
+    return patch.object(cluster_state, "EDITIONS", (256, 256))
 
 
 FAULTS: Mapping[str, tuple[Callable[[], AbstractContextManager[Any]], str]] = {
--- a/amberlug/cluster/jig/mutants.py
+++ b/amberlug/cluster/jig/mutants.py
@@ -9,6 +9,9 @@
 
 from result import Ok, Result
 
+from amberlug.cluster.consensus.log import Saved
+from amberlug.cluster.consensus.raft import Vise
+from amberlug.cluster.consensus.rollback_guard import Floors
 from amberlug.cluster.crib.orders import Said, Say
 from amberlug.cluster.crib.sessions import Session
 from amberlug.cluster.hatch.routes import Routes
@@ -23,9 +26,6 @@
 from amberlug.cluster.machine.edge import Edge
 from amberlug.cluster.machine.store import Store
 from amberlug.cluster.settings import Settings
-from amberlug.cluster.vise.agree import Vise
-from amberlug.cluster.vise.floors import Floors
-from amberlug.cluster.vise.log import Saved
 from amberlug.cluster.whistle.news import News
 
 Mutant = Callable[[], AbstractContextManager[Any]]
--- a/amberlug/cluster/machine/core.py
+++ b/amberlug/cluster/machine/core.py
@@ -9,6 +9,11 @@
 from absl import logging
 from result import Err, Ok, Result
 
+from amberlug.cluster.consensus.log import Saved
+from amberlug.cluster.consensus.raft import NotTaken, Role, Vise
+from amberlug.cluster.consensus.voter_selection import Seat, margin, next_step
+from amberlug.cluster.control.cluster_state import SHARDS, Book, digest
+from amberlug.cluster.control.shard_assignment import share_out
 from amberlug.cluster.crib.cell import DRAINING, GONE, MOST, Cell, read_announce
 from amberlug.cluster.crib.check import changed, check, parse
 from amberlug.cluster.crib.orders import Asked, Counter, Said, Say, order
@@ -17,11 +22,6 @@
 from amberlug.cluster.machine.lookout import Lookout
 from amberlug.cluster.machine.member import internal
 from amberlug.cluster.settings import Settings
-from amberlug.cluster.vise.agree import NotTaken, Role, Vise
-from amberlug.cluster.vise.book import SHARDS, Book, digest
-from amberlug.cluster.vise.log import Saved
-from amberlug.cluster.vise.seats import Seat, margin, next_step
-from amberlug.cluster.vise.sharing import share_out
 from amberlug.cluster.whistle.news import News
 
 DUTY_S = 0.1  # between looks at what is to be done while leading
--- a/amberlug/cluster/machine/edge.py
+++ b/amberlug/cluster/machine/edge.py
@@ -9,6 +9,7 @@
 from absl import logging
 from result import Err, Ok, Result
 
+from amberlug.cluster.control.cluster_state import SHARDS
 from amberlug.cluster.crib.orders import Asked, Counter, Said, Say, order
 from amberlug.cluster.hatch.routes import Route, Routes, build
 from amberlug.cluster.interfaces import Called, Endpoints, Json, Lost, Reply, Respond, World, on, words_of
@@ -21,7 +22,6 @@
 from amberlug.cluster.machine.member import Member, internal
 from amberlug.cluster.machine.views import EdgeView
 from amberlug.cluster.settings import Settings
-from amberlug.cluster.vise.book import SHARDS
 from amberlug.cluster.whistle.news import News
 
 MEND_S = 0.1  # between looks for messages that lack copies
--- a/amberlug/cluster/process.py
+++ b/amberlug/cluster/process.py
@@ -101,8 +101,8 @@
 
         folder = Path(settings.data_dir) if settings.data_dir else None
         if "control_plane" in settings.serves:
+            from amberlug.cluster.consensus.storage import open_shelf
             from amberlug.cluster.machine.core import Core, blank
-            from amberlug.cluster.vise.shelf import open_shelf
 
             assert folder is not None, "a control relay needs a dataDir"
             saved, cabinet, _ = open_shelf(folder, lambda: blank(settings, world.chance.getrandbits), post)
--- a/amberlug/cluster/vise/__init__.py
+++ /dev/null
@@ -1,1 +0,0 @@
-"""The log that core machines agree on: it holds fast."""
--- a/benchmarks/hollow/deployment.py
+++ b/benchmarks/hollow/deployment.py
@@ -7,6 +7,7 @@
 from functools import partial
 
 from amberlug.cluster.chest.drawer import Contents
+from amberlug.cluster.consensus.raft import Role
 from amberlug.cluster.crib.orders import Said
 from amberlug.cluster.interfaces import Json
 from amberlug.cluster.jig.deployment import Request
@@ -14,7 +15,6 @@
 from amberlug.cluster.machine.core import Core, blank
 from amberlug.cluster.machine.edge import Edge
 from amberlug.cluster.machine.store import Store
-from amberlug.cluster.vise.agree import Role
 from benchmarks.hollow.net import HollowDisk, HollowNet, HollowWorld, Host, Meter, Prompt, settings
 
 ZONES = 4
--- a/benchmarks/hollow/steps.py
+++ b/benchmarks/hollow/steps.py
@@ -17,6 +17,9 @@
 
 from amberlug.cluster.belt.netstring import pack
 from amberlug.cluster.chest.drawer import Contents, Kept
+from amberlug.cluster.consensus.storage import open_shelf
+from amberlug.cluster.control.cluster_state import SHARDS, Book, digest
+from amberlug.cluster.control.shard_assignment import share_out
 from amberlug.cluster.crib.cell import Cell
 from amberlug.cluster.crib.check import check, parse
 from amberlug.cluster.crib.sessions import Sessions
@@ -29,9 +32,6 @@
 from amberlug.cluster.machine.core import Core, blank
 from amberlug.cluster.machine.edge import Edge
 from amberlug.cluster.machine.store import Store
-from amberlug.cluster.vise.book import SHARDS, Book, digest
-from amberlug.cluster.vise.sharing import share_out
-from amberlug.cluster.vise.shelf import open_shelf
 from amberlug.cluster.whistle.news import News
 from benchmarks.hollow.deployment import STORES, ZONES, beat, config
 from benchmarks.hollow.figures import Figure, upto
--- a/tests/cluster/group.py
+++ b/tests/cluster/group.py
@@ -5,12 +5,12 @@
 
 from result import Ok, Result
 
+from amberlug.cluster.consensus.log import Saved
+from amberlug.cluster.consensus.raft import NotTaken, Role, Vise
 from amberlug.cluster.interfaces import Json, words_of
 from amberlug.cluster.jig.clock import Clock
 from amberlug.cluster.jig.disk import DiskOf, Shelf
 from amberlug.cluster.jig.network import Host, Life, LifeWorld, Network
-from amberlug.cluster.vise.agree import NotTaken, Role, Vise
-from amberlug.cluster.vise.log import Saved
 
 SLOW = 15e6 / 8  # bytes a second
 
--- a/tests/cluster/test_book.py
+++ b/tests/cluster/test_book.py
@@ -3,9 +3,17 @@
 import json
 from typing import Any
 
+from amberlug.cluster.control.cluster_state import (
+    EDITIONS,
+    EDITIONS_S,
+    GONE,
+    GONE_S,
+    LEAVING,
+    LEAVING_S,
+    Book,
+)
 from amberlug.cluster.interfaces import Json
 from amberlug.cluster.jig.mutants import mutated
-from amberlug.cluster.vise.book import EDITIONS, EDITIONS_S, GONE, GONE_S, LEAVING, LEAVING_S, Book
 
 
 class Log:
--- a/tests/cluster/test_floors.py
+++ b/tests/cluster/test_floors.py
@@ -8,10 +8,10 @@
 import pytest
 from absl import logging
 
+from amberlug.cluster.consensus.log import Saved
+from amberlug.cluster.consensus.storage import open_shelf
 from amberlug.cluster.jig.deployment import BOUNDS, Deployment, Machine
 from amberlug.cluster.jig.mutants import mutated
-from amberlug.cluster.vise.log import Saved
-from amberlug.cluster.vise.shelf import open_shelf
 
 
 @pytest.fixture(autouse=True)
--- a/tests/cluster/test_recorded.py
+++ b/tests/cluster/test_recorded.py
@@ -12,8 +12,8 @@
 import pytest
 
 from amberlug.cluster.chest.drawer import open_drawer
+from amberlug.cluster.consensus.storage import open_shelf
 from amberlug.cluster.jig.digest import differences
-from amberlug.cluster.vise.shelf import open_shelf
 
 DATA = Path(__file__).parents[1] / "data"
 TABLES = {"core/vise.db": ("state", "log"), "storage/chest.db": ("about", "fence", "message")}
--- a/tests/cluster/test_replication.py
+++ b/tests/cluster/test_replication.py
@@ -8,8 +8,8 @@
 import pytest
 from absl import logging
 
-from amberlug.cluster.vise.agree import ELECTION_S
-from amberlug.cluster.vise.log import COMPACT_BYTES, TAIL_BYTES
+from amberlug.cluster.consensus.log import COMPACT_BYTES, TAIL_BYTES
+from amberlug.cluster.consensus.raft import ELECTION_S
 from tests.cluster.group import SLOW, Group, Member
 
 
--- a/tests/cluster/test_seats.py
+++ b/tests/cluster/test_seats.py
@@ -9,11 +9,11 @@
 import pytest
 from absl import logging
 
+from amberlug.cluster.consensus.raft import Role
+from amberlug.cluster.consensus.voter_selection import FEWEST, FORGOTTEN_S, MOST, Seat, margin, next_step
 from amberlug.cluster.jig.deployment import BOUNDS, Deployment, Machine
 from amberlug.cluster.jig.mutants import mutated
 from amberlug.cluster.settings import Tolerance
-from amberlug.cluster.vise.agree import Role
-from amberlug.cluster.vise.seats import FEWEST, FORGOTTEN_S, MOST, Seat, margin, next_step
 
 A_MACHINE, A_ZONE, A_REGION = Tolerance(1, 0, 0), Tolerance(1, 1, 0), Tolerance(1, 1, 1)
 
--- a/tests/cluster/test_vise.py
+++ b/tests/cluster/test_vise.py
@@ -5,12 +5,12 @@
 from dataclasses import asdict
 from typing import Any
 
+from amberlug.cluster.consensus.log import Saved, text_of
+from amberlug.cluster.consensus.raft import Vise
+from amberlug.cluster.consensus.snapshot_transfer import PART, Pace, Sending, whole_of
 from amberlug.cluster.interfaces import Json
 from amberlug.cluster.jig.clock import Clock
 from amberlug.cluster.jig.disk import Shelf
-from amberlug.cluster.vise.agree import Vise
-from amberlug.cluster.vise.log import Saved, text_of
-from amberlug.cluster.vise.parts import PART, Pace, Sending, whole_of
 from tests.cluster.fakes import Alone
 
 MEMBERS = {name: {"addr": name, "voter": True} for name in "abc"}
