--- a/amberlug/cluster/machine/core.py
+++ b/amberlug/cluster/control/node.py
@@ -13,13 +13,13 @@
 from amberlug.cluster.consensus.raft import NotTaken, Role, Vise
 from amberlug.cluster.consensus.voter_selection import Seat, margin, next_step
 from amberlug.cluster.control.cluster_state import SHARDS, Book, digest
+from amberlug.cluster.control.config_validation import changed, check, parse
+from amberlug.cluster.control.endpoint_registry import DRAINING, GONE, MOST, Cell, read_announce
+from amberlug.cluster.control.sessions import BEAT_S, Session, Sessions
 from amberlug.cluster.control.shard_assignment import share_out
-from amberlug.cluster.crib.cell import DRAINING, GONE, MOST, Cell, read_announce
-from amberlug.cluster.crib.check import changed, check, parse
-from amberlug.cluster.crib.orders import Asked, Counter, Said, Say, order
-from amberlug.cluster.crib.sessions import BEAT_S, Session, Sessions
+from amberlug.cluster.control.status import Lookout
+from amberlug.cluster.http.api import Asked, Counter, Said, Say, order
 from amberlug.cluster.interfaces import Disk, Json, Lost, Reply, Respond, World, on, words_of
-from amberlug.cluster.machine.lookout import Lookout
 from amberlug.cluster.machine.member import internal
 from amberlug.cluster.settings import Settings
 from amberlug.cluster.whistle.news import News
--- a/amberlug/cluster/machine/lookout.py
+++ b/amberlug/cluster/control/status.py
@@ -11,14 +11,14 @@
 
 from result import Err, Ok, Result
 
-from amberlug.cluster.crib import counts
-from amberlug.cluster.crib.orders import Asked, Said, Say, order
-from amberlug.cluster.crib.sessions import Session
+from amberlug.cluster import metrics
+from amberlug.cluster.control.sessions import Session
+from amberlug.cluster.http.api import Asked, Said, Say, order
 from amberlug.cluster.interfaces import Json, Lost, Reply, Respond, on
 from amberlug.cluster.machine.views import DEAD_MOST
 
 if TYPE_CHECKING:
-    from amberlug.cluster.machine.core import Core
+    from amberlug.cluster.control.node import Core
 
 LOOK_S = 0.6  # for peers to answer: operators wait a second
 
@@ -67,10 +67,10 @@
     def __init__(self, core: Core) -> None:
         self._core = core
 
-    @order("GET", counts.PATH)
+    @order("GET", metrics.PATH)
     def counters(self, asked: Asked, name: str, say: Say) -> None:
         """Give this process's counters."""
-        say(Said(200, {}, page=counts.page(self._core.counts)))
+        say(Said(200, {}, page=metrics.page(self._core.counts)))
 
     # -- how it all stands
 
--- a/amberlug/cluster/foreman/files.py
+++ b/amberlug/cluster/foreman/files.py
@@ -12,7 +12,7 @@
 from result import Err, Ok, Result
 
 from amberlug.cluster import settings as told
-from amberlug.cluster.crib.check import check, parse
+from amberlug.cluster.control.config_validation import check, parse
 from amberlug.cluster.interfaces import Json
 
 PARTS = ("edge", "storage", "control_plane")
--- a/amberlug/cluster/jig/faults_answers.py
+++ b/amberlug/cluster/jig/faults_answers.py
@@ -12,6 +12,7 @@
 
 from amberlug.cluster.belt.links import Belt, _Incoming, _Outgoing
 from amberlug.cluster.consensus.raft import NotTaken
+from amberlug.cluster.control.node import Core
 from amberlug.cluster.hatch.server import Answer, _Reply
 from amberlug.cluster.interfaces import Called, Delivery, Json, Lost, Respond, Verdict
 from amberlug.cluster.lathe.caller import Caller
@@ -19,7 +20,6 @@
 from amberlug.cluster.lathe.service import Outcome, judge
 from amberlug.cluster.lathe.shards import Shards
 from amberlug.cluster.machine import edge
-from amberlug.cluster.machine.core import Core
 from amberlug.http.link import Link
 
 
--- a/amberlug/cluster/jig/faults_cuts.py
+++ b/amberlug/cluster/jig/faults_cuts.py
@@ -11,9 +11,9 @@
 
 from amberlug.cluster.consensus.raft import NotTaken
 from amberlug.cluster.control.cluster_state import Book
-from amberlug.cluster.crib.orders import Asked, Said, Say
+from amberlug.cluster.control.node import Core
+from amberlug.cluster.http.api import Asked, Said, Say
 from amberlug.cluster.interfaces import Json
-from amberlug.cluster.machine.core import Core
 from amberlug.cluster.machine.member import Member
 
 Then = Callable[[Result[Json, NotTaken]], None]
--- a/amberlug/cluster/jig/faults_losses.py
+++ b/amberlug/cluster/jig/faults_losses.py
@@ -7,11 +7,11 @@
 from typing import Any
 from unittest.mock import patch
 
-from amberlug.cluster.crib.sessions import Session
+from amberlug.cluster.control.node import Core
+from amberlug.cluster.control.sessions import Session
 from amberlug.cluster.interfaces import Json
 from amberlug.cluster.lathe.shards import Shards
 from amberlug.cluster.lathe.spread import Spread
-from amberlug.cluster.machine.core import Core
 from amberlug.cluster.machine.edge import Edge
 from amberlug.cluster.machine.store import Store
 
--- a/amberlug/cluster/jig/mutants.py
+++ b/amberlug/cluster/jig/mutants.py
@@ -12,17 +12,18 @@
 from amberlug.cluster.consensus.log import Saved
 from amberlug.cluster.consensus.raft import Vise
 from amberlug.cluster.consensus.rollback_guard import Floors
-from amberlug.cluster.crib.orders import Said, Say
-from amberlug.cluster.crib.sessions import Session
+from amberlug.cluster.control import node
+from amberlug.cluster.control.node import Core
+from amberlug.cluster.control.sessions import Session
 from amberlug.cluster.hatch.routes import Routes
+from amberlug.cluster.http.api import Said, Say
 from amberlug.cluster.interfaces import Called, Json, Lost, Reply
 from amberlug.cluster.jig import faults_answers, faults_cuts, faults_frames, faults_losses, faults_seats
 from amberlug.cluster.lathe import spread
 from amberlug.cluster.lathe.message import Message
 from amberlug.cluster.lathe.shards import Shards, Taken
 from amberlug.cluster.lathe.spread import Put
-from amberlug.cluster.machine import core, edge
-from amberlug.cluster.machine.core import Core
+from amberlug.cluster.machine import edge
 from amberlug.cluster.machine.edge import Edge
 from amberlug.cluster.machine.store import Store
 from amberlug.cluster.settings import Settings
@@ -49,7 +50,7 @@
     """A wiped voter votes as its old self, and nobody tells it what it had."""
 
     def blank(settings: Settings, chance: Callable[[int], int]) -> Saved:
-        return Saved(f"{settings.ip}/0", members=core.founding(settings))
+        return Saved(f"{settings.ip}/0", members=node.founding(settings))
 
     untold = patch.object(Floors, "short", lambda self, said: False)
     return _both(patch("amberlug.cluster.jig.deployment.blank", blank), untold)
--- a/amberlug/cluster/machine/edge.py
+++ b/amberlug/cluster/machine/edge.py
@@ -10,8 +10,8 @@
 from result import Err, Ok, Result
 
 from amberlug.cluster.control.cluster_state import SHARDS
-from amberlug.cluster.crib.orders import Asked, Counter, Said, Say, order
 from amberlug.cluster.hatch.routes import Route, Routes, build
+from amberlug.cluster.http.api import Asked, Counter, Said, Say, order
 from amberlug.cluster.interfaces import Called, Endpoints, Json, Lost, Reply, Respond, World, on, words_of
 from amberlug.cluster.lathe.endpoints import Pool
 from amberlug.cluster.lathe.message import Message, name_of, read, shard_in, shard_of
--- a/amberlug/cluster/machine/member.py
+++ b/amberlug/cluster/machine/member.py
@@ -6,7 +6,7 @@
 
 from result import Err, Ok, Result
 
-from amberlug.cluster.crib.sessions import BEAT_S
+from amberlug.cluster.control.sessions import BEAT_S
 from amberlug.cluster.interfaces import Json, Lost, Reply, World
 from amberlug.cluster.settings import Settings
 from amberlug.cluster.whistle.news import News
--- a/amberlug/cluster/process.py
+++ b/amberlug/cluster/process.py
@@ -18,10 +18,10 @@
 
 from amberlug.cluster import settings as told
 from amberlug.cluster.belt.links import Belt
-from amberlug.cluster.crib.counts import PATH, page
-from amberlug.cluster.crib.orders import Said, pack
 from amberlug.cluster.hatch.server import Answer, Limits, Request, Server
+from amberlug.cluster.http.api import Said, pack
 from amberlug.cluster.interfaces import Handle, Json, Respond, Then
+from amberlug.cluster.metrics import PATH, page
 
 COUNTERS_S = 10.0  # between lines of counters
 WATCH_S = 2.0  # between looks at the settings file
@@ -102,7 +102,7 @@
         folder = Path(settings.data_dir) if settings.data_dir else None
         if "control_plane" in settings.serves:
             from amberlug.cluster.consensus.storage import open_shelf
-            from amberlug.cluster.machine.core import Core, blank
+            from amberlug.cluster.control.node import Core, blank
 
             assert folder is not None, "a control relay needs a dataDir"
             saved, cabinet, _ = open_shelf(folder, lambda: blank(settings, world.chance.getrandbits), post)
--- a/benchmarks/hollow/steps.py
+++ b/benchmarks/hollow/steps.py
@@ -19,17 +19,17 @@
 from amberlug.cluster.chest.drawer import Contents, Kept
 from amberlug.cluster.consensus.storage import open_shelf
 from amberlug.cluster.control.cluster_state import SHARDS, Book, digest
+from amberlug.cluster.control.config_validation import check, parse
+from amberlug.cluster.control.endpoint_registry import Cell
+from amberlug.cluster.control.node import Core, blank
+from amberlug.cluster.control.sessions import Sessions
 from amberlug.cluster.control.shard_assignment import share_out
-from amberlug.cluster.crib.cell import Cell
-from amberlug.cluster.crib.check import check, parse
-from amberlug.cluster.crib.sessions import Sessions
 from amberlug.cluster.hatch.routes import build
 from amberlug.cluster.interfaces import Json
 from amberlug.cluster.lathe.endpoints import Pool
 from amberlug.cluster.lathe.message import Message
 from amberlug.cluster.lathe.rack import Rack
 from amberlug.cluster.lathe.spread import Spread
-from amberlug.cluster.machine.core import Core, blank
 from amberlug.cluster.machine.edge import Edge
 from amberlug.cluster.machine.store import Store
 from amberlug.cluster.whistle.news import News
--- a/tests/cluster/test_contact.py
+++ b/tests/cluster/test_contact.py
@@ -10,12 +10,12 @@
 
 from amberlug.cluster.chest.drawer import Kept
 from amberlug.cluster.consensus.log import Saved
+from amberlug.cluster.control.node import Core
 from amberlug.cluster.interfaces import Reply
 from amberlug.cluster.jig.clock import Clock
 from amberlug.cluster.jig.days import Day
 from amberlug.cluster.jig.deployment import Machine
 from amberlug.cluster.lathe.message import Message
-from amberlug.cluster.machine.core import Core
 from amberlug.cluster.whistle import news
 from tests.cluster.fakes import Alone, settings
 
--- a/tests/cluster/test_core.py
+++ b/tests/cluster/test_core.py
@@ -5,10 +5,10 @@
 
 import pytest
 
-from amberlug.cluster.crib.sessions import Session
+from amberlug.cluster.control.node import Core, blank
+from amberlug.cluster.control.sessions import Session
 from amberlug.cluster.interfaces import Json
 from amberlug.cluster.jig.clock import Clock
-from amberlug.cluster.machine.core import Core, blank
 from tests.cluster.fakes import Alone, settings
 
 Rows = list[tuple[str, tuple[Any, ...]]]
--- a/tests/cluster/test_foreman.py
+++ b/tests/cluster/test_foreman.py
@@ -15,12 +15,12 @@
 from result import Err, Ok
 
 from amberlug.cluster.__main__ import cli
-from amberlug.cluster.crib.counts import page
+from amberlug.cluster.control.node import Core, blank
+from amberlug.cluster.control.status import merged
 from amberlug.cluster.foreman.commands import BAD, DONE, REFUSED, UNCLEAR
 from amberlug.cluster.foreman.files import check_deploy, check_settings, differences
 from amberlug.cluster.interfaces import Json, Lost, Reply, Then
-from amberlug.cluster.machine.core import Core, blank
-from amberlug.cluster.machine.lookout import merged
+from amberlug.cluster.metrics import page
 from amberlug.cluster.settings import read_file
 from amberlug.cluster.standin.deployment import Deployment, config
 from amberlug.cluster.standin.endpoint import Run
--- a/tests/cluster/test_handover.py
+++ b/tests/cluster/test_handover.py
@@ -5,8 +5,8 @@
 import pytest
 from absl import logging
 
+from amberlug.cluster.control import node
 from amberlug.cluster.jig.days import play
-from amberlug.cluster.machine import core
 
 
 @pytest.fixture(autouse=True)
@@ -23,5 +23,5 @@
     seed: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     # Other core machines have the table by the log alone, so the owner before hears of it a little later.
-    monkeypatch.setattr(core, "LARGE", ("config", "shards", "roster", "cores"))
+    monkeypatch.setattr(node, "LARGE", ("config", "shards", "roster", "cores"))
     assert play(seed, "edges") == []
--- a/tests/cluster/test_unclear_asks.py
+++ b/tests/cluster/test_unclear_asks.py
@@ -5,14 +5,14 @@
 import pytest
 from result import Err, Ok
 
-from amberlug.cluster.crib.orders import Said
+from amberlug.cluster.control.node import Core, blank
+from amberlug.cluster.http.api import Said
 from amberlug.cluster.interfaces import Json, Lost, Reply, Then
 from amberlug.cluster.jig.clock import Clock
 from amberlug.cluster.jig.deployment import Request
 from amberlug.cluster.jig.faults_answers import FAULTS
 from amberlug.cluster.lathe.message import Message
 from amberlug.cluster.lathe.shards import Taken
-from amberlug.cluster.machine.core import Core, blank
 from amberlug.cluster.machine.edge import Edge, _Offer
 from tests.cluster.fakes import Alone, settings
 from tests.cluster.test_core import Fast
