--- a/amberlug/cluster/control/endpoint_registry.py
+++ b/amberlug/cluster/control/endpoint_registry.py
@@ -8,8 +8,8 @@
 import trafaret as t
 from result import Err, Ok, Result
 
+from amberlug.cluster.gossip.store import News
 from amberlug.cluster.interfaces import Json, World
-from amberlug.cluster.whistle.news import News
 
 MISSED = 3.2  # beats that an endpoint may miss until nothing is sent to it
 MOST = 4096  # bytes of a call
--- a/amberlug/cluster/control/node.py
+++ b/amberlug/cluster/control/node.py
@@ -18,11 +18,11 @@
 from amberlug.cluster.control.sessions import BEAT_S, Session, Sessions
 from amberlug.cluster.control.shard_assignment import share_out
 from amberlug.cluster.control.status import Lookout
+from amberlug.cluster.gossip.store import News
 from amberlug.cluster.http.api import Asked, Counter, Said, Say, order
 from amberlug.cluster.interfaces import Disk, Json, Lost, Reply, Respond, World, on, words_of
 from amberlug.cluster.machine.member import internal
 from amberlug.cluster.settings import Settings
-from amberlug.cluster.whistle.news import News
 
 DUTY_S = 0.1  # between looks at what is to be done while leading
 SETTLED_S = 1.5  # a new leader waits so long for reports before it calls anyone gone
--- /dev/null
+++ b/amberlug/cluster/gossip/__init__.py
@@ -0,0 +1,1 @@
+"""Gossip of versioned announcements among all nodes, with anti-entropy."""
--- a/amberlug/cluster/jig/mutants.py
+++ b/amberlug/cluster/jig/mutants.py
@@ -15,6 +15,7 @@
 from amberlug.cluster.control import node
 from amberlug.cluster.control.node import Core
 from amberlug.cluster.control.sessions import Session
+from amberlug.cluster.gossip.store import News
 from amberlug.cluster.hatch.routes import Routes
 from amberlug.cluster.http.api import Said, Say
 from amberlug.cluster.interfaces import Called, Json, Lost, Reply
@@ -27,7 +28,6 @@
 from amberlug.cluster.machine.edge import Edge
 from amberlug.cluster.machine.store import Store
 from amberlug.cluster.settings import Settings
-from amberlug.cluster.whistle.news import News
 
 Mutant = Callable[[], AbstractContextManager[Any]]
 
--- a/amberlug/cluster/machine/edge.py
+++ b/amberlug/cluster/machine/edge.py
@@ -10,6 +10,7 @@
 from result import Err, Ok, Result
 
 from amberlug.cluster.control.cluster_state import SHARDS
+from amberlug.cluster.gossip.store import News
 from amberlug.cluster.hatch.routes import Route, Routes, build
 from amberlug.cluster.http.api import Asked, Counter, Said, Say, order
 from amberlug.cluster.interfaces import Called, Endpoints, Json, Lost, Reply, Respond, World, on, words_of
@@ -22,7 +23,6 @@
 from amberlug.cluster.machine.member import Member, internal
 from amberlug.cluster.machine.views import EdgeView
 from amberlug.cluster.settings import Settings
-from amberlug.cluster.whistle.news import News
 
 MEND_S = 0.1  # between looks for messages that lack copies
 MEND_MOST = 16  # copied at once: what is mended must not hold up what is taken in
--- a/amberlug/cluster/machine/member.py
+++ b/amberlug/cluster/machine/member.py
@@ -7,9 +7,9 @@
 from result import Err, Ok, Result
 
 from amberlug.cluster.control.sessions import BEAT_S
+from amberlug.cluster.gossip.store import News
 from amberlug.cluster.interfaces import Json, Lost, Reply, World
 from amberlug.cluster.settings import Settings
-from amberlug.cluster.whistle.news import News
 
 ANSWER_S = 0.4  # for a control relay to answer a beat
 HELLO_S = 0.8
--- a/benchmarks/hollow/steps.py
+++ b/benchmarks/hollow/steps.py
@@ -24,6 +24,7 @@
 from amberlug.cluster.control.node import Core, blank
 from amberlug.cluster.control.sessions import Sessions
 from amberlug.cluster.control.shard_assignment import share_out
+from amberlug.cluster.gossip.store import News
 from amberlug.cluster.hatch.routes import build
 from amberlug.cluster.interfaces import Json
 from amberlug.cluster.lathe.endpoints import Pool
@@ -32,7 +33,6 @@
 from amberlug.cluster.lathe.spread import Spread
 from amberlug.cluster.machine.edge import Edge
 from amberlug.cluster.machine.store import Store
-from amberlug.cluster.whistle.news import News
 from benchmarks.hollow.deployment import STORES, ZONES, beat, config
 from benchmarks.hollow.figures import Figure, upto
 from benchmarks.hollow.net import HollowDisk, HollowNet, HollowWorld, Host, Prompt, processor, settings
--- a/tests/cluster/test_contact.py
+++ b/tests/cluster/test_contact.py
@@ -11,12 +11,12 @@
 from amberlug.cluster.chest.drawer import Kept
 from amberlug.cluster.consensus.log import Saved
 from amberlug.cluster.control.node import Core
+from amberlug.cluster.gossip import store
 from amberlug.cluster.interfaces import Reply
 from amberlug.cluster.jig.clock import Clock
 from amberlug.cluster.jig.days import Day
 from amberlug.cluster.jig.deployment import Machine
 from amberlug.cluster.lathe.message import Message
-from amberlug.cluster.whistle import news
 from tests.cluster.fakes import Alone, settings
 
 BEFORE_S, CUT_S, APPLY_S = 6.0, 20.0, 3.0
@@ -188,16 +188,16 @@
 
 
 def test_all_news_come_page_by_page_before_an_edge_serves(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(news, "PAGE", 2)
+    monkeypatch.setattr(store, "PAGE", 2)
     pages: list[int] = []
-    page_after = news.News.page_after
+    page_after = store.News.page_after
 
-    def page(self: news.News, after: str) -> Any:
+    def page(self: store.News, after: str) -> Any:
         items, upto = page_after(self, after)
         pages.append(len(items))
         return items, upto
 
-    monkeypatch.setattr(news.News, "page_after", page)
+    monkeypatch.setattr(store.News, "page_after", page)
     day = Day(3, "quiet")
     for machine in day.deployment.machines:
         machine.start()
--- a/tests/cluster/test_news.py
+++ b/tests/cluster/test_news.py
@@ -6,11 +6,11 @@
 
 from result import Ok
 
+from amberlug.cluster.gossip import store
+from amberlug.cluster.gossip.store import PAGE, PAGE_BYTES, News
 from amberlug.cluster.interfaces import words_of
 from amberlug.cluster.jig.clock import Clock
 from amberlug.cluster.jig.network import Host, Life, LifeWorld, Network
-from amberlug.cluster.whistle import news
-from amberlug.cluster.whistle.news import PAGE, PAGE_BYTES, News
 
 
 class Hearer:
@@ -69,7 +69,7 @@
 
 
 def test_versions_are_compared_some_at_a_time(monkeypatch) -> None:  # type: ignore[no-untyped-def]
-    monkeypatch.setattr(news, "VERSIONS", 7)
+    monkeypatch.setattr(store, "VERSIONS", 7)
     clock, _, a, b = two()
     for number in range(40):
         (a if number % 3 else b).offer(f"{number}", [1], number)
