--- a/amberlug/cluster/belt/__init__.py
+++ /dev/null
@@ -1,1 +0,0 @@
-"""Between the system's own processes: netstrings of JSON over TCP."""
--- a/amberlug/cluster/jig/faults_answers.py
+++ b/amberlug/cluster/jig/faults_answers.py
@@ -10,7 +10,6 @@
 
 from result import Err, Result
 
-from amberlug.cluster.belt.links import Belt, _Incoming, _Outgoing
 from amberlug.cluster.consensus.raft import NotTaken
 from amberlug.cluster.control.node import Core
 from amberlug.cluster.hatch.server import Answer, _Reply
@@ -20,6 +19,7 @@
 from amberlug.cluster.lathe.service import Outcome, judge
 from amberlug.cluster.lathe.shards import Shards
 from amberlug.cluster.machine import edge
+from amberlug.cluster.rpc.transport import Belt, _Incoming, _Outgoing
 from amberlug.http.link import Link
 
 
--- a/amberlug/cluster/process.py
+++ b/amberlug/cluster/process.py
@@ -17,11 +17,11 @@
 from result import Err
 
 from amberlug.cluster import settings as told
-from amberlug.cluster.belt.links import Belt
 from amberlug.cluster.hatch.server import Answer, Limits, Request, Server
 from amberlug.cluster.http.api import Said, pack
 from amberlug.cluster.interfaces import Handle, Json, Respond, Then
 from amberlug.cluster.metrics import PATH, page
+from amberlug.cluster.rpc.transport import Belt
 
 COUNTERS_S = 10.0  # between lines of counters
 WATCH_S = 2.0  # between looks at the settings file
--- /dev/null
+++ b/amberlug/cluster/rpc/__init__.py
@@ -0,0 +1,1 @@
+"""Remote procedure calls between nodes: framing, connections, messages."""
--- a/amberlug/cluster/belt/links.py
+++ b/amberlug/cluster/rpc/transport.py
@@ -11,8 +11,8 @@
 from absl import logging
 from result import Err, Ok
 
-from amberlug.cluster.belt.netstring import BadFrameError, Reader, pack
 from amberlug.cluster.interfaces import Json, Lost, Reply, Respond, Then
+from amberlug.cluster.rpc.framing import BadFrameError, Reader, pack
 
 DIAL_S = 0.7  # for a connection to come up
 USER_TIMEOUT_MS = 1500  # bytes unacknowledged for so long: a machine without power says nothing
--- a/benchmarks/hollow/net.py
+++ b/benchmarks/hollow/net.py
@@ -20,9 +20,9 @@
 
 from result import Err, Ok
 
-from amberlug.cluster.belt.netstring import Reader, pack
 from amberlug.cluster.interfaces import Called, Delivery, Json, Lost, Reply, Then, Verdict
 from amberlug.cluster.jig.clock import Clock, Timer
+from amberlug.cluster.rpc.framing import Reader, pack
 from amberlug.cluster.settings import Settings, Tolerance
 
 SYNC_S = 0.002
--- a/tests/cluster/test_belt.py
+++ b/tests/cluster/test_belt.py
@@ -5,9 +5,9 @@
 
 from result import Err, Result
 
-from amberlug.cluster.belt.links import Belt
-from amberlug.cluster.belt.netstring import MOST
 from amberlug.cluster.interfaces import Json, Lost, Reply, Respond
+from amberlug.cluster.rpc.framing import MOST
+from amberlug.cluster.rpc.transport import Belt
 
 
 def test_a_frame_that_is_too_long_is_an_outcome_and_the_connection_goes_on() -> None:
--- a/tests/cluster/test_endpoint_answers.py
+++ b/tests/cluster/test_endpoint_answers.py
@@ -11,7 +11,6 @@
 
 import pytest
 
-from amberlug.cluster.belt.links import Belt
 from amberlug.cluster.interfaces import Called, Delivery, Verdict
 from amberlug.cluster.jig.faults_answers import FAULTS
 from amberlug.cluster.lathe.caller import Caller
@@ -19,6 +18,7 @@
 from amberlug.cluster.lathe.message import Message
 from amberlug.cluster.lathe.service import SLACK_S, Service, judge
 from amberlug.cluster.process import AsyncWorld
+from amberlug.cluster.rpc.transport import Belt
 from amberlug.http.link import BODY_MOST
 from tests.cluster.wires import End, Loop, run
 
--- a/tests/cluster/test_internal_replies.py
+++ b/tests/cluster/test_internal_replies.py
@@ -7,10 +7,10 @@
 import pytest
 from result import Err, Ok, Result
 
-from amberlug.cluster.belt.links import DIAL_S, Belt
-from amberlug.cluster.belt.netstring import pack
 from amberlug.cluster.interfaces import Json, Lost, Reply, Respond
 from amberlug.cluster.jig.faults_answers import FAULTS
+from amberlug.cluster.rpc.framing import pack
+from amberlug.cluster.rpc.transport import DIAL_S, Belt
 from tests.cluster.wires import Loop, run
 
 ASKS = 60
