--- a/amberlug/cluster/consensus/storage.py
+++ b/amberlug/cluster/consensus/storage.py
@@ -9,9 +9,9 @@
 from pathlib import Path
 from typing import Any
 
-from amberlug.cluster.chest.cabinet import Cabinet, Row, open_file
 from amberlug.cluster.consensus.log import Saved, assemble
 from amberlug.cluster.interfaces import Json
+from amberlug.cluster.storage.group_commit import Cabinet, Row, open_file
 
 FORMAT = 1
 SCHEMA = """
--- a/amberlug/cluster/jig/deployment.py
+++ b/amberlug/cluster/jig/deployment.py
@@ -17,9 +17,9 @@
 from amberlug.cluster.jig.history import Broken, History, Place, What
 from amberlug.cluster.jig.network import Host, Life, LifeWorld, Network
 from amberlug.cluster.machine.edge import Edge
-from amberlug.cluster.machine.store import Store
 from amberlug.cluster.process import SPARE_S, STILL_SERVED_S
 from amberlug.cluster.settings import Settings, Tolerance
+from amberlug.cluster.storage.node import Store
 
 OUTSIDE_S = 0.001  # from outside to a machine, one way
 RESTART_S = 0.8
--- a/amberlug/cluster/jig/disk.py
+++ b/amberlug/cluster/jig/disk.py
@@ -8,14 +8,14 @@
 from functools import partial
 from typing import Any
 
-from amberlug.cluster.chest import drawer
-from amberlug.cluster.chest.drawer import Contents, Kept
 from amberlug.cluster.consensus import storage
 from amberlug.cluster.consensus.log import Saved, assemble
 from amberlug.cluster.interfaces import Json
 from amberlug.cluster.jig.clock import Clock
 from amberlug.cluster.jig.digest import BoundaryDigest
 from amberlug.cluster.jig.network import Life
+from amberlug.cluster.storage import message_store
+from amberlug.cluster.storage.message_store import Contents, Kept
 
 Row = tuple[str, tuple[Any, ...]]
 READ_S = 0.0005
@@ -164,7 +164,7 @@
         self.wipe()
 
     def execute(self, base: Any, rows: list[Row]) -> None:
-        drawer._work(base, rows)
+        message_store._work(base, rows)
 
     def wipe(self) -> None:
         self._disk, self._enrolled = f"{self.chance.getrandbits(64):x}", 0
--- a/amberlug/cluster/jig/faults_losses.py
+++ b/amberlug/cluster/jig/faults_losses.py
@@ -13,7 +13,7 @@
 from amberlug.cluster.lathe.shards import Shards
 from amberlug.cluster.lathe.spread import Spread
 from amberlug.cluster.machine.edge import Edge
-from amberlug.cluster.machine.store import Store
+from amberlug.cluster.storage.node import Store
 
 
 def _retire_short() -> AbstractContextManager[Any]:
--- a/amberlug/cluster/jig/mutants.py
+++ b/amberlug/cluster/jig/mutants.py
@@ -26,8 +26,8 @@
 from amberlug.cluster.lathe.spread import Put
 from amberlug.cluster.machine import edge
 from amberlug.cluster.machine.edge import Edge
-from amberlug.cluster.machine.store import Store
 from amberlug.cluster.settings import Settings
+from amberlug.cluster.storage.node import Store
 
 Mutant = Callable[[], AbstractContextManager[Any]]
 
--- a/amberlug/cluster/machine/views.py
+++ b/amberlug/cluster/machine/views.py
@@ -8,7 +8,7 @@
 
 if TYPE_CHECKING:
     from amberlug.cluster.machine.edge import Edge
-    from amberlug.cluster.machine.store import Store
+    from amberlug.cluster.storage.node import Store
 
 DEAD_MOST = 200  # messages on one page
 
--- a/amberlug/cluster/process.py
+++ b/amberlug/cluster/process.py
@@ -112,8 +112,8 @@
                 settings.control, lambda asked, answer: core.counter.take(asked, _saying(answer))
             )
         elif "storage" in settings.serves:
-            from amberlug.cluster.chest.drawer import open_drawer
-            from amberlug.cluster.machine.store import Store
+            from amberlug.cluster.storage.message_store import open_drawer
+            from amberlug.cluster.storage.node import Store
 
             assert folder is not None, "a store needs a dataDir"
             contents, drawer = open_drawer(folder, lambda: f"{world.chance.getrandbits(64):x}", post)
--- /dev/null
+++ b/amberlug/cluster/storage/__init__.py
@@ -0,0 +1,1 @@
+"""Storage nodes: durable messages with group commit."""
--- a/amberlug/cluster/chest/drawer.py
+++ b/amberlug/cluster/storage/message_store.py
@@ -10,8 +10,8 @@
 from pathlib import Path
 from typing import Any
 
-from amberlug.cluster.chest.cabinet import Cabinet, Row, open_file
 from amberlug.cluster.interfaces import Json
+from amberlug.cluster.storage.group_commit import Cabinet, Row, open_file
 
 FORMAT = 1
 SCHEMA = """
--- a/amberlug/cluster/machine/store.py
+++ b/amberlug/cluster/storage/node.py
@@ -7,13 +7,13 @@
 
 from absl import logging
 
-from amberlug.cluster.chest.cabinet import Row
-from amberlug.cluster.chest.drawer import Contents, Kept
 from amberlug.cluster.gossip.store import News
 from amberlug.cluster.interfaces import Disk, Json, Respond, World, on, words_of
 from amberlug.cluster.machine.member import Member, internal
 from amberlug.cluster.machine.views import StoreView
 from amberlug.cluster.settings import Settings
+from amberlug.cluster.storage.group_commit import Row
+from amberlug.cluster.storage.message_store import Contents, Kept
 
 SWEEP_S = 2.0  # between looks for ended messages that nobody asks for any more
 WITH_BODIES = 1 << 20  # bytes of bodies that go along with what a new owner reads
--- a/benchmarks/hollow/steps.py
+++ b/benchmarks/hollow/steps.py
@@ -15,7 +15,6 @@
 
 from result import Ok
 
-from amberlug.cluster.chest.drawer import Contents, Kept
 from amberlug.cluster.consensus.storage import open_shelf
 from amberlug.cluster.control.cluster_state import SHARDS, Book, digest
 from amberlug.cluster.control.config_validation import check, parse
@@ -31,8 +30,9 @@
 from amberlug.cluster.lathe.rack import Rack
 from amberlug.cluster.lathe.spread import Spread
 from amberlug.cluster.machine.edge import Edge
-from amberlug.cluster.machine.store import Store
 from amberlug.cluster.rpc.framing import pack
+from amberlug.cluster.storage.message_store import Contents, Kept
+from amberlug.cluster.storage.node import Store
 from benchmarks.hollow.deployment import STORES, ZONES, beat, config
 from benchmarks.hollow.figures import Figure, upto
 from benchmarks.hollow.net import HollowDisk, HollowNet, HollowWorld, Host, Prompt, processor, settings
--- a/tests/cluster/test_contact.py
+++ b/tests/cluster/test_contact.py
@@ -8,7 +8,6 @@
 from absl import logging
 from result import Ok
 
-from amberlug.cluster.chest.drawer import Kept
 from amberlug.cluster.consensus.log import Saved
 from amberlug.cluster.control.node import Core
 from amberlug.cluster.gossip import store
@@ -17,6 +16,7 @@
 from amberlug.cluster.jig.days import Day
 from amberlug.cluster.jig.deployment import Machine
 from amberlug.cluster.lathe.message import Message
+from amberlug.cluster.storage.message_store import Kept
 from tests.cluster.fakes import Alone, settings
 
 BEFORE_S, CUT_S, APPLY_S = 6.0, 20.0, 3.0
--- a/tests/cluster/test_recorded.py
+++ b/tests/cluster/test_recorded.py
@@ -11,9 +11,9 @@
 
 import pytest
 
-from amberlug.cluster.chest.drawer import open_drawer
 from amberlug.cluster.consensus.storage import open_shelf
 from amberlug.cluster.jig.digest import differences
+from amberlug.cluster.storage.message_store import open_drawer
 
 DATA = Path(__file__).parents[1] / "data"
 TABLES = {"core/vise.db": ("state", "log"), "storage/chest.db": ("about", "fence", "message")}
--- a/tests/cluster/test_shelf.py
+++ b/tests/cluster/test_shelf.py
@@ -7,12 +7,12 @@
 from collections.abc import Callable
 from pathlib import Path
 
-from amberlug.cluster.chest.cabinet import Cabinet
 from amberlug.cluster.consensus.log import Saved
 from amberlug.cluster.consensus.raft import Role, Vise
 from amberlug.cluster.consensus.storage import open_shelf
 from amberlug.cluster.interfaces import Json
 from amberlug.cluster.jig.clock import Clock
+from amberlug.cluster.storage.group_commit import Cabinet
 from tests.cluster.fakes import Alone
 
 ALONE: Json = {"a": {"addr": "a", "voter": True}}
--- a/tests/cluster/test_store.py
+++ b/tests/cluster/test_store.py
@@ -3,10 +3,10 @@
 from collections.abc import Callable
 from typing import Any
 
-from amberlug.cluster.chest.drawer import Contents
 from amberlug.cluster.interfaces import Json
 from amberlug.cluster.jig.clock import Clock
-from amberlug.cluster.machine.store import Store
+from amberlug.cluster.storage.message_store import Contents
+from amberlug.cluster.storage.node import Store
 from tests.cluster.fakes import Alone, settings
 
 Rows = list[tuple[str, tuple[Any, ...]]]
