--- a/amberlug/cluster/control/node.py
+++ b/amberlug/cluster/control/node.py
@@ -21,7 +21,7 @@
 from amberlug.cluster.gossip.store import News
 from amberlug.cluster.http.api import Asked, Counter, Said, Say, order
 from amberlug.cluster.interfaces import Disk, Json, Lost, Reply, Respond, World, on, words_of
-from amberlug.cluster.machine.member import internal
+from amberlug.cluster.session_client import internal
 from amberlug.cluster.settings import Settings
 
 DUTY_S = 0.1  # between looks at what is to be done while leading
--- a/amberlug/cluster/control/status.py
+++ b/amberlug/cluster/control/status.py
@@ -15,7 +15,7 @@
 from amberlug.cluster.control.sessions import Session
 from amberlug.cluster.http.api import Asked, Said, Say, order
 from amberlug.cluster.interfaces import Json, Lost, Reply, Respond, on
-from amberlug.cluster.machine.views import DEAD_MOST
+from amberlug.cluster.node_status import DEAD_MOST
 
 if TYPE_CHECKING:
     from amberlug.cluster.control.node import Core
--- /dev/null
+++ b/amberlug/cluster/edge/__init__.py
@@ -0,0 +1,1 @@
+"""Edge nodes: submission by clients, forwarding, dispatch to endpoints."""
--- a/amberlug/cluster/machine/edge.py
+++ b/amberlug/cluster/edge/node.py
@@ -20,8 +20,8 @@
 from amberlug.cluster.lathe.service import Service, judge
 from amberlug.cluster.lathe.shards import Shards, Taken
 from amberlug.cluster.lathe.spread import Spread
-from amberlug.cluster.machine.member import Member, internal
-from amberlug.cluster.machine.views import EdgeView
+from amberlug.cluster.node_status import EdgeView
+from amberlug.cluster.session_client import Member, internal
 from amberlug.cluster.settings import Settings
 
 MEND_S = 0.1  # between looks for messages that lack copies
--- a/amberlug/cluster/jig/faults_answers.py
+++ b/amberlug/cluster/jig/faults_answers.py
@@ -12,13 +12,13 @@
 
 from amberlug.cluster.consensus.raft import NotTaken
 from amberlug.cluster.control.node import Core
+from amberlug.cluster.edge import node
 from amberlug.cluster.hatch.server import Answer, _Reply
 from amberlug.cluster.interfaces import Called, Delivery, Json, Lost, Respond, Verdict
 from amberlug.cluster.lathe.caller import Caller
 from amberlug.cluster.lathe.message import Message
 from amberlug.cluster.lathe.service import Outcome, judge
 from amberlug.cluster.lathe.shards import Shards
-from amberlug.cluster.machine import edge
 from amberlug.cluster.rpc.transport import Belt, _Incoming, _Outgoing
 from amberlug.http.link import Link
 
@@ -155,7 +155,7 @@
         named = (("amberlug-attempt-id", message.attempt), *rest)
         return judge(message, Called(called.verdict, called.status, named), max_attempts)
 
-    with _answer_by_order(), patch.object(edge, "judge", believe):
+    with _answer_by_order(), patch.object(node, "judge", believe):
         yield
 
 
--- a/amberlug/cluster/jig/faults_cuts.py
+++ b/amberlug/cluster/jig/faults_cuts.py
@@ -14,7 +14,7 @@
 from amberlug.cluster.control.node import Core
 from amberlug.cluster.http.api import Asked, Said, Say
 from amberlug.cluster.interfaces import Json
-from amberlug.cluster.machine.member import Member
+from amberlug.cluster.session_client import Member
 
 Then = Callable[[Result[Json, NotTaken]], None]
 
--- a/amberlug/cluster/jig/mutants.py
+++ b/amberlug/cluster/jig/mutants.py
@@ -15,6 +15,8 @@
 from amberlug.cluster.control import node
 from amberlug.cluster.control.node import Core
 from amberlug.cluster.control.sessions import Session
+from amberlug.cluster.edge import node
+from amberlug.cluster.edge.node import Edge
 from amberlug.cluster.gossip.store import News
 from amberlug.cluster.hatch.routes import Routes
 from amberlug.cluster.http.api import Said, Say
@@ -24,8 +26,6 @@
 from amberlug.cluster.lathe.message import Message
 from amberlug.cluster.lathe.shards import Shards, Taken
 from amberlug.cluster.lathe.spread import Put
-from amberlug.cluster.machine import edge
-from amberlug.cluster.machine.edge import Edge
 from amberlug.cluster.settings import Settings
 from amberlug.cluster.storage.node import Store
 
@@ -109,12 +109,12 @@
 
 def _unclear_refused() -> AbstractContextManager[Any]:
     """A 503 after a write whose fate is open."""
-    end = edge._Offer._end
+    end = node._Offer._end
 
-    def refuse(self: edge._Offer, taken: Taken) -> None:
+    def refuse(self: node._Offer, taken: Taken) -> None:
         end(self, Taken.REFUSED if taken is Taken.UNCLEAR else taken)
 
-    return patch.object(edge._Offer, "_end", refuse)
+    return patch.object(node._Offer, "_end", refuse)
 
 
 def _forgotten_end() -> AbstractContextManager[Any]:
--- a/amberlug/cluster/machine/views.py
+++ b/amberlug/cluster/node_status.py
@@ -7,7 +7,7 @@
 from amberlug.cluster.interfaces import Json, Respond, on
 
 if TYPE_CHECKING:
-    from amberlug.cluster.machine.edge import Edge
+    from amberlug.cluster.edge.node import Edge
     from amberlug.cluster.storage.node import Store
 
 DEAD_MOST = 200  # messages on one page
--- a/amberlug/cluster/process.py
+++ b/amberlug/cluster/process.py
@@ -123,8 +123,8 @@
             await self._build_edge(world)
 
     async def _build_edge(self, world: AsyncWorld) -> None:
+        from amberlug.cluster.edge.node import Edge
         from amberlug.cluster.lathe.caller import Caller
-        from amberlug.cluster.machine.edge import Edge
 
         caller = Caller()
         edge = self.machine = Edge(world, self.settings, self.belt.address, caller)
--- a/amberlug/cluster/storage/node.py
+++ b/amberlug/cluster/storage/node.py
@@ -9,8 +9,8 @@
 
 from amberlug.cluster.gossip.store import News
 from amberlug.cluster.interfaces import Disk, Json, Respond, World, on, words_of
-from amberlug.cluster.machine.member import Member, internal
-from amberlug.cluster.machine.views import StoreView
+from amberlug.cluster.node_status import StoreView
+from amberlug.cluster.session_client import Member, internal
 from amberlug.cluster.settings import Settings
 from amberlug.cluster.storage.group_commit import Row
 from amberlug.cluster.storage.message_store import Contents, Kept
