--- /dev/null
+++ b/amberlug/cluster/dispatch/__init__.py
@@ -0,0 +1,1 @@
+"""Dispatch of messages: shard ownership, replication, delivery queues, endpoint pools."""
--- a/amberlug/cluster/lathe/rack.py
+++ b/amberlug/cluster/dispatch/delivery_queue.py
@@ -7,8 +7,8 @@
 import itertools
 from collections.abc import Callable
 
+from amberlug.cluster.dispatch.message import Message
 from amberlug.cluster.interfaces import Handle, World
-from amberlug.cluster.lathe.message import Message
 
 
 class Rack:
--- a/amberlug/cluster/lathe/service.py
+++ b/amberlug/cluster/dispatch/dispatcher.py
@@ -8,9 +8,9 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
+from amberlug.cluster.dispatch.endpoint_pool import FULL_S, Endpoint, Pool
+from amberlug.cluster.dispatch.message import Message
 from amberlug.cluster.interfaces import Called, Delivery, Endpoints, Handle, Verdict, World
-from amberlug.cluster.lathe.endpoints import FULL_S, Endpoint, Pool
-from amberlug.cluster.lathe.message import Message
 from amberlug.core.usual import message_class, settings
 from amberlug.policy.account import SECOND, WINDOW_US, Account
 from amberlug.policy.interface import Effect
--- a/amberlug/cluster/lathe/spread.py
+++ b/amberlug/cluster/dispatch/replicator.py
@@ -9,8 +9,8 @@
 
 from result import Err, Ok, Result
 
+from amberlug.cluster.dispatch.message import Message
 from amberlug.cluster.interfaces import Handle, Json, Lost, Reply, World
-from amberlug.cluster.lathe.message import Message
 from amberlug.cluster.settings import Tolerance
 
 HEDGE_S = 0.03  # for a store to answer until a further one is asked as well
--- a/amberlug/cluster/lathe/shards.py
+++ b/amberlug/cluster/dispatch/shard_owner.py
@@ -10,9 +10,9 @@
 from absl import logging
 from result import Ok, Result
 
+from amberlug.cluster.dispatch.message import Message, read
+from amberlug.cluster.dispatch.replicator import Put, Spread
 from amberlug.cluster.interfaces import Json, Lost, Reply, Respond, World, on
-from amberlug.cluster.lathe.message import Message, read
-from amberlug.cluster.lathe.spread import Put, Spread
 
 FENCE_S = 0.6  # for a store to answer a fence
 AGAIN_S = 0.25  # until those that did not are asked again
--- a/amberlug/cluster/edge/node.py
+++ b/amberlug/cluster/edge/node.py
@@ -10,16 +10,16 @@
 from result import Err, Ok, Result
 
 from amberlug.cluster.control.cluster_state import SHARDS
+from amberlug.cluster.dispatch.delivery_queue import Rack
+from amberlug.cluster.dispatch.dispatcher import Service, judge
+from amberlug.cluster.dispatch.endpoint_pool import Pool
+from amberlug.cluster.dispatch.message import Message, name_of, read, shard_in, shard_of
+from amberlug.cluster.dispatch.replicator import Spread
+from amberlug.cluster.dispatch.shard_owner import Shards, Taken
 from amberlug.cluster.gossip.store import News
 from amberlug.cluster.hatch.routes import Route, Routes, build
 from amberlug.cluster.http.api import Asked, Counter, Said, Say, order
 from amberlug.cluster.interfaces import Called, Endpoints, Json, Lost, Reply, Respond, World, on, words_of
-from amberlug.cluster.lathe.endpoints import Pool
-from amberlug.cluster.lathe.message import Message, name_of, read, shard_in, shard_of
-from amberlug.cluster.lathe.rack import Rack
-from amberlug.cluster.lathe.service import Service, judge
-from amberlug.cluster.lathe.shards import Shards, Taken
-from amberlug.cluster.lathe.spread import Spread
 from amberlug.cluster.node_status import EdgeView
 from amberlug.cluster.session_client import Member, internal
 from amberlug.cluster.settings import Settings
--- a/amberlug/cluster/jig/endpoints.py
+++ b/amberlug/cluster/jig/endpoints.py
@@ -8,10 +8,10 @@
 from functools import partial
 from typing import TYPE_CHECKING
 
+from amberlug.cluster.dispatch.endpoint_client import Caller as RealCaller
 from amberlug.cluster.interfaces import Called, Delivery, Verdict
 from amberlug.cluster.jig.history import Run
 from amberlug.cluster.jig.network import Life
-from amberlug.cluster.lathe.caller import Caller as RealCaller
 from amberlug.http.link import Reply
 
 if TYPE_CHECKING:
--- a/amberlug/cluster/jig/faults_answers.py
+++ b/amberlug/cluster/jig/faults_answers.py
@@ -12,13 +12,13 @@
 
 from amberlug.cluster.consensus.raft import NotTaken
 from amberlug.cluster.control.node import Core
+from amberlug.cluster.dispatch.dispatcher import Outcome, judge
+from amberlug.cluster.dispatch.endpoint_client import Caller
+from amberlug.cluster.dispatch.message import Message
+from amberlug.cluster.dispatch.shard_owner import Shards
 from amberlug.cluster.edge import node
 from amberlug.cluster.hatch.server import Answer, _Reply
 from amberlug.cluster.interfaces import Called, Delivery, Json, Lost, Respond, Verdict
-from amberlug.cluster.lathe.caller import Caller
-from amberlug.cluster.lathe.message import Message
-from amberlug.cluster.lathe.service import Outcome, judge
-from amberlug.cluster.lathe.shards import Shards
 from amberlug.cluster.rpc.transport import Belt, _Incoming, _Outgoing
 from amberlug.http.link import Link
 
--- a/amberlug/cluster/jig/faults_losses.py
+++ b/amberlug/cluster/jig/faults_losses.py
@@ -9,10 +9,10 @@
 
 from amberlug.cluster.control.node import Core
 from amberlug.cluster.control.sessions import Session
+from amberlug.cluster.dispatch.replicator import Spread
+from amberlug.cluster.dispatch.shard_owner import Shards
 from amberlug.cluster.edge.node import Edge
 from amberlug.cluster.interfaces import Json
-from amberlug.cluster.lathe.shards import Shards
-from amberlug.cluster.lathe.spread import Spread
 from amberlug.cluster.storage.node import Store
 
 
--- a/amberlug/cluster/jig/mutants.py
+++ b/amberlug/cluster/jig/mutants.py
@@ -15,6 +15,10 @@
 from amberlug.cluster.control import node
 from amberlug.cluster.control.node import Core
 from amberlug.cluster.control.sessions import Session
+from amberlug.cluster.dispatch import replicator
+from amberlug.cluster.dispatch.message import Message
+from amberlug.cluster.dispatch.replicator import Put
+from amberlug.cluster.dispatch.shard_owner import Shards, Taken
 from amberlug.cluster.edge import node
 from amberlug.cluster.edge.node import Edge
 from amberlug.cluster.gossip.store import News
@@ -22,10 +26,6 @@
 from amberlug.cluster.http.api import Said, Say
 from amberlug.cluster.interfaces import Called, Json, Lost, Reply
 from amberlug.cluster.jig import faults_answers, faults_cuts, faults_frames, faults_losses, faults_seats
-from amberlug.cluster.lathe import spread
-from amberlug.cluster.lathe.message import Message
-from amberlug.cluster.lathe.shards import Shards, Taken
-from amberlug.cluster.lathe.spread import Put
 from amberlug.cluster.settings import Settings
 from amberlug.cluster.storage.node import Store
 
@@ -34,16 +34,16 @@
 
 def _first_sync() -> AbstractContextManager[Any]:
     """202 before the second sync."""
-    hear = spread._Putting._hear
+    hear = replicator._Putting._hear
 
-    def first(self: spread._Putting, name: str, reply: Result[Reply, Lost]) -> None:
+    def first(self: replicator._Putting, name: str, reply: Result[Reply, Lost]) -> None:
         if isinstance(reply, Ok) and reply.ok_value.body.get("ok"):
             self.message.holders.add(name)
             self._end(Put.HELD)
         else:
             hear(self, name, reply)
 
-    return patch.object(spread._Putting, "_hear", first)
+    return patch.object(replicator._Putting, "_hear", first)
 
 
 def _old_vote() -> AbstractContextManager[Any]:
--- a/amberlug/cluster/process.py
+++ b/amberlug/cluster/process.py
@@ -123,8 +123,8 @@
             await self._build_edge(world)
 
     async def _build_edge(self, world: AsyncWorld) -> None:
+        from amberlug.cluster.dispatch.endpoint_client import Caller
         from amberlug.cluster.edge.node import Edge
-        from amberlug.cluster.lathe.caller import Caller
 
         caller = Caller()
         edge = self.machine = Edge(world, self.settings, self.belt.address, caller)
--- a/benchmarks/hollow/steps.py
+++ b/benchmarks/hollow/steps.py
@@ -22,14 +22,14 @@
 from amberlug.cluster.control.node import Core, blank
 from amberlug.cluster.control.sessions import Sessions
 from amberlug.cluster.control.shard_assignment import share_out
+from amberlug.cluster.dispatch.delivery_queue import Rack
+from amberlug.cluster.dispatch.endpoint_pool import Pool
+from amberlug.cluster.dispatch.message import Message
+from amberlug.cluster.dispatch.replicator import Spread
 from amberlug.cluster.edge.node import Edge
 from amberlug.cluster.gossip.store import News
 from amberlug.cluster.hatch.routes import build
 from amberlug.cluster.interfaces import Json
-from amberlug.cluster.lathe.endpoints import Pool
-from amberlug.cluster.lathe.message import Message
-from amberlug.cluster.lathe.rack import Rack
-from amberlug.cluster.lathe.spread import Spread
 from amberlug.cluster.rpc.framing import pack
 from amberlug.cluster.storage.message_store import Contents, Kept
 from amberlug.cluster.storage.node import Store
--- a/tests/cluster/test_contact.py
+++ b/tests/cluster/test_contact.py
@@ -10,12 +10,12 @@
 
 from amberlug.cluster.consensus.log import Saved
 from amberlug.cluster.control.node import Core
+from amberlug.cluster.dispatch.message import Message
 from amberlug.cluster.gossip import store
 from amberlug.cluster.interfaces import Reply
 from amberlug.cluster.jig.clock import Clock
 from amberlug.cluster.jig.days import Day
 from amberlug.cluster.jig.deployment import Machine
-from amberlug.cluster.lathe.message import Message
 from amberlug.cluster.storage.message_store import Kept
 from tests.cluster.fakes import Alone, settings
 
--- a/tests/cluster/test_edge.py
+++ b/tests/cluster/test_edge.py
@@ -3,13 +3,13 @@
 from collections.abc import Callable
 from functools import partial
 
+from amberlug.cluster.dispatch.message import Message
 from amberlug.cluster.edge.node import Edge
 from amberlug.cluster.interfaces import Called, Delivery
 from amberlug.cluster.jig.clients import HOST
 from amberlug.cluster.jig.clock import Clock
 from amberlug.cluster.jig.days import Day
 from amberlug.cluster.jig.deployment import Request
-from amberlug.cluster.lathe.message import Message
 from tests.cluster.fakes import Alone, settings
 
 
--- a/tests/cluster/test_endpoint_answers.py
+++ b/tests/cluster/test_endpoint_answers.py
@@ -11,12 +11,12 @@
 
 import pytest
 
+from amberlug.cluster.dispatch.dispatcher import SLACK_S, Service, judge
+from amberlug.cluster.dispatch.endpoint_client import Caller
+from amberlug.cluster.dispatch.endpoint_pool import Pool
+from amberlug.cluster.dispatch.message import Message
 from amberlug.cluster.interfaces import Called, Delivery, Verdict
 from amberlug.cluster.jig.faults_answers import FAULTS
-from amberlug.cluster.lathe.caller import Caller
-from amberlug.cluster.lathe.endpoints import Pool
-from amberlug.cluster.lathe.message import Message
-from amberlug.cluster.lathe.service import SLACK_S, Service, judge
 from amberlug.cluster.process import AsyncWorld
 from amberlug.cluster.rpc.transport import Belt
 from amberlug.http.link import BODY_MOST
--- a/tests/cluster/test_found.py
+++ b/tests/cluster/test_found.py
@@ -6,9 +6,9 @@
 import pytest
 from absl import logging
 
+from amberlug.cluster.dispatch.message import Message
 from amberlug.cluster.jig.days import TRAFFIC_S, Day
 from amberlug.cluster.jig.history import Broken
-from amberlug.cluster.lathe.message import Message
 
 
 @pytest.fixture(autouse=True)
--- a/tests/cluster/test_killed_steps.py
+++ b/tests/cluster/test_killed_steps.py
@@ -6,9 +6,9 @@
 import pytest
 from absl import logging
 
+from amberlug.cluster.dispatch.replicator import Put, Spread
 from amberlug.cluster.jig.days import TRAFFIC_S, Day
 from amberlug.cluster.jig.history import Broken
-from amberlug.cluster.lathe.spread import Put, Spread
 
 STEPS_MS = (
     0,
--- a/tests/cluster/test_measured.py
+++ b/tests/cluster/test_measured.py
@@ -6,13 +6,13 @@
 import pytest
 
 from amberlug.cluster.control.shard_assignment import share_out
+from amberlug.cluster.dispatch.dispatcher import Service
+from amberlug.cluster.dispatch.endpoint_pool import Pool
+from amberlug.cluster.dispatch.message import Message
 from amberlug.cluster.hatch.server import Answer, Limits, Server
 from amberlug.cluster.interfaces import Called, Delivery, Verdict
 from amberlug.cluster.jig.clock import Clock
 from amberlug.cluster.jig.network import Host, Life, LifeWorld, Network
-from amberlug.cluster.lathe.endpoints import Pool
-from amberlug.cluster.lathe.message import Message
-from amberlug.cluster.lathe.service import Service
 from tests.cluster.test_rates import OneEndpoint
 
 
--- a/tests/cluster/test_rack.py
+++ b/tests/cluster/test_rack.py
@@ -2,10 +2,10 @@
 
 import random
 
+from amberlug.cluster.dispatch.delivery_queue import Rack
+from amberlug.cluster.dispatch.message import Message
 from amberlug.cluster.jig.clock import Clock
 from amberlug.cluster.jig.network import Host, Life, LifeWorld, Network
-from amberlug.cluster.lathe.message import Message
-from amberlug.cluster.lathe.rack import Rack
 
 
 def message(name: str, number: int) -> Message:
--- a/tests/cluster/test_rates.py
+++ b/tests/cluster/test_rates.py
@@ -4,12 +4,12 @@
 from collections.abc import Callable
 from functools import partial
 
+from amberlug.cluster.dispatch.dispatcher import Service
+from amberlug.cluster.dispatch.endpoint_pool import Pool
+from amberlug.cluster.dispatch.message import Message
 from amberlug.cluster.interfaces import Called, Delivery, Verdict
 from amberlug.cluster.jig.clock import Clock
 from amberlug.cluster.jig.network import Host, Life, LifeWorld, Network
-from amberlug.cluster.lathe.endpoints import Pool
-from amberlug.cluster.lathe.message import Message
-from amberlug.cluster.lathe.service import Service
 
 
 class OneEndpoint:
--- a/tests/cluster/test_shards.py
+++ b/tests/cluster/test_shards.py
@@ -2,11 +2,11 @@
 
 from result import Err, Ok
 
+from amberlug.cluster.dispatch.message import Message
+from amberlug.cluster.dispatch.replicator import Spread
+from amberlug.cluster.dispatch.shard_owner import Shards, Taken
 from amberlug.cluster.interfaces import Json, Lost, Reply
 from amberlug.cluster.jig.clock import Clock
-from amberlug.cluster.lathe.message import Message
-from amberlug.cluster.lathe.shards import Shards, Taken
-from amberlug.cluster.lathe.spread import Spread
 from amberlug.cluster.settings import Tolerance
 from tests.cluster.fakes import Alone
 
--- a/tests/cluster/test_unclear_asks.py
+++ b/tests/cluster/test_unclear_asks.py
@@ -6,14 +6,14 @@
 from result import Err, Ok
 
 from amberlug.cluster.control.node import Core, blank
+from amberlug.cluster.dispatch.message import Message
+from amberlug.cluster.dispatch.shard_owner import Taken
 from amberlug.cluster.edge.node import Edge, _Offer
 from amberlug.cluster.http.api import Said
 from amberlug.cluster.interfaces import Json, Lost, Reply, Then
 from amberlug.cluster.jig.clock import Clock
 from amberlug.cluster.jig.deployment import Request
 from amberlug.cluster.jig.faults_answers import FAULTS
-from amberlug.cluster.lathe.message import Message
-from amberlug.cluster.lathe.shards import Taken
 from tests.cluster.fakes import Alone, settings
 from tests.cluster.test_core import Fast
 from tests.cluster.test_edge import Nowhere
