--- a/amberlug/cluster/edge/node.py
+++ b/amberlug/cluster/edge/node.py
@@ -17,8 +17,8 @@
 from amberlug.cluster.dispatch.replicator import Spread
 from amberlug.cluster.dispatch.shard_owner import Shards, Taken
 from amberlug.cluster.gossip.store import News
-from amberlug.cluster.hatch.routes import Route, Routes, build
 from amberlug.cluster.http.api import Asked, Counter, Said, Say, order
+from amberlug.cluster.http.routing import Route, Routes, build
 from amberlug.cluster.interfaces import Called, Endpoints, Json, Lost, Reply, Respond, World, on, words_of
 from amberlug.cluster.node_status import EdgeView
 from amberlug.cluster.session_client import Member, internal
--- a/amberlug/cluster/hatch/__init__.py
+++ /dev/null
@@ -1,1 +0,0 @@
-"""The hatch: where clients, readiness probes and control calls come in."""
--- a/amberlug/cluster/jig/faults_answers.py
+++ b/amberlug/cluster/jig/faults_answers.py
@@ -17,7 +17,7 @@
 from amberlug.cluster.dispatch.message import Message
 from amberlug.cluster.dispatch.shard_owner import Shards
 from amberlug.cluster.edge import node
-from amberlug.cluster.hatch.server import Answer, _Reply
+from amberlug.cluster.http.server import Answer, _Reply
 from amberlug.cluster.interfaces import Called, Delivery, Json, Lost, Respond, Verdict
 from amberlug.cluster.rpc.transport import Belt, _Incoming, _Outgoing
 from amberlug.http.link import Link
--- a/amberlug/cluster/jig/mutants.py
+++ b/amberlug/cluster/jig/mutants.py
@@ -22,8 +22,8 @@
 from amberlug.cluster.edge import node
 from amberlug.cluster.edge.node import Edge
 from amberlug.cluster.gossip.store import News
-from amberlug.cluster.hatch.routes import Routes
 from amberlug.cluster.http.api import Said, Say
+from amberlug.cluster.http.routing import Routes
 from amberlug.cluster.interfaces import Called, Json, Lost, Reply
 from amberlug.cluster.jig import faults_answers, faults_cuts, faults_frames, faults_losses, faults_seats
 from amberlug.cluster.settings import Settings
--- a/amberlug/cluster/process.py
+++ b/amberlug/cluster/process.py
@@ -17,8 +17,8 @@
 from result import Err
 
 from amberlug.cluster import settings as told
-from amberlug.cluster.hatch.server import Answer, Limits, Request, Server
 from amberlug.cluster.http.api import Said, pack
+from amberlug.cluster.http.server import Answer, Limits, Request, Server
 from amberlug.cluster.interfaces import Handle, Json, Respond, Then
 from amberlug.cluster.metrics import PATH, page
 from amberlug.cluster.rpc.transport import Belt
--- a/amberlug/cluster/standin/endpoint.py
+++ b/amberlug/cluster/standin/endpoint.py
@@ -9,7 +9,7 @@
 
 from result import Ok
 
-from amberlug.cluster.hatch.server import Answer, Limits, Request, Server
+from amberlug.cluster.http.server import Answer, Limits, Request, Server
 from amberlug.cluster.standin.asking import ask
 
 BEAT_S = 0.5
--- a/benchmarks/hollow/steps.py
+++ b/benchmarks/hollow/steps.py
@@ -28,7 +28,7 @@
 from amberlug.cluster.dispatch.replicator import Spread
 from amberlug.cluster.edge.node import Edge
 from amberlug.cluster.gossip.store import News
-from amberlug.cluster.hatch.routes import build
+from amberlug.cluster.http.routing import build
 from amberlug.cluster.interfaces import Json
 from amberlug.cluster.rpc.framing import pack
 from amberlug.cluster.storage.message_store import Contents, Kept
--- a/tests/cluster/test_client_answers.py
+++ b/tests/cluster/test_client_answers.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from amberlug.cluster.hatch.server import Answer, Limits, Request, Server
+from amberlug.cluster.http.server import Answer, Limits, Request, Server
 from amberlug.cluster.jig.faults_answers import FAULTS
 from tests.cluster.wires import End, Loop, run
 
--- a/tests/cluster/test_hatch_server.py
+++ b/tests/cluster/test_hatch_server.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from amberlug.cluster.hatch.server import Answer, Limits, Request, Server
+from amberlug.cluster.http.server import Answer, Limits, Request, Server
 
 Reply = Callable[[Answer], None]
 SMALL = Limits(header_bytes=400, body_bytes=100, header_s=20.0, idle_s=20.0)
--- a/tests/cluster/test_measured.py
+++ b/tests/cluster/test_measured.py
@@ -9,7 +9,7 @@
 from amberlug.cluster.dispatch.dispatcher import Service
 from amberlug.cluster.dispatch.endpoint_pool import Pool
 from amberlug.cluster.dispatch.message import Message
-from amberlug.cluster.hatch.server import Answer, Limits, Server
+from amberlug.cluster.http.server import Answer, Limits, Server
 from amberlug.cluster.interfaces import Called, Delivery, Verdict
 from amberlug.cluster.jig.clock import Clock
 from amberlug.cluster.jig.network import Host, Life, LifeWorld, Network
