--- a/amberlug/cluster/__main__.py
+++ b/amberlug/cluster/__main__.py
@@ -16,7 +16,7 @@
     """Imports a command's module only once it is asked for, so that `run` starts without them."""
 
     LATER: ClassVar = {
-        "foreman": "amberlug.cluster.foreman.commands:foreman",
+        "foreman": "amberlug.cluster.admin.commands:foreman",
         "stand-in": "amberlug.cluster.standin.commands:stand_in",
         "try": "amberlug.cluster.standin.commands:trial",
     }
--- /dev/null
+++ b/amberlug/cluster/admin/__init__.py
@@ -0,0 +1,1 @@
+"""The operators' command-line client of a deployment."""
--- a/amberlug/cluster/foreman/commands.py
+++ b/amberlug/cluster/admin/commands.py
@@ -14,9 +14,9 @@
 import click
 from result import Err, Ok, Result
 
-from amberlug.cluster.foreman.files import check_deploy, check_settings, differences, read_config
-from amberlug.cluster.foreman.show import status_lines
-from amberlug.cluster.foreman.wire import Call, Told, ask, hand_in, insist
+from amberlug.cluster.admin.client import Call, Told, ask, hand_in, insist
+from amberlug.cluster.admin.files import check_deploy, check_settings, differences, read_config
+from amberlug.cluster.admin.rendering import status_lines
 from amberlug.cluster.interfaces import Json
 
 DONE, REFUSED, BAD, UNCLEAR = 0, 1, 2, 3
--- a/tests/cluster/test_foreman.py
+++ b/tests/cluster/test_foreman.py
@@ -15,10 +15,10 @@
 from result import Err, Ok
 
 from amberlug.cluster.__main__ import cli
+from amberlug.cluster.admin.commands import BAD, DONE, REFUSED, UNCLEAR
+from amberlug.cluster.admin.files import check_deploy, check_settings, differences
 from amberlug.cluster.control.node import Core, blank
 from amberlug.cluster.control.status import merged
-from amberlug.cluster.foreman.commands import BAD, DONE, REFUSED, UNCLEAR
-from amberlug.cluster.foreman.files import check_deploy, check_settings, differences
 from amberlug.cluster.interfaces import Json, Lost, Reply, Then
 from amberlug.cluster.metrics import page
 from amberlug.cluster.settings import read_file
