--- a/amberlug/cluster/__main__.py
+++ b/amberlug/cluster/__main__.py
@@ -17,8 +17,8 @@
 
     LATER: ClassVar = {
         "foreman": "amberlug.cluster.admin.commands:foreman",
-        "stand-in": "amberlug.cluster.standin.commands:stand_in",
-        "try": "amberlug.cluster.standin.commands:trial",
+        "stand-in": "amberlug.cluster.local_deployment.commands:stand_in",
+        "try": "amberlug.cluster.local_deployment.commands:trial",
     }
 
     def list_commands(self, ctx: click.Context) -> list[str]:
--- /dev/null
+++ b/amberlug/cluster/local_deployment/__init__.py
@@ -0,0 +1,1 @@
+"""A small deployment with fake endpoints as processes on loopback."""
--- a/amberlug/cluster/standin/commands.py
+++ b/amberlug/cluster/local_deployment/commands.py
@@ -14,9 +14,9 @@
 
 import click
 
-from amberlug.cluster.standin.deployment import free_net
-from amberlug.cluster.standin.endpoint import StandIn
-from amberlug.cluster.standin.trial import Tale, play
+from amberlug.cluster.local_deployment.deployment import free_net
+from amberlug.cluster.local_deployment.fake_endpoint import StandIn
+from amberlug.cluster.local_deployment.trial import Tale, play
 
 ENDED = 130  # as shells say of a command that Ctrl-C ended
 
--- a/amberlug/cluster/standin/deployment.py
+++ b/amberlug/cluster/local_deployment/deployment.py
@@ -18,8 +18,8 @@
 from result import Ok
 
 from amberlug.cluster.interfaces import Json
+from amberlug.cluster.local_deployment.queries import ask
 from amberlug.cluster.settings import VARIABLE
-from amberlug.cluster.standin.asking import ask
 
 FRONT, READINESS, CONTROL, INTERNAL, ENDPOINT = 8263, 8268, 8262, (7300, 7315), 8080
 ZONES = {"north": "valley", "south": "valley"}
--- a/amberlug/cluster/standin/endpoint.py
+++ b/amberlug/cluster/local_deployment/fake_endpoint.py
@@ -10,7 +10,7 @@
 from result import Ok
 
 from amberlug.cluster.http.server import Answer, Limits, Request, Server
-from amberlug.cluster.standin.asking import ask
+from amberlug.cluster.local_deployment.queries import ask
 
 BEAT_S = 0.5
 WAITING_MOST = 8  # messages that wait for a slot
--- a/amberlug/cluster/standin/trial.py
+++ b/amberlug/cluster/local_deployment/trial.py
@@ -14,9 +14,9 @@
 from result import Err, Ok
 
 from amberlug.cluster.interfaces import Json, Lost
-from amberlug.cluster.standin.asking import ask
-from amberlug.cluster.standin.deployment import ENDPOINT, HOST, SERVICES, Deployment, config
-from amberlug.cluster.standin.endpoint import POISON, Run, StandIn
+from amberlug.cluster.local_deployment.deployment import ENDPOINT, HOST, SERVICES, Deployment, config
+from amberlug.cluster.local_deployment.fake_endpoint import POISON, Run, StandIn
+from amberlug.cluster.local_deployment.queries import ask
 
 ENDPOINTS = 2  # of each service
 KEYS = 5  # things whose messages go in sequence
--- a/benchmarks/core_away.py
+++ b/benchmarks/core_away.py
@@ -21,8 +21,8 @@
 from result import Ok, Result
 
 from amberlug.cluster.interfaces import Json, Lost
-from amberlug.cluster.standin.asking import ask
-from amberlug.cluster.standin.deployment import CONTROL, Deployment, Machine, config, free_net
+from amberlug.cluster.local_deployment.deployment import CONTROL, Deployment, Machine, config, free_net
+from amberlug.cluster.local_deployment.queries import ask
 from amberlug.http.link import Reply
 
 ROUTE_BYTES = 275  # of one route, about
--- a/tests/cluster/test_foreman.py
+++ b/tests/cluster/test_foreman.py
@@ -20,11 +20,11 @@
 from amberlug.cluster.control.node import Core, blank
 from amberlug.cluster.control.status import merged
 from amberlug.cluster.interfaces import Json, Lost, Reply, Then
+from amberlug.cluster.local_deployment.deployment import Deployment, config
+from amberlug.cluster.local_deployment.fake_endpoint import Run
+from amberlug.cluster.local_deployment.trial import Sent, Tale, play
 from amberlug.cluster.metrics import page
 from amberlug.cluster.settings import read_file
-from amberlug.cluster.standin.deployment import Deployment, config
-from amberlug.cluster.standin.endpoint import Run
-from amberlug.cluster.standin.trial import Sent, Tale, play
 from tests.rig import ROOT
 
 # -- what a control relay answers
