--- /dev/null
+++ b/amberlug/cluster/simulation/__init__.py
@@ -0,0 +1,1 @@
+"""Deterministic simulation of whole deployments in virtual time."""
--- a/amberlug/cluster/jig/__main__.py
+++ b/amberlug/cluster/simulation/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m amberlug.cluster.jig`: play a day and tell what happened, or hunt through many."""
+"""`python -m amberlug.cluster.simulation`: play a day and tell what happened, or hunt through many."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 import click
 from absl import logging
 
-from amberlug.cluster.jig.days import Day
-from amberlug.cluster.jig.digest import differences, measure, record_frames, write_record
-from amberlug.cluster.jig.explore import CHANGES, STARTS, explore, old_self, stranger
-from amberlug.cluster.jig.hunt import hunt
-from amberlug.cluster.jig.mutants import MUTANTS, mutated
+from amberlug.cluster.simulation.boundary_digest import differences, measure, record_frames, write_record
+from amberlug.cluster.simulation.model_checker import CHANGES, STARTS, explore, old_self, stranger
+from amberlug.cluster.simulation.mutations import MUTANTS, mutated
+from amberlug.cluster.simulation.scenarios import Day
+from amberlug.cluster.simulation.seed_search import hunt
 
 AIM = click.option("--aim", default="", help="Kind of trouble that the days are drawn from.")
 FRAME_AIMS = ("", "control", "footing", "losses-stores", "answers", "core")
--- a/amberlug/cluster/jig/digest.py
+++ b/amberlug/cluster/simulation/boundary_digest.py
@@ -90,7 +90,7 @@
 
 def play_day(day: tuple[int, str]) -> PlayedDay:
     """Play the day of a seed and an aim, and digest it."""
-    from amberlug.cluster.jig.days import Day
+    from amberlug.cluster.simulation.scenarios import Day
 
     logging.set_verbosity(logging.FATAL)
     seed, aim = day
@@ -109,7 +109,7 @@
 
 def explore_one(name: str, depth: int) -> tuple[str, int, int, str]:
     """Explore one start: its name, the states and steps looked at, and what was found."""
-    from amberlug.cluster.jig.explore import CHANGES, STARTS, explore
+    from amberlug.cluster.simulation.model_checker import CHANGES, STARTS, explore
 
     logging.set_verbosity(logging.FATAL)
     starts = STARTS | {name: start for name, (start, _) in CHANGES.items()}
@@ -119,7 +119,7 @@
 
 def explore_recorded(jobs: int) -> Iterator[tuple[str, int, int, str]]:
     """Explore every start to the depth that is kept on record."""
-    from amberlug.cluster.jig.explore import CHANGES, STARTS
+    from amberlug.cluster.simulation.model_checker import CHANGES, STARTS
 
     names = [*STARTS, *CHANGES]
     depths = [min(EXPLORED_DEPTH, CHANGES[name][1]) if name in CHANGES else EXPLORED_DEPTH for name in names]
@@ -163,7 +163,7 @@
 
 def record_frames(days: list[tuple[int, str]]) -> dict[str, dict[str, str]]:
     """The shortest frame of each kind that these days send: its body as JSON text and its blob in hex."""
-    from amberlug.cluster.jig.days import Day
+    from amberlug.cluster.simulation.scenarios import Day
 
     found: dict[str, dict[str, str]] = {}
 
--- a/amberlug/cluster/jig/clients.py
+++ b/amberlug/cluster/simulation/clients.py
@@ -6,9 +6,9 @@
 from dataclasses import dataclass
 from typing import Any
 
-from amberlug.cluster.jig.deployment import CLOSED, REFUSED, Deployment, Machine, Request
-from amberlug.cluster.jig.history import Sent, Standing
-from amberlug.cluster.jig.network import Life
+from amberlug.cluster.simulation.deployment import CLOSED, REFUSED, Deployment, Machine, Request
+from amberlug.cluster.simulation.history import Sent, Standing
+from amberlug.cluster.simulation.network import Life
 
 DEADLINE_S = 1.5
 PATIENCE_S = 0.3  # beyond the deadline, until a connection is closed
--- a/amberlug/cluster/jig/control.py
+++ b/amberlug/cluster/simulation/control_faults.py
@@ -7,11 +7,11 @@
 from functools import partial
 from typing import TYPE_CHECKING
 
-from amberlug.cluster.jig.deployment import BOUNDS, RESTART_S, Machine
-from amberlug.cluster.jig.history import What
+from amberlug.cluster.simulation.deployment import BOUNDS, RESTART_S, Machine
+from amberlug.cluster.simulation.history import What
 
 if TYPE_CHECKING:
-    from amberlug.cluster.jig.days import Day
+    from amberlug.cluster.simulation.scenarios import Day
 
 CUT_S = (2.0, 4.0, 8.0, 14.0, 20.0, 25.0)
 DOWN_S = (0.3, 0.8, 1.2)  # a machine that is restarted is down for so long
--- a/amberlug/cluster/jig/deployment.py
+++ b/amberlug/cluster/simulation/deployment.py
@@ -12,13 +12,13 @@
 from amberlug.cluster.edge.node import Edge
 from amberlug.cluster.http.api import Said
 from amberlug.cluster.interfaces import Json, Lost
-from amberlug.cluster.jig.clock import Clock
-from amberlug.cluster.jig.disk import Chest, DiskOf, DrawerOf, Platter, Shelf
-from amberlug.cluster.jig.endpoints import Caller, Kind, Town
-from amberlug.cluster.jig.history import Broken, History, Place, What
-from amberlug.cluster.jig.network import Host, Life, LifeWorld, Network
 from amberlug.cluster.process import SPARE_S, STILL_SERVED_S
 from amberlug.cluster.settings import Settings, Tolerance
+from amberlug.cluster.simulation.clock import Clock
+from amberlug.cluster.simulation.disk import Chest, DiskOf, DrawerOf, Platter, Shelf
+from amberlug.cluster.simulation.endpoints import Caller, Kind, Town
+from amberlug.cluster.simulation.history import Broken, History, Place, What
+from amberlug.cluster.simulation.network import Host, Life, LifeWorld, Network
 from amberlug.cluster.storage.node import Store
 
 OUTSIDE_S = 0.001  # from outside to a machine, one way
--- a/amberlug/cluster/jig/disk.py
+++ b/amberlug/cluster/simulation/disk.py
@@ -11,9 +11,9 @@
 from amberlug.cluster.consensus import storage
 from amberlug.cluster.consensus.log import Saved, assemble
 from amberlug.cluster.interfaces import Json
-from amberlug.cluster.jig.clock import Clock
-from amberlug.cluster.jig.digest import BoundaryDigest
-from amberlug.cluster.jig.network import Life
+from amberlug.cluster.simulation.boundary_digest import BoundaryDigest
+from amberlug.cluster.simulation.clock import Clock
+from amberlug.cluster.simulation.network import Life
 from amberlug.cluster.storage import message_store
 from amberlug.cluster.storage.message_store import Contents, Kept
 
--- a/amberlug/cluster/jig/endpoints.py
+++ b/amberlug/cluster/simulation/endpoints.py
@@ -10,12 +10,12 @@
 
 from amberlug.cluster.dispatch.endpoint_client import Caller as RealCaller
 from amberlug.cluster.interfaces import Called, Delivery, Verdict
-from amberlug.cluster.jig.history import Run
-from amberlug.cluster.jig.network import Life
+from amberlug.cluster.simulation.history import Run
+from amberlug.cluster.simulation.network import Life
 from amberlug.http.link import Reply
 
 if TYPE_CHECKING:
-    from amberlug.cluster.jig.deployment import Deployment, Machine
+    from amberlug.cluster.simulation.deployment import Deployment, Machine
 
 DELAY_S = 0.0006
 QUEUE = 3
--- a/amberlug/cluster/jig/history.py
+++ b/amberlug/cluster/simulation/history.py
@@ -6,7 +6,7 @@
 from enum import Enum
 
 from amberlug.cluster.interfaces import Json
-from amberlug.cluster.jig.clock import Clock
+from amberlug.cluster.simulation.clock import Clock
 
 
 @dataclass(slots=True, eq=False)
--- a/amberlug/cluster/jig/checker.py
+++ b/amberlug/cluster/simulation/invariants.py
@@ -4,9 +4,9 @@
 
 from collections import Counter, defaultdict
 
-from amberlug.cluster.jig.contact import Contact
-from amberlug.cluster.jig.deployment import BOUNDS
-from amberlug.cluster.jig.history import Broken, History, Run, Sent, Version, What
+from amberlug.cluster.simulation.deployment import BOUNDS
+from amberlug.cluster.simulation.history import Broken, History, Run, Sent, Version, What
+from amberlug.cluster.simulation.quorum_contact import Contact
 
 CONTACT_S = BOUNDS["contactMs"] / 1000
 APPLY_S = BOUNDS["configApplyMs"] / 1000
--- a/amberlug/cluster/jig/losses.py
+++ b/amberlug/cluster/simulation/loss_schedule.py
@@ -8,13 +8,13 @@
 from functools import partial
 from typing import TYPE_CHECKING
 
-from amberlug.cluster.jig.deployment import BOUNDS, Machine
-from amberlug.cluster.jig.footing import ASK_S, BACK_S, RETIRE_S, Footing
-from amberlug.cluster.jig.history import Broken, Call
 from amberlug.cluster.settings import Tolerance
+from amberlug.cluster.simulation.deployment import BOUNDS, Machine
+from amberlug.cluster.simulation.history import Broken, Call
+from amberlug.cluster.simulation.storage_faults import ASK_S, BACK_S, RETIRE_S, Footing
 
 if TYPE_CHECKING:
-    from amberlug.cluster.jig.days import Day
+    from amberlug.cluster.simulation.scenarios import Day
 
 ACK_S = BOUNDS["ackMs"] / 1000
 CONTACT_S = BOUNDS["contactMs"] / 1000
--- a/amberlug/cluster/jig/explore.py
+++ b/amberlug/cluster/simulation/model_checker.py
@@ -24,7 +24,7 @@
 from amberlug.cluster.consensus.log import Entry, Saved
 from amberlug.cluster.consensus.raft import Role, Vise
 from amberlug.cluster.interfaces import Json, Reply, Then, words_of
-from amberlug.cluster.jig.clock import Timer
+from amberlug.cluster.simulation.clock import Timer
 
 NAMES = ("a", "b", "c")
 VOTERS: Json = {name: {"addr": name, "voter": True} for name in NAMES}
--- a/amberlug/cluster/jig/mutants.py
+++ b/amberlug/cluster/simulation/mutations.py
@@ -25,8 +25,14 @@
 from amberlug.cluster.http.api import Said, Say
 from amberlug.cluster.http.routing import Routes
 from amberlug.cluster.interfaces import Called, Json, Lost, Reply
-from amberlug.cluster.jig import faults_answers, faults_cuts, faults_frames, faults_losses, faults_seats
 from amberlug.cluster.settings import Settings
+from amberlug.cluster.simulation import (
+    mutations_answers,
+    mutations_frames,
+    mutations_losses,
+    mutations_partitions,
+    mutations_voters,
+)
 from amberlug.cluster.storage.node import Store
 
 Mutant = Callable[[], AbstractContextManager[Any]]
@@ -53,7 +59,7 @@
         return Saved(f"{settings.ip}/0", members=node.founding(settings))
 
     untold = patch.object(Floors, "short", lambda self, said: False)
-    return _both(patch("amberlug.cluster.jig.deployment.blank", blank), untold)
+    return _both(patch("amberlug.cluster.simulation.deployment.blank", blank), untold)
 
 
 def _no_fence() -> AbstractContextManager[Any]:
@@ -204,11 +210,11 @@
     "dropped-early": (_dropped_early, "footing"),
     "removed-counts": (_removed_counts, "footing"),
     "older-term": (_older_term, "core"),
-    **faults_seats.FAULTS,
-    **faults_frames.FAULTS,
-    **faults_cuts.FAULTS,
-    **faults_losses.FAULTS,
-    **faults_answers.FAULTS,
+    **mutations_voters.FAULTS,
+    **mutations_frames.FAULTS,
+    **mutations_partitions.FAULTS,
+    **mutations_losses.FAULTS,
+    **mutations_answers.FAULTS,
 }
 
 
--- a/amberlug/cluster/jig/faults_frames.py
+++ b/amberlug/cluster/simulation/mutations_frames.py
@@ -12,7 +12,7 @@
 from amberlug.cluster.consensus.raft import Vise
 from amberlug.cluster.consensus.snapshot_transfer import Receiving, Sending
 from amberlug.cluster.interfaces import Json
-from amberlug.cluster.jig import disk
+from amberlug.cluster.simulation import disk
 
 
 @contextmanager
--- a/amberlug/cluster/jig/network.py
+++ b/amberlug/cluster/simulation/network.py
@@ -13,9 +13,9 @@
 from result import Err, Ok
 
 from amberlug.cluster.interfaces import Json, Lost, Reply, Then
-from amberlug.cluster.jig.clock import Clock, Timer
-from amberlug.cluster.jig.digest import BoundaryDigest
 from amberlug.cluster.rpc.framing import MOST
+from amberlug.cluster.simulation.boundary_digest import BoundaryDigest
+from amberlug.cluster.simulation.clock import Clock, Timer
 
 DIAL_S = 0.7  # until a connection that does not come up is given up
 GIVE_UP_S = 1.5  # until one whose bytes are not acknowledged is closed by the kernel
--- a/amberlug/cluster/jig/contact.py
+++ b/amberlug/cluster/simulation/quorum_contact.py
@@ -6,8 +6,8 @@
 from bisect import bisect_left, bisect_right
 from dataclasses import dataclass
 
-from amberlug.cluster.jig.deployment import BOUNDS
-from amberlug.cluster.jig.history import History, What
+from amberlug.cluster.simulation.deployment import BOUNDS
+from amberlug.cluster.simulation.history import History, What
 
 CONTACT_S = BOUNDS["contactMs"] / 1000
 SLACK_S = 0.02  # beyond a window, for moments that fall together
--- a/amberlug/cluster/jig/days.py
+++ b/amberlug/cluster/simulation/scenarios.py
@@ -9,15 +9,15 @@
 from unittest.mock import patch
 
 from amberlug.cluster.consensus import log
-from amberlug.cluster.jig.checker import Checker
-from amberlug.cluster.jig.clients import Clients, Load
-from amberlug.cluster.jig.control import FORMS, Control
-from amberlug.cluster.jig.deployment import BOUNDS, ONE_MACHINE, RESTART_S, Deployment, Machine
-from amberlug.cluster.jig.endpoints import Kind
-from amberlug.cluster.jig.footing import Footing
-from amberlug.cluster.jig.history import Broken
-from amberlug.cluster.jig.losses import Losses, draw_site
-from amberlug.cluster.jig.operator import Operator, route, service
+from amberlug.cluster.simulation.clients import Clients, Load
+from amberlug.cluster.simulation.control_faults import FORMS, Control
+from amberlug.cluster.simulation.deployment import BOUNDS, ONE_MACHINE, RESTART_S, Deployment, Machine
+from amberlug.cluster.simulation.endpoints import Kind
+from amberlug.cluster.simulation.history import Broken
+from amberlug.cluster.simulation.invariants import Checker
+from amberlug.cluster.simulation.loss_schedule import Losses, draw_site
+from amberlug.cluster.simulation.operator import Operator, route, service
+from amberlug.cluster.simulation.storage_faults import Footing
 
 TRAFFIC_S = 3.5  # machines start so long before traffic does
 AFTER_S = 10.0  # for what was accepted to be done
--- a/amberlug/cluster/jig/hunt.py
+++ b/amberlug/cluster/simulation/seed_search.py
@@ -8,9 +8,9 @@
 
 from absl import logging
 
-from amberlug.cluster.jig.days import play
-from amberlug.cluster.jig.history import Broken
-from amberlug.cluster.jig.mutants import mutated
+from amberlug.cluster.simulation.history import Broken
+from amberlug.cluster.simulation.mutations import mutated
+from amberlug.cluster.simulation.scenarios import play
 
 Found = tuple[int, list[Broken]]
 
--- a/amberlug/cluster/jig/footing.py
+++ b/amberlug/cluster/simulation/storage_faults.py
@@ -6,12 +6,12 @@
 from functools import partial
 from typing import TYPE_CHECKING, Any
 
-from amberlug.cluster.jig.deployment import BOUNDS, Machine
-from amberlug.cluster.jig.disk import Chest, Platter
-from amberlug.cluster.jig.history import Broken, Call
+from amberlug.cluster.simulation.deployment import BOUNDS, Machine
+from amberlug.cluster.simulation.disk import Chest, Platter
+from amberlug.cluster.simulation.history import Broken, Call
 
 if TYPE_CHECKING:
-    from amberlug.cluster.jig.days import Day
+    from amberlug.cluster.simulation.scenarios import Day
 
 BACK_S = BOUNDS["catchUpS"]  # a machine counts as lost so long after it is back
 SETTINGS_S = (0.2, 3.0)  # until processes hear of a settings file that has changed
--- a/benchmarks/hollow/deployment.py
+++ b/benchmarks/hollow/deployment.py
@@ -11,8 +11,8 @@
 from amberlug.cluster.edge.node import Edge
 from amberlug.cluster.http.api import Said
 from amberlug.cluster.interfaces import Json
-from amberlug.cluster.jig.deployment import Request
-from amberlug.cluster.jig.operator import route, service
+from amberlug.cluster.simulation.deployment import Request
+from amberlug.cluster.simulation.operator import route, service
 from amberlug.cluster.storage.message_store import Contents
 from amberlug.cluster.storage.node import Store
 from benchmarks.hollow.net import HollowDisk, HollowNet, HollowWorld, Host, Meter, Prompt, settings
--- a/benchmarks/hollow/net.py
+++ b/benchmarks/hollow/net.py
@@ -1,9 +1,9 @@
 """Hollow machines: many machines' decisions in one process, over a network that only counts.
 
-Time is virtual, as in `amberlug.cluster.jig`, but nothing is lost and no disk holds anything: what is wanted
-is what each machine says, how many bytes the belt packs it into, and the processor time that its handlers
-take. A frame is packed by its sender and read by its receiver as the belt does it, so that both are in the
-figures; sockets, the kernel and the HTTP server are not.
+Time is virtual, as in `amberlug.cluster.simulation`, but nothing is lost and no disk holds anything: what is
+wanted is what each machine says, how many bytes the belt packs it into, and the processor time that its
+handlers take. A frame is packed by its sender and read by its receiver as the belt does it, so that both are
+in the figures; sockets, the kernel and the HTTP server are not.
 """
 
 from __future__ import annotations
@@ -21,9 +21,9 @@
 from result import Err, Ok
 
 from amberlug.cluster.interfaces import Called, Delivery, Json, Lost, Reply, Then, Verdict
-from amberlug.cluster.jig.clock import Clock, Timer
 from amberlug.cluster.rpc.framing import Reader, pack
 from amberlug.cluster.settings import Settings, Tolerance
+from amberlug.cluster.simulation.clock import Clock, Timer
 
 SYNC_S = 0.002
 BOUNDS = {
--- a/benchmarks/hollow/plays.py
+++ b/benchmarks/hollow/plays.py
@@ -8,8 +8,8 @@
 
 from amberlug.cluster.consensus.raft import Role
 from amberlug.cluster.interfaces import Json
-from amberlug.cluster.jig.clients import HOST
-from amberlug.cluster.jig.deployment import Request
+from amberlug.cluster.simulation.clients import HOST
+from amberlug.cluster.simulation.deployment import Request
 from benchmarks.hollow.deployment import Play, beat, config
 from benchmarks.hollow.figures import Figure, by_cause, summed, upto
 from benchmarks.hollow.net import Host, Meter
--- a/tests/cluster/fakes.py
+++ b/tests/cluster/fakes.py
@@ -4,9 +4,9 @@
 from collections.abc import Callable
 
 from amberlug.cluster.interfaces import Json, Then
-from amberlug.cluster.jig.clock import Clock, Timer
-from amberlug.cluster.jig.deployment import Deployment, Machine
 from amberlug.cluster.settings import Settings
+from amberlug.cluster.simulation.clock import Clock, Timer
+from amberlug.cluster.simulation.deployment import Deployment, Machine
 
 
 class Alone:
--- a/tests/cluster/group.py
+++ b/tests/cluster/group.py
@@ -8,9 +8,9 @@
 from amberlug.cluster.consensus.log import Saved
 from amberlug.cluster.consensus.raft import NotTaken, Role, Vise
 from amberlug.cluster.interfaces import Json, words_of
-from amberlug.cluster.jig.clock import Clock
-from amberlug.cluster.jig.disk import DiskOf, Shelf
-from amberlug.cluster.jig.network import Host, Life, LifeWorld, Network
+from amberlug.cluster.simulation.clock import Clock
+from amberlug.cluster.simulation.disk import DiskOf, Shelf
+from amberlug.cluster.simulation.network import Host, Life, LifeWorld, Network
 
 SLOW = 15e6 / 8  # bytes a second
 
--- a/tests/cluster/test_answers_days.py
+++ b/tests/cluster/test_answers_days.py
@@ -5,9 +5,9 @@
 import pytest
 from absl import logging
 
-from amberlug.cluster.jig.days import play
-from amberlug.cluster.jig.hunt import one
-from amberlug.cluster.jig.mutants import MUTANTS
+from amberlug.cluster.simulation.mutations import MUTANTS
+from amberlug.cluster.simulation.scenarios import play
+from amberlug.cluster.simulation.seed_search import one
 
 
 @pytest.fixture(autouse=True)
--- a/tests/cluster/test_book.py
+++ b/tests/cluster/test_book.py
@@ -13,7 +13,7 @@
     Book,
 )
 from amberlug.cluster.interfaces import Json
-from amberlug.cluster.jig.mutants import mutated
+from amberlug.cluster.simulation.mutations import mutated
 
 
 class Log:
--- a/tests/cluster/test_client_answers.py
+++ b/tests/cluster/test_client_answers.py
@@ -8,7 +8,7 @@
 import pytest
 
 from amberlug.cluster.http.server import Answer, Limits, Request, Server
-from amberlug.cluster.jig.faults_answers import FAULTS
+from amberlug.cluster.simulation.mutations_answers import FAULTS
 from tests.cluster.wires import End, Loop, run
 
 AT = "10.0.0.3", 8080
--- a/tests/cluster/test_contact.py
+++ b/tests/cluster/test_contact.py
@@ -13,9 +13,9 @@
 from amberlug.cluster.dispatch.message import Message
 from amberlug.cluster.gossip import store
 from amberlug.cluster.interfaces import Reply
-from amberlug.cluster.jig.clock import Clock
-from amberlug.cluster.jig.days import Day
-from amberlug.cluster.jig.deployment import Machine
+from amberlug.cluster.simulation.clock import Clock
+from amberlug.cluster.simulation.deployment import Machine
+from amberlug.cluster.simulation.scenarios import Day
 from amberlug.cluster.storage.message_store import Kept
 from tests.cluster.fakes import Alone, settings
 
--- a/tests/cluster/test_control_days.py
+++ b/tests/cluster/test_control_days.py
@@ -9,11 +9,11 @@
 import pytest
 from absl import logging
 
-from amberlug.cluster.jig.clock import Clock
-from amberlug.cluster.jig.contact import Contact
-from amberlug.cluster.jig.days import Day, play
-from amberlug.cluster.jig.history import Broken, History, Place, What
-from amberlug.cluster.jig.mutants import mutated
+from amberlug.cluster.simulation.clock import Clock
+from amberlug.cluster.simulation.history import Broken, History, Place, What
+from amberlug.cluster.simulation.mutations import mutated
+from amberlug.cluster.simulation.quorum_contact import Contact
+from amberlug.cluster.simulation.scenarios import Day, play
 
 Plan = Callable[[Day, float, float], None]
 
--- a/tests/cluster/test_core.py
+++ b/tests/cluster/test_core.py
@@ -8,7 +8,7 @@
 from amberlug.cluster.control.node import Core, blank
 from amberlug.cluster.control.sessions import Session
 from amberlug.cluster.interfaces import Json
-from amberlug.cluster.jig.clock import Clock
+from amberlug.cluster.simulation.clock import Clock
 from tests.cluster.fakes import Alone, settings
 
 Rows = list[tuple[str, tuple[Any, ...]]]
--- a/tests/cluster/test_design.py
+++ b/tests/cluster/test_design.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from amberlug.cluster.jig.mutants import MUTANTS
+from amberlug.cluster.simulation.mutations import MUTANTS
 
 ROOT = Path(__file__).parents[2]
 ROWS = [
--- a/tests/cluster/test_edge.py
+++ b/tests/cluster/test_edge.py
@@ -6,10 +6,10 @@
 from amberlug.cluster.dispatch.message import Message
 from amberlug.cluster.edge.node import Edge
 from amberlug.cluster.interfaces import Called, Delivery
-from amberlug.cluster.jig.clients import HOST
-from amberlug.cluster.jig.clock import Clock
-from amberlug.cluster.jig.days import Day
-from amberlug.cluster.jig.deployment import Request
+from amberlug.cluster.simulation.clients import HOST
+from amberlug.cluster.simulation.clock import Clock
+from amberlug.cluster.simulation.deployment import Request
+from amberlug.cluster.simulation.scenarios import Day
 from tests.cluster.fakes import Alone, settings
 
 
--- a/tests/cluster/test_endpoint_answers.py
+++ b/tests/cluster/test_endpoint_answers.py
@@ -16,9 +16,9 @@
 from amberlug.cluster.dispatch.endpoint_pool import Pool
 from amberlug.cluster.dispatch.message import Message
 from amberlug.cluster.interfaces import Called, Delivery, Verdict
-from amberlug.cluster.jig.faults_answers import FAULTS
 from amberlug.cluster.process import AsyncWorld
 from amberlug.cluster.rpc.transport import Belt
+from amberlug.cluster.simulation.mutations_answers import FAULTS
 from amberlug.http.link import BODY_MOST
 from tests.cluster.wires import End, Loop, run
 
--- a/tests/cluster/test_explore.py
+++ b/tests/cluster/test_explore.py
@@ -2,10 +2,19 @@
 
 import pytest
 
-from amberlug.cluster.jig.explore import CHANGES, STARTS, FoundError, Play, Step, explore, old_self, stranger
-from amberlug.cluster.jig.mutants import mutated
+from amberlug.cluster.simulation.model_checker import (
+    CHANGES,
+    STARTS,
+    FoundError,
+    Play,
+    Step,
+    explore,
+    old_self,
+    stranger,
+)
+from amberlug.cluster.simulation.mutations import mutated
 
-# As `python -m amberlug.cluster.jig explore --mutant` tells them.
+# As `python -m amberlug.cluster.simulation explore --mutant` tells them.
 TWO_LEADERS: list[Step] = [
     ("stand", "a", 0),
     ("deliver", "b", 1),
--- a/tests/cluster/test_faults_frames.py
+++ b/tests/cluster/test_faults_frames.py
@@ -6,8 +6,8 @@
 import pytest
 from absl import logging
 
-from amberlug.cluster.jig.faults_frames import FAULTS
-from amberlug.cluster.jig.mutants import mutated
+from amberlug.cluster.simulation.mutations import mutated
+from amberlug.cluster.simulation.mutations_frames import FAULTS
 from tests.cluster import test_replication, test_vise
 
 FOUND_BY: dict[str, Callable[[], None]] = {
--- a/tests/cluster/test_floors.py
+++ b/tests/cluster/test_floors.py
@@ -10,8 +10,8 @@
 
 from amberlug.cluster.consensus.log import Saved
 from amberlug.cluster.consensus.storage import open_shelf
-from amberlug.cluster.jig.deployment import BOUNDS, Deployment, Machine
-from amberlug.cluster.jig.mutants import mutated
+from amberlug.cluster.simulation.deployment import BOUNDS, Deployment, Machine
+from amberlug.cluster.simulation.mutations import mutated
 
 
 @pytest.fixture(autouse=True)
--- a/tests/cluster/test_handover.py
+++ b/tests/cluster/test_handover.py
@@ -6,7 +6,7 @@
 from absl import logging
 
 from amberlug.cluster.control import node
-from amberlug.cluster.jig.days import play
+from amberlug.cluster.simulation.scenarios import play
 
 
 @pytest.fixture(autouse=True)
--- a/tests/cluster/test_internal_replies.py
+++ b/tests/cluster/test_internal_replies.py
@@ -8,9 +8,9 @@
 from result import Err, Ok, Result
 
 from amberlug.cluster.interfaces import Json, Lost, Reply, Respond
-from amberlug.cluster.jig.faults_answers import FAULTS
 from amberlug.cluster.rpc.framing import pack
 from amberlug.cluster.rpc.transport import DIAL_S, Belt
+from amberlug.cluster.simulation.mutations_answers import FAULTS
 from tests.cluster.wires import Loop, run
 
 ASKS = 60
--- a/tests/cluster/test_killed_steps.py
+++ b/tests/cluster/test_killed_steps.py
@@ -7,8 +7,8 @@
 from absl import logging
 
 from amberlug.cluster.dispatch.replicator import Put, Spread
-from amberlug.cluster.jig.days import TRAFFIC_S, Day
-from amberlug.cluster.jig.history import Broken
+from amberlug.cluster.simulation.history import Broken
+from amberlug.cluster.simulation.scenarios import TRAFFIC_S, Day
 
 STEPS_MS = (
     0,
--- a/tests/cluster/test_losses.py
+++ b/tests/cluster/test_losses.py
@@ -12,10 +12,10 @@
 from amberlug.cluster.dispatch.shard_owner import Taken
 from amberlug.cluster.gossip.store import News
 from amberlug.cluster.interfaces import Json, Reply
-from amberlug.cluster.jig.days import Day, play
-from amberlug.cluster.jig.history import Broken
-from amberlug.cluster.jig.hunt import one
-from amberlug.cluster.jig.mutants import mutated
+from amberlug.cluster.simulation.history import Broken
+from amberlug.cluster.simulation.mutations import mutated
+from amberlug.cluster.simulation.scenarios import Day, play
+from amberlug.cluster.simulation.seed_search import one
 from tests.cluster.test_core import Rig as Leader
 from tests.cluster.test_shards import STORES, fresh
 from tests.cluster.test_shards import Rig as Owner
--- a/tests/cluster/test_news.py
+++ b/tests/cluster/test_news.py
@@ -9,8 +9,8 @@
 from amberlug.cluster.gossip import store
 from amberlug.cluster.gossip.store import PAGE, PAGE_BYTES, News
 from amberlug.cluster.interfaces import words_of
-from amberlug.cluster.jig.clock import Clock
-from amberlug.cluster.jig.network import Host, Life, LifeWorld, Network
+from amberlug.cluster.simulation.clock import Clock
+from amberlug.cluster.simulation.network import Host, Life, LifeWorld, Network
 
 
 class Hearer:
--- a/tests/cluster/test_rack.py
+++ b/tests/cluster/test_rack.py
@@ -4,8 +4,8 @@
 
 from amberlug.cluster.dispatch.delivery_queue import Rack
 from amberlug.cluster.dispatch.message import Message
-from amberlug.cluster.jig.clock import Clock
-from amberlug.cluster.jig.network import Host, Life, LifeWorld, Network
+from amberlug.cluster.simulation.clock import Clock
+from amberlug.cluster.simulation.network import Host, Life, LifeWorld, Network
 
 
 def message(name: str, number: int) -> Message:
--- a/tests/cluster/test_rates.py
+++ b/tests/cluster/test_rates.py
@@ -8,8 +8,8 @@
 from amberlug.cluster.dispatch.endpoint_pool import Pool
 from amberlug.cluster.dispatch.message import Message
 from amberlug.cluster.interfaces import Called, Delivery, Verdict
-from amberlug.cluster.jig.clock import Clock
-from amberlug.cluster.jig.network import Host, Life, LifeWorld, Network
+from amberlug.cluster.simulation.clock import Clock
+from amberlug.cluster.simulation.network import Host, Life, LifeWorld, Network
 
 
 class OneEndpoint:
--- a/tests/cluster/test_recorded.py
+++ b/tests/cluster/test_recorded.py
@@ -12,7 +12,7 @@
 import pytest
 
 from amberlug.cluster.consensus.storage import open_shelf
-from amberlug.cluster.jig.digest import differences
+from amberlug.cluster.simulation.boundary_digest import differences
 from amberlug.cluster.storage.message_store import open_drawer
 
 DATA = Path(__file__).parents[1] / "data"
@@ -33,7 +33,7 @@
 
 def test_days_send_and_write_what_was_recorded() -> None:
     done = subprocess.run(
-        [sys.executable, "-m", "amberlug.cluster.jig", "digest", "--every", "14", "--jobs", "2"],
+        [sys.executable, "-m", "amberlug.cluster.simulation", "digest", "--every", "14", "--jobs", "2"],
         capture_output=True,
         text=True,
         check=False,
--- a/tests/cluster/test_seats.py
+++ b/tests/cluster/test_seats.py
@@ -11,9 +11,9 @@
 
 from amberlug.cluster.consensus.raft import Role
 from amberlug.cluster.consensus.voter_selection import FEWEST, FORGOTTEN_S, MOST, Seat, margin, next_step
-from amberlug.cluster.jig.deployment import BOUNDS, Deployment, Machine
-from amberlug.cluster.jig.mutants import mutated
 from amberlug.cluster.settings import Tolerance
+from amberlug.cluster.simulation.deployment import BOUNDS, Deployment, Machine
+from amberlug.cluster.simulation.mutations import mutated
 
 A_MACHINE, A_ZONE, A_REGION = Tolerance(1, 0, 0), Tolerance(1, 1, 0), Tolerance(1, 1, 1)
 
--- a/tests/cluster/test_shards.py
+++ b/tests/cluster/test_shards.py
@@ -6,8 +6,8 @@
 from amberlug.cluster.dispatch.replicator import Spread
 from amberlug.cluster.dispatch.shard_owner import Shards, Taken
 from amberlug.cluster.interfaces import Json, Lost, Reply
-from amberlug.cluster.jig.clock import Clock
 from amberlug.cluster.settings import Tolerance
+from amberlug.cluster.simulation.clock import Clock
 from tests.cluster.fakes import Alone
 
 META = {"a": "x", "h": "", "m": "POST", "t": "/", "r": "r", "k": "", "w": 0.0, "d": 0.0, "x": [], "c": 0}
--- a/tests/cluster/test_shelf.py
+++ b/tests/cluster/test_shelf.py
@@ -11,7 +11,7 @@
 from amberlug.cluster.consensus.raft import Role, Vise
 from amberlug.cluster.consensus.storage import open_shelf
 from amberlug.cluster.interfaces import Json
-from amberlug.cluster.jig.clock import Clock
+from amberlug.cluster.simulation.clock import Clock
 from amberlug.cluster.storage.group_commit import Cabinet
 from tests.cluster.fakes import Alone
 
--- a/tests/cluster/test_store.py
+++ b/tests/cluster/test_store.py
@@ -4,7 +4,7 @@
 from typing import Any
 
 from amberlug.cluster.interfaces import Json
-from amberlug.cluster.jig.clock import Clock
+from amberlug.cluster.simulation.clock import Clock
 from amberlug.cluster.storage.message_store import Contents
 from amberlug.cluster.storage.node import Store
 from tests.cluster.fakes import Alone, settings
--- a/tests/cluster/test_unclear_asks.py
+++ b/tests/cluster/test_unclear_asks.py
@@ -11,9 +11,9 @@
 from amberlug.cluster.edge.node import Edge, _Offer
 from amberlug.cluster.http.api import Said
 from amberlug.cluster.interfaces import Json, Lost, Reply, Then
-from amberlug.cluster.jig.clock import Clock
-from amberlug.cluster.jig.deployment import Request
-from amberlug.cluster.jig.faults_answers import FAULTS
+from amberlug.cluster.simulation.clock import Clock
+from amberlug.cluster.simulation.deployment import Request
+from amberlug.cluster.simulation.mutations_answers import FAULTS
 from tests.cluster.fakes import Alone, settings
 from tests.cluster.test_core import Fast
 from tests.cluster.test_edge import Nowhere
--- a/tests/cluster/test_vise.py
+++ b/tests/cluster/test_vise.py
@@ -9,8 +9,8 @@
 from amberlug.cluster.consensus.raft import Vise
 from amberlug.cluster.consensus.snapshot_transfer import PART, Pace, Sending, whole_of
 from amberlug.cluster.interfaces import Json
-from amberlug.cluster.jig.clock import Clock
-from amberlug.cluster.jig.disk import Shelf
+from amberlug.cluster.simulation.clock import Clock
+from amberlug.cluster.simulation.disk import Shelf
 from tests.cluster.fakes import Alone
 
 MEMBERS = {name: {"addr": name, "voter": True} for name in "abc"}
--- a/tests/features/steps/deployment.py
+++ b/tests/features/steps/deployment.py
@@ -5,7 +5,7 @@
 
 from behave import given, then, when  # type: ignore[import-untyped]
 
-from amberlug.cluster.jig.days import Day
+from amberlug.cluster.simulation.scenarios import Day
 
 AT_S = 6.0  # when it happens: traffic has begun
 
