--- a/amberlug/cluster/simulation/mutations.py
+++ b/amberlug/cluster/simulation/mutations.py
@@ -12,14 +12,14 @@
 from amberlug.cluster.consensus.log import Saved
 from amberlug.cluster.consensus.raft import Vise
 from amberlug.cluster.consensus.rollback_guard import Floors
-from amberlug.cluster.control import node
+from amberlug.cluster.control import node as control_node
 from amberlug.cluster.control.node import Core
 from amberlug.cluster.control.sessions import Session
 from amberlug.cluster.dispatch import replicator
 from amberlug.cluster.dispatch.message import Message
 from amberlug.cluster.dispatch.replicator import Put
 from amberlug.cluster.dispatch.shard_owner import Shards, Taken
-from amberlug.cluster.edge import node
+from amberlug.cluster.edge import node as edge_node
 from amberlug.cluster.edge.node import Edge
 from amberlug.cluster.gossip.store import News
 from amberlug.cluster.http.api import Said, Say
@@ -56,7 +56,7 @@
     """A wiped voter votes as its old self, and nobody tells it what it had."""
 
     def blank(settings: Settings, chance: Callable[[int], int]) -> Saved:
-        return Saved(f"{settings.ip}/0", members=node.founding(settings))
+        return Saved(f"{settings.ip}/0", members=control_node.founding(settings))
 
     untold = patch.object(Floors, "short", lambda self, said: False)
     return _both(patch("amberlug.cluster.simulation.deployment.blank", blank), untold)
@@ -115,12 +115,12 @@
 
 def _unclear_refused() -> AbstractContextManager[Any]:
     """A 503 after a write whose fate is open."""
-    end = node._Offer._end
+    end = edge_node._Offer._end
 
-    def refuse(self: node._Offer, taken: Taken) -> None:
+    def refuse(self: edge_node._Offer, taken: Taken) -> None:
         end(self, Taken.REFUSED if taken is Taken.UNCLEAR else taken)
 
-    return patch.object(node._Offer, "_end", refuse)
+    return patch.object(edge_node._Offer, "_end", refuse)
 
 
 def _forgotten_end() -> AbstractContextManager[Any]:
--- a/amberlug/cluster/simulation/mutations_answers.py
+++ b/amberlug/cluster/simulation/mutations_answers.py
@@ -16,7 +16,7 @@
 from amberlug.cluster.dispatch.endpoint_client import Caller
 from amberlug.cluster.dispatch.message import Message
 from amberlug.cluster.dispatch.shard_owner import Shards
-from amberlug.cluster.edge import node
+from amberlug.cluster.edge import node as edge_node
 from amberlug.cluster.http.server import Answer, _Reply
 from amberlug.cluster.interfaces import Called, Delivery, Json, Lost, Respond, Verdict
 from amberlug.cluster.rpc.transport import Belt, _Incoming, _Outgoing
@@ -155,7 +155,7 @@
         named = (("amberlug-attempt-id", message.attempt), *rest)
         return judge(message, Called(called.verdict, called.status, named), max_attempts)
 
-    with _answer_by_order(), patch.object(node, "judge", believe):
+    with _answer_by_order(), patch.object(edge_node, "judge", believe):
         yield
 
 
