--- a/amberlug/cluster/consensus/log.py
+++ b/amberlug/cluster/consensus/log.py
@@ -13,7 +13,7 @@
 from itertools import islice
 
 from amberlug.cluster.consensus.snapshot_transfer import PART
-from amberlug.cluster.interfaces import Disk, Json, World
+from amberlug.cluster.interfaces import Disk, Json, Runtime
 
 BATCH = 64  # entries in one message, which are of PART bytes at most in all
 COMPACT = 512  # entries since the last snapshot until another one is made
@@ -32,7 +32,7 @@
 
 
 @dataclass(slots=True)
-class Saved:
+class PersistentState:
     """What a member has on disk."""
 
     me: str
@@ -47,7 +47,7 @@
     floors: Json = field(default_factory=dict)  # what members are known to have had, by member
 
 
-def assemble(saved: Saved, rows: Iterable[tuple[int, int, Json | None]]) -> Saved | None:
+def assemble(saved: PersistentState, rows: Iterable[tuple[int, int, Json | None]]) -> PersistentState | None:
     """Put the rows of a log, in their order, behind and before a snapshot; None where some are missing.
 
     What the snapshot covers may have gaps: it came whole from a leader, or was written when entries before it
@@ -80,7 +80,9 @@
 class Log:
     """Entries after `start`, and a snapshot up to `snap`, which is the same entry or a later one."""
 
-    def __init__(self, world: World, disk: Disk, saved: Saved, on_synced: Callable[[], None]) -> None:
+    def __init__(
+        self, world: Runtime, disk: Disk, saved: PersistentState, on_synced: Callable[[], None]
+    ) -> None:
         self._world, self._disk, self._on_synced = world, disk, on_synced
         self.snap, self.snap_term, self.state = saved.start, saved.start_term, saved.state
         self.base_members = saved.members  # as the snapshot has them
@@ -229,7 +231,7 @@
             if error is not None:
                 if not self._refused:
                     self._refused = True
-                    self._world.later(self._again_s, self._save_rest)
+                    self._world.call_later(self._again_s, self._save_rest)
                     self._again_s = min(AGAIN_S[1], 2 * self._again_s)
                 return
             self._again_s = AGAIN_S[0]
--- a/amberlug/cluster/consensus/raft.py
+++ b/amberlug/cluster/consensus/raft.py
@@ -16,20 +16,20 @@
 from absl import logging
 from result import Err, Ok, Result
 
-from amberlug.cluster.consensus.log import Entry, Log, Saved
-from amberlug.cluster.consensus.rollback_guard import Floors
+from amberlug.cluster.consensus.log import Entry, Log, PersistentState
+from amberlug.cluster.consensus.rollback_guard import RollbackGuard
 from amberlug.cluster.consensus.snapshot_transfer import (
     ANSWER_S,
     PART,
-    Pace,
-    Part,
-    Receiving,
-    Sending,
-    Whole,
+    Chunk,
+    IncomingTransfer,
+    OutgoingTransfer,
+    SendWindow,
+    TransferHeader,
     patience,
     whole_of,
 )
-from amberlug.cluster.interfaces import Disk, Handle, Json, Lost, Reply, Respond, World, on
+from amberlug.cluster.interfaces import Disk, Json, Reply, RequestFailure, Respond, Runtime, TimerHandle, on
 
 BEAT_S = 0.1  # between a leader's messages to a member
 FIRST_S = (0.05, 0.3)  # the same right after a start, when nobody was heard yet
@@ -45,15 +45,15 @@
     LEADER = "leader"
 
 
-class NotTaken(Enum):
+class ProposalRejected(Enum):
     """Why a command was not taken."""
 
-    ELSEWHERE = "elsewhere"  # this is not the leader: it was not begun
-    UNCLEAR = "unclear"  # leadership ended while it was under way: it may or may not be taken
+    NOT_LEADER = "elsewhere"  # this is not the leader: it was not begun
+    OUTCOME_UNKNOWN = "unclear"  # leadership ended while it was under way: it may or may not be taken
 
 
 @dataclass(slots=True)
-class _Peer:
+class _PeerProgress:
     """What a leader knows of another member."""
 
     next: int
@@ -63,24 +63,24 @@
     acked: int = 0  # highest round that it answered
     silent: bool = False  # whether its last message came to nothing: it is asked, and sent nothing large
     said_at: float = -1e9  # when it was last sent something
-    sending: Sending | None = None  # what goes to it in parts
-    pace: Pace = field(default_factory=Pace)
+    sending: OutgoingTransfer | None = None  # what goes to it in parts
+    pace: SendWindow = field(default_factory=SendWindow)
 
     def waits(self, slot: str, now: float) -> bool:
         return slot in self.out and now < self.out[slot][1]
 
 
-Answered = Callable[[Result[Json, NotTaken]], None]
+Answered = Callable[[Result[Json, ProposalRejected]], None]
 
 
-class Vise:
+class RaftNode:
     """One member."""
 
     def __init__(
         self,
-        world: World,
+        world: Runtime,
         disk: Disk,
-        saved: Saved,
+        saved: PersistentState,
         apply: Callable[[int, Json], Json],
         snapshot: Callable[[], Json],
         restore: Callable[[Json], None],
@@ -100,20 +100,20 @@
         self.role, self.leader = Role.FOLLOWER, ""
         self.commit = self.applied = self.log.snap
         self._unsynced: list[tuple[int, int, Callable[[], None]]] = []  # index, term, who waits for the disk
-        self._receiving: Receiving | None = None
+        self._receiving: IncomingTransfer | None = None
         self.failures = 0  # messages that could not be made
         self.bad_sums = 0  # what came in parts and was not what was sent
         self.heard = world.now()
         self.led_since = 0.0
         self.elections = 0
-        self._peers: dict[str, _Peer] = {}
+        self._peers: dict[str, _PeerProgress] = {}
         self._round = 0
         self._numbers = 0
         self._asked: list[tuple[int, Answered]] = []  # index of a command, and who waits for it
         self._confirms: list[tuple[int, Callable[[int | None], None]]] = []
-        self._timer: Handle | None = None
+        self._timer: TimerHandle | None = None
         self._stopped = False
-        self.floors = Floors(self, saved.floors)
+        self.floors = RollbackGuard(self, saved.floors)
         self._blank = dict(snapshot())  # what it is before anything is applied
         if self.log.state is not None:
             restore(self.log.state)
@@ -187,10 +187,10 @@
 
         def done(error: str | None) -> None:
             if error is not None:
-                self.world.later(BEAT_S, write)
+                self.world.call_later(BEAT_S, write)
                 return
             self._restore(blank)
-            Vise.__init__(self, self.world, self.disk, Saved(me), *life)
+            RaftNode.__init__(self, self.world, self.disk, PersistentState(me), *life)
             self._on_change()
             self.begin()
 
@@ -216,7 +216,7 @@
         if self._timer is not None:
             self._timer.cancel()
         if not self._stopped:
-            self._timer = self.world.later(seconds, act)
+            self._timer = self.world.call_later(seconds, act)
 
     def _rest(self) -> None:
         self._after(self.world.chance.uniform(*ELECTION_S), self._stand)
@@ -250,7 +250,7 @@
                 done = True
                 self._lead()
 
-        def hear(name: str, reply: Result[Reply, Lost]) -> None:
+        def hear(name: str, reply: Result[Reply, RequestFailure]) -> None:
             if isinstance(reply, Ok):
                 said = reply.ok_value.body
                 if said.get("term", 0) > self.term and not said.get("yes"):
@@ -263,7 +263,7 @@
             if name != self.me:
                 to, floor = self.members[name]["addr"], self.floors.known.get(name, 0)
                 asked = {**body, "to": name, "floor": floor}
-                self.world.ask(to, "vise.vote", asked, ANSWER_S, partial(hear, name))
+                self.world.request(to, "vise.vote", asked, ANSWER_S, partial(hear, name))
         count()
 
     def _hold(self, term: int, forced: bool = False) -> None:
@@ -289,7 +289,7 @@
         if was is Role.LEADER:
             self.leader = ""
             for _, answered in self._asked:
-                answered(Err(NotTaken.UNCLEAR))
+                answered(Err(ProposalRejected.OUTCOME_UNKNOWN))
             self._asked.clear()
             for _, confirmed in self._confirms:
                 confirmed(None)
@@ -300,7 +300,9 @@
     def _lead(self) -> None:
         self.role, self.leader, self.led_since = Role.LEADER, self.me, self.world.now()
         now = self.world.now()
-        self._peers = {name: _Peer(self.last + 1, heard=now) for name in self.members if name != self.me}
+        self._peers = {
+            name: _PeerProgress(self.last + 1, heard=now) for name in self.members if name != self.me
+        }
         self._append([(self.term, None)])
         self._on_change()
         self._beat()
@@ -368,14 +370,14 @@
             now = self.world.now()
             for name in self.members:
                 if name != self.me and name not in self._peers:
-                    self._peers[name] = _Peer(max(1, self.log.start), heard=now)
+                    self._peers[name] = _PeerProgress(max(1, self.log.start), heard=now)
             for name in set(self._peers) - set(self.members):
                 del self._peers[name]
 
     def propose(self, command: Json, answered: Answered) -> None:
         """Have a command taken; `answered` hears what its application said, once."""
         if self.role is not Role.LEADER or self._stopped:
-            answered(Err(NotTaken.ELSEWHERE))
+            answered(Err(ProposalRejected.NOT_LEADER))
             return
         self._append([(self.term, command)])
         self._asked.append((self.last, answered))
@@ -395,7 +397,7 @@
             or self.term_at(self.commit) != self.term
             or 2 * held <= len(voters)
         ):
-            answered(Err(NotTaken.ELSEWHERE))
+            answered(Err(ProposalRejected.NOT_LEADER))
             return
         assert len(voters ^ set(self.voters)) <= 1, "two voters change at once"
         self.propose({"members": members}, answered)
@@ -443,7 +445,7 @@
             if empty or peer.next <= self.last:
                 self._send(name, peer)
 
-    def _send(self, name: str, peer: _Peer) -> None:
+    def _send(self, name: str, peer: _PeerProgress) -> None:
         """Send a peer what it is to hear next; what goes wrong there is the matter of this peer alone."""
         try:
             self._send_next(name, peer)
@@ -454,7 +456,7 @@
             if self.failures == 1:
                 logging.exception("nothing could be sent to %s", name)
 
-    def _send_next(self, name: str, peer: _Peer) -> None:
+    def _send_next(self, name: str, peer: _PeerProgress) -> None:
         now = self.world.now()
         # Whatever is under way, a beat goes along: a peer that hears nothing else would stand for election.
         beat = now - peer.said_at >= 0.9 * BEAT_S and not peer.waits("beat", now)
@@ -487,7 +489,7 @@
     def _ask(
         self,
         name: str,
-        peer: _Peer,
+        peer: _PeerProgress,
         what: tuple[str, Json, bytes],
         within: float,
         heard: Callable[[Json], bool],
@@ -501,7 +503,7 @@
         number, term, asked_round = self._numbers, self.term, self._round
         peer.said_at, peer.out[slot] = now, (number, now + within)
 
-        def hear(reply: Result[Reply, Lost]) -> None:
+        def hear(reply: Result[Reply, RequestFailure]) -> None:
             if self._peers.get(name) is not peer or self.term != term or self.role is not Role.LEADER:
                 return
             if peer.out.get(slot, (0, 0.0))[0] == number:
@@ -530,18 +532,18 @@
 
         body = {"term": term, "me": self.me, "to": name, "commit": self.commit, **body}
         body |= self.floors.said_to(name)
-        self.world.ask(self.members[name]["addr"], word, body, within, hear, blob)
+        self.world.request(self.members[name]["addr"], word, body, within, hear, blob)
 
-    def _matched(self, peer: _Peer, upto: int) -> None:
+    def _matched(self, peer: _PeerProgress, upto: int) -> None:
         peer.match = max(peer.match, upto)
         peer.next = max(peer.next, upto + 1)
         self._count()
 
-    def _step_back(self, peer: _Peer, said: Json) -> None:
+    def _step_back(self, peer: _PeerProgress, said: Json) -> None:
         peer.sending = None
         peer.next = max(1, min(peer.next - 1, said.get("last", 0) + 1))
 
-    def _goes_in_parts(self, peer: _Peer) -> bool:
+    def _goes_in_parts(self, peer: _PeerProgress) -> bool:
         """Whether the next thing a peer lacks goes in parts; one that was begun goes on to its end.
 
         So a slow peer gets a snapshot whole, also where newer ones are made faster than it takes one.
@@ -558,20 +560,22 @@
             peer.sending = self._sending(peer, "entry", peer.next, term, partial(log.text, peer.next))
         return peer.sending is not None
 
-    def _sending(self, peer: _Peer, kind: str, last: int, term: int, text: Callable[[], str]) -> Sending:
+    def _sending(
+        self, peer: _PeerProgress, kind: str, last: int, term: int, text: Callable[[], str]
+    ) -> OutgoingTransfer:
         before = self.term_at(last - 1)
         for other in self._peers.values():  # what another one is sent need not be written down again
             it = other.sending
             if it is not None and (it.whole.kind, it.whole.last, it.whole.last_term) == (kind, last, term):
-                return Sending(it.whole, it.data, peer.pace, before)
+                return OutgoingTransfer(it.whole, it.data, peer.pace, before)
         data = text().encode()
-        return Sending(whole_of(kind, last, term, data), data, peer.pace, before)
+        return OutgoingTransfer(whole_of(kind, last, term, data), data, peer.pace, before)
 
-    def _send_parts(self, name: str, peer: _Peer) -> None:
+    def _send_parts(self, name: str, peer: _PeerProgress) -> None:
         while peer.sending is not None and (part := peer.sending.part(self.world.now())) is not None:
             self._send_part(name, peer, part)
 
-    def _send_part(self, name: str, peer: _Peer, part: Part | None) -> None:
+    def _send_part(self, name: str, peer: _PeerProgress, part: Chunk | None) -> None:
         """Send a part; without one, ask how far the peer is, which is a beat as well."""
         it = peer.sending
         assert it is not None, "parts are parts of something"
@@ -622,7 +626,11 @@
                 said = self._apply(self.applied, command)
             while self._asked and self._asked[0][0] <= self.applied:
                 index, answered = self._asked.pop(0)
-                answered(Ok(said) if index == self.applied and term == self.term else Err(NotTaken.UNCLEAR))
+                answered(
+                    Ok(said)
+                    if index == self.applied and term == self.term
+                    else Err(ProposalRejected.OUTCOME_UNKNOWN)
+                )
         if large:
             self.log.compact(self.applied, self._snapshot())
         self._on_change()
@@ -699,7 +707,7 @@
             stranger = body.get("to") != self.me or self._stopped
             respond({"ok": False, "term": self.term, "stranger": stranger}, b"")
             return
-        whole = Whole(body["kind"], body["last"], body["last_term"], body["total"], body["sum"])
+        whole = TransferHeader(body["kind"], body["last"], body["last_term"], body["total"], body["sum"])
         entry, before = whole.kind == "entry", whole.last - 1
         if entry:
             if not self._fits(before, body["before_term"], respond):
@@ -715,7 +723,7 @@
             return
         it = self._receiving
         if it is None or it.whole != whole:
-            it = self._receiving = Receiving(whole)
+            it = self._receiving = IncomingTransfer(whole)
         if blob:
             it.take(body["offset"], blob)
         data = it.verified() if it.full else None
@@ -729,7 +737,7 @@
         else:
             self._install(whole, json.loads(data), respond)
 
-    def _install(self, whole: Whole, snapshot: Json, respond: Respond) -> None:
+    def _install(self, whole: TransferHeader, snapshot: Json, respond: Respond) -> None:
         """Put a leader's snapshot in the place of all that it covers, its membership with it."""
         last = whole.last
         self.log.install(last, whole.last_term, snapshot, self.commit, whole.total)
@@ -763,7 +771,7 @@
             ]
             if others:
                 name = max(others)[1]
-                self.world.tell(self.members[name]["addr"], "vise.now", {"term": self.term, "to": name})
+                self.world.send(self.members[name]["addr"], "vise.now", {"term": self.term, "to": name})
 
     @property
     def settled(self) -> bool:
--- a/amberlug/cluster/consensus/rollback_guard.py
+++ b/amberlug/cluster/consensus/rollback_guard.py
@@ -13,10 +13,10 @@
 
 from result import Ok, Result
 
-from amberlug.cluster.interfaces import Json, Lost, Reply
+from amberlug.cluster.interfaces import Json, Reply, RequestFailure
 
 if TYPE_CHECKING:
-    from amberlug.cluster.consensus.raft import Vise
+    from amberlug.cluster.consensus.raft import RaftNode
 
 ASK_S = 0.1  # between tries to hear of the own floor
 WITHIN_S = 0.4  # for an answer
@@ -24,11 +24,11 @@
 AGAIN_S = 5.0  # between tellings of floors that have not; and between writes of those that have
 
 
-class Floors:
+class RollbackGuard:
     """The floors that one member knows, by member."""
 
-    def __init__(self, vise: Vise, known: Json) -> None:
-        self._vise = vise
+    def __init__(self, raft: RaftNode, known: Json) -> None:
+        self._vise = raft
         self.known: dict[str, int] = dict(known)
         self.cleared = True  # whether this member may vote; begin() asks
         self._heard: set[str] = set()  # who has told this member's floor
@@ -71,20 +71,20 @@
 
     def ask(self) -> None:
         """Begin: ask the other voters what they know of this member."""
-        vise = self._vise
-        if self.cleared or vise.floors is not self or not vise.voting:
+        raft = self._vise
+        if self.cleared or raft.floors is not self or not raft.voting:
             return  # whoever is made a voter hears of it from a leader
-        if len(self._heard) >= len(vise.voters) // 2:
+        if len(self._heard) >= len(raft.voters) // 2:
             self.cleared = True
-            vise.stand_soon()
+            raft.stand_soon()
             return
-        for name in vise.voters:
-            if name != vise.me and name not in self._heard:
-                to, body = vise.members[name]["addr"], {"of": vise.me, "to": name}
-                vise.world.ask(to, "vise.floor", body, WITHIN_S, partial(self._hear, name))
-        vise.world.later(ASK_S, self.ask)
+        for name in raft.voters:
+            if name != raft.me and name not in self._heard:
+                to, body = raft.members[name]["addr"], {"of": raft.me, "to": name}
+                raft.world.request(to, "vise.floor", body, WITHIN_S, partial(self._hear, name))
+        raft.world.call_later(ASK_S, self.ask)
 
-    def _hear(self, name: str, reply: Result[Reply, Lost]) -> None:
+    def _hear(self, name: str, reply: Result[Reply, RequestFailure]) -> None:
         if not isinstance(reply, Ok) or "floor" not in reply.ok_value.body or self._vise.floors is not self:
             return
         self._heard.add(name)
--- a/amberlug/cluster/consensus/snapshot_transfer.py
+++ b/amberlug/cluster/consensus/snapshot_transfer.py
@@ -23,7 +23,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Whole:
+class TransferHeader:
     """What goes in parts: an entry or a snapshot, up to which entry it goes, and its bytes' sum."""
 
     kind: str
@@ -33,13 +33,13 @@
     sum: str
 
 
-def whole_of(kind: str, last: int, last_term: int, data: bytes) -> Whole:
+def whole_of(kind: str, last: int, last_term: int, data: bytes) -> TransferHeader:
     """Name some bytes."""
-    return Whole(kind, last, last_term, len(data), hashlib.blake2b(data, digest_size=12).hexdigest())
+    return TransferHeader(kind, last, last_term, len(data), hashlib.blake2b(data, digest_size=12).hexdigest())
 
 
 @dataclass(slots=True)
-class Pace:
+class SendWindow:
     """How many parts may be under way to a peer."""
 
     window: int = 1
@@ -54,7 +54,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Part:
+class Chunk:
     """One part as it is sent, and how many seconds to wait for its answer."""
 
     number: int
@@ -64,19 +64,19 @@
 
 
 @dataclass(slots=True)
-class Sending:
+class OutgoingTransfer:
     """The sender's end: what the peer has, and what is under way to it."""
 
-    whole: Whole
+    whole: TransferHeader
     data: bytes
-    pace: Pace
+    pace: SendWindow
     before_term: int = 0  # of the entry before the one that it is
     had: int = 0  # bytes that the peer is known to have
     sent: int = 0
     _number: int = 0
     _out: dict[int, tuple[int, float, float]] = field(default_factory=dict)  # offset, when, until when
 
-    def part(self, now: float) -> Part | None:
+    def part(self, now: float) -> Chunk | None:
         """The next part that may go now."""
         if any(now >= until for _, _, until in self._out.values()):
             self.lost()
@@ -87,7 +87,7 @@
         within = patience(self.sent - self.had)
         self._number += 1
         self._out[self._number] = offset, now, now + within
-        return Part(self._number, offset, data, within)
+        return Chunk(self._number, offset, data, within)
 
     def took(self, number: int, had: int, now: float) -> bool:
         """The peer has so much; False where it lacks what it had, so that it is sent again."""
@@ -119,10 +119,10 @@
 
 
 @dataclass(slots=True)
-class Receiving:
+class IncomingTransfer:
     """The receiver's end: what came until now, in order and without gaps."""
 
-    whole: Whole
+    whole: TransferHeader
     data: bytearray = field(default_factory=bytearray)
 
     def take(self, offset: int, data: bytes) -> None:
--- a/amberlug/cluster/consensus/storage.py
+++ b/amberlug/cluster/consensus/storage.py
@@ -9,9 +9,9 @@
 from pathlib import Path
 from typing import Any
 
-from amberlug.cluster.consensus.log import Saved, assemble
+from amberlug.cluster.consensus.log import PersistentState, assemble
 from amberlug.cluster.interfaces import Json
-from amberlug.cluster.storage.group_commit import Cabinet, Row, open_file
+from amberlug.cluster.storage.group_commit import GroupCommitWriter, Row, open_file
 
 FORMAT = 1
 SCHEMA = """
@@ -56,7 +56,7 @@
     return zlib.crc32(f"{at} {term} {text}".encode())
 
 
-def _load(base: sqlite3.Connection) -> Saved | None:
+def _load(base: sqlite3.Connection) -> PersistentState | None:
     """What is there; None where it is nothing, or damaged."""
     state: Json = {}
     for name, text, total in base.execute("select name, value, sum from state"):
@@ -67,7 +67,9 @@
         return None
     term, vote = state.get("term", (0, ""))
     snap = state["snap"]
-    saved = Saved(state["me"], term, vote, snap["start"], snap["term"], snap["state"], snap["members"])
+    saved = PersistentState(
+        state["me"], term, vote, snap["start"], snap["term"], snap["state"], snap["members"]
+    )
     saved.floors = state.get("floors", {})
     rows = []
     for at, term_of, text, total in base.execute("select at, term, command, sum from log order by at"):
@@ -77,9 +79,9 @@
     return assemble(saved, rows)
 
 
-def open_shelf(
-    folder: Path, blank: Callable[[], Saved], post: Callable[[Callable[[], None]], None]
-) -> tuple[Saved, Cabinet, bool]:
+def open_raft_storage(
+    folder: Path, blank: Callable[[], PersistentState], post: Callable[[Callable[[], None]], None]
+) -> tuple[PersistentState, GroupCommitWriter, bool]:
     """Open the folder's part of the log: what is saved, where to write, and whether it was begun anew.
 
     A folder that is damaged is set aside: what it holds can't be told from what it held, so its machine comes
@@ -94,7 +96,7 @@
     except (sqlite3.Error, ValueError):
         saved = None
     if saved is not None:
-        return saved, Cabinet(base, _work, post), False
+        return saved, GroupCommitWriter(base, _work, post), False
     base.close()
     for suffix in ("", "-wal"):
         (folder / f"vise.db{suffix}").unlink(missing_ok=True)
@@ -106,4 +108,4 @@
     snap = {"start": saved.start, "term": saved.start_term, "state": saved.state, "members": saved.members}
     _put(base, "snap", snap)
     base.execute("commit")
-    return saved, Cabinet(base, _work, post), True
+    return saved, GroupCommitWriter(base, _work, post), True
--- a/amberlug/cluster/consensus/voter_selection.py
+++ b/amberlug/cluster/consensus/voter_selection.py
@@ -19,7 +19,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Seat:
+class MemberStatus:
     """A member as the leader knows it."""
 
     name: str
@@ -41,7 +41,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Step:
+class MembershipChange:
     """One change of the membership: `name` votes (True), votes no more (False) or is removed (None)."""
 
     name: str
@@ -49,7 +49,7 @@
     why: str
 
 
-def margin(voters: Iterable[Seat], tolerance: Tolerance) -> int:
+def margin(voters: Iterable[MemberStatus], tolerance: Tolerance) -> int:
     """Live voters above a majority after the worst loss that must be outlasted; below 0 it stops them."""
     seats = list(voters)
     live = [it for it in seats if it.lives]
@@ -63,14 +63,14 @@
     return len(live) - lost - (len(seats) // 2 + 1)
 
 
-def best(seats: Iterable[Seat], tolerance: Tolerance, me: str) -> list[Seat]:
+def best(seats: Iterable[MemberStatus], tolerance: Tolerance, me: str) -> list[MemberStatus]:
     """The voters to be had: as few as outlast what may be lost, else the best; the leader is one."""
     left = sorted(
         (it for it in seats if (it.lives if it.voter else it.ready)),
         key=lambda it: (it.name != me, not it.voter, it.name),
     )
-    chosen: list[Seat] = []
-    found: list[Seat] = []
+    chosen: list[MemberStatus] = []
+    found: list[MemberStatus] = []
     zones: Counter[str] = Counter()
     regions: Counter[str] = Counter()
     while left and len(chosen) < MOST:
@@ -95,7 +95,7 @@
     return found or chosen
 
 
-def next_step(seats: Iterable[Seat], tolerance: Tolerance, me: str) -> Step | None:
+def next_step(seats: Iterable[MemberStatus], tolerance: Tolerance, me: str) -> MembershipChange | None:
     """The next change of the membership that `me`, its leader, is to make."""
     members = {it.name: it for it in seats}
     voters = {name for name, it in members.items() if it.voter}
@@ -116,16 +116,16 @@
         if allowed:
             name = max(allowed, key=lambda it: of(voters ^ {it}))
             if name not in voters:
-                return Step(name, True, "votes")
-            return Step(
+                return MembershipChange(name, True, "votes")
+            return MembershipChange(
                 name, False, "votes no more" if members[name].lives else "is silent: it votes no more"
             )
     for name, it in members.items():
         if not it.voter and name != me and (it.gone or it.silent_s > FORGOTTEN_S):
-            return Step(name, None, "came back as another" if it.gone else "is gone")
+            return MembershipChange(name, None, "came back as another" if it.gone else "is gone")
     return None
 
 
-def _may(after: set[str], members: dict[str, Seat]) -> bool:
+def _may(after: set[str], members: dict[str, MemberStatus]) -> bool:
     """Whether a majority of these voters lives and has what is committed."""
     return 2 * sum(1 for it in after if members[it].lives and members[it].caught_up) > len(after)
--- a/amberlug/cluster/control/cluster_state.py
+++ b/amberlug/cluster/control/cluster_state.py
@@ -40,7 +40,7 @@
     }
 
 
-class Book:
+class ClusterState:
     """The agreed state: configuration, roster of stores, owners of shards, endpoints that leave."""
 
     def __init__(self) -> None:
--- a/amberlug/cluster/control/endpoint_registry.py
+++ b/amberlug/cluster/control/endpoint_registry.py
@@ -8,8 +8,8 @@
 import trafaret as t
 from result import Err, Ok, Result
 
-from amberlug.cluster.gossip.store import News
-from amberlug.cluster.interfaces import Json, World
+from amberlug.cluster.gossip.store import GossipStore
+from amberlug.cluster.interfaces import Json, Runtime
 
 MISSED = 3.2  # beats that an endpoint may miss until nothing is sent to it
 MOST = 4096  # bytes of a call
@@ -42,17 +42,17 @@
         )
 
 
-class Cell:
+class EndpointRegistry:
     """What one control relay knows of endpoints; the news carries it to all."""
 
-    def __init__(self, world: World, news: News, beat_s: float) -> None:
-        self.world, self.news, self.silent_s = world, news, MISSED * beat_s
+    def __init__(self, world: Runtime, gossip: GossipStore, beat_s: float) -> None:
+        self.world, self.gossip, self.silent_s = world, gossip, MISSED * beat_s
         self.seen: dict[str, float] = {}  # when each was last heard, here or by another control relay
         self.beaten: set[str] = set()  # heard here since the last report to the others
         self.lost = 0
 
     def known(self, name: str) -> tuple[list[int], Json] | None:
-        return self.news.items.get("ep/" + name)
+        return self.gossip.items.get("ep/" + name)
 
     def announced(self, name: str, said: Json) -> bool:
         """A ready endpoint's beat; False where it is late or the endpoint has said that it leaves."""
@@ -69,7 +69,7 @@
             )
             if same:
                 return True
-        self.news.offer("ep/" + name, [READY, said["sequence"], 0], self._value(said, "ready"))
+        self.gossip.offer("ep/" + name, [READY, said["sequence"], 0], self._value(said, "ready"))
         return True
 
     def leaves(self, name: str, rank: int, sequence: int, said: Json | None) -> None:
@@ -78,7 +78,7 @@
         value = dict(known[1]) if known is not None else self._value(said or {}, "")
         value["cond"] = CONDITIONS[rank]
         self.seen.pop(name, None)
-        self.news.offer("ep/" + name, [rank, sequence, 0], value)
+        self.gossip.offer("ep/" + name, [rank, sequence, 0], value)
 
     @staticmethod
     def _value(said: Json, condition: str) -> Json:
@@ -110,11 +110,11 @@
     def sweep(self, on_lost: Callable[[str], None]) -> None:
         """Tell of the endpoints that have been silent for too long."""
         now = self.world.now()
-        for key, (version, value) in list(self.news.items.items()):
+        for key, (version, value) in list(self.gossip.items.items()):
             if not key.startswith("ep/") or version[0] != READY or value["cond"] != "ready":
                 continue
             name, sequence = key[3:], version[1]
             if now - self.seen.setdefault(name, now) > self.silent_s:
                 self.lost += 1
-                self.news.offer(key, [READY, sequence, 1], {**value, "cond": "lost"})
+                self.gossip.offer(key, [READY, sequence, 1], {**value, "cond": "lost"})
                 on_lost(name)
--- a/amberlug/cluster/control/node.py
+++ b/amberlug/cluster/control/node.py
@@ -9,18 +9,19 @@
 from absl import logging
 from result import Err, Ok, Result
 
-from amberlug.cluster.consensus.log import Saved
-from amberlug.cluster.consensus.raft import NotTaken, Role, Vise
-from amberlug.cluster.consensus.voter_selection import Seat, margin, next_step
-from amberlug.cluster.control.cluster_state import SHARDS, Book, digest
+from amberlug.cluster.consensus.log import PersistentState
+from amberlug.cluster.consensus.raft import ProposalRejected, RaftNode, Role
+from amberlug.cluster.consensus.voter_selection import MemberStatus, margin, next_step
+from amberlug.cluster.control.cluster_state import SHARDS, ClusterState, digest
 from amberlug.cluster.control.config_validation import changed, check, parse
-from amberlug.cluster.control.endpoint_registry import DRAINING, GONE, MOST, Cell, read_announce
+from amberlug.cluster.control.endpoint_registry import DRAINING, GONE, MOST, EndpointRegistry, read_announce
 from amberlug.cluster.control.sessions import BEAT_S, Session, Sessions
-from amberlug.cluster.control.shard_assignment import share_out
-from amberlug.cluster.control.status import Lookout
-from amberlug.cluster.gossip.store import News
-from amberlug.cluster.http.api import Asked, Counter, Said, Say, order
-from amberlug.cluster.interfaces import Disk, Json, Lost, Reply, Respond, World, on, words_of
+from amberlug.cluster.control.shard_assignment import assign_shards
+from amberlug.cluster.control.status import StatusService
+from amberlug.cluster.gossip.store import GossipStore
+from amberlug.cluster.http.api import AdminApi, HttpRequest, HttpResponse, RespondHttp, order
+from amberlug.cluster.interfaces import Disk, Json, Reply, RequestFailure, Respond, Runtime, on
+from amberlug.cluster.rpc.messages import handlers_of
 from amberlug.cluster.session_client import internal
 from amberlug.cluster.settings import Settings
 
@@ -48,29 +49,44 @@
     }
 
 
-def blank(settings: Settings, chance: Callable[[int], int]) -> Saved:
+def blank(settings: Settings, chance: Callable[[int], int]) -> PersistentState:
     """What an empty disk starts with: a founder at the first start, else one that must be let in."""
     members = founding(settings) if settings.first_start else {}
     me = f"{settings.ip}/0"
     if me not in members:
         me = f"{settings.ip}/{chance(48):x}"
-    return Saved(me, members=members)
+    return PersistentState(me, members=members)
 
 
-class Core:
+class ControlNode:
     """One core machine."""
 
-    def __init__(self, world: World, settings: Settings, address: str, disk: Disk, saved: Saved) -> None:
+    def __init__(
+        self, world: Runtime, settings: Settings, address: str, disk: Disk, saved: PersistentState
+    ) -> None:
         self.world, self.settings, self.address = world, settings, address
-        self.book, self.sessions = Book(), Sessions()
-        self.news = News(world, self._others, lambda key, value: None, to_all=True, known_at=self._known_at)
-        self.cell = Cell(world, self.news, settings.heartbeat_s)
-        self.vise = Vise(
-            world, disk, saved, self._apply, self.book.to_json, self.book.from_json, self._changed
+        self.cluster_state, self.sessions = ClusterState(), Sessions()
+        self.gossip = GossipStore(
+            world, self._others, lambda key, value: None, to_all=True, known_at=self._known_at
+        )
+        self.registry = EndpointRegistry(world, self.gossip, settings.heartbeat_s)
+        self.raft = RaftNode(
+            world,
+            disk,
+            saved,
+            self._apply,
+            self.cluster_state.to_json,
+            self.cluster_state.from_json,
+            self._changed,
         )
-        lookout = Lookout(self)
-        self.counter = Counter(self, lookout)
-        self.words = {**words_of(self), **words_of(self.vise), **words_of(self.news), **words_of(lookout)}
+        status_service = StatusService(self)
+        self.counter = AdminApi(self, status_service)
+        self.handlers = {
+            **handlers_of(self),
+            **handlers_of(self.raft),
+            **handlers_of(self.gossip),
+            **handlers_of(status_service),
+        }
         self.counts: dict[str, int] = {}
         self._led = ""
         self._busy: set[str] = set()  # duties under way
@@ -87,18 +103,18 @@
         self._had_contact = False
 
     def begin(self) -> None:
-        self.vise.begin()
+        self.raft.begin()
         self._changed()
-        self.news.begin()
+        self.gossip.begin()
         self._tick()
         self._duty()
         self._join()
 
     def leave(self) -> None:
         """A planned end: another one leads and votes from now on, where there is one."""
-        if any(not it["voter"] and not it.get("gone") for it in self.vise.members.values()):
+        if any(not it["voter"] and not it.get("gone") for it in self.raft.members.values()):
             self._leaves_by = self.world.now() + LEAVE_S
-        self.vise.hand_over()
+        self.raft.hand_over()
         self._say_leaving()
 
     def _say_leaving(self) -> None:
@@ -107,8 +123,8 @@
             return
         leader = self._leader_address()
         if leader is not None:
-            self.world.tell(leader, "core.leaving", {"id": self.vise.me})
-        self.world.later(DUTY_S / 2, self._say_leaving)
+            self.world.send(leader, "core.leaving", {"id": self.raft.me})
+        self.world.call_later(DUTY_S / 2, self._say_leaving)
 
     @on("core.leaving")
     def on_leaving(self, body: Json, blob: bytes, origin: str, respond: Respond) -> None:
@@ -117,10 +133,10 @@
     @property
     def idle(self) -> bool:
         """Whether a process that was told to end may end: it votes no more, or nobody can in its place."""
-        return self.world.now() >= self._leaves_by or not self.vise.voting
+        return self.world.now() >= self._leaves_by or not self.raft.voting
 
     def stop(self) -> None:
-        self.vise.stop()
+        self.raft.stop()
 
     def _count(self, name: str) -> None:
         self.counts[name] = self.counts.get(name, 0) + 1
@@ -128,46 +144,47 @@
     # -- what is agreed becomes news
 
     def _apply(self, index: int, command: Json) -> Json:
-        return self.book.apply(index, command)
+        return self.cluster_state.apply(index, command)
 
     def _changed(self) -> None:
-        book, offer = self.book, self.news.offer
-        if book.config is not None:
-            offer("config", [book.config_at], book.config)
-        if book.shards:
-            offer("shards", [book.shards_at], self._shards())
-        if book.roster:
-            offer("roster", [book.roster_at], book.roster)
-        if self.vise.members_at <= self.vise.commit:
-            offer("cores", [self.vise.members_at], self.vise.members)
-        for name, (rank, sequence) in book.untold().items():
-            known = self.cell.known(name)
+        cluster_state, offer = self.cluster_state, self.gossip.offer
+        if cluster_state.config is not None:
+            offer("config", [cluster_state.config_at], cluster_state.config)
+        if cluster_state.shards:
+            offer("shards", [cluster_state.shards_at], self._shards())
+        if cluster_state.roster:
+            offer("roster", [cluster_state.roster_at], cluster_state.roster)
+        if self.raft.members_at <= self.raft.commit:
+            offer("cores", [self.raft.members_at], self.raft.members)
+        for name, (rank, sequence) in cluster_state.untold().items():
+            known = self.registry.known(name)
             if known is None or known[0] < [rank, sequence, 0]:
-                self.cell.leaves(name, rank, sequence, None)
-        if self.vise.leader != self._led:
-            self._led = self.vise.leader
-            logging.info("term %d is led by %s", self.vise.term, self._led or "nobody")
-            self.world.later(0.0, self._confirm_contact)
+                self.registry.leaves(name, rank, sequence, None)
+        if self.raft.leader != self._led:
+            self._led = self.raft.leader
+            logging.info("term %d is led by %s", self.raft.term, self._led or "nobody")
+            self.world.call_later(0.0, self._confirm_contact)
         waits, self._waits = self._waits, []
         for index, act in waits:
-            if index <= self.vise.applied:
+            if index <= self.raft.applied:
                 act()
             else:
                 self._waits.append((index, act))
 
     def _shards(self) -> Json:
-        ids = sorted(self.book.owners)
+        ids = sorted(self.cluster_state.owners)
         place = {name: at for at, name in enumerate(ids)}
         return {
-            "owners": [[name, self.book.owners[name]] for name in ids],
+            "owners": [[name, self.cluster_state.owners[name]] for name in ids],
             "shards": [
-                [place.get(str(it[0]), -1), it[1], place.get(str(it[2]), -1)] for it in self.book.shards
+                [place.get(str(it[0]), -1), it[1], place.get(str(it[2]), -1)]
+                for it in self.cluster_state.shards
             ],
-            "roster": self.book.shards_roster,
+            "roster": self.cluster_state.shards_roster,
         }
 
     def _cores(self) -> list[str]:
-        return [it["addr"] for name, it in self.vise.members.items() if name != self.vise.me]
+        return [it["addr"] for name, it in self.raft.members.items() if name != self.raft.me]
 
     def _known_at(self, to: str) -> tuple[str, ...]:
         """What another core machine has by the log: told as news besides, it would hold up the beats."""
@@ -178,10 +195,10 @@
 
     def _without_session(self) -> list[str]:
         """Owners of shards that no control relay has a session with: the leader tells them itself."""
-        if self.vise.role is not Role.LEADER:
+        if self.raft.role is not Role.LEADER:
             return []
         members = self.sessions.members(self.world.now())
-        return [it["addr"] for it in self.book.owners.values() if it["name"] not in members]
+        return [it["addr"] for it in self.cluster_state.owners.values() if it["name"] not in members]
 
     # -- contact with a majority
 
@@ -216,11 +233,11 @@
         if self.in_contact != self._had_contact:
             self._had_contact = self.in_contact
             if self.in_contact:
-                self.cell.heard_all()  # who was not heard here meanwhile was heard by others
+                self.registry.heard_all()  # who was not heard here meanwhile was heard by others
             logging.info("contact with a majority %s", "stands" if self.in_contact else "is lost")
 
     def _when_applied(self, index: int, act: Callable[[], None]) -> None:
-        if index <= self.vise.applied:
+        if index <= self.raft.applied:
             act()
         else:
             self._waits.append((index, act))
@@ -258,7 +275,7 @@
                 return
 
             def act() -> None:
-                items, upto = self.news.page_after(body.get("after", ""))
+                items, upto = self.gossip.page_after(body.get("after", ""))
                 respond({"ok": True, "items": items, "next": upto}, b"")
 
             self._when_applied(index, act)
@@ -266,22 +283,22 @@
         self.confirm(give)
 
     def confirm(self, then: Callable[[int | None], None]) -> None:
-        if self.vise.role is Role.LEADER:
-            self.vise.confirm(then)
+        if self.raft.role is Role.LEADER:
+            self.raft.confirm(then)
             return
         leader = self._leader_address()
         if leader is None:
             then(None)
             return
 
-        def hear(reply: Result[Reply, Lost]) -> None:
+        def hear(reply: Result[Reply, RequestFailure]) -> None:
             then(reply.ok_value.body.get("index") if isinstance(reply, Ok) else None)
 
-        self.world.ask(leader, "core.confirm", {}, ORDER_S, hear)
+        self.world.request(leader, "core.confirm", {}, ORDER_S, hear)
 
     @on("core.confirm")
     def on_confirm(self, body: Json, blob: bytes, origin: str, respond: Respond) -> None:
-        self.vise.confirm(lambda index: respond({"index": index}, b""))
+        self.raft.confirm(lambda index: respond({"index": index}, b""))
 
     def settings_are(self, settings: Settings) -> None:
         """Take a settings file that has changed."""
@@ -296,48 +313,48 @@
             self._tell_sessions()
 
     def _tick(self) -> None:
-        self.world.later(BEAT_S, self._tick)
+        self.world.call_later(BEAT_S, self._tick)
         for session in self.sessions.sweep(self.world.now()):
             logging.info("session of %s ended: it is silent", session.id)
         self._tell_sessions()
         self._confirm_contact()
         self._look_at_contact()
         if self.in_contact:  # else it is this machine that hears nobody
-            self.cell.sweep(lambda name: logging.info("endpoint %s is silent", name))
+            self.registry.sweep(lambda name: logging.info("endpoint %s is silent", name))
 
     def _tell_sessions(self) -> None:
         body = {
             "rows": self.sessions.report(self.world.now()),
-            "seen": self.cell.report(),
+            "seen": self.registry.report(),
             "contact": self.in_contact,
         }
         for to in self._cores():
-            self.world.tell(to, "sessions", body)
+            self.world.send(to, "sessions", body)
 
     @on("sessions")
     def on_sessions(self, body: Json, blob: bytes, origin: str, respond: Respond) -> None:
         self.sessions.told(origin, body["rows"], self.world.now(), bool(body.get("contact", True)))
-        self.cell.heard_elsewhere(body["seen"])
+        self.registry.heard_elsewhere(body["seen"])
 
     # -- membership of the core
 
     def _join(self) -> None:
         """Have the leader know this machine as it is now; one that hears none may have been removed."""
-        self.world.later(JOIN_S, self._join)
-        mine = self.vise.members.get(self.vise.me)
-        told, heard = self._self_told(), self.vise.role is Role.LEADER
-        heard |= self.world.now() - self.vise.heard < UNHEARD_S
+        self.world.call_later(JOIN_S, self._join)
+        mine = self.raft.members.get(self.raft.me)
+        told, heard = self._self_told(), self.raft.role is Role.LEADER
+        heard |= self.world.now() - self.raft.heard < UNHEARD_S
         if heard and mine is not None and {**mine, "voter": None} == {**told, "voter": None}:
             return
-        body = {"id": self.vise.me, "member": told}
-        if self.vise.role is Role.LEADER:
+        body = {"id": self.raft.me, "member": told}
+        if self.raft.role is Role.LEADER:
             self._let_in(body)
             return
         leader = self._leader_address()
         known = [*internal(self.settings), *self._cores()]
         addresses = [leader] if leader and heard else [it for it in known if it != self.address]
         if addresses:
-            self.world.tell(self.world.chance.choice(addresses), "core.join", body)
+            self.world.send(self.world.chance.choice(addresses), "core.join", body)
 
     def _self_told(self) -> Json:
         control = self.settings.control
@@ -352,62 +369,62 @@
 
     @on("core.join")
     def on_join(self, body: Json, blob: bytes, origin: str, respond: Respond) -> None:
-        if self.vise.role is Role.LEADER:
+        if self.raft.role is Role.LEADER:
             self._let_in(body)
         elif (leader := self._leader_address()) is not None and not body.get("passed"):
-            self.world.tell(leader, "core.join", {**body, "passed": True})
+            self.world.send(leader, "core.join", {**body, "passed": True})
 
     def _let_in(self, body: Json) -> None:
         """Put a machine into the membership, to learn: what its address was before is gone."""
         name, told = body["id"], body["member"]
         members = {
             it: {**member, "gone": True} if it != name and member["addr"] == told["addr"] else member
-            for it, member in self.vise.members.items()
+            for it, member in self.raft.members.items()
         }
         members[name] = {**told, "voter": members.get(name, {}).get("voter", False)}
-        if members != self.vise.members:
+        if members != self.raft.members:
             self._members(members, f"{name} is let in")
 
     def _members(self, members: Json, why: str) -> None:
-        if "members" in self._busy or not self.vise.settled:
+        if "members" in self._busy or not self.raft.settled:
             return
         self._busy.add("members")
 
-        def done(result: Result[Json, NotTaken]) -> None:
+        def done(result: Result[Json, ProposalRejected]) -> None:
             self._busy.discard("members")
             if isinstance(result, Ok):
                 logging.info("core members: %s", why)
 
-        self.vise.change_members(members, done)
+        self.raft.change_members(members, done)
 
     def _leader_address(self) -> str | None:
-        member = self.vise.members.get(self.vise.leader)
-        return None if member is None or self.vise.leader == self.vise.me else str(member["addr"])
+        member = self.raft.members.get(self.raft.leader)
+        return None if member is None or self.raft.leader == self.raft.me else str(member["addr"])
 
     def _promote(self) -> None:
         """Change the voters by one, or remove a member, where that is the next thing to do."""
-        vise, tolerance = self.vise, self.settings.tolerance
-        committed, self._committed = self._committed, vise.commit
+        raft, tolerance = self.raft, self.settings.tolerance
+        committed, self._committed = self._committed, raft.commit
         seats = [
-            Seat(
+            MemberStatus(
                 name,
                 it["voter"],
                 it["zone"],
                 it.get("region", ""),
-                vise.holds(name, min(committed, vise.commit)),
-                vise.silent_s(name),
+                raft.holds(name, min(committed, raft.commit)),
+                raft.silent_s(name),
                 it.get("gone", False),
                 self.world.now() - self._leaving.get(name, -1e9) < LEAVING_S,
             )
-            for name, it in vise.members.items()
+            for name, it in raft.members.items()
         ]
         short = margin((it for it in seats if it.voter), tolerance) < 0
         if short != self._short:
             self._short = short
             logging.info("core voters %s what may be lost at once", "do not outlast" if short else "outlast")
-        step = next_step(seats, tolerance, vise.me)
+        step = next_step(seats, tolerance, raft.me)
         if step is not None:
-            members = dict(vise.members)
+            members = dict(raft.members)
             it = members.pop(step.name)
             if step.voter is not None:
                 members[step.name] = {**it, "voter": step.voter}
@@ -416,9 +433,9 @@
     # -- duties of the leader
 
     def _duty(self) -> None:
-        self.world.later(DUTY_S, self._duty)
+        self.world.call_later(DUTY_S, self._duty)
         now = self.world.now()
-        if self.vise.role is not Role.LEADER or self.vise.term_at(self.vise.commit) != self.vise.term:
+        if self.raft.role is not Role.LEADER or self.raft.term_at(self.raft.commit) != self.raft.term:
             self._missing.clear()
             self._first_seen.clear()
             return
@@ -433,15 +450,17 @@
     def _keep_roster(self, stores: dict[str, Session], now: float) -> None:
         """Put stores that come on the roster, and mark those that are gone: their copies are made anew."""
         changes: Json = {}
-        roster = self.book.roster
+        roster = self.cluster_state.roster
         for name, session in stores.items():
             disk = str(session.extra["disk"])
             known = roster.get(disk)
-            if known is None and (session.extra["enrolled"] or self.book.retired.get(name) == "completed"):
+            if known is None and (
+                session.extra["enrolled"] or self.cluster_state.retired.get(name) == "completed"
+            ):
                 continue  # it was retired, or its place was taken: then it comes as another disk
             place = {"name": name, "addr": session.address, "zone": session.zone, "region": session.region}
             # A store that loses its disk while it is emptied comes back as one that is still to be emptied.
-            state = "retiring" if self.book.retired.get(name) == "in_progress" else "full"
+            state = "retiring" if self.cluster_state.retired.get(name) == "in_progress" else "full"
             if known is None or {name: known[name] for name in place} != place or known["state"] != state:
                 changes[disk] = {**place, "state": state}
             for other, it in roster.items():
@@ -454,7 +473,7 @@
         here = {disk: it for disk, it in roster.items() if disk not in silent}
         # Guards against a leader that is cut from other control relays: it hears of none of their stores, and
         # more of them can't be lost than may be.
-        if now - self.vise.led_since > SETTLED_S and self._hold(here):
+        if now - self.raft.led_since > SETTLED_S and self._hold(here):
             for disk, it in silent.items():
                 if it["state"] == "full" and now - self._missing.setdefault(disk, now) > LOST_S:
                     changes[disk] = {**it, "state": "lost"}
@@ -469,16 +488,20 @@
 
     def _drop_disks(self, edges: dict[str, Session]) -> None:
         """A disk is asked no more once every owner has enough copies without it."""
-        leaving = {disk: it for disk, it in self.book.roster.items() if it["state"] in ("lost", "retiring")}
-        owners = {str(it[0]) for it in self.book.shards}
+        leaving = {
+            disk: it for disk, it in self.cluster_state.roster.items() if it["state"] in ("lost", "retiring")
+        }
+        owners = {str(it[0]) for it in self.cluster_state.shards}
         if not leaving or not owners or not owners <= set(edges):
             return
-        if not self._hold(self.book.roster):
+        if not self._hold(self.cluster_state.roster):
             return  # nothing is short only because nothing can be held
-        if any(it["state"] == "full" and disk in self._silent for disk, it in self.book.roster.items()):
+        if any(
+            it["state"] == "full" and disk in self._silent for disk, it in self.cluster_state.roster.items()
+        ):
             return  # its copies count, and may be gone: soon it is back, or they are made anew
         told = [edges[name].extra for name in owners]
-        if any(it["table"] != self.book.shards_at or it["loading"] or it["short"] for it in told):
+        if any(it["table"] != self.cluster_state.shards_at or it["loading"] or it["short"] for it in told):
             return
         oldest = min(it["roster"] for it in told)
         done = [disk for disk, it in leaving.items() if it["at"] <= oldest]
@@ -490,9 +513,9 @@
         live = [name for name, it in edges.items() if it.state == "up"]
         if not live or "give" in self._busy:
             return
-        owners = [str(it[0]) for it in self.book.shards]
+        owners = [str(it[0]) for it in self.cluster_state.shards]
         held = sorted(set(owners))
-        settled = now - self.vise.led_since > SETTLED_S
+        settled = now - self.raft.led_since > SETTLED_S
         again = {it.name for it in edges.values()}  # a machine that is back has no earlier life any more
         gone = []
         for name in held:
@@ -510,11 +533,13 @@
             if not owners and now - newest < GATHER_S:
                 return
             stay = [name for name in held if name and name not in gone and name not in live]
-            give = share_out(owners, live, len(owners) or SHARDS, stay)
+            give = assign_shards(owners, live, len(owners) or SHARDS, stay)
             give = {name: numbers for name, numbers in give.items() if numbers}
             if not give:
                 return
-            known = {name: self.book.owners[name] for name in held if name in self.book.owners}
+            known = {
+                name: self.cluster_state.owners[name] for name in held if name in self.cluster_state.owners
+            }
             for name, it in edges.items():
                 known[name] = {"name": it.name, "addr": it.address, "zone": it.zone, "region": it.region}
             for name in gone:
@@ -527,53 +552,62 @@
         if duty in self._busy:
             return
         self._busy.add(duty)
-        self.vise.propose(command, lambda result: self._busy.discard(duty))
+        self.raft.propose(command, lambda result: self._busy.discard(duty))
 
     # -- orders
 
-    def _order(self, word: str, body: Json, then: Callable[[Result[Json, NotTaken]], None]) -> None:
+    def _order(self, word: str, body: Json, then: Callable[[Result[Json, ProposalRejected]], None]) -> None:
         """Have the leader carry out an order, here or elsewhere."""
-        if self.vise.role is Role.LEADER:
+        if self.raft.role is Role.LEADER:
             self._carry(word, body, then)
             return
         leader = self._leader_address()
         if leader is None:
-            then(Err(NotTaken.ELSEWHERE))
+            then(Err(ProposalRejected.NOT_LEADER))
             return
 
-        def hear(reply: Result[Reply, Lost]) -> None:
+        def hear(reply: Result[Reply, RequestFailure]) -> None:
             said = reply.ok_value.body if isinstance(reply, Ok) else {}
             if "said" in said:
                 then(Ok(said["said"]))
             else:
-                then(Err(NotTaken.UNCLEAR if isinstance(reply, Err) else NotTaken.ELSEWHERE))
+                then(
+                    Err(
+                        ProposalRejected.OUTCOME_UNKNOWN
+                        if isinstance(reply, Err)
+                        else ProposalRejected.NOT_LEADER
+                    )
+                )
 
-        self.world.ask(leader, "core.order", {"word": word, "body": body}, ORDER_S, hear)
+        self.world.request(leader, "core.order", {"word": word, "body": body}, ORDER_S, hear)
 
     @on("core.order")
     def on_order(self, body: Json, blob: bytes, origin: str, respond: Respond) -> None:
-        def answer(result: Result[Json, NotTaken]) -> None:
+        def answer(result: Result[Json, ProposalRejected]) -> None:
             respond({"said": result.ok_value} if isinstance(result, Ok) else {}, b"")
 
-        if self.vise.role is Role.LEADER:
+        if self.raft.role is Role.LEADER:
             self._carry(body["word"], body["body"], answer)
         else:
             respond({}, b"")
 
-    def _carry(self, word: str, body: Json, then: Callable[[Result[Json, NotTaken]], None]) -> None:
+    def _carry(self, word: str, body: Json, then: Callable[[Result[Json, ProposalRejected]], None]) -> None:
         if word == "retire":
             self._carry_retire(body["name"], then)
         elif word == "drain":
-            self.vise.propose(self._aged({"do": "drain", "ids": body["ids"]}), then)
+            self.raft.propose(self._aged({"do": "drain", "ids": body["ids"]}), then)
         elif word == "read":
             self._confirmed_book(
-                lambda: then(Ok({"config": self.book.config, "retired": self.book.retired})), then
+                lambda: then(
+                    Ok({"config": self.cluster_state.config, "retired": self.cluster_state.retired})
+                ),
+                then,
             )
         else:
             self._carry_config(word, body, then)
 
     def _confirmed_book(
-        self, act: Callable[[], None], then: Callable[[Result[Json, NotTaken]], None]
+        self, act: Callable[[], None], then: Callable[[Result[Json, ProposalRejected]], None]
     ) -> None:
         """Act once the book is known to be as new as a majority's: nothing else may be said of it.
 
@@ -583,47 +617,51 @@
 
         def confirmed(index: int | None) -> None:
             if index is None:
-                then(Err(NotTaken.ELSEWHERE))
+                then(Err(ProposalRejected.NOT_LEADER))
             else:
                 self._when_applied(index, act)
 
-        self.vise.confirm(confirmed)
+        self.raft.confirm(confirmed)
 
     def _aged(self, command: Json) -> Json:
         """A command that has the book's time go on by what passed while this machine led."""
-        now, since = self.world.now(), max(self._aged_at, self.vise.led_since)
+        now, since = self.world.now(), max(self._aged_at, self.raft.led_since)
         self._aged_at = now
         return {**command, "after": round(now - since, 3)}
 
-    def _carry_retire(self, name: str, then: Callable[[Result[Json, NotTaken]], None]) -> None:
+    def _carry_retire(self, name: str, then: Callable[[Result[Json, ProposalRejected]], None]) -> None:
         self._confirmed_book(lambda: self._retire_confirmed(name, then), then)
 
-    def _retire_confirmed(self, name: str, then: Callable[[Result[Json, NotTaken]], None]) -> None:
-        rest = {disk: it for disk, it in self.book.roster.items() if it["name"] != name}
-        if len(rest) < len(self.book.roster) and not self._hold(rest):
+    def _retire_confirmed(self, name: str, then: Callable[[Result[Json, ProposalRejected]], None]) -> None:
+        rest = {disk: it for disk, it in self.cluster_state.roster.items() if it["name"] != name}
+        if len(rest) < len(self.cluster_state.roster) and not self._hold(rest):
             then(Ok({"status": 409, "cause": f"too few stores would be left without {name}"}))
-        elif len(rest) == len(self.book.roster) and name in self.sessions.members(self.world.now()):
-            then(Err(NotTaken.ELSEWHERE))  # it has come, and is not on the roster yet
+        elif len(rest) == len(self.cluster_state.roster) and name in self.sessions.members(self.world.now()):
+            then(Err(ProposalRejected.NOT_LEADER))  # it has come, and is not on the roster yet
         else:
-            self.vise.propose({"do": "retire", "name": name}, then)
+            self.raft.propose({"do": "retire", "name": name}, then)
 
-    def _carry_config(self, word: str, body: Json, then: Callable[[Result[Json, NotTaken]], None]) -> None:
+    def _carry_config(
+        self, word: str, body: Json, then: Callable[[Result[Json, ProposalRejected]], None]
+    ) -> None:
         self._confirmed_book(lambda: self._config_confirmed(word, body, then), then)
 
     def _config_confirmed(
-        self, word: str, body: Json, then: Callable[[Result[Json, NotTaken]], None]
+        self, word: str, body: Json, then: Callable[[Result[Json, ProposalRejected]], None]
     ) -> None:
         base, text = body["base"], body["data"]
         sum_ = digest({"word": word, "base": base, "data": text})
         edition = text.get("edition")
-        said = self.book.check_config(base, edition, sum_) if isinstance(edition, int) else {"ok": True}
+        said = (
+            self.cluster_state.check_config(base, edition, sum_) if isinstance(edition, int) else {"ok": True}
+        )
         if said.get("again"):
             then(Ok(said))
             return
         if said.get("status") in (412, 503):
             then(Ok(said))
             return
-        whole = changed(self.book.config, text) if word == "modify" else Ok(text)
+        whole = changed(self.cluster_state.config, text) if word == "modify" else Ok(text)
         errors = whole.err_value if isinstance(whole, Err) else check(whole.ok_value)
         if errors or "status" in said:
             causes = errors + ([said["cause"]] if "status" in said else [])
@@ -631,160 +669,160 @@
             return
         assert isinstance(whole, Ok)
         command = {"do": "config", "base": base, "edition": edition, "sum": sum_, "config": whole.ok_value}
-        self.vise.propose(self._aged(command), then)
+        self.raft.propose(self._aged(command), then)
 
-    def _config(self, word: str, asked: Asked, say: Say) -> None:
+    def _config(self, word: str, asked: HttpRequest, say: RespondHttp) -> None:
         data = parse(asked.body)
         if isinstance(data, Err):
             self._count("config refused")
-            say(Said(400, {"cause": "; ".join(data.err_value)}))
+            say(HttpResponse(400, {"cause": "; ".join(data.err_value)}))
             return
         base = asked.header("amberlug-base-version")
         if base is None or not base.strip().isdigit():
-            say(Said(400, {"cause": "Amberlug-Base-Version: no whole number"}))
+            say(HttpResponse(400, {"cause": "Amberlug-Base-Version: no whole number"}))
             return
 
-        def done(result: Result[Json, NotTaken]) -> None:
+        def done(result: Result[Json, ProposalRejected]) -> None:
             if isinstance(result, Err):
                 # Nobody can say yet whether it is in force: the caller sends it again unchanged.
-                say(Said(503, {"cause": f"no answer of a majority: {result.err_value.value}"}, 1))
+                say(HttpResponse(503, {"cause": f"no answer of a majority: {result.err_value.value}"}, 1))
                 return
             said = result.ok_value
             if "status" in said:
                 self._count("config refused")
                 logging.info("configuration refused: %s", said["cause"])
-                say(Said(said["status"], {"cause": said["cause"]}))
+                say(HttpResponse(said["status"], {"cause": said["cause"]}))
             else:
                 self._count("config taken")
                 logging.info("configuration %s is in force", data.ok_value.get("edition"))
-                say(Said(200, {"edition": data.ok_value.get("edition")}))
+                say(HttpResponse(200, {"edition": data.ok_value.get("edition")}))
 
         self._order(word, {"base": int(base), "data": data.ok_value}, done)
 
     @order("POST", "/-/Configuration.Replace")
-    def replace(self, asked: Asked, name: str, say: Say) -> None:
+    def replace(self, asked: HttpRequest, name: str, say: RespondHttp) -> None:
         """Put a whole configuration in place."""
         self._config("replace", asked, say)
 
     @order("POST", "/-/Configuration.Modify")
-    def modify(self, asked: Asked, name: str, say: Say) -> None:
+    def modify(self, asked: HttpRequest, name: str, say: RespondHttp) -> None:
         """Change named items of the configuration."""
         self._config("modify", asked, say)
 
     @order("GET", "/-/Configuration.Read")
-    def read(self, asked: Asked, name: str, say: Say) -> None:
+    def read(self, asked: HttpRequest, name: str, say: RespondHttp) -> None:
         """Give the newest configuration, confirmed by a majority."""
 
-        def done(result: Result[Json, NotTaken]) -> None:
+        def done(result: Result[Json, ProposalRejected]) -> None:
             if isinstance(result, Err):
-                say(Said(503, {"cause": "no answer of a majority"}, 1))
+                say(HttpResponse(503, {"cause": "no answer of a majority"}, 1))
             elif result.ok_value["config"] is None:
-                say(Said(404, {"cause": "no configuration is in place yet"}))
+                say(HttpResponse(404, {"cause": "no configuration is in place yet"}))
             else:
-                say(Said(200, result.ok_value["config"]))
+                say(HttpResponse(200, result.ok_value["config"]))
 
         self._order("read", {}, done)
 
     @order("POST", "/-/Retire.Begin/")
-    def retire(self, asked: Asked, name: str, say: Say) -> None:
+    def retire(self, asked: HttpRequest, name: str, say: RespondHttp) -> None:
         """Have a store emptied: its copies are made anew elsewhere."""
         data = self._small(asked, say)
         if data is None:
             return
         seconds = data.get("durationS")
         if isinstance(seconds, bool) or not isinstance(seconds, int | float) or seconds < 0:
-            say(Said(400, {"cause": "durationS: no number of seconds"}))
+            say(HttpResponse(400, {"cause": "durationS: no number of seconds"}))
             return
 
-        def done(result: Result[Json, NotTaken]) -> None:
+        def done(result: Result[Json, ProposalRejected]) -> None:
             if isinstance(result, Err):
-                say(Said(503, {"cause": "no answer of a majority"}, 1))
+                say(HttpResponse(503, {"cause": "no answer of a majority"}, 1))
             elif "status" in result.ok_value:
-                say(Said(result.ok_value["status"], {"cause": result.ok_value["cause"]}))
+                say(HttpResponse(result.ok_value["status"], {"cause": result.ok_value["cause"]}))
             else:
                 logging.info("store %s is to be emptied", name)
-                say(Said(200, {"condition": "in_progress"}))
+                say(HttpResponse(200, {"condition": "in_progress"}))
 
         self._order("retire", {"name": name}, done)
 
     @order("GET", "/-/Retire.Read/")
-    def retire_read(self, asked: Asked, name: str, say: Say) -> None:
+    def retire_read(self, asked: HttpRequest, name: str, say: RespondHttp) -> None:
         """Tell how far a store is emptied, as a majority knows it."""
 
-        def done(result: Result[Json, NotTaken]) -> None:
+        def done(result: Result[Json, ProposalRejected]) -> None:
             if isinstance(result, Err):
-                say(Said(503, {"cause": "no answer of a majority"}, 1))
+                say(HttpResponse(503, {"cause": "no answer of a majority"}, 1))
             elif result.ok_value["retired"].get(name) is None:
-                say(Said(404, {"cause": f"{name} is not being emptied"}))
+                say(HttpResponse(404, {"cause": f"{name} is not being emptied"}))
             else:
-                say(Said(200, {"condition": result.ok_value["retired"][name]}))
+                say(HttpResponse(200, {"condition": result.ok_value["retired"][name]}))
 
         self._order("read", {}, done)
 
     @order("POST", "/-/Instances.Announce/")
-    def announce(self, asked: Asked, name: str, say: Say) -> None:
+    def announce(self, asked: HttpRequest, name: str, say: RespondHttp) -> None:
         """An endpoint says that it is there, or that it leaves."""
         self._count("announced")
         if not self.in_contact:
-            say(Said(503, {"cause": "no contact with a majority"}, 1))  # it calls another one then
+            say(HttpResponse(503, {"cause": "no contact with a majority"}, 1))  # it calls another one then
             return
         data = self._small(asked, say)
         if data is None:
             return
         read = read_announce(data)
         if isinstance(read, Err):
-            say(Said(400, {"cause": read.err_value}))
+            say(HttpResponse(400, {"cause": read.err_value}))
             return
         said = read.ok_value
         if said["condition"] == "ready":
-            self.cell.announced(name, said)
+            self.registry.announced(name, said)
             to = self._cell_of(said["zone"])
-            say(Said(200, {"heartbeatUri": to} if to else {}))
+            say(HttpResponse(200, {"heartbeatUri": to} if to else {}))
         else:
             self._leave(name, DRAINING, said["sequence"], said, say)
 
     @order("POST", "/-/Instances.Deregister/")
-    def deregister(self, asked: Asked, name: str, say: Say) -> None:
+    def deregister(self, asked: HttpRequest, name: str, say: RespondHttp) -> None:
         """An endpoint says that it has gone."""
-        known = self.cell.known(name)
+        known = self.registry.known(name)
         self._leave(name, GONE, known[0][1] if known is not None else 0, None, say)
 
-    def _small(self, asked: Asked, say: Say) -> Any:
+    def _small(self, asked: HttpRequest, say: RespondHttp) -> Any:
         if len(asked.body) > MOST:
-            say(Said(413, {"cause": f"{len(asked.body)} bytes are too many"}))
+            say(HttpResponse(413, {"cause": f"{len(asked.body)} bytes are too many"}))
             return None
         try:
             data = json.loads(asked.body)
         except (ValueError, RecursionError):
-            say(Said(400, {"cause": "no JSON"}))
+            say(HttpResponse(400, {"cause": "no JSON"}))
             return None
         if not isinstance(data, dict):
-            say(Said(400, {"cause": "no object"}))
+            say(HttpResponse(400, {"cause": "no object"}))
             return None
         return data
 
     def _cell_of(self, zone: str) -> str:
         """The control address of the cell that keeps a zone's endpoints, where it lives."""
         now = self.world.now()
-        for name, it in sorted(self.vise.members.items()):
+        for name, it in sorted(self.raft.members.items()):
             if it["zone"] == zone and it["control"]:
-                here = name == self.vise.me and self.in_contact
+                here = name == self.raft.me and self.in_contact
                 if here or self.sessions.in_contact(it["addr"], now):
                     return str(it["control"])
         return ""
 
-    def _leave(self, name: str, rank: int, sequence: int, said: Json | None, say: Say) -> None:
+    def _leave(self, name: str, rank: int, sequence: int, said: Json | None, say: RespondHttp) -> None:
         """Tell all at once, and acknowledge once a majority holds it: a lost machine can't take it along."""
-        if self.book.drained(name)[0] >= rank:
-            say(Said(200, {}))
+        if self.cluster_state.drained(name)[0] >= rank:
+            say(HttpResponse(200, {}))
             return
-        self.cell.leaves(name, rank, sequence, said)
+        self.registry.leaves(name, rank, sequence, said)
 
-        def done(result: Result[Json, NotTaken]) -> None:
+        def done(result: Result[Json, ProposalRejected]) -> None:
             if isinstance(result, Ok):
                 logging.info("endpoint %s %s", name, "leaves" if rank == DRAINING else "has gone")
-                say(Said(200, {}))
+                say(HttpResponse(200, {}))
             else:
-                say(Said(503, {"cause": "no answer of a majority"}, 1))
+                say(HttpResponse(503, {"cause": "no answer of a majority"}, 1))
 
         self._order("drain", {"ids": [[name, rank, sequence]]}, done)
--- a/amberlug/cluster/control/shard_assignment.py
+++ b/amberlug/cluster/control/shard_assignment.py
@@ -5,7 +5,7 @@
 from collections.abc import Mapping, Sequence
 
 
-def share_out(
+def assign_shards(
     owners: Sequence[str], live: Sequence[str], count: int, keep: Sequence[str] = ()
 ) -> Mapping[str, list[int]]:
     """What to give to whom.
--- a/amberlug/cluster/dispatch/delivery_queue.py
+++ b/amberlug/cluster/dispatch/delivery_queue.py
@@ -8,19 +8,19 @@
 from collections.abc import Callable
 
 from amberlug.cluster.dispatch.message import Message
-from amberlug.cluster.interfaces import Handle, World
+from amberlug.cluster.interfaces import Runtime, TimerHandle
 
 
-class Rack:
+class DeliveryQueue:
     """Messages in hand: gives each to `ready` once it is due and the first of its key."""
 
-    def __init__(self, world: World, ready: Callable[[Message], None]) -> None:
+    def __init__(self, world: Runtime, ready: Callable[[Message], None]) -> None:
         self.world, self._ready = world, ready
         self.messages: dict[str, Message] = {}
         self.keys: dict[str, list[Message]] = {}  # by sequence key: those that have not ended, in their order
         self._due: list[tuple[float, int, Message]] = []
         self._numbers = itertools.count()
-        self._timer: Handle | None = None
+        self._timer: TimerHandle | None = None
 
     def add(self, message: Message) -> None:
         """Take one in hand."""
@@ -36,7 +36,7 @@
     def _when_due(self, message: Message) -> None:
         if message.out:
             return
-        wait = message.due_at - self.world.wall()
+        wait = message.due_at - self.world.wall_clock()
         if wait <= 0:
             self._offer(message)
             return
@@ -47,11 +47,11 @@
     def _wake(self, wait: float) -> None:
         if self._timer is not None:
             self._timer.cancel()
-        self._timer = self.world.later(max(0.0, wait), self._fall_due)
+        self._timer = self.world.call_later(max(0.0, wait), self._fall_due)
 
     def _fall_due(self) -> None:
         self._timer = None
-        now = self.world.wall()
+        now = self.world.wall_clock()
         while self._due and self._due[0][0] <= now:
             message = heapq.heappop(self._due)[2]
             self._offer(message)
--- a/amberlug/cluster/dispatch/dispatcher.py
+++ b/amberlug/cluster/dispatch/dispatcher.py
@@ -8,9 +8,9 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from amberlug.cluster.dispatch.endpoint_pool import FULL_S, Endpoint, Pool
+from amberlug.cluster.dispatch.endpoint_pool import FULL_S, Endpoint, EndpointPool
 from amberlug.cluster.dispatch.message import Message
-from amberlug.cluster.interfaces import Called, Delivery, Endpoints, Handle, Verdict, World
+from amberlug.cluster.interfaces import CallResult, CallVerdict, EndpointCall, Endpoints, Runtime, TimerHandle
 from amberlug.core.usual import message_class, settings
 from amberlug.policy.account import SECOND, WINDOW_US, Account
 from amberlug.policy.interface import Effect
@@ -43,11 +43,11 @@
     again_s: float = 0.0
 
 
-def judge(message: Message, called: Called, max_attempts: int) -> Outcome:
+def judge(message: Message, called: CallResult, max_attempts: int) -> Outcome:
     """Read an endpoint's answer. Only what names this attempt is believed."""
     pause = min(PAUSE_S[1], PAUSE_S[0] * 2 ** min(message.tries, 8))
-    if called.verdict is not Verdict.ANSWERED or called.header("amberlug-attempt-id") != message.attempt:
-        return Outcome(again_s=pause if called.verdict is Verdict.ANSWERED else 0.0)
+    if called.verdict is not CallVerdict.ANSWERED or called.header("amberlug-attempt-id") != message.attempt:
+        return Outcome(again_s=pause if called.verdict is CallVerdict.ANSWERED else 0.0)
     if called.header("amberlug-not-executed") is not None or called.status == 421:
         return Outcome(again_s=pause)
     if 200 <= called.status < 300:
@@ -61,17 +61,17 @@
     return Outcome(again_s=BUSY_S if called.status == 409 else pause)
 
 
-class Service:
+class Dispatcher:
     """Due messages of one service, in line for its account and endpoints."""
 
     def __init__(
         self,
         name: str,
-        world: World,
-        pool: Pool,
+        world: Runtime,
+        pool: EndpointPool,
         endpoints: Endpoints,
         timeout_s: Callable[[Message], float],
-        finished: Callable[[Message, Called], None],
+        finished: Callable[[Message, CallResult], None],
     ) -> None:
         self.name, self.world, self.pool, self.endpoints = name, world, pool, endpoints
         self._timeout_s, self._finished = timeout_s, finished
@@ -80,7 +80,7 @@
         self.calls: dict[Out, None] = {}
         self.fixed = False
         self._numbers = itertools.count()
-        self._timer: Handle | None = None
+        self._timer: TimerHandle | None = None
         self.refused = 0
         self.held = 0  # times that the account made a message wait
 
@@ -130,7 +130,7 @@
     def _at(self, seconds: float) -> None:
         if self._timer is not None:
             self._timer.cancel()
-        self._timer = self.world.later(max(0.001, seconds), self._opened)
+        self._timer = self.world.call_later(max(0.001, seconds), self._opened)
 
     def _opened(self) -> None:
         self._timer = None
@@ -152,7 +152,7 @@
         ]
         if not self.fixed:
             headers.append(("Amberlug-Target-Instance", endpoint.id))
-        delivery = Delivery(
+        delivery = EndpointCall(
             endpoint.address,
             endpoint.id,
             message.attempt,
@@ -164,26 +164,26 @@
         )
         self.endpoints.call(delivery, lambda called: self._ended(out, called))
 
-    def _ended(self, out: Out, called: Called) -> None:
+    def _ended(self, out: Out, called: CallResult) -> None:
         """An answer turns its reservation into a consumption, in the bucket of its start."""
         now, now_us = self.world.now(), self._now_us()
         endpoint, message = out.endpoint, out.message
         del self.calls[out]
         del self.account.reserved[out]
         endpoint.out -= 1
-        took_on = called.verdict is Verdict.ANSWERED and called.header("amberlug-not-executed") is None
-        reached = called.verdict is not Verdict.UNREACHED
+        took_on = called.verdict is CallVerdict.ANSWERED and called.header("amberlug-not-executed") is None
+        reached = called.verdict is not CallVerdict.NOT_CONNECTED
         self.account.buckets.add(out.start_us, 1 if reached else 0, took_on)
-        if called.verdict is Verdict.ANSWERED:
+        if called.verdict is CallVerdict.ANSWERED:
             endpoint.answered()
             self._learn(out, called, now, now_us)
-        elif called.verdict is not Verdict.BROKEN or endpoint.doubts == 0:
-            if called.verdict is not Verdict.BROKEN:
+        elif called.verdict is not CallVerdict.CONNECTION_LOST or endpoint.doubts == 0:
+            if called.verdict is not CallVerdict.CONNECTION_LOST:
                 endpoint.doubt(now)
         self._finished(message, called)
         self.pump()
 
-    def _learn(self, out: Out, called: Called, now: float, now_us: int) -> None:
+    def _learn(self, out: Out, called: CallResult, now: float, now_us: int) -> None:
         endpoint, account = out.endpoint, self.account
         if called.status == 421:
             endpoint.state = "gone"  # another life has its address
--- a/amberlug/cluster/dispatch/endpoint_client.py
+++ b/amberlug/cluster/dispatch/endpoint_client.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from amberlug.cluster.interfaces import Called, Delivery, Verdict
+from amberlug.cluster.interfaces import CallResult, CallVerdict, EndpointCall
 from amberlug.http.link import Link, LinkLostError, Reply, dial
 
 DIAL_S = 0.7  # for a connection to come up
@@ -29,7 +29,7 @@
     answered: set[str] = field(default_factory=set)
 
 
-class Caller:
+class EndpointClient:
     """Connections to endpoints, by address."""
 
     def __init__(self) -> None:
@@ -59,13 +59,13 @@
             else:
                 del self._idle[address]
 
-    def call(self, delivery: Delivery, then: Callable[[Called], None]) -> None:
+    def call(self, delivery: EndpointCall, then: Callable[[CallResult], None]) -> None:
         """Call an endpoint; `then` hears once how it ended."""
         task = asyncio.get_running_loop().create_task(self._call(delivery, then))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _call(self, delivery: Delivery, then: Callable[[Called], None]) -> None:
+    async def _call(self, delivery: EndpointCall, then: Callable[[CallResult], None]) -> None:
         then(await self._try(delivery))
 
     def _kept(self, address: str, attempt: str) -> _Connection | None:
@@ -86,14 +86,14 @@
             self._idle[address] = idle + passed
         return found
 
-    async def _try(self, delivery: Delivery) -> Called:
+    async def _try(self, delivery: EndpointCall) -> CallResult:
         connection = self._kept(delivery.address, delivery.attempt)
         if connection is None:
             host, _, port = delivery.address.rpartition(":")
             self.dialled += 1
             dialled = await dial(host, int(port), min(DIAL_S, delivery.seconds))
             if dialled is None:
-                return Called(Verdict.UNREACHED)
+                return CallResult(CallVerdict.NOT_CONNECTED)
             connection = _Connection(dialled)
         link = connection.link
         host_header = next((value for name, value in delivery.headers if name == "Host"), "")
@@ -104,24 +104,26 @@
                 reply = await waiter
         except LinkLostError as lost:
             link.close()
-            return Called(Verdict.BROKEN if lost.written or lost.answered else Verdict.UNREACHED)
+            return CallResult(
+                CallVerdict.CONNECTION_LOST if lost.written or lost.answered else CallVerdict.NOT_CONNECTED
+            )
         except TimeoutError:
             read = self._read_by_now(waiter)
             if read is None:
                 link.close()
-                return Called(Verdict.SILENT)
+                return CallResult(CallVerdict.TIMED_OUT)
             reply = read
         if not self._is_to(delivery, reply):
             # It belongs to another call, or to none. The one to this call may follow: no other must get it.
             link.close()
-            return Called(Verdict.BROKEN)
+            return CallResult(CallVerdict.CONNECTION_LOST)
         if not reply.headers.get("amberlug-server-seal"):
             connection.answered.add(delivery.attempt)
         if link.usable and len(connection.answered) < OPEN_MOST:
             self._keep(delivery.address, connection, reply.headers)
         else:
             link.close()
-        return Called(Verdict.ANSWERED, reply.status, tuple(reply.headers.items()))
+        return CallResult(CallVerdict.ANSWERED, reply.status, tuple(reply.headers.items()))
 
     @staticmethod
     def _read_by_now(waiter: asyncio.Future[Reply]) -> Reply | None:
@@ -130,7 +132,7 @@
         return waiter.result() if whole else None
 
     @staticmethod
-    def _is_to(delivery: Delivery, reply: Reply) -> bool:
+    def _is_to(delivery: EndpointCall, reply: Reply) -> bool:
         """Whether an answer is to this call: by the attempt that it names, not by its place."""
         return reply.headers.get("amberlug-attempt-id") == delivery.attempt
 
--- a/amberlug/cluster/dispatch/endpoint_pool.py
+++ b/amberlug/cluster/dispatch/endpoint_pool.py
@@ -41,7 +41,7 @@
         self.doubts = 0
 
 
-class Pool:
+class EndpointPool:
     """All endpoints that are known, by service."""
 
     def __init__(self, zone: str, chance: random.Random, idle: Callable[[str], int]) -> None:
--- a/amberlug/cluster/dispatch/replicator.py
+++ b/amberlug/cluster/dispatch/replicator.py
@@ -10,7 +10,7 @@
 from result import Err, Ok, Result
 
 from amberlug.cluster.dispatch.message import Message
-from amberlug.cluster.interfaces import Handle, Json, Lost, Reply, World
+from amberlug.cluster.interfaces import Json, Reply, RequestFailure, Runtime, TimerHandle
 from amberlug.cluster.settings import Tolerance
 
 HEDGE_S = 0.03  # for a store to answer until a further one is asked as well
@@ -28,17 +28,17 @@
 MARKS = 512  # in one message
 
 
-class Put(Enum):
+class ReplicationOutcome(Enum):
     """What came of keeping a message."""
 
-    HELD = "held"
+    REPLICATED = "held"
     FENCED = "fenced"  # another owner has the shard: it may find what some store took
-    UNCLEAR = "unclear"  # some store may have it
-    REFUSED = "refused"  # no store was reached: it is surely nowhere
+    OUTCOME_UNKNOWN = "unclear"  # some store may have it
+    REJECTED = "refused"  # no store was reached: it is surely nowhere
 
 
 @dataclass(frozen=True, slots=True)
-class StoreAt:
+class StorageMember:
     """A store of the roster."""
 
     name: str
@@ -52,13 +52,13 @@
         return self.zone, self.region
 
 
-class Spread:
+class Replicator:
     """The stores, as an owner of shards uses them."""
 
-    def __init__(self, world: World, tolerance: Tolerance, zone: str, region: str, status_s: float) -> None:
+    def __init__(self, world: Runtime, tolerance: Tolerance, zone: str, region: str, status_s: float) -> None:
         self.world, self.tolerance, self.zone, self.region = world, tolerance, zone, region
         self.status_s = status_s  # for how long an end is told
-        self.stores: dict[str, StoreAt] = {}
+        self.stores: dict[str, StorageMember] = {}
         self.index = 0  # of the roster
         self._suspect: dict[str, float] = {}
         self._marks: dict[str, dict[str, list[object]]] = {}  # by store: ends that it has not acknowledged
@@ -72,7 +72,7 @@
     def roster_is(self, roster: Json, index: int = 0) -> None:
         """Take the roster: each store by its disk, since a machine that lost its own is another one."""
         self.stores = {
-            disk: StoreAt(it["name"], it["addr"], it["zone"], it["region"], it["state"])
+            disk: StorageMember(it["name"], it["addr"], it["zone"], it["region"], it["state"])
             for disk, it in roster.items()
         }
         for known in (self._marks, self._unanswered, self._took, self._probed, self._full):
@@ -131,13 +131,13 @@
             return
         self._probed[name] = now
 
-        def hear(reply: Result[Reply, Lost]) -> None:
+        def hear(reply: Result[Reply, RequestFailure]) -> None:
             if isinstance(reply, Ok) and reply.ok_value.body.get("ok"):
                 self.answered(name, now)
             else:
-                self.world.later(PROBE_S, self._look_again)
+                self.world.call_later(PROBE_S, self._look_again)
 
-        self.world.ask(self.stores[name].address, "marks", {"marks": []}, MARK_ANSWER_S, hear)
+        self.world.request(self.stores[name].address, "marks", {"marks": []}, MARK_ANSWER_S, hear)
 
     def _look_again(self) -> None:
         """Ask until enough answer, also while no message comes."""
@@ -169,16 +169,16 @@
             ),
         )
 
-    def put(self, message: Message, epoch: int, then: Callable[[Put], None]) -> None:
+    def put(self, message: Message, epoch: int, then: Callable[[ReplicationOutcome], None]) -> None:
         """Have enough stores hold a message."""
-        _Putting(self, message, epoch, self._ranked(message), then).begin()
+        _ReplicaWrite(self, message, epoch, self._ranked(message), then).begin()
 
     # -- ends
 
     def mark(self, message: Message, end: str, seal: str) -> None:
         """Have the stores know how a message ended."""
         message.end, message.seal = end, seal
-        until = max(self.world.wall() + self.status_s, message.keep_until)
+        until = max(self.world.wall_clock() + self.status_s, message.keep_until)
         row = [message.id, message.shard, end, seal, round(until, 3)]
         holders = {name for name in message.holders | message.asked if name in self.stores}
         for name in self._ranked(message):
@@ -189,7 +189,7 @@
             if self.stores[name].state == "lost":
                 continue
             if not self._marks.get(name) and name not in self._telling:
-                self.world.later(MARK_S, partial(self._tell, name))
+                self.world.call_later(MARK_S, partial(self._tell, name))
             self._marks.setdefault(name, {})[message.id] = row
 
     def unmarked(self) -> dict[str, list[object]]:
@@ -209,7 +209,7 @@
         self._telling.add(name)
         rows = list(waiting.values())[:MARKS]
 
-        def hear(reply: Result[Reply, Lost]) -> None:
+        def hear(reply: Result[Reply, RequestFailure]) -> None:
             self._telling.discard(name)
             if isinstance(reply, Ok):
                 self.answered(name, asked)
@@ -218,13 +218,13 @@
                 for row in rows:
                     left.pop(str(row[0]), None)
                 if left:
-                    self.world.later(MARK_S, lambda: self._tell(name))
+                    self.world.call_later(MARK_S, lambda: self._tell(name))
                 return
             self._cover(name, rows)
-            self.world.later(AGAIN_S, lambda: self._tell(name))
+            self.world.call_later(AGAIN_S, lambda: self._tell(name))
 
         asked = self.asked(name)
-        self.world.ask(store.address, "marks", {"marks": rows}, MARK_ANSWER_S, hear)
+        self.world.request(store.address, "marks", {"marks": rows}, MARK_ANSWER_S, hear)
 
     def _cover(self, silent: str, rows: list[list[object]]) -> None:
         """A store does not answer: another one is told as well, so that enough of them know."""
@@ -234,25 +234,30 @@
             if name != silent and self._suspect.get(name, 0.0) <= now:
                 mine = self._marks.setdefault(name, {})
                 mine.update({str(row[0]): row for row in rows if str(row[0]) not in mine})
-                self.world.later(0.0, partial(self._tell, name))
+                self.world.call_later(0.0, partial(self._tell, name))
                 break
 
 
-class _Putting:
+class _ReplicaWrite:
     """One message on its way to enough stores."""
 
     def __init__(
-        self, spread: Spread, message: Message, epoch: int, ranked: list[str], then: Callable[[Put], None]
+        self,
+        replicator: Replicator,
+        message: Message,
+        epoch: int,
+        ranked: list[str],
+        then: Callable[[ReplicationOutcome], None],
     ) -> None:
-        self.spread, self.message, self.epoch, self.then = spread, message, epoch, then
+        self.replicator, self.message, self.epoch, self.then = replicator, message, epoch, then
         # What holds it already is not asked again: a message that lacks a copy gets that one alone.
         self.asked = {disk for disk in message.holders if disk in ranked}
         self.left = [disk for disk in ranked if disk not in self.asked]
         self.waiting: set[str] = set()
         self.over = False
         self.unclear = False
-        self.timer: Handle | None = None
-        self.until = spread.world.now() + PUT_S
+        self.timer: TimerHandle | None = None
+        self.until = replicator.world.now() + PUT_S
         self.body = {
             "id": message.id,
             "shard": message.shard,
@@ -262,42 +267,42 @@
         }
 
     def begin(self) -> None:
-        if not self.spread.enough(self.asked | set(self.left)):
-            self._end(Put.REFUSED)
+        if not self.replicator.enough(self.asked | set(self.left)):
+            self._end(ReplicationOutcome.REJECTED)
             return
-        while not self.over and not self.spread.enough(self.asked):
+        while not self.over and not self.replicator.enough(self.asked):
             # A store that adds no further place is passed over until it is needed.
             place = next((it for it in self.left if not self._adds_nothing(it)), None) or self.left[0]
             self._ask(place)
         self._watch()
 
     def _adds_nothing(self, name: str) -> bool:
-        tolerance = self.spread.tolerance
+        tolerance = self.replicator.tolerance
         if tolerance.zones == 0 and tolerance.regions == 0:
             return False
-        places = {self.spread.stores[it].zone for it in self.asked}
-        return self.spread.stores[name].zone in places
+        places = {self.replicator.stores[it].zone for it in self.asked}
+        return self.replicator.stores[name].zone in places
 
     def _watch(self) -> None:
         if not self.over:
-            self.timer = self.spread.world.later(HEDGE_S, self._hedge)
+            self.timer = self.replicator.world.call_later(HEDGE_S, self._hedge)
 
     def _hedge(self) -> None:
         if self.over:
             return
-        if self.spread.world.now() >= self.until:
-            self._end(Put.UNCLEAR)
+        if self.replicator.world.now() >= self.until:
+            self._end(ReplicationOutcome.OUTCOME_UNKNOWN)
             return
         for name in sorted(self.waiting):
-            self.spread.suspect(name, HEDGE_S)
+            self.replicator.suspect(name, HEDGE_S)
         if self._left():
-            self.spread.hedges += 1
+            self.replicator.hedges += 1
             self._ask(self.left[0])
         self._watch()
 
     def _left(self) -> list[str]:
         """The stores that were not asked yet; one may have been dropped while this was under way."""
-        self.left = [name for name in self.left if name in self.spread.stores]
+        self.left = [name for name in self.left if name in self.replicator.stores]
         return self.left
 
     def _ask(self, name: str) -> None:
@@ -305,50 +310,52 @@
         self.asked.add(name)
         self.message.asked.add(name)
         self.waiting.add(name)
-        store = self.spread.stores[name]
+        store = self.replicator.stores[name]
         body = self.message.body
         assert body is not None, "a message is kept with its body"
-        asked = self.spread.asked(name)
-        within = max(0.05, self.until - self.spread.world.now())
+        asked = self.replicator.asked(name)
+        within = max(0.05, self.until - self.replicator.world.now())
 
-        def hear(reply: Result[Reply, Lost]) -> None:
+        def hear(reply: Result[Reply, RequestFailure]) -> None:
             if isinstance(reply, Ok):
-                self.spread.answered(name, asked)
+                self.replicator.answered(name, asked)
             self._hear(name, reply)
 
-        self.spread.world.ask(store.address, "put", self.body, within, hear, body)
+        self.replicator.world.request(store.address, "put", self.body, within, hear, body)
 
-    def _hear(self, name: str, reply: Result[Reply, Lost]) -> None:
+    def _hear(self, name: str, reply: Result[Reply, RequestFailure]) -> None:
         self.waiting.discard(name)
         if isinstance(reply, Err):
-            self.unclear |= reply.err_value is not Lost.UNSENT
-            self.spread.suspect(name, 0.3 if reply.err_value is not Lost.SILENT else SUSPECT_S)
+            self.unclear |= reply.err_value is not RequestFailure.NOT_SENT
+            self.replicator.suspect(
+                name, 0.3 if reply.err_value is not RequestFailure.TIMED_OUT else SUSPECT_S
+            )
         elif reply.ok_value.body.get("ok"):
             self.message.holders.add(reply.ok_value.body["disk"])  # its machine may have another one by now
             if "end" in reply.ok_value.body:  # it was taken and has ended under an earlier owner
                 self.message.end, self.message.seal = reply.ok_value.body["end"], reply.ok_value.body["seal"]
-                self._end(Put.HELD)
+                self._end(ReplicationOutcome.REPLICATED)
             elif self.message.end:
-                self.spread.mark(self.message, self.message.end, self.message.seal)
+                self.replicator.mark(self.message, self.message.end, self.message.seal)
         elif reply.ok_value.body.get("fenced"):
-            self._end(Put.FENCED)
+            self._end(ReplicationOutcome.FENCED)
         else:
             full = bool(reply.ok_value.body.get("full"))
-            self.spread.suspect(name, FULL_S if full else EARLY_S)
+            self.replicator.suspect(name, FULL_S if full else EARLY_S)
             if full:
-                self.spread.full(name)
+                self.replicator.full(name)
         if self.over:
             return
-        if self.spread.enough(self.message.holders):
-            self._end(Put.HELD)
-        elif not self.spread.enough(self.message.holders | self.waiting):
+        if self.replicator.enough(self.message.holders):
+            self._end(ReplicationOutcome.REPLICATED)
+        elif not self.replicator.enough(self.message.holders | self.waiting):
             if self._left():
                 self._ask(self.left[0])
             elif not self.waiting:
                 sure = not self.unclear and not self.message.holders
-                self._end(Put.REFUSED if sure else Put.UNCLEAR)
+                self._end(ReplicationOutcome.REJECTED if sure else ReplicationOutcome.OUTCOME_UNKNOWN)
 
-    def _end(self, put: Put) -> None:
+    def _end(self, put: ReplicationOutcome) -> None:
         if self.over:
             return
         self.over = True
--- a/amberlug/cluster/dispatch/shard_owner.py
+++ b/amberlug/cluster/dispatch/shard_owner.py
@@ -11,8 +11,8 @@
 from result import Ok, Result
 
 from amberlug.cluster.dispatch.message import Message, read
-from amberlug.cluster.dispatch.replicator import Put, Spread
-from amberlug.cluster.interfaces import Json, Lost, Reply, Respond, World, on
+from amberlug.cluster.dispatch.replicator import ReplicationOutcome, Replicator
+from amberlug.cluster.interfaces import Json, Reply, RequestFailure, Respond, Runtime, on
 
 FENCE_S = 0.6  # for a store to answer a fence
 AGAIN_S = 0.25  # until those that did not are asked again
@@ -22,13 +22,13 @@
 EARLY_MOST = 10000
 
 
-class Taken(Enum):
+class AdmissionOutcome(Enum):
     """What an owner says to a message that is offered."""
 
-    HELD = "held"
-    ELSEWHERE = "elsewhere"  # it does not own the shard
-    UNCLEAR = "unclear"
-    REFUSED = "refused"  # it is surely held nowhere
+    ACCEPTED = "held"
+    NOT_OWNER = "elsewhere"  # it does not own the shard
+    OUTCOME_UNKNOWN = "unclear"
+    REJECTED = "refused"  # it is surely held nowhere
 
 
 @dataclass(slots=True)
@@ -39,12 +39,12 @@
     before: str  # address of the owner before, where it lives
     serving: bool = False
     numbers: int = 0
-    waiting: list[tuple[Message, Callable[[Taken], None]]] = field(default_factory=list)
+    waiting: list[tuple[Message, Callable[[AdmissionOutcome], None]]] = field(default_factory=list)
     unheard: frozenset[str] = frozenset()  # disks that did not tell what they hold when it was taken over
 
 
 @dataclass(slots=True)
-class _Load:
+class _ShardRecovery:
     """Reading what is open in shards that came together."""
 
     shards: dict[int, int]  # number -> epoch
@@ -58,30 +58,30 @@
     over: bool = False
 
 
-class Shards:
+class ShardOwner:
     """Ownership, as this edge's part of it."""
 
     def __init__(
         self,
-        world: World,
-        spread: Spread,
+        world: Runtime,
+        replicator: Replicator,
         me: str,
         take: Callable[[Message], None],
         release: Callable[[int], list[Message]],
         settle: Callable[[str, str, str, bool], None],
     ) -> None:
-        self.world, self.spread, self.me = world, spread, me
+        self.world, self.replicator, self.me = world, replicator, me
         self._take, self._release, self._settle = take, release, settle
         self.mine: dict[int, Shard] = {}
         self.owners: list[tuple[str, Json]] = []
         self.table: list[list[int]] = []
-        self.putting: dict[str, list[Callable[[Taken], None]]] = {}
+        self.putting: dict[str, list[Callable[[AdmissionOutcome], None]]] = {}
         self.put_since: dict[str, float] = {}
         self._tried: dict[str, set[str]] = {}  # disks that may hold what was not held by enough
         self._handed: dict[tuple[int, int], Json] = {}  # what owners before have said, by shard and epoch
         self._early: dict[str, tuple[str, str, bool]] = {}  # outcomes that came before their message was read
-        self._loads: list[_Load] = []
-        self._fencing: list[_Load] = []
+        self._loads: list[_ShardRecovery] = []
+        self._fencing: list[_ShardRecovery] = []
         self.away: dict[str, str] = {}  # messages out at the owner before, whose address it is
         self.is_held: Callable[[str], bool] = lambda name: False
         self.taken_over = 0
@@ -134,7 +134,7 @@
             self._lose([number for number in lost if number not in gained])
         if gained:
             logging.info("%d shards are owned from now on, %d in all", len(gained), len(self.mine))
-            load = _Load(gained, self.world.now(), value.get("roster", 0))
+            load = _ShardRecovery(gained, self.world.now(), value.get("roster", 0))
             self._loads.append(load)
             self._fencing.append(load)
             self._fence(load)
@@ -148,11 +148,11 @@
     def _lose(self, numbers: list[int]) -> None:
         logging.info("%d shards have another owner", len(numbers))
         by_owner: dict[str, Json] = {}
-        unmarked = self.spread.unmarked()
+        unmarked = self.replicator.unmarked()
         for number in numbers:
             shard = self.mine.pop(number)
             for _, then in shard.waiting:
-                then(Taken.ELSEWHERE)
+                then(AdmissionOutcome.NOT_OWNER)
             out = [it.id for it in self._release(number) if it.out]
             owner = self.owner_of(number)
             if owner is not None:
@@ -163,14 +163,14 @@
         ended = [row for row in unmarked.values() if row[1] in lost]
         for address, said in by_owner.items():
             said["ended"] = [row for row in ended if str(row[1]) in said["shards"]]
-            self.world.tell(address, "handover", said)
+            self.world.send(address, "handover", said)
 
     def outcome_elsewhere(self, message: Message, end: str, seal: str, failed: bool) -> None:
         """A call ended whose shard has another owner by now: it is told."""
         owner = self.owner_of(message.shard)
         if owner is not None:
             body = {"id": message.id, "end": end, "seal": seal, "failed": failed}
-            self.world.tell(owner[1], "outcome", body)
+            self.world.send(owner[1], "outcome", body)
 
     @on("handover")
     def on_handover(self, body: Json, blob: bytes, origin: str, respond: Respond) -> None:
@@ -216,22 +216,22 @@
 
     # -- taking over
 
-    def _fence(self, load: _Load) -> None:
-        full = {name for name, it in self.spread.stores.items() if it.state == "full"}
+    def _fence(self, load: _ShardRecovery) -> None:
+        full = {name for name, it in self.replicator.stores.items() if it.state == "full"}
         mine = any(
             number in self.mine and self.mine[number].epoch == it for number, it in load.shards.items()
         )
         if not mine or (load.over and full <= load.fenced):
             self._fencing.remove(load)
             return
-        for name, store in self.spread.stores.items():
+        for name, store in self.replicator.stores.items():
             if name not in load.fenced and name not in load.asked:
                 load.asked.add(name)
                 body = {"shards": {str(number): epoch for number, epoch in load.shards.items()}}
-                self.world.ask(store.address, "fence", body, FENCE_S, partial(self._fenced, load, name))
-        self.world.later(AGAIN_S, lambda: self._fence(load))
+                self.world.request(store.address, "fence", body, FENCE_S, partial(self._fenced, load, name))
+        self.world.call_later(AGAIN_S, lambda: self._fence(load))
 
-    def _fenced(self, load: _Load, name: str, reply: Result[Reply, Lost]) -> None:
+    def _fenced(self, load: _ShardRecovery, name: str, reply: Result[Reply, RequestFailure]) -> None:
         load.asked.discard(name)
         if not isinstance(reply, Ok) or not reply.ok_value.body.get("ok"):
             return
@@ -261,8 +261,8 @@
             message.holders.add(name)
         self._try_finish(load)
 
-    def _try_finish(self, load: _Load) -> None:
-        if load.over or self.spread.index < load.roster or not self.spread.knows_all(load.heard):
+    def _try_finish(self, load: _ShardRecovery) -> None:
+        if load.over or self.replicator.index < load.roster or not self.replicator.knows_all(load.heard):
             return
         waits = [
             number
@@ -273,17 +273,17 @@
             and self.world.now() - load.started < HANDOVER_S
         ]
         if waits:
-            self.world.later(HANDOVER_S / 6, lambda: self._try_finish(load))
+            self.world.call_later(HANDOVER_S / 6, lambda: self._try_finish(load))
             return
         load.over = True
         self._loads.remove(load)
         self._ask_ended(load)
 
-    def _ask_ended(self, load: _Load) -> None:
+    def _ask_ended(self, load: _ShardRecovery) -> None:
         """A store that does not list a message as open may know that it has ended."""
         left = 0
 
-        def hear(reply: Result[Reply, Lost]) -> None:
+        def hear(reply: Result[Reply, RequestFailure]) -> None:
             nonlocal left
             left -= 1
             if isinstance(reply, Ok):
@@ -291,13 +291,13 @@
                     message = load.found.pop(name, None) if end else None
                     if message is not None:
                         # Guards against an open copy that outlasts all who know of its end.
-                        message.asked |= set(self.spread.stores) - load.heard
-                        self.spread.mark(message, end, seal)
+                        message.asked |= set(self.replicator.stores) - load.heard
+                        self.replicator.mark(message, end, seal)
             if left == 0:
                 self._serve(load)
 
         for name in sorted(load.heard):
-            store = self.spread.stores.get(name)
+            store = self.replicator.stores.get(name)
             # The owner before may have ended some after they were read and had that marked before it heard of
             # its successor: then it hands over neither their calls nor their ends.
             unlisted = [
@@ -307,11 +307,11 @@
             ]
             if store is not None and unlisted:
                 left += 1
-                self.world.ask(store.address, "find", {"ids": unlisted}, FENCE_S, hear)
+                self.world.request(store.address, "find", {"ids": unlisted}, FENCE_S, hear)
         if left == 0:
             self._serve(load)
 
-    def _serve(self, load: _Load) -> None:
+    def _serve(self, load: _ShardRecovery) -> None:
         """Begin with what was read, each key in its order."""
         self.taken_over += len(load.found)
         if load.found:
@@ -322,7 +322,7 @@
             if (shard := self.mine.get(number)) is not None and shard.epoch == epoch
         ]
         numbers = {number for number, _ in now}
-        unheard = frozenset(set(self.spread.stores) - load.heard)
+        unheard = frozenset(set(self.replicator.stores) - load.heard)
         out: dict[str, str] = {}
         for number, shard in now:
             said = self._handed.pop((number, shard.epoch), None)
@@ -340,7 +340,7 @@
             if message.id in out and failed is None:
                 message.out = True
                 self.away[message.id] = out[message.id]
-                self.world.later(AWAY_S, partial(self._no_outcome, message.id))
+                self.world.call_later(AWAY_S, partial(self._no_outcome, message.id))
             self._take(message)
         for number, shard in now:
             shard.serving, shard.unheard = True, unheard
@@ -350,28 +350,30 @@
 
     # -- accepting
 
-    def accept(self, message: Message, then: Callable[[Taken], None]) -> None:
+    def accept(self, message: Message, then: Callable[[AdmissionOutcome], None]) -> None:
         """Have a message held by enough stores, and take it in hand."""
         if self.is_held(message.id):
-            then(Taken.HELD)
+            then(AdmissionOutcome.ACCEPTED)
             return
         if message.id in self.putting:
             self.putting[message.id].append(then)
             return
         shard = self.mine.get(message.shard)
         if shard is None:
-            then(Taken.ELSEWHERE)
+            then(AdmissionOutcome.NOT_OWNER)
         elif not shard.serving:
             if len(shard.waiting) < WAITING_MOST:
                 shard.waiting.append((message, then))
             else:
-                then(Taken.REFUSED)
+                then(AdmissionOutcome.REJECTED)
         else:
             self._put(message.shard, shard, message, then)
 
-    def _put(self, number: int, shard: Shard, message: Message, then: Callable[[Taken], None]) -> None:
+    def _put(
+        self, number: int, shard: Shard, message: Message, then: Callable[[AdmissionOutcome], None]
+    ) -> None:
         if self.is_held(message.id):
-            then(Taken.HELD)
+            then(AdmissionOutcome.ACCEPTED)
             return
         if message.id in self.putting:
             self.putting[message.id].append(then)
@@ -383,17 +385,19 @@
         self.putting[message.id] = [then]
         self.put_since[message.id] = self.world.now()
 
-        def done(put: Put) -> None:
-            said = {Put.HELD: Taken.HELD, Put.REFUSED: Taken.REFUSED, Put.FENCED: Taken.ELSEWHERE}.get(
-                put, Taken.UNCLEAR
-            )
+        def done(put: ReplicationOutcome) -> None:
+            said = {
+                ReplicationOutcome.REPLICATED: AdmissionOutcome.ACCEPTED,
+                ReplicationOutcome.REJECTED: AdmissionOutcome.REJECTED,
+                ReplicationOutcome.FENCED: AdmissionOutcome.NOT_OWNER,
+            }.get(put, AdmissionOutcome.OUTCOME_UNKNOWN)
             held = self.mine.get(number)
             still = held is not None and held.epoch == shard.epoch
-            if put is Put.HELD and message.end:
+            if put is ReplicationOutcome.REPLICATED and message.end:
                 self._settle(message.id, message.end, message.seal, False)
-            elif put is Put.HELD and still:
+            elif put is ReplicationOutcome.REPLICATED and still:
                 self._take(message)
-            elif put is not Put.HELD:
+            elif put is not ReplicationOutcome.REPLICATED:
                 self._tried[message.id] = set(message.asked)
                 while len(self._tried) > EARLY_MOST:
                     del self._tried[next(iter(self._tried))]
@@ -401,4 +405,4 @@
             for answer in self.putting.pop(message.id):
                 answer(said)
 
-        self.spread.put(message, shard.epoch, done)
+        self.replicator.put(message, shard.epoch, done)
--- a/amberlug/cluster/edge/node.py
+++ b/amberlug/cluster/edge/node.py
@@ -10,18 +10,28 @@
 from result import Err, Ok, Result
 
 from amberlug.cluster.control.cluster_state import SHARDS
-from amberlug.cluster.dispatch.delivery_queue import Rack
-from amberlug.cluster.dispatch.dispatcher import Service, judge
-from amberlug.cluster.dispatch.endpoint_pool import Pool
+from amberlug.cluster.dispatch.delivery_queue import DeliveryQueue
+from amberlug.cluster.dispatch.dispatcher import Dispatcher, judge
+from amberlug.cluster.dispatch.endpoint_pool import EndpointPool
 from amberlug.cluster.dispatch.message import Message, name_of, read, shard_in, shard_of
-from amberlug.cluster.dispatch.replicator import Spread
-from amberlug.cluster.dispatch.shard_owner import Shards, Taken
-from amberlug.cluster.gossip.store import News
-from amberlug.cluster.http.api import Asked, Counter, Said, Say, order
-from amberlug.cluster.http.routing import Route, Routes, build
-from amberlug.cluster.interfaces import Called, Endpoints, Json, Lost, Reply, Respond, World, on, words_of
-from amberlug.cluster.node_status import EdgeView
-from amberlug.cluster.session_client import Member, internal
+from amberlug.cluster.dispatch.replicator import Replicator
+from amberlug.cluster.dispatch.shard_owner import AdmissionOutcome, ShardOwner
+from amberlug.cluster.gossip.store import GossipStore
+from amberlug.cluster.http.api import AdminApi, HttpRequest, HttpResponse, RespondHttp, order
+from amberlug.cluster.http.routing import Route, RoutingTable, build
+from amberlug.cluster.interfaces import (
+    CallResult,
+    Endpoints,
+    Json,
+    Reply,
+    RequestFailure,
+    Respond,
+    Runtime,
+    on,
+)
+from amberlug.cluster.node_status import EdgeStatus
+from amberlug.cluster.rpc.messages import handlers_of
+from amberlug.cluster.session_client import SessionClient, internal
 from amberlug.cluster.settings import Settings
 
 MEND_S = 0.1  # between looks for messages that lack copies
@@ -57,7 +67,7 @@
 )
 
 
-class Request(Asked, Protocol):
+class Request(HttpRequest, Protocol):
     """A client's request."""
 
     @property
@@ -67,10 +77,12 @@
 Finish = Callable[[int, Json | None, tuple[tuple[str, str], ...], bytes], None]
 
 
-class _Offer:
+class _Submission:
     """One client's message on its way to an owner."""
 
-    def __init__(self, edge: Edge, message: Message, seconds: float, say: Callable[[Taken], None]) -> None:
+    def __init__(
+        self, edge: EdgeNode, message: Message, seconds: float, say: Callable[[AdmissionOutcome], None]
+    ) -> None:
         self.edge, self.message, self.say = edge, message, say
         now = edge.world.now()
         self.until = now + seconds
@@ -78,10 +90,12 @@
         self.unclear = False
         self.offered = False  # an owner has been given it and has not answered yet
         self.over = False
-        self.timer = edge.world.later(seconds, self._late)
+        self.timer = edge.world.call_later(seconds, self._late)
 
     def _late(self) -> None:
-        self._end(Taken.UNCLEAR if self.unclear or self.offered else Taken.REFUSED)
+        self._end(
+            AdmissionOutcome.OUTCOME_UNKNOWN if self.unclear or self.offered else AdmissionOutcome.REJECTED
+        )
 
     def go(self) -> None:
         if self.over:
@@ -89,7 +103,7 @@
         edge, message = self.edge, self.message
         left = self.until - edge.world.now()
         if left <= 0 or (not self.unclear and edge.world.now() > self.patience):
-            self._end(Taken.UNCLEAR if self.unclear else Taken.REFUSED)
+            self._end(AdmissionOutcome.OUTCOME_UNKNOWN if self.unclear else AdmissionOutcome.REJECTED)
             return
         if message.shard in edge.shards.mine:
             self.offered = True
@@ -103,57 +117,59 @@
         data = message.body
         assert data is not None, "a message that is offered has its body"
         self.offered = True
-        edge.world.ask(owner[1], "offer", body, min(left, OFFER_S), self._heard, data)
+        edge.world.request(owner[1], "offer", body, min(left, OFFER_S), self._heard, data)
 
     def _later(self) -> None:
-        self.edge.world.later(OFFER_AGAIN_S, self.go)
+        self.edge.world.call_later(OFFER_AGAIN_S, self.go)
 
-    def _heard(self, reply: Result[Reply, Lost]) -> None:
+    def _heard(self, reply: Result[Reply, RequestFailure]) -> None:
         if isinstance(reply, Err):
             self.offered = False
-            self.unclear |= reply.err_value is not Lost.UNSENT
+            self.unclear |= reply.err_value is not RequestFailure.NOT_SENT
             self._later()
         elif reply.ok_value.body.get("dark") and not self.unclear:
-            self._end(Taken.REFUSED)  # its owner wrote nothing, and can't for now
+            self._end(AdmissionOutcome.REJECTED)  # its owner wrote nothing, and can't for now
         else:
-            self._said(Taken(reply.ok_value.body["taken"]))
+            self._said(AdmissionOutcome(reply.ok_value.body["taken"]))
 
-    def _said(self, taken: Taken) -> None:
+    def _said(self, taken: AdmissionOutcome) -> None:
         self.offered = False
-        if taken is Taken.HELD:
+        if taken is AdmissionOutcome.ACCEPTED:
             self._end(taken)
             return
         # What another owner had begun to keep may be found by the next: the name stays the same.
-        self.unclear |= taken is not Taken.REFUSED
+        self.unclear |= taken is not AdmissionOutcome.REJECTED
         self._later()
 
-    def _end(self, taken: Taken) -> None:
+    def _end(self, taken: AdmissionOutcome) -> None:
         if not self.over:
             self.over = True
             self.timer.cancel()
             self.say(taken)
 
 
-class Edge:
+class EdgeNode:
     """One edge machine."""
 
-    def __init__(self, world: World, settings: Settings, address: str, endpoints: Endpoints) -> None:
+    def __init__(self, world: Runtime, settings: Settings, address: str, endpoints: Endpoints) -> None:
         self.world, self.settings, self.endpoints = world, settings, endpoints
-        self.routes = Routes()
-        self.news = News(world, self._others, self._heard)
-        self.member = Member(world, settings, address, "edge", self.news, self._extra)
-        self.spread = Spread(
+        self.routes = RoutingTable()
+        self.gossip = GossipStore(world, self._others, self._heard)
+        self.member = SessionClient(world, settings, address, "edge", self.gossip, self._extra)
+        self.replicator = Replicator(
             world, settings.tolerance, settings.zone, settings.region, settings.seconds("statusTtlS")
         )
-        self.pool = Pool(settings.zone, world.chance, endpoints.idle)
-        self.rack = Rack(world, self._ready)
-        self.shards = Shards(world, self.spread, self.member.id, self._take, self._release, self._settle)
-        self.shards.is_held = lambda name: name in self.rack.messages or name in self.ends
-        self.services: dict[str, Service] = {}
+        self.pool = EndpointPool(settings.zone, world.chance, endpoints.idle)
+        self.delivery_queue = DeliveryQueue(world, self._ready)
+        self.shards = ShardOwner(
+            world, self.replicator, self.member.id, self._take, self._release, self._settle
+        )
+        self.shards.is_held = lambda name: name in self.delivery_queue.messages or name in self.ends
+        self.services: dict[str, Dispatcher] = {}
         self.ends: dict[str, tuple[str, str, float]] = {}  # how messages ended, and when by the steady clock
-        self.counter = Counter(self)
-        self.words = {**words_of(self), **words_of(self.news), **words_of(self.shards)}
-        self.words |= words_of(EdgeView(self))
+        self.counter = AdminApi(self)
+        self.handlers = {**handlers_of(self), **handlers_of(self.gossip), **handlers_of(self.shards)}
+        self.handlers |= handlers_of(EdgeStatus(self))
         self.counts: dict[str, int] = {}
         self.leaving = False
         self.size = 0  # bytes of bodies in hand
@@ -167,9 +183,9 @@
 
     def begin(self) -> None:
         self.member.begin()
-        self.news.begin()
-        self.world.later(SWEEP_S, self._sweep)
-        self.world.later(MEND_S, self._mend)
+        self.gossip.begin()
+        self.world.call_later(SWEEP_S, self._sweep)
+        self.world.call_later(MEND_S, self._mend)
 
     def leave(self) -> None:
         """A planned end: shards go to others; whoever still comes is served through them."""
@@ -180,7 +196,7 @@
     def idle(self) -> bool:
         """Whether nothing is owed here any more."""
         out = any(it.calls for it in self.services.values())
-        return not (out or self.shards.mine or self.shards.putting or self.spread.telling)
+        return not (out or self.shards.mine or self.shards.putting or self.replicator.telling)
 
     def settings_are(self, settings: Settings) -> None:
         """Take a settings file that has changed."""
@@ -189,7 +205,7 @@
 
     def broken(self, address: str) -> None:
         self.member.broken(address)
-        self.spread.broken(address)
+        self.replicator.broken(address)
         self.shards.broken(address)
 
     def _count(self, name: str) -> None:
@@ -210,39 +226,39 @@
             if service is not None:
                 service.pump()
         elif key == "config":
-            self._config_is(build(self.news.items[key][0][0], value))
+            self._config_is(build(self.gossip.items[key][0][0], value))
         elif key == "shards":
             self.shards.table_is(value)
             self._parts()
         elif key == "roster":
-            self._roster_is(self.news.items[key][0][0], value)
+            self._roster_is(self.gossip.items[key][0][0], value)
         elif key == "cores":
             self.member.cores_are(value)
 
-    def _config_is(self, routes: Routes) -> None:
+    def _config_is(self, routes: RoutingTable) -> None:
         assert routes.index > self.routes.index, "a configuration would be taken back"
         self.routes = routes
         logging.info("configuration %d is in force here", routes.edition)
         for name, it in routes.services.items():
             self.pool.fixed(name, it.fixed)
             self._service(name)
-        for message in list(self.rack.messages.values()):
+        for message in list(self.delivery_queue.messages.values()):
             before = message.service
             if self._resolve(message) and before != message.service and not message.out:
-                self.rack.again(message)
+                self.delivery_queue.again(message)
         parked, self._parked = self._parked, []
         for message in parked:
-            if message.id in self.rack.messages and not message.ended:
+            if message.id in self.delivery_queue.messages and not message.ended:
                 self._ready(message)
         self._part = 0.0
         self._parts()
         for service in self.services.values():
             service.pump()
 
-    def _service(self, name: str) -> Service:
+    def _service(self, name: str) -> Dispatcher:
         service = self.services.get(name)
         if service is None:
-            service = Service(
+            service = Dispatcher(
                 name,
                 self.world,
                 self.pool,
@@ -261,7 +277,7 @@
         part = 1 / self.shards.edges if owns else 0.0
         if part > self._part and not self._part_timer:
             self._part_timer = True
-            self.world.later(RATE_WAIT_S, self._raise_part)
+            self.world.call_later(RATE_WAIT_S, self._raise_part)
         self._spend(min(part, self._part) if self._part else part / 4)
 
     def _raise_part(self) -> None:
@@ -282,7 +298,7 @@
             and self.member.confirmed
             and self.routes.index > 0
             and bool(self.shards.table)
-            and not self.spread.dark()
+            and not self.replicator.dark()
         )
         if ready != self._was_ready:
             self._was_ready = ready
@@ -309,7 +325,7 @@
         self._take_in(asked, route, finish)
 
     @staticmethod
-    def _say(said: Said, finish: Finish) -> None:
+    def _say(said: HttpResponse, finish: Finish) -> None:
         blob = said.body.get("blob")
         headers = (("Retry-After", str(said.retry_after)),) if said.retry_after is not None else ()
         if isinstance(blob, bytes):
@@ -344,10 +360,10 @@
         if shard is None:
             self._refuse(finish, 503, "no shard has an owner")
             return
-        if shard in self.shards.mine and self.spread.dark():
+        if shard in self.shards.mine and self.replicator.dark():
             self._refuse(finish, 503, "too few stores answer")
             return
-        wall = self.world.wall()
+        wall = self.world.wall_clock()
         message = Message(
             name_of(shard, attempt),
             shard,
@@ -366,17 +382,17 @@
         )
         seconds = int(left) / 1000 if left is not None and left.isdigit() else CLIENT_S
 
-        def say(taken: Taken) -> None:
-            if taken is Taken.HELD:
+        def say(taken: AdmissionOutcome) -> None:
+            if taken is AdmissionOutcome.ACCEPTED:
                 self._count("taken")
                 finish(202, None, (("Amberlug-Message-Name", message.id),), b"")
-            elif taken is Taken.UNCLEAR:
+            elif taken is AdmissionOutcome.OUTCOME_UNKNOWN:
                 self._count("unclear")
                 finish(504, {"cause": "it is not known whether the message is kept"}, (), b"")
             else:
                 self._refuse(finish, 503, "not enough stores can be reached")
 
-        _Offer(self, message, seconds, say).go()
+        _Submission(self, message, seconds, say).go()
 
     def _shard_for(self, key: str) -> int | None:
         if key:
@@ -395,9 +411,9 @@
         message = read(body["id"], body["shard"], 0, 0, body["meta"], blob, len(blob))
         self._count("offered")
         if message.seen > self.routes.index:
-            self.news.compare_with(origin)
-        if body["shard"] in self.shards.mine and self.spread.dark():
-            respond({"taken": Taken.REFUSED.value, "dark": True}, b"")
+            self.gossip.compare_with(origin)
+        if body["shard"] in self.shards.mine and self.replicator.dark():
+            respond({"taken": AdmissionOutcome.REJECTED.value, "dark": True}, b"")
             return
         self.shards.accept(message, lambda taken: respond({"taken": taken.value}, b""))
 
@@ -408,12 +424,12 @@
             message.ended = True  # its route was dropped meanwhile
             self._count("ended: dropped")
             self._note(message.id, "dropped", "")
-            self.spread.mark(message, "dropped", "")
+            self.replicator.mark(message, "dropped", "")
             return
         self.size += message.size
         self._resolve(message)
-        self.rack.add(message)
-        if not self.spread.enough(message.holders):
+        self.delivery_queue.add(message)
+        if not self.replicator.enough(message.holders):
             self.short[message.id] = message
 
     def _resolve(self, message: Message) -> bool:
@@ -444,7 +460,7 @@
             self._service(route.service).add(message)
 
     def _too_old(self, message: Message, route: Route) -> bool:
-        return self.world.wall() - message.taken > route.retention_s + RETENTION_SLACK_S
+        return self.world.wall_clock() - message.taken > route.retention_s + RETENTION_SLACK_S
 
     def _fetch(self, message: Message) -> None:
         """Read its body from a store that has it."""
@@ -454,16 +470,18 @@
             if message.end and not message.ended:  # a store knows what an earlier owner did not tell
                 self._settle(message.id, message.end, message.seal, False)
             elif found:
-                self.rack.again(message)
+                self.delivery_queue.again(message)
             elif not message.ended:
-                self.world.later(OFFER_AGAIN_S, lambda: self._fetch(message))
+                self.world.call_later(OFFER_AGAIN_S, lambda: self._fetch(message))
 
         self._read_body(message, read)
 
     def _read_body(self, message: Message, then: Callable[[bool], None]) -> None:
-        holders = [it for it in message.holders if it in self.spread.stores] or list(self.spread.stores)
+        holders = [it for it in message.holders if it in self.replicator.stores] or list(
+            self.replicator.stores
+        )
 
-        def hear(reply: Result[Reply, Lost]) -> None:
+        def hear(reply: Result[Reply, RequestFailure]) -> None:
             found = isinstance(reply, Ok) and bool(reply.ok_value.body.get("found"))
             if isinstance(reply, Ok):
                 if found:
@@ -472,14 +490,14 @@
                     message.end, message.seal = reply.ok_value.body["end"], reply.ok_value.body["seal"]
             then(found)
 
-        store = self.spread.stores[self.world.chance.choice(holders)]
-        self.world.ask(store.address, "body", {"id": message.id}, ASK_S, hear)
+        store = self.replicator.stores[self.world.chance.choice(holders)]
+        self.world.request(store.address, "body", {"id": message.id}, ASK_S, hear)
 
     def _timeout_s(self, message: Message) -> float:
         route = self.routes.by_name.get(message.route)
         return route.expiry_s if route is not None else 1.0
 
-    def _finished(self, message: Message, called: Called) -> None:
+    def _finished(self, message: Message, called: CallResult) -> None:
         """A call ended."""
         route = self.routes.by_name.get(message.route)
         outcome = judge(message, called, route.max_attempts if route is not None else 1)
@@ -489,7 +507,7 @@
             self._orphans.discard(message)
             message.out = False
             if outcome.end:
-                self.spread.mark(message, outcome.end, outcome.seal)
+                self.replicator.mark(message, outcome.end, outcome.seal)
                 self._note(message.id, outcome.end, outcome.seal)
             self.shards.outcome_elsewhere(message, outcome.end, outcome.seal, outcome.failed)
         elif message.ended:
@@ -498,15 +516,15 @@
             message.out = False
             self._end(message, outcome.end, outcome.seal)
         elif outcome.again_s > 0:
-            self.world.later(outcome.again_s, lambda: self._again(message))
+            self.world.call_later(outcome.again_s, lambda: self._again(message))
         else:
             self._again(message)
 
     def _again(self, message: Message) -> None:
-        if message.id in self.rack.messages and not message.ended:
+        if message.id in self.delivery_queue.messages and not message.ended:
             message.out = False
             if self._resolve(message):
-                self.rack.again(message)
+                self.delivery_queue.again(message)
 
     def _end(self, message: Message, end: str, seal: str) -> None:
         """It has ended: the stores are told."""
@@ -514,15 +532,15 @@
         self.size -= message.size
         self._count(f"ended: {end}")
         self._note(message.id, end, seal)
-        self.rack.end(message)
-        self.spread.mark(message, end, seal)
+        self.delivery_queue.end(message)
+        self.replicator.mark(message, end, seal)
 
     def _note(self, name: str, end: str, seal: str) -> None:
         self.ends[name] = end, seal, self.world.now()
 
     def _settle(self, name: str, end: str, seal: str, failed: bool) -> None:
         """The owner before tells what came of a call."""
-        message = self.rack.messages.get(name)
+        message = self.delivery_queue.messages.get(name)
         if message is None or message.ended:
             if end and message is None:
                 self._note(name, end, seal)
@@ -536,9 +554,9 @@
 
     def _release(self, shard: int) -> list[Message]:
         """Let go of a shard's messages; calls that are under way go on, and their outcome is told."""
-        gone = [it for it in self.rack.messages.values() if it.shard == shard]
+        gone = [it for it in self.delivery_queue.messages.values() if it.shard == shard]
         for message in gone:
-            self.rack.drop(message)
+            self.delivery_queue.drop(message)
             self.size -= message.size
             if message.out and any(message is it.message for it in self._calls_of(message)):
                 self._orphans.add(message)
@@ -552,11 +570,11 @@
         return [out for it in self.services.values() for out in it.calls if out.message is message]
 
     def _sweep(self) -> None:
-        self.world.later(SWEEP_S, self._sweep)
+        self.world.call_later(SWEEP_S, self._sweep)
         before = self.world.now() - self.settings.seconds("statusTtlS")
         while self.ends and next(iter(self.ends.values()))[2] < before:
             del self.ends[next(iter(self.ends))]
-        for message in list(self.rack.messages.values()):
+        for message in list(self.delivery_queue.messages.values()):
             route = self.routes.by_name.get(message.route)
             if route is not None and not message.out and self._too_old(message, route):
                 self._end(message, "expired", "")
@@ -564,17 +582,19 @@
     # -- copies that are lacking
 
     def _roster_is(self, index: int, roster: Json) -> None:
-        self.spread.roster_is(roster, index)
+        self.replicator.roster_is(roster, index)
         self._roster, self._roster_since = index, self.world.now()
         self.shards.roster_changed()
         self.short = {
-            name: it for name, it in self.rack.messages.items() if not self.spread.enough(it.holders)
+            name: it
+            for name, it in self.delivery_queue.messages.items()
+            if not self.replicator.enough(it.holders)
         }
 
     def _extra(self) -> Json:
         """What the leader wants to know before a disk is asked no more."""
         early = sum(1 for since in self.shards.put_since.values() if since <= self._roster_since)
-        table = self.news.items.get("shards")
+        table = self.gossip.items.get("shards")
         return {
             "roster": self._roster,
             "table": table[0][0] if table is not None else 0,
@@ -584,12 +604,16 @@
 
     def _mend(self) -> None:
         """Copy what too few disks hold, a few at a time."""
-        self.world.later(MEND_S, self._mend)
+        self.world.call_later(MEND_S, self._mend)
         self._mend_more()
 
     def _mend_more(self) -> None:
         for name, message in list(self.short.items()):
-            if message.ended or name not in self.rack.messages or self.spread.enough(message.holders):
+            if (
+                message.ended
+                or name not in self.delivery_queue.messages
+                or self.replicator.enough(message.holders)
+            ):
                 del self.short[name]
             elif name not in self._mending:
                 if len(self._mending) >= MEND_MOST:
@@ -604,40 +628,40 @@
         elif shard is None or message.ended:
             self._copied(message)
         else:
-            self.spread.put(message, shard.epoch, lambda put: self._copied(message))
+            self.replicator.put(message, shard.epoch, lambda put: self._copied(message))
 
     def _copied(self, message: Message) -> None:
         self._mending.discard(message.id)
         if message.end and not message.ended:  # a store knows what an earlier owner did not tell
             self._settle(message.id, message.end, message.seal, False)
-        if self.spread.enough(message.holders):
+        if self.replicator.enough(message.holders):
             self._count("mended")
             self.short.pop(message.id, None)
             if self.short and not self._mending:
-                self.world.later(0.0, self._mend_more)
+                self.world.call_later(0.0, self._mend_more)
 
     # -- who asks for a message
 
     @order("GET", "/-/message/")
-    def message(self, asked: Asked, name: str, say: Say) -> None:
+    def message(self, asked: HttpRequest, name: str, say: RespondHttp) -> None:
         """Tell how a message stands."""
 
         def found(state: tuple[str, str] | None) -> None:
             if state is None:
-                say(Said(503, {"cause": "it can't be known now"}, 1))
+                say(HttpResponse(503, {"cause": "it can't be known now"}, 1))
                 return
             end, seal = state
             if end == "none":
-                say(Said(404, {"cause": "no such message"}))
+                say(HttpResponse(404, {"cause": "no such message"}))
             elif end == "done":
-                say(Said(200, {"condition": "completed", "seal": seal}))
+                say(HttpResponse(200, {"condition": "completed", "seal": seal}))
             else:
-                say(Said(200, {"condition": "failed" if end else "pending"}))
+                say(HttpResponse(200, {"condition": "failed" if end else "pending"}))
 
         self._find(name, found)
 
     def _mine(self, name: str) -> tuple[str, str] | None:
-        if name in self.rack.messages or name in self.shards.putting:
+        if name in self.delivery_queue.messages or name in self.shards.putting:
             return "", ""
         known = self.ends.get(name)
         return (known[0], known[1]) if known is not None else None
@@ -650,7 +674,7 @@
             return
         owner = self.shards.owner_of(shard_in(name))
 
-        def hear(reply: Result[Reply, Lost]) -> None:
+        def hear(reply: Result[Reply, RequestFailure]) -> None:
             if isinstance(reply, Ok) and reply.ok_value.body.get("known"):
                 end, seal = reply.ok_value.body["known"]
                 found((end, seal))
@@ -658,7 +682,7 @@
                 self._find_stored(name, self.world.now() + ASKED_S - ASK_S, found)
 
         if owner is not None and owner[0] != self.member.id:
-            self.world.ask(owner[1], "standing", {"id": name}, ASK_S, hear)
+            self.world.request(owner[1], "standing", {"id": name}, ASK_S, hear)
         else:
             self._find_stored(name, self.world.now() + ASKED_S, found)
 
@@ -672,7 +696,7 @@
         states: list[tuple[str, str]] = []
         over = False
 
-        def hear(disk: str, reply: Result[Reply, Lost]) -> None:
+        def hear(disk: str, reply: Result[Reply, RequestFailure]) -> None:
             nonlocal over
             if over:
                 return
@@ -682,7 +706,7 @@
                 if state is not None:
                     states.append((state[0], state[1]))
             ended = [it for it in states if it[0]]
-            if ended or self.spread.knows_all(heard):
+            if ended or self.replicator.knows_all(heard):
                 over = True
                 found(ended[0] if ended else (states[0] if states else ("none", "")))
 
@@ -692,33 +716,33 @@
                 over = True
                 found(None)
 
-        for disk, store in self.spread.stores.items():
-            self.world.ask(store.address, "find", {"ids": [name]}, ASK_S, partial(hear, disk))
-        self.world.later(min(ASK_S + 0.05, max(0.0, until - self.world.now())), late)
+        for disk, store in self.replicator.stores.items():
+            self.world.request(store.address, "find", {"ids": [name]}, ASK_S, partial(hear, disk))
+        self.world.call_later(min(ASK_S + 0.05, max(0.0, until - self.world.now())), late)
 
     @order("GET", "/-/message-body/")
-    def message_body(self, asked: Asked, name: str, say: Say) -> None:
+    def message_body(self, asked: HttpRequest, name: str, say: RespondHttp) -> None:
         """Give the bytes of a message that is queued or dead."""
-        message = self.rack.messages.get(name)
+        message = self.delivery_queue.messages.get(name)
         if message is not None and message.body is not None:
-            say(Said(200, {"blob": message.body}))
+            say(HttpResponse(200, {"blob": message.body}))
             return
-        waiting = len(self.spread.stores)
+        waiting = len(self.replicator.stores)
         over = False
 
-        def hear(reply: Result[Reply, Lost]) -> None:
+        def hear(reply: Result[Reply, RequestFailure]) -> None:
             nonlocal waiting, over
             waiting -= 1
             if over:
                 return
             if isinstance(reply, Ok) and reply.ok_value.body.get("found"):
                 over = True
-                say(Said(200, {"blob": reply.ok_value.blob}))
+                say(HttpResponse(200, {"blob": reply.ok_value.blob}))
             elif waiting == 0:
                 over = True
-                say(Said(404, {"cause": "no store has its bytes now"}))
+                say(HttpResponse(404, {"cause": "no store has its bytes now"}))
 
-        for store in self.spread.stores.values():
-            self.world.ask(store.address, "body", {"id": name}, ASK_S, hear)
+        for store in self.replicator.stores.values():
+            self.world.request(store.address, "body", {"id": name}, ASK_S, hear)
         if not waiting:
-            say(Said(503, {"cause": "no store is known"}, 1))
+            say(HttpResponse(503, {"cause": "no store is known"}, 1))
--- a/amberlug/cluster/gossip/store.py
+++ b/amberlug/cluster/gossip/store.py
@@ -14,7 +14,7 @@
 
 from result import Ok, Result
 
-from amberlug.cluster.interfaces import Json, Lost, Reply, Respond, World, on
+from amberlug.cluster.interfaces import Json, Reply, RequestFailure, Respond, Runtime, on
 
 DIGEST_S = 1.0  # between comparisons with one other
 PASS_ON = 2  # others that an edge tells of what it has heard
@@ -34,12 +34,12 @@
     return int.from_bytes(hashlib.blake2b(f"{key} {version}".encode(), digest_size=8).digest(), "big")
 
 
-class News:
+class GossipStore:
     """What this process has heard."""
 
     def __init__(
         self,
-        world: World,
+        world: Runtime,
         others: Callable[[], list[str]],
         heard: Callable[[str, Any], None],
         pass_on: int = PASS_ON,
@@ -58,7 +58,7 @@
         self._fresh: dict[str, Item] = {}
 
     def begin(self) -> None:
-        self.world.later(self.world.chance.uniform(0.2, 1.0) * DIGEST_S, self._compare)
+        self.world.call_later(self.world.chance.uniform(0.2, 1.0) * DIGEST_S, self._compare)
 
     def offer(self, key: str, version: Version, value: Any) -> bool:
         """Take an item if it is newer than what is known, and pass it on."""
@@ -71,7 +71,7 @@
         self.items[key] = version, value
         self._sizes.pop(key, None)
         if not self._fresh:
-            self.world.later(0.0 if self._to_all else RUMOUR_S, self._pass)
+            self.world.call_later(0.0 if self._to_all else RUMOUR_S, self._pass)
         self._fresh[key] = version, value
         self._heard(key, value)
         return True
@@ -87,7 +87,7 @@
         versions = [(key, item[0]) for key, item in fresh.items()]
         for to in self.world.chance.sample(others, min(len(others), self._pass_on)):
             for at in range(0, len(versions), VERSIONS):
-                self.world.tell(to, "news.rumour", {"versions": dict(versions[at : at + VERSIONS])})
+                self.world.send(to, "news.rumour", {"versions": dict(versions[at : at + VERSIONS])})
 
     def _send(self, to: str, items: list[Told]) -> None:
         """Tell another; several pages go one after another, so that beats do not wait behind all of them."""
@@ -95,14 +95,14 @@
             return
         page, rest = self._page(items)
         if not rest:
-            self.world.tell(to, "news", {"items": page})
+            self.world.send(to, "news", {"items": page})
             return
 
-        def hear(reply: Result[Reply, Lost]) -> None:
+        def hear(reply: Result[Reply, RequestFailure]) -> None:
             if isinstance(reply, Ok):  # else the next comparison finds what is missing
                 self._send(to, rest)
 
-        self.world.ask(to, "news", {"items": page}, FETCH_S, hear)
+        self.world.request(to, "news", {"items": page}, FETCH_S, hear)
 
     def _page(self, items: list[Told]) -> tuple[list[Told], list[Told]]:
         """What goes into one message, at least one item, and the rest."""
@@ -142,7 +142,7 @@
         respond({}, b"")
 
     def _compare(self) -> None:
-        self.world.later(DIGEST_S, self._compare)
+        self.world.call_later(DIGEST_S, self._compare)
         others = self._others()
         if others:
             self._turn += 1
@@ -151,7 +151,7 @@
     def compare_with(self, to: str, after: str = "") -> None:
         """Have gaps on either side mended, of keys after that one, some at a time."""
 
-        def hear(reply: Result[Reply, Lost]) -> None:
+        def hear(reply: Result[Reply, RequestFailure]) -> None:
             if not isinstance(reply, Ok) or "versions" not in reply.ok_value.body:
                 return
             theirs, upto = reply.ok_value.body["versions"], reply.ok_value.body.get("next", "")
@@ -167,7 +167,7 @@
             if upto:
                 self.compare_with(to, upto)
 
-        self.world.ask(to, "news.digest", {"sum": f"{self.sum:x}", "after": after}, ASK_S, hear)
+        self.world.request(to, "news.digest", {"sum": f"{self.sum:x}", "after": after}, ASK_S, hear)
 
     def _fetch(self, to: str, theirs: Mapping[str, Version]) -> None:
         """Ask another for what it knows and is newer than what is known here, and not on its way already."""
@@ -186,7 +186,7 @@
             return
         first, later = keys[:PAGE], keys[PAGE:]
 
-        def take(reply: Result[Reply, Lost]) -> None:
+        def take(reply: Result[Reply, RequestFailure]) -> None:
             rest: list[str] = []
             if isinstance(reply, Ok):
                 self.mended += self.take(reply.ok_value.body["items"])
@@ -197,7 +197,7 @@
                     del self._coming[key]
             self._want(to, rest)
 
-        self.world.ask(to, "news.want", {"keys": first}, FETCH_S, take)
+        self.world.request(to, "news.want", {"keys": first}, FETCH_S, take)
 
     @on("news.rumour")
     def on_rumour(self, body: Json, blob: bytes, origin: str, respond: Respond) -> None:
--- a/amberlug/cluster/http/api.py
+++ b/amberlug/cluster/http/api.py
@@ -10,7 +10,7 @@
 from amberlug.cluster.interfaces import Json
 
 
-class Asked(Protocol):
+class HttpRequest(Protocol):
     """A request, as far as orders look at it."""
 
     @property
@@ -23,7 +23,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Said:
+class HttpResponse:
     """An answer to an order; one with a `page` is plain text instead of its body."""
 
     status: int
@@ -32,12 +32,12 @@
     page: bytes | None = None
 
 
-Say = Callable[[Said], None]
-Handler = Callable[[Any, Asked, str, Say], None]
+RespondHttp = Callable[[HttpResponse], None]
+Handler = Callable[[Any, HttpRequest, str, RespondHttp], None]
 
 
 @dataclass(frozen=True, slots=True)
-class Order:
+class ApiCall:
     """One declared call: its method, its path, and whether a name follows it."""
 
     method: str
@@ -56,7 +56,7 @@
     return mark
 
 
-class Counter:
+class AdminApi:
     """Finds the handler of a request among those that the classes of some objects declare."""
 
     def __init__(self, *things: object) -> None:
@@ -74,7 +74,7 @@
                     table = self._named if path.endswith("/") else self._exact
                     table.setdefault(path, {}).setdefault(method, getattr(thing, name))
 
-    def take(self, asked: Asked, say: Say) -> None:
+    def take(self, asked: HttpRequest, say: RespondHttp) -> None:
         """Have a request handled; 404 and 405 are answered here."""
         path = asked.target.partition("?")[0]
         methods, name = self._exact.get(path), ""
@@ -82,9 +82,9 @@
             before, slash, name = path.rpartition("/")
             methods = self._named.get(before + slash) if name else None
         if methods is None:
-            say(Said(404, {"cause": f"no call {path}"}))
+            say(HttpResponse(404, {"cause": f"no call {path}"}))
         elif asked.method not in methods:
-            say(Said(405, {"cause": f"{path} takes {', '.join(sorted(methods))}"}))
+            say(HttpResponse(405, {"cause": f"{path} takes {', '.join(sorted(methods))}"}))
         else:
             methods[asked.method](asked, name, say)
 
--- a/amberlug/cluster/http/routing.py
+++ b/amberlug/cluster/http/routing.py
@@ -39,7 +39,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Routes:
+class RoutingTable:
     """A whole configuration; `index` is its place in the log, by which newer ones are known."""
 
     index: int = 0
@@ -60,7 +60,7 @@
         return None
 
 
-def build(index: int, config: Json) -> Routes:
+def build(index: int, config: Json) -> RoutingTable:
     """Make the snapshot of a configuration that was checked."""
     routes = [
         Route(
@@ -83,7 +83,7 @@
     for route in sorted(routes, key=lambda it: -len(it.prefix)):
         by_host.setdefault(route.host, []).append(route)
     limits = config.get("limits", {})
-    return Routes(
+    return RoutingTable(
         index,
         config["edition"],
         MappingProxyType({host: tuple(found) for host, found in by_host.items()}),
--- a/amberlug/cluster/interfaces.py
+++ b/amberlug/cluster/interfaces.py
@@ -13,12 +13,12 @@
 Json = dict[str, Any]
 
 
-class Lost(Enum):
+class RequestFailure(Enum):
     """Why an ask has no reply."""
 
-    UNSENT = "unsent"  # it was never written to the peer: it was surely not acted on
-    BROKEN = "broken"  # the connection ended first: it may have been acted on
-    SILENT = "silent"  # no reply in time: it may yet be acted on
+    NOT_SENT = "unsent"  # it was never written to the peer: it was surely not acted on
+    CONNECTION_LOST = "broken"  # the connection ended first: it may have been acted on
+    TIMED_OUT = "silent"  # no reply in time: it may yet be acted on
 
 
 @dataclass(frozen=True, slots=True)
@@ -29,17 +29,17 @@
     blob: bytes = b""
 
 
-Then = Callable[[Result[Reply, Lost]], None]
+ReplyCallback = Callable[[Result[Reply, RequestFailure]], None]
 Respond = Callable[[Json, bytes], None]
 
 
-class Handle(Protocol):
+class TimerHandle(Protocol):
     """A timer that can be called off."""
 
     def cancel(self) -> None: ...
 
 
-class World(Protocol):
+class Runtime(Protocol):
     """Clock, timers, chance and peers, as the machine's decisions see them."""
 
     chance: random.Random
@@ -47,30 +47,34 @@
     def now(self) -> float:
         """Seconds of the steady clock."""
 
-    def wall(self) -> float:
+    def wall_clock(self) -> float:
         """Seconds of the time of day; machines differ a little."""
 
-    def later(self, seconds: float, act: Callable[[], None]) -> Handle:
+    def call_later(self, seconds: float, act: Callable[[], None]) -> TimerHandle:
         """Call `act` once, that much later."""
 
-    def tell(self, to: str, word: str, body: Json, blob: bytes = b"") -> None:
+    def send(self, to: str, word: str, body: Json, blob: bytes = b"") -> None:
         """Send to the peer at address `to`; nobody hears whether it came."""
 
-    def ask(self, to: str, word: str, body: Json, within: float, then: Then, blob: bytes = b"") -> None:
+    def request(
+        self, to: str, word: str, body: Json, within: float, then: ReplyCallback, blob: bytes = b""
+    ) -> None:
         """Send, and have `then` called once: with the reply, or why there is none within so many seconds."""
 
 
-class Verdict(Enum):
+class CallVerdict(Enum):
     """How a call to an endpoint ended."""
 
     ANSWERED = "answered"
-    UNREACHED = "unreached"  # no connection came up, or the request did not leave whole: it has not run
-    BROKEN = "broken"  # the connection ended, or what came was no answer to this call: it may have run
-    SILENT = "silent"  # nothing in time: it may have run
+    NOT_CONNECTED = "unreached"  # no connection came up, or the request did not leave whole: it has not run
+    CONNECTION_LOST = (
+        "broken"  # the connection ended, or what came was no answer to this call: it may have run
+    )
+    TIMED_OUT = "silent"  # nothing in time: it may have run
 
 
 @dataclass(frozen=True, slots=True)
-class Delivery:
+class EndpointCall:
     """A call of an endpoint: where, the request as it arrived, and how many seconds it has."""
 
     address: str
@@ -84,10 +88,10 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Called:
+class CallResult:
     """What came of it; headers by lower-case name."""
 
-    verdict: Verdict
+    verdict: CallVerdict
     status: int = 0
     headers: tuple[tuple[str, str], ...] = ()
 
@@ -98,7 +102,7 @@
 class Endpoints(Protocol):
     """Calls to endpoints, over connections that are kept."""
 
-    def call(self, delivery: Delivery, then: Callable[[Called], None]) -> None: ...
+    def call(self, delivery: EndpointCall, then: Callable[[CallResult], None]) -> None: ...
     def idle(self, address: str) -> int:
         """Connections to it that could carry a call at once."""
 
@@ -120,14 +124,3 @@
         return handler
 
     return mark
-
-
-def words_of(thing: object) -> dict[str, Callable[..., None]]:
-    """The handlers that an object's class declares, by word."""
-    found = {}
-    for kind in type(thing).__mro__:
-        for name, member in vars(kind).items():
-            word = getattr(member, "__dict__", {}).get("word") if callable(member) else None
-            if word is not None and word not in found:
-                found[word] = getattr(thing, name)
-    return found
--- a/amberlug/cluster/local_deployment/deployment.py
+++ b/amberlug/cluster/local_deployment/deployment.py
@@ -165,7 +165,7 @@
 
     def start(self, machine: Machine) -> None:
         """Start a machine's process; what it says goes to a file of its own."""
-        above = str(Path(__file__).parents[2])
+        above = str(Path(__file__).parents[3])
         paths = [above, *filter(None, [os.environ.get("PYTHONPATH")])]
         with (self.folder / f"{machine.name}.log").open("ab") as log:
             machine.process = subprocess.Popen(
--- a/amberlug/cluster/local_deployment/trial.py
+++ b/amberlug/cluster/local_deployment/trial.py
@@ -13,7 +13,7 @@
 
 from result import Err, Ok
 
-from amberlug.cluster.interfaces import Json, Lost
+from amberlug.cluster.interfaces import Json, RequestFailure
 from amberlug.cluster.local_deployment.deployment import ENDPOINT, HOST, SERVICES, Deployment, config
 from amberlug.cluster.local_deployment.fake_endpoint import POISON, Run, StandIn
 from amberlug.cluster.local_deployment.queries import ask
@@ -231,7 +231,9 @@
             if isinstance(told, Ok) and told.ok_value.status == 202:
                 it.accepted_at = self._time()
                 it.name = told.ok_value.headers.get("amberlug-message-name", it.attempt)
-            elif told == Err(Lost.UNSENT) or (isinstance(told, Ok) and told.ok_value.status in PROMISES):
+            elif told == Err(RequestFailure.NOT_SENT) or (
+                isinstance(told, Ok) and told.ok_value.status in PROMISES
+            ):
                 await asyncio.sleep(PAUSE_S)
             else:
                 it.unclear = True
--- a/amberlug/cluster/node_status.py
+++ b/amberlug/cluster/node_status.py
@@ -7,23 +7,23 @@
 from amberlug.cluster.interfaces import Json, Respond, on
 
 if TYPE_CHECKING:
-    from amberlug.cluster.edge.node import Edge
-    from amberlug.cluster.storage.node import Store
+    from amberlug.cluster.edge.node import EdgeNode
+    from amberlug.cluster.storage.node import StorageNode
 
 DEAD_MOST = 200  # messages on one page
 
 
-class EdgeView:
+class EdgeStatus:
     """An edge, as its operators see it."""
 
-    def __init__(self, edge: Edge) -> None:
+    def __init__(self, edge: EdgeNode) -> None:
         self._edge = edge
 
     @on("status")
     def on_status(self, body: Json, blob: bytes, origin: str, respond: Respond) -> None:
         """How it stands; `up` names the stores that count as holding what was given to them."""
         edge, up = self._edge, set(body["up"])
-        messages = edge.rack.messages.values()
+        messages = edge.delivery_queue.messages.values()
         told = {
             "ready": edge.ready,
             "edition": edge.routes.edition,
@@ -31,16 +31,16 @@
             "in hand": len(messages),
             "bytes": edge.size,
             "out": sum(len(it.calls) for it in edge.services.values()),
-            "copies short": sum(not edge.spread.enough(it.holders & up) for it in messages),
+            "copies short": sum(not edge.replicator.enough(it.holders & up) for it in messages),
             "counts": edge.counts,
         }
         respond(told, b"")
 
 
-class StoreView:
+class StorageStatus:
     """A store, as its operators see it."""
 
-    def __init__(self, store: Store) -> None:
+    def __init__(self, store: StorageNode) -> None:
         self._store = store
 
     @on("status")
--- a/amberlug/cluster/process.py
+++ b/amberlug/cluster/process.py
@@ -17,11 +17,11 @@
 from result import Err
 
 from amberlug.cluster import settings as told
-from amberlug.cluster.http.api import Said, pack
+from amberlug.cluster.http.api import HttpResponse, pack
 from amberlug.cluster.http.server import Answer, Limits, Request, Server
-from amberlug.cluster.interfaces import Handle, Json, Respond, Then
+from amberlug.cluster.interfaces import Json, ReplyCallback, Respond, TimerHandle
 from amberlug.cluster.metrics import PATH, page
-from amberlug.cluster.rpc.transport import Belt
+from amberlug.cluster.rpc.transport import PeerTransport
 
 COUNTERS_S = 10.0  # between lines of counters
 WATCH_S = 2.0  # between looks at the settings file
@@ -34,22 +34,24 @@
 CONTROL_LIMITS = Limits(body_bytes=4 << 20)
 
 
-class AsyncWorld:
+class AsyncioRuntime:
     """The world by asyncio."""
 
-    def __init__(self, belt: Belt, chance: random.Random) -> None:
+    def __init__(self, transport: PeerTransport, chance: random.Random) -> None:
         self._loop = asyncio.get_running_loop()
-        self.chance, self.now, self.wall = chance, self._loop.time, time.time
-        self._belt = belt
+        self.chance, self.now, self.wall_clock = chance, self._loop.time, time.time
+        self._belt = transport
 
-    def later(self, seconds: float, act: Callable[[], None]) -> Handle:
+    def call_later(self, seconds: float, act: Callable[[], None]) -> TimerHandle:
         return self._loop.call_later(seconds, act)
 
-    def tell(self, to: str, word: str, body: Json, blob: bytes = b"") -> None:
-        self._belt.tell(to, word, body, blob)
+    def send(self, to: str, word: str, body: Json, blob: bytes = b"") -> None:
+        self._belt.send(to, word, body, blob)
 
-    def ask(self, to: str, word: str, body: Json, within: float, then: Then, blob: bytes = b"") -> None:
-        self._belt.ask(to, word, body, within, then, blob)
+    def request(
+        self, to: str, word: str, body: Json, within: float, then: ReplyCallback, blob: bytes = b""
+    ) -> None:
+        self._belt.request(to, word, body, within, then, blob)
 
 
 class Program:
@@ -61,11 +63,11 @@
         self.servers: list[Server] = []
         self.closers: list[Callable[[], None]] = []
         self.ended = asyncio.Event()
-        self.belt = Belt(self._hear, self._broken)
+        self.transport = PeerTransport(self._hear, self._broken)
         self._stamp = self._file_stamp()
 
     def _hear(self, word: str, body: Json, blob: bytes, origin: str, respond: Respond) -> None:
-        handler = self.machine.words.get(word) if self.machine is not None else None
+        handler = self.machine.handlers.get(word) if self.machine is not None else None
         if handler is not None:
             handler(body, blob, origin, respond)
 
@@ -77,8 +79,8 @@
         """Serve until told to end."""
         loop = asyncio.get_running_loop()
         loop.set_exception_handler(self._failed)
-        await self.belt.listen(self.settings.ip, self.settings.ports)
-        world = AsyncWorld(self.belt, random.Random())
+        await self.transport.listen(self.settings.ip, self.settings.ports)
+        world = AsyncioRuntime(self.transport, random.Random())
         await self._build(world, loop)
         for number in (signal.SIGTERM, signal.SIGINT):
             loop.add_signal_handler(number, self._term)
@@ -89,11 +91,11 @@
         await self.ended.wait()
         for close in self.closers:
             close()
-        self.belt.close()
+        self.transport.close()
         return 0
 
-    async def _build(self, world: AsyncWorld, loop: asyncio.AbstractEventLoop) -> None:
-        settings, address = self.settings, self.belt.address
+    async def _build(self, world: AsyncioRuntime, loop: asyncio.AbstractEventLoop) -> None:
+        settings, address = self.settings, self.transport.address
 
         def post(act: Callable[[], None]) -> None:
             with contextlib.suppress(RuntimeError):  # the loop has ended: nobody waits any more
@@ -101,33 +103,37 @@
 
         folder = Path(settings.data_dir) if settings.data_dir else None
         if "control_plane" in settings.serves:
-            from amberlug.cluster.consensus.storage import open_shelf
-            from amberlug.cluster.control.node import Core, blank
+            from amberlug.cluster.consensus.storage import open_raft_storage
+            from amberlug.cluster.control.node import ControlNode, blank
 
             assert folder is not None, "a control relay needs a dataDir"
-            saved, cabinet, _ = open_shelf(folder, lambda: blank(settings, world.chance.getrandbits), post)
-            self.closers.append(cabinet.close)
-            core = self.machine = Core(world, settings, address, cabinet, saved)
+            saved, writer, _ = open_raft_storage(
+                folder, lambda: blank(settings, world.chance.getrandbits), post
+            )
+            self.closers.append(writer.close)
+            core = self.machine = ControlNode(world, settings, address, writer, saved)
             await self._serve(
                 settings.control, lambda asked, answer: core.counter.take(asked, _saying(answer))
             )
         elif "storage" in settings.serves:
-            from amberlug.cluster.storage.message_store import open_drawer
-            from amberlug.cluster.storage.node import Store
+            from amberlug.cluster.storage.message_store import open_message_store
+            from amberlug.cluster.storage.node import StorageNode
 
             assert folder is not None, "a store needs a dataDir"
-            contents, drawer = open_drawer(folder, lambda: f"{world.chance.getrandbits(64):x}", post)
-            self.closers.append(drawer.close)
-            self.machine = Store(world, settings, address, drawer, contents)
+            contents, message_store = open_message_store(
+                folder, lambda: f"{world.chance.getrandbits(64):x}", post
+            )
+            self.closers.append(message_store.close)
+            self.machine = StorageNode(world, settings, address, message_store, contents)
         else:
             await self._build_edge(world)
 
-    async def _build_edge(self, world: AsyncWorld) -> None:
-        from amberlug.cluster.dispatch.endpoint_client import Caller
-        from amberlug.cluster.edge.node import Edge
+    async def _build_edge(self, world: AsyncioRuntime) -> None:
+        from amberlug.cluster.dispatch.endpoint_client import EndpointClient
+        from amberlug.cluster.edge.node import EdgeNode
 
-        caller = Caller()
-        edge = self.machine = Edge(world, self.settings, self.belt.address, caller)
+        caller = EndpointClient()
+        edge = self.machine = EdgeNode(world, self.settings, self.transport.address, caller)
 
         def limits() -> Limits:
             routes = edge.routes
@@ -154,7 +160,7 @@
 
         def sweep() -> None:
             caller.sweep()
-            world.later(SWEEP_S, sweep)
+            world.call_later(SWEEP_S, sweep)
 
         await self._serve(self.settings.front, handle, limits, AGE_S)
         await self._serve(self.settings.readiness, readiness)
@@ -242,8 +248,8 @@
         )
 
 
-def _saying(answer: Callable[[Answer], None]) -> Callable[[Said], None]:
-    def say(said: Said) -> None:
+def _saying(answer: Callable[[Answer], None]) -> Callable[[HttpResponse], None]:
+    def say(said: HttpResponse) -> None:
         again = (("Retry-After", str(said.retry_after)),) if said.retry_after is not None else ()
         if said.page is not None:
             answer(Answer(said.status, PLAIN + again, said.page))
--- a/amberlug/cluster/rpc/framing.py
+++ b/amberlug/cluster/rpc/framing.py
@@ -33,7 +33,7 @@
     return Ok(_netstring(text) + (_netstring(blob) if blob else b""))
 
 
-class Reader:
+class FrameReader:
     """Takes bytes as they come and gives whole frames; memory is bounded by two netstrings."""
 
     def __init__(self, most: int = MOST) -> None:
--- a/amberlug/cluster/rpc/transport.py
+++ b/amberlug/cluster/rpc/transport.py
@@ -11,8 +11,8 @@
 from absl import logging
 from result import Err, Ok
 
-from amberlug.cluster.interfaces import Json, Lost, Reply, Respond, Then
-from amberlug.cluster.rpc.framing import BadFrameError, Reader, pack
+from amberlug.cluster.interfaces import Json, Reply, ReplyCallback, RequestFailure, Respond
+from amberlug.cluster.rpc.framing import BadFrameError, FrameReader, pack
 
 DIAL_S = 0.7  # for a connection to come up
 USER_TIMEOUT_MS = 1500  # bytes unacknowledged for so long: a machine without power says nothing
@@ -32,20 +32,20 @@
 class _Outgoing(asyncio.Protocol):
     """A connection that this process opened: asks go out on it and replies come back."""
 
-    def __init__(self, belt: Belt, to: str) -> None:
-        self.belt, self.to = belt, to
+    def __init__(self, peers: PeerTransport, to: str) -> None:
+        self.peers, self.to = peers, to
         self.transport: asyncio.Transport | None = None
         self.waiting: list[tuple[int | None, bytes]] = []  # what is said before the connection is up
         self.waiting_size = 0
-        self.asked: dict[int, tuple[Then, asyncio.TimerHandle]] = {}
-        self.reader = Reader()
+        self.asked: dict[int, tuple[ReplyCallback, asyncio.TimerHandle]] = {}
+        self.reader = FrameReader()
         self.over = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
         _brace(transport)
-        hello = pack({"w": "hello", "b": {"from": self.belt.address}}).unwrap()
+        hello = pack({"w": "hello", "b": {"from": self.peers.address}}).unwrap()
         transport.write(hello + b"".join(data for _, data in self.waiting))
         self.waiting.clear()
         self.waiting_size = 0
@@ -80,42 +80,42 @@
                 self.transport.abort()
 
     def connection_lost(self, error: Exception | None) -> None:
-        self.end(Lost.BROKEN)
+        self.end(RequestFailure.CONNECTION_LOST)
 
     def not_up(self) -> None:
         """The dial was given up."""
         # Guards against one that came up just then, as this process was held up: what it wrote may be heard.
         if self.transport is not None:
             self.transport.abort()
-        self.end(Lost.UNSENT if self.transport is None else Lost.BROKEN)
+        self.end(RequestFailure.NOT_SENT if self.transport is None else RequestFailure.CONNECTION_LOST)
 
-    def end(self, why: Lost) -> None:
+    def end(self, why: RequestFailure) -> None:
         if self.over:
             return
         self.over = True
-        self.belt.gone(self)
+        self.peers.gone(self)
         unsent = {number for number, _ in self.waiting}
         for number, (then, timer) in list(self.asked.items()):
             timer.cancel()
-            then(Err(Lost.UNSENT if number in unsent else why))
+            then(Err(RequestFailure.NOT_SENT if number in unsent else why))
         self.asked.clear()
-        self.belt.on_broken(self.to)
+        self.peers.on_broken(self.to)
 
 
 class _Incoming(asyncio.Protocol):
     """A connection that a peer opened: its words are heard and replies go back on it."""
 
-    def __init__(self, belt: Belt) -> None:
-        self.belt = belt
+    def __init__(self, peers: PeerTransport) -> None:
+        self.peers = peers
         self.transport: asyncio.Transport | None = None
         self.origin = ""
-        self.reader = Reader(STRANGER_MOST)
+        self.reader = FrameReader(STRANGER_MOST)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
         _brace(transport)
-        self.belt.incoming.add(self)
+        self.peers.incoming.add(self)
 
     def data_received(self, data: bytes) -> None:
         transport = self.transport
@@ -129,9 +129,9 @@
                 word = head.get("w")
                 if not isinstance(body, dict) or not isinstance(word, str):
                     raise BadFrameError("no word")
-                self.belt.hear(word, body, blob, self.origin, self._respond_to(head.get("n")))
+                self.peers.hear(word, body, blob, self.origin, self._respond_to(head.get("n")))
         except BadFrameError:
-            self.belt.strangers += 1
+            self.peers.strangers += 1
             transport.abort()
 
     def _greet(self, head: dict[str, Any]) -> None:
@@ -150,19 +150,19 @@
             if transport.get_write_buffer_size() > QUEUED_MOST:
                 transport.abort()
                 return
-            data = self.belt.packed({"n": number, "b": body}, blob)
+            data = self.peers.packed({"n": number, "b": body}, blob)
             if data is not None:  # else the asker waits in vain, as for one that is slow
                 transport.write(data)
 
         return respond
 
     def connection_lost(self, error: Exception | None) -> None:
-        self.belt.incoming.discard(self)
+        self.peers.incoming.discard(self)
         if self.origin:
-            self.belt.on_broken(self.origin)
+            self.peers.on_broken(self.origin)
 
 
-class Belt:
+class PeerTransport:
     """All connections to peers of one process."""
 
     def __init__(self, hear: Hear, on_broken: Callable[[str], None]) -> None:
@@ -188,23 +188,25 @@
             return
         raise OSError(f"no port of {ports} is free at {host}")
 
-    def tell(self, to: str, word: str, body: Json, blob: bytes = b"") -> None:
+    def send(self, to: str, word: str, body: Json, blob: bytes = b"") -> None:
         """Send and forget."""
         data = self.packed({"w": word, "b": body}, blob)
         if data is not None:
             self._link(to).send(None, data)
 
-    def ask(self, to: str, word: str, body: Json, within: float, then: Then, blob: bytes = b"") -> None:
+    def request(
+        self, to: str, word: str, body: Json, within: float, then: ReplyCallback, blob: bytes = b""
+    ) -> None:
         """Send; `then` hears once what came of it."""
         number = next(self._numbers)
         loop = asyncio.get_running_loop()
         data = self.packed({"w": word, "b": body, "n": number}, blob)
         if data is None:
-            loop.call_soon(then, Err(Lost.UNSENT))
+            loop.call_soon(then, Err(RequestFailure.NOT_SENT))
             return
         link = self._link(to)
         if not link.send(number, data):
-            loop.call_soon(then, Err(Lost.UNSENT))
+            loop.call_soon(then, Err(RequestFailure.NOT_SENT))
             return
         link.asked[number] = then, loop.call_later(within, self._late, link, number)
 
@@ -224,7 +226,7 @@
             before = len(link.waiting)
             link.waiting = [it for it in link.waiting if it[0] != number]
             link.waiting_size = sum(len(data) for _, data in link.waiting)
-            found[0](Err(Lost.UNSENT if len(link.waiting) < before else Lost.SILENT))
+            found[0](Err(RequestFailure.NOT_SENT if len(link.waiting) < before else RequestFailure.TIMED_OUT))
 
     def _link(self, to: str) -> _Outgoing:
         link = self._links.get(to)
--- a/amberlug/cluster/session_client.py
+++ b/amberlug/cluster/session_client.py
@@ -7,8 +7,8 @@
 from result import Err, Ok, Result
 
 from amberlug.cluster.control.sessions import BEAT_S
-from amberlug.cluster.gossip.store import News
-from amberlug.cluster.interfaces import Json, Lost, Reply, World
+from amberlug.cluster.gossip.store import GossipStore
+from amberlug.cluster.interfaces import Json, Reply, RequestFailure, Runtime
 from amberlug.cluster.settings import Settings
 
 ANSWER_S = 0.4  # for a control relay to answer a beat
@@ -24,7 +24,7 @@
     return [f"{host}:{settings.ports.start}" for host, _ in settings.seeds]
 
 
-def _in_contact(reply: Result[Reply, Lost]) -> bool:
+def _in_contact(reply: Result[Reply, RequestFailure]) -> bool:
     """Whether a control relay takes this member's word, and knows what a majority knows."""
     if isinstance(reply, Err):
         return False
@@ -32,21 +32,21 @@
     return bool(said.get("ok")) and float(said.get("age", 0.0)) <= STALE_S
 
 
-class Member:
+class SessionClient:
     """Keeps a session with one control relay, and finds another when that one is silent."""
 
     def __init__(
         self,
-        world: World,
+        world: Runtime,
         settings: Settings,
         address: str,
         machine_class: str,
-        news: News,
+        gossip: GossipStore,
         extra: Callable[[], Json],
     ) -> None:
-        self.world, self.settings, self.news, self._extra = world, settings, news, extra
+        self.world, self.settings, self.gossip, self._extra = world, settings, gossip, extra
         self.address, self.machine_class = address, machine_class
-        self.incarnation = f"{int(world.wall() * 1000):x}{world.chance.getrandbits(16):04x}"
+        self.incarnation = f"{int(world.wall_clock() * 1000):x}{world.chance.getrandbits(16):04x}"
         self.state = "up"
         self.relay = ""  # the control relay that the session is with
         self.confirmed = False  # whether the news were once as new as a majority's
@@ -107,7 +107,7 @@
                 passed = True
                 self._try(epoch)
 
-        def hear(reply: Result[Reply, Lost]) -> None:
+        def hear(reply: Result[Reply, RequestFailure]) -> None:
             nonlocal passed
             if epoch != self._epoch or self.relay:
                 return  # another one was quicker
@@ -118,29 +118,29 @@
                 return
             passed = True
             self.relay, self.changes, self._failed = to, self.changes + 1, 0
-            self.news.compare_with(to)
-            self.world.later(BEAT_S, lambda: self._beat(epoch))
+            self.gossip.compare_with(to)
+            self.world.call_later(BEAT_S, lambda: self._beat(epoch))
             if not self.confirmed:
                 self._newest(epoch)
 
-        self.world.ask(to, "hello", self._body(), HELLO_S, hear)
-        self.world.later(FURTHER_S, further)
+        self.world.request(to, "hello", self._body(), HELLO_S, hear)
+        self.world.call_later(FURTHER_S, further)
 
     def _again(self) -> None:
         """Look for another control relay, after a while that grows: all of them may be without a majority."""
         epoch = self._epoch
         pause = min(PAUSE_S[1], PAUSE_S[0] * 1.3**self._failed) * self.world.chance.uniform(0.8, 1.2)
         self._failed = min(self._failed + 1, 20)
-        self.world.later(pause, lambda: self._try(epoch))
+        self.world.call_later(pause, lambda: self._try(epoch))
 
     def _newest(self, epoch: int, after: str = "") -> None:
         """Have what is known confirmed by a majority once, before clients are served."""
 
-        def hear(reply: Result[Reply, Lost]) -> None:
+        def hear(reply: Result[Reply, RequestFailure]) -> None:
             if self.confirmed or epoch != self._epoch:
                 return
             if isinstance(reply, Ok) and reply.ok_value.body.get("ok"):
-                self.news.take(reply.ok_value.body["items"])
+                self.gossip.take(reply.ok_value.body["items"])
                 if reply.ok_value.body.get("next"):
                     self._newest(epoch, reply.ok_value.body["next"])
                 else:
@@ -152,23 +152,23 @@
                 self._again()
 
         if epoch == self._epoch and not self.confirmed:
-            self.world.ask(self.relay, "newest", {"after": after}, NEWEST_S, hear)
+            self.world.request(self.relay, "newest", {"after": after}, NEWEST_S, hear)
 
     def _beat(self, epoch: int) -> None:
         if epoch != self._epoch:
             return
         sent = self.world.now()
 
-        def hear(reply: Result[Reply, Lost]) -> None:
+        def hear(reply: Result[Reply, RequestFailure]) -> None:
             if epoch != self._epoch:
                 return
             if not _in_contact(reply):
                 self.relay = ""
                 self._hello()
                 return
-            self.world.later(max(0.0, BEAT_S - (self.world.now() - sent)), lambda: self._beat(epoch))
+            self.world.call_later(max(0.0, BEAT_S - (self.world.now() - sent)), lambda: self._beat(epoch))
 
-        self.world.ask(self.relay, "beat", self._body(), ANSWER_S, hear)
+        self.world.request(self.relay, "beat", self._body(), ANSWER_S, hear)
 
     def broken(self, address: str) -> None:
         """The connection with a process ended."""
@@ -180,4 +180,4 @@
         """Say at once that this member goes."""
         self.state = "leaving"
         if self.relay:
-            self.world.tell(self.relay, "beat", self._body())
+            self.world.send(self.relay, "beat", self._body())
--- a/amberlug/cluster/simulation/boundary_digest.py
+++ b/amberlug/cluster/simulation/boundary_digest.py
@@ -186,6 +186,6 @@
     for seed, aim in days:
         played = Day(seed, aim)
         played.deployment.digest.on_frame = keep
-        played.clock.later(14.0, partial(look, played.deployment))
+        played.clock.call_later(14.0, partial(look, played.deployment))
         played.play()
     return dict(sorted(found.items()))
--- a/amberlug/cluster/simulation/clients.py
+++ b/amberlug/cluster/simulation/clients.py
@@ -8,7 +8,7 @@
 
 from amberlug.cluster.simulation.deployment import CLOSED, REFUSED, Deployment, Machine, Request
 from amberlug.cluster.simulation.history import Sent, Standing
-from amberlug.cluster.simulation.network import Life
+from amberlug.cluster.simulation.network import Incarnation
 
 DEADLINE_S = 1.5
 PATIENCE_S = 0.3  # beyond the deadline, until a connection is closed
@@ -57,7 +57,7 @@
     # -- the virtual address
 
     def _poll(self, edge: Machine) -> None:
-        def ask(life: Life, answer: Callable[..., None]) -> None:
+        def ask(life: Incarnation, answer: Callable[..., None]) -> None:
             answer(200 if life.machine.ready else 503, None)
 
         def hear(status: int, *rest: object) -> None:
@@ -65,7 +65,7 @@
             self._misses[edge.name] = 0 if status == 200 else self._misses[edge.name] + 1
 
         self.deployment.call(edge, ask, POLL_S - 0.01, hear)
-        self.clock.later(POLL_S, lambda: self._poll(edge))
+        self.clock.call_later(POLL_S, lambda: self._poll(edge))
 
     def pick(self, zone: str) -> Machine:
         """The edge that a new connection from a zone is passed to."""
@@ -81,7 +81,7 @@
 
     def _next(self) -> None:
         if self.sending:
-            self.clock.later(self.chance.expovariate(self.load.rate), self._next)
+            self.clock.call_later(self.chance.expovariate(self.load.rate), self._next)
             self.send(self.chance.choice(self.load.paths))
             if self.extra and self.chance.random() < 0.15:
                 self.send(self.chance.choice(self.extra))
@@ -115,7 +115,7 @@
         )
         self.history.sent[sent.attempt] = sent
         if fate:
-            self.deployment.town.fates[sent.attempt] = fate
+            self.deployment.endpoint_fleet.fates[sent.attempt] = fate
         headers = [
             ("host", HOST),
             ("amberlug-attempt-id", sent.attempt),
@@ -128,7 +128,7 @@
 
         def again(seconds: float) -> None:
             if number < TRIES:
-                clock.later(
+                clock.call_later(
                     seconds,
                     lambda: self._try(path, key, delay, fate, body, zone, first, number + 1),
                 )
@@ -150,7 +150,7 @@
 
     def _next_question(self) -> None:
         if self.sending and self.load.asks:
-            self.clock.later(self.chance.expovariate(self.load.asks), self._next_question)
+            self.clock.call_later(self.chance.expovariate(self.load.asks), self._next_question)
             if self._accepted:
                 recent = self._accepted[-60:]
                 self.ask(self.chance.choice(recent).name, lambda standing: None)
@@ -192,7 +192,7 @@
     def _insist(self, sent: Sent, tries: int) -> None:
         def again() -> None:
             if tries > 1:
-                self.clock.later(0.5, lambda: self._insist(sent, tries - 1))
+                self.clock.call_later(0.5, lambda: self._insist(sent, tries - 1))
 
         def hear(standing: Standing) -> None:
             if standing.status != 200:
--- a/amberlug/cluster/simulation/clock.py
+++ b/amberlug/cluster/simulation/clock.py
@@ -33,7 +33,7 @@
         self._due: list[tuple[float, int, Callable[[], None]]] = []
         self._numbers = itertools.count()
 
-    def later(self, seconds: float, act: Callable[[], None]) -> None:
+    def call_later(self, seconds: float, act: Callable[[], None]) -> None:
         """Call `act` so many seconds from now."""
         heapq.heappush(self._due, (self.now + max(0.0, seconds), next(self._numbers), act))
 
--- a/amberlug/cluster/simulation/control_faults.py
+++ b/amberlug/cluster/simulation/control_faults.py
@@ -43,8 +43,8 @@
 
     def begin(self, start: float, end: float) -> None:
         """Cut after cut, each once the one before no longer counts as a loss, and orders all the while."""
-        self.clock.later(start - self.clock.now, lambda: self._next(end))
-        self.clock.later(start - self.clock.now, lambda: self._orders(end))
+        self.clock.call_later(start - self.clock.now, lambda: self._next(end))
+        self.clock.call_later(start - self.clock.now, lambda: self._orders(end))
 
     def _next(self, end: float) -> None:
         left = end - self.clock.now
@@ -68,16 +68,16 @@
                 "roll": self._roll,
                 "loss": self._lose_packets,
             }[then]
-            self.clock.later(self.chance.uniform(0.5, seconds), act)
+            self.clock.call_later(self.chance.uniform(0.5, seconds), act)
         if self.chance.random() < 0.6:
             self.storm(self.clock.now + self.chance.uniform(1.0, 3.0))
         if self.chance.random() < 0.6:
             self.start_beside()
         if self.chance.random() < 0.6:
-            self.clock.later(seconds - 0.1, lambda: self.storm(self.clock.now + 2.0))
+            self.clock.call_later(seconds - 0.1, lambda: self.storm(self.clock.now + 2.0))
         self.meet(self.cut)
         pause = seconds + BACK_S + self.chance.uniform(0.1, 3.0)
-        self.clock.later(pause, lambda: self._next(end))
+        self.clock.call_later(pause, lambda: self._next(end))
 
     def victim(self) -> Machine:
         """The leader, one of those who follow it, or one that settings files name."""
@@ -121,20 +121,20 @@
             if self.cut is cut:
                 self.cut = None
 
-        self.clock.later(seconds, over)
+        self.clock.call_later(seconds, over)
 
     def _reset(self, cut: Cut, others: frozenset[str]) -> None:
         if self.clock.now < cut.until:
             self.history.mark(cut.machine.name, What.RESET)
             self.deployment.net.reset(cut.machine, others)
-            self.clock.later(self.chance.uniform(*RESETS_S), lambda: self._reset(cut, others))
+            self.clock.call_later(self.chance.uniform(*RESETS_S), lambda: self._reset(cut, others))
 
     # -- restarts meanwhile
 
     def start_beside(self) -> None:
         """Edges look for a relay while one does not know yet that it is cut off, and changes are made."""
         for machine in self.chance.sample(self.deployment.edges, len(self.deployment.edges) // 2):
-            self.clock.later(self.chance.uniform(0.0, 0.5), partial(self.restart, machine, DOWN_S[0]))
+            self.clock.call_later(self.chance.uniform(0.0, 0.5), partial(self.restart, machine, DOWN_S[0]))
         until = self.clock.now + 1.8
         self.storm(until - 0.8)
         self._knock(until)
@@ -145,26 +145,26 @@
             self.day.look_at_routes()
             if self.day.clients.extra:
                 self.day.clients.send(self.chance.choice(self.day.clients.extra))
-            self.clock.later(KNOCK_S, lambda: self._knock(until))
+            self.clock.call_later(KNOCK_S, lambda: self._knock(until))
 
     def restart(self, machine: Machine, seconds: float = 0.0) -> None:
         """A process is killed, and starts again."""
         seconds = seconds or self.chance.choice(DOWN_S)
         self.history.trouble(f"{machine.name} is restarted", seconds, marked=True)
         machine.kill()
-        self.clock.later(seconds, machine.start)
+        self.clock.call_later(seconds, machine.start)
 
     def both(self, seconds: float) -> None:
         """Who is cut off is restarted, then all others that count, in turn or at once."""
         cut = self.cut
         assert cut is not None, "a machine is cut off"
         at = self.chance.uniform(0.1, 0.5) * seconds
-        self.clock.later(at, partial(self.restart, cut.machine))
+        self.clock.call_later(at, partial(self.restart, cut.machine))
         others = [it for it in self.deployment.cores + self.deployment.stores if it is not cut.machine]
         gap = self.chance.choice((0.0, 0.0, 0.2, 1.5))
         at += self.chance.uniform(0.5, 3.0)
         for machine in others:
-            self.clock.later(at, partial(self.restart, machine))
+            self.clock.call_later(at, partial(self.restart, machine))
             at += gap
 
     def new_seeds(self, seconds: float) -> None:
@@ -179,7 +179,7 @@
         some = self.chance.sample(self.deployment.edges, len(self.deployment.edges) // 2)
         some += self.chance.sample(self.deployment.stores, 1)
         for machine in some:
-            self.clock.later(self.chance.uniform(0.1, 0.6) * seconds, partial(self.restart, machine))
+            self.clock.call_later(self.chance.uniform(0.1, 0.6) * seconds, partial(self.restart, machine))
 
     def _kill_all(self) -> None:
         """All machines that count are killed or lose power, just as a configuration was acknowledged."""
@@ -197,10 +197,10 @@
             )
             for machine in counted:
                 machine.power_off() if power else machine.kill()
-                self.clock.later(self.chance.uniform(0.5, 1.2), machine.start)
+                self.clock.call_later(self.chance.uniform(0.5, 1.2), machine.start)
 
         self.operator.on_acked = strike
-        self.clock.later(2.0, strike)
+        self.clock.call_later(2.0, strike)
 
     def _leader(self) -> Machine | None:
         """Who leads on the side of the majority."""
@@ -209,7 +209,7 @@
             (
                 it
                 for it in self.deployment.cores
-                if it is not cut_off and it.up and it.part.vise.leader == it.part.vise.me
+                if it is not cut_off and it.up and it.part.raft.leader == it.part.raft.me
             ),
             None,
         )
@@ -229,7 +229,7 @@
             self.storm(self.clock.now + 2.5)
 
         self.operator.on_acked = strike
-        self.clock.later(1.5, strike)
+        self.clock.call_later(1.5, strike)
 
     def _freeze_leader(self) -> None:
         """The leader does nothing for a while: as it wakes, it does not know yet that another one leads."""
@@ -239,11 +239,11 @@
         seconds = self.chance.uniform(0.7, 3.0)
         self.history.trouble(f"{leader.name} is frozen for {seconds:.1f} s", seconds, marked=True)
         leader.freeze()
-        self.clock.later(seconds, leader.thaw)
+        self.clock.call_later(seconds, leader.thaw)
         self.storm(self.clock.now + seconds + 0.5)
         for _ in range(3):
             at = max(0.0, seconds - self.chance.uniform(-0.01, 0.9))
-            self.clock.later(at, partial(self.operator.order, to=leader))
+            self.clock.call_later(at, partial(self.operator.order, to=leader))
 
     def _lose_packets(self) -> None:
         """A core machine loses a part of its packets, and orders come."""
@@ -254,14 +254,14 @@
         def whole() -> None:
             machine.loss = 0.0
 
-        self.clock.later(seconds, whole)
+        self.clock.call_later(seconds, whole)
         self.storm(self.clock.now + 2.0)
 
     def _roll(self) -> None:
         """Core machines are told to end, one after the other."""
         at = 0.0
         for machine in self.deployment.cores:
-            self.clock.later(at, partial(self._term, machine))
+            self.clock.call_later(at, partial(self._term, machine))
             at += self.chance.uniform(1.2, 2.5)
 
     def _term(self, machine: Machine) -> None:
@@ -269,7 +269,7 @@
         machine.term()
 
         def look() -> None:
-            self.clock.later(*((0.05, look) if machine.up else (RESTART_S, machine.start)))
+            self.clock.call_later(*((0.05, look) if machine.up else (RESTART_S, machine.start)))
 
         look()
 
@@ -282,7 +282,7 @@
             self.chance.choice(
                 (operator.order, operator.order, operator.pair, operator.read, operator.retire)
             )()
-            self.clock.later(self.chance.uniform(*STORM_S), lambda: self.storm(until))
+            self.clock.call_later(self.chance.uniform(*STORM_S), lambda: self.storm(until))
 
     def meet(self, cut: Cut) -> None:
         """Orders to the very machine that is cut off, meanwhile and as it returns."""
@@ -294,16 +294,18 @@
             if self.chance.random() < 0.4:
                 other = self.chance.choice([it for it in self.deployment.cores if it is not cut.machine])
                 how = partial(self.operator.pair, cut.machine, self.chance.choice((cut.machine, other)))
-            self.clock.later(at, how)
+            self.clock.call_later(at, how)
         if self.chance.random() < 0.4:
-            self.clock.later(left + self.chance.uniform(0.1, 1.0), partial(self._leave_near, cut.machine))
+            self.clock.call_later(
+                left + self.chance.uniform(0.1, 1.0), partial(self._leave_near, cut.machine)
+            )
 
     def _leave_near(self, machine: Machine) -> None:
         """Endpoints of a machine's zone leave."""
-        town = self.deployment.town
-        for it in town.up():
-            if it.zone == machine.zone and len(town.up(it.kind.name)) > 1:
-                town.start(it.kind.name, it.zone)
+        endpoint_fleet = self.deployment.endpoint_fleet
+        for it in endpoint_fleet.up():
+            if it.zone == machine.zone and len(endpoint_fleet.up(it.kind.name)) > 1:
+                endpoint_fleet.start(it.kind.name, it.zone)
                 self.history.say(f"{it.name} of {it.kind.name} is to leave")
                 it.leave(1.0, lambda: None)
 
@@ -323,4 +325,4 @@
         ]
         chance.choice(acts)()
         self.day.look_at_routes()
-        self.clock.later(chance.uniform(*ORDERS_S), lambda: self._orders(end))
+        self.clock.call_later(chance.uniform(*ORDERS_S), lambda: self._orders(end))
