--- a/amberlug/cluster/simulation/deployment.py
+++ b/amberlug/cluster/simulation/deployment.py
@@ -8,18 +8,24 @@
 from functools import partial
 from typing import Any
 
-from amberlug.cluster.control.node import Core, blank
-from amberlug.cluster.edge.node import Edge
-from amberlug.cluster.http.api import Said
-from amberlug.cluster.interfaces import Json, Lost
+from amberlug.cluster.control.node import ControlNode, blank
+from amberlug.cluster.edge.node import EdgeNode
+from amberlug.cluster.http.api import HttpResponse
+from amberlug.cluster.interfaces import Json, RequestFailure
 from amberlug.cluster.process import SPARE_S, STILL_SERVED_S
 from amberlug.cluster.settings import Settings, Tolerance
 from amberlug.cluster.simulation.clock import Clock
-from amberlug.cluster.simulation.disk import Chest, DiskOf, DrawerOf, Platter, Shelf
-from amberlug.cluster.simulation.endpoints import Caller, Kind, Town
+from amberlug.cluster.simulation.disk import (
+    ControlDisk,
+    MessageDisk,
+    ProcessDisk,
+    ProcessMessageDisk,
+    SimulatedDisk,
+)
+from amberlug.cluster.simulation.endpoints import EndpointClient, EndpointFleet, Kind
 from amberlug.cluster.simulation.history import Broken, History, Place, What
-from amberlug.cluster.simulation.network import Host, Life, LifeWorld, Network
-from amberlug.cluster.storage.node import Store
+from amberlug.cluster.simulation.network import Host, Incarnation, Network, SimulatedRuntime
+from amberlug.cluster.storage.node import StorageNode
 
 OUTSIDE_S = 0.001  # from outside to a machine, one way
 RESTART_S = 0.8
@@ -69,16 +75,16 @@
         deployment.history.places[name] = Place(name, kind)
         self.ip = address.rpartition(":")[0]
         self.control: str = f"{self.ip}:7000"
-        self.wall = WALL_S + deployment.chance.uniform(-0.02, 0.02)
+        self.wall_clock = WALL_S + deployment.chance.uniform(-0.02, 0.02)
         self.lives = 0
         self.first = first
-        self.disk: Platter | None = None
+        self.disk: SimulatedDisk | None = None
         if kind != "edge":
-            make = Shelf if kind == "core" else Chest
+            make = ControlDisk if kind == "core" else MessageDisk
             chance = deployment.draw(f"disk {name} {address}")
             self.disk = make(deployment.clock, chance, deployment.sync_s)
             self.disk.name, self.disk.digest = name, deployment.digest
-            if isinstance(self.disk, Chest):
+            if isinstance(self.disk, MessageDisk):
                 self.disk.on_anew = partial(deployment.history.store_emptied, name)
 
     @property
@@ -99,18 +105,20 @@
         self.powered = True
         self.lives += 1
         deployment.history.mark(self.name, What.START)
-        life = self.life = Life(self, self.lives, deployment.failed)
+        life = self.life = Incarnation(self, self.lives, deployment.failed)
         chance = deployment.draw(f"{self.name} {self.lives}")
-        world = LifeWorld(deployment.net, life, chance, self.wall)
+        world = SimulatedRuntime(deployment.net, life, chance, self.wall_clock)
         settings = deployment.settings(self)
-        if isinstance(self.disk, Shelf):
+        if isinstance(self.disk, ControlDisk):
             saved = self.disk.begun(lambda: blank(settings, chance.getrandbits))
-            life.machine = Core(world, settings, self.address, DiskOf(life, self.disk), saved)
-        elif isinstance(self.disk, Chest):
-            drawer = DrawerOf(life, self.disk)
-            life.machine = Store(world, settings, self.address, drawer, self.disk.begun())
+            life.machine = ControlNode(world, settings, self.address, ProcessDisk(life, self.disk), saved)
+        elif isinstance(self.disk, MessageDisk):
+            message_store = ProcessMessageDisk(life, self.disk)
+            life.machine = StorageNode(world, settings, self.address, message_store, self.disk.begun())
         else:
-            life.machine = Edge(world, settings, self.address, Caller(deployment.town, life))
+            life.machine = EdgeNode(
+                world, settings, self.address, EndpointClient(deployment.endpoint_fleet, life)
+            )
         self.first = False
         part: Any = life.machine
         life.do(part.begin)
@@ -127,12 +135,12 @@
         life.over = True
         disk()
         for link in list(life.links.values()):
-            link.close(0, Lost.BROKEN, True)
+            link.close(0, RequestFailure.CONNECTION_LOST, True)
         for link in list(life.incoming):
-            link.close(1, Lost.BROKEN, True)
+            link.close(1, RequestFailure.CONNECTION_LOST, True)
         for close in list(life.calls):
-            self.deployment.clock.later(OUTSIDE_S, close)
-        self.deployment.town.closed(life)
+            self.deployment.clock.call_later(OUTSIDE_S, close)
+        self.deployment.endpoint_fleet.closed(life)
 
     def power_off(self) -> None:
         """The machine is without power: all of it is silent."""
@@ -163,7 +171,7 @@
     def wipe(self) -> None:
         """The disk is empty from now on; nothing runs here."""
         assert not self.up, "a disk is wiped while its machine is down"
-        if isinstance(self.disk, Shelf | Chest):
+        if isinstance(self.disk, ControlDisk | MessageDisk):
             self.disk.wipe()
 
     def term(self) -> None:
@@ -175,29 +183,29 @@
         life.do(life.machine.leave)
         clock = self.deployment.clock
         if self.kind != "edge":
-            clock.later(STOP_S, partial(self._end_when_idle, life))
+            clock.call_later(STOP_S, partial(self._end_when_idle, life))
             return
         grace = BOUNDS["graceS"]
         self._wind_up(life, clock.now + STILL_SERVED_S, clock.now + grace - SPARE_S)
 
-    def _end_when_idle(self, life: Life) -> None:
+    def _end_when_idle(self, life: Incarnation) -> None:
         if life.over:
             return
         if life.machine.idle:
             self._finish(life)
         else:
-            self.deployment.clock.later(STOP_S, partial(self._end_when_idle, life))
+            self.deployment.clock.call_later(STOP_S, partial(self._end_when_idle, life))
 
-    def _wind_up(self, life: Life, served_until: float, until: float) -> None:
+    def _wind_up(self, life: Incarnation, served_until: float, until: float) -> None:
         if life.over:
             return
         now = self.deployment.clock.now
         if now >= until or (now >= served_until and not life.calls and life.machine.idle):
             self._finish(life)
         else:
-            self.deployment.clock.later(0.05, partial(self._wind_up, life, served_until, until))
+            self.deployment.clock.call_later(0.05, partial(self._wind_up, life, served_until, until))
 
-    def _finish(self, life: Life) -> None:
+    def _finish(self, life: Incarnation) -> None:
         if not life.over:
             self._end(self.disk.close if self.disk is not None else lambda: None)
 
@@ -231,7 +239,7 @@
         self.regions = {zone: f"r{number % regions}" for number, zone in enumerate(self.zones)}
         self.net.regions = self.regions
         self.tolerance = tolerance
-        self.town = Town(self, kinds)
+        self.endpoint_fleet = EndpointFleet(self, kinds)
         self._added = 0
         self.edges = self._make("edge", edges)
         self.stores = self._make("store", stores)
@@ -301,20 +309,20 @@
             BOUNDS,
         )
 
-    def failed(self, life: Life, error: AssertionError) -> None:
+    def failed(self, life: Incarnation, error: AssertionError) -> None:
         """A broken invariant ends its process, as it does in the program."""
         self.history.say(f"{life.name} ends: {error}")
         self.history.faults.append(Broken("FAULT", f"{life.name} at {self.clock.now:.3f}: {error}"))
         if isinstance(life.host, Machine):
-            self.clock.later(0.0, life.host.kill)
-            self.clock.later(RESTART_S, life.host.start)
+            self.clock.call_later(0.0, life.host.kill)
+            self.clock.call_later(RESTART_S, life.host.start)
 
     # -- from outside
 
     def call(
         self,
         machine: Machine,
-        ask: Callable[[Life, Callable[..., None]], None],
+        ask: Callable[[Incarnation, Callable[..., None]], None],
         within: float,
         then: Callable[..., None],
     ) -> None:
@@ -333,7 +341,7 @@
             if not machine.powered:
                 return
             if life is None or life.over:
-                clock.later(OUTSIDE_S, lambda: end(REFUSED, None))
+                clock.call_later(OUTSIDE_S, lambda: end(REFUSED, None))
                 return
 
             def close() -> None:
@@ -343,14 +351,14 @@
                 self.digest.add("answer", machine.name, *said)
                 life.calls.pop(close, None)
                 if not life.over:
-                    clock.later(OUTSIDE_S, lambda: end(*said))
+                    clock.call_later(OUTSIDE_S, lambda: end(*said))
 
             life.calls[close] = None
-            clock.later(within, lambda: life.calls.pop(close, None))
+            clock.call_later(within, lambda: life.calls.pop(close, None))
             life.do(lambda: ask(life, answer))
 
-        clock.later(OUTSIDE_S, arrive)
-        clock.later(within, lambda: end(SILENT, None))
+        clock.call_later(OUTSIDE_S, arrive)
+        clock.call_later(within, lambda: end(SILENT, None))
 
     def control(
         self,
@@ -367,8 +375,8 @@
         request = Request(method, target, headers, body)
         self.digest.add("request", core.name, method, target, headers, body)
 
-        def ask(life: Life, answer: Callable[..., None]) -> None:
-            def say(said: Said) -> None:
+        def ask(life: Incarnation, answer: Callable[..., None]) -> None:
+            def say(said: HttpResponse) -> None:
                 answer(said.status, said.body)
                 leaves(said.status)
 
@@ -386,7 +394,7 @@
         """Call an edge's front; `then` hears status, body, headers, bytes and the process that was asked."""
         self.digest.add("request", edge.name, request.method, request.target, request.headers, request.body)
 
-        def ask(life: Life, answer: Callable[..., None]) -> None:
+        def ask(life: Incarnation, answer: Callable[..., None]) -> None:
             def finish(
                 status: int, body: Json | None, headers: tuple[tuple[str, str], ...], blob: bytes
             ) -> None:
--- a/amberlug/cluster/simulation/disk.py
+++ b/amberlug/cluster/simulation/disk.py
@@ -9,19 +9,19 @@
 from typing import Any
 
 from amberlug.cluster.consensus import storage
-from amberlug.cluster.consensus.log import Saved, assemble
+from amberlug.cluster.consensus.log import PersistentState, assemble
 from amberlug.cluster.interfaces import Json
 from amberlug.cluster.simulation.boundary_digest import BoundaryDigest
 from amberlug.cluster.simulation.clock import Clock
-from amberlug.cluster.simulation.network import Life
+from amberlug.cluster.simulation.network import Incarnation
 from amberlug.cluster.storage import message_store
-from amberlug.cluster.storage.message_store import Contents, Kept
+from amberlug.cluster.storage.message_store import StoredContents, StoredMessage
 
 Row = tuple[str, tuple[Any, ...]]
 READ_S = 0.0005
 
 
-class Platter:
+class SimulatedDisk:
     """One machine's disk: what piles up is committed together, and a commit is there whole or not at all."""
 
     def __init__(self, clock: Clock, chance: random.Random, sync_s: float) -> None:
@@ -51,7 +51,7 @@
         seconds = READ_S if self._batch[0][0] is None else self.sync_s * self.chance.uniform(0.8, 1.6)
         seconds += max(0.0, self.stalled_until - self.clock.now)
         self._number += 1
-        self.clock.later(seconds, partial(self._done, self._number))
+        self.clock.call_later(seconds, partial(self._done, self._number))
 
     def _done(self, number: int) -> None:
         if number != self._number or not self._batch:
@@ -101,28 +101,30 @@
         raise NotImplementedError
 
 
-class Shelf(Platter):
+class ControlDisk(SimulatedDisk):
     """A core machine's part of the log: a snapshot, and rows by index as the file has them."""
 
     def __init__(self, clock: Clock, chance: random.Random, sync_s: float) -> None:
         super().__init__(clock, chance, sync_s)
-        self._saved: Saved | None = None
+        self._saved: PersistentState | None = None
         self._rows: dict[int, tuple[int, Json | None]] = {}
 
-    def begun(self, blank: Callable[[], Saved]) -> Saved:
+    def begun(self, blank: Callable[[], PersistentState]) -> PersistentState:
         """What a process that starts reads; a gap spoils it."""
         found = None
         if self._saved is not None:
             it = self._saved
             state, members, log = json.loads(json.dumps([it.state, it.members, sorted(self._rows.items())]))
-            found = Saved(it.me, it.term, it.vote, it.start, it.start_term, state, members)
+            found = PersistentState(it.me, it.term, it.vote, it.start, it.start_term, state, members)
             found.floors = dict(it.floors)
             found = assemble(found, [(at, term, command) for at, (term, command) in log])
         if found is None:
             self.wipe()
             found = blank()
             start, term = found.start, found.start_term
-            self._saved = Saved(found.me, found.term, found.vote, start, term, found.state, found.members)
+            self._saved = PersistentState(
+                found.me, found.term, found.vote, start, term, found.state, found.members
+            )
         return found
 
     def execute(self, base: Any, rows: list[Row]) -> None:
@@ -143,7 +145,7 @@
         elif kind == "floors":
             saved.floors = values[0]
         elif kind == "anew":
-            self._saved = Saved(values[0])
+            self._saved = PersistentState(values[0])
             self._rows.clear()
         elif kind == "cut":
             self._rows = {at: row for at, row in self._rows.items() if at < values[0]}
@@ -155,7 +157,7 @@
             self._rows = {at: row for at, row in self._rows.items() if at >= upto}
 
 
-class Chest(Platter):
+class MessageDisk(SimulatedDisk):
     """A store's messages."""
 
     def __init__(self, clock: Clock, chance: random.Random, sync_s: float) -> None:
@@ -169,16 +171,18 @@
     def wipe(self) -> None:
         self._disk, self._enrolled = f"{self.chance.getrandbits(64):x}", 0
         self._fences: dict[int, int] = {}
-        self._rows: dict[str, Kept] = {}
+        self._rows: dict[str, StoredMessage] = {}
         self._bodies: dict[str, bytes] = {}
 
-    def begun(self) -> Contents:
+    def begun(self) -> StoredContents:
         """What a process that starts reads."""
         kept = {
-            name: Kept(it.shard, it.epoch, it.seq, dict(it.meta), it.size, it.end, it.seal, it.keep_until)
+            name: StoredMessage(
+                it.shard, it.epoch, it.seq, dict(it.meta), it.size, it.end, it.seal, it.keep_until
+            )
             for name, it in self._rows.items()
         }
-        return Contents(self._disk, dict(self._fences), kept, self._enrolled)
+        return StoredContents(self._disk, dict(self._fences), kept, self._enrolled)
 
     def copied(self, kind: str, values: tuple[Any, ...]) -> tuple[Any, ...]:
         return values
@@ -186,11 +190,11 @@
     def keep(self, kind: str, values: tuple[Any, ...]) -> None:
         if kind == "put":
             name, shard, epoch, seq, meta, body = values
-            self._rows[name] = Kept(shard, epoch, seq, meta, len(body))
+            self._rows[name] = StoredMessage(shard, epoch, seq, meta, len(body))
             self._bodies[name] = body
         elif kind == "end":
             name, shard, end, seal, at = values
-            row = self._rows.setdefault(name, Kept(shard, 0, 0, {}, 0))
+            row = self._rows.setdefault(name, StoredMessage(shard, 0, 0, {}, 0))
             row.end, row.seal, row.keep_until = end, seal, at
             if end != "dead":
                 self._bodies.pop(name, None)
@@ -216,23 +220,23 @@
         return {name: self._bodies[name] for name in names if name in self._bodies}
 
 
-class DiskOf:
+class ProcessDisk:
     """A disk as one life of a process uses it."""
 
-    def __init__(self, life: Life, platter: Platter) -> None:
-        self.life, self.platter = life, platter
+    def __init__(self, life: Incarnation, disk_model: SimulatedDisk) -> None:
+        self.life, self.disk_model = life, disk_model
 
     def write(self, rows: list[Row], then: Callable[[str | None], None]) -> None:
         if not self.life.over:  # it may end in the midst of something
-            self.platter.put(rows, lambda error: self.life.do(partial(then, error)))
+            self.disk_model.put(rows, lambda error: self.life.do(partial(then, error)))
 
 
-class DrawerOf(DiskOf):
+class ProcessMessageDisk(ProcessDisk):
     """A store's disk, whose bodies can be read."""
 
-    def __init__(self, life: Life, chest: Chest) -> None:
-        super().__init__(life, chest)
-        self.chest = chest
+    def __init__(self, life: Incarnation, message_disk: MessageDisk) -> None:
+        super().__init__(life, message_disk)
+        self.message_disk = message_disk
 
     def read(self, names: list[str], then: Callable[[dict[str, bytes]], None]) -> None:
-        self.platter.put(None, lambda _: self.life.do(lambda: then(self.chest.bodies(names))))
+        self.disk_model.put(None, lambda _: self.life.do(lambda: then(self.message_disk.bodies(names))))
--- a/amberlug/cluster/simulation/endpoints.py
+++ b/amberlug/cluster/simulation/endpoints.py
@@ -8,10 +8,10 @@
 from functools import partial
 from typing import TYPE_CHECKING
 
-from amberlug.cluster.dispatch.endpoint_client import Caller as RealCaller
-from amberlug.cluster.interfaces import Called, Delivery, Verdict
+from amberlug.cluster.dispatch.endpoint_client import EndpointClient as RealEndpointClient
+from amberlug.cluster.interfaces import CallResult, CallVerdict, EndpointCall
 from amberlug.cluster.simulation.history import Run
-from amberlug.cluster.simulation.network import Life
+from amberlug.cluster.simulation.network import Incarnation
 from amberlug.http.link import Reply
 
 if TYPE_CHECKING:
@@ -40,30 +40,36 @@
     garbled: float = 0.0  # part of the answers that are cut, late, or sent once more on the same connection
 
 
-Answer = Callable[[Called], None]
+Answer = Callable[[CallResult], None]
 
 
 class Endpoint:
     """One life of an endpoint."""
 
-    def __init__(self, town: Town, name: str, kind: Kind, address: str, zone: str) -> None:
-        self.town, self.name, self.kind, self.address, self.zone = town, name, kind, address, zone
-        self.deployment = town.deployment
+    def __init__(self, endpoint_fleet: EndpointFleet, name: str, kind: Kind, address: str, zone: str) -> None:
+        self.endpoint_fleet, self.name, self.kind, self.address, self.zone = (
+            endpoint_fleet,
+            name,
+            kind,
+            address,
+            zone,
+        )
+        self.deployment = endpoint_fleet.deployment
         self.up, self.silent = True, False
         self.condition = "ready"
         self._sequence = 0
         self._beat_at = ""
-        self._runs: dict[Run, tuple[Life, Answer]] = {}
-        self._queue: list[tuple[Run, Delivery, Life, Answer]] = []
+        self._runs: dict[Run, tuple[Incarnation, Answer]] = {}
+        self._queue: list[tuple[Run, EndpointCall, Incarnation, Answer]] = []
 
     # -- messages
 
-    def take(self, delivery: Delivery, life: Life, sent: float, answer: Answer) -> None:
+    def take(self, delivery: EndpointCall, life: Incarnation, sent: float, answer: Answer) -> None:
         """A message arrives."""
         names = {name.lower(): value for name, value in delivery.headers}
         about = ("amberlug-attempt-id", delivery.attempt)
         if names.get("amberlug-target-instance", self.name) != self.name:
-            answer(Called(Verdict.ANSWERED, 421, (about, NOT_RUN)))
+            answer(CallResult(CallVerdict.ANSWERED, 421, (about, NOT_RUN)))
             return
         now, history = self.deployment.clock.now, self.deployment.history
         run = Run(
@@ -77,19 +83,19 @@
             delivery.body,
         )
         history.runs.append(run)
-        first = self.town.done.get(delivery.attempt) if self.kind.dedup else None
+        first = self.endpoint_fleet.done.get(delivery.attempt) if self.kind.dedup else None
         if first == "":
-            answer(Called(Verdict.ANSWERED, 409, (about, NOT_RUN)))
+            answer(CallResult(CallVerdict.ANSWERED, 409, (about, NOT_RUN)))
         elif first is not None:
-            answer(Called(Verdict.ANSWERED, 200, (about, ("amberlug-server-seal", first))))
+            answer(CallResult(CallVerdict.ANSWERED, 200, (about, ("amberlug-server-seal", first))))
         elif len(self._runs) + len(self._queue) >= self.kind.slots + QUEUE:
-            answer(Called(Verdict.ANSWERED, 503, (about, NOT_RUN)))
+            answer(CallResult(CallVerdict.ANSWERED, 503, (about, NOT_RUN)))
         else:
             self._queue.append((run, delivery, life, answer))
             self._pump()
 
     def _pump(self) -> None:
-        clock, chance = self.deployment.clock, self.town.chance
+        clock, chance = self.deployment.clock, self.endpoint_fleet.chance
         while self._queue and len(self._runs) < self.kind.slots:
             run, delivery, life, answer = self._queue.pop(0)
             left = run.seconds - (clock.now - run.arrived)
@@ -98,62 +104,62 @@
             run.began = clock.now
             self._runs[run] = life, answer
             if self.kind.dedup:
-                self.town.done[run.attempt] = ""
+                self.endpoint_fleet.done[run.attempt] = ""
             work = self.kind.work_s * chance.uniform(0.5, 1.6)
-            clock.later(min(work, left), partial(self._end, run, delivery, work <= left))
+            clock.call_later(min(work, left), partial(self._end, run, delivery, work <= left))
 
-    def _end(self, run: Run, delivery: Delivery, whole: bool) -> None:
+    def _end(self, run: Run, delivery: EndpointCall, whole: bool) -> None:
         if run not in self._runs:
             return
         _, answer = self._runs.pop(run)
-        fate = self.town.fate(delivery)
+        fate = self.endpoint_fleet.fate(delivery)
         status = {"dead": 422, "fails": 500}.get(fate, 200)
-        if status == 200 and self.town.chance.random() < self.kind.fails:
+        if status == 200 and self.endpoint_fleet.chance.random() < self.kind.fails:
             status = 500
         headers = [("amberlug-attempt-id", run.attempt)]
         run.ended = self.deployment.clock.now
         if not whole:
             status, run.what = 504, "stopped"
         elif status == 200:
-            run.what, run.seal = "done", f"{self.name}.{self.town.next_number()}"
+            run.what, run.seal = "done", f"{self.name}.{self.endpoint_fleet.next_number()}"
             headers.append(("amberlug-server-seal", run.seal))
         else:
             run.what = "dead" if status == 422 else "failed"
         if self.kind.dedup:
             if run.seal:
-                self.town.done[run.attempt] = run.seal
+                self.endpoint_fleet.done[run.attempt] = run.seal
             else:
-                del self.town.done[run.attempt]
+                del self.endpoint_fleet.done[run.attempt]
 
-        called = Called(Verdict.ANSWERED, status, tuple(headers))
-        if self.town.chance.random() < self.kind.lost:
-            if self.town.chance.random() < 0.5:
-                answer(Called(Verdict.BROKEN))
-        elif self.kind.garbled and self.town.chance.random() < self.kind.garbled:
+        called = CallResult(CallVerdict.ANSWERED, status, tuple(headers))
+        if self.endpoint_fleet.chance.random() < self.kind.lost:
+            if self.endpoint_fleet.chance.random() < 0.5:
+                answer(CallResult(CallVerdict.CONNECTION_LOST))
+        elif self.kind.garbled and self.endpoint_fleet.chance.random() < self.kind.garbled:
             self._garble(called, answer)
         else:
             answer(called)
         self._pump()
 
-    def _garble(self, called: Called, answer: Answer) -> None:
+    def _garble(self, called: CallResult, answer: Answer) -> None:
         """Cut an answer, give it too late, name nothing in it, or send it a second time a little later."""
-        chance, clock = self.town.chance, self.deployment.clock
+        chance, clock = self.endpoint_fleet.chance, self.deployment.clock
         what = chance.choice(("cut", "late", "nameless", "extra", "extra", "extra"))
         if what == "cut":
-            answer(Called(Verdict.BROKEN))
+            answer(CallResult(CallVerdict.CONNECTION_LOST))
         elif what == "late":
-            clock.later(LATE_S, lambda: answer(called))
+            clock.call_later(LATE_S, lambda: answer(called))
         elif what == "nameless":
-            answer(Called(called.verdict, called.status, called.headers[1:]))
+            answer(CallResult(called.verdict, called.status, called.headers[1:]))
         else:
             answer(called)
-            clock.later(chance.choice((0.0, chance.uniform(0.0, 0.3))), lambda: answer(called))
+            clock.call_later(chance.choice((0.0, chance.uniform(0.0, 0.3))), lambda: answer(called))
 
-    def closed(self, life: Life) -> None:
+    def closed(self, life: Incarnation) -> None:
         """A sender's process has ended: most of what it has here is dropped."""
         self._queue = [it for it in self._queue if it[2] is not life]
         for run, (by, _) in list(self._runs.items()):
-            if by is life and self.town.chance.random() < DROPPED:
+            if by is life and self.endpoint_fleet.chance.random() < DROPPED:
                 self._stop(run)
         self._pump()
 
@@ -161,7 +167,7 @@
         del self._runs[run]
         run.ended, run.what = self.deployment.clock.now, "stopped"
         if self.kind.dedup:
-            self.town.done.pop(run.attempt, None)
+            self.endpoint_fleet.done.pop(run.attempt, None)
 
     def crash(self, silent: bool) -> None:
         """It ends without a word; with its machine, its connections are silent."""
@@ -172,7 +178,7 @@
         self._queue.clear()
         if not silent:
             for answer in waiting:
-                answer(Called(Verdict.BROKEN))
+                answer(CallResult(CallVerdict.CONNECTION_LOST))
 
     # -- the list
 
@@ -180,7 +186,7 @@
         """Announce itself from now on."""
         if self.up and self.condition == "ready":
             self._announce(lambda ok: None)
-            self.deployment.clock.later(self.deployment.heartbeat_s, self.begin)
+            self.deployment.clock.call_later(self.deployment.heartbeat_s, self.begin)
 
     def _announce(self, then: Callable[[bool], None]) -> None:
         self._sequence += 1
@@ -199,7 +205,7 @@
     def _call(self, target: str, body: bytes, tries: int, then: Callable[[bool], None]) -> None:
         deployment = self.deployment
         named = [it for it in deployment.cores if it.control == self._beat_at]
-        to = named[0] if named else self.town.chance.choice(deployment.cores)
+        to = named[0] if named else self.endpoint_fleet.chance.choice(deployment.cores)
         self._beat_at = ""
 
         def hear(status: int, said: object) -> None:
@@ -209,13 +215,13 @@
                 self._beat_at = said.get("heartbeatUri", "") if isinstance(said, dict) else ""
                 then(True)
             elif tries > 1 and self.up:
-                deployment.clock.later(PAUSE_S, lambda: self._call(target, body, tries - 1, then))
+                deployment.clock.call_later(PAUSE_S, lambda: self._call(target, body, tries - 1, then))
             else:
                 then(False)
 
         def leaves(status: int) -> None:
             if status == 200 and self.condition == "draining":
-                self.town.on_drained(to)
+                self.endpoint_fleet.on_drained(to)
 
         deployment.control(to, "POST", target, body, WITHIN_S, hear, leaves=leaves)
 
@@ -229,7 +235,7 @@
             if ok:
                 deployment.history.drained.setdefault(self.name, deployment.clock.now)
                 deployment.history.say(f"{self.name} is acknowledged as draining")
-            deployment.clock.later(DRAIN_S + linger_s, say_gone)
+            deployment.clock.call_later(DRAIN_S + linger_s, say_gone)
 
         def say_gone() -> None:
             if self.up:
@@ -243,7 +249,7 @@
         self._announce(drained)
 
 
-class Town:
+class EndpointFleet:
     """All endpoints."""
 
     def __init__(self, deployment: Deployment, kinds: list[Kind]) -> None:
@@ -260,7 +266,7 @@
         self._numbers += 1
         return self._numbers
 
-    def fate(self, delivery: Delivery) -> str:
+    def fate(self, delivery: EndpointCall) -> str:
         return self.fates.get(delivery.attempt, "")
 
     def start(self, service: str, zone: str, address: str = "") -> Endpoint:
@@ -271,14 +277,14 @@
         self.all.append(endpoint)
         self.at[address] = endpoint
         self.deployment.history.say(f"{endpoint.name} of {service} starts at {address}")
-        self.deployment.clock.later(self.chance.uniform(0.0, 0.3), endpoint.begin)
+        self.deployment.clock.call_later(self.chance.uniform(0.0, 0.3), endpoint.begin)
         return endpoint
 
     def up(self, service: str = "") -> list[Endpoint]:
         """Those that are ready."""
         return [it for it in self.all if it.up and it.condition == "ready" and service in ("", it.kind.name)]
 
-    def closed(self, life: Life) -> None:
+    def closed(self, life: Incarnation) -> None:
         for endpoint in self.all:
             if endpoint.up:
                 endpoint.closed(life)
@@ -288,16 +294,16 @@
 class Connection:
     """One from an edge's process to an endpoint; what comes on it comes to the call that it carries then."""
 
-    hear: Callable[[Called], None] | None = None
+    hear: Callable[[CallResult], None] | None = None
     open: bool = True
     answered: set[str] = field(default_factory=set)  # attempts, without success
 
 
-class Caller:
+class EndpointClient:
     """Calls of one edge's process to endpoints; whose an answer is, the program's own caller tells."""
 
-    def __init__(self, town: Town, life: Life) -> None:
-        self.town, self.life = town, life
+    def __init__(self, endpoint_fleet: EndpointFleet, life: Incarnation) -> None:
+        self.endpoint_fleet, self.life = endpoint_fleet, life
         self._kept: set[str] = set()
         self._idle: dict[str, list[Connection]] = {}
 
@@ -307,7 +313,7 @@
     def forget(self, address: str) -> None:
         self._kept.discard(address)
 
-    def _connection(self, delivery: Delivery) -> Connection:
+    def _connection(self, delivery: EndpointCall) -> Connection:
         idle = self._idle.setdefault(delivery.address, [])
         idle[:] = [it for it in idle if it.open]
         found = next((it for it in idle if delivery.attempt not in it.answered), None)
@@ -317,32 +323,36 @@
         return found
 
     @staticmethod
-    def _arrived(connection: Connection, called: Called) -> None:
+    def _arrived(connection: Connection, called: CallResult) -> None:
         if connection.hear is not None:
             connection.hear(called)
         else:
             connection.open = False  # on an idle one it belongs to no call
 
-    def call(self, delivery: Delivery, then: Callable[[Called], None]) -> None:
-        clock, life, digest = self.town.deployment.clock, self.life, self.town.deployment.digest
+    def call(self, delivery: EndpointCall, then: Callable[[CallResult], None]) -> None:
+        clock, life, digest = (
+            self.endpoint_fleet.deployment.clock,
+            self.life,
+            self.endpoint_fleet.deployment.digest,
+        )
         sent = clock.now
         digest.add("call", life.name, delivery.address, delivery.method, delivery.target, delivery.headers)
         digest.add("call body", delivery.body, delivery.instance, delivery.attempt, delivery.seconds)
         over = False
 
-        def end(called: Called) -> None:
+        def end(called: CallResult) -> None:
             nonlocal over
             if over:
                 return
             over = True
             connection.hear = None
-            connection.open = called.verdict is Verdict.ANSWERED
-            if called.verdict is Verdict.ANSWERED:
+            connection.open = called.verdict is CallVerdict.ANSWERED
+            if called.verdict is CallVerdict.ANSWERED:
                 if called.header("amberlug-server-seal") is None:
                     connection.answered.add(delivery.attempt)
                 self._idle.setdefault(delivery.address, []).append(connection)
                 self._kept.add(delivery.address)
-                for run in reversed(self.town.deployment.history.runs):
+                for run in reversed(self.endpoint_fleet.deployment.history.runs):
                     if run.sent == sent and run.attempt == delivery.attempt:
                         run.read = clock.now
                         break
@@ -350,26 +360,26 @@
                 self._kept.discard(delivery.address)
             then(called)
 
-        def hear(called: Called) -> None:
+        def hear(called: CallResult) -> None:
             reply = Reply(called.status, dict(called.headers))
-            theirs = called.verdict is Verdict.ANSWERED and not RealCaller._is_to(delivery, reply)
-            end(Called(Verdict.BROKEN) if theirs else called)
+            theirs = called.verdict is CallVerdict.ANSWERED and not RealEndpointClient._is_to(delivery, reply)
+            end(CallResult(CallVerdict.CONNECTION_LOST) if theirs else called)
 
         connection = self._connection(delivery)
         connection.hear = hear
 
-        def back(called: Called) -> None:
+        def back(called: CallResult) -> None:
             digest.add("call answer", delivery.address, called.verdict.value, called.status, called.headers)
-            clock.later(DELAY_S, lambda: life.do(partial(self._arrived, connection, called)))
+            clock.call_later(DELAY_S, lambda: life.do(partial(self._arrived, connection, called)))
 
         def arrive() -> None:
-            endpoint = self.town.at.get(delivery.address)
+            endpoint = self.endpoint_fleet.at.get(delivery.address)
             if life.over:
                 return
             if endpoint is not None and endpoint.up:
                 endpoint.take(delivery, life, sent, back)
             elif endpoint is None or not endpoint.silent:
-                back(Called(Verdict.UNREACHED))
+                back(CallResult(CallVerdict.NOT_CONNECTED))
 
-        clock.later(delivery.seconds, lambda: life.do(partial(end, Called(Verdict.SILENT))))
-        clock.later(DELAY_S, arrive)
+        clock.call_later(delivery.seconds, lambda: life.do(partial(end, CallResult(CallVerdict.TIMED_OUT))))
+        clock.call_later(DELAY_S, arrive)
--- a/amberlug/cluster/simulation/loss_schedule.py
+++ b/amberlug/cluster/simulation/loss_schedule.py
@@ -11,7 +11,7 @@
 from amberlug.cluster.settings import Tolerance
 from amberlug.cluster.simulation.deployment import BOUNDS, Machine
 from amberlug.cluster.simulation.history import Broken, Call
-from amberlug.cluster.simulation.storage_faults import ASK_S, BACK_S, RETIRE_S, Footing
+from amberlug.cluster.simulation.storage_faults import ASK_S, BACK_S, RETIRE_S, StorageFaults
 
 if TYPE_CHECKING:
     from amberlug.cluster.simulation.scenarios import Day
@@ -63,7 +63,7 @@
     )
 
 
-class Losses(Footing):
+class Losses(StorageFaults):
     """Losses in as many lines as machines may be lost at once, and works of the operators' beside them."""
 
     def __init__(self, day: Day) -> None:
@@ -83,10 +83,10 @@
     def begin(self, start: float, end: float) -> None:
         self._over = end
         for line in range(self.lines):
-            self.clock.later(start - self.clock.now + line * 0.7, partial(self._lose, line))
-        self.clock.later(start - self.clock.now, self._work)
+            self.clock.call_later(start - self.clock.now + line * 0.7, partial(self._lose, line))
+        self.clock.call_later(start - self.clock.now, self._work)
         # An order that is judged is given for long enough.
-        self.clock.later(end + CONTACT_S + ACK_S + 1.5 - self.clock.now, self._check_acks)
+        self.clock.call_later(end + CONTACT_S + ACK_S + 1.5 - self.clock.now, self._check_acks)
 
     # -- lines of losses
 
@@ -129,9 +129,9 @@
                 self.lost.pop(it, None)
             self._free.append(line)
             pause = self.chance.choice((0.0, 0.0, 0.0, self.chance.uniform(0.0, 10.0)))
-            self.clock.later(pause, partial(self._lose_if_free, line))
+            self.clock.call_later(pause, partial(self._lose_if_free, line))
 
-        self.clock.later(BACK_S + 0.001, next_one)
+        self.clock.call_later(BACK_S + 0.001, next_one)
 
     def _lose_if_free(self, line: int) -> None:
         if line in self._free:
@@ -163,8 +163,8 @@
             if wipe:
                 machine.wipe()
                 self.wiped[machine] = self.clock.now
-            self.clock.later(seconds, partial(self._start, machine))
-        self.clock.later(seconds, then)
+            self.clock.call_later(seconds, partial(self._start, machine))
+        self.clock.call_later(seconds, then)
 
     def _wipe(self, unit: list[Machine], then: Callable[[], None]) -> None:
         """Disks are lost right after one of them acknowledged something."""
@@ -189,7 +189,7 @@
 
         self.day.operator.on_acked = strike
         self.day.operator.change()
-        self.clock.later(1.0, strike)
+        self.clock.call_later(1.0, strike)
 
     def _dark(self, unit: list[Machine], then: Callable[[], None]) -> None:
         """Without power for a while; the other machines of a zone or region go as well at times."""
@@ -211,8 +211,8 @@
         pairs |= {(b.name, a.name) for a in unit for b in others if way != "from"}
         self.history.trouble(f"{self._names(unit)} cut off ({way}) for {seconds:.1f} s", seconds)
         self.deployment.net.cut(pairs)
-        self.clock.later(seconds, partial(self.deployment.net.join, pairs))
-        self.clock.later(seconds, then)
+        self.clock.call_later(seconds, partial(self.deployment.net.join, pairs))
+        self.clock.call_later(seconds, then)
 
     def _still(self, unit: list[Machine], then: Callable[[], None]) -> None:
         """Frozen for a while."""
@@ -220,8 +220,8 @@
         self.history.trouble(f"{self._names(unit)} frozen for {seconds:.1f} s", seconds)
         for machine in unit:
             machine.freeze()
-            self.clock.later(seconds, machine.thaw)
-        self.clock.later(seconds, then)
+            self.clock.call_later(seconds, machine.thaw)
+        self.clock.call_later(seconds, then)
 
     def _replaced(self, unit: list[Machine], then: Callable[[], None]) -> None:
         """Gone for good; an empty one comes at another address, under its name or another."""
@@ -231,7 +231,7 @@
         self.history.trouble(f"{machine.name} is gone for good, another in {seconds:.1f} s", seconds)
         self._take_away(machine)
         self._come(machine.kind, machine.zone, seconds, name)
-        self.clock.later(seconds, then)
+        self.clock.call_later(seconds, then)
 
     def _planned(self, unit: list[Machine], then: Callable[[], None]) -> None:
         """The new one first; then the old one is told to end and is taken away."""
@@ -245,8 +245,8 @@
             f"{machine.name} gets a successor, and goes in {seconds:.1f} s", seconds, planned=True
         )
         self._come(machine.kind, machine.zone, 0.0)
-        self.clock.later(seconds, partial(self._goes, machine))
-        self.clock.later(0.0, then)
+        self.clock.call_later(seconds, partial(self._goes, machine))
+        self.clock.call_later(0.0, then)
 
     def _goes(self, machine: Machine) -> None:
         if machine not in self.deployment.machines:
@@ -254,7 +254,7 @@
             return
         self.history.trouble(f"{machine.name} is told to end, and taken away", 0.1)
         machine.term()
-        self.clock.later(0.1, partial(self._take_away, machine))
+        self.clock.call_later(0.1, partial(self._take_away, machine))
 
     def _take_away(self, machine: Machine) -> None:
         self.going.pop(machine, None)
@@ -267,7 +267,7 @@
     def _work(self) -> None:
         if self.clock.now < self._over:
             self.chance.choice(self.works)()
-            self.clock.later(self.chance.uniform(2.0, 12.0), self._work)
+            self.clock.call_later(self.chance.uniform(2.0, 12.0), self._work)
 
     def _add(self) -> None:
         """A store or a core machine is added; what may be lost goes right after."""
@@ -278,7 +278,7 @@
         self.history.say(f"a {kind} is added")
         self._come(kind, self.chance.choice(self.deployment.zones), 0.0)
         if self.chance.random() < 0.5:
-            self.clock.later(self.chance.choice((0.05, 0.5, 1.0)), self._lose_now)
+            self.clock.call_later(self.chance.choice((0.05, 0.5, 1.0)), self._lose_now)
 
     def _retire(self) -> None:
         """A store is to be emptied; as it is, it is taken away with its disk, and another is lost."""
@@ -327,7 +327,7 @@
                 self._emptied(store)
             elif self.clock.now < until or not self.history.calm(began, self.clock.now):
                 if self.clock.now < began + PATIENCE_S:
-                    self.clock.later(ASK_S, lambda: self._look(store, until))
+                    self.clock.call_later(ASK_S, lambda: self._look(store, until))
                 else:
                     self.history.faults.append(Broken("RETIRE", f"{store.name} is not emptied: {status}"))
             else:
--- a/amberlug/cluster/simulation/model_checker.py
+++ b/amberlug/cluster/simulation/model_checker.py
@@ -21,9 +21,10 @@
 from result import Ok
 
 from amberlug.cluster.consensus import log
-from amberlug.cluster.consensus.log import Entry, Saved
-from amberlug.cluster.consensus.raft import Role, Vise
-from amberlug.cluster.interfaces import Json, Reply, Then, words_of
+from amberlug.cluster.consensus.log import Entry, PersistentState
+from amberlug.cluster.consensus.raft import RaftNode, Role
+from amberlug.cluster.interfaces import Json, Reply, ReplyCallback
+from amberlug.cluster.rpc.messages import handlers_of
 from amberlug.cluster.simulation.clock import Timer
 
 NAMES = ("a", "b", "c")
@@ -64,7 +65,7 @@
 def _change(play: Play, leader: str, name: str, voter: bool | None) -> None:
     """A member is let in, made a voter or a learner, or removed (None), and all hear of it."""
     for at, after in enumerate(play.changes(leader)):
-        before = play.members[leader].vise.members.get(name)
+        before = play.members[leader].raft.members.get(name)
         if after.get(name) != before and after.get(name, {}).get("voter") is voter:
             play.take(("change", leader, at))
             play.settle()
@@ -131,25 +132,25 @@
     """One member: its process, its disk, and what its disk was asked to write."""
 
     name: str
-    saved: Saved
-    vise: Any = None
-    words: dict[str, Callable[..., None]] = field(default_factory=dict)
-    book: Json = field(default_factory=dict)  # what was applied
+    saved: PersistentState
+    raft: Any = None
+    handlers: dict[str, Callable[..., None]] = field(default_factory=dict)
+    cluster_state: Json = field(default_factory=dict)  # what was applied
     waiting: list[tuple[Rows, Callable[[str | None], None]]] = field(default_factory=list)
     life: int = 0
 
     def apply(self, index: int, command: Json) -> Json:
-        self.book[str(index)] = command
+        self.cluster_state[str(index)] = command
         return {}
 
     def snapshot(self) -> Json:
-        return dict(self.book)
+        return dict(self.cluster_state)
 
     def restore(self, state: Json) -> None:
-        self.book = dict(state)
+        self.cluster_state = dict(state)
 
 
-class _World:
+class _ModelRuntime:
     """The world as one life of a member sees it; only explicit steps make anything happen."""
 
     def __init__(self, play: Play, name: str) -> None:
@@ -159,16 +160,18 @@
     def now(self) -> float:
         return self.play.now
 
-    def wall(self) -> float:
+    def wall_clock(self) -> float:
         return self.play.now
 
-    def later(self, seconds: float, act: Callable[[], None]) -> Timer:
+    def call_later(self, seconds: float, act: Callable[[], None]) -> Timer:
         return Timer(act)
 
-    def tell(self, to: str, word: str, body: Json, blob: bytes = b"") -> None:
-        self.ask(to, word, body, 0.0, lambda reply: None)
+    def send(self, to: str, word: str, body: Json, blob: bytes = b"") -> None:
+        self.request(to, word, body, 0.0, lambda reply: None)
 
-    def ask(self, to: str, word: str, body: Json, within: float, then: Then, blob: bytes = b"") -> None:
+    def request(
+        self, to: str, word: str, body: Json, within: float, then: ReplyCallback, blob: bytes = b""
+    ) -> None:
         play, name, life = self.play, self.name, self.life
         text = json.dumps([word, body, blob.decode()])
 
@@ -181,7 +184,7 @@
             play.post(name, f"{to} {text} {reply}", lambda: back(json.loads(reply)))
 
         def arrive() -> None:
-            play.members[to].words[word](json.loads(text)[1], blob, name, respond)
+            play.members[to].handlers[word](json.loads(text)[1], blob, name, respond)
 
         play.post(to, f"{name} {text}", arrive)
 
@@ -189,7 +192,9 @@
 class Play:
     """One sequence of steps, from a start."""
 
-    def __init__(self, start: Start, blank: Callable[[str, int], Saved], like: Play | None = None) -> None:
+    def __init__(
+        self, start: Start, blank: Callable[[str, int], PersistentState], like: Play | None = None
+    ) -> None:
         self.start, self.blank, self.now = start, blank, 0.0
         self.left = {
             "stand": start.stands,
@@ -209,7 +214,9 @@
         for name, (term, vote, entries) in start.disks.items():
             rows: list[Entry] = [(it, None) for it in entries]
             members = VOTERS if name in NAMES else {}
-            self.members[name] = _Member(name, Saved(name, term, vote, members=members, entries=rows))
+            self.members[name] = _Member(
+                name, PersistentState(name, term, vote, members=members, entries=rows)
+            )
         for name in self.members:
             self._begin(name)
         if like is not None:
@@ -233,9 +240,12 @@
         for name, member in self.members.items():
             it = like.members[name]
             assert not it.waiting, "writes under way can't be copied"
-            member.saved, member.book = replace(it.saved, entries=list(it.saved.entries)), dict(it.book)
-            vise, other = member.vise, it.vise
-            for ours, theirs in ((vise, other), (vise.log, other.log), (vise.floors, other.floors)):
+            member.saved, member.cluster_state = (
+                replace(it.saved, entries=list(it.saved.entries)),
+                dict(it.cluster_state),
+            )
+            raft, other = member.raft, it.raft
+            for ours, theirs in ((raft, other), (raft.log, other.log), (raft.floors, other.floors)):
                 for key, value in vars(theirs).items():
                     if key == "_peers":
                         setattr(ours, key, deepcopy(value))
@@ -248,9 +258,9 @@
         member, saved = self.members[name], self.members[name].saved
         member.life += 1
         member.waiting = []
-        member.book = {}
-        member.vise = Vise(
-            _World(self, name),
+        member.cluster_state = {}
+        member.raft = RaftNode(
+            _ModelRuntime(self, name),
             _Disk(member, member.life),
             replace(saved, entries=list(saved.entries)),
             member.apply,
@@ -258,8 +268,8 @@
             member.restore,
             lambda: None,
         )
-        member.words = words_of(member.vise)
-        member.vise.heard = -1e9
+        member.handlers = handlers_of(member.raft)
+        member.raft.heard = -1e9
 
     def post(self, to: str, text: str, act: Callable[[], None]) -> None:
         """A message is under way; one that says the same to the same does nothing new."""
@@ -281,34 +291,34 @@
         for name, member in self.members.items():
             if member.waiting:
                 found.append(("sync", name, 0))
-            if self.left["stand"] and member.vise.voting and member.vise.role is not Role.LEADER:
+            if self.left["stand"] and member.raft.voting and member.raft.role is not Role.LEADER:
                 found.append(("stand", name, 0))
             found += [(what, name, 0) for what in ("power", "wipe") if self.left[what]]
-            if member.vise.role is Role.LEADER:
+            if member.raft.role is Role.LEADER:
                 if self.left["write"]:
                     found.append(("write", name, 0))
                 if self.left["change"]:
                     found += [("change", name, at) for at in range(len(self.changes(name)))]
-                if self.left["away"] and member.vise.settled:
-                    gone = [it for it in self.members if self._let_go(member.vise, it)]
+                if self.left["away"] and member.raft.settled:
+                    gone = [it for it in self.members if self._let_go(member.raft, it)]
                     found += [("away", it, 0) for it in gone]
-            if self.left["cut"] and member.vise.applied > member.vise.log.start:
+            if self.left["cut"] and member.raft.applied > member.raft.log.start:
                 found.append(("cut", name, 0))
         return found
 
     def changes(self, leader: str) -> list[Json]:
         """All memberships that a leader could go to from its own by one member."""
-        members = self.members[leader].vise.members
+        members = self.members[leader].raft.members
         after = [{**members, name: {**it, "voter": not it["voter"]}} for name, it in members.items()]
         after += [{key: it for key, it in members.items() if key != name} for name in members]
         if NEW not in members and NEW in self.members:
             after.append({**members, NEW: {"addr": NEW, "voter": False}})
         return [it for it in after if any(member["voter"] for member in it.values())]
 
-    def _let_go(self, vise: Any, name: str) -> bool:
+    def _let_go(self, raft: Any, name: str) -> bool:
         """Whether operators may take away a member: this leader says that it is removed."""
-        told = vise.role is Role.LEADER and vise.settled and vise.term_at(vise.commit) == vise.term
-        return told and name not in vise.members and name in NAMES and self.members[name].saved.me == name
+        told = raft.role is Role.LEADER and raft.settled and raft.term_at(raft.commit) == raft.term
+        return told and name not in raft.members and name in NAMES and self.members[name].saved.me == name
 
     def take(self, step: Step) -> None:
         """Have it happen, and look whether all is still well."""
@@ -324,20 +334,20 @@
         else:
             self.left[what] -= 1
             if what == "stand":
-                member.vise._hold(member.vise.term + 1, True)
+                member.raft._hold(member.raft.term + 1, True)
                 self._sync(member)  # what it may have lost before is lost in another step
             elif what == "write":
-                member.vise.propose({"n": self.left[what]}, lambda result: None)
+                member.raft.propose({"n": self.left[what]}, lambda result: None)
                 self._sync(member)
             elif what == "change":
-                member.vise.change_members(self.changes(name)[number], lambda result: None)
+                member.raft.change_members(self.changes(name)[number], lambda result: None)
                 self._sync(member)
             elif what == "cut":
-                _compact(member.vise)
+                _compact(member.raft)
                 self._sync(member)
             elif what == "away":
                 self._check_copies(name)
-                member.saved = Saved(f"{name}/away", members={})
+                member.saved = PersistentState(f"{name}/away", members={})
                 self._begin(name)
             elif what == "wipe":
                 member.saved = self.blank(name, member.life)
@@ -372,20 +382,20 @@
 
     def _check(self) -> None:
         for name, member in self.members.items():
-            vise = member.vise
+            raft = member.raft
             self._check_book(name, member)
-            if vise.role is Role.LEADER:
-                if self.leaders.setdefault(vise.term, f"{name}#{member.life}") != f"{name}#{member.life}":
-                    raise FoundError(f"two leaders in term {vise.term}")
+            if raft.role is Role.LEADER:
+                if self.leaders.setdefault(raft.term, f"{name}#{member.life}") != f"{name}#{member.life}":
+                    raise FoundError(f"two leaders in term {raft.term}")
                 for index, entry in self.committed.items():
-                    at = index - vise.log.start - 1
-                    if vise.term <= self.committed_in[index]:
+                    at = index - raft.log.start - 1
+                    if raft.term <= self.committed_in[index]:
                         continue  # one that does not know yet that it leads no more may lack it
-                    if index > vise.last or (at >= 0 and vise.entries[at] != entry):
+                    if index > raft.last or (at >= 0 and raft.entries[at] != entry):
                         raise FoundError(f"{name} leads without the entry that was committed at {index}")
-            for index in range(vise.log.start + 1, vise.commit + 1):
-                entry = vise.entries[index - vise.log.start - 1]
-                self.committed_in.setdefault(index, vise.term)
+            for index in range(raft.log.start + 1, raft.commit + 1):
+                entry = raft.entries[index - raft.log.start - 1]
+                self.committed_in.setdefault(index, raft.term)
                 if self.committed.setdefault(index, entry) != entry:
                     raise FoundError(f"two entries are committed at {index}")
         self._check_majorities()
@@ -400,34 +410,34 @@
 
     def _check_book(self, name: str, member: _Member) -> None:
         """What a snapshot holds is what was committed, and its members are the newest of then."""
-        vise = member.vise
-        for index, command in member.book.items():
-            if int(index) <= vise.log.snap and self.committed[int(index)][1] != command:
+        raft = member.raft
+        for index, command in member.cluster_state.items():
+            if int(index) <= raft.log.snap and self.committed[int(index)][1] != command:
                 raise FoundError(f"{name} holds a snapshot of what was not committed at {index}")
         # A newcomer does not know the founders, who stand in no entry; its own coming is a later one.
-        snap = vise.log.snap
-        if snap and vise.base_members and vise.base_members != self._membership(snap):
+        snap = raft.log.snap
+        if snap and raft.base_members and raft.base_members != self._membership(snap):
             raise FoundError(f"{name} holds a snapshot with members that were not the newest")
 
     def _check_majorities(self) -> None:
         """No majority of the newest leader's voters is disjoint from one of the newest agreed voters."""
-        leaders = [it.vise for it in self.members.values() if it.vise.role is Role.LEADER]
+        leaders = [it.raft for it in self.members.values() if it.raft.role is Role.LEADER]
         if not leaders:
             return
-        vise = max(leaders, key=lambda it: int(it.term))
-        if vise.term_at(vise.commit) == vise.term:
-            theirs = {key for key, it in self._membership(vise.commit).items() if it["voter"]}
-            ours = set(vise.voters)
+        raft = max(leaders, key=lambda it: int(it.term))
+        if raft.term_at(raft.commit) == raft.term:
+            theirs = {key for key, it in self._membership(raft.commit).items() if it["voter"]}
+            ours = set(raft.voters)
             if len(theirs) // 2 + len(ours) // 2 + 2 <= len(theirs | ours):
                 raise FoundError(f"majorities of {sorted(theirs)} and {sorted(ours)} can be disjoint")
 
     def _check_copies(self, name: str) -> None:
         """As a member is taken away a majority of the rest has what is committed, but for lost disks."""
-        vise = next(it.vise for it in self.members.values() if self._let_go(it.vise, name))
-        saved = [self.members[it].saved for it in vise.voters]
-        lost = sum(1 for key, it in zip(vise.voters, saved, strict=True) if it.me != key)
+        raft = next(it.raft for it in self.members.values() if self._let_go(it.raft, name))
+        saved = [self.members[it].saved for it in raft.voters]
+        lost = sum(1 for key, it in zip(raft.voters, saved, strict=True) if it.me != key)
 
-        def has(it: Saved, index: int, entry: Entry) -> bool:
+        def has(it: PersistentState, index: int, entry: Entry) -> bool:
             rest = it.entries[max(0, index - it.start - 1) :]
             return index <= it.start or (bool(rest) and rest[0] == entry)
 
@@ -440,26 +450,26 @@
         """What the future depends on."""
         members = []
         for name, it in self.members.items():
-            vise = it.vise
-            peers = [(key, peer.next, peer.match) for key, peer in sorted(vise._peers.items())]
+            raft = it.raft
+            peers = [(key, peer.next, peer.match) for key, peer in sorted(raft._peers.items())]
             rows = [rows for rows, _ in it.waiting]
-            leads = vise.role is Role.LEADER
-            log = vise.log.start, str(vise.base_members), str(vise.entries), vise.commit, vise.synced
-            parts = [str(peer.sending) for _, peer in sorted(vise._peers.items())], str(vise._receiving)
-            now = vise.me, vise.term, vise.vote, vise.role.value, log, str(parts)
+            leads = raft.role is Role.LEADER
+            log = raft.log.start, str(raft.base_members), str(raft.entries), raft.commit, raft.synced
+            parts = [str(peer.sending) for _, peer in sorted(raft._peers.items())], str(raft._receiving)
+            now = raft.me, raft.term, raft.vote, raft.role.value, log, str(parts)
             disk = it.saved.me, it.saved.term, it.saved.vote, it.saved.start, str(it.saved.entries)
             members.append((name, now, disk, str(peers) if leads else "", str(rows)))
         wire = sorted((it.to, it.text) for it in self.messages.values())
         return hash((tuple(members), tuple(wire), tuple(self.left.values()), str(self.committed)))
 
 
-def _compact(vise: Vise) -> None:
+def _compact(raft: RaftNode) -> None:
     """Have a member keep a snapshot and no entry that it covers."""
     with patch.object(log, "TAIL", 0):
-        vise.log.compact(vise.applied, vise._snapshot())
+        raft.log.compact(raft.applied, raft._snapshot())
 
 
-def _keep(saved: Saved, kind: str, values: tuple[Any, ...]) -> None:
+def _keep(saved: PersistentState, kind: str, values: tuple[Any, ...]) -> None:
     if kind == "term":
         saved.term, saved.vote = values
     elif kind == "floors":
@@ -487,14 +497,14 @@
             self.member.waiting.append((rows, then))
 
 
-def stranger(name: str, life: int) -> Saved:
+def stranger(name: str, life: int) -> PersistentState:
     """What a wiped member comes back as: another one."""
-    return Saved(f"{name}/{life}", members={})
+    return PersistentState(f"{name}/{life}", members={})
 
 
-def old_self(name: str, life: int) -> Saved:
+def old_self(name: str, life: int) -> PersistentState:
     """A fault: a wiped member comes back under the name that it had."""
-    return Saved(name, members=VOTERS)
+    return PersistentState(name, members=VOTERS)
 
 
 @dataclass(frozen=True, slots=True)
@@ -510,7 +520,7 @@
 
 
 def explore(
-    start: Start, depth: int, blank: Callable[[str, int], Saved] = stranger, most: int = 1_000_000
+    start: Start, depth: int, blank: Callable[[str, int], PersistentState] = stranger, most: int = 1_000_000
 ) -> Explored:
     """Look at all states that so many steps lead to; at `most` of them, if there are more."""
     seen: dict[int, int] = {}
--- a/amberlug/cluster/simulation/mutations.py
+++ b/amberlug/cluster/simulation/mutations.py
@@ -9,22 +9,22 @@
 
 from result import Ok, Result
 
-from amberlug.cluster.consensus.log import Saved
-from amberlug.cluster.consensus.raft import Vise
-from amberlug.cluster.consensus.rollback_guard import Floors
+from amberlug.cluster.consensus.log import PersistentState
+from amberlug.cluster.consensus.raft import RaftNode
+from amberlug.cluster.consensus.rollback_guard import RollbackGuard
 from amberlug.cluster.control import node as control_node
-from amberlug.cluster.control.node import Core
+from amberlug.cluster.control.node import ControlNode
 from amberlug.cluster.control.sessions import Session
 from amberlug.cluster.dispatch import replicator
 from amberlug.cluster.dispatch.message import Message
-from amberlug.cluster.dispatch.replicator import Put
-from amberlug.cluster.dispatch.shard_owner import Shards, Taken
+from amberlug.cluster.dispatch.replicator import ReplicationOutcome
+from amberlug.cluster.dispatch.shard_owner import AdmissionOutcome, ShardOwner
 from amberlug.cluster.edge import node as edge_node
-from amberlug.cluster.edge.node import Edge
-from amberlug.cluster.gossip.store import News
-from amberlug.cluster.http.api import Said, Say
-from amberlug.cluster.http.routing import Routes
-from amberlug.cluster.interfaces import Called, Json, Lost, Reply
+from amberlug.cluster.edge.node import EdgeNode
+from amberlug.cluster.gossip.store import GossipStore
+from amberlug.cluster.http.api import HttpResponse, RespondHttp
+from amberlug.cluster.http.routing import RoutingTable
+from amberlug.cluster.interfaces import CallResult, Json, Reply, RequestFailure
 from amberlug.cluster.settings import Settings
 from amberlug.cluster.simulation import (
     mutations_answers,
@@ -33,66 +33,70 @@
     mutations_partitions,
     mutations_voters,
 )
-from amberlug.cluster.storage.node import Store
+from amberlug.cluster.storage.node import StorageNode
 
 Mutant = Callable[[], AbstractContextManager[Any]]
 
 
 def _first_sync() -> AbstractContextManager[Any]:
     """202 before the second sync."""
-    hear = replicator._Putting._hear
+    hear = replicator._ReplicaWrite._hear
 
-    def first(self: replicator._Putting, name: str, reply: Result[Reply, Lost]) -> None:
+    def first(self: replicator._ReplicaWrite, name: str, reply: Result[Reply, RequestFailure]) -> None:
         if isinstance(reply, Ok) and reply.ok_value.body.get("ok"):
             self.message.holders.add(name)
-            self._end(Put.HELD)
+            self._end(ReplicationOutcome.REPLICATED)
         else:
             hear(self, name, reply)
 
-    return patch.object(replicator._Putting, "_hear", first)
+    return patch.object(replicator._ReplicaWrite, "_hear", first)
 
 
 def _old_vote() -> AbstractContextManager[Any]:
     """A wiped voter votes as its old self, and nobody tells it what it had."""
 
-    def blank(settings: Settings, chance: Callable[[int], int]) -> Saved:
-        return Saved(f"{settings.ip}/0", members=control_node.founding(settings))
+    def blank(settings: Settings, chance: Callable[[int], int]) -> PersistentState:
+        return PersistentState(f"{settings.ip}/0", members=control_node.founding(settings))
 
-    untold = patch.object(Floors, "short", lambda self, said: False)
+    untold = patch.object(RollbackGuard, "short", lambda self, said: False)
     return _both(patch("amberlug.cluster.simulation.deployment.blank", blank), untold)
 
 
 def _no_fence() -> AbstractContextManager[Any]:
     """A take-over without a fence."""
-    return patch.object(Store, "_fenced", lambda self, shard, epoch: False)
+    return patch.object(StorageNode, "_fenced", lambda self, shard, epoch: False)
 
 
 def _drain_alone() -> AbstractContextManager[Any]:
     """A drain acknowledged by one machine alone."""
 
-    def leave(self: Core, name: str, rank: int, sequence: int, said: Json | None, say: Say) -> None:
-        self.cell.leaves(name, rank, sequence, said)
-        say(Said(200, {}))
+    def leave(
+        self: ControlNode, name: str, rank: int, sequence: int, said: Json | None, say: RespondHttp
+    ) -> None:
+        self.registry.leaves(name, rank, sequence, said)
+        say(HttpResponse(200, {}))
 
-    return patch.object(Core, "_leave", leave)
+    return patch.object(ControlNode, "_leave", leave)
 
 
 def _config_back() -> AbstractContextManager[Any]:
     """An edge takes any configuration that it hears, also one that it had before."""
-    offer, config_is = News.offer, Edge._config_is
+    offer, config_is = GossipStore.offer, EdgeNode._config_is
 
-    def any_offer(self: News, key: str, version: list[int], value: Any) -> bool:
+    def any_offer(self: GossipStore, key: str, version: list[int], value: Any) -> bool:
         known = self.items.get(key)
         if key == "config" and known is not None and known[0] > version:
             self._heard(key, value)
             return False
         return offer(self, key, version, value)
 
-    def any_config(self: Edge, routes: Any) -> None:
-        self.routes = Routes()
+    def any_config(self: EdgeNode, routes: Any) -> None:
+        self.routes = RoutingTable()
         config_is(self, routes)
 
-    return _both(patch.object(News, "offer", any_offer), patch.object(Edge, "_config_is", any_config))
+    return _both(
+        patch.object(GossipStore, "offer", any_offer), patch.object(EdgeNode, "_config_is", any_config)
+    )
 
 
 @contextmanager
@@ -103,66 +107,66 @@
 
 def _order_lost() -> AbstractContextManager[Any]:
     """A new owner has messages in the order of their names."""
-    serve = Shards._serve
+    serve = ShardOwner._serve
 
-    def by_name(self: Shards, load: Any) -> None:
+    def by_name(self: ShardOwner, load: Any) -> None:
         for number, name in enumerate(sorted(load.found, key=lambda it: it.partition("-")[2])):
             load.found[name].order = (0, number)
         serve(self, load)
 
-    return patch.object(Shards, "_serve", by_name)
+    return patch.object(ShardOwner, "_serve", by_name)
 
 
 def _unclear_refused() -> AbstractContextManager[Any]:
     """A 503 after a write whose fate is open."""
-    end = edge_node._Offer._end
+    end = edge_node._Submission._end
 
-    def refuse(self: edge_node._Offer, taken: Taken) -> None:
-        end(self, Taken.REFUSED if taken is Taken.UNCLEAR else taken)
+    def refuse(self: edge_node._Submission, taken: AdmissionOutcome) -> None:
+        end(self, AdmissionOutcome.REJECTED if taken is AdmissionOutcome.OUTCOME_UNKNOWN else taken)
 
-    return patch.object(edge_node._Offer, "_end", refuse)
+    return patch.object(edge_node._Submission, "_end", refuse)
 
 
 def _forgotten_end() -> AbstractContextManager[Any]:
     """Who gives a shard away forgets to tell what came of the calls that it still had out."""
-    finished = Edge._finished
+    finished = EdgeNode._finished
 
-    def forget(self: Edge, message: Message, called: Called) -> None:
+    def forget(self: EdgeNode, message: Message, called: CallResult) -> None:
         if message in self._orphans:
             self._orphans.discard(message)
         else:
             finished(self, message, called)
 
-    return patch.object(Edge, "_finished", forget)
+    return patch.object(EdgeNode, "_finished", forget)
 
 
 def _failed_early() -> AbstractContextManager[Any]:
     """A name is answered `failed` while its message is open."""
-    mine = Edge._mine
+    mine = EdgeNode._mine
 
-    def failed(self: Edge, name: str) -> tuple[str, str] | None:
-        message = self.rack.messages.get(name)
+    def failed(self: EdgeNode, name: str) -> tuple[str, str] | None:
+        message = self.delivery_queue.messages.get(name)
         return ("dead", "") if message is not None and message.failures else mine(self, name)
 
-    return patch.object(Edge, "_mine", failed)
+    return patch.object(EdgeNode, "_mine", failed)
 
 
 def _rate_alone() -> AbstractContextManager[Any]:
     """Each edge spends the whole rate of a service."""
 
-    def spend(self: Edge, part: float) -> None:
+    def spend(self: EdgeNode, part: float) -> None:
         self._part = part
         for name, it in self.routes.services.items():
             if name in self.services:
                 self.services[name].rate_is(it.rate, 1.0)
 
-    return patch.object(Edge, "_spend", spend)
+    return patch.object(EdgeNode, "_spend", spend)
 
 
 def _older_term() -> AbstractContextManager[Any]:
     """What a majority has is committed, also where it is of an older term."""
 
-    def count(self: Vise) -> None:
+    def count(self: RaftNode) -> None:
         matched = {name: it.match for name, it in self._peers.items()} | {self.me: self.synced}
         levels = sorted((matched.get(name, 0) for name in self.voters), reverse=True)
         if levels and levels[len(levels) // 2] > self.commit:
@@ -170,29 +174,29 @@
             self._apply_committed()
             self._push(True)
 
-    return patch.object(Vise, "_count", count)
+    return patch.object(RaftNode, "_count", count)
 
 
 def _removed_counts() -> AbstractContextManager[Any]:
     """A voter that was removed still counts, as one who agrees, until the log is cut."""
 
-    def majority(self: Vise, names: set[str]) -> bool:
+    def majority(self: RaftNode, names: set[str]) -> bool:
         voters = self.voters
         gone = [name for name in self.base_members if name not in self.members]
         return 2 * (sum(1 for it in voters if it in names) + len(gone)) > len(voters)
 
-    return patch.object(Vise, "_majority", majority)
+    return patch.object(RaftNode, "_majority", majority)
 
 
 def _dropped_early() -> AbstractContextManager[Any]:
     """A lost disk is dropped before the owners have said that they need it no more."""
 
-    def drop(self: Core, edges: dict[str, Session]) -> None:
-        gone = [disk for disk, it in self.book.roster.items() if it["state"] in ("lost", "retiring")]
+    def drop(self: ControlNode, edges: dict[str, Session]) -> None:
+        gone = [disk for disk, it in self.cluster_state.roster.items() if it["state"] in ("lost", "retiring")]
         if gone:
             self._propose("drop", {"do": "roster", "drop": gone})
 
-    return patch.object(Core, "_drop_disks", drop)
+    return patch.object(ControlNode, "_drop_disks", drop)
 
 
 # By name: the fault, and the aim of the days in which it is looked for.
--- a/amberlug/cluster/simulation/mutations_answers.py
+++ b/amberlug/cluster/simulation/mutations_answers.py
@@ -10,33 +10,33 @@
 
 from result import Err, Result
 
-from amberlug.cluster.consensus.raft import NotTaken
-from amberlug.cluster.control.node import Core
+from amberlug.cluster.consensus.raft import ProposalRejected
+from amberlug.cluster.control.node import ControlNode
 from amberlug.cluster.dispatch.dispatcher import Outcome, judge
-from amberlug.cluster.dispatch.endpoint_client import Caller
+from amberlug.cluster.dispatch.endpoint_client import EndpointClient
 from amberlug.cluster.dispatch.message import Message
-from amberlug.cluster.dispatch.shard_owner import Shards
+from amberlug.cluster.dispatch.shard_owner import ShardOwner
 from amberlug.cluster.edge import node as edge_node
 from amberlug.cluster.http.server import Answer, _Reply
-from amberlug.cluster.interfaces import Called, Delivery, Json, Lost, Respond, Verdict
-from amberlug.cluster.rpc.transport import Belt, _Incoming, _Outgoing
+from amberlug.cluster.interfaces import CallResult, CallVerdict, EndpointCall, Json, RequestFailure, Respond
+from amberlug.cluster.rpc.transport import PeerTransport, _Incoming, _Outgoing
 from amberlug.http.link import Link
 
 
 def _answer_by_order() -> AbstractContextManager[Any]:
     """The next answer on a connection is taken for the call's, whatever attempt it names."""
-    return patch.object(Caller, "_is_to", staticmethod(lambda delivery, reply: True))
+    return patch.object(EndpointClient, "_is_to", staticmethod(lambda delivery, reply: True))
 
 
 def _attempt_by_order() -> AbstractContextManager[Any]:
     """An attempt is called again where a second copy of its last answer may still come."""
-    kept = Caller._kept
-    return patch.object(Caller, "_kept", lambda self, address, attempt: kept(self, address, ""))
+    kept = EndpointClient._kept
+    return patch.object(EndpointClient, "_kept", lambda self, address, attempt: kept(self, address, ""))
 
 
 def _read_answer_lost() -> AbstractContextManager[Any]:
     """An answer that a process which was held up has read is taken for silence."""
-    return patch.object(Caller, "_read_by_now", staticmethod(lambda waiter: None))
+    return patch.object(EndpointClient, "_read_by_now", staticmethod(lambda waiter: None))
 
 
 def _silent_open() -> AbstractContextManager[Any]:
@@ -46,13 +46,13 @@
 
 def _sent_again() -> AbstractContextManager[Any]:
     """A call whose connection breaks off is sent a second time at once, as HTTP clients do."""
-    attempt = Caller._try
+    attempt = EndpointClient._try
 
-    async def again(self: Caller, delivery: Delivery) -> Called:
+    async def again(self: EndpointClient, delivery: EndpointCall) -> CallResult:
         called = await attempt(self, delivery)
-        return await attempt(self, delivery) if called.verdict is Verdict.BROKEN else called
+        return await attempt(self, delivery) if called.verdict is CallVerdict.CONNECTION_LOST else called
 
-    return patch.object(Caller, "_try", again)
+    return patch.object(EndpointClient, "_try", again)
 
 
 @contextmanager
@@ -103,30 +103,30 @@
 @contextmanager
 def _reply_after_replacement() -> Iterator[None]:
     """Each connection numbers its asks anew, and replies go back on the newest connection from the asker."""
-    respond_to, ask = _Incoming._respond_to, Belt.ask
-    newest: dict[tuple[Belt, str], _Incoming] = {}
+    respond_to, ask = _Incoming._respond_to, PeerTransport.request
+    newest: dict[tuple[PeerTransport, str], _Incoming] = {}
 
-    def numbered(self: Belt, to: str, *rest: Any, **more: Any) -> None:
+    def numbered(self: PeerTransport, to: str, *rest: Any, **more: Any) -> None:
         link = self._link(to)
         self._numbers = itertools.count(1 + len(link.__dict__.setdefault("numbered", [])))
         link.__dict__["numbered"].append(to)
         ask(self, to, *rest, **more)
 
     def on_newest(self: _Incoming, number: object) -> Respond:
-        newest[self.belt, self.origin] = self
+        newest[self.peers, self.origin] = self
 
         def respond(body: Json, blob: bytes = b"") -> None:
-            respond_to(newest[self.belt, self.origin], number)(body, blob)
+            respond_to(newest[self.peers, self.origin], number)(body, blob)
 
         return respond
 
-    with patch.object(Belt, "ask", numbered), patch.object(_Incoming, "_respond_to", on_newest):
+    with patch.object(PeerTransport, "request", numbered), patch.object(_Incoming, "_respond_to", on_newest):
         yield
 
 
 def _unsent_after_dial() -> AbstractContextManager[Any]:
     """A dial that is given up as it comes up counts as unsent."""
-    return patch.object(_Outgoing, "not_up", lambda self: self.end(Lost.UNSENT))
+    return patch.object(_Outgoing, "not_up", lambda self: self.end(RequestFailure.NOT_SENT))
 
 
 def _answer_to_next() -> AbstractContextManager[Any]:
@@ -150,10 +150,10 @@
 def _answer_believed() -> Iterator[None]:
     """Whatever comes next on a connection ends the message whose call is out there."""
 
-    def believe(message: Message, called: Called, max_attempts: int) -> Outcome:
+    def believe(message: Message, called: CallResult, max_attempts: int) -> Outcome:
         rest = tuple(it for it in called.headers if it[0] != "amberlug-attempt-id")
         named = (("amberlug-attempt-id", message.attempt), *rest)
-        return judge(message, Called(called.verdict, called.status, named), max_attempts)
+        return judge(message, CallResult(called.verdict, called.status, named), max_attempts)
 
     with _answer_by_order(), patch.object(edge_node, "judge", believe):
         yield
@@ -162,30 +162,32 @@
 @contextmanager
 def _out_elsewhere() -> Iterator[None]:
     """Who takes a shard over calls at once what the owner before has out."""
-    handover = Shards.on_handover
+    handover = ShardOwner.on_handover
 
-    def nothing_out(self: Shards, body: Json, blob: bytes, origin: str, respond: Respond) -> None:
+    def nothing_out(self: ShardOwner, body: Json, blob: bytes, origin: str, respond: Respond) -> None:
         handover(self, {**body, "out": []}, blob, origin, respond)
 
     nothing_out.__dict__.update(handover.__dict__)  # the word that it hears
-    with patch.object(Shards, "on_handover", nothing_out):
+    with patch.object(ShardOwner, "on_handover", nothing_out):
         yield
 
 
 def _order_again() -> AbstractContextManager[Any]:
     """An order that is answered by silence is passed on a second time."""
-    order = Core._order
+    order = ControlNode._order
 
-    def twice(self: Core, word: str, body: Json, then: Callable[[Result[Json, NotTaken]], None]) -> None:
-        def hear(result: Result[Json, NotTaken]) -> None:
-            if isinstance(result, Err) and result.err_value is NotTaken.UNCLEAR:
+    def twice(
+        self: ControlNode, word: str, body: Json, then: Callable[[Result[Json, ProposalRejected]], None]
+    ) -> None:
+        def hear(result: Result[Json, ProposalRejected]) -> None:
+            if isinstance(result, Err) and result.err_value is ProposalRejected.OUTCOME_UNKNOWN:
                 order(self, word, body, then)
             else:
                 then(result)
 
         order(self, word, body, hear)
 
-    return patch.object(Core, "_order", twice)
+    return patch.object(ControlNode, "_order", twice)
 
 
 FAULTS: Mapping[str, tuple[Callable[[], AbstractContextManager[Any]], str]] = {
--- a/amberlug/cluster/simulation/mutations_frames.py
+++ b/amberlug/cluster/simulation/mutations_frames.py
@@ -8,9 +8,9 @@
 from unittest.mock import patch
 
 from amberlug.cluster.consensus import log, raft
-from amberlug.cluster.consensus.log import Log, Saved
-from amberlug.cluster.consensus.raft import Vise
-from amberlug.cluster.consensus.snapshot_transfer import Receiving, Sending
+from amberlug.cluster.consensus.log import Log, PersistentState
+from amberlug.cluster.consensus.raft import RaftNode
+from amberlug.cluster.consensus.snapshot_transfer import IncomingTransfer, OutgoingTransfer
 from amberlug.cluster.interfaces import Json
 from amberlug.cluster.simulation import disk
 
@@ -38,30 +38,33 @@
 def _sum_unchecked() -> AbstractContextManager[Any]:
     """What came in parts is taken whether or not it is what was sent."""
 
-    def verified(self: Receiving) -> bytes | None:
+    def verified(self: IncomingTransfer) -> bytes | None:
         return bytes(self.data)
 
-    return patch.object(Receiving, "verified", verified)
+    return patch.object(IncomingTransfer, "verified", verified)
 
 
 def _part_missing() -> AbstractContextManager[Any]:
     """A part is put behind the others, whichever it is, and the sum is not looked at."""
 
-    def take(self: Receiving, offset: int, data: bytes) -> None:
+    def take(self: IncomingTransfer, offset: int, data: bytes) -> None:
         self.data += data
 
-    return patch.multiple(Receiving, take=take, verified=lambda self: bytes(self.data))
+    return patch.multiple(IncomingTransfer, take=take, verified=lambda self: bytes(self.data))
 
 
 def _part_from_the_start() -> AbstractContextManager[Any]:
     """What goes in parts begins anew after a connection was lost."""
 
-    def lost(self: Sending, number: int = 0) -> None:
+    def lost(self: OutgoingTransfer, number: int = 0) -> None:
         self._out.clear()
         self.sent = self.had = 0
 
     return patch.multiple(
-        Sending, lost=lost, stands_at=lambda self, had: None, took=lambda self, number, had, now: True
+        OutgoingTransfer,
+        lost=lost,
+        stands_at=lambda self, had: None,
+        took=lambda self, number, had, now: True,
     )
 
 
@@ -80,7 +83,9 @@
     """A restarted member forgets the last entry that it acknowledged."""
     assemble = log.assemble
 
-    def forget(saved: Saved, rows: Iterable[tuple[int, int, Json | None]]) -> Saved | None:
+    def forget(
+        saved: PersistentState, rows: Iterable[tuple[int, int, Json | None]]
+    ) -> PersistentState | None:
         found = assemble(saved, rows)
         if found is not None:
             del found.entries[-1:]
@@ -92,7 +97,7 @@
 def _beat_after_work() -> AbstractContextManager[Any]:
     """The next beat is set once all was sent, and an error for one peer ends it."""
 
-    def beat(self: Vise) -> None:
+    def beat(self: RaftNode) -> None:
         if self.role is not raft.Role.LEADER or self._stopped:
             return
         now = self.world.now()
@@ -107,7 +112,7 @@
                 return
         self._after(raft.BEAT_S, self._beat)
 
-    return patch.object(Vise, "_beat", beat)
+    return patch.object(RaftNode, "_beat", beat)
 
 
 def _cut_by_count_alone() -> AbstractContextManager[Any]:
--- a/amberlug/cluster/simulation/mutations_losses.py
+++ b/amberlug/cluster/simulation/mutations_losses.py
@@ -7,19 +7,19 @@
 from typing import Any
 from unittest.mock import patch
 
-from amberlug.cluster.control.node import Core
+from amberlug.cluster.control.node import ControlNode
 from amberlug.cluster.control.sessions import Session
-from amberlug.cluster.dispatch.replicator import Spread
-from amberlug.cluster.dispatch.shard_owner import Shards
-from amberlug.cluster.edge.node import Edge
+from amberlug.cluster.dispatch.replicator import Replicator
+from amberlug.cluster.dispatch.shard_owner import ShardOwner
+from amberlug.cluster.edge.node import EdgeNode
 from amberlug.cluster.interfaces import Json
-from amberlug.cluster.storage.node import Store
+from amberlug.cluster.storage.node import StorageNode
 
 
 def _retire_short() -> AbstractContextManager[Any]:
     """A store that is emptied counts as one of the copies of what it holds."""
 
-    def enough(self: Spread, disks: set[str]) -> bool:
+    def enough(self: Replicator, disks: set[str]) -> bool:
         return self._hold(
             {
                 disk
@@ -28,14 +28,14 @@
             }
         )
 
-    return patch.object(Spread, "enough", enough)
+    return patch.object(Replicator, "enough", enough)
 
 
 def _last_short() -> AbstractContextManager[Any]:
     """A disk is dropped though one message still lacks a copy."""
-    drop = Core._drop_disks
+    drop = ControlNode._drop_disks
 
-    def early(self: Core, edges: dict[str, Session]) -> None:
+    def early(self: ControlNode, edges: dict[str, Session]) -> None:
         short = {name: it.extra.get("short", 0) for name, it in edges.items()}
         for it in edges.values():
             it.extra["short"] = max(0, it.extra.get("short", 0) - 1)
@@ -43,43 +43,43 @@
         for name, it in edges.items():
             it.extra["short"] = short[name]
 
-    return patch.object(Core, "_drop_disks", early)
+    return patch.object(ControlNode, "_drop_disks", early)
 
 
 def _one_zone() -> AbstractContextManager[Any]:
     """Copies are counted by machines, wherever they stand."""
 
-    def hold(self: Spread, disks: set[str]) -> bool:
+    def hold(self: Replicator, disks: set[str]) -> bool:
         names = {self.stores[disk].name for disk in disks if disk in self.stores}
         tolerance = self.tolerance
         return len(names) > max(tolerance.machines, tolerance.zones, tolerance.regions)
 
-    return patch.object(Spread, "_hold", hold)
+    return patch.object(Replicator, "_hold", hold)
 
 
 def _old_epoch() -> AbstractContextManager[Any]:
     """A store that joins takes puts of whoever owned shards before."""
 
-    def joins(self: Store, table: int) -> list[Any]:
+    def joins(self: StorageNode, table: int) -> list[Any]:
         return []
 
-    return patch.object(Store, "_joins", joins)
+    return patch.object(StorageNode, "_joins", joins)
 
 
 def _unfenced_drop() -> AbstractContextManager[Any]:
     """A take-over that serves counts as fenced everywhere."""
-    return patch.object(Shards, "unfenced", 0)
+    return patch.object(ShardOwner, "unfenced", 0)
 
 
 def _blind_drop() -> AbstractContextManager[Any]:
     """Owners say that nothing lacks a copy, before they have looked."""
 
-    def extra(self: Edge) -> Json:
+    def extra(self: EdgeNode) -> Json:
         said = told(self)
         return {**said, "short": 0}
 
-    told = Edge._extra
-    return patch.object(Edge, "_extra", extra)
+    told = EdgeNode._extra
+    return patch.object(EdgeNode, "_extra", extra)
 
 
 FAULTS: Mapping[str, tuple[Callable[[], AbstractContextManager[Any]], str]] = {
--- a/amberlug/cluster/simulation/mutations_partitions.py
+++ b/amberlug/cluster/simulation/mutations_partitions.py
@@ -9,60 +9,60 @@
 
 from result import Result
 
-from amberlug.cluster.consensus.raft import NotTaken
-from amberlug.cluster.control.cluster_state import Book
-from amberlug.cluster.control.node import Core
-from amberlug.cluster.http.api import Asked, Said, Say
+from amberlug.cluster.consensus.raft import ProposalRejected
+from amberlug.cluster.control.cluster_state import ClusterState
+from amberlug.cluster.control.node import ControlNode
+from amberlug.cluster.http.api import HttpRequest, HttpResponse, RespondHttp
 from amberlug.cluster.interfaces import Json
-from amberlug.cluster.session_client import Member
+from amberlug.cluster.session_client import SessionClient
 
-Then = Callable[[Result[Json, NotTaken]], None]
+ReplyCallback = Callable[[Result[Json, ProposalRejected]], None]
 
 
 def _unconfirmed_refusal() -> AbstractContextManager[Any]:
     """A relay that takes itself for the leader answers orders from its own book, without a majority."""
 
-    def at_once(self: Core, act: Callable[[], None], then: Then) -> None:
+    def at_once(self: ControlNode, act: Callable[[], None], then: ReplyCallback) -> None:
         act()
 
-    return patch.object(Core, "_confirmed_book", at_once)
+    return patch.object(ControlNode, "_confirmed_book", at_once)
 
 
 def _unconfirmed_edge() -> AbstractContextManager[Any]:
     """An edge serves what it has heard from any control relay, confirmed or not."""
 
-    def take(self: Member, epoch: int) -> None:
+    def take(self: SessionClient, epoch: int) -> None:
         self.confirmed = True
 
-    return patch.object(Member, "_newest", take)
+    return patch.object(SessionClient, "_newest", take)
 
 
 @contextmanager
 def _session_alone() -> Iterator[None]:
     """A control relay without a majority goes on answering hellos, beats and announcements with ok."""
     with (
-        patch.object(Core, "in_contact", PropertyMock(return_value=True)),
-        patch.object(Core, "contact_age", lambda self: 0.0),
+        patch.object(ControlNode, "in_contact", PropertyMock(return_value=True)),
+        patch.object(ControlNode, "contact_age", lambda self: 0.0),
     ):
         yield
 
 
 def _announce_alone() -> AbstractContextManager[Any]:
     """A control relay without a majority acknowledges announcements, and names itself for later beats."""
-    announce, cell_of = Core.announce, Core._cell_of
+    announce, cell_of = ControlNode.announce, ControlNode._cell_of
 
-    def any_announce(self: Core, asked: Asked, name: str, say: Say) -> None:
-        with patch.object(Core, "in_contact", PropertyMock(return_value=True)):
+    def any_announce(self: ControlNode, asked: HttpRequest, name: str, say: RespondHttp) -> None:
+        with patch.object(ControlNode, "in_contact", PropertyMock(return_value=True)):
             announce(self, asked, name, say)
 
-    def any_cell(self: Core, zone: str) -> str:
-        member = self.vise.members.get(self.vise.me, {})
+    def any_cell(self: ControlNode, zone: str) -> str:
+        member = self.raft.members.get(self.raft.me, {})
         return str(member["control"]) if member.get("zone") == zone else cell_of(self, zone)
 
     return _both(
         # The order's declaration stands on the function that is replaced.
-        patch.object(Core, "announce", _like(announce, any_announce)),
-        patch.object(Core, "_cell_of", any_cell),
+        patch.object(ControlNode, "announce", _like(announce, any_announce)),
+        patch.object(ControlNode, "_cell_of", any_cell),
     )
 
 
@@ -79,29 +79,29 @@
 
 def _same_number() -> AbstractContextManager[Any]:
     """Whoever sends an edition's number is told that it was taken, whatever it holds."""
-    check = Book.check_config
+    check = ClusterState.check_config
 
-    def by_number(self: Book, base: int, edition: int, sum_: str) -> Json:
+    def by_number(self: ClusterState, base: int, edition: int, sum_: str) -> Json:
         known = self.hashes.get(edition)
         return check(self, base, edition, known[0] if known is not None else sum_)
 
-    return patch.object(Book, "check_config", by_number)
+    return patch.object(ClusterState, "check_config", by_number)
 
 
 def _repeat_refused() -> AbstractContextManager[Any]:
     """A snapshot leaves out which changes were taken: one that is sent again is refused."""
-    to_json = Book.to_json
-    return patch.object(Book, "to_json", lambda self: {**to_json(self), "hashes": {}})
+    to_json = ClusterState.to_json
+    return patch.object(ClusterState, "to_json", lambda self: {**to_json(self), "hashes": {}})
 
 
 def _old_read() -> AbstractContextManager[Any]:
     """A relay answers reads of the configuration from its own book."""
 
-    def read(self: Core, asked: Asked, name: str, say: Say) -> None:
-        config = self.book.config
-        say(Said(200, config) if config is not None else Said(503, {}, 1))
+    def read(self: ControlNode, asked: HttpRequest, name: str, say: RespondHttp) -> None:
+        config = self.cluster_state.config
+        say(HttpResponse(200, config) if config is not None else HttpResponse(503, {}, 1))
 
-    return patch.object(Core, "read", _like(Core.read, read))
+    return patch.object(ControlNode, "read", _like(ControlNode.read, read))
 
 
 # By name: the fault, and the aim of the days in which it is looked for.
--- a/amberlug/cluster/simulation/mutations_voters.py
+++ b/amberlug/cluster/simulation/mutations_voters.py
@@ -9,9 +9,9 @@
 
 from amberlug.cluster.consensus import voter_selection
 from amberlug.cluster.consensus.log import Log
-from amberlug.cluster.consensus.raft import Answered, Vise
-from amberlug.cluster.consensus.rollback_guard import Floors
-from amberlug.cluster.consensus.voter_selection import Seat
+from amberlug.cluster.consensus.raft import Answered, RaftNode
+from amberlug.cluster.consensus.rollback_guard import RollbackGuard
+from amberlug.cluster.consensus.voter_selection import MemberStatus
 from amberlug.cluster.control import cluster_state
 from amberlug.cluster.interfaces import Json
 from amberlug.cluster.settings import Tolerance
@@ -20,7 +20,7 @@
 def _voters_in_one_zone() -> AbstractContextManager[Any]:
     """Voters are chosen by name alone."""
 
-    def by_name(members: Iterable[Seat], tolerance: Tolerance, me: str) -> list[Seat]:
+    def by_name(members: Iterable[MemberStatus], tolerance: Tolerance, me: str) -> list[MemberStatus]:
         live = [it for it in members if (it.lives if it.voter else it.ready)]
         wanted = max(3, 2 * max(tolerance.machines, tolerance.zones, tolerance.regions) + 1)
         return sorted(live, key=lambda it: (it.name != me, not it.voter, it.name))[:wanted]
@@ -32,10 +32,10 @@
 def _learner_votes() -> Iterator[None]:
     """A learner's word counts as a voter's does, both for an election and for an entry."""
 
-    def majority(self: Vise, names: set[str]) -> bool:
+    def majority(self: RaftNode, names: set[str]) -> bool:
         return 2 * sum(1 for it in self.members if it in names) > len(self.voters)
 
-    def count(self: Vise) -> None:
+    def count(self: RaftNode) -> None:
         matched = {name: it.match for name, it in self._peers.items()} | {self.me: self.synced}
         levels = sorted((matched.get(name, 0) for name in self.members), reverse=True)
         index = levels[len(self.voters) // 2]
@@ -44,25 +44,25 @@
             self._apply_committed()
             self._push(True)
 
-    with patch.object(Vise, "_majority", majority), patch.object(Vise, "_count", count):
+    with patch.object(RaftNode, "_majority", majority), patch.object(RaftNode, "_count", count):
         yield
 
 
-def _any_change(self: Vise, members: Json, answered: Answered) -> None:
+def _any_change(self: RaftNode, members: Json, answered: Answered) -> None:
     self.propose({"members": members}, answered)
 
 
 @contextmanager
 def _removal_before_copy() -> Iterator[None]:
     """A member is removed as soon as its leader has written that down, whoever has its state."""
-    agreed = patch.object(Vise, "settled", property(lambda self: True))
-    with agreed, patch.object(Vise, "change_members", _any_change):
+    agreed = patch.object(RaftNode, "settled", property(lambda self: True))
+    with agreed, patch.object(RaftNode, "change_members", _any_change):
         yield
 
 
 def _two_at_once() -> AbstractContextManager[Any]:
     """A second change of the membership is begun before the first is committed."""
-    return patch.object(Vise, "change_members", _any_change)
+    return patch.object(RaftNode, "change_members", _any_change)
 
 
 def _snapshot_old_members() -> AbstractContextManager[Any]:
@@ -79,7 +79,7 @@
 
 def _put_back_votes() -> AbstractContextManager[Any]:
     """A member whose folder was put back goes on as the one it was."""
-    return patch.object(Floors, "short", lambda self, said: False)
+    return patch.object(RollbackGuard, "short", lambda self, said: False)
 
 
 def _editions_by_count() -> AbstractContextManager[Any]:
--- a/amberlug/cluster/simulation/network.py
+++ b/amberlug/cluster/simulation/network.py
@@ -12,7 +12,7 @@
 
 from result import Err, Ok
 
-from amberlug.cluster.interfaces import Json, Lost, Reply, Then
+from amberlug.cluster.interfaces import Json, Reply, ReplyCallback, RequestFailure
 from amberlug.cluster.rpc.framing import MOST
 from amberlug.cluster.simulation.boundary_digest import BoundaryDigest
 from amberlug.cluster.simulation.clock import Clock, Timer
@@ -30,16 +30,18 @@
     def __init__(self, name: str, zone: str, address: str) -> None:
         self.name, self.zone, self.address = name, zone, address
         self.powered = True
-        self.life: Life | None = None
+        self.life: Incarnation | None = None
         self.loss = 0.0  # part of its packets that are lost
         self.rate = 0.0  # bytes a second that it sends and that it takes; 0: as many as there are
         self.busy = [0.0, 0.0]  # until when it sends what is queued, and takes it
 
 
-class Life:
+class Incarnation:
     """One life of a process: what is to happen waits while it is frozen, and is dropped once it is over."""
 
-    def __init__(self, host: Host, number: int, failed: Callable[[Life, AssertionError], None]) -> None:
+    def __init__(
+        self, host: Host, number: int, failed: Callable[[Incarnation, AssertionError], None]
+    ) -> None:
         self.host, self.number, self._failed = host, number, failed
         self.name = f"{host.name}#{number}"
         self.machine: Any = None
@@ -130,7 +132,7 @@
         self._tell()
         held, self._held = self._held, {}
         for link in held:
-            self.clock.later(self.chance.uniform(*AGAIN_S), link.flush)
+            self.clock.call_later(self.chance.uniform(*AGAIN_S), link.flush)
 
     def _tell(self) -> None:
         self.told(frozenset(self._cuts) | frozenset(self._refused))
@@ -138,7 +140,7 @@
     def hold(self, link: Link) -> None:
         self._held[link] = None
 
-    def link(self, source: Life, to: str) -> Link:
+    def link(self, source: Incarnation, to: str) -> Link:
         """The connection of a process to an address; it is opened where there is none."""
         found = source.links.get(to)
         if found is None:
@@ -151,26 +153,26 @@
             for link in [*host.life.links.values(), *host.life.incoming]:
                 if others is not None and not others & link.hosts:
                     continue
-                link.close(0, Lost.BROKEN, False)
-                link.close(1, Lost.BROKEN, False)
+                link.close(0, RequestFailure.CONNECTION_LOST, False)
+                link.close(1, RequestFailure.CONNECTION_LOST, False)
 
 
 class Link:
     """A connection that one process opened to another: words go out on it and replies come back."""
 
-    def __init__(self, net: Network, source: Life, to: str) -> None:
+    def __init__(self, net: Network, source: Incarnation, to: str) -> None:
         self.net, self.to = net, to
-        self.ends: list[Life | None] = [source, None]
+        self.ends: list[Incarnation | None] = [source, None]
         self.open = [True, False]
         # What is said before it is up, with its size; None once it is up.
         self._waiting: list[tuple[int | None, int, Callable[[], None]]] | None = []
-        self._asked: dict[int, tuple[Then, Timer]] = {}
+        self._asked: dict[int, tuple[ReplyCallback, Timer]] = {}
         self._last = [0.0, 0.0]
         self._held: list[list[Callable[[], None]]] = [[], []]
         host = net.hosts.get(to)
-        net.clock.later(DIAL_S, self._not_up)
+        net.clock.call_later(DIAL_S, self._not_up)
         if host is not None:
-            net.clock.later(net.delay(source.host, host), partial(self._knock, host))
+            net.clock.call_later(net.delay(source.host, host), partial(self._knock, host))
 
     @property
     def hosts(self) -> set[str]:
@@ -186,7 +188,7 @@
 
     def _not_up(self) -> None:
         if self._waiting is not None:
-            self.close(0, Lost.UNSENT, False)
+            self.close(0, RequestFailure.NOT_SENT, False)
 
     def _knock(self, host: Host) -> None:
         net, here = self.net, self._host(0)
@@ -195,11 +197,11 @@
         back = net.delay(host, here)
         refused = net.is_refused(here, host) or net.is_refused(host, here)
         if refused or host.life is None or host.life.over:
-            net.clock.later(back, self._not_up)
+            net.clock.call_later(back, self._not_up)
             return
         self.ends[1], self.open[1] = host.life, True
         host.life.incoming[self] = None
-        net.clock.later(back, self._up)
+        net.clock.call_later(back, self._up)
 
     def _up(self) -> None:
         waiting, self._waiting = self._waiting or [], None
@@ -216,18 +218,18 @@
             self._record(None, word, text, blob)
             self._send(None, len(text) + len(blob), partial(self._arrive, None, word, text, blob))
 
-    def ask(self, word: str, body: Json, blob: bytes, within: float, then: Then) -> None:
+    def request(self, word: str, body: Json, blob: bytes, within: float, then: ReplyCallback) -> None:
         """Send, and have `then` hear once what came of it."""
         number = next(self.net.numbers)
         source = self.ends[0]
         assert source is not None, "a connection has an opener"
         text = json.dumps(body)
         if self._too_long(text, blob):
-            self.net.clock.later(0.0, partial(source.do, partial(then, Err(Lost.UNSENT))))
+            self.net.clock.call_later(0.0, partial(source.do, partial(then, Err(RequestFailure.NOT_SENT))))
             return
         timer = Timer(partial(self._late, number))
         self._asked[number] = then, timer
-        self.net.clock.later(within, partial(source.do, timer.fire))
+        self.net.clock.call_later(within, partial(source.do, timer.fire))
         self._record(number, word, text, blob)
         self._send(number, len(text) + len(blob), partial(self._arrive, number, word, text, blob))
 
@@ -257,7 +259,7 @@
         unsent = self._waiting is not None and any(it[0] == number for it in self._waiting)
         if self._waiting is not None:
             self._waiting = [it for it in self._waiting if it[0] != number]
-        found[0](Err(Lost.UNSENT if unsent else Lost.SILENT))
+        found[0](Err(RequestFailure.NOT_SENT if unsent else RequestFailure.TIMED_OUT))
 
     def _arrive(self, number: int | None, word: str, text: str, blob: bytes) -> None:
         life, source = self.ends[1], self.ends[0]
@@ -272,7 +274,7 @@
                     self._transmit(1, len(text) + len(blob), partial(self._replied, number, text, blob))
 
         def hear() -> None:
-            handler = life.machine.words.get(word)
+            handler = life.machine.handlers.get(word)
             if handler is not None:
                 handler(json.loads(text), blob, source.host.address, respond)
 
@@ -296,7 +298,7 @@
         net, here, there = self.net, self._host(side), self._host(1 - side)
         arrival = max(self._last[side], net.departure(here, there, size) + net.delay(here, there))
         self._last[side] = arrival
-        net.clock.later(arrival - net.clock.now, partial(self._land, side, act))
+        net.clock.call_later(arrival - net.clock.now, partial(self._land, side, act))
 
     def _land(self, side: int, act: Callable[[], None]) -> None:
         net, here, there = self.net, self._host(side), self._host(1 - side)
@@ -306,25 +308,29 @@
             self._await_acknowledgement(side)
             return
         if net.is_refused(here, there):
-            net.clock.later(net.delay(there, here), lambda: self.close(side, Lost.BROKEN, False))
+            net.clock.call_later(
+                net.delay(there, here), lambda: self.close(side, RequestFailure.CONNECTION_LOST, False)
+            )
             return
         if not there.powered:
             self._await_acknowledgement(side)
         elif not self.open[1 - side]:
             # Nobody holds this connection there: it is reset.
-            net.clock.later(net.delay(there, here), lambda: self.close(side, Lost.BROKEN, False))
+            net.clock.call_later(
+                net.delay(there, here), lambda: self.close(side, RequestFailure.CONNECTION_LOST, False)
+            )
         else:
             if net.is_cut(there, here):
                 self._await_acknowledgement(side)
             act()
 
     def _await_acknowledgement(self, side: int) -> None:
-        self.net.clock.later(GIVE_UP_S, partial(self._give_up, side))
+        self.net.clock.call_later(GIVE_UP_S, partial(self._give_up, side))
 
     def _give_up(self, side: int) -> None:
         here, there = self._host(side), self._host(1 - side)
         if self._held[side] or self.net.is_cut(there, here) or not there.powered:
-            self.close(side, Lost.BROKEN, True)
+            self.close(side, RequestFailure.CONNECTION_LOST, True)
 
     def flush(self) -> None:
         """What was held up by a cut that is over arrives."""
@@ -333,7 +339,7 @@
             for act in held:
                 self._land(side, act)
 
-    def close(self, side: int, why: Lost, tell: bool) -> None:
+    def close(self, side: int, why: RequestFailure, tell: bool) -> None:
         """One end is closed, and the other one hears of it if it is told."""
         if not self.open[side]:
             return
@@ -355,7 +361,7 @@
             assert other is not None, "a connection has an opener"
             me.do(lambda: me.machine.broken(other.host.address))
         if tell and other is not None:
-            self._transmit(side, 0, partial(self.close, 1 - side, Lost.BROKEN, False))
+            self._transmit(side, 0, partial(self.close, 1 - side, RequestFailure.CONNECTION_LOST, False))
 
     def silence(self, side: int) -> None:
         """One end is without power: nothing more comes from it."""
@@ -363,27 +369,29 @@
         self._held[side] = []
 
 
-class LifeWorld:
+class SimulatedRuntime:
     """The world as one life of a process sees it."""
 
-    def __init__(self, net: Network, life: Life, chance: random.Random, wall: float) -> None:
+    def __init__(self, net: Network, life: Incarnation, chance: random.Random, wall: float) -> None:
         self.net, self.life, self.chance, self._wall = net, life, chance, wall
 
     def now(self) -> float:
         return self.net.clock.now
 
-    def wall(self) -> float:
+    def wall_clock(self) -> float:
         return self._wall + self.net.clock.now
 
-    def later(self, seconds: float, act: Callable[[], None]) -> Timer:
+    def call_later(self, seconds: float, act: Callable[[], None]) -> Timer:
         timer = Timer(act)
-        self.net.clock.later(seconds, partial(self.life.do, timer.fire))
+        self.net.clock.call_later(seconds, partial(self.life.do, timer.fire))
         return timer
 
-    def tell(self, to: str, word: str, body: Json, blob: bytes = b"") -> None:
+    def send(self, to: str, word: str, body: Json, blob: bytes = b"") -> None:
         if not self.life.over:  # it may end in the midst of something
             self.net.link(self.life, to).send(word, body, blob)
 
-    def ask(self, to: str, word: str, body: Json, within: float, then: Then, blob: bytes = b"") -> None:
+    def request(
+        self, to: str, word: str, body: Json, within: float, then: ReplyCallback, blob: bytes = b""
+    ) -> None:
         if not self.life.over:
-            self.net.link(self.life, to).ask(word, body, blob, within, then)
+            self.net.link(self.life, to).request(word, body, blob, within, then)
--- a/amberlug/cluster/simulation/operator.py
+++ b/amberlug/cluster/simulation/operator.py
@@ -187,7 +187,7 @@
             if call.status == 200:
                 self._adopt(call)
             elif tries > 1:
-                self.clock.later(PAUSE_S[1], lambda: self._learn(tries - 1))
+                self.clock.call_later(PAUSE_S[1], lambda: self._learn(tries - 1))
 
         self._ask(Call("read", "", self._any(), self.clock.now), "GET", "/-/Configuration.Read", then)
 
@@ -292,17 +292,17 @@
                     version.taken_at = min(version.taken_at, self.clock.now)
                     if self.lost and self.chance.random() < self.lost:
                         self.history.say("that answer is lost")
-                        self.clock.later(WITHIN_S, again)
+                        self.clock.call_later(WITHIN_S, again)
                         return
                 version.status = status
                 version.answered_at = version.until = self.clock.now
                 if status == 200 and version.edition > self.edition:
                     self.edition, self.config = version.edition, version.config
                 if status == 200 and self.repeats and self.chance.random() < self.repeats:
-                    self.clock.later(self.chance.uniform(*REPEAT_S), once_more)
+                    self.clock.call_later(self.chance.uniform(*REPEAT_S), once_more)
                 then(status == 200)
                 return
-            self.clock.later(HARD_PAUSE_S if hard else pause, again)
+            self.clock.call_later(HARD_PAUSE_S if hard else pause, again)
             pause = min(PAUSE_S[1], 2 * pause)
 
         def once_more() -> None:
@@ -324,7 +324,7 @@
             if status == 200:
                 self.history.read_back = said
             elif tries > 1:
-                self.clock.later(0.5, lambda: self.read_back(tries - 1))
+                self.clock.call_later(0.5, lambda: self.read_back(tries - 1))
 
         core = self.chance.choice(self.deployment.cores)
         self.deployment.control(core, "GET", "/-/Configuration.Read", b"", WITHIN_S, hear)
--- a/amberlug/cluster/simulation/scenarios.py
+++ b/amberlug/cluster/simulation/scenarios.py
@@ -17,7 +17,7 @@
 from amberlug.cluster.simulation.invariants import Checker
 from amberlug.cluster.simulation.loss_schedule import Losses, draw_site
 from amberlug.cluster.simulation.operator import Operator, route, service
-from amberlug.cluster.simulation.storage_faults import Footing
+from amberlug.cluster.simulation.storage_faults import StorageFaults
 
 TRAFFIC_S = 3.5  # machines start so long before traffic does
 AFTER_S = 10.0  # for what was accepted to be done
@@ -98,7 +98,7 @@
         }
         self.operator = Operator(self.deployment, first)
         self.compact = log.COMPACT  # entries in the core's log until a snapshot takes their place
-        self.footing = Losses(self) if aim.startswith("losses") else Footing(self)
+        self.storage_faults = Losses(self) if aim.startswith("losses") else StorageFaults(self)
         self.control = Control(self)
         if delayed > 0.1:
             for machine in self.deployment.stores:
@@ -131,12 +131,12 @@
 
     def _play(self) -> list[Broken]:
         for machine in self.deployment.machines:
-            self.clock.later(self.chance.uniform(0.0, 0.15), machine.start)
+            self.clock.call_later(self.chance.uniform(0.0, 0.15), machine.start)
         for name, count in (("alpha", 4), ("beta", 3), ("gamma", 2)):
             for number in range(count):
                 zone = self.home or self.deployment.zones[number % self.size.zones]
-                self.clock.later(1.2, partial(self._start, name, zone))
-        self.clock.later(0.6, self.operator.begin)
+                self.clock.call_later(1.2, partial(self._start, name, zone))
+        self.clock.call_later(0.6, self.operator.begin)
         self.clients.begin()
         self.clock.run(TRAFFIC_S)
         self.clients.open()
@@ -199,12 +199,12 @@
         if self.aim.startswith("losses"):
             system = [lambda: 0.0]
             others = [self._change, self._change, self._race, self.replace_endpoint, self._crash]
-            self.footing.begin(start, end - 2.0)
+            self.storage_faults.begin(start, end - 2.0)
         if self.aim == "answers":
             others = [self._answers_garbled, self._answers_garbled, self._answers_lost, self._crash]
         if self.aim == "footing":
             others = [*others, self._edge_kill, self._edge_roll, self._edge_freeze]
-            self.footing.begin(start, end - 2.0)
+            self.storage_faults.begin(start, end - 2.0)
         if self.aim == "control":
             others = [lambda: 0.0]
             self.control.begin(start, end)
@@ -212,26 +212,26 @@
             which = min(free, key=lambda name: free[name])
             act = chance.choice(system if which == "system" else others)
             at = free[which]
-            self.clock.later(at - self.clock.now, partial(self._do, act))
+            self.clock.call_later(at - self.clock.now, partial(self._do, act))
             free[which] = at + (
                 chance.uniform(BACK_S + 3.5, BACK_S + 6.0) if which == "system" else chance.uniform(0.4, 3.0)
             )
         often = {"": 0.25, "control": 0.4}.get(self.aim, 0.0)
         if self.aim in ("closing", "core") or (often and chance.random() < often):
-            self.clock.later(end + 1.0 - self.clock.now, partial(self._do, self._close))
+            self.clock.call_later(end + 1.0 - self.clock.now, partial(self._do, self._close))
 
     @staticmethod
     def _do(act: Callable[[], float]) -> None:
         act()
 
     def _start(self, service: str, zone: str, address: str = "") -> None:
-        self.deployment.town.start(service, zone, address)
+        self.deployment.endpoint_fleet.start(service, zone, address)
 
     def _any(self, machines: list[Machine]) -> Machine:
         return self.chance.choice(machines)
 
     def _restart(self, machine: Machine, seconds: float = RESTART_S) -> float:
-        self.clock.later(seconds, machine.start)
+        self.clock.call_later(seconds, machine.start)
         return seconds
 
     def kill_one(self, machine: Machine) -> float:
@@ -256,7 +256,7 @@
         seconds = self.chance.choice((0.5, 1.0, 2.0, 3.0))
         self.history.trouble(f"{machine.name} is frozen for {seconds:.1f} s", seconds, marked=True)
         machine.freeze()
-        self.clock.later(seconds, machine.thaw)
+        self.clock.call_later(seconds, machine.thaw)
         return seconds
 
     def _freeze(self) -> float:
@@ -272,10 +272,10 @@
 
         def look() -> None:
             if machine.up:
-                self.clock.later(0.1, look)
+                self.clock.call_later(0.1, look)
             else:
                 self.history.say(f"{machine.name} has ended")
-                self.clock.later(RESTART_S, machine.start)
+                self.clock.call_later(RESTART_S, machine.start)
 
         look()
         return 7.0
@@ -301,9 +301,9 @@
             f"{machine.name} is cut from {len(others)} machines ({way}) for {seconds:.1f} s", seconds
         )
         self.deployment.net.cut(pairs)
-        self.clock.later(seconds, partial(self.deployment.net.join, pairs))
+        self.clock.call_later(seconds, partial(self.deployment.net.join, pairs))
         if reset:
-            self.clock.later(seconds, partial(self.deployment.net.reset, machine))
+            self.clock.call_later(seconds, partial(self.deployment.net.reset, machine))
         return seconds
 
     def _core_cut(self) -> float:
@@ -340,7 +340,7 @@
         def whole() -> None:
             machine.loss = 0.0
 
-        self.clock.later(3.0, whole)
+        self.clock.call_later(3.0, whole)
         return 3.0
 
     def _stall(self) -> float:
@@ -359,13 +359,13 @@
             def room() -> None:
                 disk.full = False
 
-            self.clock.later(seconds, room)
+            self.clock.call_later(seconds, room)
         return seconds
 
     def leader(self) -> Machine | None:
         """The core machine that takes itself for the leader."""
         return next(
-            (it for it in self.deployment.cores if it.up and it.part.vise.leader == it.part.vise.me), None
+            (it for it in self.deployment.cores if it.up and it.part.raft.leader == it.part.raft.me), None
         )
 
     def _leader_acks(self) -> float:
@@ -380,26 +380,26 @@
 
         self.operator.on_acked = strike
         self.operator.change()
-        self.clock.later(2.0, self._no_strike)
+        self.clock.call_later(2.0, self._no_strike)
         return 2.0
 
     def _no_strike(self) -> None:
         self.operator.on_acked = lambda core: None
-        self.deployment.town.on_drained = lambda core: None
+        self.deployment.endpoint_fleet.on_drained = lambda core: None
 
     def _leader_drains(self) -> float:
         """Kill the relay that acknowledges a drain, or the leader, at that moment."""
         which = self.aim == "drain" or self.chance.random() < 0.5
 
         def strike(core: Machine) -> None:
-            self.deployment.town.on_drained = lambda it: None
+            self.deployment.endpoint_fleet.on_drained = lambda it: None
             machine = core if which else self.leader()
             if machine is not None:
                 self.kill_one(machine)
 
-        self.deployment.town.on_drained = strike
+        self.deployment.endpoint_fleet.on_drained = strike
         self.replace_endpoint()
-        self.clock.later(2.0, self._no_strike)
+        self.clock.call_later(2.0, self._no_strike)
         return 2.0
 
     def _close(self) -> float:
@@ -430,51 +430,51 @@
 
         self.operator.on_acked = strike
         self.operator.change()
-        self.clock.later(1.5, strike)
+        self.clock.call_later(1.5, strike)
         return seconds
 
     # -- endpoints and configuration
 
     def _crash(self) -> float:
-        ready = self.deployment.town.up()
+        ready = self.deployment.endpoint_fleet.up()
         victim = self.chance.choice(ready)
         silent = self.chance.random() < 0.3
-        if len(self.deployment.town.up(victim.kind.name)) > 1:
+        if len(self.deployment.endpoint_fleet.up(victim.kind.name)) > 1:
             self.history.say(f"{victim.name} crashes{' with its machine' if silent else ''}")
             victim.crash(silent)
             reuse = "" if self.chance.random() < 0.5 else victim.address
-            names = list(self.deployment.town.kinds)
+            names = list(self.deployment.endpoint_fleet.kinds)
             other = victim.kind.name if not reuse else self.chance.choice(names)
             if reuse:
-                self.clock.later(2.2, partial(self._start, other, victim.zone, reuse))
+                self.clock.call_later(2.2, partial(self._start, other, victim.zone, reuse))
             if other != victim.kind.name or not reuse:
-                self.clock.later(1.0, partial(self._start, victim.kind.name, victim.zone))
+                self.clock.call_later(1.0, partial(self._start, victim.kind.name, victim.zone))
         return 0.0
 
     def replace_endpoint(self) -> float:
         """An endpoint leaves as planned, and another one takes its place."""
-        town = self.deployment.town
-        victim = self.chance.choice(town.up())
-        town.start(victim.kind.name, victim.zone)
+        endpoint_fleet = self.deployment.endpoint_fleet
+        victim = self.chance.choice(endpoint_fleet.up())
+        endpoint_fleet.start(victim.kind.name, victim.zone)
         linger = self.chance.uniform(2.0 if self.aim == "drain" else 0.3, 4.0)
         self.history.say(f"{victim.name} of {victim.kind.name} is to leave")
         victim.leave(linger, lambda: self.history.say(f"{victim.name} has ended"))
         return 0.0
 
     def _answers_lost(self) -> float:
-        kind = self.chance.choice(list(self.deployment.town.kinds.values()))
+        kind = self.chance.choice(list(self.deployment.endpoint_fleet.kinds.values()))
         self.history.say(f"{kind.name} loses answers for 1 s")
         kind.lost = 0.2
 
         def whole() -> None:
             kind.lost = 0.0
 
-        self.clock.later(1.0, whole)
+        self.clock.call_later(1.0, whole)
         return 0.0
 
     def _answers_garbled(self) -> float:
         """Answers of a service are cut, late, nameless or doubled for a while."""
-        kind = self.chance.choice(list(self.deployment.town.kinds.values()))
+        kind = self.chance.choice(list(self.deployment.endpoint_fleet.kinds.values()))
         seconds = self.chance.uniform(0.5, 3.0)
         self.history.say(f"{kind.name} garbles answers for {seconds:.1f} s")
         kind.garbled = 0.5
@@ -482,7 +482,7 @@
         def whole() -> None:
             kind.garbled = 0.0
 
-        self.clock.later(seconds, whole)
+        self.clock.call_later(seconds, whole)
         return 0.0
 
     def _change(self) -> float:
@@ -495,7 +495,7 @@
 
         def again(core: Machine) -> None:
             self.operator.on_acked = lambda it: None
-            self.clock.later(0.01, partial(self._do, self._change))
+            self.clock.call_later(0.01, partial(self._do, self._change))
 
         self.operator.on_acked = again
         return self._change()
--- a/amberlug/cluster/simulation/storage_faults.py
+++ b/amberlug/cluster/simulation/storage_faults.py
@@ -7,7 +7,7 @@
 from typing import TYPE_CHECKING, Any
 
 from amberlug.cluster.simulation.deployment import BOUNDS, Machine
-from amberlug.cluster.simulation.disk import Chest, Platter
+from amberlug.cluster.simulation.disk import MessageDisk, SimulatedDisk
 from amberlug.cluster.simulation.history import Broken, Call
 
 if TYPE_CHECKING:
@@ -21,7 +21,7 @@
 SLOWER = 25
 
 
-class Footing:
+class StorageFaults:
     """What is done to stores and core machines, one at a time; each act says for how long the loss lasts."""
 
     def __init__(self, day: Day) -> None:
@@ -45,13 +45,13 @@
 
     def begin(self, start: float, end: float) -> None:
         """One after another, each once the one before it no longer counts as a loss."""
-        self.clock.later(start - self.clock.now, lambda: self._next(end))
+        self.clock.call_later(start - self.clock.now, lambda: self._next(end))
 
     def _next(self, end: float) -> None:
         if self.clock.now < end:
             seconds = self.chance.choice(self.acts)()
             pause = seconds + (BACK_S if seconds else 0.0) + self.chance.uniform(0.1, 3.0)
-            self.clock.later(pause, lambda: self._next(end))
+            self.clock.call_later(pause, lambda: self._next(end))
 
     def _any(self, machines: list[Machine]) -> Machine:
         return self.chance.choice(machines)
@@ -68,7 +68,7 @@
         """A machine loses its disk, and comes back with an empty one."""
         self._down(machine, "loses its disk", seconds)
         machine.wipe()
-        self.clock.later(seconds, machine.start)
+        self.clock.call_later(seconds, machine.start)
 
     def wipe_after_put(self) -> float:
         """A store loses its disk right after it acknowledged a message."""
@@ -89,8 +89,8 @@
                 disk.on_kept = lambda: None
                 act()
 
-        disk.on_kept = lambda: self.clock.later(self.chance.choice((0.0, 0.0, 0.002)), strike)
-        self.clock.later(1.0, strike)
+        disk.on_kept = lambda: self.clock.call_later(self.chance.choice((0.0, 0.0, 0.002)), strike)
+        self.clock.call_later(1.0, strike)
 
     def wipe_core(self) -> float:
         """A core machine loses its disk right after it acknowledged a configuration."""
@@ -106,7 +106,7 @@
 
         self.day.operator.on_acked = strike
         self.day.operator.change()
-        self.clock.later(1.0, lambda: strike(self._any(self.deployment.cores)))
+        self.clock.call_later(1.0, lambda: strike(self._any(self.deployment.cores)))
         return 1.0 + seconds
 
     # -- machines that go and come
@@ -123,9 +123,9 @@
             machine = self.deployment.add(kind, zone, name)
             self.history.say(f"{machine.name} comes at {machine.address}")
             machine.start()
-            self.clock.later(self.chance.uniform(*SETTINGS_S), self.deployment.tell_settings)
+            self.clock.call_later(self.chance.uniform(*SETTINGS_S), self.deployment.tell_settings)
 
-        self.clock.later(seconds, come)
+        self.clock.call_later(seconds, come)
 
     def replace_store(self) -> float:
         """A store is replaced by an empty one at another address."""
@@ -183,7 +183,7 @@
             if status == 200 and said["condition"] == "completed":
                 self._emptied(store)
             elif self.clock.now < until:
-                self.clock.later(ASK_S, lambda: self._look(store, until))
+                self.clock.call_later(ASK_S, lambda: self._look(store, until))
             else:
                 self.history.faults.append(Broken("RETIRE", f"{store.name} is not emptied: {status}"))
 
@@ -201,7 +201,7 @@
         for sent in self.history.sent.values():
             if sent.status != 202 or sent.target.startswith("/x") or sent.attempt in done:
                 continue
-            kept = {it: it.disk.holds(sent.name) for it in others if isinstance(it.disk, Chest)}
+            kept = {it: it.disk.holds(sent.name) for it in others if isinstance(it.disk, MessageDisk)}
             holders = dict.fromkeys([it for it in others if kept[it][0]] + list(excused))
             places = [(it.zone, regions[it.zone]) for it in holders]
             if not any(end for _, end in kept.values()) and not tolerance.holds(places):
@@ -223,7 +223,7 @@
         store = self._any(self.deployment.stores)
         self.history.trouble(f"{store.name} is frozen for 3 s", 3.0)
         store.freeze()
-        self.clock.later(3.0, store.thaw)
+        self.clock.call_later(3.0, store.thaw)
         return 3.0
 
     def cut_off(self) -> float:
@@ -245,11 +245,11 @@
         disk.full = what == "full"
         disk.sync_s = usual if disk.full else SLOWER * usual
 
-        self.clock.later(seconds, partial(self._well, disk, usual))
+        self.clock.call_later(seconds, partial(self._well, disk, usual))
         return seconds
 
     @staticmethod
-    def _well(disk: Platter, sync_s: float) -> None:
+    def _well(disk: SimulatedDisk, sync_s: float) -> None:
         disk.full, disk.sync_s = False, sync_s
 
     def split_core(self) -> float:
@@ -266,7 +266,7 @@
             aside = {(a.name, b.name) for a in beside for b in few}
             pairs |= aside | {(b, a) for a, b in aside}
         self.deployment.net.cut(pairs)
-        self.clock.later(seconds, partial(self.deployment.net.join, pairs))
+        self.clock.call_later(seconds, partial(self.deployment.net.join, pairs))
         for _ in range(3):
-            self.clock.later(self.chance.uniform(0.1, seconds), self.day.operator.race)
+            self.clock.call_later(self.chance.uniform(0.1, seconds), self.day.operator.race)
         return seconds
--- a/amberlug/cluster/storage/group_commit.py
+++ b/amberlug/cluster/storage/group_commit.py
@@ -27,7 +27,7 @@
     return base
 
 
-class Cabinet:
+class GroupCommitWriter:
     """Takes writes and looks in order; `post` brings each one's end back to the thread that wrote."""
 
     def __init__(
--- a/amberlug/cluster/storage/message_store.py
+++ b/amberlug/cluster/storage/message_store.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 from amberlug.cluster.interfaces import Json
-from amberlug.cluster.storage.group_commit import Cabinet, Row, open_file
+from amberlug.cluster.storage.group_commit import GroupCommitWriter, Row, open_file
 
 FORMAT = 1
 SCHEMA = """
@@ -26,7 +26,7 @@
 
 
 @dataclass(slots=True)
-class Kept:
+class StoredMessage:
     """What a store knows of a message without its body; `end` is empty while it is open."""
 
     shard: int
@@ -45,12 +45,12 @@
 
 
 @dataclass(slots=True)
-class Contents:
+class StoredContents:
     """What is on a store's disk at its start."""
 
     disk: str
     fences: dict[int, int] = field(default_factory=dict)
-    kept: dict[str, Kept] = field(default_factory=dict)
+    kept: dict[str, StoredMessage] = field(default_factory=dict)
     enrolled: int = 0
     spoilt: list[str] = field(default_factory=list)  # rows whose check sum is wrong: as if they weren't here
 
@@ -92,8 +92,8 @@
             base.execute("delete from message where id = ?", values)
 
 
-def _load(base: sqlite3.Connection, about: dict[str, Any]) -> Contents:
-    contents = Contents(about["disk"], dict(base.execute("select shard, epoch from fence")))
+def _load(base: sqlite3.Connection, about: dict[str, Any]) -> StoredContents:
+    contents = StoredContents(about["disk"], dict(base.execute("select shard, epoch from fence")))
     contents.enrolled = int(about.get("enrolled", 0))
     columns = "id, shard, epoch, seq, meta, body, sum, end, seal, keep_until"
     for name, shard, epoch, seq, meta, body, total, end, seal, at in base.execute(
@@ -103,15 +103,15 @@
             contents.spoilt.append(name)
             continue
         size = len(body) if body is not None else 0
-        contents.kept[name] = Kept(shard, epoch, seq, json.loads(meta), size, end, seal, at)
+        contents.kept[name] = StoredMessage(shard, epoch, seq, json.loads(meta), size, end, seal, at)
     return contents
 
 
-class Drawer:
+class MessageStore:
     """Writes and reads of one store's disk, in a thread of its own."""
 
     def __init__(self, base: sqlite3.Connection, post: Callable[[Callable[[], None]], None]) -> None:
-        self._cabinet = Cabinet(base, _work, post)
+        self._cabinet = GroupCommitWriter(base, _work, post)
         self.write = self._cabinet.write
 
     def read(self, names: list[str], then: Callable[[dict[str, bytes]], None]) -> None:
@@ -133,9 +133,9 @@
         self._cabinet.close()
 
 
-def open_drawer(
+def open_message_store(
     folder: Path, new_disk: Callable[[], str], post: Callable[[Callable[[], None]], None]
-) -> tuple[Contents, Drawer]:
+) -> tuple[StoredContents, MessageStore]:
     """Open a store's folder. One that can't be read is begun anew: it is another disk then."""
     folder.mkdir(parents=True, exist_ok=True)
     path = folder / "chest.db"
@@ -145,7 +145,7 @@
         base = open_file(path, SCHEMA)
         about = dict(base.execute("select name, value from about"))
         if about.get("format") == str(FORMAT):
-            return _load(base, about), Drawer(base, post)
+            return _load(base, about), MessageStore(base, post)
     except (sqlite3.Error, ValueError):
         about = {"spoilt": True}
     if about:
@@ -157,4 +157,4 @@
     base.execute("begin immediate")
     base.executemany("insert into about values (?, ?)", [("format", str(FORMAT)), ("disk", disk)])
     base.execute("commit")
-    return Contents(disk), Drawer(base, post)
+    return StoredContents(disk), MessageStore(base, post)
--- a/amberlug/cluster/storage/node.py
+++ b/amberlug/cluster/storage/node.py
@@ -7,41 +7,47 @@
 
 from absl import logging
 
-from amberlug.cluster.gossip.store import News
-from amberlug.cluster.interfaces import Disk, Json, Respond, World, on, words_of
-from amberlug.cluster.node_status import StoreView
-from amberlug.cluster.session_client import Member, internal
+from amberlug.cluster.gossip.store import GossipStore
+from amberlug.cluster.interfaces import Disk, Json, Respond, Runtime, on
+from amberlug.cluster.node_status import StorageStatus
+from amberlug.cluster.rpc.messages import handlers_of
+from amberlug.cluster.session_client import SessionClient, internal
 from amberlug.cluster.settings import Settings
 from amberlug.cluster.storage.group_commit import Row
-from amberlug.cluster.storage.message_store import Contents, Kept
+from amberlug.cluster.storage.message_store import StoredContents, StoredMessage
 
 SWEEP_S = 2.0  # between looks for ended messages that nobody asks for any more
 WITH_BODIES = 1 << 20  # bytes of bodies that go along with what a new owner reads
 
 
-class Drawer(Disk, Protocol):
+class MessageStore(Disk, Protocol):
     """A disk whose messages' bodies can be read."""
 
     def read(self, names: list[str], then: Callable[[dict[str, bytes]], None]) -> None: ...
 
 
-class Store:
+class StorageNode:
     """One store machine."""
 
     def __init__(
-        self, world: World, settings: Settings, address: str, drawer: Drawer, contents: Contents
+        self,
+        world: Runtime,
+        settings: Settings,
+        address: str,
+        message_store: MessageStore,
+        contents: StoredContents,
     ) -> None:
-        self.world, self.settings, self.drawer = world, settings, drawer
+        self.world, self.settings, self.message_store = world, settings, message_store
         self.disk, self.fences, self.kept = contents.disk, contents.fences, contents.kept
         self.enrolled = (
             contents.enrolled
         )  # index of the newest roster that this disk was seen in, once it knows
         # the owners of the time at which it came
-        self.news = News(
+        self.gossip = GossipStore(
             world, lambda: [self.member.relay] if self.member.relay else [], self._heard, pass_on=0
         )
-        self.member = Member(world, settings, address, "storage", self.news, self._extra)
-        self.words = {**words_of(self), **words_of(self.news), **words_of(StoreView(self))}
+        self.member = SessionClient(world, settings, address, "storage", self.gossip, self._extra)
+        self.handlers = {**handlers_of(self), **handlers_of(self.gossip), **handlers_of(StorageStatus(self))}
         self.counts: dict[str, int] = {}
         self.full = False
         if contents.spoilt:
@@ -51,8 +57,8 @@
 
     def begin(self) -> None:
         self.member.begin()
-        self.news.begin()
-        self.world.later(SWEEP_S, self._sweep)
+        self.gossip.begin()
+        self.world.call_later(SWEEP_S, self._sweep)
 
     def leave(self) -> None:
         """A planned end: nothing is owed here that a later start would not still have."""
@@ -76,8 +82,8 @@
     def _heard(self, key: str, value: Json) -> None:
         if key == "cores":
             self.member.cores_are(value)
-        elif key in ("roster", "shards") and "roster" in self.news.items:
-            (index, *_), roster = self.news.items["roster"]
+        elif key in ("roster", "shards") and "roster" in self.gossip.items:
+            (index, *_), roster = self.gossip.items["roster"]
             self._roster_is(index, roster)
 
     def _roster_is(self, index: int, roster: Json) -> None:
@@ -87,13 +93,13 @@
             fences = [] if self.enrolled else self._joins(roster[self.disk].get("table", 0))
             if fences is not None:
                 self.enrolled = index
-                self.drawer.write([*fences, ("enrolled", (index,))], lambda error: None)
+                self.message_store.write([*fences, ("enrolled", (index,))], lambda error: None)
         elif self.enrolled:
             # Others have taken its place: what it holds may have ended long since, and is not asked for.
             logging.warning("this disk is on the roster no longer: it is emptied and taken for another one")
             self.disk, self.enrolled = f"{self.world.chance.getrandbits(64):x}", 0
             self.kept.clear()
-            self.drawer.write([("anew", (self.disk,))], lambda error: None)
+            self.message_store.write([("anew", (self.disk,))], lambda error: None)
 
     def _joins(self, table: int) -> list[Row] | None:
         """Refuse who owned shards before this disk was on the roster; None while that is not known here.
@@ -102,7 +108,7 @@
         disk came later. Else an owner of before, which wakes and hears of new stores before it hears of the
         new table, finds enough of them that know of no fence: nobody learns of what it accepts.
         """
-        at, value = self.news.items.get("shards", ([0], {"shards": []}))
+        at, value = self.gossip.items.get("shards", ([0], {"shards": []}))
         if at[0] < table:
             return None
         rows: list[Row] = []
@@ -137,7 +143,9 @@
         # A message that a later owner copies once more keeps the place that it was accepted at.
         number, seq = body["order"]
         disk = self.disk
-        kept = Kept(shard, number, seq, body["meta"], len(blob), lasts=known is not None and known.lasts)
+        kept = StoredMessage(
+            shard, number, seq, body["meta"], len(blob), lasts=known is not None and known.lasts
+        )
         self.kept[name] = kept  # at once, so that an owner who comes now finds it
 
         def done(error: str | None) -> None:
@@ -159,7 +167,7 @@
                 del self.kept[name]
             respond({"full": True}, b"")
 
-        self.drawer.write([("put", (name, shard, kept.epoch, kept.seq, kept.meta, blob))], done)
+        self.message_store.write([("put", (name, shard, kept.epoch, kept.seq, kept.meta, blob))], done)
 
     @on("marks")
     def on_marks(self, body: Json, blob: bytes, origin: str, respond: Respond) -> None:
@@ -168,14 +176,14 @@
         for name, shard, end, seal, at in body["marks"]:
             known = self.kept.get(name)
             if known is None:
-                self.kept[name] = Kept(shard, 0, 0, {}, 0, end, seal, at)
+                self.kept[name] = StoredMessage(shard, 0, 0, {}, 0, end, seal, at)
             elif known.end:
                 continue
             else:
                 known.end, known.seal, known.keep_until = end, seal, at
             rows.append(("end", (name, shard, end, seal, at)))
         self._count("marks", len(rows))
-        self.drawer.write(rows, lambda error: respond({"ok": error is None}, b""))
+        self.message_store.write(rows, lambda error: respond({"ok": error is None}, b""))
 
     @on("fence")
     def on_fence(self, body: Json, blob: bytes, origin: str, respond: Respond) -> None:
@@ -212,12 +220,12 @@
             if error is not None:
                 respond({"ok": False}, b"")
             elif along:
-                self.drawer.read(along, answer)
+                self.message_store.read(along, answer)
             else:
                 answer({})
 
         self._count("fences", len(numbers))
-        self.drawer.write(rows, done)
+        self.message_store.write(rows, done)
 
     @on("find")
     def on_find(self, body: Json, blob: bytes, origin: str, respond: Respond) -> None:
@@ -238,13 +246,15 @@
         if known is None or known.end not in ("", "dead"):
             respond({"found": False, **end}, b"")
             return
-        self.drawer.read([name], lambda found: respond({"found": name in found, **end}, found.get(name, b"")))
+        self.message_store.read(
+            [name], lambda found: respond({"found": name in found, **end}, found.get(name, b""))
+        )
 
     def _sweep(self) -> None:
-        self.world.later(SWEEP_S, self._sweep)
-        now = self.world.wall()
+        self.world.call_later(SWEEP_S, self._sweep)
+        now = self.world.wall_clock()
         over = [name for name, it in self.kept.items() if it.end and it.keep_until < now]
         for name in over:
             del self.kept[name]
         if over:
-            self.drawer.write([("drop", (name,)) for name in over], lambda error: None)
+            self.message_store.write([("drop", (name,)) for name in over], lambda error: None)
--- a/benchmarks/core_away.py
+++ b/benchmarks/core_away.py
@@ -20,7 +20,7 @@
 
 from result import Ok, Result
 
-from amberlug.cluster.interfaces import Json, Lost
+from amberlug.cluster.interfaces import Json, RequestFailure
 from amberlug.cluster.local_deployment.deployment import CONTROL, Deployment, Machine, config, free_net
 from amberlug.cluster.local_deployment.queries import ask
 from amberlug.http.link import Reply
@@ -42,7 +42,7 @@
     return json.dumps({**data, "edition": edition, "routeTable": routes}).encode()
 
 
-async def replace(at: str, edition: int, data: bytes, hops: int = 2) -> Result[Reply, Lost]:
+async def replace(at: str, edition: int, data: bytes, hops: int = 2) -> Result[Reply, RequestFailure]:
     """Send a configuration, and follow where it is sent on."""
     base = (("Amberlug-Base-Version", str(edition - 1)), ("Content-Type", "application/json"))
     said = await ask(at, "POST", "/-/Configuration.Replace", base, data, within=3.0)
--- a/benchmarks/hollow/deployment.py
+++ b/benchmarks/hollow/deployment.py
@@ -7,14 +7,14 @@
 from functools import partial
 
 from amberlug.cluster.consensus.raft import Role
-from amberlug.cluster.control.node import Core, blank
-from amberlug.cluster.edge.node import Edge
-from amberlug.cluster.http.api import Said
+from amberlug.cluster.control.node import ControlNode, blank
+from amberlug.cluster.edge.node import EdgeNode
+from amberlug.cluster.http.api import HttpResponse
 from amberlug.cluster.interfaces import Json
 from amberlug.cluster.simulation.deployment import Request
 from amberlug.cluster.simulation.operator import route, service
-from amberlug.cluster.storage.message_store import Contents
-from amberlug.cluster.storage.node import Store
+from amberlug.cluster.storage.message_store import StoredContents
+from amberlug.cluster.storage.node import StorageNode
 from benchmarks.hollow.net import HollowDisk, HollowNet, HollowWorld, Host, Meter, Prompt, settings
 
 ZONES = 4
@@ -47,18 +47,18 @@
     def start(self, host: Host) -> None:
         """Start its process, a new life of it."""
         world, told = HollowWorld(self.net, host), settings(host, self.seeds)
-        machine: Core | Store | Edge
+        machine: ControlNode | StorageNode | EdgeNode
         host.over = False
         if host.role == "core":
             saved = blank(told, world.chance.getrandbits)
-            machine = Core(world, told, host.address, HollowDisk(self.net, host), saved)
+            machine = ControlNode(world, told, host.address, HollowDisk(self.net, host), saved)
         elif host.role == "store":
-            contents = Contents(f"disk-{host.name}")
-            machine = Store(world, told, host.address, HollowDisk(self.net, host), contents)
+            contents = StoredContents(f"disk-{host.name}")
+            machine = StorageNode(world, told, host.address, HollowDisk(self.net, host), contents)
         else:
-            machine = Edge(world, told, host.address, Prompt(self.net, host))
+            machine = EdgeNode(world, told, host.address, Prompt(self.net, host))
         host.machine = machine
-        self.net.clock.later(world.chance.uniform(0.0, 0.3), partial(host.do, "begin", machine.begin))
+        self.net.clock.call_later(world.chance.uniform(0.0, 0.3), partial(host.do, "begin", machine.begin))
 
     def run(self, seconds: float) -> None:
         self.net.clock.run(self.net.clock.now + seconds)
@@ -74,7 +74,7 @@
         found: dict[str, list[Meter]] = {}
         for host in self.net.hosts.values():
             found.setdefault(host.role, []).append(host.meter)
-        found["leader"] = [it.meter for it in self.cores if it.machine.vise.role is Role.LEADER]
+        found["leader"] = [it.meter for it in self.cores if it.machine.raft.role is Role.LEADER]
         return found
 
     def order(self, host: Host, method: str, target: str, data: Json, base: int | None = None) -> list[int]:
@@ -83,7 +83,7 @@
         headers = () if base is None else (("amberlug-base-version", str(base)),)
         request = Request(method, target, headers, json.dumps(data).encode())
 
-        def say(said: Said) -> None:
+        def say(said: HttpResponse) -> None:
             answers.append(said.status)
 
         host.do(target.split("/")[2], lambda: host.machine.counter.take(request, say))
--- a/benchmarks/hollow/figures.py
+++ b/benchmarks/hollow/figures.py
@@ -65,8 +65,8 @@
         return math.nan
     mean_x = sum(x for x, _ in logs) / len(logs)
     mean_y = sum(y for _, y in logs) / len(logs)
-    spread = sum((x - mean_x) ** 2 for x, _ in logs)
-    return sum((x - mean_x) * (y - mean_y) for x, y in logs) / spread if spread else math.nan
+    replicator = sum((x - mean_x) ** 2 for x, _ in logs)
+    return sum((x - mean_x) * (y - mean_y) for x, y in logs) / replicator if replicator else math.nan
 
 
 def one_more(points: list[tuple[float, float]]) -> float:
--- a/benchmarks/hollow/net.py
+++ b/benchmarks/hollow/net.py
@@ -20,8 +20,16 @@
 
 from result import Err, Ok
 
-from amberlug.cluster.interfaces import Called, Delivery, Json, Lost, Reply, Then, Verdict
-from amberlug.cluster.rpc.framing import Reader, pack
+from amberlug.cluster.interfaces import (
+    CallResult,
+    CallVerdict,
+    EndpointCall,
+    Json,
+    Reply,
+    ReplyCallback,
+    RequestFailure,
+)
+from amberlug.cluster.rpc.framing import FrameReader, pack
 from amberlug.cluster.settings import Settings, Tolerance
 from amberlug.cluster.simulation.clock import Clock, Timer
 
@@ -66,7 +74,7 @@
         self.over = False
         self.meter = Meter()
         self.spoke: set[str] = set()  # whom it has a connection with
-        self.reader = Reader()
+        self.reader = FrameReader()
 
     def do(self, cause: str, act: Callable[[], None]) -> None:
         """Have something happen in it, on its own bill."""
@@ -86,7 +94,7 @@
         self.within, self.between = within, between
         self.hosts: dict[str, Host] = {}
         self.numbers = itertools.count(1)
-        self.asked: dict[int, tuple[Host, str, Then]] = {}
+        self.asked: dict[int, tuple[Host, str, ReplyCallback]] = {}
         self.apart = ""  # a zone that nothing gets to or from
 
     def delay(self, a: Host, b: Host) -> float:
@@ -107,9 +115,9 @@
             return
         source.spoke.add(to.address)
         to.spoke.add(source.address)
-        self.clock.later(self.delay(source, to), partial(to.do, word, hear))
+        self.clock.call_later(self.delay(source, to), partial(to.do, word, hear))
 
-    def ended(self, number: int, why: Lost) -> None:
+    def ended(self, number: int, why: RequestFailure) -> None:
         found = self.asked.pop(number, None)
         if found is not None:
             found[0].do("lost", lambda: found[2](Err(why)))
@@ -120,12 +128,12 @@
         for address in sorted(host.spoke):
             other = self.hosts[address]
             other.spoke.discard(host.address)
-            self.clock.later(
+            self.clock.call_later(
                 self.delay(host, other), partial(other.do, "broken", partial(_broken, other, host))
             )
         for number, (_, to, _) in list(self.asked.items()):
             if to == host.address:
-                self.clock.later(0.001, partial(self.ended, number, Lost.BROKEN))
+                self.clock.call_later(0.001, partial(self.ended, number, RequestFailure.CONNECTION_LOST))
 
 
 def _broken(host: Host, gone: Host) -> None:
@@ -143,22 +151,24 @@
     def now(self) -> float:
         return self.net.clock.now
 
-    def wall(self) -> float:
+    def wall_clock(self) -> float:
         return 1.79e9 + self.net.clock.now
 
-    def later(self, seconds: float, act: Callable[[], None]) -> Timer:
+    def call_later(self, seconds: float, act: Callable[[], None]) -> Timer:
         timer = Timer(act)
         cause = getattr(act, "__qualname__", "timer").replace(".<locals>", "")
-        self.net.clock.later(seconds, partial(self.host.do, cause, timer.fire))
+        self.net.clock.call_later(seconds, partial(self.host.do, cause, timer.fire))
         return timer
 
-    def tell(self, to: str, word: str, body: Json, blob: bytes = b"") -> None:
+    def send(self, to: str, word: str, body: Json, blob: bytes = b"") -> None:
         self._send(None, to, word, body, blob)
 
-    def ask(self, to: str, word: str, body: Json, within: float, then: Then, blob: bytes = b"") -> None:
+    def request(
+        self, to: str, word: str, body: Json, within: float, then: ReplyCallback, blob: bytes = b""
+    ) -> None:
         number = next(self.net.numbers)
         self.net.asked[number] = self.host, to, then
-        self.net.clock.later(within, partial(self.net.ended, number, Lost.SILENT))
+        self.net.clock.call_later(within, partial(self.net.ended, number, RequestFailure.TIMED_OUT))
         self._send(number, to, word, body, blob)
 
     def _send(self, number: int | None, to: str, word: str, body: Json, blob: bytes) -> None:
@@ -166,7 +176,7 @@
         there = net.hosts.get(to)
         if there is None or there.over:
             if number is not None:
-                net.clock.later(net.between, partial(net.ended, number, Lost.UNSENT))
+                net.clock.call_later(net.between, partial(net.ended, number, RequestFailure.NOT_SENT))
             return
         head: Json = {"w": word, "b": body} if number is None else {"w": word, "b": body, "n": number}
         data = pack(head, blob).unwrap()
@@ -186,7 +196,7 @@
 
         def hear() -> None:
             ((head, blob),) = there.reader.feed(data)
-            handler = there.machine.words.get(word)
+            handler = there.machine.handlers.get(word)
             if handler is not None:
                 handler(head["b"], blob, here.address, respond)
 
@@ -200,10 +210,10 @@
         self.net, self.host = net, host
 
     def write(self, rows: list[tuple[str, tuple[Any, ...]]], then: Callable[[str | None], None]) -> None:
-        self.net.clock.later(SYNC_S, partial(self.host.do, "written", lambda: then(None)))
+        self.net.clock.call_later(SYNC_S, partial(self.host.do, "written", lambda: then(None)))
 
     def read(self, names: list[str], then: Callable[[dict[str, bytes]], None]) -> None:
-        self.net.clock.later(SYNC_S, partial(self.host.do, "read", lambda: then({})))
+        self.net.clock.call_later(SYNC_S, partial(self.host.do, "read", lambda: then({})))
 
 
 class Prompt:
@@ -212,10 +222,10 @@
     def __init__(self, net: HollowNet, host: Host) -> None:
         self.net, self.host = net, host
 
-    def call(self, delivery: Delivery, then: Callable[[Called], None]) -> None:
+    def call(self, delivery: EndpointCall, then: Callable[[CallResult], None]) -> None:
         headers = (("amberlug-attempt-id", delivery.attempt), ("amberlug-server-seal", "0123456789abcdef"))
-        done = Called(Verdict.ANSWERED, 200, headers)
-        self.net.clock.later(0.005, partial(self.host.do, "answered", partial(then, done)))
+        done = CallResult(CallVerdict.ANSWERED, 200, headers)
+        self.net.clock.call_later(0.005, partial(self.host.do, "answered", partial(then, done)))
 
     def idle(self, address: str) -> int:
         return 0
--- a/benchmarks/hollow/plays.py
+++ b/benchmarks/hollow/plays.py
@@ -37,7 +37,7 @@
 
 
 def _owners(play: Play) -> int:
-    return len({it[0] for it in play.cores[0].machine.book.shards})
+    return len({it[0] for it in play.cores[0].machine.cluster_state.shards})
 
 
 def sixteen(most: int) -> Iterator[Figure]:
@@ -189,7 +189,7 @@
         told = host.meter
         yield Figure("an edge joins", "endpoints", count, "edge", "bytes heard", told.heard)
         yield Figure("an edge joins", "endpoints", count, "edge", "processor s", sum(told.processor.values()))
-        items = play.cores[0].machine.news.everything()
+        items = play.cores[0].machine.gossip.everything()
         size = len(json.dumps({"ok": True, "items": items}, separators=(",", ":")))
         yield Figure("an edge joins", "endpoints", count, "core", "bytes of all news in one frame", size)
 
@@ -248,7 +248,7 @@
             play.run(2.0)
             still = play.measure(SPAN_S)
             base = {(it.role, it.name): it.value for it in summed("", "", 0, still, SPAN_S)}
-            before = [it[0] for it in play.cores[0].machine.book.shards]
+            before = [it[0] for it in play.cores[0].machine.cluster_state.shards]
             for host in play.net.hosts.values():
                 host.meter = Meter()
             for host in play.edges[:killed]:
@@ -264,7 +264,7 @@
                 more = max(0.0, (it.value - base[it.role, it.name]) * SPAN_S)
                 name = it.name.replace("/s", "")
                 yield Figure(f"restart of {killed}", "edges", edges, it.role, name, more)
-            now = play.cores[0].machine.book.shards
+            now = play.cores[0].machine.cluster_state.shards
             moved = sum(1 for was, it in zip(before, now, strict=True) if was != it[0])
             yield Figure(f"restart of {killed}", "edges", edges, "core", "shards moved", moved)
 
@@ -276,23 +276,25 @@
         play.run(SETTLE_S)
         play.configure(1000)
         play.run(2.0)
-        zone = next(it.zone for it in play.cores if it.machine.vise.role is not Role.LEADER)
-        book = next(it for it in play.cores if it.machine.vise.role is Role.LEADER).machine.book
+        zone = next(it.zone for it in play.cores if it.machine.raft.role is not Role.LEADER)
+        cluster_state = next(
+            it for it in play.cores if it.machine.raft.role is Role.LEADER
+        ).machine.cluster_state
         away = {it.machine.member.id for it in play.edges if it.zone == zone}
         rates = {(it.role, it.name): it.value for it in summed("", "", 0, play.measure(SPAN_S), SPAN_S)}
         for host in play.net.hosts.values():
             host.meter = Meter()
         play.net.apart, began = zone, play.net.clock.now
-        owners, moved, given, lost = [it[0] for it in book.shards], 0, 0.0, 0.0
+        owners, moved, given, lost = [it[0] for it in cluster_state.shards], 0, 0.0, 0.0
         while (past := play.net.clock.now - began) < 30.0:
             if past >= 20.0:
                 play.net.apart = ""
             play.run(0.05)
-            now = [it[0] for it in book.shards]
+            now = [it[0] for it in cluster_state.shards]
             moved += sum(1 for was, it in zip(owners, now, strict=True) if was != it)
             owners = now
             given = given or (past if not away & set(now) else 0.0)
-            stores = [it for it in book.roster.values() if it["zone"] == zone]
+            stores = [it for it in cluster_state.roster.values() if it["zone"] == zone]
             lost = lost or (past if any(it["state"] == "lost" for it in stores) else 0.0)
         bench = "a zone apart for 20 s"
         yield Figure(bench, "edges", edges, "core", "virtual s until its shards are given away", given)
@@ -322,10 +324,10 @@
     play = Play(10, cores=cores, seed=seed, between=one_way_s)
     play.run(SETTLE_S)
     play.configure(1000)
-    terms = max(it.machine.vise.term for it in play.cores)
+    terms = max(it.machine.raft.term for it in play.cores)
     play.run(20.0)
-    more = max(it.machine.vise.term for it in play.cores) - terms
-    leader = next(it for it in play.cores if it.machine.vise.role is Role.LEADER)
+    more = max(it.machine.raft.term for it in play.cores) - terms
+    leader = next(it for it in play.cores if it.machine.raft.role is Role.LEADER)
     play.net.kill(leader)
     rest = [it for it in play.cores if it is not leader]
     began, elected = play.net.clock.now, 0.0
@@ -336,6 +338,6 @@
             to = rest[len(tries) % len(rest)]
             tries.append(play.order(to, "POST", "/-/Configuration.Replace", told, play.edition))
         play.run(0.01)
-        if not elected and any(it.machine.vise.role is Role.LEADER for it in rest):
+        if not elected and any(it.machine.raft.role is Role.LEADER for it in rest):
             elected = play.net.clock.now - began
     return more, elected, play.net.clock.now - began
--- a/benchmarks/hollow/steps.py
+++ b/benchmarks/hollow/steps.py
@@ -15,24 +15,24 @@
 
 from result import Ok
 
-from amberlug.cluster.consensus.storage import open_shelf
-from amberlug.cluster.control.cluster_state import SHARDS, Book, digest
+from amberlug.cluster.consensus.storage import open_raft_storage
+from amberlug.cluster.control.cluster_state import SHARDS, ClusterState, digest
 from amberlug.cluster.control.config_validation import check, parse
-from amberlug.cluster.control.endpoint_registry import Cell
-from amberlug.cluster.control.node import Core, blank
+from amberlug.cluster.control.endpoint_registry import EndpointRegistry
+from amberlug.cluster.control.node import ControlNode, blank
 from amberlug.cluster.control.sessions import Sessions
-from amberlug.cluster.control.shard_assignment import share_out
-from amberlug.cluster.dispatch.delivery_queue import Rack
-from amberlug.cluster.dispatch.endpoint_pool import Pool
+from amberlug.cluster.control.shard_assignment import assign_shards
+from amberlug.cluster.dispatch.delivery_queue import DeliveryQueue
+from amberlug.cluster.dispatch.endpoint_pool import EndpointPool
 from amberlug.cluster.dispatch.message import Message
-from amberlug.cluster.dispatch.replicator import Spread
-from amberlug.cluster.edge.node import Edge
-from amberlug.cluster.gossip.store import News
+from amberlug.cluster.dispatch.replicator import Replicator
+from amberlug.cluster.edge.node import EdgeNode
+from amberlug.cluster.gossip.store import GossipStore
 from amberlug.cluster.http.routing import build
 from amberlug.cluster.interfaces import Json
 from amberlug.cluster.rpc.framing import pack
-from amberlug.cluster.storage.message_store import Contents, Kept
-from amberlug.cluster.storage.node import Store
+from amberlug.cluster.storage.message_store import StoredContents, StoredMessage
+from amberlug.cluster.storage.node import StorageNode
 from benchmarks.hollow.deployment import STORES, ZONES, beat, config
 from benchmarks.hollow.figures import Figure, upto
 from benchmarks.hollow.net import HollowDisk, HollowNet, HollowWorld, Host, Prompt, processor, settings
@@ -77,19 +77,19 @@
     return held
 
 
-def _hold(world: HollowWorld, many: int, body: int) -> Rack:
-    rack = Rack(world, lambda it: None)
+def _hold(world: HollowWorld, many: int, body: int) -> DeliveryQueue:
+    delivery_queue = DeliveryQueue(world, lambda it: None)
     for it in range(many):
-        rack.add(message(it, body))
-    return rack
+        delivery_queue.add(message(it, body))
+    return delivery_queue
 
 
 def owner(most: int) -> Iterator[Figure]:
     """Messages that one owner holds open, and what walks over all of them."""
     for count in upto((1000, 10_000, 100_000), most):
         _, host, world = _alone("edge")
-        edge = Edge(world, settings(host, ["10.1.0.1"]), host.address, Prompt(world.net, host))
-        edge.news.offer("config", [1], config(1000))
+        edge = EdgeNode(world, settings(host, ["10.1.0.1"]), host.address, Prompt(world.net, host))
+        edge.gossip.offer("config", [1], config(1000))
         stores = {
             f"disk-store-{it}": {
                 "name": f"store-{it}",
@@ -101,12 +101,12 @@
             }
             for it in range(STORES)
         }
-        edge.news.offer("roster", [1], stores)
+        edge.gossip.offer("roster", [1], stores)
         for body in (0, 1000):
-            rack, size = _room(partial(_hold, world, count, body))
+            delivery_queue, size = _room(partial(_hold, world, count, body))
             name = f"bytes of memory, bodies of {body}"
             yield Figure("owner", "open messages", count, "edge", name, size)
-            assert isinstance(rack, Rack)
+            assert isinstance(delivery_queue, DeliveryQueue)
         for it in range(count):
             edge._take(message(it, 0))
         for what, act in (
@@ -125,17 +125,19 @@
     """What a store holds open of one shard is read by its next owner, in one answer."""
     for count in upto((1000, 10_000, 40_000), most):
         net, host, world = _alone("store")
-        contents = Contents("disk-store-0")
+        contents = StoredContents("disk-store-0")
 
-        def fill(contents: Contents, many: int) -> None:
+        def fill(contents: StoredContents, many: int) -> None:
             for it in range(many):
                 kept = message(it, 1000)
                 meta = json.loads(json.dumps(kept.meta()))
-                contents.kept[kept.id] = Kept(0, 7, it, meta, 1000)
+                contents.kept[kept.id] = StoredMessage(0, 7, it, meta, 1000)
 
         size = _room(partial(fill, contents, count))[1]
         yield Figure("store", "open messages", count, "store", "bytes of memory", size)
-        store = Store(world, settings(host, ["10.1.0.1"]), host.address, HollowDisk(net, host), contents)
+        store = StorageNode(
+            world, settings(host, ["10.1.0.1"]), host.address, HollowDisk(net, host), contents
+        )
         answers: list[tuple[Json, bytes]] = []
         spent: list[float] = []
         with processor(spent):
@@ -172,12 +174,12 @@
     for size in (1_000, 20_000, 200_000, 1_000_000):
         whole = config(size)
         text = json.dumps(whole).encode()
-        news = {"w": "news", "b": {"items": [("config", [1], whole)]}}
+        gossip = {"w": "news", "b": {"items": [("config", [1], whole)]}}
         steps: dict[str, Callable[[], object]] = {
             "parse": partial(parse, text),
             "check": partial(check, whole),
             "digest": partial(digest, whole),
-            "pack": partial(pack, news),
+            "pack": partial(pack, gossip),
             "read": partial(json.loads, text),
             "build at an edge": partial(build, 1, whole),
         }
@@ -234,20 +236,20 @@
     for count in (1000, 10_000, 100_000):
         _, _, world = _alone("core")
 
-        def fill(many: int, world: HollowWorld) -> Cell:
-            cell = Cell(world, News(world, list, lambda key, value: None), 1.0)
+        def fill(many: int, world: HollowWorld) -> EndpointRegistry:
+            registry = EndpointRegistry(world, GossipStore(world, list, lambda key, value: None), 1.0)
             for it in range(many):
-                cell.announced(f"endpoint-{it}", json.loads(json.dumps(beat(it, 1))))
-            return cell
+                registry.announced(f"endpoint-{it}", json.loads(json.dumps(beat(it, 1))))
+            return registry
 
-        cell, room = _room(partial(fill, count, world))
-        assert isinstance(cell, Cell)
+        registry, room = _room(partial(fill, count, world))
+        assert isinstance(registry, EndpointRegistry)
         yield Figure("steps", "endpoints", count, "core", "bytes of memory", room)
-        items = {key: item[1] for key, item in cell.news.items.items()}
+        items = {key: item[1] for key, item in registry.gossip.items.items()}
         said = beat(0, 2)
 
-        def pool(items: dict[str, Any], world: HollowWorld) -> Pool:
-            known = Pool("z0", world.chance, lambda address: 0)
+        def pool(items: dict[str, Any], world: HollowWorld) -> EndpointPool:
+            known = EndpointPool("z0", world.chance, lambda address: 0)
             for key, value in items.items():
                 known.heard(key, value, 1.0)
             return known
@@ -255,7 +257,7 @@
         made, room = _room(partial(pool, items, world))
         del made
         yield Figure("steps", "endpoints", count, "edge", "bytes of memory beside the news", room)
-        report = sorted(cell.beaten)
+        report = sorted(registry.beaten)
         yield Figure(
             "steps",
             "endpoints",
@@ -264,7 +266,7 @@
             "bytes of a report of beats",
             len(pack({"w": "sessions", "b": {"rows": [], "seen": report}}).unwrap()),
         )
-        versions = {key: item[0] for key, item in cell.news.items.items()}
+        versions = {key: item[0] for key, item in registry.gossip.items.items()}
         yield Figure(
             "steps",
             "endpoints",
@@ -274,9 +276,9 @@
             len(json.dumps({"versions": versions}, separators=(",", ":"))),
         )
         steps: dict[str, Callable[[], object]] = {
-            "sweep": partial(cell.sweep, lambda name: None),
-            "heard elsewhere": partial(cell.heard_elsewhere, report),
-            "one beat": partial(cell.announced, "endpoint-0", said),
+            "sweep": partial(registry.sweep, lambda name: None),
+            "heard elsewhere": partial(registry.heard_elsewhere, report),
+            "one beat": partial(registry.announced, "endpoint-0", said),
         }
         for name, act in steps.items():
             yield Figure("steps", "endpoints", count, "step", f"processor s, {name}", _timed(3, act))
@@ -285,7 +287,7 @@
 def _pick_steps() -> Iterator[Figure]:
     for count in (10, 100, 1000, 10_000):
         _, _, world = _alone("edge")
-        known = Pool("z0", world.chance, lambda address: 1)
+        known = EndpointPool("z0", world.chance, lambda address: 1)
         for it in range(count):
             value = {
                 "service": "s",
@@ -313,16 +315,16 @@
     ):
         live = [f"edge-{it}/19f0a1b2c3d{it:04x}" for it in range(edges)]
         owners = [live[it % edges] for it in range(shards)]
-        spent = _timed(1, partial(share_out, owners, live[1:], shards))
+        spent = _timed(1, partial(assign_shards, owners, live[1:], shards))
         bench = "steps" if shards == 256 else "steps, 4 shards an edge"
         yield Figure(bench, "edges", edges, "step", "processor s, share_out", spent)
-        book = Book()
+        cluster_state = ClusterState()
         place = {"name": "edge-00000", "addr": "10.3.0.100:7300", "zone": "z0", "region": "r"}
         held = sorted(set(owners))
-        book.apply(1, {"do": "give", "owners": dict.fromkeys(held, place), "give": {}})
+        cluster_state.apply(1, {"do": "give", "owners": dict.fromkeys(held, place), "give": {}})
         at = {name: number for number, name in enumerate(held)}
         table = {
-            "owners": [[name, book.owners[name]] for name in held],
+            "owners": [[name, cluster_state.owners[name]] for name in held],
             "shards": [[at[name], 123456, -1] for name in owners],
         }
         size = len(json.dumps(table, separators=(",", ":")))
@@ -333,17 +335,17 @@
     """What an owner does for a message or a shard with all stores of the roster."""
     for count in (10, 100, 1000, 10_000):
         _, host, world = _alone("edge")
-        spread = Spread(world, settings(host, ["10.1.0.1"]).tolerance, "z0", "r", 120.0)
+        replicator = Replicator(world, settings(host, ["10.1.0.1"]).tolerance, "z0", "r", 120.0)
         place = {"addr": "10.2.0.1:7300", "region": "r", "state": "full", "at": 1}
         roster = {
             f"disk-{it}": {**place, "name": f"store-{it}", "zone": f"z{it % ZONES}"} for it in range(count)
         }
-        spread.roster_is(roster)
+        replicator.roster_is(roster)
         held = message(1, 0)
         heard = set(roster) - {"disk-1"}
         acts: dict[str, Callable[[], object]] = {
-            "which stores keep a message": partial(spread._ranked, held),
-            "whether enough stores were read": partial(spread.knows_all, heard),
+            "which stores keep a message": partial(replicator._ranked, held),
+            "whether enough stores were read": partial(replicator.knows_all, heard),
         }
         for name, act in acts.items():
             yield Figure("steps", "stores", count, "step", f"processor s, {name}", _timed(5, act))
@@ -351,21 +353,21 @@
 
 def _drain_steps() -> Iterator[Figure]:
     for count in (256, 1024, 4096):
-        book = Book()
+        cluster_state = ClusterState()
         ids = [[f"endpoint-{it}", 2, it] for it in range(count)]
-        book.apply(1, {"do": "drain", "ids": ids})
-        spent = _timed(3, partial(book.apply, 2, {"do": "drain", "ids": [["endpoint-0", 2, 0]]}))
+        cluster_state.apply(1, {"do": "drain", "ids": ids})
+        spent = _timed(3, partial(cluster_state.apply, 2, {"do": "drain", "ids": [["endpoint-0", 2, 0]]}))
         yield Figure("steps", "drains kept", count, "step", "processor s, one more drain", spent)
         _, host, world = _alone("core")
         told = settings(host, ["10.1.0.1"])
-        core = Core(
+        core = ControlNode(
             world, told, host.address, HollowDisk(world.net, host), blank(told, world.chance.getrandbits)
         )
-        core.book.apply(1, {"do": "drain", "ids": ids})
+        core.cluster_state.apply(1, {"do": "drain", "ids": ids})
         core._changed()
         spent = _timed(3, core._changed)
         yield Figure("steps", "drains kept", count, "step", "processor s, one entry's _changed", spent)
-        size = len(json.dumps(book.to_json(), separators=(",", ":")))
+        size = len(json.dumps(cluster_state.to_json(), separators=(",", ":")))
         yield Figure("steps", "drains kept", count, "core", "bytes of a snapshot", size)
 
 
@@ -394,7 +396,7 @@
     """Rows a second, so many of them waiting at a time; real time on this machine's disk."""
     with tempfile.TemporaryDirectory(dir=".") as folder:
         told = settings(_alone("core")[1], ["10.1.0.1"])
-        _, cabinet, _ = open_shelf(
+        _, writer, _ = open_raft_storage(
             Path(folder) / "log", lambda: blank(told, lambda bits: 1), lambda act: act()
         )
         began = time.perf_counter()
@@ -402,9 +404,9 @@
             synced = threading.Semaphore(0)
             batch = rows[at : at + at_once]
             for row in batch:
-                cabinet.write([row], partial(_release, synced))
+                writer.write([row], partial(_release, synced))
             for _ in batch:
                 synced.acquire()
         spent = time.perf_counter() - began
-        cabinet.close()
+        writer.close()
     return len(rows) / spent
--- a/tests/cluster/fakes.py
+++ b/tests/cluster/fakes.py
@@ -3,7 +3,7 @@
 import random
 from collections.abc import Callable
 
-from amberlug.cluster.interfaces import Json, Then
+from amberlug.cluster.interfaces import Json, ReplyCallback
 from amberlug.cluster.settings import Settings
 from amberlug.cluster.simulation.clock import Clock, Timer
 from amberlug.cluster.simulation.deployment import Deployment, Machine
@@ -14,23 +14,25 @@
 
     def __init__(self, clock: Clock) -> None:
         self.clock, self.chance = clock, random.Random(1)
-        self.asked: list[tuple[str, str, Json, Then]] = []
+        self.asked: list[tuple[str, str, Json, ReplyCallback]] = []
 
     def now(self) -> float:
         return self.clock.now
 
-    def wall(self) -> float:
+    def wall_clock(self) -> float:
         return self.clock.now
 
-    def later(self, seconds: float, act: Callable[[], None]) -> Timer:
+    def call_later(self, seconds: float, act: Callable[[], None]) -> Timer:
         timer = Timer(act)
-        self.clock.later(seconds, timer.fire)
+        self.clock.call_later(seconds, timer.fire)
         return timer
 
-    def tell(self, to: str, word: str, body: Json, blob: bytes = b"") -> None:
+    def send(self, to: str, word: str, body: Json, blob: bytes = b"") -> None:
         pass
 
-    def ask(self, to: str, word: str, body: Json, within: float, then: Then, blob: bytes = b"") -> None:
+    def request(
+        self, to: str, word: str, body: Json, within: float, then: ReplyCallback, blob: bytes = b""
+    ) -> None:
         self.asked.append((to, word, body, then))
 
 
--- a/tests/cluster/test_foreman.py
+++ b/tests/cluster/test_admin.py
@@ -17,9 +17,9 @@
 from amberlug.cluster.__main__ import cli
 from amberlug.cluster.admin.commands import BAD, DONE, REFUSED, UNCLEAR
 from amberlug.cluster.admin.files import check_deploy, check_settings, differences
-from amberlug.cluster.control.node import Core, blank
+from amberlug.cluster.control.node import ControlNode, blank
 from amberlug.cluster.control.status import merged
-from amberlug.cluster.interfaces import Json, Lost, Reply, Then
+from amberlug.cluster.interfaces import Json, Reply, ReplyCallback, RequestFailure
 from amberlug.cluster.local_deployment.deployment import Deployment, config
 from amberlug.cluster.local_deployment.fake_endpoint import Run
 from amberlug.cluster.local_deployment.trial import Sent, Tale, play
@@ -30,7 +30,7 @@
 # -- what a control relay answers
 
 
-class World:
+class Runtime:
     """Peers answer at once by a table; those that are not in it are silent until the time is let pass."""
 
     def __init__(self, answers: dict[tuple[str, str], Json]) -> None:
@@ -40,20 +40,22 @@
     def now(self) -> float:
         return 10.0
 
-    def wall(self) -> float:
+    def wall_clock(self) -> float:
         return 10.0
 
-    def later(self, seconds: float, act: Callable[[], None]) -> Any:
+    def call_later(self, seconds: float, act: Callable[[], None]) -> Any:
         self.timers.append(act)
 
-    def tell(self, to: str, word: str, body: Json, blob: bytes = b"") -> None: ...
+    def send(self, to: str, word: str, body: Json, blob: bytes = b"") -> None: ...
 
-    def ask(self, to: str, word: str, body: Json, within: float, then: Then, blob: bytes = b"") -> None:
+    def request(
+        self, to: str, word: str, body: Json, within: float, then: ReplyCallback, blob: bytes = b""
+    ) -> None:
         answer = self.answers.get((to, word))
         if answer is not None:
             then(Ok(Reply(answer, answer.get("blob", b""))))
         else:
-            self.timers.append(lambda: then(Err(Lost.SILENT)))
+            self.timers.append(lambda: then(Err(RequestFailure.TIMED_OUT)))
 
     def pass_time(self) -> None:
         timers, self.timers = self.timers, []
@@ -65,7 +67,7 @@
     def write(self, rows: object, then: Callable[[str | None], None]) -> None: ...
 
 
-class Asked:
+class HttpRequest:
     method, body = "GET", b""
 
     def __init__(self, target: str) -> None:
@@ -75,12 +77,12 @@
         return None
 
 
-def core_of(tmp_path: Path, answers: dict[tuple[str, str], Json]) -> tuple[Core, World]:
+def core_of(tmp_path: Path, answers: dict[tuple[str, str], Json]) -> tuple[ControlNode, Runtime]:
     deployment = Deployment(tmp_path, "127.0.1")
     deployment.write(first_start=True)
     settings = read_file(str(deployment.machines["core-1"].path)).unwrap()
-    world = World(answers)
-    core = Core(world, settings, "127.0.1.10:7300", Disk(), blank(settings, world.chance.getrandbits))
+    world = Runtime(answers)
+    core = ControlNode(world, settings, "127.0.1.10:7300", Disk(), blank(settings, world.chance.getrandbits))
     for kind, name in (("edge", "e1"), ("edge", "e2"), ("storage", "s1")):
         core.sessions.hello(
             {
@@ -97,13 +99,13 @@
         )
     for name in ("s1", "s2"):
         store = {"name": name, "addr": name, "zone": "north", "region": "valley", "state": "full"}
-        core.book.apply(1, {"do": "roster", "set": {f"disk of {name}": store}})
+        core.cluster_state.apply(1, {"do": "roster", "set": {f"disk of {name}": store}})
     return core, world
 
 
-def asked(core: Core, world: World, target: str) -> tuple[int, Json]:
+def asked(core: ControlNode, world: Runtime, target: str) -> tuple[int, Json]:
     said: list[Any] = []
-    core.counter.take(Asked(target), said.append)
+    core.counter.take(HttpRequest(target), said.append)
     if not said:
         world.pass_time()
     (answer,) = said
@@ -160,7 +162,7 @@
 @pytest.mark.parametrize(("pages", "most", "names", "after"), PAGES)
 def test_pages_of_stores_are_merged(pages: list[Any], most: int, names: list[str], after: str | None) -> None:
     heard: dict[str, Any] = {
-        str(at): Err(Lost.SILENT)
+        str(at): Err(RequestFailure.TIMED_OUT)
         if it is None
         else Ok(Reply({"rows": [row(name) for name in it[0]], "more": it[1]}))
         for at, it in enumerate(pages)
@@ -185,7 +187,7 @@
     answers["s2", "body"] = {"found": True, "blob": b"abc"}
     core, world = core_of(tmp_path, answers)
     said: list[Any] = []
-    core.counter.take(Asked("/-/Foreman.Dead/a"), said.append)
+    core.counter.take(HttpRequest("/-/Foreman.Dead/a"), said.append)
     world.pass_time()
     world.pass_time()
     assert [it.status for it in said] == [status]
--- a/tests/cluster/test_book.py
+++ b/tests/cluster/test_cluster_state.py
@@ -10,7 +10,7 @@
     GONE_S,
     LEAVING,
     LEAVING_S,
-    Book,
+    ClusterState,
 )
 from amberlug.cluster.interfaces import Json
 from amberlug.cluster.simulation.mutations import mutated
@@ -20,21 +20,21 @@
     """A book, and commands for it as a leader gives them."""
 
     def __init__(self) -> None:
-        self.book = Book()
+        self.cluster_state = ClusterState()
         self.index = 0
 
     def give(self, do: str, after: float = 0.0, **command: Any) -> Json:
         self.index += 1
-        return self.book.apply(self.index, {"do": do, "after": after, **command})
+        return self.cluster_state.apply(self.index, {"do": do, "after": after, **command})
 
     def change(self, edition: int, base: int, sum_: str, after: float = 0.0) -> Json:
         return self.give("config", after, base=base, edition=edition, sum=sum_, config={"edition": edition})
 
     def move(self) -> None:
         """Another member goes on, from a snapshot."""
-        text = json.dumps(self.book.to_json())
-        self.book = Book()
-        self.book.from_json(json.loads(text))
+        text = json.dumps(self.cluster_state.to_json())
+        self.cluster_state = ClusterState()
+        self.cluster_state.from_json(json.loads(text))
 
 
 def test_of_two_changes_under_one_number_one_is_taken_and_its_repeats_are_known() -> None:
@@ -43,14 +43,14 @@
     assert log.change(5, 1, "mine") == {"ok": True}
     assert log.change(5, 1, "yours")["status"] == 412
     for _ in range(2):
-        assert log.book.check_config(1, 5, "mine") == {"again": True}
+        assert log.cluster_state.check_config(1, 5, "mine") == {"again": True}
         assert log.change(5, 1, "mine") == {"again": True}
         assert log.change(5, 1, "yours")["status"] == 412
         assert log.change(5, 5, "yours")["status"] == 400
         log.move()
     assert log.change(6, 5, "next") == {"ok": True}
-    assert log.book.check_config(1, 5, "mine") == {"again": True}
-    assert log.book.config == {"edition": 6}
+    assert log.cluster_state.check_config(1, 5, "mine") == {"again": True}
+    assert log.cluster_state.config == {"edition": 6}
 
 
 def forgets(edition: int, changes: int, seconds: float) -> Json:
@@ -59,7 +59,7 @@
     for it in range(1, changes + 1):
         assert log.change(it, it - 1, f"sum {it}", seconds) == {"ok": True}
     log.move()
-    return log.book.check_config(edition - 1, edition, f"sum {edition}")
+    return log.cluster_state.check_config(edition - 1, edition, f"sum {edition}")
 
 
 def test_a_repeat_is_known_after_an_hour_and_after_a_thousand_changes_and_never_refused() -> None:
@@ -77,34 +77,34 @@
     for it in range(20):
         log.give("drain", 1.0, ids=[[f"e{it}-{at}", LEAVING, 1] for at in range(500)])
     log.move()
-    assert log.book.drained("first") == (LEAVING, 7)
+    assert log.cluster_state.drained("first") == (LEAVING, 7)
     log.give("drain", ids=[["first", GONE, 0], ["second", GONE, 2], ["second", LEAVING, 3]])
-    assert (log.book.drained("first"), log.book.drained("second")) == ((GONE, 0), (GONE, 2))
+    assert (log.cluster_state.drained("first"), log.cluster_state.drained("second")) == ((GONE, 0), (GONE, 2))
     log.give("drain", GONE_S - 1, ids=[])
-    assert log.book.drained("first") == (GONE, 0)
+    assert log.cluster_state.drained("first") == (GONE, 0)
     log.give("drain", 2.0, ids=[])
-    assert log.book.drained("first") == (0, 0)
-    assert log.book.drained("e0-0") == (LEAVING, 1)
+    assert log.cluster_state.drained("first") == (0, 0)
+    assert log.cluster_state.drained("e0-0") == (LEAVING, 1)
     log.give("drain", LEAVING_S, ids=[])
-    assert (log.book.leaving, log.book.gone) == ({}, {})
+    assert (log.cluster_state.leaving, log.cluster_state.gone) == ({}, {})
 
 
 def test_what_has_changed_of_endpoints_is_told_once_and_all_of_it_after_a_snapshot() -> None:
     log = Log()
     log.give("drain", ids=[["a", LEAVING, 1], ["b", GONE, 2]])
     log.give("drain", ids=[["a", LEAVING, 1]])
-    assert log.book.untold() == {"a": (LEAVING, 1), "b": (GONE, 2)}
-    assert log.book.untold() == {}
+    assert log.cluster_state.untold() == {"a": (LEAVING, 1), "b": (GONE, 2)}
+    assert log.cluster_state.untold() == {}
     log.move()
-    assert log.book.untold() == {"a": (LEAVING, 1), "b": (GONE, 2)}
+    assert log.cluster_state.untold() == {"a": (LEAVING, 1), "b": (GONE, 2)}
 
 
 def test_a_snapshot_of_the_version_before_is_read() -> None:
-    book = Book()
+    cluster_state = ClusterState()
     before = {"edition": 3, "hashes": {"2": "x", "3": "y"}, "drains": {"a": [1, 7], "b": [2, 0]}}
-    book.from_json(before)
-    assert book.check_config(1, 2, "x") == {"again": True}
-    assert (book.drained("a"), book.drained("b")) == ((LEAVING, 7), (GONE, 0))
+    cluster_state.from_json(before)
+    assert cluster_state.check_config(1, 2, "x") == {"again": True}
+    assert (cluster_state.drained("a"), cluster_state.drained("b")) == ((LEAVING, 7), (GONE, 0))
 
 
 def test_a_store_that_is_away_is_known_to_an_order_to_empty_it() -> None:
@@ -114,7 +114,7 @@
     log.give("roster", set={"disk": {**place, "state": "lost"}})
     assert log.give("retire", name="store-2")["status"] == 404
     assert log.give("retire", name="store-1") == {"ok": True}
-    assert log.book.roster["disk"]["state"] == "retiring"
+    assert log.cluster_state.roster["disk"]["state"] == "retiring"
     assert log.give("retire", name="store-1") == {"again": True}
     log.give("roster", drop=["disk"])
-    assert log.book.retired == {"store-1": "completed"}
+    assert log.cluster_state.retired == {"store-1": "completed"}
--- a/tests/cluster/test_contact.py
+++ b/tests/cluster/test_contact.py
@@ -8,15 +8,15 @@
 from absl import logging
 from result import Ok
 
-from amberlug.cluster.consensus.log import Saved
-from amberlug.cluster.control.node import Core
+from amberlug.cluster.consensus.log import PersistentState
+from amberlug.cluster.control.node import ControlNode
 from amberlug.cluster.dispatch.message import Message
 from amberlug.cluster.gossip import store
 from amberlug.cluster.interfaces import Reply
 from amberlug.cluster.simulation.clock import Clock
 from amberlug.cluster.simulation.deployment import Machine
 from amberlug.cluster.simulation.scenarios import Day
-from amberlug.cluster.storage.message_store import Kept
+from amberlug.cluster.storage.message_store import StoredMessage
 from tests.cluster.fakes import Alone, settings
 
 BEFORE_S, CUT_S, APPLY_S = 6.0, 20.0, 3.0
@@ -45,23 +45,23 @@
         self.deployment, self.clock = day.deployment, day.clock
         for machine in self.deployment.machines:
             machine.start()
-        self.clock.later(0.6, day.operator.begin)
+        self.clock.call_later(0.6, day.operator.begin)
         self.clock.run(BEFORE_S)
         leader = day.leader()
         assert leader is not None
-        voters = [it for it in self.deployment.cores if it.part.vise.voting]
+        voters = [it for it in self.deployment.cores if it.part.raft.voting]
         self.cut = leader if which == "leader" else next(it for it in voters if it is not leader)
         self.others = [it for it in self.deployment.cores if it is not self.cut]
         pairs = {(self.cut.name, it.name) for it in self.others} if way != "to" else set()
         pairs |= {(it.name, self.cut.name) for it in self.others} if way != "from" else set()
         self.deployment.net.cut(pairs)
-        self.clock.later(CUT_S, partial(self.deployment.net.join, pairs))
+        self.clock.call_later(CUT_S, partial(self.deployment.net.join, pairs))
 
     def restart_others(self) -> None:
         """All sessions are moved to the one that is cut off, where it takes them."""
         for machine in self.others:
             machine.kill()
-            self.clock.later(0.5, machine.start)
+            self.clock.call_later(0.5, machine.start)
 
     def wait(self, what: Callable[[], bool], most: float) -> bool:
         until = self.clock.now + most
@@ -128,14 +128,14 @@
 
 def test_endpoints_of_its_zone_are_heard_elsewhere_and_lost_by_nobody() -> None:
     play = Cut(5, "follower", "both")
-    town = play.deployment.town
+    endpoint_fleet = play.deployment.endpoint_fleet
     for _ in range(3):
-        town.start("alpha", play.cut.zone)
+        endpoint_fleet.start("alpha", play.cut.zone)
     lost: set[str] = set()
     while play.clock.now < BEFORE_S + CUT_S + 4.0:
         play.clock.run(play.clock.now + 0.5)
         for core in play.deployment.cores:
-            items = core.part.cell.news.items
+            items = core.part.registry.gossip.items
             lost |= {key for key, (version, _) in items.items() if key.startswith("ep/") and version[2]}
     assert lost == set()
 
@@ -149,16 +149,16 @@
     part = edge.part
     statuses: list[int] = []
 
-    class Asked:
+    class HttpRequest:
         method, target, body, headers = "POST", "/plain/1", b"", ()
 
         def header(self, name: str) -> str | None:
             return {"host": "x", "amberlug-attempt-id": "a"}.get(name)
 
-    old = play.deployment.edges[1].part.news.everything()
-    part.news.take(old)  # what it hears from another edge first
+    old = play.deployment.edges[1].part.gossip.everything()
+    part.gossip.take(old)  # what it hears from another edge first
     assert part.routes.index > 0
-    part.handle(Asked(), lambda status, *rest: statuses.append(status))
+    part.handle(HttpRequest(), lambda status, *rest: statuses.append(status))
     assert statuses == [503]
     assert not part.ready
 
@@ -169,9 +169,11 @@
     names = [f"10.0.0.{number}:7300" for number in (1, 2, 3)]
     members = {name: {"addr": name, "voter": True, "zone": "", "control": ""} for name in names}
     config = {"do": "config", "base": 0, "edition": 5, "sum": "x", "config": {"edition": 5}}
-    core = Core(world, of, names[0], Fast(), Saved(names[0], 1, members=members, entries=[(1, config)]))
-    core.vise._hold(2)
-    core.vise._lead()  # what the leader before it committed is in its log, but not in its book yet
+    core = ControlNode(
+        world, of, names[0], Fast(), PersistentState(names[0], 1, members=members, entries=[(1, config)])
+    )
+    core.raft._hold(2)
+    core.raft._lead()  # what the leader before it committed is in its log, but not in its book yet
     said: list[Any] = []
     core._carry("replace", {"base": 5, "data": {"edition": 6}}, said.append)
     core._carry("retire", {"name": "store-0"}, said.append)
@@ -182,7 +184,7 @@
             if word == "vise.append" and to == names[1] and body["commit"] == commit:
                 then(Ok(Reply({"ok": True, "term": 2})))
     statuses = [it.ok_value.get("status") for it in said if isinstance(it, Ok)]
-    assert core.book.edition == 5
+    assert core.cluster_state.edition == 5
     assert 412 not in statuses
     assert len(said) == 2  # the order to retire is proposed by now, and not committed
 
@@ -190,20 +192,20 @@
 def test_all_news_come_page_by_page_before_an_edge_serves(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(store, "PAGE", 2)
     pages: list[int] = []
-    page_after = store.News.page_after
+    page_after = store.GossipStore.page_after
 
-    def page(self: store.News, after: str) -> Any:
+    def page(self: store.GossipStore, after: str) -> Any:
         items, upto = page_after(self, after)
         pages.append(len(items))
         return items, upto
 
-    monkeypatch.setattr(store.News, "page_after", page)
+    monkeypatch.setattr(store.GossipStore, "page_after", page)
     day = Day(3, "quiet")
     for machine in day.deployment.machines:
         machine.start()
-    day.clock.later(0.6, day.operator.begin)
+    day.clock.call_later(0.6, day.operator.begin)
     for number in range(5):
-        day.deployment.town.start("alpha", day.deployment.zones[number % 2])
+        day.deployment.endpoint_fleet.start("alpha", day.deployment.zones[number % 2])
     day.clock.run(5.0)
     edge = day.deployment.edges[0]
     edge.kill()
@@ -212,9 +214,9 @@
     while not edge.part.member.confirmed:
         day.clock.run(day.clock.now + 0.001)
         assert day.clock.now < 7.0
-    known = edge.part.news.items
+    known = edge.part.gossip.items
     assert len(known) >= 8
-    assert known.keys() == day.deployment.cores[0].part.news.items.keys()
+    assert known.keys() == day.deployment.cores[0].part.gossip.items.keys()
     assert len(pages) >= 4
     assert max(pages) == 2
 
@@ -223,14 +225,16 @@
     day = Day(2, "quiet")
     for machine in day.deployment.machines:
         machine.start()
-    day.clock.later(0.6, day.operator.begin)
+    day.clock.call_later(0.6, day.operator.begin)
     day.clock.run(5.0)
     edge = day.deployment.edges[0].part
     shard = next(iter(edge.shards.mine))
-    for store in day.deployment.stores:
-        store.part.kept[f"{shard}-x"] = Kept(shard, 1, 1, {}, 1, "done", "seal", day.clock.now + 2e9)
+    for machine in day.deployment.stores:
+        machine.part.kept[f"{shard}-x"] = StoredMessage(
+            shard, 1, 1, {}, 1, "done", "seal", day.clock.now + 2e9
+        )
     message = Message(f"{shard}-x", shard, "x", "", "POST", "/plain/x", "r-plain", "", 1.79e9, 1.79e9)
-    message.body, message.holders = None, set(edge.spread.stores)
+    message.body, message.holders = None, set(edge.replicator.stores)
     edge._take(message)  # read as open without its body, before its end was known there
     day.clock.run(6.0)
     assert message.ended
@@ -242,7 +246,7 @@
     day = next(it for it in (Day(seed, "quiet") for seed in range(1, 99)) if it.size.cores == cores)
     for machine in day.deployment.machines:
         machine.start()
-    day.clock.later(0.6, day.operator.begin)
+    day.clock.call_later(0.6, day.operator.begin)
     day.clock.run(BEFORE_S)
     return day
 
@@ -252,22 +256,22 @@
     day = started(4)
     leader = day.leader()
     assert leader is not None
-    voters = [it for it in day.deployment.cores if it.part.vise.voting]
+    voters = [it for it in day.deployment.cores if it.part.raft.voting]
     assert len(voters) == 3
     ending = leader if which == "leader" else next(it for it in voters if it is not leader)
-    name = ending.part.vise.me
+    name = ending.part.raft.me
     ending.term()
     while ending.up:
         day.clock.run(day.clock.now + 0.01)
         assert day.clock.now < BEFORE_S + 1.0
     others = [it for it in day.deployment.cores if it is not ending]
-    assert all(it.part.vise.voting for it in others)
-    assert name not in others[0].part.vise.voters
+    assert all(it.part.raft.voting for it in others)
+    assert name not in others[0].part.raft.voters
 
 
 def test_members_find_a_relay_while_several_are_silent() -> None:
     day = started(5)
-    silent = [it for it in day.deployment.cores if not it.part.vise.voting]
+    silent = [it for it in day.deployment.cores if not it.part.raft.voting]
     assert len(silent) == 2
     gone = {it.address for it in silent}
     members = [it.part.member for it in day.deployment.edges + day.deployment.stores]
--- a/tests/cluster/test_control_days.py
+++ b/tests/cluster/test_control_days.py
@@ -40,7 +40,7 @@
 
 def relay_cut_off(day: Day, start: float, end: float, form: str = "silent") -> None:
     """One relay is cut off for 20 s, and all others that count are restarted."""
-    control, later, first = day.control, day.clock.later, day.deployment.cores[0]
+    control, later, first = day.control, day.clock.call_later, day.deployment.cores[0]
     later(start - day.clock.now, partial(control.cut_off, first, 20.0, form, False))
     for machine in day.deployment.cores[1:] + day.deployment.stores:
         later(start + 9.0 - day.clock.now, partial(control.restart, machine))
@@ -55,9 +55,9 @@
     def act() -> None:
         day.control.cut_off(day.control.victim(), 2.0, "silent", False)
         day.control.start_beside()
-        day.clock.later(3.2, act if day.clock.now < end else lambda: None)
+        day.clock.call_later(3.2, act if day.clock.now < end else lambda: None)
 
-    day.clock.later(start - day.clock.now, act)
+    day.clock.call_later(start - day.clock.now, act)
 
 
 def leader_cut_off(day: Day, start: float, end: float) -> None:
@@ -69,10 +69,10 @@
             day.control.cut_off(leader, 2.5, "silent", False)
             day.control.storm(day.clock.now + 3.5)
             for number in range(8):
-                day.clock.later(0.3 * number, partial(day.operator.order, to=leader))
-        day.clock.later(4.0, act if day.clock.now < end else lambda: None)
+                day.clock.call_later(0.3 * number, partial(day.operator.order, to=leader))
+        day.clock.call_later(4.0, act if day.clock.now < end else lambda: None)
 
-    day.clock.later(start - day.clock.now, act)
+    day.clock.call_later(start - day.clock.now, act)
 
 
 def repeats_after_snapshots(day: Day, start: float, end: float) -> None:
@@ -83,9 +83,9 @@
         day.operator.order()
         if number % 20 == 0:
             day.control.restart(day.deployment.cores[number // 20 % len(day.deployment.cores)])
-        day.clock.later(0.15, partial(act, number + 1) if day.clock.now < end else lambda: None)
+        day.clock.call_later(0.15, partial(act, number + 1) if day.clock.now < end else lambda: None)
 
-    day.clock.later(start - day.clock.now, partial(act, 1))
+    day.clock.call_later(start - day.clock.now, partial(act, 1))
 
 
 @pytest.mark.parametrize("form", ["silent", "from", "refuse"])
--- a/tests/cluster/test_core.py
+++ b/tests/cluster/test_control_node.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from amberlug.cluster.control.node import Core, blank
+from amberlug.cluster.control.node import ControlNode, blank
 from amberlug.cluster.control.sessions import Session
 from amberlug.cluster.interfaces import Json
 from amberlug.cluster.simulation.clock import Clock
@@ -27,14 +27,14 @@
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
         of = settings("core")
         self.clock = Clock()
-        self.core = Core(Alone(self.clock), of, "10.0.0.1:7300", Fast(), blank(of, lambda bits: 1))
-        self.core.book.roster = {
+        self.core = ControlNode(Alone(self.clock), of, "10.0.0.1:7300", Fast(), blank(of, lambda bits: 1))
+        self.core.cluster_state.roster = {
             f"disk-{it}": {"name": it, "addr": it, "zone": "z", "region": "r", "state": "full", "at": 1}
             for it in ("a", "b", "c")
         }
-        self.core.book.shards = [["edge/1", 1, ""]]
+        self.core.cluster_state.shards = [["edge/1", 1, ""]]
         self.proposed: list[Json] = []
-        monkeypatch.setattr(self.core.vise, "propose", lambda command, then: self.proposed.append(command))
+        monkeypatch.setattr(self.core.raft, "propose", lambda command, then: self.proposed.append(command))
 
     def session(self, name: str, kind: str, **extra: object) -> Session:
         return Session(name, "1", name, kind, "z", "r", "up", 0.0, 0.0, extra)
@@ -55,7 +55,7 @@
     rig = Rig(monkeypatch)
     rig.keep("a", "b")
     assert [list(it["set"]) for it in rig.proposed] == [["disk-c"]]
-    rig.core.book.roster["disk-c"]["state"] = "lost"
+    rig.core.cluster_state.roster["disk-c"]["state"] = "lost"
     rig.drop()
     assert rig.proposed[-1]["drop"] == ["disk-c"]
 
@@ -70,6 +70,6 @@
 def test_nothing_is_dropped_while_too_few_stores_are_full(monkeypatch: pytest.MonkeyPatch) -> None:
     rig = Rig(monkeypatch)
     for name in ("b", "c"):
-        rig.core.book.roster[f"disk-{name}"]["state"] = "lost"
+        rig.core.cluster_state.roster[f"disk-{name}"]["state"] = "lost"
     rig.drop()
     assert rig.proposed == []
--- a/tests/cluster/test_rack.py
+++ b/tests/cluster/test_delivery_queue.py
@@ -2,10 +2,10 @@
 
 import random
 
-from amberlug.cluster.dispatch.delivery_queue import Rack
+from amberlug.cluster.dispatch.delivery_queue import DeliveryQueue
 from amberlug.cluster.dispatch.message import Message
 from amberlug.cluster.simulation.clock import Clock
-from amberlug.cluster.simulation.network import Host, Life, LifeWorld, Network
+from amberlug.cluster.simulation.network import Host, Incarnation, Network, SimulatedRuntime
 
 
 def message(name: str, number: int) -> Message:
@@ -15,13 +15,15 @@
 def test_one_accepted_before_goes_once_the_call_of_a_later_one_has_failed() -> None:
     clock, chance = Clock(), random.Random(1)
     host = Host("edge", "z", "10.0.0.1:7300")
-    life = Life(host, 1, lambda life, error: None)
+    life = Incarnation(host, 1, lambda life, error: None)
     ready: list[str] = []
-    rack = Rack(LifeWorld(Network(clock, chance, 0.001), life, chance, 0.0), lambda it: ready.append(it.id))
+    delivery_queue = DeliveryQueue(
+        SimulatedRuntime(Network(clock, chance, 0.001), life, chance, 0.0), lambda it: ready.append(it.id)
+    )
     later, before = message("later", 2), message("before", 1)
-    rack.add(later)
+    delivery_queue.add(later)
     later.out = True
-    rack.add(before)  # its copies took longer
+    delivery_queue.add(before)  # its copies took longer
     assert ready == ["later"]
-    rack.again(later)
+    delivery_queue.again(later)
     assert ready == ["later", "before"]
--- a/tests/cluster/test_edge.py
+++ b/tests/cluster/test_edge_node.py
@@ -4,8 +4,8 @@
 from functools import partial
 
 from amberlug.cluster.dispatch.message import Message
-from amberlug.cluster.edge.node import Edge
-from amberlug.cluster.interfaces import Called, Delivery
+from amberlug.cluster.edge.node import EdgeNode
+from amberlug.cluster.interfaces import CallResult, EndpointCall
 from amberlug.cluster.simulation.clients import HOST
 from amberlug.cluster.simulation.clock import Clock
 from amberlug.cluster.simulation.deployment import Request
@@ -16,7 +16,7 @@
 class Nowhere:
     """Endpoints that do not answer."""
 
-    def call(self, delivery: Delivery, then: Callable[[Called], None]) -> None:
+    def call(self, delivery: EndpointCall, then: Callable[[CallResult], None]) -> None:
         pass
 
     def idle(self, address: str) -> int:
@@ -27,12 +27,12 @@
 
 
 def test_a_message_that_a_store_knows_as_ended_is_not_run_once_it_is_copied() -> None:
-    edge = Edge(Alone(Clock()), settings("edge"), "10.0.0.1:7300", Nowhere())
+    edge = EdgeNode(Alone(Clock()), settings("edge"), "10.0.0.1:7300", Nowhere())
     message = Message("0-x", 0, "x", "", "POST", "/", "r", "", 0.0, 100.0)
-    edge.rack.add(message)
+    edge.delivery_queue.add(message)
     message.end, message.seal = "done", "seal"  # as the answer to a put sets them
     edge._copied(message)
-    assert edge.rack.messages == {}
+    assert edge.delivery_queue.messages == {}
     assert edge.ends["0-x"][:2] == ("done", "seal")
 
 
@@ -40,7 +40,7 @@
     day = Day(2, "quiet")
     for machine in day.deployment.machines:
         machine.start()
-    day.clock.later(0.6, day.operator.begin)
+    day.clock.call_later(0.6, day.operator.begin)
     day.clock.run(5.0)
     stores = day.deployment.stores
     said: list[tuple[float, int]] = []
@@ -58,7 +58,7 @@
     for store in stores[1:]:
         store.power_off()
     for number in range(40):
-        day.clock.later(0.02 * number, partial(post, number))
+        day.clock.call_later(0.02 * number, partial(post, number))
     day.clock.run(day.clock.now + 3.0)
     late = sum(seconds > 0.05 for seconds, _ in said)
     assert {status for _, status in said} == {503, 504}
