--- a/tests/cluster/test_endpoint_answers.py
+++ b/tests/cluster/test_endpoint_answers.py
@@ -11,13 +11,13 @@
 
 import pytest
 
-from amberlug.cluster.dispatch.dispatcher import SLACK_S, Service, judge
-from amberlug.cluster.dispatch.endpoint_client import Caller
-from amberlug.cluster.dispatch.endpoint_pool import Pool
+from amberlug.cluster.dispatch.dispatcher import SLACK_S, Dispatcher, judge
+from amberlug.cluster.dispatch.endpoint_client import EndpointClient
+from amberlug.cluster.dispatch.endpoint_pool import EndpointPool
 from amberlug.cluster.dispatch.message import Message
-from amberlug.cluster.interfaces import Called, Delivery, Verdict
-from amberlug.cluster.process import AsyncWorld
-from amberlug.cluster.rpc.transport import Belt
+from amberlug.cluster.interfaces import CallResult, CallVerdict, EndpointCall
+from amberlug.cluster.process import AsyncioRuntime
+from amberlug.cluster.rpc.transport import PeerTransport
 from amberlug.cluster.simulation.mutations_answers import FAULTS
 from amberlug.http.link import BODY_MOST
 from tests.cluster.wires import End, Loop, run
@@ -181,14 +181,14 @@
 
     def __init__(self, site: Site) -> None:
         self.site, self.loop = site, site.loop
-        self.caller = Caller()
+        self.caller = EndpointClient()
         self.calls = 0
-        self.sent: dict[int, Delivery] = {}
+        self.sent: dict[int, EndpointCall] = {}
         self.failures: dict[str, int] = defaultdict(int)
         self.ended: dict[str, str] = {}
         self.messages: dict[str, Message] = {}
-        world = AsyncWorld(Belt(lambda *given: None, lambda address: None), site.chance)
-        pool = Pool("z", site.chance, self.caller.idle)
+        world = AsyncioRuntime(PeerTransport(lambda *given: None, lambda address: None), site.chance)
+        pool = EndpointPool("z", site.chance, self.caller.idle)
         for number in range(2):
             at = f"10.0.0.{number}", 80
             site.loop.doors[at] = lambda: Endpoint(site)
@@ -204,14 +204,14 @@
                 },
                 0.0,
             )
-        self.service = Service("s", world, pool, self, lambda message: EXPIRY_S, self.finished)
+        self.service = Dispatcher("s", world, pool, self, lambda message: EXPIRY_S, self.finished)
         self.forget, self.idle = self.caller.forget, self.caller.idle
 
-    def call(self, delivery: Delivery, then: Any) -> None:
+    def call(self, delivery: EndpointCall, then: Any) -> None:
         """Send a call with a number of its own, and see that what is said of it is true."""
         self.calls += 1
         number = str(self.calls)
-        numbered = Delivery(
+        numbered = EndpointCall(
             delivery.address,
             delivery.instance,
             delivery.attempt,
@@ -224,16 +224,16 @@
 
         until = self.loop.time() + delivery.seconds
 
-        def hear(called: Called) -> None:
+        def hear(called: CallResult) -> None:
             ran = next((it for it in self.site.asks if it.call == number), None)
-            if called.verdict is Verdict.UNREACHED:
+            if called.verdict is CallVerdict.NOT_CONNECTED:
                 self.loop.call_later(1.0, self.never_ran, number)
                 assert ran is None, "a call that has run is said not to have"
-            elif called.verdict is Verdict.ANSWERED:
+            elif called.verdict is CallVerdict.ANSWERED:
                 assert called.header("x-call") == number, "an answer to another call"
                 assert ran is not None, "an answer to a call that was never read"
                 assert (called.status, called.header("amberlug-server-seal")) == (ran.status, ran.seal)
-            elif called.verdict is Verdict.SILENT and ran is not None:
+            elif called.verdict is CallVerdict.TIMED_OUT and ran is not None:
                 passed = ran.end.other.read_at > until or len(ran.copy) > BODY_MOST
                 assert (
                     passed or ran.copy not in ran.end.other.heard
@@ -245,7 +245,7 @@
     def never_ran(self, number: str) -> None:
         assert all(it.call != number for it in self.site.asks), "a call runs that was said not to have"
 
-    def finished(self, message: Message, called: Called) -> None:
+    def finished(self, message: Message, called: CallResult) -> None:
         outcome = judge(message, called, MAX_ATTEMPTS)
         message.failures += outcome.failed
         asks = self.site.by_attempt[message.attempt]
--- a/tests/cluster/test_found.py
+++ b/tests/cluster/test_found.py
@@ -35,15 +35,15 @@
             for pair in ((deployment.edges[1].name, it.name), (it.name, deployment.edges[1].name))
         }
         self.history.trouble(f"{deployment.edges[1].name} is to be cut off", 3.0)
-        self.clock.later(start - TRAFFIC_S, partial(deployment.net.cut, pairs))
-        self.clock.later(start - TRAFFIC_S + 1.9, partial(deployment.net.join, pairs))
-        self.clock.later(end - TRAFFIC_S, self._dark)
+        self.clock.call_later(start - TRAFFIC_S, partial(deployment.net.cut, pairs))
+        self.clock.call_later(start - TRAFFIC_S + 1.9, partial(deployment.net.join, pairs))
+        self.clock.call_later(end - TRAFFIC_S, self._dark)
 
     def _dark(self) -> None:
         self.history.trouble("all machines lose power", 1.0)
         for machine in self.deployment.machines:
             machine.power_off()
-            self.clock.later(1.0, machine.start)
+            self.clock.call_later(1.0, machine.start)
 
 
 @pytest.mark.parametrize("seed", [2, 6])
@@ -64,7 +64,7 @@
     edge = day.deployment.edges[0].part
     number, shard = next(iter(edge.shards.mine.items()))
     message = Message(f"{number:x}-again", number, "again", "", "GET", "/", "r", "k", 0.0, 0.0, order=(3, 7))
-    edge.spread.put(message, shard.epoch, lambda put: None)
+    edge.replicator.put(message, shard.epoch, lambda put: None)
     day.clock.run(day.clock.now + 0.5)
     kept = [it.part.kept.get(message.id) for it in day.deployment.stores]
     assert {it.place() for it in kept if it is not None} == {(number, 3, 7)}
@@ -75,9 +75,11 @@
     day.play()
     day.clients.send("/plain/")
     edges = [it.part for it in day.deployment.edges]
-    while not any(it.out for edge in edges for it in edge.rack.messages.values()):
+    while not any(it.out for edge in edges for it in edge.delivery_queue.messages.values()):
         day.clock.run(day.clock.now + 0.001)
-    edge, message = next((edge, it) for edge in edges for it in edge.rack.messages.values() if it.out)
+    edge, message = next(
+        (edge, it) for edge in edges for it in edge.delivery_queue.messages.values() if it.out
+    )
     edge.shards.on_outcome(
         {"id": message.id, "end": "", "seal": "", "failed": False}, b"", "", lambda body, blob: None
     )
@@ -90,8 +92,10 @@
     day.play()
     day.clients.send("/plain/")
     edges = [it.part for it in day.deployment.edges]
-    while not any(it.out for edge in edges for it in edge.rack.messages.values()):
+    while not any(it.out for edge in edges for it in edge.delivery_queue.messages.values()):
         day.clock.run(day.clock.now + 0.001)
-    edge, message = next((edge, it) for edge in edges for it in edge.rack.messages.values() if it.out)
+    edge, message = next(
+        (edge, it) for edge in edges for it in edge.delivery_queue.messages.values() if it.out
+    )
     message.service = "beta"
     assert [it.out for it in edge._release(message.shard)] == [True]
--- a/tests/cluster/test_news.py
+++ b/tests/cluster/test_gossip.py
@@ -7,10 +7,10 @@
 from result import Ok
 
 from amberlug.cluster.gossip import store
-from amberlug.cluster.gossip.store import PAGE, PAGE_BYTES, News
-from amberlug.cluster.interfaces import words_of
+from amberlug.cluster.gossip.store import PAGE, PAGE_BYTES, GossipStore
+from amberlug.cluster.rpc.messages import handlers_of
 from amberlug.cluster.simulation.clock import Clock
-from amberlug.cluster.simulation.network import Host, Life, LifeWorld, Network
+from amberlug.cluster.simulation.network import Host, Incarnation, Network, SimulatedRuntime
 
 
 class Hearer:
@@ -18,23 +18,23 @@
 
     def __init__(self, net: Network, name: str, other: str, known: tuple[str, ...] = ()) -> None:
         host = Host(name, "z", name)
-        life = host.life = Life(host, 1, lambda life, error: None)
+        life = host.life = Incarnation(host, 1, lambda life, error: None)
         life.machine = self
         net.hosts[name] = host
-        world = LifeWorld(net, life, random.Random(name), 0.0)
-        self.news = News(
+        world = SimulatedRuntime(net, life, random.Random(name), 0.0)
+        self.gossip = GossipStore(
             world, lambda: [other], lambda key, value: None, to_all=bool(known), known_at=lambda to: known
         )
-        self.words = words_of(self.news)
+        self.handlers = handlers_of(self.gossip)
 
     def broken(self, address: str) -> None:
         pass
 
 
-def two() -> tuple[Clock, Network, News, News]:
+def two() -> tuple[Clock, Network, GossipStore, GossipStore]:
     clock = Clock()
     net = Network(clock, random.Random(1), 0.0005)
-    return clock, net, Hearer(net, "a", "b").news, Hearer(net, "b", "a").news
+    return clock, net, Hearer(net, "a", "b").gossip, Hearer(net, "b", "a").gossip
 
 
 def test_gaps_of_any_size_are_mended_on_both_sides() -> None:
@@ -58,8 +58,8 @@
         a.offer(f"{number}", [1], "x" * 100_000)
     said: list[bool] = []
     for at in range(30):  # 6 MB take 3.2 s
-        ask = partial(a.world.ask, "b", "news.digest", {"sum": f"{b.sum:x}"}, 0.4)
-        clock.later(1.0 + at * 0.1, partial(ask, lambda reply: said.append(isinstance(reply, Ok))))
+        ask = partial(a.world.request, "b", "news.digest", {"sum": f"{b.sum:x}"}, 0.4)
+        clock.call_later(1.0 + at * 0.1, partial(ask, lambda reply: said.append(isinstance(reply, Ok))))
     clock.run(1.0)
     a.compare_with("b")
     clock.run(4.5)
@@ -98,7 +98,7 @@
 def test_what_the_other_has_of_its_own_is_neither_told_nor_asked_for() -> None:
     clock = Clock()
     net = Network(clock, random.Random(1), 0.0005)
-    a, b = (Hearer(net, *names, known=("config",)).news for names in (("a", "b"), ("b", "a")))
+    a, b = (Hearer(net, *names, known=("config",)).gossip for names in (("a", "b"), ("b", "a")))
     a.offer("config", [1], "x")
     a.offer("other", [1], "y")
     clock.run(0.5)
--- a/tests/cluster/test_internal_replies.py
+++ b/tests/cluster/test_internal_replies.py
@@ -7,9 +7,9 @@
 import pytest
 from result import Err, Ok, Result
 
-from amberlug.cluster.interfaces import Json, Lost, Reply, Respond
+from amberlug.cluster.interfaces import Json, Reply, RequestFailure, Respond
 from amberlug.cluster.rpc.framing import pack
-from amberlug.cluster.rpc.transport import DIAL_S, Belt
+from amberlug.cluster.rpc.transport import DIAL_S, PeerTransport
 from amberlug.cluster.simulation.mutations_answers import FAULTS
 from tests.cluster.wires import Loop, run
 
@@ -25,13 +25,13 @@
         self.loop, self.chance, self.slow = loop, chance, slow
         self.heard: Counter[str] = Counter()
         self.lives = 0
-        self.belt = Belt(self.hear, lambda address: None)
+        self.peers = PeerTransport(self.hear, lambda address: None)
         self.held: list[tuple[Respond, str]] = []
 
     async def start(self) -> None:
         self.lives += 1
-        self.belt = Belt(self.hear, lambda address: None)
-        await self.belt.listen(AT[0], range(AT[1], AT[1] + 1))
+        self.peers = PeerTransport(self.hear, lambda address: None)
+        await self.peers.listen(AT[0], range(AT[1], AT[1] + 1))
         door = self.loop.doors[AT]
 
         def held_up() -> asyncio.Protocol:
@@ -43,7 +43,7 @@
 
     def kill(self) -> None:
         self.loop.doors.pop(AT, None)
-        for it in list(self.belt.incoming):
+        for it in list(self.peers.incoming):
             assert it.transport is not None, "a connection that came up"
             it.transport.abort()
 
@@ -74,24 +74,24 @@
 
     def __init__(self, loop: Loop, chance: random.Random, peer: Peer, again: float = 0.2) -> None:
         self.loop, self.chance, self.peer, self.again = loop, chance, peer, again
-        self.belt = Belt(lambda *given: None, lambda address: None)
-        self.belt.address = "10.0.0.1:7300"
+        self.peers = PeerTransport(lambda *given: None, lambda address: None)
+        self.peers.address = "10.0.0.1:7300"
         self.said: Counter[str] = Counter()
         self.unsent: set[str] = set()
 
     def ask(self, number: str) -> None:
-        def then(reply: Result[Reply, Lost]) -> None:
+        def then(reply: Result[Reply, RequestFailure]) -> None:
             self.said[number] += 1
             if isinstance(reply, Ok):
                 got = reply.ok_value.body["number"], reply.ok_value.blob
                 assert got == (number, number.encode() * 3), "a reply to another ask"
                 assert self.peer.heard[number], "a reply to what was not heard"
-            elif reply.err_value is Lost.UNSENT:
+            elif reply.err_value is RequestFailure.NOT_SENT:
                 self.unsent.add(number)
             if isinstance(reply, Err) and self.chance.random() < self.again:
                 self.ask(f"{number}+")  # who hears of a break asks again at once, over another connection
 
-        self.belt.ask(f"{AT[0]}:{AT[1]}", "word", {"number": number}, WITHIN_S, then)
+        self.peers.request(f"{AT[0]}:{AT[1]}", "word", {"number": number}, WITHIN_S, then)
 
 
 async def scene(loop: Loop, chance: random.Random) -> None:
@@ -147,7 +147,7 @@
             await peer.start()
             asker = Asker(loop, chance, peer, again=0.0)
             asker.ask("1")
-            link = asker.belt._links[f"{AT[0]}:{AT[1]}"]
+            link = asker.peers._links[f"{AT[0]}:{AT[1]}"]
             await asyncio.sleep(0.01)
             assert link.transport is not None
             link.data_received(frame[:at])
--- a/tests/cluster/test_killed_steps.py
+++ b/tests/cluster/test_killed_steps.py
@@ -6,7 +6,7 @@
 import pytest
 from absl import logging
 
-from amberlug.cluster.dispatch.replicator import Put, Spread
+from amberlug.cluster.dispatch.replicator import ReplicationOutcome, Replicator
 from amberlug.cluster.simulation.history import Broken
 from amberlug.cluster.simulation.scenarios import TRAFFIC_S, Day
 
@@ -45,15 +45,15 @@
 
         def send() -> None:
             self.clients.send("/seq/")
-            self.clock.later(self.after_s, self.strike)
+            self.clock.call_later(self.after_s, self.strike)
 
-        self.clock.later(start - TRAFFIC_S, send)
+        self.clock.call_later(start - TRAFFIC_S, send)
 
     def strike(self) -> None:
         self.history.trouble("all edges end", 1.0)
         for edge in self.deployment.edges:
             edge.power_off() if self.power else edge.kill()
-            self.clock.later(0.8, edge.start)
+            self.clock.call_later(0.8, edge.start)
 
 
 def killed(ms: int, power: bool) -> list[Broken]:
@@ -68,5 +68,7 @@
 
 
 def test_a_message_that_is_accepted_before_it_is_kept_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(Spread, "put", lambda self, message, epoch, then: then(Put.HELD))
+    monkeypatch.setattr(
+        Replicator, "put", lambda self, message, epoch, then: then(ReplicationOutcome.REPLICATED)
+    )
     assert "LOST" in {it.rule for ms in (15, 40) for it in killed(ms, False)}
--- a/tests/cluster/test_losses.py
+++ b/tests/cluster/test_losses.py
@@ -9,8 +9,8 @@
 from absl import logging
 from result import Ok
 
-from amberlug.cluster.dispatch.shard_owner import Taken
-from amberlug.cluster.gossip.store import News
+from amberlug.cluster.dispatch.shard_owner import AdmissionOutcome
+from amberlug.cluster.gossip.store import GossipStore
 from amberlug.cluster.interfaces import Json, Reply
 from amberlug.cluster.simulation.history import Broken
 from amberlug.cluster.simulation.mutations import mutated
@@ -42,24 +42,24 @@
             day.deployment.add("store", zone).start()
 
     def wake() -> None:
-        news: News = old.part.news
-        offer = news.offer
+        gossip: GossipStore = old.part.gossip
+        offer = gossip.offer
 
         def late(key: str, version: list[int], value: Any) -> bool:
             if key == "shards":
-                day.clock.later(0.3, partial(_offer, offer, key, version, value))
+                day.clock.call_later(0.3, partial(_offer, offer, key, version, value))
                 return False
             return offer(key, version, value)
 
-        news.offer = late  # type: ignore[method-assign]
+        gossip.offer = late  # type: ignore[method-assign]
         old.thaw()
 
-    day.clock.later(6.0, old.freeze)
-    day.clock.later(6.0, lambda: day.history.trouble("an owner is frozen for 3 s", 3.0))
-    day.clock.later(8.0, come)
-    day.clock.later(9.0, wake)
+    day.clock.call_later(6.0, old.freeze)
+    day.clock.call_later(6.0, lambda: day.history.trouble("an owner is frozen for 3 s", 3.0))
+    day.clock.call_later(8.0, come)
+    day.clock.call_later(9.0, wake)
     for number in range(40):
-        day.clock.later(9.0 + number * 0.01, partial(_send, day, old))
+        day.clock.call_later(9.0 + number * 0.01, partial(_send, day, old))
     with mutated(name):
         assert {it.rule for it in day.play()} == ({"STUCK"} if name else set())
 
@@ -82,13 +82,13 @@
 def test_a_store_that_joins_refuses_who_owned_shards_before_it_came() -> None:
     rig = Rig()
     rig.store.enrolled = 0
-    news = rig.store.news
+    gossip = rig.store.gossip
     rig.put(1)
     assert rig.said.pop() == {"early": True}  # it is on no roster
-    news.offer("roster", [9], ROSTER)
+    gossip.offer("roster", [9], ROSTER)
     rig.put(2)
     assert rig.said.pop() == {"early": True}  # it does not know who owned what when it came
-    news.offer("shards", [7], {"owners": [], "shards": [[0, 3, -1], [0, 7, -1]], "roster": 4})
+    gossip.offer("shards", [7], {"owners": [], "shards": [[0, 3, -1], [0, 7, -1]], "roster": 4})
     rig.put(3)
     assert rig.said.pop() == {"fenced": 7}
     assert rig.store.enrolled == 9
@@ -100,7 +100,7 @@
     rig.shards.table_is({"owners": [["me", {"addr": "me"}]], "shards": [[0, 8, -1]], "roster": 5})
     rig.answer("fence", heard)
     assert not rig.shards.mine[0].serving
-    rig.spread.roster_is(rig.roster, 5)
+    rig.replicator.roster_is(rig.roster, 5)
     rig.shards.roster_changed()
     assert rig.shards.mine[0].serving
 
@@ -122,20 +122,20 @@
 def test_a_put_outlasts_a_disk_that_is_dropped_meanwhile() -> None:
     rig = Owner()
     rig.answer("fence", {it: {"open": []} for it in STORES})
-    said: list[Taken] = []
+    said: list[AdmissionOutcome] = []
     rig.shards.accept(fresh(), said.append)
     first, second = (to for to, word, _, _ in rig.world.asked if word == "put")
     (left,) = set(STORES) - {first, second}
-    rig.spread.roster_is({it: rig.roster[it] for it in STORES if it != left})
+    rig.replicator.roster_is({it: rig.roster[it] for it in STORES if it != left})
     rig.clock.run(0.5)  # long enough to ask a further store
     rig.answer("put", {first: {}, second: {}})
-    assert said == [Taken.HELD]
+    assert said == [AdmissionOutcome.ACCEPTED]
 
 
 def test_a_put_under_way_as_its_disk_is_emptied_leaves_nothing() -> None:
     rig = Rig()
     rig.put(1)
-    rig.store.news.offer("roster", [9], {})  # others have taken its place
+    rig.store.gossip.offer("roster", [9], {})  # others have taken its place
     while rig.disk.waiting:
         rig.disk.decide(None)
     assert rig.said == [{"early": True}]
@@ -153,8 +153,8 @@
             assert it.disk is not None, "stores have a disk"
             it.disk.sync_s = 0.3
 
-    day.clock.later(7.2, slow)
-    day.clock.later(7.5, lambda: day.footing.empty(store))
+    day.clock.call_later(7.2, slow)
+    day.clock.call_later(7.5, lambda: day.storage_faults.empty(store))
     return day.play()
 
 
@@ -169,7 +169,7 @@
     name: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     rig = Leader(monkeypatch)
-    rig.core.book.roster["disk-c"]["state"] = "retiring"
+    rig.core.cluster_state.roster["disk-c"]["state"] = "retiring"
     rig.keep("a", "b", "c")
     rig.proposed.clear()
     edge = rig.session("edge", "edge", table=0, loading=0, short=1, roster=9)
@@ -180,7 +180,11 @@
 
 def test_no_disk_is_dropped_while_a_store_that_counts_is_silent(monkeypatch: pytest.MonkeyPatch) -> None:
     rig = Leader(monkeypatch)
-    rig.core.book.roster["disk-d"] = {**rig.core.book.roster["disk-c"], "name": "d", "state": "retiring"}
+    rig.core.cluster_state.roster["disk-d"] = {
+        **rig.core.cluster_state.roster["disk-c"],
+        "name": "d",
+        "state": "retiring",
+    }
     rig.keep("a", "b", "d")
     rig.proposed.clear()
     rig.drop()
--- a/tests/cluster/test_measured.py
+++ b/tests/cluster/test_measured.py
@@ -5,14 +5,14 @@
 
 import pytest
 
-from amberlug.cluster.control.shard_assignment import share_out
-from amberlug.cluster.dispatch.dispatcher import Service
-from amberlug.cluster.dispatch.endpoint_pool import Pool
+from amberlug.cluster.control.shard_assignment import assign_shards
+from amberlug.cluster.dispatch.dispatcher import Dispatcher
+from amberlug.cluster.dispatch.endpoint_pool import EndpointPool
 from amberlug.cluster.dispatch.message import Message
 from amberlug.cluster.http.server import Answer, Limits, Server
-from amberlug.cluster.interfaces import Called, Delivery, Verdict
+from amberlug.cluster.interfaces import CallResult, CallVerdict, EndpointCall
 from amberlug.cluster.simulation.clock import Clock
-from amberlug.cluster.simulation.network import Host, Life, LifeWorld, Network
+from amberlug.cluster.simulation.network import Host, Incarnation, Network, SimulatedRuntime
 from tests.cluster.test_rates import OneEndpoint
 
 
@@ -21,35 +21,35 @@
 
     full = 12
 
-    def call(self, delivery: Delivery, then: object) -> None:
+    def call(self, delivery: EndpointCall, then: object) -> None:
         self.calls += 1
         attempt = ("amberlug-attempt-id", delivery.attempt)
-        turned_away = Called(Verdict.ANSWERED, 503, (attempt, ("amberlug-not-executed", "1")))
-        done = Called(Verdict.ANSWERED, 200, (attempt, ("amberlug-server-seal", "s")))
+        turned_away = CallResult(CallVerdict.ANSWERED, 503, (attempt, ("amberlug-not-executed", "1")))
+        done = CallResult(CallVerdict.ANSWERED, 200, (attempt, ("amberlug-server-seal", "s")))
         assert callable(then)
         said = turned_away if self.calls <= self.full else done
-        self.clock.later(0.01 if said is turned_away else 0.1, lambda: then(said))
+        self.clock.call_later(0.01 if said is turned_away else 0.1, lambda: then(said))
 
 
-def dispatch(endpoints: OneEndpoint, clock: Clock, slots: int) -> tuple[Service, list[str]]:
+def dispatch(endpoints: OneEndpoint, clock: Clock, slots: int) -> tuple[Dispatcher, list[str]]:
     """A service with one endpoint, and what of it has been done."""
     net = Network(clock, random.Random(1), 0.001)
     host = Host("edge", "z", "10.0.0.1:7300")
-    world = LifeWorld(net, Life(host, 1, lambda life, error: None), net.chance, 0.0)
-    pool = Pool("z", net.chance, lambda address: 1)
+    world = SimulatedRuntime(net, Incarnation(host, 1, lambda life, error: None), net.chance, 0.0)
+    pool = EndpointPool("z", net.chance, lambda address: 1)
     value = {"service": "s", "addr": "a", "zone": "z", "slots": slots, "cond": "ready", "warm_ms": 0}
     pool.heard("i", value, 0.0)
     done: list[str] = []
 
-    def finished(message: Message, called: Called) -> None:
+    def finished(message: Message, called: CallResult) -> None:
         message.out = False
         if called.status == 200:
             message.ended = True
             done.append(message.id)
         else:
-            clock.later(0.02, lambda: service.add(message))
+            clock.call_later(0.02, lambda: service.add(message))
 
-    service = Service("s", world, pool, endpoints, lambda it: 1.0, finished)
+    service = Dispatcher("s", world, pool, endpoints, lambda it: 1.0, finished)
     return service, done
 
 
@@ -75,7 +75,7 @@
 def test_shards_move_only_where_they_must(
     owners: list[str], live: list[str], keep: list[str], moved: dict[str, list[int]]
 ) -> None:
-    assert {name: it for name, it in share_out(owners, live, 4, keep).items() if it} == moved
+    assert {name: it for name, it in assign_shards(owners, live, 4, keep).items() if it} == moved
 
 
 def test_a_connection_that_is_old_ends_with_its_next_answer() -> None:
--- /dev/null
+++ b/tests/cluster/test_messages.py
@@ -0,0 +1,85 @@
+"""Typed messages: decoded for their handlers, encoded as they are sent, failures passed on."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from dataclasses import dataclass
+from typing import ClassVar
+
+from result import Err, Ok, Result
+
+from amberlug.cluster.interfaces import Json, Reply, RequestFailure
+from amberlug.cluster.rpc.messages import Body, Request, Responder, handlers_of, handles, request
+from amberlug.cluster.simulation.clock import Clock
+from tests.cluster.fakes import Alone
+
+
+@dataclass(frozen=True, slots=True)
+class Length(Body):
+    count: int
+
+    def to_wire(self) -> Json:
+        return {"n": self.count}
+
+    @classmethod
+    def from_wire(cls, body: Json, payload: bytes) -> Length:
+        return cls(body["n"])
+
+
+@dataclass(frozen=True, slots=True)
+class Measure(Request[Length]):
+    wire_tag: ClassVar[str] = "measure"
+    reply_type: ClassVar[type[Length]] = Length
+    data: bytes
+
+    @property
+    def payload(self) -> bytes:
+        return self.data
+
+    def to_wire(self) -> Json:
+        return {}
+
+    @classmethod
+    def from_wire(cls, body: Json, payload: bytes) -> Measure:
+        return cls(payload)
+
+
+class Meter:
+    @handles(Measure)
+    def on_measure(self, message: Measure, origin: str, respond: Responder) -> None:
+        respond(Length(len(message.data)))
+
+
+class Loopback(Alone):
+    """A runtime whose requests reach one component, or are lost."""
+
+    def __init__(self, handlers: dict[str, Callable[..., None]]) -> None:
+        super().__init__(Clock())
+        self.handlers = handlers
+
+    def request(
+        self,
+        to: str,
+        word: str,
+        body: Json,
+        within: float,
+        then: Callable[[Result[Reply, RequestFailure]], None],
+        blob: bytes = b"",
+    ) -> None:
+        handler = self.handlers.get(word)
+        if handler is None:
+            then(Err(RequestFailure.TIMED_OUT))
+        else:
+            handler(body, blob, "10.0.0.9:7300", lambda said, more: then(Ok(Reply(said, more))))
+
+
+def test_a_request_reaches_its_typed_handler_and_its_reply_comes_back_typed() -> None:
+    found: list[Result[Length, RequestFailure]] = []
+    request(Loopback(handlers_of(Meter())), "10.0.0.1:7300", Measure(b"four"), 1.0, found.append)
+    assert found == [Ok(Length(4))]
+
+
+def test_a_request_without_a_reply_fails_with_the_reason() -> None:
+    found: list[Result[Length, RequestFailure]] = []
+    request(Loopback({}), "10.0.0.1:7300", Measure(b""), 1.0, found.append)
+    assert found == [Err(RequestFailure.TIMED_OUT)]
--- a/tests/cluster/test_vise.py
+++ b/tests/cluster/test_raft.py
@@ -5,12 +5,12 @@
 from dataclasses import asdict
 from typing import Any
 
-from amberlug.cluster.consensus.log import Saved, text_of
-from amberlug.cluster.consensus.raft import Vise
-from amberlug.cluster.consensus.snapshot_transfer import PART, Pace, Sending, whole_of
+from amberlug.cluster.consensus.log import PersistentState, text_of
+from amberlug.cluster.consensus.raft import RaftNode
+from amberlug.cluster.consensus.snapshot_transfer import PART, OutgoingTransfer, SendWindow, whole_of
 from amberlug.cluster.interfaces import Json
 from amberlug.cluster.simulation.clock import Clock
-from amberlug.cluster.simulation.disk import Shelf
+from amberlug.cluster.simulation.disk import ControlDisk
 from tests.cluster.fakes import Alone
 
 MEMBERS = {name: {"addr": name, "voter": True} for name in "abc"}
@@ -37,10 +37,10 @@
 
 def test_entries_that_the_disk_refused_are_not_acknowledged_and_are_written_again() -> None:
     clock, disk = Clock(), Refusing()
-    vise = Vise(
+    raft = RaftNode(
         Alone(clock),
         disk,
-        Saved("a", members=MEMBERS),
+        PersistentState("a", members=MEMBERS),
         lambda index, command: {},
         dict,
         lambda state: None,
@@ -50,7 +50,7 @@
     def append(before: int, *entries: tuple[int, Json]) -> list[Json]:
         said: list[Json] = []
         body = {"term": 1, "me": "b", "to": "a", "commit": 0, "prev": before, "prev_term": 1 if before else 0}
-        vise.on_append({**body, "entries": list(entries)}, b"", "b", lambda body, blob: said.append(body))
+        raft.on_append({**body, "entries": list(entries)}, b"", "b", lambda body, blob: said.append(body))
         return said
 
     disk.full = True
@@ -69,15 +69,15 @@
 
     def __init__(self) -> None:
         self.clock = Clock()
-        self.shelf = Shelf(self.clock, random.Random(1), 0.002)
+        self.raft_storage = ControlDisk(self.clock, random.Random(1), 0.002)
         self.restored: list[Json] = []
         self.start()
 
     def start(self) -> None:
-        saved = self.shelf.begun(lambda: Saved("d"))
-        self.vise = Vise(
+        saved = self.raft_storage.begun(lambda: PersistentState("d"))
+        self.raft = RaftNode(
             Alone(self.clock),
-            _DiskOf(self.shelf),
+            _DiskOf(self.raft_storage),
             saved,
             lambda index, command: {},
             dict,
@@ -86,32 +86,32 @@
         )
 
     def part(
-        self, sending: Sending, offset: int, data: bytes, term: int = 1, leader: str = "b"
+        self, sending: OutgoingTransfer, offset: int, data: bytes, term: int = 1, leader: str = "b"
     ) -> Json | None:
         """What is answered to a part, once the disk has synced."""
         said: list[Json] = []
         body = {"term": term, "me": leader, "to": "d", "commit": 9, **asdict(sending.whole)}
         body |= {"before_term": 0, "offset": offset}
-        self.vise.on_part(body, data, leader, lambda body, blob: said.append(body))
+        self.raft.on_part(body, data, leader, lambda body, blob: said.append(body))
         self.clock.run(self.clock.now + 0.01)
         return said[-1] if said else None
 
 
 class _DiskOf:
-    def __init__(self, shelf: Shelf) -> None:
-        self.shelf = shelf
+    def __init__(self, raft_storage: ControlDisk) -> None:
+        self.raft_storage = raft_storage
 
     def write(self, rows: list[tuple[str, tuple[Any, ...]]], then: Callable[[str | None], None]) -> None:
-        self.shelf.put(rows, then)
+        self.raft_storage.put(rows, then)
 
 
-def snapshot(mark: str, last: int = 9) -> Sending:
+def snapshot(mark: str, last: int = 9) -> OutgoingTransfer:
     members = {**MEMBERS, "d": {"addr": "d", "voter": mark == "x"}}
     data = text_of({"state": {"text": mark * 3 * PART}, "members": members}).encode()
-    return Sending(whole_of("snapshot", last, 1, data), data, Pace())
+    return OutgoingTransfer(whole_of("snapshot", last, 1, data), data, SendWindow())
 
 
-def pieces(sending: Sending) -> list[tuple[int, bytes]]:
+def pieces(sending: OutgoingTransfer) -> list[tuple[int, bytes]]:
     data = sending.data
     return [(at, data[at : at + PART]) for at in range(0, len(data), PART)]
 
@@ -123,12 +123,12 @@
     total = len(sending.data)
     for at, had in ((1, 0), (0, PART), (0, PART), (2, PART), (1, 2 * PART), (2, 3 * PART)):
         assert learner.part(sending, *parts[at]) == {"ok": False, "term": 1, "had": had}
-        assert (learner.restored, learner.vise.commit) == ([], 0)
+        assert (learner.restored, learner.raft.commit) == ([], 0)
     assert learner.part(sending, 0, b"") == {"ok": False, "term": 1, "had": 3 * PART}
     assert learner.part(sending, *parts[3]) == {"ok": True, "term": 1}
     assert learner.part(sending, *parts[0]) == {"ok": True, "term": 1}  # it comes once more
     for _ in range(2):
-        assert (learner.vise.commit, learner.vise.last, learner.vise.voting) == (9, 9, True)
+        assert (learner.raft.commit, learner.raft.last, learner.raft.voting) == (9, 9, True)
         assert len(learner.restored[-1]["text"]) == 3 * PART
         learner.start()
     assert len(learner.restored) == 3
@@ -141,7 +141,7 @@
     for at in (0, 1, 2):
         learner.part(sending, parts[at][0], parts[at][1] if at != 1 else parts[at][1].replace(b"x", b"y"))
     assert learner.part(sending, *parts[3]) == {"ok": False, "term": 1, "had": 0}
-    assert (learner.restored, learner.vise.bad_sums) == ([], 1)
+    assert (learner.restored, learner.raft.bad_sums) == ([], 1)
     assert [learner.part(sending, *it) for it in parts][-1] == {"ok": True, "term": 1}
     assert learner.restored[-1] == {"text": "x" * 3 * PART}
 
@@ -155,7 +155,7 @@
     learner.start()
     assert learner.part(new, *pieces(new)[1], 2, "c") == {"ok": False, "term": 2, "had": 0}
     assert [learner.part(new, *it, 2, "c") for it in pieces(new)][-1] == {"ok": True, "term": 2}
-    assert (learner.vise.commit, learner.vise.voting, learner.restored[-1]) == (
+    assert (learner.raft.commit, learner.raft.voting, learner.restored[-1]) == (
         12,
         False,
         {"text": "y" * 3 * PART},
@@ -164,24 +164,24 @@
 
 def test_a_snapshot_that_the_disk_refuses_is_not_acknowledged_until_it_lasts() -> None:
     learner, sending = Learner(), snapshot("x")
-    put = learner.shelf.put
-    learner.shelf.put = lambda rows, then: then("no space is left")  # type: ignore[method-assign]
+    put = learner.raft_storage.put
+    learner.raft_storage.put = lambda rows, then: then("no space is left")  # type: ignore[method-assign]
     assert [learner.part(sending, *it) for it in pieces(sending)][-1] is None
     assert learner.part(sending, 0, b"") == {"ok": False, "term": 1, "had": sending.whole.total}
-    learner.shelf.put = put  # type: ignore[method-assign]
+    learner.raft_storage.put = put  # type: ignore[method-assign]
     learner.clock.run(learner.clock.now + 0.2)
     assert learner.part(sending, 0, b"") == {"ok": True, "term": 1}
     learner.start()
-    assert learner.vise.commit == 9
+    assert learner.raft.commit == 9
 
 
 def test_a_start_heeds_no_leader_of_an_older_term_than_its_last_entry() -> None:
-    saved = Saved("a", 4, "b", members=MEMBERS, entries=[(4, {"n": 1}), (5, {"n": 2})])
-    vise = Vise(
+    saved = PersistentState("a", 4, "b", members=MEMBERS, entries=[(4, {"n": 1}), (5, {"n": 2})])
+    raft = RaftNode(
         Alone(Clock()), Refusing(), saved, lambda index, command: {}, dict, lambda state: None, lambda: None
     )
     said: list[Json] = []
     body = {"term": 4, "me": "b", "to": "a", "commit": 0, "prev": 1, "prev_term": 4, "entries": [(4, None)]}
-    vise.on_append(body, b"", "b", lambda body, blob: said.append(body))
+    raft.on_append(body, b"", "b", lambda body, blob: said.append(body))
     assert said == [{"ok": False, "term": 5, "stranger": False}]
-    assert vise.entries == [(4, {"n": 1}), (5, {"n": 2})]
+    assert raft.entries == [(4, {"n": 1}), (5, {"n": 2})]
--- a/tests/cluster/test_shelf.py
+++ b/tests/cluster/test_raft_storage.py
@@ -7,12 +7,12 @@
 from collections.abc import Callable
 from pathlib import Path
 
-from amberlug.cluster.consensus.log import Saved
-from amberlug.cluster.consensus.raft import Role, Vise
-from amberlug.cluster.consensus.storage import open_shelf
+from amberlug.cluster.consensus.log import PersistentState
+from amberlug.cluster.consensus.raft import RaftNode, Role
+from amberlug.cluster.consensus.storage import open_raft_storage
 from amberlug.cluster.interfaces import Json
 from amberlug.cluster.simulation.clock import Clock
-from amberlug.cluster.storage.group_commit import Cabinet
+from amberlug.cluster.storage.group_commit import GroupCommitWriter
 from tests.cluster.fakes import Alone
 
 ALONE: Json = {"a": {"addr": "a", "voter": True}}
@@ -24,11 +24,11 @@
     def __init__(self, folder: Path) -> None:
         self.posted: queue.SimpleQueue[Callable[[], None]] = queue.SimpleQueue()
         self.state: Json = {}
-        self.saved, self.disk, self.anew = open_shelf(
-            folder, lambda: Saved("a", members=ALONE), self.posted.put
+        self.saved, self.disk, self.anew = open_raft_storage(
+            folder, lambda: PersistentState("a", members=ALONE), self.posted.put
         )
         clock = Clock()
-        self.vise = Vise(
+        self.raft = RaftNode(
             Alone(clock),
             self.disk,
             self.saved,
@@ -37,9 +37,9 @@
             self.state.update,
             lambda: None,
         )
-        self.vise.begin()
+        self.raft.begin()
         clock.run(0.4)
-        self.until(lambda: self.vise.role is Role.LEADER and self.vise.commit == self.vise.last)
+        self.until(lambda: self.raft.role is Role.LEADER and self.raft.commit == self.raft.last)
 
     def _apply(self, index: int, command: Json) -> Json:
         self.state.update(command)
@@ -50,9 +50,9 @@
             self.posted.get(timeout=5.0)()
 
     def change(self, text: str) -> None:
-        self.vise.propose({"text": text}, lambda said: None)
-        last = self.vise.last
-        self.until(lambda: self.vise.commit >= last)
+        self.raft.propose({"text": text}, lambda said: None)
+        last = self.raft.last
+        self.until(lambda: self.raft.commit >= last)
 
     def close(self) -> None:
         self.disk.close()
@@ -64,7 +64,7 @@
     for number in range(60):
         lone.change(f"{number} " + "x" * 1_000_000)
         most = max(most, sum(it.stat().st_size for it in tmp_path.iterdir()))
-        assert sum(lone.vise.log.sizes) < 7_000_000
+        assert sum(lone.raft.log.sizes) < 7_000_000
     lone.close()
     assert most < 40_000_000
     again = Lone(tmp_path)
@@ -77,12 +77,12 @@
     lone = Lone(tmp_path)
     for number in range(600):
         lone.change(str(number))
-    snap, start = lone.vise.log.snap, lone.vise.log.start
-    assert 0 < start < snap < lone.vise.last
+    snap, start = lone.raft.log.snap, lone.raft.log.start
+    assert 0 < start < snap < lone.raft.last
     lone.close()
     again = Lone(tmp_path)
-    assert (again.vise.log.snap, again.vise.log.start) == (snap, start)
-    assert again.vise.entries[:-1] == lone.vise.entries
+    assert (again.raft.log.snap, again.raft.log.start) == (snap, start)
+    assert again.raft.entries[:-1] == lone.raft.entries
     again.close()
 
 
@@ -97,18 +97,18 @@
 
 
 def test_a_file_of_the_program_before_is_read_and_one_with_a_gap_is_not(tmp_path: Path) -> None:
-    def begun(*rows: int) -> Saved:
+    def begun(*rows: int) -> PersistentState:
         for it in tmp_path.iterdir():
             it.unlink()
-        open_shelf(tmp_path, lambda: Saved("a", members=ALONE), lambda act: None)[1].close()
+        open_raft_storage(tmp_path, lambda: PersistentState("a", members=ALONE), lambda act: None)[1].close()
         base = sqlite3.connect(tmp_path / "vise.db", isolation_level=None)
         put(base, "snap", {"start": 512, "term": 3, "state": {"text": "512"}, "members": ALONE})
         put(base, "term", (4, "a"))
         for at in rows:
             entry(base, at, 3)
         base.close()
-        saved, disk, anew = open_shelf(tmp_path, lambda: Saved("new"), lambda act: None)
-        assert isinstance(disk, Cabinet)
+        saved, disk, anew = open_raft_storage(tmp_path, lambda: PersistentState("new"), lambda act: None)
+        assert isinstance(disk, GroupCommitWriter)
         disk.close()
         assert anew == (saved.me == "new")
         return saved
--- a/tests/cluster/test_rates.py
+++ b/tests/cluster/test_rates.py
@@ -4,12 +4,12 @@
 from collections.abc import Callable
 from functools import partial
 
-from amberlug.cluster.dispatch.dispatcher import Service
-from amberlug.cluster.dispatch.endpoint_pool import Pool
+from amberlug.cluster.dispatch.dispatcher import Dispatcher
+from amberlug.cluster.dispatch.endpoint_pool import EndpointPool
 from amberlug.cluster.dispatch.message import Message
-from amberlug.cluster.interfaces import Called, Delivery, Verdict
+from amberlug.cluster.interfaces import CallResult, CallVerdict, EndpointCall
 from amberlug.cluster.simulation.clock import Clock
-from amberlug.cluster.simulation.network import Host, Life, LifeWorld, Network
+from amberlug.cluster.simulation.network import Host, Incarnation, Network, SimulatedRuntime
 
 
 class OneEndpoint:
@@ -25,20 +25,22 @@
     def forget(self, address: str) -> None:
         pass
 
-    def call(self, delivery: Delivery, then: Callable[[Called], None]) -> None:
+    def call(self, delivery: EndpointCall, then: Callable[[CallResult], None]) -> None:
         self.calls += 1
-        self.clock.later(0.01, partial(then, Called(Verdict.ANSWERED, 200)))
+        self.clock.call_later(0.01, partial(then, CallResult(CallVerdict.ANSWERED, 200)))
 
 
 def test_a_part_of_a_rate_is_spent_whole() -> None:
     clock, chance = Clock(), random.Random(1)
     net = Network(clock, chance, 0.001)
-    world = LifeWorld(net, Life(Host("edge", "z", "10.0.0.1:7300"), 1, lambda life, error: None), chance, 0.0)
-    pool, endpoints = Pool("z", chance, lambda address: 1), OneEndpoint(clock)
+    world = SimulatedRuntime(
+        net, Incarnation(Host("edge", "z", "10.0.0.1:7300"), 1, lambda life, error: None), chance, 0.0
+    )
+    pool, endpoints = EndpointPool("z", chance, lambda address: 1), OneEndpoint(clock)
     pool.heard(
         "i", {"service": "s", "addr": "a", "zone": "z", "slots": 9, "cond": "ready", "warm_ms": 0}, 0.0
     )
-    service = Service("s", world, pool, endpoints, lambda it: 1.0, lambda message, called: None)
+    service = Dispatcher("s", world, pool, endpoints, lambda it: 1.0, lambda message, called: None)
     service.rate_is(8.0, 0.2)
     for number in range(100):
         service.add(Message(f"m{number}", 0, f"{number}", "", "GET", "/", "r", "", 0.0, 0.0, service="s"))
--- a/tests/cluster/test_recorded.py
+++ b/tests/cluster/test_recorded.py
@@ -11,9 +11,9 @@
 
 import pytest
 
-from amberlug.cluster.consensus.storage import open_shelf
+from amberlug.cluster.consensus.storage import open_raft_storage
 from amberlug.cluster.simulation.boundary_digest import differences
-from amberlug.cluster.storage.message_store import open_drawer
+from amberlug.cluster.storage.message_store import open_message_store
 
 DATA = Path(__file__).parents[1] / "data"
 TABLES = {"core/vise.db": ("state", "log"), "storage/chest.db": ("about", "fence", "message")}
@@ -56,7 +56,9 @@
 def test_a_core_folder_is_read_and_left_as_it_is(tmp_path: Path) -> None:
     path = copy_of("core/vise.db", tmp_path)
     before = dump(path, TABLES["core/vise.db"])
-    saved, disk, anew = open_shelf(tmp_path, lambda: pytest.fail("it was begun anew"), lambda act: None)
+    saved, disk, anew = open_raft_storage(
+        tmp_path, lambda: pytest.fail("it was begun anew"), lambda act: None
+    )
     disk.close()
     assert not anew
     assert (saved.start + len(saved.entries)) == before["log"][-1][0]
@@ -67,7 +69,7 @@
 def test_a_core_folder_is_written_as_it_was(tmp_path: Path) -> None:
     path = copy_of("core/vise.db", tmp_path)
     before = dump(path, TABLES["core/vise.db"])
-    saved, disk, _ = open_shelf(tmp_path, lambda: pytest.fail("it was begun anew"), lambda act: None)
+    saved, disk, _ = open_raft_storage(tmp_path, lambda: pytest.fail("it was begun anew"), lambda act: None)
     rows: list[tuple[str, tuple[Any, ...]]] = [("cut", (saved.start + 1,))]
     rows += [("term", (saved.term, saved.vote))]
     rows += [
@@ -81,7 +83,9 @@
 def test_a_store_folder_is_read_and_written_as_it_was(tmp_path: Path) -> None:
     path = copy_of("storage/chest.db", tmp_path)
     before = dump(path, TABLES["storage/chest.db"])
-    contents, drawer = open_drawer(tmp_path, lambda: pytest.fail("it was begun anew"), lambda act: None)
+    contents, message_store = open_message_store(
+        tmp_path, lambda: pytest.fail("it was begun anew"), lambda act: None
+    )
     assert sorted(contents.kept) == [row[0] for row in before["message"]]
     assert contents.fences == dict(before["fence"])
     assert contents.spoilt == []
@@ -92,8 +96,8 @@
             rows.append(("put", (name, kept.shard, kept.epoch, kept.seq, kept.meta, bodies[name] or b"")))
         if kept.end:
             rows.append(("end", (name, kept.shard, kept.end, kept.seal, kept.keep_until)))
-    drawer.write(rows, lambda error: None)
-    drawer.close()
+    message_store.write(rows, lambda error: None)
+    message_store.close()
     after = dump(path, TABLES["storage/chest.db"])
     assert {table: after[table] for table in ("about", "fence")} == {
         table: before[table] for table in ("about", "fence")
--- a/tests/cluster/test_replication.py
+++ b/tests/cluster/test_replication.py
@@ -10,7 +10,7 @@
 
 from amberlug.cluster.consensus.log import COMPACT_BYTES, TAIL_BYTES
 from amberlug.cluster.consensus.raft import ELECTION_S
-from tests.cluster.group import SLOW, Group, Member
+from tests.cluster.group import SLOW, Group, SessionClient
 
 
 @pytest.fixture(autouse=True)
@@ -22,7 +22,7 @@
     logging.set_verbosity(before)
 
 
-def follower(group: Group) -> Member:
+def follower(group: Group) -> SessionClient:
     return next(it for it in group.members.values() if it is not group.leader)
 
 
@@ -44,10 +44,10 @@
     group.run(5.0)
     assert (group.behind, group.faults, group.net.too_long) == ([], [], 0)
     assert away.replica.state["numbers"] == list(range(count))
-    assert away.vise.voting
+    assert away.raft.voting
     assert group.leader is leader
     assert max(group.seconds) < 1.0
-    assert all(sum(it.vise.log.sizes) < COMPACT_BYTES + TAIL_BYTES + size for it in group.members.values())
+    assert all(sum(it.raft.log.sizes) < COMPACT_BYTES + TAIL_BYTES + size for it in group.members.values())
 
 
 def test_a_slow_member_stays_a_follower_while_it_is_sent_what_is_large() -> None:
@@ -59,11 +59,11 @@
         if step < 60 and step % 5 == 0:
             group.change(step, 4_000_000)
         group.run(0.1)
-        silent = max(silent, group.clock.now - slow.vise.heard)
+        silent = max(silent, group.clock.now - slow.raft.heard)
     assert (group.behind, group.faults, group.net.too_long) == ([], [], 0)
     assert group.leader is leader
     assert leader is not None
-    assert (leader.vise.elections, slow.vise.elections) == (1, 0)
+    assert (leader.raft.elections, slow.raft.elections) == (1, 0)
     assert silent < ELECTION_S[0]
     assert max(group.seconds) < 1.0
 
@@ -80,9 +80,9 @@
     away.start()
     group.let_in(away)
     for at in range(1, 20):  # 4 MB take 2.1 s; a snapshot from its beginning each time would never come whole
-        group.clock.later(0.4 * at, partial(group.net.reset, away))
+        group.clock.call_later(0.4 * at, partial(group.net.reset, away))
     group.run(6.0)
-    assert (group.behind, group.faults, away.vise.log.snap) == ([], [], 3)
+    assert (group.behind, group.faults, away.raft.log.snap) == ([], [], 3)
     assert away.replica.state["numbers"] == [0, 1]
 
 
@@ -90,19 +90,19 @@
     group = Group()
     leader, poor = group.leader, follower(group)
     assert leader is not None
-    world: Any = leader.vise.world
-    ask = world.ask
+    world: Any = leader.raft.world
+    ask = world.request
 
     def fail(to: str, *rest: Any, **more: Any) -> None:
         if to == poor.address:
             raise ValueError("no frame")
         ask(to, *rest, **more)
 
-    world.ask = fail
+    world.request = fail
     for number in range(10):
         group.change(number, 1000)
         group.run(0.3)
-    assert leader.vise.failures > 10
+    assert leader.raft.failures > 10
     assert (group.leader, group.taken) == (leader, list(range(10)))
 
 
@@ -118,7 +118,7 @@
     assert len(group.taken) == 500
     assert (group.behind, group.faults, group.net.too_long) == ([], [], 0)
     for member in group.members.values():
-        assert sum(member.vise.log.sizes) < COMPACT_BYTES + TAIL_BYTES + 1_100_000
+        assert sum(member.raft.log.sizes) < COMPACT_BYTES + TAIL_BYTES + 1_100_000
         assert member.replica.state == group.members["a"].replica.state
     for name in ("a", "b", "c"):  # each leads, right after a restart of its own, with all that was taken
         member = group.members[name]
@@ -128,9 +128,9 @@
         group.run(2.0)
         if group.leader is not member:
             assert group.leader is not None
-            group.leader.vise.hand_over = lambda: None  # type: ignore[method-assign]
-            group.leader.vise.world.tell(
-                member.name, "vise.now", {"term": member.vise.term, "to": member.vise.me}
+            group.leader.raft.hand_over = lambda: None  # type: ignore[method-assign]
+            group.leader.raft.world.send(
+                member.name, "vise.now", {"term": member.raft.term, "to": member.raft.me}
             )
             group.run(2.0)
         assert group.leader is member
@@ -148,18 +148,18 @@
     away.start()
     group.let_in(away)
     group.run(3.0)
-    members = away.vise.members
-    assert away.vise.me in members
+    members = away.raft.members
+    assert away.raft.me in members
     for number in range(6):
         group.change(number, 1_000_000)
         group.run(0.3)
-    assert all(it.vise.log.snap > it.vise.members_at - 1 > 0 for it in group.members.values())
+    assert all(it.raft.log.snap > it.raft.members_at - 1 > 0 for it in group.members.values())
     for member in group.members.values():
         member.stop()
     for member in group.members.values():
         member.start()
     group.run(3.0)
-    assert [it.vise.members for it in group.members.values()] == [members] * 3
+    assert [it.raft.members for it in group.members.values()] == [members] * 3
     assert group.leader is not None
 
 
@@ -183,7 +183,7 @@
     member = group.members[chance.choice("abc")]
     seconds = chance.uniform(0.3, 2.0)
     what = chance.choice(("away", "slow", "emptied", "cut", "reset", "stalled", "full"))
-    later = partial(group.clock.later, seconds)
+    later = partial(group.clock.call_later, seconds)
     if what == "slow":
         member.rate, member.loss = SLOW, 0.02
         later(lambda: vars(member).update(rate=0.0, loss=0.0))
@@ -196,13 +196,13 @@
     elif what == "reset":
         member.rate = SLOW
         for at in range(10):
-            group.clock.later(at * 0.15, partial(group.net.reset, member))
+            group.clock.call_later(at * 0.15, partial(group.net.reset, member))
         later(lambda: vars(member).update(rate=0.0))
     elif what == "stalled":
-        member.shelf.stalled_until = group.clock.now + seconds
+        member.raft_storage.stalled_until = group.clock.now + seconds
     elif what == "full":
-        member.shelf.full = True
-        later(lambda: vars(member.shelf).update(full=False))
+        member.raft_storage.full = True
+        later(lambda: vars(member.raft_storage).update(full=False))
     else:
         member.stop()
         if what == "emptied":
--- a/tests/cluster/test_floors.py
+++ b/tests/cluster/test_rollback_guard.py
@@ -8,8 +8,8 @@
 import pytest
 from absl import logging
 
-from amberlug.cluster.consensus.log import Saved
-from amberlug.cluster.consensus.storage import open_shelf
+from amberlug.cluster.consensus.log import PersistentState
+from amberlug.cluster.consensus.storage import open_raft_storage
 from amberlug.cluster.simulation.deployment import BOUNDS, Deployment, Machine
 from amberlug.cluster.simulation.mutations import mutated
 
@@ -23,7 +23,7 @@
     logging.set_verbosity(before)
 
 
-class Core:
+class ControlNode:
     """Three core machines, and what they were told of endpoints that leave."""
 
     def __init__(self) -> None:
@@ -38,7 +38,7 @@
 
     def leader(self, *among: Machine) -> Machine | None:
         machines = among or self.deployment.cores
-        return next((it for it in machines if it.up and it.part.vise.leader == it.part.vise.me), None)
+        return next((it for it in machines if it.up and it.part.raft.leader == it.part.raft.me), None)
 
     def change(self) -> None:
         """Have an entry taken, and heard of by all who are in touch."""
@@ -47,10 +47,10 @@
         assert leader.life is not None
         name = f"e{len(self.taken)}"
         leader.life.do(
-            lambda: leader.part.vise.propose({"do": "drain", "ids": [[name, 1, 0]]}, lambda result: None)
+            lambda: leader.part.raft.propose({"do": "drain", "ids": [[name, 1, 0]]}, lambda result: None)
         )
         self.run(0.3)
-        assert name in leader.part.book.leaving
+        assert name in leader.part.cluster_state.leaving
         self.taken.append(name)
 
     def folder(self, machine: Machine) -> Callable[[], None]:
@@ -60,12 +60,12 @@
         return lambda: vars(disk).update(deepcopy(kept))
 
     def lost(self, leader: Machine) -> list[str]:
-        return [it for it in self.taken if it not in leader.part.book.leaving]
+        return [it for it in self.taken if it not in leader.part.cluster_state.leaving]
 
 
 def put_back_beside_one_that_lags() -> list[str]:
     """One follower lags, and another one is put back while the leader is cut off: what is lost then."""
-    core = Core()
+    core = ControlNode()
     leader = core.leader()
     assert leader is not None
     lags, back = (it for it in core.deployment.cores if it is not leader)
@@ -91,10 +91,10 @@
 
 @pytest.mark.parametrize("which", ["leader", "follower"])
 def test_one_that_was_put_back_comes_as_another_and_one_that_was_away_as_itself(which: str) -> None:
-    core = Core()
+    core = ControlNode()
     leader = core.leader()
     machine = next(it for it in core.deployment.cores if (it is leader) == (which == "leader"))
-    me, put_back = machine.part.vise.me, core.folder(machine)
+    me, put_back = machine.part.raft.me, core.folder(machine)
     for _ in range(3):
         core.change()
     machine.power_off()
@@ -103,21 +103,21 @@
         core.change()
     machine.start()
     core.run(BOUNDS["catchUpS"])
-    assert (machine.part.vise.me, core.lost(machine)) == (me, [])
+    assert (machine.part.raft.me, core.lost(machine)) == (me, [])
     machine.power_off()
     put_back()
     machine.start()
     core.run(BOUNDS["catchUpS"])
-    vise = machine.part.vise
-    assert vise.me != me
-    assert vise.voting
-    assert me not in vise.members
+    raft = machine.part.raft
+    assert raft.me != me
+    assert raft.voting
+    assert me not in raft.members
     assert core.lost(machine) == []
 
 
 def test_all_lose_power_and_one_is_put_back() -> None:
     for at in range(3):
-        core = Core()
+        core = ControlNode()
         back = core.deployment.cores[at]
         put_back = core.folder(back)
         for _ in range(10):
@@ -132,16 +132,18 @@
         leader = core.leader()
         assert leader is not None
         assert core.lost(leader) == []
-        assert not back.part.vise.me.endswith("/0")
+        assert not back.part.raft.me.endswith("/0")
 
 
 def test_a_folder_that_is_begun_anew_holds_nothing(tmp_path: Path) -> None:
     did: list[Callable[[], None]] = []
     said: list[str | None] = []
-    saved, shelf, _ = open_shelf(tmp_path, lambda: Saved("ip/0", members={"ip/0": {}}), did.append)
+    saved, raft_storage, _ = open_raft_storage(
+        tmp_path, lambda: PersistentState("ip/0", members={"ip/0": {}}), did.append
+    )
     rows = [("term", (3, "x")), ("entry", (1, 3, None)), ("floors", ({"ip/0": 1},)), ("anew", ("ip/1",))]
-    shelf.write(rows, said.append)
-    shelf.close()
-    saved, shelf, anew = open_shelf(tmp_path, partial(Saved, "ip/2"), did.append)
-    shelf.close()
-    assert (saved, anew) == (Saved("ip/1"), False)
+    raft_storage.write(rows, said.append)
+    raft_storage.close()
+    saved, raft_storage, anew = open_raft_storage(tmp_path, partial(PersistentState, "ip/2"), did.append)
+    raft_storage.close()
+    assert (saved, anew) == (PersistentState("ip/1"), False)
--- a/tests/cluster/test_shards.py
+++ b/tests/cluster/test_shard_owner.py
@@ -3,9 +3,9 @@
 from result import Err, Ok
 
 from amberlug.cluster.dispatch.message import Message
-from amberlug.cluster.dispatch.replicator import Spread
-from amberlug.cluster.dispatch.shard_owner import Shards, Taken
-from amberlug.cluster.interfaces import Json, Lost, Reply
+from amberlug.cluster.dispatch.replicator import Replicator
+from amberlug.cluster.dispatch.shard_owner import AdmissionOutcome, ShardOwner
+from amberlug.cluster.interfaces import Json, Reply, RequestFailure
 from amberlug.cluster.settings import Tolerance
 from amberlug.cluster.simulation.clock import Clock
 from tests.cluster.fakes import Alone
@@ -25,14 +25,14 @@
     def __init__(self) -> None:
         self.clock = Clock()
         self.world = Alone(self.clock)
-        self.spread = Spread(self.world, Tolerance(), "z", "r", 60.0)
+        self.replicator = Replicator(self.world, Tolerance(), "z", "r", 60.0)
         self.roster = {
             it: {"name": it, "addr": it, "zone": "z", "region": "r", "state": "full"} for it in STORES
         }
-        self.spread.roster_is(self.roster)
+        self.replicator.roster_is(self.roster)
         self.taken: list[Message] = []
-        self.shards = Shards(
-            self.world, self.spread, "me", self.taken.append, lambda number: [], lambda *said: None
+        self.shards = ShardOwner(
+            self.world, self.replicator, "me", self.taken.append, lambda number: [], lambda *said: None
         )
         self.shards.table_is({"owners": [["me", {"addr": "me"}]], "shards": [[0, 7, -1]]})
 
@@ -55,7 +55,7 @@
 def test_stores_that_did_not_tell_what_they_hold_are_told_of_ends() -> None:
     rig = Rig()
     rig.answer("fence", {"a": {"open": [OPEN], "blob": b"hi"}, "b": {"open": [OPEN], "blob": b"hi"}})
-    rig.spread.mark(rig.taken[0], "done", "seal")
+    rig.replicator.mark(rig.taken[0], "done", "seal")
     assert rig.told() == ["a", "b", "c"]
 
 
@@ -70,16 +70,16 @@
 def test_stores_of_an_earlier_try_are_told_of_the_end() -> None:
     rig = Rig()
     rig.answer("fence", {it: {"open": []} for it in STORES})
-    said: list[Taken] = []
+    said: list[AdmissionOutcome] = []
     rig.shards.accept(fresh(), said.append)
     first, second = (it[0] for it in rig.world.asked)
     rig.clock.run(2.0)
     for _, _, _, then in rig.world.asked:
-        then(Err(Lost.SILENT))
-    assert said == [Taken.UNCLEAR]
+        then(Err(RequestFailure.TIMED_OUT))
+    assert said == [AdmissionOutcome.OUTCOME_UNKNOWN]
     rig.world.asked.clear()
     rig.shards.accept(fresh(), said.append)
     rig.answer("put", {it: {} for it in STORES})
-    assert said == [Taken.UNCLEAR, Taken.HELD]
-    rig.spread.mark(rig.taken[0], "done", "seal")
+    assert said == [AdmissionOutcome.OUTCOME_UNKNOWN, AdmissionOutcome.ACCEPTED]
+    rig.replicator.mark(rig.taken[0], "done", "seal")
     assert set(rig.told()) >= {first, second} | rig.taken[0].holders
--- a/tests/cluster/test_jig.py
+++ b/tests/cluster/test_simulation.py
@@ -29,8 +29,8 @@
 def test_a_store_that_loses_its_disk_while_it_is_emptied_is_emptied() -> None:
     day = Day(3, "quiet")
     store = day.deployment.stores[0]
-    day.clock.later(7.0, lambda: day.footing.empty(store))
-    day.clock.later(7.06, lambda: day.footing.lose_disk(store, 0.05))
+    day.clock.call_later(7.0, lambda: day.storage_faults.empty(store))
+    day.clock.call_later(7.06, lambda: day.storage_faults.lose_disk(store, 0.05))
     assert day.play() == []
     assert store not in day.deployment.stores
 
--- a/tests/cluster/test_store.py
+++ b/tests/cluster/test_storage_node.py
@@ -5,8 +5,8 @@
 
 from amberlug.cluster.interfaces import Json
 from amberlug.cluster.simulation.clock import Clock
-from amberlug.cluster.storage.message_store import Contents
-from amberlug.cluster.storage.node import Store
+from amberlug.cluster.storage.message_store import StoredContents
+from amberlug.cluster.storage.node import StorageNode
 from tests.cluster.fakes import Alone, settings
 
 Rows = list[tuple[str, tuple[Any, ...]]]
@@ -33,11 +33,11 @@
 
     def __init__(self) -> None:
         self.disk, self.said = Slow(), list[Json]()
-        contents = Contents("d", enrolled=1)  # one that may be written to
-        self.store = Store(Alone(Clock()), settings("store"), "10.0.0.1:7300", self.disk, contents)
+        contents = StoredContents("d", enrolled=1)  # one that may be written to
+        self.store = StorageNode(Alone(Clock()), settings("store"), "10.0.0.1:7300", self.disk, contents)
 
     def ask(self, word: str, body: Json) -> None:
-        self.store.words[word](body, b"", "10.0.0.9:7300", lambda said, blob: self.said.append(said))
+        self.store.handlers[word](body, b"", "10.0.0.9:7300", lambda said, blob: self.said.append(said))
 
     def put(self, number: int) -> None:
         self.ask("put", {"id": "1-a", "shard": 1, "epoch": 5, "order": [5, number], "meta": {}})
--- a/tests/cluster/test_unclear_asks.py
+++ b/tests/cluster/test_unclear_asks.py
@@ -5,12 +5,12 @@
 import pytest
 from result import Err, Ok
 
-from amberlug.cluster.control.node import Core, blank
+from amberlug.cluster.control.node import ControlNode, blank
 from amberlug.cluster.dispatch.message import Message
-from amberlug.cluster.dispatch.shard_owner import Taken
-from amberlug.cluster.edge.node import Edge, _Offer
-from amberlug.cluster.http.api import Said
-from amberlug.cluster.interfaces import Json, Lost, Reply, Then
+from amberlug.cluster.dispatch.shard_owner import AdmissionOutcome
+from amberlug.cluster.edge.node import EdgeNode, _Submission
+from amberlug.cluster.http.api import HttpResponse
+from amberlug.cluster.interfaces import Json, Reply, ReplyCallback, RequestFailure
 from amberlug.cluster.simulation.clock import Clock
 from amberlug.cluster.simulation.deployment import Request
 from amberlug.cluster.simulation.mutations_answers import FAULTS
@@ -19,26 +19,28 @@
 from tests.cluster.test_edge import Nowhere
 
 AWAY = {"owners": [["edge/other", {"addr": "10.0.0.9:7300"}]], "shards": [[0, 1, -1]]}
-FATES = [*Lost, *Taken]
+FATES = [*RequestFailure, *AdmissionOutcome]
 
 
-def offer(fates: tuple[Lost | Taken, ...]) -> tuple[list[Taken], list[Json], list[Then]]:
+def offer(
+    fates: tuple[RequestFailure | AdmissionOutcome, ...],
+) -> tuple[list[AdmissionOutcome], list[Json], list[ReplyCallback]]:
     """Offer a message to an owner elsewhere, whose answers come in this order, the last one ever again."""
     clock = Clock()
     world = Alone(clock)
-    edge = Edge(world, settings("edge"), "10.0.0.1:7300", Nowhere())
+    edge = EdgeNode(world, settings("edge"), "10.0.0.1:7300", Nowhere())
     edge.shards.table_is(AWAY)
-    said: list[Taken] = []
+    said: list[AdmissionOutcome] = []
     message = Message("0-x", 0, "x", "", "POST", "/", "r", "", 0.0, 0.0)
-    _Offer(edge, message, 1.5, said.append).go()
+    _Submission(edge, message, 1.5, said.append).go()
     sent: list[Json] = []
-    thens: list[Then] = []
+    thens: list[ReplyCallback] = []
     while len(sent) < 30 and (new := [it for it in world.asked[len(sent) :] if it[1] == "offer"]):
         for _, _, body, then in new:
             fate = fates[min(len(sent), len(fates) - 1)]
             sent.append(body)
             thens.append(then)
-            then(Err(fate) if isinstance(fate, Lost) else Ok(Reply({"taken": fate.value})))
+            then(Err(fate) if isinstance(fate, RequestFailure) else Ok(Reply({"taken": fate.value})))
         clock.run(clock.now + 0.1)
     clock.run(5.0)
     return said, sent, thens
@@ -46,42 +48,42 @@
 
 @pytest.mark.parametrize("fates", list(itertools.product(FATES, repeat=2)))
 def test_an_offer_whose_fate_is_open_keeps_its_name_and_is_never_refused(
-    fates: tuple[Lost | Taken, ...],
+    fates: tuple[RequestFailure | AdmissionOutcome, ...],
 ) -> None:
     said, sent, thens = offer(fates)
     assert len(said) == 1
     assert {it["id"] for it in sent} == {"0-x"}
-    if Taken.HELD in fates:
-        assert said == [Taken.HELD]
-        assert len(sent) == fates.index(Taken.HELD) + 1, "what is held is not offered again"
+    if AdmissionOutcome.ACCEPTED in fates:
+        assert said == [AdmissionOutcome.ACCEPTED]
+        assert len(sent) == fates.index(AdmissionOutcome.ACCEPTED) + 1, "what is held is not offered again"
     else:
-        surely_not = all(it in (Lost.UNSENT, Taken.REFUSED) for it in fates)
-        assert said == [Taken.REFUSED if surely_not else Taken.UNCLEAR]
+        surely_not = all(it in (RequestFailure.NOT_SENT, AdmissionOutcome.REJECTED) for it in fates)
+        assert said == [AdmissionOutcome.REJECTED if surely_not else AdmissionOutcome.OUTCOME_UNKNOWN]
     for then in thens:  # replies that come once more
         then(Ok(Reply({"taken": "held"})))
     assert len(said) == 1
 
 
-def order(fate: Lost | Json) -> tuple[list[Said], int]:
+def order(fate: RequestFailure | Json) -> tuple[list[HttpResponse], int]:
     """Have a follower pass a configuration on to its leader; what it answers, and how often it asked."""
     clock = Clock()
     world = Alone(clock)
     of = settings("core")
-    core = Core(world, of, "10.0.0.1:7300", Fast(), blank(of, lambda bits: 1))
+    core = ControlNode(world, of, "10.0.0.1:7300", Fast(), blank(of, lambda bits: 1))
     core._leader_address = lambda: "10.0.0.9:7300"  # type: ignore[method-assign]
-    said: list[Said] = []
+    said: list[HttpResponse] = []
     request = Request("POST", "/-/Configuration.Replace", (("amberlug-base-version", "0"),), b'{"edition":1}')
     core.counter.take(request, said.append)
     at = 0
     while at < len(world.asked) and at < 5:
-        world.asked[at][3](Err(fate) if isinstance(fate, Lost) else Ok(Reply(fate)))
+        world.asked[at][3](Err(fate) if isinstance(fate, RequestFailure) else Ok(Reply(fate)))
         at += 1
     clock.run(3.0)
     return said, len([it for it in world.asked if it[1] == "core.order"])
 
 
 def look_at_orders() -> None:
-    for fate in (*Lost, {}, {"said": {"status": 412, "cause": "x"}}, {"said": {"ok": True}}):
+    for fate in (*RequestFailure, {}, {"said": {"status": 412, "cause": "x"}}, {"said": {"ok": True}}):
         said, asked = order(fate)
         assert asked == 1, "an order is passed on once: whoever sent it sends it again"
         expected = fate["said"].get("status", 200) if isinstance(fate, dict) and fate else 503
--- a/tests/cluster/test_seats.py
+++ b/tests/cluster/test_voter_selection.py
@@ -10,7 +10,14 @@
 from absl import logging
 
 from amberlug.cluster.consensus.raft import Role
-from amberlug.cluster.consensus.voter_selection import FEWEST, FORGOTTEN_S, MOST, Seat, margin, next_step
+from amberlug.cluster.consensus.voter_selection import (
+    FEWEST,
+    FORGOTTEN_S,
+    MOST,
+    MemberStatus,
+    margin,
+    next_step,
+)
 from amberlug.cluster.settings import Tolerance
 from amberlug.cluster.simulation.deployment import BOUNDS, Deployment, Machine
 from amberlug.cluster.simulation.mutations import mutated
@@ -27,11 +34,11 @@
     logging.set_verbosity(before)
 
 
-def walk(members: list[Seat], tolerance: Tolerance, me: str) -> list[Seat]:
+def walk(members: list[MemberStatus], tolerance: Tolerance, me: str) -> list[MemberStatus]:
     """Take all steps, each of which must leave a majority that lives, and end."""
     seats = {it.name: it for it in members}
 
-    def voters() -> list[Seat]:
+    def voters() -> list[MemberStatus]:
         return [it for it in seats.values() if it.voter]
 
     for _ in range(30):
@@ -50,17 +57,17 @@
     raise AssertionError("the steps have no end")
 
 
-def drawn(seed: int) -> tuple[list[Seat], Tolerance, str]:
+def drawn(seed: int) -> tuple[list[MemberStatus], Tolerance, str]:
     """Some members, a minority of the voters silent; the best voters have all places to choose from."""
     chance = random.Random(seed)
     zones = chance.randrange(1, 6)
     places = [(f"z{at}", f"r{at % chance.choice((1, 2, 3))}") for at in range(zones)]
     count = chance.choice((1, 3, 3, 3, 5))
-    seats = [Seat(f"v{at}", True, *chance.choice(places)) for at in range(count)]
+    seats = [MemberStatus(f"v{at}", True, *chance.choice(places)) for at in range(count)]
     for at in chance.sample(range(1, count), chance.randrange(0, count // 2 + 1)):
         seats[at] = replace(seats[at], silent_s=9.0, gone=chance.random() < 0.3)
     for at in range(chance.randrange(0, 6)):
-        seat = Seat(f"l{at}", False, *chance.choice(places))
+        seat = MemberStatus(f"l{at}", False, *chance.choice(places))
         seats.append(replace(seat, caught_up=chance.random() < 0.8, gone=chance.random() < 0.1))
     tolerance = chance.choice((Tolerance(1, 0, 0), A_ZONE, A_REGION, Tolerance(2, 1, 0), Tolerance(2, 0, 0)))
     return seats, tolerance, "v0"
@@ -84,11 +91,11 @@
 
 
 def test_a_learner_that_is_gone_is_removed_and_one_that_lags_does_not_vote() -> None:
-    voters = [Seat(it, True) for it in "abc"]
-    silent = Seat("d", False, silent_s=FORGOTTEN_S + 1)
+    voters = [MemberStatus(it, True) for it in "abc"]
+    silent = MemberStatus("d", False, silent_s=FORGOTTEN_S + 1)
     assert [it.name for it in walk([*voters, silent], Tolerance(), "a")] == ["a", "b", "c"]
     lost = replace(voters[2], silent_s=9.0)
-    assert next_step([*voters[:2], lost, Seat("d", False, caught_up=False)], Tolerance(), "a") is None
+    assert next_step([*voters[:2], lost, MemberStatus("d", False, caught_up=False)], Tolerance(), "a") is None
 
 
 # -- in whole deployments
@@ -114,7 +121,7 @@
 
     for machine in deployment.cores:
         if machine.up and machine.life is not None:
-            machine.life.do(partial(machine.part.vise.confirm, partial(hear, machine)))
+            machine.life.do(partial(machine.part.raft.confirm, partial(hear, machine)))
     deployment.clock.run(deployment.clock.now + 0.2)
     return confirmed[0] if confirmed else None
 
@@ -122,7 +129,7 @@
 def voting(deployment: Deployment) -> list[Machine]:
     first = leader(deployment)
     assert first is not None, "nobody leads"
-    members = first.part.vise.members
+    members = first.part.raft.members
     addresses = [it["addr"] for it in members.values() if it["voter"]]
     assert len(set(addresses)) == len(addresses)
     return [it for it in deployment.cores if it.address in addresses]
@@ -194,23 +201,23 @@
     deployment = begun(5, 3, 3)
     first = leader(deployment)
     assert first is not None
-    others = sorted((it for it in deployment.cores if it is not first), key=lambda it: str(it.part.vise.me))
+    others = sorted((it for it in deployment.cores if it is not first), key=lambda it: str(it.part.raft.me))
     others[-1].power_off()
     deployment.clock.run(deployment.clock.now + 0.8)
     first.term()
     deployment.clock.run(deployment.clock.now + 0.1)
-    assert others[0].part.vise.role is not Role.FOLLOWER
+    assert others[0].part.raft.role is not Role.FOLLOWER
 
 
 def test_a_learner_that_is_silent_for_long_is_removed_and_let_in_again() -> None:
     deployment = begun(6, 4, 4)
     machine = next(it for it in deployment.cores if it not in voting(deployment))
-    me = machine.part.vise.me
+    me = machine.part.raft.me
 
     def member() -> bool:
         first = leader(deployment)
         assert first is not None
-        return me in first.part.vise.members
+        return me in first.part.raft.members
 
     machine.power_off()
     deployment.clock.run(deployment.clock.now + FORGOTTEN_S - 5.0)
@@ -220,4 +227,4 @@
     machine.start()
     deployment.clock.run(deployment.clock.now + 2.0)
     assert member()
-    assert machine.part.vise.me == me
+    assert machine.part.raft.me == me
--- a/tests/features/steps/deployment.py
+++ b/tests/features/steps/deployment.py
@@ -21,9 +21,9 @@
     store = day.deployment.stores[0]
 
     def strike() -> None:
-        day.footing.after_put(store, lambda: day.footing.lose_disk(store, 1.0))
+        day.storage_faults.after_put(store, lambda: day.storage_faults.lose_disk(store, 1.0))
 
-    day.clock.later(AT_S, strike)
+    day.clock.call_later(AT_S, strike)
     context.broken = day.play()
 
 
@@ -35,16 +35,16 @@
         out = [
             edge
             for edge in day.deployment.edges
-            if edge.up and any(it.key and it.out for it in edge.part.rack.messages.values())
+            if edge.up and any(it.key and it.out for it in edge.part.delivery_queue.messages.values())
         ]
         if not out:
-            day.clock.later(0.01, strike)
+            day.clock.call_later(0.01, strike)
             return
         day.history.trouble(f"{out[0].name} loses power", 1.0)
         out[0].power_off()
-        day.clock.later(1.0, out[0].start)
+        day.clock.call_later(1.0, out[0].start)
 
-    day.clock.later(AT_S, strike)
+    day.clock.call_later(AT_S, strike)
     context.broken = day.play()
 
 
@@ -56,7 +56,7 @@
         context.before = len(day.history.versions)
         day.operator.race()
 
-    day.clock.later(AT_S, both)
+    day.clock.call_later(AT_S, both)
     context.broken = day.play()
 
 
@@ -65,11 +65,11 @@
     day = context.day
 
     def strike(core: Any) -> None:
-        day.deployment.town.on_drained = lambda it: None
+        day.deployment.endpoint_fleet.on_drained = lambda it: None
         day.kill_one(day.leader())
 
-    day.deployment.town.on_drained = strike
-    day.clock.later(AT_S, day.replace_endpoint)
+    day.deployment.endpoint_fleet.on_drained = strike
+    day.clock.call_later(AT_S, day.replace_endpoint)
     context.broken = day.play()
 
 
@@ -77,7 +77,7 @@
 def retire(context: Any) -> None:
     day = context.day
     context.store = day.deployment.stores[0]
-    day.clock.later(AT_S, lambda: day.footing.empty(context.store))
+    day.clock.call_later(AT_S, lambda: day.storage_faults.empty(context.store))
     context.broken = day.play()
 
 
@@ -89,7 +89,7 @@
 @then("all that was accepted has ended")
 def all_ended(context: Any) -> None:
     day = context.day
-    ended = day.footing.done()
+    ended = day.storage_faults.done()
     accepted = [it for it in day.history.sent.values() if it.status == 202 and not it.target.startswith("/x")]
     assert accepted, "nothing was accepted"
     assert not [it.name for it in accepted if it.attempt not in ended], "something is still open"
--- a/tests/test_hollow.py
+++ b/tests/test_hollow.py
@@ -15,7 +15,7 @@
     play.configure(20_000)
     play.run(0.1)
     assert play.in_force() == 6
-    owned = {name for name, _, _ in play.cores[0].machine.book.shards}
+    owned = {name for name, _, _ in play.cores[0].machine.cluster_state.shards}
     assert {it.rpartition("/")[0] for it in owned} == {it.name for it in play.edges}
     assert all(it.machine.ready for it in play.edges)
 
