--- a/amberlug/cluster/simulation/__main__.py
+++ b/amberlug/cluster/simulation/__main__.py
@@ -10,7 +10,7 @@
 import click
 from absl import logging
 
-from amberlug.cluster.simulation.boundary_digest import differences, measure, record_frames, write_record
+from amberlug.cluster.simulation.digest_record import differences, measure, record_frames, write_record
 from amberlug.cluster.simulation.model_checker import CHANGES, STARTS, explore, old_self, stranger
 from amberlug.cluster.simulation.mutations import MUTANTS, mutated
 from amberlug.cluster.simulation.scenarios import Day
--- a/amberlug/cluster/simulation/boundary_digest.py
+++ b/amberlug/cluster/simulation/boundary_digest.py
@@ -1,4 +1,4 @@
-"""A digest of all that crosses the borders of the simulated processes, and the file of recorded digests.
+"""A digest of all that crosses the borders of the simulated processes.
 
 Two plays of one seed have the same digest exactly if they exchanged the same bytes at the same times:
 frames between machines, HTTP requests and answers of clients, endpoints and operators, and the SQL statements
@@ -9,40 +9,10 @@
 from __future__ import annotations
 
 import hashlib
-import json
-from collections.abc import Callable, Iterator
-from concurrent.futures import ProcessPoolExecutor
-from dataclasses import asdict, dataclass
-from functools import partial
-from pathlib import Path
+from collections.abc import Callable
 from types import SimpleNamespace
 from typing import Any
 
-from absl import logging
-
-RECORDED_AIMS = {
-    "": 6,
-    "edges": 4,
-    "roll": 4,
-    "drain": 4,
-    "closing": 4,
-    "core": 4,
-    "config": 4,
-    "rate": 4,
-    "freeze": 4,
-    "quiet": 2,
-    "answers": 4,
-    "footing": 5,
-    "control": 8,
-    "losses": 2,
-    "losses-core": 2,
-    "losses-stores": 2,
-    "losses-zone": 2,
-    "losses-stores-zone": 2,
-    "losses-stores-region": 2,
-}
-EXPLORED_DEPTH = 4  # steps from each start; the largest of them takes seconds
-
 
 class BoundaryDigest:
     """Hashes border crossings in the order in which they happen; each with its virtual time."""
@@ -75,117 +45,3 @@
     def hexdigest(self) -> str:
         """The digest of all that crossed up to now."""
         return self._hash.hexdigest()
-
-
-@dataclass(frozen=True, slots=True)
-class PlayedDay:
-    """What a play of one seed came to."""
-
-    seed: int
-    aim: str
-    digest: str
-    crossings: int
-    broken: int
-
-
-def play_day(day: tuple[int, str]) -> PlayedDay:
-    """Play the day of a seed and an aim, and digest it."""
-    from amberlug.cluster.simulation.scenarios import Day
-
-    logging.set_verbosity(logging.FATAL)
-    seed, aim = day
-    played = Day(seed, aim)
-    broken = played.play()
-    digest = played.deployment.digest
-    return PlayedDay(seed, aim, digest.hexdigest(), digest.crossings, len(broken))
-
-
-def play_recorded(jobs: int, every: int = 1) -> Iterator[PlayedDay]:
-    """Play the days that are kept on record, or every so-manieth of them."""
-    days = [(seed, aim) for aim, count in RECORDED_AIMS.items() for seed in range(1, count + 1)][::every]
-    with ProcessPoolExecutor(jobs) as pool:
-        yield from pool.map(play_day, days)
-
-
-def explore_one(name: str, depth: int) -> tuple[str, int, int, str]:
-    """Explore one start: its name, the states and steps looked at, and what was found."""
-    from amberlug.cluster.simulation.model_checker import CHANGES, STARTS, explore
-
-    logging.set_verbosity(logging.FATAL)
-    starts = STARTS | {name: start for name, (start, _) in CHANGES.items()}
-    explored = explore(starts[name], depth)
-    return name, explored.states, explored.steps, explored.found
-
-
-def explore_recorded(jobs: int) -> Iterator[tuple[str, int, int, str]]:
-    """Explore every start to the depth that is kept on record."""
-    from amberlug.cluster.simulation.model_checker import CHANGES, STARTS
-
-    names = [*STARTS, *CHANGES]
-    depths = [min(EXPLORED_DEPTH, CHANGES[name][1]) if name in CHANGES else EXPLORED_DEPTH for name in names]
-    with ProcessPoolExecutor(jobs) as pool:
-        yield from pool.map(explore_one, names, depths)
-
-
-def measure(jobs: int, every: int = 1) -> dict[str, Any]:
-    """Play and explore what is kept on record, in the form in which it is kept.
-
-    With `every` over 1 only each so-manieth day is played, and nothing is explored.
-    """
-    return {
-        "days": [asdict(day) for day in play_recorded(jobs, every)],
-        "explored": [list(explored) for explored in explore_recorded(jobs)] if every == 1 else [],
-    }
-
-
-def write_record(path: Path, measured: dict[str, Any]) -> None:
-    """Keep what was measured, one day a line."""
-    parts = [
-        f'"{name}": [\n' + ",\n".join(json.dumps(one) for one in ones) + "\n]"
-        for name, ones in measured.items()
-    ]
-    path.write_text("{\n" + ",\n".join(parts) + "\n}\n")
-
-
-def differences(recorded: dict[str, Any], measured: dict[str, Any]) -> list[str]:
-    """What is not as it was recorded, a line each."""
-    before = {(day["aim"], day["seed"]): day for day in recorded["days"]}
-    found = []
-    for day in measured["days"]:
-        known = before.get((day["aim"], day["seed"]))
-        if known != day:
-            found.append(f"day: {known} -> {day}")
-    for known, explored in zip(recorded["explored"], measured["explored"], strict=bool(measured["explored"])):
-        if known != explored:
-            found.append(f"explored: {known} -> {explored}")
-    return found
-
-
-def record_frames(days: list[tuple[int, str]]) -> dict[str, dict[str, str]]:
-    """The shortest frame of each kind that these days send: its body as JSON text and its blob in hex."""
-    from amberlug.cluster.simulation.scenarios import Day
-
-    found: dict[str, dict[str, str]] = {}
-
-    def keep(tag: str, body: str, blob: bytes) -> None:
-        known = found.get(tag)
-        size = len(body) + 2 * len(blob)
-        # An empty list or map shows less of the form than one with content.
-        poor = body.count("[]") + body.count("{}")
-        if known is None or (poor, size) < (
-            known["body"].count("[]") + known["body"].count("{}"),
-            len(known["body"]) + len(known["blob"]),
-        ):
-            found[tag] = {"body": body, "blob": blob.hex()}
-
-    def look(deployment: Any) -> None:
-        for core in deployment.cores:
-            for target in ("/-/Foreman.Status", "/-/Foreman.Dead"):
-                deployment.control(core, "GET", target, b"", 1.0, lambda status, body: None)
-
-    for seed, aim in days:
-        played = Day(seed, aim)
-        played.deployment.digest.on_frame = keep
-        played.clock.call_later(14.0, partial(look, played.deployment))
-        played.play()
-    return dict(sorted(found.items()))
--- a/amberlug/cluster/simulation/clients.py
+++ b/amberlug/cluster/simulation/clients.py
@@ -6,8 +6,9 @@
 from dataclasses import dataclass
 from typing import Any
 
-from amberlug.cluster.simulation.deployment import CLOSED, REFUSED, Deployment, Machine, Request
+from amberlug.cluster.simulation.deployment import CLOSED, REFUSED, Deployment, Request
 from amberlug.cluster.simulation.history import Sent, Standing
+from amberlug.cluster.simulation.machine import Machine
 from amberlug.cluster.simulation.network import Incarnation
 
 DEADLINE_S = 1.5
--- a/amberlug/cluster/simulation/control_faults.py
+++ b/amberlug/cluster/simulation/control_faults.py
@@ -5,13 +5,10 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 from functools import partial
-from typing import TYPE_CHECKING
 
-from amberlug.cluster.simulation.deployment import BOUNDS, RESTART_S, Machine
 from amberlug.cluster.simulation.history import What
-
-if TYPE_CHECKING:
-    from amberlug.cluster.simulation.scenarios import Day
+from amberlug.cluster.simulation.machine import BOUNDS, RESTART_S, Machine
+from amberlug.cluster.simulation.scenario_context import ScenarioContext
 
 CUT_S = (2.0, 4.0, 8.0, 14.0, 20.0, 25.0)
 DOWN_S = (0.3, 0.8, 1.2)  # a machine that is restarted is down for so long
@@ -36,7 +33,7 @@
 class Control:
     """What is done to the core and asked of it."""
 
-    def __init__(self, day: Day) -> None:
+    def __init__(self, day: ScenarioContext) -> None:
         self.day, self.deployment, self.chance = day, day.deployment, day.chance
         self.history, self.clock, self.operator = day.history, day.clock, day.operator
         self.cut: Cut | None = None
--- a/amberlug/cluster/simulation/endpoints.py
+++ b/amberlug/cluster/simulation/endpoints.py
@@ -3,20 +3,21 @@
 from __future__ import annotations
 
 import json
+import random
 from collections.abc import Callable
 from dataclasses import dataclass, field
 from functools import partial
-from typing import TYPE_CHECKING
+from typing import Any, Protocol
 
 from amberlug.cluster.dispatch.endpoint_client import EndpointClient as RealEndpointClient
 from amberlug.cluster.interfaces import CallResult, CallVerdict, EndpointCall
-from amberlug.cluster.simulation.history import Run
+from amberlug.cluster.simulation.boundary_digest import BoundaryDigest
+from amberlug.cluster.simulation.clock import Clock
+from amberlug.cluster.simulation.history import History, Run
+from amberlug.cluster.simulation.machine import Machine
 from amberlug.cluster.simulation.network import Incarnation
 from amberlug.http.link import Reply
 
-if TYPE_CHECKING:
-    from amberlug.cluster.simulation.deployment import Deployment, Machine
-
 DELAY_S = 0.0006
 QUEUE = 3
 WITHIN_S = 1.0  # an announcement is acknowledged
@@ -43,6 +44,32 @@
 Answer = Callable[[CallResult], None]
 
 
+class EndpointHost(Protocol):
+    """The deployment that endpoints register with, as far as they know it."""
+
+    clock: Clock
+    digest: BoundaryDigest
+    history: History
+    heartbeat_s: float
+    cores: list[Machine]
+
+    def draw(self, what: str) -> random.Random:
+        """A random number generator of its own for one part."""
+
+    def control(
+        self,
+        core: Machine,
+        method: str,
+        target: str,
+        body: bytes,
+        within: float,
+        then: Callable[[int, Any], None],
+        headers: tuple[tuple[str, str], ...] = (),
+        leaves: Callable[[int], None] = ...,
+    ) -> None:
+        """Call a control-plane node."""
+
+
 class Endpoint:
     """One life of an endpoint."""
 
@@ -252,7 +279,7 @@
 class EndpointFleet:
     """All endpoints."""
 
-    def __init__(self, deployment: Deployment, kinds: list[Kind]) -> None:
+    def __init__(self, deployment: EndpointHost, kinds: list[Kind]) -> None:
         self.deployment, self.chance = deployment, deployment.draw("endpoints")
         self.kinds = {it.name: it for it in kinds}
         self.all: list[Endpoint] = []
--- a/amberlug/cluster/simulation/invariants.py
+++ b/amberlug/cluster/simulation/invariants.py
@@ -4,8 +4,8 @@
 
 from collections import Counter, defaultdict
 
-from amberlug.cluster.simulation.deployment import BOUNDS
 from amberlug.cluster.simulation.history import Broken, History, Run, Sent, Version, What
+from amberlug.cluster.simulation.machine import BOUNDS
 from amberlug.cluster.simulation.quorum_contact import Contact
 
 CONTACT_S = BOUNDS["contactMs"] / 1000
--- a/amberlug/cluster/simulation/loss_schedule.py
+++ b/amberlug/cluster/simulation/loss_schedule.py
@@ -6,16 +6,13 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 from functools import partial
-from typing import TYPE_CHECKING
 
 from amberlug.cluster.settings import Tolerance
-from amberlug.cluster.simulation.deployment import BOUNDS, Machine
 from amberlug.cluster.simulation.history import Broken, Call
+from amberlug.cluster.simulation.machine import BOUNDS, Machine
+from amberlug.cluster.simulation.scenario_context import ScenarioContext
 from amberlug.cluster.simulation.storage_faults import ASK_S, BACK_S, RETIRE_S, StorageFaults
 
-if TYPE_CHECKING:
-    from amberlug.cluster.simulation.scenarios import Day
-
 ACK_S = BOUNDS["ackMs"] / 1000
 CONTACT_S = BOUNDS["contactMs"] / 1000
 INSIST_S = 8.0  # an order is sent again for so long, then given up
@@ -66,7 +63,7 @@
 class Losses(StorageFaults):
     """Losses in as many lines as machines may be lost at once, and works of the operators' beside them."""
 
-    def __init__(self, day: Day) -> None:
+    def __init__(self, day: ScenarioContext) -> None:
         super().__init__(day)
         tolerance = self.deployment.tolerance
         wide = tolerance.zones or tolerance.regions
--- /dev/null
+++ b/amberlug/cluster/simulation/machine.py
@@ -0,0 +1,217 @@
+"""A simulated machine: its process is started, killed, frozen, rolled and wiped; its disk outlasts it."""
+
+from __future__ import annotations
+
+import random
+from collections.abc import Callable
+from functools import partial
+from typing import Any, Protocol
+
+from amberlug.cluster.control.node import ControlNode, blank
+from amberlug.cluster.edge.node import EdgeNode
+from amberlug.cluster.interfaces import Endpoints, RequestFailure
+from amberlug.cluster.process import SPARE_S, STILL_SERVED_S
+from amberlug.cluster.settings import Settings
+from amberlug.cluster.simulation.boundary_digest import BoundaryDigest
+from amberlug.cluster.simulation.clock import Clock
+from amberlug.cluster.simulation.disk import (
+    ControlDisk,
+    MessageDisk,
+    ProcessDisk,
+    ProcessMessageDisk,
+    SimulatedDisk,
+)
+from amberlug.cluster.simulation.history import History, Place, What
+from amberlug.cluster.simulation.network import Host, Incarnation, Network, SimulatedRuntime
+from amberlug.cluster.storage.node import StorageNode
+
+OUTSIDE_S = 0.001  # from outside to a machine, one way
+RESTART_S = 0.8
+WALL_S = 1.79e9
+STOP_S = 0.02  # a core's or a store's planned end
+BOUNDS = {
+    "seedLagS": 3.0,
+    "reuseAfterS": 2.0,
+    "contactMs": 4000.0,
+    "ackMs": 5000.0,
+    "catchUpS": 4.5,
+    "drainMs": 3000.0,
+    "graceS": 6.0,
+    "configApplyMs": 3000.0,
+    "completedS": 10.0,
+    "statusTtlS": 120.0,
+    "earlyMs": 100.0,
+    "stretchMaxMs": 12000.0,
+    "ceilingWindowS": 5.0,
+    "ceilingOver": 1.1,
+}
+
+
+class MachineHost(Protocol):
+    """The deployment that a machine belongs to, as far as the machine knows it."""
+
+    chance: random.Random
+    clock: Clock
+    digest: BoundaryDigest
+    history: History
+    net: Network
+    sync_s: float
+
+    def draw(self, what: str) -> random.Random:
+        """A random number generator of its own for one part."""
+
+    def settings(self, machine: Machine) -> Settings:
+        """The settings file of a machine, as it is by now."""
+
+    def failed(self, life: Incarnation, error: AssertionError) -> None:
+        """An invariant is broken in a process: it ends."""
+
+    def endpoint_client(self, life: Incarnation) -> Endpoints:
+        """What a process calls endpoints by."""
+
+    def on_process_ended(self, life: Incarnation) -> None:
+        """A process has ended: endpoints see its connections closed."""
+
+
+class Machine(Host):
+    """One machine and its disk."""
+
+    def __init__(
+        self, deployment: MachineHost, kind: str, name: str, zone: str, address: str, first: bool = True
+    ) -> None:
+        super().__init__(name, zone, address)
+        self.deployment, self.kind = deployment, kind
+        deployment.history.places[name] = Place(name, kind)
+        self.ip = address.rpartition(":")[0]
+        self.control: str = f"{self.ip}:7000"
+        self.wall_clock = WALL_S + deployment.chance.uniform(-0.02, 0.02)
+        self.lives = 0
+        self.first = first
+        self.disk: SimulatedDisk | None = None
+        if kind != "edge":
+            make = ControlDisk if kind == "core" else MessageDisk
+            chance = deployment.draw(f"disk {name} {address}")
+            self.disk = make(deployment.clock, chance, deployment.sync_s)
+            self.disk.name, self.disk.digest = name, deployment.digest
+            if isinstance(self.disk, MessageDisk):
+                self.disk.on_anew = partial(deployment.history.store_emptied, name)
+
+    @property
+    def up(self) -> bool:
+        return self.life is not None and not self.life.over
+
+    @property
+    def part(self) -> Any:
+        """What runs here: an Edge, a Store or a Core."""
+        assert self.life is not None, "nothing runs here"
+        return self.life.machine
+
+    def start(self) -> None:
+        """Start the process, where none runs."""
+        if self.up:
+            return
+        deployment = self.deployment
+        self.powered = True
+        self.lives += 1
+        deployment.history.mark(self.name, What.START)
+        life = self.life = Incarnation(self, self.lives, deployment.failed)
+        chance = deployment.draw(f"{self.name} {self.lives}")
+        world = SimulatedRuntime(deployment.net, life, chance, self.wall_clock)
+        settings = deployment.settings(self)
+        if isinstance(self.disk, ControlDisk):
+            saved = self.disk.begun(lambda: blank(settings, chance.getrandbits))
+            life.machine = ControlNode(world, settings, self.address, ProcessDisk(life, self.disk), saved)
+        elif isinstance(self.disk, MessageDisk):
+            message_store = ProcessMessageDisk(life, self.disk)
+            life.machine = StorageNode(world, settings, self.address, message_store, self.disk.begun())
+        else:
+            life.machine = EdgeNode(world, settings, self.address, deployment.endpoint_client(life))
+        self.first = False
+        part: Any = life.machine
+        life.do(part.begin)
+
+    def kill(self) -> None:
+        """The process ends at once; its connections are reset."""
+        if self.up:
+            self._end(self.disk.lose if self.disk is not None else lambda: None)
+
+    def _end(self, disk: Callable[[], None]) -> None:
+        life = self.life
+        assert life is not None, "nothing runs here"
+        self.deployment.history.mark(self.name, What.END)
+        life.over = True
+        disk()
+        for link in list(life.links.values()):
+            link.close(0, RequestFailure.CONNECTION_LOST, True)
+        for link in list(life.incoming):
+            link.close(1, RequestFailure.CONNECTION_LOST, True)
+        for close in list(life.calls):
+            self.deployment.clock.call_later(OUTSIDE_S, close)
+        self.deployment.on_process_ended(life)
+
+    def power_off(self) -> None:
+        """The machine is without power: all of it is silent."""
+        self.powered = False
+        life = self.life
+        if life is None or life.over:
+            return
+        self.deployment.history.mark(self.name, What.END)
+        life.over = True
+        if self.disk is not None:
+            self.disk.lose()
+        for link in life.links.values():
+            link.silence(0)
+        for link in life.incoming:
+            link.silence(1)
+
+    def freeze(self) -> None:
+        if self.up and self.life is not None:
+            self.deployment.history.mark(self.name, What.FREEZE)
+            self.life.frozen = True
+
+    def thaw(self) -> None:
+        if self.life is not None:
+            if self.up:
+                self.deployment.history.mark(self.name, What.THAW)
+            self.life.thaw(self.deployment.chance)
+
+    def wipe(self) -> None:
+        """The disk is empty from now on; nothing runs here."""
+        assert not self.up, "a disk is wiped while its machine is down"
+        if isinstance(self.disk, ControlDisk | MessageDisk):
+            self.disk.wipe()
+
+    def term(self) -> None:
+        """The process is told to end, winds up as the program does and ends."""
+        life = self.life
+        if life is None or life.over:
+            return
+        self.deployment.history.mark(self.name, What.TERM)
+        life.do(life.machine.leave)
+        clock = self.deployment.clock
+        if self.kind != "edge":
+            clock.call_later(STOP_S, partial(self._end_when_idle, life))
+            return
+        grace = BOUNDS["graceS"]
+        self._wind_up(life, clock.now + STILL_SERVED_S, clock.now + grace - SPARE_S)
+
+    def _end_when_idle(self, life: Incarnation) -> None:
+        if life.over:
+            return
+        if life.machine.idle:
+            self._finish(life)
+        else:
+            self.deployment.clock.call_later(STOP_S, partial(self._end_when_idle, life))
+
+    def _wind_up(self, life: Incarnation, served_until: float, until: float) -> None:
+        if life.over:
+            return
+        now = self.deployment.clock.now
+        if now >= until or (now >= served_until and not life.calls and life.machine.idle):
+            self._finish(life)
+        else:
+            self.deployment.clock.call_later(0.05, partial(self._wind_up, life, served_until, until))
+
+    def _finish(self, life: Incarnation) -> None:
+        if not life.over:
+            self._end(self.disk.close if self.disk is not None else lambda: None)
--- a/amberlug/cluster/simulation/mutations.py
+++ b/amberlug/cluster/simulation/mutations.py
@@ -59,7 +59,7 @@
         return PersistentState(f"{settings.ip}/0", members=control_node.founding(settings))
 
     untold = patch.object(RollbackGuard, "short", lambda self, said: False)
-    return _both(patch("amberlug.cluster.simulation.deployment.blank", blank), untold)
+    return _both(patch("amberlug.cluster.simulation.machine.blank", blank), untold)
 
 
 def _no_fence() -> AbstractContextManager[Any]:
--- a/amberlug/cluster/simulation/operator.py
+++ b/amberlug/cluster/simulation/operator.py
@@ -9,8 +9,9 @@
 
 from amberlug.cluster.interfaces import Json
 from amberlug.cluster.simulation.clients import HOST
-from amberlug.cluster.simulation.deployment import Deployment, Machine
+from amberlug.cluster.simulation.deployment import Deployment
 from amberlug.cluster.simulation.history import Call, Version
+from amberlug.cluster.simulation.machine import Machine
 
 WITHIN_S = 1.0
 PAUSE_S = (0.05, 0.8)
--- a/amberlug/cluster/simulation/quorum_contact.py
+++ b/amberlug/cluster/simulation/quorum_contact.py
@@ -6,8 +6,8 @@
 from bisect import bisect_left, bisect_right
 from dataclasses import dataclass
 
-from amberlug.cluster.simulation.deployment import BOUNDS
 from amberlug.cluster.simulation.history import History, What
+from amberlug.cluster.simulation.machine import BOUNDS
 
 CONTACT_S = BOUNDS["contactMs"] / 1000
 SLACK_S = 0.02  # beyond a window, for moments that fall together
--- a/amberlug/cluster/simulation/scenarios.py
+++ b/amberlug/cluster/simulation/scenarios.py
@@ -11,11 +11,12 @@
 from amberlug.cluster.consensus import log
 from amberlug.cluster.simulation.clients import Clients, Load
 from amberlug.cluster.simulation.control_faults import FORMS, Control
-from amberlug.cluster.simulation.deployment import BOUNDS, ONE_MACHINE, RESTART_S, Deployment, Machine
+from amberlug.cluster.simulation.deployment import ONE_MACHINE, Deployment
 from amberlug.cluster.simulation.endpoints import Kind
 from amberlug.cluster.simulation.history import Broken
 from amberlug.cluster.simulation.invariants import Checker
 from amberlug.cluster.simulation.loss_schedule import Losses, draw_site
+from amberlug.cluster.simulation.machine import BOUNDS, RESTART_S, Machine
 from amberlug.cluster.simulation.operator import Operator, route, service
 from amberlug.cluster.simulation.storage_faults import StorageFaults
 
--- a/amberlug/cluster/simulation/storage_faults.py
+++ b/amberlug/cluster/simulation/storage_faults.py
@@ -4,14 +4,12 @@
 
 from collections.abc import Callable, Collection
 from functools import partial
-from typing import TYPE_CHECKING, Any
+from typing import Any
 
-from amberlug.cluster.simulation.deployment import BOUNDS, Machine
 from amberlug.cluster.simulation.disk import MessageDisk, SimulatedDisk
 from amberlug.cluster.simulation.history import Broken, Call
-
-if TYPE_CHECKING:
-    from amberlug.cluster.simulation.scenarios import Day
+from amberlug.cluster.simulation.machine import BOUNDS, Machine
+from amberlug.cluster.simulation.scenario_context import ScenarioContext
 
 BACK_S = BOUNDS["catchUpS"]  # a machine counts as lost so long after it is back
 SETTINGS_S = (0.2, 3.0)  # until processes hear of a settings file that has changed
@@ -24,7 +22,7 @@
 class StorageFaults:
     """What is done to stores and core machines, one at a time; each act says for how long the loss lasts."""
 
-    def __init__(self, day: Day) -> None:
+    def __init__(self, day: ScenarioContext) -> None:
         self.day, self.deployment, self.chance = day, day.deployment, day.chance
         self.history, self.clock = day.history, day.clock
         self.retired: dict[str, float] = {}  # stores that were emptied, and when that was told
--- a/tests/cluster/fakes.py
+++ b/tests/cluster/fakes.py
@@ -6,7 +6,8 @@
 from amberlug.cluster.interfaces import Json, ReplyCallback
 from amberlug.cluster.settings import Settings
 from amberlug.cluster.simulation.clock import Clock, Timer
-from amberlug.cluster.simulation.deployment import Deployment, Machine
+from amberlug.cluster.simulation.deployment import Deployment
+from amberlug.cluster.simulation.machine import Machine
 
 
 class Alone:
--- a/tests/cluster/test_contact.py
+++ b/tests/cluster/test_contact.py
@@ -14,7 +14,7 @@
 from amberlug.cluster.gossip import store
 from amberlug.cluster.interfaces import Reply
 from amberlug.cluster.simulation.clock import Clock
-from amberlug.cluster.simulation.deployment import Machine
+from amberlug.cluster.simulation.machine import Machine
 from amberlug.cluster.simulation.scenarios import Day
 from amberlug.cluster.storage.message_store import StoredMessage
 from tests.cluster.fakes import Alone, settings
--- a/tests/cluster/test_design.py
+++ b/tests/cluster/test_design.py
@@ -9,7 +9,7 @@
 
 ROOT = Path(__file__).parents[2]
 ROWS = [
-    [registry.strip(" `") for registry in line.strip("|\n ").split(" | ")]
+    [cell.strip(" `") for cell in line.strip("|\n ").split(" | ")]
     for line in (ROOT / "docs/design/0011-control-under-faults.md").read_text().splitlines()
     if re.search(r"`test_\w+::test_\w+`", line)
 ]
--- a/tests/cluster/test_recorded.py
+++ b/tests/cluster/test_recorded.py
@@ -12,7 +12,7 @@
 import pytest
 
 from amberlug.cluster.consensus.storage import open_raft_storage
-from amberlug.cluster.simulation.boundary_digest import differences
+from amberlug.cluster.simulation.digest_record import differences
 from amberlug.cluster.storage.message_store import open_message_store
 
 DATA = Path(__file__).parents[1] / "data"
--- a/tests/cluster/test_rollback_guard.py
+++ b/tests/cluster/test_rollback_guard.py
@@ -10,7 +10,8 @@
 
 from amberlug.cluster.consensus.log import PersistentState
 from amberlug.cluster.consensus.storage import open_raft_storage
-from amberlug.cluster.simulation.deployment import BOUNDS, Deployment, Machine
+from amberlug.cluster.simulation.deployment import Deployment
+from amberlug.cluster.simulation.machine import BOUNDS, Machine
 from amberlug.cluster.simulation.mutations import mutated
 
 
--- a/tests/cluster/test_voter_selection.py
+++ b/tests/cluster/test_voter_selection.py
@@ -19,7 +19,8 @@
     next_step,
 )
 from amberlug.cluster.settings import Tolerance
-from amberlug.cluster.simulation.deployment import BOUNDS, Deployment, Machine
+from amberlug.cluster.simulation.deployment import Deployment
+from amberlug.cluster.simulation.machine import BOUNDS, Machine
 from amberlug.cluster.simulation.mutations import mutated
 
 A_MACHINE, A_ZONE, A_REGION = Tolerance(1, 0, 0), Tolerance(1, 1, 0), Tolerance(1, 1, 1)
