--- a/amberlug/cluster/__main__.py
+++ b/amberlug/cluster/__main__.py
@@ -16,7 +16,7 @@
     """Imports a command's module only once it is asked for, so that `run` starts without them."""
 
     LATER: ClassVar = {
-        "foreman": "amberlug.cluster.admin.commands:foreman",
+        "admin": "amberlug.cluster.admin.commands:admin",
         "stand-in": "amberlug.cluster.local_deployment.commands:stand_in",
         "try": "amberlug.cluster.local_deployment.commands:trial",
     }
--- a/amberlug/cluster/admin/commands.py
+++ b/amberlug/cluster/admin/commands.py
@@ -1,4 +1,4 @@
-"""`python -m amberlug.cluster foreman`: look at a deployment, change its configuration, check its files."""
+"""`python -m amberlug.cluster admin`: look at a deployment, change its configuration, check its files."""
 
 from __future__ import annotations
 
@@ -68,7 +68,7 @@
 
 
 @click.group()
-def foreman() -> None:
+def admin() -> None:
     """Operators' commands.
 
     Exit codes: 0 done; 1 refused, or not found; 2 wrong usage, or a bad file; 3 nobody answered, or it is
@@ -76,7 +76,7 @@
     """
 
 
-@foreman.command()
+@admin.command()
 @_control
 @_json
 def status(at: tuple[str, ...], as_json: bool) -> None:
@@ -85,7 +85,7 @@
     _end(DONE, [] if as_json else status_lines(data), data, as_json)
 
 
-@foreman.command()
+@admin.command()
 @_at("A control relay, or an edge's readiness address")
 @_json
 def counters(at: tuple[str, ...], as_json: bool) -> None:
@@ -95,7 +95,7 @@
     _end(DONE, lines or ["none yet"], data, as_json)
 
 
-@foreman.command()
+@admin.command()
 @click.argument("name")
 @_at("An edge's front")
 @click.option("--body", is_flag=True, help="Write its bytes instead, while it is queued or dead.")
@@ -116,7 +116,7 @@
 # -- configurations
 
 
-@foreman.group()
+@admin.group()
 def config() -> None:
     """Look at the configuration in force, and change it."""
 
@@ -199,7 +199,7 @@
 # -- stores
 
 
-@foreman.command()
+@admin.command()
 @click.argument("node")
 @_control
 @click.option("--seconds", type=click.FloatRange(0, min_open=True), help="Empty it within so many seconds.")
@@ -222,7 +222,7 @@
 # -- messages that ended without success
 
 
-@foreman.group()
+@admin.group()
 def dead() -> None:
     """Look at messages that ended without success, and hand them in anew.
 
@@ -306,7 +306,7 @@
 # -- files
 
 
-@foreman.group("check")
+@admin.group("check")
 def check_files() -> None:
     """Check the files that a deployment is run by."""
 
--- a/amberlug/cluster/admin/files.py
+++ b/amberlug/cluster/admin/files.py
@@ -22,6 +22,7 @@
     "control_plane": ("control", "dataDir"),
 }
 SHELL = frozenset("|&;<>$`\"'*?~")  # in a command that no shell reads
+PACKAGE = r"[a-z0-9][a-z0-9+.-]+\Z"  # a Debian package's name, as Debian's policy manual has it (5.6.1)
 HELPERS = frozenset(("env", "npx", "sh", "bash"))
 ROLES_MOST = 2  # on one machine
 
@@ -96,6 +97,7 @@
 _DEPLOY = t.Dict(
     {
         t.Key("build", optional=True): t.String(),
+        t.Key("packages", optional=True): t.List(t.Regexp(PACKAGE)),
         t.Key("roles"): t.Dict(allow_extra="*", allow_extra_trafaret=_ROLE),
     },
 )
--- a/amberlug/cluster/simulation/__main__.py
+++ b/amberlug/cluster/simulation/__main__.py
@@ -17,7 +17,7 @@
 from amberlug.cluster.simulation.seed_search import hunt
 
 AIM = click.option("--aim", default="", help="Kind of trouble that the days are drawn from.")
-FRAME_AIMS = ("", "control", "footing", "losses-stores", "answers", "core")
+FRAME_AIMS = ("", "control", "storage", "losses-stores", "answers", "core")
 RECORD = "tests/data/simulation_digests.json"
 MUTANT = click.option(
     "--mutant", default="", type=click.Choice(["", *MUTANTS]), help="A fault put into the program."
--- a/amberlug/cluster/simulation/digest_record.py
+++ b/amberlug/cluster/simulation/digest_record.py
@@ -27,7 +27,7 @@
     "freeze": 4,
     "quiet": 2,
     "answers": 4,
-    "footing": 5,
+    "storage": 5,
     "control": 8,
     "losses": 2,
     "losses-core": 2,
--- a/amberlug/cluster/simulation/disk.py
+++ b/amberlug/cluster/simulation/disk.py
@@ -1,4 +1,4 @@
-"""Disks as models of what lasts: a core's log and a store's drawer, by the rows that the program writes."""
+"""Disks as models of what lasts: a control-plane node's log and a storage node's messages, by rows."""
 
 from __future__ import annotations
 
--- a/amberlug/cluster/simulation/mutations.py
+++ b/amberlug/cluster/simulation/mutations.py
@@ -1,4 +1,4 @@
-"""Faults put into the program, each of which the jig must find."""
+"""Faults put into the program, each of which the simulation must find."""
 
 from __future__ import annotations
 
@@ -211,8 +211,8 @@
     "forgotten-end": (_forgotten_end, "roll"),
     "failed-early": (_failed_early, "quiet"),
     "rate-alone": (_rate_alone, "rate"),
-    "dropped-early": (_dropped_early, "footing"),
-    "removed-counts": (_removed_counts, "footing"),
+    "dropped-early": (_dropped_early, "storage"),
+    "removed-counts": (_removed_counts, "storage"),
     "older-term": (_older_term, "core"),
     **mutations_voters.FAULTS,
     **mutations_frames.FAULTS,
--- a/amberlug/cluster/simulation/mutations_frames.py
+++ b/amberlug/cluster/simulation/mutations_frames.py
@@ -123,11 +123,11 @@
 # By name: the fault, and the aim of the days in which it may be looked for as well.
 FAULTS: Mapping[str, tuple[Callable[[], AbstractContextManager[Any]], str]] = {
     "batch-unbounded": (_batch_unbounded, "core"),
-    "members-left-behind": (_members_left_behind, "footing"),
+    "members-left-behind": (_members_left_behind, "storage"),
     "sum-unchecked": (_sum_unchecked, "core"),
     "part-missing": (_part_missing, "core"),
     "part-from-start": (_part_from_the_start, "core"),
-    "snapshot-unsynced": (_snapshot_unsynced, "footing"),
+    "snapshot-unsynced": (_snapshot_unsynced, "storage"),
     "last-forgotten": (_last_forgotten, "core"),
     "beat-after-work": (_beat_after_work, "core"),
     "cut-by-count-alone": (_cut_by_count_alone, "core"),
--- a/amberlug/cluster/simulation/mutations_voters.py
+++ b/amberlug/cluster/simulation/mutations_voters.py
@@ -88,11 +88,11 @@
 
 
 FAULTS: Mapping[str, tuple[Callable[[], AbstractContextManager[Any]], str]] = {
-    "voters-in-one-zone": (_voters_in_one_zone, "footing"),
-    "learner-votes": (_learner_votes, "footing"),
-    "removal-before-copy": (_removal_before_copy, "footing"),
-    "two-at-once": (_two_at_once, "footing"),
-    "put-back-votes": (_put_back_votes, "footing"),
+    "voters-in-one-zone": (_voters_in_one_zone, "storage"),
+    "learner-votes": (_learner_votes, "storage"),
+    "removal-before-copy": (_removal_before_copy, "storage"),
+    "two-at-once": (_two_at_once, "storage"),
+    "put-back-votes": (_put_back_votes, "storage"),
     "editions-by-count": (_editions_by_count, "config"),
-    "snapshot-old-members": (_snapshot_old_members, "footing"),
+    "snapshot-old-members": (_snapshot_old_members, "storage"),
 }
--- a/amberlug/cluster/simulation/scenarios.py
+++ b/amberlug/cluster/simulation/scenarios.py
@@ -57,7 +57,7 @@
         if aim in ("closing", "core"):
             # The fault is all that counts: many messages are under way when it strikes, or few.
             size = self.size = replace(size, seconds=6.5, rate=100.0 if aim == "closing" else 8.0)
-        elif aim == "footing":
+        elif aim == "storage":
             size = self.size = replace(size, seconds=36.0, rate=20.0)
         elif aim == "control":
             size = self.size = replace(size, seconds=38.0, rate=10.0)
@@ -182,7 +182,7 @@
             "freeze": [self._edge_freeze],
             "quiet": [lambda: 0.0],
             "answers": [self._edge_kill, self._edge_roll, self._edge_freeze, self._edge_cut],
-            "footing": [lambda: 0.0],
+            "storage": [lambda: 0.0],
             "control": [lambda: 0.0],
         }
         others = [
@@ -203,7 +203,7 @@
             self.storage_faults.begin(start, end - 2.0)
         if self.aim == "answers":
             others = [self._answers_garbled, self._answers_garbled, self._answers_lost, self._crash]
-        if self.aim == "footing":
+        if self.aim == "storage":
             others = [*others, self._edge_kill, self._edge_roll, self._edge_freeze]
             self.storage_faults.begin(start, end - 2.0)
         if self.aim == "control":
--- a/amberlug/cluster/storage/group_commit.py
+++ b/amberlug/cluster/storage/group_commit.py
@@ -37,7 +37,7 @@
         self._queue: queue.SimpleQueue[tuple[list[Row], Done] | Callable[[], None] | None] = (
             queue.SimpleQueue()
         )
-        self._thread = threading.Thread(target=self._run, name="cabinet", daemon=True)
+        self._thread = threading.Thread(target=self._run, name="group-commit", daemon=True)
         self._thread.start()
         self.commits = 0
 
--- a/benchmarks/hollow/__main__.py
+++ b/benchmarks/hollow/__main__.py
@@ -4,7 +4,7 @@
 
 Each bench plays three sizes or more and prints what it measured, and for each figure how it grows: the power
 that fits all sizes (1 is linear), and the price of one more at the two largest. Bytes are of frames as the
-belt packs them, times are processor seconds of decisions, packing and reading. See `docs/CAPACITY.md`.
+transport packs them, times are processor seconds of decisions, packing and reading. See `docs/CAPACITY.md`.
 """
 
 from __future__ import annotations
--- a/benchmarks/hollow/net.py
+++ b/benchmarks/hollow/net.py
@@ -1,9 +1,9 @@
 """Hollow machines: many machines' decisions in one process, over a network that only counts.
 
 Time is virtual, as in `amberlug.cluster.simulation`, but nothing is lost and no disk holds anything: what is
-wanted is what each machine says, how many bytes the belt packs it into, and the processor time that its
-handlers take. A frame is packed by its sender and read by its receiver as the belt does it, so that both are
-in the figures; sockets, the kernel and the HTTP server are not.
+wanted is what each machine says, how many bytes the transport packs it into, and the processor time that its
+handlers take. A frame is packed by its sender and read by its receiver as the transport does it, so that both
+are in the figures; sockets, the kernel and the HTTP server are not.
 """
 
 from __future__ import annotations
--- a/tests/cluster/group.py
+++ b/tests/cluster/group.py
@@ -1,4 +1,4 @@
-"""Members of the core's log over the jig's network, with a state as large as the changes make it."""
+"""A Raft group over the simulated network, with a state as large as the changes make it."""
 
 import random
 from functools import partial
--- a/tests/cluster/test_admin.py
+++ b/tests/cluster/test_admin.py
@@ -232,8 +232,8 @@
         self.at = f"127.0.0.1:{self.server.server_address[1]}"
         threading.Thread(target=self.server.serve_forever, args=(0.01,), daemon=True).start()
 
-    def foreman(self, *words: str) -> Result:
-        return CliRunner().invoke(cli, ["foreman", *(self.at if it == "@" else it for it in words)])
+    def admin(self, *words: str) -> Result:
+        return CliRunner().invoke(cli, ["admin", *(self.at if it == "@" else it for it in words)])
 
 
 @pytest.fixture
@@ -352,14 +352,14 @@
         "DEPLOY": str(ROOT / "deploy/system.toml"),
     }
     control.answers = {path: list(it) for path, it in answers.items()}
-    result = control.foreman(*(files.get(it, it) for it in words.split()))
+    result = control.admin(*(files.get(it, it) for it in words.split()))
     assert (result.exit_code, said in result.output) == (code, True), result.output
 
 
 def test_a_push_is_sent_again_unchanged(control: Control, tmp_path: Path) -> None:
     (tmp_path / "c").write_text(json.dumps(NEW))
     control.answers = {READ: [(200, config())], REPLACE: [(503, {}), (503, {}), (200, {})]}
-    assert control.foreman("config", "push", str(tmp_path / "c"), "--at", "@").exit_code == DONE
+    assert control.admin("config", "push", str(tmp_path / "c"), "--at", "@").exit_code == DONE
     pushed = [
         (headers["amberlug-base-version"], body)
         for _, path, headers, body in control.asked
@@ -371,7 +371,7 @@
 def test_a_dead_message_goes_again_as_it_came(control: Control) -> None:
     control.answers = {"/-/Foreman.Dead/1-a": [(200, FOUND)], "/a": [(202, b"")]}
     for _ in range(2):
-        control.foreman("dead", "again", "1-a", "--at", "@", "--front", "@")
+        control.admin("dead", "again", "1-a", "--at", "@", "--front", "@")
     (_, _, first, body), (_, _, second, _) = [it for it in control.asked if it[1] == "/a"]
     assert (first["host"], first["x-a"], body) == ("h", "b", b"abc")
     assert first["amberlug-attempt-id"] != second["amberlug-attempt-id"]
@@ -385,6 +385,8 @@
 EDGE_ROLE = f'[roles.e]\n{ROLE}on = "edge"\nserves = ["edge"]\n'
 DEPLOYS = [
     (STORE + CORE + EDGE_ROLE, []),
+    ('packages = ["python3", "libstdc++6"]\n' + STORE + CORE + EDGE_ROLE, []),
+    ('packages = ["python3 pip"]\n' + STORE + CORE + EDGE_ROLE, ["packages.0"]),
     ("roles = 3", ["roles"]),
     ("[roles", ["file"]),
     (STORE + CORE, ["roles: none serves edge"]),
--- a/tests/cluster/test_client_answers.py
+++ b/tests/cluster/test_client_answers.py
@@ -1,4 +1,4 @@
-"""Whose an answer to a client is: the hatch's server of edges and core machines, with drawn handlers."""
+"""Whose an answer to a client is: the HTTP server of edge and control-plane nodes, with drawn handlers."""
 
 import asyncio
 import contextlib
--- a/tests/cluster/test_http_server.py
+++ b/tests/cluster/test_http_server.py
@@ -1,4 +1,4 @@
-"""The hatch's HTTP server, over real loopback sockets."""
+"""The HTTP server of nodes, over real loopback sockets."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
--- a/tests/features/steps/deployment.py
+++ b/tests/features/steps/deployment.py
@@ -1,5 +1,5 @@
 # mypy: allow-untyped-decorators
-"""Steps that play a day of the jig: what is to happen is arranged, then the day is played once."""
+"""Steps that play a simulated day: what is to happen is arranged, then the day is played once."""
 
 from typing import Any
 
