--- a/amberlug/cluster/http/routing.py
+++ b/amberlug/cluster/http/routing.py
@@ -1,4 +1,4 @@
-"""A configuration as an edge uses it: an immutable snapshot that is swapped whole."""
+"""The routing table of an edge node: an immutable snapshot of one configuration."""
 
 from __future__ import annotations
 
@@ -8,23 +8,27 @@
 
 from amberlug.cluster.interfaces import Json
 
+# What the configuration's page gives where a field is missing.
+DEFAULT_HEADER_BYTES = 16384
+DEFAULT_BODY_BYTES = 262144
+DEFAULT_HEADER_TIMEOUT_S = 3.0
+DEFAULT_IDLE_TIMEOUT_S = 15.0
+DEFAULT_RETENTION_S = 86400.0
+
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """One route; times in seconds."""
+    """Where requests of one host and path prefix go. Durations are in seconds, as their names say."""
 
     name: str
-    host: str
+    host: str  # in small letters, without a port
     prefix: str
-    kind: str
     service: str
-    expiry_s: float
-    target_s: float
-    start_target_s: float
-    rank: int
+    expiry_s: float  # of one attempt
+    rank: int  # lower ones are dispatched first
     max_attempts: int
-    in_sequence: bool
-    retention_s: float
+    in_sequence: bool  # messages of one sequence key are delivered in order
+    retention_s: float  # after which an undelivered message expires
 
 
 @dataclass(frozen=True, slots=True)
@@ -32,76 +36,76 @@
     """One service of the configuration."""
 
     name: str
-    rate: float
-    dedup: bool
-    max_connections: int
-    fixed: str | None
+    rate: float  # attempts a second over all edge nodes; 0 for no limit
+    fixed: str | None  # address of a service whose endpoints do not register
 
 
 @dataclass(frozen=True, slots=True)
 class RoutingTable:
-    """A whole configuration; `index` is its place in the log, by which newer ones are known."""
+    """One configuration, complete; `index` is its position in the Raft log, by which newer ones are known."""
 
     index: int = 0
-    edition: int = 0
+    edition: int = 0  # the operators' version number
     by_host: Mapping[str, tuple[Route, ...]] = field(default_factory=lambda: MappingProxyType({}), hash=False)
     by_name: Mapping[str, Route] = field(default_factory=lambda: MappingProxyType({}), hash=False)
     services: Mapping[str, Destination] = field(default_factory=lambda: MappingProxyType({}), hash=False)
-    header_bytes: int = 16384
-    body_bytes: int = 262144
-    header_s: float = 3.0
-    idle_s: float = 15.0
+    header_bytes: int = DEFAULT_HEADER_BYTES
+    body_bytes: int = DEFAULT_BODY_BYTES
+    header_s: float = DEFAULT_HEADER_TIMEOUT_S
+    idle_s: float = DEFAULT_IDLE_TIMEOUT_S
 
     def match(self, host: str, path: str) -> Route | None:
-        """The route of a host (without its port) whose prefix is the longest that the path begins with."""
+        """The route of a host whose prefix is the longest that the path begins with.
+
+        :param host: without its port, in any case.
+        """
         for route in self.by_host.get(host.lower(), ()):
             if path.startswith(route.prefix):
                 return route
         return None
 
 
-def build(index: int, config: Json) -> RoutingTable:
-    """Make the snapshot of a configuration that was checked."""
-    routes = [
-        Route(
-            it["name"],
-            it["authority"].lower(),
-            it["pathPrefix"],
-            it["routeType"],
-            it["targetService"],
-            it["expiryMs"] / 1000,
-            it.get("targetMs", 1000) / 1000,
-            it.get("startTargetMs", 1000) / 1000,
-            it.get("precedence", 0),
-            it.get("maxAttempts", 1),
-            it.get("inSequence", False),
-            it.get("retentionS", 86400.0),
-        )
-        for it in config["routeTable"]
-    ]
+def _route(item: Json) -> Route:
+    return Route(
+        name=item["name"],
+        host=item["authority"].lower(),
+        prefix=item["pathPrefix"],
+        service=item["targetService"],
+        expiry_s=item["expiryMs"] / 1000,
+        rank=item.get("precedence", 0),
+        max_attempts=item.get("maxAttempts", 1),
+        in_sequence=item.get("inSequence", False),
+        retention_s=item.get("retentionS", DEFAULT_RETENTION_S),
+    )
+
+
+def _destination(item: Json) -> Destination:
+    return Destination(item["name"], float(item.get("ratePerS", 0.0)), item.get("fixedAddress"))
+
+
+def _by_host(routes: list[Route]) -> Mapping[str, tuple[Route, ...]]:
+    """Routes by host, those with the longest prefix first."""
     by_host: dict[str, list[Route]] = {}
     for route in sorted(routes, key=lambda it: -len(it.prefix)):
         by_host.setdefault(route.host, []).append(route)
+    return MappingProxyType({host: tuple(found) for host, found in by_host.items()})
+
+
+def build(index: int, config: Json) -> RoutingTable:
+    """Make the routing table of a configuration that was validated, in the form of the configuration page.
+
+    :param index: position of the configuration in the Raft log.
+    """
+    routes = [_route(item) for item in config["routeTable"]]
     limits = config.get("limits", {})
     return RoutingTable(
-        index,
-        config["edition"],
-        MappingProxyType({host: tuple(found) for host, found in by_host.items()}),
-        MappingProxyType({it.name: it for it in routes}),
-        MappingProxyType(
-            {
-                it["name"]: Destination(
-                    it["name"],
-                    float(it.get("ratePerS", 0.0)),
-                    it.get("dedupCapable", False),
-                    it.get("maxConnections", 1 << 16),
-                    it.get("fixedAddress"),
-                )
-                for it in config["serviceTable"]
-            }
-        ),
-        int(limits.get("maxHeaderBytes", 16384)),
-        int(limits.get("maxBodyBytes", 262144)),
-        limits.get("headerTimerMs", 3000) / 1000,
-        limits.get("idleTimerMs", 15000) / 1000,
+        index=index,
+        edition=config["edition"],
+        by_host=_by_host(routes),
+        by_name=MappingProxyType({route.name: route for route in routes}),
+        services=MappingProxyType({item["name"]: _destination(item) for item in config["serviceTable"]}),
+        header_bytes=int(limits.get("maxHeaderBytes", DEFAULT_HEADER_BYTES)),
+        body_bytes=int(limits.get("maxBodyBytes", DEFAULT_BODY_BYTES)),
+        header_s=limits.get("headerTimerMs", DEFAULT_HEADER_TIMEOUT_S * 1000) / 1000,
+        idle_s=limits.get("idleTimerMs", DEFAULT_IDLE_TIMEOUT_S * 1000) / 1000,
     )
--- a/amberlug/cluster/http/server.py
+++ b/amberlug/cluster/http/server.py
@@ -373,7 +373,6 @@
     def _hand_over(self, request: Request) -> None:
         server = self._server
         self.phase, self.due = OPEN, NEVER
-        server.requests += 1
         server.open_requests += 1
         reply = _Reply(self, request.method == "HEAD")
         try:
@@ -394,7 +393,7 @@
         self.limits = limits()  # read anew with each sweep
         self.time: Callable[[], float] = lambda: 0.0  # the loop's
         self.leaving = False
-        self.opened = self.requests = self.bad = self.late = 0
+        self.opened = self.bad = self.late = 0
         self.open_requests = 0  # read whole and not yet answered, those whose client hung up among them
         self._connections: set[_Connection] = set()
         self._listening: asyncio.Server | None = None
--- a/amberlug/cluster/simulation/quorum_contact.py
+++ b/amberlug/cluster/simulation/quorum_contact.py
@@ -2,7 +2,6 @@
 
 from __future__ import annotations
 
-import math
 from bisect import bisect_left, bisect_right
 from dataclasses import dataclass
 
@@ -107,8 +106,3 @@
     def in_touch(self, machine: str, since: float, until: float) -> bool:
         """Whether a machine was in touch all the while."""
         return self.reaches(machine, since, until) and self.settled(since, until)
-
-    def since_upset(self, at: float) -> float:
-        """How long ago the core was last unsettled."""
-        found = bisect_right(self._upsets, at)
-        return at - self._upsets[found - 1] if found else math.inf
