--- /dev/null
+++ b/amberlug/cluster/edge/delivery.py
@@ -0,0 +1,248 @@
+"""Messages of the shards that this edge node owns, from their acceptance until they have ended. No I/O."""
+
+from __future__ import annotations
+
+from functools import partial
+
+from amberlug.cluster.dispatch.delivery_queue import DeliveryQueue
+from amberlug.cluster.dispatch.dispatcher import Outcome, judge
+from amberlug.cluster.dispatch.message import Message
+from amberlug.cluster.dispatch.shard_owner import ShardOwner
+from amberlug.cluster.edge.context import EdgeContext
+from amberlug.cluster.edge.dispatchers import ServiceDispatchers
+from amberlug.cluster.edge.outcomes import (
+    END_DROPPED,
+    END_EXPIRED,
+    MessageStatus,
+    RecentOutcomes,
+)
+from amberlug.cluster.edge.storage_reads import StorageReader
+from amberlug.cluster.http.routing import Route
+from amberlug.cluster.interfaces import CallResult, Endpoints
+
+SWEEP_INTERVAL_S = 1.0  # between searches for messages whose retention time is over: it is hours as a rule
+RETENTION_SLACK_S = 0.5  # by which a message may have been sent before it arrived, since that is not known
+BODY_READ_RETRY_S = 0.03  # until the body of a message that is due is read from another replica
+UNROUTED_MAX_ATTEMPTS = 1  # of a message whose route has been removed while its call was in flight
+
+
+class MessageDelivery:
+    """Has each message of the owned shards called until it has ended, and its end recorded at its replicas.
+
+    Invariant: a message that is stored is in `queue` of the owner of its shard, or in flight at the owner
+    before (which then reports the call's outcome), until it has ended; it ends once.
+    """
+
+    def __init__(self, context: EdgeContext, endpoints: Endpoints, reader: StorageReader) -> None:
+        self._context, self._reader = context, reader
+        self.queue = DeliveryQueue(context.runtime, self._dispatch)
+        self.outcomes = RecentOutcomes()
+        self.shards = ShardOwner(
+            context.runtime,
+            context.replicator,
+            context.session.id,
+            self.add,
+            self.release_shard,
+            self.settle,
+        )
+        self.shards.is_held = self._is_known
+        self.dispatchers = ServiceDispatchers(context, self.shards, endpoints, self._call_finished)
+        self.pending_bytes = 0  # of the bodies of the messages in `queue`
+        self.under_replicated: dict[str, Message] = {}  # by id: messages with too few replicas
+        self._in_flight_of_released_shards: set[Message] = set()
+        self._awaiting_routes: list[Message] = []  # due, of a configuration that has not arrived here yet
+
+    def begin(self) -> None:
+        """Start the periodic search for expired messages."""
+        self._context.runtime.call_later(SWEEP_INTERVAL_S, self.sweep)
+
+    @property
+    def is_idle(self) -> bool:
+        """Whether this node owns nothing, and no other node waits for anything of it."""
+        return not (
+            self.dispatchers.has_calls
+            or self.shards.mine
+            or self.shards.putting
+            or self._context.replicator.telling
+        )
+
+    def _is_known(self, message_id: str) -> bool:
+        return message_id in self.queue.messages or message_id in self.outcomes
+
+    # Messages arrive: accepted from a client, or read from storage by a new owner.
+
+    def add(self, message: Message) -> None:
+        """Deliver a message that is stored."""
+        routes = self._context.routes
+        if message.route not in routes.by_name and message.seen <= routes.index:
+            message.ended = True
+            self._count_end(message.id, MessageStatus(END_DROPPED))
+            self._context.replicator.mark(message, END_DROPPED, "")
+            return
+        self.pending_bytes += message.size
+        self._assign_service(message)
+        self.queue.add(message)
+        if not self._context.replicator.enough(message.holders):
+            self.under_replicated[message.id] = message
+
+    def _assign_service(self, message: Message) -> bool:
+        """Give a message its service by the present routing table.
+
+        :returns: False where its route is not configured. The message has ended then, unless a call of it is
+            in flight or it is of a configuration that has not arrived here yet.
+        """
+        routes = self._context.routes
+        route = routes.by_name.get(message.route)
+        if route is not None:
+            message.service, message.rank = route.service, route.rank
+            # A replica that a lost storage node brings back later is too old to run.
+            message.keep_until = message.taken + route.retention_s + 2 * RETENTION_SLACK_S
+            return True
+        if message.seen <= routes.index and not message.out:
+            self._end(message, MessageStatus(END_DROPPED))
+        return False
+
+    def apply_routes(self) -> None:
+        """Deliver by a new routing table."""
+        self.dispatchers.apply_routes()
+        for message in list(self.queue.messages.values()):
+            service_before = message.service
+            if self._assign_service(message) and service_before != message.service and not message.out:
+                self.queue.again(message)
+        awaiting, self._awaiting_routes = self._awaiting_routes, []
+        for message in awaiting:
+            if message.id in self.queue.messages and not message.ended:
+                self._dispatch(message)
+        self.dispatchers.apply_rate_limits()
+
+    # Messages are called.
+
+    def _dispatch(self, message: Message) -> None:
+        """Send a message that is due and the first of its sequence key."""
+        routes = self._context.routes
+        route = routes.by_name.get(message.route)
+        if route is None:
+            if message.seen > routes.index:
+                self._awaiting_routes.append(message)
+            else:
+                self._end(message, MessageStatus(END_DROPPED))
+        elif self._is_expired(message, route):
+            self._end(message, MessageStatus(END_EXPIRED))
+        elif message.body is None:
+            self._read_body(message)
+        else:
+            self.dispatchers.dispatch(route.service, message)
+
+    def _is_expired(self, message: Message, route: Route) -> bool:
+        age_s = self._context.runtime.wall_clock() - message.taken
+        return age_s > route.retention_s + RETENTION_SLACK_S
+
+    def _read_body(self, message: Message) -> None:
+        message.out = True
+        self._reader.read_body(message, partial(self._body_read, message))
+
+    def _body_read(self, message: Message, found: bool) -> None:
+        if message.end and not message.ended:
+            self.settle_stored_end(message)
+        elif found:
+            self.queue.again(message)
+        elif not message.ended:
+            self._context.runtime.call_later(BODY_READ_RETRY_S, lambda: self._read_body(message))
+
+    def _call_finished(self, message: Message, result: CallResult) -> None:
+        route = self._context.routes.by_name.get(message.route)
+        max_attempts = route.max_attempts if route is not None else UNROUTED_MAX_ATTEMPTS
+        outcome = judge(message, result, max_attempts)
+        self._context.count(f"called: {outcome.end or result.verdict.value}")
+        message.failures += outcome.failed
+        if message in self._in_flight_of_released_shards:
+            self._call_of_released_shard_finished(message, outcome)
+        elif message.ended:
+            return
+        elif outcome.end:
+            message.out = False
+            self._end(message, MessageStatus(outcome.end, outcome.seal))
+        elif outcome.again_s > 0:
+            self._context.runtime.call_later(outcome.again_s, lambda: self._retry(message))
+        else:
+            self._retry(message)
+
+    def _call_of_released_shard_finished(self, message: Message, outcome: Outcome) -> None:
+        self._in_flight_of_released_shards.discard(message)
+        message.out = False
+        if outcome.end:
+            self._context.replicator.mark(message, outcome.end, outcome.seal)
+            self._remember(message.id, MessageStatus(outcome.end, outcome.seal))
+        self.shards.outcome_elsewhere(message, outcome.end, outcome.seal, outcome.failed)
+
+    def _retry(self, message: Message) -> None:
+        if message.id in self.queue.messages and not message.ended:
+            message.out = False
+            if self._assign_service(message):
+                self.queue.again(message)
+
+    # Messages end, or go to another owner.
+
+    def _end(self, message: Message, status: MessageStatus) -> None:
+        assert not message.ended, "a message ends twice"
+        self.pending_bytes -= message.size
+        self._count_end(message.id, status)
+        self.queue.end(message)
+        self._context.replicator.mark(message, status.end, status.seal)
+
+    def _count_end(self, message_id: str, status: MessageStatus) -> None:
+        self._context.count(f"ended: {status.end}")
+        self._remember(message_id, status)
+
+    def _remember(self, message_id: str, status: MessageStatus) -> None:
+        self.outcomes.record(message_id, status, self._context.runtime.now())
+
+    def settle(self, message_id: str, end: str, seal: str, failed: bool) -> None:
+        """Apply what came of a call that the owner before had in flight.
+
+        :param end: how the message ended, empty where it is to be called again.
+        :param failed: whether the call counts as one of the attempts that its route allows.
+        """
+        message = self.queue.messages.get(message_id)
+        if message is None or message.ended:
+            if end and message is None:
+                self._remember(message_id, MessageStatus(end, seal))
+            return
+        message.out = False
+        message.failures += failed
+        if end:
+            self._end(message, MessageStatus(end, seal))
+        else:
+            self._retry(message)
+
+    def settle_stored_end(self, message: Message) -> None:
+        """End a message of which a storage node knows an end that an earlier owner did not hand over."""
+        self.settle(message.id, message.end, message.seal, False)
+
+    def release_shard(self, shard: int) -> list[Message]:
+        """Stop delivering the messages of a shard that has another owner now.
+
+        Calls in flight go on, and their outcome is reported to the new owner.
+
+        :returns: the messages that were pending.
+        """
+        released = [message for message in self.queue.messages.values() if message.shard == shard]
+        for message in released:
+            self.queue.drop(message)
+            self.pending_bytes -= message.size
+            if message.out and self.dispatchers.calls_of(message):
+                self._in_flight_of_released_shards.add(message)
+            else:
+                message.out = False
+                message.ended = True  # for this node: whatever still refers to it here must not call it
+        return released
+
+    def sweep(self) -> None:
+        """End the messages whose retention time is over, forget old outcomes, and do so again later."""
+        runtime = self._context.runtime
+        runtime.call_later(SWEEP_INTERVAL_S, self.sweep)
+        self.outcomes.forget_before(runtime.now() - self._context.settings.seconds("statusTtlS"))
+        for message in list(self.queue.messages.values()):
+            route = self._context.routes.by_name.get(message.route)
+            if route is not None and not message.out and self._is_expired(message, route):
+                self._end(message, MessageStatus(END_EXPIRED))
--- /dev/null
+++ b/amberlug/cluster/edge/dispatchers.py
@@ -0,0 +1,128 @@
+"""The dispatchers of an edge node, one a service, and its share of the services' rate limits. No I/O."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+
+from amberlug.cluster.dispatch.dispatcher import Dispatcher, Out
+from amberlug.cluster.dispatch.endpoint_pool import EndpointPool
+from amberlug.cluster.dispatch.message import Message
+from amberlug.cluster.dispatch.shard_owner import ShardOwner
+from amberlug.cluster.edge.context import EdgeContext
+from amberlug.cluster.interfaces import CallResult, Endpoints, Json
+
+RATE_INCREASE_DELAY_S = (
+    1.0  # until a larger share is used: the other edge nodes use their smaller ones by then
+)
+FIRST_SHARE_DIVISOR = 4  # what a node that had no share may use of its new one in that time
+MIN_RATE_SHARE = 0.01  # of a node without shards, whose calls from before may still need a retry
+UNROUTED_CALL_TIMEOUT_S = 1.0  # of a message whose route has been removed since it became due
+
+
+class ServiceDispatchers:
+    """Dispatchers by service, over one pool of endpoints."""
+
+    def __init__(
+        self,
+        context: EdgeContext,
+        shards: ShardOwner,
+        endpoints: Endpoints,
+        on_call_finished: Callable[[Message, CallResult], None],
+    ) -> None:
+        self._context, self._shards, self._endpoints = context, shards, endpoints
+        self._on_call_finished = on_call_finished
+        self._pool = EndpointPool(context.settings.zone, context.runtime.chance, endpoints.idle)
+        self.by_service: dict[str, Dispatcher] = {}
+        self._rate_share = 0.0
+        self._increase_scheduled = False
+
+    @property
+    def has_calls(self) -> bool:
+        """Whether a call to an endpoint is in flight."""
+        return any(dispatcher.calls for dispatcher in self.by_service.values())
+
+    def calls_of(self, message: Message) -> list[Out]:
+        """Calls of a message that are in flight.
+
+        They may be at another service than the message's present one: a new configuration may have moved its
+        route meanwhile.
+        """
+        return [
+            call
+            for dispatcher in self.by_service.values()
+            for call in dispatcher.calls
+            if call.message is message
+        ]
+
+    def dispatch(self, service: str, message: Message) -> None:
+        """Send a message that is due to an endpoint of a service, as soon as its rate and endpoints allow."""
+        self._dispatcher(service).add(message)
+
+    def endpoint_announced(self, endpoint_id: str, announcement: Json) -> None:
+        """Apply an announcement of an endpoint, and send what waited for it."""
+        unusable = self._pool.heard(endpoint_id, announcement, self._context.runtime.now())
+        if unusable is not None and unusable.state == "gone":
+            self._endpoints.forget(unusable.address)
+        dispatcher = self.by_service.get(announcement["service"])
+        if dispatcher is not None:
+            dispatcher.pump()
+
+    def apply_routes(self) -> None:
+        """Have a dispatcher for each service of the routing table, and know its fixed endpoint if any."""
+        for name, destination in self._context.routes.services.items():
+            self._pool.fixed(name, destination.fixed)
+            self._dispatcher(name)
+
+    def apply_rate_limits(self) -> None:
+        """Use the rate limits of a new configuration, and send what they allow now."""
+        self._rate_share = 0.0
+        self.update_rate_share()
+        for dispatcher in self.by_service.values():
+            dispatcher.pump()
+
+    def update_rate_share(self) -> None:
+        """Adapt this node's share of the rate limits to the number of edge nodes that own shards.
+
+        Invariant: the shares that the edge nodes use sum up to one at most. A smaller share is used at once,
+        a larger one only after the others have learned of the new assignment and reduced theirs.
+        """
+        share = self._assigned_share()
+        if share > self._rate_share and not self._increase_scheduled:
+            self._increase_scheduled = True
+            self._context.runtime.call_later(RATE_INCREASE_DELAY_S, self._increase_rate_share)
+        if self._rate_share:
+            self._set_rate_share(min(share, self._rate_share))
+        else:
+            self._set_rate_share(share / FIRST_SHARE_DIVISOR)
+
+    def _assigned_share(self) -> float:
+        return 1 / self._shards.edges if self._shards.mine else 0.0
+
+    def _increase_rate_share(self) -> None:
+        self._increase_scheduled = False
+        self._set_rate_share(self._assigned_share())
+
+    def _set_rate_share(self, share: float) -> None:
+        self._rate_share = share
+        for name, destination in self._context.routes.services.items():
+            if name in self.by_service:
+                self.by_service[name].rate_is(destination.rate, share or MIN_RATE_SHARE)
+
+    def _dispatcher(self, service: str) -> Dispatcher:
+        dispatcher = self.by_service.get(service)
+        if dispatcher is None:
+            dispatcher = self.by_service[service] = Dispatcher(
+                service,
+                self._context.runtime,
+                self._pool,
+                self._endpoints,
+                self._call_timeout_s,
+                self._on_call_finished,
+            )
+        destination = self._context.routes.services.get(service)
+        dispatcher.fixed = destination is not None and destination.fixed is not None
+        return dispatcher
+
+    def _call_timeout_s(self, message: Message) -> float:
+        route = self._context.routes.by_name.get(message.route)
+        return route.expiry_s if route is not None else UNROUTED_CALL_TIMEOUT_S
--- /dev/null
+++ b/amberlug/cluster/edge/forwarding.py
@@ -0,0 +1,130 @@
+"""Submission of messages to the owners of their shards, here or at another node, with retries. No I/O."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+
+from result import Err, Result
+
+from amberlug.cluster.dispatch.message import Message, read
+from amberlug.cluster.dispatch.shard_owner import AdmissionOutcome, ShardOwner
+from amberlug.cluster.edge.context import EdgeContext
+from amberlug.cluster.interfaces import Json, Reply, RequestFailure, Respond, on
+
+OFFER_TIMEOUT_S = 0.5  # for the owner at another node to answer: a replicated write takes a tenth of it
+RETRY_INTERVAL_S = 0.03  # until the next attempt: a shard's move to another owner takes a few of them
+NO_OWNER_TIMEOUT_S = 1.0  # for the shard to have an owner that answers, where the client would wait longer
+
+OutcomeCallback = Callable[[AdmissionOutcome], None]
+
+
+class Forwarder:
+    """Submits messages of this node's clients, and accepts those that other edge nodes forward."""
+
+    def __init__(self, context: EdgeContext, shards: ShardOwner) -> None:
+        self.context, self.shards = context, shards
+
+    def submit(self, message: Message, timeout_s: float, on_outcome: OutcomeCallback) -> None:
+        """Have the owner of the message's shard accept it.
+
+        :param timeout_s: seconds until the client is answered at the latest.
+        :param on_outcome: called once. `REJECTED` means that the message is certainly stored nowhere;
+            `OUTCOME_UNKNOWN` that it may be.
+        """
+        _Submission(self, message, timeout_s, on_outcome).attempt()
+
+    @on("offer")
+    def on_offer(self, body: Json, blob: bytes, origin: str, respond: Respond) -> None:
+        """Accept a message that another edge node's client has submitted."""
+        message = read(body["id"], body["shard"], 0, 0, body["meta"], blob, len(blob))
+        self.context.count("offered")
+        if message.seen > self.context.routes.index:
+            self.context.gossip.compare_with(origin)
+        if message.shard in self.shards.mine and self.context.replicator.dark():
+            respond({"taken": AdmissionOutcome.REJECTED.value, "dark": True}, b"")
+            return
+        self.shards.accept(message, lambda outcome: respond({"taken": outcome.value}, b""))
+
+
+class _Submission:
+    """One client's message on its way to the owner of its shard.
+
+    Invariant: the message is reported as rejected only while no owner and no storage node can have it. Once
+    an attempt has an unknown outcome, or is in flight as the time runs out, the outcome is unknown unless a
+    later attempt is accepted, since the next owner may find what an earlier one began to store. The id stays
+    the same on all attempts, so that a message that is accepted twice is stored once.
+    """
+
+    def __init__(
+        self, forwarder: Forwarder, message: Message, timeout_s: float, on_outcome: OutcomeCallback
+    ) -> None:
+        self._runtime, self._session = forwarder.context.runtime, forwarder.context.session
+        self._shards, self._message, self._on_outcome = forwarder.shards, message, on_outcome
+        now = self._runtime.now()
+        self._deadline = now + timeout_s
+        self._no_owner_deadline = now + min(timeout_s, NO_OWNER_TIMEOUT_S)
+        self._may_be_stored = False
+        self._in_flight = False
+        self._finished = False
+        self._timer = self._runtime.call_later(timeout_s, self._timed_out)
+
+    def attempt(self) -> None:
+        """Offer the message to the present owner of its shard."""
+        if self._finished:
+            return
+        now = self._runtime.now()
+        if now >= self._deadline or (not self._may_be_stored and now > self._no_owner_deadline):
+            self._give_up(self._may_be_stored)
+            return
+        if self._message.shard in self._shards.mine:
+            self._in_flight = True
+            self._shards.accept(self._message, self._owner_answered)
+            return
+        owner = self._shards.owner_of(self._message.shard)
+        if owner is None or owner[0] == self._session.id:
+            self._retry_later()
+            return
+        self._offer_to(owner[1], min(self._deadline - now, OFFER_TIMEOUT_S))
+
+    def _offer_to(self, address: str, timeout_s: float) -> None:
+        message = self._message
+        assert message.body is not None, "a message that is offered has its body"
+        body = {"id": message.id, "shard": message.shard, "meta": message.meta()}
+        self._in_flight = True
+        self._runtime.request(address, "offer", body, timeout_s, self._offer_answered, message.body)
+
+    def _offer_answered(self, reply: Result[Reply, RequestFailure]) -> None:
+        if isinstance(reply, Err):
+            self._in_flight = False
+            self._may_be_stored |= reply.err_value is not RequestFailure.NOT_SENT
+            self._retry_later()
+            return
+        body = reply.ok_value.body
+        if body.get("dark") and not self._may_be_stored:
+            # The owner wrote nothing, and too few storage nodes answer it: a retry would fail as well.
+            self._finish(AdmissionOutcome.REJECTED)
+        else:
+            self._owner_answered(AdmissionOutcome(body["taken"]))
+
+    def _owner_answered(self, outcome: AdmissionOutcome) -> None:
+        self._in_flight = False
+        if outcome is AdmissionOutcome.ACCEPTED:
+            self._finish(outcome)
+            return
+        self._may_be_stored |= outcome is not AdmissionOutcome.REJECTED
+        self._retry_later()
+
+    def _retry_later(self) -> None:
+        self._runtime.call_later(RETRY_INTERVAL_S, self.attempt)
+
+    def _timed_out(self) -> None:
+        self._give_up(self._may_be_stored or self._in_flight)
+
+    def _give_up(self, may_be_stored: bool) -> None:
+        self._finish(AdmissionOutcome.OUTCOME_UNKNOWN if may_be_stored else AdmissionOutcome.REJECTED)
+
+    def _finish(self, outcome: AdmissionOutcome) -> None:
+        if not self._finished:
+            self._finished = True
+            self._timer.cancel()
+            self._on_outcome(outcome)
--- /dev/null
+++ b/amberlug/cluster/edge/intake.py
@@ -0,0 +1,215 @@
+"""Requests of clients: which are answered at once, which become messages, and what a client hears. No I/O."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from dataclasses import dataclass
+from typing import Protocol
+
+from result import Err, Ok, Result
+
+from amberlug.cluster.control.cluster_state import SHARDS
+from amberlug.cluster.dispatch.message import Message, name_of, shard_of
+from amberlug.cluster.dispatch.shard_owner import AdmissionOutcome
+from amberlug.cluster.edge.context import EdgeContext
+from amberlug.cluster.edge.delivery import MessageDelivery
+from amberlug.cluster.edge.forwarding import Forwarder
+from amberlug.cluster.http.api import AdminApi, HttpRequest, HttpResponse
+from amberlug.cluster.http.routing import Route
+from amberlug.cluster.interfaces import Json
+
+DEFAULT_CLIENT_TIMEOUT_S = 1.5  # where a client does not say for how long it waits
+MAX_BODIES_MEMORY_FRACTION = 0.35  # of the node's memory: the rest is for connections and the process itself
+MAX_ATTEMPT_ID_CHARACTERS = 58  # a message's id, which is the shard and the attempt id, has 64 at most
+MAX_NOT_BEFORE_DIGITS = 12  # in milliseconds: some thirty years
+RETRY_AFTER_S = 1  # that a client waits once it was rejected: a take-over of shards is done by then
+BYTES_PER_MB = 1e6
+
+# Of one connection only, or rewritten on each delivery: not kept with the message.
+HEADERS_NOT_FORWARDED = frozenset(
+    (
+        "host",
+        "content-length",
+        "transfer-encoding",
+        "connection",
+        "keep-alive",
+        "te",
+        "trailer",
+        "upgrade",
+        "expect",
+        "proxy-connection",
+        "amberlug-time-remaining",
+        "amberlug-attempt-id",
+        "amberlug-not-before",
+        "amberlug-target-instance",
+        "amberlug-notify-uri",
+    )
+)
+
+HttpHeaders = tuple[tuple[str, str], ...]
+
+
+class ClientRequest(HttpRequest, Protocol):
+    """A request of a client, with all its headers by lower-case name."""
+
+    @property
+    def headers(self) -> HttpHeaders:
+        """Names and values in the order in which they came."""
+
+
+@dataclass(frozen=True, slots=True)
+class ClientResponse:
+    """An answer to a client: a JSON body, or bytes where `body` is None."""
+
+    status: int
+    body: Json | None = None
+    headers: HttpHeaders = ()
+    payload: bytes = b""
+
+
+RespondToClient = Callable[[ClientResponse], None]
+
+
+@dataclass(frozen=True, slots=True)
+class SubmissionHeaders:
+    """What a client's headers say about a submission."""
+
+    attempt_id: str
+    not_before_ms: int  # after the arrival
+    timeout_s: float
+
+
+def parse_submission_headers(request: ClientRequest) -> Result[SubmissionHeaders, str]:
+    """Read the headers of a submission.
+
+    :returns: the headers, or what is wrong with them.
+    """
+    attempt_id = request.header("amberlug-attempt-id")
+    if (
+        not attempt_id
+        or len(attempt_id) > MAX_ATTEMPT_ID_CHARACTERS
+        or not all(it.isalnum() or it in "-_." for it in attempt_id)
+    ):
+        return Err("Amberlug-Attempt-Id: none, or not one of up to 58 letters, digits or -_.")
+    not_before = request.header("amberlug-not-before") or "0"
+    if not not_before.isdigit() or len(not_before) > MAX_NOT_BEFORE_DIGITS:
+        return Err("Amberlug-Not-Before: no whole number of milliseconds")
+    remaining_ms = request.header("amberlug-time-remaining")
+    has_timeout = remaining_ms is not None and remaining_ms.isdigit()
+    timeout_s = int(remaining_ms or 0) / 1000 if has_timeout else DEFAULT_CLIENT_TIMEOUT_S
+    return Ok(SubmissionHeaders(attempt_id, int(not_before), timeout_s))
+
+
+class Intake:
+    """Answers the requests that come to an edge node's front."""
+
+    def __init__(
+        self, context: EdgeContext, delivery: MessageDelivery, forwarder: Forwarder, api: AdminApi
+    ) -> None:
+        self._context, self._delivery, self._forwarder, self._api = context, delivery, forwarder, api
+
+    def handle(self, request: ClientRequest, respond: RespondToClient) -> None:
+        """Answer a request: a declared call under `/-/`, or a submission to a configured route."""
+        if request.target.startswith("/-/"):
+            self._api.take(request, lambda response: respond(_client_response(response)))
+            return
+        if not (self._context.has_routes and self._context.session.confirmed):
+            # The routing table may be older than one that was acknowledged, or there is none at all.
+            self._reject(respond, 503, "no configuration that a majority has confirmed")
+            return
+        host = (request.header("host") or "").partition(":")[0]
+        route = self._context.routes.match(host, request.target.partition("?")[0])
+        if route is None:
+            self._context.count("no route")
+            respond(ClientResponse(404, {"cause": "no route"}))
+            return
+        self._submit(request, route, respond)
+
+    def _submit(self, request: ClientRequest, route: Route, respond: RespondToClient) -> None:
+        parsed = parse_submission_headers(request)
+        if isinstance(parsed, Err):
+            respond(ClientResponse(400, {"cause": parsed.err_value}))
+            return
+        if self._has_too_many_bytes():
+            self._reject(respond, 429, "too much is in hand")
+            return
+        key = (request.header("amberlug-sequence-key") or "") if route.in_sequence else ""
+        shard = self._choose_shard(key)
+        if shard is None:
+            self._reject(respond, 503, "no shard has an owner")
+            return
+        if shard in self._delivery.shards.mine and self._context.replicator.dark():
+            self._reject(respond, 503, "too few stores answer")
+            return
+        message = self._message(request, parsed.ok_value, route, shard, key)
+        self._forwarder.submit(
+            message,
+            parsed.ok_value.timeout_s,
+            lambda outcome: self._answer_submission(message.id, outcome, respond),
+        )
+
+    def _has_too_many_bytes(self) -> bool:
+        memory_bytes = self._context.settings.memory_mb * BYTES_PER_MB
+        return self._delivery.pending_bytes > MAX_BODIES_MEMORY_FRACTION * memory_bytes
+
+    def _choose_shard(self, key: str) -> int | None:
+        """The shard of a sequence key; without a key one that is served here, else any that has an owner."""
+        if key:
+            return shard_of(key, SHARDS)
+        shards = self._delivery.shards
+        serving = [number for number, shard in shards.mine.items() if shard.serving]
+        if serving:
+            return self._context.runtime.chance.choice(serving)
+        owned = [number for number in range(len(shards.table)) if shards.owner_of(number) is not None]
+        return self._context.runtime.chance.choice(owned) if owned else None
+
+    def _message(
+        self, request: ClientRequest, submission: SubmissionHeaders, route: Route, shard: int, key: str
+    ) -> Message:
+        accepted_at = self._context.runtime.wall_clock()
+        return Message(
+            id=name_of(shard, submission.attempt_id),
+            shard=shard,
+            attempt=submission.attempt_id,
+            host=request.header("host") or "",
+            method=request.method,
+            target=request.target,
+            route=route.name,
+            key=key,
+            taken=accepted_at,
+            due_at=accepted_at + submission.not_before_ms / 1000,
+            headers=tuple(it for it in request.headers if it[0] not in HEADERS_NOT_FORWARDED),
+            body=request.body,
+            size=len(request.body),
+            seen=self._context.routes.index,
+        )
+
+    def _answer_submission(
+        self, message_id: str, outcome: AdmissionOutcome, respond: RespondToClient
+    ) -> None:
+        if outcome is AdmissionOutcome.ACCEPTED:
+            self._context.count("taken")
+            respond(ClientResponse(202, headers=(("Amberlug-Message-Name", message_id),)))
+        elif outcome is AdmissionOutcome.OUTCOME_UNKNOWN:
+            self._context.count("unclear")
+            respond(ClientResponse(504, {"cause": "it is not known whether the message is kept"}))
+        else:
+            self._reject(respond, 503, "not enough stores can be reached")
+
+    def _reject(self, respond: RespondToClient, status: int, cause: str) -> None:
+        """Answer that the message is stored nowhere, and when the client may submit it again."""
+        self._context.count("refused")
+        respond(ClientResponse(status, {"cause": cause}, _retry_after(RETRY_AFTER_S)))
+
+
+def _retry_after(seconds: int) -> HttpHeaders:
+    return (("Retry-After", str(seconds)),)
+
+
+def _client_response(response: HttpResponse) -> ClientResponse:
+    """The answer of a declared call, whose field `blob` holds bytes in place of a JSON body."""
+    payload = response.body.get("blob")
+    headers = _retry_after(response.retry_after) if response.retry_after is not None else ()
+    if isinstance(payload, bytes):
+        return ClientResponse(response.status, None, headers, payload)
+    return ClientResponse(response.status, response.body, headers)
--- /dev/null
+++ b/amberlug/cluster/edge/lookup.py
@@ -0,0 +1,91 @@
+"""Questions of clients about a message: how it stands, and its body. No I/O."""
+
+from __future__ import annotations
+
+from result import Ok, Result
+
+from amberlug.cluster.dispatch.message import shard_in
+from amberlug.cluster.edge.context import EdgeContext
+from amberlug.cluster.edge.delivery import MessageDelivery
+from amberlug.cluster.edge.outcomes import MessageStatus
+from amberlug.cluster.edge.storage_reads import READ_TIMEOUT_S, StatusCallback, StorageReader
+from amberlug.cluster.http.api import HttpRequest, HttpResponse, RespondHttp, order
+from amberlug.cluster.interfaces import Json, Reply, RequestFailure, Respond, on
+
+LOOKUP_TIMEOUT_S = 1.7  # for the answer to a client: clients wait two seconds
+RETRY_AFTER_S = 1  # that a client waits where the answer can't be known now
+
+
+class MessageLookup:
+    """Answers how a message stands: from memory, by the owner of its shard, else by the storage nodes."""
+
+    def __init__(self, context: EdgeContext, delivery: MessageDelivery, reader: StorageReader) -> None:
+        self._context, self._delivery, self._reader = context, delivery, reader
+
+    @order("GET", "/-/message/")
+    def message(self, request: HttpRequest, name: str, respond: RespondHttp) -> None:
+        """Answer how a message stands."""
+        self.find_status(name, lambda status: respond(_status_response(status)))
+
+    @order("GET", "/-/message-body/")
+    def message_body(self, request: HttpRequest, name: str, respond: RespondHttp) -> None:
+        """Answer with the body of a message that is open or has failed."""
+        pending = self._delivery.queue.messages.get(name)
+        if pending is not None and pending.body is not None:
+            respond(HttpResponse(200, {"blob": pending.body}))
+            return
+        self._reader.find_body(name, lambda body: respond(_body_response(body)))
+        if not self._context.replicator.stores:
+            respond(HttpResponse(503, {"cause": "no store is known"}, RETRY_AFTER_S))
+
+    @on("standing")
+    def on_standing(self, body: Json, blob: bytes, origin: str, respond: Respond) -> None:
+        """Answer another edge node how a message of a shard that is owned here stands."""
+        status = self.local_status(body["id"])
+        respond({"known": status.to_wire() if status is not None else None}, b"")
+
+    def local_status(self, message_id: str) -> MessageStatus | None:
+        """How a message stands by what is in this node's memory; None where it is not there."""
+        if message_id in self._delivery.queue.messages or message_id in self._delivery.shards.putting:
+            return MessageStatus()
+        return self._delivery.outcomes.get(message_id)
+
+    def find_status(self, message_id: str, on_status: StatusCallback) -> None:
+        """Find how a message stands.
+
+        :param on_status: called once, with None where it can't be known now.
+        """
+        known = self.local_status(message_id)
+        if known is not None:
+            on_status(known)
+            return
+        runtime = self._context.runtime
+        owner = self._delivery.shards.owner_of(shard_in(message_id))
+        if owner is None or owner[0] == self._context.session.id:
+            self._reader.find_status(message_id, runtime.now() + LOOKUP_TIMEOUT_S, on_status)
+            return
+
+        def receive(reply: Result[Reply, RequestFailure]) -> None:
+            if isinstance(reply, Ok) and reply.ok_value.body.get("known"):
+                on_status(MessageStatus.from_wire(reply.ok_value.body["known"]))
+                return
+            deadline = runtime.now() + LOOKUP_TIMEOUT_S - READ_TIMEOUT_S
+            self._reader.find_status(message_id, deadline, on_status)
+
+        runtime.request(owner[1], "standing", {"id": message_id}, READ_TIMEOUT_S, receive)
+
+
+def _status_response(status: MessageStatus | None) -> HttpResponse:
+    if status is None:
+        return HttpResponse(503, {"cause": "it can't be known now"}, RETRY_AFTER_S)
+    if not status.is_found:
+        return HttpResponse(404, {"cause": "no such message"})
+    if status.is_completed:
+        return HttpResponse(200, {"condition": "completed", "seal": status.seal})
+    return HttpResponse(200, {"condition": "pending" if status.is_open else "failed"})
+
+
+def _body_response(body: bytes | None) -> HttpResponse:
+    if body is None:
+        return HttpResponse(404, {"cause": "no store has its bytes now"})
+    return HttpResponse(200, {"blob": body})
--- /dev/null
+++ b/amberlug/cluster/edge/repair.py
@@ -0,0 +1,117 @@
+"""Restores replicas of messages that too few storage nodes hold. No I/O."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+from functools import partial
+
+from amberlug.cluster.dispatch.message import Message
+from amberlug.cluster.edge.context import EdgeContext
+from amberlug.cluster.edge.delivery import MessageDelivery
+from amberlug.cluster.edge.storage_reads import StorageReader
+from amberlug.cluster.interfaces import Json
+
+REPAIR_INTERVAL_S = 0.1  # between searches for messages with too few replicas
+MAX_CONCURRENT_REPAIRS = 16  # so that repairs do not delay the writes of new messages
+
+
+@dataclass(frozen=True, slots=True)
+class RepairReport:
+    """What the control plane waits for before it drops a storage node's disk for good."""
+
+    roster_version: int
+    shard_table_version: int
+    shards_recovering: int
+    messages_under_replicated: int
+
+    def to_wire(self) -> Json:
+        """The form in a session's requests; the names of the fields are historical."""
+        return {
+            "roster": self.roster_version,
+            "table": self.shard_table_version,
+            "loading": self.shards_recovering,
+            "short": self.messages_under_replicated,
+        }
+
+
+class ReplicaRepair:
+    """Writes further replicas of messages after a change of the roster, some at a time."""
+
+    def __init__(self, context: EdgeContext, delivery: MessageDelivery, reader: StorageReader) -> None:
+        self._context, self._delivery, self._reader = context, delivery, reader
+        self._in_progress: set[str] = set()  # ids of messages
+        self._roster_version, self._roster_changed_at = 0, 0.0
+
+    def begin(self) -> None:
+        """Start the periodic search for messages with too few replicas."""
+        self._context.runtime.call_later(REPAIR_INTERVAL_S, self._search)
+
+    def apply_roster(self, version: int, roster: Json) -> None:
+        """Count replicas by a new roster of storage nodes."""
+        replicator = self._context.replicator
+        replicator.roster_is(roster, version)
+        self._roster_version, self._roster_changed_at = version, self._context.runtime.now()
+        self._delivery.shards.roster_changed()
+        self._delivery.under_replicated = {
+            message_id: message
+            for message_id, message in self._delivery.queue.messages.items()
+            if not replicator.enough(message.holders)
+        }
+
+    def report(self) -> RepairReport:
+        """How far this node is with the newest roster that it knows."""
+        shards = self._delivery.shards
+        # A write that began under the roster before may yet end with replicas that no longer count.
+        early_writes = sum(1 for began_at in shards.put_since.values() if began_at <= self._roster_changed_at)
+        table = self._context.gossip.items.get("shards")
+        return RepairReport(
+            roster_version=self._roster_version,
+            shard_table_version=table[0][0] if table is not None else 0,
+            shards_recovering=sum(1 for it in shards.mine.values() if not it.serving) + shards.unfenced,
+            messages_under_replicated=len(self._delivery.under_replicated) + early_writes,
+        )
+
+    def _search(self) -> None:
+        self._context.runtime.call_later(REPAIR_INTERVAL_S, self._search)
+        self._repair_more()
+
+    def _repair_more(self) -> None:
+        under_replicated = self._delivery.under_replicated
+        for message_id, message in list(under_replicated.items()):
+            if (
+                message.ended
+                or message_id not in self._delivery.queue.messages
+                or self._context.replicator.enough(message.holders)
+            ):
+                del under_replicated[message_id]
+            elif message_id not in self._in_progress:
+                if len(self._in_progress) >= MAX_CONCURRENT_REPAIRS:
+                    return
+                self._in_progress.add(message_id)
+                self._write_replicas(message)
+
+    def _write_replicas(self, message: Message) -> None:
+        shard = self._delivery.shards.mine.get(message.shard)
+        if message.body is None:
+            self._reader.read_body(message, partial(self._body_read, message))
+        elif shard is None or message.ended:
+            self.repair_finished(message)
+        else:
+            self._context.replicator.put(message, shard.epoch, lambda outcome: self.repair_finished(message))
+
+    def _body_read(self, message: Message, found: bool) -> None:
+        if found:
+            self._write_replicas(message)
+        else:
+            self.repair_finished(message)
+
+    def repair_finished(self, message: Message) -> None:
+        """Apply what came of a repair; where replicas are still too few, the next search tries again."""
+        self._in_progress.discard(message.id)
+        if message.end and not message.ended:
+            self._delivery.settle_stored_end(message)
+        if self._context.replicator.enough(message.holders):
+            self._context.count("mended")
+            self._delivery.under_replicated.pop(message.id, None)
+            if self._delivery.under_replicated and not self._in_progress:
+                self._context.runtime.call_later(0.0, self._repair_more)
--- /dev/null
+++ b/amberlug/cluster/edge/storage_reads.py
@@ -0,0 +1,138 @@
+"""Reads from storage nodes: bodies of messages, and how messages stand. No I/O."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from functools import partial
+
+from result import Ok, Result
+
+from amberlug.cluster.dispatch.message import Message
+from amberlug.cluster.edge.context import EdgeContext
+from amberlug.cluster.edge.outcomes import NOT_FOUND, MessageStatus
+from amberlug.cluster.interfaces import Reply, RequestFailure
+
+READ_TIMEOUT_S = 0.5  # for a storage node, or an edge node that is asked, to answer
+READ_SLACK_S = 0.05  # beyond it, until a read of several nodes ends without those that have not answered
+
+StatusCallback = Callable[[MessageStatus | None], None]
+
+
+class StorageReader:
+    """Reads messages from the storage nodes of the roster."""
+
+    def __init__(self, context: EdgeContext) -> None:
+        self._context = context
+
+    def read_body(self, message: Message, on_done: Callable[[bool], None]) -> None:
+        """Read the body of a message into it, from one of its replicas.
+
+        Where the storage node knows that the message has ended, its `end` and `seal` are set.
+
+        :param on_done: called once, with whether the body was found.
+        """
+        storage_nodes = self._context.replicator.stores
+        replicas = [disk for disk in sorted(message.holders) if disk in storage_nodes] or list(storage_nodes)
+
+        def receive(reply: Result[Reply, RequestFailure]) -> None:
+            if not isinstance(reply, Ok):
+                on_done(False)
+                return
+            body, found = reply.ok_value.body, bool(reply.ok_value.body.get("found"))
+            if found:
+                message.body = reply.ok_value.blob
+            if body.get("end") and not message.end:
+                message.end, message.seal = body["end"], body["seal"]
+            on_done(found)
+
+        disk = self._context.runtime.chance.choice(replicas)
+        self._request_body(storage_nodes[disk].address, message.id, receive)
+
+    def find_body(self, message_id: str, on_body: Callable[[bytes | None], None]) -> None:
+        """Read the body of a message from all storage nodes.
+
+        :param on_body: called once, with the first body that comes, or with None once none has it. It is not
+            called where there is no storage node.
+        """
+        storage_nodes = self._context.replicator.stores
+        unanswered = len(storage_nodes)
+        finished = False
+
+        def receive(reply: Result[Reply, RequestFailure]) -> None:
+            nonlocal unanswered, finished
+            unanswered -= 1
+            if finished:
+                return
+            if isinstance(reply, Ok) and reply.ok_value.body.get("found"):
+                finished = True
+                on_body(reply.ok_value.blob)
+            elif unanswered == 0:
+                finished = True
+                on_body(None)
+
+        for storage_node in storage_nodes.values():
+            self._request_body(storage_node.address, message_id, receive)
+
+    def find_status(self, message_id: str, deadline: float, on_status: StatusCallback) -> None:
+        """Ask all storage nodes how a message stands.
+
+        :param deadline: monotonic time in seconds at which None is reported at the latest.
+        :param on_status: called once, see `_StatusQuery`.
+        """
+        _StatusQuery(self._context, message_id, on_status).begin(deadline)
+
+    def _request_body(
+        self, address: str, message_id: str, receive: Callable[[Result[Reply, RequestFailure]], None]
+    ) -> None:
+        self._context.runtime.request(address, "body", {"id": message_id}, READ_TIMEOUT_S, receive)
+
+
+class _StatusQuery:
+    """One question to all storage nodes, how a message stands.
+
+    Invariant: a message is reported as open or as not found only if the storage nodes that have answered are
+    so many that the others alone can't hold a message (a read quorum). That it has ended is reported at once,
+    since an end is final.
+    """
+
+    def __init__(self, context: EdgeContext, message_id: str, on_status: StatusCallback) -> None:
+        self._runtime, self._replicator = context.runtime, context.replicator
+        self._message_id, self._on_status = message_id, on_status
+        self._answered_disks: set[str] = set()
+        self._found: list[MessageStatus] = []
+        self._finished = False
+
+    def begin(self, deadline: float) -> None:
+        """Send the requests, and report None at the deadline (monotonic time in seconds)."""
+        for disk, storage_node in self._replicator.stores.items():
+            self._runtime.request(
+                storage_node.address,
+                "find",
+                {"ids": [self._message_id]},
+                READ_TIMEOUT_S,
+                partial(self._answered, disk),
+            )
+        timeout_s = max(0.0, deadline - self._runtime.now())
+        self._runtime.call_later(min(READ_TIMEOUT_S + READ_SLACK_S, timeout_s), self._timed_out)
+
+    def _answered(self, disk: str, reply: Result[Reply, RequestFailure]) -> None:
+        if self._finished:
+            return
+        # An answer in the name of another disk is none: the machine has lost the one that is meant.
+        if isinstance(reply, Ok) and reply.ok_value.body["disk"] == disk:
+            self._answered_disks.add(disk)
+            found = reply.ok_value.body["found"].get(self._message_id)
+            if found is not None:
+                self._found.append(MessageStatus.from_wire(found))
+        ended = [status for status in self._found if not status.is_open]
+        if ended or self._replicator.knows_all(self._answered_disks):
+            known = ended or self._found
+            self._finish(known[0] if known else MessageStatus(NOT_FOUND))
+
+    def _timed_out(self) -> None:
+        if not self._finished:
+            self._finish(None)
+
+    def _finish(self, status: MessageStatus | None) -> None:
+        self._finished = True
+        self._on_status(status)
--- a/amberlug/cluster/process.py
+++ b/amberlug/cluster/process.py
@@ -130,6 +130,7 @@
 
     async def _build_edge(self, world: AsyncioRuntime) -> None:
         from amberlug.cluster.dispatch.endpoint_client import EndpointClient
+        from amberlug.cluster.edge.intake import ClientResponse
         from amberlug.cluster.edge.node import EdgeNode
 
         caller = EndpointClient()
@@ -140,15 +141,13 @@
             return Limits(routes.header_bytes, routes.body_bytes, routes.header_s, routes.idle_s)
 
         def handle(asked: Request, answer: Callable[[Answer], None]) -> None:
-            def finish(
-                status: int, body: Json | None, headers: tuple[tuple[str, str], ...], blob: bytes
-            ) -> None:
-                if body is not None:
-                    answer(Answer(status, headers + JSON, pack(body)))
+            def respond(response: ClientResponse) -> None:
+                if response.body is not None:
+                    answer(Answer(response.status, response.headers + JSON, pack(response.body)))
                 else:
-                    answer(Answer(status, headers, blob))
+                    answer(Answer(response.status, response.headers, response.payload))
 
-            edge.handle(asked, finish)
+            edge.handle(asked, respond)
 
         def readiness(asked: Request, answer: Callable[[Answer], None]) -> None:
             path = asked.target.partition("?")[0]
--- a/amberlug/cluster/simulation/deployment.py
+++ b/amberlug/cluster/simulation/deployment.py
@@ -9,9 +9,10 @@
 from typing import Any
 
 from amberlug.cluster.control.node import ControlNode, blank
+from amberlug.cluster.edge.intake import ClientResponse
 from amberlug.cluster.edge.node import EdgeNode
 from amberlug.cluster.http.api import HttpResponse
-from amberlug.cluster.interfaces import Json, RequestFailure
+from amberlug.cluster.interfaces import RequestFailure
 from amberlug.cluster.process import SPARE_S, STILL_SERVED_S
 from amberlug.cluster.settings import Settings, Tolerance
 from amberlug.cluster.simulation.clock import Clock
@@ -395,11 +396,9 @@
         self.digest.add("request", edge.name, request.method, request.target, request.headers, request.body)
 
         def ask(life: Incarnation, answer: Callable[..., None]) -> None:
-            def finish(
-                status: int, body: Json | None, headers: tuple[tuple[str, str], ...], blob: bytes
-            ) -> None:
-                answer(status, body, dict(headers), blob, life.name)
+            def respond(response: ClientResponse) -> None:
+                answer(response.status, response.body, dict(response.headers), response.payload, life.name)
 
-            life.machine.handle(request, finish)
+            life.machine.handle(request, respond)
 
         self.call(edge, ask, within, then)
--- a/amberlug/cluster/simulation/mutations.py
+++ b/amberlug/cluster/simulation/mutations.py
@@ -19,8 +19,12 @@
 from amberlug.cluster.dispatch.message import Message
 from amberlug.cluster.dispatch.replicator import ReplicationOutcome
 from amberlug.cluster.dispatch.shard_owner import AdmissionOutcome, ShardOwner
-from amberlug.cluster.edge import node as edge_node
+from amberlug.cluster.edge.delivery import MessageDelivery
+from amberlug.cluster.edge.dispatchers import ServiceDispatchers
+from amberlug.cluster.edge.forwarding import _Submission
+from amberlug.cluster.edge.lookup import MessageLookup
 from amberlug.cluster.edge.node import EdgeNode
+from amberlug.cluster.edge.outcomes import MessageStatus
 from amberlug.cluster.gossip.store import GossipStore
 from amberlug.cluster.http.api import HttpResponse, RespondHttp
 from amberlug.cluster.http.routing import RoutingTable
@@ -81,7 +85,7 @@
 
 def _config_back() -> AbstractContextManager[Any]:
     """An edge takes any configuration that it hears, also one that it had before."""
-    offer, config_is = GossipStore.offer, EdgeNode._config_is
+    offer, apply_routes = GossipStore.offer, EdgeNode.apply_routes
 
     def any_offer(self: GossipStore, key: str, version: list[int], value: Any) -> bool:
         known = self.items.get(key)
@@ -91,11 +95,11 @@
         return offer(self, key, version, value)
 
     def any_config(self: EdgeNode, routes: Any) -> None:
-        self.routes = RoutingTable()
-        config_is(self, routes)
+        self._context.routes = RoutingTable()
+        apply_routes(self, routes)
 
     return _both(
-        patch.object(GossipStore, "offer", any_offer), patch.object(EdgeNode, "_config_is", any_config)
+        patch.object(GossipStore, "offer", any_offer), patch.object(EdgeNode, "apply_routes", any_config)
     )
 
 
@@ -119,48 +123,50 @@
 
 def _unclear_refused() -> AbstractContextManager[Any]:
     """A 503 after a write whose fate is open."""
-    end = edge_node._Submission._end
+    finish = _Submission._finish
 
-    def refuse(self: edge_node._Submission, taken: AdmissionOutcome) -> None:
-        end(self, AdmissionOutcome.REJECTED if taken is AdmissionOutcome.OUTCOME_UNKNOWN else taken)
+    def reject(self: _Submission, outcome: AdmissionOutcome) -> None:
+        finish(self, AdmissionOutcome.REJECTED if outcome is AdmissionOutcome.OUTCOME_UNKNOWN else outcome)
 
-    return patch.object(edge_node._Submission, "_end", refuse)
+    return patch.object(_Submission, "_finish", reject)
 
 
 def _forgotten_end() -> AbstractContextManager[Any]:
     """Who gives a shard away forgets to tell what came of the calls that it still had out."""
-    finished = EdgeNode._finished
+    call_finished = MessageDelivery._call_finished
 
-    def forget(self: EdgeNode, message: Message, called: CallResult) -> None:
-        if message in self._orphans:
-            self._orphans.discard(message)
+    def forget(self: MessageDelivery, message: Message, result: CallResult) -> None:
+        if message in self._in_flight_of_released_shards:
+            self._in_flight_of_released_shards.discard(message)
         else:
-            finished(self, message, called)
+            call_finished(self, message, result)
 
-    return patch.object(EdgeNode, "_finished", forget)
+    return patch.object(MessageDelivery, "_call_finished", forget)
 
 
 def _failed_early() -> AbstractContextManager[Any]:
     """A name is answered `failed` while its message is open."""
-    mine = EdgeNode._mine
+    local_status = MessageLookup.local_status
 
-    def failed(self: EdgeNode, name: str) -> tuple[str, str] | None:
-        message = self.delivery_queue.messages.get(name)
-        return ("dead", "") if message is not None and message.failures else mine(self, name)
+    def failed(self: MessageLookup, message_id: str) -> MessageStatus | None:
+        message = self._delivery.queue.messages.get(message_id)
+        if message is not None and message.failures:
+            return MessageStatus("dead")
+        return local_status(self, message_id)
 
-    return patch.object(EdgeNode, "_mine", failed)
+    return patch.object(MessageLookup, "local_status", failed)
 
 
 def _rate_alone() -> AbstractContextManager[Any]:
     """Each edge spends the whole rate of a service."""
 
-    def spend(self: EdgeNode, part: float) -> None:
-        self._part = part
-        for name, it in self.routes.services.items():
-            if name in self.services:
-                self.services[name].rate_is(it.rate, 1.0)
+    def use_all(self: ServiceDispatchers, share: float) -> None:
+        self._rate_share = share
+        for name, destination in self._context.routes.services.items():
+            if name in self.by_service:
+                self.by_service[name].rate_is(destination.rate, 1.0)
 
-    return patch.object(EdgeNode, "_spend", spend)
+    return patch.object(ServiceDispatchers, "_set_rate_share", use_all)
 
 
 def _older_term() -> AbstractContextManager[Any]:
--- a/amberlug/cluster/simulation/mutations_answers.py
+++ b/amberlug/cluster/simulation/mutations_answers.py
@@ -16,7 +16,7 @@
 from amberlug.cluster.dispatch.endpoint_client import EndpointClient
 from amberlug.cluster.dispatch.message import Message
 from amberlug.cluster.dispatch.shard_owner import ShardOwner
-from amberlug.cluster.edge import node as edge_node
+from amberlug.cluster.edge import delivery
 from amberlug.cluster.http.server import Answer, _Reply
 from amberlug.cluster.interfaces import CallResult, CallVerdict, EndpointCall, Json, RequestFailure, Respond
 from amberlug.cluster.rpc.transport import PeerTransport, _Incoming, _Outgoing
@@ -155,7 +155,7 @@
         named = (("amberlug-attempt-id", message.attempt), *rest)
         return judge(message, CallResult(called.verdict, called.status, named), max_attempts)
 
-    with _answer_by_order(), patch.object(edge_node, "judge", believe):
+    with _answer_by_order(), patch.object(delivery, "judge", believe):
         yield
 
 
--- a/amberlug/cluster/simulation/mutations_losses.py
+++ b/amberlug/cluster/simulation/mutations_losses.py
@@ -4,6 +4,7 @@
 
 from collections.abc import Callable, Mapping
 from contextlib import AbstractContextManager
+from dataclasses import replace
 from typing import Any
 from unittest.mock import patch
 
@@ -11,8 +12,7 @@
 from amberlug.cluster.control.sessions import Session
 from amberlug.cluster.dispatch.replicator import Replicator
 from amberlug.cluster.dispatch.shard_owner import ShardOwner
-from amberlug.cluster.edge.node import EdgeNode
-from amberlug.cluster.interfaces import Json
+from amberlug.cluster.edge.repair import RepairReport, ReplicaRepair
 from amberlug.cluster.storage.node import StorageNode
 
 
@@ -73,13 +73,12 @@
 
 def _blind_drop() -> AbstractContextManager[Any]:
     """Owners say that nothing lacks a copy, before they have looked."""
+    report = ReplicaRepair.report
 
-    def extra(self: EdgeNode) -> Json:
-        said = told(self)
-        return {**said, "short": 0}
+    def nothing_lacks(self: ReplicaRepair) -> RepairReport:
+        return replace(report(self), messages_under_replicated=0)
 
-    told = EdgeNode._extra
-    return patch.object(EdgeNode, "_extra", extra)
+    return patch.object(ReplicaRepair, "report", nothing_lacks)
 
 
 FAULTS: Mapping[str, tuple[Callable[[], AbstractContextManager[Any]], str]] = {
--- a/benchmarks/hollow/plays.py
+++ b/benchmarks/hollow/plays.py
@@ -7,7 +7,7 @@
 from statistics import median
 
 from amberlug.cluster.consensus.raft import Role
-from amberlug.cluster.interfaces import Json
+from amberlug.cluster.edge.intake import ClientResponse
 from amberlug.cluster.simulation.clients import HOST
 from amberlug.cluster.simulation.deployment import Request
 from benchmarks.hollow.deployment import Play, beat, config
@@ -232,10 +232,10 @@
     headers = (("host", HOST), ("amberlug-attempt-id", f"a{number}"))
     request = Request("POST", f"/p00000/{number}", headers, bytes(1000))
 
-    def finish(status: int, body: Json | None, more: tuple[tuple[str, str], ...], blob: bytes) -> None:
-        done.append(status)
+    def respond(response: ClientResponse) -> None:
+        done.append(response.status)
 
-    host.do("handle", lambda: host.machine.handle(request, finish))
+    host.do("handle", lambda: host.machine.handle(request, respond))
 
 
 def restarts(most: int) -> Iterator[Figure]:
--- a/benchmarks/hollow/steps.py
+++ b/benchmarks/hollow/steps.py
@@ -108,12 +108,12 @@
             yield Figure("owner", "open messages", count, "edge", name, size)
             assert isinstance(delivery_queue, DeliveryQueue)
         for it in range(count):
-            edge._take(message(it, 0))
+            edge.delivery.add(message(it, 0))
         for what, act in (
-            ("sweep of what is too old", edge._sweep),
-            ("new configuration", partial(edge._config_is, build(2, {**config(1000), "edition": 2}))),
-            ("new roster", partial(edge._roster_is, 2, stores)),
-            ("one shard given away", partial(edge._release, 0)),
+            ("sweep of what is too old", edge.delivery.sweep),
+            ("new configuration", partial(edge.apply_routes, build(2, {**config(1000), "edition": 2}))),
+            ("new roster", partial(edge.repair.apply_roster, 2, stores)),
+            ("one shard given away", partial(edge.delivery.release_shard, 0)),
         ):
             spent: list[float] = []
             with processor(spent):
--- a/tests/cluster/test_contact.py
+++ b/tests/cluster/test_contact.py
@@ -11,6 +11,7 @@
 from amberlug.cluster.consensus.log import PersistentState
 from amberlug.cluster.control.node import ControlNode
 from amberlug.cluster.dispatch.message import Message
+from amberlug.cluster.edge.outcomes import MessageStatus
 from amberlug.cluster.gossip import store
 from amberlug.cluster.interfaces import Reply
 from amberlug.cluster.simulation.clock import Clock
@@ -158,7 +159,7 @@
     old = play.deployment.edges[1].part.gossip.everything()
     part.gossip.take(old)  # what it hears from another edge first
     assert part.routes.index > 0
-    part.handle(HttpRequest(), lambda status, *rest: statuses.append(status))
+    part.handle(HttpRequest(), lambda response: statuses.append(response.status))
     assert statuses == [503]
     assert not part.ready
 
@@ -235,10 +236,10 @@
         )
     message = Message(f"{shard}-x", shard, "x", "", "POST", "/plain/x", "r-plain", "", 1.79e9, 1.79e9)
     message.body, message.holders = None, set(edge.replicator.stores)
-    edge._take(message)  # read as open without its body, before its end was known there
+    edge.delivery.add(message)  # read as open without its body, before its end was known there
     day.clock.run(6.0)
     assert message.ended
-    assert edge.ends[message.id][:2] == ("done", "seal")
+    assert edge.delivery.outcomes.get(message.id) == MessageStatus("done", "seal")
 
 
 def started(cores: int) -> Day:
--- a/tests/cluster/test_edge_node.py
+++ b/tests/cluster/test_edge_node.py
@@ -5,6 +5,7 @@
 
 from amberlug.cluster.dispatch.message import Message
 from amberlug.cluster.edge.node import EdgeNode
+from amberlug.cluster.edge.outcomes import MessageStatus
 from amberlug.cluster.interfaces import CallResult, EndpointCall
 from amberlug.cluster.simulation.clients import HOST
 from amberlug.cluster.simulation.clock import Clock
@@ -31,9 +32,9 @@
     message = Message("0-x", 0, "x", "", "POST", "/", "r", "", 0.0, 100.0)
     edge.delivery_queue.add(message)
     message.end, message.seal = "done", "seal"  # as the answer to a put sets them
-    edge._copied(message)
+    edge.repair.repair_finished(message)
     assert edge.delivery_queue.messages == {}
-    assert edge.ends["0-x"][:2] == ("done", "seal")
+    assert edge.delivery.outcomes.get("0-x") == MessageStatus("done", "seal")
 
 
 def test_what_too_few_stores_can_hold_is_refused_at_once_and_taken_once_they_can() -> None:
--- a/tests/cluster/test_found.py
+++ b/tests/cluster/test_found.py
@@ -98,4 +98,4 @@
         (edge, it) for edge in edges for it in edge.delivery_queue.messages.values() if it.out
     )
     message.service = "beta"
-    assert [it.out for it in edge._release(message.shard)] == [True]
+    assert [it.out for it in edge.delivery.release_shard(message.shard)] == [True]
--- a/tests/cluster/test_unclear_asks.py
+++ b/tests/cluster/test_unclear_asks.py
@@ -8,7 +8,7 @@
 from amberlug.cluster.control.node import ControlNode, blank
 from amberlug.cluster.dispatch.message import Message
 from amberlug.cluster.dispatch.shard_owner import AdmissionOutcome
-from amberlug.cluster.edge.node import EdgeNode, _Submission
+from amberlug.cluster.edge.node import EdgeNode
 from amberlug.cluster.http.api import HttpResponse
 from amberlug.cluster.interfaces import Json, Reply, ReplyCallback, RequestFailure
 from amberlug.cluster.simulation.clock import Clock
@@ -32,7 +32,7 @@
     edge.shards.table_is(AWAY)
     said: list[AdmissionOutcome] = []
     message = Message("0-x", 0, "x", "", "POST", "/", "r", "", 0.0, 0.0)
-    _Submission(edge, message, 1.5, said.append).go()
+    edge.forwarder.submit(message, 1.5, said.append)
     sent: list[Json] = []
     thens: list[ReplyCallback] = []
     while len(sent) < 30 and (new := [it for it in world.asked[len(sent) :] if it[1] == "offer"]):
