--- a/tests/cluster/test_edge_node.py
+++ b/tests/cluster/test_edge_node.py
@@ -1,4 +1,4 @@
-"""An edge alone."""
+"""An edge node alone, and one whose storage nodes fail."""
 
 from collections.abc import Callable
 from functools import partial
@@ -27,24 +27,24 @@
         pass
 
 
-def test_a_message_that_a_store_knows_as_ended_is_not_run_once_it_is_copied() -> None:
+def test_a_message_with_an_end_in_storage_is_not_run_after_its_repair() -> None:
     edge = EdgeNode(Alone(Clock()), settings("edge"), "10.0.0.1:7300", Nowhere())
     message = Message("0-x", 0, "x", "", "POST", "/", "r", "", 0.0, 100.0)
     edge.delivery_queue.add(message)
-    message.end, message.seal = "done", "seal"  # as the answer to a put sets them
+    message.end, message.seal = "done", "seal"  # as the reply to a replica write sets them
     edge.repair.repair_finished(message)
     assert edge.delivery_queue.messages == {}
     assert edge.delivery.outcomes.get("0-x") == MessageStatus("done", "seal")
 
 
-def test_what_too_few_stores_can_hold_is_refused_at_once_and_taken_once_they_can() -> None:
+def test_submissions_are_rejected_at_once_while_too_few_storage_nodes_answer() -> None:
     day = Day(2, "quiet")
     for machine in day.deployment.machines:
         machine.start()
     day.clock.call_later(0.6, day.operator.begin)
     day.clock.run(5.0)
     stores = day.deployment.stores
-    said: list[tuple[float, int]] = []
+    responses: list[tuple[float, int]] = []  # seconds, status
 
     def post(number: int) -> None:
         edge, sent = day.deployment.edges[0], day.clock.now
@@ -53,7 +53,7 @@
             edge,
             Request("POST", f"/plain/{number}", headers, b"x"),
             2.0,
-            lambda status, *rest: said.append((day.clock.now - sent, status)),
+            lambda status, *rest: responses.append((day.clock.now - sent, status)),
         )
 
     for store in stores[1:]:
@@ -61,13 +61,13 @@
     for number in range(40):
         day.clock.call_later(0.02 * number, partial(post, number))
     day.clock.run(day.clock.now + 3.0)
-    late = sum(seconds > 0.05 for seconds, _ in said)
-    assert {status for _, status in said} == {503, 504}
-    assert late <= 12, "only what came before the silence was seen is held"
+    late = sum(seconds > 0.05 for seconds, _ in responses)
+    assert {status for _, status in responses} == {503, 504}
+    assert late <= 12, "only submissions from before the failure was detected wait"
     for store in stores[1:]:
         store.start()
     day.clock.run(day.clock.now + 4.0)
-    said.clear()
+    responses.clear()
     post(99)
     day.clock.run(day.clock.now + 1.0)
-    assert [status for _, status in said] == [202]
+    assert [status for _, status in responses] == [202]
--- /dev/null
+++ b/tests/cluster/test_edge_parts.py
@@ -0,0 +1,142 @@
+"""The parts of an edge node that need no deployment: headers of submissions, outcomes, rate shares."""
+
+from types import SimpleNamespace
+from typing import Any
+
+import pytest
+from result import Err, Ok
+
+from amberlug.cluster.edge.dispatchers import (
+    FIRST_SHARE_DIVISOR,
+    MIN_RATE_SHARE,
+    RATE_INCREASE_DELAY_S,
+    ServiceDispatchers,
+)
+from amberlug.cluster.edge.intake import (
+    DEFAULT_CLIENT_TIMEOUT_S,
+    MAX_ATTEMPT_ID_CHARACTERS,
+    SubmissionHeaders,
+    parse_submission_headers,
+)
+from amberlug.cluster.edge.node import EdgeNode
+from amberlug.cluster.edge.outcomes import NOT_FOUND, MessageStatus, RecentOutcomes
+from amberlug.cluster.edge.repair import RepairReport
+from amberlug.cluster.simulation.clock import Clock
+from amberlug.cluster.simulation.deployment import Request
+from tests.cluster.fakes import Alone, settings
+from tests.cluster.test_edge_node import Nowhere
+
+
+def request(**headers: str) -> Request:
+    named = tuple((f"amberlug-{name.replace('_', '-')}", value) for name, value in headers.items())
+    return Request("POST", "/plain/1", named, b"x")
+
+
+@pytest.mark.parametrize(
+    ("headers", "expected"),
+    [
+        ({"attempt_id": "a"}, SubmissionHeaders("a", 0, DEFAULT_CLIENT_TIMEOUT_S)),
+        ({"attempt_id": "a-b_c.9"}, SubmissionHeaders("a-b_c.9", 0, DEFAULT_CLIENT_TIMEOUT_S)),
+        (
+            {"attempt_id": "a", "not_before": "2500", "time_remaining": "700"},
+            SubmissionHeaders("a", 2500, 0.7),
+        ),
+        ({"attempt_id": "a", "time_remaining": "0"}, SubmissionHeaders("a", 0, 0.0)),
+        ({"attempt_id": "a", "time_remaining": "soon"}, SubmissionHeaders("a", 0, DEFAULT_CLIENT_TIMEOUT_S)),
+        (
+            {"attempt_id": "a" * MAX_ATTEMPT_ID_CHARACTERS, "not_before": ""},
+            SubmissionHeaders("a" * MAX_ATTEMPT_ID_CHARACTERS, 0, DEFAULT_CLIENT_TIMEOUT_S),
+        ),
+    ],
+)
+def test_submission_headers_are_parsed(headers: dict[str, str], expected: SubmissionHeaders) -> None:
+    assert parse_submission_headers(request(**headers)) == Ok(expected)
+
+
+@pytest.mark.parametrize(
+    ("headers", "header_at_fault"),
+    [
+        ({}, "Amberlug-Attempt-Id"),
+        ({"attempt_id": ""}, "Amberlug-Attempt-Id"),
+        ({"attempt_id": "a b"}, "Amberlug-Attempt-Id"),
+        ({"attempt_id": "a" * (MAX_ATTEMPT_ID_CHARACTERS + 1)}, "Amberlug-Attempt-Id"),
+        ({"attempt_id": "a", "not_before": "-1"}, "Amberlug-Not-Before"),
+        ({"attempt_id": "a", "not_before": "1.5"}, "Amberlug-Not-Before"),
+        ({"attempt_id": "a", "not_before": "1" * 13}, "Amberlug-Not-Before"),
+    ],
+)
+def test_invalid_submission_headers_are_named(headers: dict[str, str], header_at_fault: str) -> None:
+    parsed = parse_submission_headers(request(**headers))
+    assert isinstance(parsed, Err)
+    assert parsed.err_value.startswith(header_at_fault)
+
+
+@pytest.mark.parametrize(
+    ("status", "is_open", "is_completed", "is_found"),
+    [
+        (MessageStatus(), True, False, True),
+        (MessageStatus("done", "seal"), False, True, True),
+        (MessageStatus("dead"), False, False, True),
+        (MessageStatus(NOT_FOUND), False, False, False),
+    ],
+)
+def test_a_message_status_says_how_the_message_stands(
+    status: MessageStatus, is_open: bool, is_completed: bool, is_found: bool
+) -> None:
+    assert (status.is_open, status.is_completed, status.is_found) == (is_open, is_completed, is_found)
+    assert MessageStatus.from_wire(status.to_wire()) == status
+
+
+def test_outcomes_are_forgotten_by_age() -> None:
+    outcomes = RecentOutcomes()
+    outcomes.record("0-a", MessageStatus("done", "s"), 1.0)
+    outcomes.record("0-b", MessageStatus("dead"), 2.0)
+    outcomes.forget_before(2.0)
+    assert "0-a" not in outcomes
+    assert outcomes.get("0-a") is None
+    assert outcomes.get("0-b") == MessageStatus("dead")
+    outcomes.forget_before(2.1)
+    assert "0-b" not in outcomes
+
+
+def test_a_repair_report_keeps_its_fields_on_the_wire() -> None:
+    assert list(RepairReport(1, 2, 3, 4).to_wire().items()) == [
+        ("roster", 1),
+        ("table", 2),
+        ("loading", 3),
+        ("short", 4),
+    ]
+
+
+def test_a_larger_rate_share_is_used_only_after_the_others_have_reduced_theirs(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    clock = Clock()
+    edge = EdgeNode(Alone(clock), settings("edge"), "10.0.0.1:7300", Nowhere())
+    dispatchers, shares = edge.delivery.dispatchers, list[float]()
+    set_rate_share = ServiceDispatchers._set_rate_share
+
+    def record(self: ServiceDispatchers, share: float) -> None:
+        shares.append(share)
+        set_rate_share(self, share)
+
+    monkeypatch.setattr(ServiceDispatchers, "_set_rate_share", record)
+
+    def assign(edges: int, owns: bool) -> None:
+        shards: Any = SimpleNamespace(edges=edges, mine={0: None} if owns else {})
+        monkeypatch.setattr(dispatchers, "_shards", shards)
+        dispatchers.update_rate_share()
+
+    assign(2, True)
+    assert shares == [0.5 / FIRST_SHARE_DIVISOR], "a node that had no share begins with a part of its new one"
+    clock.run(RATE_INCREASE_DELAY_S + 0.1)
+    assert shares[-1] == 0.5
+    assign(4, True)
+    assert shares[-1] == 0.25, "a smaller share counts at once"
+    assign(2, True)
+    assert shares[-1] == 0.25
+    clock.run(clock.now + RATE_INCREASE_DELAY_S + 0.1)
+    assert shares[-1] == 0.5
+    assign(1, False)
+    assert shares[-1] == 0.0
+    assert MIN_RATE_SHARE > 0.0, "a node without shards may still retry the calls that it has in flight"
