--- a/amberlug/cluster/simulation/deployment.py
+++ b/amberlug/cluster/simulation/deployment.py
@@ -8,8 +8,8 @@
 from functools import partial
 from typing import Any
 
+from amberlug.cluster.edge.intake import ClientResponse
 from amberlug.cluster.http.api import HttpResponse
-from amberlug.cluster.interfaces import Json
 from amberlug.cluster.settings import Settings, Tolerance
 from amberlug.cluster.simulation.clock import Clock
 from amberlug.cluster.simulation.endpoints import EndpointClient, EndpointFleet, Kind
@@ -227,11 +227,9 @@
         self.digest.add("request", edge.name, request.method, request.target, request.headers, request.body)
 
         def ask(life: Incarnation, answer: Callable[..., None]) -> None:
-            def finish(
-                status: int, body: Json | None, headers: tuple[tuple[str, str], ...], blob: bytes
-            ) -> None:
-                answer(status, body, dict(headers), blob, life.name)
+            def respond(response: ClientResponse) -> None:
+                answer(response.status, response.body, dict(response.headers), response.payload, life.name)
 
-            life.machine.handle(request, finish)
+            life.machine.handle(request, respond)
 
         self.call(edge, ask, within, then)
