--- /dev/null
+++ b/amberlug/cluster/control/commands.py
@@ -0,0 +1,236 @@
+"""Commands of the replicated log, and their results: what the leader proposes and each replica applies.
+
+`do` names the command in the log; its values and the JSON fields are kept for replicas of other versions.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable, Mapping, Sequence
+from dataclasses import dataclass, field, replace
+from typing import ClassVar
+
+from amberlug.cluster.control.state_entries import (
+    EndpointDrain,
+    OwnerEntry,
+    StoreEntry,
+    roster_from_wire,
+    roster_to_wire,
+)
+from amberlug.cluster.interfaces import Json
+
+
+@dataclass(frozen=True, slots=True)
+class CommandResult:
+    """What applying a command, or checking it, came to.
+
+    :param is_repeat: whether the same command had been applied before.
+    :param status: the HTTP status of a rejection; 0 where the command was accepted.
+    :param cause: why it was rejected, for the operator.
+    :param epoch: the fencing token of a shard assignment; 0 for other commands.
+    """
+
+    is_repeat: bool = False
+    status: int = 0
+    cause: str = ""
+    epoch: int = 0
+
+    @property
+    def is_rejected(self) -> bool:
+        """Whether the command was rejected for good."""
+        return self.status != 0
+
+    @classmethod
+    def rejected(cls, status: int, cause: str) -> CommandResult:
+        """A rejection with its HTTP status."""
+        return cls(status=status, cause=cause)
+
+    def to_wire(self) -> Json:
+        """The JSON object of replies between control-plane nodes."""
+        if self.is_rejected:
+            return {"status": self.status, "cause": self.cause}
+        if self.is_repeat:
+            return {"again": True}
+        return {"ok": True, "epoch": self.epoch} if self.epoch else {"ok": True}
+
+    @classmethod
+    def from_wire(cls, body: Json) -> CommandResult:
+        """Read a result; one without a status was accepted."""
+        if "status" in body:
+            return cls.rejected(body["status"], body["cause"])
+        return cls(is_repeat=bool(body.get("again")), epoch=body.get("epoch", 0))
+
+
+ACCEPTED = CommandResult()
+REPEATED = CommandResult(is_repeat=True)
+
+
+@dataclass(frozen=True, slots=True)
+class ReplaceConfig:
+    """Put a configuration in force.
+
+    :param base_version: the version that the operator saw; the command is void under any other.
+    :param call_hash: tells a repeated call from another one with the same version.
+    :param elapsed_s: by how many seconds the replicated clock advances.
+    """
+
+    do: ClassVar[str] = "config"
+    base_version: int
+    version: int
+    call_hash: str
+    config: Json
+    elapsed_s: float = 0.0
+
+    def to_wire(self) -> Json:
+        """The JSON object of the log."""
+        return {
+            "do": self.do,
+            "base": self.base_version,
+            "edition": self.version,
+            "sum": self.call_hash,
+            "config": self.config,
+            "after": self.elapsed_s,
+        }
+
+    @classmethod
+    def from_wire(cls, body: Json) -> ReplaceConfig:
+        """Read a command of the log."""
+        return cls(
+            body["base"], body["edition"], body["sum"], body["config"], max(0.0, body.get("after", 0.0))
+        )
+
+
+@dataclass(frozen=True, slots=True)
+class UpdateRoster:
+    """Put disks on the roster of storage nodes, change their state, or drop them."""
+
+    do: ClassVar[str] = "roster"
+    entries: Mapping[str, StoreEntry] = field(default_factory=dict)
+    dropped: Sequence[str] = ()
+    elapsed_s: float = 0.0
+
+    def to_wire(self) -> Json:
+        """The JSON object of the log; a leader sends either entries or dropped disks."""
+        if self.dropped:
+            return {"do": self.do, "drop": list(self.dropped)}
+        return {"do": self.do, "set": roster_to_wire(self.entries)}
+
+    @classmethod
+    def from_wire(cls, body: Json) -> UpdateRoster:
+        """Read a command of the log."""
+        return cls(
+            roster_from_wire(body.get("set", {})), body.get("drop", []), max(0.0, body.get("after", 0.0))
+        )
+
+
+@dataclass(frozen=True, slots=True)
+class RetireStore:
+    """Have a storage node emptied."""
+
+    do: ClassVar[str] = "retire"
+    name: str
+    elapsed_s: float = 0.0
+
+    def to_wire(self) -> Json:
+        """The JSON object of the log."""
+        return {"do": self.do, "name": self.name}
+
+    @classmethod
+    def from_wire(cls, body: Json) -> RetireStore:
+        """Read a command of the log."""
+        return cls(body["name"], max(0.0, body.get("after", 0.0)))
+
+
+@dataclass(frozen=True, slots=True)
+class AssignShards:
+    """Give shards to owners.
+
+    :param owners: every owner from now on, by incarnation.
+    :param assignments: the numbers of the shards that change hands, by their new owner.
+    """
+
+    do: ClassVar[str] = "give"
+    owners: Mapping[str, OwnerEntry]
+    assignments: Mapping[str, list[int]]
+    elapsed_s: float = 0.0
+
+    def to_wire(self) -> Json:
+        """The JSON object of the log."""
+        return {
+            "do": self.do,
+            "owners": {name: owner.to_wire() for name, owner in self.owners.items()},
+            "give": dict(self.assignments),
+        }
+
+    @classmethod
+    def from_wire(cls, body: Json) -> AssignShards:
+        """Read a command of the log."""
+        owners = {name: OwnerEntry.from_wire(owner) for name, owner in body["owners"].items()}
+        return cls(owners, body["give"], max(0.0, body.get("after", 0.0)))
+
+
+@dataclass(frozen=True, slots=True)
+class DrainEndpoints:
+    """Endpoints leave, or have left.
+
+    :param elapsed_s: by how many seconds the replicated clock advances.
+    """
+
+    do: ClassVar[str] = "drain"
+    drains: Sequence[EndpointDrain]
+    elapsed_s: float = 0.0
+
+    def to_wire(self) -> Json:
+        """The JSON object of the log."""
+        return {"do": self.do, "ids": [list(drain) for drain in self.drains], "after": self.elapsed_s}
+
+    @classmethod
+    def from_wire(cls, body: Json) -> DrainEndpoints:
+        """Read a command of the log."""
+        drains = tuple(EndpointDrain(*row) for row in body["ids"])
+        return cls(drains, max(0.0, body.get("after", 0.0)))
+
+
+Command = ReplaceConfig | UpdateRoster | RetireStore | AssignShards | DrainEndpoints
+TimedCommand = ReplaceConfig | DrainEndpoints  # those that advance the replicated clock
+
+_READERS: Mapping[str, Callable[[Json], Command]] = {
+    ReplaceConfig.do: ReplaceConfig.from_wire,
+    UpdateRoster.do: UpdateRoster.from_wire,
+    RetireStore.do: RetireStore.from_wire,
+    AssignShards.do: AssignShards.from_wire,
+    DrainEndpoints.do: DrainEndpoints.from_wire,
+}
+
+
+def command_from_wire(body: Json) -> Command:
+    """Read a command of the log.
+
+    :raises KeyError: where no version of this program knows the command, or a field is missing.
+    """
+    return _READERS[body["do"]](body)
+
+
+def with_elapsed(command: TimedCommand, elapsed_s: float) -> TimedCommand:
+    """The command, advancing the replicated clock by so many seconds."""
+    return replace(command, elapsed_s=elapsed_s)
+
+
+@dataclass(frozen=True, slots=True)
+class ConfirmedState:
+    """What an operator's reads need of the replicated state, confirmed by a majority.
+
+    :param config: None where no configuration is in force yet.
+    :param retirements: by name of the storage node, how far its emptying has come.
+    """
+
+    config: Json | None
+    retirements: Mapping[str, str]
+
+    def to_wire(self) -> Json:
+        """The JSON object of replies between control-plane nodes."""
+        return {"config": self.config, "retired": dict(self.retirements)}
+
+    @classmethod
+    def from_wire(cls, body: Json) -> ConfirmedState:
+        """Read a reply."""
+        return cls(body["config"], body["retired"])
--- /dev/null
+++ b/amberlug/cluster/control/config_service.py
@@ -0,0 +1,81 @@
+"""The configuration over HTTP: Replace, Modify and Read of the control API."""
+
+from __future__ import annotations
+
+from absl import logging
+from result import Err, Result
+
+from amberlug.cluster.consensus.raft import ProposalRejected
+from amberlug.cluster.control.cluster_state import ClusterState
+from amberlug.cluster.control.command_service import CommandName, CommandService
+from amberlug.cluster.control.commands import CommandResult, ConfirmedState
+from amberlug.cluster.control.config_validation import parse
+from amberlug.cluster.http.api import HttpRequest, HttpResponse, RespondHttp, api_call, unconfirmed
+from amberlug.cluster.metrics import Counters
+
+BASE_VERSION_HEADER = "amberlug-base-version"
+
+
+class ConfigService:
+    """Calls of operators that replace, change and read the configuration."""
+
+    def __init__(self, commands: CommandService, cluster_state: ClusterState, counters: Counters) -> None:
+        self._commands, self.cluster_state, self._counters = commands, cluster_state, counters
+
+    @api_call("POST", "/-/Configuration.Replace")
+    def replace(self, request: HttpRequest, name: str, respond: RespondHttp) -> None:
+        """Put a whole configuration in force."""
+        self._change(CommandName.REPLACE, request, respond)
+
+    @api_call("POST", "/-/Configuration.Modify")
+    def modify(self, request: HttpRequest, name: str, respond: RespondHttp) -> None:
+        """Change named items of the configuration."""
+        self._change(CommandName.MODIFY, request, respond)
+
+    @api_call("GET", "/-/Configuration.Read")
+    def read(self, request: HttpRequest, name: str, respond: RespondHttp) -> None:
+        """Reply with the newest configuration, confirmed by a majority."""
+
+        def receive(result: Result[ConfirmedState, ProposalRejected]) -> None:
+            if isinstance(result, Err):
+                respond(unconfirmed())
+            elif result.ok_value.config is None:
+                respond(HttpResponse(404, {"cause": "no configuration is in place yet"}))
+            else:
+                respond(HttpResponse(200, result.ok_value.config))
+
+        self._commands.read_state(receive)
+
+    def _change(self, command: CommandName, request: HttpRequest, respond: RespondHttp) -> None:
+        data = parse(request.body)
+        if isinstance(data, Err):
+            self._counters.increment("config refused")
+            respond(HttpResponse(400, {"cause": "; ".join(data.err_value)}))
+            return
+        base_version = request.header(BASE_VERSION_HEADER)
+        if base_version is None or not base_version.strip().isdigit():
+            respond(HttpResponse(400, {"cause": "Amberlug-Base-Version: no whole number"}))
+            return
+        version = data.ok_value.get("edition")
+
+        def receive(result: Result[CommandResult, ProposalRejected]) -> None:
+            if isinstance(result, Err):
+                # Nobody can tell yet whether it is in force: the caller sends it again unchanged.
+                cause = f"no answer of a majority: {result.err_value.value}"
+                respond(HttpResponse(503, {"cause": cause}, 1))
+                return
+            self._log(result.ok_value, version)
+            if result.ok_value.is_rejected:
+                respond(HttpResponse(result.ok_value.status, {"cause": result.ok_value.cause}))
+            else:
+                respond(HttpResponse(200, {"edition": version}))
+
+        self._commands.change_config(command, int(base_version), data.ok_value, receive)
+
+    def _log(self, result: CommandResult, version: object) -> None:
+        if result.is_rejected:
+            self._counters.increment("config refused")
+            logging.info("configuration rejected: %s", result.cause)
+        else:
+            self._counters.increment("config taken")
+            logging.info("configuration version %s is in force", version)
--- a/amberlug/cluster/control/config_validation.py
+++ b/amberlug/cluster/control/config_validation.py
@@ -1,8 +1,9 @@
-"""Operators' configurations: read whole, checked whole, every error with its place."""
+"""Validation of operators' configurations: all errors of a configuration, each with its path."""
 
 from __future__ import annotations
 
 import json
+from collections.abc import Hashable, Sequence
 from typing import Any
 
 import trafaret as t
@@ -10,8 +11,9 @@
 
 from amberlug.cluster.interfaces import Json
 
-MOST = 4 << 20  # bytes of a configuration
-DEEP = 32  # levels of nesting
+MAX_CONFIG_BYTES = 4 << 20  # a large table, and far below what a log entry may have
+MAX_NESTING = 32  # levels; no table needs more than five
+TABLES = ("routeTable", "serviceTable")
 
 
 def _address(value: str) -> str:
@@ -22,10 +24,10 @@
 
 
 _NAME = t.String(min_length=1, max_length=256)
-_WHOLE = t.Int(gte=0)
+_NATURAL = t.Int(gte=0)
 _NUMBER = (t.Int(gte=0) | t.Float(gte=0)) & (lambda value: value)
 
-ROUTE = t.Dict(
+_ROUTE = t.Dict(
     {
         t.Key("name"): _NAME,
         t.Key("authority"): _NAME,
@@ -34,7 +36,7 @@
         t.Key("targetService"): _NAME,
         t.Key("expiryMs"): t.Int(gt=0) | t.Float(gt=0),
         t.Key("targetMs", optional=True): _NUMBER,
-        t.Key("precedence", optional=True): _WHOLE,
+        t.Key("precedence", optional=True): _NATURAL,
         t.Key("maxAttempts", optional=True): t.Int(gte=1),
         t.Key("inSequence", optional=True): t.Bool(),
         t.Key("retentionS", optional=True): _NUMBER,
@@ -43,7 +45,7 @@
     },
     allow_extra="*",
 )
-SERVICE = t.Dict(
+_SERVICE = t.Dict(
     {
         t.Key("name"): _NAME,
         t.Key("healthPath", optional=True): t.String(allow_blank=True),
@@ -57,33 +59,31 @@
     },
     allow_extra="*",
 )
-LIMITS = t.Dict(
+_LIMITS = t.Dict(
     {
         t.Key(name, optional=True): t.Int(gt=0) | t.Float(gt=0)
         for name in ("maxHeaderBytes", "maxBodyBytes", "headerTimerMs", "idleTimerMs")
     },
     allow_extra="*",
 )
-WHOLE = t.Dict(
+_CONFIG = t.Dict(
     {
         t.Key("edition"): t.Int(gte=1),
-        t.Key("routeTable"): t.List(ROUTE),
-        t.Key("serviceTable"): t.List(SERVICE),
-        t.Key("limits", optional=True): LIMITS,
+        t.Key("routeTable"): t.List(_ROUTE),
+        t.Key("serviceTable"): t.List(_SERVICE),
+        t.Key("limits", optional=True): _LIMITS,
     },
     allow_extra="*",
 )
-_NAMES = t.Dict(
-    {t.Key(name, optional=True): t.List(_NAME) for name in ("routeTable", "serviceTable")}, allow_extra="*"
-)
-CHANGE = t.Dict(
+_NAMES = t.Dict({t.Key(name, optional=True): t.List(_NAME) for name in TABLES}, allow_extra="*")
+_CHANGE = t.Dict(
     {
         t.Key("edition"): t.Int(gte=1),
         t.Key("upsert", optional=True): t.Dict(
             {
-                t.Key("routeTable", optional=True): t.List(ROUTE),
-                t.Key("serviceTable", optional=True): t.List(SERVICE),
-                t.Key("limits", optional=True): LIMITS,
+                t.Key("routeTable", optional=True): t.List(_ROUTE),
+                t.Key("serviceTable", optional=True): t.List(_SERVICE),
+                t.Key("limits", optional=True): _LIMITS,
             },
             allow_extra="*",
         ),
@@ -93,25 +93,30 @@
 )
 
 
-def _lines(error: t.DataError, path: str = "") -> list[str]:
-    said = error.error
-    if isinstance(said, dict):
-        return [
-            line for key, it in said.items() for line in _lines(it, f"{path}.{key}" if path else str(key))
-        ]
-    return [f"{path or 'configuration'}: {said}"]
+def _messages(error: t.DataError, path: str = "") -> list[str]:
+    """The errors of a check, each with its path, in the order of the fields."""
+    found = error.error
+    if not isinstance(found, dict):
+        return [f"{path or 'configuration'}: {found}"]
+    messages = []
+    for field, nested in found.items():
+        messages += _messages(nested, f"{path}.{field}" if path else str(field))
+    return messages
 
 
-def _depth(value: Any, level: int = 0) -> int:
-    if level > DEEP or not isinstance(value, dict | list):
+def _nesting(value: object, level: int = 0) -> int:
+    """Levels of nesting, counted no further than what is too many."""
+    if level > MAX_NESTING or not isinstance(value, dict | list):
         return level
-    return max(
-        (_depth(it, level + 1) for it in (value.values() if isinstance(value, dict) else value)),
-        default=level,
-    )
+    children = value.values() if isinstance(value, dict) else value
+    return max((_nesting(child, level + 1) for child in children), default=level)
+
 
+def _object_of(pairs: list[tuple[str, Any]]) -> Json:
+    """A JSON object.
 
-def _pairs(pairs: list[tuple[str, Any]]) -> Json:
+    :raises ValueError: where a name stands twice.
+    """
     found = dict(pairs)
     if len(found) != len(pairs):
         raise ValueError("a name stands twice in one object")
@@ -119,65 +124,74 @@
 
 
 def parse(body: bytes) -> Result[Json, list[str]]:
-    """Read a body as one JSON object."""
-    if len(body) > MOST:
+    """Read a request's body as one JSON object.
+
+    :returns: the object, or the errors.
+    """
+    if len(body) > MAX_CONFIG_BYTES:
         return Err([f"configuration: {len(body)} bytes are too many"])
     try:
-        data = json.loads(body, object_pairs_hook=_pairs)
+        data = json.loads(body, object_pairs_hook=_object_of)
     except (ValueError, RecursionError) as error:
         return Err([f"configuration: cannot be read: {error}"])
     if not isinstance(data, dict):
         return Err(["configuration: is no object"])
-    if _depth(data) > DEEP:
+    if _nesting(data) > MAX_NESTING:
         return Err(["configuration: is nested too deep"])
     return Ok(data)
 
 
-def _twice(path: str, keys: list[Any], what: str) -> list[str]:
-    seen: dict[Any, int] = {}
+def _duplicates(table: str, keys: Sequence[Hashable], description: str) -> list[str]:
+    first: dict[Hashable, int] = {}
     errors = []
-    for at, key in enumerate(keys):
-        if key in seen:
-            errors.append(f"{path}.{at}: {what} of {path}.{seen[key]} again")
-        seen.setdefault(key, at)
+    for position, key in enumerate(keys):
+        if key in first:
+            errors.append(f"{table}.{position}: {description} of {table}.{first[key]} again")
+        first.setdefault(key, position)
     return errors
 
 
-def check(config: Json) -> list[str]:
-    """All errors of a whole configuration."""
+def find_errors(config: Json) -> list[str]:
+    """All errors of a whole configuration; empty for one that can be put in force."""
     try:
-        WHOLE.check(config)
+        _CONFIG.check(config)
     except t.DataError as error:
-        return _lines(error)
+        return _messages(error)
     routes, services = config["routeTable"], config["serviceTable"]
-    known = {it["name"] for it in services}
+    service_names = {service["name"] for service in services}
     errors = [
-        f"routeTable.{at}.targetService: no service {it['targetService']!r}"
-        for at, it in enumerate(routes)
-        if it["targetService"] not in known
+        f"routeTable.{position}.targetService: no service {route['targetService']!r}"
+        for position, route in enumerate(routes)
+        if route["targetService"] not in service_names
     ]
-    errors += _twice("routeTable", [it["name"] for it in routes], "the name")
-    errors += _twice("serviceTable", [it["name"] for it in services], "the name")
-    return errors + _twice(
-        "routeTable", [(it["authority"].lower(), it["pathPrefix"]) for it in routes], "host and prefix"
-    )
+    errors += _duplicates("routeTable", [route["name"] for route in routes], "the name")
+    errors += _duplicates("serviceTable", [service["name"] for service in services], "the name")
+    matched = [(route["authority"].lower(), route["pathPrefix"]) for route in routes]
+    return errors + _duplicates("routeTable", matched, "host and prefix")
+
+
+check = find_errors  # the name that the operators' command imports
+
 
+def apply_change(current: Json | None, change: Json) -> Result[Json, list[str]]:
+    """The whole configuration that a change makes of the one in force.
 
-def changed(current: Json | None, change: Json) -> Result[Json, list[str]]:
-    """The whole configuration that a change makes of the current one."""
+    :param current: None where none is in force yet.
+    :returns: the configuration, which may have errors of its own, or the errors of the change.
+    """
     try:
-        CHANGE.check(change)
+        _CHANGE.check(change)
     except t.DataError as error:
-        return Err(_lines(error))
-    whole = dict(current or {"routeTable": [], "serviceTable": []})
-    whole["edition"] = change["edition"]
+        return Err(_messages(error))
+    config = dict(current or {"routeTable": [], "serviceTable": []})
+    config["edition"] = change["edition"]
     upsert, remove = change.get("upsert", {}), change.get("remove", {})
-    for table in ("routeTable", "serviceTable"):
-        items = {it["name"]: it for it in whole[table]}
+    for table in TABLES:
+        items = {item["name"]: item for item in config[table]}
         for name in remove.get(table, []):
             items.pop(name, None)
-        items.update({it["name"]: it for it in upsert.get(table, [])})
-        whole[table] = list(items.values())
+        items.update({item["name"]: item for item in upsert.get(table, [])})
+        config[table] = list(items.values())
     if "limits" in upsert:
-        whole["limits"] = {**whole.get("limits", {}), **upsert["limits"]}
-    return Ok(whole)
+        config["limits"] = {**config.get("limits", {}), **upsert["limits"]}
+    return Ok(config)
--- a/amberlug/cluster/control/endpoint_registry.py
+++ b/amberlug/cluster/control/endpoint_registry.py
@@ -1,20 +1,25 @@
-"""The endpoints of a cell: what they announce, who is silent, who leaves. No I/O."""
+"""The endpoints of a zone: what they announce, which have timed out, which leave. No I/O."""
 
 from __future__ import annotations
 
-from collections.abc import Callable
-from typing import Any
+from collections.abc import Callable, Iterable
+from dataclasses import dataclass
 
 import trafaret as t
 from result import Err, Ok, Result
 
+from amberlug.cluster.control.state_entries import DepartureRank, EndpointRank
 from amberlug.cluster.gossip.store import GossipStore
 from amberlug.cluster.interfaces import Json, Runtime
 
-MISSED = 3.2  # beats that an endpoint may miss until nothing is sent to it
-MOST = 4096  # bytes of a call
+MISSED_HEARTBEATS = 3.2  # an endpoint that misses so many heartbeats gets no more calls
+MAX_ANNOUNCEMENT_BYTES = 4096
+KEY_PREFIX = "ep/"  # of endpoints among the keys of gossip; the name is historical
+CONDITIONS = ("ready", "draining", "gone")  # by rank
+LOST = "lost"  # the condition of an endpoint that has timed out
+
 _NAME = t.String(min_length=1, max_length=256)
-ANNOUNCE = t.Dict(
+_ANNOUNCEMENT = t.Dict(
     {
         t.Key("targetService"): _NAME,
         t.Key("address"): _NAME & t.Regexp(r"^[0-9.]+:\d{1,5}$"),
@@ -27,94 +32,177 @@
     },
     ignore_extra="*",
 )
-READY, DRAINING, GONE = 0, 1, 2
-CONDITIONS = ("ready", "draining", "gone")
 
 
-def read_announce(body: Any) -> Result[Json, str]:
-    """An endpoint's announcement, checked."""
+@dataclass(frozen=True, slots=True)
+class EndpointAnnouncement:
+    """An endpoint's announcement of itself.
+
+    :param version: the endpoint's own, as it states it.
+    :param capacity: how many calls it takes at a time.
+    :param sequence: the endpoint's number of this announcement; it never decreases.
+    """
+
+    service: str
+    address: str
+    zone: str
+    version: str | int | float
+    capacity: int
+    condition: str
+    warmup_left_ms: float
+    sequence: int
+
+    @property
+    def is_ready(self) -> bool:
+        """Whether it takes calls, and does not leave."""
+        return self.condition == "ready"
+
+    def to_gossip(self, condition: str) -> Json:
+        """The endpoint's entry in gossip, in a condition."""
+        return {
+            "service": self.service,
+            "addr": self.address,
+            "zone": self.zone,
+            "slots": self.capacity,
+            "edition": self.version,
+            "warm_ms": self.warmup_left_ms,
+            "cond": condition,
+        }
+
+
+# Stands for an endpoint of which only the departure is known.
+_UNKNOWN = EndpointAnnouncement("", "", "", "", 0, "", 0, 0)
+
+
+@dataclass(frozen=True, slots=True)
+class KnownEndpoint:
+    """An endpoint's newest entry in gossip; fields of other versions of this program stay in the entry."""
+
+    rank: int
+    sequence: int
+    entry: Json
+
+    @property
+    def is_ready(self) -> bool:
+        """Whether it takes calls: it neither leaves nor has timed out."""
+        return self.rank == EndpointRank.READY and self.entry["cond"] == CONDITIONS[EndpointRank.READY]
+
+    def has_same_service(self, announcement: EndpointAnnouncement) -> bool:
+        """Whether service, address and capacity are those of an announcement."""
+        mine = self.entry["service"], self.entry["addr"], self.entry["slots"]
+        return mine == (announcement.service, announcement.address, announcement.capacity)
+
+
+def read_announcement(body: object) -> Result[EndpointAnnouncement, str]:
+    """Check an announcement's JSON.
+
+    :returns: the announcement, or what is wrong with it, field by field.
+    """
     try:
-        return Ok(ANNOUNCE.check(body))
+        checked = _ANNOUNCEMENT.check(body)
     except t.DataError as error:
-        said = error.as_dict()
-        return Err(
-            "; ".join(f"{key}: {it}" for key, it in said.items()) if isinstance(said, dict) else str(said)
+        errors = error.as_dict()
+        if isinstance(errors, dict):
+            return Err("; ".join(f"{field}: {cause}" for field, cause in errors.items()))
+        return Err(str(errors))
+    return Ok(
+        EndpointAnnouncement(
+            checked["targetService"],
+            checked["address"],
+            checked["zone"],
+            checked["edition"],
+            checked["capacity"],
+            checked["condition"],
+            checked["warmupLeftMs"],
+            checked["sequence"],
         )
+    )
 
 
 class EndpointRegistry:
-    """What one control relay knows of endpoints; the news carries it to all."""
-
-    def __init__(self, world: Runtime, gossip: GossipStore, beat_s: float) -> None:
-        self.world, self.gossip, self.silent_s = world, gossip, MISSED * beat_s
-        self.seen: dict[str, float] = {}  # when each was last heard, here or by another control relay
-        self.beaten: set[str] = set()  # heard here since the last report to the others
-        self.lost = 0
-
-    def known(self, name: str) -> tuple[list[int], Json] | None:
-        return self.gossip.items.get("ep/" + name)
-
-    def announced(self, name: str, said: Json) -> bool:
-        """A ready endpoint's beat; False where it is late or the endpoint has said that it leaves."""
-        self.seen[name] = self.world.now()
-        self.beaten.add(name)
+    """What one control-plane node knows of endpoints; gossip carries it to all nodes.
+
+    :ivar timeout_s: seconds without a heartbeat until an endpoint has timed out.
+    :ivar last_heartbeat_s: when each endpoint's last heartbeat came, here or at another control-plane node.
+    :ivar unreported_heartbeats: endpoints whose heartbeats came here since the last report to the others.
+    """
+
+    def __init__(self, runtime: Runtime, gossip: GossipStore, heartbeat_interval_s: float) -> None:
+        self.runtime, self.gossip = runtime, gossip
+        self.timeout_s = MISSED_HEARTBEATS * heartbeat_interval_s
+        self.last_heartbeat_s: dict[str, float] = {}
+        self.unreported_heartbeats: set[str] = set()
+        self.timed_out = 0
+
+    def known(self, name: str) -> KnownEndpoint | None:
+        """An endpoint's newest entry; None where nothing is known of it."""
+        item = self.gossip.items.get(KEY_PREFIX + name)
+        if item is None:
+            return None
+        (rank, sequence, _), entry = item
+        return KnownEndpoint(rank, sequence, entry)
+
+    def receive_heartbeat(self, name: str, announcement: EndpointAnnouncement) -> bool:
+        """Take a ready endpoint's announcement.
+
+        :returns: False where it is out of date, or the endpoint has announced its departure.
+        """
+        self.last_heartbeat_s[name] = self.runtime.now()
+        self.unreported_heartbeats.add(name)
         known = self.known(name)
         if known is not None:
-            (rank, sequence, _), value = known
-            if rank != READY or said["sequence"] < sequence:
+            if known.rank != EndpointRank.READY or announcement.sequence < known.sequence:
                 return False
-            same = value["cond"] == "ready" and all(
-                value[key] == said[name_]
-                for key, name_ in (("service", "targetService"), ("addr", "address"), ("slots", "capacity"))
-            )
-            if same:
+            if known.is_ready and known.has_same_service(announcement):
                 return True
-        self.gossip.offer("ep/" + name, [READY, said["sequence"], 0], self._value(said, "ready"))
+        version = [EndpointRank.READY, announcement.sequence, 0]
+        entry = announcement.to_gossip(CONDITIONS[EndpointRank.READY])
+        self.gossip.offer(KEY_PREFIX + name, version, entry)
         return True
 
-    def leaves(self, name: str, rank: int, sequence: int, said: Json | None) -> None:
-        """It leaves or has gone: told to all at once, and never taken back."""
+    def depart(
+        self, name: str, departure: DepartureRank, announcement: EndpointAnnouncement | None = None
+    ) -> None:
+        """Announce to all nodes that an endpoint leaves or has left; that is never taken back."""
+        known, condition = self.known(name), CONDITIONS[departure.rank]
+        if known is not None:
+            entry = {**known.entry, "cond": condition}
+        else:
+            entry = (announcement or _UNKNOWN).to_gossip(condition)
+        self.last_heartbeat_s.pop(name, None)
+        self.gossip.offer(KEY_PREFIX + name, [departure.rank, departure.sequence, 0], entry)
+
+    def apply_departure(self, name: str, departure: DepartureRank) -> None:
+        """Announce a replicated departure, where a newer one is not known already."""
         known = self.known(name)
-        value = dict(known[1]) if known is not None else self._value(said or {}, "")
-        value["cond"] = CONDITIONS[rank]
-        self.seen.pop(name, None)
-        self.gossip.offer("ep/" + name, [rank, sequence, 0], value)
-
-    @staticmethod
-    def _value(said: Json, condition: str) -> Json:
-        return {
-            "service": said.get("targetService", ""),
-            "addr": said.get("address", ""),
-            "zone": said.get("zone", ""),
-            "slots": said.get("capacity", 0),
-            "edition": said.get("edition", ""),
-            "warm_ms": said.get("warmupLeftMs", 0),
-            "cond": condition,
-        }
+        if known is None or (known.rank, known.sequence) < departure:
+            self.depart(name, departure)
 
-    def heard_elsewhere(self, names: list[str]) -> None:
-        now = self.world.now()
+    def receive_report(self, names: Iterable[str]) -> None:
+        """Take over which endpoints' heartbeats have come to another control-plane node."""
+        now_s = self.runtime.now()
         for name in names:
-            self.seen[name] = now
-
-    def heard_all(self) -> None:
-        """All that are known get their time anew: this machine has heard nobody for a while."""
-        now = self.world.now()
-        for name in self.seen:
-            self.seen[name] = now
-
-    def report(self) -> list[str]:
-        beaten, self.beaten = sorted(self.beaten), set()
-        return beaten
-
-    def sweep(self, on_lost: Callable[[str], None]) -> None:
-        """Tell of the endpoints that have been silent for too long."""
-        now = self.world.now()
-        for key, (version, value) in list(self.gossip.items.items()):
-            if not key.startswith("ep/") or version[0] != READY or value["cond"] != "ready":
+            self.last_heartbeat_s[name] = now_s
+
+    def restart_timeouts(self) -> None:
+        """Start all timeouts anew: this node was out of contact, and knows of nobody's heartbeats."""
+        self.receive_report(list(self.last_heartbeat_s))
+
+    def take_report(self) -> tuple[str, ...]:
+        """The endpoints whose heartbeats have come here since the last call, by name."""
+        report, self.unreported_heartbeats = tuple(sorted(self.unreported_heartbeats)), set()
+        return report
+
+    def expire(self, on_timeout: Callable[[str], None]) -> None:
+        """Announce to all nodes which endpoints have timed out."""
+        now_s = self.runtime.now()
+        for key in [key for key in self.gossip.items if key.startswith(KEY_PREFIX)]:
+            name = key.removeprefix(KEY_PREFIX)
+            known = self.known(name)
+            if known is None or not known.is_ready:
                 continue
-            name, sequence = key[3:], version[1]
-            if now - self.seen.setdefault(name, now) > self.silent_s:
-                self.lost += 1
-                self.gossip.offer(key, [READY, sequence, 1], {**value, "cond": "lost"})
-                on_lost(name)
+            if now_s - self.last_heartbeat_s.setdefault(name, now_s) > self.timeout_s:
+                self.timed_out += 1
+                version = [EndpointRank.READY, known.sequence, 1]
+                self.gossip.offer(key, version, {**known.entry, "cond": LOST})
+                on_timeout(name)
--- /dev/null
+++ b/amberlug/cluster/control/membership.py
@@ -0,0 +1,177 @@
+"""Membership of the control plane: nodes join and leave, and the leader promotes and demotes voters."""
+
+from __future__ import annotations
+
+from absl import logging
+from result import Ok, Result
+
+from amberlug.cluster.consensus.raft import ProposalRejected, Role
+from amberlug.cluster.consensus.voter_selection import MembershipChange, MemberStatus, margin, next_step
+from amberlug.cluster.control.context import ControlContext
+from amberlug.cluster.control.messages import AnnounceLeaving, JoinCluster, MemberDescription
+from amberlug.cluster.control.quorum_contact import NEVER_S
+from amberlug.cluster.interfaces import Json
+from amberlug.cluster.rpc.messages import Responder, handles, send
+from amberlug.cluster.session_client import internal
+
+JOIN_INTERVAL_S = 0.3  # between a node's attempts to become a member
+# Without a leader's message until a node asks to be admitted again: it may have been removed meanwhile.
+LEADER_TIMEOUT_S = 1.5
+REPLACEMENT_TIMEOUT_S = 0.8  # for another node to vote in the place of one that is told to stop
+LEAVING_INTERVAL_S = 0.05  # between announcements that this node leaves
+LEAVING_TIMEOUT_S = 2.0  # after the last announcement a node is taken to stay after all
+
+
+class Membership:
+    """One node's part in the membership: its own, and as the leader that of all nodes."""
+
+    def __init__(self, context: ControlContext) -> None:
+        self._runtime, self._raft, self._quorum = context.runtime, context.raft, context.quorum
+        self._address, self._settings, self._peers = context.address, context.settings, context.peers
+        self._is_changing = False
+        self._committed = 0  # the commit index at the last look at the voters
+        self._is_short_of_voters = False
+        self._leave_deadline_s = 0.0
+        self._leaving_at_s: dict[str, float] = {}  # members that announced that they leave, and when
+
+    # -- this node's own membership
+
+    def leave(self) -> None:
+        """Begin a planned stop: another node leads and votes from now on, where there is one."""
+        members = self._raft.members.values()
+        if any(not member["voter"] and not member.get("gone") for member in members):
+            self._leave_deadline_s = self._runtime.now() + REPLACEMENT_TIMEOUT_S
+        self._raft.hand_over()
+        self._announce_leaving()
+
+    @property
+    def has_left(self) -> bool:
+        """Whether a node that was told to stop may stop: it votes no more, or nobody can in its place."""
+        return self._runtime.now() >= self._leave_deadline_s or not self._raft.voting
+
+    def _announce_leaving(self) -> None:
+        """Have the leader, whoever that is by now, put another voter in this one's place."""
+        if self.has_left:
+            return
+        leader = self._quorum.leader_address()
+        if leader is not None:
+            send(self._runtime, leader, AnnounceLeaving(self._raft.me))
+        self._runtime.call_later(LEAVING_INTERVAL_S, self._announce_leaving)
+
+    def join(self) -> None:
+        """Have the leader know this node as it is now; one without a leader may have been removed."""
+        self._runtime.call_later(JOIN_INTERVAL_S, self.join)
+        is_leader = self._raft.role is Role.LEADER
+        is_followed = is_leader or self._runtime.now() - self._raft.heard < LEADER_TIMEOUT_S
+        if is_followed and self._is_known():
+            return
+        message = JoinCluster(self._raft.me, self._description())
+        if is_leader:
+            self._admit(message)
+            return
+        addresses = self._join_addresses(is_followed)
+        if addresses:
+            send(self._runtime, self._runtime.chance.choice(addresses), message)
+
+    def _join_addresses(self, is_followed: bool) -> list[str]:
+        leader = self._quorum.leader_address()
+        if leader and is_followed:
+            return [leader]
+        known = [*internal(self._settings()), *self._peers()]
+        return [address for address in known if address != self._address]
+
+    def _is_known(self) -> bool:
+        """Whether the membership has this node as it is now, as a voter or not."""
+        known = self._raft.members.get(self._raft.me)
+        if known is None:
+            return False
+        return {**known, "voter": None} == {**self._description().to_wire(), "voter": None}
+
+    def _description(self) -> MemberDescription:
+        settings = self._settings()
+        control = f"{settings.control[0]}:{settings.control[1]}" if settings.control else ""
+        return MemberDescription(self._address, settings.name, settings.zone, settings.region, control)
+
+    # -- the leader's part
+
+    @handles(AnnounceLeaving)
+    def on_leaving(self, message: AnnounceLeaving, origin: str, respond: Responder) -> None:
+        """Remember that a voter is about to stop."""
+        self._leaving_at_s[message.member_id] = self._runtime.now()
+
+    @handles(JoinCluster)
+    def on_join(self, message: JoinCluster, origin: str, respond: Responder) -> None:
+        """Admit a node, or forward its request to the leader."""
+        if self._raft.role is Role.LEADER:
+            self._admit(message)
+        elif (leader := self._quorum.leader_address()) is not None and not message.is_forwarded:
+            forwarded = JoinCluster(message.member_id, message.member, is_forwarded=True)
+            send(self._runtime, leader, forwarded)
+
+    def _admit(self, message: JoinCluster) -> None:
+        """Add a node as a learner; whoever had its address before is gone."""
+        joining, description = message.member_id, message.member.to_wire()
+        members: Json = {
+            name: {**member, "gone": True}
+            if name != joining and member["addr"] == message.member.address
+            else member
+            for name, member in self._raft.members.items()
+        }
+        is_voter = members.get(joining, {}).get("voter", False)
+        members[joining] = {**description, "voter": is_voter}
+        if members != self._raft.members:
+            self._change(members, f"{joining} is admitted")
+
+    def _change(self, members: Json, reason: str) -> None:
+        """Propose a membership, where the one before is committed."""
+        if self._is_changing or not self._raft.settled:
+            return
+        self._is_changing = True
+
+        def receive(result: Result[Json, ProposalRejected]) -> None:
+            self._is_changing = False
+            if isinstance(result, Ok):
+                logging.info("control-plane membership changed: %s", reason)
+
+        self._raft.change_members(members, receive)
+
+    def adjust_voters(self) -> None:
+        """Promote or demote one voter, or remove a member, where the placement of voters asks for it."""
+        tolerance = self._settings().tolerance
+        statuses = self._member_statuses()
+        voters = (status for status in statuses if status.voter)
+        self._note_shortage(margin(voters, tolerance) < 0)
+        change = next_step(statuses, tolerance, self._raft.me)
+        if change is not None:
+            self._change(self._members_after(change), f"{change.name} {change.why}")
+
+    def _members_after(self, change: MembershipChange) -> Json:
+        members = dict(self._raft.members)
+        member = members.pop(change.name)
+        if change.voter is not None:
+            members[change.name] = {**member, "voter": change.voter}
+        return members
+
+    def _member_statuses(self) -> list[MemberStatus]:
+        raft, now_s = self._raft, self._runtime.now()
+        # A member need not have more than what was committed at the last look: the rest is on its way.
+        committed, self._committed = self._committed, raft.commit
+        return [
+            MemberStatus(
+                name,
+                member["voter"],
+                member["zone"],
+                member.get("region", ""),
+                raft.holds(name, min(committed, raft.commit)),
+                raft.silent_s(name),
+                member.get("gone", False),
+                now_s - self._leaving_at_s.get(name, NEVER_S) < LEAVING_TIMEOUT_S,
+            )
+            for name, member in raft.members.items()
+        ]
+
+    def _note_shortage(self, is_short: bool) -> None:
+        if is_short != self._is_short_of_voters:
+            self._is_short_of_voters = is_short
+            outcome = "do not survive" if is_short else "survive"
+            logging.info("control-plane voters %s the failures to be tolerated", outcome)
--- /dev/null
+++ b/amberlug/cluster/control/peer_query.py
@@ -0,0 +1,59 @@
+"""One question to several peers, with a deadline for all of them together."""
+
+from __future__ import annotations
+
+from collections.abc import Callable, Mapping
+from functools import partial
+
+from result import Result
+
+from amberlug.cluster.interfaces import Json, Reply, RequestFailure, Runtime
+
+QUERY_TIMEOUT_S = 0.6  # for peers to reply: operators wait for a second
+
+Replies = Mapping[str, Result[Reply, RequestFailure]]  # by the name that a request was made under
+
+
+class PeerQuery:
+    """Collects replies to requests, and passes them on together.
+
+    :param on_replies: called once, with a reply or a failure for each request.
+    """
+
+    def __init__(self, runtime: Runtime, on_replies: Callable[[Replies], None]) -> None:
+        self._runtime, self._on_replies = runtime, on_replies
+        self._replies: dict[str, Result[Reply, RequestFailure]] = {}
+        self._pending = 1  # the query itself, until all requests are made
+
+    def request(self, name: str, address: str, tag: str, body: Json) -> None:
+        """Make a request whose reply stands under a name."""
+        self._pending += 1
+        self._runtime.request(address, tag, body, QUERY_TIMEOUT_S, partial(self._receive, name))
+
+    def wait(self) -> Callable[[], None]:
+        """Wait for something else as well, for as long as for a peer.
+
+        :returns: what is to be called once it has happened.
+        """
+        self._pending += 1
+        waiting = [self._finish_one]
+
+        def finish() -> None:
+            if waiting:
+                waiting.pop()()
+
+        self._runtime.call_later(QUERY_TIMEOUT_S, finish)
+        return finish
+
+    def finish_sending(self) -> None:
+        """Note that all requests have been made."""
+        self._finish_one()
+
+    def _receive(self, name: str, reply: Result[Reply, RequestFailure]) -> None:
+        self._replies[name] = reply
+        self._finish_one()
+
+    def _finish_one(self) -> None:
+        self._pending -= 1
+        if self._pending == 0:
+            self._on_replies(self._replies)
--- a/amberlug/cluster/control/status.py
+++ b/amberlug/cluster/control/status.py
@@ -1,301 +1,200 @@
-"""A control relay's calls for operators that only look: the whole deployment in one answer. No I/O."""
+"""Operators' calls that only read: the status of the whole deployment in one reply. No I/O."""
 
 from __future__ import annotations
 
-import base64
-from collections import Counter as Tally
-from collections.abc import Callable
-from functools import partial
-from typing import TYPE_CHECKING, Any
-from urllib.parse import parse_qs
+from collections import Counter
+from collections.abc import Iterable, Mapping
+from dataclasses import dataclass
 
-from result import Err, Ok, Result
+from result import Ok, Result
 
 from amberlug.cluster import metrics
+from amberlug.cluster.control.context import ControlContext
+from amberlug.cluster.control.endpoint_registry import KEY_PREFIX
+from amberlug.cluster.control.messages import ReadControlStatus, StatusReply
+from amberlug.cluster.control.peer_query import PeerQuery, Replies
+from amberlug.cluster.control.reconciler import EDGE_CLASS
 from amberlug.cluster.control.sessions import Session
-from amberlug.cluster.http.api import HttpRequest, HttpResponse, RespondHttp, order
-from amberlug.cluster.interfaces import Json, Reply, RequestFailure, Respond, on
-from amberlug.cluster.node_status import DEAD_MOST
+from amberlug.cluster.control.state_entries import StoreEntry, StoreState
+from amberlug.cluster.http.api import HttpRequest, HttpResponse, RespondHttp, api_call
+from amberlug.cluster.interfaces import Json, Reply, RequestFailure
+from amberlug.cluster.rpc.messages import Responder, handles
 
-if TYPE_CHECKING:
-    from amberlug.cluster.control.node import ControlNode
+NODE_STATUS_TAG = "status"  # asks an edge or storage node for its status
 
-LOOK_S = 0.6  # for peers to answer: operators wait a second
+Members = Mapping[str, Session]  # by name
 
 
-class _Round:
-    """One question to several peers; `then` hears once, with what came in time."""
+@dataclass(frozen=True, slots=True)
+class _Snapshot:
+    """What the status of the deployment is made of.
 
-    def __init__(
-        self, core: ControlNode, then: Callable[[dict[str, Result[Reply, RequestFailure]]], None]
-    ) -> None:
-        self._core, self._then = core, then
-        self._heard: dict[str, Result[Reply, RequestFailure]] = {}
-        self._left = 1  # the round itself, until all are asked
+    :param reports: by node, its own status; None where it did not reply in time.
+    :param is_confirmed: whether a majority confirmed the commit index meanwhile.
+    """
 
-    def request(self, name: str, to: str, word: str, body: Json) -> None:
-        self._left += 1
-        self._core.world.request(to, word, body, LOOK_S, partial(self._hear, name))
-
-    def wait(self) -> Callable[[], None]:
-        """Something else to wait for, as long as for a peer; what is given says that it is there."""
-        self._left += 1
-        waits = [self._one_less]
-
-        def over() -> None:
-            if waits:
-                waits.pop()()
-
-        self._core.world.call_later(LOOK_S, over)
-        return over
-
-    def asked(self) -> None:
-        """All have been asked."""
-        self._one_less()
-
-    def _hear(self, name: str, reply: Result[Reply, RequestFailure]) -> None:
-        self._heard[name] = reply
-        self._one_less()
-
-    def _one_less(self) -> None:
-        self._left -= 1
-        if self._left == 0:
-            self._then(self._heard)
+    members: Members
+    reports: Mapping[str, Json | None]
+    is_confirmed: bool
 
 
 class StatusService:
-    """Looks over the deployment from one core machine."""
-
-    def __init__(self, core: ControlNode) -> None:
-        self._core = core
-
-    @order("GET", metrics.PATH)
-    def counters(self, asked: HttpRequest, name: str, say: RespondHttp) -> None:
-        """Give this process's counters."""
-        say(HttpResponse(200, {}, page=metrics.page(self._core.counts)))
-
-    # -- how it all stands
-
-    @order("GET", "/-/Foreman.Status")
-    def status(self, asked: HttpRequest, name: str, say: RespondHttp) -> None:
-        """Tell how the whole deployment stands, also where some do not answer."""
-        core = self._core
-        members = core.sessions.members(core.world.now())
-        up = [
-            disk
-            for disk, store in core.cluster_state.roster.items()
-            if store["state"] == "full" and self._has_session(members, disk, store)
-        ]
+    """Reads the status of the deployment from one control-plane node."""
+
+    def __init__(self, context: ControlContext) -> None:
+        self._runtime, self._raft, self._quorum = context.runtime, context.raft, context.quorum
+        self._cluster_state, self._sessions = context.cluster_state, context.sessions
+        self._gossip, self._counters = context.gossip, context.counters
+
+    @api_call("GET", metrics.PATH)
+    def read_counters(self, request: HttpRequest, name: str, respond: RespondHttp) -> None:
+        """Reply with this process's counters."""
+        respond(HttpResponse(200, {}, page=metrics.page(self._counters)))
+
+    @api_call("GET", "/-/Foreman.Status")
+    def read_status(self, request: HttpRequest, name: str, respond: RespondHttp) -> None:
+        """Reply with the status of the whole deployment, also where some nodes do not respond."""
+        members = self._sessions.members(self._runtime.now())
         confirmed: list[int] = []
 
-        def told(heard: dict[str, Result[Reply, RequestFailure]]) -> None:
-            say(HttpResponse(200, self._whole(members, heard, bool(confirmed))))
-
-        look = _Round(core, told)
-        for member in members.values():
-            look.request(member.id, member.address, "status", {"up": up})
-        for key, it in core.raft.members.items():
-            if key != core.raft.me:
-                look.request(key, it["addr"], "core.status", {})
-        over = look.wait()
-
-        def confirm(index: int | None) -> None:
+        def receive(replies: Replies) -> None:
+            reports = {name: _report(reply) for name, reply in replies.items()}
+            reports[self._raft.me] = self._own_status()
+            snapshot = _Snapshot(members, reports, bool(confirmed))
+            respond(HttpResponse(200, self._document(snapshot)))
+
+        query = PeerQuery(self._runtime, receive)
+        body = {"up": self._full_disks(members)}
+        for session in members.values():
+            query.request(session.id, session.address, NODE_STATUS_TAG, body)
+        for member_id, member in self._raft.members.items():
+            if member_id != self._raft.me:
+                query.request(member_id, member["addr"], ReadControlStatus.wire_tag, {})
+        finish_waiting = query.wait()
+
+        def receive_index(index: int | None) -> None:
             if index is not None:
                 confirmed.append(index)
-            over()
+            finish_waiting()
 
-        core.confirm(confirm)
-        look.asked()
+        self._quorum.confirm_index(receive_index)
+        query.finish_sending()
 
-    @on("core.status")
-    def on_status(self, body: Json, blob: bytes, origin: str, respond: Respond) -> None:
-        """Another control relay asks how this one stands."""
-        respond(self._self_told(), b"")
+    @handles(ReadControlStatus)
+    def on_read_status(self, message: ReadControlStatus, origin: str, respond: Responder) -> None:
+        """Reply to another control-plane node with this node's own status."""
+        respond(StatusReply(self._own_status()))
 
-    def _self_told(self) -> Json:
-        core = self._core
+    def _own_status(self) -> Json:
         return {
-            "role": core.raft.role.value,
-            "term": core.raft.term,
-            "leader": core.raft.leader,
-            "commit": core.raft.commit,
-            "edition": core.cluster_state.edition,
-            "counts": core.counts,
+            "role": self._raft.role.value,
+            "term": self._raft.term,
+            "leader": self._raft.leader,
+            "commit": self._raft.commit,
+            "edition": self._cluster_state.config_version,
+            "counts": self._counters,
         }
 
-    def _whole(
-        self, members: dict[str, Session], heard: dict[str, Result[Reply, RequestFailure]], confirmed: bool
-    ) -> Json:
-        core, now = self._core, self._core.world.now()
-        cluster_state = core.cluster_state
-        told = {key: reply.ok_value.body if isinstance(reply, Ok) else None for key, reply in heard.items()}
-        told[core.raft.me] = self._self_told()
-        rows: list[Json] = [
-            {
-                "name": it.name,
-                "incarnation": it.incarnation,
-                "class": it.machine_class,
-                "zone": it.zone,
-                "region": it.region,
-                "state": it.state,
-                "address": it.address,
-                "for_s": round(now - it.since, 1),
-                "silent_s": round(now - it.last, 2),
-                "told": told.get(it.id),
-            }
-            for it in sorted(members.values(), key=lambda it: (it.machine_class, it.name))
+    def _full_disks(self, members: Members) -> list[str]:
+        """Disks whose replicas count, and whose storage nodes have a session."""
+        return [
+            disk
+            for disk, store in self._cluster_state.roster.items()
+            if store.state is StoreState.FULL and _has_session(members, disk, store)
         ]
-        edges = [it for it in rows if it["class"] == "edge"]
-        short = [it["told"]["copies short"] for it in edges if it["told"] is not None]
-        owners = Tally(str(it[0]) for it in cluster_state.shards)
+
+    def _document(self, snapshot: _Snapshot) -> Json:
+        rows = self._member_rows(snapshot)
+        edges = [row for row in rows if row["class"] == EDGE_CLASS]
+        short = [row["told"]["copies short"] for row in edges if row["told"] is not None]
         return {
-            "by": core.raft.me,
-            "confirmed": confirmed,
+            "by": self._raft.me,
+            "confirmed": snapshot.is_confirmed,
             "members": rows,
-            "core": {
-                "term": core.raft.term,
-                "leader": core.raft.leader,
-                "commit": core.raft.commit,
-                "members": [
-                    {"id": key, **it, "told": told.get(key)} for key, it in sorted(core.raft.members.items())
-                ],
-            },
-            "shards": {
-                "at": cluster_state.shards_at,
-                "owners": {key: owners[key] for key in sorted(owners) if key},
-                "nobody": owners[""],
-            },
-            "stores": {
-                disk: {**it, "session": self._has_session(members, disk, it)}
-                for disk, it in sorted(cluster_state.roster.items(), key=lambda item: str(item[1]["name"]))
-            },
-            "configuration": {
-                "edition": cluster_state.edition,
-                "at": cluster_state.config_at,
-                "edges": {
-                    str(it["name"]): it["told"]["edition"] if it["told"] is not None else None for it in edges
-                },
-            },
+            "core": self._consensus_status(snapshot.reports),
+            "shards": self._shard_status(),
+            "stores": self._store_status(snapshot.members),
+            "configuration": self._config_status(edges),
             "endpoints": self._endpoints(),
             "copies_short": sum(short),
             "copies_unknown": len(edges) - len(short),
-            "counters": dict(sorted(self._sum(told.values()).items())),
+            "counters": dict(sorted(_sum_counters(snapshot.reports.values()).items())),
         }
 
-    @staticmethod
-    def _has_session(members: dict[str, Session], disk: str, store: Json) -> bool:
-        """Whether a store's machine is a member, with this disk."""
-        session = members.get(str(store["name"]))
-        return session is not None and session.extra.get("disk") == disk
+    def _member_rows(self, snapshot: _Snapshot) -> list[Json]:
+        now_s = self._runtime.now()
+        sessions = sorted(snapshot.members.values(), key=lambda it: (it.machine_class, it.name))
+        return [
+            {
+                "name": session.name,
+                "incarnation": session.incarnation,
+                "class": session.machine_class,
+                "zone": session.zone,
+                "region": session.region,
+                "state": session.state,
+                "address": session.address,
+                "for_s": round(now_s - session.opened_at_s, 1),
+                "silent_s": round(now_s - session.last_heartbeat_at_s, 2),
+                "told": snapshot.reports.get(session.id),
+            }
+            for session in sessions
+        ]
+
+    def _consensus_status(self, reports: Mapping[str, Json | None]) -> Json:
+        return {
+            "term": self._raft.term,
+            "leader": self._raft.leader,
+            "commit": self._raft.commit,
+            "members": [
+                {"id": member_id, **member, "told": reports.get(member_id)}
+                for member_id, member in sorted(self._raft.members.items())
+            ],
+        }
 
-    @staticmethod
-    def _sum(told: Any) -> Tally[str]:
-        total: Tally[str] = Tally()
-        for it in told:
-            total.update(it["counts"] if it is not None else {})
-        return total
+    def _shard_status(self) -> Json:
+        counts = Counter(shard.owner for shard in self._cluster_state.shards)
+        return {
+            "at": self._cluster_state.shards_index,
+            "owners": {owner: counts[owner] for owner in sorted(counts) if owner},
+            "nobody": counts[""],
+        }
+
+    def _store_status(self, members: Members) -> Json:
+        stores = sorted(self._cluster_state.roster.items(), key=lambda item: item[1].name)
+        return {
+            disk: {**store.to_wire(), "session": _has_session(members, disk, store)} for disk, store in stores
+        }
+
+    def _config_status(self, edges: Iterable[Json]) -> Json:
+        return {
+            "edition": self._cluster_state.config_version,
+            "at": self._cluster_state.config_index,
+            "edges": {
+                str(row["name"]): row["told"]["edition"] if row["told"] is not None else None for row in edges
+            },
+        }
 
     def _endpoints(self) -> list[Json]:
-        found: list[Json] = [
-            {"id": key[3:], **value}
-            for key, (_, value) in self._core.gossip.items.items()
-            if key.startswith("ep/")
+        endpoints: list[Json] = [
+            {"id": key.removeprefix(KEY_PREFIX), **entry}
+            for key, (_, entry) in self._gossip.items.items()
+            if key.startswith(KEY_PREFIX)
         ]
-        return sorted(found, key=lambda it: (it["service"], it["cond"], it["id"]))
-
-    # -- messages that ended without success
-
-    def _ask_stores(
-        self, body: Json, then: Callable[[dict[str, Result[Reply, RequestFailure]]], None]
-    ) -> None:
-        look = _Round(self._core, then)
-        for name, it in self._core.cluster_state.roster.items():
-            if it["state"] != "lost":
-                look.request(name, it["addr"], "dead", body)
-        look.asked()
-
-    @order("GET", "/-/Foreman.Dead")
-    def dead(self, asked: HttpRequest, name: str, say: RespondHttp) -> None:
-        """One page of the messages that ended without success, by name, those behind `after`."""
-        query = parse_qs(asked.target.partition("?")[2])
-        after, most = query.get("after", [""])[0], query.get("most", [str(DEAD_MOST)])[0]
-        if not most.isdigit() or not 0 < int(most) <= DEAD_MOST:
-            say(HttpResponse(400, {"cause": f"most: no number from 1 to {DEAD_MOST}"}))
-            return
-
-        def told(heard: dict[str, Result[Reply, RequestFailure]]) -> None:
-            silent = sorted(key for key, reply in heard.items() if isinstance(reply, Err))
-            if len(silent) == len(heard):
-                say(HttpResponse(503, {"cause": "no store answers"}, 1))
-                return
-            say(HttpResponse(200, {**merged(heard, int(most)), "silent": silent}))
-
-        self._ask_stores({"after": after, "most": int(most)}, told)
-
-    @order("GET", "/-/Foreman.Dead/")
-    def dead_one(self, asked: HttpRequest, name: str, say: RespondHttp) -> None:
-        """One message that ended without success, with its bytes."""
-
-        def told(heard: dict[str, Result[Reply, RequestFailure]]) -> None:
-            rows = merged(heard, 1)["rows"]
-            silent = any(isinstance(reply, Err) for reply in heard.values())
-            if not rows and (silent or not heard):
-                say(HttpResponse(503, {"cause": "not all stores answer, and those that do don't know it"}, 1))
-            elif not rows:
-                say(HttpResponse(404, {"cause": "no such message has ended without success of late"}))
-            else:
-                self._with_body(rows[0], list(heard), say)
-
-        self._ask_stores({"id": name}, told)
-
-    def _with_body(self, row: Json, stores: list[str], say: RespondHttp) -> None:
-        def told(heard: dict[str, Result[Reply, RequestFailure]]) -> None:
-            for reply in heard.values():
-                if isinstance(reply, Ok) and reply.ok_value.body.get("found"):
-                    text = base64.b64encode(reply.ok_value.blob).decode()
-                    say(HttpResponse(200, {**row, "body": text}))
-                    return
-            say(HttpResponse(503, {"cause": "no store that answers has its bytes"}, 1))
-
-        look = _Round(self._core, told)
-        for name in stores:
-            store = self._core.cluster_state.roster.get(name)
-            if store is not None:
-                look.request(name, store["addr"], "body", {"id": row["id"]})
-        look.asked()
-
-
-def merged(heard: dict[str, Result[Reply, RequestFailure]], most: int) -> Json:
-    """One page of several stores' pages; `after` is where the next one begins, where there is one."""
-    found: dict[str, Json] = {}
-    ends: list[str] = []  # where a store's page was cut off: what lies behind it may be missing
-    for reply in heard.values():
-        if not isinstance(reply, Ok):
-            continue
-        body = reply.ok_value.body
-        for name, meta, size, at in body["rows"]:
-            # A store that was told only of the end knows nothing else of the message.
-            if name not in found or (meta and not found[name]["method"]):
-                found[name] = _row(name, meta, size, at)
-        if body["more"]:
-            ends.append(body["rows"][-1][0])
-    names = sorted(found)
-    whole = [name for name in names if not ends or name <= min(ends)]
-    page = whole[:most]
-    more = len(page) < len(names)
-    return {"rows": [found[name] for name in page], **({"after": page[-1]} if more and page else {})}
-
-
-def _row(name: str, meta: Json, size: int, at: float) -> Json:
-    return {
-        "id": name,
-        "route": meta.get("r", ""),
-        "host": meta.get("h", ""),
-        "method": meta.get("m", ""),
-        "target": meta.get("t", ""),
-        "key": meta.get("k", ""),
-        "headers": meta.get("x", []),
-        "taken_at": meta.get("w"),
-        "kept_until": at,
-        "size": size,
-    }
+        return sorted(endpoints, key=lambda it: (it["service"], it["cond"], it["id"]))
+
+
+def _report(reply: Result[Reply, RequestFailure]) -> Json | None:
+    return reply.ok_value.body if isinstance(reply, Ok) else None
+
+
+def _has_session(members: Members, disk: str, store: StoreEntry) -> bool:
+    """Whether a storage node is a member, with this disk."""
+    session = members.get(store.name)
+    return session is not None and session.details.get("disk") == disk
+
+
+def _sum_counters(reports: Iterable[Json | None]) -> Counter[str]:
+    total: Counter[str] = Counter()
+    for report in reports:
+        total.update(report["counts"] if report is not None else {})
+    return total
--- a/amberlug/cluster/http/api.py
+++ b/amberlug/cluster/http/api.py
@@ -11,20 +11,32 @@
 
 
 class HttpRequest(Protocol):
-    """A request, as far as orders look at it."""
+    """A request, as far as handlers of calls look at it."""
 
     @property
-    def method(self) -> str: ...
+    def method(self) -> str:
+        """The method, in upper case."""
+
     @property
-    def target(self) -> str: ...
+    def target(self) -> str:
+        """The path, and the query where there is one."""
+
     @property
-    def body(self) -> bytes: ...
-    def header(self, name: str) -> str | None: ...
+    def body(self) -> bytes:
+        """The whole body."""
+
+    def header(self, name: str) -> str | None:
+        """The value of a header by its name in lower case; None where there is none."""
 
 
 @dataclass(frozen=True, slots=True)
 class HttpResponse:
-    """An answer to an order; one with a `page` is plain text instead of its body."""
+    """A response to a call.
+
+    :param body: the JSON object that is sent.
+    :param retry_after: seconds after which the caller may try again.
+    :param page: plain text that is sent instead of the body.
+    """
 
     status: int
     body: Json
@@ -34,61 +46,94 @@
 
 RespondHttp = Callable[[HttpResponse], None]
 Handler = Callable[[Any, HttpRequest, str, RespondHttp], None]
+_DECLARED = "_api_call"
 
 
 @dataclass(frozen=True, slots=True)
 class ApiCall:
-    """One declared call: its method, its path, and whether a name follows it."""
+    """A declared call; a path that ends with `/` is followed by a name."""
 
     method: str
     path: str
-    named: bool
-    handler: str
 
+    @property
+    def is_named(self) -> bool:
+        """Whether a name follows the path."""
+        return self.path.endswith("/")
+
+
+def api_call(method: str, path: str) -> Callable[[Handler], Handler]:
+    """Declare a method as the handler of a call: `(request, name, respond)`.
 
-def order(method: str, path: str) -> Callable[[Handler], Handler]:
-    """Declare a method as the handler of a call; a path that ends with `/` is followed by a name."""
+    :param path: one that ends with `/` is followed by a name, which the handler gets.
+    """
 
-    def mark(handler: Handler) -> Handler:
-        handler.__dict__["order"] = method, path
+    def declare(handler: Handler) -> Handler:
+        handler.__dict__[_DECLARED] = ApiCall(method, path)
         return handler
 
-    return mark
+    return declare
+
+
+order = api_call  # the name that the edge node imports
 
 
 class AdminApi:
-    """Finds the handler of a request among those that the classes of some objects declare."""
+    """Finds the handler of a request among those that the classes of some components declare."""
 
-    def __init__(self, *things: object) -> None:
+    def __init__(self, *components: object) -> None:
         self._exact: dict[str, dict[str, Callable[..., None]]] = {}
         self._named: dict[str, dict[str, Callable[..., None]]] = {}
-        for thing in things:
-            self._add(thing)
-
-    def _add(self, thing: object) -> None:
-        for kind in type(thing).__mro__:
-            for name, member in vars(kind).items():
-                declared = getattr(member, "__dict__", {}).get("order") if callable(member) else None
-                if declared is not None:
-                    method, path = declared
-                    table = self._named if path.endswith("/") else self._exact
-                    table.setdefault(path, {}).setdefault(method, getattr(thing, name))
-
-    def take(self, asked: HttpRequest, say: RespondHttp) -> None:
-        """Have a request handled; 404 and 405 are answered here."""
-        path = asked.target.partition("?")[0]
+        for component in components:
+            self._add(component)
+
+    def _add(self, component: object) -> None:
+        for cls in type(component).__mro__:
+            for name, member in vars(cls).items():
+                call = getattr(member, "__dict__", {}).get(_DECLARED) if callable(member) else None
+                if call is not None:
+                    table = self._named if call.is_named else self._exact
+                    table.setdefault(call.path, {}).setdefault(call.method, getattr(component, name))
+
+    def take(self, request: HttpRequest, respond: RespondHttp) -> None:
+        """Have a request handled; a path or method without a handler is answered here by 404 or 405."""
+        path = request.target.partition("?")[0]
         methods, name = self._exact.get(path), ""
         if methods is None:
-            before, slash, name = path.rpartition("/")
-            methods = self._named.get(before + slash) if name else None
+            parent, slash, name = path.rpartition("/")
+            methods = self._named.get(parent + slash) if name else None
         if methods is None:
-            say(HttpResponse(404, {"cause": f"no call {path}"}))
-        elif asked.method not in methods:
-            say(HttpResponse(405, {"cause": f"{path} takes {', '.join(sorted(methods))}"}))
+            respond(HttpResponse(404, {"cause": f"no call {path}"}))
+        elif request.method not in methods:
+            respond(HttpResponse(405, {"cause": f"{path} takes {', '.join(sorted(methods))}"}))
         else:
-            methods[asked.method](asked, name, say)
+            methods[request.method](request, name, respond)
+
+
+def read_json_object(request: HttpRequest, respond: RespondHttp, max_bytes: int) -> Json | None:
+    """Read a request's body as one small JSON object.
+
+    :returns: None where it is none, or too large; the request is answered then.
+    """
+    if len(request.body) > max_bytes:
+        respond(HttpResponse(413, {"cause": f"{len(request.body)} bytes are too many"}))
+        return None
+    try:
+        data = json.loads(request.body)
+    except (ValueError, RecursionError):
+        respond(HttpResponse(400, {"cause": "no JSON"}))
+        return None
+    if not isinstance(data, dict):
+        respond(HttpResponse(400, {"cause": "no object"}))
+        return None
+    return data
+
+
+def unconfirmed() -> HttpResponse:
+    """The response to a call whose outcome no majority has confirmed; the caller may send it again."""
+    return HttpResponse(503, {"cause": "no answer of a majority"}, 1)
 
 
 def pack(body: Json) -> bytes:
-    """A body of an answer."""
+    """The bytes of a response's body."""
     return json.dumps(body, separators=(",", ":")).encode()
--- a/amberlug/cluster/metrics.py
+++ b/amberlug/cluster/metrics.py
@@ -1,14 +1,25 @@
-"""A process's counters as a page: one line each, `name value`."""
+"""A process's metrics: counters, and the page that operators' tools read."""
 
 from __future__ import annotations
 
 import re
 from collections.abc import Mapping
 
-PATH = "/-/Foreman.Counters"
+PATH = "/-/Foreman.Counters"  # the path is historical
 
 
-def page(counts: Mapping[str, int]) -> bytes:
-    """The page; names are letters, digits and underscores, so that a blank ends each."""
-    lines = (f"{re.sub('[^A-Za-z0-9]+', '_', name).strip('_')} {value}" for name, value in counts.items())
-    return "".join(f"{line}\n" for line in sorted(lines)).encode()
+class Counters(dict[str, int]):
+    """Counters by name; one that was never incremented is not listed."""
+
+    def increment(self, name: str) -> None:
+        """Count one more event."""
+        self[name] = self.get(name, 0) + 1
+
+
+def page(counters: Mapping[str, int]) -> bytes:
+    """The page: a line `name value` for each counter, by name.
+
+    Names are letters, digits and underscores, so that a blank ends each.
+    """
+    lines = (f"{re.sub('[^A-Za-z0-9]+', '_', name).strip('_')} {value}\n" for name, value in counters.items())
+    return "".join(sorted(lines)).encode()
--- a/amberlug/cluster/simulation/mutations_voters.py
+++ b/amberlug/cluster/simulation/mutations_voters.py
@@ -84,7 +84,7 @@
 
 def _editions_by_count() -> AbstractContextManager[Any]:
     """The hashes of the newest 256 changes are kept, and no others."""
-    return patch.object(cluster_state, "EDITIONS", (256, 256))
+    return patch.multiple(cluster_state, MIN_CONFIG_HASHES=256, MAX_CONFIG_HASHES=256)
 
 
 FAULTS: Mapping[str, tuple[Callable[[], AbstractContextManager[Any]], str]] = {
