--- a/amberlug/cluster/control/command_service.py
+++ b/amberlug/cluster/control/command_service.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from collections.abc import Callable, Sequence
-from enum import Enum
+from typing import Any
 
 from result import Err, Ok, Result
 
@@ -21,9 +21,17 @@
 )
 from amberlug.cluster.control.config_validation import apply_change, find_errors
 from amberlug.cluster.control.context import ControlContext
-from amberlug.cluster.control.messages import CommandReply, ForwardCommand
+from amberlug.cluster.control.peer_messages import CommandReply, ForwardCommand
 from amberlug.cluster.control.reconciler import Reconciler
 from amberlug.cluster.control.state_entries import EndpointDrain
+from amberlug.cluster.control.submitted_commands import (
+    ConfigCall,
+    ReadState,
+    SubmitConfig,
+    SubmitDrains,
+    SubmitRetirement,
+    SubmittedCommand,
+)
 from amberlug.cluster.interfaces import Json, RequestFailure
 from amberlug.cluster.rpc.messages import Responder, handles, request
 
@@ -36,16 +44,6 @@
 OnState = Callable[[Result[ConfirmedState, ProposalRejected]], None]
 
 
-class CommandName(Enum):
-    """Names of commands in frames between control-plane nodes."""
-
-    RETIRE = "retire"
-    DRAIN = "drain"
-    READ = "read"
-    REPLACE = "replace"
-    MODIFY = "modify"
-
-
 class CommandExecutor:
     """Carries commands out on the leader."""
 
@@ -55,21 +53,21 @@
         self._reconciler = reconciler
         self._clock_advanced_at_s = 0.0  # when this node last advanced the replicated clock
 
-    def execute(self, command: ForwardCommand, on_reply: OnReply) -> None:
+    def execute(self, command: SubmittedCommand, on_reply: OnReply) -> None:
         """Carry out a command; this node leads, or did so a moment ago.
 
         :param on_reply: called once the outcome is committed, or cannot be known here.
         """
-        arguments = command.arguments
-        if command.command == CommandName.RETIRE.value:
-            self.when_confirmed(lambda: self._retire(arguments["name"], on_reply), on_reply)
-        elif command.command == CommandName.DRAIN.value:
-            drains = [EndpointDrain(*row) for row in arguments["ids"]]
-            self._raft.propose(self._timed(DrainEndpoints(drains)).to_wire(), on_reply)
-        elif command.command == CommandName.READ.value:
-            self.when_confirmed(lambda: on_reply(Ok(self._state().to_wire())), on_reply)
-        else:
-            self.when_confirmed(lambda: self._change_config(command, on_reply), on_reply)
+        match command:
+            case SubmitRetirement():
+                self.when_confirmed(lambda: self._retire(command.node_name, on_reply), on_reply)
+            case SubmitDrains():
+                drain = self._timed(DrainEndpoints(command.drains))
+                self._raft.propose(drain.to_wire(), on_reply)
+            case ReadState():
+                self.when_confirmed(lambda: on_reply(Ok(self._state().to_wire())), on_reply)
+            case SubmitConfig():
+                self.when_confirmed(lambda: self._change_config(command, on_reply), on_reply)
 
     def when_confirmed(self, action: Callable[[], None], on_reply: OnReply) -> None:
         """Act once the state here is confirmed to be as new as a majority's; no reply may be older.
@@ -107,17 +105,17 @@
         else:
             self._raft.propose(RetireStore(name).to_wire(), on_reply)
 
-    def _change_config(self, command: ForwardCommand, on_reply: OnReply) -> None:
-        base_version, data = command.arguments["base"], command.arguments["data"]
-        version = data.get("edition")
-        call_hash = digest({"word": command.command, "base": base_version, "data": data})
+    def _change_config(self, command: SubmitConfig, on_reply: OnReply) -> None:
+        base_version, data = command.base_version, command.data
+        version: Any = data.get("edition")  # validated with the rest, after a repeated call is recognized
+        call_hash = digest({"word": command.name, "base": base_version, "data": data})
         result = ACCEPTED
         if isinstance(version, int):
             result = self._cluster_state.check_config(base_version, version, call_hash)
         if result.is_repeat or result.status in (412, 503):
             on_reply(Ok(result.to_wire()))
             return
-        is_change = command.command == CommandName.MODIFY.value
+        is_change = command.call is ConfigCall.MODIFY
         config = apply_change(self._cluster_state.config, data) if is_change else Ok(data)
         causes = config.err_value if isinstance(config, Err) else find_errors(config.ok_value)
         if result.is_rejected:
@@ -137,32 +135,26 @@
         self._runtime, self._raft, self._quorum = context.runtime, context.raft, context.quorum
         self._executor = executor
 
-    def change_config(self, name: CommandName, base_version: int, data: Json, on_result: OnResult) -> None:
-        """Replace or modify the configuration.
-
-        :param base_version: the version that the operator saw.
-        :param data: the whole configuration, or what of it changes.
-        """
-        self._submit_command(ForwardCommand(name.value, {"base": base_version, "data": data}), on_result)
+    def change_config(self, command: SubmitConfig, on_result: OnResult) -> None:
+        """Replace or modify the configuration."""
+        self._submit_change(command, on_result)
 
     def retire_store(self, name: str, on_result: OnResult) -> None:
         """Have a storage node emptied."""
-        self._submit_command(ForwardCommand(CommandName.RETIRE.value, {"name": name}), on_result)
+        self._submit_change(SubmitRetirement(name), on_result)
 
     def drain_endpoints(self, drains: Sequence[EndpointDrain], on_result: OnResult) -> None:
         """Replicate that endpoints leave, or have left."""
-        rows = [list(drain) for drain in drains]
-        self._submit_command(ForwardCommand(CommandName.DRAIN.value, {"ids": rows}), on_result)
+        self._submit_change(SubmitDrains(drains), on_result)
 
     def read_state(self, on_state: OnState) -> None:
         """Read the state that a majority has confirmed."""
-        command = ForwardCommand(CommandName.READ.value, {})
-        self.submit(command, lambda result: on_state(result.map(ConfirmedState.from_wire)))
+        self.submit(ReadState(), lambda result: on_state(result.map(ConfirmedState.from_wire)))
 
-    def _submit_command(self, command: ForwardCommand, on_result: OnResult) -> None:
+    def _submit_change(self, command: SubmittedCommand, on_result: OnResult) -> None:
         self.submit(command, lambda result: on_result(result.map(CommandResult.from_wire)))
 
-    def submit(self, command: ForwardCommand, on_reply: OnReply) -> None:
+    def submit(self, command: SubmittedCommand, on_reply: OnReply) -> None:
         """Carry out a command here where this node leads, else forward it to the leader once.
 
         Nobody sends it again: where the outcome is unknown, only its caller may do so.
@@ -178,7 +170,7 @@
         def receive(reply: Result[CommandReply, RequestFailure]) -> None:
             on_reply(_result_of(reply))
 
-        request(self._runtime, leader, command, FORWARD_TIMEOUT_S, receive)
+        request(self._runtime, leader, ForwardCommand(command), FORWARD_TIMEOUT_S, receive)
 
     @handles(ForwardCommand)
     def on_forward_command(self, message: ForwardCommand, origin: str, respond: Responder) -> None:
@@ -188,7 +180,7 @@
             respond(CommandReply(result.ok_value if isinstance(result, Ok) else None))
 
         if self._raft.role is Role.LEADER:
-            self._executor.execute(message, reply)
+            self._executor.execute(message.command, reply)
         else:
             respond(CommandReply(None))
 
--- a/amberlug/cluster/control/config_service.py
+++ b/amberlug/cluster/control/config_service.py
@@ -7,9 +7,10 @@
 
 from amberlug.cluster.consensus.raft import ProposalRejected
 from amberlug.cluster.control.cluster_state import ClusterState
-from amberlug.cluster.control.command_service import CommandName, CommandService
+from amberlug.cluster.control.command_service import CommandService
 from amberlug.cluster.control.commands import CommandResult, ConfirmedState
 from amberlug.cluster.control.config_validation import parse
+from amberlug.cluster.control.submitted_commands import ConfigCall, SubmitConfig
 from amberlug.cluster.http.api import HttpRequest, HttpResponse, RespondHttp, api_call, unconfirmed
 from amberlug.cluster.metrics import Counters
 
@@ -25,12 +26,12 @@
     @api_call("POST", "/-/Configuration.Replace")
     def replace(self, request: HttpRequest, name: str, respond: RespondHttp) -> None:
         """Put a whole configuration in force."""
-        self._change(CommandName.REPLACE, request, respond)
+        self._change(ConfigCall.REPLACE, request, respond)
 
     @api_call("POST", "/-/Configuration.Modify")
     def modify(self, request: HttpRequest, name: str, respond: RespondHttp) -> None:
         """Change named items of the configuration."""
-        self._change(CommandName.MODIFY, request, respond)
+        self._change(ConfigCall.MODIFY, request, respond)
 
     @api_call("GET", "/-/Configuration.Read")
     def read(self, request: HttpRequest, name: str, respond: RespondHttp) -> None:
@@ -46,7 +47,7 @@
 
         self._commands.read_state(receive)
 
-    def _change(self, command: CommandName, request: HttpRequest, respond: RespondHttp) -> None:
+    def _change(self, call: ConfigCall, request: HttpRequest, respond: RespondHttp) -> None:
         data = parse(request.body)
         if isinstance(data, Err):
             self._counters.increment("config refused")
@@ -70,7 +71,8 @@
             else:
                 respond(HttpResponse(200, {"edition": version}))
 
-        self._commands.change_config(command, int(base_version), data.ok_value, receive)
+        command = SubmitConfig(call, int(base_version), data.ok_value)
+        self._commands.change_config(command, receive)
 
     def _log(self, result: CommandResult, version: object) -> None:
         if result.is_rejected:
--- a/amberlug/cluster/control/membership.py
+++ b/amberlug/cluster/control/membership.py
@@ -8,7 +8,7 @@
 from amberlug.cluster.consensus.raft import ProposalRejected, Role
 from amberlug.cluster.consensus.voter_selection import MembershipChange, MemberStatus, margin, next_step
 from amberlug.cluster.control.context import ControlContext
-from amberlug.cluster.control.messages import AnnounceLeaving, JoinCluster, MemberDescription
+from amberlug.cluster.control.peer_messages import AnnounceLeaving, JoinCluster, MemberDescription
 from amberlug.cluster.control.quorum_contact import NEVER_S
 from amberlug.cluster.interfaces import Json
 from amberlug.cluster.rpc.messages import Responder, handles, send
--- a/amberlug/cluster/control/quorum_contact.py
+++ b/amberlug/cluster/control/quorum_contact.py
@@ -8,7 +8,7 @@
 from result import Ok, Result
 
 from amberlug.cluster.consensus.raft import RaftNode, Role
-from amberlug.cluster.control.messages import ConfirmedIndex, ConfirmIndex
+from amberlug.cluster.control.peer_messages import ConfirmedIndex, ConfirmIndex
 from amberlug.cluster.interfaces import RequestFailure, Runtime
 from amberlug.cluster.rpc.messages import Responder, handles, request
 
--- a/amberlug/cluster/control/status.py
+++ b/amberlug/cluster/control/status.py
@@ -11,7 +11,7 @@
 from amberlug.cluster import metrics
 from amberlug.cluster.control.context import ControlContext
 from amberlug.cluster.control.endpoint_registry import KEY_PREFIX
-from amberlug.cluster.control.messages import ReadControlStatus, StatusReply
+from amberlug.cluster.control.peer_messages import ReadControlStatus, StatusReply
 from amberlug.cluster.control.peer_query import PeerQuery, Replies
 from amberlug.cluster.control.reconciler import EDGE_CLASS
 from amberlug.cluster.control.sessions import Session
--- a/amberlug/cluster/simulation/mutations_answers.py
+++ b/amberlug/cluster/simulation/mutations_answers.py
@@ -12,7 +12,7 @@
 
 from amberlug.cluster.consensus.raft import ProposalRejected
 from amberlug.cluster.control.command_service import CommandService, OnReply
-from amberlug.cluster.control.messages import ForwardCommand
+from amberlug.cluster.control.submitted_commands import SubmittedCommand
 from amberlug.cluster.dispatch.dispatcher import Outcome, judge
 from amberlug.cluster.dispatch.endpoint_client import EndpointClient
 from amberlug.cluster.dispatch.message import Message
@@ -177,7 +177,7 @@
     """A command whose forwarding timed out is forwarded a second time."""
     submit = CommandService.submit
 
-    def twice(self: CommandService, command: ForwardCommand, on_reply: OnReply) -> None:
+    def twice(self: CommandService, command: SubmittedCommand, on_reply: OnReply) -> None:
         def receive(result: Result[Json, ProposalRejected]) -> None:
             if isinstance(result, Err) and result.err_value is ProposalRejected.OUTCOME_UNKNOWN:
                 submit(self, command, on_reply)
--- a/tests/cluster/test_contact.py
+++ b/tests/cluster/test_contact.py
@@ -9,8 +9,13 @@
 from result import Ok
 
 from amberlug.cluster.consensus.log import PersistentState
-from amberlug.cluster.control.messages import ForwardCommand
 from amberlug.cluster.control.node import ControlNode
+from amberlug.cluster.control.submitted_commands import (
+    ConfigCall,
+    ReadState,
+    SubmitConfig,
+    SubmitRetirement,
+)
 from amberlug.cluster.dispatch.message import Message
 from amberlug.cluster.gossip import store
 from amberlug.cluster.interfaces import Reply
@@ -176,9 +181,9 @@
     core.raft._hold(2)
     core.raft._lead()  # what the leader before it committed is in its log, but not in its book yet
     said: list[Any] = []
-    core.executor.execute(ForwardCommand("replace", {"base": 5, "data": {"edition": 6}}), said.append)
-    core.executor.execute(ForwardCommand("retire", {"name": "store-0"}), said.append)
-    core.executor.execute(ForwardCommand("read", {}), said.append)
+    core.executor.execute(SubmitConfig(ConfigCall.REPLACE, 5, {"edition": 6}), said.append)
+    core.executor.execute(SubmitRetirement("store-0"), said.append)
+    core.executor.execute(ReadState(), said.append)
     assert said == []
     for commit in (0, 2):
         for to, word, body, then in world.asked[:]:
