--- a/amberlug/cluster/consensus/storage.py
+++ b/amberlug/cluster/consensus/storage.py
@@ -11,7 +11,9 @@
 
 from amberlug.cluster.consensus.log import PersistentState, assemble
 from amberlug.cluster.interfaces import Json
-from amberlug.cluster.storage.group_commit import GroupCommitWriter, Row, open_file
+from amberlug.cluster.storage.group_commit import GroupCommitWriter, open_file
+
+Row = tuple[str, tuple[Any, ...]]
 
 FORMAT = 1
 SCHEMA = """
@@ -81,7 +83,7 @@
 
 def open_raft_storage(
     folder: Path, blank: Callable[[], PersistentState], post: Callable[[Callable[[], None]], None]
-) -> tuple[PersistentState, GroupCommitWriter, bool]:
+) -> tuple[PersistentState, GroupCommitWriter[Row], bool]:
     """Open the folder's part of the log: what is saved, where to write, and whether it was begun anew.
 
     A folder that is damaged is set aside: what it holds can't be told from what it held, so its machine comes
--- a/amberlug/cluster/control/status.py
+++ b/amberlug/cluster/control/status.py
@@ -15,7 +15,7 @@
 from amberlug.cluster.control.sessions import Session
 from amberlug.cluster.http.api import HttpRequest, HttpResponse, RespondHttp, order
 from amberlug.cluster.interfaces import Json, Reply, RequestFailure, Respond, on
-from amberlug.cluster.node_status import DEAD_MOST
+from amberlug.cluster.storage.operator_messages import DEAD_MESSAGES_PER_PAGE as DEAD_MOST
 
 if TYPE_CHECKING:
     from amberlug.cluster.control.node import ControlNode
--- a/amberlug/cluster/interfaces.py
+++ b/amberlug/cluster/interfaces.py
@@ -113,7 +113,9 @@
 class Disk(Protocol):
     """Writes that last: `then` is called once they are synced, with None or what hindered it."""
 
-    def write(self, rows: list[tuple[str, tuple[Any, ...]]], then: Callable[[str | None], None]) -> None: ...
+    def write(
+        self, rows: list[tuple[str, tuple[Any, ...]]], then: Callable[[str | None], None], /
+    ) -> None: ...
 
 
 def on(word: str) -> Callable[[Callable[..., None]], Callable[..., None]]:
--- a/amberlug/cluster/node_status.py
+++ b/amberlug/cluster/node_status.py
@@ -10,9 +10,6 @@
 
 if TYPE_CHECKING:
     from amberlug.cluster.edge.node import EdgeNode
-    from amberlug.cluster.storage.node import StorageNode
-
-DEAD_MOST = 200  # messages on one page
 
 
 @dataclass(frozen=True, slots=True)
@@ -71,41 +68,3 @@
             "counts": edge.counts,
         }
         respond(told, b"")
-
-
-class StorageStatus:
-    """A store, as its operators see it."""
-
-    def __init__(self, store: StorageNode) -> None:
-        self._store = store
-
-    @on("status")
-    def on_status(self, body: Json, blob: bytes, origin: str, respond: Respond) -> None:
-        """How it stands."""
-        store = self._store
-        still = [it for it in store.kept.values() if not it.end]
-        told = {
-            "disk": store.disk,
-            "full": store.full,
-            "open": len(still),
-            "bytes": sum(it.size for it in still),
-            "dead": sum(it.end == "dead" for it in store.kept.values()),
-            "ended": len(store.kept) - len(still),
-            "counts": store.counts,
-        }
-        respond(told, b"")
-
-    @on("dead")
-    def on_dead(self, body: Json, blob: bytes, origin: str, respond: Respond) -> None:
-        """Messages that ended without success, by name: those behind `after`, or the one called `id`."""
-        kept = self._store.kept
-        if "id" in body:
-            names = [body["id"]] if body["id"] in kept else []
-        else:
-            names = [name for name in kept if name > body["after"]]
-        names = sorted(name for name in names if kept[name].end == "dead")
-        most = min(int(body.get("most", DEAD_MOST)), DEAD_MOST)
-        rows = [
-            [name, kept[name].meta, kept[name].size, round(kept[name].keep_until, 3)] for name in names[:most]
-        ]
-        respond({"rows": rows, "more": len(names) > most}, b"")
--- a/amberlug/cluster/simulation/disk.py
+++ b/amberlug/cluster/simulation/disk.py
@@ -4,7 +4,8 @@
 
 import json
 import random
-from collections.abc import Callable
+from collections.abc import Callable, Sequence
+from dataclasses import replace
 from functools import partial
 from typing import Any
 
@@ -15,9 +16,22 @@
 from amberlug.cluster.simulation.clock import Clock
 from amberlug.cluster.simulation.network import Incarnation
 from amberlug.cluster.storage import message_store
-from amberlug.cluster.storage.message_store import StoredContents, StoredMessage
-
-Row = tuple[str, tuple[Any, ...]]
+from amberlug.cluster.storage.failures import WriteFailure, WriteFailureReason
+from amberlug.cluster.storage.messages import DEAD_OUTCOME
+from amberlug.cluster.storage.records import (
+    DeletionRow,
+    EnrollmentRow,
+    FenceRow,
+    NewDiskRow,
+    OutcomeRow,
+    ReplicaRow,
+    StorageRow,
+    StoredContents,
+    StoredMessage,
+)
+
+Row = Any  # a disk model has rows of its own kind
+OUT_OF_SPACE = WriteFailure(WriteFailureReason.OUT_OF_SPACE)
 READ_S = 0.0005
 
 
@@ -37,7 +51,7 @@
     def put(self, rows: list[Row] | None, then: Callable[[Any], None]) -> None:
         """Queue a write, or with None a look behind the writes before it."""
         if rows is not None:
-            rows = [(kind, self.copied(kind, values)) for kind, values in rows]
+            rows = [self.copied(row) for row in rows]
         self._queue.append((rows, then))
         if not self._batch:
             self._begin()
@@ -58,12 +72,12 @@
             return
         batch, self._batch = self._batch, []
         for rows, then in batch:
-            if self.full and any(kind in ("put", "entry") for kind, _ in rows or ()):
-                then("no space is left")
+            if self.full and any(self.needs_space(row) for row in rows or ()):
+                then(OUT_OF_SPACE)
                 continue
             self._keep_all(rows or [])
             then(None)
-        if not self.full and any(kind in ("put", "entry") for rows, _ in batch for kind, _ in rows or ()):
+        if not self.full and any(self.needs_space(row) for rows, _ in batch for row in rows or ()):
             self.on_kept()
         if not self._batch:  # else what was told has asked for more already
             self._begin()
@@ -85,19 +99,23 @@
 
     def _keep_all(self, rows: list[Row]) -> None:
         self.digest.commit(self.name, self.execute, rows)
-        for kind, values in rows:
-            self.keep(kind, values)
+        for row in rows:
+            self.apply(row)
 
     def execute(self, base: Any, rows: list[Row]) -> None:
         """Execute the statements that write these rows, as the program does."""
         raise NotImplementedError
 
-    def copied(self, kind: str, values: tuple[Any, ...]) -> tuple[Any, ...]:
-        """A row's values as they are when they are written."""
+    def copied(self, row: Row) -> Row:
+        """A row as it is when it is written: what it refers to may change afterwards."""
         raise NotImplementedError
 
-    def keep(self, kind: str, values: tuple[Any, ...]) -> None:
-        """A row lasts."""
+    def needs_space(self, row: Row) -> bool:
+        """Whether a full disk rejects a row."""
+        raise NotImplementedError
+
+    def apply(self, row: Row) -> None:
+        """A row is durable."""
         raise NotImplementedError
 
 
@@ -134,8 +152,15 @@
         self._saved = None
         self._rows.clear()
 
-    def copied(self, kind: str, values: tuple[Any, ...]) -> tuple[Any, ...]:
-        return tuple(json.loads(json.dumps(values)))
+    def copied(self, row: Row) -> Row:
+        kind, values = row
+        return kind, tuple(json.loads(json.dumps(values)))
+
+    def needs_space(self, row: Row) -> bool:
+        return bool(row[0] == "entry")
+
+    def apply(self, row: Row) -> None:
+        self.keep(*row)
 
     def keep(self, kind: str, values: tuple[Any, ...]) -> None:
         saved = self._saved
@@ -166,58 +191,71 @@
         self.wipe()
 
     def execute(self, base: Any, rows: list[Row]) -> None:
-        message_store._work(base, rows)
+        message_store.execute_rows(base, rows)
 
     def wipe(self) -> None:
-        self._disk, self._enrolled = f"{self.chance.getrandbits(64):x}", 0
-        self._fences: dict[int, int] = {}
-        self._rows: dict[str, StoredMessage] = {}
-        self._bodies: dict[str, bytes] = {}
+        """Replace the disk by an empty one."""
+        self._disk_id, self._enrolled_index = f"{self.chance.getrandbits(64):x}", 0
+        self._fencing_tokens: dict[int, int] = {}
+        self._messages: dict[str, StoredMessage] = {}
+        self._contents: dict[str, bytes] = {}
 
     def begun(self) -> StoredContents:
         """What a process that starts reads."""
-        kept = {
-            name: StoredMessage(
-                it.shard, it.epoch, it.seq, dict(it.meta), it.size, it.end, it.seal, it.keep_until
-            )
-            for name, it in self._rows.items()
+        messages = {
+            message_id: replace(message, metadata=dict(message.metadata))
+            for message_id, message in self._messages.items()
         }
-        return StoredContents(self._disk, dict(self._fences), kept, self._enrolled)
-
-    def copied(self, kind: str, values: tuple[Any, ...]) -> tuple[Any, ...]:
-        return values
-
-    def keep(self, kind: str, values: tuple[Any, ...]) -> None:
-        if kind == "put":
-            name, shard, epoch, seq, meta, body = values
-            self._rows[name] = StoredMessage(shard, epoch, seq, meta, len(body))
-            self._bodies[name] = body
-        elif kind == "end":
-            name, shard, end, seal, at = values
-            row = self._rows.setdefault(name, StoredMessage(shard, 0, 0, {}, 0))
-            row.end, row.seal, row.keep_until = end, seal, at
-            if end != "dead":
-                self._bodies.pop(name, None)
-        elif kind == "fence":
-            self._fences[values[0]] = values[1]
-        elif kind == "enrolled":
-            self._enrolled = values[0]
-        elif kind == "anew":
-            self._disk, self._enrolled = values[0], 0
-            self._rows.clear()
-            self._bodies.clear()
-            self.on_anew()
-        else:
-            self._rows.pop(values[0], None)
-            self._bodies.pop(values[0], None)
+        return StoredContents(self._disk_id, dict(self._fencing_tokens), messages, self._enrolled_index)
+
+    def copied(self, row: StorageRow) -> StorageRow:
+        return row
+
+    def needs_space(self, row: StorageRow) -> bool:
+        return isinstance(row, ReplicaRow)
+
+    def apply(self, row: StorageRow) -> None:
+        match row:
+            case ReplicaRow():
+                self._apply_replica(row)
+            case OutcomeRow():
+                self._apply_outcome(row)
+            case FenceRow(shard, epoch):
+                self._fencing_tokens[shard] = epoch
+            case EnrollmentRow(roster_index):
+                self._enrolled_index = roster_index
+            case NewDiskRow(disk_id):
+                self._disk_id, self._enrolled_index = disk_id, 0
+                self._messages.clear()
+                self._contents.clear()
+                self.on_anew()
+            case DeletionRow(message_id):
+                self._messages.pop(message_id, None)
+                self._contents.pop(message_id, None)
+
+    def _apply_replica(self, row: ReplicaRow) -> None:
+        self._messages[row.message_id] = StoredMessage(
+            row.shard, row.accepted_epoch, row.sequence, row.metadata, len(row.content)
+        )
+        self._contents[row.message_id] = row.content
+
+    def _apply_outcome(self, row: OutcomeRow) -> None:
+        message = self._messages.setdefault(row.message_id, StoredMessage(row.shard, 0, 0, {}, 0))
+        message.outcome, message.retain_until = row.outcome, row.retain_until
+        if row.outcome.status != DEAD_OUTCOME:
+            self._contents.pop(row.message_id, None)
 
     def holds(self, name: str) -> tuple[bool, bool]:
-        """Whether a message lasts here as an open one, and whether its end does."""
-        row = self._rows.get(name)
-        return row is not None and not row.end, row is not None and bool(row.end)
+        """Whether a message is durable here as an open one, and whether its outcome is."""
+        message = self._messages.get(name)
+        return (
+            message is not None and message.outcome.is_open,
+            message is not None and not message.outcome.is_open,
+        )
 
-    def bodies(self, names: list[str]) -> dict[str, bytes]:
-        return {name: self._bodies[name] for name in names if name in self._bodies}
+    def bodies(self, names: Sequence[str]) -> dict[str, bytes]:
+        """The bodies of messages, as far as they are here."""
+        return {name: self._contents[name] for name in names if name in self._contents}
 
 
 class ProcessDisk:
@@ -226,9 +264,9 @@
     def __init__(self, life: Incarnation, disk_model: SimulatedDisk) -> None:
         self.life, self.disk_model = life, disk_model
 
-    def write(self, rows: list[Row], then: Callable[[str | None], None]) -> None:
+    def write(self, rows: Sequence[Row], then: Callable[[WriteFailure | None], None]) -> None:
         if not self.life.over:  # it may end in the midst of something
-            self.disk_model.put(rows, lambda error: self.life.do(partial(then, error)))
+            self.disk_model.put(list(rows), lambda error: self.life.do(partial(then, error)))
 
 
 class ProcessMessageDisk(ProcessDisk):
@@ -238,5 +276,5 @@
         super().__init__(life, message_disk)
         self.message_disk = message_disk
 
-    def read(self, names: list[str], then: Callable[[dict[str, bytes]], None]) -> None:
+    def read(self, names: Sequence[str], then: Callable[[dict[str, bytes]], None]) -> None:
         self.disk_model.put(None, lambda _: self.life.do(lambda: then(self.message_disk.bodies(names))))
--- a/amberlug/cluster/simulation/mutations.py
+++ b/amberlug/cluster/simulation/mutations.py
@@ -33,7 +33,7 @@
     mutations_partitions,
     mutations_voters,
 )
-from amberlug.cluster.storage.node import StorageNode
+from amberlug.cluster.storage.records import StoredContents
 
 Mutant = Callable[[], AbstractContextManager[Any]]
 
@@ -64,7 +64,7 @@
 
 def _no_fence() -> AbstractContextManager[Any]:
     """A take-over without a fence."""
-    return patch.object(StorageNode, "_fenced", lambda self, shard, epoch: False)
+    return patch.object(StoredContents, "is_fenced", lambda self, shard, epoch: False)
 
 
 def _drain_alone() -> AbstractContextManager[Any]:
--- a/amberlug/cluster/simulation/mutations_losses.py
+++ b/amberlug/cluster/simulation/mutations_losses.py
@@ -13,7 +13,8 @@
 from amberlug.cluster.dispatch.shard_owner import ShardOwner
 from amberlug.cluster.edge.node import EdgeNode
 from amberlug.cluster.interfaces import Json
-from amberlug.cluster.storage.node import StorageNode
+from amberlug.cluster.storage.enrollment import Enrollment
+from amberlug.cluster.storage.records import FenceRow
 
 
 def _retire_short() -> AbstractContextManager[Any]:
@@ -60,10 +61,10 @@
 def _old_epoch() -> AbstractContextManager[Any]:
     """A store that joins takes puts of whoever owned shards before."""
 
-    def joins(self: StorageNode, table: int) -> list[Any]:
+    def fence_nobody(self: Enrollment, table_index: int) -> list[FenceRow]:
         return []
 
-    return patch.object(StorageNode, "_joins", joins)
+    return patch.object(Enrollment, "_fence_earlier_owners", fence_nobody)
 
 
 def _unfenced_drop() -> AbstractContextManager[Any]:
--- a/amberlug/cluster/storage/group_commit.py
+++ b/amberlug/cluster/storage/group_commit.py
@@ -1,102 +1,159 @@
-"""A sqlite3 file written by a thread of its own: what has piled up is committed together and synced once."""
+"""Group commit: a sqlite file with a thread of its own, in which queued writes share one synced transaction.
+
+A sync costs milliseconds whatever it writes. While one is under way further writes queue up, and the next
+transaction takes them together: throughput grows with load at the latency of two syncs.
+"""
 
 from __future__ import annotations
 
 import queue
 import sqlite3
 import threading
-from collections.abc import Callable
+from collections.abc import Callable, Sequence
+from dataclasses import dataclass
+from functools import partial
 from pathlib import Path
-from typing import Any
+from typing import Generic, TypeVar
+
+from amberlug.cluster.storage.failures import WriteFailure, WriteFailureReason
 
-Row = tuple[str, tuple[Any, ...]]
-Work = Callable[[sqlite3.Connection, list[Row]], None]
-Done = Callable[[str | None], None]
+MAX_WRITES_PER_COMMIT = 256  # bounds how long the first write of a commit waits for the others
+THREAD_NAME = "group-commit"
+PRIMARY_RESULT_CODE = 0xFF  # mask: the upper bits of a result code of sqlite are its extension
+FAILURE_REASONS = {
+    sqlite3.SQLITE_FULL: WriteFailureReason.OUT_OF_SPACE,
+    sqlite3.SQLITE_IOERR: WriteFailureReason.IO_ERROR,
+}
 
-GATHER = 256  # writes of one commit
+RowT = TypeVar("RowT")
+ResultT = TypeVar("ResultT")
+Callback = Callable[[], None]
+OnWritten = Callable[[WriteFailure | None], None]
 
 
 def open_file(path: Path, schema: str) -> sqlite3.Connection:
-    """Open or make it; WAL without shared memory, and every commit synced."""
-    base = sqlite3.connect(path, isolation_level=None, check_same_thread=False)
-    base.execute("pragma locking_mode=exclusive")  # before the first access: no shared-memory file is made
-    base.execute("pragma journal_mode=wal")
-    base.execute("pragma synchronous=full")
-    base.execute("pragma wal_autocheckpoint=400")
-    base.executescript(schema)
-    return base
+    """Open a database file, or make it.
+
+    It is in WAL mode without shared memory: one process has it open. Each commit is synced before it returns.
+
+    :param schema: statements that create what is missing.
+    :raises sqlite3.Error: where the file can't be opened or is no database.
+    """
+    database = sqlite3.connect(path, isolation_level=None, check_same_thread=False)
+    # Before the first access, so that no shared-memory file is made.
+    database.execute("pragma locking_mode=exclusive")
+    database.execute("pragma journal_mode=wal")
+    database.execute("pragma synchronous=full")
+    database.execute("pragma wal_autocheckpoint=400")
+    database.executescript(schema)
+    return database
+
+
+def write_failure(error: sqlite3.Error) -> WriteFailure:
+    """Classify an error of sqlite."""
+    code = getattr(error, "sqlite_errorcode", 0) & PRIMARY_RESULT_CODE
+    reason = FAILURE_REASONS.get(code, WriteFailureReason.DATABASE_ERROR)
+    return WriteFailure(reason, f"{type(error).__name__}: {error}")
+
+
+@dataclass(frozen=True, slots=True)
+class _Write(Generic[RowT]):
+    rows: Sequence[RowT]
+    on_done: OnWritten
+
+
+def _notify(batch: Sequence[_Write[RowT]], failure: WriteFailure | None) -> None:
+    for write in batch:
+        write.on_done(failure)
+
+
+class GroupCommitWriter(Generic[RowT]):
+    """Writes and queries of one database, in the order of the calls.
+
+    Threading: `write`, `query` and `close` are called by one thread, that of the node. The database belongs
+    to the writer's own thread from the construction to the end of `close`. Callbacks are given to `post`,
+    which brings them back to the node's thread; they run in the order of the calls.
 
+    Durability: the rows of one `write` are in one transaction. Its callback gets None only after the
+    transaction was synced; with a failure none of its rows is there. After a crash the file contains a prefix
+    of the writes that had not failed.
 
-class GroupCommitWriter:
-    """Takes writes and looks in order; `post` brings each one's end back to the thread that wrote."""
+    :param execute_rows: executes the statements of rows; it raises `sqlite3.Error` where one fails.
+    :param post: runs a callback on the node's thread.
+    """
 
     def __init__(
-        self, base: sqlite3.Connection, work: Work, post: Callable[[Callable[[], None]], None]
+        self,
+        database: sqlite3.Connection,
+        execute_rows: Callable[[sqlite3.Connection, list[RowT]], None],
+        post: Callable[[Callback], None],
     ) -> None:
-        self._base, self._work, self._post = base, work, post
-        self._queue: queue.SimpleQueue[tuple[list[Row], Done] | Callable[[], None] | None] = (
-            queue.SimpleQueue()
-        )
-        self._thread = threading.Thread(target=self._run, name="cabinet", daemon=True)
+        self._database, self._execute_rows, self._post = database, execute_rows, post
+        self._queue: queue.SimpleQueue[_Write[RowT] | Callback | None] = queue.SimpleQueue()
+        self._thread = threading.Thread(target=self._run, name=THREAD_NAME, daemon=True)
         self._thread.start()
         self.commits = 0
 
-    def write(self, rows: list[Row], then: Done) -> None:
-        """Write; `then` is called once it is synced, or with what hindered it."""
-        self._queue.put((rows, then))
+    def write(self, rows: Sequence[RowT], on_done: OnWritten) -> None:
+        """Queue rows for the next transaction.
 
-    def look(self, query: Callable[[sqlite3.Connection], Any], then: Callable[[Any], None]) -> None:
-        """Run a query behind what was written before it; `then` hears what it found."""
+        :param on_done: called once they are synced, or with the reason why none of them is there.
+        """
+        self._queue.put(_Write(rows, on_done))
 
-        def run() -> None:
-            found = query(self._base)
-            self._post(lambda: then(found))
+    def query(
+        self, run_query: Callable[[sqlite3.Connection], ResultT], on_result: Callable[[ResultT], None]
+    ) -> None:
+        """Queue a query; it sees all writes that were queued before it."""
+        self._queue.put(partial(self._run_query, run_query, on_result))
+
+    def close(self) -> None:
+        """Write what is queued, then end the thread and close the database."""
+        self._queue.put(None)
+        self._thread.join()
+        self._database.close()
 
-        self._queue.put(run)
+    def _run_query(
+        self, run_query: Callable[[sqlite3.Connection], ResultT], on_result: Callable[[ResultT], None]
+    ) -> None:
+        self._post(partial(on_result, run_query(self._database)))
 
     def _run(self) -> None:
+        """Serve the queue until `close`: runs of writes as one transaction each, queries one by one."""
         while True:
-            batch: list[tuple[list[Row], Done]] = []
+            batch: list[_Write[RowT]] = []
             item = self._queue.get()
-            while isinstance(item, tuple):
+            while isinstance(item, _Write):
                 batch.append(item)
-                if len(batch) >= GATHER or self._queue.empty():
+                if len(batch) >= MAX_WRITES_PER_COMMIT or self._queue.empty():
                     break
                 item = self._queue.get()
             if batch:
                 self._commit(batch)
             if item is None:
                 return
-            if not isinstance(item, tuple):
+            if not isinstance(item, _Write):
                 item()
 
-    def _commit(self, batch: list[tuple[list[Row], Done]]) -> None:
-        error: str | None = None
-        rows = [row for more, _ in batch for row in more]
-        if rows:
-            try:
-                self._base.execute("begin immediate")
-                self._work(self._base, rows)
-                self._base.execute("commit")
-                self.commits += 1
-            except sqlite3.Error as problem:
-                error = f"{type(problem).__name__}: {problem}"
-                if self._base.in_transaction:
-                    self._base.execute("rollback")
-        if error is not None and len(batch) > 1:
-            for one in batch:  # one write that can't be done must not fail its neighbours
-                self._commit([one])
+    def _commit(self, batch: list[_Write[RowT]]) -> None:
+        """Commit writes together; where that fails, each on its own, so that one does not fail the others."""
+        failure = self._try_commit([row for write in batch for row in write.rows])
+        if failure is not None and len(batch) > 1:
+            for write in batch:
+                self._commit([write])
             return
-        ends = [then for _, then in batch]
-
-        def tell() -> None:
-            for then in ends:
-                then(error)
-
-        self._post(tell)
-
-    def close(self) -> None:
-        """Write what is queued, then end."""
-        self._queue.put(None)
-        self._thread.join()
-        self._base.close()
+        self._post(partial(_notify, batch, failure))
+
+    def _try_commit(self, rows: list[RowT]) -> WriteFailure | None:
+        if not rows:
+            return None
+        try:
+            self._database.execute("begin immediate")
+            self._execute_rows(self._database, rows)
+            self._database.execute("commit")
+        except sqlite3.Error as error:
+            if self._database.in_transaction:
+                self._database.execute("rollback")
+            return write_failure(error)
+        self.commits += 1
+        return None
--- a/amberlug/cluster/storage/message_store.py
+++ b/amberlug/cluster/storage/message_store.py
@@ -1,19 +1,36 @@
-"""A store's messages on disk: what is open with its body, what has ended, and the fences of shards."""
+"""The file of a storage node: open messages with their bodies, outcomes of ended ones, fencing tokens.
+
+All SQL of a storage node is here. Each open message has a checksum over its body and its metadata: a row that
+is damaged is skipped, as if its replica were lost.
+"""
 
 from __future__ import annotations
 
 import json
 import sqlite3
 import zlib
-from collections.abc import Callable
-from dataclasses import dataclass, field
+from collections.abc import Callable, Sequence
 from pathlib import Path
-from typing import Any
-
-from amberlug.cluster.interfaces import Json
-from amberlug.cluster.storage.group_commit import GroupCommitWriter, Row, open_file
-
-FORMAT = 1
+from typing import NamedTuple
+
+from amberlug.cluster.storage.failures import WriteFailure
+from amberlug.cluster.storage.group_commit import GroupCommitWriter, open_file
+from amberlug.cluster.storage.messages import DEAD_OUTCOME, MessageOutcome
+from amberlug.cluster.storage.records import (
+    DeletionRow,
+    EnrollmentRow,
+    FenceRow,
+    NewDiskRow,
+    OutcomeRow,
+    ReplicaRow,
+    StorageRow,
+    StoredContents,
+    StoredMessage,
+)
+
+FILE_NAME = "chest.db"  # the name is historical: folders of earlier versions have it
+FILE_SUFFIXES = ("", "-wal")
+FORMAT = 1  # a file of another format is replaced by an empty one
 SCHEMA = """
 create table if not exists about (name text primary key, value text not null);
 create table if not exists fence (shard integer primary key, epoch integer not null);
@@ -25,136 +42,194 @@
 """
 
 
-@dataclass(slots=True)
-class StoredMessage:
-    """What a store knows of a message without its body; `end` is empty while it is open."""
-
+def _checksum(message_id: str, shard: int, metadata_text: str, content: bytes) -> int:
+    return zlib.crc32(content, zlib.crc32(f"{message_id} {shard} {metadata_text}".encode()))
+
+
+def execute_rows(database: sqlite3.Connection, rows: Sequence[StorageRow]) -> None:
+    """Execute the statements that write rows, in their order.
+
+    :raises sqlite3.Error: where one fails.
+    """
+    for row in rows:
+        _execute_row(database, row)
+
+
+def _execute_row(database: sqlite3.Connection, row: StorageRow) -> None:
+    match row:
+        case ReplicaRow():
+            _write_replica(database, row)
+        case OutcomeRow():
+            _write_outcome(database, row)
+        case FenceRow(shard, epoch):
+            database.execute("insert or replace into fence values (?, ?)", (shard, epoch))
+        case EnrollmentRow(roster_index):
+            database.execute("insert or replace into about values ('enrolled', ?)", (roster_index,))
+        case NewDiskRow(disk_id):
+            database.execute("delete from message")
+            database.execute("delete from about where name = 'enrolled'")
+            database.execute("insert or replace into about values ('disk', ?)", (disk_id,))
+        case DeletionRow(message_id):
+            database.execute("delete from message where id = ?", (message_id,))
+
+
+def _write_replica(database: sqlite3.Connection, row: ReplicaRow) -> None:
+    metadata_text = json.dumps(row.metadata, separators=(",", ":"))
+    checksum = _checksum(row.message_id, row.shard, metadata_text, row.content)
+    database.execute(
+        "insert or replace into message values (?, ?, ?, ?, ?, ?, ?, '', '', 0)",
+        (
+            row.message_id,
+            row.shard,
+            row.accepted_epoch,
+            row.sequence,
+            metadata_text,
+            row.content,
+            checksum,
+        ),
+    )
+
+
+def _write_outcome(database: sqlite3.Connection, row: OutcomeRow) -> None:
+    status, receipt = row.outcome.status, row.outcome.receipt
+    delete_content = "" if status == DEAD_OUTCOME else ", body = null"
+    cursor = database.execute(
+        f"update message set end = ?, seal = ?, keep_until = ?{delete_content} where id = ?",
+        (status, receipt, row.retain_until, row.message_id),
+    )
+    if cursor.rowcount == 0:
+        database.execute(
+            "insert into message values (?, ?, 0, 0, '{}', null, 0, ?, ?, ?)",
+            (row.message_id, row.shard, status, receipt, row.retain_until),
+        )
+
+
+class _MessageColumns(NamedTuple):
+    """One row of the table `message`, in the order of its columns."""
+
+    id: str
     shard: int
     epoch: int
     seq: int
-    meta: Json
-    size: int
-    end: str = ""
-    seal: str = ""
-    keep_until: float = 0.0  # time of day: an end is told until then, and while a copy might be found open
-    lasts: bool = True  # whether the disk has it, and is not only about to
-
-    def place(self) -> tuple[int, int, int]:
-        """Its shard, and its order there."""
-        return self.shard, self.epoch, self.seq
-
-
-@dataclass(slots=True)
-class StoredContents:
-    """What is on a store's disk at its start."""
-
-    disk: str
-    fences: dict[int, int] = field(default_factory=dict)
-    kept: dict[str, StoredMessage] = field(default_factory=dict)
-    enrolled: int = 0
-    spoilt: list[str] = field(default_factory=list)  # rows whose check sum is wrong: as if they weren't here
-
-
-def _sum(name: str, shard: int, meta: str, body: bytes) -> int:
-    return zlib.crc32(body, zlib.crc32(f"{name} {shard} {meta}".encode()))
-
-
-def _work(base: sqlite3.Connection, rows: list[Row]) -> None:
-    for kind, values in rows:
-        if kind == "put":
-            name, shard, epoch, seq, meta, body = values
-            text = json.dumps(meta, separators=(",", ":"))
-            base.execute(
-                "insert or replace into message values (?, ?, ?, ?, ?, ?, ?, '', '', 0)",
-                (name, shard, epoch, seq, text, body, _sum(name, shard, text, body)),
-            )
-        elif kind == "end":
-            name, shard, end, seal, at = values
-            keep = "" if end == "dead" else ", body = null"
-            done = base.execute(
-                f"update message set end = ?, seal = ?, keep_until = ?{keep} where id = ?",
-                (end, seal, at, name),
-            )
-            if done.rowcount == 0:
-                base.execute(
-                    "insert into message values (?, ?, 0, 0, '{}', null, 0, ?, ?, ?)",
-                    (name, shard, end, seal, at),
-                )
-        elif kind == "fence":
-            base.execute("insert or replace into fence values (?, ?)", values)
-        elif kind == "enrolled":
-            base.execute("insert or replace into about values ('enrolled', ?)", values)
-        elif kind == "anew":
-            base.execute("delete from message")
-            base.execute("delete from about where name = 'enrolled'")
-            base.execute("insert or replace into about values ('disk', ?)", values)
-        elif kind == "drop":
-            base.execute("delete from message where id = ?", values)
-
-
-def _load(base: sqlite3.Connection, about: dict[str, Any]) -> StoredContents:
-    contents = StoredContents(about["disk"], dict(base.execute("select shard, epoch from fence")))
-    contents.enrolled = int(about.get("enrolled", 0))
-    columns = "id, shard, epoch, seq, meta, body, sum, end, seal, keep_until"
-    for name, shard, epoch, seq, meta, body, total, end, seal, at in base.execute(
-        f"select {columns} from message"
-    ):
-        if not end and (body is None or _sum(name, shard, meta, body) != total):
-            contents.spoilt.append(name)
-            continue
-        size = len(body) if body is not None else 0
-        contents.kept[name] = StoredMessage(shard, epoch, seq, json.loads(meta), size, end, seal, at)
+    meta: str
+    body: bytes | None
+    sum: int
+    end: str
+    seal: str
+    keep_until: float
+
+    @property
+    def is_corrupt(self) -> bool:
+        """Whether an open message is not what was written; the body of an ended one is deleted."""
+        if self.end:
+            return False
+        return self.body is None or _checksum(self.id, self.shard, self.meta, self.body) != self.sum
+
+    def to_message(self) -> StoredMessage:
+        """Decode the columns, but for the body."""
+        return StoredMessage(
+            self.shard,
+            self.epoch,
+            self.seq,
+            json.loads(self.meta),
+            len(self.body) if self.body is not None else 0,
+            MessageOutcome(self.end, self.seal),
+            self.keep_until,
+        )
+
+
+def _load(database: sqlite3.Connection, about: dict[str, str]) -> StoredContents:
+    contents = StoredContents(about["disk"], dict(database.execute("select shard, epoch from fence")))
+    contents.enrolled_index = int(about.get("enrolled", 0))
+    columns = ", ".join(_MessageColumns._fields)
+    for values in database.execute(f"select {columns} from message"):
+        row = _MessageColumns(*values)
+        if row.is_corrupt:
+            contents.corrupt_ids.append(row.id)
+        else:
+            contents.messages[row.id] = row.to_message()
     return contents
 
 
+def _read_contents(database: sqlite3.Connection, message_ids: Sequence[str]) -> dict[str, bytes]:
+    found = {}
+    for message_id in message_ids:
+        row = database.execute(
+            "select shard, meta, body, sum from message where id = ?", (message_id,)
+        ).fetchone()
+        if row is None:
+            continue
+        shard, metadata_text, content, checksum = row
+        if content is not None and _checksum(message_id, shard, metadata_text, content) == checksum:
+            found[message_id] = bytes(content)
+    return found
+
+
 class MessageStore:
-    """Writes and reads of one store's disk, in a thread of its own."""
+    """The writes and reads of one disk; see `GroupCommitWriter` for threads and durability.
+
+    :param post: runs a callback on the node's thread.
+    """
 
-    def __init__(self, base: sqlite3.Connection, post: Callable[[Callable[[], None]], None]) -> None:
-        self._cabinet = GroupCommitWriter(base, _work, post)
-        self.write = self._cabinet.write
+    def __init__(self, database: sqlite3.Connection, post: Callable[[Callable[[], None]], None]) -> None:
+        self._writer: GroupCommitWriter[StorageRow] = GroupCommitWriter(database, execute_rows, post)
 
-    def read(self, names: list[str], then: Callable[[dict[str, bytes]], None]) -> None:
-        """The bodies of messages, as far as they are there whole."""
+    def write(self, rows: Sequence[StorageRow], on_done: Callable[[WriteFailure | None], None]) -> None:
+        """Write rows in one transaction.
 
-        def look(base: sqlite3.Connection) -> dict[str, bytes]:
-            found = {}
-            for name in names:
-                row = base.execute(
-                    "select shard, meta, body, sum from message where id = ?", (name,)
-                ).fetchone()
-                if row is not None and row[2] is not None and _sum(name, row[0], row[1], row[2]) == row[3]:
-                    found[name] = bytes(row[2])
-            return found
+        :param on_done: called once they are synced, or with the reason why none of them is there.
+        """
+        self._writer.write(rows, on_done)
 
-        self._cabinet.look(look, then)
+    def read(self, message_ids: Sequence[str], on_read: Callable[[dict[str, bytes]], None]) -> None:
+        """Read bodies behind the writes before; those that are missing or damaged are left out."""
+        self._writer.query(lambda database: _read_contents(database, message_ids), on_read)
 
     def close(self) -> None:
-        self._cabinet.close()
+        """Write what is queued, then close the file."""
+        self._writer.close()
+
+
+class OpenedMessageStore(NamedTuple):
+    """A storage node's disk: what is on it, and where to write."""
+
+    contents: StoredContents
+    store: MessageStore
 
 
 def open_message_store(
-    folder: Path, new_disk: Callable[[], str], post: Callable[[Callable[[], None]], None]
-) -> tuple[StoredContents, MessageStore]:
-    """Open a store's folder. One that can't be read is begun anew: it is another disk then."""
+    folder: Path, new_disk_id: Callable[[], str], post: Callable[[Callable[[], None]], None]
+) -> OpenedMessageStore:
+    """Open the file in a storage node's folder, or begin it.
+
+    A file that can't be read is replaced by an empty one. It counts as another disk then: the roster still
+    has the old one, whose replicas are lost.
+
+    :param new_disk_id: gives the name of a disk that is begun.
+    :param post: runs a callback on the node's thread.
+    """
     folder.mkdir(parents=True, exist_ok=True)
-    path = folder / "chest.db"
-    about: dict[str, Any] = {}
-    base = sqlite3.connect(":memory:")
+    path = folder / FILE_NAME
+    database = sqlite3.connect(":memory:")
     try:
-        base = open_file(path, SCHEMA)
-        about = dict(base.execute("select name, value from about"))
+        database = open_file(path, SCHEMA)
+        about = dict(database.execute("select name, value from about"))
         if about.get("format") == str(FORMAT):
-            return _load(base, about), MessageStore(base, post)
+            return OpenedMessageStore(_load(database, about), MessageStore(database, post))
+        is_unreadable = bool(about)
     except (sqlite3.Error, ValueError):
-        about = {"spoilt": True}
-    if about:
-        base.close()
-        for suffix in ("", "-wal"):
-            (folder / f"chest.db{suffix}").unlink(missing_ok=True)
-        base = open_file(path, SCHEMA)
-    disk = new_disk()
-    base.execute("begin immediate")
-    base.executemany("insert into about values (?, ?)", [("format", str(FORMAT)), ("disk", disk)])
-    base.execute("commit")
-    return StoredContents(disk), MessageStore(base, post)
+        is_unreadable = True
+    if is_unreadable:
+        database.close()
+        for suffix in FILE_SUFFIXES:
+            (folder / f"{FILE_NAME}{suffix}").unlink(missing_ok=True)
+        database = open_file(path, SCHEMA)
+    disk_id = new_disk_id()
+    _begin_disk(database, disk_id)
+    return OpenedMessageStore(StoredContents(disk_id), MessageStore(database, post))
+
+
+def _begin_disk(database: sqlite3.Connection, disk_id: str) -> None:
+    database.execute("begin immediate")
+    database.executemany("insert into about values (?, ?)", [("format", str(FORMAT)), ("disk", disk_id)])
+    database.execute("commit")
--- a/amberlug/cluster/storage/messages.py
+++ b/amberlug/cluster/storage/messages.py
@@ -25,7 +25,8 @@
 class MessageOutcome:
     """How a message ended: an empty status while it is open, and the receipt of a success.
 
-    The receipt names the endpoint and the call that succeeded; on the wire and on disk it is called `seal`.
+    The receipt is what the endpoint gave with its success, in the header `amberlug-server-seal`; on the wire
+    and on disk it is called `seal`.
     """
 
     status: str = ""
--- a/amberlug/cluster/storage/operator_messages.py
+++ b/amberlug/cluster/storage/operator_messages.py
@@ -56,6 +56,12 @@
     after: str = ""
     limit: int = DEAD_MESSAGES_PER_PAGE  # messages on the page
 
+    def includes(self, message_id: str) -> bool:
+        """Whether a message is one of those that are asked for."""
+        if self.message_id is not None:
+            return message_id == self.message_id
+        return message_id > self.after
+
     def to_wire(self) -> Json:
         """Either the one name, or where the page begins and how long it may be."""
         if self.message_id is not None:
--- /dev/null
+++ b/amberlug/cluster/storage/replica_service.py
@@ -0,0 +1,286 @@
+"""Replicas of messages on a storage node: written, acknowledged, fenced, looked up, and deleted. No I/O.
+
+Invariants:
+
+- A write is confirmed only once its row is synced.
+- Once a fence is confirmed, replicas from owners with a smaller epoch are rejected, and the reply to the
+  fence lists every open replica that was confirmed before. So a new owner that has fenced enough storage
+  nodes knows every open message that its predecessors have confirmed.
+- An outcome is a fact: no fence stands against it, and the first one stays.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Mapping
+from dataclasses import dataclass
+from functools import partial
+
+from absl import logging
+
+from amberlug.cluster.interfaces import Runtime
+from amberlug.cluster.rpc.messages import Responder, handles
+from amberlug.cluster.storage.failures import WriteFailure
+from amberlug.cluster.storage.messages import (
+    DEAD_OUTCOME,
+    OPEN,
+    AcknowledgeReply,
+    AcknowledgeRequest,
+    ContentReply,
+    ContentRequest,
+    FenceReply,
+    FenceRequest,
+    OpenMessage,
+    OutcomesReply,
+    OutcomesRequest,
+    ReplicaWriteReply,
+    ReplicaWriteRequest,
+    ReplicaWriteResult,
+)
+from amberlug.cluster.storage.records import (
+    DeletionRow,
+    DurableStore,
+    FenceRow,
+    OutcomeRow,
+    ReplicaRow,
+    StorageRow,
+    StoredContents,
+    StoredMessage,
+)
+
+EXPIRY_INTERVAL_S = 2.0  # between searches for outcomes that nobody needs any more
+INCLUDED_CONTENT_BYTES = (
+    1 << 20
+)  # of bodies in the reply to a fence; larger frames delay what comes after them
+
+
+def ignore_failure(failure: WriteFailure | None) -> None:
+    """Do nothing at the end of a write that is done again if it is lost."""
+
+
+@dataclass(frozen=True, slots=True)
+class _PendingWrite:
+    """A replica whose row is being written."""
+
+    message_id: str
+    message: StoredMessage
+    disk_id: str
+    respond: Responder
+
+
+@dataclass(frozen=True, slots=True)
+class _PendingFence:
+    """A fence whose rows are being written, and the open messages that its reply will list."""
+
+    rejected: dict[int, int]  # by shard: the larger token that it has
+    candidates: dict[str, StoredMessage]
+    respond: Responder
+
+
+class ReplicaService:
+    """The replicas of one storage node.
+
+    :param contents: the state of the disk, shared with the parts of the node that read it.
+    :param store: the disk.
+    """
+
+    def __init__(self, runtime: Runtime, contents: StoredContents, store: DurableStore) -> None:
+        self.contents, self.counters = contents, dict[str, int]()
+        self.is_full = False  # whether the disk did not take the newest replica
+        self._runtime, self._store = runtime, store
+
+    def begin(self) -> None:
+        """Start to delete outcomes whose time has passed."""
+        self._runtime.call_later(EXPIRY_INTERVAL_S, self._delete_expired)
+
+    def _count(self, name: str, increment: int = 1) -> None:
+        self.counters[name] = self.counters.get(name, 0) + increment
+
+    # -- writing
+
+    @handles(ReplicaWriteRequest)
+    def on_replica_write(self, request: ReplicaWriteRequest, origin: str, respond: Responder) -> None:
+        """Store a replica; the reply says that it is durable, or why it is not."""
+        reply = self._reply_without_write(request)
+        if reply is not None:
+            respond(reply)
+            return
+        known = self.contents.messages.get(request.message_id)
+        message = StoredMessage(
+            request.shard,
+            # A replica that a later owner repairs keeps the position at which the message was accepted.
+            request.accepted_epoch,
+            request.sequence,
+            request.metadata,
+            len(request.content),
+            is_durable=known is not None and known.is_durable,
+        )
+        # Before it is durable, so that a new owner whose fence comes now finds it.
+        self.contents.messages[request.message_id] = message
+        row = ReplicaRow(
+            request.message_id,
+            request.shard,
+            request.accepted_epoch,
+            request.sequence,
+            request.metadata,
+            request.content,
+        )
+        pending = _PendingWrite(request.message_id, message, self.contents.disk_id, respond)
+        self._store.write([row], partial(self._on_replica_written, pending))
+
+    def _reply_without_write(self, request: ReplicaWriteRequest) -> ReplicaWriteReply | None:
+        """Reply to a replica that is rejected, or whose message has ended; None where it is to be written."""
+        contents = self.contents
+        if contents.is_fenced(request.shard, request.epoch):
+            self._count("fenced")
+            token = contents.fencing_tokens[request.shard]
+            return ReplicaWriteReply(ReplicaWriteResult.FENCED, fencing_token=token)
+        if not contents.enrolled_index:
+            self._count("put before it is enrolled")
+            return ReplicaWriteReply(ReplicaWriteResult.NOT_ENROLLED)
+        known = contents.messages.get(request.message_id)
+        if known is not None and not known.outcome.is_open:
+            return ReplicaWriteReply(ReplicaWriteResult.STORED, contents.disk_id, known.outcome)
+        return None
+
+    def _on_replica_written(self, pending: _PendingWrite, failure: WriteFailure | None) -> None:
+        if pending.disk_id != self.contents.disk_id:  # the disk was emptied meanwhile, this replica with it
+            pending.respond(ReplicaWriteReply(ReplicaWriteResult.NOT_ENROLLED))
+        elif failure is None:
+            self.is_full = False
+            self._count("put")
+            # A second write of the same message may have failed meanwhile, and removed what this one stored.
+            self.contents.messages.setdefault(pending.message_id, pending.message).is_durable = True
+            pending.respond(ReplicaWriteReply(ReplicaWriteResult.STORED, pending.disk_id))
+        else:
+            self._on_replica_failed(pending, failure)
+
+    def _on_replica_failed(self, pending: _PendingWrite, failure: WriteFailure) -> None:
+        if not self.is_full:
+            logging.error("a replica can't be stored: %s", failure)
+        self.is_full = True
+        message = self.contents.messages.get(pending.message_id)
+        if message is not None and not message.is_durable and message.outcome.is_open:
+            del self.contents.messages[pending.message_id]
+        pending.respond(ReplicaWriteReply(ReplicaWriteResult.STORAGE_FULL))
+
+    @handles(AcknowledgeRequest)
+    def on_acknowledge(self, request: AcknowledgeRequest, origin: str, respond: Responder) -> None:
+        """Store how messages ended; an empty request is a probe and waits for the disk as well."""
+        messages = self.contents.messages
+        rows: list[StorageRow] = []
+        for ended in request.acknowledgements:
+            known = messages.get(ended.message_id)
+            if known is None:
+                messages[ended.message_id] = StoredMessage(
+                    ended.shard, 0, 0, {}, 0, ended.outcome, ended.retain_until
+                )
+            elif not known.outcome.is_open:
+                continue
+            else:
+                known.outcome, known.retain_until = ended.outcome, ended.retain_until
+            rows.append(OutcomeRow(ended.message_id, ended.shard, ended.outcome, ended.retain_until))
+        self._count("marks", len(rows))
+        self._store.write(rows, lambda failure: respond(AcknowledgeReply(failure is None)))
+
+    # -- fencing
+
+    @handles(FenceRequest)
+    def on_fence(self, request: FenceRequest, origin: str, respond: Responder) -> None:
+        """Reject older owners of these shards from now on, and list what is open in them."""
+        tokens = self.contents.fencing_tokens
+        rejected = {
+            shard: tokens[shard]
+            for shard, epoch in request.fencing_tokens.items()
+            if self.contents.is_fenced(shard, epoch)
+        }
+        fenced = {shard: epoch for shard, epoch in request.fencing_tokens.items() if shard not in rejected}
+        rows = [FenceRow(shard, epoch) for shard, epoch in fenced.items() if tokens.get(shard) != epoch]
+        tokens.update(fenced)
+        candidates = {
+            message_id: message
+            for message_id, message in self.contents.messages.items()
+            if message.outcome.is_open and message.shard in fenced
+        }
+        self._count("fences", len(fenced))
+        pending = _PendingFence(rejected, candidates, respond)
+        self._store.write(rows, partial(self._on_fence_written, pending))
+
+    def _on_fence_written(self, pending: _PendingFence, failure: WriteFailure | None) -> None:
+        if failure is not None:
+            pending.respond(FenceReply(False))
+            return
+        included = _first_that_fit(pending.candidates)
+        if included:
+            self._store.read(included, partial(self._reply_to_fence, pending))
+        else:
+            self._reply_to_fence(pending, {})
+
+    def _reply_to_fence(self, pending: _PendingFence, contents: dict[str, bytes]) -> None:
+        open_messages = tuple(
+            OpenMessage(
+                message_id,
+                message.shard,
+                message.accepted_epoch,
+                message.sequence,
+                message.metadata,
+                message.size_bytes,
+                contents.get(message_id),
+            )
+            for message_id, message in pending.candidates.items()
+            # A replica that was being written when the fence came may have failed since.
+            if message_id in self.contents.messages
+        )
+        pending.respond(FenceReply(True, self.contents.disk_id, pending.rejected, open_messages))
+
+    # -- reading
+
+    @handles(OutcomesRequest)
+    def on_outcomes(self, request: OutcomesRequest, origin: str, respond: Responder) -> None:
+        """Reply with the outcomes of those messages that are known here."""
+        messages = self.contents.messages
+        outcomes = {
+            message_id: messages[message_id].outcome
+            for message_id in request.message_ids
+            if message_id in messages
+        }
+        respond(OutcomesReply(outcomes, self.contents.disk_id))
+
+    @handles(ContentRequest)
+    def on_content(self, request: ContentRequest, origin: str, respond: Responder) -> None:
+        """Read the body of a message that is open or dead; of others only the outcome is known."""
+        message = self.contents.messages.get(request.message_id)
+        outcome = message.outcome if message is not None else OPEN
+        if message is None or outcome.status not in (OPEN.status, DEAD_OUTCOME):
+            respond(ContentReply(None, outcome))
+            return
+        self._store.read(
+            [request.message_id],
+            lambda contents: respond(ContentReply(contents.get(request.message_id), outcome)),
+        )
+
+    # -- deletion
+
+    def _delete_expired(self) -> None:
+        self._runtime.call_later(EXPIRY_INTERVAL_S, self._delete_expired)
+        now = self._runtime.wall_clock()
+        messages = self.contents.messages
+        expired = [
+            message_id
+            for message_id, message in messages.items()
+            if not message.outcome.is_open and message.retain_until < now
+        ]
+        for message_id in expired:
+            del messages[message_id]
+        if expired:
+            self._store.write([DeletionRow(message_id) for message_id in expired], ignore_failure)
+
+
+def _first_that_fit(candidates: Mapping[str, StoredMessage]) -> list[str]:
+    """The messages up to the one with which the bodies would exceed `INCLUDED_CONTENT_BYTES`."""
+    total_bytes = 0
+    included = []
+    for message_id, message in candidates.items():
+        total_bytes += message.size_bytes
+        if total_bytes <= INCLUDED_CONTENT_BYTES:
+            included.append(message_id)
+    return included
--- a/benchmarks/hollow/deployment.py
+++ b/benchmarks/hollow/deployment.py
@@ -13,8 +13,8 @@
 from amberlug.cluster.interfaces import Json
 from amberlug.cluster.simulation.deployment import Request
 from amberlug.cluster.simulation.operator import route, service
-from amberlug.cluster.storage.message_store import StoredContents
 from amberlug.cluster.storage.node import StorageNode
+from amberlug.cluster.storage.records import StoredContents
 from benchmarks.hollow.net import HollowDisk, HollowNet, HollowWorld, Host, Meter, Prompt, settings
 
 ZONES = 4
--- a/benchmarks/hollow/net.py
+++ b/benchmarks/hollow/net.py
@@ -12,7 +12,7 @@
 import random
 import time
 from collections import defaultdict
-from collections.abc import Callable, Iterator
+from collections.abc import Callable, Iterator, Sequence
 from contextlib import contextmanager
 from dataclasses import dataclass, field
 from functools import partial
@@ -209,10 +209,10 @@
     def __init__(self, net: HollowNet, host: Host) -> None:
         self.net, self.host = net, host
 
-    def write(self, rows: list[tuple[str, tuple[Any, ...]]], then: Callable[[str | None], None]) -> None:
+    def write(self, rows: Sequence[Any], then: Callable[[None], None]) -> None:
         self.net.clock.call_later(SYNC_S, partial(self.host.do, "written", lambda: then(None)))
 
-    def read(self, names: list[str], then: Callable[[dict[str, bytes]], None]) -> None:
+    def read(self, names: Sequence[str], then: Callable[[dict[str, bytes]], None]) -> None:
         self.net.clock.call_later(SYNC_S, partial(self.host.do, "read", lambda: then({})))
 
 
--- a/benchmarks/hollow/steps.py
+++ b/benchmarks/hollow/steps.py
@@ -31,8 +31,8 @@
 from amberlug.cluster.http.routing import build
 from amberlug.cluster.interfaces import Json
 from amberlug.cluster.rpc.framing import pack
-from amberlug.cluster.storage.message_store import StoredContents, StoredMessage
 from amberlug.cluster.storage.node import StorageNode
+from amberlug.cluster.storage.records import StoredContents, StoredMessage
 from benchmarks.hollow.deployment import STORES, ZONES, beat, config
 from benchmarks.hollow.figures import Figure, upto
 from benchmarks.hollow.net import HollowDisk, HollowNet, HollowWorld, Host, Prompt, processor, settings
@@ -131,7 +131,7 @@
             for it in range(many):
                 kept = message(it, 1000)
                 meta = json.loads(json.dumps(kept.meta()))
-                contents.kept[kept.id] = StoredMessage(0, 7, it, meta, 1000)
+                contents.messages[kept.id] = StoredMessage(0, 7, it, meta, 1000)
 
         size = _room(partial(fill, contents, count))[1]
         yield Figure("store", "open messages", count, "store", "bytes of memory", size)
@@ -142,7 +142,7 @@
         spent: list[float] = []
         with processor(spent):
             fences = {"shards": {"0": 8}}
-            store.on_fence(fences, b"", "10.3.0.1:7300", lambda *said, to=answers: to.append(said))
+            store.handlers["fence"](fences, b"", "10.3.0.1:7300", lambda *said, to=answers: to.append(said))
             net.clock.run(1.0)
         yield Figure("store", "open messages", count, "store", "processor s, a fence", spent[0])
         text = len(json.dumps(answers[0][0], separators=(",", ":")))
--- a/tests/cluster/test_contact.py
+++ b/tests/cluster/test_contact.py
@@ -16,7 +16,8 @@
 from amberlug.cluster.simulation.clock import Clock
 from amberlug.cluster.simulation.deployment import Machine
 from amberlug.cluster.simulation.scenarios import Day
-from amberlug.cluster.storage.message_store import StoredMessage
+from amberlug.cluster.storage.messages import MessageOutcome
+from amberlug.cluster.storage.records import StoredMessage
 from tests.cluster.fakes import Alone, settings
 
 BEFORE_S, CUT_S, APPLY_S = 6.0, 20.0, 3.0
@@ -230,8 +231,8 @@
     edge = day.deployment.edges[0].part
     shard = next(iter(edge.shards.mine))
     for machine in day.deployment.stores:
-        machine.part.kept[f"{shard}-x"] = StoredMessage(
-            shard, 1, 1, {}, 1, "done", "seal", day.clock.now + 2e9
+        machine.part.contents.messages[f"{shard}-x"] = StoredMessage(
+            shard, 1, 1, {}, 1, MessageOutcome("done", "seal"), day.clock.now + 2e9
         )
     message = Message(f"{shard}-x", shard, "x", "", "POST", "/plain/x", "r-plain", "", 1.79e9, 1.79e9)
     message.body, message.holders = None, set(edge.replicator.stores)
--- a/tests/cluster/test_found.py
+++ b/tests/cluster/test_found.py
@@ -66,8 +66,9 @@
     message = Message(f"{number:x}-again", number, "again", "", "GET", "/", "r", "k", 0.0, 0.0, order=(3, 7))
     edge.replicator.put(message, shard.epoch, lambda put: None)
     day.clock.run(day.clock.now + 0.5)
-    kept = [it.part.kept.get(message.id) for it in day.deployment.stores]
-    assert {it.place() for it in kept if it is not None} == {(number, 3, 7)}
+    stored = [it.part.contents.messages.get(message.id) for it in day.deployment.stores]
+    positions = {(it.shard, it.accepted_epoch, it.sequence) for it in stored if it is not None}
+    assert positions == {(number, 3, 7)}
 
 
 def test_a_late_word_of_the_owner_before_does_not_repeat_a_call() -> None:
--- a/tests/cluster/test_losses.py
+++ b/tests/cluster/test_losses.py
@@ -81,17 +81,17 @@
 
 def test_a_store_that_joins_refuses_who_owned_shards_before_it_came() -> None:
     rig = Rig()
-    rig.store.enrolled = 0
-    gossip = rig.store.gossip
+    rig.node.contents.enrolled_index = 0
+    gossip = rig.node.gossip
     rig.put(1)
-    assert rig.said.pop() == {"early": True}  # it is on no roster
+    assert rig.replies.pop() == {"early": True}  # it is on no roster
     gossip.offer("roster", [9], ROSTER)
     rig.put(2)
-    assert rig.said.pop() == {"early": True}  # it does not know who owned what when it came
+    assert rig.replies.pop() == {"early": True}  # it does not know who owned what when it came
     gossip.offer("shards", [7], {"owners": [], "shards": [[0, 3, -1], [0, 7, -1]], "roster": 4})
     rig.put(3)
-    assert rig.said.pop() == {"fenced": 7}
-    assert rig.store.enrolled == 9
+    assert rig.replies.pop() == {"fenced": 7}
+    assert rig.node.contents.enrolled_index == 9
 
 
 def test_an_owner_serves_once_it_knows_the_roster_that_its_table_was_agreed_on() -> None:
@@ -135,11 +135,11 @@
 def test_a_put_under_way_as_its_disk_is_emptied_leaves_nothing() -> None:
     rig = Rig()
     rig.put(1)
-    rig.store.gossip.offer("roster", [9], {})  # others have taken its place
-    while rig.disk.waiting:
-        rig.disk.decide(None)
-    assert rig.said == [{"early": True}]
-    assert rig.open() == []
+    rig.node.gossip.offer("roster", [9], {})  # others have taken its place
+    while rig.disk.pending:
+        rig.disk.finish_write(None)
+    assert rig.replies == [{"early": True}]
+    assert rig.open_messages() == []
 
 
 def _emptied(seed: int) -> list[Broken]:
--- a/tests/cluster/test_recorded.py
+++ b/tests/cluster/test_recorded.py
@@ -14,6 +14,7 @@
 from amberlug.cluster.consensus.storage import open_raft_storage
 from amberlug.cluster.simulation.boundary_digest import differences
 from amberlug.cluster.storage.message_store import open_message_store
+from amberlug.cluster.storage.records import OutcomeRow, ReplicaRow, StorageRow
 
 DATA = Path(__file__).parents[1] / "data"
 TABLES = {"core/vise.db": ("state", "log"), "storage/chest.db": ("about", "fence", "message")}
@@ -86,17 +87,26 @@
     contents, message_store = open_message_store(
         tmp_path, lambda: pytest.fail("it was begun anew"), lambda act: None
     )
-    assert sorted(contents.kept) == [row[0] for row in before["message"]]
-    assert contents.fences == dict(before["fence"])
-    assert contents.spoilt == []
+    assert sorted(contents.messages) == [row[0] for row in before["message"]]
+    assert contents.fencing_tokens == dict(before["fence"])
+    assert contents.corrupt_ids == []
     bodies = {row[0]: row[5] for row in before["message"]}
-    rows: list[tuple[str, tuple[Any, ...]]] = []
-    for name, kept in contents.kept.items():
-        if kept.epoch:  # the end of a message that was never put here stands alone
-            rows.append(("put", (name, kept.shard, kept.epoch, kept.seq, kept.meta, bodies[name] or b"")))
-        if kept.end:
-            rows.append(("end", (name, kept.shard, kept.end, kept.seal, kept.keep_until)))
-    message_store.write(rows, lambda error: None)
+    rows: list[StorageRow] = []
+    for name, message in contents.messages.items():
+        if message.accepted_epoch:  # the outcome of a message that was never put here stands alone
+            rows.append(
+                ReplicaRow(
+                    name,
+                    message.shard,
+                    message.accepted_epoch,
+                    message.sequence,
+                    message.metadata,
+                    bodies[name] or b"",
+                )
+            )
+        if not message.outcome.is_open:
+            rows.append(OutcomeRow(name, message.shard, message.outcome, message.retain_until))
+    message_store.write(rows, lambda failure: None)
     message_store.close()
     after = dump(path, TABLES["storage/chest.db"])
     assert {table: after[table] for table in ("about", "fence")} == {
--- a/tests/cluster/test_storage_node.py
+++ b/tests/cluster/test_storage_node.py
@@ -1,80 +1,126 @@
-"""A store alone: what it says is on its disk, is."""
+"""A storage node alone: what it confirms is on its disk."""
 
-from collections.abc import Callable
-from typing import Any
+from collections.abc import Callable, Sequence
 
 from amberlug.cluster.interfaces import Json
 from amberlug.cluster.simulation.clock import Clock
-from amberlug.cluster.storage.message_store import StoredContents
+from amberlug.cluster.storage.failures import WriteFailure, WriteFailureReason
 from amberlug.cluster.storage.node import StorageNode
+from amberlug.cluster.storage.records import StorageRow, StoredContents
 from tests.cluster.fakes import Alone, settings
 
-Rows = list[tuple[str, tuple[Any, ...]]]
+OUT_OF_SPACE = WriteFailure(WriteFailureReason.OUT_OF_SPACE)
 
 
-class Slow:
+class ManualDisk:
     """A disk whose writes are decided by the test, in their order."""
 
     def __init__(self) -> None:
-        self.waiting: list[Callable[[str | None], None]] = []
+        self.pending: list[Callable[[WriteFailure | None], None]] = []
 
-    def write(self, rows: Rows, then: Callable[[str | None], None]) -> None:
-        self.waiting.append(then)
+    def write(self, rows: Sequence[StorageRow], on_done: Callable[[WriteFailure | None], None]) -> None:
+        self.pending.append(on_done)
 
-    def read(self, names: list[str], then: Callable[[dict[str, bytes]], None]) -> None:
-        then({})
+    def read(self, message_ids: Sequence[str], on_read: Callable[[dict[str, bytes]], None]) -> None:
+        on_read({})
 
-    def decide(self, error: str | None) -> None:
-        self.waiting.pop(0)(error)
+    def finish_write(self, failure: WriteFailure | None) -> None:
+        self.pending.pop(0)(failure)
 
 
 class Rig:
-    """A store and what it answered."""
+    """A storage node and its replies."""
 
     def __init__(self) -> None:
-        self.disk, self.said = Slow(), list[Json]()
-        contents = StoredContents("d", enrolled=1)  # one that may be written to
-        self.store = StorageNode(Alone(Clock()), settings("store"), "10.0.0.1:7300", self.disk, contents)
+        self.clock, self.disk, self.replies = Clock(), ManualDisk(), list[Json]()
+        contents = StoredContents("d", enrolled_index=1)  # one that may be written to
+        runtime = Alone(self.clock)
+        self.node = StorageNode(runtime, settings("store"), "10.0.0.1:7300", self.disk, contents)
 
-    def ask(self, word: str, body: Json) -> None:
-        self.store.handlers[word](body, b"", "10.0.0.9:7300", lambda said, blob: self.said.append(said))
+    def request(self, tag: str, body: Json) -> None:
+        self.node.handlers[tag](body, b"", "10.0.0.9:7300", lambda reply, blob: self.replies.append(reply))
 
-    def put(self, number: int) -> None:
-        self.ask("put", {"id": "1-a", "shard": 1, "epoch": 5, "order": [5, number], "meta": {}})
+    def put(self, sequence: int) -> None:
+        self.request("put", {"id": "1-a", "shard": 1, "epoch": 5, "order": [5, sequence], "meta": {}})
 
-    def open(self) -> list[str]:
-        """What a new owner is told, once the disk is done."""
-        self.ask("fence", {"shards": {"1": 5}})
-        while self.disk.waiting:
-            self.disk.decide(None)
-        return [it[0] for it in self.said[-1]["open"]]
+    def acknowledge(self, outcome: str) -> None:
+        self.request("marks", {"marks": [["1-a", 1, outcome, "", 1e9]]})
 
+    def open_messages(self) -> list[str]:
+        """What the reply to a new owner's fence lists, once the disk is done."""
+        self.request("fence", {"shards": {"1": 5}})
+        while self.disk.pending:
+            self.disk.finish_write(None)
+        return [row[0] for row in self.replies[-1]["open"]]
 
-def test_two_puts_that_the_disk_refuses_leave_nothing() -> None:
+
+def test_two_replicas_that_the_disk_rejects_leave_nothing() -> None:
     rig = Rig()
     rig.put(1)
     rig.put(2)
-    rig.disk.decide("no space is left")
-    rig.disk.decide("no space is left")
-    assert rig.said == [{"full": True}, {"full": True}]
-    assert rig.open() == []
+    rig.disk.finish_write(OUT_OF_SPACE)
+    rig.disk.finish_write(OUT_OF_SPACE)
+    assert rig.replies == [{"full": True}, {"full": True}]
+    assert rig.open_messages() == []
 
 
-def test_one_of_two_puts_that_is_kept_stays() -> None:
-    for first, second in ((None, "no space is left"), ("no space is left", None)):
+def test_one_of_two_replicas_that_is_stored_stays() -> None:
+    for first, second in ((None, OUT_OF_SPACE), (OUT_OF_SPACE, None)):
         rig = Rig()
         rig.put(1)
         rig.put(2)
-        rig.disk.decide(first)
-        rig.disk.decide(second)
-        assert rig.open() == ["1-a"]
+        rig.disk.finish_write(first)
+        rig.disk.finish_write(second)
+        assert rig.open_messages() == ["1-a"]
+
+
+def test_a_replica_that_fails_while_a_fence_is_pending_is_not_listed() -> None:
+    rig = Rig()
+    rig.put(1)
+    rig.request("fence", {"shards": {"1": 6}})
+    rig.disk.finish_write(OUT_OF_SPACE)
+    while rig.disk.pending:
+        rig.disk.finish_write(None)
+    assert rig.replies[-1]["open"] == []
+
+
+def test_a_replica_of_an_owner_that_is_fenced_is_rejected() -> None:
+    rig = Rig()
+    rig.request("fence", {"shards": {"1": 6, "2": 3}})
+    rig.request("fence", {"shards": {"1": 5, "2": 4}})
+    while rig.disk.pending:
+        rig.disk.finish_write(None)
+    assert rig.replies[-1]["refused"] == {"1": 6}
+    rig.put(1)
+    assert rig.replies[-1] == {"fenced": 6}
+    assert not rig.disk.pending
+
+
+def test_a_fence_that_is_not_durable_is_not_confirmed() -> None:
+    rig = Rig()
+    rig.request("fence", {"shards": {"1": 6}})
+    rig.disk.finish_write(OUT_OF_SPACE)
+    assert rig.replies == [{"ok": False}]
+
+
+def test_the_first_outcome_stays_and_a_replica_that_comes_later_learns_of_it() -> None:
+    rig = Rig()
+    for outcome in ("done", "dead"):
+        rig.acknowledge(outcome)
+        rig.disk.finish_write(None)
+    rig.put(1)
+    assert rig.replies == [
+        {"ok": True},
+        {"ok": True},
+        {"ok": True, "disk": "d", "end": "done", "seal": ""},
+    ]
+    assert rig.open_messages() == []
 
 
-def test_a_put_that_is_refused_while_a_new_owner_asks_is_not_told() -> None:
+def test_an_outcome_that_has_expired_is_deleted_and_an_open_message_is_not() -> None:
     rig = Rig()
+    rig.node.begin()
+    rig.request("marks", {"marks": [["1-b", 1, "done", "", 1.0]]})
     rig.put(1)
-    rig.ask("fence", {"shards": {"1": 6}})
-    rig.disk.decide("no space is left")
-    while rig.disk.waiting:
-        rig.disk.decide(None)
-    assert rig.said[-1]["open"] == []
+    rig.clock.run(3.0)
+    assert list(rig.node.contents.messages) == ["1-a"]
