--- a/amberlug/cluster/edge/node.py
+++ b/amberlug/cluster/edge/node.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable
+from collections.abc import Callable, Set
 from functools import partial
 from typing import Any, Protocol
 
@@ -16,6 +16,7 @@
 from amberlug.cluster.dispatch.message import Message, name_of, read, shard_in, shard_of
 from amberlug.cluster.dispatch.replicator import Replicator
 from amberlug.cluster.dispatch.shard_owner import AdmissionOutcome, ShardOwner
+from amberlug.cluster.edge.status import EdgeStatus, EdgeStatusReport
 from amberlug.cluster.gossip.store import GossipStore
 from amberlug.cluster.http.api import AdminApi, HttpRequest, HttpResponse, RespondHttp, order
 from amberlug.cluster.http.routing import Route, RoutingTable, build
@@ -29,7 +30,6 @@
     Runtime,
     on,
 )
-from amberlug.cluster.node_status import EdgeStatus
 from amberlug.cluster.rpc.messages import handlers_of
 from amberlug.cluster.session_client import SessionClient, internal
 from amberlug.cluster.settings import Settings
@@ -208,6 +208,25 @@
         self.replicator.broken(address)
         self.shards.broken(address)
 
+    def status_report(self, live_disk_ids: Set[str]) -> EdgeStatusReport:
+        """Report this node's state to its operators.
+
+        :param live_disk_ids: the disks whose replicas count.
+        """
+        messages = self.delivery_queue.messages.values()
+        return EdgeStatusReport(
+            is_ready=self.ready,
+            config_version=self.routes.edition,
+            owned_shards=len(self.shards.mine),
+            queued_messages=len(messages),
+            queued_bytes=self.size,
+            active_calls=sum(len(service.calls) for service in self.services.values()),
+            under_replicated_messages=sum(
+                not self.replicator.enough(message.holders & live_disk_ids) for message in messages
+            ),
+            counters=self.counts,
+        )
+
     def _count(self, name: str) -> None:
         self.counts[name] = self.counts.get(name, 0) + 1
 
--- /dev/null
+++ b/amberlug/cluster/edge/status.py
@@ -0,0 +1,77 @@
+"""What operators see of an edge node, through a control-plane node. No I/O."""
+
+from __future__ import annotations
+
+from collections.abc import Set
+from dataclasses import dataclass
+from typing import Protocol
+
+from amberlug.cluster.interfaces import Json
+from amberlug.cluster.node_status import NodeStatusRequest
+from amberlug.cluster.rpc.messages import Body, Responder, handles
+
+
+@dataclass(frozen=True, slots=True)
+class EdgeStatusReport(Body):
+    """An edge node as its operators see it; the reply to a `NodeStatusRequest`."""
+
+    is_ready: bool
+    config_version: int
+    owned_shards: int
+    queued_messages: int
+    queued_bytes: int
+    active_calls: int  # calls of endpoints that have not ended
+    under_replicated_messages: int
+    counters: dict[str, int]
+
+    def to_wire(self) -> Json:
+        """The fields in the order in which operators read them; their names are historical."""
+        return {
+            "ready": self.is_ready,
+            "edition": self.config_version,
+            "shards": self.owned_shards,
+            "in hand": self.queued_messages,
+            "bytes": self.queued_bytes,
+            "out": self.active_calls,
+            "copies short": self.under_replicated_messages,
+            "counts": self.counters,
+        }
+
+    @classmethod
+    def from_wire(cls, body: Json, payload: bytes) -> EdgeStatusReport:
+        """Read the report.
+
+        :raises KeyError: where a field is missing.
+        """
+        return cls(
+            body["ready"],
+            body["edition"],
+            body["shards"],
+            body["in hand"],
+            body["bytes"],
+            body["out"],
+            body["copies short"],
+            body["counts"],
+        )
+
+
+class EdgeStatusSource(Protocol):
+    """An edge node as far as its status is concerned."""
+
+    def status_report(self, live_disk_ids: Set[str]) -> EdgeStatusReport:
+        """Report the node's state.
+
+        :param live_disk_ids: the disks whose replicas count.
+        """
+
+
+class EdgeStatus:
+    """Answers the status request for an edge node."""
+
+    def __init__(self, edge: EdgeStatusSource) -> None:
+        self._edge = edge
+
+    @handles(NodeStatusRequest)
+    def on_status(self, request: NodeStatusRequest, origin: str, respond: Responder) -> None:
+        """Report the node's state; only replicas on the disks of the request count."""
+        respond(self._edge.status_report(frozenset(request.storage_disk_ids)))
--- a/amberlug/cluster/node_status.py
+++ b/amberlug/cluster/node_status.py
@@ -1,16 +1,17 @@
-"""What edges and stores tell the operators of themselves, asked by a control relay. No I/O."""
+"""The status request, by which operators look at edge and storage nodes through a control-plane node. No I/O.
+
+Each role has a report of its own: `EdgeStatusReport` in `edge/status.py` and `StorageStatusReport` in
+`storage/operator_messages.py`.
+"""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
-from typing import TYPE_CHECKING, ClassVar
+from typing import ClassVar
 
-from amberlug.cluster.interfaces import Json, Respond, on
+from amberlug.cluster.interfaces import Json
 from amberlug.cluster.rpc.messages import Body, Request
 
-if TYPE_CHECKING:
-    from amberlug.cluster.edge.node import EdgeNode
-
 
 @dataclass(frozen=True, slots=True)
 class NodeStatusReport(Body):
@@ -44,27 +45,3 @@
     def from_wire(cls, body: Json, payload: bytes) -> NodeStatusRequest:
         """Read the request; only edges need the disks."""
         return cls(tuple(body.get("up", ())))
-
-
-class EdgeStatus:
-    """An edge, as its operators see it."""
-
-    def __init__(self, edge: EdgeNode) -> None:
-        self._edge = edge
-
-    @on("status")
-    def on_status(self, body: Json, blob: bytes, origin: str, respond: Respond) -> None:
-        """How it stands; `up` names the stores that count as holding what was given to them."""
-        edge, up = self._edge, set(body["up"])
-        messages = edge.delivery_queue.messages.values()
-        told = {
-            "ready": edge.ready,
-            "edition": edge.routes.edition,
-            "shards": len(edge.shards.mine),
-            "in hand": len(messages),
-            "bytes": edge.size,
-            "out": sum(len(it.calls) for it in edge.services.values()),
-            "copies short": sum(not edge.replicator.enough(it.holders & up) for it in messages),
-            "counts": edge.counts,
-        }
-        respond(told, b"")
