--- a/amberlug/cluster/control/dead_messages.py
+++ b/amberlug/cluster/control/dead_messages.py
@@ -15,7 +15,7 @@
 from amberlug.cluster.control.state_entries import StoreState
 from amberlug.cluster.http.api import HttpRequest, HttpResponse, RespondHttp, api_call
 from amberlug.cluster.interfaces import Json, Runtime
-from amberlug.cluster.node_status import DEAD_MOST
+from amberlug.cluster.storage.operator_messages import DEAD_MESSAGES_PER_PAGE
 
 LIST_TAG = "dead"  # asks a storage node for a page of its messages, or for one of them
 BODY_TAG = "body"  # asks a storage node for a message's bytes
@@ -31,9 +31,9 @@
     def list_messages(self, request: HttpRequest, name: str, respond: RespondHttp) -> None:
         """Reply with one page of messages by name, those after the query's `after`, `most` at the most."""
         query = parse_qs(request.target.partition("?")[2])
-        after, limit = query.get("after", [""])[0], query.get("most", [str(DEAD_MOST)])[0]
-        if not limit.isdigit() or not 0 < int(limit) <= DEAD_MOST:
-            respond(HttpResponse(400, {"cause": f"most: no number from 1 to {DEAD_MOST}"}))
+        after, limit = query.get("after", [""])[0], query.get("most", [str(DEAD_MESSAGES_PER_PAGE)])[0]
+        if not limit.isdigit() or not 0 < int(limit) <= DEAD_MESSAGES_PER_PAGE:
+            respond(HttpResponse(400, {"cause": f"most: no number from 1 to {DEAD_MESSAGES_PER_PAGE}"}))
             return
 
         def receive(replies: Replies) -> None:
--- a/amberlug/cluster/edge/node.py
+++ b/amberlug/cluster/edge/node.py
@@ -2,6 +2,8 @@
 
 from __future__ import annotations
 
+from collections.abc import Set
+
 from absl import logging
 
 from amberlug.cluster.dispatch.delivery_queue import DeliveryQueue
@@ -14,12 +16,12 @@
 from amberlug.cluster.edge.intake import ClientRequest, Intake, RespondToClient
 from amberlug.cluster.edge.lookup import MessageLookup
 from amberlug.cluster.edge.repair import ReplicaRepair
+from amberlug.cluster.edge.status import EdgeStatus, EdgeStatusReport
 from amberlug.cluster.edge.storage_reads import StorageReader
 from amberlug.cluster.gossip.store import GossipStore
 from amberlug.cluster.http.api import AdminApi
 from amberlug.cluster.http.routing import RoutingTable, build
 from amberlug.cluster.interfaces import Endpoints, Json, Runtime
-from amberlug.cluster.node_status import EdgeStatus
 from amberlug.cluster.rpc.messages import handlers_of
 from amberlug.cluster.session_client import SessionClient, internal
 from amberlug.cluster.settings import Settings
@@ -102,6 +104,25 @@
         """Whether the process can end, since no other node waits for anything of this one."""
         return self.delivery.is_idle
 
+    def status_report(self, live_disk_ids: Set[str]) -> EdgeStatusReport:
+        """Report this node's state to its operators.
+
+        :param live_disk_ids: the disks whose replicas count.
+        """
+        messages = self.delivery_queue.messages.values()
+        return EdgeStatusReport(
+            is_ready=self.ready,
+            config_version=self.routes.edition,
+            owned_shards=len(self.shards.mine),
+            queued_messages=len(messages),
+            queued_bytes=self.size,
+            active_calls=sum(len(service.calls) for service in self.services.values()),
+            under_replicated_messages=sum(
+                not self.replicator.enough(message.holders & live_disk_ids) for message in messages
+            ),
+            counters=self.counts,
+        )
+
     @property
     def ready(self) -> bool:
         """Whether clients should be sent here."""
