--- /dev/null
+++ b/amberlug/cluster/control/messages.py
@@ -0,0 +1,450 @@
+"""Messages that the control plane owns: sessions of edge and storage nodes, and its own replicas' requests.
+
+Tags and JSON fields are a protocol between versions, so they keep names that the code has given up: `beat` is
+a heartbeat, `hello` opens a session, and the `core` is the set of control-plane nodes.
+"""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+from typing import Any, ClassVar
+
+from amberlug.cluster.interfaces import Json
+from amberlug.cluster.rpc.messages import Body, Notification, Request
+
+# Rows of gossip as `GossipStore` pages them; their form is the gossip package's.
+GossipRows = list[Any]
+
+
+@dataclass(frozen=True, slots=True)
+class SessionDescription:
+    """A node as it describes itself to the control-plane node that keeps its session.
+
+    :param incarnation: names one run of the node's process; it changes with each start.
+    :param state: `up`, or `leaving` once a planned stop has begun.
+    :param details: what only this class of node reports, for example a storage node's disk.
+    """
+
+    name: str
+    incarnation: str
+    address: str
+    machine_class: str
+    zone: str
+    region: str
+    state: str
+    details: Json
+
+    def to_wire(self) -> Json:
+        """The JSON object of `hello` and `beat`."""
+        return {
+            "name": self.name,
+            "incarnation": self.incarnation,
+            "address": self.address,
+            "machine_class": self.machine_class,
+            "zone": self.zone,
+            "region": self.region,
+            "state": self.state,
+            "extra": self.details,
+        }
+
+
+@dataclass(frozen=True, slots=True)
+class SessionReply(Body):
+    """Whether a control-plane node keeps the session, and how current its own state is.
+
+    :param staleness_s: by how many seconds at most its state may be older than a majority's.
+    :param rejection: why a session was not opened; empty in every other reply.
+    """
+
+    is_accepted: bool
+    staleness_s: float = 0.0
+    rejection: str = ""
+
+    def to_wire(self) -> Json:
+        """The JSON object; a rejection states no age."""
+        if self.rejection:
+            return {"ok": self.is_accepted, "cause": self.rejection}
+        return {"ok": self.is_accepted, "age": self.staleness_s}
+
+    @classmethod
+    def from_wire(cls, body: Json, payload: bytes) -> SessionReply:
+        """Read a reply; a missing age counts as none."""
+        return cls(bool(body.get("ok")), float(body.get("age", 0.0)), str(body.get("cause", "")))
+
+
+@dataclass(frozen=True, slots=True)
+class OpenSession(Request[SessionReply]):
+    """Open a session, or renew it after the connection or the control-plane node was lost."""
+
+    wire_tag: ClassVar[str] = "hello"
+    reply_type: ClassVar[type[SessionReply]] = SessionReply
+    node: SessionDescription
+
+    def to_wire(self) -> Json:
+        """The JSON object."""
+        return self.node.to_wire()
+
+    @classmethod
+    def from_wire(cls, body: Json, payload: bytes) -> OpenSession:
+        """Read a request.
+
+        :raises KeyError: where a field other than the details is missing.
+        """
+        return cls(
+            SessionDescription(
+                name=str(body["name"]),
+                incarnation=str(body["incarnation"]),
+                address=str(body["address"]),
+                machine_class=str(body["machine_class"]),
+                zone=str(body["zone"]),
+                region=str(body["region"]),
+                state=str(body["state"]),
+                details=body.get("extra") or {},
+            )
+        )
+
+
+@dataclass(frozen=True, slots=True)
+class Heartbeat(Request[SessionReply]):
+    """Renew a session; sent without waiting for the reply to announce a planned stop."""
+
+    wire_tag: ClassVar[str] = "beat"
+    reply_type: ClassVar[type[SessionReply]] = SessionReply
+    node: SessionDescription
+
+    def to_wire(self) -> Json:
+        """The JSON object, the same as that of `hello`."""
+        return self.node.to_wire()
+
+    @classmethod
+    def from_wire(cls, body: Json, payload: bytes) -> Heartbeat:
+        """Read a heartbeat, which needs no more than the name, the incarnation and the state.
+
+        :raises KeyError: where one of those is missing.
+        """
+        return cls(
+            SessionDescription(
+                name=str(body["name"]),
+                incarnation=str(body["incarnation"]),
+                address=str(body.get("address", "")),
+                machine_class=str(body.get("machine_class", "")),
+                zone=str(body.get("zone", "")),
+                region=str(body.get("region", "")),
+                state=str(body["state"]),
+                details=body.get("extra") or {},
+            )
+        )
+
+
+@dataclass(frozen=True, slots=True)
+class CurrentStateReply(Body):
+    """One page of all gossip entries, confirmed to be as new as a majority's.
+
+    :param is_confirmed: False where no majority answered; the page is empty then.
+    :param next_key: where the next page begins; empty after the last one.
+    """
+
+    is_confirmed: bool
+    items: GossipRows
+    next_key: str = ""
+
+    def to_wire(self) -> Json:
+        """The JSON object."""
+        if not self.is_confirmed:
+            return {"ok": False}
+        return {"ok": True, "items": self.items, "next": self.next_key}
+
+    @classmethod
+    def from_wire(cls, body: Json, payload: bytes) -> CurrentStateReply:
+        """Read a reply.
+
+        :raises KeyError: where a confirmed reply has no items.
+        """
+        if not body.get("ok"):
+            return cls(False, [])
+        return cls(True, body["items"], body.get("next") or "")
+
+
+@dataclass(frozen=True, slots=True)
+class ReadCurrentState(Request[CurrentStateReply]):
+    """Read one page of all gossip entries once a majority has confirmed them.
+
+    :param after_key: where the page begins; empty for the first one.
+    """
+
+    wire_tag: ClassVar[str] = "newest"
+    reply_type: ClassVar[type[CurrentStateReply]] = CurrentStateReply
+    after_key: str = ""
+
+    def to_wire(self) -> Json:
+        """The JSON object."""
+        return {"after": self.after_key}
+
+    @classmethod
+    def from_wire(cls, body: Json, payload: bytes) -> ReadCurrentState:
+        """Read a request; the first page is the default."""
+        return cls(body.get("after", ""))
+
+
+@dataclass(frozen=True, slots=True)
+class SessionRow:
+    """A session as one control-plane node reports it to the others.
+
+    Ages stand in place of times, since clocks differ between machines.
+
+    :param open_for_s: seconds since the session was opened.
+    :param last_heartbeat_age_s: seconds since its last heartbeat.
+    """
+
+    node: SessionDescription
+    open_for_s: float
+    last_heartbeat_age_s: float
+
+    def to_wire(self) -> list[object]:
+        """The JSON array."""
+        node = self.node
+        return [
+            node.name,
+            node.incarnation,
+            node.address,
+            node.machine_class,
+            node.zone,
+            node.region,
+            node.state,
+            self.open_for_s,
+            self.last_heartbeat_age_s,
+            node.details,
+        ]
+
+    @classmethod
+    def from_wire(cls, row: list[Any]) -> SessionRow:
+        """Read a row.
+
+        :raises ValueError: where it has another number of columns.
+        """
+        name, incarnation, address, machine_class, zone, region, state, open_for_s, last_s, details = row
+        assert isinstance(open_for_s, int | float), "ages are numbers"
+        assert isinstance(last_s, int | float), "ages are numbers"
+        assert isinstance(details, dict), "details are an object"
+        node = SessionDescription(
+            str(name),
+            str(incarnation),
+            str(address),
+            str(machine_class),
+            str(zone),
+            str(region),
+            str(state),
+            details,
+        )
+        return cls(node, open_for_s, last_s)
+
+
+@dataclass(frozen=True, slots=True)
+class SessionReport(Notification):
+    """A control-plane node's sessions, and the endpoints whose heartbeats it has received.
+
+    :param has_contact: whether the sender is in contact with a majority.
+    """
+
+    wire_tag: ClassVar[str] = "sessions"
+    rows: tuple[SessionRow, ...]
+    endpoints: tuple[str, ...]
+    has_contact: bool
+
+    def to_wire(self) -> Json:
+        """The JSON object."""
+        return {
+            "rows": [row.to_wire() for row in self.rows],
+            "seen": list(self.endpoints),
+            "contact": self.has_contact,
+        }
+
+    @classmethod
+    def from_wire(cls, body: Json, payload: bytes) -> SessionReport:
+        """Read a report; a sender that does not state its contact is taken to have it."""
+        rows = tuple(SessionRow.from_wire(row) for row in body["rows"])
+        return cls(rows, tuple(body["seen"]), bool(body.get("contact", True)))
+
+
+@dataclass(frozen=True, slots=True)
+class AnnounceLeaving(Notification):
+    """A voter is about to stop, and the leader is to put another one in its place."""
+
+    wire_tag: ClassVar[str] = "core.leaving"
+    member_id: str
+
+    def to_wire(self) -> Json:
+        """The JSON object."""
+        return {"id": self.member_id}
+
+    @classmethod
+    def from_wire(cls, body: Json, payload: bytes) -> AnnounceLeaving:
+        """Read a message."""
+        return cls(body["id"])
+
+
+@dataclass(frozen=True, slots=True)
+class ConfirmedIndex(Body):
+    """The commit index that a majority has confirmed; None where the receiver does not lead one."""
+
+    index: int | None
+
+    def to_wire(self) -> Json:
+        """The JSON object."""
+        return {"index": self.index}
+
+    @classmethod
+    def from_wire(cls, body: Json, payload: bytes) -> ConfirmedIndex:
+        """Read a reply."""
+        return cls(body.get("index"))
+
+
+@dataclass(frozen=True, slots=True)
+class ConfirmIndex(Request[ConfirmedIndex]):
+    """Have the leader confirm its commit index with a majority (ReadIndex)."""
+
+    wire_tag: ClassVar[str] = "core.confirm"
+    reply_type: ClassVar[type[ConfirmedIndex]] = ConfirmedIndex
+
+    def to_wire(self) -> Json:
+        """An empty JSON object."""
+        return {}
+
+    @classmethod
+    def from_wire(cls, body: Json, payload: bytes) -> ConfirmIndex:
+        """Read a request, which has no fields."""
+        return cls()
+
+
+@dataclass(frozen=True, slots=True)
+class MemberDescription:
+    """A control-plane node as it describes itself to the leader.
+
+    :param address: where it serves other nodes, `host:port`.
+    :param control_address: where it serves the control API, `host:port`; empty where it serves none.
+    """
+
+    address: str
+    name: str
+    zone: str
+    region: str
+    control_address: str
+
+    def to_wire(self) -> Json:
+        """The JSON object of the membership; who joins does not vote yet."""
+        return {
+            "addr": self.address,
+            "voter": False,
+            "name": self.name,
+            "zone": self.zone,
+            "region": self.region,
+            "control": self.control_address,
+        }
+
+    @classmethod
+    def from_wire(cls, body: Json) -> MemberDescription:
+        """Read a description.
+
+        :raises KeyError: where the address is missing.
+        """
+        return cls(
+            body["addr"],
+            body.get("name", ""),
+            body.get("zone", ""),
+            body.get("region", ""),
+            body.get("control", ""),
+        )
+
+
+@dataclass(frozen=True, slots=True)
+class JoinCluster(Notification):
+    """A control-plane node asks to become a member, or to have its description brought up to date.
+
+    :param is_forwarded: whether a follower has passed it on; it is passed on once only.
+    """
+
+    wire_tag: ClassVar[str] = "core.join"
+    member_id: str
+    member: MemberDescription
+    is_forwarded: bool = False
+
+    def to_wire(self) -> Json:
+        """The JSON object."""
+        body: Json = {"id": self.member_id, "member": self.member.to_wire()}
+        return {**body, "passed": True} if self.is_forwarded else body
+
+    @classmethod
+    def from_wire(cls, body: Json, payload: bytes) -> JoinCluster:
+        """Read a message."""
+        return cls(body["id"], MemberDescription.from_wire(body["member"]), bool(body.get("passed")))
+
+
+@dataclass(frozen=True, slots=True)
+class CommandReply(Body):
+    """What came of a forwarded command; None where its receiver does not lead, or could not commit it.
+
+    The result's form is the command's own.
+    """
+
+    result: Json | None
+
+    def to_wire(self) -> Json:
+        """The JSON object, which is empty where there is no result."""
+        return {} if self.result is None else {"said": self.result}
+
+    @classmethod
+    def from_wire(cls, body: Json, payload: bytes) -> CommandReply:
+        """Read a reply."""
+        return cls(body.get("said"))
+
+
+@dataclass(frozen=True, slots=True)
+class ForwardCommand(Request[CommandReply]):
+    """Have the leader carry out a command: `retire`, `drain`, `read`, `replace` or `modify`."""
+
+    wire_tag: ClassVar[str] = "core.order"
+    reply_type: ClassVar[type[CommandReply]] = CommandReply
+    command: str
+    arguments: Json
+
+    def to_wire(self) -> Json:
+        """The JSON object."""
+        return {"word": self.command, "body": self.arguments}
+
+    @classmethod
+    def from_wire(cls, body: Json, payload: bytes) -> ForwardCommand:
+        """Read a request."""
+        return cls(body["word"], body["body"])
+
+
+@dataclass(frozen=True, slots=True)
+class StatusReply(Body):
+    """A node's status as it reports it; operators are shown the whole document, whatever its version."""
+
+    document: Json
+
+    def to_wire(self) -> Json:
+        """The document."""
+        return self.document
+
+    @classmethod
+    def from_wire(cls, body: Json, payload: bytes) -> StatusReply:
+        """Read a reply."""
+        return cls(body)
+
+
+@dataclass(frozen=True, slots=True)
+class ReadControlStatus(Request[StatusReply]):
+    """Read another control-plane node's status."""
+
+    wire_tag: ClassVar[str] = "core.status"
+    reply_type: ClassVar[type[StatusReply]] = StatusReply
+
+    def to_wire(self) -> Json:
+        """An empty JSON object."""
+        return {}
+
+    @classmethod
+    def from_wire(cls, body: Json, payload: bytes) -> ReadControlStatus:
+        """Read a request, which has no fields."""
+        return cls()
