--- a/amberlug/cluster/control/node.py
+++ b/amberlug/cluster/control/node.py
@@ -18,7 +18,7 @@
 from amberlug.cluster.control.sessions import BEAT_S, Session, Sessions
 from amberlug.cluster.control.shard_assignment import assign_shards
 from amberlug.cluster.control.status import StatusService
-from amberlug.cluster.gossip.store import GossipStore
+from amberlug.cluster.gossip.store import DisseminationPolicy, GossipStore
 from amberlug.cluster.http.api import AdminApi, HttpRequest, HttpResponse, RespondHttp, order
 from amberlug.cluster.interfaces import Disk, Json, Reply, RequestFailure, Respond, Runtime, on
 from amberlug.cluster.rpc.messages import handlers_of
@@ -67,7 +67,10 @@
         self.world, self.settings, self.address = world, settings, address
         self.cluster_state, self.sessions = ClusterState(), Sessions()
         self.gossip = GossipStore(
-            world, self._others, lambda key, value: None, to_all=True, known_at=self._known_at
+            world,
+            self._others,
+            lambda key, value: None,
+            DisseminationPolicy(push_to_all=True, replicated_keys=self._known_at),
         )
         self.registry = EndpointRegistry(world, self.gossip, settings.heartbeat_s)
         self.raft = RaftNode(
--- a/amberlug/cluster/gossip/store.py
+++ b/amberlug/cluster/gossip/store.py
@@ -1,222 +1,280 @@
-"""Items of news by key, the newest version of each: told to others, compared by digests. No I/O.
+"""Dissemination of versioned announcements among all nodes, with anti-entropy. No I/O.
 
-A control relay sends items to all that have a session with it. Edges only say to a few others what they
-have heard of, and who lacks it asks: nearly all have it already, and bytes between zones are dear.
+Control-plane nodes push announcements to all nodes that have a session with them. Edge nodes notify a few
+random peers of the versions only, and a peer fetches those that it lacks: nearly all have them by then, and
+traffic between zones is expensive. Each node compares its digest with one peer after another, which repairs
+what was lost.
+
+The newest version of a key wins, whatever the order in which versions arrive, so that all nodes converge to
+the same state.
 """
 
 from __future__ import annotations
 
-import hashlib
-import heapq
-import json
 from collections.abc import Callable, Collection, Iterable, Mapping
-from typing import Any
+from dataclasses import dataclass
+from functools import partial
 
 from result import Ok, Result
 
-from amberlug.cluster.interfaces import Json, Reply, RequestFailure, Respond, Runtime, on
+from amberlug.cluster.gossip.announcements import (
+    PAGE_ITEMS,
+    Announcement,
+    AnnouncementMap,
+    Page,
+    Payload,
+    Version,
+    VersionedValue,
+)
+from amberlug.cluster.gossip.messages import (
+    Acknowledgement,
+    DigestReply,
+    DigestRequest,
+    FetchReply,
+    FetchRequest,
+    Update,
+    VersionNotice,
+)
+from amberlug.cluster.interfaces import RequestFailure, Runtime
+from amberlug.cluster.rpc.messages import Responder, handles, request, send
+
+ANTI_ENTROPY_INTERVAL_S = 1.0  # between comparisons with one peer and with the next one
+FANOUT = 2  # peers that an edge node notifies of new versions
+NOTICE_DELAY_S = 0.05  # until it does: by then the peers have them from their control-plane nodes
+DIGEST_TIMEOUT_S = 1.0
+TRANSFER_TIMEOUT_S = 5.0  # of a page: a large one takes 2.2 s over a link of 15 Mbit/s
+VERSIONS_PER_MESSAGE = 10_000
+
+
+def _no_keys(peer: str) -> Collection[str]:
+    return ()
+
+
+@dataclass(frozen=True, slots=True)
+class DisseminationPolicy:
+    """Which peers new announcements go to.
 
-DIGEST_S = 1.0  # between comparisons with one other
-PASS_ON = 2  # others that an edge tells of what it has heard
-RUMOUR_S = 0.05  # until it does: by then they have it from their control relays
-ASK_S = 1.0
-FETCH_S = 5.0  # for items to come: a large one takes 2.2 s over a link of 15 Mbit/s
-PAGE = 400  # items in one message
-PAGE_BYTES = 256 << 10  # of their values, but for a single one that is larger
-VERSIONS = 10_000  # versions in one comparison
+    :param fanout: how many peers are notified of new versions.
+    :param push_to_all: whether new announcements are sent to all peers in place of notices to a few.
+    :param replicated_keys: gives the keys that the peer at an address replicates by other means, as this node
+        does; they are neither sent to it nor fetched from it.
+    """
 
-Version = list[int]
-Item = tuple[Version, Any]
-Told = tuple[str, Version, Any]
+    fanout: int = FANOUT
+    push_to_all: bool = False
+    replicated_keys: Callable[[str], Collection[str]] = _no_keys
 
 
-def _mark(key: str, version: Version) -> int:
-    return int.from_bytes(hashlib.blake2b(f"{key} {version}".encode(), digest_size=8).digest(), "big")
+DEFAULT_POLICY = DisseminationPolicy()
+
+
+@dataclass(frozen=True, slots=True)
+class _PendingFetch:
+    """A version that was requested and has not arrived."""
+
+    peer: str
+    version: Version
 
 
 class GossipStore:
-    """What this process has heard."""
+    """The announcements that this node knows, and their exchange with peers.
+
+    :param peers: gives the addresses of the peers to exchange with.
+    :param on_update: called with the key and the value of each announcement that is new here.
+    :param policy: which peers new announcements go to.
+    """
 
     def __init__(
         self,
-        world: Runtime,
-        others: Callable[[], list[str]],
-        heard: Callable[[str, Any], None],
-        pass_on: int = PASS_ON,
-        to_all: bool = False,
-        known_at: Callable[[str], Collection[str]] = lambda to: (),
+        runtime: Runtime,
+        peers: Callable[[], list[str]],
+        on_update: Callable[[str, Payload], None],
+        policy: DisseminationPolicy = DEFAULT_POLICY,
     ) -> None:
-        self.world, self._others, self._heard = world, others, heard
-        self._pass_on, self._to_all = pass_on, to_all
-        self._known_at = known_at  # keys that another one has of its own, as this one does
-        self.items: dict[str, Item] = {}
-        self._sizes: dict[str, int] = {}  # of values that were paged
-        self._coming: dict[str, tuple[str, Version]] = {}  # what was asked for, of whom
-        self.sum = 0
-        self.mended = 0  # items that came by a comparison
-        self._turn = 0
-        self._fresh: dict[str, Item] = {}
+        self.runtime, self._peers, self._on_update, self._policy = runtime, peers, on_update, policy
+        self.repaired = 0  # announcements that were fetched from a peer
+        self._known = AnnouncementMap()
+        self._pending_fetches: dict[str, _PendingFetch] = {}
+        self._unsent: dict[str, VersionedValue] = {}  # new since peers were last notified
+        self._comparisons = 0
+
+    @property
+    def items(self) -> Mapping[str, VersionedValue]:
+        """The newest known value of each key."""
+        return self._known.items
+
+    @property
+    def digest(self) -> str:
+        """The digest of all known versions, in hexadecimal."""
+        return f"{self._known.digest:x}"
 
     def begin(self) -> None:
-        self.world.call_later(self.world.chance.uniform(0.2, 1.0) * DIGEST_S, self._compare)
+        """Start anti-entropy, at a random time so that nodes that start together do not stay in step."""
+        first_delay_s = self.runtime.chance.uniform(0.2, 1.0) * ANTI_ENTROPY_INTERVAL_S
+        self.runtime.call_later(first_delay_s, self._run_anti_entropy)
+
+    def everything(self) -> list[Announcement]:
+        """All announcements, in the order in which their keys became known."""
+        return list(self._known)
+
+    def page_after(self, after: str) -> Page:
+        """One page of all announcements, of the keys that come after that one."""
+        return self._known.page_after(after)
 
-    def offer(self, key: str, version: Version, value: Any) -> bool:
-        """Take an item if it is newer than what is known, and pass it on."""
-        known = self.items.get(key)
-        if known is not None and known[0] >= version:
+    # -- announcements
+
+    def offer(self, key: str, version: Version, value: Payload) -> bool:
+        """Apply an announcement and pass it on; returns False where the known version is as new."""
+        if not self._known.put_if_newer(key, version, value):
             return False
-        if known is not None:
-            self.sum ^= _mark(key, known[0])
-        self.sum ^= _mark(key, version)
-        self.items[key] = version, value
-        self._sizes.pop(key, None)
-        if not self._fresh:
-            self.world.call_later(0.0 if self._to_all else RUMOUR_S, self._pass)
-        self._fresh[key] = version, value
-        self._heard(key, value)
+        if not self._unsent:
+            self.runtime.call_later(0.0 if self._policy.push_to_all else NOTICE_DELAY_S, self._disseminate)
+        self._unsent[key] = VersionedValue(version, value)
+        self._on_update(key, value)
         return True
 
-    def _pass(self) -> None:
-        fresh, self._fresh = self._fresh, {}
-        others = self._others()
-        if self._to_all:
-            for to in others:
-                known = self._known_at(to)
-                self._send(to, [(key, *item) for key, item in fresh.items() if key not in known])
-            return
-        versions = [(key, item[0]) for key, item in fresh.items()]
-        for to in self.world.chance.sample(others, min(len(others), self._pass_on)):
-            for at in range(0, len(versions), VERSIONS):
-                self.world.send(to, "news.rumour", {"versions": dict(versions[at : at + VERSIONS])})
-
-    def _send(self, to: str, items: list[Told]) -> None:
-        """Tell another; several pages go one after another, so that beats do not wait behind all of them."""
-        if not items:
+    def apply(self, announcements: Iterable[Announcement]) -> int:
+        """Offer several announcements; returns how many were new."""
+        return sum(self.offer(key, version, value) for key, version, value in announcements)
+
+    def _disseminate(self) -> None:
+        unsent, self._unsent = self._unsent, {}
+        if self._policy.push_to_all:
+            self._push(unsent)
+        else:
+            self._notify({key: item.version for key, item in unsent.items()})
+
+    def _push(self, unsent: Mapping[str, VersionedValue]) -> None:
+        for peer in self._peers():
+            skipped = self._policy.replicated_keys(peer)
+            self._send_pages(
+                peer, [Announcement(key, *item) for key, item in unsent.items() if key not in skipped]
+            )
+
+    def _notify(self, versions: Mapping[str, Version]) -> None:
+        rows = list(versions.items())
+        peers = self._peers()
+        for peer in self.runtime.chance.sample(peers, min(len(peers), self._policy.fanout)):
+            for start in range(0, len(rows), VERSIONS_PER_MESSAGE):
+                send(self.runtime, peer, VersionNotice(dict(rows[start : start + VERSIONS_PER_MESSAGE])))
+
+    def _send_pages(self, peer: str, announcements: list[Announcement]) -> None:
+        """Send pages one after another: heartbeats must not queue behind all of them on the connection."""
+        if not announcements:
             return
-        page, rest = self._page(items)
+        page, rest = self._known.split_page(announcements)
         if not rest:
-            self.world.send(to, "news", {"items": page})
+            send(self.runtime, peer, Update(page))
+            return
+        on_reply = partial(self._on_page_acknowledged, peer, rest)
+        request(self.runtime, peer, Update(page), TRANSFER_TIMEOUT_S, on_reply)
+
+    def _on_page_acknowledged(
+        self, peer: str, rest: list[Announcement], reply: Result[Acknowledgement, RequestFailure]
+    ) -> None:
+        if isinstance(reply, Ok):  # else the next comparison repairs what is missing
+            self._send_pages(peer, rest)
+
+    @handles(Update)
+    def on_update_message(self, message: Update, origin: str, respond: Responder) -> None:
+        """Apply what a peer has pushed."""
+        self.apply(message.announcements)
+        respond(Acknowledgement())
+
+    @handles(VersionNotice)
+    def on_version_notice(self, message: VersionNotice, origin: str, respond: Responder) -> None:
+        """Fetch from the sender what is newer there."""
+        self._fetch_missing(origin, message.versions)
+
+    # -- anti-entropy
+
+    def _run_anti_entropy(self) -> None:
+        self.runtime.call_later(ANTI_ENTROPY_INTERVAL_S, self._run_anti_entropy)
+        peers = self._peers()
+        if peers:
+            self._comparisons += 1
+            self.compare_with(peers[self._comparisons % len(peers)])
+
+    def compare_with(self, peer: str, after: str = "") -> None:
+        """Compare with a peer the keys after that one, and have either side get what it lacks."""
+        on_reply = partial(self._on_digest_reply, peer, after)
+        request(self.runtime, peer, DigestRequest(self.digest, after), DIGEST_TIMEOUT_S, on_reply)
+
+    def _on_digest_reply(self, peer: str, after: str, reply: Result[DigestReply, RequestFailure]) -> None:
+        if not isinstance(reply, Ok) or reply.ok_value.versions is None:
             return
+        peer_versions, next_after = reply.ok_value.versions, reply.ok_value.next_after
+        skipped = self._policy.replicated_keys(peer)
+        self._send_pages(peer, self._newer_than(peer_versions, after, next_after, skipped))
+        wanted = {key: version for key, version in peer_versions.items() if key not in skipped}
+        self._fetch_missing(peer, wanted)
+        if next_after:
+            self.compare_with(peer, next_after)
+
+    def _newer_than(
+        self, versions: Mapping[str, Version], after: str, last: str, skipped: Collection[str]
+    ) -> list[Announcement]:
+        """What is known of keys in (after, last], or to the end where `last` is "", in newer versions."""
+        return [
+            announcement
+            for announcement in self._known
+            if after < announcement.key
+            and (not last or announcement.key <= last)
+            and announcement.key not in skipped
+            and (announcement.key not in versions or versions[announcement.key] < announcement.version)
+        ]
 
-        def hear(reply: Result[Reply, RequestFailure]) -> None:
-            if isinstance(reply, Ok):  # else the next comparison finds what is missing
-                self._send(to, rest)
-
-        self.world.request(to, "news", {"items": page}, FETCH_S, hear)
-
-    def _page(self, items: list[Told]) -> tuple[list[Told], list[Told]]:
-        """What goes into one message, at least one item, and the rest."""
-        room = PAGE_BYTES
-        for at, (key, version, value) in enumerate(items[:PAGE]):
-            room -= self._size(key, version, value)
-            if room < 0 and at:
-                return items[:at], items[at:]
-        return items[:PAGE], items[PAGE:]
-
-    def _size(self, key: str, version: Version, value: Any) -> int:
-        """How long a value is as text; of the newest one it is found once."""
-        known = self.items.get(key)
-        if known is None or known[0] != version:
-            return len(json.dumps(value))
-        if key not in self._sizes:
-            self._sizes[key] = len(json.dumps(value))
-        return self._sizes[key]
-
-    def everything(self) -> list[Told]:
-        return [(key, *item) for key, item in self.items.items()]
-
-    def page_after(self, after: str) -> tuple[list[Told], str]:
-        """One page of all items by the order of keys, and after which the next one begins; "" at the end."""
-        items = self.items
-        keys = heapq.nsmallest(PAGE, (key for key in items if key > after))
-        page, rest = self._page([(key, *items[key]) for key in keys])
-        return page, page[-1][0] if rest or len(keys) == PAGE else ""
-
-    def take(self, items: Iterable[Any]) -> int:
-        """Take several; how many were new."""
-        return sum(self.offer(key, version, value) for key, version, value in items)
-
-    @on("news")
-    def on_news(self, body: Json, blob: bytes, origin: str, respond: Respond) -> None:
-        self.take(body["items"])
-        respond({}, b"")
-
-    def _compare(self) -> None:
-        self.world.call_later(DIGEST_S, self._compare)
-        others = self._others()
-        if others:
-            self._turn += 1
-            self.compare_with(others[self._turn % len(others)])
-
-    def compare_with(self, to: str, after: str = "") -> None:
-        """Have gaps on either side mended, of keys after that one, some at a time."""
-
-        def hear(reply: Result[Reply, RequestFailure]) -> None:
-            if not isinstance(reply, Ok) or "versions" not in reply.ok_value.body:
-                return
-            theirs, upto = reply.ok_value.body["versions"], reply.ok_value.body.get("next", "")
-            known = self._known_at(to)
-            more = [
-                (key, *item)
-                for key, item in self.items.items()
-                if after < key and (not upto or key <= upto) and key not in known
-                if key not in theirs or theirs[key] < item[0]
-            ]
-            self._send(to, more)
-            self._fetch(to, {key: version for key, version in theirs.items() if key not in known})
-            if upto:
-                self.compare_with(to, upto)
-
-        self.world.request(to, "news.digest", {"sum": f"{self.sum:x}", "after": after}, ASK_S, hear)
-
-    def _fetch(self, to: str, theirs: Mapping[str, Version]) -> None:
-        """Ask another for what it knows and is newer than what is known here, and not on its way already."""
-        items = self.items
-        gaps = [
+    @handles(DigestRequest)
+    def on_digest_request(self, message: DigestRequest, origin: str, respond: Responder) -> None:
+        """Reply with the known versions, or with None where the digests are equal."""
+        if message.digest == self.digest:
+            respond(DigestReply(None))
+        else:
+            respond(DigestReply(*self._known.versions_after(message.after, VERSIONS_PER_MESSAGE)))
+
+    # -- fetching
+
+    def _fetch_missing(self, peer: str, versions: Mapping[str, Version]) -> None:
+        """Fetch what is newer at a peer, but for what was requested from it already."""
+        missing = [
             key
-            for key, version in theirs.items()
-            if (key not in items or items[key][0] < version) and self._coming.get(key) != (to, version)
+            for key, version in versions.items()
+            if self._known.lacks(key, version)
+            and self._pending_fetches.get(key) != _PendingFetch(peer, version)
         ]
-        self._coming |= {key: (to, theirs[key]) for key in gaps}
-        self._want(to, gaps)
+        self._pending_fetches |= {key: _PendingFetch(peer, versions[key]) for key in missing}
+        self._fetch(peer, missing)
 
-    def _want(self, to: str, keys: list[str]) -> None:
-        """Ask for items, some at a time."""
+    def _fetch(self, peer: str, keys: list[str]) -> None:
+        """Fetch announcements from a peer, one page after another."""
         if not keys:
             return
-        first, later = keys[:PAGE], keys[PAGE:]
-
-        def take(reply: Result[Reply, RequestFailure]) -> None:
-            rest: list[str] = []
-            if isinstance(reply, Ok):
-                self.mended += self.take(reply.ok_value.body["items"])
-                rest = reply.ok_value.body.get("rest", [])
-                rest = (rest if len(rest) < len(first) else []) + later
-            for key in set(keys) - set(rest):
-                if self._coming.get(key, ("", []))[0] == to:
-                    del self._coming[key]
-            self._want(to, rest)
-
-        self.world.request(to, "news.want", {"keys": first}, FETCH_S, take)
-
-    @on("news.rumour")
-    def on_rumour(self, body: Json, blob: bytes, origin: str, respond: Respond) -> None:
-        """Another has heard of something."""
-        self._fetch(origin, body["versions"])
-
-    @on("news.digest")
-    def on_digest(self, body: Json, blob: bytes, origin: str, respond: Respond) -> None:
-        if body["sum"] == f"{self.sum:x}":
-            respond({}, b"")
-            return
-        after = body.get("after", "")
-        keys = heapq.nsmallest(VERSIONS, (key for key in self.items if key > after))
-        upto = keys[-1] if len(keys) == VERSIONS else ""
-        respond({"versions": {key: self.items[key][0] for key in keys}, "next": upto}, b"")
-
-    @on("news.want")
-    def on_want(self, body: Json, blob: bytes, origin: str, respond: Respond) -> None:
-        """Give as many as fit into one message, and name the others."""
-        items = self.items
-        page, rest = self._page([(key, *items[key]) for key in body["keys"] if key in items])
-        respond({"items": page, "rest": [key for key, _, _ in rest]}, b"")
+        requested, later = keys[:PAGE_ITEMS], keys[PAGE_ITEMS:]
+        on_reply = partial(self._on_fetch_reply, peer, requested, later)
+        request(self.runtime, peer, FetchRequest(requested), TRANSFER_TIMEOUT_S, on_reply)
+
+    def _on_fetch_reply(
+        self, peer: str, requested: list[str], later: list[str], reply: Result[FetchReply, RequestFailure]
+    ) -> None:
+        remaining: list[str] = []
+        if isinstance(reply, Ok):
+            self.repaired += self.apply(reply.ok_value.announcements)
+            postponed = list(reply.ok_value.remaining_keys)
+            # A peer that postpones all of the keys would be sent the same request without end.
+            remaining = (postponed if len(postponed) < len(requested) else []) + later
+        self._forget_pending(peer, {*requested, *later} - set(remaining))
+        self._fetch(peer, remaining)
+
+    def _forget_pending(self, peer: str, keys: Iterable[str]) -> None:
+        for key in sorted(keys):
+            pending = self._pending_fetches.get(key)
+            if pending is not None and pending.peer == peer:
+                del self._pending_fetches[key]
+
+    @handles(FetchRequest)
+    def on_fetch_request(self, message: FetchRequest, origin: str, respond: Responder) -> None:
+        """Reply with as many announcements as fit into one message."""
+        items = self._known.items
+        requested = [Announcement(key, *items[key]) for key in message.keys if key in items]
+        page, rest = self._known.split_page(requested)
+        respond(FetchReply(page, [announcement.key for announcement in rest]))
--- a/amberlug/cluster/session_client.py
+++ b/amberlug/cluster/session_client.py
@@ -7,6 +7,7 @@
 from result import Err, Ok, Result
 
 from amberlug.cluster.control.sessions import BEAT_S
+from amberlug.cluster.gossip.announcements import Announcement
 from amberlug.cluster.gossip.store import GossipStore
 from amberlug.cluster.interfaces import Json, Reply, RequestFailure, Runtime
 from amberlug.cluster.settings import Settings
@@ -140,7 +141,7 @@
             if self.confirmed or epoch != self._epoch:
                 return
             if isinstance(reply, Ok) and reply.ok_value.body.get("ok"):
-                self.gossip.take(reply.ok_value.body["items"])
+                self.gossip.apply(Announcement(*row) for row in reply.ok_value.body["items"])
                 if reply.ok_value.body.get("next"):
                     self._newest(epoch, reply.ok_value.body["next"])
                 else:
--- a/amberlug/cluster/simulation/mutations.py
+++ b/amberlug/cluster/simulation/mutations.py
@@ -85,8 +85,8 @@
 
     def any_offer(self: GossipStore, key: str, version: list[int], value: Any) -> bool:
         known = self.items.get(key)
-        if key == "config" and known is not None and known[0] > version:
-            self._heard(key, value)
+        if key == "config" and known is not None and known.version > version:
+            self._on_update(key, value)
             return False
         return offer(self, key, version, value)
 
--- a/amberlug/cluster/storage/node.py
+++ b/amberlug/cluster/storage/node.py
@@ -7,7 +7,7 @@
 
 from absl import logging
 
-from amberlug.cluster.gossip.store import GossipStore
+from amberlug.cluster.gossip.store import DisseminationPolicy, GossipStore
 from amberlug.cluster.interfaces import Disk, Json, Respond, Runtime, on
 from amberlug.cluster.node_status import StorageStatus
 from amberlug.cluster.rpc.messages import handlers_of
@@ -44,7 +44,10 @@
         )  # index of the newest roster that this disk was seen in, once it knows
         # the owners of the time at which it came
         self.gossip = GossipStore(
-            world, lambda: [self.member.relay] if self.member.relay else [], self._heard, pass_on=0
+            world,
+            lambda: [self.member.relay] if self.member.relay else [],
+            self._heard,
+            DisseminationPolicy(fanout=0),
         )
         self.member = SessionClient(world, settings, address, "storage", self.gossip, self._extra)
         self.handlers = {**handlers_of(self), **handlers_of(self.gossip), **handlers_of(StorageStatus(self))}
--- a/tests/cluster/test_contact.py
+++ b/tests/cluster/test_contact.py
@@ -11,7 +11,7 @@
 from amberlug.cluster.consensus.log import PersistentState
 from amberlug.cluster.control.node import ControlNode
 from amberlug.cluster.dispatch.message import Message
-from amberlug.cluster.gossip import store
+from amberlug.cluster.gossip import announcements, store
 from amberlug.cluster.interfaces import Reply
 from amberlug.cluster.simulation.clock import Clock
 from amberlug.cluster.simulation.deployment import Machine
@@ -156,7 +156,7 @@
             return {"host": "x", "amberlug-attempt-id": "a"}.get(name)
 
     old = play.deployment.edges[1].part.gossip.everything()
-    part.gossip.take(old)  # what it hears from another edge first
+    part.gossip.apply(old)  # what it hears from another edge first
     assert part.routes.index > 0
     part.handle(HttpRequest(), lambda status, *rest: statuses.append(status))
     assert statuses == [503]
@@ -190,14 +190,15 @@
 
 
 def test_all_news_come_page_by_page_before_an_edge_serves(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(store, "PAGE", 2)
+    monkeypatch.setattr(announcements, "PAGE_ITEMS", 2)
+    monkeypatch.setattr(store, "PAGE_ITEMS", 2)
     pages: list[int] = []
     page_after = store.GossipStore.page_after
 
     def page(self: store.GossipStore, after: str) -> Any:
-        items, upto = page_after(self, after)
-        pages.append(len(items))
-        return items, upto
+        found = page_after(self, after)
+        pages.append(len(found.announcements))
+        return found
 
     monkeypatch.setattr(store.GossipStore, "page_after", page)
     day = Day(3, "quiet")
