--- a/amberlug/cluster/process.py
+++ b/amberlug/cluster/process.py
@@ -21,6 +21,7 @@
 from amberlug.cluster.http.server import Answer, Limits, Request, Server
 from amberlug.cluster.interfaces import Json, ReplyCallback, Respond, TimerHandle
 from amberlug.cluster.metrics import PATH, page
+from amberlug.cluster.rpc.framing import RawMessage
 from amberlug.cluster.rpc.transport import PeerTransport
 
 COUNTERS_S = 10.0  # between lines of counters
@@ -40,18 +41,24 @@
     def __init__(self, transport: PeerTransport, chance: random.Random) -> None:
         self._loop = asyncio.get_running_loop()
         self.chance, self.now, self.wall_clock = chance, self._loop.time, time.time
-        self._belt = transport
+        self._transport = transport
 
     def call_later(self, seconds: float, act: Callable[[], None]) -> TimerHandle:
         return self._loop.call_later(seconds, act)
 
-    def send(self, to: str, word: str, body: Json, blob: bytes = b"") -> None:
-        self._belt.send(to, word, body, blob)
+    def send(self, address: str, tag: str, body: Json, payload: bytes = b"") -> None:
+        self._transport.send(address, RawMessage(tag, body, payload))
 
     def request(
-        self, to: str, word: str, body: Json, within: float, then: ReplyCallback, blob: bytes = b""
+        self,
+        address: str,
+        tag: str,
+        body: Json,
+        timeout_s: float,
+        on_reply: ReplyCallback,
+        payload: bytes = b"",
     ) -> None:
-        self._belt.request(to, word, body, within, then, blob)
+        self._transport.request(address, RawMessage(tag, body, payload), timeout_s, on_reply)
 
 
 class Program:
@@ -63,13 +70,13 @@
         self.servers: list[Server] = []
         self.closers: list[Callable[[], None]] = []
         self.ended = asyncio.Event()
-        self.transport = PeerTransport(self._hear, self._broken)
+        self.transport = PeerTransport(self._handle_message, self._broken)
         self._stamp = self._file_stamp()
 
-    def _hear(self, word: str, body: Json, blob: bytes, origin: str, respond: Respond) -> None:
-        handler = self.machine.handlers.get(word) if self.machine is not None else None
+    def _handle_message(self, message: RawMessage, origin: str, respond: Respond) -> None:
+        handler = self.machine.handlers.get(message.tag) if self.machine is not None else None
         if handler is not None:
-            handler(body, blob, origin, respond)
+            handler(message.body, message.payload, origin, respond)
 
     def _broken(self, address: str) -> None:
         if self.machine is not None:
--- a/amberlug/cluster/simulation/mutations_answers.py
+++ b/amberlug/cluster/simulation/mutations_answers.py
@@ -19,7 +19,9 @@
 from amberlug.cluster.edge import node as edge_node
 from amberlug.cluster.http.server import Answer, _Reply
 from amberlug.cluster.interfaces import CallResult, CallVerdict, EndpointCall, Json, RequestFailure, Respond
-from amberlug.cluster.rpc.transport import PeerTransport, _Incoming, _Outgoing
+from amberlug.cluster.rpc.client_connection import ClientConnection
+from amberlug.cluster.rpc.server_connection import ConnectionOwner, ServerConnection
+from amberlug.cluster.rpc.transport import PeerTransport
 from amberlug.http.link import Link
 
 
@@ -81,15 +83,14 @@
 @contextmanager
 def _reply_by_order() -> Iterator[None]:
     """The next reply on a connection is taken for the oldest ask's, whatever number it names."""
-    received = _Outgoing.data_received
+    received = ClientConnection.data_received
 
-    def in_order(self: _Outgoing, data: bytes) -> None:
-        asked = self.asked
-        self.asked = _Oldest(asked)
+    def in_order(self: ClientConnection, data: bytes) -> None:
+        self.pending = _Oldest(self.pending)
         received(self, data)
-        self.asked = dict(self.asked)
+        self.pending = dict(self.pending)
 
-    with patch.object(_Outgoing, "data_received", in_order):
+    with patch.object(ClientConnection, "data_received", in_order):
         yield
 
 
@@ -103,30 +104,31 @@
 @contextmanager
 def _reply_after_replacement() -> Iterator[None]:
     """Each connection numbers its asks anew, and replies go back on the newest connection from the asker."""
-    respond_to, ask = _Incoming._respond_to, PeerTransport.request
-    newest: dict[tuple[PeerTransport, str], _Incoming] = {}
+    respond_to, request = ServerConnection._respond_to, PeerTransport.request
+    newest: dict[tuple[ConnectionOwner, str], ServerConnection] = {}
 
-    def numbered(self: PeerTransport, to: str, *rest: Any, **more: Any) -> None:
-        link = self._link(to)
-        self._numbers = itertools.count(1 + len(link.__dict__.setdefault("numbered", [])))
-        link.__dict__["numbered"].append(to)
-        ask(self, to, *rest, **more)
+    def numbered(self: PeerTransport, address: str, *rest: Any, **more: Any) -> None:
+        connection = self._connection_to(address)
+        self._request_numbers = itertools.count(1 + len(connection.__dict__.setdefault("numbered", [])))
+        connection.__dict__["numbered"].append(address)
+        request(self, address, *rest, **more)
 
-    def on_newest(self: _Incoming, number: object) -> Respond:
-        newest[self.peers, self.origin] = self
+    def on_newest(self: ServerConnection, number: object) -> Respond:
+        newest[self.owner, self.origin] = self
 
-        def respond(body: Json, blob: bytes = b"") -> None:
-            respond_to(newest[self.peers, self.origin], number)(body, blob)
+        def respond(body: Json, payload: bytes = b"") -> None:
+            respond_to(newest[self.owner, self.origin], number)(body, payload)
 
         return respond
 
-    with patch.object(PeerTransport, "request", numbered), patch.object(_Incoming, "_respond_to", on_newest):
+    on_newest_connection = patch.object(ServerConnection, "_respond_to", on_newest)
+    with patch.object(PeerTransport, "request", numbered), on_newest_connection:
         yield
 
 
 def _unsent_after_dial() -> AbstractContextManager[Any]:
     """A dial that is given up as it comes up counts as unsent."""
-    return patch.object(_Outgoing, "not_up", lambda self: self.end(RequestFailure.NOT_SENT))
+    return patch.object(ClientConnection, "on_connect_failed", lambda self: self.end(RequestFailure.NOT_SENT))
 
 
 def _answer_to_next() -> AbstractContextManager[Any]:
--- a/amberlug/cluster/simulation/network.py
+++ b/amberlug/cluster/simulation/network.py
@@ -13,7 +13,7 @@
 from result import Err, Ok
 
 from amberlug.cluster.interfaces import Json, Reply, ReplyCallback, RequestFailure
-from amberlug.cluster.rpc.framing import MOST
+from amberlug.cluster.rpc.framing import MAX_NETSTRING_BYTES
 from amberlug.cluster.simulation.boundary_digest import BoundaryDigest
 from amberlug.cluster.simulation.clock import Clock, Timer
 
@@ -241,7 +241,7 @@
 
     def _too_long(self, text: str, blob: bytes) -> bool:
         """Whether a frame is refused where it is packed."""
-        if max(len(text), len(blob)) <= MOST:
+        if max(len(text), len(blob)) <= MAX_NETSTRING_BYTES:
             return False
         self.net.too_long += 1
         return True
--- a/benchmarks/hollow/net.py
+++ b/benchmarks/hollow/net.py
@@ -29,7 +29,7 @@
     ReplyCallback,
     RequestFailure,
 )
-from amberlug.cluster.rpc.framing import FrameReader, pack
+from amberlug.cluster.rpc.framing import FrameReader, encode_frame
 from amberlug.cluster.settings import Settings, Tolerance
 from amberlug.cluster.simulation.clock import Clock, Timer
 
@@ -179,12 +179,12 @@
                 net.clock.call_later(net.between, partial(net.ended, number, RequestFailure.NOT_SENT))
             return
         head: Json = {"w": word, "b": body} if number is None else {"w": word, "b": body, "n": number}
-        data = pack(head, blob).unwrap()
+        data = encode_frame(head, blob).unwrap()
 
         def respond(said: Json, blob: bytes = b"") -> None:
             if number is None:
                 return
-            back = pack({"n": number, "b": said}, blob).unwrap()
+            back = encode_frame({"n": number, "b": said}, blob).unwrap()
 
             def take() -> None:
                 found = net.asked.pop(number, None)
--- a/benchmarks/hollow/steps.py
+++ b/benchmarks/hollow/steps.py
@@ -30,7 +30,7 @@
 from amberlug.cluster.gossip.store import GossipStore
 from amberlug.cluster.http.routing import build
 from amberlug.cluster.interfaces import Json
-from amberlug.cluster.rpc.framing import pack
+from amberlug.cluster.rpc.framing import encode_frame
 from amberlug.cluster.storage.message_store import StoredContents, StoredMessage
 from amberlug.cluster.storage.node import StorageNode
 from benchmarks.hollow.deployment import STORES, ZONES, beat, config
@@ -147,7 +147,7 @@
         yield Figure("store", "open messages", count, "store", "processor s, a fence", spent[0])
         text = len(json.dumps(answers[0][0], separators=(",", ":")))
         yield Figure("store", "open messages", count, "store", "bytes of a fence's answer", text)
-        fits = float(isinstance(pack({"n": 1, "b": answers[0][0]}, answers[0][1]), Ok))
+        fits = float(isinstance(encode_frame({"n": 1, "b": answers[0][0]}, answers[0][1]), Ok))
         yield Figure("store", "open messages", count, "store", "fence's answer fits a frame", fits)
 
 
@@ -179,7 +179,7 @@
             "parse": partial(parse, text),
             "check": partial(check, whole),
             "digest": partial(digest, whole),
-            "pack": partial(pack, gossip),
+            "pack": partial(encode_frame, gossip),
             "read": partial(json.loads, text),
             "build at an edge": partial(build, 1, whole),
         }
@@ -221,7 +221,7 @@
         assert isinstance(sessions, Sessions)
         yield Figure("steps", "sessions", count, "core", "bytes of memory", room)
         rows = sessions.report(1.1)
-        size = len(pack({"w": "sessions", "b": {"rows": rows, "seen": []}}).unwrap())
+        size = len(encode_frame({"w": "sessions", "b": {"rows": rows, "seen": []}}).unwrap())
         yield Figure("steps", "sessions", count, "core", "bytes of a report", size)
         steps: dict[str, Callable[[], object]] = {
             "report": partial(sessions.report, 1.1),
@@ -264,7 +264,7 @@
             count,
             "core",
             "bytes of a report of beats",
-            len(pack({"w": "sessions", "b": {"rows": [], "seen": report}}).unwrap()),
+            len(encode_frame({"w": "sessions", "b": {"rows": [], "seen": report}}).unwrap()),
         )
         versions = {key: item[0] for key, item in registry.gossip.items.items()}
         yield Figure(
--- a/tests/cluster/test_internal_replies.py
+++ b/tests/cluster/test_internal_replies.py
@@ -7,9 +7,10 @@
 import pytest
 from result import Err, Ok, Result
 
-from amberlug.cluster.interfaces import Json, Reply, RequestFailure, Respond
-from amberlug.cluster.rpc.framing import pack
-from amberlug.cluster.rpc.transport import DIAL_S, PeerTransport
+from amberlug.cluster.interfaces import Reply, RequestFailure, Respond
+from amberlug.cluster.rpc.client_connection import CONNECT_TIMEOUT_S
+from amberlug.cluster.rpc.framing import RawMessage, encode_reply
+from amberlug.cluster.rpc.transport import PeerTransport
 from amberlug.cluster.simulation.mutations_answers import FAULTS
 from tests.cluster.wires import Loop, run
 
@@ -36,19 +37,19 @@
 
         def held_up() -> asyncio.Protocol:
             if self.chance.random() < self.slow:  # who dials is held up as the connection comes up
-                self.loop.stall(DIAL_S)
+                self.loop.stall(CONNECT_TIMEOUT_S)
             return door()
 
         self.loop.doors[AT] = held_up
 
     def kill(self) -> None:
         self.loop.doors.pop(AT, None)
-        for it in list(self.peers.incoming):
+        for it in list(self.peers.server_connections):
             assert it.transport is not None, "a connection that came up"
             it.transport.abort()
 
-    def hear(self, word: str, body: Json, blob: bytes, origin: str, respond: Respond) -> None:
-        number, chance = body["number"], self.chance
+    def hear(self, message: RawMessage, origin: str, respond: Respond) -> None:
+        number, chance = message.body["number"], self.chance
         self.heard[number] += 1
         self.held.append((respond, number))
         what = chance.choice(("once", "once", "twice", "late", "never", "another", "stall", "broken"))
@@ -91,7 +92,8 @@
             if isinstance(reply, Err) and self.chance.random() < self.again:
                 self.ask(f"{number}+")  # who hears of a break asks again at once, over another connection
 
-        self.peers.request(f"{AT[0]}:{AT[1]}", "word", {"number": number}, WITHIN_S, then)
+        message = RawMessage("word", {"number": number})
+        self.peers.request(f"{AT[0]}:{AT[1]}", message, WITHIN_S, then)
 
 
 async def scene(loop: Loop, chance: random.Random) -> None:
@@ -141,13 +143,13 @@
     """What follows on its connection is no reply to anything."""
 
     async def cut(loop: Loop, chance: random.Random) -> None:
-        frame = pack({"n": 1, "b": {"number": "1"}}, b"111").unwrap()
+        frame = encode_reply(1, {"number": "1"}, b"111").unwrap()
         for at in range(len(frame)):
             peer = Peer(loop, chance, slow=0.0)
             await peer.start()
             asker = Asker(loop, chance, peer, again=0.0)
             asker.ask("1")
-            link = asker.peers._links[f"{AT[0]}:{AT[1]}"]
+            link = asker.peers._client_connections[f"{AT[0]}:{AT[1]}"]
             await asyncio.sleep(0.01)
             assert link.transport is not None
             link.data_received(frame[:at])
@@ -156,6 +158,6 @@
             peer.kill()
             await asyncio.sleep(0.5)
             assert asker.said == {"1": 1}
-            assert not link.asked
+            assert not link.pending
 
     run(2, cut)
