--- a/amberlug/cluster/control/node.py
+++ b/amberlug/cluster/control/node.py
@@ -22,7 +22,7 @@
 from amberlug.cluster.http.api import AdminApi, HttpRequest, HttpResponse, RespondHttp, order
 from amberlug.cluster.interfaces import Disk, Json, Reply, RequestFailure, Respond, Runtime, on
 from amberlug.cluster.rpc.messages import handlers_of
-from amberlug.cluster.session_client import internal
+from amberlug.cluster.session_client import seed_addresses
 from amberlug.cluster.settings import Settings
 
 DUTY_S = 0.1  # between looks at what is to be done while leading
@@ -45,7 +45,7 @@
     unknown = {"voter": True, "name": "", "zone": "", "region": ""}
     return {
         f"{host}/0": {**unknown, "addr": to, "control": f"{host}:{port}"}
-        for (host, port), to in zip(settings.seeds, internal(settings), strict=True)
+        for (host, port), to in zip(settings.seeds, seed_addresses(settings), strict=True)
     }
 
 
@@ -354,7 +354,7 @@
             self._let_in(body)
             return
         leader = self._leader_address()
-        known = [*internal(self.settings), *self._cores()]
+        known = [*seed_addresses(self.settings), *self._cores()]
         addresses = [leader] if leader and heard else [it for it in known if it != self.address]
         if addresses:
             self.world.send(self.world.chance.choice(addresses), "core.join", body)
--- a/amberlug/cluster/edge/node.py
+++ b/amberlug/cluster/edge/node.py
@@ -31,7 +31,7 @@
 )
 from amberlug.cluster.node_status import EdgeStatus
 from amberlug.cluster.rpc.messages import handlers_of
-from amberlug.cluster.session_client import SessionClient, internal
+from amberlug.cluster.session_client import LocalNode, SessionClient, seed_addresses
 from amberlug.cluster.settings import Settings
 
 MEND_S = 0.1  # between looks for messages that lack copies
@@ -155,7 +155,7 @@
         self.world, self.settings, self.endpoints = world, settings, endpoints
         self.routes = RoutingTable()
         self.gossip = GossipStore(world, self._others, self._heard)
-        self.member = SessionClient(world, settings, address, "edge", self.gossip, self._extra)
+        self.member = SessionClient(world, settings, LocalNode(address, "edge", self._extra), self.gossip)
         self.replicator = Replicator(
             world, settings.tolerance, settings.zone, settings.region, settings.seconds("statusTtlS")
         )
@@ -201,10 +201,10 @@
     def settings_are(self, settings: Settings) -> None:
         """Take a settings file that has changed."""
         self.settings = self.member.settings = settings
-        self.member.seeds_are(internal(settings))
+        self.member.add_seeds(seed_addresses(settings))
 
     def broken(self, address: str) -> None:
-        self.member.broken(address)
+        self.member.on_disconnect(address)
         self.replicator.broken(address)
         self.shards.broken(address)
 
@@ -213,7 +213,7 @@
 
     def _others(self) -> list[str]:
         others = [str(place["addr"]) for name, place in self.shards.owners if name != self.member.id]
-        return others + ([self.member.relay] if self.member.relay else [])
+        return others + ([self.member.control_address] if self.member.control_address else [])
 
     # -- what is heard
 
@@ -233,7 +233,7 @@
         elif key == "roster":
             self._roster_is(self.gossip.items[key][0][0], value)
         elif key == "cores":
-            self.member.cores_are(value)
+            self.member.apply_roster(value)
 
     def _config_is(self, routes: RoutingTable) -> None:
         assert routes.index > self.routes.index, "a configuration would be taken back"
@@ -295,7 +295,7 @@
         """Whether clients should be sent here."""
         ready = (
             not self.leaving
-            and self.member.confirmed
+            and self.member.is_confirmed
             and self.routes.index > 0
             and bool(self.shards.table)
             and not self.replicator.dark()
@@ -312,7 +312,7 @@
         if asked.target.startswith("/-/"):
             self.counter.take(asked, lambda said: self._say(said, finish))
             return
-        if self.routes.index == 0 or not self.member.confirmed:
+        if self.routes.index == 0 or not self.member.is_confirmed:
             # What is here may be older than what was acknowledged, or no configuration at all.
             self._refuse(finish, 503, "no configuration that a majority has confirmed")
             return
--- a/amberlug/cluster/session_client.py
+++ b/amberlug/cluster/session_client.py
@@ -1,184 +1,237 @@
-"""A member's side of its session with a control relay, for edges and stores. No I/O."""
+"""The session that edge and storage nodes keep with one control-plane node. No I/O.
+
+The session is a lease: heartbeats renew it, and the control plane drops a node whose session has expired. A
+control-plane node that reaches no majority of its peers refuses sessions, so that nodes find one that does.
+"""
 
 from __future__ import annotations
 
 from collections.abc import Callable
+from dataclasses import dataclass
+from functools import partial
 
 from result import Err, Ok, Result
 
+from amberlug.cluster.control.messages import (
+    CurrentStateReply,
+    Heartbeat,
+    OpenSession,
+    ReadCurrentState,
+    SessionDescription,
+    SessionReply,
+)
 from amberlug.cluster.control.sessions import BEAT_S
-from amberlug.cluster.gossip.announcements import Announcement
+from amberlug.cluster.gossip.announcements import Announcement, Payload
 from amberlug.cluster.gossip.store import GossipStore
-from amberlug.cluster.interfaces import Json, Reply, RequestFailure, Runtime
+from amberlug.cluster.interfaces import Json, RequestFailure, Runtime
+from amberlug.cluster.rpc.messages import request, send
 from amberlug.cluster.settings import Settings
 
-ANSWER_S = 0.4  # for a control relay to answer a beat
-HELLO_S = 0.8
-FURTHER_S = 0.25  # without an answer to a hello until a further control relay is asked as well
-NEWEST_S = 5.0  # for a page of all news: a large one takes seconds over a slow link
-PAUSE_S = (0.1, 0.5)  # before the next control relay is tried, growing
-STALE_S = 1.5  # what a control relay knows may be so much older than what a majority has
+HEARTBEAT_TIMEOUT_S = 0.4
+OPEN_TIMEOUT_S = 0.8
+HEDGE_DELAY_S = 0.25  # without a reply until a further control-plane node is tried as well
+CURRENT_STATE_TIMEOUT_S = 5.0  # for a page: a large one takes seconds over a slow link
+MIN_RETRY_DELAY_S = 0.1
+MAX_RETRY_DELAY_S = 0.5  # all control-plane nodes may be without a majority for long
+RETRY_BACKOFF = 1.3
+RETRY_JITTER = (0.8, 1.2)  # factors: nodes that lost one control-plane node do not retry in step
+MAX_COUNTED_FAILURES = 20  # keeps the power of the backoff small: the delay is at its maximum long before
+MAX_STALENESS_S = 1.5  # what a control-plane node knows may be so much older than what a majority has
 
 
-def internal(settings: Settings) -> list[str]:
-    """The seeds' addresses for peers: all machines of a deployment use the same ports."""
+def seed_addresses(settings: Settings) -> list[str]:
+    """The seeds' addresses for peers: all nodes of a deployment use the same ports."""
     return [f"{host}:{settings.ports.start}" for host, _ in settings.seeds]
 
 
-def _in_contact(reply: Result[Reply, RequestFailure]) -> bool:
-    """Whether a control relay takes this member's word, and knows what a majority knows."""
+def _is_in_contact(reply: Result[SessionReply, RequestFailure]) -> bool:
+    """Whether a control-plane node keeps the session, and knows what a majority knows."""
     if isinstance(reply, Err):
         return False
-    said = reply.ok_value.body
-    return bool(said.get("ok")) and float(said.get("age", 0.0)) <= STALE_S
+    return reply.ok_value.is_accepted and reply.ok_value.staleness_s <= MAX_STALENESS_S
+
+
+@dataclass(frozen=True, slots=True)
+class LocalNode:
+    """The node that the session is for.
+
+    :param address: where it listens for peers.
+    :param details: gives what only this class of node reports.
+    """
+
+    address: str
+    machine_class: str
+    details: Callable[[], Json]
+
+
+@dataclass(slots=True)
+class _Attempt:
+    """A request to open a session. The search goes on without it once it was continued."""
+
+    epoch: int
+    address: str
+    was_continued: bool = False
 
 
 class SessionClient:
-    """Keeps a session with one control relay, and finds another when that one is silent."""
-
-    def __init__(
-        self,
-        world: Runtime,
-        settings: Settings,
-        address: str,
-        machine_class: str,
-        gossip: GossipStore,
-        extra: Callable[[], Json],
-    ) -> None:
-        self.world, self.settings, self.gossip, self._extra = world, settings, gossip, extra
-        self.address, self.machine_class = address, machine_class
-        self.incarnation = f"{int(world.wall_clock() * 1000):x}{world.chance.getrandbits(16):04x}"
+    """Keeps a session with one control-plane node, and opens one with another when that one is unresponsive.
+
+    Each search for a control-plane node has an epoch. Replies and timers of earlier epochs are ignored, so
+    that at most one session is kept at a time.
+    """
+
+    def __init__(self, runtime: Runtime, settings: Settings, node: LocalNode, gossip: GossipStore) -> None:
+        self.runtime, self.settings, self.node, self.gossip = runtime, settings, node, gossip
+        self.incarnation = f"{int(runtime.wall_clock() * 1000):x}{runtime.chance.getrandbits(16):04x}"
         self.state = "up"
-        self.relay = ""  # the control relay that the session is with
-        self.confirmed = False  # whether the news were once as new as a majority's
-        self.changes = 0  # sessions begun
-        self._tried = 0
-        self._failed = 0  # tries since a session stood
-        self._known: list[str] = internal(settings)
+        self.control_address = ""  # of the control-plane node that the session is with
+        self.is_confirmed = False  # whether the announcements were once as new as a majority's
+        self.sessions_opened = 0
+        self._candidates: list[str] = seed_addresses(settings)
+        self._attempts = 0  # which candidate is next
+        self._failures = 0  # since a session was open
         self._epoch = 0
 
     @property
     def id(self) -> str:
+        """The node's name with its incarnation."""
         return f"{self.settings.name}/{self.incarnation}"
 
     def begin(self) -> None:
-        self.world.chance.shuffle(self._known)
-        self._hello()
+        """Open the first session."""
+        self.runtime.chance.shuffle(self._candidates)
+        self._search()
 
-    def cores_are(self, members: Json) -> None:
-        """Take the addresses of all control relays, those of the same zone first."""
-        here: list[str] = []
-        others: list[str] = []
-        for it in members.values():
-            (here if it.get("zone") == self.settings.zone else others).append(it["addr"])
-        self.world.chance.shuffle(others)
-        self._known = here + others or self._known
-
-    def seeds_are(self, seeds: list[str]) -> None:
-        """Further addresses to try."""
-        self._known += [it for it in seeds if it not in self._known]
-
-    def _body(self) -> Json:
-        return {
-            "name": self.settings.name,
-            "incarnation": self.incarnation,
-            "address": self.address,
-            "machine_class": self.machine_class,
-            "zone": self.settings.zone,
-            "region": self.settings.region,
-            "state": self.state,
-            "extra": self._extra(),
-        }
-
-    def _hello(self) -> None:
-        self._epoch += 1
-        self._try(self._epoch)
+    def apply_roster(self, roster: Payload) -> None:
+        """Prefer the control-plane nodes of the own zone, then the others in random order.
 
-    def _try(self, epoch: int) -> None:
-        """Ask one control relay for a session, and a further one where it is silent: several may be gone."""
-        if epoch != self._epoch or self.relay:
-            return
-        to = self._known[self._tried % len(self._known)]
-        self._tried += 1
-        passed = False  # whether the search goes on without this one
-
-        def further() -> None:
-            nonlocal passed
-            if not passed:
-                passed = True
-                self._try(epoch)
-
-        def hear(reply: Result[Reply, RequestFailure]) -> None:
-            nonlocal passed
-            if epoch != self._epoch or self.relay:
-                return  # another one was quicker
-            if not _in_contact(reply):
-                if not passed:
-                    passed = True
-                    self._again()
-                return
-            passed = True
-            self.relay, self.changes, self._failed = to, self.changes + 1, 0
-            self.gossip.compare_with(to)
-            self.world.call_later(BEAT_S, lambda: self._beat(epoch))
-            if not self.confirmed:
-                self._newest(epoch)
-
-        self.world.request(to, "hello", self._body(), HELLO_S, hear)
-        self.world.call_later(FURTHER_S, further)
-
-    def _again(self) -> None:
-        """Look for another control relay, after a while that grows: all of them may be without a majority."""
-        epoch = self._epoch
-        pause = min(PAUSE_S[1], PAUSE_S[0] * 1.3**self._failed) * self.world.chance.uniform(0.8, 1.2)
-        self._failed = min(self._failed + 1, 20)
-        self.world.call_later(pause, lambda: self._try(epoch))
-
-    def _newest(self, epoch: int, after: str = "") -> None:
-        """Have what is known confirmed by a majority once, before clients are served."""
-
-        def hear(reply: Result[Reply, RequestFailure]) -> None:
-            if self.confirmed or epoch != self._epoch:
-                return
-            if isinstance(reply, Ok) and reply.ok_value.body.get("ok"):
-                self.gossip.apply(Announcement(*row) for row in reply.ok_value.body["items"])
-                if reply.ok_value.body.get("next"):
-                    self._newest(epoch, reply.ok_value.body["next"])
-                else:
-                    self.confirmed = True
-            else:
-                # This relay reaches no majority, or is slow: another one may do better.
-                self.relay = ""
-                self._epoch += 1
-                self._again()
-
-        if epoch == self._epoch and not self.confirmed:
-            self.world.request(self.relay, "newest", {"after": after}, NEWEST_S, hear)
-
-    def _beat(self, epoch: int) -> None:
-        if epoch != self._epoch:
-            return
-        sent = self.world.now()
-
-        def hear(reply: Result[Reply, RequestFailure]) -> None:
-            if epoch != self._epoch:
-                return
-            if not _in_contact(reply):
-                self.relay = ""
-                self._hello()
-                return
-            self.world.call_later(max(0.0, BEAT_S - (self.world.now() - sent)), lambda: self._beat(epoch))
+        :param roster: the value of the announcement `roster`: a JSON object of control-plane nodes by member.
+            It is ignored where it is empty.
+        """
+        same_zone: list[str] = []
+        others: list[str] = []
+        for member in roster.values():
+            (same_zone if member.get("zone") == self.settings.zone else others).append(member["addr"])
+        self.runtime.chance.shuffle(others)
+        self._candidates = same_zone + others or self._candidates
 
-        self.world.request(self.relay, "beat", self._body(), ANSWER_S, hear)
+    def add_seeds(self, addresses: list[str]) -> None:
+        """Add addresses to try after those that are known."""
+        self._candidates += [address for address in addresses if address not in self._candidates]
 
-    def broken(self, address: str) -> None:
-        """The connection with a process ended."""
-        if address == self.relay:
-            self.relay = ""
-            self._hello()
+    def on_disconnect(self, address: str) -> None:
+        """A connection with a peer ended: where the session is with it, search at once."""
+        if address == self.control_address:
+            self._lose_session()
 
     def leave(self) -> None:
-        """Say at once that this member goes."""
+        """Announce a planned stop, without waiting for the next heartbeat."""
         self.state = "leaving"
-        if self.relay:
-            self.world.send(self.relay, "beat", self._body())
+        if self.control_address:
+            send(self.runtime, self.control_address, Heartbeat(self._describe()))
+
+    def _describe(self) -> SessionDescription:
+        return SessionDescription(
+            name=self.settings.name,
+            incarnation=self.incarnation,
+            address=self.node.address,
+            machine_class=self.node.machine_class,
+            zone=self.settings.zone,
+            region=self.settings.region,
+            state=self.state,
+            details=self.node.details(),
+        )
+
+    # -- opening a session
+
+    def _lose_session(self) -> None:
+        self.control_address = ""
+        self._search()
+
+    def _search(self) -> None:
+        self._epoch += 1
+        self._try_next(self._epoch)
+
+    def _try_next(self, epoch: int) -> None:
+        """Try one control-plane node, and soon a further one in parallel: several may be unresponsive."""
+        if epoch != self._epoch or self.control_address:
+            return
+        attempt = _Attempt(epoch, self._candidates[self._attempts % len(self._candidates)])
+        self._attempts += 1
+        on_reply = partial(self._on_open_reply, attempt)
+        request(self.runtime, attempt.address, OpenSession(self._describe()), OPEN_TIMEOUT_S, on_reply)
+        self.runtime.call_later(HEDGE_DELAY_S, partial(self._hedge, attempt))
+
+    def _hedge(self, attempt: _Attempt) -> None:
+        if not attempt.was_continued:
+            attempt.was_continued = True
+            self._try_next(attempt.epoch)
+
+    def _on_open_reply(self, attempt: _Attempt, reply: Result[SessionReply, RequestFailure]) -> None:
+        if attempt.epoch != self._epoch or self.control_address:
+            return  # another one was quicker
+        if _is_in_contact(reply):
+            attempt.was_continued = True
+            self._start_session(attempt)
+        elif not attempt.was_continued:
+            attempt.was_continued = True
+            self._retry_later()
+
+    def _start_session(self, attempt: _Attempt) -> None:
+        self.control_address = attempt.address
+        self.sessions_opened += 1
+        self._failures = 0
+        self.gossip.compare_with(attempt.address)
+        self.runtime.call_later(BEAT_S, partial(self._send_heartbeat, attempt.epoch))
+        if not self.is_confirmed:
+            self._read_current_state(attempt.epoch)
+
+    def _retry_later(self) -> None:
+        """Try the next control-plane node after a delay that grows with each failure."""
+        delay_s = min(MAX_RETRY_DELAY_S, MIN_RETRY_DELAY_S * RETRY_BACKOFF**self._failures)
+        delay_s *= self.runtime.chance.uniform(*RETRY_JITTER)
+        self._failures = min(self._failures + 1, MAX_COUNTED_FAILURES)
+        self.runtime.call_later(delay_s, partial(self._try_next, self._epoch))
+
+    # -- confirming the state
+
+    def _read_current_state(self, epoch: int, after_key: str = "") -> None:
+        """Have a majority confirm what is known once, page by page, before clients are served."""
+        if epoch == self._epoch and not self.is_confirmed:
+            message, on_reply = ReadCurrentState(after_key), partial(self._on_current_state, epoch)
+            request(self.runtime, self.control_address, message, CURRENT_STATE_TIMEOUT_S, on_reply)
+
+    def _on_current_state(self, epoch: int, reply: Result[CurrentStateReply, RequestFailure]) -> None:
+        if self.is_confirmed or epoch != self._epoch:
+            return
+        if not isinstance(reply, Ok) or not reply.ok_value.is_confirmed:
+            # This control-plane node reaches no majority, or is slow: another one may do better.
+            self.control_address = ""
+            self._epoch += 1
+            self._retry_later()
+            return
+        page = reply.ok_value
+        self.gossip.apply(Announcement(*row) for row in page.items)
+        if page.next_key:
+            self._read_current_state(epoch, page.next_key)
+        else:
+            self.is_confirmed = True
+
+    # -- keeping the session
+
+    def _send_heartbeat(self, epoch: int) -> None:
+        if epoch == self._epoch:
+            on_reply = partial(self._on_heartbeat_reply, epoch, self.runtime.now())
+            message = Heartbeat(self._describe())
+            request(self.runtime, self.control_address, message, HEARTBEAT_TIMEOUT_S, on_reply)
+
+    def _on_heartbeat_reply(
+        self, epoch: int, sent_at_s: float, reply: Result[SessionReply, RequestFailure]
+    ) -> None:
+        if epoch != self._epoch:
+            return
+        if not _is_in_contact(reply):
+            self._lose_session()
+            return
+        delay_s = max(0.0, BEAT_S - (self.runtime.now() - sent_at_s))
+        self.runtime.call_later(delay_s, partial(self._send_heartbeat, epoch))
--- a/amberlug/cluster/simulation/mutations_partitions.py
+++ b/amberlug/cluster/simulation/mutations_partitions.py
@@ -32,9 +32,9 @@
     """An edge serves what it has heard from any control relay, confirmed or not."""
 
     def take(self: SessionClient, epoch: int) -> None:
-        self.confirmed = True
+        self.is_confirmed = True
 
-    return patch.object(SessionClient, "_newest", take)
+    return patch.object(SessionClient, "_read_current_state", take)
 
 
 @contextmanager
--- a/amberlug/cluster/storage/node.py
+++ b/amberlug/cluster/storage/node.py
@@ -11,7 +11,7 @@
 from amberlug.cluster.interfaces import Disk, Json, Respond, Runtime, on
 from amberlug.cluster.node_status import StorageStatus
 from amberlug.cluster.rpc.messages import handlers_of
-from amberlug.cluster.session_client import SessionClient, internal
+from amberlug.cluster.session_client import LocalNode, SessionClient, seed_addresses
 from amberlug.cluster.settings import Settings
 from amberlug.cluster.storage.group_commit import Row
 from amberlug.cluster.storage.message_store import StoredContents, StoredMessage
@@ -45,11 +45,11 @@
         # the owners of the time at which it came
         self.gossip = GossipStore(
             world,
-            lambda: [self.member.relay] if self.member.relay else [],
+            lambda: [self.member.control_address] if self.member.control_address else [],
             self._heard,
             DisseminationPolicy(fanout=0),
         )
-        self.member = SessionClient(world, settings, address, "storage", self.gossip, self._extra)
+        self.member = SessionClient(world, settings, LocalNode(address, "storage", self._extra), self.gossip)
         self.handlers = {**handlers_of(self), **handlers_of(self.gossip), **handlers_of(StorageStatus(self))}
         self.counts: dict[str, int] = {}
         self.full = False
@@ -74,17 +74,17 @@
     def settings_are(self, settings: Settings) -> None:
         """Take a settings file that has changed."""
         self.settings = self.member.settings = settings
-        self.member.seeds_are(internal(settings))
+        self.member.add_seeds(seed_addresses(settings))
 
     def broken(self, address: str) -> None:
-        self.member.broken(address)
+        self.member.on_disconnect(address)
 
     def _extra(self) -> Json:
         return {"disk": self.disk, "enrolled": self.enrolled > 0}
 
     def _heard(self, key: str, value: Json) -> None:
         if key == "cores":
-            self.member.cores_are(value)
+            self.member.apply_roster(value)
         elif key in ("roster", "shards") and "roster" in self.gossip.items:
             (index, *_), roster = self.gossip.items["roster"]
             self._roster_is(index, roster)
--- a/tests/cluster/test_contact.py
+++ b/tests/cluster/test_contact.py
@@ -83,7 +83,7 @@
         return {it.part.routes.edition for it in self.deployment.edges}
 
     def relays(self) -> set[str]:
-        return {it.part.member.relay for it in self.deployment.edges + self.deployment.stores}
+        return {it.part.member.control_address for it in self.deployment.edges + self.deployment.stores}
 
 
 @pytest.mark.parametrize("way", ["both", "to", "from"])
@@ -212,7 +212,7 @@
     edge.kill()
     edge.start()
     pages.clear()
-    while not edge.part.member.confirmed:
+    while not edge.part.member.is_confirmed:
         day.clock.run(day.clock.now + 0.001)
         assert day.clock.now < 7.0
     known = edge.part.gossip.items
@@ -276,14 +276,14 @@
     assert len(silent) == 2
     gone = {it.address for it in silent}
     members = [it.part.member for it in day.deployment.edges + day.deployment.stores]
-    member = next(it for it in members if it.relay not in gone)
+    member = next(it for it in members if it.control_address not in gone)
     for machine in silent:
         machine.power_off()
     day.clock.run(day.clock.now + 2.0)
-    member._known = [it.address for it in silent] + [
+    member._candidates = [it.address for it in silent] + [
         it.address for it in day.deployment.cores if it not in silent
     ]
-    member._tried = 0
-    member.broken(member.relay)
+    member._attempts = 0
+    member.on_disconnect(member.control_address)
     day.clock.run(day.clock.now + 0.8)
-    assert member.relay != ""
+    assert member.control_address != ""
