--- a/amberlug/cluster/interfaces.py
+++ b/amberlug/cluster/interfaces.py
@@ -1,4 +1,8 @@
-"""What decisions are given instead of the world: clock, timers, chance, peers and outside calls. No I/O."""
+"""What decisions are given as their environment: clock, timers, random numbers, peers, disk, endpoints.
+
+All decisions are made without I/O, against these protocols. `process` implements them on sockets, clocks and
+disks, and `simulation` deterministically, in virtual time.
+"""
 
 from __future__ import annotations
 
@@ -11,116 +15,172 @@
 from result import Result
 
 Json = dict[str, Any]
+"""A JSON object as it stands in a frame, in a row or in an HTTP body; only codecs look into it."""
+
+Headers = tuple[tuple[str, str], ...]
+"""HTTP header fields in their order: names and values."""
+
+SqlStatement = tuple[str, tuple[Any, ...]]
+"""An SQL text with the parameters that are bound to it."""
 
 
 class RequestFailure(Enum):
-    """Why an ask has no reply."""
+    """Why a request to a peer has no reply."""
 
-    NOT_SENT = "unsent"  # it was never written to the peer: it was surely not acted on
-    CONNECTION_LOST = "broken"  # the connection ended first: it may have been acted on
-    TIMED_OUT = "silent"  # no reply in time: it may yet be acted on
+    NOT_SENT = "unsent"  # nothing of it was written to the peer, which has surely not acted on it
+    CONNECTION_LOST = "broken"  # the connection ended first: the peer may have acted on it
+    TIMED_OUT = "silent"  # no reply in time: the peer may have acted on it, or may do so yet
 
 
 @dataclass(frozen=True, slots=True)
 class Reply:
-    """What a peer said: a body, and bytes beside it."""
+    """A peer's reply as it stands in a frame: a JSON object, and bytes beside it."""
 
     body: Json
     blob: bytes = b""
 
 
 ReplyCallback = Callable[[Result[Reply, RequestFailure]], None]
+"""Called once with the reply to a request, or with the reason why there is none."""
+
 Respond = Callable[[Json, bytes], None]
+"""Sends the reply to a request: a JSON object, and bytes beside it."""
 
 
 class TimerHandle(Protocol):
-    """A timer that can be called off."""
+    """A timer that has not fired."""
 
-    def cancel(self) -> None: ...
+    def cancel(self) -> None:
+        """Keep the timer from firing; no effect once it has fired."""
 
 
 class Runtime(Protocol):
-    """Clock, timers, chance and peers, as the machine's decisions see them."""
+    """Clock, timers, random numbers and peers, as the decisions of one process see them.
+
+    Callbacks run one at a time, and never before the call that takes them has returned.
+    """
 
     chance: random.Random
+    """The only source of random numbers, so that the simulation can reproduce them from a seed."""
 
     def now(self) -> float:
-        """Seconds of the steady clock."""
+        """Seconds of the monotonic clock; only differences mean something."""
 
     def wall_clock(self) -> float:
-        """Seconds of the time of day; machines differ a little."""
+        """Seconds since the Unix epoch; the clocks of nodes differ a little."""
+
+    def call_later(self, delay_s: float, callback: Callable[[], None]) -> TimerHandle:
+        """Call `callback` once, after so many seconds."""
+
+    def send(self, address: str, tag: str, body: Json, payload: bytes = b"") -> None:
+        """Send a notification; whether it arrives is not known.
 
-    def call_later(self, seconds: float, act: Callable[[], None]) -> TimerHandle:
-        """Call `act` once, that much later."""
+        Typed messages are sent by `rpc.messages.send`.
 
-    def send(self, to: str, word: str, body: Json, blob: bytes = b"") -> None:
-        """Send to the peer at address `to`; nobody hears whether it came."""
+        :param address: the peer, as `host:port`.
+        :param tag: the message's wire tag.
+        :param payload: bytes beside the JSON object.
+        """
 
     def request(
-        self, to: str, word: str, body: Json, within: float, then: ReplyCallback, blob: bytes = b""
+        self,
+        address: str,
+        tag: str,
+        body: Json,
+        timeout_s: float,
+        on_reply: ReplyCallback,
+        payload: bytes = b"",
     ) -> None:
-        """Send, and have `then` called once: with the reply, or why there is none within so many seconds."""
+        """Send a request.
+
+        Typed messages are sent by `rpc.messages.request`.
+
+        :param address: the peer, as `host:port`.
+        :param tag: the message's wire tag.
+        :param timeout_s: seconds until the request counts as timed out.
+        :param on_reply: called exactly once, with the reply or with the reason why there is none.
+        :param payload: bytes beside the JSON object.
+        """
 
 
 class CallVerdict(Enum):
-    """How a call to an endpoint ended."""
+    """How a call of an endpoint ended. The values are historical: counters are named by them."""
 
     ANSWERED = "answered"
-    NOT_CONNECTED = "unreached"  # no connection came up, or the request did not leave whole: it has not run
-    CONNECTION_LOST = (
-        "broken"  # the connection ended, or what came was no answer to this call: it may have run
-    )
-    TIMED_OUT = "silent"  # nothing in time: it may have run
+    NOT_CONNECTED = "unreached"  # no connection, or the request was not sent completely: it has not run
+    CONNECTION_LOST = "broken"  # the connection ended, or its response was not to this call: it may have run
+    TIMED_OUT = "silent"  # no response in time: it may have run, or may do so yet
 
 
 @dataclass(frozen=True, slots=True)
 class EndpointCall:
-    """A call of an endpoint: where, the request as it arrived, and how many seconds it has."""
+    """A call of an endpoint.
+
+    :param address: of the endpoint, as `host:port`.
+    :param instance: which start of the endpoint is meant.
+    :param attempt: identifies this call among all calls for the message.
+    :param headers: of the request as it was received.
+    :param seconds: until the call counts as timed out.
+    """
 
     address: str
     instance: str
     attempt: str
     method: str
     target: str
-    headers: tuple[tuple[str, str], ...]
+    headers: Headers
     body: bytes
     seconds: float
 
 
 @dataclass(frozen=True, slots=True)
 class CallResult:
-    """What came of it; headers by lower-case name."""
+    """The outcome of a call.
+
+    :param status: of the HTTP response; 0 where there is none.
+    :param headers: of the response, with names in lower case.
+    """
 
     verdict: CallVerdict
     status: int = 0
-    headers: tuple[tuple[str, str], ...] = ()
+    headers: Headers = ()
 
     def header(self, name: str) -> str | None:
+        """The first value of a header, by its name in lower case."""
         return next((value for key, value in self.headers if key == name), None)
 
 
 class Endpoints(Protocol):
-    """Calls to endpoints, over connections that are kept."""
+    """Calls of endpoints, over connections that are kept."""
+
+    def call(self, call: EndpointCall, on_result: Callable[[CallResult], None]) -> None:
+        """Call an endpoint; `on_result` is called exactly once."""
 
-    def call(self, delivery: EndpointCall, then: Callable[[CallResult], None]) -> None: ...
     def idle(self, address: str) -> int:
-        """Connections to it that could carry a call at once."""
+        """How many connections to an endpoint could carry a call at once."""
 
     def forget(self, address: str) -> None:
-        """Close its idle connections: it has gone."""
+        """Close the idle connections to an endpoint that has gone."""
 
 
 class Disk(Protocol):
-    """Writes that last: `then` is called once they are synced, with None or what hindered it."""
+    """Durable writes."""
+
+    def write(self, statements: list[SqlStatement], on_synced: Callable[[str | None], None]) -> None:
+        """Execute statements in one transaction with others that are pending.
+
+        :param on_synced: called once: with None when the transaction is on disk, else with the error.
+        """
 
-    def write(self, rows: list[tuple[str, tuple[Any, ...]]], then: Callable[[str | None], None]) -> None: ...
 
+def on(tag: str) -> Callable[[Callable[..., None]], Callable[..., None]]:
+    """Declare a method as the handler of a raw message: `(body, payload, origin, respond)`.
 
-def on(word: str) -> Callable[[Callable[..., None]], Callable[..., None]]:
-    """Declare a method as the handler of a peer's word: `(body, blob, origin, respond)`."""
+    `rpc.messages.handles` declares handlers of typed messages.
+    """
 
-    def mark(handler: Callable[..., None]) -> Callable[..., None]:
-        handler.__dict__["word"] = word
+    def declare(handler: Callable[..., None]) -> Callable[..., None]:
+        handler.__dict__["wire_tag"] = tag
         return handler
 
-    return mark
+    return declare
