--- a/amberlug/cluster/__main__.py
+++ b/amberlug/cluster/__main__.py
@@ -9,7 +9,7 @@
 
 import click
 
-from amberlug.cluster.settings import DEFAULT, VARIABLE
+from amberlug.cluster.settings import DEFAULT_SETTINGS_FILE, SETTINGS_FILE_VARIABLE
 
 
 class Lazy(click.Group):
@@ -44,7 +44,7 @@
     """Serve as the settings file says."""
     from amberlug.cluster.process import main
 
-    sys.exit(main(os.environ.get(VARIABLE, DEFAULT)))
+    sys.exit(main(os.environ.get(SETTINGS_FILE_VARIABLE, DEFAULT_SETTINGS_FILE)))
 
 
 if __name__ == "__main__":
--- a/amberlug/cluster/admin/files.py
+++ b/amberlug/cluster/admin/files.py
@@ -11,9 +11,9 @@
 import trafaret as t
 from result import Err, Ok, Result
 
-from amberlug.cluster import settings as told
 from amberlug.cluster.control.config_validation import check, parse
 from amberlug.cluster.interfaces import Json
+from amberlug.cluster.settings import read_settings_file
 
 PARTS = ("edge", "storage", "control_plane")
 NEEDS = {  # what a part can't begin without
@@ -42,9 +42,9 @@
 
 def check_settings(path: Path) -> list[str]:
     """All errors of a settings file, those among them by which the process would not begin."""
-    read = told.read_file(str(path))
+    read = read_settings_file(str(path))
     if isinstance(read, Err):
-        return read.err_value
+        return [str(error) for error in read.err_value]
     settings = read.ok_value
     errors = [f"serves: {it!r} is none of {', '.join(PARTS)}" for it in sorted(settings.serves - set(PARTS))]
     if len(settings.serves & set(PARTS)) != 1:
--- a/amberlug/cluster/local_deployment/deployment.py
+++ b/amberlug/cluster/local_deployment/deployment.py
@@ -19,7 +19,7 @@
 
 from amberlug.cluster.interfaces import Json
 from amberlug.cluster.local_deployment.queries import ask
-from amberlug.cluster.settings import VARIABLE
+from amberlug.cluster.settings import SETTINGS_FILE_VARIABLE
 
 FRONT, READINESS, CONTROL, INTERNAL, ENDPOINT = 8263, 8268, 8262, (7300, 7315), 8080
 ZONES = {"north": "valley", "south": "valley"}
@@ -170,7 +170,11 @@
         with (self.folder / f"{machine.name}.log").open("ab") as log:
             machine.process = subprocess.Popen(
                 [sys.executable, "-m", "amberlug.cluster", "run"],
-                env={**os.environ, VARIABLE: str(machine.path), "PYTHONPATH": os.pathsep.join(paths)},
+                env={
+                    **os.environ,
+                    SETTINGS_FILE_VARIABLE: str(machine.path),
+                    "PYTHONPATH": os.pathsep.join(paths),
+                },
                 stdin=subprocess.DEVNULL,
                 stdout=log,
                 stderr=log,
--- a/amberlug/cluster/process.py
+++ b/amberlug/cluster/process.py
@@ -240,9 +240,9 @@
     def _reread(self) -> None:
         """The settings file has changed: seeds and bounds count from now on; a bad file is passed over."""
         self._stamp = self._file_stamp()
-        read = told.read_file(self.path)
+        read = told.read_settings_file(self.path)
         if isinstance(read, Err):
-            logging.error("the settings file is passed over: %s", "; ".join(read.err_value))
+            logging.error("the settings file is passed over: %s", "; ".join(map(str, read.err_value)))
             return
         self.settings = read.ok_value
         self.machine.settings_are(read.ok_value)
@@ -270,9 +270,9 @@
     """Read the settings file and serve; 2 where the file is bad."""
     logging.set_verbosity(logging.INFO)
     logging.use_absl_handler()
-    read = told.read_file(path)
+    read = told.read_settings_file(path)
     if isinstance(read, Err):
-        print("\n".join(read.err_value), file=sys.stderr)
+        print("\n".join(map(str, read.err_value)), file=sys.stderr)
         return 2
     settings = read.ok_value
 
--- a/amberlug/cluster/settings.py
+++ b/amberlug/cluster/settings.py
@@ -1,29 +1,38 @@
-"""What a process is told: the settings file, checked whole, as one immutable value."""
+"""The settings file of a node: checked completely, and given as one immutable value."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field
 from pathlib import Path
-from typing import Any
 
 import trafaret as t
 import yaml
 from result import Err, Ok, Result
 
-VARIABLE = "AMBERLUG_NODE_FILE"
-DEFAULT = "/etc/amberlug/boot.yaml"
+from amberlug.cluster.interfaces import Json
 
+SETTINGS_FILE_VARIABLE = "AMBERLUG_NODE_FILE"  # environment variable with the path of the file
+DEFAULT_SETTINGS_FILE = "/etc/amberlug/boot.yaml"
+MAX_PORT = 65535
 
-def _address(value: str) -> tuple[str, int]:
+HostPort = tuple[str, int]
+"""An address: host name or IP address, and port."""
+
+FailureDomain = tuple[str, str]
+"""The zone and the region of a node."""
+
+
+def _parse_address(value: str) -> HostPort:
     host, _, port = value.rpartition(":")
-    if not host or not port.isdigit() or not 0 < int(port) < 65536:
+    if not host or not port.isdigit() or not 0 < int(port) <= MAX_PORT:
         raise t.DataError("no address of the form host:port", value=value)
     return host, int(port)
 
 
-_ADDRESS = t.String() & _address
-_POSITIVE = t.ToFloat(gte=0)
-_BOUNDS = {
+_ADDRESS = t.String() & _parse_address
+_NOT_NEGATIVE = t.ToFloat(gte=0)
+# Defaults of the bounds that operators may set; the ending of a name is its unit.
+_DEFAULT_BOUNDS = {
     "seedLagS": 3.0,
     "reuseAfterS": 2.0,
     "contactMs": 4000.0,
@@ -38,7 +47,7 @@
     "ceilingWindowS": 5.0,
     "ceilingOver": 1.1,
 }
-_TOLERANCE = {"machines": 1, "zones": 0, "regions": 0}
+_DEFAULT_TOLERANCE = {"machines": 1, "zones": 0, "regions": 0}
 
 SCHEMA = t.Dict(
     {
@@ -50,18 +59,19 @@
         t.Key("region", default=""): t.String(allow_blank=True),
         t.Key("zones", default=dict): t.Mapping(t.String(), t.String(allow_blank=True)),
         t.Key("bindings", default=dict): t.Mapping(t.String(), _ADDRESS),
-        t.Key("internalPorts"): t.List(t.ToInt(gte=1, lte=65535), min_length=2, max_length=2),
+        t.Key("internalPorts"): t.List(t.ToInt(gte=1, lte=MAX_PORT), min_length=2, max_length=2),
         t.Key("seedNodes", default=list): t.List(_ADDRESS),
         t.Key("firstStart", default=False): t.Bool(),
         t.Key("counted", default=False): t.Bool(),
         t.Key("dataDir", default=None): t.Null() | t.String(),
         t.Key("heartbeatMs", default=1000): t.ToFloat(gt=0),
         t.Key("faultTolerance", default=dict): t.Dict(
-            {t.Key(name, default=value): t.ToInt(gte=0) for name, value in _TOLERANCE.items()},
+            {t.Key(name, default=value): t.ToInt(gte=0) for name, value in _DEFAULT_TOLERANCE.items()},
             ignore_extra="*",
         ),
         t.Key("bounds", default=dict): t.Dict(
-            {t.Key(name, default=value): _POSITIVE for name, value in _BOUNDS.items()}, ignore_extra="*"
+            {t.Key(name, default=value): _NOT_NEGATIVE for name, value in _DEFAULT_BOUNDS.items()},
+            ignore_extra="*",
         ),
         t.Key("limits", default=dict): t.Dict(
             {
@@ -78,24 +88,39 @@
 
 @dataclass(frozen=True, slots=True)
 class Tolerance:
-    """What may be lost at once with all rules kept: so many machines, or zones, or regions."""
+    """What may fail at once without loss of data: so many nodes, or zones, or regions."""
 
     machines: int = 1
     zones: int = 0
     regions: int = 0
 
-    def holds(self, places: list[tuple[str, str]]) -> bool:
-        """Whether copies at machines in these (zone, region) outlast what may be lost."""
+    def holds(self, domains: list[FailureDomain]) -> bool:
+        """Whether at least one replica survives any tolerated failure.
+
+        :param domains: the failure domain of each node that has a replica.
+        """
         return (
-            len(places) > self.machines
-            and len({zone for zone, _ in places}) > self.zones
-            and len({region for _, region in places}) > self.regions
+            len(domains) > self.machines
+            and len({zone for zone, _ in domains}) > self.zones
+            and len({region for _, region in domains}) > self.regions
         )
 
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """The settings file; times in seconds."""
+    """The settings of a node.
+
+    :param ip: where the node listens for peers and clients.
+    :param serves: the parts that the process plays.
+    :param front: where it listens for clients of the ingest API.
+    :param readiness: where it listens for probes, and for readers of its counters.
+    :param control: where it listens for operators and endpoints.
+    :param ports: for peers; the first free one is taken.
+    :param seeds: control-plane nodes to find the cluster by.
+    :param first_start: whether the control plane is founded by this start.
+    :param bounds: by their names in the file, in the unit of the name.
+    :param regions: by zone.
+    """
 
     name: str
     ip: str
@@ -103,11 +128,11 @@
     region: str
     serves: frozenset[str]
     machine_class: str
-    front: tuple[str, int] | None
-    readiness: tuple[str, int] | None
-    control: tuple[str, int] | None
+    front: HostPort | None
+    readiness: HostPort | None
+    control: HostPort | None
     ports: range
-    seeds: tuple[tuple[str, int], ...]
+    seeds: tuple[HostPort, ...]
     first_start: bool
     data_dir: str | None
     heartbeat_s: float
@@ -118,22 +143,42 @@
     regions: dict[str, str] = field(hash=False, default_factory=dict)
 
     def seconds(self, name: str) -> float:
-        """A bound in seconds, whatever its unit in the file."""
+        """A bound in seconds, whatever its unit in the file.
+
+        :raises KeyError: where there is no bound of that name.
+        """
         value = self.bounds[name]
         return value / 1000 if name.endswith("Ms") else value
 
 
-def _errors(error: t.DataError, path: str = "") -> list[str]:
-    said = error.error
-    if isinstance(said, dict):
-        return [
-            line for key, it in said.items() for line in _errors(it, f"{path}.{key}" if path else str(key))
-        ]
-    return [f"{path or 'file'}: {said}"]
+@dataclass(frozen=True, slots=True)
+class SettingsError:
+    """An error in a settings file.
+
+    :param path: the keys that lead to the setting, joined by dots; `file` where it is about the file itself.
+    """
+
+    path: str
+    reason: str
+
+    def __str__(self) -> str:
+        """One line for operators."""
+        return f"{self.path}: {self.reason}"
+
+
+def _settings_errors(error: t.DataError, path: str = "") -> list[SettingsError]:
+    """The leaves of a tree of errors, in the order of the schema."""
+    if not isinstance(error.error, dict):
+        return [SettingsError(path or "file", str(error.error))]
+    return [
+        leaf
+        for key, child in error.error.items()
+        for leaf in _settings_errors(child, f"{path}.{key}" if path else str(key))
+    ]
 
 
-def _build(data: dict[str, Any]) -> Settings:
-    low, high = data["internalPorts"]
+def _from_file(data: Json) -> Settings:
+    first_port, last_port = data["internalPorts"]
     bindings = data["bindings"]
     return Settings(
         name=data["nodeName"],
@@ -145,7 +190,7 @@
         front=bindings.get("front"),
         readiness=bindings.get("readiness"),
         control=bindings.get("control"),
-        ports=range(low, max(low, high) + 1),
+        ports=range(first_port, max(first_port, last_port) + 1),
         seeds=tuple(data["seedNodes"]),
         first_start=data["firstStart"],
         data_dir=data["dataDir"],
@@ -158,23 +203,23 @@
     )
 
 
-def read(text: str) -> Result[Settings, list[str]]:
-    """Read a settings file; all of its errors with their places."""
+def parse_settings(text: str) -> Result[Settings, list[SettingsError]]:
+    """Parse the text of a settings file, and collect all of its errors."""
     loader = getattr(yaml, "CSafeLoader", yaml.SafeLoader)
     try:
         data = yaml.load(text, Loader=loader)
     except yaml.YAMLError as error:
-        return Err([f"file: {' '.join(str(error).split())}"])
+        return Err([SettingsError("file", " ".join(str(error).split()))])
     try:
-        return Ok(_build(SCHEMA.check(data)))
+        return Ok(_from_file(SCHEMA.check(data)))
     except t.DataError as error:
-        return Err(_errors(error))
+        return Err(_settings_errors(error))
 
 
-def read_file(path: str) -> Result[Settings, list[str]]:
-    """Read the settings file at a path."""
+def read_settings_file(path: str) -> Result[Settings, list[SettingsError]]:
+    """Read the settings file at a path; a file that can not be read is an error of its own."""
     try:
         text = Path(path).read_text(encoding="utf-8")
     except (OSError, UnicodeDecodeError) as error:
-        return Err([f"file: {error}"])
-    return read(text)
+        return Err([SettingsError("file", str(error))])
+    return parse_settings(text)
--- a/tests/cluster/test_admin.py
+++ b/tests/cluster/test_admin.py
@@ -24,7 +24,7 @@
 from amberlug.cluster.local_deployment.fake_endpoint import Run
 from amberlug.cluster.local_deployment.trial import Sent, Tale, play
 from amberlug.cluster.metrics import page
-from amberlug.cluster.settings import read_file
+from amberlug.cluster.settings import read_settings_file
 from tests.rig import ROOT
 
 # -- what a control relay answers
@@ -80,7 +80,7 @@
 def core_of(tmp_path: Path, answers: dict[tuple[str, str], Json]) -> tuple[ControlNode, Runtime]:
     deployment = Deployment(tmp_path, "127.0.1")
     deployment.write(first_start=True)
-    settings = read_file(str(deployment.machines["core-1"].path)).unwrap()
+    settings = read_settings_file(str(deployment.machines["core-1"].path)).unwrap()
     world = Runtime(answers)
     core = ControlNode(world, settings, "127.0.1.10:7300", Disk(), blank(settings, world.chance.getrandbits))
     for kind, name in (("edge", "e1"), ("edge", "e2"), ("storage", "s1")):
