--- a/amberlug/cluster/process.py
+++ b/amberlug/cluster/process.py
@@ -1,4 +1,4 @@
-"""The one program of all machines: what a machine's part decides, on real sockets, clocks and disks."""
+"""One process: a node of any kind on real sockets, clocks and disks."""
 
 from __future__ import annotations
 
@@ -8,95 +8,114 @@
 import random
 import signal
 import sys
-import time
 from collections.abc import Callable
 from pathlib import Path
-from typing import Any
+from typing import Any, NamedTuple, Protocol
 
 from absl import logging
 from result import Err
 
-from amberlug.cluster import settings as told
+from amberlug.cluster.asyncio_runtime import AsyncioRuntime
 from amberlug.cluster.http.api import HttpResponse, pack
 from amberlug.cluster.http.server import Answer, Limits, Request, Server
-from amberlug.cluster.interfaces import Json, ReplyCallback, Respond, TimerHandle
+from amberlug.cluster.interfaces import Json, Respond
 from amberlug.cluster.metrics import PATH, page
 from amberlug.cluster.rpc.framing import RawMessage
 from amberlug.cluster.rpc.transport import PeerTransport
+from amberlug.cluster.settings import HostPort, Settings, read_settings_file
 
-COUNTERS_S = 10.0  # between lines of counters
-WATCH_S = 2.0  # between looks at the settings file
+COUNTERS_INTERVAL_S = 10.0  # between log lines with the counters
+SETTINGS_CHECK_INTERVAL_S = 2.0
 SWEEP_S = 0.5
-STILL_SERVED_S = 2.6  # after SIGTERM until the platform sends nobody here any more
-AGE_S = 6.0  # that clients keep a connection: they stay where they were sent when others were down
-SPARE_S = 0.8  # of the grace that is left for the end
+STILL_ROUTED_S = 2.6  # after SIGTERM until the platform routes no new client to this process
+MAX_CONNECTION_AGE_S = 6.0  # of clients: else they stay where they were routed while other edges were down
+GRACE_MARGIN_S = 0.8  # of the grace period that is kept for the end of the process
 JSON = (("Content-Type", "application/json"),)
 PLAIN = (("Content-Type", "text/plain; charset=utf-8"),)
+EX_SOFTWARE = 70  # exit code: an invariant does not hold
+EX_BAD_SETTINGS = 2  # exit code
+DRAIN_CHECK_INTERVAL_S = 0.05
+IDLE_CHECK_INTERVAL_S = 0.02
 CONTROL_LIMITS = Limits(body_bytes=4 << 20)
 
 
-class AsyncioRuntime:
-    """The world by asyncio."""
+class Node(Protocol):
+    """What a process needs of the node that it runs: an edge, storage or control-plane node."""
 
-    def __init__(self, transport: PeerTransport, chance: random.Random) -> None:
-        self._loop = asyncio.get_running_loop()
-        self.chance, self.now, self.wall_clock = chance, self._loop.time, time.time
-        self._transport = transport
+    handlers: dict[str, Callable[..., None]]
+    """Handlers of peers' messages by wire tag: `(body, payload, origin, respond)`."""
+    counts: dict[str, int]
+    """Counters for operators, by name."""
 
-    def call_later(self, seconds: float, act: Callable[[], None]) -> TimerHandle:
-        return self._loop.call_later(seconds, act)
+    @property
+    def idle(self) -> bool:
+        """Whether the process may end without loss."""
 
-    def send(self, address: str, tag: str, body: Json, payload: bytes = b"") -> None:
-        self._transport.send(address, RawMessage(tag, body, payload))
+    def begin(self) -> None:
+        """Start, once the process listens."""
+
+    def leave(self) -> None:
+        """Announce a planned stop."""
+
+    def settings_are(self, settings: Settings) -> None:
+        """Take the settings of a file that has changed."""
+
+    def broken(self, address: str) -> None:
+        """A connection with a peer has ended."""
 
-    def request(
-        self,
-        address: str,
-        tag: str,
-        body: Json,
-        timeout_s: float,
-        on_reply: ReplyCallback,
-        payload: bytes = b"",
-    ) -> None:
-        self._transport.request(address, RawMessage(tag, body, payload), timeout_s, on_reply)
 
+class _FileStamp(NamedTuple):
+    """By which a change of a file is noticed."""
 
-class Program:
-    """One process."""
+    modified_at_s: float
+    size_bytes: int
 
-    def __init__(self, settings: told.Settings, path: str) -> None:
-        self.settings, self.path = settings, path
-        self.machine: Any = None
-        self.servers: list[Server] = []
-        self.closers: list[Callable[[], None]] = []
-        self.ended = asyncio.Event()
-        self.transport = PeerTransport(self._handle_message, self._broken)
+
+class NodeProcess:
+    """A node in its process: it is built, served, drained and ended here.
+
+    :param path: of the settings file, which is read again when it changes.
+    """
+
+    def __init__(self, settings: Settings, path: str) -> None:
+        self.settings, self._path = settings, path
+        self._node: Node | None = None
+        self._servers: list[Server] = []
+        self._close_storage: list[Callable[[], None]] = []
+        self._ended = asyncio.Event()
+        self.transport = PeerTransport(self._handle_message, self._on_disconnect)
         self._stamp = self._file_stamp()
 
     def _handle_message(self, message: RawMessage, origin: str, respond: Respond) -> None:
-        handler = self.machine.handlers.get(message.tag) if self.machine is not None else None
+        handler = self._node.handlers.get(message.tag) if self._node is not None else None
         if handler is not None:
             handler(message.body, message.payload, origin, respond)
 
-    def _broken(self, address: str) -> None:
-        if self.machine is not None:
-            self.machine.broken(address)
+    def _on_disconnect(self, address: str) -> None:
+        if self._node is not None:
+            self._node.broken(address)
+
+    @property
+    def node(self) -> Node:
+        """The node, once it was built."""
+        assert self._node is not None, "the node is built before anything is asked of it"
+        return self._node
 
     async def run(self) -> int:
-        """Serve until told to end."""
+        """Serve until a signal ends the process; returns its exit code."""
         loop = asyncio.get_running_loop()
-        loop.set_exception_handler(self._failed)
+        loop.set_exception_handler(self._on_error)
         await self.transport.listen(self.settings.ip, self.settings.ports)
         world = AsyncioRuntime(self.transport, random.Random())
         await self._build(world, loop)
         for number in (signal.SIGTERM, signal.SIGINT):
-            loop.add_signal_handler(number, self._term)
-        loop.add_signal_handler(signal.SIGHUP, self._reread)
-        self.machine.begin()
-        loop.call_later(COUNTERS_S, self._counters)
-        loop.call_later(WATCH_S, self._watch)
-        await self.ended.wait()
-        for close in self.closers:
+            loop.add_signal_handler(number, self._on_stop_signal)
+        loop.add_signal_handler(signal.SIGHUP, self._reload_settings)
+        self.node.begin()
+        loop.call_later(COUNTERS_INTERVAL_S, self._log_counters)
+        loop.call_later(SETTINGS_CHECK_INTERVAL_S, self._check_settings_file)
+        await self._ended.wait()
+        for close in self._close_storage:
             close()
         self.transport.close()
         return 0
@@ -117,8 +136,8 @@
             saved, writer, _ = open_raft_storage(
                 folder, lambda: blank(settings, world.chance.getrandbits), post
             )
-            self.closers.append(writer.close)
-            core = self.machine = ControlNode(world, settings, address, writer, saved)
+            self._close_storage.append(writer.close)
+            core = self._node = ControlNode(world, settings, address, writer, saved)
             await self._serve(
                 settings.control, lambda asked, answer: core.counter.take(asked, _saying(answer))
             )
@@ -130,8 +149,8 @@
             contents, message_store = open_message_store(
                 folder, lambda: f"{world.chance.getrandbits(64):x}", post
             )
-            self.closers.append(message_store.close)
-            self.machine = StorageNode(world, settings, address, message_store, contents)
+            self._close_storage.append(message_store.close)
+            self._node = StorageNode(world, settings, address, message_store, contents)
         else:
             await self._build_edge(world)
 
@@ -140,7 +159,7 @@
         from amberlug.cluster.edge.node import EdgeNode
 
         caller = EndpointClient()
-        edge = self.machine = EdgeNode(world, self.settings, self.transport.address, caller)
+        edge = self._node = EdgeNode(world, self.settings, self.transport.address, caller)
 
         def limits() -> Limits:
             routes = edge.routes
@@ -169,87 +188,88 @@
             caller.sweep()
             world.call_later(SWEEP_S, sweep)
 
-        await self._serve(self.settings.front, handle, limits, AGE_S)
+        await self._serve(self.settings.front, handle, limits, MAX_CONNECTION_AGE_S)
         await self._serve(self.settings.readiness, readiness)
         sweep()
 
     async def _serve(
         self,
-        at: tuple[str, int] | None,
+        address: HostPort | None,
         handle: Callable[[Request, Callable[[Answer], None]], None],
         limits: Callable[[], Limits] = lambda: CONTROL_LIMITS,
         age_s: float = float("inf"),
     ) -> None:
-        if at is not None:
+        if address is not None:
             server = Server(handle, limits, age_s)
-            await server.listen(*at)
-            self.servers.append(server)
+            await server.listen(*address)
+            self._servers.append(server)
 
-    # -- ends and changes
+    # -- signals, settings, counters
 
-    def _failed(self, loop: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
+    def _on_error(self, loop: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
         error = context.get("exception")
         logging.error("%s", context.get("message"), exc_info=error)
         if isinstance(error, AssertionError):
             logging.flush()
-            os._exit(70)  # a broken invariant: what this process believes can't be trusted
+            os._exit(EX_SOFTWARE)  # an invariant is broken: the state of this process can not be trusted
 
-    def _term(self) -> None:
-        logging.info("told to end")
-        self.machine.leave()
+    def _on_stop_signal(self) -> None:
+        logging.info("stopping on a signal")
+        self.node.leave()
         loop = asyncio.get_running_loop()
         if self.settings.front is None:
-            loop.call_later(0.02, self._end_when_idle)
+            loop.call_later(IDLE_CHECK_INTERVAL_S, self._end_when_idle)
             return
-        for server in self.servers:
+        for server in self._servers:
             server.leave()
         now = loop.time()
-        self._wind_up(now + STILL_SERVED_S, now + self.settings.seconds("graceS") - SPARE_S)
+        self._drain(now + STILL_ROUTED_S, now + self.settings.seconds("graceS") - GRACE_MARGIN_S)
 
     def _end_when_idle(self) -> None:
-        """A core machine ends once another one votes in its place, a store at once."""
-        if self.machine.idle:
-            self.ended.set()
+        """End at once, but for a control-plane node, which is idle once another one votes in its place."""
+        if self.node.idle:
+            self._ended.set()
         else:
-            asyncio.get_running_loop().call_later(0.02, self._end_when_idle)
+            asyncio.get_running_loop().call_later(IDLE_CHECK_INTERVAL_S, self._end_when_idle)
 
-    def _wind_up(self, served_until: float, until: float) -> None:
-        """End once nothing is owed, and the platform sends nobody here any more."""
+    def _drain(self, routed_until_s: float, deadline_s: float) -> None:
+        """End at the deadline, or once no request is open and the platform routes no client here."""
         loop = asyncio.get_running_loop()
         now = loop.time()
-        owed = sum(it.open_requests for it in self.servers)
-        if now >= until or (now >= served_until and owed == 0 and self.machine.idle):
-            for server in self.servers:
+        open_requests = sum(server.open_requests for server in self._servers)
+        is_drained = now >= routed_until_s and open_requests == 0 and self.node.idle
+        if now >= deadline_s or is_drained:
+            for server in self._servers:
                 server.stop()
-            self.ended.set()
+            self._ended.set()
         else:
-            loop.call_later(0.05, self._wind_up, served_until, until)
+            loop.call_later(DRAIN_CHECK_INTERVAL_S, self._drain, routed_until_s, deadline_s)
 
-    def _file_stamp(self) -> tuple[float, int]:
+    def _file_stamp(self) -> _FileStamp:
         try:
-            state = os.stat(self.path)
+            state = os.stat(self._path)
         except OSError:
-            return 0.0, 0
-        return state.st_mtime, state.st_size
+            return _FileStamp(0.0, 0)
+        return _FileStamp(state.st_mtime, state.st_size)
 
-    def _watch(self) -> None:
-        asyncio.get_running_loop().call_later(WATCH_S, self._watch)
+    def _check_settings_file(self) -> None:
+        asyncio.get_running_loop().call_later(SETTINGS_CHECK_INTERVAL_S, self._check_settings_file)
         if self._file_stamp() != self._stamp:
-            self._reread()
+            self._reload_settings()
 
-    def _reread(self) -> None:
-        """The settings file has changed: seeds and bounds count from now on; a bad file is passed over."""
+    def _reload_settings(self) -> None:
+        """Take seeds and bounds from the settings file; a bad file is ignored."""
         self._stamp = self._file_stamp()
-        read = told.read_settings_file(self.path)
-        if isinstance(read, Err):
-            logging.error("the settings file is passed over: %s", "; ".join(map(str, read.err_value)))
+        found = read_settings_file(self._path)
+        if isinstance(found, Err):
+            logging.error("ignoring the settings file: %s", "; ".join(map(str, found.err_value)))
             return
-        self.settings = read.ok_value
-        self.machine.settings_are(read.ok_value)
+        self.settings = found.ok_value
+        self.node.settings_are(found.ok_value)
 
-    def _counters(self) -> None:
-        asyncio.get_running_loop().call_later(COUNTERS_S, self._counters)
-        counts = self.machine.counts
+    def _log_counters(self) -> None:
+        asyncio.get_running_loop().call_later(COUNTERS_INTERVAL_S, self._log_counters)
+        counts = self.node.counts
         logging.info(
             "counters: %s", " ".join(f"{key}={value}" for key, value in sorted(counts.items())) or "none"
         )
@@ -267,16 +287,19 @@
 
 
 def main(path: str) -> int:
-    """Read the settings file and serve; 2 where the file is bad."""
+    """Read the settings file and serve.
+
+    :returns: the exit code: `EX_BAD_SETTINGS` where the file has errors, which are printed.
+    """
     logging.set_verbosity(logging.INFO)
     logging.use_absl_handler()
-    read = told.read_settings_file(path)
-    if isinstance(read, Err):
-        print("\n".join(map(str, read.err_value)), file=sys.stderr)
-        return 2
-    settings = read.ok_value
+    found = read_settings_file(path)
+    if isinstance(found, Err):
+        print("\n".join(map(str, found.err_value)), file=sys.stderr)
+        return EX_BAD_SETTINGS
+    settings = found.ok_value
 
     async def serve() -> int:
-        return await Program(settings, path).run()
+        return await NodeProcess(settings, path).run()
 
     return asyncio.run(serve())
--- a/amberlug/cluster/simulation/deployment.py
+++ b/amberlug/cluster/simulation/deployment.py
@@ -12,7 +12,7 @@
 from amberlug.cluster.edge.node import EdgeNode
 from amberlug.cluster.http.api import HttpResponse
 from amberlug.cluster.interfaces import Json, RequestFailure
-from amberlug.cluster.process import SPARE_S, STILL_SERVED_S
+from amberlug.cluster.process import GRACE_MARGIN_S, STILL_ROUTED_S
 from amberlug.cluster.settings import Settings, Tolerance
 from amberlug.cluster.simulation.clock import Clock
 from amberlug.cluster.simulation.disk import (
@@ -186,7 +186,7 @@
             clock.call_later(STOP_S, partial(self._end_when_idle, life))
             return
         grace = BOUNDS["graceS"]
-        self._wind_up(life, clock.now + STILL_SERVED_S, clock.now + grace - SPARE_S)
+        self._wind_up(life, clock.now + STILL_ROUTED_S, clock.now + grace - GRACE_MARGIN_S)
 
     def _end_when_idle(self, life: Incarnation) -> None:
         if life.over:
--- a/tests/cluster/test_endpoint_answers.py
+++ b/tests/cluster/test_endpoint_answers.py
@@ -11,12 +11,12 @@
 
 import pytest
 
+from amberlug.cluster.asyncio_runtime import AsyncioRuntime
 from amberlug.cluster.dispatch.dispatcher import SLACK_S, Dispatcher, judge
 from amberlug.cluster.dispatch.endpoint_client import EndpointClient
 from amberlug.cluster.dispatch.endpoint_pool import EndpointPool
 from amberlug.cluster.dispatch.message import Message
 from amberlug.cluster.interfaces import CallResult, CallVerdict, EndpointCall
-from amberlug.cluster.process import AsyncioRuntime
 from amberlug.cluster.rpc.transport import PeerTransport
 from amberlug.cluster.simulation.mutations_answers import FAULTS
 from amberlug.http.link import BODY_MOST
