--- a/amberlug/cluster/control/initial_state.py
+++ b/amberlug/cluster/control/initial_state.py
@@ -6,7 +6,7 @@
 
 from amberlug.cluster.consensus.log import PersistentState
 from amberlug.cluster.interfaces import Json
-from amberlug.cluster.session_client import internal
+from amberlug.cluster.session_client import seed_addresses
 from amberlug.cluster.settings import Settings
 
 FOUNDING_INCARNATION = "0"
@@ -18,7 +18,7 @@
     unknown = {"voter": True, "name": "", "zone": "", "region": ""}
     return {
         f"{host}/{FOUNDING_INCARNATION}": {**unknown, "addr": address, "control": f"{host}:{port}"}
-        for (host, port), address in zip(settings.seeds, internal(settings), strict=True)
+        for (host, port), address in zip(settings.seeds, seed_addresses(settings), strict=True)
     }
 
 
--- a/amberlug/cluster/control/membership.py
+++ b/amberlug/cluster/control/membership.py
@@ -12,7 +12,7 @@
 from amberlug.cluster.control.quorum_contact import NEVER_S
 from amberlug.cluster.interfaces import Json
 from amberlug.cluster.rpc.messages import Responder, handles, send
-from amberlug.cluster.session_client import internal
+from amberlug.cluster.session_client import seed_addresses
 
 JOIN_INTERVAL_S = 0.3  # between a node's attempts to become a member
 # Without a leader's message until a node asks to be admitted again: it may have been removed meanwhile.
@@ -77,7 +77,7 @@
         leader = self._quorum.leader_address()
         if leader and is_followed:
             return [leader]
-        known = [*internal(self._settings()), *self._peers()]
+        known = [*seed_addresses(self._settings()), *self._peers()]
         return [address for address in known if address != self._address]
 
     def _is_known(self) -> bool:
--- a/amberlug/cluster/control/node.py
+++ b/amberlug/cluster/control/node.py
@@ -22,7 +22,7 @@
 from amberlug.cluster.control.sessions import Sessions
 from amberlug.cluster.control.state_publisher import CONFIG_KEY, StatePublisher
 from amberlug.cluster.control.status import StatusService
-from amberlug.cluster.gossip.store import GossipStore
+from amberlug.cluster.gossip.store import DisseminationPolicy, GossipStore
 from amberlug.cluster.http.api import AdminApi
 from amberlug.cluster.interfaces import Disk, Runtime
 from amberlug.cluster.metrics import Counters
@@ -54,8 +54,7 @@
             runtime,
             self._gossip_peers,
             lambda key, value: None,
-            to_all=True,
-            known_at=self._keys_known_at,
+            DisseminationPolicy(push_to_all=True, replicated_keys=self._keys_known_at),
         )
         self.registry = EndpointRegistry(runtime, self.gossip, settings.heartbeat_s)
         self.raft = RaftNode(
--- a/amberlug/cluster/edge/intake.py
+++ b/amberlug/cluster/edge/intake.py
@@ -113,7 +113,7 @@
         if request.target.startswith("/-/"):
             self._api.take(request, lambda response: respond(_client_response(response)))
             return
-        if not (self._context.has_routes and self._context.session.confirmed):
+        if not (self._context.has_routes and self._context.session.is_confirmed):
             # The routing table may be older than one that was acknowledged, or there is none at all.
             self._reject(respond, 503, "no configuration that a majority has confirmed")
             return
--- a/amberlug/cluster/edge/node.py
+++ b/amberlug/cluster/edge/node.py
@@ -23,7 +23,7 @@
 from amberlug.cluster.http.routing import RoutingTable, build
 from amberlug.cluster.interfaces import Endpoints, Json, Runtime
 from amberlug.cluster.rpc.messages import handlers_of
-from amberlug.cluster.session_client import SessionClient, internal
+from amberlug.cluster.session_client import LocalNode, SessionClient, seed_addresses
 from amberlug.cluster.settings import Settings
 
 ENDPOINT_KEY_PREFIX = "ep/"  # of announcements of endpoints; the endpoint's id follows
@@ -34,9 +34,8 @@
 
     def __init__(self, runtime: Runtime, settings: Settings, address: str, endpoints: Endpoints) -> None:
         self.gossip = GossipStore(runtime, self._gossip_peers, self._announced)
-        self.member = SessionClient(
-            runtime, settings, address, "edge", self.gossip, lambda: self.repair.report().to_wire()
-        )
+        local = LocalNode(address, "edge", self._session_attributes)
+        self.member = SessionClient(runtime, settings, local, self.gossip)
         self.replicator = Replicator(
             runtime, settings.tolerance, settings.zone, settings.region, settings.seconds("statusTtlS")
         )
@@ -104,6 +103,9 @@
         """Whether the process can end, since no other node waits for anything of this one."""
         return self.delivery.is_idle
 
+    def _session_attributes(self) -> Json:
+        return self.repair.report().to_wire()
+
     def status_report(self, live_disk_ids: Set[str]) -> EdgeStatusReport:
         """Report this node's state to its operators.
 
@@ -128,7 +130,7 @@
         """Whether clients should be sent here."""
         ready = (
             not self._is_leaving
-            and self.member.confirmed
+            and self.member.is_confirmed
             and self._context.has_routes
             and bool(self.shards.table)
             and not self.replicator.dark()
@@ -145,11 +147,11 @@
     def settings_are(self, settings: Settings) -> None:
         """Use a settings file that has changed."""
         self._context.settings = self.member.settings = settings
-        self.member.seeds_are(internal(settings))
+        self.member.add_seeds(seed_addresses(settings))
 
     def broken(self, address: str) -> None:
         """The connection with the process at an address was lost."""
-        self.member.broken(address)
+        self.member.on_disconnect(address)
         self.replicator.broken(address)
         self.shards.broken(address)
 
@@ -159,7 +161,7 @@
         """Addresses of the other edge nodes that own shards, and of the session's control-plane node."""
         owners = self.shards.owners
         peers = [str(owner["addr"]) for node_id, owner in owners if node_id != self.member.id]
-        return peers + ([self.member.relay] if self.member.relay else [])
+        return peers + ([self.member.control_address] if self.member.control_address else [])
 
     def _announced(self, key: str, announcement: Json) -> None:
         """Apply an announcement that is newer than what was known under its key."""
@@ -174,7 +176,7 @@
         elif key == "roster":
             self.repair.apply_roster(self._version_of(key), announcement)
         elif key == "cores":
-            self.member.cores_are(announcement)
+            self.member.apply_roster(announcement)
 
     def _version_of(self, key: str) -> int:
         """The index in the control plane's log of what was announced under a key."""
--- a/amberlug/cluster/simulation/machine.py
+++ b/amberlug/cluster/simulation/machine.py
@@ -10,7 +10,7 @@
 from amberlug.cluster.control.node import ControlNode, blank
 from amberlug.cluster.edge.node import EdgeNode
 from amberlug.cluster.interfaces import Endpoints, RequestFailure
-from amberlug.cluster.process import SPARE_S, STILL_SERVED_S
+from amberlug.cluster.process import GRACE_MARGIN_S, STILL_ROUTED_S
 from amberlug.cluster.settings import Settings
 from amberlug.cluster.simulation.boundary_digest import BoundaryDigest
 from amberlug.cluster.simulation.clock import Clock
@@ -193,7 +193,7 @@
             clock.call_later(STOP_S, partial(self._end_when_idle, life))
             return
         grace = BOUNDS["graceS"]
-        self._wind_up(life, clock.now + STILL_SERVED_S, clock.now + grace - SPARE_S)
+        self._wind_up(life, clock.now + STILL_ROUTED_S, clock.now + grace - GRACE_MARGIN_S)
 
     def _end_when_idle(self, life: Incarnation) -> None:
         if life.over:
--- a/amberlug/cluster/storage/node.py
+++ b/amberlug/cluster/storage/node.py
@@ -4,10 +4,10 @@
 
 from absl import logging
 
-from amberlug.cluster.gossip.store import GossipStore
+from amberlug.cluster.gossip.store import DisseminationPolicy, GossipStore
 from amberlug.cluster.interfaces import Json, Runtime
 from amberlug.cluster.rpc.messages import handlers_of
-from amberlug.cluster.session_client import SessionClient, internal
+from amberlug.cluster.session_client import LocalNode, SessionClient, seed_addresses
 from amberlug.cluster.settings import Settings
 from amberlug.cluster.storage.enrollment import Enrollment
 from amberlug.cluster.storage.records import DurableStore, StoredContents
@@ -36,9 +36,11 @@
     ) -> None:
         self.settings, self.contents = settings, contents
         # A storage node passes nothing on: it only compares with the control-plane node of its session.
-        self.gossip = GossipStore(runtime, self._gossip_peers, self._on_announcement, pass_on=0)
+        self.gossip = GossipStore(
+            runtime, self._gossip_peers, self._on_announcement, DisseminationPolicy(fanout=0)
+        )
         self.member = SessionClient(
-            runtime, settings, address, MACHINE_CLASS, self.gossip, self._session_attributes
+            runtime, settings, LocalNode(address, MACHINE_CLASS, self._session_attributes), self.gossip
         )
         self.replicas = ReplicaService(runtime, contents, store)
         self.enrollment = Enrollment(runtime, contents, store, self.gossip)
@@ -70,14 +72,14 @@
     def settings_are(self, settings: Settings) -> None:
         """Apply a settings file that has changed."""
         self.settings = self.member.settings = settings
-        self.member.seeds_are(internal(settings))
+        self.member.add_seeds(seed_addresses(settings))
 
     def broken(self, address: str) -> None:
         """Handle that the connection with a peer has ended."""
-        self.member.broken(address)
+        self.member.on_disconnect(address)
 
     def _gossip_peers(self) -> list[str]:
-        return [self.member.relay] if self.member.relay else []
+        return [self.member.control_address] if self.member.control_address else []
 
     def _session_attributes(self) -> Json:
         """What the control plane is told of this disk with the session."""
@@ -85,6 +87,6 @@
 
     def _on_announcement(self, key: str, value: Json) -> None:
         if key == CONTROL_NODES_KEY:
-            self.member.cores_are(value)
+            self.member.apply_roster(value)
         else:
             self.enrollment.on_announcement(key)
--- a/benchmarks/hollow/steps.py
+++ b/benchmarks/hollow/steps.py
@@ -31,7 +31,7 @@
 from amberlug.cluster.gossip.store import GossipStore
 from amberlug.cluster.http.routing import build
 from amberlug.cluster.interfaces import Json
-from amberlug.cluster.rpc.framing import pack
+from amberlug.cluster.rpc.framing import encode_frame
 from amberlug.cluster.storage.node import StorageNode
 from amberlug.cluster.storage.records import StoredContents, StoredMessage
 from benchmarks.hollow.deployment import STORES, ZONES, beat, config
@@ -148,7 +148,7 @@
         yield Figure("store", "open messages", count, "store", "processor s, a fence", spent[0])
         text = len(json.dumps(answers[0][0], separators=(",", ":")))
         yield Figure("store", "open messages", count, "store", "bytes of a fence's answer", text)
-        fits = float(isinstance(pack({"n": 1, "b": answers[0][0]}, answers[0][1]), Ok))
+        fits = float(isinstance(encode_frame({"n": 1, "b": answers[0][0]}, answers[0][1]), Ok))
         yield Figure("store", "open messages", count, "store", "fence's answer fits a frame", fits)
 
 
@@ -180,7 +180,7 @@
             "parse": partial(parse, text),
             "check": partial(check, whole),
             "digest": partial(digest, whole),
-            "pack": partial(pack, gossip),
+            "pack": partial(encode_frame, gossip),
             "read": partial(json.loads, text),
             "build at an edge": partial(build, 1, whole),
         }
@@ -224,7 +224,7 @@
         yield Figure("steps", "sessions", count, "core", "bytes of memory", room)
         rows = sessions.report(1.1)
         encoded = [row.to_wire() for row in rows]
-        size = len(pack({"w": "sessions", "b": {"rows": encoded, "seen": []}}).unwrap())
+        size = len(encode_frame({"w": "sessions", "b": {"rows": encoded, "seen": []}}).unwrap())
         yield Figure("steps", "sessions", count, "core", "bytes of a report", size)
         steps: dict[str, Callable[[], object]] = {
             "report": partial(sessions.report, 1.1),
@@ -268,7 +268,7 @@
             count,
             "core",
             "bytes of a report of beats",
-            len(pack({"w": "sessions", "b": {"rows": [], "seen": report}}).unwrap()),
+            len(encode_frame({"w": "sessions", "b": {"rows": [], "seen": report}}).unwrap()),
         )
         versions = {key: item[0] for key, item in registry.gossip.items.items()}
         yield Figure(
--- a/tests/cluster/test_contact.py
+++ b/tests/cluster/test_contact.py
@@ -18,7 +18,7 @@
 )
 from amberlug.cluster.dispatch.message import Message
 from amberlug.cluster.edge.outcomes import MessageStatus
-from amberlug.cluster.gossip import store
+from amberlug.cluster.gossip import announcements, store
 from amberlug.cluster.interfaces import Reply
 from amberlug.cluster.simulation.clock import Clock
 from amberlug.cluster.simulation.machine import Machine
@@ -91,7 +91,7 @@
         return {it.part.routes.edition for it in self.deployment.edges}
 
     def relays(self) -> set[str]:
-        return {it.part.member.relay for it in self.deployment.edges + self.deployment.stores}
+        return {it.part.member.control_address for it in self.deployment.edges + self.deployment.stores}
 
 
 @pytest.mark.parametrize("way", ["both", "to", "from"])
@@ -164,7 +164,7 @@
             return {"host": "x", "amberlug-attempt-id": "a"}.get(name)
 
     old = play.deployment.edges[1].part.gossip.everything()
-    part.gossip.take(old)  # what it hears from another edge first
+    part.gossip.apply(old)  # what it hears from another edge first
     assert part.routes.index > 0
     part.handle(HttpRequest(), lambda response: statuses.append(response.status))
     assert statuses == [503]
@@ -198,14 +198,15 @@
 
 
 def test_all_news_come_page_by_page_before_an_edge_serves(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(store, "PAGE", 2)
+    monkeypatch.setattr(announcements, "PAGE_ITEMS", 2)
+    monkeypatch.setattr(store, "PAGE_ITEMS", 2)
     pages: list[int] = []
     page_after = store.GossipStore.page_after
 
     def page(self: store.GossipStore, after: str) -> Any:
-        items, upto = page_after(self, after)
-        pages.append(len(items))
-        return items, upto
+        found = page_after(self, after)
+        pages.append(len(found.announcements))
+        return found
 
     monkeypatch.setattr(store.GossipStore, "page_after", page)
     day = Day(3, "quiet")
@@ -219,7 +220,7 @@
     edge.kill()
     edge.start()
     pages.clear()
-    while not edge.part.member.confirmed:
+    while not edge.part.member.is_confirmed:
         day.clock.run(day.clock.now + 0.001)
         assert day.clock.now < 7.0
     known = edge.part.gossip.items
@@ -283,14 +284,14 @@
     assert len(silent) == 2
     gone = {it.address for it in silent}
     members = [it.part.member for it in day.deployment.edges + day.deployment.stores]
-    member = next(it for it in members if it.relay not in gone)
+    member = next(it for it in members if it.control_address not in gone)
     for machine in silent:
         machine.power_off()
     day.clock.run(day.clock.now + 2.0)
-    member._known = [it.address for it in silent] + [
+    member._candidates = [it.address for it in silent] + [
         it.address for it in day.deployment.cores if it not in silent
     ]
-    member._tried = 0
-    member.broken(member.relay)
+    member._attempts = 0
+    member.on_disconnect(member.control_address)
     day.clock.run(day.clock.now + 0.8)
-    assert member.relay != ""
+    assert member.control_address != ""
