--- /dev/null
+++ b/amberlug/cluster/consensus/chunk_sender.py
@@ -0,0 +1,113 @@
+"""The leader's side of transfers: long entries and snapshots go to a peer in chunks (Raft, section 7)."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from functools import partial
+from typing import TYPE_CHECKING
+
+from amberlug.cluster.consensus.messages import FollowerReply, TransferChunk
+from amberlug.cluster.consensus.peer_progress import LeaderRequest, PeerProgress, RequestKind
+from amberlug.cluster.consensus.snapshot_transfer import (
+    CHUNK_BYTES,
+    Chunk,
+    OutgoingTransfer,
+    TransferHeader,
+    reply_timeout_s,
+)
+
+if TYPE_CHECKING:
+    from amberlug.cluster.consensus.raft import RaftNode
+    from amberlug.cluster.consensus.replication import Replication
+
+
+class ChunkSender:
+    """Decides what goes to a peer in chunks, and sends the chunks."""
+
+    def __init__(self, raft: RaftNode, replication: Replication) -> None:
+        self._raft, self._replication = raft, replication
+
+    def prepare(self, peer: PeerProgress) -> bool:
+        """Whether what a peer lacks next goes in chunks; a transfer that was begun is finished.
+
+        So a slow peer receives a complete snapshot, also where newer ones are made faster than it takes one.
+        """
+        transfer = peer.transfer
+        if transfer is not None and transfer.header.last_index >= peer.next_index:
+            return True
+        log, index = self._raft.log, peer.next_index
+        peer.transfer = None
+        if index <= log.base_index:
+            described = ("snapshot", log.snapshot_index, log.snapshot_term)
+            peer.transfer = self._transfer(peer, *described, log.encoded_snapshot)
+        elif index <= log.last_index and log.size_bytes(index) > CHUNK_BYTES:
+            described = ("entry", index, log.term_at(index))
+            peer.transfer = self._transfer(peer, *described, partial(log.encoded_entry, index))
+        return peer.transfer is not None
+
+    def _transfer(
+        self, peer: PeerProgress, kind: str, last_index: int, last_term: int, encode: Callable[[], str]
+    ) -> OutgoingTransfer:
+        """Begin a transfer; bytes that go to another peer already are not encoded again."""
+        previous_term = self._raft.log.term_at(last_index - 1)
+        for other in self._replication.peers.values():
+            if other.transfer is None:
+                continue
+            header = other.transfer.header
+            if (header.kind, header.last_index, header.last_term) == (kind, last_index, last_term):
+                return OutgoingTransfer(header, other.transfer.data, peer.window, previous_term)
+        data = encode().encode()
+        header = TransferHeader.describe(kind, last_index, last_term, data)
+        return OutgoingTransfer(header, data, peer.window, previous_term)
+
+    def send_chunks(self, name: str, peer: PeerProgress) -> None:
+        """Send as many chunks as the peer's window allows."""
+        now = self._raft.runtime.now
+        while peer.transfer is not None and (chunk := peer.transfer.next_chunk(now())) is not None:
+            self._send(name, peer, peer.transfer, chunk)
+
+    def send_status_request(self, name: str, peer: PeerProgress) -> None:
+        """Ask how much of its transfer a peer has received, which is a heartbeat as well."""
+        assert peer.transfer is not None, "a status is that of a transfer"
+        self._send(name, peer, peer.transfer, None)
+
+    def _send(self, name: str, peer: PeerProgress, transfer: OutgoingTransfer, chunk: Chunk | None) -> None:
+        def on_reply(reply: FollowerReply) -> bool:
+            if peer.transfer is not transfer:
+                return False
+            if reply.success:
+                peer.transfer = None
+                self._replication.on_matched(peer, transfer.header.last_index)
+            elif reply.received_bytes is None:
+                peer.step_back(reply.last_index or 0)
+            elif chunk is None:
+                transfer.on_status(reply.received_bytes)
+            else:
+                now = self._raft.runtime.now()
+                return transfer.on_acknowledged(chunk.number, reply.received_bytes, now)
+            return True
+
+        leader_request = self._request(name, transfer, chunk, on_reply)
+        self._replication.send_request(name, peer, leader_request)
+
+    def _request(
+        self,
+        name: str,
+        transfer: OutgoingTransfer,
+        chunk: Chunk | None,
+        on_reply: Callable[[FollowerReply], bool],
+    ) -> LeaderRequest:
+        """The request for a chunk; without one, the request for the status of the transfer."""
+        message = TransferChunk(
+            self._replication.header_for(name),
+            transfer.header,
+            transfer.previous_term,
+            0 if chunk is None else chunk.offset_bytes,
+            b"" if chunk is None else chunk.data,
+            self._raft.rollback_guard.indexes_for(name),
+        )
+        if chunk is None:
+            timeout_s = reply_timeout_s(transfer.sent_bytes - transfer.received_bytes)
+            return LeaderRequest(RequestKind.HEARTBEAT, message, timeout_s, on_reply)
+        on_lost = partial(transfer.on_lost, chunk.number)
+        return LeaderRequest(RequestKind.CHUNK, message, chunk.timeout_s, on_reply, on_lost)
--- /dev/null
+++ b/amberlug/cluster/consensus/election.py
@@ -0,0 +1,185 @@
+"""Elections: randomized timeouts, pre-votes and votes (Raft, section 5.2; dissertation, sections 4.2.3, 9.6).
+
+A member whose election timeout has elapsed first asks whether it would win (pre-vote), so that one that was
+partitioned does not disturb the group with a higher term. A member that hears from a leader grants no vote,
+so that one that only receives nothing deposes nobody.
+
+Invariant (election safety): a member votes at most once in a term, and its vote is on disk before it is sent.
+"""
+
+from __future__ import annotations
+
+from functools import partial
+from typing import TYPE_CHECKING
+
+from result import Ok, Result
+
+from amberlug.cluster.consensus.messages import AcknowledgedIndexes, RequestVote, VoteReply
+from amberlug.cluster.consensus.roles import Role
+from amberlug.cluster.consensus.snapshot_transfer import REPLY_TIMEOUT_S
+from amberlug.cluster.interfaces import RequestFailure
+from amberlug.cluster.rpc.messages import Responder, request
+
+if TYPE_CHECKING:
+    from amberlug.cluster.consensus.raft import RaftNode
+
+# Without a message of a leader until a member starts an election: several heartbeats, and a spread that lets
+# one candidate win before the next one's timeout (Raft, section 9.3).
+MIN_ELECTION_TIMEOUT_S = 0.5
+MAX_ELECTION_TIMEOUT_S = 0.9
+# The same right after a start, when no leader was heard of yet.
+MIN_STARTUP_TIMEOUT_S = 0.05
+MAX_STARTUP_TIMEOUT_S = 0.3
+
+
+class Election:
+    """The candidate's and the voter's side of elections."""
+
+    def __init__(self, raft: RaftNode) -> None:
+        self._raft = raft
+        self.started_count = 0  # elections, without pre-votes
+
+    # -- as a candidate
+
+    def campaign_soon(self) -> None:
+        """Start an election before long, unless a leader is heard of."""
+        raft = self._raft
+        if raft.leader_id == "":
+            delay_s = raft.runtime.chance.uniform(MIN_STARTUP_TIMEOUT_S, MAX_STARTUP_TIMEOUT_S)
+            raft.schedule(delay_s, self._on_timeout)
+
+    def restart_timer(self) -> None:
+        """Wait for another election timeout, drawn anew."""
+        raft = self._raft
+        delay_s = raft.runtime.chance.uniform(MIN_ELECTION_TIMEOUT_S, MAX_ELECTION_TIMEOUT_S)
+        raft.schedule(delay_s, self._on_timeout)
+
+    def _on_timeout(self) -> None:
+        """No leader was heard of: ask whether an election would be won, and start it then."""
+        raft = self._raft
+        self.restart_timer()
+        if not raft.is_voter or not raft.rollback_guard.may_vote:
+            return
+        if raft.is_leader or raft.leader_silence_s < MIN_ELECTION_TIMEOUT_S:
+            return
+        raft.leader_id = ""
+        self._request_votes(raft.term + 1, is_pre_vote=True)
+
+    def start(self, term: int, is_leadership_transfer: bool = False) -> None:
+        """Become a candidate; the vote for itself is on disk before others are asked for theirs."""
+        raft = self._raft
+        raft.role = Role.CANDIDATE
+        self.started_count += 1
+        raft.term, raft.voted_for = term, raft.member_id
+
+        def on_saved() -> None:
+            if raft.term == term:
+                self._request_votes(term, False, is_leadership_transfer)
+
+        raft.save_term(on_saved)
+
+    def _request_votes(self, term: int, is_pre_vote: bool, is_leadership_transfer: bool = False) -> None:
+        raft = self._raft
+        count = _VoteCount(raft, term, is_pre_vote)
+        last_index = raft.log.last_index
+        last_term = raft.log.term_at(last_index)
+        for name in raft.membership.voters:
+            if name == raft.member_id:
+                continue
+            message = RequestVote(
+                term,
+                last_index,
+                last_term,
+                is_pre_vote,
+                raft.member_id,
+                is_leadership_transfer,
+                name,
+                raft.rollback_guard.acknowledged.get(name, 0),
+            )
+            address = raft.membership[name].address
+            request(raft.runtime, address, message, REPLY_TIMEOUT_S, partial(count.on_reply, name))
+        count.conclude()
+
+    # -- as a voter
+
+    def on_vote_request(self, message: RequestVote, respond: Responder) -> None:
+        """Answer a vote request; a vote is sent once it is on disk."""
+        raft = self._raft
+        is_right_target = message.target_id == raft.member_id and not raft.is_stopped
+        acknowledged = AcknowledgedIndexes(message.acknowledged_index)
+        if is_right_target and raft.rollback_guard.has_lost_entries(acknowledged):
+            raft.restart_as_new_incarnation()
+        if not is_right_target or raft.is_stopped or not raft.rollback_guard.may_vote:
+            # Another incarnation's vote, or one that was forgotten, must not be cast again.
+            respond(VoteReply(False, 0))
+        elif message.is_pre_vote:
+            would_vote = message.term > raft.term and self._is_up_to_date(message) and not self._has_leader
+            respond(VoteReply(would_vote, raft.term, message.term))
+        elif self._has_leader and message.term > raft.term and not message.is_leadership_transfer:
+            respond(VoteReply(False, raft.term))
+        else:
+            self._vote(message, respond)
+
+    def _vote(self, message: RequestVote, respond: Responder) -> None:
+        """Vote for the first candidate of a term whose log is complete enough (Raft, sections 5.2, 5.4.1)."""
+        raft = self._raft
+        term = message.term
+        is_up_to_date = self._is_up_to_date(message)
+        raft.observe_term(term)
+        may_vote = raft.role is Role.FOLLOWER and raft.voted_for in ("", message.candidate_id)
+        if term != raft.term or not is_up_to_date or not may_vote:
+            respond(VoteReply(False, raft.term))
+            return
+        raft.voted_for = message.candidate_id
+        raft.leader_heard_at = raft.runtime.now()
+        self.restart_timer()
+        raft.save_term(lambda: respond(VoteReply(True, term, term)))
+
+    def _is_up_to_date(self, message: RequestVote) -> bool:
+        """Whether the candidate's log is at least as up to date as this one (Raft, section 5.4.1).
+
+        Invariant (leader completeness): whoever wins a majority has all committed entries.
+        """
+        log = self._raft.log
+        ours = log.term_at(log.last_index), log.last_index
+        return (message.last_log_term, message.last_log_index) >= ours
+
+    @property
+    def _has_leader(self) -> bool:
+        """Whether a leader was heard of within the minimum election timeout (dissertation, section 4.2.3)."""
+        raft = self._raft
+        if raft.is_leader:
+            return True
+        return raft.leader_id != "" and raft.leader_silence_s < MIN_ELECTION_TIMEOUT_S
+
+
+class _VoteCount:
+    """The votes that a candidate has received in one election or pre-vote."""
+
+    def __init__(self, raft: RaftNode, term: int, is_pre_vote: bool) -> None:
+        self._raft, self._term, self._is_pre_vote = raft, term, is_pre_vote
+        self._granted_by = {raft.member_id}
+        self._is_won = False
+
+    def on_reply(self, name: str, reply: Result[VoteReply, RequestFailure]) -> None:
+        """Take the reply of a voter."""
+        if not isinstance(reply, Ok):
+            return
+        vote = reply.ok_value
+        if vote.term > self._raft.term and not vote.granted:
+            self._raft.observe_term(vote.term)
+        if vote.granted and vote.election_term == self._term:
+            self._granted_by.add(name)
+            self.conclude()
+
+    def conclude(self) -> None:
+        """Go on, to the election or to leadership, once a majority has granted its vote in time."""
+        raft = self._raft
+        if self._is_won or not raft.has_majority(self._granted_by) or raft.is_stopped:
+            return
+        if self._is_pre_vote and raft.term + 1 == self._term and not raft.is_leader:
+            self._is_won = True
+            raft.election.start(self._term)
+        elif not self._is_pre_vote and raft.term == self._term and raft.role is Role.CANDIDATE:
+            self._is_won = True
+            raft.become_leader()
--- /dev/null
+++ b/amberlug/cluster/consensus/follower.py
@@ -0,0 +1,212 @@
+"""The follower's side: AppendEntries (Raft, section 5.3) and InstallSnapshot in chunks (section 7)."""
+
+from __future__ import annotations
+
+import json
+from collections.abc import Callable
+from dataclasses import dataclass
+from typing import TYPE_CHECKING
+
+from amberlug.cluster.consensus.log import Entry
+from amberlug.cluster.consensus.messages import (
+    AcknowledgedIndexes,
+    AppendEntries,
+    FollowerReply,
+    LeaderHeader,
+    TransferChunk,
+)
+from amberlug.cluster.consensus.roles import Role
+from amberlug.cluster.consensus.snapshot_transfer import IncomingTransfer, TransferHeader
+from amberlug.cluster.interfaces import Json
+from amberlug.cluster.rpc.messages import Responder
+
+if TYPE_CHECKING:
+    from amberlug.cluster.consensus.raft import RaftNode
+
+MAX_SYNC_WAITERS = 8  # replies that wait for the disk: the leader has given up on older ones by then
+
+
+@dataclass(frozen=True, slots=True)
+class _SyncWaiter:
+    """A reply that waits until the log is on disk up to an index."""
+
+    index: int
+    term: int
+    action: Callable[[], None]
+
+
+class Follower:
+    """What a follower does with a leader's messages.
+
+    Invariant (log matching): entries are appended behind one that is the same in the leader's log, and so
+    are all before it. What is acknowledged is on disk.
+    """
+
+    def __init__(self, raft: RaftNode) -> None:
+        self._raft = raft
+        self.incoming: IncomingTransfer | None = None
+        self.checksum_failures = 0  # of transfers
+        self._sync_waiters: list[_SyncWaiter] = []
+
+    # -- the disk
+
+    def on_synced(self) -> None:
+        """More entries are on disk: send the replies that waited for them."""
+        raft = self._raft
+        waiters, self._sync_waiters = self._sync_waiters, []
+        for waiter in waiters:
+            if waiter.term == raft.term and waiter.index <= raft.log.synced_index:
+                waiter.action()
+            elif waiter.term == raft.term:
+                self._sync_waiters.append(waiter)
+
+    def _acknowledge_when_synced(self, index: int, respond: Responder) -> None:
+        """Acknowledge the log up to an index once it is on disk, if the term is still the same then."""
+        term = self._raft.term
+        waiter = _SyncWaiter(index, term, lambda: respond(FollowerReply(True, term)))
+        self._sync_waiters = [*self._sync_waiters, waiter][-MAX_SYNC_WAITERS:]
+        self.on_synced()
+
+    # -- the leader
+
+    def _accept_leader(self, header: LeaderHeader, acknowledged: AcknowledgedIndexes) -> bool:
+        """Whether a message is meant for this member, and from the leader of the newest known term."""
+        raft = self._raft
+        if header.target_id != raft.member_id or raft.is_stopped:
+            return False
+        if header.term < raft.term:
+            return False
+        if raft.rollback_guard.has_lost_entries(acknowledged):
+            raft.restart_as_new_incarnation()
+            return False
+        raft.rollback_guard.may_vote = True
+        raft.observe_term(header.term)
+        assert not raft.is_leader, "two leaders in one term"
+        has_changed = raft.leader_id != header.leader_id or raft.role is not Role.FOLLOWER
+        raft.role, raft.leader_id, raft.leader_heard_at = (
+            Role.FOLLOWER,
+            header.leader_id,
+            raft.runtime.now(),
+        )
+        if has_changed:
+            raft.on_change()
+        raft.election.restart_timer()
+        return True
+
+    def _reject(self, header: LeaderHeader, respond: Responder) -> None:
+        raft = self._raft
+        is_wrong_target = header.target_id != raft.member_id or raft.is_stopped
+        respond(FollowerReply(False, raft.term, is_wrong_target=is_wrong_target))
+
+    # -- entries
+
+    def on_append_entries(self, message: AppendEntries, respond: Responder) -> None:
+        """Take entries, or a heartbeat."""
+        if not self._accept_leader(message.header, message.acknowledged):
+            self._reject(message.header, respond)
+        elif self._is_consistent(message.previous_index, message.previous_term, respond):
+            commit_index = message.header.commit_index
+            self._append_after(message.previous_index, message.entries, commit_index, respond)
+
+    def _is_consistent(self, previous_index: int, previous_term: int, respond: Responder) -> bool:
+        """The consistency check of AppendEntries; if it fails, the leader is notified where to try next."""
+        log = self._raft.log
+        if previous_index < log.base_index:  # committed, and thus the same in the leader's log
+            return True
+        if previous_index <= log.last_index and log.term_at(previous_index) == previous_term:
+            return True
+        last_index = min(log.last_index, previous_index - 1)
+        respond(FollowerReply(False, self._raft.term, last_index=last_index))
+        return False
+
+    def _append_after(
+        self, previous_index: int, entries: list[Entry], commit_index: int, respond: Responder
+    ) -> None:
+        """Append the entries that are new, and acknowledge all of them once they are on disk."""
+        raft, log = self._raft, self._raft.log
+        last_index = previous_index + len(entries)
+        if previous_index < log.base_index:  # what is no longer in the log is committed: nothing to do
+            entries = entries[log.base_index - previous_index :]
+            previous_index = log.base_index
+        known = self._known_count(previous_index, entries)
+        new_entries = entries[known:]
+        if new_entries:
+            first_index = previous_index + known + 1
+            truncate_from = first_index if first_index <= log.last_index else 0
+            assert (
+                not truncate_from or truncate_from > raft.commit_index
+            ), "a committed entry would be taken back"
+            log.append(new_entries, truncate_from)
+            raft.refresh_membership()
+        self._acknowledge_when_synced(last_index, respond)
+        raft.commit_to(min(commit_index, last_index))
+
+    def _known_count(self, previous_index: int, entries: list[Entry]) -> int:
+        """How many of the first entries are in the log already."""
+        log = self._raft.log
+        for count, entry in enumerate(entries):
+            index = previous_index + count + 1
+            if index > log.last_index or log.term_at(index) != entry.term:
+                return count
+        return len(entries)
+
+    # -- transfers
+
+    def on_chunk(self, message: TransferChunk, respond: Responder) -> None:
+        """Take a chunk of an entry or of a snapshot, and all of it with the last one.
+
+        A chunk without data is answered by how much was received.
+        """
+        if not self._accept_leader(message.header, message.acknowledged):
+            self._reject(message.header, respond)
+            return
+        raft, transfer = self._raft, message.transfer
+        previous_index = transfer.last_index - 1
+        is_known = False
+        if transfer.kind == "entry":
+            if not self._is_consistent(previous_index, message.previous_term, respond):
+                return
+            raft.commit_to(min(message.header.commit_index, previous_index))
+            is_known = raft.log.term_at(transfer.last_index) == transfer.last_term
+        if is_known or transfer.last_index <= raft.commit_index:
+            self._answer_known(message, respond)
+        else:
+            self._receive(message, respond)
+
+    def _answer_known(self, message: TransferChunk, respond: Responder) -> None:
+        """All of a transfer is here, though perhaps not on disk yet."""
+        raft, transfer = self._raft, message.transfer
+        if message.data or raft.log.synced_index >= transfer.last_index:
+            self._acknowledge_when_synced(transfer.last_index, respond)
+        else:
+            respond(FollowerReply(False, raft.term, received_bytes=transfer.size_bytes))
+
+    def _receive(self, message: TransferChunk, respond: Responder) -> None:
+        raft, transfer = self._raft, message.transfer
+        incoming = self.incoming
+        if incoming is None or incoming.header != transfer:
+            incoming = self.incoming = IncomingTransfer(transfer)
+        if message.data:
+            incoming.add(message.offset_bytes, message.data)
+        data = incoming.verified() if incoming.is_complete else None
+        if data is None:
+            self.checksum_failures += 1 if message.data and not incoming.data else 0
+            respond(FollowerReply(False, raft.term, received_bytes=len(incoming.data)))
+            return
+        self.incoming = None
+        if transfer.kind == "entry":
+            entry = Entry(transfer.last_term, json.loads(data))
+            self._append_after(transfer.last_index - 1, [entry], message.header.commit_index, respond)
+        else:
+            self._install_snapshot(transfer, json.loads(data), respond)
+
+    def _install_snapshot(self, transfer: TransferHeader, snapshot: Json, respond: Responder) -> None:
+        """Replace all that a leader's snapshot covers, the membership included (Raft, figure 13)."""
+        raft, index = self._raft, transfer.last_index
+        raft.log.install(index, transfer.last_term, snapshot, raft.commit_index, transfer.size_bytes)
+        raft.commit_index = raft.last_applied = index
+        if snapshot["state"] is not None:
+            raft.state_machine.restore(snapshot["state"])
+        raft.refresh_membership()
+        self._acknowledge_when_synced(index, respond)
+        raft.on_change()
--- a/amberlug/cluster/consensus/log.py
+++ b/amberlug/cluster/consensus/log.py
@@ -1,261 +1,360 @@
-"""A member's entries, in memory and on their way to disk, and the snapshot that takes their place.
+"""The log of a member, in memory and on its way to disk, and the snapshot that replaces a prefix of it.
 
-Nothing here is written but through `Disk`. Entries are counted by bytes as well as by number, since one may
-have 4 MiB: a snapshot is made after so many of either, never more often than its own size warrants, and a
-tail of entries before it stays for members that lack only a little.
+Nothing here is written but through `Disk`. Snapshots follow section 7 of the Raft paper. Entries are counted
+by bytes as well as by number, since one may have 4 MiB: a snapshot is made after so many of either, never
+more often than its own size warrants, and a tail of entries before it stays for followers that lack only a
+little.
+
+Invariant: `synced_index` covers only what a restart finds again, so that what is acknowledged is durable.
 """
 
 from __future__ import annotations
 
 import json
-from collections.abc import Callable, Iterable
+from collections.abc import Callable, Iterable, Sequence
 from dataclasses import dataclass, field
 from itertools import islice
+from typing import NamedTuple
 
-from amberlug.cluster.consensus.snapshot_transfer import PART
+from amberlug.cluster.consensus.rows import EntryRow, Row, SnapshotRow, TruncateRow, raw_rows
+from amberlug.cluster.consensus.snapshot_transfer import CHUNK_BYTES
 from amberlug.cluster.interfaces import Disk, Json, Runtime
 
-BATCH = 64  # entries in one message, which are of PART bytes at most in all
-COMPACT = 512  # entries since the last snapshot until another one is made
-COMPACT_BYTES = 4 << 20  # the same in bytes, or as many as the snapshot has: it is not written at each change
-TAIL = 128  # entries before the snapshot that are kept for members that lack only a few
-TAIL_BYTES = 1 << 20  # of these
-AGAIN_S = (0.1, 1.6)  # between tries to write what the disk refuses: at first, and at most
+MAX_BATCH_ENTRIES = 64  # in one message, which are of CHUNK_BYTES at most in all
+SNAPSHOT_ENTRIES = (
+    512  # applied since the last snapshot until another one is made: a replay takes milliseconds
+)
+SNAPSHOT_BYTES = (
+    4 << 20
+)  # the same in bytes, or as many as the snapshot has: it is not written at each change
+TAIL_ENTRIES = 128  # kept before the snapshot, so that followers that lack a few need no transfer of it
+TAIL_BYTES = 1 << 20  # of the tail at most
+WRITE_RETRY_S = 0.1  # until what the disk refused is written again, doubled at each refusal
+MAX_WRITE_RETRY_S = 1.6
+
+
+class Entry(NamedTuple):
+    """An entry of the log; it is encoded as the pair `[term, command]`."""
+
+    term: int
+    command: Json | None  # None: the first entry of a new leader (Raft, section 8)
+
+    @property
+    def members(self) -> Json | None:
+        """The membership that the entry puts in place, where it is a configuration entry."""
+        return None if self.command is None else self.command.get("members")
+
+
+@dataclass(frozen=True, slots=True)
+class StoredEntry:
+    """An entry as it is read from disk."""
+
+    index: int
+    term: int
+    command: Json | None
 
-Entry = tuple[int, Json | None]  # term and command; None: a new leader's first entry
-Row = tuple[str, tuple[object, ...]]
 
+@dataclass(frozen=True, slots=True)
+class MembersAt:
+    """A membership, and the index of the entry that put it in place."""
 
-def text_of(value: Json | None) -> str:
+    members: Json
+    index: int
+
+
+def encode(value: Json | None) -> str:
     """A command or a snapshot as it goes to disk and to others."""
     return json.dumps(value, separators=(",", ":"))
 
 
 @dataclass(slots=True)
 class PersistentState:
-    """What a member has on disk."""
+    """What a member has on disk: its name, the persistent state of figure 2, and its snapshot."""
 
-    me: str
+    member_id: str
     term: int = 0
-    vote: str = ""
-    start: int = 0  # the last entry that the snapshot covers
-    start_term: int = 0
-    state: Json | None = None
-    members: Json = field(default_factory=dict)
+    voted_for: str = ""
+    snapshot_index: int = 0  # the last entry that the snapshot covers
+    snapshot_term: int = 0
+    snapshot_state: Json | None = None
+    members: Json = field(default_factory=dict)  # as of the snapshot
     entries: list[Entry] = field(default_factory=list)  # behind what the snapshot covers
     tail: list[Entry] = field(default_factory=list)  # the last ones that it covers, as far as they are kept
-    floors: Json = field(default_factory=dict)  # what members are known to have had, by member
+    acknowledged: dict[str, int] = field(default_factory=dict)  # by member: the input of the rollback guard
+
 
+def assemble(saved: PersistentState, rows: Iterable[StoredEntry]) -> PersistentState | None:
+    """Put the rows of a log, in their order, behind and before a snapshot.
 
-def assemble(saved: PersistentState, rows: Iterable[tuple[int, int, Json | None]]) -> PersistentState | None:
-    """Put the rows of a log, in their order, behind and before a snapshot; None where some are missing.
+    What the snapshot covers may have gaps: it came from a leader, or was written when entries before it were
+    refused.
 
-    What the snapshot covers may have gaps: it came whole from a leader, or was written when entries before it
-    were refused.
+    :returns: None where entries behind the snapshot are missing.
     """
-    before = 0
-    for at, term, command in rows:
-        if at <= saved.start:
-            if at != before + 1:
+    previous = 0
+    for row in rows:
+        entry = Entry(row.term, row.command)
+        if row.index <= saved.snapshot_index:
+            if row.index != previous + 1:
                 saved.tail.clear()
-            saved.tail.append((term, command))
-            before = at
-        elif at == saved.start + len(saved.entries) + 1:
-            saved.entries.append((term, command))
+            saved.tail.append(entry)
+            previous = row.index
+        elif row.index == saved.snapshot_index + len(saved.entries) + 1:
+            saved.entries.append(entry)
         else:
             return None
-    if before != saved.start or (saved.tail and saved.tail[-1][0] != saved.start_term):
+    if previous != saved.snapshot_index or (saved.tail and saved.tail[-1].term != saved.snapshot_term):
         saved.tail.clear()
     return saved
 
 
 @dataclass(slots=True, eq=False)
-class _Write:
+class _PendingWrite:
     """Entries on their way to the disk."""
 
-    first: int
-    last: int
+    first_index: int
+    last_index: int
+
+
+@dataclass(frozen=True, slots=True)
+class _EncodedEntry:
+    """The text of a long entry: it is sent to each peer, and encoded once."""
+
+    index: int = 0
+    term: int = 0
+    text: str = ""
 
 
 class Log:
-    """Entries after `start`, and a snapshot up to `snap`, which is the same entry or a later one."""
+    """Entries after `base_index`, and a snapshot up to `snapshot_index`, which is the same or a later one.
+
+    :param on_synced: called when more entries are on disk.
+    """
 
     def __init__(
-        self, world: Runtime, disk: Disk, saved: PersistentState, on_synced: Callable[[], None]
+        self, runtime: Runtime, disk: Disk, saved: PersistentState, on_synced: Callable[[], None]
     ) -> None:
-        self._world, self._disk, self._on_synced = world, disk, on_synced
-        self.snap, self.snap_term, self.state = saved.start, saved.start_term, saved.state
-        self.base_members = saved.members  # as the snapshot has them
-        self.start, self.start_term, self.entries = saved.start, saved.start_term, list(saved.entries)
+        self._runtime, self._disk, self._on_synced = runtime, disk, on_synced
+        self.snapshot_index, self.snapshot_term = saved.snapshot_index, saved.snapshot_term
+        self.snapshot_state, self.snapshot_members = saved.snapshot_state, saved.members
+        self.base_index, self.base_term = saved.snapshot_index, saved.snapshot_term
+        self.entries = list(saved.entries)
         if saved.tail:
-            self.start, self.start_term = saved.start - len(saved.tail) + 1, saved.tail[0][0]
+            self.base_index = saved.snapshot_index - len(saved.tail) + 1
+            self.base_term = saved.tail[0].term
             self.entries = saved.tail[1:] + self.entries
-        self.sizes = [len(text_of(command)) for _, command in self.entries]  # bytes of each
-        self._text = 0, 0, ""  # the newest long entry, its term and its text: each peer is sent it
-        self.synced = self.last  # entries up to here are on disk, by themselves or in a snapshot
-        self._snap_synced = self.snap
-        self._snap_size = len(text_of(self.state))
-        self._since = 0  # bytes applied since the snapshot
-        self._writing: list[_Write] = []
-        self._refused = False  # whether the disk has refused what is not written again yet
-        self._ended = False
-        self._again_s = AGAIN_S[0]
+        self.sizes_bytes = [len(encode(entry.command)) for entry in self.entries]
+        self._newest_long = _EncodedEntry()
+        self.synced_index = self.last_index  # entries up to here are on disk, as such or in a snapshot
+        self._synced_snapshot_index = self.snapshot_index
+        self._snapshot_bytes = len(encode(self.snapshot_state))
+        self._applied_bytes = 0  # since the snapshot
+        self._pending_writes: list[_PendingWrite] = []
+        self._has_refused_writes = False  # the disk has refused something that is not written again yet
+        self._is_closed = False
+        self._retry_s = WRITE_RETRY_S
 
     @property
-    def last(self) -> int:
-        return self.start + len(self.entries)
+    def last_index(self) -> int:
+        """The index of the last entry."""
+        return self.base_index + len(self.entries)
+
+    def entry_at(self, index: int) -> Entry:
+        """The entry at an index that the log still has."""
+        return self.entries[index - self.base_index - 1]
 
     def term_at(self, index: int) -> int:
-        if index == self.start:
-            return self.start_term
-        return self.entries[index - self.start - 1][0] if self.start < index <= self.last else -1
+        """The term of an entry; -1 where it is not known."""
+        if index == self.base_index:
+            return self.base_term
+        return self.entry_at(index).term if self.base_index < index <= self.last_index else -1
 
-    def members(self) -> tuple[Json, int]:
-        """The newest membership in the log, and at which entry it came."""
+    def newest_members(self) -> MembersAt:
+        """The newest membership in the log, committed or not (dissertation, section 4.1)."""
         for offset in range(len(self.entries) - 1, -1, -1):
-            command = self.entries[offset][1]
-            if command is not None and "members" in command:
-                return command["members"], self.start + offset + 1
-        return self.base_members, self.start
+            members = self.entries[offset].members
+            if members is not None:
+                return MembersAt(members, self.base_index + offset + 1)
+        return MembersAt(self.snapshot_members, self.base_index)
 
     def members_until(self, index: int) -> Json:
         """The membership that holds at an entry of the log."""
-        members = self.base_members
-        for _, command in self.entries[: index - self.start]:
-            if command is not None and "members" in command:
-                members = command["members"]
+        members = self.snapshot_members
+        for entry in self.entries[: index - self.base_index]:
+            if entry.members is not None:
+                members = entry.members
         return members
 
-    def batch(self, before: int) -> list[Entry]:
-        """What one message takes of the entries behind one: so many, of so many bytes."""
+    def batch_after(self, index: int) -> list[Entry]:
+        """The entries after an index that one message takes: bounded by number and by bytes."""
         entries: list[Entry] = []
-        room, at = PART, before - self.start
-        for entry, size in islice(zip(self.entries, self.sizes, strict=True), at, at + BATCH):
-            if size > room:
+        left_bytes, offset = CHUNK_BYTES, index - self.base_index
+        sized = zip(self.entries, self.sizes_bytes, strict=True)
+        for entry, size in islice(sized, offset, offset + MAX_BATCH_ENTRIES):
+            if size > left_bytes:
                 break
             entries.append(entry)
-            room -= size
+            left_bytes -= size
         return entries
 
-    def size(self, first: int, count: int = 1) -> int:
-        """The bytes of so many entries, from one on."""
-        return sum(self.sizes[first - self.start - 1 : first - self.start - 1 + count])
+    def size_bytes(self, first_index: int, count: int = 1) -> int:
+        """The size of so many entries, from one on."""
+        offset = first_index - self.base_index - 1
+        return sum(self.sizes_bytes[offset : offset + count])
 
-    def text(self, index: int) -> str:
+    def encoded_entry(self, index: int) -> str:
         """An entry's command as text."""
-        known, term, text = self._text
-        if (known, term) == (index, self.term_at(index)):
-            return text
-        return text_of(self.entries[index - self.start - 1][1])
+        known = self._newest_long
+        if (known.index, known.term) == (index, self.term_at(index)):
+            return known.text
+        return encode(self.entry_at(index).command)
 
-    def snapshot_text(self) -> str:
+    def encoded_snapshot(self) -> str:
         """The snapshot with its membership as text, as it goes to others."""
-        return f'{{"state":{text_of(self.state)},"members":{text_of(self.base_members)}}}'
+        return f'{{"state":{encode(self.snapshot_state)},"members":{encode(self.snapshot_members)}}}'
 
     # -- changes
 
-    def append(self, entries: list[Entry], cut: int = 0) -> None:
-        """Put entries behind the last one, or in the place of those from `cut` on: none was committed."""
-        if cut:
-            del self.entries[cut - self.start - 1 :]
-            del self.sizes[cut - self.start - 1 :]
-            self.synced = min(self.synced, cut - 1)
-            for write in self._writing:
-                write.last = min(write.last, cut - 1)
-        first = self.last + 1
-        for term, command in entries:
-            text = text_of(command)
-            self.entries.append((term, command))
-            self.sizes.append(len(text))
-            if len(text) > PART:
-                self._text = self.last, term, text
-        rows: list[Row] = [("cut", (cut,))] if cut else []
-        rows += [("entry", (first + at, term, command)) for at, (term, command) in enumerate(entries)]
-        self._save(rows, _Write(first, self.last))
-
-    def applied(self, index: int) -> bool:
-        """Count an entry that was applied; whether it is time for a snapshot."""
-        self._since += self.size(index)
-        return index - self.snap >= COMPACT or self._since >= max(COMPACT_BYTES, self._snap_size)
+    def append(self, entries: Sequence[Entry], truncate_from: int = 0) -> None:
+        """Append entries.
+
+        :param truncate_from: entries from this index on are replaced, none of which was committed; 0: none.
+        """
+        if truncate_from:
+            del self.entries[truncate_from - self.base_index - 1 :]
+            del self.sizes_bytes[truncate_from - self.base_index - 1 :]
+            self._limit_synced(truncate_from - 1)
+        first_index = self.last_index + 1
+        for entry in entries:
+            text = encode(entry.command)
+            self.entries.append(entry)
+            self.sizes_bytes.append(len(text))
+            if len(text) > CHUNK_BYTES:
+                self._newest_long = _EncodedEntry(self.last_index, entry.term, text)
+        rows: list[Row] = [TruncateRow(truncate_from)] if truncate_from else []
+        rows += self._entry_rows(first_index, entries)
+        self._save(rows, _PendingWrite(first_index, self.last_index))
+
+    def count_applied(self, index: int) -> bool:
+        """Count an entry that was applied.
+
+        :returns: whether it is time for a snapshot.
+        """
+        self._applied_bytes += self.size_bytes(index)
+        if index - self.snapshot_index >= SNAPSHOT_ENTRIES:
+            return True
+        return self._applied_bytes >= max(SNAPSHOT_BYTES, self._snapshot_bytes)
 
     def compact(self, index: int, state: Json) -> None:
-        """Put a snapshot in the place of the entries up to one, but for a tail."""
+        """Replace the entries up to an index by a snapshot, but for a tail (Raft, section 7)."""
         members = self.members_until(index)
-        self.snap, self.snap_term, self.state, self.base_members = index, self.term_at(index), state, members
-        self._snap_size, self._since = len(text_of(state)), 0
-        keep, room = 0, TAIL_BYTES
-        while keep < min(TAIL, index - self.start - 1):
-            room -= self.sizes[index - self.start - keep - 1]
-            if room < 0:
-                break
-            keep += 1
-        base = index - keep
-        self.start_term = self.term_at(base)
-        del self.entries[: base - self.start]
-        del self.sizes[: base - self.start]
-        self.start = base
+        self.snapshot_term = self.term_at(index)
+        self.snapshot_index, self.snapshot_state, self.snapshot_members = index, state, members
+        self._snapshot_bytes, self._applied_bytes = len(encode(state)), 0
+        base_index = index - self._tail_length(index)
+        self.base_term = self.term_at(base_index)
+        del self.entries[: base_index - self.base_index]
+        del self.sizes_bytes[: base_index - self.base_index]
+        self.base_index = base_index
+        self._newest_long = _EncodedEntry()
         # What is not on disk yet counts as being there once the snapshot is: a disk may refuse it.
-        self._text = 0, 0, ""
-        self._save([self._snap_row()], _Write(index + 1, index), index)
-
-    def install(self, index: int, term: int, snapshot: Json, committed: int, size: int) -> None:
-        """Put a leader's snapshot in the place of all that it covers, its membership with it."""
-        keep = self.term_at(index) == term
-        self.entries = self.entries[index - self.start :] if keep else []
-        self.sizes = self.sizes[index - self.start :] if keep else []
-        if not keep:
-            self.synced = min(self.synced, committed)
-            for write in self._writing:
-                write.last = min(write.last, committed)
-        self.start = self.snap = index
-        self.start_term = self.snap_term = term
-        self.state, self.base_members = snapshot["state"], snapshot["members"]
-        self._snap_size, self._since = size, 0
-        rows: list[Row] = [] if keep else [("cut", (1,))]
-        self._save([*rows, self._snap_row()], _Write(index + 1, index), index)
+        self._save([self._snapshot_row()], _PendingWrite(index + 1, index), index)
+
+    def _tail_length(self, index: int) -> int:
+        """How many entries before a snapshot up to an index are kept."""
+        count, left_bytes = 0, TAIL_BYTES
+        while count < min(TAIL_ENTRIES, index - self.base_index - 1):
+            left_bytes -= self.sizes_bytes[index - self.base_index - count - 1]
+            if left_bytes < 0:
+                break
+            count += 1
+        return count
+
+    def install(self, index: int, term: int, snapshot: Json, commit_index: int, size_bytes: int) -> None:
+        """Replace all that a leader's snapshot covers; entries behind it stay if they follow from it.
+
+        Invariant: entries that conflict with the leader's go with their prefix (Raft, figure 13, steps 6, 7).
+        """
+        keeps_rest = self.term_at(index) == term
+        self.entries = self.entries[index - self.base_index :] if keeps_rest else []
+        self.sizes_bytes = self.sizes_bytes[index - self.base_index :] if keeps_rest else []
+        if not keeps_rest:
+            self._limit_synced(commit_index)
+        self.base_index = self.snapshot_index = index
+        self.base_term = self.snapshot_term = term
+        self.snapshot_state, self.snapshot_members = snapshot["state"], snapshot["members"]
+        self._snapshot_bytes, self._applied_bytes = size_bytes, 0
+        rows: list[Row] = [] if keeps_rest else [TruncateRow(1)]
+        self._save([*rows, self._snapshot_row()], _PendingWrite(index + 1, index), index)
+
+    def _limit_synced(self, index: int) -> None:
+        """What is behind an index was replaced: it is not on disk, nor will be by writes under way."""
+        self.synced_index = min(self.synced_index, index)
+        for write in self._pending_writes:
+            write.last_index = min(write.last_index, index)
 
     # -- the disk
 
-    def end(self) -> None:
-        """Write nothing more: what follows is another member's log."""
-        self._ended = True
+    def close(self) -> None:
+        """Write nothing more: what follows is another incarnation's log."""
+        self._is_closed = True
 
-    def _save(self, rows: list[Row], write: _Write, snap: int = 0) -> None:
-        """Write entries, and a snapshot if its index is named; what has lasted is counted then."""
+    def _save(self, rows: Sequence[Row], write: _PendingWrite, snapshot_index: int = 0) -> None:
+        """Write rows.
 
-        def done(error: str | None) -> None:
-            if self._ended:
+        :param snapshot_index: of the snapshot among the rows; 0: there is none.
+        """
+
+        def on_written(error: str | None) -> None:
+            if self._is_closed:
                 return
-            if write in self._writing:
-                self._writing.remove(write)
+            if write in self._pending_writes:
+                self._pending_writes.remove(write)
             if error is not None:
-                if not self._refused:
-                    self._refused = True
-                    self._world.call_later(self._again_s, self._save_rest)
-                    self._again_s = min(AGAIN_S[1], 2 * self._again_s)
+                self._retry_later()
                 return
-            self._again_s = AGAIN_S[0]
-            self._snap_synced = max(self._snap_synced, snap)
-            self.synced = max(self.synced, snap)
-            if write.first <= self.synced + 1:
-                self.synced = max(self.synced, write.last)
+            self._retry_s = WRITE_RETRY_S
+            self._synced_snapshot_index = max(self._synced_snapshot_index, snapshot_index)
+            self.synced_index = max(self.synced_index, snapshot_index)
+            if write.first_index <= self.synced_index + 1:
+                self.synced_index = max(self.synced_index, write.last_index)
             self._on_synced()
 
-        if not self._refused:  # else it is written with the rest
-            self._writing.append(write)
-            self._disk.write(rows, done)
+        if not self._has_refused_writes:  # else it is written with the rest
+            self._pending_writes.append(write)
+            self._disk.write(raw_rows(rows), on_written)
+
+    def _retry_later(self) -> None:
+        """The disk has refused a write: write all that is missing, once, a while later."""
+        if not self._has_refused_writes:
+            self._has_refused_writes = True
+            self._runtime.call_later(self._retry_s, self._save_rest)
+            self._retry_s = min(MAX_WRITE_RETRY_S, 2 * self._retry_s)
 
     def _save_rest(self) -> None:
         """Write all that is not known to be on disk: a log with a gap would be worth nothing at a start."""
-        if self._ended:
+        if self._is_closed:
             return
-        self._refused = False
-        rows: list[Row] = [self._snap_row()] if self._snap_synced < self.snap else []
-        first = max(self.synced, self.start) + 1
-        rows.append(("cut", (first,)))
-        rest = self.entries[first - self.start - 1 :]
-        rows += [("entry", (first + at, term, command)) for at, (term, command) in enumerate(rest)]
-        self._save(rows, _Write(first, self.last), self.snap)
-
-    def _snap_row(self) -> Row:
-        return "snap", (self.snap, self.snap_term, self.state, self.base_members, self.start)
+        self._has_refused_writes = False
+        rows: list[Row] = []
+        if self._synced_snapshot_index < self.snapshot_index:
+            rows.append(self._snapshot_row())
+        first_index = max(self.synced_index, self.base_index) + 1
+        rows.append(TruncateRow(first_index))
+        rows += self._entry_rows(first_index, self.entries[first_index - self.base_index - 1 :])
+        self._save(rows, _PendingWrite(first_index, self.last_index), self.snapshot_index)
+
+    @staticmethod
+    def _entry_rows(first_index: int, entries: Sequence[Entry]) -> list[EntryRow]:
+        return [
+            EntryRow(first_index + offset, entry.term, entry.command) for offset, entry in enumerate(entries)
+        ]
+
+    def _snapshot_row(self) -> SnapshotRow:
+        return SnapshotRow(
+            self.snapshot_index,
+            self.snapshot_term,
+            self.snapshot_state,
+            self.snapshot_members,
+            self.base_index,
+        )
--- /dev/null
+++ b/amberlug/cluster/consensus/rows.py
@@ -0,0 +1,90 @@
+"""What a member writes to stable storage: one frozen dataclass a kind of row.
+
+A disk is given a row as its kind and values (`raw_rows`); `row_from` reads it back, for `storage` and for
+the disks of the simulation. The kinds are not stored: they name SQL statements.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Sequence
+from dataclasses import dataclass, fields
+from typing import Any, ClassVar
+
+from amberlug.cluster.interfaces import Json
+
+RawRow = tuple[str, tuple[Any, ...]]
+
+
+@dataclass(frozen=True, slots=True)
+class TermRow:
+    """The current term and the vote in it: persistent state of each server (Raft, figure 2)."""
+
+    kind: ClassVar[str] = "term"
+    term: int
+    voted_for: str
+
+
+@dataclass(frozen=True, slots=True)
+class EntryRow:
+    """One entry of the log."""
+
+    kind: ClassVar[str] = "entry"
+    index: int
+    term: int
+    command: Json | None
+
+
+@dataclass(frozen=True, slots=True)
+class TruncateRow:
+    """Entries from an index on are deleted: a leader has others there (Raft, section 5.3)."""
+
+    kind: ClassVar[str] = "cut"
+    first_index: int
+
+
+@dataclass(frozen=True, slots=True)
+class SnapshotRow:
+    """A snapshot takes the place of a prefix of the log (Raft, section 7)."""
+
+    kind: ClassVar[str] = "snap"
+    index: int
+    term: int
+    state: Json | None
+    members: Json
+    first_kept_index: int  # rows of entries before this one are deleted
+
+
+@dataclass(frozen=True, slots=True)
+class AcknowledgedRow:
+    """Up to which index each member is known to have acknowledged the log."""
+
+    kind: ClassVar[str] = "floors"
+    indexes: dict[str, int]
+
+
+@dataclass(frozen=True, slots=True)
+class NewIncarnationRow:
+    """The member goes on with an empty log under another name."""
+
+    kind: ClassVar[str] = "anew"
+    member_id: str
+
+
+Row = TermRow | EntryRow | TruncateRow | SnapshotRow | AcknowledgedRow | NewIncarnationRow
+_ROW_TYPES: dict[str, type[Row]] = {
+    row_type.kind: row_type
+    for row_type in (TermRow, EntryRow, TruncateRow, SnapshotRow, AcknowledgedRow, NewIncarnationRow)
+}
+
+
+def row_from(kind: str, values: Sequence[Any]) -> Row:
+    """The row that a disk was given.
+
+    :raises KeyError: where no row is of that kind.
+    """
+    return _ROW_TYPES[kind](*values)
+
+
+def raw_rows(rows: Sequence[Row]) -> list[RawRow]:
+    """Rows as a disk is given them."""
+    return [(row.kind, tuple(getattr(row, field.name) for field in fields(row))) for row in rows]
--- a/amberlug/cluster/consensus/snapshot_transfer.py
+++ b/amberlug/cluster/consensus/snapshot_transfer.py
@@ -1,8 +1,9 @@
-"""What is too long for one message goes in parts, paced by acknowledgements and checked as a whole. No I/O.
+"""Transfer of long entries and of snapshots in chunks, paced by acknowledgements. No I/O.
 
-Beats share the connection with what is large, and a link of 15 Mbit/s takes 35 ms for a part: so parts are
-small, few are under way, and each is a word of the leader's by itself. How many are under way follows from
-how long acknowledgements take beyond the shortest time seen: a queue of parts stays about as long as a beat.
+Raft, section 7, sends a snapshot in chunks as well. Heartbeats share the connection with them, and a link of
+15 Mbit/s takes 35 ms for a chunk: so chunks are small, few are in flight, and each is a message of the
+leader by itself. The number in flight follows from how long acknowledgements take beyond the shortest time
+seen, so that the queue in front of a slow link stays about as long as a heartbeat interval.
 """
 
 from __future__ import annotations
@@ -10,135 +11,174 @@
 import hashlib
 from dataclasses import dataclass, field
 
-PART = 64 << 10  # bytes of one part, and of the entries in one message
-WINDOW = 8  # parts under way at most
-QUEUE_S = 0.1  # that an acknowledgement may take beyond the shortest until fewer parts are under way
-ANSWER_S = 0.4  # for a member to answer something small
-SLOWEST = 250_000  # bytes a second of a link that is still waited for
+from amberlug.cluster.interfaces import Json
 
+CHUNK_BYTES = 64 << 10  # of one chunk, and of the entries in one message: a heartbeat waits for one at most
+MAX_WINDOW = 8  # chunks in flight: 512 KiB fill a link of 40 Mbit/s and 100 ms
+MAX_QUEUEING_S = 0.1  # of an acknowledgement beyond the shortest until fewer are in flight: one heartbeat
+REPLY_TIMEOUT_S = 0.4  # of a small message: below the election timeout, so that a lost one is sent again
+SLOWEST_LINK_BYTES_PER_S = 250_000  # 2 Mbit/s: on a slower link a transfer times out
+CHECKSUM_BYTES = 12
 
-def patience(size: int) -> float:
-    """How long to wait for the answer to so many bytes until they count as lost, in seconds."""
-    return ANSWER_S + size / SLOWEST
+
+def reply_timeout_s(size_bytes: int) -> float:
+    """How long to wait for the reply to a message of this size until it counts as lost, in seconds."""
+    return REPLY_TIMEOUT_S + size_bytes / SLOWEST_LINK_BYTES_PER_S
 
 
 @dataclass(frozen=True, slots=True)
 class TransferHeader:
-    """What goes in parts: an entry or a snapshot, up to which entry it goes, and its bytes' sum."""
+    """What is transferred; the same header means the same bytes."""
 
-    kind: str
-    last: int
+    kind: str  # `entry` or `snapshot`
+    last_index: int  # of the entry, or the last one that the snapshot covers
     last_term: int
-    total: int
-    sum: str
-
-
-def whole_of(kind: str, last: int, last_term: int, data: bytes) -> TransferHeader:
-    """Name some bytes."""
-    return TransferHeader(kind, last, last_term, len(data), hashlib.blake2b(data, digest_size=12).hexdigest())
+    size_bytes: int
+    checksum: str  # blake2b, in hex
+
+    @classmethod
+    def describe(cls, kind: str, last_index: int, last_term: int, data: bytes) -> TransferHeader:
+        """The header of some bytes."""
+        checksum = hashlib.blake2b(data, digest_size=CHECKSUM_BYTES).hexdigest()
+        return cls(kind, last_index, last_term, len(data), checksum)
+
+    def to_wire(self) -> Json:
+        """The fields that each chunk carries, in the order in which they are sent."""
+        return {
+            "kind": self.kind,
+            "last": self.last_index,
+            "last_term": self.last_term,
+            "total": self.size_bytes,
+            "sum": self.checksum,
+        }
+
+    @classmethod
+    def from_wire(cls, body: Json) -> TransferHeader:
+        """Read the fields from the JSON object of a chunk."""
+        return cls(body["kind"], body["last"], body["last_term"], body["total"], body["sum"])
 
 
 @dataclass(slots=True)
 class SendWindow:
-    """How many parts may be under way to a peer."""
+    """How many chunks may be in flight to a peer: additive increase, multiplicative decrease."""
 
-    window: int = 1
-    least: float = 1e9  # the shortest time that an acknowledgement took
+    chunks: int = 1
+    shortest_s: float = 1e9  # the shortest time that an acknowledgement took
 
-    def took(self, seconds: float) -> None:
-        self.least = min(self.least, seconds)
-        if seconds <= self.least + QUEUE_S:
-            self.window = min(WINDOW, self.window + 1)
+    def on_acknowledged(self, elapsed_s: float) -> None:
+        """Adapt the window to the time that an acknowledgement took."""
+        self.shortest_s = min(self.shortest_s, elapsed_s)
+        if elapsed_s <= self.shortest_s + MAX_QUEUEING_S:
+            self.chunks = min(MAX_WINDOW, self.chunks + 1)
         else:
-            self.window = max(1, self.window // 2)
+            self.chunks = max(1, self.chunks // 2)
 
 
 @dataclass(frozen=True, slots=True)
 class Chunk:
-    """One part as it is sent, and how many seconds to wait for its answer."""
+    """One chunk as it is sent."""
 
     number: int
-    offset: int
+    offset_bytes: int
     data: bytes
-    within: float
+    timeout_s: float  # for its reply
+
+
+@dataclass(frozen=True, slots=True)
+class _InFlight:
+    """A chunk without a reply yet."""
+
+    offset_bytes: int
+    sent_at: float
+    expires_at: float
 
 
 @dataclass(slots=True)
 class OutgoingTransfer:
-    """The sender's end: what the peer has, and what is under way to it."""
+    """The sender's end: what the peer has received, and what is in flight to it."""
 
-    whole: TransferHeader
+    header: TransferHeader
     data: bytes
-    pace: SendWindow
-    before_term: int = 0  # of the entry before the one that it is
-    had: int = 0  # bytes that the peer is known to have
-    sent: int = 0
+    window: SendWindow
+    previous_term: int = 0  # of the entry before the one that is transferred
+    received_bytes: int = 0  # that the peer is known to have
+    sent_bytes: int = 0
     _number: int = 0
-    _out: dict[int, tuple[int, float, float]] = field(default_factory=dict)  # offset, when, until when
+    _in_flight: dict[int, _InFlight] = field(default_factory=dict)
 
-    def part(self, now: float) -> Chunk | None:
-        """The next part that may go now."""
-        if any(now >= until for _, _, until in self._out.values()):
-            self.lost()
-        if len(self._out) >= self.pace.window or self.sent >= self.whole.total:
+    def next_chunk(self, now: float) -> Chunk | None:
+        """The next chunk, or None where the window is full or all is sent."""
+        if any(now >= chunk.expires_at for chunk in self._in_flight.values()):
+            self.on_lost()
+        if len(self._in_flight) >= self.window.chunks or self.sent_bytes >= self.header.size_bytes:
             return None
-        offset, data = self.sent, self.data[self.sent : self.sent + PART]
-        self.sent += len(data)
-        within = patience(self.sent - self.had)
+        offset = self.sent_bytes
+        data = self.data[offset : offset + CHUNK_BYTES]
+        self.sent_bytes += len(data)
+        timeout_s = reply_timeout_s(self.sent_bytes - self.received_bytes)
         self._number += 1
-        self._out[self._number] = offset, now, now + within
-        return Chunk(self._number, offset, data, within)
-
-    def took(self, number: int, had: int, now: float) -> bool:
-        """The peer has so much; False where it lacks what it had, so that it is sent again."""
-        out = self._out.pop(number, None)
-        if out is not None:
-            self.pace.took(now - out[1])
-        if out is not None and had < out[0]:
-            self.had = had
-            self.lost()
+        self._in_flight[self._number] = _InFlight(offset, now, now + timeout_s)
+        return Chunk(self._number, offset, data, timeout_s)
+
+    def on_acknowledged(self, number: int, received_bytes: int, now: float) -> bool:
+        """Take the reply to a chunk.
+
+        :returns: False where the peer lacks what it had: sending goes on from there.
+        """
+        chunk = self._in_flight.pop(number, None)
+        if chunk is not None:
+            self.window.on_acknowledged(now - chunk.sent_at)
+        if chunk is not None and received_bytes < chunk.offset_bytes:
+            self.received_bytes = received_bytes
+            self.on_lost()
             return False
-        self.had = max(self.had, had)
-        self.sent = max(self.sent, self.had)
+        self._advance(received_bytes)
         return True
 
-    def stands_at(self, had: int) -> None:
-        """The peer was asked, and has so much: less than before where it began anew."""
-        if had < self.had:
-            self.had = had
-            self.lost()
-        self.had = max(self.had, had)
-        self.sent = max(self.sent, self.had)
-
-    def lost(self, number: int = 0) -> None:
-        """What is under way came to nothing, if this part still is: go on from where the peer stands."""
-        if number and number not in self._out:
+    def on_status(self, received_bytes: int) -> None:
+        """Take the reply to a chunk without data; it is less than before where the peer began anew."""
+        if received_bytes < self.received_bytes:
+            self.received_bytes = received_bytes
+            self.on_lost()
+        self._advance(received_bytes)
+
+    def on_lost(self, number: int = 0) -> None:
+        """Send again, with the smallest window, what the peer has not acknowledged.
+
+        :param number: the chunk that got no reply, which changes nothing unless it is in flight; 0: any.
+        """
+        if number and number not in self._in_flight:
             return
-        self._out.clear()
-        self.sent, self.pace.window = self.had, 1
+        self._in_flight.clear()
+        self.sent_bytes, self.window.chunks = self.received_bytes, 1
+
+    def _advance(self, received_bytes: int) -> None:
+        self.received_bytes = max(self.received_bytes, received_bytes)
+        self.sent_bytes = max(self.sent_bytes, self.received_bytes)
 
 
 @dataclass(slots=True)
 class IncomingTransfer:
-    """The receiver's end: what came until now, in order and without gaps."""
+    """The receiver's end: the bytes received until now, in order and without gaps."""
 
-    whole: TransferHeader
+    header: TransferHeader
     data: bytearray = field(default_factory=bytearray)
 
-    def take(self, offset: int, data: bytes) -> None:
-        """Take a part; one that came before, or before its turn, changes nothing."""
-        if offset == len(self.data):
+    def add(self, offset_bytes: int, data: bytes) -> None:
+        """Take a chunk; a duplicate, or one that came out of order, changes nothing."""
+        if offset_bytes == len(self.data):
             self.data += data
 
     @property
-    def full(self) -> bool:
-        return len(self.data) >= self.whole.total
+    def is_complete(self) -> bool:
+        """Whether as many bytes were received as the header names."""
+        return len(self.data) >= self.header.size_bytes
 
     def verified(self) -> bytes | None:
-        """All of it, if it is what was sent; else it begins anew."""
+        """All bytes if their checksum is right; else None, and the transfer begins anew."""
         data = bytes(self.data)
-        it = self.whole
-        if whole_of(it.kind, it.last, it.last_term, data) == it:
+        header = self.header
+        if TransferHeader.describe(header.kind, header.last_index, header.last_term, data) == header:
             return data
         self.data.clear()
         return None
--- a/amberlug/cluster/consensus/storage.py
+++ b/amberlug/cluster/consensus/storage.py
@@ -1,18 +1,34 @@
-"""A core machine's part of the log on disk. Every row has a check sum; a bad one spoils the folder."""
+"""Stable storage of a Raft member: the file `vise.db`, whose name is historical.
+
+Every row has a checksum. One that is wrong spoils the folder: what it contains can't be told from what it
+contained, and a vote or an entry that was lost must not be cast or acknowledged again (Raft, section 5.1).
+"""
 
 from __future__ import annotations
 
 import json
 import sqlite3
 import zlib
-from collections.abc import Callable
+from collections.abc import Callable, Iterator
 from pathlib import Path
-from typing import Any
+from typing import Any, NamedTuple
 
-from amberlug.cluster.consensus.log import PersistentState, assemble
+from amberlug.cluster.consensus.log import PersistentState, StoredEntry, assemble, encode
+from amberlug.cluster.consensus.rows import (
+    AcknowledgedRow,
+    EntryRow,
+    NewIncarnationRow,
+    RawRow,
+    Row,
+    SnapshotRow,
+    TermRow,
+    TruncateRow,
+    row_from,
+)
 from amberlug.cluster.interfaces import Json
-from amberlug.cluster.storage.group_commit import GroupCommitWriter, Row, open_file
+from amberlug.cluster.storage.group_commit import GroupCommitWriter, open_file
 
+FILE_NAME = "vise.db"
 FORMAT = 1
 SCHEMA = """
 create table if not exists state (name text primary key, value text not null, sum integer not null);
@@ -22,90 +38,145 @@
 """
 
 
-def _put(base: sqlite3.Connection, name: str, value: Any) -> None:
-    text = json.dumps(value, separators=(",", ":"))
-    base.execute("insert or replace into state values (?, ?, ?)", (name, text, zlib.crc32(text.encode())))
+class ChecksumError(Exception):
+    """A row is not what was written.
+
+    :ivar row: the name of a value, or the index of an entry.
+    """
+
+    def __init__(self, row: str | int) -> None:
+        super().__init__(f"the checksum of {row} is wrong")
+        self.row = row
+
+
+class OpenedStorage(NamedTuple):
+    """What `open_raft_storage` found."""
 
+    saved: PersistentState
+    writer: GroupCommitWriter
+    is_new: bool  # nothing usable was there
 
-def _work(base: sqlite3.Connection, rows: list[Row]) -> None:
-    for kind, values in rows:
-        if kind == "entry":
-            at, term, command = values
-            text = json.dumps(command, separators=(",", ":"))
-            base.execute(
-                "insert or replace into log values (?, ?, ?, ?)", (at, term, text, _sum(at, term, text))
+
+def execute_rows(database: sqlite3.Connection, raw: list[RawRow]) -> None:
+    """Execute the statements that write rows, in their order."""
+    for kind, values in raw:
+        _execute_row(database, row_from(kind, values))
+
+
+def _execute_row(database: sqlite3.Connection, row: Row) -> None:
+    match row:
+        case EntryRow(index, term, command):
+            text = encode(command)
+            database.execute(
+                "insert or replace into log values (?, ?, ?, ?)",
+                (index, term, text, _entry_checksum(index, term, text)),
             )
-        elif kind == "term":
-            _put(base, "term", values)
-        elif kind == "floors":
-            _put(base, "floors", *values)
-        elif kind == "anew":
-            base.execute("delete from log")
-            base.execute("delete from state where name in ('term', 'floors')")
-            _put(base, "me", *values)
-            _put(base, "snap", {"start": 0, "term": 0, "state": None, "members": {}})
-        elif kind == "cut":
-            base.execute("delete from log where at >= ?", values)
-        elif kind == "snap":
-            start, start_term, state, members, upto = values
-            _put(base, "snap", {"start": start, "term": start_term, "state": state, "members": members})
-            base.execute("delete from log where at < ?", (upto,))
-
-
-def _sum(at: int, term: int, text: str) -> int:
-    return zlib.crc32(f"{at} {term} {text}".encode())
-
-
-def _load(base: sqlite3.Connection) -> PersistentState | None:
-    """What is there; None where it is nothing, or damaged."""
-    state: Json = {}
-    for name, text, total in base.execute("select name, value, sum from state"):
-        if zlib.crc32(text.encode()) != total:
-            return None
-        state[name] = json.loads(text)
-    if state.get("format") != FORMAT or "me" not in state:
+        case TermRow(term, voted_for):
+            _put_value(database, "term", [term, voted_for])
+        case AcknowledgedRow(indexes):
+            _put_value(database, "floors", indexes)
+        case NewIncarnationRow(member_id):
+            database.execute("delete from log")
+            database.execute("delete from state where name in ('term', 'floors')")
+            _put_value(database, "me", member_id)
+            _put_value(database, "snap", _snapshot_value(0, 0, None, {}))
+        case TruncateRow(first_index):
+            database.execute("delete from log where at >= ?", (first_index,))
+        case SnapshotRow(index, term, state, members, first_kept_index):
+            _put_value(database, "snap", _snapshot_value(index, term, state, members))
+            database.execute("delete from log where at < ?", (first_kept_index,))
+
+
+def _snapshot_value(index: int, term: int, state: Json | None, members: Json) -> Json:
+    return {"start": index, "term": term, "state": state, "members": members}
+
+
+def _put_value(database: sqlite3.Connection, name: str, value: Any) -> None:
+    text = json.dumps(value, separators=(",", ":"))
+    database.execute("insert or replace into state values (?, ?, ?)", (name, text, zlib.crc32(text.encode())))
+
+
+def _entry_checksum(index: int, term: int, text: str) -> int:
+    return zlib.crc32(f"{index} {term} {text}".encode())
+
+
+def _load(database: sqlite3.Connection) -> PersistentState | None:
+    """Read the file.
+
+    :returns: None where it is empty, of another format, or lacks entries.
+    :raises ChecksumError: where it is damaged.
+    """
+    values = _load_values(database)
+    if values.get("format") != FORMAT or "me" not in values:
         return None
-    term, vote = state.get("term", (0, ""))
-    snap = state["snap"]
+    term, voted_for = values.get("term", (0, ""))
+    snapshot = values["snap"]
     saved = PersistentState(
-        state["me"], term, vote, snap["start"], snap["term"], snap["state"], snap["members"]
+        values["me"],
+        term,
+        voted_for,
+        snapshot["start"],
+        snapshot["term"],
+        snapshot["state"],
+        snapshot["members"],
     )
-    saved.floors = state.get("floors", {})
-    rows = []
-    for at, term_of, text, total in base.execute("select at, term, command, sum from log order by at"):
-        if _sum(at, term_of, text) != total:
-            return None
-        rows.append((at, term_of, json.loads(text)))
-    return assemble(saved, rows)
+    saved.acknowledged = values.get("floors", {})
+    return assemble(saved, list(_load_entries(database)))
+
+
+def _load_values(database: sqlite3.Connection) -> Json:
+    values: Json = {}
+    for name, text, checksum in database.execute("select name, value, sum from state"):
+        if zlib.crc32(text.encode()) != checksum:
+            raise ChecksumError(name)
+        values[name] = json.loads(text)
+    return values
+
+
+def _load_entries(database: sqlite3.Connection) -> Iterator[StoredEntry]:
+    for index, term, text, checksum in database.execute("select at, term, command, sum from log order by at"):
+        if _entry_checksum(index, term, text) != checksum:
+            raise ChecksumError(index)
+        yield StoredEntry(index, term, json.loads(text))
 
 
 def open_raft_storage(
-    folder: Path, blank: Callable[[], PersistentState], post: Callable[[Callable[[], None]], None]
-) -> tuple[PersistentState, GroupCommitWriter, bool]:
-    """Open the folder's part of the log: what is saved, where to write, and whether it was begun anew.
+    folder: Path,
+    new_state: Callable[[], PersistentState],
+    post: Callable[[Callable[[], None]], None],
+) -> OpenedStorage:
+    """Open a member's file in a folder, or begin it.
 
-    A folder that is damaged is set aside: what it holds can't be told from what it held, so its machine comes
-    back as another incarnation, like one that lost its disk.
+    A file that is damaged is deleted: its machine comes back as another incarnation, like one that has lost
+    its disk.
+
+    :param new_state: what an empty disk begins with.
+    :param post: brings the end of a write back to the thread that asked for it.
     """
     folder.mkdir(parents=True, exist_ok=True)
-    path = folder / "vise.db"
-    base = sqlite3.connect(":memory:")
+    path = folder / FILE_NAME
+    database = sqlite3.connect(":memory:")
     try:
-        base = open_file(path, SCHEMA)
-        saved = _load(base)
-    except (sqlite3.Error, ValueError):
+        database = open_file(path, SCHEMA)
+        saved = _load(database)
+    except (sqlite3.Error, ValueError, ChecksumError):
         saved = None
     if saved is not None:
-        return saved, GroupCommitWriter(base, _work, post), False
-    base.close()
+        return OpenedStorage(saved, GroupCommitWriter(database, execute_rows, post), False)
+    database.close()
     for suffix in ("", "-wal"):
-        (folder / f"vise.db{suffix}").unlink(missing_ok=True)
-    base = open_file(path, SCHEMA)
-    saved = blank()
-    base.execute("begin immediate")
-    _put(base, "format", FORMAT)
-    _put(base, "me", saved.me)
-    snap = {"start": saved.start, "term": saved.start_term, "state": saved.state, "members": saved.members}
-    _put(base, "snap", snap)
-    base.execute("commit")
-    return saved, GroupCommitWriter(base, _work, post), True
+        (folder / f"{FILE_NAME}{suffix}").unlink(missing_ok=True)
+    database = open_file(path, SCHEMA)
+    saved = new_state()
+    _write_new(database, saved)
+    return OpenedStorage(saved, GroupCommitWriter(database, execute_rows, post), True)
+
+
+def _write_new(database: sqlite3.Connection, saved: PersistentState) -> None:
+    """Write what an empty disk begins with."""
+    database.execute("begin immediate")
+    _put_value(database, "format", FORMAT)
+    _put_value(database, "me", saved.member_id)
+    snapshot = _snapshot_value(saved.snapshot_index, saved.snapshot_term, saved.snapshot_state, saved.members)
+    _put_value(database, "snap", snapshot)
+    database.execute("commit")
--- a/amberlug/cluster/control/node.py
+++ b/amberlug/cluster/control/node.py
@@ -10,7 +10,7 @@
 from result import Err, Ok, Result
 
 from amberlug.cluster.consensus.log import PersistentState
-from amberlug.cluster.consensus.raft import ProposalRejected, RaftNode, Role
+from amberlug.cluster.consensus.raft import ProposalRejected, RaftNode, Role, StateMachine
 from amberlug.cluster.consensus.voter_selection import MemberStatus, margin, next_step
 from amberlug.cluster.control.cluster_state import SHARDS, ClusterState, digest
 from amberlug.cluster.control.config_validation import changed, check, parse
@@ -74,10 +74,9 @@
             world,
             disk,
             saved,
-            self._apply,
-            self.cluster_state.to_json,
-            self.cluster_state.from_json,
-            self._changed,
+            StateMachine(
+                self._apply, self.cluster_state.to_json, self.cluster_state.from_json, self._changed
+            ),
         )
         status_service = StatusService(self)
         self.counter = AdminApi(self, status_service)
@@ -103,7 +102,7 @@
         self._had_contact = False
 
     def begin(self) -> None:
-        self.raft.begin()
+        self.raft.start()
         self._changed()
         self.gossip.begin()
         self._tick()
@@ -114,7 +113,7 @@
         """A planned end: another one leads and votes from now on, where there is one."""
         if any(not it["voter"] and not it.get("gone") for it in self.raft.members.values()):
             self._leaves_by = self.world.now() + LEAVE_S
-        self.raft.hand_over()
+        self.raft.transfer_leadership()
         self._say_leaving()
 
     def _say_leaving(self) -> None:
@@ -123,7 +122,7 @@
             return
         leader = self._leader_address()
         if leader is not None:
-            self.world.send(leader, "core.leaving", {"id": self.raft.me})
+            self.world.send(leader, "core.leaving", {"id": self.raft.member_id})
         self.world.call_later(DUTY_S / 2, self._say_leaving)
 
     @on("core.leaving")
@@ -133,7 +132,7 @@
     @property
     def idle(self) -> bool:
         """Whether a process that was told to end may end: it votes no more, or nobody can in its place."""
-        return self.world.now() >= self._leaves_by or not self.raft.voting
+        return self.world.now() >= self._leaves_by or not self.raft.is_voter
 
     def stop(self) -> None:
         self.raft.stop()
@@ -154,19 +153,19 @@
             offer("shards", [cluster_state.shards_at], self._shards())
         if cluster_state.roster:
             offer("roster", [cluster_state.roster_at], cluster_state.roster)
-        if self.raft.members_at <= self.raft.commit:
-            offer("cores", [self.raft.members_at], self.raft.members)
+        if self.raft.membership.index <= self.raft.commit_index:
+            offer("cores", [self.raft.membership.index], self.raft.members)
         for name, (rank, sequence) in cluster_state.untold().items():
             known = self.registry.known(name)
             if known is None or known[0] < [rank, sequence, 0]:
                 self.registry.leaves(name, rank, sequence, None)
-        if self.raft.leader != self._led:
-            self._led = self.raft.leader
+        if self.raft.leader_id != self._led:
+            self._led = self.raft.leader_id
             logging.info("term %d is led by %s", self.raft.term, self._led or "nobody")
             self.world.call_later(0.0, self._confirm_contact)
         waits, self._waits = self._waits, []
         for index, act in waits:
-            if index <= self.raft.applied:
+            if index <= self.raft.last_applied:
                 act()
             else:
                 self._waits.append((index, act))
@@ -184,7 +183,7 @@
         }
 
     def _cores(self) -> list[str]:
-        return [it["addr"] for name, it in self.raft.members.items() if name != self.raft.me]
+        return [it["addr"] for name, it in self.raft.members.items() if name != self.raft.member_id]
 
     def _known_at(self, to: str) -> tuple[str, ...]:
         """What another core machine has by the log: told as news besides, it would hold up the beats."""
@@ -237,7 +236,7 @@
             logging.info("contact with a majority %s", "stands" if self.in_contact else "is lost")
 
     def _when_applied(self, index: int, act: Callable[[], None]) -> None:
-        if index <= self.raft.applied:
+        if index <= self.raft.last_applied:
             act()
         else:
             self._waits.append((index, act))
@@ -284,7 +283,7 @@
 
     def confirm(self, then: Callable[[int | None], None]) -> None:
         if self.raft.role is Role.LEADER:
-            self.raft.confirm(then)
+            self.raft.confirm_read(then)
             return
         leader = self._leader_address()
         if leader is None:
@@ -298,7 +297,7 @@
 
     @on("core.confirm")
     def on_confirm(self, body: Json, blob: bytes, origin: str, respond: Respond) -> None:
-        self.raft.confirm(lambda index: respond({"index": index}, b""))
+        self.raft.confirm_read(lambda index: respond({"index": index}, b""))
 
     def settings_are(self, settings: Settings) -> None:
         """Take a settings file that has changed."""
@@ -341,12 +340,12 @@
     def _join(self) -> None:
         """Have the leader know this machine as it is now; one that hears none may have been removed."""
         self.world.call_later(JOIN_S, self._join)
-        mine = self.raft.members.get(self.raft.me)
+        mine = self.raft.members.get(self.raft.member_id)
         told, heard = self._self_told(), self.raft.role is Role.LEADER
-        heard |= self.world.now() - self.raft.heard < UNHEARD_S
+        heard |= self.world.now() - self.raft.leader_heard_at < UNHEARD_S
         if heard and mine is not None and {**mine, "voter": None} == {**told, "voter": None}:
             return
-        body = {"id": self.raft.me, "member": told}
+        body = {"id": self.raft.member_id, "member": told}
         if self.raft.role is Role.LEADER:
             self._let_in(body)
             return
@@ -386,7 +385,7 @@
             self._members(members, f"{name} is let in")
 
     def _members(self, members: Json, why: str) -> None:
-        if "members" in self._busy or not self.raft.settled:
+        if "members" in self._busy or not self.raft.is_membership_committed:
             return
         self._busy.add("members")
 
@@ -398,21 +397,21 @@
         self.raft.change_members(members, done)
 
     def _leader_address(self) -> str | None:
-        member = self.raft.members.get(self.raft.leader)
-        return None if member is None or self.raft.leader == self.raft.me else str(member["addr"])
+        member = self.raft.members.get(self.raft.leader_id)
+        return None if member is None or self.raft.leader_id == self.raft.member_id else str(member["addr"])
 
     def _promote(self) -> None:
         """Change the voters by one, or remove a member, where that is the next thing to do."""
         raft, tolerance = self.raft, self.settings.tolerance
-        committed, self._committed = self._committed, raft.commit
+        committed, self._committed = self._committed, raft.commit_index
         seats = [
             MemberStatus(
                 name,
                 it["voter"],
                 it["zone"],
                 it.get("region", ""),
-                raft.holds(name, min(committed, raft.commit)),
-                raft.silent_s(name),
+                raft.has_replicated(name, min(committed, raft.commit_index)),
+                raft.unresponsive_s(name),
                 it.get("gone", False),
                 self.world.now() - self._leaving.get(name, -1e9) < LEAVING_S,
             )
@@ -422,7 +421,7 @@
         if short != self._short:
             self._short = short
             logging.info("core voters %s what may be lost at once", "do not outlast" if short else "outlast")
-        step = next_step(seats, tolerance, raft.me)
+        step = next_step(seats, tolerance, raft.member_id)
         if step is not None:
             members = dict(raft.members)
             it = members.pop(step.name)
@@ -435,7 +434,7 @@
     def _duty(self) -> None:
         self.world.call_later(DUTY_S, self._duty)
         now = self.world.now()
-        if self.raft.role is not Role.LEADER or self.raft.term_at(self.raft.commit) != self.raft.term:
+        if self.raft.role is not Role.LEADER or self.raft.term_at(self.raft.commit_index) != self.raft.term:
             self._missing.clear()
             self._first_seen.clear()
             return
@@ -473,7 +472,7 @@
         here = {disk: it for disk, it in roster.items() if disk not in silent}
         # Guards against a leader that is cut from other control relays: it hears of none of their stores, and
         # more of them can't be lost than may be.
-        if now - self.raft.led_since > SETTLED_S and self._hold(here):
+        if now - self.raft.leader_since > SETTLED_S and self._hold(here):
             for disk, it in silent.items():
                 if it["state"] == "full" and now - self._missing.setdefault(disk, now) > LOST_S:
                     changes[disk] = {**it, "state": "lost"}
@@ -515,7 +514,7 @@
             return
         owners = [str(it[0]) for it in self.cluster_state.shards]
         held = sorted(set(owners))
-        settled = now - self.raft.led_since > SETTLED_S
+        settled = now - self.raft.leader_since > SETTLED_S
         again = {it.name for it in edges.values()}  # a machine that is back has no earlier life any more
         gone = []
         for name in held:
@@ -621,11 +620,11 @@
             else:
                 self._when_applied(index, act)
 
-        self.raft.confirm(confirmed)
+        self.raft.confirm_read(confirmed)
 
     def _aged(self, command: Json) -> Json:
         """A command that has the book's time go on by what passed while this machine led."""
-        now, since = self.world.now(), max(self._aged_at, self.raft.led_since)
+        now, since = self.world.now(), max(self._aged_at, self.raft.leader_since)
         self._aged_at = now
         return {**command, "after": round(now - since, 3)}
 
@@ -806,7 +805,7 @@
         now = self.world.now()
         for name, it in sorted(self.raft.members.items()):
             if it["zone"] == zone and it["control"]:
-                here = name == self.raft.me and self.in_contact
+                here = name == self.raft.member_id and self.in_contact
                 if here or self.sessions.in_contact(it["addr"], now):
                     return str(it["control"])
         return ""
--- a/amberlug/cluster/control/status.py
+++ b/amberlug/cluster/control/status.py
@@ -95,7 +95,7 @@
         for member in members.values():
             look.request(member.id, member.address, "status", {"up": up})
         for key, it in core.raft.members.items():
-            if key != core.raft.me:
+            if key != core.raft.member_id:
                 look.request(key, it["addr"], "core.status", {})
         over = look.wait()
 
@@ -117,8 +117,8 @@
         return {
             "role": core.raft.role.value,
             "term": core.raft.term,
-            "leader": core.raft.leader,
-            "commit": core.raft.commit,
+            "leader": core.raft.leader_id,
+            "commit": core.raft.commit_index,
             "edition": core.cluster_state.edition,
             "counts": core.counts,
         }
@@ -129,7 +129,7 @@
         core, now = self._core, self._core.world.now()
         cluster_state = core.cluster_state
         told = {key: reply.ok_value.body if isinstance(reply, Ok) else None for key, reply in heard.items()}
-        told[core.raft.me] = self._self_told()
+        told[core.raft.member_id] = self._self_told()
         rows: list[Json] = [
             {
                 "name": it.name,
@@ -149,13 +149,13 @@
         short = [it["told"]["copies short"] for it in edges if it["told"] is not None]
         owners = Tally(str(it[0]) for it in cluster_state.shards)
         return {
-            "by": core.raft.me,
+            "by": core.raft.member_id,
             "confirmed": confirmed,
             "members": rows,
             "core": {
                 "term": core.raft.term,
-                "leader": core.raft.leader,
-                "commit": core.raft.commit,
+                "leader": core.raft.leader_id,
+                "commit": core.raft.commit_index,
                 "members": [
                     {"id": key, **it, "told": told.get(key)} for key, it in sorted(core.raft.members.items())
                 ],
--- a/amberlug/cluster/simulation/control_faults.py
+++ b/amberlug/cluster/simulation/control_faults.py
@@ -209,7 +209,7 @@
             (
                 it
                 for it in self.deployment.cores
-                if it is not cut_off and it.up and it.part.raft.leader == it.part.raft.me
+                if it is not cut_off and it.up and it.part.raft.leader_id == it.part.raft.member_id
             ),
             None,
         )
--- a/amberlug/cluster/simulation/disk.py
+++ b/amberlug/cluster/simulation/disk.py
@@ -9,8 +9,16 @@
 from typing import Any
 
 from amberlug.cluster.consensus import storage
-from amberlug.cluster.consensus.log import PersistentState, assemble
-from amberlug.cluster.interfaces import Json
+from amberlug.cluster.consensus.log import Entry, PersistentState, StoredEntry, assemble
+from amberlug.cluster.consensus.rows import (
+    AcknowledgedRow,
+    EntryRow,
+    NewIncarnationRow,
+    SnapshotRow,
+    TermRow,
+    TruncateRow,
+    row_from,
+)
 from amberlug.cluster.simulation.boundary_digest import BoundaryDigest
 from amberlug.cluster.simulation.clock import Clock
 from amberlug.cluster.simulation.network import Incarnation
@@ -107,28 +115,37 @@
     def __init__(self, clock: Clock, chance: random.Random, sync_s: float) -> None:
         super().__init__(clock, chance, sync_s)
         self._saved: PersistentState | None = None
-        self._rows: dict[int, tuple[int, Json | None]] = {}
+        self._rows: dict[int, Entry] = {}
 
     def begun(self, blank: Callable[[], PersistentState]) -> PersistentState:
         """What a process that starts reads; a gap spoils it."""
         found = None
         if self._saved is not None:
             it = self._saved
-            state, members, log = json.loads(json.dumps([it.state, it.members, sorted(self._rows.items())]))
-            found = PersistentState(it.me, it.term, it.vote, it.start, it.start_term, state, members)
-            found.floors = dict(it.floors)
-            found = assemble(found, [(at, term, command) for at, (term, command) in log])
+            state, members, log = json.loads(
+                json.dumps([it.snapshot_state, it.members, sorted(self._rows.items())])
+            )
+            found = PersistentState(
+                it.member_id, it.term, it.voted_for, it.snapshot_index, it.snapshot_term, state, members
+            )
+            found.acknowledged = dict(it.acknowledged)
+            found = assemble(found, [StoredEntry(index, *entry) for index, entry in log])
         if found is None:
             self.wipe()
             found = blank()
-            start, term = found.start, found.start_term
             self._saved = PersistentState(
-                found.me, found.term, found.vote, start, term, found.state, found.members
+                found.member_id,
+                found.term,
+                found.voted_for,
+                found.snapshot_index,
+                found.snapshot_term,
+                found.snapshot_state,
+                found.members,
             )
         return found
 
     def execute(self, base: Any, rows: list[Row]) -> None:
-        storage._work(base, rows)
+        storage.execute_rows(base, rows)
 
     def wipe(self) -> None:
         self._saved = None
@@ -140,21 +157,22 @@
     def keep(self, kind: str, values: tuple[Any, ...]) -> None:
         saved = self._saved
         assert saved is not None, "a disk is begun before it is written to"
-        if kind == "term":
-            saved.term, saved.vote = values
-        elif kind == "floors":
-            saved.floors = values[0]
-        elif kind == "anew":
-            self._saved = PersistentState(values[0])
-            self._rows.clear()
-        elif kind == "cut":
-            self._rows = {at: row for at, row in self._rows.items() if at < values[0]}
-        elif kind == "entry":
-            at, term, command = values
-            self._rows[at] = (term, command)
-        else:
-            saved.start, saved.start_term, saved.state, saved.members, upto = values
-            self._rows = {at: row for at, row in self._rows.items() if at >= upto}
+        match row_from(kind, values):
+            case TermRow(term, voted_for):
+                saved.term, saved.voted_for = term, voted_for
+            case AcknowledgedRow(indexes):
+                saved.acknowledged = indexes
+            case NewIncarnationRow(member_id):
+                self._saved = PersistentState(member_id)
+                self._rows.clear()
+            case TruncateRow(first_index):
+                self._rows = {index: entry for index, entry in self._rows.items() if index < first_index}
+            case EntryRow(index, term, command):
+                self._rows[index] = Entry(term, command)
+            case SnapshotRow(snapshot_index, term, state, members, first_kept):
+                saved.snapshot_index, saved.snapshot_term = snapshot_index, term
+                saved.snapshot_state, saved.members = state, members
+                self._rows = {index: entry for index, entry in self._rows.items() if index >= first_kept}
 
 
 class MessageDisk(SimulatedDisk):
--- a/amberlug/cluster/simulation/model_checker.py
+++ b/amberlug/cluster/simulation/model_checker.py
@@ -22,7 +22,16 @@
 
 from amberlug.cluster.consensus import log
 from amberlug.cluster.consensus.log import Entry, PersistentState
-from amberlug.cluster.consensus.raft import RaftNode, Role
+from amberlug.cluster.consensus.membership import Membership
+from amberlug.cluster.consensus.raft import RaftNode, Role, StateMachine
+from amberlug.cluster.consensus.rows import (
+    AcknowledgedRow,
+    EntryRow,
+    SnapshotRow,
+    TermRow,
+    TruncateRow,
+    row_from,
+)
 from amberlug.cluster.interfaces import Json, Reply, ReplyCallback
 from amberlug.cluster.rpc.messages import handlers_of
 from amberlug.cluster.simulation.clock import Timer
@@ -212,7 +221,7 @@
         self.committed_in: dict[int, int] = {}  # the term of the leader that committed an entry
         self.members: dict[str, _Member] = {}
         for name, (term, vote, entries) in start.disks.items():
-            rows: list[Entry] = [(it, None) for it in entries]
+            rows = [Entry(it, None) for it in entries]
             members = VOTERS if name in NAMES else {}
             self.members[name] = _Member(
                 name, PersistentState(name, term, vote, members=members, entries=rows)
@@ -245,11 +254,13 @@
                 dict(it.cluster_state),
             )
             raft, other = member.raft, it.raft
-            for ours, theirs in ((raft, other), (raft.log, other.log), (raft.floors, other.floors)):
+            for ours, theirs in zip(_parts_of(raft), _parts_of(other), strict=True):
                 for key, value in vars(theirs).items():
-                    if key == "_peers":
+                    if key == "peers":
                         setattr(ours, key, deepcopy(value))
-                    elif isinstance(value, bool | int | float | str | tuple | list | dict | Role):
+                    elif isinstance(
+                        value, bool | int | float | str | tuple | list | dict | Role | Membership
+                    ):
                         setattr(ours, key, copy(value))
 
     # -- members
@@ -263,13 +274,10 @@
             _ModelRuntime(self, name),
             _Disk(member, member.life),
             replace(saved, entries=list(saved.entries)),
-            member.apply,
-            member.snapshot,
-            member.restore,
-            lambda: None,
+            StateMachine(member.apply, member.snapshot, member.restore),
         )
         member.handlers = handlers_of(member.raft)
-        member.raft.heard = -1e9
+        member.raft.leader_heard_at = -1e9
 
     def post(self, to: str, text: str, act: Callable[[], None]) -> None:
         """A message is under way; one that says the same to the same does nothing new."""
@@ -291,7 +299,7 @@
         for name, member in self.members.items():
             if member.waiting:
                 found.append(("sync", name, 0))
-            if self.left["stand"] and member.raft.voting and member.raft.role is not Role.LEADER:
+            if self.left["stand"] and member.raft.is_voter and member.raft.role is not Role.LEADER:
                 found.append(("stand", name, 0))
             found += [(what, name, 0) for what in ("power", "wipe") if self.left[what]]
             if member.raft.role is Role.LEADER:
@@ -299,10 +307,10 @@
                     found.append(("write", name, 0))
                 if self.left["change"]:
                     found += [("change", name, at) for at in range(len(self.changes(name)))]
-                if self.left["away"] and member.raft.settled:
+                if self.left["away"] and member.raft.is_membership_committed:
                     gone = [it for it in self.members if self._let_go(member.raft, it)]
                     found += [("away", it, 0) for it in gone]
-            if self.left["cut"] and member.raft.applied > member.raft.log.start:
+            if self.left["cut"] and member.raft.last_applied > member.raft.log.base_index:
                 found.append(("cut", name, 0))
         return found
 
@@ -317,8 +325,14 @@
 
     def _let_go(self, raft: Any, name: str) -> bool:
         """Whether operators may take away a member: this leader says that it is removed."""
-        told = raft.role is Role.LEADER and raft.settled and raft.term_at(raft.commit) == raft.term
-        return told and name not in raft.members and name in NAMES and self.members[name].saved.me == name
+        told = (
+            raft.role is Role.LEADER
+            and raft.is_membership_committed
+            and raft.term_at(raft.commit_index) == raft.term
+        )
+        return (
+            told and name not in raft.members and name in NAMES and self.members[name].saved.member_id == name
+        )
 
     def take(self, step: Step) -> None:
         """Have it happen, and look whether all is still well."""
@@ -334,7 +348,7 @@
         else:
             self.left[what] -= 1
             if what == "stand":
-                member.raft._hold(member.raft.term + 1, True)
+                member.raft.election.start(member.raft.term + 1, True)
                 self._sync(member)  # what it may have lost before is lost in another step
             elif what == "write":
                 member.raft.propose({"n": self.left[what]}, lambda result: None)
@@ -388,13 +402,13 @@
                 if self.leaders.setdefault(raft.term, f"{name}#{member.life}") != f"{name}#{member.life}":
                     raise FoundError(f"two leaders in term {raft.term}")
                 for index, entry in self.committed.items():
-                    at = index - raft.log.start - 1
+                    at = index - raft.log.base_index - 1
                     if raft.term <= self.committed_in[index]:
                         continue  # one that does not know yet that it leads no more may lack it
-                    if index > raft.last or (at >= 0 and raft.entries[at] != entry):
+                    if index > raft.log.last_index or (at >= 0 and raft.log.entries[at] != entry):
                         raise FoundError(f"{name} leads without the entry that was committed at {index}")
-            for index in range(raft.log.start + 1, raft.commit + 1):
-                entry = raft.entries[index - raft.log.start - 1]
+            for index in range(raft.log.base_index + 1, raft.commit_index + 1):
+                entry = raft.log.entries[index - raft.log.base_index - 1]
                 self.committed_in.setdefault(index, raft.term)
                 if self.committed.setdefault(index, entry) != entry:
                     raise FoundError(f"two entries are committed at {index}")
@@ -412,11 +426,11 @@
         """What a snapshot holds is what was committed, and its members are the newest of then."""
         raft = member.raft
         for index, command in member.cluster_state.items():
-            if int(index) <= raft.log.snap and self.committed[int(index)][1] != command:
+            if int(index) <= raft.log.snapshot_index and self.committed[int(index)][1] != command:
                 raise FoundError(f"{name} holds a snapshot of what was not committed at {index}")
         # A newcomer does not know the founders, who stand in no entry; its own coming is a later one.
-        snap = raft.log.snap
-        if snap and raft.base_members and raft.base_members != self._membership(snap):
+        snap = raft.log.snapshot_index
+        if snap and raft.log.snapshot_members and raft.log.snapshot_members != self._membership(snap):
             raise FoundError(f"{name} holds a snapshot with members that were not the newest")
 
     def _check_majorities(self) -> None:
@@ -425,21 +439,21 @@
         if not leaders:
             return
         raft = max(leaders, key=lambda it: int(it.term))
-        if raft.term_at(raft.commit) == raft.term:
-            theirs = {key for key, it in self._membership(raft.commit).items() if it["voter"]}
-            ours = set(raft.voters)
+        if raft.term_at(raft.commit_index) == raft.term:
+            theirs = {key for key, it in self._membership(raft.commit_index).items() if it["voter"]}
+            ours = set(raft.membership.voters)
             if len(theirs) // 2 + len(ours) // 2 + 2 <= len(theirs | ours):
                 raise FoundError(f"majorities of {sorted(theirs)} and {sorted(ours)} can be disjoint")
 
     def _check_copies(self, name: str) -> None:
         """As a member is taken away a majority of the rest has what is committed, but for lost disks."""
         raft = next(it.raft for it in self.members.values() if self._let_go(it.raft, name))
-        saved = [self.members[it].saved for it in raft.voters]
-        lost = sum(1 for key, it in zip(raft.voters, saved, strict=True) if it.me != key)
+        saved = [self.members[it].saved for it in raft.membership.voters]
+        lost = sum(1 for key, it in zip(raft.membership.voters, saved, strict=True) if it.member_id != key)
 
         def has(it: PersistentState, index: int, entry: Entry) -> bool:
-            rest = it.entries[max(0, index - it.start - 1) :]
-            return index <= it.start or (bool(rest) and rest[0] == entry)
+            rest = it.entries[max(0, index - it.snapshot_index - 1) :]
+            return index <= it.snapshot_index or (bool(rest) and rest[0] == entry)
 
         for index, entry in self.committed.items():
             held = sum(1 for it in saved if has(it, index, entry))
@@ -451,39 +465,73 @@
         members = []
         for name, it in self.members.items():
             raft = it.raft
-            peers = [(key, peer.next, peer.match) for key, peer in sorted(raft._peers.items())]
+            peers = [
+                (key, peer.next_index, peer.match_index)
+                for key, peer in sorted(raft.replication.peers.items())
+            ]
             rows = [rows for rows, _ in it.waiting]
             leads = raft.role is Role.LEADER
-            log = raft.log.start, str(raft.base_members), str(raft.entries), raft.commit, raft.synced
-            parts = [str(peer.sending) for _, peer in sorted(raft._peers.items())], str(raft._receiving)
-            now = raft.me, raft.term, raft.vote, raft.role.value, log, str(parts)
-            disk = it.saved.me, it.saved.term, it.saved.vote, it.saved.start, str(it.saved.entries)
+            log = (
+                raft.log.base_index,
+                str(raft.log.snapshot_members),
+                str(raft.log.entries),
+                raft.commit_index,
+                raft.log.synced_index,
+            )
+            parts = (
+                [str(peer.transfer) for _, peer in sorted(raft.replication.peers.items())],
+                str(raft.follower.incoming),
+            )
+            now = raft.member_id, raft.term, raft.voted_for, raft.role.value, log, str(parts)
+            disk = (
+                it.saved.member_id,
+                it.saved.term,
+                it.saved.voted_for,
+                it.saved.snapshot_index,
+                str(it.saved.entries),
+            )
             members.append((name, now, disk, str(peers) if leads else "", str(rows)))
         wire = sorted((it.to, it.text) for it in self.messages.values())
         return hash((tuple(members), tuple(wire), tuple(self.left.values()), str(self.committed)))
 
 
+def _parts_of(raft: RaftNode) -> tuple[object, ...]:
+    """The objects that make up a member's state in memory."""
+    return (
+        raft,
+        raft.log,
+        raft.rollback_guard,
+        raft.replication,
+        raft.follower,
+        raft.reads,
+        raft.proposals,
+        raft.election,
+    )
+
+
 def _compact(raft: RaftNode) -> None:
     """Have a member keep a snapshot and no entry that it covers."""
-    with patch.object(log, "TAIL", 0):
-        raft.log.compact(raft.applied, raft._snapshot())
+    with patch.object(log, "TAIL_ENTRIES", 0):
+        raft.log.compact(raft.last_applied, raft.state_machine.snapshot())
 
 
 def _keep(saved: PersistentState, kind: str, values: tuple[Any, ...]) -> None:
-    if kind == "term":
-        saved.term, saved.vote = values
-    elif kind == "floors":
-        saved.floors = values[0]
-    elif kind == "cut":
-        del saved.entries[max(0, values[0] - saved.start - 1) :]
-    elif kind == "snap":
-        start, start_term, state, members, _ = values
-        rest = saved.entries[max(0, start - saved.start) :]
-        saved.start, saved.start_term, saved.state = start, start_term, state
-        saved.members, saved.entries = members, rest
-    else:
-        at, term, command = values
-        saved.entries[at - saved.start - 1 : at - saved.start] = [(term, command)]
+    match row_from(kind, values):
+        case TermRow(term, voted_for):
+            saved.term, saved.voted_for = term, voted_for
+        case AcknowledgedRow(indexes):
+            saved.acknowledged = indexes
+        case TruncateRow(first_index):
+            del saved.entries[max(0, first_index - saved.snapshot_index - 1) :]
+        case SnapshotRow(snapshot_index, term, state, members, _):
+            rest = saved.entries[max(0, snapshot_index - saved.snapshot_index) :]
+            saved.snapshot_index, saved.snapshot_term, saved.snapshot_state = snapshot_index, term, state
+            saved.members, saved.entries = members, rest
+        case EntryRow(index, term, command):
+            offset = index - saved.snapshot_index - 1
+            saved.entries[offset : offset + 1] = [Entry(term, command)]
+        case row:
+            raise AssertionError(f"no member starts a new incarnation here: {row}")
 
 
 class _Disk:
--- a/amberlug/cluster/simulation/mutations.py
+++ b/amberlug/cluster/simulation/mutations.py
@@ -11,6 +11,7 @@
 
 from amberlug.cluster.consensus.log import PersistentState
 from amberlug.cluster.consensus.raft import RaftNode
+from amberlug.cluster.consensus.replication import Replication
 from amberlug.cluster.consensus.rollback_guard import RollbackGuard
 from amberlug.cluster.control import node as control_node
 from amberlug.cluster.control.node import ControlNode
@@ -58,7 +59,7 @@
     def blank(settings: Settings, chance: Callable[[int], int]) -> PersistentState:
         return PersistentState(f"{settings.ip}/0", members=control_node.founding(settings))
 
-    untold = patch.object(RollbackGuard, "short", lambda self, said: False)
+    untold = patch.object(RollbackGuard, "has_lost_entries", lambda self, acknowledged: False)
     return _both(patch("amberlug.cluster.simulation.deployment.blank", blank), untold)
 
 
@@ -166,26 +167,26 @@
 def _older_term() -> AbstractContextManager[Any]:
     """What a majority has is committed, also where it is of an older term."""
 
-    def count(self: RaftNode) -> None:
-        matched = {name: it.match for name, it in self._peers.items()} | {self.me: self.synced}
-        levels = sorted((matched.get(name, 0) for name in self.voters), reverse=True)
-        if levels and levels[len(levels) // 2] > self.commit:
-            self.commit = levels[len(levels) // 2]
-            self._apply_committed()
-            self._push(True)
+    def advance(self: Replication) -> None:
+        raft = self.raft
+        matched = self.match_indexes()
+        indexes = sorted((matched.get(name, 0) for name in raft.membership.voters), reverse=True)
+        if indexes and indexes[len(indexes) // 2] > raft.commit_index:
+            raft.commit_to(indexes[len(indexes) // 2])
+            self.send_to_all()
 
-    return patch.object(RaftNode, "_count", count)
+    return patch.object(Replication, "advance_commit_index", advance)
 
 
 def _removed_counts() -> AbstractContextManager[Any]:
     """A voter that was removed still counts, as one who agrees, until the log is cut."""
 
     def majority(self: RaftNode, names: set[str]) -> bool:
-        voters = self.voters
-        gone = [name for name in self.base_members if name not in self.members]
+        voters = self.membership.voters
+        gone = [name for name in self.log.snapshot_members if name not in self.members]
         return 2 * (sum(1 for it in voters if it in names) + len(gone)) > len(voters)
 
-    return patch.object(RaftNode, "_majority", majority)
+    return patch.object(RaftNode, "has_majority", majority)
 
 
 def _dropped_early() -> AbstractContextManager[Any]:
--- a/amberlug/cluster/simulation/mutations_frames.py
+++ b/amberlug/cluster/simulation/mutations_frames.py
@@ -7,9 +7,10 @@
 from typing import Any
 from unittest.mock import patch
 
-from amberlug.cluster.consensus import log, raft
-from amberlug.cluster.consensus.log import Log, PersistentState
-from amberlug.cluster.consensus.raft import RaftNode
+from amberlug.cluster.consensus import chunk_sender, log
+from amberlug.cluster.consensus.election import MAX_ELECTION_TIMEOUT_S
+from amberlug.cluster.consensus.log import Log, PersistentState, StoredEntry
+from amberlug.cluster.consensus.replication import HEARTBEAT_INTERVAL_S, Replication
 from amberlug.cluster.consensus.snapshot_transfer import IncomingTransfer, OutgoingTransfer
 from amberlug.cluster.interfaces import Json
 from amberlug.cluster.simulation import disk
@@ -23,14 +24,16 @@
 
 def _batch_unbounded() -> AbstractContextManager[Any]:
     """A message takes so many entries, whatever their size."""
-    return _both(patch.object(raft, "PART", 1 << 40), patch.object(log, "PART", 1 << 40))
+    return _both(
+        patch.object(chunk_sender, "CHUNK_BYTES", 1 << 40), patch.object(log, "CHUNK_BYTES", 1 << 40)
+    )
 
 
 def _members_left_behind() -> AbstractContextManager[Any]:
     """A snapshot keeps the membership of the one before."""
 
     def members_until(self: Log, index: int) -> Json:
-        return self.base_members
+        return self.snapshot_members
 
     return patch.object(Log, "members_until", members_until)
 
@@ -47,24 +50,24 @@
 def _part_missing() -> AbstractContextManager[Any]:
     """A part is put behind the others, whichever it is, and the sum is not looked at."""
 
-    def take(self: IncomingTransfer, offset: int, data: bytes) -> None:
+    def add(self: IncomingTransfer, offset_bytes: int, data: bytes) -> None:
         self.data += data
 
-    return patch.multiple(IncomingTransfer, take=take, verified=lambda self: bytes(self.data))
+    return patch.multiple(IncomingTransfer, add=add, verified=lambda self: bytes(self.data))
 
 
 def _part_from_the_start() -> AbstractContextManager[Any]:
     """What goes in parts begins anew after a connection was lost."""
 
     def lost(self: OutgoingTransfer, number: int = 0) -> None:
-        self._out.clear()
-        self.sent = self.had = 0
+        self._in_flight.clear()
+        self.sent_bytes = self.received_bytes = 0
 
     return patch.multiple(
         OutgoingTransfer,
-        lost=lost,
-        stands_at=lambda self, had: None,
-        took=lambda self, number, had, now: True,
+        on_lost=lost,
+        on_status=lambda self, received_bytes: None,
+        on_acknowledged=lambda self, number, received_bytes, now: True,
     )
 
 
@@ -72,9 +75,9 @@
     """A snapshot counts as being on disk as soon as it is on its way there."""
     save = Log._save
 
-    def early(self: Log, rows: Any, write: Any, snap: int = 0) -> None:
-        self.synced = max(self.synced, snap)
-        save(self, rows, write, snap)
+    def early(self: Log, rows: Any, write: Any, snapshot_index: int = 0) -> None:
+        self.synced_index = max(self.synced_index, snapshot_index)
+        save(self, rows, write, snapshot_index)
 
     return patch.object(Log, "_save", early)
 
@@ -83,9 +86,7 @@
     """A restarted member forgets the last entry that it acknowledged."""
     assemble = log.assemble
 
-    def forget(
-        saved: PersistentState, rows: Iterable[tuple[int, int, Json | None]]
-    ) -> PersistentState | None:
+    def forget(saved: PersistentState, rows: Iterable[StoredEntry]) -> PersistentState | None:
         found = assemble(saved, rows)
         if found is not None:
             del found.entries[-1:]
@@ -97,27 +98,27 @@
 def _beat_after_work() -> AbstractContextManager[Any]:
     """The next beat is set once all was sent, and an error for one peer ends it."""
 
-    def beat(self: RaftNode) -> None:
-        if self.role is not raft.Role.LEADER or self._stopped:
+    def send_heartbeats(self: Replication) -> None:
+        raft = self.raft
+        if not raft.is_leader or raft.is_stopped:
             return
-        now = self.world.now()
-        heard = {name for name, it in self._peers.items() if now - it.heard < raft.ELECTION_S[1]}
-        if not self._majority(heard | {self.me}):
-            self._step_down()
+        responsive = {name for name in self.peers if self.unresponsive_s(name) < MAX_ELECTION_TIMEOUT_S}
+        if not raft.has_majority(responsive | {raft.member_id}):
+            raft.step_down()
             return
-        for name, peer in list(self._peers.items()):
+        for name, peer in list(self.peers.items()):
             try:
-                self._send_next(name, peer)
+                self.send_next(name, peer)
             except ValueError:
                 return
-        self._after(raft.BEAT_S, self._beat)
+        raft.schedule(HEARTBEAT_INTERVAL_S, self.send_heartbeats)
 
-    return patch.object(RaftNode, "_beat", beat)
+    return patch.object(Replication, "send_heartbeats", send_heartbeats)
 
 
 def _cut_by_count_alone() -> AbstractContextManager[Any]:
     """The log is cut after so many entries, whatever their size."""
-    return patch.object(log, "COMPACT_BYTES", 1 << 40)
+    return patch.object(log, "SNAPSHOT_BYTES", 1 << 40)
 
 
 # By name: the fault, and the aim of the days in which it may be looked for as well.
--- a/amberlug/cluster/simulation/mutations_partitions.py
+++ b/amberlug/cluster/simulation/mutations_partitions.py
@@ -56,7 +56,7 @@
             announce(self, asked, name, say)
 
     def any_cell(self: ControlNode, zone: str) -> str:
-        member = self.raft.members.get(self.raft.me, {})
+        member = self.raft.members.get(self.raft.member_id, {})
         return str(member["control"]) if member.get("zone") == zone else cell_of(self, zone)
 
     return _both(
--- a/amberlug/cluster/simulation/mutations_voters.py
+++ b/amberlug/cluster/simulation/mutations_voters.py
@@ -9,7 +9,8 @@
 
 from amberlug.cluster.consensus import voter_selection
 from amberlug.cluster.consensus.log import Log
-from amberlug.cluster.consensus.raft import Answered, RaftNode
+from amberlug.cluster.consensus.raft import ProposalCallback, RaftNode
+from amberlug.cluster.consensus.replication import Replication
 from amberlug.cluster.consensus.rollback_guard import RollbackGuard
 from amberlug.cluster.consensus.voter_selection import MemberStatus
 from amberlug.cluster.control import cluster_state
@@ -33,29 +34,30 @@
     """A learner's word counts as a voter's does, both for an election and for an entry."""
 
     def majority(self: RaftNode, names: set[str]) -> bool:
-        return 2 * sum(1 for it in self.members if it in names) > len(self.voters)
-
-    def count(self: RaftNode) -> None:
-        matched = {name: it.match for name, it in self._peers.items()} | {self.me: self.synced}
-        levels = sorted((matched.get(name, 0) for name in self.members), reverse=True)
-        index = levels[len(self.voters) // 2]
-        if index > self.commit and self.term_at(index) == self.term:
-            self.commit = index
-            self._apply_committed()
-            self._push(True)
-
-    with patch.object(RaftNode, "_majority", majority), patch.object(RaftNode, "_count", count):
+        return 2 * sum(1 for it in self.members if it in names) > len(self.membership.voters)
+
+    def advance(self: Replication) -> None:
+        raft = self.raft
+        matched = self.match_indexes()
+        indexes = sorted((matched.get(name, 0) for name in raft.members), reverse=True)
+        index = indexes[len(raft.membership.voters) // 2]
+        if index > raft.commit_index and raft.term_at(index) == raft.term:
+            raft.commit_to(index)
+            self.send_to_all()
+
+    counted = patch.object(RaftNode, "has_majority", majority)
+    with counted, patch.object(Replication, "advance_commit_index", advance):
         yield
 
 
-def _any_change(self: RaftNode, members: Json, answered: Answered) -> None:
-    self.propose({"members": members}, answered)
+def _any_change(self: RaftNode, members: Json, on_outcome: ProposalCallback) -> None:
+    self.propose({"members": members}, on_outcome)
 
 
 @contextmanager
 def _removal_before_copy() -> Iterator[None]:
     """A member is removed as soon as its leader has written that down, whoever has its state."""
-    agreed = patch.object(RaftNode, "settled", property(lambda self: True))
+    agreed = patch.object(RaftNode, "is_membership_committed", property(lambda self: True))
     with agreed, patch.object(RaftNode, "change_members", _any_change):
         yield
 
@@ -70,16 +72,16 @@
     compact = Log.compact
 
     def forget(self: Log, index: int, state: Json) -> None:
-        members = self.base_members
+        members = self.snapshot_members
         compact(self, index, state)
-        self.base_members = members
+        self.snapshot_members = members
 
     return patch.object(Log, "compact", forget)
 
 
 def _put_back_votes() -> AbstractContextManager[Any]:
     """A member whose folder was put back goes on as the one it was."""
-    return patch.object(RollbackGuard, "short", lambda self, said: False)
+    return patch.object(RollbackGuard, "has_lost_entries", lambda self, acknowledged: False)
 
 
 def _editions_by_count() -> AbstractContextManager[Any]:
--- a/amberlug/cluster/simulation/scenarios.py
+++ b/amberlug/cluster/simulation/scenarios.py
@@ -97,7 +97,7 @@
             "limits": {"maxHeaderBytes": 16384},
         }
         self.operator = Operator(self.deployment, first)
-        self.compact = log.COMPACT  # entries in the core's log until a snapshot takes their place
+        self.compact = log.SNAPSHOT_ENTRIES  # entries in the core's log until a snapshot takes their place
         self.storage_faults = Losses(self) if aim.startswith("losses") else StorageFaults(self)
         self.control = Control(self)
         if delayed > 0.1:
@@ -126,7 +126,7 @@
 
     def play(self) -> list[Broken]:
         """Play the day; the rules that broke."""
-        with patch.object(log, "COMPACT", self.compact):
+        with patch.object(log, "SNAPSHOT_ENTRIES", self.compact):
             return self._play()
 
     def _play(self) -> list[Broken]:
@@ -365,7 +365,12 @@
     def leader(self) -> Machine | None:
         """The core machine that takes itself for the leader."""
         return next(
-            (it for it in self.deployment.cores if it.up and it.part.raft.leader == it.part.raft.me), None
+            (
+                it
+                for it in self.deployment.cores
+                if it.up and it.part.raft.leader_id == it.part.raft.member_id
+            ),
+            None,
         )
 
     def _leader_acks(self) -> float:
--- a/tests/cluster/group.py
+++ b/tests/cluster/group.py
@@ -6,7 +6,7 @@
 from result import Ok, Result
 
 from amberlug.cluster.consensus.log import PersistentState
-from amberlug.cluster.consensus.raft import ProposalRejected, RaftNode, Role
+from amberlug.cluster.consensus.raft import ProposalRejected, RaftNode, Role, StateMachine
 from amberlug.cluster.interfaces import Json
 from amberlug.cluster.rpc.messages import handlers_of
 from amberlug.cluster.simulation.clock import Clock
@@ -39,7 +39,7 @@
         )
         self.raft: RaftNode = life.machine.raft
         self.replica: Replica = life.machine
-        life.do(self.raft.begin)
+        life.do(self.raft.start)
 
     def stop(self) -> None:
         """Its power is gone."""
@@ -67,7 +67,7 @@
     def __init__(self, world: SimulatedRuntime, disk: ProcessDisk, saved: PersistentState) -> None:
         self.state: Json = {"numbers": [], "config": None}
         self.raft = RaftNode(
-            world, disk, saved, self._apply, lambda: dict(self.state), self._restore, lambda: None
+            world, disk, saved, StateMachine(self._apply, lambda: dict(self.state), self._restore)
         )
         self.handlers = handlers_of(self.raft)
 
@@ -141,13 +141,13 @@
         if leader is None:
             again()
             return
-        members, name = leader.raft.members, member.raft.me
+        members, name = leader.raft.members, member.raft.member_id
         old = [it for it, known in members.items() if known["addr"] == member.address and it != name]
         if old:
             rest = {it: known for it, known in members.items() if it not in old}
             leader.raft.change_members(rest, lambda said: None)
         elif name not in members or (
-            not members[name]["voter"] and leader.raft.holds(name, leader.raft.commit - 8)
+            not members[name]["voter"] and leader.raft.has_replicated(name, leader.raft.commit_index - 8)
         ):
             known = {"addr": member.address, "voter": name in members}
             leader.raft.change_members({**members, name: known}, lambda said: None)
@@ -158,10 +158,10 @@
     def whole(self) -> bool:
         """Whether one more may be lost."""
         leader = self.leader
-        return leader is not None and not self.behind and len(leader.raft.voters) == 3
+        return leader is not None and not self.behind and len(leader.raft.membership.voters) == 3
 
     @property
     def behind(self) -> list[str]:
         """Who lacks something that was agreed."""
-        last = max(it.raft.commit for it in self.members.values() if it.up)
-        return [name for name, it in self.members.items() if not it.up or it.raft.applied < last]
+        last = max(it.raft.commit_index for it in self.members.values() if it.up)
+        return [name for name, it in self.members.items() if not it.up or it.raft.last_applied < last]
--- a/tests/cluster/test_contact.py
+++ b/tests/cluster/test_contact.py
@@ -8,7 +8,7 @@
 from absl import logging
 from result import Ok
 
-from amberlug.cluster.consensus.log import PersistentState
+from amberlug.cluster.consensus.log import Entry, PersistentState
 from amberlug.cluster.control.node import ControlNode
 from amberlug.cluster.dispatch.message import Message
 from amberlug.cluster.gossip import store
@@ -49,7 +49,7 @@
         self.clock.run(BEFORE_S)
         leader = day.leader()
         assert leader is not None
-        voters = [it for it in self.deployment.cores if it.part.raft.voting]
+        voters = [it for it in self.deployment.cores if it.part.raft.is_voter]
         self.cut = leader if which == "leader" else next(it for it in voters if it is not leader)
         self.others = [it for it in self.deployment.cores if it is not self.cut]
         pairs = {(self.cut.name, it.name) for it in self.others} if way != "to" else set()
@@ -170,10 +170,10 @@
     members = {name: {"addr": name, "voter": True, "zone": "", "control": ""} for name in names}
     config = {"do": "config", "base": 0, "edition": 5, "sum": "x", "config": {"edition": 5}}
     core = ControlNode(
-        world, of, names[0], Fast(), PersistentState(names[0], 1, members=members, entries=[(1, config)])
+        world, of, names[0], Fast(), PersistentState(names[0], 1, members=members, entries=[Entry(1, config)])
     )
-    core.raft._hold(2)
-    core.raft._lead()  # what the leader before it committed is in its log, but not in its book yet
+    core.raft.election.start(2)
+    core.raft.become_leader()  # what the leader before it committed is in its log, but not in its book yet
     said: list[Any] = []
     core._carry("replace", {"base": 5, "data": {"edition": 6}}, said.append)
     core._carry("retire", {"name": "store-0"}, said.append)
@@ -256,22 +256,22 @@
     day = started(4)
     leader = day.leader()
     assert leader is not None
-    voters = [it for it in day.deployment.cores if it.part.raft.voting]
+    voters = [it for it in day.deployment.cores if it.part.raft.is_voter]
     assert len(voters) == 3
     ending = leader if which == "leader" else next(it for it in voters if it is not leader)
-    name = ending.part.raft.me
+    name = ending.part.raft.member_id
     ending.term()
     while ending.up:
         day.clock.run(day.clock.now + 0.01)
         assert day.clock.now < BEFORE_S + 1.0
     others = [it for it in day.deployment.cores if it is not ending]
-    assert all(it.part.raft.voting for it in others)
-    assert name not in others[0].part.raft.voters
+    assert all(it.part.raft.is_voter for it in others)
+    assert name not in others[0].part.raft.membership.voters
 
 
 def test_members_find_a_relay_while_several_are_silent() -> None:
     day = started(5)
-    silent = [it for it in day.deployment.cores if not it.part.raft.voting]
+    silent = [it for it in day.deployment.cores if not it.part.raft.is_voter]
     assert len(silent) == 2
     gone = {it.address for it in silent}
     members = [it.part.member for it in day.deployment.edges + day.deployment.stores]
--- a/tests/cluster/test_model_checker.py
+++ b/tests/cluster/test_model_checker.py
@@ -63,7 +63,7 @@
     play = Play(STARTS["older"], stranger)
     for step in TAKEN_BACK[:2]:
         play.take(step)
-    assert play.members["a"].raft.commit == 0
+    assert play.members["a"].raft.commit_index == 0
 
 
 @pytest.mark.parametrize("name", list(CHANGES))
--- a/tests/cluster/test_raft_storage.py
+++ b/tests/cluster/test_raft_storage.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 
 from amberlug.cluster.consensus.log import PersistentState
-from amberlug.cluster.consensus.raft import RaftNode, Role
+from amberlug.cluster.consensus.raft import RaftNode, Role, StateMachine
 from amberlug.cluster.consensus.storage import open_raft_storage
 from amberlug.cluster.interfaces import Json
 from amberlug.cluster.simulation.clock import Clock
@@ -32,14 +32,13 @@
             Alone(clock),
             self.disk,
             self.saved,
-            self._apply,
-            lambda: dict(self.state),
-            self.state.update,
-            lambda: None,
+            StateMachine(self._apply, lambda: dict(self.state), self.state.update),
         )
-        self.raft.begin()
+        self.raft.start()
         clock.run(0.4)
-        self.until(lambda: self.raft.role is Role.LEADER and self.raft.commit == self.raft.last)
+        self.until(
+            lambda: self.raft.role is Role.LEADER and self.raft.commit_index == self.raft.log.last_index
+        )
 
     def _apply(self, index: int, command: Json) -> Json:
         self.state.update(command)
@@ -51,8 +50,8 @@
 
     def change(self, text: str) -> None:
         self.raft.propose({"text": text}, lambda said: None)
-        last = self.raft.last
-        self.until(lambda: self.raft.commit >= last)
+        last = self.raft.log.last_index
+        self.until(lambda: self.raft.commit_index >= last)
 
     def close(self) -> None:
         self.disk.close()
@@ -64,7 +63,7 @@
     for number in range(60):
         lone.change(f"{number} " + "x" * 1_000_000)
         most = max(most, sum(it.stat().st_size for it in tmp_path.iterdir()))
-        assert sum(lone.raft.log.sizes) < 7_000_000
+        assert sum(lone.raft.log.sizes_bytes) < 7_000_000
     lone.close()
     assert most < 40_000_000
     again = Lone(tmp_path)
@@ -77,12 +76,12 @@
     lone = Lone(tmp_path)
     for number in range(600):
         lone.change(str(number))
-    snap, start = lone.raft.log.snap, lone.raft.log.start
-    assert 0 < start < snap < lone.raft.last
+    snap, start = lone.raft.log.snapshot_index, lone.raft.log.base_index
+    assert 0 < start < snap < lone.raft.log.last_index
     lone.close()
     again = Lone(tmp_path)
-    assert (again.raft.log.snap, again.raft.log.start) == (snap, start)
-    assert again.raft.entries[:-1] == lone.raft.entries
+    assert (again.raft.log.snapshot_index, again.raft.log.base_index) == (snap, start)
+    assert again.raft.log.entries[:-1] == lone.raft.log.entries
     again.close()
 
 
@@ -110,13 +109,19 @@
         saved, disk, anew = open_raft_storage(tmp_path, lambda: PersistentState("new"), lambda act: None)
         assert isinstance(disk, GroupCommitWriter)
         disk.close()
-        assert anew == (saved.me == "new")
+        assert anew == (saved.member_id == "new")
         return saved
 
     old = begun(513, 514)
-    assert (old.term, old.vote, old.start, old.start_term, old.state) == (4, "a", 512, 3, {"text": "512"})
+    assert (old.term, old.voted_for, old.snapshot_index, old.snapshot_term, old.snapshot_state) == (
+        4,
+        "a",
+        512,
+        3,
+        {"text": "512"},
+    )
     assert (old.entries, old.tail) == ([(3, {"text": "513"}), (3, {"text": "514"})], [])
-    assert begun(513, 515).me == "new"
-    assert begun(514).me == "new"
+    assert begun(513, 515).member_id == "new"
+    assert begun(514).member_id == "new"
     # Before the snapshot gaps may be: it came whole.
     assert [len(it.tail) for it in (begun(511, 512, 513), begun(509, 511, 512), begun(509, 510))] == [2, 2, 0]
--- a/tests/cluster/test_recorded.py
+++ b/tests/cluster/test_recorded.py
@@ -61,7 +61,7 @@
     )
     disk.close()
     assert not anew
-    assert (saved.start + len(saved.entries)) == before["log"][-1][0]
+    assert (saved.snapshot_index + len(saved.entries)) == before["log"][-1][0]
     assert saved.term >= 1
     assert dump(path, TABLES["core/vise.db"]) == before
 
@@ -70,10 +70,11 @@
     path = copy_of("core/vise.db", tmp_path)
     before = dump(path, TABLES["core/vise.db"])
     saved, disk, _ = open_raft_storage(tmp_path, lambda: pytest.fail("it was begun anew"), lambda act: None)
-    rows: list[tuple[str, tuple[Any, ...]]] = [("cut", (saved.start + 1,))]
-    rows += [("term", (saved.term, saved.vote))]
+    rows: list[tuple[str, tuple[Any, ...]]] = [("cut", (saved.snapshot_index + 1,))]
+    rows += [("term", (saved.term, saved.voted_for))]
     rows += [
-        ("entry", (at, term, command)) for at, (term, command) in enumerate(saved.entries, saved.start + 1)
+        ("entry", (at, term, command))
+        for at, (term, command) in enumerate(saved.entries, saved.snapshot_index + 1)
     ]
     disk.write(rows, lambda error: None)
     disk.close()
--- a/tests/cluster/test_replication.py
+++ b/tests/cluster/test_replication.py
@@ -8,8 +8,8 @@
 import pytest
 from absl import logging
 
-from amberlug.cluster.consensus.log import COMPACT_BYTES, TAIL_BYTES
-from amberlug.cluster.consensus.raft import ELECTION_S
+from amberlug.cluster.consensus.election import MIN_ELECTION_TIMEOUT_S
+from amberlug.cluster.consensus.log import SNAPSHOT_BYTES, TAIL_BYTES
 from tests.cluster.group import SLOW, Group, SessionClient
 
 
@@ -44,10 +44,12 @@
     group.run(5.0)
     assert (group.behind, group.faults, group.net.too_long) == ([], [], 0)
     assert away.replica.state["numbers"] == list(range(count))
-    assert away.raft.voting
+    assert away.raft.is_voter
     assert group.leader is leader
     assert max(group.seconds) < 1.0
-    assert all(sum(it.raft.log.sizes) < COMPACT_BYTES + TAIL_BYTES + size for it in group.members.values())
+    assert all(
+        sum(it.raft.log.sizes_bytes) < SNAPSHOT_BYTES + TAIL_BYTES + size for it in group.members.values()
+    )
 
 
 def test_a_slow_member_stays_a_follower_while_it_is_sent_what_is_large() -> None:
@@ -59,12 +61,12 @@
         if step < 60 and step % 5 == 0:
             group.change(step, 4_000_000)
         group.run(0.1)
-        silent = max(silent, group.clock.now - slow.raft.heard)
+        silent = max(silent, group.clock.now - slow.raft.leader_heard_at)
     assert (group.behind, group.faults, group.net.too_long) == ([], [], 0)
     assert group.leader is leader
     assert leader is not None
-    assert (leader.raft.elections, slow.raft.elections) == (1, 0)
-    assert silent < ELECTION_S[0]
+    assert (leader.raft.election.started_count, slow.raft.election.started_count) == (1, 0)
+    assert silent < MIN_ELECTION_TIMEOUT_S
     assert max(group.seconds) < 1.0
 
 
@@ -82,7 +84,7 @@
     for at in range(1, 20):  # 4 MB take 2.1 s; a snapshot from its beginning each time would never come whole
         group.clock.call_later(0.4 * at, partial(group.net.reset, away))
     group.run(6.0)
-    assert (group.behind, group.faults, away.raft.log.snap) == ([], [], 3)
+    assert (group.behind, group.faults, away.raft.log.snapshot_index) == ([], [], 3)
     assert away.replica.state["numbers"] == [0, 1]
 
 
@@ -90,7 +92,7 @@
     group = Group()
     leader, poor = group.leader, follower(group)
     assert leader is not None
-    world: Any = leader.raft.world
+    world: Any = leader.raft.runtime
     ask = world.request
 
     def fail(to: str, *rest: Any, **more: Any) -> None:
@@ -102,7 +104,7 @@
     for number in range(10):
         group.change(number, 1000)
         group.run(0.3)
-    assert leader.raft.failures > 10
+    assert leader.raft.replication.send_failures > 10
     assert (group.leader, group.taken) == (leader, list(range(10)))
 
 
@@ -118,7 +120,7 @@
     assert len(group.taken) == 500
     assert (group.behind, group.faults, group.net.too_long) == ([], [], 0)
     for member in group.members.values():
-        assert sum(member.raft.log.sizes) < COMPACT_BYTES + TAIL_BYTES + 1_100_000
+        assert sum(member.raft.log.sizes_bytes) < SNAPSHOT_BYTES + TAIL_BYTES + 1_100_000
         assert member.replica.state == group.members["a"].replica.state
     for name in ("a", "b", "c"):  # each leads, right after a restart of its own, with all that was taken
         member = group.members[name]
@@ -128,9 +130,9 @@
         group.run(2.0)
         if group.leader is not member:
             assert group.leader is not None
-            group.leader.raft.hand_over = lambda: None  # type: ignore[method-assign]
-            group.leader.raft.world.send(
-                member.name, "vise.now", {"term": member.raft.term, "to": member.raft.me}
+            group.leader.raft.transfer_leadership = lambda: None  # type: ignore[method-assign]
+            group.leader.raft.runtime.send(
+                member.name, "vise.now", {"term": member.raft.term, "to": member.raft.member_id}
             )
             group.run(2.0)
         assert group.leader is member
@@ -149,11 +151,11 @@
     group.let_in(away)
     group.run(3.0)
     members = away.raft.members
-    assert away.raft.me in members
+    assert away.raft.member_id in members
     for number in range(6):
         group.change(number, 1_000_000)
         group.run(0.3)
-    assert all(it.raft.log.snap > it.raft.members_at - 1 > 0 for it in group.members.values())
+    assert all(it.raft.log.snapshot_index > it.raft.membership.index - 1 > 0 for it in group.members.values())
     for member in group.members.values():
         member.stop()
     for member in group.members.values():
--- a/tests/cluster/test_rollback_guard.py
+++ b/tests/cluster/test_rollback_guard.py
@@ -38,7 +38,9 @@
 
     def leader(self, *among: Machine) -> Machine | None:
         machines = among or self.deployment.cores
-        return next((it for it in machines if it.up and it.part.raft.leader == it.part.raft.me), None)
+        return next(
+            (it for it in machines if it.up and it.part.raft.leader_id == it.part.raft.member_id), None
+        )
 
     def change(self) -> None:
         """Have an entry taken, and heard of by all who are in touch."""
@@ -94,7 +96,7 @@
     core = ControlNode()
     leader = core.leader()
     machine = next(it for it in core.deployment.cores if (it is leader) == (which == "leader"))
-    me, put_back = machine.part.raft.me, core.folder(machine)
+    me, put_back = machine.part.raft.member_id, core.folder(machine)
     for _ in range(3):
         core.change()
     machine.power_off()
@@ -103,14 +105,14 @@
         core.change()
     machine.start()
     core.run(BOUNDS["catchUpS"])
-    assert (machine.part.raft.me, core.lost(machine)) == (me, [])
+    assert (machine.part.raft.member_id, core.lost(machine)) == (me, [])
     machine.power_off()
     put_back()
     machine.start()
     core.run(BOUNDS["catchUpS"])
     raft = machine.part.raft
-    assert raft.me != me
-    assert raft.voting
+    assert raft.member_id != me
+    assert raft.is_voter
     assert me not in raft.members
     assert core.lost(machine) == []
 
@@ -132,7 +134,7 @@
         leader = core.leader()
         assert leader is not None
         assert core.lost(leader) == []
-        assert not back.part.raft.me.endswith("/0")
+        assert not back.part.raft.member_id.endswith("/0")
 
 
 def test_a_folder_that_is_begun_anew_holds_nothing(tmp_path: Path) -> None:
--- a/tests/cluster/test_voter_selection.py
+++ b/tests/cluster/test_voter_selection.py
@@ -121,7 +121,7 @@
 
     for machine in deployment.cores:
         if machine.up and machine.life is not None:
-            machine.life.do(partial(machine.part.raft.confirm, partial(hear, machine)))
+            machine.life.do(partial(machine.part.raft.confirm_read, partial(hear, machine)))
     deployment.clock.run(deployment.clock.now + 0.2)
     return confirmed[0] if confirmed else None
 
@@ -201,7 +201,9 @@
     deployment = begun(5, 3, 3)
     first = leader(deployment)
     assert first is not None
-    others = sorted((it for it in deployment.cores if it is not first), key=lambda it: str(it.part.raft.me))
+    others = sorted(
+        (it for it in deployment.cores if it is not first), key=lambda it: str(it.part.raft.member_id)
+    )
     others[-1].power_off()
     deployment.clock.run(deployment.clock.now + 0.8)
     first.term()
@@ -212,7 +214,7 @@
 def test_a_learner_that_is_silent_for_long_is_removed_and_let_in_again() -> None:
     deployment = begun(6, 4, 4)
     machine = next(it for it in deployment.cores if it not in voting(deployment))
-    me = machine.part.raft.me
+    me = machine.part.raft.member_id
 
     def member() -> bool:
         first = leader(deployment)
@@ -227,4 +229,4 @@
     machine.start()
     deployment.clock.run(deployment.clock.now + 2.0)
     assert member()
-    assert machine.part.raft.me == me
+    assert machine.part.raft.member_id == me
