--- a/amberlug/cluster/consensus/election.py
+++ b/amberlug/cluster/consensus/election.py
@@ -60,7 +60,7 @@
         self.restart_timer()
         if not raft.is_voter or not raft.rollback_guard.may_vote:
             return
-        if raft.is_leader or raft.leader_silence_s < MIN_ELECTION_TIMEOUT_S:
+        if raft.is_leader or raft.since_leader_contact_s < MIN_ELECTION_TIMEOUT_S:
             return
         raft.leader_id = ""
         self._request_votes(raft.term + 1, is_pre_vote=True)
@@ -131,7 +131,7 @@
             respond(VoteReply(False, raft.term))
             return
         raft.voted_for = message.candidate_id
-        raft.leader_heard_at = raft.runtime.now()
+        raft.leader_contact_at = raft.runtime.now()
         self.restart_timer()
         raft.save_term(lambda: respond(VoteReply(True, term, term)))
 
@@ -150,7 +150,7 @@
         raft = self._raft
         if raft.is_leader:
             return True
-        return raft.leader_id != "" and raft.leader_silence_s < MIN_ELECTION_TIMEOUT_S
+        return raft.leader_id != "" and raft.since_leader_contact_s < MIN_ELECTION_TIMEOUT_S
 
 
 class _VoteCount:
--- a/amberlug/cluster/consensus/follower.py
+++ b/amberlug/cluster/consensus/follower.py
@@ -83,7 +83,7 @@
         raft.observe_term(header.term)
         assert not raft.is_leader, "two leaders in one term"
         has_changed = raft.leader_id != header.leader_id or raft.role is not Role.FOLLOWER
-        raft.role, raft.leader_id, raft.leader_heard_at = (
+        raft.role, raft.leader_id, raft.leader_contact_at = (
             Role.FOLLOWER,
             header.leader_id,
             raft.runtime.now(),
--- a/amberlug/cluster/consensus/raft.py
+++ b/amberlug/cluster/consensus/raft.py
@@ -79,7 +79,7 @@
             self.term, self.voted_for = newest_term, self.member_id
         self.role, self.leader_id = Role.FOLLOWER, ""
         self.commit_index = self.last_applied = self.log.snapshot_index
-        self.leader_heard_at = self.runtime.now()
+        self.leader_contact_at = self.runtime.now()
         self.leader_since = 0.0
         self.is_stopped = False
         self._timer: TimerHandle | None = None  # of the election timeout, or of the next heartbeats
@@ -116,9 +116,9 @@
         return self.membership.index <= self.commit_index
 
     @property
-    def leader_silence_s(self) -> float:
+    def since_leader_contact_s(self) -> float:
         """For how many seconds no leader was heard of."""
-        return self.runtime.now() - self.leader_heard_at
+        return self.runtime.now() - self.leader_contact_at
 
     def term_at(self, index: int) -> int:
         """The term of an entry; -1 where it is not known."""
@@ -132,7 +132,7 @@
 
     def start(self) -> None:
         """Begin to take part; votes wait until it is known that the disk has lost nothing."""
-        self.leader_heard_at = NEVER  # not since this start: after a loss of all, nobody waits for a leader
+        self.leader_contact_at = NEVER  # not since this start: after a loss of all, nobody waits for a leader
         self.rollback_guard.may_vote = False
         self.election.campaign_soon()
         self.rollback_guard.start_check()
@@ -343,5 +343,5 @@
         """The leader ends: start an election at once (dissertation, section 3.10)."""
         is_current = message.target_id == self.member_id and message.term == self.term
         if is_current and self.is_voter and self.role is Role.FOLLOWER:
-            self.leader_id, self.leader_heard_at = "", NEVER
+            self.leader_id, self.leader_contact_at = "", NEVER
             self.election.start(self.term + 1, is_leadership_transfer=True)
--- a/amberlug/cluster/consensus/voter_selection.py
+++ b/amberlug/cluster/consensus/voter_selection.py
@@ -1,21 +1,27 @@
-"""Who of the core's members votes: chosen so that what may be lost at once leaves a majority. No I/O.
+"""Which members vote: chosen so that the losses to be tolerated leave a majority. No I/O.
 
-One step at a time, each of one voter. No step leads into a membership that a further loss would stop if the
-one before would outlast it, and no voter gives way before a majority of the rest has what is committed.
+Changes are made one at a time, each of one voter (dissertation, section 4.1).
+
+Invariants: no change leads to a membership that a further tolerated loss would stop if the one before would
+survive it; and none is made unless a majority of the voters after it is alive and has what is committed.
 """
 
 from __future__ import annotations
 
 from collections import Counter
-from collections.abc import Iterable
+from collections.abc import Iterable, Mapping, Set
 from dataclasses import dataclass
+from enum import Enum
 
 from amberlug.cluster.settings import Tolerance
 
-FEWEST, MOST = 3, 7  # voters, where there are as many members
-SILENT_S = 1.5  # without an answer until a voter is taken for lost, and a spare one votes in its place
-READY_S = 1.0  # a learner that is to vote answered this leader so lately
-FORGOTTEN_S = 30.0  # without an answer until a learner is removed; it asks to be let in again if it is back
+MIN_VOTERS = 3  # where there are as many members: fewer survive no loss
+MAX_VOTERS = 7  # more slow down each commit, and 7 survive 3 losses
+VOTER_TIMEOUT_S = 1.5  # without a reply until a voter counts as lost: beyond an election timeout
+LEARNER_TIMEOUT_S = 1.0  # without a reply until a learner is not made a voter
+REMOVAL_TIMEOUT_S = (
+    30.0  # without a reply until a learner is removed; it asks to be let in again if it is back
+)
 
 
 @dataclass(frozen=True, slots=True)
@@ -23,109 +29,159 @@
     """A member as the leader knows it."""
 
     name: str
-    voter: bool
-    zone: str = ""  # unknown where it is empty: then it is a place of its own
+    is_voter: bool
+    zone: str = ""  # a failure domain; empty where it is not known: then it is one by itself
     region: str = ""
-    caught_up: bool = True  # whether all that was committed a moment ago is on its disk
-    silent_s: float = 0.0  # since it last answered this leader
-    gone: bool = False  # whether another incarnation has come at its address
-    leaving: bool = False  # whether it said that its process is about to end
+    is_caught_up: bool = True  # it has on disk what was committed a moment ago
+    unresponsive_s: float = 0.0  # since it last replied to this leader
+    is_superseded: bool = False  # another incarnation has come at its address
+    is_leaving: bool = False  # its process is about to end
+
+    @property
+    def is_alive(self) -> bool:
+        """Whether it counts as a voter that works."""
+        return not self.is_superseded and not self.is_leaving and self.unresponsive_s <= VOTER_TIMEOUT_S
 
     @property
-    def lives(self) -> bool:
-        return not self.gone and not self.leaving and self.silent_s <= SILENT_S
+    def is_eligible(self) -> bool:
+        """Whether it may be made a voter."""
+        if self.is_superseded or self.is_leaving or not self.is_caught_up:
+            return False
+        return self.unresponsive_s < LEARNER_TIMEOUT_S
 
     @property
-    def ready(self) -> bool:
-        return not self.gone and not self.leaving and self.caught_up and self.silent_s < READY_S
+    def zone_key(self) -> str:
+        """The zone; a member whose zone is not known is one by itself."""
+        return self.zone or self.name
+
+    @property
+    def region_key(self) -> str:
+        """The region; a member whose region is not known is in one with its zone."""
+        return self.region or self.zone_key
+
+
+class ChangeKind(Enum):
+    """What a change does to a member."""
+
+    PROMOTE = "promote"  # a learner becomes a voter
+    DEMOTE = "demote"  # a voter becomes a learner
+    REMOVE = "remove"  # a learner is a member no more
 
 
 @dataclass(frozen=True, slots=True)
 class MembershipChange:
-    """One change of the membership: `name` votes (True), votes no more (False) or is removed (None)."""
+    """One change of the membership."""
 
     name: str
-    voter: bool | None
-    why: str
+    kind: ChangeKind
+    reason: str  # for the log of the process
 
 
-def margin(voters: Iterable[MemberStatus], tolerance: Tolerance) -> int:
-    """Live voters above a majority after the worst loss that must be outlasted; below 0 it stops them."""
-    seats = list(voters)
-    live = [it for it in seats if it.lives]
-    zones = Counter(it.zone or it.name for it in live)
-    regions = Counter(it.region or it.zone or it.name for it in live)
+def loss_margin(voters: Iterable[MemberStatus], tolerance: Tolerance) -> int:
+    """Live voters above a majority after the worst loss to be tolerated; below 0 it stops the group."""
+    members = list(voters)
+    alive = [member for member in members if member.is_alive]
+    zones = Counter(member.zone_key for member in alive)
+    regions = Counter(member.region_key for member in alive)
     lost = max(
         tolerance.machines,
         sum(count for _, count in zones.most_common(tolerance.zones)),
         sum(count for _, count in regions.most_common(tolerance.regions)),
     )
-    return len(live) - lost - (len(seats) // 2 + 1)
+    return len(alive) - lost - (len(members) // 2 + 1)
+
 
+def best_voters(members: Iterable[MemberStatus], tolerance: Tolerance, leader: str) -> list[MemberStatus]:
+    """The best voters there are: as few as tolerate the losses, else those with the best margin.
 
-def best(seats: Iterable[MemberStatus], tolerance: Tolerance, me: str) -> list[MemberStatus]:
-    """The voters to be had: as few as outlast what may be lost, else the best; the leader is one."""
-    left = sorted(
-        (it for it in seats if (it.lives if it.voter else it.ready)),
-        key=lambda it: (it.name != me, not it.voter, it.name),
+    The leader is one of them. The number is odd where it can be: one more voter tolerates no more losses
+    then.
+    """
+    candidates = sorted(
+        (member for member in members if (member.is_alive if member.is_voter else member.is_eligible)),
+        key=lambda member: (member.name != leader, not member.is_voter, member.name),
     )
     chosen: list[MemberStatus] = []
-    found: list[MemberStatus] = []
+    best: list[MemberStatus] = []
     zones: Counter[str] = Counter()
     regions: Counter[str] = Counter()
-    while left and len(chosen) < MOST:
-        # The emptiest region first, where regions may be lost, and the emptiest zone there.
-        nxt = min(
-            left,
-            key=lambda it: (
-                regions[it.region or it.zone or it.name] if tolerance.regions else 0,
-                zones[it.zone or it.name],
-            ),
-        )
-        left.remove(nxt)
-        chosen.append(nxt)
-        zones[nxt.zone or nxt.name] += 1
-        regions[nxt.region or nxt.zone or nxt.name] += 1
-        if len(chosen) < FEWEST or len(chosen) % 2 == 0:
+
+    def load(member: MemberStatus) -> tuple[int, int]:
+        # The emptiest region first, where regions may be lost, and the emptiest zone in it.
+        return regions[member.region_key] if tolerance.regions else 0, zones[member.zone_key]
+
+    while candidates and len(chosen) < MAX_VOTERS:
+        member = min(candidates, key=load)
+        candidates.remove(member)
+        chosen.append(member)
+        zones[member.zone_key] += 1
+        regions[member.region_key] += 1
+        if len(chosen) < MIN_VOTERS or len(chosen) % 2 == 0:
             continue
-        if not found or margin(chosen, tolerance) > margin(found, tolerance):
-            found = list(chosen)
-        if margin(found, tolerance) >= 0:
+        if not best or loss_margin(chosen, tolerance) > loss_margin(best, tolerance):
+            best = list(chosen)
+        if loss_margin(best, tolerance) >= 0:
             break
-    return found or chosen
-
-
-def next_step(seats: Iterable[MemberStatus], tolerance: Tolerance, me: str) -> MembershipChange | None:
-    """The next change of the membership that `me`, its leader, is to make."""
-    members = {it.name: it for it in seats}
-    voters = {name for name, it in members.items() if it.voter}
-    wanted = {it.name for it in best(members.values(), tolerance, me)}
-    if len(wanted) < FEWEST:
-        wanted |= voters  # too few are left to do without any, also without those that are silent
-
-    def of(names: set[str]) -> int:
-        return margin((members[name] for name in names), tolerance)
-
-    now = of(voters)
-    if min(0, of(wanted)) > min(0, now) or len(wanted) < len(voters) or len(voters) < FEWEST:
-        # Fewer voters than that outlast nothing, so any further one may come.
-        floor = min(0, now) if len(voters) >= FEWEST else -MOST
-        # Of equal margins the first: adding before removing, and those that are silent go first.
-        ways = sorted(wanted - voters) + sorted(voters - wanted, key=lambda it: (members[it].lives, it))
-        allowed = [it for it in ways if _may(voters ^ {it}, members) and of(voters ^ {it}) >= floor]
-        if allowed:
-            name = max(allowed, key=lambda it: of(voters ^ {it}))
-            if name not in voters:
-                return MembershipChange(name, True, "votes")
-            return MembershipChange(
-                name, False, "votes no more" if members[name].lives else "is silent: it votes no more"
-            )
-    for name, it in members.items():
-        if not it.voter and name != me and (it.gone or it.silent_s > FORGOTTEN_S):
-            return MembershipChange(name, None, "came back as another" if it.gone else "is gone")
+    return best or chosen
+
+
+def next_change(
+    members: Iterable[MemberStatus], tolerance: Tolerance, leader: str
+) -> MembershipChange | None:
+    """The next change that the leader is to make; None where all is well."""
+    by_name = {member.name: member for member in members}
+    voters = {name for name, member in by_name.items() if member.is_voter}
+    wanted = {member.name for member in best_voters(by_name.values(), tolerance, leader)}
+    if len(wanted) < MIN_VOTERS:
+        wanted |= voters  # too few are left to do without any, also without those that do not respond
+    change = _next_voter_change(by_name, voters, wanted, tolerance)
+    return change or _next_removal(by_name, leader)
+
+
+def _next_voter_change(
+    by_name: Mapping[str, MemberStatus], voters: Set[str], wanted: Set[str], tolerance: Tolerance
+) -> MembershipChange | None:
+    """The best change of one voter on the way to the wanted ones."""
+
+    def margin_of(names: Set[str]) -> int:
+        return loss_margin((by_name[name] for name in names), tolerance)
+
+    current = min(0, margin_of(voters))
+    has_few = len(voters) < MIN_VOTERS
+    if min(0, margin_of(wanted)) <= current and len(wanted) >= len(voters) and not has_few:
+        return None
+    # Fewer voters than MIN_VOTERS tolerate nothing, so any further one may come.
+    least = -MAX_VOTERS if has_few else current
+    # Of equal margins the first one is taken: promotions go first, then voters that do not respond.
+    promotions = sorted(wanted - voters)
+    demotions = sorted(voters - wanted, key=lambda name: (by_name[name].is_alive, name))
+    allowed = [
+        name
+        for name in promotions + demotions
+        if _has_working_majority(voters ^ {name}, by_name) and margin_of(voters ^ {name}) >= least
+    ]
+    if not allowed:
+        return None
+    name = max(allowed, key=lambda candidate: margin_of(voters ^ {candidate}))
+    if name not in voters:
+        return MembershipChange(name, ChangeKind.PROMOTE, "becomes a voter")
+    reason = "is a voter no more" if by_name[name].is_alive else "does not respond: it is a voter no more"
+    return MembershipChange(name, ChangeKind.DEMOTE, reason)
+
+
+def _next_removal(by_name: Mapping[str, MemberStatus], leader: str) -> MembershipChange | None:
+    """The first learner that will not come back."""
+    for name, member in by_name.items():
+        if member.is_voter or name == leader:
+            continue
+        if member.is_superseded:
+            return MembershipChange(name, ChangeKind.REMOVE, "came back as another incarnation")
+        if member.unresponsive_s > REMOVAL_TIMEOUT_S:
+            return MembershipChange(name, ChangeKind.REMOVE, "does not respond: it is removed")
     return None
 
 
-def _may(after: set[str], members: dict[str, MemberStatus]) -> bool:
-    """Whether a majority of these voters lives and has what is committed."""
-    return 2 * sum(1 for it in after if members[it].lives and members[it].caught_up) > len(after)
+def _has_working_majority(voters: Set[str], by_name: Mapping[str, MemberStatus]) -> bool:
+    """Whether a majority of these voters is alive and has what is committed."""
+    working = sum(1 for name in voters if by_name[name].is_alive and by_name[name].is_caught_up)
+    return 2 * working > len(voters)
--- a/amberlug/cluster/control/node.py
+++ b/amberlug/cluster/control/node.py
@@ -11,7 +11,7 @@
 
 from amberlug.cluster.consensus.log import PersistentState
 from amberlug.cluster.consensus.raft import ProposalRejected, RaftNode, Role, StateMachine
-from amberlug.cluster.consensus.voter_selection import MemberStatus, margin, next_step
+from amberlug.cluster.consensus.voter_selection import ChangeKind, MemberStatus, loss_margin, next_change
 from amberlug.cluster.control.cluster_state import SHARDS, ClusterState, digest
 from amberlug.cluster.control.config_validation import changed, check, parse
 from amberlug.cluster.control.endpoint_registry import DRAINING, GONE, MOST, EndpointRegistry, read_announce
@@ -342,7 +342,7 @@
         self.world.call_later(JOIN_S, self._join)
         mine = self.raft.members.get(self.raft.member_id)
         told, heard = self._self_told(), self.raft.role is Role.LEADER
-        heard |= self.world.now() - self.raft.leader_heard_at < UNHEARD_S
+        heard |= self.world.now() - self.raft.leader_contact_at < UNHEARD_S
         if heard and mine is not None and {**mine, "voter": None} == {**told, "voter": None}:
             return
         body = {"id": self.raft.member_id, "member": told}
@@ -417,17 +417,17 @@
             )
             for name, it in raft.members.items()
         ]
-        short = margin((it for it in seats if it.voter), tolerance) < 0
+        short = loss_margin((it for it in seats if it.is_voter), tolerance) < 0
         if short != self._short:
             self._short = short
             logging.info("core voters %s what may be lost at once", "do not outlast" if short else "outlast")
-        step = next_step(seats, tolerance, raft.member_id)
-        if step is not None:
+        change = next_change(seats, tolerance, raft.member_id)
+        if change is not None:
             members = dict(raft.members)
-            it = members.pop(step.name)
-            if step.voter is not None:
-                members[step.name] = {**it, "voter": step.voter}
-            self._members(members, f"{step.name} {step.why}")
+            it = members.pop(change.name)
+            if change.kind is not ChangeKind.REMOVE:
+                members[change.name] = {**it, "voter": change.kind is ChangeKind.PROMOTE}
+            self._members(members, f"{change.name} {change.reason}")
 
     # -- duties of the leader
 
--- a/amberlug/cluster/simulation/model_checker.py
+++ b/amberlug/cluster/simulation/model_checker.py
@@ -277,7 +277,7 @@
             StateMachine(member.apply, member.snapshot, member.restore),
         )
         member.handlers = handlers_of(member.raft)
-        member.raft.leader_heard_at = -1e9
+        member.raft.leader_contact_at = -1e9
 
     def post(self, to: str, text: str, act: Callable[[], None]) -> None:
         """A message is under way; one that says the same to the same does nothing new."""
--- a/amberlug/cluster/simulation/mutations_voters.py
+++ b/amberlug/cluster/simulation/mutations_voters.py
@@ -21,12 +21,13 @@
 def _voters_in_one_zone() -> AbstractContextManager[Any]:
     """Voters are chosen by name alone."""
 
-    def by_name(members: Iterable[MemberStatus], tolerance: Tolerance, me: str) -> list[MemberStatus]:
-        live = [it for it in members if (it.lives if it.voter else it.ready)]
+    def by_name(members: Iterable[MemberStatus], tolerance: Tolerance, leader: str) -> list[MemberStatus]:
+        candidates = [it for it in members if (it.is_alive if it.is_voter else it.is_eligible)]
         wanted = max(3, 2 * max(tolerance.machines, tolerance.zones, tolerance.regions) + 1)
-        return sorted(live, key=lambda it: (it.name != me, not it.voter, it.name))[:wanted]
+        ordered = sorted(candidates, key=lambda it: (it.name != leader, not it.is_voter, it.name))
+        return ordered[:wanted]
 
-    return patch.object(voter_selection, "best", by_name)
+    return patch.object(voter_selection, "best_voters", by_name)
 
 
 @contextmanager
--- a/tests/cluster/test_replication.py
+++ b/tests/cluster/test_replication.py
@@ -61,7 +61,7 @@
         if step < 60 and step % 5 == 0:
             group.change(step, 4_000_000)
         group.run(0.1)
-        silent = max(silent, group.clock.now - slow.raft.leader_heard_at)
+        silent = max(silent, group.clock.now - slow.raft.leader_contact_at)
     assert (group.behind, group.faults, group.net.too_long) == ([], [], 0)
     assert group.leader is leader
     assert leader is not None
--- a/tests/cluster/test_voter_selection.py
+++ b/tests/cluster/test_voter_selection.py
@@ -11,12 +11,13 @@
 
 from amberlug.cluster.consensus.raft import Role
 from amberlug.cluster.consensus.voter_selection import (
-    FEWEST,
-    FORGOTTEN_S,
-    MOST,
+    MAX_VOTERS,
+    MIN_VOTERS,
+    REMOVAL_TIMEOUT_S,
+    ChangeKind,
     MemberStatus,
-    margin,
-    next_step,
+    loss_margin,
+    next_change,
 )
 from amberlug.cluster.settings import Tolerance
 from amberlug.cluster.simulation.deployment import BOUNDS, Deployment, Machine
@@ -34,26 +35,27 @@
     logging.set_verbosity(before)
 
 
-def walk(members: list[MemberStatus], tolerance: Tolerance, me: str) -> list[MemberStatus]:
+def walk(members: list[MemberStatus], tolerance: Tolerance, leader: str) -> list[MemberStatus]:
     """Take all steps, each of which must leave a majority that lives, and end."""
-    seats = {it.name: it for it in members}
+    by_name = {it.name: it for it in members}
 
     def voters() -> list[MemberStatus]:
-        return [it for it in seats.values() if it.voter]
+        return [it for it in by_name.values() if it.is_voter]
 
     for _ in range(30):
-        step = next_step(seats.values(), tolerance, me)
-        if step is None:
-            return list(seats.values())
-        assert step.name != me, "the leader keeps its vote"
-        before, few = margin(voters(), tolerance), len(voters()) < FEWEST
-        if step.voter is None:
-            assert not seats.pop(step.name).voter
+        change = next_change(by_name.values(), tolerance, leader)
+        if change is None:
+            return list(by_name.values())
+        assert change.name != leader, "the leader keeps its vote"
+        before, few = loss_margin(voters(), tolerance), len(voters()) < MIN_VOTERS
+        if change.kind is ChangeKind.REMOVE:
+            assert not by_name.pop(change.name).is_voter
         else:
-            assert seats[step.name].voter is not step.voter
-            seats[step.name] = replace(seats[step.name], voter=step.voter)
-        assert 2 * sum(it.lives and it.caught_up for it in voters()) > len(voters())
-        assert few or margin(voters(), tolerance) >= min(0, before), "a further loss would stop it"
+            is_voter = change.kind is ChangeKind.PROMOTE
+            assert by_name[change.name].is_voter is not is_voter
+            by_name[change.name] = replace(by_name[change.name], is_voter=is_voter)
+        assert 2 * sum(it.is_alive and it.is_caught_up for it in voters()) > len(voters())
+        assert few or loss_margin(voters(), tolerance) >= min(0, before), "a further loss would stop it"
     raise AssertionError("the steps have no end")
 
 
@@ -65,10 +67,10 @@
     count = chance.choice((1, 3, 3, 3, 5))
     seats = [MemberStatus(f"v{at}", True, *chance.choice(places)) for at in range(count)]
     for at in chance.sample(range(1, count), chance.randrange(0, count // 2 + 1)):
-        seats[at] = replace(seats[at], silent_s=9.0, gone=chance.random() < 0.3)
+        seats[at] = replace(seats[at], unresponsive_s=9.0, is_superseded=chance.random() < 0.3)
     for at in range(chance.randrange(0, 6)):
         seat = MemberStatus(f"l{at}", False, *chance.choice(places))
-        seats.append(replace(seat, caught_up=chance.random() < 0.8, gone=chance.random() < 0.1))
+        seats.append(replace(seat, is_caught_up=chance.random() < 0.8, is_superseded=chance.random() < 0.1))
     tolerance = chance.choice((Tolerance(1, 0, 0), A_ZONE, A_REGION, Tolerance(2, 1, 0), Tolerance(2, 0, 0)))
     return seats, tolerance, "v0"
 
@@ -77,11 +79,11 @@
     """Whether the steps end with voters that are not the best there are."""
     seats, tolerance, me = drawn(seed)
     after = walk(seats, tolerance, me)
-    able = [it for it in seats if (it.lives if it.voter else it.ready)]
+    able = [it for it in seats if (it.is_alive if it.is_voter else it.is_eligible)]
     odd = [it for count in (3, 5, 7) for it in combinations(able, count)]
-    most = max((min(0, margin(it, tolerance)) for it in odd), default=-9)
-    voters = [it for it in after if it.voter]
-    return margin(voters, tolerance) < most or len(voters) > MOST
+    most = max((min(0, loss_margin(it, tolerance)) for it in odd), default=-9)
+    voters = [it for it in after if it.is_voter]
+    return loss_margin(voters, tolerance) < most or len(voters) > MAX_VOTERS
 
 
 def test_steps_end_in_the_best_voters_and_no_step_is_worse_than_the_start() -> None:
@@ -92,10 +94,13 @@
 
 def test_a_learner_that_is_gone_is_removed_and_one_that_lags_does_not_vote() -> None:
     voters = [MemberStatus(it, True) for it in "abc"]
-    silent = MemberStatus("d", False, silent_s=FORGOTTEN_S + 1)
+    silent = MemberStatus("d", False, unresponsive_s=REMOVAL_TIMEOUT_S + 1)
     assert [it.name for it in walk([*voters, silent], Tolerance(), "a")] == ["a", "b", "c"]
-    lost = replace(voters[2], silent_s=9.0)
-    assert next_step([*voters[:2], lost, MemberStatus("d", False, caught_up=False)], Tolerance(), "a") is None
+    lost = replace(voters[2], unresponsive_s=9.0)
+    assert (
+        next_change([*voters[:2], lost, MemberStatus("d", False, is_caught_up=False)], Tolerance(), "a")
+        is None
+    )
 
 
 # -- in whole deployments
@@ -222,7 +227,7 @@
         return me in first.part.raft.members
 
     machine.power_off()
-    deployment.clock.run(deployment.clock.now + FORGOTTEN_S - 5.0)
+    deployment.clock.run(deployment.clock.now + REMOVAL_TIMEOUT_S - 5.0)
     assert member()
     deployment.clock.run(deployment.clock.now + 10.0)
     assert not member()
