--- a/amberlug/cluster/consensus/follower.py
+++ b/amberlug/cluster/consensus/follower.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
-from amberlug.cluster.consensus.log import Entry
+from amberlug.cluster.consensus.log import Entry, Snapshot
 from amberlug.cluster.consensus.messages import (
     AcknowledgedIndexes,
     AppendEntries,
@@ -17,7 +17,6 @@
 )
 from amberlug.cluster.consensus.roles import Role
 from amberlug.cluster.consensus.snapshot_transfer import IncomingTransfer, TransferHeader
-from amberlug.cluster.interfaces import Json
 from amberlug.cluster.rpc.messages import Responder
 
 if TYPE_CHECKING:
@@ -198,15 +197,15 @@
             entry = Entry(transfer.last_term, json.loads(data))
             self._append_after(transfer.last_index - 1, [entry], message.header.commit_index, respond)
         else:
-            self._install_snapshot(transfer, json.loads(data), respond)
+            self._install_snapshot(transfer, Snapshot.decode(data), respond)
 
-    def _install_snapshot(self, transfer: TransferHeader, snapshot: Json, respond: Responder) -> None:
+    def _install_snapshot(self, transfer: TransferHeader, snapshot: Snapshot, respond: Responder) -> None:
         """Replace all that a leader's snapshot covers, the membership included (Raft, figure 13)."""
         raft, index = self._raft, transfer.last_index
-        raft.log.install(index, transfer.last_term, snapshot, raft.commit_index, transfer.size_bytes)
+        raft.log.install(transfer, snapshot, raft.commit_index)
         raft.commit_index = raft.last_applied = index
-        if snapshot["state"] is not None:
-            raft.state_machine.restore(snapshot["state"])
+        if snapshot.state is not None:
+            raft.state_machine.restore(snapshot.state)
         raft.refresh_membership()
         self._acknowledge_when_synced(index, respond)
         raft.on_change()
--- a/amberlug/cluster/consensus/log.py
+++ b/amberlug/cluster/consensus/log.py
@@ -16,9 +16,10 @@
 from itertools import islice
 from typing import NamedTuple
 
+from amberlug.cluster.consensus.opaque import Command, Encodable, MachineState, MemberRecords
 from amberlug.cluster.consensus.rows import EntryRow, Row, SnapshotRow, TruncateRow, raw_rows
-from amberlug.cluster.consensus.snapshot_transfer import CHUNK_BYTES
-from amberlug.cluster.interfaces import Disk, Json, Runtime
+from amberlug.cluster.consensus.snapshot_transfer import CHUNK_BYTES, TransferHeader
+from amberlug.cluster.interfaces import Disk, Runtime
 
 MAX_BATCH_ENTRIES = 64  # in one message, which are of CHUNK_BYTES at most in all
 SNAPSHOT_ENTRIES = (
@@ -37,10 +38,10 @@
     """An entry of the log; it is encoded as the pair `[term, command]`."""
 
     term: int
-    command: Json | None  # None: the first entry of a new leader (Raft, section 8)
+    command: Command | None  # None: the first entry of a new leader (Raft, section 8)
 
     @property
-    def members(self) -> Json | None:
+    def members(self) -> MemberRecords | None:
         """The membership that the entry puts in place, where it is a configuration entry."""
         return None if self.command is None else self.command.get("members")
 
@@ -51,22 +52,40 @@
 
     index: int
     term: int
-    command: Json | None
+    command: Command | None
 
 
 @dataclass(frozen=True, slots=True)
 class MembersAt:
     """A membership, and the index of the entry that put it in place."""
 
-    members: Json
+    members: MemberRecords
     index: int
 
 
-def encode(value: Json | None) -> str:
+def encode(value: Encodable | None) -> str:
     """A command or a snapshot as it goes to disk and to others."""
     return json.dumps(value, separators=(",", ":"))
 
 
+@dataclass(frozen=True, slots=True)
+class Snapshot:
+    """The state machine and the membership as of an index: what InstallSnapshot transfers."""
+
+    state: MachineState | None
+    members: MemberRecords
+
+    def encoded(self) -> str:
+        """The snapshot as text, as it goes to others."""
+        return f'{{"state":{encode(self.state)},"members":{encode(self.members)}}}'
+
+    @classmethod
+    def decode(cls, data: bytes) -> Snapshot:
+        """Read what a leader has sent."""
+        fields = json.loads(data)
+        return cls(fields["state"], fields["members"])
+
+
 @dataclass(slots=True)
 class PersistentState:
     """What a member has on disk: its name, the persistent state of figure 2, and its snapshot."""
@@ -76,8 +95,8 @@
     voted_for: str = ""
     snapshot_index: int = 0  # the last entry that the snapshot covers
     snapshot_term: int = 0
-    snapshot_state: Json | None = None
-    members: Json = field(default_factory=dict)  # as of the snapshot
+    snapshot_state: MachineState | None = None
+    members: MemberRecords = field(default_factory=dict)  # as of the snapshot
     entries: list[Entry] = field(default_factory=list)  # behind what the snapshot covers
     tail: list[Entry] = field(default_factory=list)  # the last ones that it covers, as far as they are kept
     acknowledged: dict[str, int] = field(default_factory=dict)  # by member: the input of the rollback guard
@@ -177,7 +196,7 @@
                 return MembersAt(members, self.base_index + offset + 1)
         return MembersAt(self.snapshot_members, self.base_index)
 
-    def members_until(self, index: int) -> Json:
+    def members_until(self, index: int) -> MemberRecords:
         """The membership that holds at an entry of the log."""
         members = self.snapshot_members
         for entry in self.entries[: index - self.base_index]:
@@ -210,8 +229,8 @@
         return encode(self.entry_at(index).command)
 
     def encoded_snapshot(self) -> str:
-        """The snapshot with its membership as text, as it goes to others."""
-        return f'{{"state":{encode(self.snapshot_state)},"members":{encode(self.snapshot_members)}}}'
+        """The snapshot as text, as it goes to others."""
+        return Snapshot(self.snapshot_state, self.snapshot_members).encoded()
 
     # -- changes
 
@@ -245,7 +264,7 @@
             return True
         return self._applied_bytes >= max(SNAPSHOT_BYTES, self._snapshot_bytes)
 
-    def compact(self, index: int, state: Json) -> None:
+    def compact(self, index: int, state: MachineState) -> None:
         """Replace the entries up to an index by a snapshot, but for a tail (Raft, section 7)."""
         members = self.members_until(index)
         self.snapshot_term = self.term_at(index)
@@ -270,11 +289,12 @@
             count += 1
         return count
 
-    def install(self, index: int, term: int, snapshot: Json, commit_index: int, size_bytes: int) -> None:
+    def install(self, header: TransferHeader, snapshot: Snapshot, commit_index: int) -> None:
         """Replace all that a leader's snapshot covers; entries behind it stay if they follow from it.
 
         Invariant: entries that conflict with the leader's go with their prefix (Raft, figure 13, steps 6, 7).
         """
+        index, term = header.last_index, header.last_term
         keeps_rest = self.term_at(index) == term
         self.entries = self.entries[index - self.base_index :] if keeps_rest else []
         self.sizes_bytes = self.sizes_bytes[index - self.base_index :] if keeps_rest else []
@@ -282,8 +302,8 @@
             self._limit_synced(commit_index)
         self.base_index = self.snapshot_index = index
         self.base_term = self.snapshot_term = term
-        self.snapshot_state, self.snapshot_members = snapshot["state"], snapshot["members"]
-        self._snapshot_bytes, self._applied_bytes = size_bytes, 0
+        self.snapshot_state, self.snapshot_members = snapshot.state, snapshot.members
+        self._snapshot_bytes, self._applied_bytes = header.size_bytes, 0
         rows: list[Row] = [] if keeps_rest else [TruncateRow(1)]
         self._save([*rows, self._snapshot_row()], _PendingWrite(index + 1, index), index)
 
--- a/amberlug/cluster/consensus/membership.py
+++ b/amberlug/cluster/consensus/membership.py
@@ -5,6 +5,7 @@
 from collections.abc import Set
 from dataclasses import dataclass
 
+from amberlug.cluster.consensus.opaque import MemberRecords
 from amberlug.cluster.interfaces import Json
 
 
@@ -36,7 +37,7 @@
     old incarnation cast is not cast again.
     """
 
-    records: Json
+    records: MemberRecords
     index: int
 
     def __contains__(self, name: str) -> bool:
--- a/amberlug/cluster/consensus/proposals.py
+++ b/amberlug/cluster/consensus/proposals.py
@@ -6,19 +6,30 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from result import Err, Ok, Result
+from result import Err, Result
 
-from amberlug.cluster.interfaces import Json
+from amberlug.cluster.consensus.opaque import Outcome
 
 
-class ProposalRejected(Enum):
-    """Why a command was not committed."""
+class RejectionReason(Enum):
+    """Why a command was not committed, or is not known to be; operators are sent the historical values."""
 
-    NOT_LEADER = "elsewhere"  # this member is not the leader: the command was not appended
+    NOT_LEADER = "elsewhere"  # the command was not appended: it surely has no effect
+    CHANGE_NOT_ALLOWED = "not allowed"  # the same, for a membership change that must not begin yet
     OUTCOME_UNKNOWN = "unclear"  # leadership ended meanwhile: the command may or may not be committed
 
 
-ProposalCallback = Callable[[Result[Json, ProposalRejected]], None]
+@dataclass(frozen=True, slots=True)
+class ProposalRejected:
+    """The error of a proposal, and what the member that rejected it knew then."""
+
+    reason: RejectionReason
+    member_id: str = ""  # that rejected it; empty where another process passes the reason on
+    term: int = 0  # of that member
+    leader_id: str = ""  # where to try again; empty where no leader is known
+
+
+ProposalCallback = Callable[[Result[Outcome, ProposalRejected]], None]
 
 
 @dataclass(frozen=True, slots=True)
@@ -37,21 +48,21 @@
         """Have a caller notified once the entry at an index is applied, or is known not to be."""
         self._pending.append(_PendingProposal(index, on_outcome))
 
-    def on_applied(self, index: int, is_own_term: bool, outcome: Json) -> None:
+    def on_applied(
+        self, index: int, outcome: Result[Outcome, ProposalRejected], rejection: ProposalRejected
+    ) -> None:
         """Notify the callers up to an applied entry.
 
-        :param is_own_term: whether the entry is of the term of this leader, thus the one that was proposed.
-        :param outcome: what the state machine returned for it.
+        :param outcome: what the state machine returned for it, or the rejection if the entry is of another
+            term than that of this leader, thus not the one that was proposed.
+        :param rejection: for callers whose entry was replaced by a snapshot.
         """
         while self._pending and self._pending[0].index <= index:
             proposal = self._pending.pop(0)
-            if proposal.index == index and is_own_term:
-                proposal.on_outcome(Ok(outcome))
-            else:
-                proposal.on_outcome(Err(ProposalRejected.OUTCOME_UNKNOWN))
+            proposal.on_outcome(outcome if proposal.index == index else Err(rejection))
 
-    def reject_all(self) -> None:
+    def reject_all(self, rejection: ProposalRejected) -> None:
         """Leadership has ended: another leader may commit the entries, or replace them."""
         for proposal in self._pending:
-            proposal.on_outcome(Err(ProposalRejected.OUTCOME_UNKNOWN))
+            proposal.on_outcome(Err(rejection))
         self._pending.clear()
--- a/amberlug/cluster/consensus/raft.py
+++ b/amberlug/cluster/consensus/raft.py
@@ -13,7 +13,7 @@
 from dataclasses import dataclass
 
 from absl import logging
-from result import Err
+from result import Err, Ok
 
 from amberlug.cluster.consensus.election import Election
 from amberlug.cluster.consensus.follower import Follower
@@ -27,17 +27,23 @@
     TimeoutNow,
     TransferChunk,
 )
+from amberlug.cluster.consensus.opaque import Command, MachineState, MemberRecords, Outcome
 from amberlug.cluster.consensus.peer_progress import NEVER
-from amberlug.cluster.consensus.proposals import PendingProposals, ProposalCallback, ProposalRejected
+from amberlug.cluster.consensus.proposals import (
+    PendingProposals,
+    ProposalCallback,
+    ProposalRejected,
+    RejectionReason,
+)
 from amberlug.cluster.consensus.read_index import ReadCallback, ReadIndex
 from amberlug.cluster.consensus.replication import Replication
 from amberlug.cluster.consensus.roles import Role
 from amberlug.cluster.consensus.rollback_guard import RollbackGuard
 from amberlug.cluster.consensus.rows import NewIncarnationRow, TermRow, raw_rows
-from amberlug.cluster.interfaces import Disk, Json, Runtime, TimerHandle
+from amberlug.cluster.interfaces import Disk, Runtime, TimerHandle
 from amberlug.cluster.rpc.messages import Responder, handles
 
-__all__ = ["ProposalCallback", "ProposalRejected", "RaftNode", "Role", "StateMachine"]
+__all__ = ["ProposalCallback", "ProposalRejected", "RaftNode", "RejectionReason", "Role", "StateMachine"]
 
 WRITE_RETRY_S = 0.1  # until the disk is given a new incarnation again that it has refused
 INCARNATION_BITS = 48  # random: two incarnations of a machine never have the same name
@@ -47,9 +53,9 @@
 class StateMachine:
     """The replicated state machine, and who is notified of changes."""
 
-    apply: Callable[[int, Json], Json]  # a command at its index; returns the outcome for its proposer
-    snapshot: Callable[[], Json]
-    restore: Callable[[Json], None]  # from a snapshot
+    apply: Callable[[int, Command], Outcome]  # a command at its index; returns the outcome for its proposer
+    snapshot: Callable[[], MachineState]
+    restore: Callable[[MachineState], None]  # from a snapshot
     on_change: Callable[[], None] = lambda: None  # the leader, the commit index or the membership has changed
 
 
@@ -106,7 +112,7 @@
         return self.membership.is_voter(self.member_id)
 
     @property
-    def members(self) -> Json:
+    def members(self) -> MemberRecords:
         """The records of all members, by name."""
         return self.membership.records
 
@@ -202,7 +208,7 @@
         self.role = Role.FOLLOWER
         if was_leader:
             self.leader_id = ""
-            self.proposals.reject_all()
+            self.proposals.reject_all(self.rejection(RejectionReason.OUTCOME_UNKNOWN))
             self.reads.reject_all()
             self.on_change()
         self.election.restart_timer()
@@ -241,10 +247,12 @@
             index = self.last_applied
             entry = self.log.entry_at(index)
             needs_snapshot = self.log.count_applied(index) or needs_snapshot
-            outcome: Json = {}
+            outcome: Outcome = {}
             if entry.command is not None and entry.members is None:
                 outcome = self.state_machine.apply(index, entry.command)
-            self.proposals.on_applied(index, entry.term == self.term, outcome)
+            rejection = self.rejection(RejectionReason.OUTCOME_UNKNOWN)
+            is_own = entry.term == self.term
+            self.proposals.on_applied(index, Ok(outcome) if is_own else Err(rejection), rejection)
         if needs_snapshot:
             self.log.compact(self.last_applied, self.state_machine.snapshot())
         self.on_change()
@@ -258,19 +266,23 @@
 
     # -- requests of this process
 
-    def propose(self, command: Json, on_outcome: ProposalCallback) -> None:
+    def rejection(self, reason: RejectionReason) -> ProposalRejected:
+        """The error of a proposal that this member rejects now."""
+        return ProposalRejected(reason, self.member_id, self.term, self.leader_id)
+
+    def propose(self, command: Command, on_outcome: ProposalCallback) -> None:
         """Have a command committed and applied.
 
         :param on_outcome: called once, with what the state machine returned or why it was rejected.
         """
         if not self.is_leader or self.is_stopped:
-            on_outcome(Err(ProposalRejected.NOT_LEADER))
+            on_outcome(Err(self.rejection(RejectionReason.NOT_LEADER)))
             return
         self.append([Entry(self.term, command)])
         self.proposals.add(self.log.last_index, on_outcome)
         self.replication.send_new_entries()
 
-    def change_members(self, members: Json, on_outcome: ProposalCallback) -> None:
+    def change_members(self, members: MemberRecords, on_outcome: ProposalCallback) -> None:
         """Put another membership in place: one change at a time, of one voter at most.
 
         Invariant: any majority before the change has a voter in common with any one after it (dissertation,
@@ -288,7 +300,7 @@
             or self.term_at(self.commit_index) != self.term
             or 2 * up_to_date <= len(voters)
         ):
-            on_outcome(Err(ProposalRejected.NOT_LEADER))
+            on_outcome(Err(self.rejection(RejectionReason.CHANGE_NOT_ALLOWED)))
             return
         assert len(voters ^ set(self.membership.voters)) <= 1, "two voters change at once"
         self.propose({"members": members}, on_outcome)
--- a/amberlug/cluster/consensus/rows.py
+++ b/amberlug/cluster/consensus/rows.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass, fields
 from typing import Any, ClassVar
 
-from amberlug.cluster.interfaces import Json
+from amberlug.cluster.consensus.opaque import Command, MachineState, MemberRecords
 
 RawRow = tuple[str, tuple[Any, ...]]
 
@@ -31,7 +31,7 @@
     kind: ClassVar[str] = "entry"
     index: int
     term: int
-    command: Json | None
+    command: Command | None
 
 
 @dataclass(frozen=True, slots=True)
@@ -49,8 +49,8 @@
     kind: ClassVar[str] = "snap"
     index: int
     term: int
-    state: Json | None
-    members: Json
+    state: MachineState | None
+    members: MemberRecords
     first_kept_index: int  # rows of entries before this one are deleted
 
 
--- a/amberlug/cluster/consensus/storage.py
+++ b/amberlug/cluster/consensus/storage.py
@@ -14,6 +14,7 @@
 from typing import Any, NamedTuple
 
 from amberlug.cluster.consensus.log import PersistentState, StoredEntry, assemble, encode
+from amberlug.cluster.consensus.opaque import MachineState, MemberRecords
 from amberlug.cluster.consensus.rows import (
     AcknowledgedRow,
     EntryRow,
@@ -87,7 +88,7 @@
             database.execute("delete from log where at < ?", (first_kept_index,))
 
 
-def _snapshot_value(index: int, term: int, state: Json | None, members: Json) -> Json:
+def _snapshot_value(index: int, term: int, state: MachineState | None, members: MemberRecords) -> Json:
     return {"start": index, "term": term, "state": state, "members": members}
 
 
--- a/amberlug/cluster/control/node.py
+++ b/amberlug/cluster/control/node.py
@@ -10,7 +10,7 @@
 from result import Err, Ok, Result
 
 from amberlug.cluster.consensus.log import PersistentState
-from amberlug.cluster.consensus.raft import ProposalRejected, RaftNode, Role, StateMachine
+from amberlug.cluster.consensus.raft import ProposalRejected, RaftNode, RejectionReason, Role, StateMachine
 from amberlug.cluster.consensus.voter_selection import ChangeKind, MemberStatus, loss_margin, next_change
 from amberlug.cluster.control.cluster_state import SHARDS, ClusterState, digest
 from amberlug.cluster.control.config_validation import changed, check, parse
@@ -562,7 +562,7 @@
             return
         leader = self._leader_address()
         if leader is None:
-            then(Err(ProposalRejected.NOT_LEADER))
+            then(Err(self.raft.rejection(RejectionReason.NOT_LEADER)))
             return
 
         def hear(reply: Result[Reply, RequestFailure]) -> None:
@@ -570,13 +570,9 @@
             if "said" in said:
                 then(Ok(said["said"]))
             else:
-                then(
-                    Err(
-                        ProposalRejected.OUTCOME_UNKNOWN
-                        if isinstance(reply, Err)
-                        else ProposalRejected.NOT_LEADER
-                    )
-                )
+                unknown = isinstance(reply, Err)
+                reason = RejectionReason.OUTCOME_UNKNOWN if unknown else RejectionReason.NOT_LEADER
+                then(Err(ProposalRejected(reason, leader)))
 
         self.world.request(leader, "core.order", {"word": word, "body": body}, ORDER_S, hear)
 
@@ -616,7 +612,7 @@
 
         def confirmed(index: int | None) -> None:
             if index is None:
-                then(Err(ProposalRejected.NOT_LEADER))
+                then(Err(self.raft.rejection(RejectionReason.NOT_LEADER)))
             else:
                 self._when_applied(index, act)
 
@@ -636,7 +632,9 @@
         if len(rest) < len(self.cluster_state.roster) and not self._hold(rest):
             then(Ok({"status": 409, "cause": f"too few stores would be left without {name}"}))
         elif len(rest) == len(self.cluster_state.roster) and name in self.sessions.members(self.world.now()):
-            then(Err(ProposalRejected.NOT_LEADER))  # it has come, and is not on the roster yet
+            then(
+                Err(self.raft.rejection(RejectionReason.NOT_LEADER))
+            )  # it has come, and is not on the roster yet
         else:
             self.raft.propose({"do": "retire", "name": name}, then)
 
@@ -684,7 +682,11 @@
         def done(result: Result[Json, ProposalRejected]) -> None:
             if isinstance(result, Err):
                 # Nobody can say yet whether it is in force: the caller sends it again unchanged.
-                say(HttpResponse(503, {"cause": f"no answer of a majority: {result.err_value.value}"}, 1))
+                say(
+                    HttpResponse(
+                        503, {"cause": f"no answer of a majority: {result.err_value.reason.value}"}, 1
+                    )
+                )
                 return
             said = result.ok_value
             if "status" in said:
--- a/amberlug/cluster/simulation/mutations_answers.py
+++ b/amberlug/cluster/simulation/mutations_answers.py
@@ -10,7 +10,7 @@
 
 from result import Err, Result
 
-from amberlug.cluster.consensus.raft import ProposalRejected
+from amberlug.cluster.consensus.raft import ProposalRejected, RejectionReason
 from amberlug.cluster.control.node import ControlNode
 from amberlug.cluster.dispatch.dispatcher import Outcome, judge
 from amberlug.cluster.dispatch.endpoint_client import EndpointClient
@@ -180,7 +180,7 @@
         self: ControlNode, word: str, body: Json, then: Callable[[Result[Json, ProposalRejected]], None]
     ) -> None:
         def hear(result: Result[Json, ProposalRejected]) -> None:
-            if isinstance(result, Err) and result.err_value is ProposalRejected.OUTCOME_UNKNOWN:
+            if isinstance(result, Err) and result.err_value.reason is RejectionReason.OUTCOME_UNKNOWN:
                 order(self, word, body, then)
             else:
                 then(result)
