--- a/tests/cluster/group.py
+++ b/tests/cluster/group.py
@@ -1,4 +1,4 @@
-"""Members of the core's log over the jig's network, with a state as large as the changes make it."""
+"""Members of a Raft group over the simulated network, with a state as large as its changes make it."""
 
 import random
 from functools import partial
@@ -16,58 +16,60 @@
 SLOW = 15e6 / 8  # bytes a second
 
 
-class SessionClient(Host):
-    """One core machine, and its disk."""
+class GroupMember(Host):
+    """One member of the group, and its disk."""
 
-    def __init__(self, group: "Group", name: str, founder: bool = True) -> None:
+    def __init__(self, group: "RaftGroup", name: str, is_founder: bool = True) -> None:
         super().__init__(name, "z", name)
-        self.group, self.founder, self.lives = group, founder, 0
-        self.raft_storage = ControlDisk(group.clock, random.Random(name), 0.002)
+        self.group, self.is_founder, self.incarnations = group, is_founder, 0
+        self.disk = ControlDisk(group.clock, random.Random(name), 0.002)
 
     def start(self) -> None:
         group = self.group
         self.powered = True
-        self.lives += 1
-        life = self.life = Incarnation(self, self.lives, group.failed)
-        world = SimulatedRuntime(group.net, life, random.Random(f"{self.name} {self.lives}"), 0.0)
-        members = group.founders if self.founder else {}
-        me = self.name if self.founder else f"{self.name}/{self.lives}"
-        life.machine = Replica(
-            world,
-            ProcessDisk(life, self.raft_storage),
-            self.raft_storage.begun(lambda: PersistentState(me, members=members)),
+        self.incarnations += 1
+        incarnation = self.life = Incarnation(self, self.incarnations, group.on_failed_assertion)
+        runtime = SimulatedRuntime(
+            group.net, incarnation, random.Random(f"{self.name} {self.incarnations}"), 0.0
         )
-        self.raft: RaftNode = life.machine.raft
-        self.replica: Replica = life.machine
-        life.do(self.raft.start)
+        members = group.founders if self.is_founder else {}
+        me = self.name if self.is_founder else f"{self.name}/{self.incarnations}"
+        incarnation.machine = RecordingStateMachine(
+            runtime,
+            ProcessDisk(incarnation, self.disk),
+            self.disk.begun(lambda: PersistentState(me, members=members)),
+        )
+        self.raft: RaftNode = incarnation.machine.raft
+        self.state_machine: RecordingStateMachine = incarnation.machine
+        incarnation.do(self.raft.start)
 
     def stop(self) -> None:
         """Its power is gone."""
         assert self.life is not None
         self.powered = False
         self.life.over = True
-        self.raft_storage.lose()
+        self.disk.lose()
         for link in self.life.links.values():
             link.silence(0)
         for link in self.life.incoming:
             link.silence(1)
 
     def wipe(self) -> None:
-        self.raft_storage.wipe()
-        self.founder = False
+        self.disk.wipe()
+        self.is_founder = False
 
     @property
     def up(self) -> bool:
         return self.life is not None and not self.life.over
 
 
-class Replica:
-    """What one life of a member holds: the numbers of all changes, and the newest of them."""
+class RecordingStateMachine:
+    """What one incarnation of a member holds: the numbers of all changes, and the newest of them."""
 
-    def __init__(self, world: SimulatedRuntime, disk: ProcessDisk, saved: PersistentState) -> None:
+    def __init__(self, runtime: SimulatedRuntime, disk: ProcessDisk, saved: PersistentState) -> None:
         self.state: Json = {"numbers": [], "config": None}
         self.raft = RaftNode(
-            world, disk, saved, StateMachine(self._apply, lambda: dict(self.state), self._restore)
+            runtime, disk, saved, StateMachine(self._apply, lambda: dict(self.state), self._restore)
         )
         self.handlers = handlers_of(self.raft)
 
@@ -85,83 +87,83 @@
         pass
 
 
-class Group:
+class RaftGroup:
     """Three members, and who changes what they hold."""
 
     def __init__(self, seed: int = 1) -> None:
         self.clock = Clock()
         self.net = Network(self.clock, random.Random(seed), 0.0005)
         self.founders: Json = {name: {"addr": name, "voter": True} for name in "abc"}
-        self.members = {name: SessionClient(self, name) for name in "abc"}
-        self.faults: list[str] = []
-        self.taken: list[int] = []  # numbers of the changes that were acknowledged
-        self.seconds: list[float] = []  # how long each took
+        self.members = {name: GroupMember(self, name) for name in "abc"}
+        self.failed_assertions: list[str] = []
+        self.committed: list[int] = []  # numbers of the changes that were acknowledged
+        self.latencies_s: list[float] = []  # how long each took
         for member in self.members.values():
             self.net.hosts[member.address] = member
             member.start()
         self.run(2.0)
 
-    def failed(self, life: Incarnation, error: AssertionError) -> None:
-        self.faults.append(f"{life.name}: {error}")
+    def on_failed_assertion(self, incarnation: Incarnation, error: AssertionError) -> None:
+        self.failed_assertions.append(f"{incarnation.name}: {error}")
 
     def run(self, seconds: float) -> None:
         self.clock.run(self.clock.now + seconds)
 
     @property
-    def leader(self) -> SessionClient | None:
+    def leader(self) -> GroupMember | None:
         led = [it for it in self.members.values() if it.up and it.raft.role is Role.LEADER]
         return max(led, key=lambda it: it.raft.term) if led else None
 
-    def change(self, number: int, size: int, since: float | None = None) -> None:
-        """Have a change taken, however often it must be proposed."""
+    def submit(self, number: int, size: int, since: float | None = None) -> None:
+        """Have a change committed, however often it must be proposed."""
         since = self.clock.now if since is None else since
-        again = partial(self.clock.call_later, 0.05, partial(self.change, number, size, since))
-        if number in self.taken:
+        retry = partial(self.clock.call_later, 0.05, partial(self.submit, number, size, since))
+        if number in self.committed:
             return
         leader = self.leader
         if leader is None or leader.life is None:
-            again()
+            retry()
             return
 
-        def hear(said: Result[Json, ProposalRejected]) -> None:
-            if not isinstance(said, Ok):
-                again()
-            elif number not in self.taken:
-                self.taken.append(number)
-                self.seconds.append(self.clock.now - since)
+        def on_outcome(outcome: Result[Json, ProposalRejected]) -> None:
+            if not isinstance(outcome, Ok):
+                retry()
+            elif number not in self.committed:
+                self.committed.append(number)
+                self.latencies_s.append(self.clock.now - since)
 
         command = {"number": number, "config": "x" * size}
-        leader.life.do(lambda: leader.raft.propose(command, hear))
-        self.clock.call_later(1.5, partial(self.change, number, size, since))  # its leader may be gone
+        leader.life.do(lambda: leader.raft.propose(command, on_outcome))
+        self.clock.call_later(1.5, partial(self.submit, number, size, since))  # its leader may be gone
 
-    def let_in(self, member: SessionClient) -> None:
+    def admit(self, member: GroupMember) -> None:
         """Put a member that came back empty in the place of the one that it was."""
-        again = partial(self.clock.call_later, 0.1, partial(self.let_in, member))
+        retry = partial(self.clock.call_later, 0.1, partial(self.admit, member))
         leader = self.leader
         if leader is None:
-            again()
+            retry()
             return
         members, name = leader.raft.members, member.raft.member_id
         old = [it for it, known in members.items() if known["addr"] == member.address and it != name]
         if old:
             rest = {it: known for it, known in members.items() if it not in old}
-            leader.raft.change_members(rest, lambda said: None)
+            leader.raft.change_members(rest, lambda outcome: None)
         elif name not in members or (
             not members[name]["voter"] and leader.raft.has_replicated(name, leader.raft.commit_index - 8)
         ):
             known = {"addr": member.address, "voter": name in members}
-            leader.raft.change_members({**members, name: known}, lambda said: None)
+            leader.raft.change_members({**members, name: known}, lambda outcome: None)
         if not members.get(name, {}).get("voter"):
-            again()
+            retry()
 
     @property
-    def whole(self) -> bool:
+    def tolerates_a_loss(self) -> bool:
         """Whether one more may be lost."""
         leader = self.leader
-        return leader is not None and not self.behind and len(leader.raft.membership.voters) == 3
+        return leader is not None and not self.lagging and len(leader.raft.membership.voters) == 3
 
     @property
-    def behind(self) -> list[str]:
+    def lagging(self) -> list[str]:
         """Who lacks something that was agreed."""
         last = max(it.raft.commit_index for it in self.members.values() if it.up)
         return [name for name, it in self.members.items() if not it.up or it.raft.last_applied < last]
--- a/tests/cluster/test_frame_mutations.py
+++ b/tests/cluster/test_frame_mutations.py
@@ -11,23 +11,23 @@
 from tests.cluster import test_raft, test_replication
 
 FOUND_BY: dict[str, Callable[[], None]] = {
-    "batch-unbounded": test_replication.test_a_slow_member_stays_a_follower_while_it_is_sent_what_is_large,
-    "members-left-behind": test_replication.test_a_snapshot_holds_the_newest_membership,
-    "sum-unchecked": test_raft.test_a_snapshot_with_other_bytes_than_were_sent_is_not_taken,
-    "part-missing": test_raft.test_a_snapshot_in_parts_is_taken_whole_and_with_its_membership,
-    "part-from-start": test_replication.test_a_snapshot_goes_on_where_it_stood_when_connections_end,
-    "snapshot-unsynced": test_raft.test_a_snapshot_that_the_disk_refuses_is_not_acknowledged_until_it_lasts,
-    "last-forgotten": test_replication.test_what_was_acknowledged_outlasts_a_loss_of_all,
-    "beat-after-work": test_replication.test_an_error_for_one_peer_touches_no_other,
+    "batch-unbounded": test_replication.test_a_slow_member_stays_a_follower_while_it_receives_large_entries,
+    "members-left-behind": test_replication.test_a_snapshot_contains_the_newest_membership,
+    "sum-unchecked": test_raft.test_a_snapshot_with_a_wrong_checksum_is_rejected,
+    "part-missing": test_raft.test_a_snapshot_in_chunks_is_installed_with_its_membership,
+    "part-from-start": test_replication.test_a_snapshot_transfer_resumes_after_lost_connections,
+    "snapshot-unsynced": test_raft.test_a_snapshot_that_the_disk_refuses_is_not_acknowledged,
+    "last-forgotten": test_replication.test_acknowledged_changes_survive_a_loss_of_all,
+    "beat-after-work": test_replication.test_an_error_for_one_peer_affects_no_other,
     "cut-by-count-alone": partial(
-        test_replication.test_a_member_that_was_away_catches_up, 40, 1_000_000, False
+        test_replication.test_a_member_that_was_down_catches_up, 40, 1_000_000, False
     ),
 }
 
 
 @pytest.fixture(autouse=True)
 def quiet() -> Iterator[None]:
-    """Members' logs tell nothing here."""
+    """Keep the logs of the members out of the output."""
     before = logging.get_verbosity()
     logging.set_verbosity(logging.FATAL)
     yield
--- a/tests/cluster/test_model_checker.py
+++ b/tests/cluster/test_model_checker.py
@@ -24,7 +24,7 @@
     ("deliver", "b", 6),
     ("deliver", "a", 7),
 ]
-TAKEN_BACK: list[Step] = [
+REPLACED: list[Step] = [
     ("deliver", "c", 8),
     ("unsynced", "a", 9),
     ("power", "a", 0),
@@ -35,13 +35,13 @@
 
 
 @pytest.mark.parametrize("start", list(STARTS))
-def test_all_that_a_few_steps_lead_to_holds(start: str) -> None:
+def test_invariants_hold_in_all_states_to_a_small_depth(start: str) -> None:
     it = explore(STARTS[start], 3)
     assert (it.found, it.whole) == ("", True)
     assert it.states > 100
 
 
-def test_a_wiped_voter_that_votes_as_its_old_self_makes_two_leaders() -> None:
+def test_a_wiped_voter_under_its_old_name_elects_two_leaders() -> None:
     play = Play(STARTS["fresh"], old_self)
     for step in TWO_LEADERS[:-1]:
         play.take(step)
@@ -53,21 +53,21 @@
     assert ("stand", "a", 0) not in play.steps()
 
 
-def test_an_entry_of_an_older_term_that_is_counted_is_taken_back() -> None:
+def test_an_entry_of_an_older_term_that_is_counted_is_replaced() -> None:
     with mutated("older-term"):
         play = Play(STARTS["older"], stranger)
-        for step in TAKEN_BACK[:-1]:
+        for step in REPLACED[:-1]:
             play.take(step)
         with pytest.raises(FoundError, match="without the entry that was committed"):
-            play.take(TAKEN_BACK[-1])
+            play.take(REPLACED[-1])
     play = Play(STARTS["older"], stranger)
-    for step in TAKEN_BACK[:2]:
+    for step in REPLACED[:2]:
         play.take(step)
     assert play.members["a"].raft.commit_index == 0
 
 
 @pytest.mark.parametrize("name", list(CHANGES))
-def test_changes_of_the_membership_hold(name: str) -> None:
+def test_membership_changes_keep_the_invariants(name: str) -> None:
     start, depth = CHANGES[name]
     it = explore(start, depth)
     assert (it.found, it.whole) == ("", True)
@@ -75,7 +75,7 @@
 
 
 @pytest.mark.parametrize(
-    ("mutant", "name", "said"),
+    ("mutant", "name", "message"),
     [
         ("learner-votes", "learner", "leads without the entry that was committed"),
         ("removed-counts", "removed", "two leaders in term"),
@@ -84,6 +84,6 @@
         ("snapshot-old-members", "snapshots", "members that were not the newest"),
     ],
 )
-def test_a_fault_of_the_membership_is_found(mutant: str, name: str, said: str) -> None:
+def test_a_fault_in_membership_changes_is_found(mutant: str, name: str, message: str) -> None:
     with mutated(mutant):
-        assert said in explore(*CHANGES[name]).found
+        assert message in explore(*CHANGES[name]).found
--- a/tests/cluster/test_raft.py
+++ b/tests/cluster/test_raft.py
@@ -1,4 +1,4 @@
-"""Members of the core's log, one at a time."""
+"""Single members of the Raft group, driven by frames."""
 
 import random
 from collections.abc import Callable
@@ -21,7 +21,7 @@
 MEMBERS = {name: {"addr": name, "voter": True} for name in "abc"}
 
 
-class Refusing:
+class RefusingDisk:
     """A disk that refuses entries for a while."""
 
     def __init__(self) -> None:
@@ -41,7 +41,7 @@
 
 
 def test_entries_that_the_disk_refused_are_not_acknowledged_and_are_written_again() -> None:
-    clock, disk = Clock(), Refusing()
+    clock, disk = Clock(), RefusingDisk()
     raft = RaftNode(
         Alone(clock),
         disk,
@@ -50,12 +50,12 @@
     )
 
     def append(before: int, *entries: tuple[int, Json]) -> list[Json]:
-        said: list[Json] = []
+        replies: list[Json] = []
         body = {"term": 1, "me": "b", "to": "a", "commit": 0, "prev": before, "prev_term": 1 if before else 0}
         handlers_of(raft)["vise.append"](
-            {**body, "entries": list(entries)}, b"", "b", lambda body, blob: said.append(body)
+            {**body, "entries": list(entries)}, b"", "b", lambda body, blob: replies.append(body)
         )
-        return said
+        return replies
 
     disk.full = True
     assert append(0, (1, {"n": 1})) == []
@@ -69,60 +69,60 @@
 
 
 class Learner:
-    """A member without anything, which is sent snapshots in parts."""
+    """A member without anything, which receives snapshots in chunks."""
 
     def __init__(self) -> None:
         self.clock = Clock()
-        self.raft_storage = ControlDisk(self.clock, random.Random(1), 0.002)
+        self.disk = ControlDisk(self.clock, random.Random(1), 0.002)
         self.restored: list[Json] = []
         self.start()
 
     def start(self) -> None:
-        saved = self.raft_storage.begun(lambda: PersistentState("d"))
+        saved = self.disk.begun(lambda: PersistentState("d"))
         self.raft = RaftNode(
             Alone(self.clock),
-            _DiskOf(self.raft_storage),
+            _ProcessDisk(self.disk),
             saved,
             StateMachine(lambda index, command: {}, dict, self.restored.append),
         )
 
-    def part(
-        self, sending: OutgoingTransfer, offset: int, data: bytes, term: int = 1, leader: str = "b"
+    def receive(
+        self, transfer: OutgoingTransfer, offset: int, data: bytes, term: int = 1, leader: str = "b"
     ) -> Json | None:
-        """What is answered to a part, once the disk has synced."""
-        said: list[Json] = []
-        body = {"term": term, "me": leader, "to": "d", "commit": 9, **sending.header.to_wire()}
+        """The reply to a chunk, once the disk has synced."""
+        replies: list[Json] = []
+        body = {"term": term, "me": leader, "to": "d", "commit": 9, **transfer.header.to_wire()}
         body |= {"before_term": 0, "offset": offset}
-        handlers_of(self.raft)["vise.part"](body, data, leader, lambda body, blob: said.append(body))
+        handlers_of(self.raft)["vise.part"](body, data, leader, lambda body, blob: replies.append(body))
         self.clock.run(self.clock.now + 0.01)
-        return said[-1] if said else None
+        return replies[-1] if replies else None
 
 
-class _DiskOf:
-    def __init__(self, raft_storage: ControlDisk) -> None:
-        self.raft_storage = raft_storage
+class _ProcessDisk:
+    def __init__(self, disk: ControlDisk) -> None:
+        self.disk = disk
 
     def write(self, rows: list[tuple[str, tuple[Any, ...]]], then: Callable[[str | None], None]) -> None:
-        self.raft_storage.put(rows, then)
+        self.disk.put(rows, then)
 
 
-def snapshot(mark: str, last: int = 9) -> OutgoingTransfer:
-    members = {**MEMBERS, "d": {"addr": "d", "voter": mark == "x"}}
-    data = encode({"state": {"text": mark * 3 * CHUNK_BYTES}, "members": members}).encode()
+def snapshot(fill: str, last: int = 9) -> OutgoingTransfer:
+    members = {**MEMBERS, "d": {"addr": "d", "voter": fill == "x"}}
+    data = encode({"state": {"text": fill * 3 * CHUNK_BYTES}, "members": members}).encode()
     return OutgoingTransfer(TransferHeader.describe("snapshot", last, 1, data), data, SendWindow())
 
 
-def pieces(sending: OutgoingTransfer) -> list[tuple[int, bytes]]:
-    data = sending.data
+def chunks(transfer: OutgoingTransfer) -> list[tuple[int, bytes]]:
+    data = transfer.data
     return [(at, data[at : at + CHUNK_BYTES]) for at in range(0, len(data), CHUNK_BYTES)]
 
 
-def test_a_snapshot_in_parts_is_taken_whole_and_with_its_membership() -> None:
-    learner, sending = Learner(), snapshot("x")
-    parts = pieces(sending)
-    assert len(parts) == 4
-    total = len(sending.data)
-    for at, had in (
+def test_a_snapshot_in_chunks_is_installed_with_its_membership() -> None:
+    learner, transfer = Learner(), snapshot("x")
+    all_chunks = chunks(transfer)
+    assert len(all_chunks) == 4
+    total = len(transfer.data)
+    for at, received_bytes in (
         (1, 0),
         (0, CHUNK_BYTES),
         (0, CHUNK_BYTES),
@@ -130,11 +130,11 @@
         (1, 2 * CHUNK_BYTES),
         (2, 3 * CHUNK_BYTES),
     ):
-        assert learner.part(sending, *parts[at]) == {"ok": False, "term": 1, "had": had}
+        assert learner.receive(transfer, *all_chunks[at]) == {"ok": False, "term": 1, "had": received_bytes}
         assert (learner.restored, learner.raft.commit_index) == ([], 0)
-    assert learner.part(sending, 0, b"") == {"ok": False, "term": 1, "had": 3 * CHUNK_BYTES}
-    assert learner.part(sending, *parts[3]) == {"ok": True, "term": 1}
-    assert learner.part(sending, *parts[0]) == {"ok": True, "term": 1}  # it comes once more
+    assert learner.receive(transfer, 0, b"") == {"ok": False, "term": 1, "had": 3 * CHUNK_BYTES}
+    assert learner.receive(transfer, *all_chunks[3]) == {"ok": True, "term": 1}
+    assert learner.receive(transfer, *all_chunks[0]) == {"ok": True, "term": 1}  # it comes once more
     for _ in range(2):
         assert (learner.raft.commit_index, learner.raft.log.last_index, learner.raft.is_voter) == (9, 9, True)
         assert len(learner.restored[-1]["text"]) == 3 * CHUNK_BYTES
@@ -143,26 +143,30 @@
     assert total > 3 * CHUNK_BYTES
 
 
-def test_a_snapshot_with_other_bytes_than_were_sent_is_not_taken() -> None:
-    learner, sending = Learner(), snapshot("x")
-    parts = pieces(sending)
+def test_a_snapshot_with_a_wrong_checksum_is_rejected() -> None:
+    learner, transfer = Learner(), snapshot("x")
+    all_chunks = chunks(transfer)
     for at in (0, 1, 2):
-        learner.part(sending, parts[at][0], parts[at][1] if at != 1 else parts[at][1].replace(b"x", b"y"))
-    assert learner.part(sending, *parts[3]) == {"ok": False, "term": 1, "had": 0}
+        learner.receive(
+            transfer,
+            all_chunks[at][0],
+            all_chunks[at][1] if at != 1 else all_chunks[at][1].replace(b"x", b"y"),
+        )
+    assert learner.receive(transfer, *all_chunks[3]) == {"ok": False, "term": 1, "had": 0}
     assert (learner.restored, learner.raft.follower.checksum_failures) == ([], 1)
-    assert [learner.part(sending, *it) for it in parts][-1] == {"ok": True, "term": 1}
+    assert [learner.receive(transfer, *it) for it in all_chunks][-1] == {"ok": True, "term": 1}
     assert learner.restored[-1] == {"text": "x" * 3 * CHUNK_BYTES}
 
 
-def test_another_leaders_snapshot_and_a_restart_begin_anew() -> None:
+def test_a_transfer_restarts_for_another_leader_and_after_a_restart() -> None:
     learner, old, new = Learner(), snapshot("x"), snapshot("y", 12)
-    learner.part(old, *pieces(old)[0])
-    assert learner.part(new, *pieces(new)[1], 2, "c") == {"ok": False, "term": 2, "had": 0}
-    assert learner.part(old, *pieces(old)[1]) == {"ok": False, "term": 2, "stranger": False}
-    learner.part(new, *pieces(new)[0], 2, "c")
+    learner.receive(old, *chunks(old)[0])
+    assert learner.receive(new, *chunks(new)[1], 2, "c") == {"ok": False, "term": 2, "had": 0}
+    assert learner.receive(old, *chunks(old)[1]) == {"ok": False, "term": 2, "stranger": False}
+    learner.receive(new, *chunks(new)[0], 2, "c")
     learner.start()
-    assert learner.part(new, *pieces(new)[1], 2, "c") == {"ok": False, "term": 2, "had": 0}
-    assert [learner.part(new, *it, 2, "c") for it in pieces(new)][-1] == {"ok": True, "term": 2}
+    assert learner.receive(new, *chunks(new)[1], 2, "c") == {"ok": False, "term": 2, "had": 0}
+    assert [learner.receive(new, *it, 2, "c") for it in chunks(new)][-1] == {"ok": True, "term": 2}
     assert (learner.raft.commit_index, learner.raft.is_voter, learner.restored[-1]) == (
         12,
         False,
@@ -170,29 +174,29 @@
     )
 
 
-def test_a_snapshot_that_the_disk_refuses_is_not_acknowledged_until_it_lasts() -> None:
-    learner, sending = Learner(), snapshot("x")
-    put = learner.raft_storage.put
-    learner.raft_storage.put = lambda rows, then: then("no space is left")  # type: ignore[method-assign]
-    assert [learner.part(sending, *it) for it in pieces(sending)][-1] is None
-    assert learner.part(sending, 0, b"") == {"ok": False, "term": 1, "had": sending.header.size_bytes}
-    learner.raft_storage.put = put  # type: ignore[method-assign]
+def test_a_snapshot_that_the_disk_refuses_is_not_acknowledged() -> None:
+    learner, transfer = Learner(), snapshot("x")
+    put = learner.disk.put
+    learner.disk.put = lambda rows, then: then("no space is left")  # type: ignore[method-assign]
+    assert [learner.receive(transfer, *it) for it in chunks(transfer)][-1] is None
+    assert learner.receive(transfer, 0, b"") == {"ok": False, "term": 1, "had": transfer.header.size_bytes}
+    learner.disk.put = put  # type: ignore[method-assign]
     learner.clock.run(learner.clock.now + 0.2)
-    assert learner.part(sending, 0, b"") == {"ok": True, "term": 1}
+    assert learner.receive(transfer, 0, b"") == {"ok": True, "term": 1}
     learner.start()
     assert learner.raft.commit_index == 9
 
 
-def test_a_start_heeds_no_leader_of_an_older_term_than_its_last_entry() -> None:
+def test_a_leader_of_an_older_term_than_the_last_entry_is_rejected_after_a_start() -> None:
     saved = PersistentState("a", 4, "b", members=MEMBERS, entries=[Entry(4, {"n": 1}), Entry(5, {"n": 2})])
     raft = RaftNode(
         Alone(Clock()),
-        Refusing(),
+        RefusingDisk(),
         saved,
         StateMachine(lambda index, command: {}, dict, lambda state: None),
     )
-    said: list[Json] = []
+    replies: list[Json] = []
     body = {"term": 4, "me": "b", "to": "a", "commit": 0, "prev": 1, "prev_term": 4, "entries": [(4, None)]}
-    handlers_of(raft)["vise.append"](body, b"", "b", lambda body, blob: said.append(body))
-    assert said == [{"ok": False, "term": 5, "stranger": False}]
+    handlers_of(raft)["vise.append"](body, b"", "b", lambda body, blob: replies.append(body))
+    assert replies == [{"ok": False, "term": 5, "stranger": False}]
     assert raft.log.entries == [(4, {"n": 1}), (5, {"n": 2})]
--- a/tests/cluster/test_raft_storage.py
+++ b/tests/cluster/test_raft_storage.py
@@ -1,4 +1,4 @@
-"""A core machine's part of the log on a real disk."""
+"""Stable storage of a Raft member in a real file."""
 
 import json
 import queue
@@ -18,13 +18,13 @@
 ALONE: Json = {"a": {"addr": "a", "voter": True}}
 
 
-class Lone:
+class SingleMember:
     """A group of one member on a real file."""
 
     def __init__(self, folder: Path) -> None:
         self.posted: queue.SimpleQueue[Callable[[], None]] = queue.SimpleQueue()
         self.state: Json = {}
-        self.saved, self.disk, self.anew = open_raft_storage(
+        self.saved, self.disk, self.is_new = open_raft_storage(
             folder, lambda: PersistentState("a", members=ALONE), self.posted.put
         )
         clock = Clock()
@@ -57,31 +57,31 @@
         self.disk.close()
 
 
-def test_files_stay_small_and_a_start_finds_the_newest(tmp_path: Path) -> None:
-    lone = Lone(tmp_path)
+def test_files_stay_small_and_a_restart_finds_the_newest_state(tmp_path: Path) -> None:
+    member = SingleMember(tmp_path)
     most = 0
     for number in range(60):
-        lone.change(f"{number} " + "x" * 1_000_000)
+        member.change(f"{number} " + "x" * 1_000_000)
         most = max(most, sum(it.stat().st_size for it in tmp_path.iterdir()))
-        assert sum(lone.raft.log.sizes_bytes) < 7_000_000
-    lone.close()
+        assert sum(member.raft.log.sizes_bytes) < 7_000_000
+    member.close()
     assert most < 40_000_000
-    again = Lone(tmp_path)
-    assert not again.anew
+    again = SingleMember(tmp_path)
+    assert not again.is_new
     assert again.state["text"].startswith("59 ")
     again.close()
 
 
-def test_a_tail_before_the_snapshot_is_there_after_a_start(tmp_path: Path) -> None:
-    lone = Lone(tmp_path)
+def test_the_tail_before_the_snapshot_survives_a_restart(tmp_path: Path) -> None:
+    member = SingleMember(tmp_path)
     for number in range(600):
-        lone.change(str(number))
-    snap, start = lone.raft.log.snapshot_index, lone.raft.log.base_index
-    assert 0 < start < snap < lone.raft.log.last_index
-    lone.close()
-    again = Lone(tmp_path)
+        member.change(str(number))
+    snap, start = member.raft.log.snapshot_index, member.raft.log.base_index
+    assert 0 < start < snap < member.raft.log.last_index
+    member.close()
+    again = SingleMember(tmp_path)
     assert (again.raft.log.snapshot_index, again.raft.log.base_index) == (snap, start)
-    assert again.raft.log.entries[:-1] == lone.raft.log.entries
+    assert again.raft.log.entries[:-1] == member.raft.log.entries
     again.close()
 
 
@@ -95,7 +95,7 @@
     base.execute("insert into log values (?, ?, ?, ?)", (at, term, f'{{"text":"{at}"}}', total))
 
 
-def test_a_file_of_the_program_before_is_read_and_one_with_a_gap_is_not(tmp_path: Path) -> None:
+def test_a_file_without_a_tail_is_read_and_one_with_a_gap_is_not(tmp_path: Path) -> None:
     def begun(*rows: int) -> PersistentState:
         for it in tmp_path.iterdir():
             it.unlink()
@@ -123,5 +123,5 @@
     assert (old.entries, old.tail) == ([(3, {"text": "513"}), (3, {"text": "514"})], [])
     assert begun(513, 515).member_id == "new"
     assert begun(514).member_id == "new"
-    # Before the snapshot gaps may be: it came whole.
+    # Before the snapshot gaps may be: it came complete.
     assert [len(it.tail) for it in (begun(511, 512, 513), begun(509, 511, 512), begun(509, 510))] == [2, 2, 0]
--- a/tests/cluster/test_replication.py
+++ b/tests/cluster/test_replication.py
@@ -1,4 +1,4 @@
-"""Replication under large changes: members away, slow, lossy and emptied meanwhile."""
+"""Replication under large changes: members restarted, slow, lossy and wiped meanwhile."""
 
 import random
 from collections.abc import Iterator
@@ -10,119 +10,121 @@
 
 from amberlug.cluster.consensus.election import MIN_ELECTION_TIMEOUT_S
 from amberlug.cluster.consensus.log import SNAPSHOT_BYTES, TAIL_BYTES
-from tests.cluster.group import SLOW, Group, SessionClient
+from tests.cluster.group import SLOW, GroupMember, RaftGroup
 
 
 @pytest.fixture(autouse=True)
 def quiet() -> Iterator[None]:
-    """Members' logs tell nothing here."""
+    """Keep the logs of the members out of the output."""
     before = logging.get_verbosity()
     logging.set_verbosity(logging.FATAL)
     yield
     logging.set_verbosity(before)
 
 
-def follower(group: Group) -> SessionClient:
+def follower(group: RaftGroup) -> GroupMember:
     return next(it for it in group.members.values() if it is not group.leader)
 
 
 @pytest.mark.parametrize(("count", "size"), [(90, 198_000), (40, 1_000_000)])
-@pytest.mark.parametrize("emptied", [False, True])
-def test_a_member_that_was_away_catches_up(count: int, size: int, emptied: bool) -> None:
-    group = Group()
-    away, leader = follower(group), group.leader
-    away.stop()
+@pytest.mark.parametrize("wiped", [False, True])
+def test_a_member_that_was_down_catches_up(count: int, size: int, wiped: bool) -> None:
+    group = RaftGroup()
+    restarted, leader = follower(group), group.leader
+    restarted.stop()
     for number in range(count):
-        group.change(number, size)
+        group.submit(number, size)
         group.run(0.1)
-    assert len(group.taken) == count
-    if emptied:
-        away.wipe()
-    away.start()
-    if emptied:
-        group.let_in(away)
+    assert len(group.committed) == count
+    if wiped:
+        restarted.wipe()
+    restarted.start()
+    if wiped:
+        group.admit(restarted)
     group.run(5.0)
-    assert (group.behind, group.faults, group.net.too_long) == ([], [], 0)
-    assert away.replica.state["numbers"] == list(range(count))
-    assert away.raft.is_voter
+    assert (group.lagging, group.failed_assertions, group.net.too_long) == ([], [], 0)
+    assert restarted.state_machine.state["numbers"] == list(range(count))
+    assert restarted.raft.is_voter
     assert group.leader is leader
-    assert max(group.seconds) < 1.0
+    assert max(group.latencies_s) < 1.0
     assert all(
         sum(it.raft.log.sizes_bytes) < SNAPSHOT_BYTES + TAIL_BYTES + size for it in group.members.values()
     )
 
 
-def test_a_slow_member_stays_a_follower_while_it_is_sent_what_is_large() -> None:
-    group = Group()
+def test_a_slow_member_stays_a_follower_while_it_receives_large_entries() -> None:
+    group = RaftGroup()
     slow, leader = follower(group), group.leader
     slow.rate, slow.loss = SLOW, 0.01
-    silent = 0.0
+    longest_without_leader_s = 0.0
     for step in range(210):
         if step < 60 and step % 5 == 0:
-            group.change(step, 4_000_000)
+            group.submit(step, 4_000_000)
         group.run(0.1)
-        silent = max(silent, group.clock.now - slow.raft.leader_contact_at)
-    assert (group.behind, group.faults, group.net.too_long) == ([], [], 0)
+        longest_without_leader_s = max(
+            longest_without_leader_s, group.clock.now - slow.raft.leader_contact_at
+        )
+    assert (group.lagging, group.failed_assertions, group.net.too_long) == ([], [], 0)
     assert group.leader is leader
     assert leader is not None
     assert (leader.raft.election.started_count, slow.raft.election.started_count) == (1, 0)
-    assert silent < MIN_ELECTION_TIMEOUT_S
-    assert max(group.seconds) < 1.0
+    assert longest_without_leader_s < MIN_ELECTION_TIMEOUT_S
+    assert max(group.latencies_s) < 1.0
 
 
-def test_a_snapshot_goes_on_where_it_stood_when_connections_end() -> None:
-    group = Group()
-    away = follower(group)
-    away.stop()
-    away.wipe()
+def test_a_snapshot_transfer_resumes_after_lost_connections() -> None:
+    group = RaftGroup()
+    restarted = follower(group)
+    restarted.stop()
+    restarted.wipe()
     for number in range(2):
-        group.change(number, 4_000_000)
+        group.submit(number, 4_000_000)
         group.run(0.5)
-    away.rate = SLOW
-    away.start()
-    group.let_in(away)
+    restarted.rate = SLOW
+    restarted.start()
+    group.admit(restarted)
     for at in range(1, 20):  # 4 MB take 2.1 s; a snapshot from its beginning each time would never come whole
-        group.clock.call_later(0.4 * at, partial(group.net.reset, away))
+        group.clock.call_later(0.4 * at, partial(group.net.reset, restarted))
     group.run(6.0)
-    assert (group.behind, group.faults, away.raft.log.snapshot_index) == ([], [], 3)
-    assert away.replica.state["numbers"] == [0, 1]
+    assert (group.lagging, group.failed_assertions, restarted.raft.log.snapshot_index) == ([], [], 3)
+    assert restarted.state_machine.state["numbers"] == [0, 1]
 
 
-def test_an_error_for_one_peer_touches_no_other() -> None:
-    group = Group()
-    leader, poor = group.leader, follower(group)
+def test_an_error_for_one_peer_affects_no_other() -> None:
+    group = RaftGroup()
+    leader, failing = group.leader, follower(group)
     assert leader is not None
-    world: Any = leader.raft.runtime
-    ask = world.request
+    runtime: Any = leader.raft.runtime
+    send_request = runtime.request
 
     def fail(to: str, *rest: Any, **more: Any) -> None:
-        if to == poor.address:
+        if to == failing.address:
             raise ValueError("no frame")
-        ask(to, *rest, **more)
+        send_request(to, *rest, **more)
 
-    world.request = fail
+    runtime.request = fail
     for number in range(10):
-        group.change(number, 1000)
+        group.submit(number, 1000)
         group.run(0.3)
     assert leader.raft.replication.send_failures > 10
-    assert (group.leader, group.taken) == (leader, list(range(10)))
+    assert (group.leader, group.committed) == (leader, list(range(10)))
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_who_was_restarted_leads_with_all_of_500_changes(seed: int) -> None:
-    group, chance = Group(seed), random.Random(seed)
+def test_a_restarted_member_leads_with_all_500_changes(seed: int) -> None:
+    group, chance = RaftGroup(seed), random.Random(seed)
     for number in range(500):
-        group.change(number, int(10 ** chance.uniform(3, 6)))
+        group.submit(number, int(10 ** chance.uniform(3, 6)))
         group.run(0.1)
-        if number % 15 == 10 and group.whole:
-            trouble(group, chance)
+        if number % 15 == 10 and group.tolerates_a_loss:
+            inject_fault(group, chance)
     group.run(8.0)
-    assert len(group.taken) == 500
-    assert (group.behind, group.faults, group.net.too_long) == ([], [], 0)
+    assert len(group.committed) == 500
+    assert (group.lagging, group.failed_assertions, group.net.too_long) == ([], [], 0)
     for member in group.members.values():
         assert sum(member.raft.log.sizes_bytes) < SNAPSHOT_BYTES + TAIL_BYTES + 1_100_000
-        assert member.replica.state == group.members["a"].replica.state
-    for name in ("a", "b", "c"):  # each leads, right after a restart of its own, with all that was taken
+        assert member.state_machine.state == group.members["a"].state_machine.state
+    for name in ("a", "b", "c"):  # each leads, right after a restart of its own, with all that was committed
         member = group.members[name]
         member.stop()
         group.run(2.0)
@@ -136,24 +138,24 @@
             )
             group.run(2.0)
         assert group.leader is member
-        group.change(1000 + ord(name), 1000)
+        group.submit(1000 + ord(name), 1000)
         group.run(1.0)
-        assert set(member.replica.state["numbers"]) >= set(range(500))
-        assert group.behind == []
+        assert set(member.state_machine.state["numbers"]) >= set(range(500))
+        assert group.lagging == []
 
 
-def test_a_snapshot_holds_the_newest_membership() -> None:
-    group = Group()
-    away = follower(group)
-    away.stop()
-    away.wipe()
-    away.start()
-    group.let_in(away)
+def test_a_snapshot_contains_the_newest_membership() -> None:
+    group = RaftGroup()
+    restarted = follower(group)
+    restarted.stop()
+    restarted.wipe()
+    restarted.start()
+    group.admit(restarted)
     group.run(3.0)
-    members = away.raft.members
-    assert away.raft.member_id in members
+    members = restarted.raft.members
+    assert restarted.raft.member_id in members
     for number in range(6):
-        group.change(number, 1_000_000)
+        group.submit(number, 1_000_000)
         group.run(0.3)
     assert all(it.raft.log.snapshot_index > it.raft.membership.index - 1 > 0 for it in group.members.values())
     for member in group.members.values():
@@ -165,26 +167,26 @@
     assert group.leader is not None
 
 
-def test_what_was_acknowledged_outlasts_a_loss_of_all() -> None:
-    group = Group()
+def test_acknowledged_changes_survive_a_loss_of_all() -> None:
+    group = RaftGroup()
     for number in range(20):
-        group.change(number, 100_000)
+        group.submit(number, 100_000)
         group.run(0.2)
-    assert group.taken == list(range(20))
+    assert group.committed == list(range(20))
     for member in group.members.values():
         member.stop()
     for member in group.members.values():
         member.start()
     group.run(3.0)
     for member in group.members.values():
-        assert member.replica.state["numbers"] == list(range(20))
+        assert member.state_machine.state["numbers"] == list(range(20))
 
 
-def trouble(group: Group, chance: random.Random) -> None:
-    """For a while one member is away, slow, emptied, cut off or reset, or its disk stalls or is full."""
+def inject_fault(group: RaftGroup, chance: random.Random) -> None:
+    """For a while one member is restarted, slow, wiped, cut off or reset, or its disk stalls or is full."""
     member = group.members[chance.choice("abc")]
     seconds = chance.uniform(0.3, 2.0)
-    what = chance.choice(("away", "slow", "emptied", "cut", "reset", "stalled", "full"))
+    what = chance.choice(("down", "slow", "wiped", "cut", "reset", "stalled", "full"))
     later = partial(group.clock.call_later, seconds)
     if what == "slow":
         member.rate, member.loss = SLOW, 0.02
@@ -201,14 +203,14 @@
             group.clock.call_later(at * 0.15, partial(group.net.reset, member))
         later(lambda: vars(member).update(rate=0.0))
     elif what == "stalled":
-        member.raft_storage.stalled_until = group.clock.now + seconds
+        member.disk.stalled_until = group.clock.now + seconds
     elif what == "full":
-        member.raft_storage.full = True
-        later(lambda: vars(member.raft_storage).update(full=False))
+        member.disk.full = True
+        later(lambda: vars(member.disk).update(full=False))
     else:
         member.stop()
-        if what == "emptied":
+        if what == "wiped":
             member.wipe()
         later(member.start)
-        if what == "emptied":
-            later(partial(group.let_in, member))
+        if what == "wiped":
+            later(partial(group.admit, member))
--- a/tests/cluster/test_rollback_guard.py
+++ b/tests/cluster/test_rollback_guard.py
@@ -16,14 +16,14 @@
 
 @pytest.fixture(autouse=True)
 def quiet() -> Iterator[None]:
-    """Machines' logs tell nothing here."""
+    """Keep the logs of the machines out of the output."""
     before = logging.get_verbosity()
     logging.set_verbosity(logging.FATAL)
     yield
     logging.set_verbosity(before)
 
 
-class ControlNode:
+class ControlPlane:
     """Three core machines, and what they were told of endpoints that leave."""
 
     def __init__(self) -> None:
@@ -31,7 +31,7 @@
         for machine in self.deployment.cores:
             machine.start()
         self.run(4.0)
-        self.taken: list[str] = []
+        self.committed: list[str] = []
 
     def run(self, seconds: float) -> None:
         self.deployment.clock.run(self.deployment.clock.now + seconds)
@@ -47,13 +47,13 @@
         leader = self.leader()
         assert leader is not None
         assert leader.life is not None
-        name = f"e{len(self.taken)}"
+        name = f"e{len(self.committed)}"
         leader.life.do(
             lambda: leader.part.raft.propose({"do": "drain", "ids": [[name, 1, 0]]}, lambda result: None)
         )
         self.run(0.3)
         assert name in leader.part.cluster_state.leaving
-        self.taken.append(name)
+        self.committed.append(name)
 
     def folder(self, machine: Machine) -> Callable[[], None]:
         """What puts a machine's folder back as it is now."""
@@ -62,22 +62,22 @@
         return lambda: vars(disk).update(deepcopy(kept))
 
     def lost(self, leader: Machine) -> list[str]:
-        return [it for it in self.taken if it not in leader.part.cluster_state.leaving]
+        return [it for it in self.committed if it not in leader.part.cluster_state.leaving]
 
 
-def put_back_beside_one_that_lags() -> list[str]:
+def restore_beside_a_lagging_member() -> list[str]:
     """One follower lags, and another one is put back while the leader is cut off: what is lost then."""
-    core = ControlNode()
+    core = ControlPlane()
     leader = core.leader()
     assert leader is not None
     lags, back = (it for it in core.deployment.cores if it is not leader)
-    put_back = core.folder(back)
+    restore = core.folder(back)
     core.change()
     core.run(1.0)
     core.deployment.net.cut({(leader.name, lags.name), (lags.name, leader.name)})
     core.change()
     back.power_off()
-    put_back()
+    restore()
     core.deployment.net.cut({(leader.name, back.name), (back.name, leader.name)})
     back.start()
     core.run(4.0)
@@ -85,18 +85,18 @@
     return [] if newer is None else core.lost(newer)
 
 
-def test_one_that_was_put_back_helps_elect_nobody() -> None:
-    assert put_back_beside_one_that_lags() == []
+def test_a_restored_member_helps_elect_nobody() -> None:
+    assert restore_beside_a_lagging_member() == []
     with mutated("put-back-votes"):
-        assert put_back_beside_one_that_lags() == ["e1"]
+        assert restore_beside_a_lagging_member() == ["e1"]
 
 
 @pytest.mark.parametrize("which", ["leader", "follower"])
-def test_one_that_was_put_back_comes_as_another_and_one_that_was_away_as_itself(which: str) -> None:
-    core = ControlNode()
+def test_a_restored_member_becomes_another_incarnation_and_one_that_was_down_does_not(which: str) -> None:
+    core = ControlPlane()
     leader = core.leader()
     machine = next(it for it in core.deployment.cores if (it is leader) == (which == "leader"))
-    me, put_back = machine.part.raft.member_id, core.folder(machine)
+    me, restore = machine.part.raft.member_id, core.folder(machine)
     for _ in range(3):
         core.change()
     machine.power_off()
@@ -107,7 +107,7 @@
     core.run(BOUNDS["catchUpS"])
     assert (machine.part.raft.member_id, core.lost(machine)) == (me, [])
     machine.power_off()
-    put_back()
+    restore()
     machine.start()
     core.run(BOUNDS["catchUpS"])
     raft = machine.part.raft
@@ -117,17 +117,17 @@
     assert core.lost(machine) == []
 
 
-def test_all_lose_power_and_one_is_put_back() -> None:
+def test_all_lose_power_and_one_is_restored() -> None:
     for at in range(3):
-        core = ControlNode()
+        core = ControlPlane()
         back = core.deployment.cores[at]
-        put_back = core.folder(back)
+        restore = core.folder(back)
         for _ in range(10):
             core.change()
         core.run(6.0)
         for machine in core.deployment.cores:
             machine.power_off()
-        put_back()
+        restore()
         for machine in core.deployment.cores:
             machine.start()
         core.run(BOUNDS["catchUpS"])
@@ -137,15 +137,15 @@
         assert not back.part.raft.member_id.endswith("/0")
 
 
-def test_a_folder_that_is_begun_anew_holds_nothing(tmp_path: Path) -> None:
-    did: list[Callable[[], None]] = []
-    said: list[str | None] = []
+def test_a_new_incarnation_has_an_empty_log(tmp_path: Path) -> None:
+    posted: list[Callable[[], None]] = []
+    errors: list[str | None] = []
     saved, raft_storage, _ = open_raft_storage(
-        tmp_path, lambda: PersistentState("ip/0", members={"ip/0": {}}), did.append
+        tmp_path, lambda: PersistentState("ip/0", members={"ip/0": {}}), posted.append
     )
     rows = [("term", (3, "x")), ("entry", (1, 3, None)), ("floors", ({"ip/0": 1},)), ("anew", ("ip/1",))]
-    raft_storage.write(rows, said.append)
+    raft_storage.write(rows, errors.append)
     raft_storage.close()
-    saved, raft_storage, anew = open_raft_storage(tmp_path, partial(PersistentState, "ip/2"), did.append)
+    saved, raft_storage, is_new = open_raft_storage(tmp_path, partial(PersistentState, "ip/2"), posted.append)
     raft_storage.close()
-    assert (saved, anew) == (PersistentState("ip/1"), False)
+    assert (saved, is_new) == (PersistentState("ip/1"), False)
--- a/tests/cluster/test_voter_selection.py
+++ b/tests/cluster/test_voter_selection.py
@@ -1,4 +1,4 @@
-"""Who of the core votes: the decision alone over drawn memberships, and deployments that lose machines."""
+"""Which members vote: the decision alone over random memberships, and deployments that lose machines."""
 
 import random
 from collections.abc import Iterator
@@ -28,14 +28,14 @@
 
 @pytest.fixture(autouse=True)
 def quiet() -> Iterator[None]:
-    """Machines' logs tell nothing here."""
+    """Keep the logs of the machines out of the output."""
     before = logging.get_verbosity()
     logging.set_verbosity(logging.FATAL)
     yield
     logging.set_verbosity(before)
 
 
-def walk(members: list[MemberStatus], tolerance: Tolerance, leader: str) -> list[MemberStatus]:
+def make_all_changes(members: list[MemberStatus], tolerance: Tolerance, leader: str) -> list[MemberStatus]:
     """Take all steps, each of which must leave a majority that lives, and end."""
     by_name = {it.name: it for it in members}
 
@@ -59,43 +59,45 @@
     raise AssertionError("the steps have no end")
 
 
-def drawn(seed: int) -> tuple[list[MemberStatus], Tolerance, str]:
-    """Some members, a minority of the voters silent; the best voters have all places to choose from."""
+def random_members(seed: int) -> tuple[list[MemberStatus], Tolerance, str]:
+    """Some members, a minority of the voters unresponsive; the best voters have all places to choose from."""
     chance = random.Random(seed)
     zones = chance.randrange(1, 6)
     places = [(f"z{at}", f"r{at % chance.choice((1, 2, 3))}") for at in range(zones)]
     count = chance.choice((1, 3, 3, 3, 5))
-    seats = [MemberStatus(f"v{at}", True, *chance.choice(places)) for at in range(count)]
+    members = [MemberStatus(f"v{at}", True, *chance.choice(places)) for at in range(count)]
     for at in chance.sample(range(1, count), chance.randrange(0, count // 2 + 1)):
-        seats[at] = replace(seats[at], unresponsive_s=9.0, is_superseded=chance.random() < 0.3)
+        members[at] = replace(members[at], unresponsive_s=9.0, is_superseded=chance.random() < 0.3)
     for at in range(chance.randrange(0, 6)):
-        seat = MemberStatus(f"l{at}", False, *chance.choice(places))
-        seats.append(replace(seat, is_caught_up=chance.random() < 0.8, is_superseded=chance.random() < 0.1))
+        member = MemberStatus(f"l{at}", False, *chance.choice(places))
+        members.append(
+            replace(member, is_caught_up=chance.random() < 0.8, is_superseded=chance.random() < 0.1)
+        )
     tolerance = chance.choice((Tolerance(1, 0, 0), A_ZONE, A_REGION, Tolerance(2, 1, 0), Tolerance(2, 0, 0)))
-    return seats, tolerance, "v0"
+    return members, tolerance, "v0"
 
 
 def falls_short(seed: int) -> bool:
     """Whether the steps end with voters that are not the best there are."""
-    seats, tolerance, me = drawn(seed)
-    after = walk(seats, tolerance, me)
-    able = [it for it in seats if (it.is_alive if it.is_voter else it.is_eligible)]
+    members, tolerance, me = random_members(seed)
+    after = make_all_changes(members, tolerance, me)
+    able = [it for it in members if (it.is_alive if it.is_voter else it.is_eligible)]
     odd = [it for count in (3, 5, 7) for it in combinations(able, count)]
     most = max((min(0, loss_margin(it, tolerance)) for it in odd), default=-9)
     voters = [it for it in after if it.is_voter]
     return loss_margin(voters, tolerance) < most or len(voters) > MAX_VOTERS
 
 
-def test_steps_end_in_the_best_voters_and_no_step_is_worse_than_the_start() -> None:
+def test_changes_end_with_the_best_voters_and_none_is_worse_than_the_start() -> None:
     assert [it for it in range(600) if falls_short(it)] == []
     with mutated("voters-in-one-zone"):
         assert any(falls_short(it) for it in range(100))
 
 
-def test_a_learner_that_is_gone_is_removed_and_one_that_lags_does_not_vote() -> None:
+def test_an_unresponsive_learner_is_removed_and_a_lagging_one_is_not_promoted() -> None:
     voters = [MemberStatus(it, True) for it in "abc"]
-    silent = MemberStatus("d", False, unresponsive_s=REMOVAL_TIMEOUT_S + 1)
-    assert [it.name for it in walk([*voters, silent], Tolerance(), "a")] == ["a", "b", "c"]
+    unresponsive = MemberStatus("d", False, unresponsive_s=REMOVAL_TIMEOUT_S + 1)
+    assert [it.name for it in make_all_changes([*voters, unresponsive], Tolerance(), "a")] == ["a", "b", "c"]
     lost = replace(voters[2], unresponsive_s=9.0)
     assert (
         next_change([*voters[:2], lost, MemberStatus("d", False, is_caught_up=False)], Tolerance(), "a")
@@ -120,13 +122,13 @@
     """Who leads and has just heard from a majority."""
     confirmed: list[Machine] = []
 
-    def hear(machine: Machine, index: int | None) -> None:
+    def on_confirmed(machine: Machine, index: int | None) -> None:
         if index is not None:
             confirmed.append(machine)
 
     for machine in deployment.cores:
         if machine.up and machine.life is not None:
-            machine.life.do(partial(machine.part.raft.confirm_read, partial(hear, machine)))
+            machine.life.do(partial(machine.part.raft.confirm_read, partial(on_confirmed, machine)))
     deployment.clock.run(deployment.clock.now + 0.2)
     return confirmed[0] if confirmed else None
 
@@ -141,7 +143,7 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_no_zone_holds_half_of_the_voters_where_a_zone_may_be_lost(seed: int) -> None:
+def test_no_zone_has_half_of_the_voters_where_a_zone_may_be_lost(seed: int) -> None:
     deployment = begun(seed, 3, 6, A_ZONE)
     # The founders stand in three zones; with one of them gone, only its own zone has another.
     machine = next(it for it in deployment.cores[:3] if it is not leader(deployment))
@@ -171,7 +173,7 @@
     return sorted(it.zone for it in voting(deployment))
 
 
-def test_founders_of_one_zone_give_way_to_others() -> None:
+def test_founders_of_one_zone_are_replaced_as_voters() -> None:
     assert zones_of_voters(1) == ["z0", "z1", "z2"]
     with mutated("voters-in-one-zone"):
         assert zones_of_voters(1) == ["z0", "z0", "z0"]
@@ -180,7 +182,7 @@
 @pytest.mark.parametrize("cores", [3, 4, 5])
 @pytest.mark.parametrize("what", ["replaced", "emptied"])
 @pytest.mark.parametrize("leads", [True, False])
-def test_a_second_loss_when_the_first_is_made_good_leaves_a_majority(
+def test_a_second_loss_after_the_first_is_replaced_leaves_a_majority(
     cores: int, what: str, leads: bool
 ) -> None:
     for other in range(cores):  # the second that is lost
@@ -202,7 +204,7 @@
         assert leader(deployment) is not None, f"{other} was lost second"
 
 
-def test_a_leader_that_ends_hands_over_to_one_that_answers() -> None:
+def test_a_leader_that_ends_transfers_leadership_to_a_responsive_voter() -> None:
     deployment = begun(5, 3, 3)
     first = leader(deployment)
     assert first is not None
@@ -216,7 +218,7 @@
     assert others[0].part.raft.role is not Role.FOLLOWER
 
 
-def test_a_learner_that_is_silent_for_long_is_removed_and_let_in_again() -> None:
+def test_a_learner_that_is_unresponsive_for_long_is_removed_and_admitted_again() -> None:
     deployment = begun(6, 4, 4)
     machine = next(it for it in deployment.cores if it not in voting(deployment))
     me = machine.part.raft.member_id
