--- a/amberlug/cluster/control/command_service.py
+++ b/amberlug/cluster/control/command_service.py
@@ -7,7 +7,7 @@
 
 from result import Err, Ok, Result
 
-from amberlug.cluster.consensus.raft import ProposalRejected, Role
+from amberlug.cluster.consensus.raft import ProposalRejected, RejectionReason, Role
 from amberlug.cluster.control.cluster_state import digest
 from amberlug.cluster.control.commands import (
     ACCEPTED,
@@ -78,18 +78,18 @@
 
         def receive(index: int | None) -> None:
             if index is None:
-                on_reply(Err(ProposalRejected.NOT_LEADER))
+                on_reply(Err(self._raft.rejection(RejectionReason.NOT_LEADER)))
             else:
                 self._quorum.call_when_applied(index, action)
 
-        self._raft.confirm(receive)
+        self._raft.confirm_read(receive)
 
     def _state(self) -> ConfirmedState:
         return ConfirmedState(self._cluster_state.config, self._cluster_state.retirements)
 
     def _timed(self, command: TimedCommand) -> TimedCommand:
         """The command, advancing the replicated clock by the time that this node led since it last did so."""
-        now_s, since_s = self._runtime.now(), max(self._clock_advanced_at_s, self._raft.led_since)
+        now_s, since_s = self._runtime.now(), max(self._clock_advanced_at_s, self._raft.leader_since)
         self._clock_advanced_at_s = now_s
         return with_elapsed(command, round(now_s - since_s, 3))
 
@@ -101,7 +101,9 @@
             cause = f"too few stores would be left without {name}"
             on_reply(Ok(CommandResult.rejected(409, cause).to_wire()))
         elif not is_on_roster and name in self._sessions.members(self._runtime.now()):
-            on_reply(Err(ProposalRejected.NOT_LEADER))  # it has come, and is not on the roster yet
+            on_reply(
+                Err(self._raft.rejection(RejectionReason.NOT_LEADER))
+            )  # it has come, and is not on the roster yet
         else:
             self._raft.propose(RetireStore(name).to_wire(), on_reply)
 
@@ -164,11 +166,11 @@
             return
         leader = self._quorum.leader_address()
         if leader is None:
-            on_reply(Err(ProposalRejected.NOT_LEADER))
+            on_reply(Err(self._raft.rejection(RejectionReason.NOT_LEADER)))
             return
 
         def receive(reply: Result[CommandReply, RequestFailure]) -> None:
-            on_reply(_result_of(reply))
+            on_reply(_result_of(reply, self._raft.leader_id))
 
         request(self._runtime, leader, ForwardCommand(command), FORWARD_TIMEOUT_S, receive)
 
@@ -185,8 +187,10 @@
             respond(CommandReply(None))
 
 
-def _result_of(reply: Result[CommandReply, RequestFailure]) -> Result[Json, ProposalRejected]:
+def _result_of(reply: Result[CommandReply, RequestFailure], leader: str) -> Result[Json, ProposalRejected]:
     if isinstance(reply, Err):
-        return Err(ProposalRejected.OUTCOME_UNKNOWN)
+        return Err(ProposalRejected(RejectionReason.OUTCOME_UNKNOWN, leader_id=leader))
     result = reply.ok_value.result
-    return Err(ProposalRejected.NOT_LEADER) if result is None else Ok(result)
+    if result is None:
+        return Err(ProposalRejected(RejectionReason.NOT_LEADER, leader_id=leader))
+    return Ok(result)
--- a/amberlug/cluster/control/endpoint_api.py
+++ b/amberlug/cluster/control/endpoint_api.py
@@ -71,7 +71,7 @@
         for name, member in sorted(self.raft.members.items()):
             if member["zone"] != zone or not member["control"]:
                 continue
-            is_here = name == self.raft.me and self._quorum.is_in_contact
+            is_here = name == self.raft.member_id and self._quorum.is_in_contact
             if is_here or self._sessions.is_in_contact(member["addr"], now_s):
                 return str(member["control"])
         return ""
--- a/amberlug/cluster/control/membership.py
+++ b/amberlug/cluster/control/membership.py
@@ -6,7 +6,13 @@
 from result import Ok, Result
 
 from amberlug.cluster.consensus.raft import ProposalRejected, Role
-from amberlug.cluster.consensus.voter_selection import MembershipChange, MemberStatus, margin, next_step
+from amberlug.cluster.consensus.voter_selection import (
+    ChangeKind,
+    MembershipChange,
+    MemberStatus,
+    loss_margin,
+    next_change,
+)
 from amberlug.cluster.control.context import ControlContext
 from amberlug.cluster.control.peer_messages import AnnounceLeaving, JoinCluster, MemberDescription
 from amberlug.cluster.control.quorum_contact import NEVER_S
@@ -41,13 +47,13 @@
         members = self._raft.members.values()
         if any(not member["voter"] and not member.get("gone") for member in members):
             self._leave_deadline_s = self._runtime.now() + REPLACEMENT_TIMEOUT_S
-        self._raft.hand_over()
+        self._raft.transfer_leadership()
         self._announce_leaving()
 
     @property
     def has_left(self) -> bool:
         """Whether a node that was told to stop may stop: it votes no more, or nobody can in its place."""
-        return self._runtime.now() >= self._leave_deadline_s or not self._raft.voting
+        return self._runtime.now() >= self._leave_deadline_s or not self._raft.is_voter
 
     def _announce_leaving(self) -> None:
         """Have the leader, whoever that is by now, put another voter in this one's place."""
@@ -55,17 +61,17 @@
             return
         leader = self._quorum.leader_address()
         if leader is not None:
-            send(self._runtime, leader, AnnounceLeaving(self._raft.me))
+            send(self._runtime, leader, AnnounceLeaving(self._raft.member_id))
         self._runtime.call_later(LEAVING_INTERVAL_S, self._announce_leaving)
 
     def join(self) -> None:
         """Have the leader know this node as it is now; one without a leader may have been removed."""
         self._runtime.call_later(JOIN_INTERVAL_S, self.join)
         is_leader = self._raft.role is Role.LEADER
-        is_followed = is_leader or self._runtime.now() - self._raft.heard < LEADER_TIMEOUT_S
+        is_followed = is_leader or self._runtime.now() - self._raft.leader_contact_at < LEADER_TIMEOUT_S
         if is_followed and self._is_known():
             return
-        message = JoinCluster(self._raft.me, self._description())
+        message = JoinCluster(self._raft.member_id, self._description())
         if is_leader:
             self._admit(message)
             return
@@ -82,7 +88,7 @@
 
     def _is_known(self) -> bool:
         """Whether the membership has this node as it is now, as a voter or not."""
-        known = self._raft.members.get(self._raft.me)
+        known = self._raft.members.get(self._raft.member_id)
         if known is None:
             return False
         return {**known, "voter": None} == {**self._description().to_wire(), "voter": None}
@@ -124,7 +130,7 @@
 
     def _change(self, members: Json, reason: str) -> None:
         """Propose a membership, where the one before is committed."""
-        if self._is_changing or not self._raft.settled:
+        if self._is_changing or not self._raft.is_membership_committed:
             return
         self._is_changing = True
 
@@ -139,31 +145,31 @@
         """Promote or demote one voter, or remove a member, where the placement of voters asks for it."""
         tolerance = self._settings().tolerance
         statuses = self._member_statuses()
-        voters = (status for status in statuses if status.voter)
-        self._note_shortage(margin(voters, tolerance) < 0)
-        change = next_step(statuses, tolerance, self._raft.me)
+        voters = (status for status in statuses if status.is_voter)
+        self._note_shortage(loss_margin(voters, tolerance) < 0)
+        change = next_change(statuses, tolerance, self._raft.member_id)
         if change is not None:
-            self._change(self._members_after(change), f"{change.name} {change.why}")
+            self._change(self._members_after(change), f"{change.name} {change.reason}")
 
     def _members_after(self, change: MembershipChange) -> Json:
         members = dict(self._raft.members)
         member = members.pop(change.name)
-        if change.voter is not None:
-            members[change.name] = {**member, "voter": change.voter}
+        if change.kind is not ChangeKind.REMOVE:
+            members[change.name] = {**member, "voter": change.kind is ChangeKind.PROMOTE}
         return members
 
     def _member_statuses(self) -> list[MemberStatus]:
         raft, now_s = self._raft, self._runtime.now()
         # A member need not have more than what was committed at the last look: the rest is on its way.
-        committed, self._committed = self._committed, raft.commit
+        committed, self._committed = self._committed, raft.commit_index
         return [
             MemberStatus(
                 name,
                 member["voter"],
                 member["zone"],
                 member.get("region", ""),
-                raft.holds(name, min(committed, raft.commit)),
-                raft.silent_s(name),
+                raft.has_replicated(name, min(committed, raft.commit_index)),
+                raft.unresponsive_s(name),
                 member.get("gone", False),
                 now_s - self._leaving_at_s.get(name, NEVER_S) < LEAVING_TIMEOUT_S,
             )
--- a/amberlug/cluster/control/node.py
+++ b/amberlug/cluster/control/node.py
@@ -5,7 +5,7 @@
 from absl import logging
 
 from amberlug.cluster.consensus.log import PersistentState
-from amberlug.cluster.consensus.raft import RaftNode, Role
+from amberlug.cluster.consensus.raft import RaftNode, Role, StateMachine
 from amberlug.cluster.control.admin_api import RetirementApi
 from amberlug.cluster.control.cluster_state import ClusterState
 from amberlug.cluster.control.command_service import CommandExecutor, CommandService
@@ -61,10 +61,12 @@
             runtime,
             disk,
             saved,
-            self.cluster_state.apply,
-            self.cluster_state.to_json,
-            self.cluster_state.from_json,
-            self.on_state_changed,
+            StateMachine(
+                self.cluster_state.apply,
+                self.cluster_state.to_json,
+                self.cluster_state.from_json,
+                self.on_state_changed,
+            ),
         )
         self.quorum = QuorumContact(runtime, self.raft, self.registry.restart_timeouts)
         self.publisher = StatePublisher(self.raft, self.cluster_state, self.gossip, self.registry)
@@ -110,7 +112,7 @@
 
     def begin(self) -> None:
         """Start all timers."""
-        self.raft.begin()
+        self.raft.start()
         self.on_state_changed()
         self.gossip.begin()
         self.session_service.begin()
@@ -143,8 +145,8 @@
     def on_state_changed(self) -> None:
         """Publish the state after commands were applied, or leader or membership changed."""
         self.publisher.publish()
-        if self.raft.leader != self._known_leader:
-            self._known_leader = self.raft.leader
+        if self.raft.leader_id != self._known_leader:
+            self._known_leader = self.raft.leader_id
             logging.info("term %d: the leader is %s", self.raft.term, self._known_leader or "unknown")
             self.runtime.call_later(0.0, self.quorum.refresh)
         self.quorum.on_applied()
@@ -153,7 +155,7 @@
 
     def _peers(self) -> list[str]:
         """Addresses of the other control-plane nodes."""
-        return [member["addr"] for name, member in self.raft.members.items() if name != self.raft.me]
+        return [member["addr"] for name, member in self.raft.members.items() if name != self.raft.member_id]
 
     def _keys_known_at(self, address: str) -> tuple[str, ...]:
         """Keys that a node has by its log: sent as gossip besides, they would delay its heartbeats."""
--- a/amberlug/cluster/control/quorum_contact.py
+++ b/amberlug/cluster/control/quorum_contact.py
@@ -43,8 +43,8 @@
 
     def leader_address(self) -> str | None:
         """The address of the leader; None where this node leads itself or knows of no leader."""
-        member = self._raft.members.get(self._raft.leader)
-        return None if member is None or self._raft.leader == self._raft.me else str(member["addr"])
+        member = self._raft.members.get(self._raft.leader_id)
+        return None if member is None or self._raft.leader_id == self._raft.member_id else str(member["addr"])
 
     def confirm_index(self, on_confirmed: Callable[[int | None], None]) -> None:
         """Have the leader confirm its commit index with a majority (ReadIndex: Raft dissertation, 6.4).
@@ -52,7 +52,7 @@
         :param on_confirmed: called once with the index, or with None where no majority confirmed it.
         """
         if self._raft.role is Role.LEADER:
-            self._raft.confirm(on_confirmed)
+            self._raft.confirm_read(on_confirmed)
             return
         leader = self.leader_address()
         if leader is None:
@@ -67,7 +67,7 @@
     @handles(ConfirmIndex)
     def on_confirm_index(self, message: ConfirmIndex, origin: str, respond: Responder) -> None:
         """Confirm the commit index for another control-plane node."""
-        self._raft.confirm(lambda index: respond(ConfirmedIndex(index)))
+        self._raft.confirm_read(lambda index: respond(ConfirmedIndex(index)))
 
     def refresh(self) -> None:
         """Confirm anew; the time of the request counts, since the state may be as old as that."""
@@ -94,7 +94,7 @@
 
     def call_when_applied(self, index: int, action: Callable[[], None]) -> None:
         """Call once the log is applied here up to an index, at once where it is already."""
-        if index <= self._raft.applied:
+        if index <= self._raft.last_applied:
             action()
         else:
             self._waiting.append((index, action))
--- a/amberlug/cluster/control/reconciler.py
+++ b/amberlug/cluster/control/reconciler.py
@@ -44,7 +44,10 @@
     def begin(self) -> None:
         """Reconcile now and in each interval, while this node leads and has committed in its term."""
         self._runtime.call_later(RECONCILE_INTERVAL_S, self.begin)
-        if self._raft.role is not Role.LEADER or self._raft.term_at(self._raft.commit) != self._raft.term:
+        if (
+            self._raft.role is not Role.LEADER
+            or self._raft.term_at(self._raft.commit_index) != self._raft.term
+        ):
             self._owner_missing_since_s.clear()
             self._disk_missing_since_s.clear()
             self._first_seen_s.clear()
@@ -77,7 +80,7 @@
         self._raft.propose(command.to_wire(), lambda result: self._in_flight.discard(role))
 
     def _has_settled(self, now_s: float) -> bool:
-        return now_s - self._raft.led_since > SETTLING_S
+        return now_s - self._raft.leader_since > SETTLING_S
 
     # -- the roster of storage nodes
 
--- a/amberlug/cluster/control/state_publisher.py
+++ b/amberlug/cluster/control/state_publisher.py
@@ -36,8 +36,8 @@
             offer(SHARDS_KEY, [state.shards_index], self._shard_table())
         if state.roster and self._is_newer(ROSTER_KEY, state.roster_index):
             offer(ROSTER_KEY, [state.roster_index], roster_to_wire(state.roster))
-        if self._raft.members_at <= self._raft.commit:
-            offer(MEMBERS_KEY, [self._raft.members_at], self._raft.members)
+        if self._raft.membership.index <= self._raft.commit_index:
+            offer(MEMBERS_KEY, [self._raft.membership.index], self._raft.members)
         for name, departure in state.take_changed_departures().items():
             self._registry.apply_departure(name, departure)
 
--- a/amberlug/cluster/control/status.py
+++ b/amberlug/cluster/control/status.py
@@ -59,7 +59,7 @@
 
         def receive(replies: Replies) -> None:
             reports = {name: _report(reply) for name, reply in replies.items()}
-            reports[self._raft.me] = self._own_status()
+            reports[self._raft.member_id] = self._own_status()
             snapshot = _Snapshot(members, reports, bool(confirmed))
             respond(HttpResponse(200, self._document(snapshot)))
 
@@ -68,7 +68,7 @@
         for session in members.values():
             query.request(session.id, session.address, NODE_STATUS_TAG, body)
         for member_id, member in self._raft.members.items():
-            if member_id != self._raft.me:
+            if member_id != self._raft.member_id:
                 query.request(member_id, member["addr"], ReadControlStatus.wire_tag, {})
         finish_waiting = query.wait()
 
@@ -89,8 +89,8 @@
         return {
             "role": self._raft.role.value,
             "term": self._raft.term,
-            "leader": self._raft.leader,
-            "commit": self._raft.commit,
+            "leader": self._raft.leader_id,
+            "commit": self._raft.commit_index,
             "edition": self._cluster_state.config_version,
             "counts": self._counters,
         }
@@ -108,7 +108,7 @@
         edges = [row for row in rows if row["class"] == EDGE_CLASS]
         short = [row["told"]["copies short"] for row in edges if row["told"] is not None]
         return {
-            "by": self._raft.me,
+            "by": self._raft.member_id,
             "confirmed": snapshot.is_confirmed,
             "members": rows,
             "core": self._consensus_status(snapshot.reports),
@@ -143,8 +143,8 @@
     def _consensus_status(self, reports: Mapping[str, Json | None]) -> Json:
         return {
             "term": self._raft.term,
-            "leader": self._raft.leader,
-            "commit": self._raft.commit,
+            "leader": self._raft.leader_id,
+            "commit": self._raft.commit_index,
             "members": [
                 {"id": member_id, **member, "told": reports.get(member_id)}
                 for member_id, member in sorted(self._raft.members.items())
--- a/amberlug/cluster/simulation/mutations_answers.py
+++ b/amberlug/cluster/simulation/mutations_answers.py
@@ -10,7 +10,7 @@
 
 from result import Err, Result
 
-from amberlug.cluster.consensus.raft import ProposalRejected
+from amberlug.cluster.consensus.raft import ProposalRejected, RejectionReason
 from amberlug.cluster.control.command_service import CommandService, OnReply
 from amberlug.cluster.control.submitted_commands import SubmittedCommand
 from amberlug.cluster.dispatch.dispatcher import Outcome, judge
@@ -181,7 +181,7 @@
 
     def twice(self: CommandService, command: SubmittedCommand, on_reply: OnReply) -> None:
         def receive(result: Result[Json, ProposalRejected]) -> None:
-            if isinstance(result, Err) and result.err_value is ProposalRejected.OUTCOME_UNKNOWN:
+            if isinstance(result, Err) and result.err_value.reason is RejectionReason.OUTCOME_UNKNOWN:
                 submit(self, command, on_reply)
             else:
                 on_reply(result)
--- a/amberlug/cluster/simulation/mutations_partitions.py
+++ b/amberlug/cluster/simulation/mutations_partitions.py
@@ -54,7 +54,7 @@
             announce(self, request, name, respond)
 
     def any_address(self: EndpointApi, zone: str) -> str:
-        member = self.raft.members.get(self.raft.me, {})
+        member = self.raft.members.get(self.raft.member_id, {})
         return str(member["control"]) if member.get("zone") == zone else heartbeat_address(self, zone)
 
     return _both(
