--- a/amberlug/cluster/node_status.py
+++ b/amberlug/cluster/node_status.py
@@ -2,9 +2,11 @@
 
 from __future__ import annotations
 
-from typing import TYPE_CHECKING
+from dataclasses import dataclass
+from typing import TYPE_CHECKING, ClassVar
 
 from amberlug.cluster.interfaces import Json, Respond, on
+from amberlug.cluster.rpc.messages import Body, Request
 
 if TYPE_CHECKING:
     from amberlug.cluster.edge.node import EdgeNode
@@ -13,6 +15,40 @@
 DEAD_MOST = 200  # messages on one page
 
 
+@dataclass(frozen=True, slots=True)
+class NodeStatusReport(Body):
+    """A node's report to its operators; a control-plane node passes on fields that it does not know."""
+
+    fields: Json
+
+    def to_wire(self) -> Json:
+        """The report as it came."""
+        return self.fields
+
+    @classmethod
+    def from_wire(cls, body: Json, payload: bytes) -> NodeStatusReport:
+        """Take the report as it is."""
+        return cls(body)
+
+
+@dataclass(frozen=True, slots=True)
+class NodeStatusRequest(Request[NodeStatusReport]):
+    """A control-plane node asks an edge or a storage node for its status."""
+
+    wire_tag: ClassVar[str] = "status"
+    reply_type: ClassVar[type[NodeStatusReport]] = NodeStatusReport
+    storage_disk_ids: tuple[str, ...]  # disks in service whose nodes have a session: their replicas count
+
+    def to_wire(self) -> Json:
+        """The list of disks."""
+        return {"up": list(self.storage_disk_ids)}
+
+    @classmethod
+    def from_wire(cls, body: Json, payload: bytes) -> NodeStatusRequest:
+        """Read the request; only edges need the disks."""
+        return cls(tuple(body.get("up", ())))
+
+
 class EdgeStatus:
     """An edge, as its operators see it."""
 
