--- a/tests/cluster/test_losses.py
+++ b/tests/cluster/test_losses.py
@@ -16,10 +16,10 @@
 from amberlug.cluster.simulation.mutations import mutated
 from amberlug.cluster.simulation.scenarios import Day, play
 from amberlug.cluster.simulation.seed_search import one
-from tests.cluster.test_core import Rig as Leader
-from tests.cluster.test_shards import STORES, fresh
-from tests.cluster.test_shards import Rig as Owner
-from tests.cluster.test_store import Rig
+from tests.cluster.test_control_node import Rig as Leader
+from tests.cluster.test_shard_owner import STORES, fresh
+from tests.cluster.test_shard_owner import Rig as Owner
+from tests.cluster.test_storage_node import Rig
 
 
 @pytest.fixture(autouse=True)
--- a/tests/cluster/test_unclear_asks.py
+++ b/tests/cluster/test_unclear_asks.py
@@ -15,8 +15,8 @@
 from amberlug.cluster.simulation.deployment import Request
 from amberlug.cluster.simulation.mutations_answers import FAULTS
 from tests.cluster.fakes import Alone, settings
-from tests.cluster.test_core import Fast
-from tests.cluster.test_edge import Nowhere
+from tests.cluster.test_control_node import Fast
+from tests.cluster.test_edge_node import Nowhere
 
 AWAY = {"owners": [["edge/other", {"addr": "10.0.0.9:7300"}]], "shards": [[0, 1, -1]]}
 FATES = [*RequestFailure, *AdmissionOutcome]
