--- a/amberlug/cluster/dispatch/dispatcher.py
+++ b/amberlug/cluster/dispatch/dispatcher.py
@@ -45,7 +45,7 @@
 
 def judge(message: Message, called: CallResult, max_attempts: int) -> Outcome:
     """Read an endpoint's answer. Only what names this attempt is believed."""
-    pause = min(PAUSE_S[1], PAUSE_S[0] * 2 ** min(message.tries, 8))
+    pause = min(PAUSE_S[1], PAUSE_S[0] * 2 ** min(message.call_count, 8))
     if called.verdict is not CallVerdict.ANSWERED or called.header("amberlug-attempt-id") != message.attempt:
         return Outcome(again_s=pause if called.verdict is CallVerdict.ANSWERED else 0.0)
     if called.header("amberlug-not-executed") is not None or called.status == 421:
@@ -142,7 +142,7 @@
         out = Out(message, endpoint, now_us, seconds)
         self.account.reserved[out] = None
         self.calls[out] = None
-        message.out, message.tries, message.last = True, message.tries + 1, endpoint.id
+        message.out, message.call_count, message.last = True, message.call_count + 1, endpoint.id
         endpoint.out += 1
         headers = [
             ("Host", message.host),
--- a/amberlug/cluster/dispatch/message.py
+++ b/amberlug/cluster/dispatch/message.py
@@ -1,16 +1,29 @@
-"""A message, as its owner holds it."""
+"""A message as the owner of its shard keeps it in memory, and the codec of its stored metadata."""
 
 from __future__ import annotations
 
 import zlib
 from dataclasses import dataclass, field
+from typing import NamedTuple, Self
 
 from amberlug.cluster.interfaces import Json
 
+MAX_SHARD_DIGITS = 4  # hexadecimal digits of a shard's number in a message id
+
+
+class SequencePosition(NamedTuple):
+    """Where a message stands among the messages of its sequence key; positions compare in that order."""
+
+    epoch: int  # of the owner that admitted the message
+    number: int  # counts what that owner admitted in the shard during its epoch
+
+
+FIRST_POSITION = SequencePosition(0, 0)  # of a message that no owner has admitted yet
+
 
 @dataclass(slots=True, eq=False)
 class Message:
-    """One message that was taken, or is about to be; its times are seconds of the time of day."""
+    """One message that was admitted, or is about to be. Times are seconds of the wall clock."""
 
     id: str
     shard: int
@@ -19,29 +32,31 @@
     method: str
     target: str
     route: str
-    key: str
-    taken: float  # time of day
-    due_at: float  # time of day: no run before it
+    key: str  # the sequence key; empty where no order is asked for
+    taken: float  # when it arrived at an edge
+    due_at: float  # no delivery before it
     headers: tuple[tuple[str, str], ...] = ()
-    body: bytes | None = b""
-    size: int = 0
-    order: tuple[int, int] = (0, 0)  # epoch and number in it: the order within a key
-    holders: set[str] = field(default_factory=set)  # disks that have said that they hold it
-    asked: set[str] = field(default_factory=set)  # disks that may hold it
-    keep_until: float = 0.0  # time of day: its end is told until then at least
-    failures: int = 0  # answers of 500
-    tries: int = 0
-    out: bool = False  # a call of it is under way, here or at the owner before
+    body: bytes | None = b""  # None while it has to be read from a replica
+    size: int = 0  # bytes of the body
+    order: SequencePosition = FIRST_POSITION
+    holders: set[str] = field(default_factory=set)  # disks that acknowledged their replica
+    possible_holders: set[str] = field(
+        default_factory=set
+    )  # disks that may have a replica, acknowledged or not
+    keep_until: float = 0.0  # its outcome is kept until then at least
+    failures: int = 0  # responses that count as failed attempts
+    call_count: int = 0
+    out: bool = False  # a call of it is in flight, here or at the previous owner
     ended: bool = False
     service: str = ""
     rank: int = 0  # the route's precedence
-    end: str = ""  # how it ended, and the seal of its success
-    seal: str = ""
-    seen: int = 0  # the newest configuration at the edge that took it, as an index of the log
-    last: str = ""  # the endpoint that it was last sent to
+    end: str = ""  # its outcome: `done`, `dead`, `expired` or `dropped`; empty while it is open
+    seal: str = ""  # the endpoint's seal of its success
+    seen: int = 0  # log index of the newest configuration at the edge that admitted it
+    last: str = ""  # id of the endpoint that was called last
 
     def meta(self) -> Json:
-        """What is kept of it beside its body."""
+        """Encode what is stored beside the body; the keys are the format of the stored rows."""
         return {
             "a": self.attempt,
             "h": self.host,
@@ -55,42 +70,48 @@
             "c": self.seen,
         }
 
+    @classmethod
+    def from_metadata(
+        cls, message_id: str, shard: int, metadata: Json, body: bytes | None, size: int
+    ) -> Self:
+        """Decode a message from what `meta` encoded.
 
-def read(name: str, shard: int, epoch: int, seq: int, meta: Json, body: bytes | None, size: int) -> Message:
-    """A message from what is kept of it."""
-    return Message(
-        name,
-        shard,
-        meta["a"],
-        meta["h"],
-        meta["m"],
-        meta["t"],
-        meta["r"],
-        meta["k"],
-        meta["w"],
-        meta["d"],
-        tuple((key, value) for key, value in meta["x"]),
-        body,
-        size,
-        (epoch, seq),
-        seen=meta["c"],
-    )
+        :param body: the body, or None where it was not sent along.
+        :param size: bytes of the body, also where it was not sent along.
+        :raises KeyError: where a field is missing.
+        """
+        return cls(
+            message_id,
+            shard,
+            metadata["a"],
+            metadata["h"],
+            metadata["m"],
+            metadata["t"],
+            metadata["r"],
+            metadata["k"],
+            metadata["w"],
+            metadata["d"],
+            tuple((name, value) for name, value in metadata["x"]),
+            body,
+            size,
+            seen=metadata["c"],
+        )
 
 
 def shard_of(key: str, count: int) -> int:
-    """The shard of a sequence key."""
+    """The shard of a sequence key, out of so many."""
     return zlib.crc32(key.encode()) % count
 
 
 def name_of(shard: int, attempt: str) -> str:
-    """A message's name: it carries its shard, so that any edge finds its owner."""
+    """The id of a message. It carries the shard, so that any edge finds the owner without a lookup."""
     return f"{shard:x}-{attempt}"
 
 
-def shard_in(name: str) -> int:
-    """The shard that a name carries; -1 where it is none of ours."""
-    text, dash, _ = name.partition("-")
+def shard_in(message_id: str) -> int:
+    """The shard that a message id carries; -1 where the id is none that `name_of` made."""
+    digits, separator, _ = message_id.partition("-")
     try:
-        return int(text, 16) if dash and len(text) <= 4 else -1
+        return int(digits, 16) if separator and len(digits) <= MAX_SHARD_DIGITS else -1
     except ValueError:
         return -1
--- a/amberlug/cluster/edge/node.py
+++ b/amberlug/cluster/edge/node.py
@@ -13,9 +13,10 @@
 from amberlug.cluster.dispatch.delivery_queue import DeliveryQueue
 from amberlug.cluster.dispatch.dispatcher import Dispatcher, judge
 from amberlug.cluster.dispatch.endpoint_pool import EndpointPool
-from amberlug.cluster.dispatch.message import Message, name_of, read, shard_in, shard_of
+from amberlug.cluster.dispatch.message import Message, name_of, shard_in, shard_of
+from amberlug.cluster.dispatch.messages import AdmissionOutcome, CallEnded
 from amberlug.cluster.dispatch.replicator import Replicator
-from amberlug.cluster.dispatch.shard_owner import AdmissionOutcome, ShardOwner
+from amberlug.cluster.dispatch.shard_owner import DeliveryCallbacks, ShardOwner
 from amberlug.cluster.gossip.store import GossipStore
 from amberlug.cluster.http.api import AdminApi, HttpRequest, HttpResponse, RespondHttp, order
 from amberlug.cluster.http.routing import Route, RoutingTable, build
@@ -33,6 +34,7 @@
 from amberlug.cluster.rpc.messages import handlers_of
 from amberlug.cluster.session_client import SessionClient, internal
 from amberlug.cluster.settings import Settings
+from amberlug.cluster.storage.messages import MessageOutcome
 
 MEND_S = 0.1  # between looks for messages that lack copies
 MEND_MOST = 16  # copied at once: what is mended must not hold up what is taken in
@@ -105,7 +107,7 @@
         if left <= 0 or (not self.unclear and edge.world.now() > self.patience):
             self._end(AdmissionOutcome.OUTCOME_UNKNOWN if self.unclear else AdmissionOutcome.REJECTED)
             return
-        if message.shard in edge.shards.mine:
+        if message.shard in edge.shards.owned:
             self.offered = True
             edge.shards.accept(message, self._said)
             return
@@ -161,10 +163,8 @@
         )
         self.pool = EndpointPool(settings.zone, world.chance, endpoints.idle)
         self.delivery_queue = DeliveryQueue(world, self._ready)
-        self.shards = ShardOwner(
-            world, self.replicator, self.member.id, self._take, self._release, self._settle
-        )
-        self.shards.is_held = lambda name: name in self.delivery_queue.messages or name in self.ends
+        callbacks = DeliveryCallbacks(self._take, self._release, self._call_ended, self._is_admitted)
+        self.shards = ShardOwner(world, self.replicator, self.member.id, callbacks)
         self.services: dict[str, Dispatcher] = {}
         self.ends: dict[str, tuple[str, str, float]] = {}  # how messages ended, and when by the steady clock
         self.counter = AdminApi(self)
@@ -196,7 +196,9 @@
     def idle(self) -> bool:
         """Whether nothing is owed here any more."""
         out = any(it.calls for it in self.services.values())
-        return not (out or self.shards.mine or self.shards.putting or self.replicator.telling)
+        return not (
+            out or self.shards.owned or self.shards.pending_writes or self.replicator.pending_outcomes
+        )
 
     def settings_are(self, settings: Settings) -> None:
         """Take a settings file that has changed."""
@@ -205,14 +207,14 @@
 
     def broken(self, address: str) -> None:
         self.member.broken(address)
-        self.replicator.broken(address)
-        self.shards.broken(address)
+        self.replicator.connection_lost(address)
+        self.shards.connection_lost(address)
 
     def _count(self, name: str) -> None:
         self.counts[name] = self.counts.get(name, 0) + 1
 
     def _others(self) -> list[str]:
-        others = [str(place["addr"]) for name, place in self.shards.owners if name != self.member.id]
+        others = [it.address for it in self.shards.owners if it.node_id != self.member.id]
         return others + ([self.member.relay] if self.member.relay else [])
 
     # -- what is heard
@@ -228,7 +230,7 @@
         elif key == "config":
             self._config_is(build(self.gossip.items[key][0][0], value))
         elif key == "shards":
-            self.shards.table_is(value)
+            self.shards.update_table(value)
             self._parts()
         elif key == "roster":
             self._roster_is(self.gossip.items[key][0][0], value)
@@ -273,7 +275,7 @@
 
     def _parts(self) -> None:
         """Each edge spends its part of a service's rate; a larger part only once the others spend less."""
-        owns = bool(self.shards.mine)
+        owns = bool(self.shards.owned)
         part = 1 / self.shards.edges if owns else 0.0
         if part > self._part and not self._part_timer:
             self._part_timer = True
@@ -282,7 +284,7 @@
 
     def _raise_part(self) -> None:
         self._part_timer = False
-        self._spend(1 / self.shards.edges if self.shards.mine else 0.0)
+        self._spend(1 / self.shards.edges if self.shards.owned else 0.0)
 
     def _spend(self, part: float) -> None:
         self._part = part
@@ -298,7 +300,7 @@
             and self.member.confirmed
             and self.routes.index > 0
             and bool(self.shards.table)
-            and not self.replicator.dark()
+            and not self.replicator.is_unavailable()
         )
         if ready != self._was_ready:
             self._was_ready = ready
@@ -360,7 +362,7 @@
         if shard is None:
             self._refuse(finish, 503, "no shard has an owner")
             return
-        if shard in self.shards.mine and self.replicator.dark():
+        if shard in self.shards.owned and self.replicator.is_unavailable():
             self._refuse(finish, 503, "too few stores answer")
             return
         wall = self.world.wall_clock()
@@ -397,7 +399,7 @@
     def _shard_for(self, key: str) -> int | None:
         if key:
             return shard_of(key, SHARDS)
-        serving = [number for number, it in self.shards.mine.items() if it.serving]
+        serving = [number for number, it in self.shards.owned.items() if it.serving]
         if serving:
             return self.world.chance.choice(serving)
         owned = [
@@ -408,11 +410,11 @@
     @on("offer")
     def on_offer(self, body: Json, blob: bytes, origin: str, respond: Respond) -> None:
         """Another edge's client has a message for a shard of this one."""
-        message = read(body["id"], body["shard"], 0, 0, body["meta"], blob, len(blob))
+        message = Message.from_metadata(body["id"], body["shard"], body["meta"], blob, len(blob))
         self._count("offered")
         if message.seen > self.routes.index:
             self.gossip.compare_with(origin)
-        if body["shard"] in self.shards.mine and self.replicator.dark():
+        if body["shard"] in self.shards.owned and self.replicator.is_unavailable():
             respond({"taken": AdmissionOutcome.REJECTED.value, "dark": True}, b"")
             return
         self.shards.accept(message, lambda taken: respond({"taken": taken.value}, b""))
@@ -424,7 +426,7 @@
             message.ended = True  # its route was dropped meanwhile
             self._count("ended: dropped")
             self._note(message.id, "dropped", "")
-            self.replicator.mark(message, "dropped", "")
+            self.replicator.record_outcome(message, MessageOutcome("dropped"))
             return
         self.size += message.size
         self._resolve(message)
@@ -507,9 +509,9 @@
             self._orphans.discard(message)
             message.out = False
             if outcome.end:
-                self.replicator.mark(message, outcome.end, outcome.seal)
+                self.replicator.record_outcome(message, MessageOutcome(outcome.end, outcome.seal))
                 self._note(message.id, outcome.end, outcome.seal)
-            self.shards.outcome_elsewhere(message, outcome.end, outcome.seal, outcome.failed)
+            self.shards.outcome_elsewhere(message, MessageOutcome(outcome.end, outcome.seal), outcome.failed)
         elif message.ended:
             return
         elif outcome.end:
@@ -533,11 +535,18 @@
         self._count(f"ended: {end}")
         self._note(message.id, end, seal)
         self.delivery_queue.end(message)
-        self.replicator.mark(message, end, seal)
+        self.replicator.record_outcome(message, MessageOutcome(end, seal))
 
     def _note(self, name: str, end: str, seal: str) -> None:
         self.ends[name] = end, seal, self.world.now()
 
+    def _is_admitted(self, message_id: str) -> bool:
+        return message_id in self.delivery_queue.messages or message_id in self.ends
+
+    def _call_ended(self, ended: CallEnded) -> None:
+        outcome = ended.outcome
+        self._settle(ended.message_id, outcome.status, outcome.receipt, ended.is_failure)
+
     def _settle(self, name: str, end: str, seal: str, failed: bool) -> None:
         """The owner before tells what came of a call."""
         message = self.delivery_queue.messages.get(name)
@@ -582,7 +591,7 @@
     # -- copies that are lacking
 
     def _roster_is(self, index: int, roster: Json) -> None:
-        self.replicator.roster_is(roster, index)
+        self.replicator.update_roster(roster, index)
         self._roster, self._roster_since = index, self.world.now()
         self.shards.roster_changed()
         self.short = {
@@ -593,12 +602,12 @@
 
     def _extra(self) -> Json:
         """What the leader wants to know before a disk is asked no more."""
-        early = sum(1 for since in self.shards.put_since.values() if since <= self._roster_since)
+        early = sum(1 for since in self.shards.write_started_at.values() if since <= self._roster_since)
         table = self.gossip.items.get("shards")
         return {
             "roster": self._roster,
             "table": table[0][0] if table is not None else 0,
-            "loading": sum(1 for it in self.shards.mine.values() if not it.serving) + self.shards.unfenced,
+            "loading": sum(1 for it in self.shards.owned.values() if not it.serving) + self.shards.unfenced,
             "short": len(self.short) + early,
         }
 
@@ -622,7 +631,7 @@
                 self._copy(message)
 
     def _copy(self, message: Message) -> None:
-        shard = self.shards.mine.get(message.shard)
+        shard = self.shards.owned.get(message.shard)
         if message.body is None:
             self._read_body(message, lambda found: self._copy(message) if found else self._copied(message))
         elif shard is None or message.ended:
@@ -661,7 +670,7 @@
         self._find(name, found)
 
     def _mine(self, name: str) -> tuple[str, str] | None:
-        if name in self.delivery_queue.messages or name in self.shards.putting:
+        if name in self.delivery_queue.messages or name in self.shards.pending_writes:
             return "", ""
         known = self.ends.get(name)
         return (known[0], known[1]) if known is not None else None
@@ -706,7 +715,7 @@
                 if state is not None:
                     states.append((state[0], state[1]))
             ended = [it for it in states if it[0]]
-            if ended or self.replicator.knows_all(heard):
+            if ended or self.replicator.covers_all_messages(heard):
                 over = True
                 found(ended[0] if ended else (states[0] if states else ("none", "")))
 
--- a/amberlug/cluster/node_status.py
+++ b/amberlug/cluster/node_status.py
@@ -63,7 +63,7 @@
         told = {
             "ready": edge.ready,
             "edition": edge.routes.edition,
-            "shards": len(edge.shards.mine),
+            "shards": len(edge.shards.owned),
             "in hand": len(messages),
             "bytes": edge.size,
             "out": sum(len(it.calls) for it in edge.services.values()),
--- a/amberlug/cluster/simulation/mutations.py
+++ b/amberlug/cluster/simulation/mutations.py
@@ -15,16 +15,17 @@
 from amberlug.cluster.control import node as control_node
 from amberlug.cluster.control.node import ControlNode
 from amberlug.cluster.control.sessions import Session
-from amberlug.cluster.dispatch import replicator
-from amberlug.cluster.dispatch.message import Message
-from amberlug.cluster.dispatch.replicator import ReplicationOutcome
-from amberlug.cluster.dispatch.shard_owner import AdmissionOutcome, ShardOwner
+from amberlug.cluster.dispatch.message import Message, SequencePosition
+from amberlug.cluster.dispatch.messages import AdmissionOutcome
+from amberlug.cluster.dispatch.replica_write import ReplicationOutcome, ReplicaWrite
+from amberlug.cluster.dispatch.shard_owner import ShardOwner
+from amberlug.cluster.dispatch.shard_recovery import ShardRecovery
 from amberlug.cluster.edge import node as edge_node
 from amberlug.cluster.edge.node import EdgeNode
 from amberlug.cluster.gossip.store import GossipStore
 from amberlug.cluster.http.api import HttpResponse, RespondHttp
 from amberlug.cluster.http.routing import RoutingTable
-from amberlug.cluster.interfaces import CallResult, Json, Reply, RequestFailure
+from amberlug.cluster.interfaces import CallResult, Json, RequestFailure
 from amberlug.cluster.settings import Settings
 from amberlug.cluster.simulation import (
     mutations_answers,
@@ -33,6 +34,7 @@
     mutations_partitions,
     mutations_voters,
 )
+from amberlug.cluster.storage.messages import ReplicaWriteReply, ReplicaWriteResult
 from amberlug.cluster.storage.node import StorageNode
 
 Mutant = Callable[[], AbstractContextManager[Any]]
@@ -40,16 +42,16 @@
 
 def _first_sync() -> AbstractContextManager[Any]:
     """202 before the second sync."""
-    hear = replicator._ReplicaWrite._hear
+    on_reply = ReplicaWrite.on_reply
 
-    def first(self: replicator._ReplicaWrite, name: str, reply: Result[Reply, RequestFailure]) -> None:
-        if isinstance(reply, Ok) and reply.ok_value.body.get("ok"):
-            self.message.holders.add(name)
-            self._end(ReplicationOutcome.REPLICATED)
+    def first(self: ReplicaWrite, disk: str, reply: Result[ReplicaWriteReply, RequestFailure]) -> None:
+        if isinstance(reply, Ok) and reply.ok_value.result is ReplicaWriteResult.STORED:
+            self.message.holders.add(disk)
+            self.complete(ReplicationOutcome.REPLICATED)
         else:
-            hear(self, name, reply)
+            on_reply(self, disk, reply)
 
-    return patch.object(replicator._ReplicaWrite, "_hear", first)
+    return patch.object(ReplicaWrite, "on_reply", first)
 
 
 def _old_vote() -> AbstractContextManager[Any]:
@@ -107,14 +109,15 @@
 
 def _order_lost() -> AbstractContextManager[Any]:
     """A new owner has messages in the order of their names."""
-    serve = ShardOwner._serve
+    recovered = ShardOwner.recovered
 
-    def by_name(self: ShardOwner, load: Any) -> None:
-        for number, name in enumerate(sorted(load.found, key=lambda it: it.partition("-")[2])):
-            load.found[name].order = (0, number)
-        serve(self, load)
+    def by_name(self: ShardOwner, recovery: ShardRecovery) -> None:
+        found = recovery.open_messages
+        for number, name in enumerate(sorted(found, key=lambda it: it.partition("-")[2])):
+            found[name].order = SequencePosition(0, number)
+        recovered(self, recovery)
 
-    return patch.object(ShardOwner, "_serve", by_name)
+    return patch.object(ShardOwner, "recovered", by_name)
 
 
 def _unclear_refused() -> AbstractContextManager[Any]:
--- a/amberlug/cluster/simulation/mutations_answers.py
+++ b/amberlug/cluster/simulation/mutations_answers.py
@@ -5,6 +5,7 @@
 import itertools
 from collections.abc import Callable, Iterator, Mapping
 from contextlib import AbstractContextManager, contextmanager
+from dataclasses import replace
 from typing import Any
 from unittest.mock import patch
 
@@ -15,10 +16,12 @@
 from amberlug.cluster.dispatch.dispatcher import Outcome, judge
 from amberlug.cluster.dispatch.endpoint_client import EndpointClient
 from amberlug.cluster.dispatch.message import Message
+from amberlug.cluster.dispatch.messages import Handover
 from amberlug.cluster.dispatch.shard_owner import ShardOwner
 from amberlug.cluster.edge import node as edge_node
 from amberlug.cluster.http.server import Answer, _Reply
 from amberlug.cluster.interfaces import CallResult, CallVerdict, EndpointCall, Json, RequestFailure, Respond
+from amberlug.cluster.rpc.messages import Responder
 from amberlug.cluster.rpc.transport import PeerTransport, _Incoming, _Outgoing
 from amberlug.http.link import Link
 
@@ -164,10 +167,10 @@
     """Who takes a shard over calls at once what the owner before has out."""
     handover = ShardOwner.on_handover
 
-    def nothing_out(self: ShardOwner, body: Json, blob: bytes, origin: str, respond: Respond) -> None:
-        handover(self, {**body, "out": []}, blob, origin, respond)
+    def nothing_out(self: ShardOwner, message: Handover, origin: str, respond: Responder) -> None:
+        handover(self, replace(message, in_flight=()), origin, respond)
 
-    nothing_out.__dict__.update(handover.__dict__)  # the word that it hears
+    nothing_out.__dict__.update(handover.__dict__)  # the message that it handles
     with patch.object(ShardOwner, "on_handover", nothing_out):
         yield
 
--- a/amberlug/cluster/simulation/mutations_losses.py
+++ b/amberlug/cluster/simulation/mutations_losses.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable, Mapping
+from collections.abc import Callable, Mapping, Set
 from contextlib import AbstractContextManager
 from typing import Any
 from unittest.mock import patch
@@ -19,8 +19,8 @@
 def _retire_short() -> AbstractContextManager[Any]:
     """A store that is emptied counts as one of the copies of what it holds."""
 
-    def enough(self: Replicator, disks: set[str]) -> bool:
-        return self._hold(
+    def enough(self: Replicator, disks: Set[str]) -> bool:
+        return self.is_quorum(
             {
                 disk
                 for disk in disks
@@ -49,12 +49,12 @@
 def _one_zone() -> AbstractContextManager[Any]:
     """Copies are counted by machines, wherever they stand."""
 
-    def hold(self: Replicator, disks: set[str]) -> bool:
+    def hold(self: Replicator, disks: Set[str]) -> bool:
         names = {self.stores[disk].name for disk in disks if disk in self.stores}
         tolerance = self.tolerance
         return len(names) > max(tolerance.machines, tolerance.zones, tolerance.regions)
 
-    return patch.object(Replicator, "_hold", hold)
+    return patch.object(Replicator, "is_quorum", hold)
 
 
 def _old_epoch() -> AbstractContextManager[Any]:
--- a/benchmarks/hollow/steps.py
+++ b/benchmarks/hollow/steps.py
@@ -24,7 +24,7 @@
 from amberlug.cluster.control.shard_assignment import assign_shards
 from amberlug.cluster.dispatch.delivery_queue import DeliveryQueue
 from amberlug.cluster.dispatch.endpoint_pool import EndpointPool
-from amberlug.cluster.dispatch.message import Message
+from amberlug.cluster.dispatch.message import Message, SequencePosition
 from amberlug.cluster.dispatch.replicator import Replicator
 from amberlug.cluster.edge.node import EdgeNode
 from amberlug.cluster.gossip.store import GossipStore
@@ -71,9 +71,9 @@
         (("content-type", "application/json"),),
         bytes(body),
         body,
-        (7, number),
+        SequencePosition(7, number),
     )
-    held.holders, held.asked = {"disk-store-1", "disk-store-2"}, {"disk-store-1", "disk-store-2"}
+    held.holders, held.possible_holders = {"disk-store-1", "disk-store-2"}, {"disk-store-1", "disk-store-2"}
     return held
 
 
@@ -340,12 +340,12 @@
         roster = {
             f"disk-{it}": {**place, "name": f"store-{it}", "zone": f"z{it % ZONES}"} for it in range(count)
         }
-        replicator.roster_is(roster)
+        replicator.update_roster(roster)
         held = message(1, 0)
         heard = set(roster) - {"disk-1"}
         acts: dict[str, Callable[[], object]] = {
-            "which stores keep a message": partial(replicator._ranked, held),
-            "whether enough stores were read": partial(replicator.knows_all, heard),
+            "which stores keep a message": partial(replicator.preferred_disks, held),
+            "whether enough stores were read": partial(replicator.covers_all_messages, heard),
         }
         for name, act in acts.items():
             yield Figure("steps", "stores", count, "step", f"processor s, {name}", _timed(5, act))
--- a/tests/cluster/test_contact.py
+++ b/tests/cluster/test_contact.py
@@ -228,7 +228,7 @@
     day.clock.call_later(0.6, day.operator.begin)
     day.clock.run(5.0)
     edge = day.deployment.edges[0].part
-    shard = next(iter(edge.shards.mine))
+    shard = next(iter(edge.shards.owned))
     for machine in day.deployment.stores:
         machine.part.kept[f"{shard}-x"] = StoredMessage(
             shard, 1, 1, {}, 1, "done", "seal", day.clock.now + 2e9
--- a/tests/cluster/test_delivery_queue.py
+++ b/tests/cluster/test_delivery_queue.py
@@ -3,13 +3,13 @@
 import random
 
 from amberlug.cluster.dispatch.delivery_queue import DeliveryQueue
-from amberlug.cluster.dispatch.message import Message
+from amberlug.cluster.dispatch.message import Message, SequencePosition
 from amberlug.cluster.simulation.clock import Clock
 from amberlug.cluster.simulation.network import Host, Incarnation, Network, SimulatedRuntime
 
 
 def message(name: str, number: int) -> Message:
-    return Message(name, 0, name, "", "GET", "/", "r", "k", 0.0, 0.0, order=(1, number))
+    return Message(name, 0, name, "", "GET", "/", "r", "k", 0.0, 0.0, order=SequencePosition(1, number))
 
 
 def test_one_accepted_before_goes_once_the_call_of_a_later_one_has_failed() -> None:
--- a/tests/cluster/test_found.py
+++ b/tests/cluster/test_found.py
@@ -6,9 +6,11 @@
 import pytest
 from absl import logging
 
-from amberlug.cluster.dispatch.message import Message
+from amberlug.cluster.dispatch.message import Message, SequencePosition
+from amberlug.cluster.dispatch.messages import CallEnded
 from amberlug.cluster.simulation.history import Broken
 from amberlug.cluster.simulation.scenarios import TRAFFIC_S, Day
+from amberlug.cluster.storage.messages import MessageOutcome
 
 
 @pytest.fixture(autouse=True)
@@ -62,8 +64,10 @@
     day = Calm(1)
     day.play()
     edge = day.deployment.edges[0].part
-    number, shard = next(iter(edge.shards.mine.items()))
-    message = Message(f"{number:x}-again", number, "again", "", "GET", "/", "r", "k", 0.0, 0.0, order=(3, 7))
+    number, shard = next(iter(edge.shards.owned.items()))
+    message = Message(
+        f"{number:x}-again", number, "again", "", "GET", "/", "r", "k", 0.0, 0.0, order=SequencePosition(3, 7)
+    )
     edge.replicator.put(message, shard.epoch, lambda put: None)
     day.clock.run(day.clock.now + 0.5)
     kept = [it.part.kept.get(message.id) for it in day.deployment.stores]
@@ -80,9 +84,7 @@
     edge, message = next(
         (edge, it) for edge in edges for it in edge.delivery_queue.messages.values() if it.out
     )
-    edge.shards.on_outcome(
-        {"id": message.id, "end": "", "seal": "", "failed": False}, b"", "", lambda body, blob: None
-    )
+    edge.shards.on_outcome(CallEnded(message.id, MessageOutcome(), False), "", lambda reply: None)
     day.clock.run(day.clock.now + 1.0)
     assert sum(run.attempt == message.attempt for run in day.history.runs) == 1
 
--- a/tests/cluster/test_killed_steps.py
+++ b/tests/cluster/test_killed_steps.py
@@ -6,7 +6,8 @@
 import pytest
 from absl import logging
 
-from amberlug.cluster.dispatch.replicator import ReplicationOutcome, Replicator
+from amberlug.cluster.dispatch.replica_write import ReplicationOutcome
+from amberlug.cluster.dispatch.replicator import Replicator
 from amberlug.cluster.simulation.history import Broken
 from amberlug.cluster.simulation.scenarios import TRAFFIC_S, Day
 
--- a/tests/cluster/test_losses.py
+++ b/tests/cluster/test_losses.py
@@ -9,7 +9,7 @@
 from absl import logging
 from result import Ok
 
-from amberlug.cluster.dispatch.shard_owner import AdmissionOutcome
+from amberlug.cluster.dispatch.messages import AdmissionOutcome
 from amberlug.cluster.gossip.store import GossipStore
 from amberlug.cluster.interfaces import Json, Reply
 from amberlug.cluster.simulation.history import Broken
@@ -17,8 +17,7 @@
 from amberlug.cluster.simulation.scenarios import Day, play
 from amberlug.cluster.simulation.seed_search import one
 from tests.cluster.test_control_node import Rig as Leader
-from tests.cluster.test_shard_owner import STORES, fresh
-from tests.cluster.test_shard_owner import Rig as Owner
+from tests.cluster.test_shard_owner import STORES, OwnerRig, new_message
 from tests.cluster.test_storage_node import Rig
 
 
@@ -95,23 +94,23 @@
 
 
 def test_an_owner_serves_once_it_knows_the_roster_that_its_table_was_agreed_on() -> None:
-    rig = Owner()
+    rig = OwnerRig()
     heard: dict[str, Json] = {it: {"open": []} for it in STORES}
-    rig.shards.table_is({"owners": [["me", {"addr": "me"}]], "shards": [[0, 8, -1]], "roster": 5})
-    rig.answer("fence", heard)
-    assert not rig.shards.mine[0].serving
-    rig.replicator.roster_is(rig.roster, 5)
+    rig.shards.update_table({"owners": [["me", {"addr": "me"}]], "shards": [[0, 8, -1]], "roster": 5})
+    rig.reply("fence", heard)
+    assert not rig.shards.owned[0].serving
+    rig.replicator.update_roster(rig.roster, 5)
     rig.shards.roster_changed()
-    assert rig.shards.mine[0].serving
+    assert rig.shards.owned[0].serving
 
 
 @pytest.mark.parametrize("name", ["", "unfenced-drop"])
 def test_no_disk_is_dropped_while_a_store_may_take_puts_of_an_owner_of_before(name: str) -> None:
-    rig = Owner()
-    (last,) = (then for to, _, _, then in rig.world.asked if to == STORES[2])
-    rig.answer("fence", {it: {"open": []} for it in STORES[:2]})
+    rig = OwnerRig()
+    (last,) = (then for to, _, _, then in rig.runtime.asked if to == STORES[2])
+    rig.reply("fence", {it: {"open": []} for it in STORES[:2]})
     rig.clock.run(1.0)
-    assert rig.shards.mine[0].serving
+    assert rig.shards.owned[0].serving
     with mutated(name):
         assert bool(rig.shards.unfenced) != bool(name)
     last(Ok(Reply({"ok": True, "disk": STORES[2], "refused": {}, "open": []}, b"")))
@@ -120,15 +119,15 @@
 
 
 def test_a_put_outlasts_a_disk_that_is_dropped_meanwhile() -> None:
-    rig = Owner()
-    rig.answer("fence", {it: {"open": []} for it in STORES})
+    rig = OwnerRig()
+    rig.reply("fence", {it: {"open": []} for it in STORES})
     said: list[AdmissionOutcome] = []
-    rig.shards.accept(fresh(), said.append)
-    first, second = (to for to, word, _, _ in rig.world.asked if word == "put")
+    rig.shards.accept(new_message(), said.append)
+    first, second = (to for to, word, _, _ in rig.runtime.asked if word == "put")
     (left,) = set(STORES) - {first, second}
-    rig.replicator.roster_is({it: rig.roster[it] for it in STORES if it != left})
+    rig.replicator.update_roster({it: rig.roster[it] for it in STORES if it != left})
     rig.clock.run(0.5)  # long enough to ask a further store
-    rig.answer("put", {first: {}, second: {}})
+    rig.reply("put", {first: {}, second: {}})
     assert said == [AdmissionOutcome.ACCEPTED]
 
 
--- a/tests/cluster/test_unclear_asks.py
+++ b/tests/cluster/test_unclear_asks.py
@@ -7,7 +7,7 @@
 
 from amberlug.cluster.control.node import ControlNode, blank
 from amberlug.cluster.dispatch.message import Message
-from amberlug.cluster.dispatch.shard_owner import AdmissionOutcome
+from amberlug.cluster.dispatch.messages import AdmissionOutcome
 from amberlug.cluster.edge.node import EdgeNode, _Submission
 from amberlug.cluster.http.api import HttpResponse
 from amberlug.cluster.interfaces import Json, Reply, ReplyCallback, RequestFailure
@@ -29,7 +29,7 @@
     clock = Clock()
     world = Alone(clock)
     edge = EdgeNode(world, settings("edge"), "10.0.0.1:7300", Nowhere())
-    edge.shards.table_is(AWAY)
+    edge.shards.update_table(AWAY)
     said: list[AdmissionOutcome] = []
     message = Message("0-x", 0, "x", "", "POST", "/", "r", "", 0.0, 0.0)
     _Submission(edge, message, 1.5, said.append).go()
