--- /dev/null
+++ b/amberlug/cluster/dispatch/call_outcome.py
@@ -0,0 +1,55 @@
+"""What the result of a call means for its message. No I/O."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+
+from amberlug.cluster.dispatch.message import Message
+from amberlug.cluster.interfaces import CallResult, CallVerdict
+
+MIN_RETRY_S = 0.02  # a usual call takes as long: an endpoint that restarts is found soon after
+MAX_RETRY_S = 0.5  # of the exponential backoff: below the time in which endpoints come back
+MAX_BACKOFF_EXPONENT = 8
+STILL_RUNNING_RETRY_S = 0.05  # the endpoint has an earlier call of the same attempt under way
+
+NOT_EXECUTED_HEADER = "amberlug-not-executed"
+ATTEMPT_HEADER = "amberlug-attempt-id"
+SEAL_HEADER = "amberlug-server-seal"
+
+
+@dataclass(frozen=True, slots=True)
+class CallOutcome:
+    """What a call did to its message."""
+
+    end: str = ""  # `done` or `dead`; empty where the message is called again
+    seal: str = ""  # the endpoint's seal of the success
+    is_failure: bool = False  # the call counts as a failed attempt
+    retry_delay_s: float = 0.0
+
+
+def judge(message: Message, result: CallResult, max_attempts: int) -> CallOutcome:
+    """Read the response of an endpoint. Only one that names the message's attempt is trusted.
+
+    :param max_attempts: failed attempts after which the message is dead.
+    """
+    if result.verdict is not CallVerdict.ANSWERED:
+        return CallOutcome()
+    backoff_s = min(MAX_RETRY_S, MIN_RETRY_S * 2 ** min(message.call_count, MAX_BACKOFF_EXPONENT))
+    if result.header(ATTEMPT_HEADER) != message.attempt:
+        return CallOutcome(retry_delay_s=backoff_s)
+    if result.header(NOT_EXECUTED_HEADER) is not None or result.status == 421:
+        return CallOutcome(retry_delay_s=backoff_s)
+    if 200 <= result.status < 300:
+        seal = result.header(SEAL_HEADER)
+        return CallOutcome("done", seal) if seal else CallOutcome(retry_delay_s=backoff_s)
+    if result.status == 422:
+        return CallOutcome("dead")
+    if result.status == 500:
+        return _failed(message, max_attempts)
+    return CallOutcome(retry_delay_s=STILL_RUNNING_RETRY_S if result.status == 409 else backoff_s)
+
+
+def _failed(message: Message, max_attempts: int) -> CallOutcome:
+    is_last = message.failures + 1 >= max_attempts
+    retry_delay_s = MIN_RETRY_S * 2**message.failures
+    return CallOutcome("dead" if is_last else "", is_failure=True, retry_delay_s=retry_delay_s)
--- a/amberlug/cluster/dispatch/delivery_queue.py
+++ b/amberlug/cluster/dispatch/delivery_queue.py
@@ -1,4 +1,4 @@
-"""What waits: messages until they are due, keys one message at a time, and who is next. No I/O."""
+"""Messages that wait: for their time, and for the messages before them with the same sequence key. No I/O."""
 
 from __future__ import annotations
 
@@ -12,81 +12,89 @@
 
 
 class DeliveryQueue:
-    """Messages in hand: gives each to `ready` once it is due and the first of its key."""
-
-    def __init__(self, world: Runtime, ready: Callable[[Message], None]) -> None:
-        self.world, self._ready = world, ready
-        self.messages: dict[str, Message] = {}
-        self.keys: dict[str, list[Message]] = {}  # by sequence key: those that have not ended, in their order
-        self._due: list[tuple[float, int, Message]] = []
-        self._numbers = itertools.count()
+    """The open messages of owned shards.
+
+    Invariant: of messages with the same sequence key only the first one is given to `on_ready`, and no call
+    of another one is in flight then.
+
+    :param on_ready: called with a message once it is due and the first of its key.
+    """
+
+    def __init__(self, runtime: Runtime, on_ready: Callable[[Message], None]) -> None:
+        self._runtime, self._on_ready = runtime, on_ready
+        self.messages: dict[str, Message] = {}  # by id
+        self._by_key: dict[str, list[Message]] = {}  # by sequence key: the open messages in their order
+        self._scheduled: list[tuple[float, int, Message]] = []  # a heap: due time, tie-breaker, message
+        self._tie_breakers = itertools.count()
         self._timer: TimerHandle | None = None
 
     def add(self, message: Message) -> None:
-        """Take one in hand."""
-        assert message.id not in self.messages, "a message is in hand twice"
+        """Add a message that is not in the queue."""
+        assert message.id not in self.messages, "a message is queued twice"
         self.messages[message.id] = message
         if message.key:
-            line = self.keys.setdefault(message.key, [])
-            bisect.insort(line, message, key=lambda it: it.order)
-            if line[0] is not message:
+            same_key = self._by_key.setdefault(message.key, [])
+            bisect.insort(same_key, message, key=lambda it: it.order)
+            if same_key[0] is not message:
                 return
-        self._when_due(message)
+        self._schedule(message)
 
-    def _when_due(self, message: Message) -> None:
+    def _schedule(self, message: Message) -> None:
         if message.out:
             return
-        wait = message.due_at - self.world.wall_clock()
-        if wait <= 0:
+        delay_s = message.due_at - self._runtime.wall_clock()
+        if delay_s <= 0:
             self._offer(message)
             return
-        heapq.heappush(self._due, (message.due_at, next(self._numbers), message))
-        if self._due[0][2] is message:
-            self._wake(wait)
+        heapq.heappush(self._scheduled, (message.due_at, next(self._tie_breakers), message))
+        if self._scheduled[0][2] is message:
+            self._set_timer(delay_s)
 
-    def _wake(self, wait: float) -> None:
+    def _set_timer(self, delay_s: float) -> None:
         if self._timer is not None:
             self._timer.cancel()
-        self._timer = self.world.call_later(max(0.0, wait), self._fall_due)
+        self._timer = self._runtime.call_later(max(0.0, delay_s), self._on_timer)
 
-    def _fall_due(self) -> None:
+    def _on_timer(self) -> None:
         self._timer = None
-        now = self.world.wall_clock()
-        while self._due and self._due[0][0] <= now:
-            message = heapq.heappop(self._due)[2]
+        now = self._runtime.wall_clock()
+        while self._scheduled and self._scheduled[0][0] <= now:
+            message = heapq.heappop(self._scheduled)[2]
             self._offer(message)
-        if self._due:
-            self._wake(self._due[0][0] - now)
+        if self._scheduled:
+            self._set_timer(self._scheduled[0][0] - now)
 
     def _offer(self, message: Message) -> None:
+        """Give a due message to `on_ready`, unless it left the queue or is not the first of its key."""
         if self.messages.get(message.id) is not message or message.ended or message.out:
             return
-        line = self.keys.get(message.key, []) if message.key else []
-        if line and (line[0] is not message or any(it.out for it in line)):
+        same_key = self._by_key.get(message.key, []) if message.key else []
+        if same_key and (same_key[0] is not message or any(it.out for it in same_key)):
             return  # it is offered once those before it have ended
-        self._ready(message)
+        self._on_ready(message)
 
-    def again(self, message: Message) -> None:
-        """One whose call did not end it is offered once more."""
+    def requeue(self, message: Message) -> None:
+        """Offer a message once more whose call did not end it."""
         message.out = False
         if self.messages.get(message.id) is message and not message.ended:
-            # One that was accepted before it may have come in hand meanwhile, and waited for this call's end.
-            self._when_due(self.keys[message.key][0] if message.key else message)
+            # One that was admitted before it may have been added meanwhile, and waited for this call to end.
+            self._schedule(self._by_key[message.key][0] if message.key else message)
 
     def end(self, message: Message) -> None:
-        """One has ended: the next of its key may begin."""
+        """Remove a message that has ended; the next one of its key may begin."""
         message.ended = True
         self.drop(message)
 
     def drop(self, message: Message) -> None:
-        """It is no longer in hand."""
+        """Remove a message, if it is in the queue."""
         if self.messages.get(message.id) is not message:
             return
         del self.messages[message.id]
-        if message.key:
-            line = self.keys[message.key]
-            line.remove(message)
-            if not line:
-                del self.keys[message.key]
-            elif message.ended:
-                self._when_due(line[0])
+        if not message.key:
+            return
+        same_key = self._by_key[message.key]
+        same_key.remove(message)
+        if not same_key:
+            del self._by_key[message.key]
+        elif message.ended:
+            self._schedule(same_key[0])
--- a/amberlug/cluster/dispatch/endpoint_client.py
+++ b/amberlug/cluster/dispatch/endpoint_client.py
@@ -1,4 +1,4 @@
-"""Calls to endpoints over connections that are kept: the program in service's own link."""
+"""Calls of endpoints over pooled connections, on the HTTP client connection of `amberlug.http`."""
 
 from __future__ import annotations
 
@@ -7,140 +7,145 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
+from amberlug.cluster.dispatch.call_outcome import ATTEMPT_HEADER, SEAL_HEADER
 from amberlug.cluster.interfaces import CallResult, CallVerdict, EndpointCall
 from amberlug.http.link import Link, LinkLostError, Reply, dial
 
-DIAL_S = 0.7  # for a connection to come up
-KEPT_MOST = 8  # idle connections kept for one endpoint
-KEPT_S = 4.0  # that one is kept where the endpoint does not say
-MARGIN_S = 0.4  # before the endpoint closes it
-OPEN_MOST = 64  # attempts that one connection has answered and that may come again: then it is closed
-_TIMEOUT = re.compile(r"timeout=(\d+)")
+CONNECT_TIMEOUT_S = 0.7
+MAX_IDLE_PER_ENDPOINT = 8
+IDLE_TIMEOUT_S = 4.0  # of a connection whose endpoint does not say: below the five seconds of usual servers
+IDLE_MARGIN_S = 0.4  # before the endpoint closes it, lest a call meets the close
+MAX_OPEN_ATTEMPTS = 64  # answered on one connection without success; more of them would only use memory
+_KEEP_ALIVE_TIMEOUT = re.compile(r"timeout=(\d+)")
 
 
 @dataclass(slots=True, eq=False)
 class _Connection:
-    """One that was dialled; it carries one call at a time."""
+    """A connection to an endpoint; it carries one call at a time."""
 
     link: Link
-    until: float = 0.0  # it may be used
-    # Attempts that were answered here without success. A second copy of such an answer may still come, and
-    # would pass for the answer to the next call of the same attempt: that call takes another connection.
-    answered: set[str] = field(default_factory=set)
+    usable_until: float = 0.0  # by the event loop's clock
+    # Attempts that were answered here without success. A duplicate of such a response may still come, and
+    # would pass for the response to the next call of the same attempt: that call takes another connection.
+    open_attempts: set[str] = field(default_factory=set)
 
 
 class EndpointClient:
-    """Connections to endpoints, by address."""
+    """Calls of endpoints, with idle connections by address."""
 
     def __init__(self) -> None:
         self._idle: dict[str, list[_Connection]] = {}  # the newest last
-        self._tasks: set[asyncio.Task[None]] = set()
-        self.dialled = 0
+        self._tasks: set[asyncio.Task[None]] = set()  # an event loop refers only weakly to its tasks
 
     def idle(self, address: str) -> int:
-        """Connections to it that could carry a call at once."""
+        """How many idle connections there are to an address."""
         return len(self._idle.get(address, ()))
 
     def forget(self, address: str) -> None:
-        """Close its idle connections: it has gone."""
-        for it in self._idle.pop(address, []):
-            it.link.close()
+        """Close the idle connections to an endpoint that is gone."""
+        for connection in self._idle.pop(address, []):
+            connection.link.close()
 
     def sweep(self) -> None:
-        """Close what the endpoint is about to close."""
+        """Close the connections that their endpoint is about to close."""
         now = asyncio.get_running_loop().time()
         for address, idle in list(self._idle.items()):
-            kept = [it for it in idle if it.until > now and it.link.usable]
-            for it in idle:
-                if it not in kept:
-                    it.link.close()
-            if kept:
-                self._idle[address] = kept
+            usable = [it for it in idle if it.usable_until > now and it.link.usable]
+            for connection in idle:
+                if connection not in usable:
+                    connection.link.close()
+            if usable:
+                self._idle[address] = usable
             else:
                 del self._idle[address]
 
-    def call(self, delivery: EndpointCall, then: Callable[[CallResult], None]) -> None:
-        """Call an endpoint; `then` hears once how it ended."""
-        task = asyncio.get_running_loop().create_task(self._call(delivery, then))
+    def call(self, call: EndpointCall, on_result: Callable[[CallResult], None]) -> None:
+        """Call an endpoint.
+
+        :param on_result: called once with the result.
+        """
+        task = asyncio.get_running_loop().create_task(self._call(call, on_result))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _call(self, delivery: EndpointCall, then: Callable[[CallResult], None]) -> None:
-        then(await self._try(delivery))
+    async def _call(self, call: EndpointCall, on_result: Callable[[CallResult], None]) -> None:
+        on_result(await self._try(call))
+
+    async def _try(self, call: EndpointCall) -> CallResult:
+        connection = self._take_idle(call.address, call.attempt) or await self._connect(call)
+        if connection is None:
+            return CallResult(CallVerdict.NOT_CONNECTED)
+        response = await self._exchange(connection.link, call)
+        if isinstance(response, CallVerdict):
+            connection.link.close()
+            return CallResult(response)
+        if not self.is_response_to(call, response):
+            # It belongs to another call, or to none. The one to this call may follow: no other may get it.
+            connection.link.close()
+            return CallResult(CallVerdict.CONNECTION_LOST)
+        if not response.headers.get(SEAL_HEADER):
+            connection.open_attempts.add(call.attempt)
+        self._release(call.address, connection, response.headers)
+        return CallResult(CallVerdict.ANSWERED, response.status, tuple(response.headers.items()))
 
-    def _kept(self, address: str, attempt: str) -> _Connection | None:
+    def _take_idle(self, address: str, attempt: str) -> _Connection | None:
         """Take out the newest connection that may carry a call of this attempt."""
         now = asyncio.get_running_loop().time()
         idle = self._idle.pop(address, [])
-        passed: list[_Connection] = []
+        passed_over: list[_Connection] = []
         found = None
         while idle and found is None:
-            it = idle.pop()
-            if not (it.until > now and it.link.usable):
-                it.link.close()
-            elif attempt in it.answered:
-                passed.insert(0, it)
+            connection = idle.pop()
+            if not (connection.usable_until > now and connection.link.usable):
+                connection.link.close()
+            elif attempt in connection.open_attempts:
+                passed_over.insert(0, connection)
             else:
-                found = it
-        if idle or passed:
-            self._idle[address] = idle + passed
+                found = connection
+        if idle or passed_over:
+            self._idle[address] = idle + passed_over
         return found
 
-    async def _try(self, delivery: EndpointCall) -> CallResult:
-        connection = self._kept(delivery.address, delivery.attempt)
-        if connection is None:
-            host, _, port = delivery.address.rpartition(":")
-            self.dialled += 1
-            dialled = await dial(host, int(port), min(DIAL_S, delivery.seconds))
-            if dialled is None:
-                return CallResult(CallVerdict.NOT_CONNECTED)
-            connection = _Connection(dialled)
-        link = connection.link
-        host_header = next((value for name, value in delivery.headers if name == "Host"), "")
-        headers = [(name, value) for name, value in delivery.headers if name != "Host"]
-        waiter = link.request(delivery.method, delivery.target, headers, delivery.body, host=host_header)
+    @staticmethod
+    async def _connect(call: EndpointCall) -> _Connection | None:
+        host, _, port = call.address.rpartition(":")
+        link = await dial(host, int(port), min(CONNECT_TIMEOUT_S, call.seconds))
+        return _Connection(link) if link is not None else None
+
+    async def _exchange(self, link: Link, call: EndpointCall) -> Reply | CallVerdict:
+        """Send a call and read the response, or why there is none."""
+        host = next((value for name, value in call.headers if name == "Host"), "")
+        headers = [(name, value) for name, value in call.headers if name != "Host"]
+        waiter = link.request(call.method, call.target, headers, call.body, host=host)
         try:
-            async with asyncio.timeout(delivery.seconds):
-                reply = await waiter
+            async with asyncio.timeout(call.seconds):
+                return await waiter
         except LinkLostError as lost:
-            link.close()
-            return CallResult(
-                CallVerdict.CONNECTION_LOST if lost.written or lost.answered else CallVerdict.NOT_CONNECTED
-            )
+            was_sent = lost.written or lost.answered
+            return CallVerdict.CONNECTION_LOST if was_sent else CallVerdict.NOT_CONNECTED
         except TimeoutError:
-            read = self._read_by_now(waiter)
-            if read is None:
-                link.close()
-                return CallResult(CallVerdict.TIMED_OUT)
-            reply = read
-        if not self._is_to(delivery, reply):
-            # It belongs to another call, or to none. The one to this call may follow: no other must get it.
-            link.close()
-            return CallResult(CallVerdict.CONNECTION_LOST)
-        if not reply.headers.get("amberlug-server-seal"):
-            connection.answered.add(delivery.attempt)
-        if link.usable and len(connection.answered) < OPEN_MOST:
-            self._keep(delivery.address, connection, reply.headers)
-        else:
-            link.close()
-        return CallResult(CallVerdict.ANSWERED, reply.status, tuple(reply.headers.items()))
+            return self._completed_response(waiter) or CallVerdict.TIMED_OUT
 
     @staticmethod
-    def _read_by_now(waiter: asyncio.Future[Reply]) -> Reply | None:
-        """An answer that a process which was held up has read in the same go as its time ran out."""
-        whole = waiter.done() and not waiter.cancelled() and waiter.exception() is None
-        return waiter.result() if whole else None
+    def _completed_response(waiter: asyncio.Future[Reply]) -> Reply | None:
+        """The response that a stalled process read in the step of the event loop that ran the timeout."""
+        is_complete = waiter.done() and not waiter.cancelled() and waiter.exception() is None
+        return waiter.result() if is_complete else None
 
     @staticmethod
-    def _is_to(delivery: EndpointCall, reply: Reply) -> bool:
-        """Whether an answer is to this call: by the attempt that it names, not by its place."""
-        return reply.headers.get("amberlug-attempt-id") == delivery.attempt
-
-    def _keep(self, address: str, connection: _Connection, headers: dict[str, str]) -> None:
-        told = _TIMEOUT.search(headers.get("keep-alive", ""))
-        seconds = float(told[1]) if told else KEPT_S
-        connection.until = asyncio.get_running_loop().time() + seconds - MARGIN_S
+    def is_response_to(call: EndpointCall, response: Reply) -> bool:
+        """Whether a response is to this call, by the attempt that it names and not by its order."""
+        return response.headers.get(ATTEMPT_HEADER) == call.attempt
+
+    def _release(self, address: str, connection: _Connection, headers: dict[str, str]) -> None:
+        """Make a connection idle, or close it where it can carry no further call."""
+        if not connection.link.usable or len(connection.open_attempts) >= MAX_OPEN_ATTEMPTS:
+            connection.link.close()
+            return
+        announced = _KEEP_ALIVE_TIMEOUT.search(headers.get("keep-alive", ""))
+        timeout_s = float(announced[1]) if announced else IDLE_TIMEOUT_S
+        connection.usable_until = asyncio.get_running_loop().time() + timeout_s - IDLE_MARGIN_S
         idle = self._idle.setdefault(address, [])
         idle.append(connection)
-        if len(idle) > KEPT_MOST:
+        if len(idle) > MAX_IDLE_PER_ENDPOINT:
             idle.pop(0).link.close()
--- a/amberlug/cluster/dispatch/endpoint_pool.py
+++ b/amberlug/cluster/dispatch/endpoint_pool.py
@@ -2,21 +2,56 @@
 
 from __future__ import annotations
 
+import math
 import random
 from collections.abc import Callable
 from dataclasses import dataclass
+from typing import Self
 
 from amberlug.cluster.interfaces import Json
 
-DOUBT_S = (0.25, 4.0)  # an endpoint that can't be reached is left alone for so long, doubled each time
-FULL_S = 0.15  # one that says it is full
-FAR = 0.35  # what another zone weighs against load: bytes between zones are dear
-FRESH = 0.2  # what a new connection weighs
+MIN_BACKOFF_S = 0.25  # an unreachable endpoint gets no calls for so long, doubled each time
+MAX_BACKOFF_S = 4.0  # a restarted endpoint is found within this time also where nothing announces it
+FULL_BACKOFF_S = 0.15  # one that answered that it is full: a few usual calls end in that time
+FIXED_ENDPOINT_SLOTS = 1 << 10  # an endpoint at a fixed address announces none: its service's rate limits it
+
+# What an endpoint costs beside its load, which is 1 where all of its slots are used.
+OTHER_ZONE_COST = 0.35  # traffic between zones is expensive
+NEW_CONNECTION_COST = 0.2
+WARMING_UP_COST = 0.3
+SAME_ENDPOINT_COST = 5.0  # the endpoint of the last call: a retry goes to another one where there is any
+
+
+@dataclass(frozen=True, slots=True)
+class EndpointAnnouncement:
+    """What control-plane nodes announce of an endpoint."""
+
+    service: str
+    address: str
+    zone: str
+    slots: int
+    warm_up_s: float  # from now on
+    state: str  # `ready`, `gone`, `lost` or another one in which it gets no calls
+
+    @classmethod
+    def from_wire(cls, body: Json) -> Self:
+        """Read the announcement.
+
+        :raises KeyError: where a field is missing.
+        """
+        return cls(
+            body["service"],
+            body["addr"],
+            body["zone"],
+            body["slots"],
+            body["warm_ms"] / 1000,
+            body["cond"],
+        )
 
 
 @dataclass(slots=True, eq=False)
 class Endpoint:
-    """One life of an endpoint."""
+    """One incarnation of an endpoint. Times are seconds of the steady clock."""
 
     id: str
     service: str
@@ -24,93 +59,126 @@
     zone: str
     slots: int
     state: str = "ready"
-    out: int = 0  # this edge's calls that are under way
-    doubt_until: float = 0.0
-    doubts: int = 0
-    warm_at: float = 0.0  # until then it is slow from its start
+    calls_in_flight: int = 0  # of this edge
+    backoff_until: float = 0.0
+    failures: int = 0  # calls in succession that did not reach it
+    warm_at: float = 0.0  # it is slow until then, after its start
 
-    def usable(self, now: float, most: int) -> bool:
-        return self.state == "ready" and self.doubt_until <= now and self.out < most
+    def is_usable(self, now: float) -> bool:
+        """Whether it may get a call now."""
+        return self.state == "ready" and self.backoff_until <= now and self.calls_in_flight < self.slots
 
-    def doubt(self, now: float) -> None:
-        """It could not be reached or did not answer."""
-        self.doubt_until = now + min(DOUBT_S[1], DOUBT_S[0] * 2**self.doubts)
-        self.doubts += 1
+    def on_unreachable(self, now: float) -> None:
+        """Back off exponentially: it could not be reached, or did not respond in time."""
+        self.backoff_until = now + min(MAX_BACKOFF_S, MIN_BACKOFF_S * 2**self.failures)
+        self.failures += 1
 
-    def answered(self) -> None:
-        self.doubts = 0
+    def on_full(self, now: float) -> None:
+        """Back off for a moment: it answered that it takes no call now."""
+        self.backoff_until = now + FULL_BACKOFF_S
+
+    def on_response(self) -> None:
+        """Note that it is reachable."""
+        self.failures = 0
 
 
 class EndpointPool:
-    """All endpoints that are known, by service."""
-
-    def __init__(self, zone: str, chance: random.Random, idle: Callable[[str], int]) -> None:
-        self.zone, self.chance, self._idle = zone, chance, idle
-        self.all: dict[str, Endpoint] = {}
-        self.services: dict[str, dict[str, Endpoint]] = {}
-
-    def heard(self, name: str, value: Json, now: float) -> Endpoint | None:
-        """Take news of an endpoint; gives it where it may be called no longer."""
-        known = self.all.get(name)
-        state = value["cond"]
-        if state in ("gone", "lost") and known is None:
-            return None
-        if known is None:
-            known = Endpoint(
-                name, value["service"], value["addr"], value["zone"], max(1, value["slots"]), state
+    """All endpoints that are known.
+
+    :param zone: the zone of this edge.
+    :param rng: decides between endpoints of the same cost.
+    :param idle_connections: how many idle connections there are to an address.
+    """
+
+    def __init__(self, zone: str, rng: random.Random, idle_connections: Callable[[str], int]) -> None:
+        self._zone, self._rng, self._idle_connections = zone, rng, idle_connections
+        self._by_id: dict[str, Endpoint] = {}
+        self._by_service: dict[str, dict[str, Endpoint]] = {}
+
+    def update(self, endpoint_id: str, announcement: EndpointAnnouncement, now: float) -> Endpoint | None:
+        """Take an announcement.
+
+        :returns: the endpoint where it gets no more calls, None where it does or was not known.
+        """
+        endpoint = self._by_id.get(endpoint_id)
+        if endpoint is None:
+            if announcement.state in ("gone", "lost"):
+                return None
+            endpoint = self._add(
+                Endpoint(
+                    endpoint_id,
+                    announcement.service,
+                    announcement.address,
+                    announcement.zone,
+                    max(1, announcement.slots),
+                )
             )
-            self.all[name] = known
-            self.services.setdefault(known.service, {})[name] = known
-        if known.service != value["service"] and value["service"]:
-            self.services.get(known.service, {}).pop(name, None)
-            known.service = value["service"]
-            self.services.setdefault(known.service, {})[name] = known
-        if value["addr"]:
-            known.address, known.slots = value["addr"], max(1, value["slots"])
-        known.warm_at = now + value["warm_ms"] / 1000
-        known.state = state
-        if state == "gone":
-            self._remove(known)
-        if state != "ready":
-            return known
-        known.doubt_until = 0.0 if known.doubts == 0 else known.doubt_until
+        self._apply(endpoint, announcement)
+        endpoint.warm_at = now + announcement.warm_up_s
+        if announcement.state == "gone":
+            self._remove(endpoint)
+        if announcement.state != "ready":
+            return endpoint
+        if endpoint.failures == 0:
+            endpoint.backoff_until = 0.0
         return None
 
+    def _apply(self, endpoint: Endpoint, announcement: EndpointAnnouncement) -> None:
+        if announcement.service not in ("", endpoint.service):
+            self._by_service.get(endpoint.service, {}).pop(endpoint.id, None)
+            endpoint.service = announcement.service
+            self._add(endpoint)
+        if announcement.address:
+            endpoint.address, endpoint.slots = announcement.address, max(1, announcement.slots)
+        endpoint.state = announcement.state
+
+    def _add(self, endpoint: Endpoint) -> Endpoint:
+        self._by_id[endpoint.id] = endpoint
+        self._by_service.setdefault(endpoint.service, {})[endpoint.id] = endpoint
+        return endpoint
+
     def _remove(self, endpoint: Endpoint) -> None:
-        self.all.pop(endpoint.id, None)
-        self.services.get(endpoint.service, {}).pop(endpoint.id, None)
-
-    def fixed(self, service: str, address: str | None) -> None:
-        """A service that is a single endpoint at a fixed address is on no list."""
-        name = f"fixed {service}"
-        known = self.all.get(name)
-        if known is not None and known.address != address:
-            self._remove(known)
-            known = None
-        if address is not None and known is None:
-            endpoint = Endpoint(name, service, address, self.zone, 1 << 10)
-            self.all[name] = endpoint
-            self.services.setdefault(service, {})[name] = endpoint
-
-    def pick(self, service: str, now: float, not_at: str = "") -> Endpoint | None:
-        """The endpoint that a call would wait least at, as far as this edge can know."""
+        self._by_id.pop(endpoint.id, None)
+        self._by_service.get(endpoint.service, {}).pop(endpoint.id, None)
+
+    def set_fixed(self, service: str, address: str | None) -> None:
+        """Have a service be the single endpoint at an address, which nobody announces.
+
+        :param address: None where the service's endpoints are announced.
+        """
+        endpoint_id = f"fixed {service}"
+        endpoint = self._by_id.get(endpoint_id)
+        if endpoint is not None and endpoint.address != address:
+            self._remove(endpoint)
+            endpoint = None
+        if address is not None and endpoint is None:
+            self._add(Endpoint(endpoint_id, service, address, self._zone, FIXED_ENDPOINT_SLOTS))
+
+    def pick(self, service: str, now: float, last_endpoint_id: str = "") -> Endpoint | None:
+        """The usable endpoint of the least cost, as far as this edge knows; None where none is usable.
+
+        :param last_endpoint_id: where the message was called last.
+        """
         best: Endpoint | None = None
-        least = (9e9, 0.0)
-        for it in self.services.get(service, {}).values():
-            # No part of the slots is set aside for other edges: clients choose theirs unevenly, and an
-            # endpoint that is full says so at once.
-            if not it.usable(now, it.slots):
-                continue
-            weight = it.out / it.slots + (FAR if it.zone != self.zone else 0.0)
-            weight += 0.0 if self._idle(it.address) else FRESH
-            weight += 0.3 if it.warm_at > now else 0.0
-            weight += 5.0 if it.id == not_at else 0.0
-            score = (weight, self.chance.random())
-            if score < least:
-                best, least = it, score
+        least = (math.inf, 0.0)
+        for endpoint in self._by_service.get(service, {}).values():
+            # No slots are set aside for other edges: clients distribute unevenly over edges, and an endpoint
+            # that is full answers so at once.
+            if endpoint.is_usable(now):
+                score = self._cost(endpoint, now, last_endpoint_id), self._rng.random()
+                if score < least:
+                    best, least = endpoint, score
         return best
 
-    def next_chance(self, service: str, now: float) -> float | None:
-        """When the next endpoint that was left alone may be called again."""
-        times = [it.doubt_until for it in self.services.get(service, {}).values() if it.doubt_until > now]
-        return min(times, default=None)
+    def _cost(self, endpoint: Endpoint, now: float, last_endpoint_id: str) -> float:
+        cost = endpoint.calls_in_flight / endpoint.slots
+        cost += OTHER_ZONE_COST if endpoint.zone != self._zone else 0.0
+        cost += 0.0 if self._idle_connections(endpoint.address) else NEW_CONNECTION_COST
+        cost += WARMING_UP_COST if endpoint.warm_at > now else 0.0
+        cost += SAME_ENDPOINT_COST if endpoint.id == last_endpoint_id else 0.0
+        return cost
+
+    def next_available_at(self, service: str, now: float) -> float | None:
+        """When the backoff of the next endpoint of a service ends; None where none is backed off."""
+        ends = [endpoint.backoff_until for endpoint in self._by_service.get(service, {}).values()]
+        return min((end for end in ends if end > now), default=None)
--- a/amberlug/cluster/dispatch/message.py
+++ b/amberlug/cluster/dispatch/message.py
@@ -53,7 +53,7 @@
     end: str = ""  # its outcome: `done`, `dead`, `expired` or `dropped`; empty while it is open
     seal: str = ""  # the endpoint's seal of its success
     seen: int = 0  # log index of the newest configuration at the edge that admitted it
-    last: str = ""  # id of the endpoint that was called last
+    last_endpoint_id: str = ""  # where it was called last
 
     def meta(self) -> Json:
         """Encode what is stored beside the body; the keys are the format of the stored rows."""
--- a/amberlug/cluster/dispatch/shard_owner.py
+++ b/amberlug/cluster/dispatch/shard_owner.py
@@ -82,7 +82,7 @@
         self.table = ShardTable()
         self.pending_writes: dict[str, list[AdmissionCallback]] = {}  # by message
         self.write_started_at: dict[str, float] = {}  # by message, by the steady clock
-        self._earlier_tries: dict[
+        self._unadmitted_replicas: dict[
             str, set[str]
         ] = {}  # by message that was not admitted: disks that may have it
         self._previous_owners = PreviousOwners()
@@ -130,7 +130,7 @@
         for shard, epoch in gained.items():
             self._gain(shard, epoch)
         if lost:
-            self._hand_over(lost)
+            self._send_handovers(lost)
         if gained:
             logging.info("%d shards gained, %d owned", len(gained), len(self.owned))
             self._recover(gained)
@@ -143,7 +143,7 @@
 
     # -- handover to the next owner
 
-    def _hand_over(self, shards: list[int]) -> None:
+    def _send_handovers(self, shards: list[int]) -> None:
         logging.info("%d shards lost to other owners", len(shards))
         in_flight: dict[int, list[str]] = {}
         unacknowledged = self._replicator.unacknowledged_outcomes()
@@ -313,7 +313,7 @@
         shard.admitted += 1
         message.order = SequencePosition(shard.epoch, shard.admitted)
         # Disks that may have a replica of an earlier try learn the outcome too, else it comes back as open.
-        message.possible_holders |= shard.unread_disks | self._earlier_tries.pop(message.id, set())
+        message.possible_holders |= shard.unread_disks | self._unadmitted_replicas.pop(message.id, set())
         self.pending_writes[message.id] = [on_complete]
         self.write_started_at[message.id] = self._runtime.now()
         on_written = partial(self._on_written, number, shard.epoch, message)
@@ -321,8 +321,8 @@
 
     def _on_written(self, number: int, epoch: int, message: Message, outcome: ReplicationOutcome) -> None:
         if outcome is not ReplicationOutcome.REPLICATED:
-            self._earlier_tries[message.id] = set(message.possible_holders)
-            evict_oldest(self._earlier_tries)
+            self._unadmitted_replicas[message.id] = set(message.possible_holders)
+            evict_oldest(self._unadmitted_replicas)
         elif message.end:  # it was admitted by an earlier owner, and has ended
             self._delivery.call_ended(CallEnded(message.id, MessageOutcome(message.end, message.seal), False))
         elif self.owns(number, epoch):
--- a/amberlug/cluster/dispatch/shard_table.py
+++ b/amberlug/cluster/dispatch/shard_table.py
@@ -39,7 +39,7 @@
 
         :raises KeyError: without owners or shards.
         """
-        owners = tuple(EdgeAddress(str(node_id), str(place["addr"])) for node_id, place in body["owners"])
+        owners = tuple(EdgeAddress(str(node_id), str(row["addr"])) for node_id, row in body["owners"])
         return cls(owners, tuple(ShardRow(*row) for row in body["shards"]), body.get("roster", 0))
 
     def __len__(self) -> int:
--- a/amberlug/cluster/edge/node.py
+++ b/amberlug/cluster/edge/node.py
@@ -10,9 +10,10 @@
 from result import Err, Ok, Result
 
 from amberlug.cluster.control.cluster_state import SHARDS
+from amberlug.cluster.dispatch.call_outcome import judge
 from amberlug.cluster.dispatch.delivery_queue import DeliveryQueue
-from amberlug.cluster.dispatch.dispatcher import Dispatcher, judge
-from amberlug.cluster.dispatch.endpoint_pool import EndpointPool
+from amberlug.cluster.dispatch.dispatcher import DispatchCallbacks, Dispatcher
+from amberlug.cluster.dispatch.endpoint_pool import EndpointAnnouncement, EndpointPool
 from amberlug.cluster.dispatch.message import Message, name_of, shard_in, shard_of
 from amberlug.cluster.dispatch.messages import AdmissionOutcome, CallEnded
 from amberlug.cluster.dispatch.replicator import Replicator
@@ -221,7 +222,7 @@
 
     def _heard(self, key: str, value: Any) -> None:
         if key.startswith("ep/"):
-            over = self.pool.heard(key[3:], value, self.world.now())
+            over = self.pool.update(key[3:], EndpointAnnouncement.from_wire(value), self.world.now())
             if over is not None and over.state == "gone":
                 self.endpoints.forget(over.address)
             service = self.services.get(value["service"])
@@ -242,12 +243,12 @@
         self.routes = routes
         logging.info("configuration %d is in force here", routes.edition)
         for name, it in routes.services.items():
-            self.pool.fixed(name, it.fixed)
+            self.pool.set_fixed(name, it.fixed)
             self._service(name)
         for message in list(self.delivery_queue.messages.values()):
             before = message.service
             if self._resolve(message) and before != message.service and not message.out:
-                self.delivery_queue.again(message)
+                self.delivery_queue.requeue(message)
         parked, self._parked = self._parked, []
         for message in parked:
             if message.id in self.delivery_queue.messages and not message.ended:
@@ -265,8 +266,7 @@
                 self.world,
                 self.pool,
                 self.endpoints,
-                self._timeout_s,
-                self._finished,
+                DispatchCallbacks(self._timeout_s, self._finished),
             )
             self.services[name] = service
         destination = self.routes.services.get(name)
@@ -290,7 +290,7 @@
         self._part = part
         for name, it in self.routes.services.items():
             if name in self.services:
-                self.services[name].rate_is(it.rate, part or 0.01)
+                self.services[name].set_rate(it.rate, part or 0.01)
 
     @property
     def ready(self) -> bool:
@@ -472,7 +472,7 @@
             if message.end and not message.ended:  # a store knows what an earlier owner did not tell
                 self._settle(message.id, message.end, message.seal, False)
             elif found:
-                self.delivery_queue.again(message)
+                self.delivery_queue.requeue(message)
             elif not message.ended:
                 self.world.call_later(OFFER_AGAIN_S, lambda: self._fetch(message))
 
@@ -504,21 +504,23 @@
         route = self.routes.by_name.get(message.route)
         outcome = judge(message, called, route.max_attempts if route is not None else 1)
         self._count(f"called: {outcome.end or called.verdict.value}")
-        message.failures += outcome.failed
+        message.failures += outcome.is_failure
         if message in self._orphans:
             self._orphans.discard(message)
             message.out = False
             if outcome.end:
                 self.replicator.record_outcome(message, MessageOutcome(outcome.end, outcome.seal))
                 self._note(message.id, outcome.end, outcome.seal)
-            self.shards.outcome_elsewhere(message, MessageOutcome(outcome.end, outcome.seal), outcome.failed)
+            self.shards.outcome_elsewhere(
+                message, MessageOutcome(outcome.end, outcome.seal), outcome.is_failure
+            )
         elif message.ended:
             return
         elif outcome.end:
             message.out = False
             self._end(message, outcome.end, outcome.seal)
-        elif outcome.again_s > 0:
-            self.world.call_later(outcome.again_s, lambda: self._again(message))
+        elif outcome.retry_delay_s > 0:
+            self.world.call_later(outcome.retry_delay_s, lambda: self._again(message))
         else:
             self._again(message)
 
@@ -526,7 +528,7 @@
         if message.id in self.delivery_queue.messages and not message.ended:
             message.out = False
             if self._resolve(message):
-                self.delivery_queue.again(message)
+                self.delivery_queue.requeue(message)
 
     def _end(self, message: Message, end: str, seal: str) -> None:
         """It has ended: the stores are told."""
--- a/amberlug/cluster/simulation/endpoints.py
+++ b/amberlug/cluster/simulation/endpoints.py
@@ -362,7 +362,9 @@
 
         def hear(called: CallResult) -> None:
             reply = Reply(called.status, dict(called.headers))
-            theirs = called.verdict is CallVerdict.ANSWERED and not RealEndpointClient._is_to(delivery, reply)
+            theirs = called.verdict is CallVerdict.ANSWERED and not RealEndpointClient.is_response_to(
+                delivery, reply
+            )
             end(CallResult(CallVerdict.CONNECTION_LOST) if theirs else called)
 
         connection = self._connection(delivery)
--- a/amberlug/cluster/simulation/mutations.py
+++ b/amberlug/cluster/simulation/mutations.py
@@ -161,7 +161,7 @@
         self._part = part
         for name, it in self.routes.services.items():
             if name in self.services:
-                self.services[name].rate_is(it.rate, 1.0)
+                self.services[name].set_rate(it.rate, 1.0)
 
     return patch.object(EdgeNode, "_spend", spend)
 
--- a/amberlug/cluster/simulation/mutations_answers.py
+++ b/amberlug/cluster/simulation/mutations_answers.py
@@ -13,7 +13,7 @@
 
 from amberlug.cluster.consensus.raft import ProposalRejected
 from amberlug.cluster.control.node import ControlNode
-from amberlug.cluster.dispatch.dispatcher import Outcome, judge
+from amberlug.cluster.dispatch.call_outcome import CallOutcome, judge
 from amberlug.cluster.dispatch.endpoint_client import EndpointClient
 from amberlug.cluster.dispatch.message import Message
 from amberlug.cluster.dispatch.messages import Handover
@@ -28,18 +28,20 @@
 
 def _answer_by_order() -> AbstractContextManager[Any]:
     """The next answer on a connection is taken for the call's, whatever attempt it names."""
-    return patch.object(EndpointClient, "_is_to", staticmethod(lambda delivery, reply: True))
+    return patch.object(EndpointClient, "is_response_to", staticmethod(lambda call, response: True))
 
 
 def _attempt_by_order() -> AbstractContextManager[Any]:
     """An attempt is called again where a second copy of its last answer may still come."""
-    kept = EndpointClient._kept
-    return patch.object(EndpointClient, "_kept", lambda self, address, attempt: kept(self, address, ""))
+    take_idle = EndpointClient._take_idle
+    return patch.object(
+        EndpointClient, "_take_idle", lambda self, address, attempt: take_idle(self, address, "")
+    )
 
 
 def _read_answer_lost() -> AbstractContextManager[Any]:
     """An answer that a process which was held up has read is taken for silence."""
-    return patch.object(EndpointClient, "_read_by_now", staticmethod(lambda waiter: None))
+    return patch.object(EndpointClient, "_completed_response", staticmethod(lambda waiter: None))
 
 
 def _silent_open() -> AbstractContextManager[Any]:
@@ -153,7 +155,7 @@
 def _answer_believed() -> Iterator[None]:
     """Whatever comes next on a connection ends the message whose call is out there."""
 
-    def believe(message: Message, called: CallResult, max_attempts: int) -> Outcome:
+    def believe(message: Message, called: CallResult, max_attempts: int) -> CallOutcome:
         rest = tuple(it for it in called.headers if it[0] != "amberlug-attempt-id")
         named = (("amberlug-attempt-id", message.attempt), *rest)
         return judge(message, CallResult(called.verdict, called.status, named), max_attempts)
--- a/benchmarks/hollow/steps.py
+++ b/benchmarks/hollow/steps.py
@@ -23,7 +23,7 @@
 from amberlug.cluster.control.sessions import Sessions
 from amberlug.cluster.control.shard_assignment import assign_shards
 from amberlug.cluster.dispatch.delivery_queue import DeliveryQueue
-from amberlug.cluster.dispatch.endpoint_pool import EndpointPool
+from amberlug.cluster.dispatch.endpoint_pool import EndpointAnnouncement, EndpointPool
 from amberlug.cluster.dispatch.message import Message, SequencePosition
 from amberlug.cluster.dispatch.replicator import Replicator
 from amberlug.cluster.edge.node import EdgeNode
@@ -251,7 +251,7 @@
         def pool(items: dict[str, Any], world: HollowWorld) -> EndpointPool:
             known = EndpointPool("z0", world.chance, lambda address: 0)
             for key, value in items.items():
-                known.heard(key, value, 1.0)
+                known.update(key, EndpointAnnouncement.from_wire(value), 1.0)
             return known
 
         made, room = _room(partial(pool, items, world))
@@ -297,7 +297,7 @@
                 "cond": "ready",
                 "warm_ms": 0,
             }
-            known.heard(f"endpoint-{it}", value, 0.0)
+            known.update(f"endpoint-{it}", EndpointAnnouncement.from_wire(value), 0.0)
         spent = _timed(20, partial(known.pick, "s", 1.0))
         yield Figure(
             "steps", "endpoints of a service", count, "step", "processor s, which gets a call", spent
--- a/tests/cluster/test_delivery_queue.py
+++ b/tests/cluster/test_delivery_queue.py
@@ -25,5 +25,5 @@
     later.out = True
     delivery_queue.add(before)  # its copies took longer
     assert ready == ["later"]
-    delivery_queue.again(later)
+    delivery_queue.requeue(later)
     assert ready == ["later", "before"]
--- a/tests/cluster/test_endpoint_answers.py
+++ b/tests/cluster/test_endpoint_answers.py
@@ -11,9 +11,10 @@
 
 import pytest
 
-from amberlug.cluster.dispatch.dispatcher import SLACK_S, Dispatcher, judge
+from amberlug.cluster.dispatch.call_outcome import judge
+from amberlug.cluster.dispatch.dispatcher import TIMEOUT_SLACK_S, DispatchCallbacks, Dispatcher
 from amberlug.cluster.dispatch.endpoint_client import EndpointClient
-from amberlug.cluster.dispatch.endpoint_pool import EndpointPool
+from amberlug.cluster.dispatch.endpoint_pool import EndpointAnnouncement, EndpointPool
 from amberlug.cluster.dispatch.message import Message
 from amberlug.cluster.interfaces import CallResult, CallVerdict, EndpointCall
 from amberlug.cluster.process import AsyncioRuntime
@@ -135,7 +136,7 @@
         if what == "late":
             seconds = EXPIRY_S + site.chance.uniform(0.1, 0.4)
         elif what == "just in time":
-            seconds = EXPIRY_S + SLACK_S - 0.01
+            seconds = EXPIRY_S + TIMEOUT_SLACK_S - 0.01
             site.loop.call_later(seconds + 0.00005, site.loop.stall, 0.02)  # who waits for it is held up
         site.loop.call_later(seconds, self._answer, what, ask)
 
@@ -192,19 +193,10 @@
         for number in range(2):
             at = f"10.0.0.{number}", 80
             site.loop.doors[at] = lambda: Endpoint(site)
-            pool.heard(
-                f"i{number}",
-                {
-                    "cond": "ready",
-                    "service": "s",
-                    "addr": f"{at[0]}:80",
-                    "zone": "z",
-                    "slots": 3,
-                    "warm_ms": 0,
-                },
-                0.0,
-            )
-        self.service = Dispatcher("s", world, pool, self, lambda message: EXPIRY_S, self.finished)
+            announcement = EndpointAnnouncement("s", f"{at[0]}:80", "z", 3, 0.0, "ready")
+            pool.update(f"i{number}", announcement, 0.0)
+        callbacks = DispatchCallbacks(lambda message: EXPIRY_S, self.finished)
+        self.service = Dispatcher("s", world, pool, self, callbacks)
         self.forget, self.idle = self.caller.forget, self.caller.idle
 
     def call(self, delivery: EndpointCall, then: Any) -> None:
@@ -247,7 +239,7 @@
 
     def finished(self, message: Message, called: CallResult) -> None:
         outcome = judge(message, called, MAX_ATTEMPTS)
-        message.failures += outcome.failed
+        message.failures += outcome.is_failure
         asks = self.site.by_attempt[message.attempt]
         assert message.failures <= sum(it.status == 500 for it in asks), "a failure counts twice"
         if outcome.end:
@@ -257,7 +249,7 @@
             message.ended = True
             self.ended[message.attempt] = outcome.end
         else:
-            self.loop.call_later(outcome.again_s, self.again, message)
+            self.loop.call_later(outcome.retry_delay_s, self.again, message)
 
     def again(self, message: Message) -> None:
         message.out = False
--- a/tests/cluster/test_measured.py
+++ b/tests/cluster/test_measured.py
@@ -6,8 +6,8 @@
 import pytest
 
 from amberlug.cluster.control.shard_assignment import assign_shards
-from amberlug.cluster.dispatch.dispatcher import Dispatcher
-from amberlug.cluster.dispatch.endpoint_pool import EndpointPool
+from amberlug.cluster.dispatch.dispatcher import DispatchCallbacks, Dispatcher
+from amberlug.cluster.dispatch.endpoint_pool import EndpointAnnouncement, EndpointPool
 from amberlug.cluster.dispatch.message import Message
 from amberlug.cluster.http.server import Answer, Limits, Server
 from amberlug.cluster.interfaces import CallResult, CallVerdict, EndpointCall
@@ -37,8 +37,7 @@
     host = Host("edge", "z", "10.0.0.1:7300")
     world = SimulatedRuntime(net, Incarnation(host, 1, lambda life, error: None), net.chance, 0.0)
     pool = EndpointPool("z", net.chance, lambda address: 1)
-    value = {"service": "s", "addr": "a", "zone": "z", "slots": slots, "cond": "ready", "warm_ms": 0}
-    pool.heard("i", value, 0.0)
+    pool.update("i", EndpointAnnouncement("s", "a", "z", slots, 0.0, "ready"), 0.0)
     done: list[str] = []
 
     def finished(message: Message, called: CallResult) -> None:
@@ -49,7 +48,7 @@
         else:
             clock.call_later(0.02, lambda: service.add(message))
 
-    service = Dispatcher("s", world, pool, endpoints, lambda it: 1.0, finished)
+    service = Dispatcher("s", world, pool, endpoints, DispatchCallbacks(lambda message: 1.0, finished))
     return service, done
 
 
--- a/tests/cluster/test_rates.py
+++ b/tests/cluster/test_rates.py
@@ -4,8 +4,8 @@
 from collections.abc import Callable
 from functools import partial
 
-from amberlug.cluster.dispatch.dispatcher import Dispatcher
-from amberlug.cluster.dispatch.endpoint_pool import EndpointPool
+from amberlug.cluster.dispatch.dispatcher import DispatchCallbacks, Dispatcher
+from amberlug.cluster.dispatch.endpoint_pool import EndpointAnnouncement, EndpointPool
 from amberlug.cluster.dispatch.message import Message
 from amberlug.cluster.interfaces import CallResult, CallVerdict, EndpointCall
 from amberlug.cluster.simulation.clock import Clock
@@ -37,11 +37,10 @@
         net, Incarnation(Host("edge", "z", "10.0.0.1:7300"), 1, lambda life, error: None), chance, 0.0
     )
     pool, endpoints = EndpointPool("z", chance, lambda address: 1), OneEndpoint(clock)
-    pool.heard(
-        "i", {"service": "s", "addr": "a", "zone": "z", "slots": 9, "cond": "ready", "warm_ms": 0}, 0.0
-    )
-    service = Dispatcher("s", world, pool, endpoints, lambda it: 1.0, lambda message, called: None)
-    service.rate_is(8.0, 0.2)
+    pool.update("i", EndpointAnnouncement("s", "a", "z", 9, 0.0, "ready"), 0.0)
+    callbacks = DispatchCallbacks(lambda message: 1.0, lambda message, result: None)
+    service = Dispatcher("s", world, pool, endpoints, callbacks)
+    service.set_rate(8.0, 0.2)
     for number in range(100):
         service.add(Message(f"m{number}", 0, f"{number}", "", "GET", "/", "r", "", 0.0, 0.0, service="s"))
     clock.run(20.0)
