--- a/amberlug/cluster/dispatch/delivery_queue.py
+++ b/amberlug/cluster/dispatch/delivery_queue.py
@@ -40,7 +40,7 @@
         self._schedule(message)
 
     def _schedule(self, message: Message) -> None:
-        if message.out:
+        if message.in_flight:
             return
         delay_s = message.due_at - self._runtime.wall_clock()
         if delay_s <= 0:
@@ -66,16 +66,16 @@
 
     def _offer(self, message: Message) -> None:
         """Give a due message to `on_ready`, unless it left the queue or is not the first of its key."""
-        if self.messages.get(message.id) is not message or message.ended or message.out:
+        if self.messages.get(message.id) is not message or message.ended or message.in_flight:
             return
         same_key = self._by_key.get(message.key, []) if message.key else []
-        if same_key and (same_key[0] is not message or any(it.out for it in same_key)):
+        if same_key and (same_key[0] is not message or any(it.in_flight for it in same_key)):
             return  # it is offered once those before it have ended
         self._on_ready(message)
 
     def requeue(self, message: Message) -> None:
         """Offer a message once more whose call did not end it."""
-        message.out = False
+        message.in_flight = False
         if self.messages.get(message.id) is message and not message.ended:
             # One that was admitted before it may have been added meanwhile, and waited for this call to end.
             self._schedule(self._by_key[message.key][0] if message.key else message)
--- a/amberlug/cluster/dispatch/dispatcher.py
+++ b/amberlug/cluster/dispatch/dispatcher.py
@@ -93,7 +93,7 @@
         """Send what may be sent now; the rest as the account allows it, or once something changes."""
         while self._backlog:
             message = self._backlog[0][3]
-            if message.ended or message.out or message.service != self.name:
+            if message.ended or message.in_flight or message.service != self.name:
                 heapq.heappop(self._backlog)
                 continue
             now_us = self._now_us()
@@ -129,7 +129,11 @@
         call = InFlightCall(message, endpoint, now_us, timeout_s)
         self._account.reserved[call] = None
         self.calls[call] = None
-        message.out, message.call_count, message.last_endpoint_id = True, message.call_count + 1, endpoint.id
+        message.in_flight, message.call_count, message.last_endpoint_id = (
+            True,
+            message.call_count + 1,
+            endpoint.id,
+        )
         endpoint.calls_in_flight += 1
         endpoint_call = EndpointCall(
             endpoint.address,
--- a/amberlug/cluster/dispatch/message.py
+++ b/amberlug/cluster/dispatch/message.py
@@ -33,29 +33,27 @@
     target: str
     route: str
     key: str  # the sequence key; empty where no order is asked for
-    taken: float  # when it arrived at an edge
+    accepted_at: float  # when it arrived at an edge
     due_at: float  # no delivery before it
     headers: tuple[tuple[str, str], ...] = ()
     body: bytes | None = b""  # None while it has to be read from a replica
     size: int = 0  # bytes of the body
     order: SequencePosition = FIRST_POSITION
     holders: set[str] = field(default_factory=set)  # disks that acknowledged their replica
-    possible_holders: set[str] = field(
-        default_factory=set
-    )  # disks that may have a replica, acknowledged or not
+    possible_holders: set[str] = field(default_factory=set)  # disks that may have one
     keep_until: float = 0.0  # its outcome is kept until then at least
     failures: int = 0  # responses that count as failed attempts
     call_count: int = 0
-    out: bool = False  # a call of it is in flight, here or at the previous owner
+    in_flight: bool = False  # a call of it is in flight, here or at the previous owner
     ended: bool = False
     service: str = ""
     rank: int = 0  # the route's precedence
     end: str = ""  # its outcome: `done`, `dead`, `expired` or `dropped`; empty while it is open
     seal: str = ""  # the endpoint's seal of its success
-    seen: int = 0  # log index of the newest configuration at the edge that admitted it
+    config_index: int = 0  # log index of the newest configuration at the edge that admitted it
     last_endpoint_id: str = ""  # where it was called last
 
-    def meta(self) -> Json:
+    def metadata(self) -> Json:
         """Encode what is stored beside the body; the keys are the format of the stored rows."""
         return {
             "a": self.attempt,
@@ -64,17 +62,17 @@
             "t": self.target,
             "r": self.route,
             "k": self.key,
-            "w": round(self.taken, 4),
+            "w": round(self.accepted_at, 4),
             "d": round(self.due_at, 4),
             "x": self.headers,
-            "c": self.seen,
+            "c": self.config_index,
         }
 
     @classmethod
     def from_metadata(
         cls, message_id: str, shard: int, metadata: Json, body: bytes | None, size: int
     ) -> Self:
-        """Decode a message from what `meta` encoded.
+        """Decode a message from what `metadata` encoded.
 
         :param body: the body, or None where it was not sent along.
         :param size: bytes of the body, also where it was not sent along.
@@ -94,7 +92,7 @@
             tuple((name, value) for name, value in metadata["x"]),
             body,
             size,
-            seen=metadata["c"],
+            config_index=metadata["c"],
         )
 
 
--- a/amberlug/cluster/dispatch/messages.py
+++ b/amberlug/cluster/dispatch/messages.py
@@ -60,7 +60,7 @@
     def of(cls, message: Message) -> Offer:
         """The submission of a message whose body is here."""
         assert message.body is not None, "a message that is submitted has its body"
-        return cls(message.id, message.shard, message.meta(), message.body)
+        return cls(message.id, message.shard, message.metadata(), message.body)
 
     def to_message(self) -> Message:
         """The message, as its owner is to admit it."""
--- a/amberlug/cluster/dispatch/replica_write.py
+++ b/amberlug/cluster/dispatch/replica_write.py
@@ -73,7 +73,7 @@
         self._deadline = replicator.runtime.now() + WRITE_TIMEOUT_S
         accepted_epoch, sequence = message.order
         self._request = ReplicaWriteRequest(
-            message.id, message.shard, epoch, accepted_epoch, sequence, message.meta(), message.body
+            message.id, message.shard, epoch, accepted_epoch, sequence, message.metadata(), message.body
         )
 
     def begin(self) -> None:
--- a/amberlug/cluster/dispatch/shard_owner.py
+++ b/amberlug/cluster/dispatch/shard_owner.py
@@ -82,9 +82,8 @@
         self.table = ShardTable()
         self.pending_writes: dict[str, list[AdmissionCallback]] = {}  # by message
         self.write_started_at: dict[str, float] = {}  # by message, by the steady clock
-        self._unadmitted_replicas: dict[
-            str, set[str]
-        ] = {}  # by message that was not admitted: disks that may have it
+        # By message that was not admitted: disks that may have a replica of it.
+        self._unadmitted_replicas: dict[str, set[str]] = {}
         self._previous_owners = PreviousOwners()
         self._recoveries: list[ShardRecovery] = []
 
@@ -150,7 +149,9 @@
         for number in shards:
             for queued in self.owned.pop(number).queued:
                 queued.on_complete(AdmissionOutcome.NOT_OWNER)
-            in_flight[number] = [message.id for message in self._delivery.release(number) if message.out]
+            in_flight[number] = [
+                message.id for message in self._delivery.release(number) if message.in_flight
+            ]
         by_address: dict[str, list[int]] = {}
         for number in shards:
             owner = self.owner_of(number)
@@ -266,7 +267,7 @@
         if ended is not None:
             message.failures += ended.is_failure
         elif caller is not None:
-            message.out = True
+            message.in_flight = True
             self._previous_owners.add_call(message.id, caller)
             on_timeout = partial(self._previous_call_timed_out, message.id)
             self._runtime.call_later(PREVIOUS_CALL_TIMEOUT_S, on_timeout)
--- a/amberlug/cluster/edge/node.py
+++ b/amberlug/cluster/edge/node.py
@@ -116,7 +116,7 @@
         if owner is None or owner[0] == edge.member.id:
             self._later()
             return
-        body = {"id": message.id, "shard": message.shard, "meta": message.meta()}
+        body = {"id": message.id, "shard": message.shard, "meta": message.metadata()}
         data = message.body
         assert data is not None, "a message that is offered has its body"
         self.offered = True
@@ -247,7 +247,7 @@
             self._service(name)
         for message in list(self.delivery_queue.messages.values()):
             before = message.service
-            if self._resolve(message) and before != message.service and not message.out:
+            if self._resolve(message) and before != message.service and not message.in_flight:
                 self.delivery_queue.requeue(message)
         parked, self._parked = self._parked, []
         for message in parked:
@@ -380,7 +380,7 @@
             tuple((name, value) for name, value in asked.headers if name not in KEPT_BACK),
             asked.body,
             len(asked.body),
-            seen=self.routes.index,
+            config_index=self.routes.index,
         )
         seconds = int(left) / 1000 if left is not None and left.isdigit() else CLIENT_S
 
@@ -412,7 +412,7 @@
         """Another edge's client has a message for a shard of this one."""
         message = Message.from_metadata(body["id"], body["shard"], body["meta"], blob, len(blob))
         self._count("offered")
-        if message.seen > self.routes.index:
+        if message.config_index > self.routes.index:
             self.gossip.compare_with(origin)
         if body["shard"] in self.shards.owned and self.replicator.is_unavailable():
             respond({"taken": AdmissionOutcome.REJECTED.value, "dark": True}, b"")
@@ -422,7 +422,7 @@
     # -- messages in hand
 
     def _take(self, message: Message) -> None:
-        if message.route not in self.routes.by_name and message.seen <= self.routes.index:
+        if message.route not in self.routes.by_name and message.config_index <= self.routes.index:
             message.ended = True  # its route was dropped meanwhile
             self._count("ended: dropped")
             self._note(message.id, "dropped", "")
@@ -440,9 +440,9 @@
         if route is not None:
             message.service, message.rank = route.service, route.rank
             # A copy that a lost store brings back is too old to run by then.
-            message.keep_until = message.taken + route.retention_s + 2 * RETENTION_SLACK_S
+            message.keep_until = message.accepted_at + route.retention_s + 2 * RETENTION_SLACK_S
             return True
-        if message.seen <= self.routes.index and not message.out:
+        if message.config_index <= self.routes.index and not message.in_flight:
             self._end(message, "dropped", "")
         return False
 
@@ -450,7 +450,7 @@
         """It is due and the first of its key."""
         route = self.routes.by_name.get(message.route)
         if route is None:
-            if message.seen > self.routes.index:
+            if message.config_index > self.routes.index:
                 self._parked.append(message)
             else:
                 self._end(message, "dropped", "")
@@ -462,11 +462,11 @@
             self._service(route.service).add(message)
 
     def _too_old(self, message: Message, route: Route) -> bool:
-        return self.world.wall_clock() - message.taken > route.retention_s + RETENTION_SLACK_S
+        return self.world.wall_clock() - message.accepted_at > route.retention_s + RETENTION_SLACK_S
 
     def _fetch(self, message: Message) -> None:
         """Read its body from a store that has it."""
-        message.out = True
+        message.in_flight = True
 
         def read(found: bool) -> None:
             if message.end and not message.ended:  # a store knows what an earlier owner did not tell
@@ -507,7 +507,7 @@
         message.failures += outcome.is_failure
         if message in self._orphans:
             self._orphans.discard(message)
-            message.out = False
+            message.in_flight = False
             if outcome.end:
                 self.replicator.record_outcome(message, MessageOutcome(outcome.end, outcome.seal))
                 self._note(message.id, outcome.end, outcome.seal)
@@ -517,7 +517,7 @@
         elif message.ended:
             return
         elif outcome.end:
-            message.out = False
+            message.in_flight = False
             self._end(message, outcome.end, outcome.seal)
         elif outcome.retry_delay_s > 0:
             self.world.call_later(outcome.retry_delay_s, lambda: self._again(message))
@@ -526,7 +526,7 @@
 
     def _again(self, message: Message) -> None:
         if message.id in self.delivery_queue.messages and not message.ended:
-            message.out = False
+            message.in_flight = False
             if self._resolve(message):
                 self.delivery_queue.requeue(message)
 
@@ -556,7 +556,7 @@
             if end and message is None:
                 self._note(name, end, seal)
             return
-        message.out = False
+        message.in_flight = False
         message.failures += failed
         if end:
             self._end(message, end, seal)
@@ -569,10 +569,10 @@
         for message in gone:
             self.delivery_queue.drop(message)
             self.size -= message.size
-            if message.out and any(message is it.message for it in self._calls_of(message)):
+            if message.in_flight and any(message is it.message for it in self._calls_of(message)):
                 self._orphans.add(message)
             else:
-                message.out = False
+                message.in_flight = False
                 message.ended = True  # here it is nobody's any more
         return gone
 
@@ -587,7 +587,7 @@
             del self.ends[next(iter(self.ends))]
         for message in list(self.delivery_queue.messages.values()):
             route = self.routes.by_name.get(message.route)
-            if route is not None and not message.out and self._too_old(message, route):
+            if route is not None and not message.in_flight and self._too_old(message, route):
                 self._end(message, "expired", "")
 
     # -- copies that are lacking
--- a/tests/cluster/test_delivery_queue.py
+++ b/tests/cluster/test_delivery_queue.py
@@ -22,7 +22,7 @@
     )
     later, before = message("later", 2), message("before", 1)
     delivery_queue.add(later)
-    later.out = True
+    later.in_flight = True
     delivery_queue.add(before)  # its copies took longer
     assert ready == ["later"]
     delivery_queue.requeue(later)
--- a/tests/cluster/test_endpoint_answers.py
+++ b/tests/cluster/test_endpoint_answers.py
@@ -252,7 +252,7 @@
             self.loop.call_later(outcome.retry_delay_s, self.again, message)
 
     def again(self, message: Message) -> None:
-        message.out = False
+        message.in_flight = False
         self.service.add(message)
 
     def send(self, number: int) -> None:
--- a/tests/cluster/test_found.py
+++ b/tests/cluster/test_found.py
@@ -79,10 +79,10 @@
     day.play()
     day.clients.send("/plain/")
     edges = [it.part for it in day.deployment.edges]
-    while not any(it.out for edge in edges for it in edge.delivery_queue.messages.values()):
+    while not any(it.in_flight for edge in edges for it in edge.delivery_queue.messages.values()):
         day.clock.run(day.clock.now + 0.001)
     edge, message = next(
-        (edge, it) for edge in edges for it in edge.delivery_queue.messages.values() if it.out
+        (edge, it) for edge in edges for it in edge.delivery_queue.messages.values() if it.in_flight
     )
     edge.shards.on_outcome(CallEnded(message.id, MessageOutcome(), False), "", lambda reply: None)
     day.clock.run(day.clock.now + 1.0)
@@ -94,10 +94,10 @@
     day.play()
     day.clients.send("/plain/")
     edges = [it.part for it in day.deployment.edges]
-    while not any(it.out for edge in edges for it in edge.delivery_queue.messages.values()):
+    while not any(it.in_flight for edge in edges for it in edge.delivery_queue.messages.values()):
         day.clock.run(day.clock.now + 0.001)
     edge, message = next(
-        (edge, it) for edge in edges for it in edge.delivery_queue.messages.values() if it.out
+        (edge, it) for edge in edges for it in edge.delivery_queue.messages.values() if it.in_flight
     )
     message.service = "beta"
-    assert [it.out for it in edge._release(message.shard)] == [True]
+    assert [it.in_flight for it in edge._release(message.shard)] == [True]
--- a/tests/cluster/test_measured.py
+++ b/tests/cluster/test_measured.py
@@ -41,7 +41,7 @@
     done: list[str] = []
 
     def finished(message: Message, called: CallResult) -> None:
-        message.out = False
+        message.in_flight = False
         if called.status == 200:
             message.ended = True
             done.append(message.id)
