--- a/tests/cluster/test_delivery_queue.py
+++ b/tests/cluster/test_delivery_queue.py
@@ -1,4 +1,4 @@
-"""What waits at an owner, a key at a time."""
+"""Messages in the queue of a shard's owner, one sequence key at a time."""
 
 import random
 
@@ -8,22 +8,25 @@
 from amberlug.cluster.simulation.network import Host, Incarnation, Network, SimulatedRuntime
 
 
-def message(name: str, number: int) -> Message:
-    return Message(name, 0, name, "", "GET", "/", "r", "k", 0.0, 0.0, order=SequencePosition(1, number))
+def new_message(message_id: str, number: int) -> Message:
+    return Message(
+        message_id, 0, message_id, "", "GET", "/", "r", "k", 0.0, 0.0, order=SequencePosition(1, number)
+    )
 
 
-def test_one_accepted_before_goes_once_the_call_of_a_later_one_has_failed() -> None:
-    clock, chance = Clock(), random.Random(1)
+def test_an_earlier_message_is_ready_once_the_call_of_a_later_one_of_its_key_failed() -> None:
+    clock, rng = Clock(), random.Random(1)
     host = Host("edge", "z", "10.0.0.1:7300")
-    life = Incarnation(host, 1, lambda life, error: None)
+    incarnation = Incarnation(host, 1, lambda incarnation, error: None)
     ready: list[str] = []
     delivery_queue = DeliveryQueue(
-        SimulatedRuntime(Network(clock, chance, 0.001), life, chance, 0.0), lambda it: ready.append(it.id)
+        SimulatedRuntime(Network(clock, rng, 0.001), incarnation, rng, 0.0),
+        lambda message: ready.append(message.id),
     )
-    later, before = message("later", 2), message("before", 1)
+    later, earlier = new_message("later", 2), new_message("earlier", 1)
     delivery_queue.add(later)
     later.in_flight = True
-    delivery_queue.add(before)  # its copies took longer
+    delivery_queue.add(earlier)  # its replicas took longer
     assert ready == ["later"]
     delivery_queue.requeue(later)
-    assert ready == ["later", "before"]
+    assert ready == ["later", "earlier"]
--- a/tests/cluster/test_handover.py
+++ b/tests/cluster/test_handover.py
@@ -1,4 +1,4 @@
-"""Shards that change hands while the owner before goes on for a moment."""
+"""Handover of shards whose previous owner learns of its successor a moment late."""
 
 from collections.abc import Iterator
 
@@ -11,7 +11,7 @@
 
 @pytest.fixture(autouse=True)
 def quiet() -> Iterator[None]:
-    """Machines' logs tell nothing here."""
+    """Silence the log lines of simulated nodes."""
     before = logging.get_verbosity()
     logging.set_verbosity(logging.FATAL)
     yield
@@ -22,6 +22,6 @@
 def test_what_ends_before_the_owner_before_hears_of_its_successor_does_not_run_again(
     seed: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # Other core machines have the table by the log alone, so the owner before hears of it a little later.
+    # Other control-plane nodes have the table by the log alone: the previous owner learns of it late.
     monkeypatch.setattr(node, "LARGE", ("config", "shards", "roster", "cores"))
     assert play(seed, "edges") == []
--- a/tests/cluster/test_rates.py
+++ b/tests/cluster/test_rates.py
@@ -1,4 +1,4 @@
-"""A service's own rate, spent in parts."""
+"""The rate of a service, of which each edge spends a share."""
 
 import random
 from collections.abc import Callable
@@ -13,7 +13,7 @@
 
 
 class OneEndpoint:
-    """Endpoints that answer at once."""
+    """An endpoint that responds at once."""
 
     def __init__(self, clock: Clock) -> None:
         self.clock = clock
@@ -25,21 +25,21 @@
     def forget(self, address: str) -> None:
         pass
 
-    def call(self, delivery: EndpointCall, then: Callable[[CallResult], None]) -> None:
+    def call(self, call: EndpointCall, on_result: Callable[[CallResult], None]) -> None:
         self.calls += 1
-        self.clock.call_later(0.01, partial(then, CallResult(CallVerdict.ANSWERED, 200)))
+        self.clock.call_later(0.01, partial(on_result, CallResult(CallVerdict.ANSWERED, 200)))
 
 
-def test_a_part_of_a_rate_is_spent_whole() -> None:
-    clock, chance = Clock(), random.Random(1)
-    net = Network(clock, chance, 0.001)
-    world = SimulatedRuntime(
-        net, Incarnation(Host("edge", "z", "10.0.0.1:7300"), 1, lambda life, error: None), chance, 0.0
+def test_a_share_of_a_rate_is_spent_in_full() -> None:
+    clock, rng = Clock(), random.Random(1)
+    network = Network(clock, rng, 0.001)
+    runtime = SimulatedRuntime(
+        network, Incarnation(Host("edge", "z", "10.0.0.1:7300"), 1, lambda incarnation, error: None), rng, 0.0
     )
-    pool, endpoints = EndpointPool("z", chance, lambda address: 1), OneEndpoint(clock)
+    pool, endpoints = EndpointPool("z", rng, lambda address: 1), OneEndpoint(clock)
     pool.update("i", EndpointAnnouncement("s", "a", "z", 9, 0.0, "ready"), 0.0)
     callbacks = DispatchCallbacks(lambda message: 1.0, lambda message, result: None)
-    service = Dispatcher("s", world, pool, endpoints, callbacks)
+    service = Dispatcher("s", runtime, pool, endpoints, callbacks)
     service.set_rate(8.0, 0.2)
     for number in range(100):
         service.add(Message(f"m{number}", 0, f"{number}", "", "GET", "/", "r", "", 0.0, 0.0, service="s"))
