--- a/amberlug/cluster/edge/lookup.py
+++ b/amberlug/cluster/edge/lookup.py
@@ -46,7 +46,7 @@
 
     def local_status(self, message_id: str) -> MessageStatus | None:
         """How a message stands by what is in this node's memory; None where it is not there."""
-        if message_id in self._delivery.queue.messages or message_id in self._delivery.shards.putting:
+        if message_id in self._delivery.queue.messages or message_id in self._delivery.shards.pending_writes:
             return MessageStatus()
         return self._delivery.outcomes.get(message_id)
 
@@ -61,7 +61,7 @@
             return
         runtime = self._context.runtime
         owner = self._delivery.shards.owner_of(shard_in(message_id))
-        if owner is None or owner[0] == self._context.session.id:
+        if owner is None or owner.node_id == self._context.session.id:
             self._reader.find_status(message_id, runtime.now() + LOOKUP_TIMEOUT_S, on_status)
             return
 
@@ -72,7 +72,7 @@
             deadline = runtime.now() + LOOKUP_TIMEOUT_S - READ_TIMEOUT_S
             self._reader.find_status(message_id, deadline, on_status)
 
-        runtime.request(owner[1], "standing", {"id": message_id}, READ_TIMEOUT_S, receive)
+        runtime.request(owner.address, "standing", {"id": message_id}, READ_TIMEOUT_S, receive)
 
 
 def _status_response(status: MessageStatus | None) -> HttpResponse:
--- a/amberlug/cluster/edge/repair.py
+++ b/amberlug/cluster/edge/repair.py
@@ -49,7 +49,7 @@
     def apply_roster(self, version: int, roster: Json) -> None:
         """Count replicas by a new roster of storage nodes."""
         replicator = self._context.replicator
-        replicator.roster_is(roster, version)
+        replicator.update_roster(roster, version)
         self._roster_version, self._roster_changed_at = version, self._context.runtime.now()
         self._delivery.shards.roster_changed()
         self._delivery.under_replicated = {
@@ -62,12 +62,14 @@
         """How far this node is with the newest roster that it knows."""
         shards = self._delivery.shards
         # A write that began under the roster before may yet end with replicas that no longer count.
-        early_writes = sum(1 for began_at in shards.put_since.values() if began_at <= self._roster_changed_at)
+        early_writes = sum(
+            1 for began_at in shards.write_started_at.values() if began_at <= self._roster_changed_at
+        )
         table = self._context.gossip.items.get("shards")
         return RepairReport(
             roster_version=self._roster_version,
             shard_table_version=table[0][0] if table is not None else 0,
-            shards_recovering=sum(1 for it in shards.mine.values() if not it.serving) + shards.unfenced,
+            shards_recovering=sum(1 for it in shards.owned.values() if not it.serving) + shards.unfenced,
             messages_under_replicated=len(self._delivery.under_replicated) + early_writes,
         )
 
@@ -91,7 +93,7 @@
                 self._write_replicas(message)
 
     def _write_replicas(self, message: Message) -> None:
-        shard = self._delivery.shards.mine.get(message.shard)
+        shard = self._delivery.shards.owned.get(message.shard)
         if message.body is None:
             self._reader.read_body(message, partial(self._body_read, message))
         elif shard is None or message.ended:
--- a/amberlug/cluster/edge/storage_reads.py
+++ b/amberlug/cluster/edge/storage_reads.py
@@ -125,7 +125,7 @@
             if found is not None:
                 self._found.append(MessageStatus.from_wire(found))
         ended = [status for status in self._found if not status.is_open]
-        if ended or self._replicator.knows_all(self._answered_disks):
+        if ended or self._replicator.covers_all_messages(self._answered_disks):
             known = ended or self._found
             self._finish(known[0] if known else MessageStatus(NOT_FOUND))
 
--- a/benchmarks/hollow/steps.py
+++ b/benchmarks/hollow/steps.py
@@ -23,8 +23,8 @@
 from amberlug.cluster.control.sessions import Sessions
 from amberlug.cluster.control.shard_assignment import assign_shards
 from amberlug.cluster.dispatch.delivery_queue import DeliveryQueue
-from amberlug.cluster.dispatch.endpoint_pool import EndpointPool
-from amberlug.cluster.dispatch.message import Message
+from amberlug.cluster.dispatch.endpoint_pool import EndpointAnnouncement, EndpointPool
+from amberlug.cluster.dispatch.message import Message, SequencePosition
 from amberlug.cluster.dispatch.replicator import Replicator
 from amberlug.cluster.edge.node import EdgeNode
 from amberlug.cluster.gossip.store import GossipStore
@@ -71,9 +71,9 @@
         (("content-type", "application/json"),),
         bytes(body),
         body,
-        (7, number),
+        SequencePosition(7, number),
     )
-    held.holders, held.asked = {"disk-store-1", "disk-store-2"}, {"disk-store-1", "disk-store-2"}
+    held.holders, held.possible_holders = {"disk-store-1", "disk-store-2"}, {"disk-store-1", "disk-store-2"}
     return held
 
 
@@ -130,7 +130,7 @@
         def fill(contents: StoredContents, many: int) -> None:
             for it in range(many):
                 kept = message(it, 1000)
-                meta = json.loads(json.dumps(kept.meta()))
+                meta = json.loads(json.dumps(kept.metadata()))
                 contents.kept[kept.id] = StoredMessage(0, 7, it, meta, 1000)
 
         size = _room(partial(fill, contents, count))[1]
@@ -251,7 +251,7 @@
         def pool(items: dict[str, Any], world: HollowWorld) -> EndpointPool:
             known = EndpointPool("z0", world.chance, lambda address: 0)
             for key, value in items.items():
-                known.heard(key, value, 1.0)
+                known.update(key, EndpointAnnouncement.from_wire(value), 1.0)
             return known
 
         made, room = _room(partial(pool, items, world))
@@ -297,7 +297,7 @@
                 "cond": "ready",
                 "warm_ms": 0,
             }
-            known.heard(f"endpoint-{it}", value, 0.0)
+            known.update(f"endpoint-{it}", EndpointAnnouncement.from_wire(value), 0.0)
         spent = _timed(20, partial(known.pick, "s", 1.0))
         yield Figure(
             "steps", "endpoints of a service", count, "step", "processor s, which gets a call", spent
@@ -340,12 +340,12 @@
         roster = {
             f"disk-{it}": {**place, "name": f"store-{it}", "zone": f"z{it % ZONES}"} for it in range(count)
         }
-        replicator.roster_is(roster)
+        replicator.update_roster(roster)
         held = message(1, 0)
         heard = set(roster) - {"disk-1"}
         acts: dict[str, Callable[[], object]] = {
-            "which stores keep a message": partial(replicator._ranked, held),
-            "whether enough stores were read": partial(replicator.knows_all, heard),
+            "which stores keep a message": partial(replicator.preferred_disks, held),
+            "whether enough stores were read": partial(replicator.covers_all_messages, heard),
         }
         for name, act in acts.items():
             yield Figure("steps", "stores", count, "step", f"processor s, {name}", _timed(5, act))
--- a/tests/cluster/test_edge_parts.py
+++ b/tests/cluster/test_edge_parts.py
@@ -123,7 +123,7 @@
     monkeypatch.setattr(ServiceDispatchers, "_set_rate_share", record)
 
     def assign(edges: int, owns: bool) -> None:
-        shards: Any = SimpleNamespace(edges=edges, mine={0: None} if owns else {})
+        shards: Any = SimpleNamespace(edges=edges, owned={0: None} if owns else {})
         monkeypatch.setattr(dispatchers, "_shards", shards)
         dispatchers.update_rate_share()
 
