--- a/amberlug/cluster/edge/delivery.py
+++ b/amberlug/cluster/edge/delivery.py
@@ -4,10 +4,11 @@
 
 from functools import partial
 
+from amberlug.cluster.dispatch.call_outcome import CallOutcome, judge
 from amberlug.cluster.dispatch.delivery_queue import DeliveryQueue
-from amberlug.cluster.dispatch.dispatcher import Outcome, judge
 from amberlug.cluster.dispatch.message import Message
-from amberlug.cluster.dispatch.shard_owner import ShardOwner
+from amberlug.cluster.dispatch.messages import CallEnded
+from amberlug.cluster.dispatch.shard_owner import DeliveryCallbacks, ShardOwner
 from amberlug.cluster.edge.context import EdgeContext
 from amberlug.cluster.edge.dispatchers import ServiceDispatchers
 from amberlug.cluster.edge.outcomes import (
@@ -19,6 +20,7 @@
 from amberlug.cluster.edge.storage_reads import StorageReader
 from amberlug.cluster.http.routing import Route
 from amberlug.cluster.interfaces import CallResult, Endpoints
+from amberlug.cluster.storage.messages import MessageOutcome
 
 SWEEP_INTERVAL_S = 1.0  # between searches for messages whose retention time is over: it is hours as a rule
 RETENTION_SLACK_S = 0.5  # by which a message may have been sent before it arrived, since that is not known
@@ -37,15 +39,8 @@
         self._context, self._reader = context, reader
         self.queue = DeliveryQueue(context.runtime, self._dispatch)
         self.outcomes = RecentOutcomes()
-        self.shards = ShardOwner(
-            context.runtime,
-            context.replicator,
-            context.session.id,
-            self.add,
-            self.release_shard,
-            self.settle,
-        )
-        self.shards.is_held = self._is_known
+        callbacks = DeliveryCallbacks(self.add, self.release_shard, self._call_ended, self._is_admitted)
+        self.shards = ShardOwner(context.runtime, context.replicator, context.session.id, callbacks)
         self.dispatchers = ServiceDispatchers(context, self.shards, endpoints, self._call_finished)
         self.pending_bytes = 0  # of the bodies of the messages in `queue`
         self.under_replicated: dict[str, Message] = {}  # by id: messages with too few replicas
@@ -61,12 +56,12 @@
         """Whether this node owns nothing, and no other node waits for anything of it."""
         return not (
             self.dispatchers.has_calls
-            or self.shards.mine
-            or self.shards.putting
-            or self._context.replicator.telling
+            or self.shards.owned
+            or self.shards.pending_writes
+            or self._context.replicator.pending_outcomes
         )
 
-    def _is_known(self, message_id: str) -> bool:
+    def _is_admitted(self, message_id: str) -> bool:
         return message_id in self.queue.messages or message_id in self.outcomes
 
     # Messages arrive: accepted from a client, or read from storage by a new owner.
@@ -74,10 +69,10 @@
     def add(self, message: Message) -> None:
         """Deliver a message that is stored."""
         routes = self._context.routes
-        if message.route not in routes.by_name and message.seen <= routes.index:
+        if message.route not in routes.by_name and message.config_index <= routes.index:
             message.ended = True
             self._count_end(message.id, MessageStatus(END_DROPPED))
-            self._context.replicator.mark(message, END_DROPPED, "")
+            self._context.replicator.record_outcome(message, MessageOutcome(END_DROPPED))
             return
         self.pending_bytes += message.size
         self._assign_service(message)
@@ -96,9 +91,9 @@
         if route is not None:
             message.service, message.rank = route.service, route.rank
             # A replica that a lost storage node brings back later is too old to run.
-            message.keep_until = message.taken + route.retention_s + 2 * RETENTION_SLACK_S
+            message.keep_until = message.accepted_at + route.retention_s + 2 * RETENTION_SLACK_S
             return True
-        if message.seen <= routes.index and not message.out:
+        if message.config_index <= routes.index and not message.in_flight:
             self._end(message, MessageStatus(END_DROPPED))
         return False
 
@@ -107,8 +102,8 @@
         self.dispatchers.apply_routes()
         for message in list(self.queue.messages.values()):
             service_before = message.service
-            if self._assign_service(message) and service_before != message.service and not message.out:
-                self.queue.again(message)
+            if self._assign_service(message) and service_before != message.service and not message.in_flight:
+                self.queue.requeue(message)
         awaiting, self._awaiting_routes = self._awaiting_routes, []
         for message in awaiting:
             if message.id in self.queue.messages and not message.ended:
@@ -122,7 +117,7 @@
         routes = self._context.routes
         route = routes.by_name.get(message.route)
         if route is None:
-            if message.seen > routes.index:
+            if message.config_index > routes.index:
                 self._awaiting_routes.append(message)
             else:
                 self._end(message, MessageStatus(END_DROPPED))
@@ -134,18 +129,18 @@
             self.dispatchers.dispatch(route.service, message)
 
     def _is_expired(self, message: Message, route: Route) -> bool:
-        age_s = self._context.runtime.wall_clock() - message.taken
+        age_s = self._context.runtime.wall_clock() - message.accepted_at
         return age_s > route.retention_s + RETENTION_SLACK_S
 
     def _read_body(self, message: Message) -> None:
-        message.out = True
+        message.in_flight = True
         self._reader.read_body(message, partial(self._body_read, message))
 
     def _body_read(self, message: Message, found: bool) -> None:
         if message.end and not message.ended:
             self.settle_stored_end(message)
         elif found:
-            self.queue.again(message)
+            self.queue.requeue(message)
         elif not message.ended:
             self._context.runtime.call_later(BODY_READ_RETRY_S, lambda: self._read_body(message))
 
@@ -154,32 +149,33 @@
         max_attempts = route.max_attempts if route is not None else UNROUTED_MAX_ATTEMPTS
         outcome = judge(message, result, max_attempts)
         self._context.count(f"called: {outcome.end or result.verdict.value}")
-        message.failures += outcome.failed
+        message.failures += outcome.is_failure
         if message in self._in_flight_of_released_shards:
             self._call_of_released_shard_finished(message, outcome)
         elif message.ended:
             return
         elif outcome.end:
-            message.out = False
+            message.in_flight = False
             self._end(message, MessageStatus(outcome.end, outcome.seal))
-        elif outcome.again_s > 0:
-            self._context.runtime.call_later(outcome.again_s, lambda: self._retry(message))
+        elif outcome.retry_delay_s > 0:
+            self._context.runtime.call_later(outcome.retry_delay_s, lambda: self._retry(message))
         else:
             self._retry(message)
 
-    def _call_of_released_shard_finished(self, message: Message, outcome: Outcome) -> None:
+    def _call_of_released_shard_finished(self, message: Message, outcome: CallOutcome) -> None:
         self._in_flight_of_released_shards.discard(message)
-        message.out = False
+        message.in_flight = False
+        message_outcome = MessageOutcome(outcome.end, outcome.seal)
         if outcome.end:
-            self._context.replicator.mark(message, outcome.end, outcome.seal)
+            self._context.replicator.record_outcome(message, message_outcome)
             self._remember(message.id, MessageStatus(outcome.end, outcome.seal))
-        self.shards.outcome_elsewhere(message, outcome.end, outcome.seal, outcome.failed)
+        self.shards.outcome_elsewhere(message, message_outcome, outcome.is_failure)
 
     def _retry(self, message: Message) -> None:
         if message.id in self.queue.messages and not message.ended:
-            message.out = False
+            message.in_flight = False
             if self._assign_service(message):
-                self.queue.again(message)
+                self.queue.requeue(message)
 
     # Messages end, or go to another owner.
 
@@ -188,7 +184,7 @@
         self.pending_bytes -= message.size
         self._count_end(message.id, status)
         self.queue.end(message)
-        self._context.replicator.mark(message, status.end, status.seal)
+        self._context.replicator.record_outcome(message, MessageOutcome(status.end, status.seal))
 
     def _count_end(self, message_id: str, status: MessageStatus) -> None:
         self._context.count(f"ended: {status.end}")
@@ -197,6 +193,10 @@
     def _remember(self, message_id: str, status: MessageStatus) -> None:
         self.outcomes.record(message_id, status, self._context.runtime.now())
 
+    def _call_ended(self, ended: CallEnded) -> None:
+        outcome = ended.outcome
+        self.settle(ended.message_id, outcome.status, outcome.receipt, ended.is_failure)
+
     def settle(self, message_id: str, end: str, seal: str, failed: bool) -> None:
         """Apply what came of a call that the owner before had in flight.
 
@@ -208,7 +208,7 @@
             if end and message is None:
                 self._remember(message_id, MessageStatus(end, seal))
             return
-        message.out = False
+        message.in_flight = False
         message.failures += failed
         if end:
             self._end(message, MessageStatus(end, seal))
@@ -230,10 +230,10 @@
         for message in released:
             self.queue.drop(message)
             self.pending_bytes -= message.size
-            if message.out and self.dispatchers.calls_of(message):
+            if message.in_flight and self.dispatchers.calls_of(message):
                 self._in_flight_of_released_shards.add(message)
             else:
-                message.out = False
+                message.in_flight = False
                 message.ended = True  # for this node: whatever still refers to it here must not call it
         return released
 
@@ -244,5 +244,5 @@
         self.outcomes.forget_before(runtime.now() - self._context.settings.seconds("statusTtlS"))
         for message in list(self.queue.messages.values()):
             route = self._context.routes.by_name.get(message.route)
-            if route is not None and not message.out and self._is_expired(message, route):
+            if route is not None and not message.in_flight and self._is_expired(message, route):
                 self._end(message, MessageStatus(END_EXPIRED))
--- a/amberlug/cluster/edge/dispatchers.py
+++ b/amberlug/cluster/edge/dispatchers.py
@@ -4,8 +4,8 @@
 
 from collections.abc import Callable
 
-from amberlug.cluster.dispatch.dispatcher import Dispatcher, Out
-from amberlug.cluster.dispatch.endpoint_pool import EndpointPool
+from amberlug.cluster.dispatch.dispatcher import DispatchCallbacks, Dispatcher, InFlightCall
+from amberlug.cluster.dispatch.endpoint_pool import EndpointAnnouncement, EndpointPool
 from amberlug.cluster.dispatch.message import Message
 from amberlug.cluster.dispatch.shard_owner import ShardOwner
 from amberlug.cluster.edge.context import EdgeContext
@@ -41,7 +41,7 @@
         """Whether a call to an endpoint is in flight."""
         return any(dispatcher.calls for dispatcher in self.by_service.values())
 
-    def calls_of(self, message: Message) -> list[Out]:
+    def calls_of(self, message: Message) -> list[InFlightCall]:
         """Calls of a message that are in flight.
 
         They may be at another service than the message's present one: a new configuration may have moved its
@@ -60,7 +60,9 @@
 
     def endpoint_announced(self, endpoint_id: str, announcement: Json) -> None:
         """Apply an announcement of an endpoint, and send what waited for it."""
-        unusable = self._pool.heard(endpoint_id, announcement, self._context.runtime.now())
+        unusable = self._pool.update(
+            endpoint_id, EndpointAnnouncement.from_wire(announcement), self._context.runtime.now()
+        )
         if unusable is not None and unusable.state == "gone":
             self._endpoints.forget(unusable.address)
         dispatcher = self.by_service.get(announcement["service"])
@@ -70,7 +72,7 @@
     def apply_routes(self) -> None:
         """Have a dispatcher for each service of the routing table, and know its fixed endpoint if any."""
         for name, destination in self._context.routes.services.items():
-            self._pool.fixed(name, destination.fixed)
+            self._pool.set_fixed(name, destination.fixed)
             self._dispatcher(name)
 
     def apply_rate_limits(self) -> None:
@@ -96,7 +98,7 @@
             self._set_rate_share(share / FIRST_SHARE_DIVISOR)
 
     def _assigned_share(self) -> float:
-        return 1 / self._shards.edges if self._shards.mine else 0.0
+        return 1 / self._shards.edges if self._shards.owned else 0.0
 
     def _increase_rate_share(self) -> None:
         self._increase_scheduled = False
@@ -106,7 +108,7 @@
         self._rate_share = share
         for name, destination in self._context.routes.services.items():
             if name in self.by_service:
-                self.by_service[name].rate_is(destination.rate, share or MIN_RATE_SHARE)
+                self.by_service[name].set_rate(destination.rate, share or MIN_RATE_SHARE)
 
     def _dispatcher(self, service: str) -> Dispatcher:
         dispatcher = self.by_service.get(service)
@@ -116,8 +118,7 @@
                 self._context.runtime,
                 self._pool,
                 self._endpoints,
-                self._call_timeout_s,
-                self._on_call_finished,
+                DispatchCallbacks(self._call_timeout_s, self._on_call_finished),
             )
         destination = self._context.routes.services.get(service)
         dispatcher.fixed = destination is not None and destination.fixed is not None
--- a/amberlug/cluster/edge/forwarding.py
+++ b/amberlug/cluster/edge/forwarding.py
@@ -6,8 +6,9 @@
 
 from result import Err, Result
 
-from amberlug.cluster.dispatch.message import Message, read
-from amberlug.cluster.dispatch.shard_owner import AdmissionOutcome, ShardOwner
+from amberlug.cluster.dispatch.message import Message
+from amberlug.cluster.dispatch.messages import AdmissionOutcome
+from amberlug.cluster.dispatch.shard_owner import ShardOwner
 from amberlug.cluster.edge.context import EdgeContext
 from amberlug.cluster.interfaces import Json, Reply, RequestFailure, Respond, on
 
@@ -36,11 +37,11 @@
     @on("offer")
     def on_offer(self, body: Json, blob: bytes, origin: str, respond: Respond) -> None:
         """Accept a message that another edge node's client has submitted."""
-        message = read(body["id"], body["shard"], 0, 0, body["meta"], blob, len(blob))
+        message = Message.from_metadata(body["id"], body["shard"], body["meta"], blob, len(blob))
         self.context.count("offered")
-        if message.seen > self.context.routes.index:
+        if message.config_index > self.context.routes.index:
             self.context.gossip.compare_with(origin)
-        if message.shard in self.shards.mine and self.context.replicator.dark():
+        if message.shard in self.shards.owned and self.context.replicator.is_unavailable():
             respond({"taken": AdmissionOutcome.REJECTED.value, "dark": True}, b"")
             return
         self.shards.accept(message, lambda outcome: respond({"taken": outcome.value}, b""))
@@ -76,20 +77,20 @@
         if now >= self._deadline or (not self._may_be_stored and now > self._no_owner_deadline):
             self._give_up(self._may_be_stored)
             return
-        if self._message.shard in self._shards.mine:
+        if self._message.shard in self._shards.owned:
             self._in_flight = True
             self._shards.accept(self._message, self._owner_answered)
             return
         owner = self._shards.owner_of(self._message.shard)
-        if owner is None or owner[0] == self._session.id:
+        if owner is None or owner.node_id == self._session.id:
             self._retry_later()
             return
-        self._offer_to(owner[1], min(self._deadline - now, OFFER_TIMEOUT_S))
+        self._offer_to(owner.address, min(self._deadline - now, OFFER_TIMEOUT_S))
 
     def _offer_to(self, address: str, timeout_s: float) -> None:
         message = self._message
         assert message.body is not None, "a message that is offered has its body"
-        body = {"id": message.id, "shard": message.shard, "meta": message.meta()}
+        body = {"id": message.id, "shard": message.shard, "meta": message.metadata()}
         self._in_flight = True
         self._runtime.request(address, "offer", body, timeout_s, self._offer_answered, message.body)
 
--- a/amberlug/cluster/edge/intake.py
+++ b/amberlug/cluster/edge/intake.py
@@ -10,7 +10,7 @@
 
 from amberlug.cluster.control.cluster_state import SHARDS
 from amberlug.cluster.dispatch.message import Message, name_of, shard_of
-from amberlug.cluster.dispatch.shard_owner import AdmissionOutcome
+from amberlug.cluster.dispatch.messages import AdmissionOutcome
 from amberlug.cluster.edge.context import EdgeContext
 from amberlug.cluster.edge.delivery import MessageDelivery
 from amberlug.cluster.edge.forwarding import Forwarder
@@ -138,7 +138,7 @@
         if shard is None:
             self._reject(respond, 503, "no shard has an owner")
             return
-        if shard in self._delivery.shards.mine and self._context.replicator.dark():
+        if shard in self._delivery.shards.owned and self._context.replicator.is_unavailable():
             self._reject(respond, 503, "too few stores answer")
             return
         message = self._message(request, parsed.ok_value, route, shard, key)
@@ -157,7 +157,7 @@
         if key:
             return shard_of(key, SHARDS)
         shards = self._delivery.shards
-        serving = [number for number, shard in shards.mine.items() if shard.serving]
+        serving = [number for number, shard in shards.owned.items() if shard.serving]
         if serving:
             return self._context.runtime.chance.choice(serving)
         owned = [number for number in range(len(shards.table)) if shards.owner_of(number) is not None]
@@ -176,12 +176,12 @@
             target=request.target,
             route=route.name,
             key=key,
-            taken=accepted_at,
+            accepted_at=accepted_at,
             due_at=accepted_at + submission.not_before_ms / 1000,
             headers=tuple(it for it in request.headers if it[0] not in HEADERS_NOT_FORWARDED),
             body=request.body,
             size=len(request.body),
-            seen=self._context.routes.index,
+            config_index=self._context.routes.index,
         )
 
     def _answer_submission(
--- a/amberlug/cluster/edge/node.py
+++ b/amberlug/cluster/edge/node.py
@@ -115,7 +115,7 @@
         return EdgeStatusReport(
             is_ready=self.ready,
             config_version=self.routes.edition,
-            owned_shards=len(self.shards.mine),
+            owned_shards=len(self.shards.owned),
             queued_messages=len(messages),
             queued_bytes=self.size,
             active_calls=sum(len(service.calls) for service in self.services.values()),
@@ -133,7 +133,7 @@
             and self.member.is_confirmed
             and self._context.has_routes
             and bool(self.shards.table)
-            and not self.replicator.dark()
+            and not self.replicator.is_unavailable()
         )
         if ready != self._was_ready:
             self._was_ready = ready
@@ -152,15 +152,14 @@
     def broken(self, address: str) -> None:
         """The connection with the process at an address was lost."""
         self.member.on_disconnect(address)
-        self.replicator.broken(address)
-        self.shards.broken(address)
+        self.replicator.connection_lost(address)
+        self.shards.connection_lost(address)
 
     # What the control plane announces.
 
     def _gossip_peers(self) -> list[str]:
         """Addresses of the other edge nodes that own shards, and of the session's control-plane node."""
-        owners = self.shards.owners
-        peers = [str(owner["addr"]) for node_id, owner in owners if node_id != self.member.id]
+        peers = [owner.address for owner in self.shards.owners if owner.node_id != self.member.id]
         return peers + ([self.member.control_address] if self.member.control_address else [])
 
     def _announced(self, key: str, announcement: Json) -> None:
@@ -171,7 +170,7 @@
         elif key == "config":
             self.apply_routes(build(self._version_of(key), announcement))
         elif key == "shards":
-            self.shards.table_is(announcement)
+            self.shards.update_table(announcement)
             self.delivery.dispatchers.update_rate_share()
         elif key == "roster":
             self.repair.apply_roster(self._version_of(key), announcement)
