--- a/amberlug/cluster/control/sessions.py
+++ b/amberlug/cluster/control/sessions.py
@@ -9,7 +9,6 @@
 from amberlug.cluster.interfaces import Json
 
 HEARTBEAT_INTERVAL_S = 0.25  # between a member's heartbeats
-BEAT_S = HEARTBEAT_INTERVAL_S  # the name that `session_client` imports
 SESSION_TIMEOUT_S = 1.2  # without a heartbeat until a session expires: four intervals and a slow link
 # Members of an unresponsive control-plane node have so much longer, since they look for another one.
 FAILOVER_GRACE_S = 0.9
--- a/amberlug/cluster/session_client.py
+++ b/amberlug/cluster/session_client.py
@@ -20,7 +20,7 @@
     SessionDescription,
     SessionReply,
 )
-from amberlug.cluster.control.sessions import BEAT_S
+from amberlug.cluster.control.sessions import HEARTBEAT_INTERVAL_S
 from amberlug.cluster.gossip.announcements import Announcement, Payload
 from amberlug.cluster.gossip.store import GossipStore
 from amberlug.cluster.interfaces import Json, RequestFailure, Runtime
@@ -182,7 +182,7 @@
         self.sessions_opened += 1
         self._failures = 0
         self.gossip.compare_with(attempt.address)
-        self.runtime.call_later(BEAT_S, partial(self._send_heartbeat, attempt.epoch))
+        self.runtime.call_later(HEARTBEAT_INTERVAL_S, partial(self._send_heartbeat, attempt.epoch))
         if not self.is_confirmed:
             self._read_current_state(attempt.epoch)
 
@@ -233,5 +233,5 @@
         if not _is_in_contact(reply):
             self._lose_session()
             return
-        delay_s = max(0.0, BEAT_S - (self.runtime.now() - sent_at_s))
+        delay_s = max(0.0, HEARTBEAT_INTERVAL_S - (self.runtime.now() - sent_at_s))
         self.runtime.call_later(delay_s, partial(self._send_heartbeat, epoch))
