--- a/amberlug/cluster/process.py
+++ b/amberlug/cluster/process.py
@@ -9,8 +9,9 @@
 import signal
 import sys
 from collections.abc import Callable, Mapping
+from functools import partial
 from pathlib import Path
-from typing import Any, NamedTuple, Protocol
+from typing import TYPE_CHECKING, Any, NamedTuple, Protocol
 
 from absl import logging
 from result import Err
@@ -24,9 +25,14 @@
 from amberlug.cluster.rpc.transport import PeerTransport
 from amberlug.cluster.settings import HostPort, Settings, read_settings_file
 
+if TYPE_CHECKING:
+    from amberlug.cluster.edge.intake import ClientResponse
+    from amberlug.cluster.edge.node import EdgeNode
+
 COUNTERS_INTERVAL_S = 10.0  # between log lines with the counters
 SETTINGS_CHECK_INTERVAL_S = 2.0
-SWEEP_S = 0.5
+SWEEP_INTERVAL_S = 0.5  # between looks for idle connections to endpoints
+READINESS_PATH = "/-/readiness"
 STILL_ROUTED_S = 2.6  # after SIGTERM until the platform routes no new client to this process
 MAX_CONNECTION_AGE_S = 6.0  # of clients: else they stay where they were routed while other edges were down
 GRACE_MARGIN_S = 0.8  # of the grace period that is kept for the end of the process
@@ -109,8 +115,7 @@
         loop = asyncio.get_running_loop()
         loop.set_exception_handler(self._on_error)
         await self.transport.listen(self.settings.ip, self.settings.ports)
-        world = AsyncioRuntime(self.transport, random.Random())
-        await self._build(world, loop)
+        await self._build(AsyncioRuntime(self.transport, random.Random()))
         for number in (signal.SIGTERM, signal.SIGINT):
             loop.add_signal_handler(number, self._on_stop_signal)
         loop.add_signal_handler(signal.SIGHUP, self._reload_settings)
@@ -123,77 +128,63 @@
         self.transport.close()
         return 0
 
-    async def _build(self, world: AsyncioRuntime, loop: asyncio.AbstractEventLoop) -> None:
-        settings, address = self.settings, self.transport.address
-
-        def post(act: Callable[[], None]) -> None:
-            with contextlib.suppress(RuntimeError):  # the loop has ended: nobody waits any more
-                loop.call_soon_threadsafe(act)
-
-        folder = Path(settings.data_dir) if settings.data_dir else None
-        if "control_plane" in settings.serves:
-            from amberlug.cluster.consensus.storage import open_raft_storage
-            from amberlug.cluster.control.node import ControlNode, blank
-
-            assert folder is not None, "a control relay needs a dataDir"
-            saved, writer, _ = open_raft_storage(
-                folder, lambda: blank(settings, world.chance.getrandbits), post
-            )
-            self._close_storage.append(writer.close)
-            core = self._node = ControlNode(world, settings, address, writer, saved)
-            await self._serve(
-                settings.control, lambda asked, answer: core.counter.take(asked, _saying(answer))
-            )
-        elif "storage" in settings.serves:
-            from amberlug.cluster.storage.message_store import open_message_store
-            from amberlug.cluster.storage.node import StorageNode
-
-            assert folder is not None, "a store needs a dataDir"
-            contents, message_store = open_message_store(
-                folder, lambda: f"{world.chance.getrandbits(64):x}", post
-            )
-            self._close_storage.append(message_store.close)
-            self._node = StorageNode(world, settings, address, message_store, contents)
+    # Packages of the other kinds of nodes are not imported: they cost memory in each process.
+
+    async def _build(self, runtime: AsyncioRuntime) -> None:
+        if "control_plane" in self.settings.serves:
+            await self._build_control_node(runtime)
+        elif "storage" in self.settings.serves:
+            self._build_storage_node(runtime)
         else:
-            await self._build_edge(world)
+            await self._build_edge_node(runtime)
 
-    async def _build_edge(self, world: AsyncioRuntime) -> None:
-        from amberlug.cluster.dispatch.endpoint_client import EndpointClient
-        from amberlug.cluster.edge.intake import ClientResponse
-        from amberlug.cluster.edge.node import EdgeNode
+    async def _build_control_node(self, runtime: AsyncioRuntime) -> None:
+        from amberlug.cluster.consensus.storage import open_raft_storage
+        from amberlug.cluster.control.node import ControlNode, blank
 
-        caller = EndpointClient()
-        edge = self._node = EdgeNode(world, self.settings, self.transport.address, caller)
+        settings, rng = self.settings, runtime.chance
+        state, writer, _ = open_raft_storage(
+            self._data_dir(), lambda: blank(settings, rng.getrandbits), _post_to_running_loop()
+        )
+        self._close_storage.append(writer.close)
+        node = self._node = ControlNode(runtime, settings, self.transport.address, writer, state)
 
-        def limits() -> Limits:
-            routes = edge.routes
-            return Limits(routes.header_bytes, routes.body_bytes, routes.header_s, routes.idle_s)
+        def handle(request: Request, answer: Callable[[Answer], None]) -> None:
+            node.counter.take(request, partial(_answer_operator, answer))
 
-        def handle(asked: Request, answer: Callable[[Answer], None]) -> None:
-            def respond(response: ClientResponse) -> None:
-                if response.body is not None:
-                    answer(Answer(response.status, response.headers + JSON, pack(response.body)))
-                else:
-                    answer(Answer(response.status, response.headers, response.payload))
+        await self._serve(settings.control, handle)
 
-            edge.handle(asked, respond)
+    def _build_storage_node(self, runtime: AsyncioRuntime) -> None:
+        from amberlug.cluster.storage.message_store import open_message_store
+        from amberlug.cluster.storage.node import StorageNode
 
-        def readiness(asked: Request, answer: Callable[[Answer], None]) -> None:
-            path = asked.target.partition("?")[0]
-            if path == PATH:
-                answer(Answer(200, PLAIN, page(edge.counts)))
-                return
-            here = path == "/-/readiness"
-            answer(Answer((200 if edge.ready else 503) if here else 404, JSON, b"{}"))
+        rng = runtime.chance
+        contents, message_store = open_message_store(
+            self._data_dir(), lambda: f"{rng.getrandbits(64):x}", _post_to_running_loop()
+        )
+        self._close_storage.append(message_store.close)
+        self._node = StorageNode(runtime, self.settings, self.transport.address, message_store, contents)
+
+    async def _build_edge_node(self, runtime: AsyncioRuntime) -> None:
+        from amberlug.cluster.dispatch.endpoint_client import EndpointClient
+        from amberlug.cluster.edge.node import EdgeNode
+
+        endpoint_client = EndpointClient()
+        node = self._node = EdgeNode(runtime, self.settings, self.transport.address, endpoint_client)
+        frontend = _EdgeFrontend(node)
 
         def sweep() -> None:
-            caller.sweep()
-            world.call_later(SWEEP_S, sweep)
+            endpoint_client.sweep()
+            runtime.call_later(SWEEP_INTERVAL_S, sweep)
 
-        await self._serve(self.settings.front, handle, limits, MAX_CONNECTION_AGE_S)
-        await self._serve(self.settings.readiness, readiness)
+        await self._serve(self.settings.front, frontend.handle, frontend.limits, MAX_CONNECTION_AGE_S)
+        await self._serve(self.settings.readiness, frontend.handle_probe)
         sweep()
 
+    def _data_dir(self) -> Path:
+        assert self.settings.data_dir is not None, "control-plane and storage nodes need a dataDir"
+        return Path(self.settings.data_dir)
+
     async def _serve(
         self,
         address: HostPort | None,
@@ -277,15 +268,56 @@
         )
 
 
-def _saying(answer: Callable[[Answer], None]) -> Callable[[HttpResponse], None]:
-    def say(said: HttpResponse) -> None:
-        again = (("Retry-After", str(said.retry_after)),) if said.retry_after is not None else ()
-        if said.page is not None:
-            answer(Answer(said.status, PLAIN + again, said.page))
+class _EdgeFrontend:
+    """The HTTP requests of clients and of probes, as an edge node answers them."""
+
+    def __init__(self, node: EdgeNode) -> None:
+        self._node = node
+
+    def limits(self) -> Limits:
+        """The limits of the newest configuration."""
+        routes = self._node.routes
+        return Limits(routes.header_bytes, routes.body_bytes, routes.header_s, routes.idle_s)
+
+    def handle(self, request: Request, answer: Callable[[Answer], None]) -> None:
+        """Pass on a client's request."""
+
+        def respond(response: ClientResponse) -> None:
+            if response.body is not None:
+                answer(Answer(response.status, response.headers + JSON, pack(response.body)))
+            else:
+                answer(Answer(response.status, response.headers, response.payload))
+
+        self._node.handle(request, respond)
+
+    def handle_probe(self, request: Request, answer: Callable[[Answer], None]) -> None:
+        """Answer the readiness probe: 200 or 503; and who reads the counters."""
+        path = request.target.partition("?")[0]
+        if path == PATH:
+            answer(Answer(200, PLAIN, page(self._node.counts)))
+        elif path == READINESS_PATH:
+            answer(Answer(200 if self._node.ready else 503, JSON, b"{}"))
         else:
-            answer(Answer(said.status, JSON + again, pack(said.body)))
+            answer(Answer(404, JSON, b"{}"))
+
+
+def _answer_operator(answer: Callable[[Answer], None], response: HttpResponse) -> None:
+    headers = (("Retry-After", str(response.retry_after)),) if response.retry_after is not None else ()
+    if response.page is not None:
+        answer(Answer(response.status, PLAIN + headers, response.page))
+    else:
+        answer(Answer(response.status, JSON + headers, pack(response.body)))
+
+
+def _post_to_running_loop() -> Callable[[Callable[[], None]], None]:
+    """What has the running loop call something, from other threads."""
+    loop = asyncio.get_running_loop()
+
+    def post(callback: Callable[[], None]) -> None:
+        with contextlib.suppress(RuntimeError):  # the loop has ended: nobody waits for the outcome
+            loop.call_soon_threadsafe(callback)
 
-    return say
+    return post
 
 
 def main(path: str) -> int:
