--- a/amberlug/cluster/control/commands.py
+++ b/amberlug/cluster/control/commands.py
@@ -60,6 +60,11 @@
         return cls(is_repeat=bool(body.get("again")), epoch=body.get("epoch", 0))
 
 
+def _elapsed_s(body: Json) -> float:
+    """By how many seconds a command of the log advances the replicated clock; it never goes back."""
+    return max(0.0, float(body.get("after", 0.0)))
+
+
 ACCEPTED = CommandResult()
 REPEATED = CommandResult(is_repeat=True)
 
@@ -94,9 +99,7 @@
     @classmethod
     def from_wire(cls, body: Json) -> ReplaceConfig:
         """Read a command of the log."""
-        return cls(
-            body["base"], body["edition"], body["sum"], body["config"], max(0.0, body.get("after", 0.0))
-        )
+        return cls(body["base"], body["edition"], body["sum"], body["config"], _elapsed_s(body))
 
 
 @dataclass(frozen=True, slots=True)
@@ -105,7 +108,7 @@
 
     do: ClassVar[str] = "roster"
     entries: Mapping[str, StoreEntry] = field(default_factory=dict)
-    dropped: Sequence[str] = ()
+    dropped: tuple[str, ...] = ()
     elapsed_s: float = 0.0
 
     def to_wire(self) -> Json:
@@ -118,7 +121,9 @@
     def from_wire(cls, body: Json) -> UpdateRoster:
         """Read a command of the log."""
         return cls(
-            roster_from_wire(body.get("set", {})), body.get("drop", []), max(0.0, body.get("after", 0.0))
+            roster_from_wire(body.get("set", {})),
+            tuple(body.get("drop", ())),
+            _elapsed_s(body),
         )
 
 
@@ -137,7 +142,7 @@
     @classmethod
     def from_wire(cls, body: Json) -> RetireStore:
         """Read a command of the log."""
-        return cls(body["name"], max(0.0, body.get("after", 0.0)))
+        return cls(body["name"], _elapsed_s(body))
 
 
 @dataclass(frozen=True, slots=True)
@@ -165,7 +170,7 @@
     def from_wire(cls, body: Json) -> AssignShards:
         """Read a command of the log."""
         owners = {name: OwnerEntry.from_wire(owner) for name, owner in body["owners"].items()}
-        return cls(owners, body["give"], max(0.0, body.get("after", 0.0)))
+        return cls(owners, body["give"], _elapsed_s(body))
 
 
 @dataclass(frozen=True, slots=True)
@@ -187,7 +192,7 @@
     def from_wire(cls, body: Json) -> DrainEndpoints:
         """Read a command of the log."""
         drains = tuple(EndpointDrain(*row) for row in body["ids"])
-        return cls(drains, max(0.0, body.get("after", 0.0)))
+        return cls(drains, _elapsed_s(body))
 
 
 Command = ReplaceConfig | UpdateRoster | RetireStore | AssignShards | DrainEndpoints
--- a/amberlug/cluster/control/messages.py
+++ b/amberlug/cluster/control/messages.py
@@ -12,6 +12,7 @@
 from amberlug.cluster.interfaces import Json
 from amberlug.cluster.rpc.messages import Body, Notification, Request
 
+# Fields without which no session is opened.
 REQUIRED_FIELDS = ("name", "incarnation", "address", "machine_class", "zone", "region", "state")
 # Rows of gossip as `GossipStore` pages them; their form is the gossip package's.
 GossipRows = list[Any]
--- a/amberlug/cluster/control/reconciler.py
+++ b/amberlug/cluster/control/reconciler.py
@@ -160,7 +160,7 @@
         if dropped:
             names = [leaving[disk].name for disk in dropped]
             logging.info("roster: %s have no replica that is needed any more", names)
-            self.propose(_DROP, UpdateRoster(dropped=dropped))
+            self.propose(_DROP, UpdateRoster(dropped=tuple(dropped)))
 
     def _known_absent_disks(self) -> list[str]:
         return [disk for disk in self.cluster_state.roster if disk in self._absent_disks]
--- a/amberlug/cluster/simulation/mutations.py
+++ b/amberlug/cluster/simulation/mutations.py
@@ -203,7 +203,7 @@
         roster = self.cluster_state.roster
         leaving = [disk for disk, store in roster.items() if store.state is not StoreState.FULL]
         if leaving:
-            self.propose("drop", UpdateRoster(dropped=leaving))
+            self.propose("drop", UpdateRoster(dropped=tuple(leaving)))
 
     return patch.object(Reconciler, "drop_replaced_disks", drop)
 
