--- a/amberlug/cluster/control/membership.py
+++ b/amberlug/cluster/control/membership.py
@@ -140,7 +140,7 @@
         tolerance = self._settings().tolerance
         statuses = self._member_statuses()
         voters = (status for status in statuses if status.voter)
-        self._note_shortage(margin(voters, tolerance) < 0)
+        self._report_shortage(margin(voters, tolerance) < 0)
         change = next_step(statuses, tolerance, self._raft.me)
         if change is not None:
             self._change(self._members_after(change), f"{change.name} {change.why}")
@@ -170,7 +170,7 @@
             for name, member in raft.members.items()
         ]
 
-    def _note_shortage(self, is_short: bool) -> None:
+    def _report_shortage(self, is_short: bool) -> None:
         if is_short != self._is_short_of_voters:
             self._is_short_of_voters = is_short
             outcome = "do not survive" if is_short else "survive"
