--- a/amberlug/cluster/control/membership.py
+++ b/amberlug/cluster/control/membership.py
@@ -146,7 +146,7 @@
         tolerance = self._settings().tolerance
         statuses = self._member_statuses()
         voters = (status for status in statuses if status.is_voter)
-        self._note_shortage(loss_margin(voters, tolerance) < 0)
+        self._report_shortage(loss_margin(voters, tolerance) < 0)
         change = next_change(statuses, tolerance, self._raft.member_id)
         if change is not None:
             self._change(self._members_after(change), f"{change.name} {change.reason}")
@@ -176,7 +176,7 @@
             for name, member in raft.members.items()
         ]
 
-    def _note_shortage(self, is_short: bool) -> None:
+    def _report_shortage(self, is_short: bool) -> None:
         if is_short != self._is_short_of_voters:
             self._is_short_of_voters = is_short
             outcome = "do not survive" if is_short else "survive"
--- a/amberlug/cluster/dispatch/replica_write.py
+++ b/amberlug/cluster/dispatch/replica_write.py
@@ -6,15 +6,17 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable
+from collections.abc import Callable, Mapping, Set
 from enum import Enum
-from typing import TYPE_CHECKING
+from typing import Protocol
 
 from result import Err, Ok, Result
 
 from amberlug.cluster.dispatch.message import Message
-from amberlug.cluster.interfaces import RequestFailure, TimerHandle
+from amberlug.cluster.dispatch.store_health import StoreHealth
+from amberlug.cluster.interfaces import RequestFailure, Runtime, TimerHandle
 from amberlug.cluster.rpc.messages import request
+from amberlug.cluster.settings import Tolerance
 from amberlug.cluster.storage.messages import (
     MessageOutcome,
     ReplicaWriteReply,
@@ -22,9 +24,6 @@
     ReplicaWriteResult,
 )
 
-if TYPE_CHECKING:
-    from amberlug.cluster.dispatch.replicator import Replicator
-
 HEDGE_INTERVAL_S = 0.03  # without a response until a further storage node is asked: three times a usual write
 WRITE_TIMEOUT_S = 1.2  # for enough replicas: clients wait for 1.5 s where they do not say
 MIN_REQUEST_TIMEOUT_S = 0.05  # of a request that is sent as the write is about to time out
@@ -43,6 +42,41 @@
     REJECTED = "refused"  # no storage node was reached: no replica exists
 
 
+class ReplicaLocation(Protocol):
+    """Where a disk's storage node is."""
+
+    @property
+    def address(self) -> str:
+        """For peers, `host:port`."""
+
+    @property
+    def zone(self) -> str:
+        """Its failure domain below a region."""
+
+
+class ReplicaPlacement(Protocol):
+    """What a write knows of the storage nodes: who they are, and which disks are enough."""
+
+    @property
+    def runtime(self) -> Runtime:
+        """Clock, timers and peers."""
+
+    @property
+    def tolerance(self) -> Tolerance:
+        """What may be lost at once."""
+
+    @property
+    def health(self) -> StoreHealth:
+        """Which storage nodes respond."""
+
+    @property
+    def stores(self) -> Mapping[str, ReplicaLocation]:
+        """The roster by disk."""
+
+    def enough(self, disks: Set[str]) -> bool:
+        """Whether replicas on these disks outlast what may be lost at once."""
+
+
 class ReplicaWrite:
     """The write of one message.
 
@@ -55,7 +89,7 @@
 
     def __init__(
         self,
-        replicator: Replicator,
+        replicator: ReplicaPlacement,
         message: Message,
         epoch: int,
         ranked: list[str],
