--- a/amberlug/cluster/dispatch/replica_write.py
+++ b/amberlug/cluster/dispatch/replica_write.py
@@ -76,6 +76,9 @@
     def enough(self, disks: Set[str]) -> bool:
         """Whether replicas on these disks outlast what may be lost at once."""
 
+    def record_outcome(self, message: Message, outcome: MessageOutcome) -> None:
+        """Have the storage nodes learn how a message ended."""
+
 
 class ReplicaWrite:
     """The write of one message.
