--- a/amberlug/cluster/edge/delivery.py
+++ b/amberlug/cluster/edge/delivery.py
@@ -165,11 +165,11 @@
     def _call_of_released_shard_finished(self, message: Message, outcome: CallOutcome) -> None:
         self._in_flight_of_released_shards.discard(message)
         message.in_flight = False
-        message_outcome = MessageOutcome(outcome.end, outcome.seal)
+        status = MessageStatus(outcome.end, outcome.seal)
         if outcome.end:
-            self._context.replicator.record_outcome(message, message_outcome)
-            self._remember(message.id, MessageStatus(outcome.end, outcome.seal))
-        self.shards.outcome_elsewhere(message, message_outcome, outcome.is_failure)
+            self._context.replicator.record_outcome(message, status.to_outcome())
+            self._remember(message.id, status)
+        self.shards.outcome_elsewhere(message, status.to_outcome(), outcome.is_failure)
 
     def _retry(self, message: Message) -> None:
         if message.id in self.queue.messages and not message.ended:
@@ -184,7 +184,7 @@
         self.pending_bytes -= message.size
         self._count_end(message.id, status)
         self.queue.end(message)
-        self._context.replicator.record_outcome(message, MessageOutcome(status.end, status.seal))
+        self._context.replicator.record_outcome(message, status.to_outcome())
 
     def _count_end(self, message_id: str, status: MessageStatus) -> None:
         self._context.count(f"ended: {status.end}")
--- a/amberlug/cluster/edge/forwarding.py
+++ b/amberlug/cluster/edge/forwarding.py
@@ -7,10 +7,11 @@
 from result import Err, Result
 
 from amberlug.cluster.dispatch.message import Message
-from amberlug.cluster.dispatch.messages import AdmissionOutcome
+from amberlug.cluster.dispatch.messages import AdmissionOutcome, Offer, OfferReply
 from amberlug.cluster.dispatch.shard_owner import ShardOwner
 from amberlug.cluster.edge.context import EdgeContext
-from amberlug.cluster.interfaces import Json, Reply, RequestFailure, Respond, on
+from amberlug.cluster.interfaces import RequestFailure
+from amberlug.cluster.rpc.messages import Responder, handles, request
 
 OFFER_TIMEOUT_S = 0.5  # for the owner at another node to answer: a replicated write takes a tenth of it
 RETRY_INTERVAL_S = 0.03  # until the next attempt: a shard's move to another owner takes a few of them
@@ -34,17 +35,17 @@
         """
         _Submission(self, message, timeout_s, on_outcome).attempt()
 
-    @on("offer")
-    def on_offer(self, body: Json, blob: bytes, origin: str, respond: Respond) -> None:
+    @handles(Offer)
+    def on_offer(self, offer: Offer, origin: str, respond: Responder) -> None:
         """Accept a message that another edge node's client has submitted."""
-        message = Message.from_metadata(body["id"], body["shard"], body["meta"], blob, len(blob))
+        message = offer.to_message()
         self.context.count("offered")
         if message.config_index > self.context.routes.index:
             self.context.gossip.compare_with(origin)
         if message.shard in self.shards.owned and self.context.replicator.is_unavailable():
-            respond({"taken": AdmissionOutcome.REJECTED.value, "dark": True}, b"")
+            respond(OfferReply(AdmissionOutcome.REJECTED, is_unavailable=True))
             return
-        self.shards.accept(message, lambda outcome: respond({"taken": outcome.value}, b""))
+        self.shards.accept(message, lambda outcome: respond(OfferReply(outcome)))
 
 
 class _Submission:
@@ -88,24 +89,20 @@
         self._offer_to(owner.address, min(self._deadline - now, OFFER_TIMEOUT_S))
 
     def _offer_to(self, address: str, timeout_s: float) -> None:
-        message = self._message
-        assert message.body is not None, "a message that is offered has its body"
-        body = {"id": message.id, "shard": message.shard, "meta": message.metadata()}
         self._in_flight = True
-        self._runtime.request(address, "offer", body, timeout_s, self._offer_answered, message.body)
+        request(self._runtime, address, Offer.of(self._message), timeout_s, self._offer_answered)
 
-    def _offer_answered(self, reply: Result[Reply, RequestFailure]) -> None:
+    def _offer_answered(self, reply: Result[OfferReply, RequestFailure]) -> None:
         if isinstance(reply, Err):
             self._in_flight = False
             self._may_be_stored |= reply.err_value is not RequestFailure.NOT_SENT
             self._retry_later()
             return
-        body = reply.ok_value.body
-        if body.get("dark") and not self._may_be_stored:
+        if reply.ok_value.is_unavailable and not self._may_be_stored:
             # The owner wrote nothing, and too few storage nodes answer it: a retry would fail as well.
             self._finish(AdmissionOutcome.REJECTED)
         else:
-            self._owner_answered(AdmissionOutcome(body["taken"]))
+            self._owner_answered(reply.ok_value.outcome)
 
     def _owner_answered(self, outcome: AdmissionOutcome) -> None:
         self._in_flight = False
--- a/amberlug/cluster/edge/lookup.py
+++ b/amberlug/cluster/edge/lookup.py
@@ -5,12 +5,14 @@
 from result import Ok, Result
 
 from amberlug.cluster.dispatch.message import shard_in
+from amberlug.cluster.dispatch.messages import StandingReply, StandingRequest
 from amberlug.cluster.edge.context import EdgeContext
 from amberlug.cluster.edge.delivery import MessageDelivery
 from amberlug.cluster.edge.outcomes import MessageStatus
 from amberlug.cluster.edge.storage_reads import READ_TIMEOUT_S, StatusCallback, StorageReader
 from amberlug.cluster.http.api import HttpRequest, HttpResponse, RespondHttp, order
-from amberlug.cluster.interfaces import Json, Reply, RequestFailure, Respond, on
+from amberlug.cluster.interfaces import RequestFailure
+from amberlug.cluster.rpc.messages import Responder, handles, request
 
 LOOKUP_TIMEOUT_S = 1.7  # for the answer to a client: clients wait two seconds
 RETRY_AFTER_S = 1  # that a client waits where the answer can't be known now
@@ -38,11 +40,11 @@
         if not self._context.replicator.stores:
             respond(HttpResponse(503, {"cause": "no store is known"}, RETRY_AFTER_S))
 
-    @on("standing")
-    def on_standing(self, body: Json, blob: bytes, origin: str, respond: Respond) -> None:
+    @handles(StandingRequest)
+    def on_standing(self, question: StandingRequest, origin: str, respond: Responder) -> None:
         """Answer another edge node how a message of a shard that is owned here stands."""
-        status = self.local_status(body["id"])
-        respond({"known": status.to_wire() if status is not None else None}, b"")
+        status = self.local_status(question.message_id)
+        respond(StandingReply(status.to_outcome() if status is not None else None))
 
     def local_status(self, message_id: str) -> MessageStatus | None:
         """How a message stands by what is in this node's memory; None where it is not there."""
@@ -65,14 +67,14 @@
             self._reader.find_status(message_id, runtime.now() + LOOKUP_TIMEOUT_S, on_status)
             return
 
-        def receive(reply: Result[Reply, RequestFailure]) -> None:
-            if isinstance(reply, Ok) and reply.ok_value.body.get("known"):
-                on_status(MessageStatus.from_wire(reply.ok_value.body["known"]))
+        def receive(reply: Result[StandingReply, RequestFailure]) -> None:
+            if isinstance(reply, Ok) and reply.ok_value.outcome is not None:
+                on_status(MessageStatus.from_outcome(reply.ok_value.outcome))
                 return
             deadline = runtime.now() + LOOKUP_TIMEOUT_S - READ_TIMEOUT_S
             self._reader.find_status(message_id, deadline, on_status)
 
-        runtime.request(owner.address, "standing", {"id": message_id}, READ_TIMEOUT_S, receive)
+        request(runtime, owner.address, StandingRequest(message_id), READ_TIMEOUT_S, receive)
 
 
 def _status_response(status: MessageStatus | None) -> HttpResponse:
--- a/amberlug/cluster/edge/outcomes.py
+++ b/amberlug/cluster/edge/outcomes.py
@@ -4,6 +4,8 @@
 
 from dataclasses import dataclass
 
+from amberlug.cluster.storage.messages import MessageOutcome
+
 # Values of `end` in frames and in storage nodes' rows.
 END_OPEN = ""
 END_COMPLETED = "done"
@@ -34,14 +36,14 @@
         """Whether the message was ever stored."""
         return self.end != NOT_FOUND
 
-    def to_wire(self) -> list[str]:
-        """The form in frames: `[end, seal]`."""
-        return [self.end, self.seal]
+    def to_outcome(self) -> MessageOutcome:
+        """The form in messages between nodes."""
+        return MessageOutcome(self.end, self.seal)
 
     @classmethod
-    def from_wire(cls, pair: list[str]) -> MessageStatus:
-        """Read `[end, seal]`."""
-        return cls(pair[0], pair[1])
+    def from_outcome(cls, outcome: MessageOutcome) -> MessageStatus:
+        """The status that another node has reported."""
+        return cls(outcome.status, outcome.receipt)
 
 
 @dataclass(frozen=True, slots=True)
--- a/amberlug/cluster/edge/storage_reads.py
+++ b/amberlug/cluster/edge/storage_reads.py
@@ -10,7 +10,9 @@
 from amberlug.cluster.dispatch.message import Message
 from amberlug.cluster.edge.context import EdgeContext
 from amberlug.cluster.edge.outcomes import NOT_FOUND, MessageStatus
-from amberlug.cluster.interfaces import Reply, RequestFailure
+from amberlug.cluster.interfaces import RequestFailure
+from amberlug.cluster.rpc.messages import request
+from amberlug.cluster.storage.messages import ContentReply, ContentRequest, OutcomesReply, OutcomesRequest
 
 READ_TIMEOUT_S = 0.5  # for a storage node, or an edge node that is asked, to answer
 READ_SLACK_S = 0.05  # beyond it, until a read of several nodes ends without those that have not answered
@@ -34,16 +36,16 @@
         storage_nodes = self._context.replicator.stores
         replicas = [disk for disk in sorted(message.holders) if disk in storage_nodes] or list(storage_nodes)
 
-        def receive(reply: Result[Reply, RequestFailure]) -> None:
+        def receive(reply: Result[ContentReply, RequestFailure]) -> None:
             if not isinstance(reply, Ok):
                 on_done(False)
                 return
-            body, found = reply.ok_value.body, bool(reply.ok_value.body.get("found"))
-            if found:
-                message.body = reply.ok_value.blob
-            if body.get("end") and not message.end:
-                message.end, message.seal = body["end"], body["seal"]
-            on_done(found)
+            content, outcome = reply.ok_value.content, reply.ok_value.outcome
+            if content is not None:
+                message.body = content
+            if not outcome.is_open and not message.end:
+                message.end, message.seal = outcome.status, outcome.receipt
+            on_done(content is not None)
 
         disk = self._context.runtime.chance.choice(replicas)
         self._request_body(storage_nodes[disk].address, message.id, receive)
@@ -58,14 +60,14 @@
         unanswered = len(storage_nodes)
         finished = False
 
-        def receive(reply: Result[Reply, RequestFailure]) -> None:
+        def receive(reply: Result[ContentReply, RequestFailure]) -> None:
             nonlocal unanswered, finished
             unanswered -= 1
             if finished:
                 return
-            if isinstance(reply, Ok) and reply.ok_value.body.get("found"):
+            if isinstance(reply, Ok) and reply.ok_value.content is not None:
                 finished = True
-                on_body(reply.ok_value.blob)
+                on_body(reply.ok_value.content)
             elif unanswered == 0:
                 finished = True
                 on_body(None)
@@ -82,9 +84,9 @@
         _StatusQuery(self._context, message_id, on_status).begin(deadline)
 
     def _request_body(
-        self, address: str, message_id: str, receive: Callable[[Result[Reply, RequestFailure]], None]
+        self, address: str, message_id: str, receive: Callable[[Result[ContentReply, RequestFailure]], None]
     ) -> None:
-        self._context.runtime.request(address, "body", {"id": message_id}, READ_TIMEOUT_S, receive)
+        request(self._context.runtime, address, ContentRequest(message_id), READ_TIMEOUT_S, receive)
 
 
 class _StatusQuery:
@@ -105,25 +107,21 @@
     def begin(self, deadline: float) -> None:
         """Send the requests, and report None at the deadline (monotonic time in seconds)."""
         for disk, storage_node in self._replicator.stores.items():
-            self._runtime.request(
-                storage_node.address,
-                "find",
-                {"ids": [self._message_id]},
-                READ_TIMEOUT_S,
-                partial(self._answered, disk),
-            )
+            question = OutcomesRequest((self._message_id,))
+            on_reply = partial(self._answered, disk)
+            request(self._runtime, storage_node.address, question, READ_TIMEOUT_S, on_reply)
         timeout_s = max(0.0, deadline - self._runtime.now())
         self._runtime.call_later(min(READ_TIMEOUT_S + READ_SLACK_S, timeout_s), self._timed_out)
 
-    def _answered(self, disk: str, reply: Result[Reply, RequestFailure]) -> None:
+    def _answered(self, disk: str, reply: Result[OutcomesReply, RequestFailure]) -> None:
         if self._finished:
             return
         # An answer in the name of another disk is none: the machine has lost the one that is meant.
-        if isinstance(reply, Ok) and reply.ok_value.body["disk"] == disk:
+        if isinstance(reply, Ok) and reply.ok_value.disk_id == disk:
             self._answered_disks.add(disk)
-            found = reply.ok_value.body["found"].get(self._message_id)
-            if found is not None:
-                self._found.append(MessageStatus.from_wire(found))
+            outcome = reply.ok_value.outcomes.get(self._message_id)
+            if outcome is not None:
+                self._found.append(MessageStatus.from_outcome(outcome))
         ended = [status for status in self._found if not status.is_open]
         if ended or self._replicator.covers_all_messages(self._answered_disks):
             known = ended or self._found
--- a/tests/cluster/test_edge_parts.py
+++ b/tests/cluster/test_edge_parts.py
@@ -6,6 +6,7 @@
 import pytest
 from result import Err, Ok
 
+from amberlug.cluster.dispatch.messages import StandingReply
 from amberlug.cluster.edge.dispatchers import (
     FIRST_SHARE_DIVISOR,
     MIN_RATE_SHARE,
@@ -84,7 +85,9 @@
     status: MessageStatus, is_open: bool, is_completed: bool, is_found: bool
 ) -> None:
     assert (status.is_open, status.is_completed, status.is_found) == (is_open, is_completed, is_found)
-    assert MessageStatus.from_wire(status.to_wire()) == status
+    reply = StandingReply.from_wire(StandingReply(status.to_outcome()).to_wire(), b"")
+    assert reply.outcome is not None
+    assert MessageStatus.from_outcome(reply.outcome) == status
 
 
 def test_outcomes_are_forgotten_by_age() -> None:
