--- a/amberlug/cluster/consensus/context.py
+++ b/amberlug/cluster/consensus/context.py
@@ -3,7 +3,6 @@
 from __future__ import annotations
 
 from collections.abc import Callable, Mapping, Sequence, Set
-from dataclasses import dataclass
 from typing import Protocol
 
 from amberlug.cluster.consensus.log import Entry, Log
@@ -13,9 +12,10 @@
 from amberlug.cluster.consensus.peer_progress import LeaderRequest, PeerProgress
 from amberlug.cluster.consensus.roles import Role
 from amberlug.cluster.interfaces import Disk, Runtime
+from amberlug.cluster.values import value
 
 
-@dataclass(frozen=True, slots=True)
+@value
 class StateMachine:
     """The replicated state machine, and who is notified of changes."""
 
--- a/amberlug/cluster/consensus/follower.py
+++ b/amberlug/cluster/consensus/follower.py
@@ -4,7 +4,6 @@
 
 import json
 from collections.abc import Callable
-from dataclasses import dataclass
 
 from amberlug.cluster.consensus.context import MemberContext
 from amberlug.cluster.consensus.log import Entry, Snapshot
@@ -18,11 +17,12 @@
 from amberlug.cluster.consensus.roles import Role
 from amberlug.cluster.consensus.snapshot_transfer import IncomingTransfer, TransferHeader
 from amberlug.cluster.rpc.messages import Responder
+from amberlug.cluster.values import value
 
 MAX_SYNC_WAITERS = 8  # replies that wait for the disk: the leader has given up on older ones by then
 
 
-@dataclass(frozen=True, slots=True)
+@value
 class _SyncWaiter:
     """A reply that waits until the log is on disk up to an index."""
 
--- a/amberlug/cluster/consensus/log.py
+++ b/amberlug/cluster/consensus/log.py
@@ -20,6 +20,7 @@
 from amberlug.cluster.consensus.rows import EntryRow, Row, SnapshotRow, TruncateRow, raw_rows
 from amberlug.cluster.consensus.snapshot_transfer import CHUNK_BYTES, TransferHeader
 from amberlug.cluster.interfaces import Disk, Runtime
+from amberlug.cluster.values import value
 
 MAX_BATCH_ENTRIES = 64  # in one message, which are of CHUNK_BYTES at most in all
 SNAPSHOT_ENTRIES = (
@@ -46,7 +47,7 @@
         return None if self.command is None else self.command.get("members")
 
 
-@dataclass(frozen=True, slots=True)
+@value
 class StoredEntry:
     """An entry as it is read from disk."""
 
@@ -55,7 +56,7 @@
     command: Command | None
 
 
-@dataclass(frozen=True, slots=True)
+@value
 class MembersAt:
     """A membership, and the index of the entry that put it in place."""
 
@@ -68,7 +69,7 @@
     return json.dumps(value, separators=(",", ":"))
 
 
-@dataclass(frozen=True, slots=True)
+@value
 class Snapshot:
     """The state machine and the membership as of an index: what InstallSnapshot transfers."""
 
@@ -135,7 +136,7 @@
     last_index: int
 
 
-@dataclass(frozen=True, slots=True)
+@value
 class _EncodedEntry:
     """The text of a long entry: it is sent to each peer, and encoded once."""
 
--- a/amberlug/cluster/consensus/membership.py
+++ b/amberlug/cluster/consensus/membership.py
@@ -3,13 +3,13 @@
 from __future__ import annotations
 
 from collections.abc import Set
-from dataclasses import dataclass
 
 from amberlug.cluster.consensus.opaque import MemberRecords
 from amberlug.cluster.interfaces import Json
+from amberlug.cluster.values import value
 
 
-@dataclass(frozen=True, slots=True)
+@value
 class Member:
     """A typed view of a member's record.
 
@@ -29,7 +29,7 @@
         return bool(self.record["voter"])
 
 
-@dataclass(frozen=True, slots=True)
+@value
 class Membership:
     """All members by name, and the index of the entry that put them in place.
 
--- a/amberlug/cluster/consensus/messages.py
+++ b/amberlug/cluster/consensus/messages.py
@@ -6,16 +6,16 @@
 
 from __future__ import annotations
 
-from dataclasses import dataclass
 from typing import ClassVar
 
 from amberlug.cluster.consensus.log import Entry
 from amberlug.cluster.consensus.snapshot_transfer import TransferHeader
 from amberlug.cluster.interfaces import Json
 from amberlug.cluster.rpc.messages import Body, Notification, Request
+from amberlug.cluster.values import value
 
 
-@dataclass(frozen=True, slots=True)
+@value
 class LeaderHeader:
     """What each message of a leader begins with: the first arguments of AppendEntries (Raft, figure 2)."""
 
@@ -39,7 +39,7 @@
         return cls(body["term"], body["me"], body.get("to", ""), body["commit"])
 
 
-@dataclass(frozen=True, slots=True)
+@value
 class AcknowledgedIndexes:
     """Up to which index members are known to have acknowledged the log: input of the rollback guard."""
 
@@ -59,7 +59,7 @@
         return cls(body.get("floor", 0), body.get("floors"))
 
 
-@dataclass(frozen=True, slots=True)
+@value
 class FollowerReply(Body):
     """A follower's answer to AppendEntries, and to a chunk of an entry or of a snapshot."""
 
@@ -92,7 +92,7 @@
         )
 
 
-@dataclass(frozen=True, slots=True)
+@value
 class AppendEntries(Request[FollowerReply]):
     """AppendEntries (Raft, section 5.3), which is a heartbeat where it carries no entries (section 5.2)."""
 
@@ -127,7 +127,7 @@
         )
 
 
-@dataclass(frozen=True, slots=True)
+@value
 class TransferChunk(Request[FollowerReply]):
     """A chunk of a long entry or of a snapshot (InstallSnapshot, Raft, section 7).
 
@@ -171,7 +171,7 @@
         )
 
 
-@dataclass(frozen=True, slots=True)
+@value
 class VoteReply(Body):
     """The answer to a vote request."""
 
@@ -191,7 +191,7 @@
         return cls(bool(body.get("yes")), body.get("term", 0), body.get("of"))
 
 
-@dataclass(frozen=True, slots=True)
+@value
 class RequestVote(Request[VoteReply]):
     """RequestVote (Raft, section 5.2), also in the pre-vote phase (dissertation, section 9.6)."""
 
@@ -234,7 +234,7 @@
         )
 
 
-@dataclass(frozen=True, slots=True)
+@value
 class AcknowledgedIndexReply(Body):
     """Up to which index a member is known to have acknowledged the log."""
 
@@ -250,7 +250,7 @@
         return cls(body.get("floor"))
 
 
-@dataclass(frozen=True, slots=True)
+@value
 class AcknowledgedIndexRequest(Request[AcknowledgedIndexReply]):
     """A member that has just started asks up to where it had acknowledged the log."""
 
@@ -269,7 +269,7 @@
         return cls(body["of"], body["to"])
 
 
-@dataclass(frozen=True, slots=True)
+@value
 class TimeoutNow(Notification):
     """A leader that ends has its target start an election at once (dissertation, section 3.10)."""
 
--- a/amberlug/cluster/consensus/peer_progress.py
+++ b/amberlug/cluster/consensus/peer_progress.py
@@ -8,6 +8,7 @@
 
 from amberlug.cluster.consensus.messages import AppendEntries, FollowerReply, TransferChunk
 from amberlug.cluster.consensus.snapshot_transfer import OutgoingTransfer, SendWindow
+from amberlug.cluster.values import value
 
 NEVER = -1e9  # a time before any other
 
@@ -20,7 +21,7 @@
     CHUNK = "chunk"
 
 
-@dataclass(frozen=True, slots=True)
+@value
 class LeaderRequest:
     """A request of the leader to a peer, and what its outcome means."""
 
@@ -31,7 +32,7 @@
     on_lost: Callable[[], None] = lambda: None
 
 
-@dataclass(frozen=True, slots=True)
+@value
 class PendingRequest:
     """A request without a reply yet."""
 
--- a/amberlug/cluster/consensus/proposals.py
+++ b/amberlug/cluster/consensus/proposals.py
@@ -3,12 +3,12 @@
 from __future__ import annotations
 
 from collections.abc import Callable
-from dataclasses import dataclass
 from enum import Enum
 
 from result import Err, Result
 
 from amberlug.cluster.consensus.opaque import Outcome
+from amberlug.cluster.values import value
 
 
 class RejectionReason(Enum):
@@ -19,7 +19,7 @@
     OUTCOME_UNKNOWN = "unclear"  # leadership ended meanwhile: the command may or may not be committed
 
 
-@dataclass(frozen=True, slots=True)
+@value
 class ProposalRejected:
     """The error of a proposal, and what the member that rejected it knew then."""
 
@@ -32,7 +32,7 @@
 ProposalCallback = Callable[[Result[Outcome, ProposalRejected]], None]
 
 
-@dataclass(frozen=True, slots=True)
+@value
 class _PendingProposal:
     index: int
     on_outcome: ProposalCallback
--- a/amberlug/cluster/consensus/read_index.py
+++ b/amberlug/cluster/consensus/read_index.py
@@ -3,14 +3,14 @@
 from __future__ import annotations
 
 from collections.abc import Callable
-from dataclasses import dataclass
 
 from amberlug.cluster.consensus.context import MemberContext
+from amberlug.cluster.values import value
 
 ReadCallback = Callable[[int | None], None]
 
 
-@dataclass(frozen=True, slots=True)
+@value
 class _PendingRead:
     sequence: int
     on_confirmed: ReadCallback
--- a/amberlug/cluster/consensus/rows.py
+++ b/amberlug/cluster/consensus/rows.py
@@ -7,15 +7,16 @@
 from __future__ import annotations
 
 from collections.abc import Sequence
-from dataclasses import dataclass, fields
+from dataclasses import fields
 from typing import Any, ClassVar
 
 from amberlug.cluster.consensus.opaque import Command, MachineState, MemberRecords
+from amberlug.cluster.values import value
 
 RawRow = tuple[str, tuple[Any, ...]]
 
 
-@dataclass(frozen=True, slots=True)
+@value
 class TermRow:
     """The current term and the vote in it: persistent state of each server (Raft, figure 2)."""
 
@@ -24,7 +25,7 @@
     voted_for: str
 
 
-@dataclass(frozen=True, slots=True)
+@value
 class EntryRow:
     """One entry of the log."""
 
@@ -34,7 +35,7 @@
     command: Command | None
 
 
-@dataclass(frozen=True, slots=True)
+@value
 class TruncateRow:
     """Entries from an index on are deleted: a leader has others there (Raft, section 5.3)."""
 
@@ -42,7 +43,7 @@
     first_index: int
 
 
-@dataclass(frozen=True, slots=True)
+@value
 class SnapshotRow:
     """A snapshot takes the place of a prefix of the log (Raft, section 7)."""
 
@@ -54,7 +55,7 @@
     first_kept_index: int  # rows of entries before this one are deleted
 
 
-@dataclass(frozen=True, slots=True)
+@value
 class AcknowledgedRow:
     """Up to which index each member is known to have acknowledged the log."""
 
@@ -62,7 +63,7 @@
     indexes: dict[str, int]
 
 
-@dataclass(frozen=True, slots=True)
+@value
 class NewIncarnationRow:
     """The member goes on with an empty log under another name."""
 
--- a/amberlug/cluster/consensus/snapshot_transfer.py
+++ b/amberlug/cluster/consensus/snapshot_transfer.py
@@ -12,6 +12,7 @@
 from dataclasses import dataclass, field
 
 from amberlug.cluster.interfaces import Json
+from amberlug.cluster.values import value
 
 CHUNK_BYTES = 64 << 10  # of one chunk, and of the entries in one message: a heartbeat waits for one at most
 MAX_WINDOW = 8  # chunks in flight: 512 KiB fill a link of 40 Mbit/s and 100 ms
@@ -26,7 +27,7 @@
     return REPLY_TIMEOUT_S + size_bytes / SLOWEST_LINK_BYTES_PER_S
 
 
-@dataclass(frozen=True, slots=True)
+@value
 class TransferHeader:
     """What is transferred; the same header means the same bytes."""
 
@@ -74,7 +75,7 @@
             self.chunks = max(1, self.chunks // 2)
 
 
-@dataclass(frozen=True, slots=True)
+@value
 class Chunk:
     """One chunk as it is sent."""
 
@@ -84,7 +85,7 @@
     timeout_s: float  # for its reply
 
 
-@dataclass(frozen=True, slots=True)
+@value
 class _InFlight:
     """A chunk without a reply yet."""
 
--- a/amberlug/cluster/consensus/voter_selection.py
+++ b/amberlug/cluster/consensus/voter_selection.py
@@ -10,10 +10,10 @@
 
 from collections import Counter
 from collections.abc import Iterable, Mapping, Set
-from dataclasses import dataclass
 from enum import Enum
 
 from amberlug.cluster.settings import Tolerance
+from amberlug.cluster.values import value
 
 MIN_VOTERS = 3  # where there are as many members: fewer survive no loss
 MAX_VOTERS = 7  # more slow down each commit, and 7 survive 3 losses
@@ -24,7 +24,7 @@
 )
 
 
-@dataclass(frozen=True, slots=True)
+@value
 class MemberStatus:
     """A member as the leader knows it."""
 
@@ -68,7 +68,7 @@
     REMOVE = "remove"  # a learner is a member no more
 
 
-@dataclass(frozen=True, slots=True)
+@value
 class MembershipChange:
     """One change of the membership."""
 
--- a/amberlug/cluster/control/cluster_state.py
+++ b/amberlug/cluster/control/cluster_state.py
@@ -23,6 +23,7 @@
     UpdateRoster,
     command_from_wire,
 )
+from amberlug.cluster.control.shard_assignment import SHARDS
 from amberlug.cluster.control.state_entries import (
     ConfigHash,
     Departure,
@@ -39,7 +40,6 @@
 )
 from amberlug.cluster.interfaces import Json
 
-SHARDS = 256  # messages are partitioned by key into so many; more than any deployment has edge nodes
 CONFIG_HASH_RETENTION_S = (
     3600.0  # the hash of each call is kept so long, so that a repeated call is recognized
 )
--- a/amberlug/cluster/control/commands.py
+++ b/amberlug/cluster/control/commands.py
@@ -6,7 +6,7 @@
 from __future__ import annotations
 
 from collections.abc import Callable, Mapping, Sequence
-from dataclasses import dataclass, field, replace
+from dataclasses import field, replace
 from typing import ClassVar
 
 from amberlug.cluster.control.state_entries import (
@@ -17,9 +17,10 @@
     roster_to_wire,
 )
 from amberlug.cluster.interfaces import Json
+from amberlug.cluster.values import value
 
 
-@dataclass(frozen=True, slots=True)
+@value
 class CommandResult:
     """What applying a command, or checking it, came to.
 
@@ -69,7 +70,7 @@
 REPEATED = CommandResult(is_repeat=True)
 
 
-@dataclass(frozen=True, slots=True)
+@value
 class ReplaceConfig:
     """Put a configuration in force.
 
@@ -102,7 +103,7 @@
         return cls(body["base"], body["edition"], body["sum"], body["config"], _elapsed_s(body))
 
 
-@dataclass(frozen=True, slots=True)
+@value
 class UpdateRoster:
     """Put disks on the roster of storage nodes, change their state, or drop them."""
 
@@ -127,7 +128,7 @@
         )
 
 
-@dataclass(frozen=True, slots=True)
+@value
 class RetireStore:
     """Have a storage node emptied."""
 
@@ -145,7 +146,7 @@
         return cls(body["name"], _elapsed_s(body))
 
 
-@dataclass(frozen=True, slots=True)
+@value
 class AssignShards:
     """Give shards to owners.
 
@@ -173,7 +174,7 @@
         return cls(owners, body["give"], _elapsed_s(body))
 
 
-@dataclass(frozen=True, slots=True)
+@value
 class DrainEndpoints:
     """Endpoints leave, or have left.
 
@@ -220,7 +221,7 @@
     return replace(command, elapsed_s=elapsed_s)
 
 
-@dataclass(frozen=True, slots=True)
+@value
 class ConfirmedState:
     """What an operator's reads need of the replicated state, confirmed by a majority.
 
--- a/amberlug/cluster/control/context.py
+++ b/amberlug/cluster/control/context.py
@@ -3,7 +3,6 @@
 from __future__ import annotations
 
 from collections.abc import Callable
-from dataclasses import dataclass
 
 from amberlug.cluster.consensus.raft import RaftNode
 from amberlug.cluster.control.cluster_state import ClusterState
@@ -14,9 +13,10 @@
 from amberlug.cluster.interfaces import Runtime
 from amberlug.cluster.metrics import Counters
 from amberlug.cluster.settings import Settings
+from amberlug.cluster.values import value
 
 
-@dataclass(frozen=True, slots=True)
+@value
 class ControlContext:
     """The state and the surroundings that services of one node are made with.
 
--- a/amberlug/cluster/control/dead_messages.py
+++ b/amberlug/cluster/control/dead_messages.py
@@ -4,7 +4,6 @@
 
 import base64
 from collections.abc import Callable, Iterable
-from dataclasses import dataclass
 from typing import Any
 from urllib.parse import parse_qs
 
@@ -16,6 +15,7 @@
 from amberlug.cluster.http.api import HttpRequest, HttpResponse, RespondHttp, api_call
 from amberlug.cluster.interfaces import Json, Runtime
 from amberlug.cluster.storage.operator_messages import DEAD_MESSAGES_PER_PAGE
+from amberlug.cluster.values import value
 
 LIST_TAG = "dead"  # asks a storage node for a page of its messages, or for one of them
 BODY_TAG = "body"  # asks a storage node for a message's bytes
@@ -90,7 +90,7 @@
         query.finish_sending()
 
 
-@dataclass(frozen=True, slots=True)
+@value
 class _StorePages:
     """The pages of several storage nodes, put together.
 
--- a/amberlug/cluster/control/endpoint_registry.py
+++ b/amberlug/cluster/control/endpoint_registry.py
@@ -3,7 +3,6 @@
 from __future__ import annotations
 
 from collections.abc import Callable, Iterable
-from dataclasses import dataclass
 
 import trafaret as t
 from result import Err, Ok, Result
@@ -11,6 +10,7 @@
 from amberlug.cluster.control.state_entries import DepartureRank, EndpointRank
 from amberlug.cluster.gossip.store import GossipStore
 from amberlug.cluster.interfaces import Json, Runtime
+from amberlug.cluster.values import value
 
 MISSED_HEARTBEATS = 3.2  # an endpoint that misses so many heartbeats gets no more calls
 MAX_ANNOUNCEMENT_BYTES = 4096
@@ -34,7 +34,7 @@
 )
 
 
-@dataclass(frozen=True, slots=True)
+@value
 class EndpointAnnouncement:
     """An endpoint's announcement of itself.
 
@@ -74,7 +74,7 @@
 _UNKNOWN = EndpointAnnouncement("", "", "", "", 0, "", 0, 0)
 
 
-@dataclass(frozen=True, slots=True)
+@value
 class KnownEndpoint:
     """An endpoint's newest entry in gossip; fields of other versions of this program stay in the entry."""
 
--- a/amberlug/cluster/control/messages.py
+++ b/amberlug/cluster/control/messages.py
@@ -6,11 +6,11 @@
 
 from __future__ import annotations
 
-from dataclasses import dataclass
 from typing import Any, ClassVar
 
 from amberlug.cluster.interfaces import Json
 from amberlug.cluster.rpc.messages import Body, Notification, Request
+from amberlug.cluster.values import value
 
 # Fields without which no session is opened.
 REQUIRED_FIELDS = ("name", "incarnation", "address", "machine_class", "zone", "region", "state")
@@ -18,7 +18,7 @@
 GossipRows = list[Any]
 
 
-@dataclass(frozen=True, slots=True)
+@value
 class SessionDescription:
     """A node as it describes itself to the control-plane node that keeps its session.
 
@@ -67,7 +67,7 @@
         )
 
 
-@dataclass(frozen=True, slots=True)
+@value
 class SessionReply(Body):
     """Whether a control-plane node keeps the session, and how current its own state is.
 
@@ -91,7 +91,7 @@
         return cls(bool(body.get("ok")), float(body.get("age", 0.0)), str(body.get("cause", "")))
 
 
-@dataclass(frozen=True, slots=True)
+@value
 class OpenSession(Request[SessionReply]):
     """Open a session, or renew it after the connection or the control-plane node was lost."""
 
@@ -115,7 +115,7 @@
         return cls(SessionDescription.from_wire(body))
 
 
-@dataclass(frozen=True, slots=True)
+@value
 class Heartbeat(Request[SessionReply]):
     """Renew a session; sent without waiting for the reply to announce a planned stop."""
 
@@ -136,7 +136,7 @@
         return cls(SessionDescription.from_wire(body))
 
 
-@dataclass(frozen=True, slots=True)
+@value
 class CurrentStateReply(Body):
     """One page of all gossip entries, confirmed to be as new as a majority's.
 
@@ -165,7 +165,7 @@
         return cls(True, body["items"], body.get("next") or "")
 
 
-@dataclass(frozen=True, slots=True)
+@value
 class ReadCurrentState(Request[CurrentStateReply]):
     """Read one page of all gossip entries once a majority has confirmed them.
 
@@ -186,7 +186,7 @@
         return cls(body.get("after", ""))
 
 
-@dataclass(frozen=True, slots=True)
+@value
 class SessionRow:
     """A session as one control-plane node reports it to the others.
 
@@ -239,7 +239,7 @@
         return cls(node, open_for_s, last_s)
 
 
-@dataclass(frozen=True, slots=True)
+@value
 class SessionReport(Notification):
     """A control-plane node's sessions, and the endpoints whose heartbeats it has received.
 
--- a/amberlug/cluster/control/peer_messages.py
+++ b/amberlug/cluster/control/peer_messages.py
@@ -6,15 +6,15 @@
 
 from __future__ import annotations
 
-from dataclasses import dataclass
 from typing import ClassVar
 
 from amberlug.cluster.control.submitted_commands import SubmittedCommand, submitted_from_wire
 from amberlug.cluster.interfaces import Json
 from amberlug.cluster.rpc.messages import Body, Notification, Request
+from amberlug.cluster.values import value
 
 
-@dataclass(frozen=True, slots=True)
+@value
 class AnnounceLeaving(Notification):
     """A voter is about to stop, and the leader is to put another one in its place."""
 
@@ -31,7 +31,7 @@
         return cls(body["id"])
 
 
-@dataclass(frozen=True, slots=True)
+@value
 class ConfirmedIndex(Body):
     """The commit index that a majority has confirmed; None where the receiver does not lead one."""
 
@@ -47,7 +47,7 @@
         return cls(body.get("index"))
 
 
-@dataclass(frozen=True, slots=True)
+@value
 class ConfirmIndex(Request[ConfirmedIndex]):
     """Have the leader confirm its commit index with a majority (ReadIndex)."""
 
@@ -64,7 +64,7 @@
         return cls()
 
 
-@dataclass(frozen=True, slots=True)
+@value
 class MemberDescription:
     """A control-plane node as it describes itself to the leader.
 
@@ -104,7 +104,7 @@
         )
 
 
-@dataclass(frozen=True, slots=True)
+@value
 class JoinCluster(Notification):
     """A control-plane node asks to become a member, or to have its description brought up to date.
 
@@ -127,7 +127,7 @@
         return cls(body["id"], MemberDescription.from_wire(body["member"]), bool(body.get("passed")))
 
 
-@dataclass(frozen=True, slots=True)
+@value
 class CommandReply(Body):
     """What came of a forwarded command; None where its receiver does not lead, or could not commit it.
 
@@ -146,7 +146,7 @@
         return cls(body.get("said"))
 
 
-@dataclass(frozen=True, slots=True)
+@value
 class ForwardCommand(Request[CommandReply]):
     """Have the leader carry out a command."""
 
@@ -167,7 +167,7 @@
         return cls(submitted_from_wire(body["word"], body["body"]))
 
 
-@dataclass(frozen=True, slots=True)
+@value
 class StatusReply(Body):
     """A node's status as it reports it; operators are shown the whole document, whatever its version."""
 
@@ -183,7 +183,7 @@
         return cls(body)
 
 
-@dataclass(frozen=True, slots=True)
+@value
 class ReadControlStatus(Request[StatusReply]):
     """Read another control-plane node's status."""
 
--- a/amberlug/cluster/control/reconciler.py
+++ b/amberlug/cluster/control/reconciler.py
@@ -10,12 +10,11 @@
 from absl import logging
 
 from amberlug.cluster.consensus.raft import Role
-from amberlug.cluster.control.cluster_state import SHARDS
 from amberlug.cluster.control.commands import AssignShards, UpdateRoster
 from amberlug.cluster.control.context import ControlContext
 from amberlug.cluster.control.membership import Membership
 from amberlug.cluster.control.sessions import EdgeProgress, Session
-from amberlug.cluster.control.shard_assignment import assign_shards
+from amberlug.cluster.control.shard_assignment import SHARDS, assign_shards
 from amberlug.cluster.control.state_entries import OwnerEntry, Retirement, Roster, StoreEntry, StoreState
 
 RECONCILE_INTERVAL_S = 0.1
--- a/amberlug/cluster/control/sessions.py
+++ b/amberlug/cluster/control/sessions.py
@@ -7,6 +7,7 @@
 
 from amberlug.cluster.control.messages import SessionDescription, SessionRow
 from amberlug.cluster.interfaces import Json
+from amberlug.cluster.values import value
 
 HEARTBEAT_INTERVAL_S = 0.25  # between a member's heartbeats
 SESSION_TIMEOUT_S = 1.2  # without a heartbeat until a session expires: four intervals and a slow link
@@ -77,7 +78,7 @@
     )
 
 
-@dataclass(frozen=True, slots=True)
+@value
 class EdgeProgress:
     """What an edge node reports of itself before a disk may be dropped.
 
@@ -106,7 +107,7 @@
         return cls(details["roster"], details["table"], details["loading"], details["short"])
 
 
-@dataclass(frozen=True, slots=True)
+@value
 class _PeerReport:
     received_at_s: float
     sessions: dict[str, Session]
--- a/amberlug/cluster/control/shard_assignment.py
+++ b/amberlug/cluster/control/shard_assignment.py
@@ -4,6 +4,8 @@
 
 from collections.abc import Collection, Mapping, Sequence
 
+SHARDS = 256  # messages are partitioned by key into so many; more than any deployment has edge nodes
+
 
 def assign_shards(
     owners: Sequence[str], live: Sequence[str], count: int, retained: Collection[str] = ()
--- a/amberlug/cluster/control/state_entries.py
+++ b/amberlug/cluster/control/state_entries.py
@@ -6,11 +6,12 @@
 from __future__ import annotations
 
 from collections.abc import Mapping
-from dataclasses import dataclass, replace
+from dataclasses import replace
 from enum import Enum
 from typing import Any, Final, NamedTuple
 
 from amberlug.cluster.interfaces import Json
+from amberlug.cluster.values import value
 
 
 class StoreState(Enum):
@@ -36,7 +37,7 @@
     GONE: Final = 2
 
 
-@dataclass(frozen=True, slots=True)
+@value
 class StoreEntry:
     """A disk on the roster of storage nodes.
 
@@ -94,7 +95,7 @@
         )
 
 
-@dataclass(frozen=True, slots=True)
+@value
 class OwnerEntry:
     """An edge node that owns shards."""
 
--- a/amberlug/cluster/control/status.py
+++ b/amberlug/cluster/control/status.py
@@ -4,7 +4,6 @@
 
 from collections import Counter
 from collections.abc import Iterable, Mapping
-from dataclasses import dataclass
 
 from result import Ok, Result
 
@@ -19,13 +18,14 @@
 from amberlug.cluster.http.api import HttpRequest, HttpResponse, RespondHttp, api_call
 from amberlug.cluster.interfaces import Json, Reply, RequestFailure
 from amberlug.cluster.rpc.messages import Responder, handles
+from amberlug.cluster.values import value
 
 NODE_STATUS_TAG = "status"  # asks an edge or storage node for its status
 
 Members = Mapping[str, Session]  # by name
 
 
-@dataclass(frozen=True, slots=True)
+@value
 class _Snapshot:
     """What the status of the deployment is made of.
 
--- a/amberlug/cluster/control/submitted_commands.py
+++ b/amberlug/cluster/control/submitted_commands.py
@@ -6,12 +6,12 @@
 from __future__ import annotations
 
 from collections.abc import Sequence
-from dataclasses import dataclass
 from enum import Enum
 from typing import ClassVar
 
 from amberlug.cluster.control.state_entries import EndpointDrain
 from amberlug.cluster.interfaces import Json
+from amberlug.cluster.values import value
 
 
 class ConfigCall(Enum):
@@ -21,7 +21,7 @@
     MODIFY = "modify"  # named items of the one in force change
 
 
-@dataclass(frozen=True, slots=True)
+@value
 class SubmitRetirement:
     """Have a storage node emptied."""
 
@@ -33,7 +33,7 @@
         return {"name": self.node_name}
 
 
-@dataclass(frozen=True, slots=True)
+@value
 class SubmitDrains:
     """Replicate that endpoints leave, or have left."""
 
@@ -45,7 +45,7 @@
         return {"ids": [list(drain) for drain in self.drains]}
 
 
-@dataclass(frozen=True, slots=True)
+@value
 class ReadState:
     """Read the state that a majority has confirmed."""
 
@@ -56,7 +56,7 @@
         return {}
 
 
-@dataclass(frozen=True, slots=True)
+@value
 class SubmitConfig:
     """Replace or modify the configuration.
 
--- a/amberlug/cluster/dispatch/call_outcome.py
+++ b/amberlug/cluster/dispatch/call_outcome.py
@@ -2,10 +2,9 @@
 
 from __future__ import annotations
 
-from dataclasses import dataclass
-
 from amberlug.cluster.dispatch.message import Message
 from amberlug.cluster.interfaces import CallResult, CallVerdict
+from amberlug.cluster.values import value
 
 MIN_RETRY_S = 0.02  # a usual call takes as long: an endpoint that restarts is found soon after
 MAX_RETRY_S = 0.5  # of the exponential backoff: below the time in which endpoints come back
@@ -17,7 +16,7 @@
 SEAL_HEADER = "amberlug-server-seal"
 
 
-@dataclass(frozen=True, slots=True)
+@value
 class CallOutcome:
     """What a call did to its message."""
 
--- a/amberlug/cluster/dispatch/dispatcher.py
+++ b/amberlug/cluster/dispatch/dispatcher.py
@@ -16,6 +16,7 @@
 from amberlug.cluster.dispatch.endpoint_pool import Endpoint, EndpointPool
 from amberlug.cluster.dispatch.message import Message
 from amberlug.cluster.interfaces import CallResult, CallVerdict, EndpointCall, Endpoints, Runtime, TimerHandle
+from amberlug.cluster.values import value
 from amberlug.core.usual import message_class, settings
 from amberlug.policy.account import SECOND, WINDOW_US, Account
 from amberlug.policy.interface import Effect
@@ -37,7 +38,7 @@
     timeout_s: float
 
 
-@dataclass(frozen=True, slots=True)
+@value
 class DispatchCallbacks:
     """What a dispatcher is given by whoever owns the messages."""
 
--- a/amberlug/cluster/dispatch/endpoint_pool.py
+++ b/amberlug/cluster/dispatch/endpoint_pool.py
@@ -9,6 +9,7 @@
 from typing import Self
 
 from amberlug.cluster.interfaces import Json
+from amberlug.cluster.values import value
 
 MIN_BACKOFF_S = 0.25  # an unreachable endpoint gets no calls for so long, doubled each time
 MAX_BACKOFF_S = 4.0  # a restarted endpoint is found within this time also where nothing announces it
@@ -22,7 +23,7 @@
 SAME_ENDPOINT_COST = 5.0  # the endpoint of the last call: a retry goes to another one where there is any
 
 
-@dataclass(frozen=True, slots=True)
+@value
 class EndpointAnnouncement:
     """What control-plane nodes announce of an endpoint."""
 
--- a/amberlug/cluster/dispatch/messages.py
+++ b/amberlug/cluster/dispatch/messages.py
@@ -2,7 +2,6 @@
 
 from __future__ import annotations
 
-from dataclasses import dataclass
 from enum import Enum
 from typing import ClassVar
 
@@ -10,6 +9,7 @@
 from amberlug.cluster.interfaces import Json
 from amberlug.cluster.rpc.messages import Body, Notification, Request
 from amberlug.cluster.storage.messages import Acknowledgement, MessageMetadata, MessageOutcome
+from amberlug.cluster.values import value
 
 
 class AdmissionOutcome(Enum):
@@ -21,7 +21,7 @@
     REJECTED = "refused"  # no replica exists
 
 
-@dataclass(frozen=True, slots=True)
+@value
 class OfferReply(Body):
     """What the owner did with a submitted message."""
 
@@ -45,7 +45,7 @@
         return cls(AdmissionOutcome(body["taken"]), bool(body.get("dark")))
 
 
-@dataclass(frozen=True, slots=True)
+@value
 class Offer(Request[OfferReply]):
     """An edge submits a client's message to the owner of its shard."""
 
@@ -86,7 +86,7 @@
         return cls(body["id"], body["shard"], body["meta"], payload)
 
 
-@dataclass(frozen=True, slots=True)
+@value
 class Handover(Notification):
     """The previous owner of shards tells the new one what it has in flight, and what ended a moment ago."""
 
@@ -116,7 +116,7 @@
         )
 
 
-@dataclass(frozen=True, slots=True)
+@value
 class CallEnded(Notification):
     """A call ended whose shard was handed over meanwhile: the previous owner tells the new one."""
 
@@ -143,7 +143,7 @@
         return cls(body["id"], MessageOutcome(body["end"], body["seal"]), body["failed"])
 
 
-@dataclass(frozen=True, slots=True)
+@value
 class StandingReply(Body):
     """How a message stands at the edge that was asked; None where that edge does not know of it."""
 
@@ -162,7 +162,7 @@
         return cls(MessageOutcome(*known) if known else None)
 
 
-@dataclass(frozen=True, slots=True)
+@value
 class StandingRequest(Request[StandingReply]):
     """An edge asks the owner of a message's shard how the message stands."""
 
--- a/amberlug/cluster/dispatch/previous_owners.py
+++ b/amberlug/cluster/dispatch/previous_owners.py
@@ -3,10 +3,10 @@
 from __future__ import annotations
 
 from collections.abc import MutableMapping
-from dataclasses import dataclass
 from typing import TypeVar
 
 from amberlug.cluster.dispatch.messages import CallEnded, Handover
+from amberlug.cluster.values import value
 
 MAX_ANNOUNCED = 10_000  # entries of each kind that wait for their shard to be read; the oldest are dropped
 
@@ -20,7 +20,7 @@
         del entries[next(iter(entries))]
 
 
-@dataclass(frozen=True, slots=True)
+@value
 class ReceivedHandover:
     """What one previous owner has in flight."""
 
--- a/amberlug/cluster/dispatch/replicator.py
+++ b/amberlug/cluster/dispatch/replicator.py
@@ -7,7 +7,6 @@
 from __future__ import annotations
 
 from collections.abc import Callable, Set
-from dataclasses import dataclass
 
 from result import Ok, Result
 
@@ -24,12 +23,13 @@
     AcknowledgeRequest,
     MessageOutcome,
 )
+from amberlug.cluster.values import value
 
 PROBE_TIMEOUT_S = 0.5
 SUSPECT_DISCONNECTED_S = 0.3  # a process whose connection ended may be restarting
 
 
-@dataclass(frozen=True, slots=True)
+@value
 class StorageMember:
     """A storage node of the roster."""
 
--- a/amberlug/cluster/dispatch/shard_owner.py
+++ b/amberlug/cluster/dispatch/shard_owner.py
@@ -19,6 +19,7 @@
 from amberlug.cluster.interfaces import Json, Runtime
 from amberlug.cluster.rpc.messages import Responder, handles, send
 from amberlug.cluster.storage.messages import MessageOutcome
+from amberlug.cluster.values import value
 
 PREVIOUS_CALL_TIMEOUT_S = 4.0  # for a call at the previous owner to end, else the message is called again
 MAX_QUEUED_PER_SHARD = 4000  # messages that wait for a shard to be read
@@ -52,7 +53,7 @@
     unread_disks: frozenset[str] = frozenset()  # they did not tell what they have when it was taken over
 
 
-@dataclass(frozen=True, slots=True)
+@value
 class DeliveryCallbacks:
     """What delivers the messages of owned shards."""
 
--- a/amberlug/cluster/dispatch/shard_table.py
+++ b/amberlug/cluster/dispatch/shard_table.py
@@ -2,10 +2,10 @@
 
 from __future__ import annotations
 
-from dataclasses import dataclass
 from typing import NamedTuple
 
 from amberlug.cluster.interfaces import Json
+from amberlug.cluster.values import value
 
 NO_OWNER = -1
 
@@ -25,7 +25,7 @@
     previous_owner: int
 
 
-@dataclass(frozen=True, slots=True)
+@value
 class ShardTable:
     """Who owns which shard. A shard's number is its place in `rows`."""
 
--- a/amberlug/cluster/edge/intake.py
+++ b/amberlug/cluster/edge/intake.py
@@ -3,12 +3,11 @@
 from __future__ import annotations
 
 from collections.abc import Callable
-from dataclasses import dataclass
 from typing import Protocol
 
 from result import Err, Ok, Result
 
-from amberlug.cluster.control.cluster_state import SHARDS
+from amberlug.cluster.control.shard_assignment import SHARDS
 from amberlug.cluster.dispatch.message import Message, name_of, shard_of
 from amberlug.cluster.dispatch.messages import AdmissionOutcome
 from amberlug.cluster.edge.context import EdgeContext
@@ -17,6 +16,7 @@
 from amberlug.cluster.http.api import AdminApi, HttpRequest, HttpResponse
 from amberlug.cluster.http.routing import Route
 from amberlug.cluster.interfaces import Json
+from amberlug.cluster.values import value
 
 DEFAULT_CLIENT_TIMEOUT_S = 1.5  # where a client does not say for how long it waits
 MAX_BODIES_MEMORY_FRACTION = 0.35  # of the node's memory: the rest is for connections and the process itself
@@ -57,7 +57,7 @@
         """Names and values in the order in which they came."""
 
 
-@dataclass(frozen=True, slots=True)
+@value
 class ClientResponse:
     """An answer to a client: a JSON body, or bytes where `body` is None."""
 
@@ -70,7 +70,7 @@
 RespondToClient = Callable[[ClientResponse], None]
 
 
-@dataclass(frozen=True, slots=True)
+@value
 class SubmissionHeaders:
     """What a client's headers say about a submission."""
 
@@ -79,6 +79,11 @@
     timeout_s: float
 
 
+def _is_number(text: str) -> bool:
+    """Whether it is digits that `int` reads; superscripts are digits for `isdigit` alone."""
+    return text.isascii() and text.isdigit()
+
+
 def parse_submission_headers(request: ClientRequest) -> Result[SubmissionHeaders, str]:
     """Read the headers of a submission.
 
@@ -92,10 +97,10 @@
     ):
         return Err("Amberlug-Attempt-Id: none, or not one of up to 58 letters, digits or -_.")
     not_before = request.header("amberlug-not-before") or "0"
-    if not not_before.isdigit() or len(not_before) > MAX_NOT_BEFORE_DIGITS:
+    if not _is_number(not_before) or len(not_before) > MAX_NOT_BEFORE_DIGITS:
         return Err("Amberlug-Not-Before: no whole number of milliseconds")
     remaining_ms = request.header("amberlug-time-remaining")
-    has_timeout = remaining_ms is not None and remaining_ms.isdigit()
+    has_timeout = remaining_ms is not None and _is_number(remaining_ms)
     timeout_s = int(remaining_ms or 0) / 1000 if has_timeout else DEFAULT_CLIENT_TIMEOUT_S
     return Ok(SubmissionHeaders(attempt_id, int(not_before), timeout_s))
 
--- a/amberlug/cluster/edge/outcomes.py
+++ b/amberlug/cluster/edge/outcomes.py
@@ -2,9 +2,8 @@
 
 from __future__ import annotations
 
-from dataclasses import dataclass
-
 from amberlug.cluster.storage.messages import MessageOutcome
+from amberlug.cluster.values import value
 
 # Values of `end` in frames and in storage nodes' rows.
 END_OPEN = ""
@@ -14,7 +13,7 @@
 NOT_FOUND = "none"  # never stored: only in answers to lookups
 
 
-@dataclass(frozen=True, slots=True)
+@value
 class MessageStatus:
     """How a message stands: an `END_` value or `NOT_FOUND`, and the endpoint's seal of a completed one."""
 
@@ -46,7 +45,7 @@
         return cls(outcome.status, outcome.receipt)
 
 
-@dataclass(frozen=True, slots=True)
+@value
 class _RecordedOutcome:
     status: MessageStatus
     recorded_at: float  # monotonic clock, in seconds
--- a/amberlug/cluster/edge/repair.py
+++ b/amberlug/cluster/edge/repair.py
@@ -2,7 +2,6 @@
 
 from __future__ import annotations
 
-from dataclasses import dataclass
 from functools import partial
 
 from amberlug.cluster.dispatch.message import Message
@@ -10,12 +9,13 @@
 from amberlug.cluster.edge.delivery import MessageDelivery
 from amberlug.cluster.edge.storage_reads import StorageReader
 from amberlug.cluster.interfaces import Json
+from amberlug.cluster.values import value
 
 REPAIR_INTERVAL_S = 0.1  # between searches for messages with too few replicas
 MAX_CONCURRENT_REPAIRS = 16  # so that repairs do not delay the writes of new messages
 
 
-@dataclass(frozen=True, slots=True)
+@value
 class RepairReport:
     """What the control plane waits for before it drops a storage node's disk for good."""
 
--- a/amberlug/cluster/edge/status.py
+++ b/amberlug/cluster/edge/status.py
@@ -3,15 +3,15 @@
 from __future__ import annotations
 
 from collections.abc import Set
-from dataclasses import dataclass
 from typing import Protocol
 
 from amberlug.cluster.interfaces import Json
 from amberlug.cluster.node_status import NodeStatusRequest
 from amberlug.cluster.rpc.messages import Body, Responder, handles
+from amberlug.cluster.values import value
 
 
-@dataclass(frozen=True, slots=True)
+@value
 class EdgeStatusReport(Body):
     """An edge node as its operators see it; the reply to a `NodeStatusRequest`."""
 
--- a/amberlug/cluster/gossip/messages.py
+++ b/amberlug/cluster/gossip/messages.py
@@ -3,15 +3,15 @@
 from __future__ import annotations
 
 from collections.abc import Mapping, Sequence
-from dataclasses import dataclass
 from typing import ClassVar
 
 from amberlug.cluster.gossip.announcements import Announcement, Version
 from amberlug.cluster.interfaces import Json
 from amberlug.cluster.rpc.messages import Body, Notification, Request
+from amberlug.cluster.values import value
 
 
-@dataclass(frozen=True, slots=True)
+@value
 class Acknowledgement(Body):
     """An update was received and applied."""
 
@@ -25,7 +25,7 @@
         return cls()
 
 
-@dataclass(frozen=True, slots=True)
+@value
 class Update(Request[Acknowledgement]):
     """Announcements that are pushed to a peer: also sent as a notification, where no further page follows."""
 
@@ -43,7 +43,7 @@
         return cls([Announcement(*row) for row in body["items"]])
 
 
-@dataclass(frozen=True, slots=True)
+@value
 class VersionNotice(Notification):
     """Versions that the sender has received a moment ago: the peer fetches those that it lacks."""
 
@@ -60,7 +60,7 @@
         return cls(body["versions"])
 
 
-@dataclass(frozen=True, slots=True)
+@value
 class DigestReply(Body):
     """The versions that the peer knows of the keys that were compared.
 
@@ -81,7 +81,7 @@
         return cls(body.get("versions"), body.get("next", ""))
 
 
-@dataclass(frozen=True, slots=True)
+@value
 class DigestRequest(Request[DigestReply]):
     """Compare all announcements by their digest, and where it differs the versions after a key."""
 
@@ -100,7 +100,7 @@
         return cls(body["sum"], body.get("after", ""))
 
 
-@dataclass(frozen=True, slots=True)
+@value
 class FetchReply(Body):
     """As many of the requested announcements as fit into one message, and the keys of the others."""
 
@@ -117,7 +117,7 @@
         return cls([Announcement(*row) for row in body["items"]], body.get("rest", []))
 
 
-@dataclass(frozen=True, slots=True)
+@value
 class FetchRequest(Request[FetchReply]):
     """Request announcements by their keys; keys that the peer does not know are passed over."""
 
--- a/amberlug/cluster/gossip/store.py
+++ b/amberlug/cluster/gossip/store.py
@@ -12,7 +12,6 @@
 from __future__ import annotations
 
 from collections.abc import Callable, Collection, Iterable, Mapping
-from dataclasses import dataclass
 from functools import partial
 
 from result import Ok, Result
@@ -37,6 +36,7 @@
 )
 from amberlug.cluster.interfaces import RequestFailure, Runtime
 from amberlug.cluster.rpc.messages import Responder, handles, request, send
+from amberlug.cluster.values import value
 
 ANTI_ENTROPY_INTERVAL_S = 1.0  # between comparisons with one peer and with the next one
 FANOUT = 2  # peers that an edge node notifies of new versions
@@ -50,7 +50,7 @@
     return ()
 
 
-@dataclass(frozen=True, slots=True)
+@value
 class DisseminationPolicy:
     """Which peers new announcements go to.
 
@@ -68,7 +68,7 @@
 DEFAULT_POLICY = DisseminationPolicy()
 
 
-@dataclass(frozen=True, slots=True)
+@value
 class _PendingFetch:
     """A version that was requested and has not arrived."""
 
--- a/amberlug/cluster/interfaces.py
+++ b/amberlug/cluster/interfaces.py
@@ -8,12 +8,13 @@
 
 import random
 from collections.abc import Callable
-from dataclasses import dataclass
 from enum import Enum
 from typing import Any, Protocol
 
 from result import Result
 
+from amberlug.cluster.values import value
+
 Json = dict[str, Any]
 """A JSON object as it stands in a frame, in a row or in an HTTP body; only codecs look into it."""
 
@@ -32,7 +33,7 @@
     TIMED_OUT = "silent"  # no reply in time: the peer may have acted on it, or may do so yet
 
 
-@dataclass(frozen=True, slots=True)
+@value
 class Reply:
     """A peer's reply as it stands in a frame: a JSON object, and bytes beside it."""
 
@@ -112,7 +113,7 @@
     TIMED_OUT = "silent"  # no response in time: it may have run, or may do so yet
 
 
-@dataclass(frozen=True, slots=True)
+@value
 class EndpointCall:
     """A call of an endpoint.
 
@@ -133,7 +134,7 @@
     seconds: float
 
 
-@dataclass(frozen=True, slots=True)
+@value
 class CallResult:
     """The outcome of a call.
 
--- a/amberlug/cluster/node_status.py
+++ b/amberlug/cluster/node_status.py
@@ -6,14 +6,14 @@
 
 from __future__ import annotations
 
-from dataclasses import dataclass
 from typing import ClassVar
 
 from amberlug.cluster.interfaces import Json
 from amberlug.cluster.rpc.messages import Body, Request
+from amberlug.cluster.values import value
 
 
-@dataclass(frozen=True, slots=True)
+@value
 class NodeStatusReport(Body):
     """A node's report to its operators; a control-plane node passes on fields that it does not know."""
 
@@ -29,7 +29,7 @@
         return cls(body)
 
 
-@dataclass(frozen=True, slots=True)
+@value
 class NodeStatusRequest(Request[NodeStatusReport]):
     """A control-plane node asks an edge or a storage node for its status."""
 
--- a/amberlug/cluster/rpc/client_connection.py
+++ b/amberlug/cluster/rpc/client_connection.py
@@ -4,7 +4,6 @@
 
 import asyncio
 from collections.abc import Callable
-from dataclasses import dataclass
 
 from result import Err, Ok
 
@@ -17,6 +16,7 @@
     encode_handshake,
 )
 from amberlug.cluster.rpc.tcp import MAX_WRITE_BUFFER_BYTES, abort_if_not_reading, set_user_timeout
+from amberlug.cluster.values import value
 
 CONNECT_TIMEOUT_S = 0.7
 
@@ -33,7 +33,7 @@
         self.address, self.reason = address, reason
 
 
-@dataclass(frozen=True, slots=True)
+@value
 class PendingRequest:
     """A request without a reply so far."""
 
@@ -41,7 +41,7 @@
     timeout: asyncio.TimerHandle
 
 
-@dataclass(frozen=True, slots=True)
+@value
 class _QueuedFrame:
     """A frame that waits for the connection to be established; its number where it is a request."""
 
--- a/amberlug/cluster/rpc/framing.py
+++ b/amberlug/cluster/rpc/framing.py
@@ -11,12 +11,12 @@
 
 import json
 from collections.abc import Iterator
-from dataclasses import dataclass
 from typing import NamedTuple
 
 from result import Err, Ok, Result
 
 from amberlug.cluster.interfaces import Json
+from amberlug.cluster.values import value
 
 MAX_NETSTRING_BYTES = 8 << 20  # a whole configuration and a page of a storage node's messages fit
 MAX_LENGTH_DIGITS = len(str(MAX_NETSTRING_BYTES))
@@ -40,7 +40,7 @@
         self.reason = reason
 
 
-@dataclass(frozen=True, slots=True)
+@value
 class FrameTooLong:
     """Why a frame was not encoded."""
 
@@ -55,7 +55,7 @@
     payload: bytes
 
 
-@dataclass(frozen=True, slots=True)
+@value
 class RawMessage:
     """A message as it stands in a frame: its wire tag, its JSON object, and bytes beside it."""
 
--- a/amberlug/cluster/session_client.py
+++ b/amberlug/cluster/session_client.py
@@ -26,6 +26,7 @@
 from amberlug.cluster.interfaces import Json, RequestFailure, Runtime
 from amberlug.cluster.rpc.messages import request, send
 from amberlug.cluster.settings import Settings
+from amberlug.cluster.values import value
 
 HEARTBEAT_TIMEOUT_S = 0.4
 OPEN_TIMEOUT_S = 0.8
@@ -51,7 +52,7 @@
     return reply.ok_value.is_accepted and reply.ok_value.staleness_s <= MAX_STALENESS_S
 
 
-@dataclass(frozen=True, slots=True)
+@value
 class LocalNode:
     """The node that the session is for.
 
--- a/amberlug/cluster/settings.py
+++ b/amberlug/cluster/settings.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from dataclasses import dataclass, field
+from dataclasses import field
 from pathlib import Path
 
 import trafaret as t
@@ -10,6 +10,7 @@
 from result import Err, Ok, Result
 
 from amberlug.cluster.interfaces import Json
+from amberlug.cluster.values import value
 
 SETTINGS_FILE_VARIABLE = "AMBERLUG_NODE_FILE"  # environment variable with the path of the file
 DEFAULT_SETTINGS_FILE = "/etc/amberlug/boot.yaml"
@@ -86,7 +87,7 @@
 )
 
 
-@dataclass(frozen=True, slots=True)
+@value
 class Tolerance:
     """What may fail at once without loss of data: so many nodes, or zones, or regions."""
 
@@ -106,7 +107,7 @@
         )
 
 
-@dataclass(frozen=True, slots=True)
+@value
 class Settings:
     """The settings of a node.
 
@@ -151,7 +152,7 @@
         return value / 1000 if name.endswith("Ms") else value
 
 
-@dataclass(frozen=True, slots=True)
+@value
 class SettingsError:
     """An error in a settings file.
 
--- a/amberlug/cluster/storage/enrollment.py
+++ b/amberlug/cluster/storage/enrollment.py
@@ -11,7 +11,6 @@
 from __future__ import annotations
 
 from collections.abc import Mapping
-from dataclasses import dataclass
 
 from absl import logging
 
@@ -25,13 +24,14 @@
     StoredContents,
 )
 from amberlug.cluster.storage.replica_service import ignore_failure
+from amberlug.cluster.values import value
 
 ROSTER_KEY = "roster"
 SHARD_TABLE_KEY = "shards"
 DISK_ID_BITS = 64  # random names of disks: a collision is out of the question
 
 
-@dataclass(frozen=True, slots=True)
+@value
 class Roster:
     """The disks that replicas are written to.
 
@@ -48,7 +48,7 @@
         return cls(index, {disk_id: disk.get("table", 0) for disk_id, disk in value.items()})
 
 
-@dataclass(frozen=True, slots=True)
+@value
 class ShardTable:
     """The epochs of the owners of all shards, by the shards' numbers.
 
--- a/amberlug/cluster/storage/group_commit.py
+++ b/amberlug/cluster/storage/group_commit.py
@@ -10,12 +10,12 @@
 import sqlite3
 import threading
 from collections.abc import Callable, Sequence
-from dataclasses import dataclass
 from functools import partial
 from pathlib import Path
 from typing import Generic, TypeVar
 
 from amberlug.cluster.storage.failures import WriteFailure, WriteFailureReason
+from amberlug.cluster.values import value
 
 MAX_WRITES_PER_COMMIT = 256  # bounds how long the first write of a commit waits for the others
 THREAD_NAME = "group-commit"
@@ -56,7 +56,7 @@
     return WriteFailure(reason, f"{type(error).__name__}: {error}")
 
 
-@dataclass(frozen=True, slots=True)
+@value
 class _Write(Generic[RowT]):
     rows: Sequence[RowT]
     on_done: OnWritten
--- a/amberlug/cluster/storage/messages.py
+++ b/amberlug/cluster/storage/messages.py
@@ -7,12 +7,13 @@
 
 from __future__ import annotations
 
-from dataclasses import dataclass, field
+from dataclasses import field
 from enum import Enum
 from typing import Any, ClassVar
 
 from amberlug.cluster.interfaces import Json
 from amberlug.cluster.rpc.messages import Body, Request
+from amberlug.cluster.values import value
 
 DEAD_OUTCOME = "dead"  # the outcome of a message that was given up on; its body stays readable
 
@@ -21,7 +22,7 @@
 MessageMetadata = dict[str, Any]
 
 
-@dataclass(frozen=True, slots=True)
+@value
 class MessageOutcome:
     """How a message ended: an empty status while it is open, and the receipt of a success.
 
@@ -50,7 +51,7 @@
     NOT_ENROLLED = "early"  # this disk does not know yet which owners came before it
 
 
-@dataclass(frozen=True, slots=True)
+@value
 class ReplicaWriteReply(Body):
     """The end of a `ReplicaWriteRequest`."""
 
@@ -81,7 +82,7 @@
         return cls(ReplicaWriteResult.STORAGE_FULL if body.get("full") else ReplicaWriteResult.NOT_ENROLLED)
 
 
-@dataclass(frozen=True, slots=True)
+@value
 class ReplicaWriteRequest(Request[ReplicaWriteReply]):
     """A shard's owner has a message stored durably."""
 
@@ -122,7 +123,7 @@
         return cls(body["id"], body["shard"], body["epoch"], accepted_epoch, sequence, body["meta"], payload)
 
 
-@dataclass(frozen=True, slots=True)
+@value
 class Acknowledgement:
     """That a message ended, and until when its outcome is to be known; wall-clock seconds."""
 
@@ -151,7 +152,7 @@
         return cls(message_id, shard, MessageOutcome(status, receipt), retain_until)
 
 
-@dataclass(frozen=True, slots=True)
+@value
 class AcknowledgeReply(Body):
     """Whether the acknowledgements are durable."""
 
@@ -167,7 +168,7 @@
         return cls(bool(body.get("ok")))
 
 
-@dataclass(frozen=True, slots=True)
+@value
 class AcknowledgeRequest(Request[AcknowledgeReply]):
     """Messages have ended. Without any it asks whether the node answers."""
 
@@ -188,7 +189,7 @@
         return cls(tuple(Acknowledgement.from_wire(row) for row in body["marks"]))
 
 
-@dataclass(frozen=True, slots=True)
+@value
 class OpenMessage:
     """A message that has not ended, as a storage node has it."""
 
@@ -213,7 +214,7 @@
         ]
 
 
-@dataclass(frozen=True, slots=True)
+@value
 class FenceReply(Body):
     """What is open in the shards, once the fencing tokens are durable."""
 
@@ -257,7 +258,7 @@
         return cls(True, body["disk"], rejected, tuple(messages))
 
 
-@dataclass(frozen=True, slots=True)
+@value
 class FenceRequest(Request[FenceReply]):
     """A new owner has older owners of its shards rejected, and asks for what is open in them."""
 
@@ -278,7 +279,7 @@
         return cls({int(shard): epoch for shard, epoch in body["shards"].items()})
 
 
-@dataclass(frozen=True, slots=True)
+@value
 class OutcomesReply(Body):
     """What is known of messages; those that are not here are unknown to this disk."""
 
@@ -305,7 +306,7 @@
         return cls(outcomes, body.get("disk", ""))
 
 
-@dataclass(frozen=True, slots=True)
+@value
 class OutcomesRequest(Request[OutcomesReply]):
     """Ask how messages ended, or whether they are open."""
 
@@ -326,7 +327,7 @@
         return cls(tuple(body["ids"]))
 
 
-@dataclass(frozen=True, slots=True)
+@value
 class ContentReply(Body):
     """A message's body, where it is here, and how the message ended where it has."""
 
@@ -352,7 +353,7 @@
         return cls(payload if body.get("found") else None, outcome)
 
 
-@dataclass(frozen=True, slots=True)
+@value
 class ContentRequest(Request[ContentReply]):
     """Ask for the body of a message that is open or dead."""
 
--- a/amberlug/cluster/storage/operator_messages.py
+++ b/amberlug/cluster/storage/operator_messages.py
@@ -2,17 +2,17 @@
 
 from __future__ import annotations
 
-from dataclasses import dataclass
 from typing import ClassVar
 
 from amberlug.cluster.interfaces import Json
 from amberlug.cluster.rpc.messages import Body, Request
 from amberlug.cluster.storage.messages import MessageMetadata
+from amberlug.cluster.values import value
 
 DEAD_MESSAGES_PER_PAGE = 200  # an answer of so many rows stays far below the largest frame
 
 
-@dataclass(frozen=True, slots=True)
+@value
 class DeadMessage:
     """A message that ended without success; metadata is empty where only its outcome came here."""
 
@@ -26,7 +26,7 @@
         return [self.message_id, self.metadata, self.size_bytes, self.retain_until]
 
 
-@dataclass(frozen=True, slots=True)
+@value
 class DeadMessagesReply(Body):
     """One page, in the order of their names."""
 
@@ -46,7 +46,7 @@
         return cls(tuple(DeadMessage(*row) for row in body["rows"]), body["more"])
 
 
-@dataclass(frozen=True, slots=True)
+@value
 class DeadMessagesRequest(Request[DeadMessagesReply]):
     """Ask for messages that ended without success: the one of `message_id`, or a page beyond `after`."""
 
@@ -80,7 +80,7 @@
         return cls(after=body["after"], limit=limit)
 
 
-@dataclass(frozen=True, slots=True)
+@value
 class StorageStatusReport(Body):
     """A storage node as its operators see it; the reply to a `NodeStatusRequest`."""
 
--- a/amberlug/cluster/storage/records.py
+++ b/amberlug/cluster/storage/records.py
@@ -8,6 +8,7 @@
 
 from amberlug.cluster.storage.failures import WriteFailure
 from amberlug.cluster.storage.messages import OPEN, MessageMetadata, MessageOutcome
+from amberlug.cluster.values import value
 
 
 @dataclass(slots=True)
@@ -48,7 +49,7 @@
         return epoch < self.fencing_tokens.get(shard, 0)
 
 
-@dataclass(frozen=True, slots=True)
+@value
 class ReplicaRow:
     """A message that is open, in place of what the disk has of it."""
 
@@ -60,7 +61,7 @@
     content: bytes
 
 
-@dataclass(frozen=True, slots=True)
+@value
 class OutcomeRow:
     """A message has ended; its body is deleted unless it is dead."""
 
@@ -70,7 +71,7 @@
     retain_until: float  # wall-clock seconds
 
 
-@dataclass(frozen=True, slots=True)
+@value
 class FenceRow:
     """The fencing token of a shard."""
 
@@ -78,21 +79,21 @@
     epoch: int
 
 
-@dataclass(frozen=True, slots=True)
+@value
 class EnrollmentRow:
     """The newest roster that the disk was seen in."""
 
     roster_index: int
 
 
-@dataclass(frozen=True, slots=True)
+@value
 class NewDiskRow:
     """The disk is emptied and goes on under another name. Fencing tokens stay: they can only grow."""
 
     disk_id: str
 
 
-@dataclass(frozen=True, slots=True)
+@value
 class DeletionRow:
     """An ended message is forgotten."""
 
--- a/amberlug/cluster/storage/replica_service.py
+++ b/amberlug/cluster/storage/replica_service.py
@@ -12,7 +12,6 @@
 from __future__ import annotations
 
 from collections.abc import Mapping
-from dataclasses import dataclass
 from functools import partial
 
 from absl import logging
@@ -46,6 +45,7 @@
     StoredContents,
     StoredMessage,
 )
+from amberlug.cluster.values import value
 
 EXPIRY_INTERVAL_S = 2.0  # between searches for outcomes that nobody needs any more
 INCLUDED_CONTENT_BYTES = (
@@ -57,7 +57,7 @@
     """Do nothing at the end of a write that is done again if it is lost."""
 
 
-@dataclass(frozen=True, slots=True)
+@value
 class _PendingWrite:
     """A replica whose row is being written."""
 
@@ -67,7 +67,7 @@
     respond: Responder
 
 
-@dataclass(frozen=True, slots=True)
+@value
 class _PendingFence:
     """A fence whose rows are being written, and the open messages that its reply will list."""
 
--- a/benchmarks/hollow/steps.py
+++ b/benchmarks/hollow/steps.py
@@ -16,13 +16,13 @@
 from result import Ok
 
 from amberlug.cluster.consensus.storage import open_raft_storage
-from amberlug.cluster.control.cluster_state import SHARDS, ClusterState, digest
+from amberlug.cluster.control.cluster_state import ClusterState, digest
 from amberlug.cluster.control.config_validation import check, parse
 from amberlug.cluster.control.endpoint_registry import EndpointRegistry, read_announcement
 from amberlug.cluster.control.messages import OpenSession
 from amberlug.cluster.control.node import ControlNode, blank
 from amberlug.cluster.control.sessions import Sessions
-from amberlug.cluster.control.shard_assignment import assign_shards
+from amberlug.cluster.control.shard_assignment import SHARDS, assign_shards
 from amberlug.cluster.dispatch.delivery_queue import DeliveryQueue
 from amberlug.cluster.dispatch.endpoint_pool import EndpointAnnouncement, EndpointPool
 from amberlug.cluster.dispatch.message import Message, SequencePosition
--- a/tests/cluster/test_control_commands.py
+++ b/tests/cluster/test_control_commands.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from amberlug.cluster.control.cluster_state import SHARDS, ClusterState
+from amberlug.cluster.control.cluster_state import ClusterState
 from amberlug.cluster.control.commands import (
     ACCEPTED,
     REPEATED,
@@ -18,6 +18,7 @@
     UpdateRoster,
     command_from_wire,
 )
+from amberlug.cluster.control.shard_assignment import SHARDS
 from amberlug.cluster.control.state_entries import (
     EndpointDrain,
     EndpointRank,
--- a/tests/cluster/test_edge_parts.py
+++ b/tests/cluster/test_edge_parts.py
@@ -44,6 +44,10 @@
         ),
         ({"attempt_id": "a", "time_remaining": "0"}, SubmissionHeaders("a", 0, 0.0)),
         ({"attempt_id": "a", "time_remaining": "soon"}, SubmissionHeaders("a", 0, DEFAULT_CLIENT_TIMEOUT_S)),
+        (
+            {"attempt_id": "a", "time_remaining": "\u00b2"},
+            SubmissionHeaders("a", 0, DEFAULT_CLIENT_TIMEOUT_S),
+        ),
         (
             {"attempt_id": "a" * MAX_ATTEMPT_ID_CHARACTERS, "not_before": ""},
             SubmissionHeaders("a" * MAX_ATTEMPT_ID_CHARACTERS, 0, DEFAULT_CLIENT_TIMEOUT_S),
@@ -64,6 +68,7 @@
         ({"attempt_id": "a", "not_before": "-1"}, "Amberlug-Not-Before"),
         ({"attempt_id": "a", "not_before": "1.5"}, "Amberlug-Not-Before"),
         ({"attempt_id": "a", "not_before": "1" * 13}, "Amberlug-Not-Before"),
+        ({"attempt_id": "a", "not_before": "\u00b2"}, "Amberlug-Not-Before"),
     ],
 )
 def test_invalid_submission_headers_are_named(headers: dict[str, str], header_at_fault: str) -> None:
