--- a/amberlug/cluster/asyncio_runtime.py
+++ b/amberlug/cluster/asyncio_runtime.py
@@ -18,7 +18,7 @@
     def __init__(self, transport: PeerTransport, rng: random.Random) -> None:
         self._loop = asyncio.get_running_loop()
         self._transport = transport
-        self.chance, self.now, self.wall_clock = rng, self._loop.time, time.time
+        self.rng, self.now, self.wall_clock = rng, self._loop.time, time.time
 
     def call_later(self, delay_s: float, callback: Callable[[], None]) -> TimerHandle:
         """Call back after a delay."""
--- a/amberlug/cluster/consensus/election.py
+++ b/amberlug/cluster/consensus/election.py
@@ -42,13 +42,13 @@
         """Start an election before long, unless a leader is heard of."""
         raft = self._raft
         if raft.leader_id == "":
-            delay_s = raft.runtime.chance.uniform(MIN_STARTUP_TIMEOUT_S, MAX_STARTUP_TIMEOUT_S)
+            delay_s = raft.runtime.rng.uniform(MIN_STARTUP_TIMEOUT_S, MAX_STARTUP_TIMEOUT_S)
             raft.schedule(delay_s, self._on_timeout)
 
     def restart_timer(self) -> None:
         """Wait for another election timeout, drawn anew."""
         raft = self._raft
-        delay_s = raft.runtime.chance.uniform(MIN_ELECTION_TIMEOUT_S, MAX_ELECTION_TIMEOUT_S)
+        delay_s = raft.runtime.rng.uniform(MIN_ELECTION_TIMEOUT_S, MAX_ELECTION_TIMEOUT_S)
         raft.schedule(delay_s, self._on_timeout)
 
     def _on_timeout(self) -> None:
--- a/amberlug/cluster/consensus/raft.py
+++ b/amberlug/cluster/consensus/raft.py
@@ -148,7 +148,7 @@
         if self.is_stopped:
             return
         address = self.member_id.rpartition("/")[0]
-        member_id = f"{address}/{self.runtime.chance.getrandbits(INCARNATION_BITS):x}"
+        member_id = f"{address}/{self.runtime.rng.getrandbits(INCARNATION_BITS):x}"
         logging.warning(
             "%s has less on disk than it acknowledged: it goes on as %s", self.member_id, member_id
         )
--- a/amberlug/cluster/control/membership.py
+++ b/amberlug/cluster/control/membership.py
@@ -77,7 +77,7 @@
             return
         addresses = self._join_addresses(is_followed)
         if addresses:
-            send(self._runtime, self._runtime.chance.choice(addresses), message)
+            send(self._runtime, self._runtime.rng.choice(addresses), message)
 
     def _join_addresses(self, is_followed: bool) -> list[str]:
         leader = self._quorum.leader_address()
--- a/amberlug/cluster/edge/dispatchers.py
+++ b/amberlug/cluster/edge/dispatchers.py
@@ -31,7 +31,7 @@
     ) -> None:
         self._context, self._shards, self._endpoints = context, shards, endpoints
         self._on_call_finished = on_call_finished
-        self._pool = EndpointPool(context.settings.zone, context.runtime.chance, endpoints.idle)
+        self._pool = EndpointPool(context.settings.zone, context.runtime.rng, endpoints.idle)
         self.by_service: dict[str, Dispatcher] = {}
         self._rate_share = 0.0
         self._increase_scheduled = False
--- a/amberlug/cluster/edge/intake.py
+++ b/amberlug/cluster/edge/intake.py
@@ -164,9 +164,9 @@
         shards = self._delivery.shards
         serving = [number for number, shard in shards.owned.items() if shard.serving]
         if serving:
-            return self._context.runtime.chance.choice(serving)
+            return self._context.runtime.rng.choice(serving)
         owned = [number for number in range(len(shards.table)) if shards.owner_of(number) is not None]
-        return self._context.runtime.chance.choice(owned) if owned else None
+        return self._context.runtime.rng.choice(owned) if owned else None
 
     def _message(
         self, request: ClientRequest, submission: SubmissionHeaders, route: Route, shard: int, key: str
--- a/amberlug/cluster/edge/storage_reads.py
+++ b/amberlug/cluster/edge/storage_reads.py
@@ -47,7 +47,7 @@
                 message.end, message.seal = outcome.status, outcome.receipt
             on_done(content is not None)
 
-        disk = self._context.runtime.chance.choice(replicas)
+        disk = self._context.runtime.rng.choice(replicas)
         self._request_body(storage_nodes[disk].address, message.id, receive)
 
     def find_body(self, message_id: str, on_body: Callable[[bytes | None], None]) -> None:
--- a/amberlug/cluster/gossip/store.py
+++ b/amberlug/cluster/gossip/store.py
@@ -110,7 +110,7 @@
 
     def begin(self) -> None:
         """Start anti-entropy, at a random time so that nodes that start together do not stay in step."""
-        first_delay_s = self.runtime.chance.uniform(0.2, 1.0) * ANTI_ENTROPY_INTERVAL_S
+        first_delay_s = self.runtime.rng.uniform(0.2, 1.0) * ANTI_ENTROPY_INTERVAL_S
         self.runtime.call_later(first_delay_s, self._run_anti_entropy)
 
     def everything(self) -> list[Announcement]:
@@ -154,7 +154,7 @@
     def _notify(self, versions: Mapping[str, Version]) -> None:
         rows = list(versions.items())
         peers = self._peers()
-        for peer in self.runtime.chance.sample(peers, min(len(peers), self._policy.fanout)):
+        for peer in self.runtime.rng.sample(peers, min(len(peers), self._policy.fanout)):
             for start in range(0, len(rows), VERSIONS_PER_MESSAGE):
                 send(self.runtime, peer, VersionNotice(dict(rows[start : start + VERSIONS_PER_MESSAGE])))
 
--- a/amberlug/cluster/interfaces.py
+++ b/amberlug/cluster/interfaces.py
@@ -61,7 +61,7 @@
     Callbacks run one at a time, and never before the call that takes them has returned.
     """
 
-    chance: random.Random
+    rng: random.Random
     """The only source of random numbers, so that the simulation can reproduce them from a seed."""
 
     def now(self) -> float:
--- a/amberlug/cluster/local_deployment/commands.py
+++ b/amberlug/cluster/local_deployment/commands.py
@@ -74,14 +74,14 @@
     Three machines of each class, in two zones; an edge and a store are killed on the way. Exit code 0 only
     where every message that was accepted ended as it should; else 1.
     """
-    chance = random.Random()
-    net = net or free_net(chance)
+    rng = random.Random()
+    net = net or free_net(rng)
 
     def say(line: str) -> None:
         click.echo(line, err=True)
 
     def run(folder: Path) -> int:
-        tale = asyncio.run(_unless_told(play(folder.resolve(), net, rate, seconds, chance, say)))
+        tale = asyncio.run(_unless_told(play(folder.resolve(), net, rate, seconds, rng, say)))
         return _show(tale, as_json)
 
     sys.exit(_in_folder(keep, run))
--- a/amberlug/cluster/local_deployment/deployment.py
+++ b/amberlug/cluster/local_deployment/deployment.py
@@ -74,7 +74,7 @@
     }
 
 
-def free_net(chance: random.Random) -> str:
+def free_net(rng: random.Random) -> str:
     """Three numbers of loopback addresses at which nobody listens: the usual ones, else some."""
     net = USUAL
     while not all(
@@ -83,7 +83,7 @@
         for at in range(3)
         for port in (CONTROL, FRONT, READINESS, INTERNAL[0])
     ):
-        net = f"127.{chance.randrange(1, 255)}.{chance.randrange(1, 255)}"
+        net = f"127.{rng.randrange(1, 255)}.{rng.randrange(1, 255)}"
     return net
 
 
--- a/amberlug/cluster/local_deployment/trial.py
+++ b/amberlug/cluster/local_deployment/trial.py
@@ -137,11 +137,11 @@
         deployment: Deployment,
         rate: float,
         seconds: float,
-        chance: random.Random,
+        rng: random.Random,
         say: Callable[[str], None],
     ) -> None:
         self.deployment, self.rate, self.seconds = deployment, rate, seconds
-        self.chance, self.say = chance, say
+        self.rng, self.say = rng, say
         self.tale = Tale()
         self._stand_ins: list[StandIn] = []
         self._time = asyncio.get_running_loop().time
@@ -199,7 +199,7 @@
 
     async def _configured(self) -> bool:
         """Send the configuration, unchanged, until a control relay acknowledges it."""
-        at = self.chance.choice(self.deployment.controls)
+        at = self.rng.choice(self.deployment.controls)
         headers = (("Content-Type", "application/json"), ("Amberlug-Base-Version", "0"))
         body = json.dumps(config()).encode()
         told = await ask(at, "POST", "/-/Configuration.Replace", headers, body)
@@ -215,7 +215,7 @@
     async def _send(self, number: int) -> None:
         """Hand a message in as a client does: again, as another attempt, only if it was surely not taken."""
         service = list(SERVICES)[number % len(SERVICES)]
-        key = f"thing-{self.chance.randrange(KEYS)}" if SERVICES[service] else ""
+        key = f"thing-{self.rng.randrange(KEYS)}" if SERVICES[service] else ""
         it = Sent(key, poisoned=number % POISONED == POISONED - 1)
         self.tale.sent.append(it)
         body = (POISON if it.poisoned else b"") + secrets.token_bytes(300)
@@ -226,7 +226,7 @@
             headers = [("Amberlug-Attempt-Id", it.attempt), ("Amberlug-Time-Remaining", "1500")]
             headers += [("Amberlug-Sequence-Key", key)] if key else []
             told = await ask(
-                self.chance.choice(fronts), "POST", f"/{service}/{number}", tuple(headers), body, HOST
+                self.rng.choice(fronts), "POST", f"/{service}/{number}", tuple(headers), body, HOST
             )
             if isinstance(told, Ok) and told.ok_value.status == 202:
                 it.accepted_at = self._time()
@@ -243,7 +243,7 @@
         """An edge and a store are killed one after the other, and started again."""
         for kind, after in (("edge", 0.3), ("storage", 0.1)):
             await asyncio.sleep(self.seconds * after)
-            machine = self.chance.choice(self.deployment.of(kind))
+            machine = self.rng.choice(self.deployment.of(kind))
             self.say(f"{machine.name} is killed")
             self.deployment.kill(machine)
             await asyncio.sleep(DOWN_S)
@@ -257,14 +257,14 @@
         return all(it.condition != "pending" for it in waiting)
 
     async def _look(self, it: Sent) -> None:
-        told = await ask(self.chance.choice(self.deployment.fronts), "GET", f"/-/message/{it.name}")
+        told = await ask(self.rng.choice(self.deployment.fronts), "GET", f"/-/message/{it.name}")
         if isinstance(told, Ok) and told.ok_value.status == 200:
             said: dict[str, Any] = json.loads(told.ok_value.body)
             it.condition, it.seal = said["condition"], said.get("seal", "")
 
     async def _all_back(self) -> bool:
         """Whether a control relay has all edges and stores as members that answer."""
-        at = self.chance.choice(self.deployment.controls)
+        at = self.rng.choice(self.deployment.controls)
         told = await ask(at, "GET", "/-/Foreman.Status")
         if isinstance(told, Err) or told.ok_value.status != 200:
             return False
@@ -274,7 +274,7 @@
 
 
 async def play(
-    folder: Path, net: str, rate: float, seconds: float, chance: random.Random, say: Callable[[str], None]
+    folder: Path, net: str, rate: float, seconds: float, rng: random.Random, say: Callable[[str], None]
 ) -> Tale:
     """Play a trial in a folder, at addresses that begin with `net`."""
-    return await Trial(Deployment(folder, net), rate, seconds, chance, say).run()
+    return await Trial(Deployment(folder, net), rate, seconds, rng, say).run()
--- a/amberlug/cluster/process.py
+++ b/amberlug/cluster/process.py
@@ -142,7 +142,7 @@
         from amberlug.cluster.consensus.storage import open_raft_storage
         from amberlug.cluster.control.node import ControlNode, blank
 
-        settings, rng = self.settings, runtime.chance
+        settings, rng = self.settings, runtime.rng
         state, writer, _ = open_raft_storage(
             self._data_dir(), lambda: blank(settings, rng.getrandbits), _post_to_running_loop()
         )
@@ -158,7 +158,7 @@
         from amberlug.cluster.storage.message_store import open_message_store
         from amberlug.cluster.storage.node import StorageNode
 
-        rng = runtime.chance
+        rng = runtime.rng
         contents, message_store = open_message_store(
             self._data_dir(), lambda: f"{rng.getrandbits(64):x}", _post_to_running_loop()
         )
--- a/amberlug/cluster/session_client.py
+++ b/amberlug/cluster/session_client.py
@@ -83,7 +83,7 @@
 
     def __init__(self, runtime: Runtime, settings: Settings, node: LocalNode, gossip: GossipStore) -> None:
         self.runtime, self.settings, self.node, self.gossip = runtime, settings, node, gossip
-        self.incarnation = f"{int(runtime.wall_clock() * 1000):x}{runtime.chance.getrandbits(16):04x}"
+        self.incarnation = f"{int(runtime.wall_clock() * 1000):x}{runtime.rng.getrandbits(16):04x}"
         self.state = "up"
         self.control_address = ""  # of the control-plane node that the session is with
         self.is_confirmed = False  # whether the announcements were once as new as a majority's
@@ -100,7 +100,7 @@
 
     def begin(self) -> None:
         """Open the first session."""
-        self.runtime.chance.shuffle(self._candidates)
+        self.runtime.rng.shuffle(self._candidates)
         self._search()
 
     def apply_roster(self, roster: Payload) -> None:
@@ -113,7 +113,7 @@
         others: list[str] = []
         for member in roster.values():
             (same_zone if member.get("zone") == self.settings.zone else others).append(member["addr"])
-        self.runtime.chance.shuffle(others)
+        self.runtime.rng.shuffle(others)
         self._candidates = same_zone + others or self._candidates
 
     def add_seeds(self, addresses: list[str]) -> None:
@@ -190,7 +190,7 @@
     def _retry_later(self) -> None:
         """Try the next control-plane node after a delay that grows with each failure."""
         delay_s = min(MAX_RETRY_DELAY_S, MIN_RETRY_DELAY_S * RETRY_BACKOFF**self._failures)
-        delay_s *= self.runtime.chance.uniform(*RETRY_JITTER)
+        delay_s *= self.runtime.rng.uniform(*RETRY_JITTER)
         self._failures = min(self._failures + 1, MAX_COUNTED_FAILURES)
         self.runtime.call_later(delay_s, partial(self._try_next, self._epoch))
 
--- a/amberlug/cluster/simulation/clients.py
+++ b/amberlug/cluster/simulation/clients.py
@@ -38,7 +38,7 @@
     def __init__(self, deployment: Deployment, load: Load) -> None:
         self.deployment, self.load = deployment, load
         self.clock, self.history = deployment.clock, deployment.history
-        self.chance = deployment.draw("clients")
+        self.rng = deployment.draw("clients")
         self.sending = False
         self.extra: list[str] = []  # further paths that were just added or removed
         self._misses: dict[str, int] = {it.name: 2 for it in deployment.edges}
@@ -76,25 +76,25 @@
             into = here
         if not into:
             into = [it for it in self.deployment.edges if self._misses[it.name] < 2]
-        return self.chance.choice(into or self.deployment.edges)
+        return self.rng.choice(into or self.deployment.edges)
 
     # -- messages
 
     def _next(self) -> None:
         if self.sending:
-            self.clock.call_later(self.chance.expovariate(self.load.rate), self._next)
-            self.send(self.chance.choice(self.load.paths))
-            if self.extra and self.chance.random() < 0.15:
-                self.send(self.chance.choice(self.extra))
+            self.clock.call_later(self.rng.expovariate(self.load.rate), self._next)
+            self.send(self.rng.choice(self.load.paths))
+            if self.extra and self.rng.random() < 0.15:
+                self.send(self.rng.choice(self.extra))
 
     def send(self, path: str) -> None:
         """Send one message."""
-        chance = self.chance
-        key = f"k{chance.randrange(self.load.keys)}" if path in self.load.in_sequence else ""
-        delay = chance.randrange(200, 1500) if chance.random() < self.load.delayed else 0
-        fate = chance.choice(("dead", "fails")) if chance.random() < self.load.never else ""
-        body = f"{chance.getrandbits(48):x}".encode()
-        zone = chance.choice(self.deployment.zones)
+        rng = self.rng
+        key = f"k{rng.randrange(self.load.keys)}" if path in self.load.in_sequence else ""
+        delay = rng.randrange(200, 1500) if rng.random() < self.load.delayed else 0
+        fate = rng.choice(("dead", "fails")) if rng.random() < self.load.never else ""
+        body = f"{rng.getrandbits(48):x}".encode()
+        zone = rng.choice(self.deployment.zones)
         self._try(path, key, delay, fate, body, zone, self.clock.now, 1)
 
     def _try(
@@ -105,7 +105,7 @@
         if left <= 0.02:
             return
         sent = Sent(
-            f"{self.chance.getrandbits(64):016x}",
+            f"{self.rng.getrandbits(64):016x}",
             HOST,
             f"{path}a",
             key,
@@ -140,7 +140,7 @@
                 sent.name = headers["Amberlug-Message-Name"]
                 self._accepted.append(sent)
             elif status in (429, 503):
-                again(min(float(headers.get("Retry-After", 1)), 1.0) * self.chance.uniform(0.3, 1.0))
+                again(min(float(headers.get("Retry-After", 1)), 1.0) * self.rng.uniform(0.3, 1.0))
             elif status == REFUSED:
                 again(0.01)
 
@@ -151,10 +151,10 @@
 
     def _next_question(self) -> None:
         if self.sending and self.load.asks:
-            self.clock.call_later(self.chance.expovariate(self.load.asks), self._next_question)
+            self.clock.call_later(self.rng.expovariate(self.load.asks), self._next_question)
             if self._accepted:
                 recent = self._accepted[-60:]
-                self.ask(self.chance.choice(recent).name, lambda standing: None)
+                self.ask(self.rng.choice(recent).name, lambda standing: None)
 
     def ask(self, name: str, then: Callable[[Standing], None]) -> None:
         """Ask any edge how a message stands."""
@@ -166,7 +166,7 @@
 
     def _question(self, name: str, path: str, then: Callable[[Standing], None]) -> None:
         asked = self.clock.now
-        edge = self.pick(self.chance.choice(self.deployment.zones))
+        edge = self.pick(self.rng.choice(self.deployment.zones))
 
         def hear(status: int, body: Any, headers: object = None, blob: bytes = b"", life: str = "") -> None:
             said = body if isinstance(body, dict) else {}
--- a/amberlug/cluster/simulation/control_faults.py
+++ b/amberlug/cluster/simulation/control_faults.py
@@ -34,7 +34,7 @@
     """What is done to the core and asked of it."""
 
     def __init__(self, day: ScenarioContext) -> None:
-        self.day, self.deployment, self.chance = day, day.deployment, day.chance
+        self.day, self.deployment, self.rng = day, day.deployment, day.rng
         self.history, self.clock, self.operator = day.history, day.clock, day.operator
         self.cut: Cut | None = None
 
@@ -47,12 +47,10 @@
         left = end - self.clock.now
         if left < CUT_S[0]:
             return
-        seconds = self.chance.choice([it for it in CUT_S if it <= left])
-        self.cut_off(self.victim(), seconds, self.chance.choice(FORMS), self.chance.random() < 0.5)
+        seconds = self.rng.choice([it for it in CUT_S if it <= left])
+        self.cut_off(self.victim(), seconds, self.rng.choice(FORMS), self.rng.random() < 0.5)
         assert self.cut is not None, "a machine was just cut off"
-        then = self.chance.choice(
-            ("both", "both", "seeds", "kill", "leader", "freeze", "roll", "loss", "none")
-        )
+        then = self.rng.choice(("both", "both", "seeds", "kill", "leader", "freeze", "roll", "loss", "none"))
         if then == "both":
             self.both(seconds)
         elif then == "seeds":
@@ -65,28 +63,28 @@
                 "roll": self._roll,
                 "loss": self._lose_packets,
             }[then]
-            self.clock.call_later(self.chance.uniform(0.5, seconds), act)
-        if self.chance.random() < 0.6:
-            self.storm(self.clock.now + self.chance.uniform(1.0, 3.0))
-        if self.chance.random() < 0.6:
+            self.clock.call_later(self.rng.uniform(0.5, seconds), act)
+        if self.rng.random() < 0.6:
+            self.storm(self.clock.now + self.rng.uniform(1.0, 3.0))
+        if self.rng.random() < 0.6:
             self.start_beside()
-        if self.chance.random() < 0.6:
+        if self.rng.random() < 0.6:
             self.clock.call_later(seconds - 0.1, lambda: self.storm(self.clock.now + 2.0))
         self.meet(self.cut)
-        pause = seconds + BACK_S + self.chance.uniform(0.1, 3.0)
+        pause = seconds + BACK_S + self.rng.uniform(0.1, 3.0)
         self.clock.call_later(pause, lambda: self._next(end))
 
     def victim(self) -> Machine:
         """The leader, one of those who follow it, or one that settings files name."""
         cores, leader = self.deployment.cores, self.day.leader()
-        if self.day.home and self.chance.random() < 0.6:
+        if self.day.home and self.rng.random() < 0.6:
             return next(it for it in cores if it.zone == self.day.home)  # the endpoints' beats go there
-        which = self.chance.choice(("leader", "follower", "seed"))
+        which = self.rng.choice(("leader", "follower", "seed"))
         if which == "leader" and leader is not None:
             return leader
         if which == "follower":
-            return self.chance.choice([it for it in cores if it is not leader])
-        return self.chance.choice((self.deployment.seeds or cores)[:3])
+            return self.rng.choice([it for it in cores if it is not leader])
+        return self.rng.choice((self.deployment.seeds or cores)[:3])
 
     def cut_off(self, machine: Machine, seconds: float, form: str, stores_too: bool) -> None:
         """Cut a core machine off from the others that count, or from the other core machines alone.
@@ -124,14 +122,14 @@
         if self.clock.now < cut.until:
             self.history.mark(cut.machine.name, What.RESET)
             self.deployment.net.reset(cut.machine, others)
-            self.clock.call_later(self.chance.uniform(*RESETS_S), lambda: self._reset(cut, others))
+            self.clock.call_later(self.rng.uniform(*RESETS_S), lambda: self._reset(cut, others))
 
     # -- restarts meanwhile
 
     def start_beside(self) -> None:
         """Edges look for a relay while one does not know yet that it is cut off, and changes are made."""
-        for machine in self.chance.sample(self.deployment.edges, len(self.deployment.edges) // 2):
-            self.clock.call_later(self.chance.uniform(0.0, 0.5), partial(self.restart, machine, DOWN_S[0]))
+        for machine in self.rng.sample(self.deployment.edges, len(self.deployment.edges) // 2):
+            self.clock.call_later(self.rng.uniform(0.0, 0.5), partial(self.restart, machine, DOWN_S[0]))
         until = self.clock.now + 1.8
         self.storm(until - 0.8)
         self._knock(until)
@@ -141,12 +139,12 @@
         if self.clock.now < until:
             self.day.look_at_routes()
             if self.day.clients.extra:
-                self.day.clients.send(self.chance.choice(self.day.clients.extra))
+                self.day.clients.send(self.rng.choice(self.day.clients.extra))
             self.clock.call_later(KNOCK_S, lambda: self._knock(until))
 
     def restart(self, machine: Machine, seconds: float = 0.0) -> None:
         """A process is killed, and starts again."""
-        seconds = seconds or self.chance.choice(DOWN_S)
+        seconds = seconds or self.rng.choice(DOWN_S)
         self.history.trouble(f"{machine.name} is restarted", seconds, marked=True)
         machine.kill()
         self.clock.call_later(seconds, machine.start)
@@ -155,11 +153,11 @@
         """Who is cut off is restarted, then all others that count, in turn or at once."""
         cut = self.cut
         assert cut is not None, "a machine is cut off"
-        at = self.chance.uniform(0.1, 0.5) * seconds
+        at = self.rng.uniform(0.1, 0.5) * seconds
         self.clock.call_later(at, partial(self.restart, cut.machine))
         others = [it for it in self.deployment.cores + self.deployment.stores if it is not cut.machine]
-        gap = self.chance.choice((0.0, 0.0, 0.2, 1.5))
-        at += self.chance.uniform(0.5, 3.0)
+        gap = self.rng.choice((0.0, 0.0, 0.2, 1.5))
+        at += self.rng.uniform(0.5, 3.0)
         for machine in others:
             self.clock.call_later(at, partial(self.restart, machine))
             at += gap
@@ -169,14 +167,14 @@
         cut = self.cut
         assert cut is not None, "a machine is cut off"
         others = [it for it in self.deployment.cores if it is not cut.machine]
-        self.deployment.seeds = [cut.machine, *self.chance.sample(others, 2)]
-        if self.chance.random() < 0.5:
+        self.deployment.seeds = [cut.machine, *self.rng.sample(others, 2)]
+        if self.rng.random() < 0.5:
             self.history.say("settings files are told")
             self.deployment.tell_settings()
-        some = self.chance.sample(self.deployment.edges, len(self.deployment.edges) // 2)
-        some += self.chance.sample(self.deployment.stores, 1)
+        some = self.rng.sample(self.deployment.edges, len(self.deployment.edges) // 2)
+        some += self.rng.sample(self.deployment.stores, 1)
         for machine in some:
-            self.clock.call_later(self.chance.uniform(0.1, 0.6) * seconds, partial(self.restart, machine))
+            self.clock.call_later(self.rng.uniform(0.1, 0.6) * seconds, partial(self.restart, machine))
 
     def _kill_all(self) -> None:
         """All machines that count are killed or lose power, just as a configuration was acknowledged."""
@@ -188,13 +186,13 @@
                 return
             struck = True
             self.operator.on_acked = lambda it: None
-            counted, power = self.deployment.cores + self.deployment.stores, self.chance.random() < 0.5
+            counted, power = self.deployment.cores + self.deployment.stores, self.rng.random() < 0.5
             self.history.trouble(
                 f"all that count {'lose power' if power else 'are killed'}", 1.2, marked=True
             )
             for machine in counted:
                 machine.power_off() if power else machine.kill()
-                self.clock.call_later(self.chance.uniform(0.5, 1.2), machine.start)
+                self.clock.call_later(self.rng.uniform(0.5, 1.2), machine.start)
 
         self.operator.on_acked = strike
         self.clock.call_later(2.0, strike)
@@ -233,20 +231,20 @@
         leader = self._leader()
         if leader is None:
             return
-        seconds = self.chance.uniform(0.7, 3.0)
+        seconds = self.rng.uniform(0.7, 3.0)
         self.history.trouble(f"{leader.name} is frozen for {seconds:.1f} s", seconds, marked=True)
         leader.freeze()
         self.clock.call_later(seconds, leader.thaw)
         self.storm(self.clock.now + seconds + 0.5)
         for _ in range(3):
-            at = max(0.0, seconds - self.chance.uniform(-0.01, 0.9))
+            at = max(0.0, seconds - self.rng.uniform(-0.01, 0.9))
             self.clock.call_later(at, partial(self.operator.order, to=leader))
 
     def _lose_packets(self) -> None:
         """A core machine loses a part of its packets, and orders come."""
-        machine, seconds = self.chance.choice(self.deployment.cores), self.chance.uniform(2.0, 5.0)
+        machine, seconds = self.rng.choice(self.deployment.cores), self.rng.uniform(2.0, 5.0)
         self.history.trouble(f"{machine.name} loses packets for {seconds:.1f} s", seconds)
-        machine.loss = self.chance.choice((0.05, 0.2))
+        machine.loss = self.rng.choice((0.05, 0.2))
 
         def whole() -> None:
             machine.loss = 0.0
@@ -259,7 +257,7 @@
         at = 0.0
         for machine in self.deployment.cores:
             self.clock.call_later(at, partial(self._term, machine))
-            at += self.chance.uniform(1.2, 2.5)
+            at += self.rng.uniform(1.2, 2.5)
 
     def _term(self, machine: Machine) -> None:
         self.history.trouble(f"{machine.name} is told to end", RESTART_S, marked=True)
@@ -276,26 +274,22 @@
         """Orders in quick succession."""
         if self.clock.now < until:
             operator = self.operator
-            self.chance.choice(
-                (operator.order, operator.order, operator.pair, operator.read, operator.retire)
-            )()
-            self.clock.call_later(self.chance.uniform(*STORM_S), lambda: self.storm(until))
+            self.rng.choice((operator.order, operator.order, operator.pair, operator.read, operator.retire))()
+            self.clock.call_later(self.rng.uniform(*STORM_S), lambda: self.storm(until))
 
     def meet(self, cut: Cut) -> None:
         """Orders to the very machine that is cut off, meanwhile and as it returns."""
         left = cut.until - self.clock.now
-        times = [self.chance.uniform(0.0, left), left + self.chance.uniform(-0.05, 0.3)]
+        times = [self.rng.uniform(0.0, left), left + self.rng.uniform(-0.05, 0.3)]
         for at in times:
-            hard = self.chance.random() < 0.3
+            hard = self.rng.random() < 0.3
             how: Callable[[], None] = partial(self.operator.order, to=cut.machine, hard=hard)
-            if self.chance.random() < 0.4:
-                other = self.chance.choice([it for it in self.deployment.cores if it is not cut.machine])
-                how = partial(self.operator.pair, cut.machine, self.chance.choice((cut.machine, other)))
+            if self.rng.random() < 0.4:
+                other = self.rng.choice([it for it in self.deployment.cores if it is not cut.machine])
+                how = partial(self.operator.pair, cut.machine, self.rng.choice((cut.machine, other)))
             self.clock.call_later(at, how)
-        if self.chance.random() < 0.4:
-            self.clock.call_later(
-                left + self.chance.uniform(0.1, 1.0), partial(self._leave_near, cut.machine)
-            )
+        if self.rng.random() < 0.4:
+            self.clock.call_later(left + self.rng.uniform(0.1, 1.0), partial(self._leave_near, cut.machine))
 
     def _leave_near(self, machine: Machine) -> None:
         """Endpoints of a machine's zone leave."""
@@ -309,7 +303,7 @@
     def _orders(self, end: float) -> None:
         if self.clock.now > end:
             return
-        chance, operator = self.chance, self.operator
+        rng, operator = self.rng, self.operator
         acts: list[Callable[[], object]] = [
             operator.order,
             operator.order,
@@ -320,6 +314,6 @@
             operator.invalid,
             self.day.replace_endpoint,
         ]
-        chance.choice(acts)()
+        rng.choice(acts)()
         self.day.look_at_routes()
-        self.clock.call_later(chance.uniform(*ORDERS_S), lambda: self._orders(end))
+        self.clock.call_later(rng.uniform(*ORDERS_S), lambda: self._orders(end))
--- a/amberlug/cluster/simulation/deployment.py
+++ b/amberlug/cluster/simulation/deployment.py
@@ -50,12 +50,12 @@
         regions: int = 1,
     ) -> None:
         self.seed = seed
-        self.chance = self.draw("deployment")
+        self.rng = self.draw("deployment")
         self.clock = Clock()
         self.history = History(self.clock)
         self.heartbeat_s = heartbeat_s
         self.sync_s = 0.002
-        self.net = Network(self.clock, self.draw("network"), self.chance.choice((0.0005, 0.0009, 0.003)))
+        self.net = Network(self.clock, self.draw("network"), self.rng.choice((0.0005, 0.0009, 0.003)))
         self.net.told = self.history.links_are
         self.digest = self.net.digest
         self.seeds: list[Machine] = []  # the settings file's; the first core machines where there are none
--- a/amberlug/cluster/simulation/disk.py
+++ b/amberlug/cluster/simulation/disk.py
@@ -46,8 +46,8 @@
 class SimulatedDisk:
     """One machine's disk: what piles up is committed together, and a commit is there whole or not at all."""
 
-    def __init__(self, clock: Clock, chance: random.Random, sync_s: float) -> None:
-        self.clock, self.chance, self.sync_s = clock, chance, sync_s
+    def __init__(self, clock: Clock, rng: random.Random, sync_s: float) -> None:
+        self.clock, self.rng, self.sync_s = clock, rng, sync_s
         self.stalled_until = 0.0
         self.full = False
         self.on_kept: Callable[[], None] = lambda: None  # as a message or an entry lasts and is acknowledged
@@ -70,7 +70,7 @@
         looks = [at for at, (rows, _) in enumerate(self._queue) if rows is None]
         upto = max(1, looks[0]) if looks else len(self._queue)
         self._batch, self._queue = self._queue[:upto], self._queue[upto:]
-        seconds = READ_S if self._batch[0][0] is None else self.sync_s * self.chance.uniform(0.8, 1.6)
+        seconds = READ_S if self._batch[0][0] is None else self.sync_s * self.rng.uniform(0.8, 1.6)
         seconds += max(0.0, self.stalled_until - self.clock.now)
         self._number += 1
         self.clock.call_later(seconds, partial(self._done, self._number))
@@ -94,7 +94,7 @@
         """The process or the power is gone: what is under way is there or not, what waits is not."""
         batch, self._batch, self._queue = self._batch, [], []
         self._number += 1
-        if self.chance.random() < 0.5 and not self.full:
+        if self.rng.random() < 0.5 and not self.full:
             for rows, _ in batch:
                 self._keep_all(rows or [])
 
@@ -130,8 +130,8 @@
 class ControlDisk(SimulatedDisk):
     """A core machine's part of the log: a snapshot, and rows by index as the file has them."""
 
-    def __init__(self, clock: Clock, chance: random.Random, sync_s: float) -> None:
-        super().__init__(clock, chance, sync_s)
+    def __init__(self, clock: Clock, rng: random.Random, sync_s: float) -> None:
+        super().__init__(clock, rng, sync_s)
         self._saved: PersistentState | None = None
         self._rows: dict[int, Entry] = {}
 
@@ -203,8 +203,8 @@
 class MessageDisk(SimulatedDisk):
     """A store's messages."""
 
-    def __init__(self, clock: Clock, chance: random.Random, sync_s: float) -> None:
-        super().__init__(clock, chance, sync_s)
+    def __init__(self, clock: Clock, rng: random.Random, sync_s: float) -> None:
+        super().__init__(clock, rng, sync_s)
         self.on_anew: Callable[[], None] = lambda: None  # its store empties it and begins as another disk
         self.wipe()
 
@@ -213,7 +213,7 @@
 
     def wipe(self) -> None:
         """Replace the disk by an empty one."""
-        self._disk_id, self._enrolled_index = f"{self.chance.getrandbits(64):x}", 0
+        self._disk_id, self._enrolled_index = f"{self.rng.getrandbits(64):x}", 0
         self._fencing_tokens: dict[int, int] = {}
         self._messages: dict[str, StoredMessage] = {}
         self._contents: dict[str, bytes] = {}
--- a/amberlug/cluster/simulation/endpoints.py
+++ b/amberlug/cluster/simulation/endpoints.py
@@ -122,7 +122,7 @@
             self._pump()
 
     def _pump(self) -> None:
-        clock, chance = self.deployment.clock, self.endpoint_fleet.chance
+        clock, rng = self.deployment.clock, self.endpoint_fleet.rng
         while self._queue and len(self._runs) < self.kind.slots:
             run, delivery, life, answer = self._queue.pop(0)
             left = run.seconds - (clock.now - run.arrived)
@@ -132,7 +132,7 @@
             self._runs[run] = life, answer
             if self.kind.dedup:
                 self.endpoint_fleet.done[run.attempt] = ""
-            work = self.kind.work_s * chance.uniform(0.5, 1.6)
+            work = self.kind.work_s * rng.uniform(0.5, 1.6)
             clock.call_later(min(work, left), partial(self._end, run, delivery, work <= left))
 
     def _end(self, run: Run, delivery: EndpointCall, whole: bool) -> None:
@@ -141,7 +141,7 @@
         _, answer = self._runs.pop(run)
         fate = self.endpoint_fleet.fate(delivery)
         status = {"dead": 422, "fails": 500}.get(fate, 200)
-        if status == 200 and self.endpoint_fleet.chance.random() < self.kind.fails:
+        if status == 200 and self.endpoint_fleet.rng.random() < self.kind.fails:
             status = 500
         headers = [("amberlug-attempt-id", run.attempt)]
         run.ended = self.deployment.clock.now
@@ -159,10 +159,10 @@
                 del self.endpoint_fleet.done[run.attempt]
 
         called = CallResult(CallVerdict.ANSWERED, status, tuple(headers))
-        if self.endpoint_fleet.chance.random() < self.kind.lost:
-            if self.endpoint_fleet.chance.random() < 0.5:
+        if self.endpoint_fleet.rng.random() < self.kind.lost:
+            if self.endpoint_fleet.rng.random() < 0.5:
                 answer(CallResult(CallVerdict.CONNECTION_LOST))
-        elif self.kind.garbled and self.endpoint_fleet.chance.random() < self.kind.garbled:
+        elif self.kind.garbled and self.endpoint_fleet.rng.random() < self.kind.garbled:
             self._garble(called, answer)
         else:
             answer(called)
@@ -170,8 +170,8 @@
 
     def _garble(self, called: CallResult, answer: Answer) -> None:
         """Cut an answer, give it too late, name nothing in it, or send it a second time a little later."""
-        chance, clock = self.endpoint_fleet.chance, self.deployment.clock
-        what = chance.choice(("cut", "late", "nameless", "extra", "extra", "extra"))
+        rng, clock = self.endpoint_fleet.rng, self.deployment.clock
+        what = rng.choice(("cut", "late", "nameless", "extra", "extra", "extra"))
         if what == "cut":
             answer(CallResult(CallVerdict.CONNECTION_LOST))
         elif what == "late":
@@ -180,13 +180,13 @@
             answer(CallResult(called.verdict, called.status, called.headers[1:]))
         else:
             answer(called)
-            clock.call_later(chance.choice((0.0, chance.uniform(0.0, 0.3))), lambda: answer(called))
+            clock.call_later(rng.choice((0.0, rng.uniform(0.0, 0.3))), lambda: answer(called))
 
     def closed(self, life: Incarnation) -> None:
         """A sender's process has ended: most of what it has here is dropped."""
         self._queue = [it for it in self._queue if it[2] is not life]
         for run, (by, _) in list(self._runs.items()):
-            if by is life and self.endpoint_fleet.chance.random() < DROPPED:
+            if by is life and self.endpoint_fleet.rng.random() < DROPPED:
                 self._stop(run)
         self._pump()
 
@@ -232,7 +232,7 @@
     def _call(self, target: str, body: bytes, tries: int, then: Callable[[bool], None]) -> None:
         deployment = self.deployment
         named = [it for it in deployment.cores if it.control == self._beat_at]
-        to = named[0] if named else self.endpoint_fleet.chance.choice(deployment.cores)
+        to = named[0] if named else self.endpoint_fleet.rng.choice(deployment.cores)
         self._beat_at = ""
 
         def hear(status: int, said: object) -> None:
@@ -280,7 +280,7 @@
     """All endpoints."""
 
     def __init__(self, deployment: EndpointHost, kinds: list[Kind]) -> None:
-        self.deployment, self.chance = deployment, deployment.draw("endpoints")
+        self.deployment, self.rng = deployment, deployment.draw("endpoints")
         self.kinds = {it.name: it for it in kinds}
         self.all: list[Endpoint] = []
         self.at: dict[str, Endpoint] = {}
@@ -304,7 +304,7 @@
         self.all.append(endpoint)
         self.at[address] = endpoint
         self.deployment.history.say(f"{endpoint.name} of {service} starts at {address}")
-        self.deployment.clock.call_later(self.chance.uniform(0.0, 0.3), endpoint.begin)
+        self.deployment.clock.call_later(self.rng.uniform(0.0, 0.3), endpoint.begin)
         return endpoint
 
     def up(self, service: str = "") -> list[Endpoint]:
--- a/amberlug/cluster/simulation/loss_schedule.py
+++ b/amberlug/cluster/simulation/loss_schedule.py
@@ -41,22 +41,22 @@
     backlog: bool  # much is open at any moment, and copies take their time
 
 
-def draw_site(chance: random.Random, aim: str) -> Site:
+def draw_site(rng: random.Random, aim: str) -> Site:
     """Machines placed by zones in turn, as many as bear the losses and, at times, none more."""
     by_aim = {"zone": Tolerance(0, 1, 0), "region": Tolerance(0, 0, 1)}
-    tolerance = by_aim.get(aim.rpartition("-")[2]) or chance.choices(*zip(*SPREADS, strict=True))[0]
-    zones = chance.choice((3, 3, 4, 5))
+    tolerance = by_aim.get(aim.rpartition("-")[2]) or rng.choices(*zip(*SPREADS, strict=True))[0]
+    zones = rng.choice((3, 3, 4, 5))
     regions = min(zones, 3) if tolerance.regions else 1
     least = 5 if tolerance.machines == 2 else 3
-    stores = chance.choice((zones, zones, 2 * zones, zones + 1))
+    stores = rng.choice((zones, zones, 2 * zones, zones + 1))
     return Site(
         tolerance,
         zones,
         regions,
-        chance.randrange(max(2, zones - 1), zones + 2),
+        rng.randrange(max(2, zones - 1), zones + 2),
         max(least, stores),
-        chance.randrange(least, 7),
-        "stores" in aim and chance.random() < 0.5,
+        rng.randrange(least, 7),
+        "stores" in aim and rng.random() < 0.5,
     )
 
 
@@ -89,21 +89,21 @@
 
     def _unit(self) -> list[Machine]:
         """What is lost next: a machine, or machines of a zone or region that may go at once."""
-        tolerance, chance, regions = self.deployment.tolerance, self.chance, self.deployment.regions
+        tolerance, rng, regions = self.deployment.tolerance, self.rng, self.deployment.regions
         counted = [it for it in self.deployment.stores + self.deployment.cores if it not in self.lost]
         counted = [it for it in counted if it.kind in self._kinds]
         if not counted:
             return []
-        first = chance.choice(counted)
+        first = rng.choice(counted)
         wide = tolerance.zones or tolerance.regions
-        if not wide or (tolerance.machines and chance.random() < 0.5):
+        if not wide or (tolerance.machines and rng.random() < 0.5):
             return [first]
         whole = [
             it
             for it in counted
             if it.zone == first.zone or (tolerance.regions and regions[it.zone] == regions[first.zone])
         ]
-        return whole if chance.random() < 0.7 else chance.sample(whole, chance.randrange(1, len(whole) + 1))
+        return whole if rng.random() < 0.7 else rng.sample(whole, rng.randrange(1, len(whole) + 1))
 
     def _lose(self, line: int) -> None:
         """The next loss of a line; the one after it comes once this one is over by the pages."""
@@ -116,7 +116,7 @@
         if len(unit) == 1:
             acts += [self._replaced, self._replaced, self._planned]
         self.lost |= dict.fromkeys(unit)
-        self.chance.choice(acts)(unit, partial(self._over_with, line, unit))
+        self.rng.choice(acts)(unit, partial(self._over_with, line, unit))
 
     def _over_with(self, line: int, unit: list[Machine]) -> None:
         """All of it is back, or its successors are: after `catchUpS` the next loss may come."""
@@ -125,7 +125,7 @@
             for it in unit:
                 self.lost.pop(it, None)
             self._free.append(line)
-            pause = self.chance.choice((0.0, 0.0, 0.0, self.chance.uniform(0.0, 10.0)))
+            pause = self.rng.choice((0.0, 0.0, 0.0, self.rng.uniform(0.0, 10.0)))
             self.clock.call_later(pause, partial(self._lose_if_free, line))
 
         self.clock.call_later(BACK_S + 0.001, next_one)
@@ -154,7 +154,7 @@
         unit = [it for it in unit if it in self.deployment.machines]
         self.history.trouble(f"{self._names(unit)} {what}, back in {seconds:.2f} s", seconds)
         for machine in unit:
-            if self.chance.random() < 0.5:
+            if self.rng.random() < 0.5:
                 machine.kill()
             machine.power_off()
             if wipe:
@@ -165,9 +165,9 @@
 
     def _wipe(self, unit: list[Machine], then: Callable[[], None]) -> None:
         """Disks are lost right after one of them acknowledged something."""
-        seconds = self.chance.uniform(0.3, 2.0)
+        seconds = self.rng.uniform(0.3, 2.0)
         act = partial(self._down_all, unit, "lose their disks", seconds, True, then)
-        first = self.chance.choice(unit)
+        first = self.rng.choice(unit)
         if first.kind == "store":
             self.after_put(first, act)
         else:
@@ -190,20 +190,20 @@
 
     def _dark(self, unit: list[Machine], then: Callable[[], None]) -> None:
         """Without power for a while; the other machines of a zone or region go as well at times."""
-        seconds = self.chance.uniform(0.5, 3.0)
+        seconds = self.rng.uniform(0.5, 3.0)
         zones = {it.zone for it in unit}
         edges = [it for it in self.deployment.edges if it.zone in zones and it not in self.lost]
-        if len(unit) > 1 and len(edges) < len(self.deployment.edges) and self.chance.random() < 0.5:
+        if len(unit) > 1 and len(edges) < len(self.deployment.edges) and self.rng.random() < 0.5:
             unit = unit + edges
         self._down_all(unit, "lose power", seconds, False, then)
 
     def _cut(self, unit: list[Machine], then: Callable[[], None]) -> None:
         """Cut off from all others, or from the counted ones, one way or both."""
-        seconds = self.chance.uniform(1.0, 6.0)
+        seconds = self.rng.uniform(1.0, 6.0)
         others = [it for it in self.deployment.machines if it not in unit]
-        if self.chance.random() < 0.5:
+        if self.rng.random() < 0.5:
             others = [it for it in others if it.kind == "core"]
-        way = self.chance.choice(("to", "from", "both", "both"))
+        way = self.rng.choice(("to", "from", "both", "both"))
         pairs = {(a.name, b.name) for a in unit for b in others if way != "to"}
         pairs |= {(b.name, a.name) for a in unit for b in others if way != "from"}
         self.history.trouble(f"{self._names(unit)} cut off ({way}) for {seconds:.1f} s", seconds)
@@ -213,7 +213,7 @@
 
     def _still(self, unit: list[Machine], then: Callable[[], None]) -> None:
         """Frozen for a while."""
-        seconds = self.chance.uniform(0.5, 4.0)
+        seconds = self.rng.uniform(0.5, 4.0)
         self.history.trouble(f"{self._names(unit)} frozen for {seconds:.1f} s", seconds)
         for machine in unit:
             machine.freeze()
@@ -223,8 +223,8 @@
     def _replaced(self, unit: list[Machine], then: Callable[[], None]) -> None:
         """Gone for good; an empty one comes at another address, under its name or another."""
         (machine,) = unit
-        seconds = self.chance.uniform(0.3, 2.0)
-        name = machine.name if self.chance.random() < 0.5 else ""
+        seconds = self.rng.uniform(0.3, 2.0)
+        name = machine.name if self.rng.random() < 0.5 else ""
         self.history.trouble(f"{machine.name} is gone for good, another in {seconds:.1f} s", seconds)
         self._take_away(machine)
         self._come(machine.kind, machine.zone, seconds, name)
@@ -236,7 +236,7 @@
         if self.retired:
             self._dark(unit, then)
             return
-        seconds = self.chance.uniform(0.5, BACK_S)
+        seconds = self.rng.uniform(0.5, BACK_S)
         self.going[machine] = None
         self.history.trouble(
             f"{machine.name} gets a successor, and goes in {seconds:.1f} s", seconds, planned=True
@@ -263,25 +263,25 @@
 
     def _work(self) -> None:
         if self.clock.now < self._over:
-            self.chance.choice(self.works)()
-            self.clock.call_later(self.chance.uniform(2.0, 12.0), self._work)
+            self.rng.choice(self.works)()
+            self.clock.call_later(self.rng.uniform(2.0, 12.0), self._work)
 
     def _add(self) -> None:
         """A store or a core machine is added; what may be lost goes right after."""
-        kind = self.chance.choice(self._kinds)
+        kind = self.rng.choice(self._kinds)
         count = len(self.deployment.stores if kind == "store" else self.deployment.cores)
         if count >= 9:
             return
         self.history.say(f"a {kind} is added")
-        self._come(kind, self.chance.choice(self.deployment.zones), 0.0)
-        if self.chance.random() < 0.5:
-            self.clock.call_later(self.chance.choice((0.05, 0.5, 1.0)), self._lose_now)
+        self._come(kind, self.rng.choice(self.deployment.zones), 0.0)
+        if self.rng.random() < 0.5:
+            self.clock.call_later(self.rng.choice((0.05, 0.5, 1.0)), self._lose_now)
 
     def _retire(self) -> None:
         """A store is to be emptied; as it is, it is taken away with its disk, and another is lost."""
         stores = [it for it in self.deployment.stores if it not in self.lost and it.up]
         if stores and "store" in self._kinds:
-            self.empty(self.chance.choice(stores))
+            self.empty(self.rng.choice(stores))
 
     def empty(self, store: Machine) -> None:
         """Order a store to be emptied, where enough others remain; else the order must be refused."""
--- a/amberlug/cluster/simulation/machine.py
+++ b/amberlug/cluster/simulation/machine.py
@@ -50,7 +50,7 @@
 class MachineHost(Protocol):
     """The deployment that a machine belongs to, as far as the machine knows it."""
 
-    chance: random.Random
+    rng: random.Random
     clock: Clock
     digest: BoundaryDigest
     history: History
@@ -84,14 +84,14 @@
         deployment.history.places[name] = Place(name, kind)
         self.ip = address.rpartition(":")[0]
         self.control: str = f"{self.ip}:7000"
-        self.wall_clock = WALL_S + deployment.chance.uniform(-0.02, 0.02)
+        self.wall_clock = WALL_S + deployment.rng.uniform(-0.02, 0.02)
         self.lives = 0
         self.first = first
         self.disk: SimulatedDisk | None = None
         if kind != "edge":
             make = ControlDisk if kind == "core" else MessageDisk
-            chance = deployment.draw(f"disk {name} {address}")
-            self.disk = make(deployment.clock, chance, deployment.sync_s)
+            rng = deployment.draw(f"disk {name} {address}")
+            self.disk = make(deployment.clock, rng, deployment.sync_s)
             self.disk.name, self.disk.digest = name, deployment.digest
             if isinstance(self.disk, MessageDisk):
                 self.disk.on_anew = partial(deployment.history.store_emptied, name)
@@ -115,11 +115,11 @@
         self.lives += 1
         deployment.history.mark(self.name, What.START)
         life = self.life = Incarnation(self, self.lives, deployment.failed)
-        chance = deployment.draw(f"{self.name} {self.lives}")
-        world = SimulatedRuntime(deployment.net, life, chance, self.wall_clock)
+        rng = deployment.draw(f"{self.name} {self.lives}")
+        world = SimulatedRuntime(deployment.net, life, rng, self.wall_clock)
         settings = deployment.settings(self)
         if isinstance(self.disk, ControlDisk):
-            saved = self.disk.begun(lambda: blank(settings, chance.getrandbits))
+            saved = self.disk.begun(lambda: blank(settings, rng.getrandbits))
             life.machine = ControlNode(world, settings, self.address, ProcessDisk(life, self.disk), saved)
         elif isinstance(self.disk, MessageDisk):
             message_store = ProcessMessageDisk(life, self.disk)
@@ -173,7 +173,7 @@
         if self.life is not None:
             if self.up:
                 self.deployment.history.mark(self.name, What.THAW)
-            self.life.thaw(self.deployment.chance)
+            self.life.thaw(self.deployment.rng)
 
     def wipe(self) -> None:
         """The disk is empty from now on; nothing runs here."""
--- a/amberlug/cluster/simulation/model_checker.py
+++ b/amberlug/cluster/simulation/model_checker.py
@@ -39,7 +39,7 @@
 NAMES = ("a", "b", "c")
 VOTERS: Json = {name: {"addr": name, "voter": True} for name in NAMES}
 NEW = "d"  # the newcomer: no member at first
-CHANCE = random.Random(1)  # decides nothing here: no timer fires
+RNG = random.Random(1)  # decides nothing here: no timer fires
 STEP_S = 1.0  # what was heard before a step is heard no more after it
 Step = tuple[str, str, int]  # what, whose, which message
 Rows = list[tuple[str, tuple[Any, ...]]]
@@ -163,7 +163,7 @@
     """The world as one life of a member sees it; only explicit steps make anything happen."""
 
     def __init__(self, play: Play, name: str) -> None:
-        self.play, self.name, self.chance = play, name, CHANCE
+        self.play, self.name, self.rng = play, name, RNG
         self.life = play.members[name].life
 
     def now(self) -> float:
--- a/amberlug/cluster/simulation/mutations.py
+++ b/amberlug/cluster/simulation/mutations.py
@@ -66,7 +66,7 @@
 def _old_vote() -> AbstractContextManager[Any]:
     """A wiped voter votes as its old self, and nobody tells it what it had."""
 
-    def blank(settings: Settings, chance: Callable[[int], int]) -> PersistentState:
+    def blank(settings: Settings, rng: Callable[[int], int]) -> PersistentState:
         return PersistentState(f"{settings.ip}/0", members=founding_members(settings))
 
     untold = patch.object(RollbackGuard, "has_lost_entries", lambda self, acknowledged: False)
--- a/amberlug/cluster/simulation/network.py
+++ b/amberlug/cluster/simulation/network.py
@@ -64,11 +64,11 @@
         except AssertionError as error:
             self._failed(self, error)
 
-    def thaw(self, chance: random.Random) -> None:
+    def thaw(self, rng: random.Random) -> None:
         """Run again: what has piled up happens, timers before or after what came from outside."""
         self.frozen = False
         waiting, self._waiting = self._waiting, []
-        first = chance.random() < 0.5
+        first = rng.random() < 0.5
         waiting.sort(key=lambda act: (getattr(act, "__name__", "") == "fire") != first)
         for act in waiting:
             self.do(act)
@@ -77,8 +77,8 @@
 class Network:
     """Addresses, delays, cuts and losses."""
 
-    def __init__(self, clock: Clock, chance: random.Random, between_zones: float) -> None:
-        self.clock, self.chance, self.between_zones = clock, chance, between_zones
+    def __init__(self, clock: Clock, rng: random.Random, between_zones: float) -> None:
+        self.clock, self.rng, self.between_zones = clock, rng, between_zones
         self.digest = BoundaryDigest(lambda: clock.now)
         self.hosts: dict[str, Host] = {}  # by address
         self.regions: dict[str, str] = {}  # by zone; those of one region where there are none
@@ -97,9 +97,9 @@
         if self.regions.get(a.zone) != self.regions.get(b.zone):
             seconds += BETWEEN_REGIONS_S
         loss = a.loss + b.loss
-        if loss and self.chance.random() < loss:
+        if loss and self.rng.random() < loss:
             seconds += LOST_S
-        return seconds + self.chance.expovariate(20000)
+        return seconds + self.rng.expovariate(20000)
 
     def departure(self, a: Host, b: Host, size: int) -> float:
         """When so many bytes have left the one machine and come in at the other, but for the delay."""
@@ -132,7 +132,7 @@
         self._tell()
         held, self._held = self._held, {}
         for link in held:
-            self.clock.call_later(self.chance.uniform(*AGAIN_S), link.flush)
+            self.clock.call_later(self.rng.uniform(*AGAIN_S), link.flush)
 
     def _tell(self) -> None:
         self.told(frozenset(self._cuts) | frozenset(self._refused))
@@ -372,8 +372,8 @@
 class SimulatedRuntime:
     """The world as one life of a process sees it."""
 
-    def __init__(self, net: Network, life: Incarnation, chance: random.Random, wall: float) -> None:
-        self.net, self.life, self.chance, self._wall = net, life, chance, wall
+    def __init__(self, net: Network, life: Incarnation, rng: random.Random, wall: float) -> None:
+        self.net, self.life, self.rng, self._wall = net, life, rng, wall
 
     def now(self) -> float:
         return self.net.clock.now
--- a/amberlug/cluster/simulation/operator.py
+++ b/amberlug/cluster/simulation/operator.py
@@ -62,7 +62,7 @@
 
     def __init__(self, deployment: Deployment, first: Json) -> None:
         self.deployment, self.history, self.clock = deployment, deployment.history, deployment.clock
-        self.chance = deployment.draw("operator")
+        self.rng = deployment.draw("operator")
         self.edition, self.config = 0, first  # the newest that is known to be in force
         self.busy = False
         self.under_way = 0
@@ -79,7 +79,7 @@
 
     def _version(self, config: Json, valid: bool, number: int = 0) -> Version:
         if not number:
-            number = self._numbers = max(self._numbers, self.edition) + self.chance.randrange(1, 4)
+            number = self._numbers = max(self._numbers, self.edition) + self.rng.randrange(1, 4)
         config = {**config, "edition": number}
         services = {it["pathPrefix"]: it["targetService"] for it in config["routeTable"]}
         version = Version(number, self.edition, config, valid, self.clock.now, services=services)
@@ -94,17 +94,17 @@
 
     def _changed(self) -> Json:
         """Another configuration: a timeout, a route more or less, or a route that goes elsewhere."""
-        config, chance = deepcopy(self.config), self.chance
+        config, rng = deepcopy(self.config), self.rng
         routes = config["routeTable"]
         extra = [it for it in routes if it["pathPrefix"].startswith("/x")]
-        what = chance.choice(("expiry", "add", "add", "move", "drop" if extra else "add"))
+        what = rng.choice(("expiry", "add", "add", "move", "drop" if extra else "add"))
         if what == "expiry":
-            chance.choice(routes)["expiryMs"] = chance.choice((1000, 1200, 1500))
+            rng.choice(routes)["expiryMs"] = rng.choice((1000, 1200, 1500))
         elif what == "add":
             self._extra += 1
-            routes.append(route(f"/x{self._extra}/", chance.choice(("alpha", "beta"))))
+            routes.append(route(f"/x{self._extra}/", rng.choice(("alpha", "beta"))))
         elif what == "drop":
-            routes.remove(chance.choice(extra))
+            routes.remove(rng.choice(extra))
         else:
             moved = next(it for it in routes if it["pathPrefix"] == "/plain/")
             moved["targetService"] = "beta" if moved["targetService"] == "alpha" else "alpha"
@@ -117,7 +117,7 @@
             self._send(self._version(self._changed(), True), self._word(), self._free)
 
     def _word(self) -> str:
-        return self.chance.choice(("replace", "modify"))
+        return self.rng.choice(("replace", "modify"))
 
     def _free(self, ok: bool) -> None:
         self.busy = False
@@ -160,7 +160,7 @@
         config = self._changed()
         while {**config, "edition": 0} == {**first.config, "edition": 0}:
             config = self._changed()
-        number = first.edition if self.chance.random() < 0.6 else 0
+        number = first.edition if self.rng.random() < 0.6 else 0
         for version, relay in ((first, to), (self._version(config, True, number), other)):
             self._send(version, self._word(), self._taken_up(), relay)
 
@@ -168,14 +168,14 @@
         """As many orders at once as there may be."""
         acts: list[Callable[[], None]] = [self.order, self.pair, self.read, self.invalid, self.retire]
         for _ in range(MOST - self.under_way):
-            self.chance.choice(acts)()
+            self.rng.choice(acts)()
 
     def read(self) -> None:
         """Read the configuration at any relay, once."""
         self._ask(Call("read", "", self._any(), self.clock.now), "GET", "/-/Configuration.Read", self._adopt)
 
     def _any(self) -> str:
-        return self.chance.choice(self.deployment.cores).name
+        return self.rng.choice(self.deployment.cores).name
 
     def _adopt(self, call: Call) -> None:
         if call.status == 200 and call.said is not None and call.said["edition"] > self.edition:
@@ -196,8 +196,8 @@
         """Have a store emptied, or ask how far it is."""
         stores = [it.name for it in self.deployment.stores]
         if len(stores) > 3:
-            self.retiring = self.retiring or self.chance.choice(stores)
-            begin = self.chance.random() < 0.5
+            self.retiring = self.retiring or self.rng.choice(stores)
+            begin = self.rng.random() < 0.5
             call = Call("retire" if begin else "retire-read", self.retiring, self._any(), self.clock.now)
             word = "Begin" if begin else "Read"
             self._ask(call, "POST" if begin else "GET", f"/-/Retire.{word}/{self.retiring}", lambda it: None)
@@ -219,7 +219,7 @@
         if self.busy or not self.edition:
             return
         config = deepcopy(self.config)
-        what = self.chance.choice(("service", "twice", "expiry", "edition"))
+        what = self.rng.choice(("service", "twice", "expiry", "edition"))
         routes = config["routeTable"]
         if what == "service":
             routes.append(route("/bad/", "nobody"))
@@ -277,7 +277,7 @@
                 version.until = self.clock.now
                 then(False)
                 return
-            core = to if to is not None else self.chance.choice(self.deployment.cores)
+            core = to if to is not None else self.rng.choice(self.deployment.cores)
             to = core if hard else None
             call(core, lambda status, said: hear(core, status))
 
@@ -291,7 +291,7 @@
                         self._learn()
                 else:
                     version.taken_at = min(version.taken_at, self.clock.now)
-                    if self.lost and self.chance.random() < self.lost:
+                    if self.lost and self.rng.random() < self.lost:
                         self.history.say("that answer is lost")
                         self.clock.call_later(WITHIN_S, again)
                         return
@@ -299,15 +299,15 @@
                 version.answered_at = version.until = self.clock.now
                 if status == 200 and version.edition > self.edition:
                     self.edition, self.config = version.edition, version.config
-                if status == 200 and self.repeats and self.chance.random() < self.repeats:
-                    self.clock.call_later(self.chance.uniform(*REPEAT_S), once_more)
+                if status == 200 and self.repeats and self.rng.random() < self.repeats:
+                    self.clock.call_later(self.rng.uniform(*REPEAT_S), once_more)
                 then(status == 200)
                 return
             self.clock.call_later(HARD_PAUSE_S if hard else pause, again)
             pause = min(PAUSE_S[1], 2 * pause)
 
         def once_more() -> None:
-            core = self.chance.choice(self.deployment.cores)
+            core = self.rng.choice(self.deployment.cores)
 
             def told(status: int, said: Any) -> None:
                 self.history.say(f"edition {version.edition}, sent again: {status} by {core.name}")
@@ -327,5 +327,5 @@
             elif tries > 1:
                 self.clock.call_later(0.5, lambda: self.read_back(tries - 1))
 
-        core = self.chance.choice(self.deployment.cores)
+        core = self.rng.choice(self.deployment.cores)
         self.deployment.control(core, "GET", "/-/Configuration.Read", b"", WITHIN_S, hear)
--- a/amberlug/cluster/simulation/scenario_context.py
+++ b/amberlug/cluster/simulation/scenario_context.py
@@ -17,7 +17,7 @@
     """A day that is played: its parts, and acts that several schedules share."""
 
     aim: str
-    chance: random.Random
+    rng: random.Random
     clients: Clients
     clock: Clock
     deployment: Deployment
--- a/amberlug/cluster/simulation/scenarios.py
+++ b/amberlug/cluster/simulation/scenarios.py
@@ -45,14 +45,14 @@
 
     def __init__(self, seed: int, aim: str = "") -> None:
         self.seed, self.aim = seed, aim
-        chance = self.chance = random.Random(f"{seed} day")
+        rng = self.rng = random.Random(f"{seed} day")
         size = self.size = Size(
-            chance.choice((2, 3, 3, 4)),
-            chance.randrange(2, 6),
-            chance.choice((3, 3, 4)),
-            chance.choice((3, 3, 3, 4, 5)),
-            chance.uniform(12.0, 20.0),
-            chance.uniform(20.0, 40.0),
+            rng.choice((2, 3, 3, 4)),
+            rng.randrange(2, 6),
+            rng.choice((3, 3, 4)),
+            rng.choice((3, 3, 3, 4, 5)),
+            rng.uniform(12.0, 20.0),
+            rng.uniform(20.0, 40.0),
         )
         if aim in ("closing", "core"):
             # The fault is all that counts: many messages are under way when it strikes, or few.
@@ -67,22 +67,22 @@
             tolerance, regions = site.tolerance, site.regions
             rate, delayed = (50.0, 0.7) if site.backlog else (20.0, 0.1)
             size = self.size = Size(site.zones, site.edges, site.stores, site.cores, 50.0, rate)
-        dedup = chance.random() < 0.4
+        dedup = rng.random() < 0.4
         kinds = [
             Kind("alpha", 4, 0.06, False),
             Kind("beta", 4, 0.06, dedup),
             Kind("gamma", 4, 0.05, dedup),
         ]
-        heartbeat = 2.0 if aim == "drain" else chance.choice((1.0, 1.2, 2.0))
+        heartbeat = 2.0 if aim == "drain" else rng.choice((1.0, 1.2, 2.0))
         self.deployment = Deployment(
             seed, size.zones, size.edges, size.stores, size.cores, kinds, heartbeat, tolerance, regions
         )
         self.history, self.clock = self.deployment.history, self.deployment.clock
-        ceiling = 5.0 if aim == "rate" else chance.choice((0.0, 0.0, 8.0))
+        ceiling = 5.0 if aim == "rate" else rng.choice((0.0, 0.0, 8.0))
         paths: tuple[str, ...] = ("/plain/", "/plain/", "/plain/", "/seq/", "/seq/", "/rated/")
         if aim == "rate":
             paths = ("/plain/", "/seq/", "/rated/", "/rated/")
-        load = Load(size.rate, paths, frozenset(("/seq/",)), chance.choice((4, 10, 30)), delayed)
+        load = Load(size.rate, paths, frozenset(("/seq/",)), rng.choice((4, 10, 30)), delayed)
         self.clients = Clients(self.deployment, load)
         first = {
             "routeTable": [
@@ -109,17 +109,17 @@
             # Machines differ in what they have on disk at any moment.
             for machine in self.deployment.stores + self.deployment.cores:
                 assert machine.disk is not None, "stores and cores have a disk"
-                machine.disk.sync_s = chance.choice((0.002, 0.05, 0.1))
+                machine.disk.sync_s = rng.choice((0.002, 0.05, 0.1))
         self.end = 0.0  # of the troubles
         self.home = ""  # the zone of all endpoints, where they stand in one
         if aim == "control":
-            if chance.random() < 0.4:
-                self.home = chance.choice(self.deployment.cores).zone
-            self.operator.lost, self.operator.repeats = chance.choice((0.0, 0.2)), 0.5
-            self.compact = chance.choice((512, 60, 20))
+            if rng.random() < 0.4:
+                self.home = rng.choice(self.deployment.cores).zone
+            self.operator.lost, self.operator.repeats = rng.choice((0.0, 0.2)), 0.5
+            self.compact = rng.choice((512, 60, 20))
             for machine in self.deployment.cores:
                 assert machine.disk is not None, "core machines have a disk"
-                machine.disk.sync_s = chance.choice((0.002, 0.002, 0.03))
+                machine.disk.sync_s = rng.choice((0.002, 0.002, 0.03))
         if aim == "config":
             for machine in self.deployment.machines:
                 machine.loss = 0.06
@@ -132,7 +132,7 @@
 
     def _play(self) -> list[Broken]:
         for machine in self.deployment.machines:
-            self.clock.call_later(self.chance.uniform(0.0, 0.15), machine.start)
+            self.clock.call_later(self.rng.uniform(0.0, 0.15), machine.start)
         for name, count in (("alpha", 4), ("beta", 3), ("gamma", 2)):
             for number in range(count):
                 zone = self.home or self.deployment.zones[number % self.size.zones]
@@ -157,7 +157,7 @@
 
     def _plan(self, start: float, end: float) -> None:
         """Draw what happens when. Losses of counted machines stand apart by what it takes to catch up."""
-        chance, self.end = self.chance, end
+        rng, self.end = self.rng, end
         free = {"system": start, "other": start}
         system: list[Callable[[], float]] = [
             self._kill,
@@ -211,14 +211,14 @@
             self.control.begin(start, end)
         while free["system"] < end or free["other"] < end:
             which = min(free, key=lambda name: free[name])
-            act = chance.choice(system if which == "system" else others)
+            act = rng.choice(system if which == "system" else others)
             at = free[which]
             self.clock.call_later(at - self.clock.now, partial(self._do, act))
             free[which] = at + (
-                chance.uniform(BACK_S + 3.5, BACK_S + 6.0) if which == "system" else chance.uniform(0.4, 3.0)
+                rng.uniform(BACK_S + 3.5, BACK_S + 6.0) if which == "system" else rng.uniform(0.4, 3.0)
             )
         often = {"": 0.25, "control": 0.4}.get(self.aim, 0.0)
-        if self.aim in ("closing", "core") or (often and chance.random() < often):
+        if self.aim in ("closing", "core") or (often and rng.random() < often):
             self.clock.call_later(end + 1.0 - self.clock.now, partial(self._do, self._close))
 
     @staticmethod
@@ -229,7 +229,7 @@
         self.deployment.endpoint_fleet.start(service, zone, address)
 
     def _any(self, machines: list[Machine]) -> Machine:
-        return self.chance.choice(machines)
+        return self.rng.choice(machines)
 
     def _restart(self, machine: Machine, seconds: float = RESTART_S) -> float:
         self.clock.call_later(seconds, machine.start)
@@ -248,13 +248,13 @@
         return self.kill_one(self._any(self.deployment.edges))
 
     def _power(self) -> float:
-        machine, seconds = self._any(self.deployment.machines), self.chance.uniform(0.5, 3.0)
+        machine, seconds = self._any(self.deployment.machines), self.rng.uniform(0.5, 3.0)
         self.history.trouble(f"{machine.name} loses power for {seconds:.1f} s", seconds, marked=True)
         machine.power_off()
         return self._restart(machine, seconds)
 
     def _freeze_one(self, machine: Machine) -> float:
-        seconds = self.chance.choice((0.5, 1.0, 2.0, 3.0))
+        seconds = self.rng.choice((0.5, 1.0, 2.0, 3.0))
         self.history.trouble(f"{machine.name} is frozen for {seconds:.1f} s", seconds, marked=True)
         machine.freeze()
         self.clock.call_later(seconds, machine.thaw)
@@ -290,9 +290,9 @@
     def cut_off(self, machine: Machine, seconds: float, reset: bool = False) -> float:
         """Cut links of one machine, one way or both, for a while; its connections may be reset as it ends."""
         others = self.deployment.machines
-        if self.chance.random() < 0.5:
-            others = self.chance.sample(others, len(others) // 2)
-        way = self.chance.choice(("to", "from", "both"))
+        if self.rng.random() < 0.5:
+            others = self.rng.sample(others, len(others) // 2)
+        way = self.rng.choice(("to", "from", "both"))
         pairs = set()
         for it in others:
             if it is not machine:
@@ -314,24 +314,24 @@
             return self._cut()
         control.cut_off(
             self._any(self.deployment.cores),
-            self.chance.uniform(*CORE_CUT_S),
-            self.chance.choice(FORMS),
-            self.chance.random() < 0.5,
+            self.rng.uniform(*CORE_CUT_S),
+            self.rng.choice(FORMS),
+            self.rng.random() < 0.5,
         )
         assert control.cut is not None, "a machine was just cut off"
         control.meet(control.cut)
         return CORE_CUT_S[1]
 
     def _cut(self) -> float:
-        return self.cut_off(self._any(self.deployment.machines), self.chance.uniform(0.3, 4.0))
+        return self.cut_off(self._any(self.deployment.machines), self.rng.uniform(0.3, 4.0))
 
     def _edge_cut(self) -> float:
-        return self.cut_off(self._any(self.deployment.edges), self.chance.uniform(0.3, 4.0))
+        return self.cut_off(self._any(self.deployment.edges), self.rng.uniform(0.3, 4.0))
 
     def _drop_links(self) -> float:
         """Reset the connections of one machine, or lose a part of its packets for a while."""
         machine = self._any(self.deployment.machines)
-        if self.chance.random() < 0.5:
+        if self.rng.random() < 0.5:
             self.history.trouble(f"the connections of {machine.name} are reset")
             self.deployment.net.reset(machine)
             return 0.0
@@ -349,8 +349,8 @@
         machine = self._any(self.deployment.stores + self.deployment.cores)
         disk = machine.disk
         assert disk is not None, "stores and cores have a disk"
-        seconds = self.chance.uniform(0.3, 3.0)
-        if self.chance.random() < 0.5:
+        seconds = self.rng.uniform(0.3, 3.0)
+        if self.rng.random() < 0.5:
             self.history.trouble(f"the disk of {machine.name} stalls for {seconds:.1f} s", seconds)
             disk.stalled_until = self.clock.now + seconds
         elif machine.kind == "store":
@@ -376,7 +376,7 @@
 
     def _leader_acks(self) -> float:
         """Kill the relay that acknowledges a configuration, or the leader, at that moment."""
-        which = self.chance.random() < 0.5
+        which = self.rng.random() < 0.5
 
         def strike(core: Machine) -> None:
             self.operator.on_acked = lambda it: None
@@ -395,7 +395,7 @@
 
     def _leader_drains(self) -> float:
         """Kill the relay that acknowledges a drain, or the leader, at that moment."""
-        which = self.aim == "drain" or self.chance.random() < 0.5
+        which = self.aim == "drain" or self.rng.random() < 0.5
 
         def strike(core: Machine) -> None:
             self.deployment.endpoint_fleet.on_drained = lambda it: None
@@ -410,13 +410,13 @@
 
     def _close(self) -> float:
         """A closing fault: right after a configuration is acknowledged."""
-        chance = self.chance
+        rng = self.rng
         # On control days, a machine that was cut off may still count as lost: no disk goes besides.
         hows = ("power", "kill") if self.aim == "control" else ("power", "kill", "wipe")
-        what = "wipe" if self.aim in ("closing", "core") else chance.choice(hows)
+        what = "wipe" if self.aim in ("closing", "core") else rng.choice(hows)
         by_aim = {"core": self.deployment.cores, "closing": self.deployment.stores}
         counted = by_aim.get(self.aim, self.deployment.stores + self.deployment.cores)
-        seconds = chance.uniform(0.5, 2.0)
+        seconds = rng.uniform(0.5, 2.0)
         struck = False
 
         def strike(core: Machine | None = None) -> None:
@@ -428,7 +428,7 @@
             self.history.trouble(f"the closing fault: {what}", seconds)
             for machine in self.deployment.machines:
                 machine.kill() if what == "kill" else machine.power_off()
-                self._restart(machine, seconds + chance.uniform(0.0, 2.0 if self.aim == "core" else 0.3))
+                self._restart(machine, seconds + rng.uniform(0.0, 2.0 if self.aim == "core" else 0.3))
             if what == "wipe":
                 lost = self._any(counted)
                 self.history.say(f"{lost.name} loses its disk")
@@ -443,14 +443,14 @@
 
     def _crash(self) -> float:
         ready = self.deployment.endpoint_fleet.up()
-        victim = self.chance.choice(ready)
-        silent = self.chance.random() < 0.3
+        victim = self.rng.choice(ready)
+        silent = self.rng.random() < 0.3
         if len(self.deployment.endpoint_fleet.up(victim.kind.name)) > 1:
             self.history.say(f"{victim.name} crashes{' with its machine' if silent else ''}")
             victim.crash(silent)
-            reuse = "" if self.chance.random() < 0.5 else victim.address
+            reuse = "" if self.rng.random() < 0.5 else victim.address
             names = list(self.deployment.endpoint_fleet.kinds)
-            other = victim.kind.name if not reuse else self.chance.choice(names)
+            other = victim.kind.name if not reuse else self.rng.choice(names)
             if reuse:
                 self.clock.call_later(2.2, partial(self._start, other, victim.zone, reuse))
             if other != victim.kind.name or not reuse:
@@ -460,15 +460,15 @@
     def replace_endpoint(self) -> float:
         """An endpoint leaves as planned, and another one takes its place."""
         endpoint_fleet = self.deployment.endpoint_fleet
-        victim = self.chance.choice(endpoint_fleet.up())
+        victim = self.rng.choice(endpoint_fleet.up())
         endpoint_fleet.start(victim.kind.name, victim.zone)
-        linger = self.chance.uniform(2.0 if self.aim == "drain" else 0.3, 4.0)
+        linger = self.rng.uniform(2.0 if self.aim == "drain" else 0.3, 4.0)
         self.history.say(f"{victim.name} of {victim.kind.name} is to leave")
         victim.leave(linger, lambda: self.history.say(f"{victim.name} has ended"))
         return 0.0
 
     def _answers_lost(self) -> float:
-        kind = self.chance.choice(list(self.deployment.endpoint_fleet.kinds.values()))
+        kind = self.rng.choice(list(self.deployment.endpoint_fleet.kinds.values()))
         self.history.say(f"{kind.name} loses answers for 1 s")
         kind.lost = 0.2
 
@@ -480,8 +480,8 @@
 
     def _answers_garbled(self) -> float:
         """Answers of a service are cut, late, nameless or doubled for a while."""
-        kind = self.chance.choice(list(self.deployment.endpoint_fleet.kinds.values()))
-        seconds = self.chance.uniform(0.5, 3.0)
+        kind = self.rng.choice(list(self.deployment.endpoint_fleet.kinds.values()))
+        seconds = self.rng.uniform(0.5, 3.0)
         self.history.say(f"{kind.name} garbles answers for {seconds:.1f} s")
         kind.garbled = 0.5
 
--- a/amberlug/cluster/simulation/storage_faults.py
+++ b/amberlug/cluster/simulation/storage_faults.py
@@ -23,7 +23,7 @@
     """What is done to stores and core machines, one at a time; each act says for how long the loss lasts."""
 
     def __init__(self, day: ScenarioContext) -> None:
-        self.day, self.deployment, self.chance = day, day.deployment, day.chance
+        self.day, self.deployment, self.rng = day, day.deployment, day.rng
         self.history, self.clock = day.history, day.clock
         self.retired: dict[str, float] = {}  # stores that were emptied, and when that was told
         self.acts: list[Callable[[], float]] = [
@@ -47,16 +47,16 @@
 
     def _next(self, end: float) -> None:
         if self.clock.now < end:
-            seconds = self.chance.choice(self.acts)()
-            pause = seconds + (BACK_S if seconds else 0.0) + self.chance.uniform(0.1, 3.0)
+            seconds = self.rng.choice(self.acts)()
+            pause = seconds + (BACK_S if seconds else 0.0) + self.rng.uniform(0.1, 3.0)
             self.clock.call_later(pause, lambda: self._next(end))
 
     def _any(self, machines: list[Machine]) -> Machine:
-        return self.chance.choice(machines)
+        return self.rng.choice(machines)
 
     def _down(self, machine: Machine, what: str, seconds: float) -> None:
         self.history.trouble(f"{machine.name} {what}, back in {seconds:.1f} s", seconds)
-        if self.chance.random() < 0.5:
+        if self.rng.random() < 0.5:
             machine.kill()
         machine.power_off()
 
@@ -70,7 +70,7 @@
 
     def wipe_after_put(self) -> float:
         """A store loses its disk right after it acknowledged a message."""
-        store, seconds = self._any(self.deployment.stores), self.chance.uniform(0.3, 2.0)
+        store, seconds = self._any(self.deployment.stores), self.rng.uniform(0.3, 2.0)
         self.after_put(store, partial(self.lose_disk, store, seconds))
         return 1.0 + seconds
 
@@ -87,12 +87,12 @@
                 disk.on_kept = lambda: None
                 act()
 
-        disk.on_kept = lambda: self.clock.call_later(self.chance.choice((0.0, 0.0, 0.002)), strike)
+        disk.on_kept = lambda: self.clock.call_later(self.rng.choice((0.0, 0.0, 0.002)), strike)
         self.clock.call_later(1.0, strike)
 
     def wipe_core(self) -> float:
         """A core machine loses its disk right after it acknowledged a configuration."""
-        seconds = self.chance.uniform(0.3, 2.0)
+        seconds = self.rng.uniform(0.3, 2.0)
         struck = False
 
         def strike(core: Machine) -> None:
@@ -113,7 +113,7 @@
         """A machine is taken away; an empty one comes at another address, under its name or another."""
         self._down(machine, "is taken away", seconds)
         self.deployment.remove(machine)
-        name = machine.name if self.chance.random() < 0.5 else ""
+        name = machine.name if self.rng.random() < 0.5 else ""
         self._come(machine.kind, machine.zone, seconds, name)
 
     def _come(self, kind: str, zone: str, seconds: float, name: str = "") -> None:
@@ -121,34 +121,34 @@
             machine = self.deployment.add(kind, zone, name)
             self.history.say(f"{machine.name} comes at {machine.address}")
             machine.start()
-            self.clock.call_later(self.chance.uniform(*SETTINGS_S), self.deployment.tell_settings)
+            self.clock.call_later(self.rng.uniform(*SETTINGS_S), self.deployment.tell_settings)
 
         self.clock.call_later(seconds, come)
 
     def replace_store(self) -> float:
         """A store is replaced by an empty one at another address."""
-        seconds = self.chance.uniform(0.5, 2.0)
+        seconds = self.rng.uniform(0.5, 2.0)
         self.replace(self._any(self.deployment.stores), seconds)
         return seconds
 
     def replace_core(self) -> float:
         """A core machine is replaced by an empty one at another address; the leader may be killed besides."""
-        seconds = self.chance.uniform(0.5, 2.0)
+        seconds = self.rng.uniform(0.5, 2.0)
         leader = self.day.leader()
         machine = self._any(self.deployment.cores)
-        if leader is not None and self.chance.random() < 0.4:
+        if leader is not None and self.rng.random() < 0.4:
             machine = leader
         self.replace(machine, seconds)
-        if leader not in (None, machine) and self.chance.random() < 0.5:
+        if leader not in (None, machine) and self.rng.random() < 0.5:
             assert leader is not None
             self.day.kill_one(leader)
         return seconds
 
     def add_store(self) -> float:
         """One or two stores are added."""
-        for _ in range(self.chance.choice((1, 2))):
+        for _ in range(self.rng.choice((1, 2))):
             self.history.trouble("a store is added")
-            self._come("store", self.chance.choice(self.deployment.zones), 0.0)
+            self._come("store", self.rng.choice(self.deployment.zones), 0.0)
         return 0.0
 
     # -- a store that is emptied
@@ -227,14 +227,14 @@
     def cut_off(self) -> float:
         """A store or a core machine is cut off, one way or both, and its connections are reset."""
         machine = self._any(self.deployment.stores + self.deployment.cores)
-        return self.day.cut_off(machine, self.chance.uniform(4.0, 7.0), self.chance.random() < 0.5)
+        return self.day.cut_off(machine, self.rng.uniform(4.0, 7.0), self.rng.random() < 0.5)
 
     def slow_disk(self) -> float:
         """A disk is slow, stalls, or is full."""
         machine = self._any(self.deployment.stores + self.deployment.cores)
-        disk, seconds = machine.disk, self.chance.uniform(1.0, 4.0)
+        disk, seconds = machine.disk, self.rng.uniform(1.0, 4.0)
         assert disk is not None, "stores and cores have a disk"
-        what = self.chance.choice(("slow", "stalled", "full"))
+        what = self.rng.choice(("slow", "stalled", "full"))
         self.history.trouble(f"the disk of {machine.name} is {what} for {seconds:.1f} s", seconds)
         if what == "stalled":
             disk.stalled_until = self.clock.now + seconds
@@ -252,19 +252,19 @@
 
     def split_core(self) -> float:
         """Core machines are cut in two; the configuration is changed meanwhile on either side."""
-        cores, seconds = self.deployment.cores, self.chance.uniform(2.0, 6.0)
-        few = self.chance.sample(cores, 1 if len(cores) < 4 else self.chance.choice((1, len(cores) // 2)))
+        cores, seconds = self.deployment.cores, self.rng.uniform(2.0, 6.0)
+        few = self.rng.sample(cores, 1 if len(cores) < 4 else self.rng.choice((1, len(cores) // 2)))
         others = [it for it in cores if it not in few]
-        beside = [it for it in self.deployment.edges + self.deployment.stores if self.chance.random() < 0.3]
+        beside = [it for it in self.deployment.edges + self.deployment.stores if self.rng.random() < 0.3]
         pairs = {(a.name, b.name) for a in few for b in others}
         pairs |= {(b, a) for a, b in pairs}
         names = ", ".join(it.name for it in few)
         self.history.trouble(f"{names} cut from the other core for {seconds:.1f} s", seconds)
-        if self.chance.random() < 0.5:
+        if self.rng.random() < 0.5:
             aside = {(a.name, b.name) for a in beside for b in few}
             pairs |= aside | {(b, a) for a, b in aside}
         self.deployment.net.cut(pairs)
         self.clock.call_later(seconds, partial(self.deployment.net.join, pairs))
         for _ in range(3):
-            self.clock.call_later(self.chance.uniform(0.1, seconds), self.day.operator.race)
+            self.clock.call_later(self.rng.uniform(0.1, seconds), self.day.operator.race)
         return seconds
--- a/amberlug/cluster/storage/enrollment.py
+++ b/amberlug/cluster/storage/enrollment.py
@@ -66,7 +66,7 @@
 
 def new_disk_id(runtime: Runtime) -> str:
     """Draw a name for a disk that is empty."""
-    return f"{runtime.chance.getrandbits(DISK_ID_BITS):x}"
+    return f"{runtime.rng.getrandbits(DISK_ID_BITS):x}"
 
 
 class Enrollment:
--- a/benchmarks/hollow/deployment.py
+++ b/benchmarks/hollow/deployment.py
@@ -50,7 +50,7 @@
         machine: ControlNode | StorageNode | EdgeNode
         host.over = False
         if host.role == "core":
-            saved = blank(told, world.chance.getrandbits)
+            saved = blank(told, world.rng.getrandbits)
             machine = ControlNode(world, told, host.address, HollowDisk(self.net, host), saved)
         elif host.role == "store":
             contents = StoredContents(f"disk-{host.name}")
@@ -58,7 +58,7 @@
         else:
             machine = EdgeNode(world, told, host.address, Prompt(self.net, host))
         host.machine = machine
-        self.net.clock.call_later(world.chance.uniform(0.0, 0.3), partial(host.do, "begin", machine.begin))
+        self.net.clock.call_later(world.rng.uniform(0.0, 0.3), partial(host.do, "begin", machine.begin))
 
     def run(self, seconds: float) -> None:
         self.net.clock.run(self.net.clock.now + seconds)
--- a/benchmarks/hollow/net.py
+++ b/benchmarks/hollow/net.py
@@ -90,7 +90,7 @@
 
     def __init__(self, seed: int = 1, within: float = 0.0002, between: float = 0.0009) -> None:
         self.clock = Clock()
-        self.chance = random.Random(seed)
+        self.rng = random.Random(seed)
         self.within, self.between = within, between
         self.hosts: dict[str, Host] = {}
         self.numbers = itertools.count(1)
@@ -146,7 +146,7 @@
 
     def __init__(self, net: HollowNet, host: Host) -> None:
         self.net, self.host = net, host
-        self.chance = random.Random(f"{host.address} {net.chance.random()}")
+        self.rng = random.Random(f"{host.address} {net.rng.random()}")
 
     def now(self) -> float:
         return self.net.clock.now
--- a/benchmarks/hollow/steps.py
+++ b/benchmarks/hollow/steps.py
@@ -253,7 +253,7 @@
         said = read_announcement(beat(0, 2)).unwrap()
 
         def pool(items: dict[str, Any], world: HollowWorld) -> EndpointPool:
-            known = EndpointPool("z0", world.chance, lambda address: 0)
+            known = EndpointPool("z0", world.rng, lambda address: 0)
             for key, value in items.items():
                 known.update(key, EndpointAnnouncement.from_wire(value), 1.0)
             return known
@@ -291,7 +291,7 @@
 def _pick_steps() -> Iterator[Figure]:
     for count in (10, 100, 1000, 10_000):
         _, _, world = _alone("edge")
-        known = EndpointPool("z0", world.chance, lambda address: 1)
+        known = EndpointPool("z0", world.rng, lambda address: 1)
         for it in range(count):
             value = {
                 "service": "s",
@@ -365,7 +365,7 @@
         _, host, world = _alone("core")
         told = settings(host, ["10.1.0.1"])
         core = ControlNode(
-            world, told, host.address, HollowDisk(world.net, host), blank(told, world.chance.getrandbits)
+            world, told, host.address, HollowDisk(world.net, host), blank(told, world.rng.getrandbits)
         )
         core.cluster_state.apply(1, {"do": "drain", "ids": ids})
         core.on_state_changed()
--- a/benchmarks/learning.py
+++ b/benchmarks/learning.py
@@ -55,9 +55,9 @@
         return super().append(name, data)
 
 
-def told(number: int, now_us: int, chance: random.Random) -> api.Known:
+def told(number: int, now_us: int, rng: random.Random) -> api.Known:
     entry = api.Entry(f"endpoint-{number}", "a", "club", number, api.State.IN, 5.0)
-    rate = chance.random()
+    rate = rng.random()
     health = api.KnownEndpoint(entry, False, NEVER, now_us - SECOND, now_us, None, rate, False, 1.0, ())
     route = api.KnownRoute("", int(rate * SECOND), 2.0, now_us, OPEN if rate < 0.8 else 5.0, now_us)
     return api.Known(number, (route,), (health,))
@@ -65,12 +65,12 @@
 
 def cost(known: int, active: int) -> dict[str, float]:
     """A minute with so many known and so many of them active; each figure is of one process, one core."""
-    chance, now = random.Random(1), Time()
+    rng, now = random.Random(1), Time()
     with tempfile.TemporaryDirectory() as name:
         disk = CountingDisk(Path(name))
         learner = Learner(Store(disk, ROOM, now.now_us), now)
         for start in range(0, known, 1000):
-            learner.observe([told(it, now.us, chance) for it in range(start, min(known, start + 1000))])
+            learner.observe([told(it, now.us, rng) for it in range(start, min(known, start + 1000))])
         while learner.work() is not None:
             pass
         before, longest, took = disk.written, 0.0, 0.0
@@ -85,12 +85,12 @@
 
         for second in range(60):
             now.us += SECOND
-            number = chance.randrange(active)
+            number = rng.randrange(active)
             wait = Wait(number, "", SECOND, now.us + SECOND, now.boot)
             timed(lambda wait=wait: learner.told(wait))  # type: ignore[misc]
             if second % KEEP_S == 0:
                 for start in range(0, active, PART):
-                    part = [told(it, now.us, chance) for it in range(start, min(active, start + PART))]
+                    part = [told(it, now.us, rng) for it in range(start, min(active, start + PART))]
                     timed(lambda part=part: learner.observe(part))  # type: ignore[misc]
             while timed(learner.work) is not None:
                 pass
@@ -123,46 +123,46 @@
 World = Callable[[random.Random, float], Iterator[tuple[float, float, float]]]  # learned, prior, true
 
 
-def failures(chance: random.Random, pause: float) -> Iterator[tuple[float, float, float]]:
+def failures(rng: random.Random, pause: float) -> Iterator[tuple[float, float, float]]:
     """Failure rates: 2% as a rule; outages last 12 s as a rule and 20 min for one in ten, and fail 60%."""
     for _ in range(4000):
-        out = chance.random() < 0.3  # of those that are worth remembering
-        lasts = chance.expovariate(1 / (1200 if chance.random() < 0.1 else 12)) if out else 0.0
+        out = rng.random() < 0.3  # of those that are worth remembering
+        lasts = rng.expovariate(1 / (1200 if rng.random() < 0.1 else 12)) if out else 0.0
         rate = 0.6 if out else 0.02
-        learned = min(1.0, max(0.0, rate + chance.gauss(0, 0.1)))
-        again = chance.random() < 1 - math.exp(-pause / (3 * 86400)) and chance.random() < 0.01
+        learned = min(1.0, max(0.0, rate + rng.gauss(0, 0.1)))
+        again = rng.random() < 1 - math.exp(-pause / (3 * 86400)) and rng.random() < 0.01
         yield learned, 0.02, 0.6 if lasts > pause or again else 0.02
 
 
-def answers(chance: random.Random, pause: float) -> Iterator[tuple[float, float, float]]:
+def answers(rng: random.Random, pause: float) -> Iterator[tuple[float, float, float]]:
     """Answer times (log): of a partner 0.8 about its kind; a day's load moves it by 0.3, slowly (8 h)."""
     for _ in range(4000):
-        own, load = chance.gauss(0, 0.8), chance.gauss(0, 0.3)
+        own, load = rng.gauss(0, 0.8), rng.gauss(0, 0.3)
         keeps = math.exp(-pause / (8 * HOUR))
-        later = load * keeps + chance.gauss(0, 0.3) * math.sqrt(1 - keeps**2)
-        moved = chance.random() < 1 - math.exp(-pause / (20 * 86400))  # another machine, another pace
-        yield own + load + chance.gauss(0, 0.25), 0.0, (chance.gauss(0, 0.8) if moved else own) + later
+        later = load * keeps + rng.gauss(0, 0.3) * math.sqrt(1 - keeps**2)
+        moved = rng.random() < 1 - math.exp(-pause / (20 * 86400))  # another machine, another pace
+        yield own + load + rng.gauss(0, 0.25), 0.0, (rng.gauss(0, 0.8) if moved else own) + later
 
 
-def paces(chance: random.Random, pause: float) -> Iterator[tuple[float, float, float]]:
+def paces(rng: random.Random, pause: float) -> Iterator[tuple[float, float, float]]:
     """Own calls a second (log): a burst adds 0.7 and lasts 5 s; the evening's part moves over 2 h."""
     for _ in range(4000):
-        level, burst = chance.gauss(0, 0.6), 0.7 * (chance.random() < 0.3)
+        level, burst = rng.gauss(0, 0.6), 0.7 * (rng.random() < 0.3)
         keeps = math.exp(-pause / (2 * HOUR))
-        later = level * keeps + chance.gauss(0, 0.6) * math.sqrt(1 - keeps**2)
-        goes_on = 0.7 * (chance.random() < (math.exp(-pause / 5) if burst else 0.05))
+        later = level * keeps + rng.gauss(0, 0.6) * math.sqrt(1 - keeps**2)
+        goes_on = 0.7 * (rng.random() < (math.exp(-pause / 5) if burst else 0.05))
         yield level + burst, 0.0, later + goes_on
 
 
-def limits(chance: random.Random, pause: float) -> Iterator[tuple[float, float, float]]:
+def limits(rng: random.Random, pause: float) -> Iterator[tuple[float, float, float]]:
     """Doublings that a learned limit stands below what is offered, 3 to begin with.
 
     The partner's limit stays for half a day as a rule, but 4 in 10 speak of a crowd that goes in 90 s.
     """
     for _ in range(4000):
-        crowd = chance.random() < 0.4
-        gone = chance.random() < 1 - math.exp(-pause / (90 if crowd else 12 * HOUR))
-        yield 3.0 + chance.gauss(0, 0.4), 0.0, 0.0 if gone else 3.0
+        crowd = rng.random() < 0.4
+        gone = rng.random() < 1 - math.exp(-pause / (90 if crowd else 12 * HOUR))
+        yield 3.0 + rng.gauss(0, 0.4), 0.0, 0.0 if gone else 3.0
 
 
 WORLDS: dict[str, tuple[World, int]] = {
--- a/benchmarks/restarts.py
+++ b/benchmarks/restarts.py
@@ -53,7 +53,7 @@
 
     number: int
     sort: str
-    chance: random.Random
+    rng: random.Random
     delivered: Callable[[str], None]
     better: bool = False
     calls: list[Call] = field(default_factory=list)
@@ -65,18 +65,18 @@
         self.peer.on_request = self.called
 
     def called(self, seen: Seen) -> bool:
-        now, answer, seconds = time.monotonic(), OK, self.chance.uniform(0.01, 0.04)
+        now, answer, seconds = time.monotonic(), OK, self.rng.uniform(0.01, 0.04)
         waits = now < self.wait_until
         in_wait = waits and now > self.wait_until - WAIT_S + ON_ITS_WAY
         if self.sort == "slow":
-            seconds = self.chance.uniform(0.8, 1.6)
+            seconds = self.rng.uniform(0.8, 1.6)
         elif self.sort in ("failing", "better") and not self.better:
-            answer = ERROR if self.chance.random() < 0.8 else OK
+            answer = ERROR if self.rng.random() < 0.8 else OK
         elif self.sort == "limited":
             self.starts = [it for it in self.starts if it > now - 1]
             answer = FULL if len(self.starts) >= LIMIT else OK
             self.starts += [now] * (answer is OK)
-        elif self.sort == "waiting" and (waits or self.chance.random() < 0.15):
+        elif self.sort == "waiting" and (waits or self.rng.random() < 0.15):
             answer = BUSY
         if answer is BUSY and not waits:
             self.wait_until = now + WAIT_S
@@ -100,7 +100,7 @@
 
     def __init__(self, folder: Path, checkout: Path, seed: int) -> None:
         self.folder, self.checkout = folder, checkout
-        self.chance = random.Random(seed)
+        self.rng = random.Random(seed)
         sorts = [*SORTS, *["well"] * (PARTNERS - len(SORTS))]
         self.partners = [
             Partner(number, sort, random.Random(f"{seed}/{number}"), self.note)
@@ -188,9 +188,9 @@
         began, sent = time.monotonic(), []
         for count in range(int(seconds * rate)):
             await asyncio.sleep(max(0.0, began + count / rate - time.monotonic()))
-            kind = self.chance.choice(["result", "result", "entry", "payment"])
+            kind = self.rng.choice(["result", "result", "entry", "payment"])
             # The troubled draw a larger share: what the limited one is sent is over its limit.
-            destination = self.chance.choice([*range(1, PARTNERS + 1), *range(1, len(SORTS) + 1), 4, 4])
+            destination = self.rng.choice([*range(1, PARTNERS + 1), *range(1, len(SORTS) + 1), 4, 4])
             sent.append(asyncio.ensure_future(self.hand_in(f"m{first + count}", kind, destination)))
         return sent
 
--- a/tests/cluster/fakes.py
+++ b/tests/cluster/fakes.py
@@ -14,7 +14,7 @@
     """A world in which nobody answers; what was asked is kept."""
 
     def __init__(self, clock: Clock) -> None:
-        self.clock, self.chance = clock, random.Random(1)
+        self.clock, self.rng = clock, random.Random(1)
         self.asked: list[tuple[str, str, Json, ReplyCallback]] = []
 
     def now(self) -> float:
--- a/tests/cluster/test_admin.py
+++ b/tests/cluster/test_admin.py
@@ -35,7 +35,7 @@
     """Peers answer at once by a table; those that are not in it are silent until the time is let pass."""
 
     def __init__(self, answers: dict[tuple[str, str], Json]) -> None:
-        self.answers, self.chance = answers, random.Random(1)
+        self.answers, self.rng = answers, random.Random(1)
         self.timers: list[Callable[[], None]] = []
 
     def now(self) -> float:
@@ -83,7 +83,7 @@
     deployment.write(first_start=True)
     settings = read_settings_file(str(deployment.machines["core-1"].path)).unwrap()
     world = Runtime(answers)
-    core = ControlNode(world, settings, "127.0.1.10:7300", Disk(), blank(settings, world.chance.getrandbits))
+    core = ControlNode(world, settings, "127.0.1.10:7300", Disk(), blank(settings, world.rng.getrandbits))
     for kind, name in (("edge", "e1"), ("edge", "e2"), ("storage", "s1")):
         node = SessionDescription(name, "1", name, kind, "north", "valley", "up", {"disk": f"disk of {name}"})
         core.sessions.open(node, 9.0)
@@ -457,10 +457,10 @@
 
 
 def test_a_whole_deployment_keeps_what_it_accepted(tmp_path: Path) -> None:
-    chance = random.Random()
-    net = f"127.{chance.randrange(2, 255)}.{chance.randrange(1, 255)}"
+    rng = random.Random()
+    net = f"127.{rng.randrange(2, 255)}.{rng.randrange(1, 255)}"
     lines: list[str] = []
-    tale = asyncio.run(play(tmp_path, net, 20.0, 3.0, chance, lines.append))
+    tale = asyncio.run(play(tmp_path, net, 20.0, 3.0, rng, lines.append))
     assert tale.figures()["wrong"] == []
     assert len(tale.accepted()) > 20
     assert sum("is killed" in it for it in lines) == 2
--- a/tests/cluster/test_client_answers.py
+++ b/tests/cluster/test_client_answers.py
@@ -18,8 +18,8 @@
 class Handlers:
     """Answers at once, later, never, twice, again for an earlier request, or fails."""
 
-    def __init__(self, loop: Loop, chance: random.Random) -> None:
-        self.loop, self.chance = loop, chance
+    def __init__(self, loop: Loop, rng: random.Random) -> None:
+        self.loop, self.rng = loop, rng
         self.seen: list[str] = []
         self.replies: list[Callable[[], None]] = []
 
@@ -32,24 +32,24 @@
                 reply(Answer(200, (("X-For", request.target),), body))
 
         self.replies.append(answer)
-        what = self.chance.choice(("once", "once", "later", "later", "twice", "earlier", "never", "fails"))
+        what = self.rng.choice(("once", "once", "later", "later", "twice", "earlier", "never", "fails"))
         if what == "fails":
             raise ZeroDivisionError
         if what == "earlier":  # a handler that is done with some request says so again, at any moment
             for _ in range(3):
-                self.chance.choice(self.replies)()
+                self.rng.choice(self.replies)()
         if what in ("once", "twice", "earlier"):
             answer()
         if what in ("twice", "later"):
-            self.loop.call_later(self.chance.uniform(0.0, 0.5), answer)
+            self.loop.call_later(self.rng.uniform(0.0, 0.5), answer)
 
 
 class Client(asyncio.Protocol):
     """Sends requests one behind the other, in pieces, and reads the answers in order."""
 
-    def __init__(self, loop: Loop, chance: random.Random, name: int) -> None:
-        self.loop, self.chance, self.read = loop, chance, b""
-        self.targets = [f"/c{name}-{number}" for number in range(chance.randrange(1, 12))]
+    def __init__(self, loop: Loop, rng: random.Random, name: int) -> None:
+        self.loop, self.rng, self.read = loop, rng, b""
+        self.targets = [f"/c{name}-{number}" for number in range(rng.randrange(1, 12))]
         self.sent = 0  # bytes
         self.lines = [f"POST {it} HTTP/1.1\r\nHost: x\r\nContent-Length: 3\r\n\r\nabc" for it in self.targets]
         self.whole = "".join(self.lines).encode()
@@ -59,17 +59,17 @@
         assert isinstance(transport, End)
         self.end = transport
         self.send()
-        if self.chance.random() < 0.4:  # it leaves, whatever is under way
+        if self.rng.random() < 0.4:  # it leaves, whatever is under way
             self.loop.call_later(
-                self.chance.uniform(0.0, 1.0), self.chance.choice((transport.abort, transport.close))
+                self.rng.uniform(0.0, 1.0), self.rng.choice((transport.abort, transport.close))
             )
 
     def send(self) -> None:
-        size = self.chance.choice((7, 60, 200, 2000))
+        size = self.rng.choice((7, 60, 200, 2000))
         self.end.write(self.whole[self.sent : self.sent + size])
         self.sent += size
         if self.sent < len(self.whole):
-            self.loop.call_later(self.chance.uniform(0.0, 0.1), self.send)
+            self.loop.call_later(self.rng.uniform(0.0, 0.1), self.send)
 
     def data_received(self, data: bytes) -> None:
         self.read += data
@@ -95,13 +95,13 @@
             self.answers, self.read = self.answers + 1, rest[length:]
 
 
-async def scene(loop: Loop, chance: random.Random) -> None:
-    handlers = Handlers(loop, chance)
+async def scene(loop: Loop, rng: random.Random) -> None:
+    handlers = Handlers(loop, rng)
     server = Server(handlers.handle, lambda: Limits(header_s=1.0, idle_s=2.0))
     await server.listen(*AT)
-    clients = [Client(loop, chance, name) for name in range(CONNECTIONS)]
+    clients = [Client(loop, rng, name) for name in range(CONNECTIONS)]
     for client in clients:
-        await asyncio.sleep(chance.uniform(0.0, 0.1))
+        await asyncio.sleep(rng.uniform(0.0, 0.1))
         await loop.create_connection(lambda client=client: client, *AT)
     await asyncio.sleep(10.0)
     assert len(set(handlers.seen)) == len(handlers.seen), "a request is handed over twice"
--- a/tests/cluster/test_control_days.py
+++ b/tests/cluster/test_control_days.py
@@ -115,7 +115,7 @@
     ],
 )
 def test_a_fault_of_a_relay_without_a_majority_is_found(name: str, plan: Plan) -> None:
-    # One day finds each of them with a chance of a half at least.
+    # One day finds each of them with a probability of a half at least.
     with mutated(name):
         assert any(planned(seed, plan) for seed in range(1, 11))
 
--- a/tests/cluster/test_endpoint_answers.py
+++ b/tests/cluster/test_endpoint_answers.py
@@ -74,7 +74,7 @@
     """All endpoints of a play, and what they saw."""
 
     loop: Loop
-    chance: random.Random
+    rng: random.Random
     asks: list[Ask] = field(default_factory=list)
     by_attempt: dict[str, list[Ask]] = field(default_factory=lambda: defaultdict(list))
     known: set[str] = field(default_factory=set)  # attempts whose success their sender has read
@@ -91,11 +91,11 @@
         assert isinstance(transport, End)
         self.end = transport
         # Now and then not all of a request leaves, or not at once.
-        if self.site.chance.random() < 0.1:
-            transport.other.window = self.site.chance.randrange(0, 300)
+        if self.site.rng.random() < 0.1:
+            transport.other.window = self.site.rng.randrange(0, 300)
             self.site.loop.call_later(
-                self.site.chance.uniform(0.01, 0.2),
-                self.site.chance.choice((transport.other.open, transport.abort)),
+                self.site.rng.uniform(0.01, 0.2),
+                self.site.rng.choice((transport.other.open, transport.abort)),
             )
 
     def data_received(self, data: bytes) -> None:
@@ -121,20 +121,20 @@
                 assert not out, "a second call while the first is under way"
         site.asks.append(ask)
         site.by_attempt[ask.attempt].append(ask)
-        what = site.chance.choice(TROUBLES)
+        what = site.rng.choice(TROUBLES)
         ask.status = {"fails": 500, "full": 503, "dead": 422}.get(what, 200)
         if what == "doubled later":
-            ask.status = site.chance.choice((200, 500, 500, 503))
+            ask.status = site.rng.choice((200, 500, 500, 503))
         ask.seal = f"seal-{ask.call}" if ask.status == 200 else ""
         named = f"Amberlug-Attempt-Id: {ask.attempt}\r\n" if what != "nameless" else ""
-        body = b"x" * (300_000 if what == "large" else site.chance.choice((0, 2, 900)))
+        body = b"x" * (300_000 if what == "large" else site.rng.choice((0, 2, 900)))
         ask.copy = (
             f"HTTP/1.1 {ask.status} Said\r\n{named}Amberlug-Server-Seal: {ask.seal}\r\n"
             f"X-Call: {ask.call}\r\nContent-Length: {len(body)}\r\n\r\n"
         ).encode() + body
-        seconds = site.chance.uniform(0.0, 0.1)
+        seconds = site.rng.uniform(0.0, 0.1)
         if what == "late":
-            seconds = EXPIRY_S + site.chance.uniform(0.1, 0.4)
+            seconds = EXPIRY_S + site.rng.uniform(0.1, 0.4)
         elif what == "just in time":
             seconds = EXPIRY_S + TIMEOUT_SLACK_S - 0.01
             site.loop.call_later(seconds + 0.00005, site.loop.stall, 0.02)  # who waits for it is held up
@@ -144,20 +144,20 @@
         site, end, before = self.site, self.end, self.before
         if end.closing:
             return
-        if site.chance.random() < 0.1:
-            site.loop.stall(site.chance.uniform(0.01, 0.3))
-        copy, again = ask.copy, site.chance.uniform(0.0, 0.3)
+        if site.rng.random() < 0.1:
+            site.loop.stall(site.rng.uniform(0.01, 0.3))
+        copy, again = ask.copy, site.rng.uniform(0.0, 0.3)
         if what == "reset":
             return end.abort()
         if what == "never":
             return None
         if what == "cut":
-            end.write(copy[: site.chance.randrange(len(copy))])
-            end_it = site.chance.choice((end.abort, end.close, lambda: None))
-            site.loop.call_later(site.chance.choice((0.0, 0.01, 0.6)), end_it)
+            end.write(copy[: site.rng.randrange(len(copy))])
+            end_it = site.rng.choice((end.abort, end.close, lambda: None))
+            site.loop.call_later(site.rng.choice((0.0, 0.01, 0.6)), end_it)
             return None
         if what == "garbage":
-            end.write(site.chance.choice((b"\x00\xffnonsense\r\n\r\n", b"HTTP/1.1 20", copy[7:])))
+            end.write(site.rng.choice((b"\x00\xffnonsense\r\n\r\n", b"HTTP/1.1 20", copy[7:])))
             return None
         if what == "stale" and before is not None:
             end.write(before.copy)
@@ -188,8 +188,8 @@
         self.failures: dict[str, int] = defaultdict(int)
         self.ended: dict[str, str] = {}
         self.messages: dict[str, Message] = {}
-        world = AsyncioRuntime(PeerTransport(lambda *given: None, lambda address: None), site.chance)
-        pool = EndpointPool("z", site.chance, self.caller.idle)
+        world = AsyncioRuntime(PeerTransport(lambda *given: None, lambda address: None), site.rng)
+        pool = EndpointPool("z", site.rng, self.caller.idle)
         for number in range(2):
             at = f"10.0.0.{number}", 80
             site.loop.doors[at] = lambda: Endpoint(site)
@@ -264,11 +264,11 @@
         self.service.add(message)
 
 
-async def scene(loop: Loop, chance: random.Random) -> None:
-    site = Site(loop, chance)
+async def scene(loop: Loop, rng: random.Random) -> None:
+    site = Site(loop, rng)
     owner = Owner(site)
     for number in range(MESSAGES):
-        loop.call_later(chance.uniform(0.0, 3.0), owner.send, number)
+        loop.call_later(rng.uniform(0.0, 3.0), owner.send, number)
     for _ in range(400):
         await asyncio.sleep(0.1)
         owner.caller.sweep()
--- a/tests/cluster/test_internal_replies.py
+++ b/tests/cluster/test_internal_replies.py
@@ -22,8 +22,8 @@
 class Peer:
     """A process that is asked: it replies once, twice, late, out of turn or never, and may restart."""
 
-    def __init__(self, loop: Loop, chance: random.Random, slow: float = 0.1) -> None:
-        self.loop, self.chance, self.slow = loop, chance, slow
+    def __init__(self, loop: Loop, rng: random.Random, slow: float = 0.1) -> None:
+        self.loop, self.rng, self.slow = loop, rng, slow
         self.heard: Counter[str] = Counter()
         self.lives = 0
         self.peers = PeerTransport(self.hear, lambda address: None)
@@ -36,7 +36,7 @@
         door = self.loop.doors[AT]
 
         def held_up() -> asyncio.Protocol:
-            if self.chance.random() < self.slow:  # who dials is held up as the connection comes up
+            if self.rng.random() < self.slow:  # who dials is held up as the connection comes up
                 self.loop.stall(CONNECT_TIMEOUT_S)
             return door()
 
@@ -49,32 +49,32 @@
             it.transport.abort()
 
     def hear(self, message: RawMessage, origin: str, respond: Respond) -> None:
-        number, chance = message.body["number"], self.chance
+        number, rng = message.body["number"], self.rng
         self.heard[number] += 1
         self.held.append((respond, number))
-        what = chance.choice(("once", "once", "twice", "late", "never", "another", "stall", "broken"))
+        what = rng.choice(("once", "once", "twice", "late", "never", "another", "stall", "broken"))
         if what == "another":  # a handler that is done with an earlier ask says so again
-            respond, number = chance.choice(self.held)
+            respond, number = rng.choice(self.held)
         if what == "stall":
-            self.loop.stall(chance.uniform(0.01, 0.5))
+            self.loop.stall(rng.uniform(0.01, 0.5))
         if what == "broken":
-            self.loop.call_later(chance.uniform(0.0, 0.1), self.reset)
-        seconds = chance.uniform(0.0, WITHIN_S * (2.0 if what == "late" else 0.5))
+            self.loop.call_later(rng.uniform(0.0, 0.1), self.reset)
+        seconds = rng.uniform(0.0, WITHIN_S * (2.0 if what == "late" else 0.5))
         for _ in range({"twice": 2, "never": 0}.get(what, 1)):
             self.loop.call_later(seconds, respond, {"number": number}, number.encode() * 3)
-            seconds += chance.choice((0.0, 0.1))
+            seconds += rng.choice((0.0, 0.1))
 
     def reset(self) -> None:
         for end in self.loop.ends:
-            if not end.closing and self.chance.random() < 0.5:
-                self.chance.choice((end, end.other)).abort()
+            if not end.closing and self.rng.random() < 0.5:
+                self.rng.choice((end, end.other)).abort()
 
 
 class Asker:
     """A process that asks, and looks at each reply that it is given."""
 
-    def __init__(self, loop: Loop, chance: random.Random, peer: Peer, again: float = 0.2) -> None:
-        self.loop, self.chance, self.peer, self.again = loop, chance, peer, again
+    def __init__(self, loop: Loop, rng: random.Random, peer: Peer, again: float = 0.2) -> None:
+        self.loop, self.rng, self.peer, self.again = loop, rng, peer, again
         self.peers = PeerTransport(lambda *given: None, lambda address: None)
         self.peers.address = "10.0.0.1:7300"
         self.said: Counter[str] = Counter()
@@ -89,34 +89,34 @@
                 assert self.peer.heard[number], "a reply to what was not heard"
             elif reply.err_value is RequestFailure.NOT_SENT:
                 self.unsent.add(number)
-            if isinstance(reply, Err) and self.chance.random() < self.again:
+            if isinstance(reply, Err) and self.rng.random() < self.again:
                 self.ask(f"{number}+")  # who hears of a break asks again at once, over another connection
 
         message = RawMessage("word", {"number": number})
         self.peers.request(f"{AT[0]}:{AT[1]}", message, WITHIN_S, then)
 
 
-async def scene(loop: Loop, chance: random.Random) -> None:
-    peer = Peer(loop, chance)
-    asker = Asker(loop, chance, peer)
+async def scene(loop: Loop, rng: random.Random) -> None:
+    peer = Peer(loop, rng)
+    asker = Asker(loop, rng, peer)
     await peer.start()
     for number in range(ASKS):
-        loop.call_later(chance.uniform(0.0, 4.0), asker.ask, str(number))
+        loop.call_later(rng.uniform(0.0, 4.0), asker.ask, str(number))
     for _ in range(4):
-        await asyncio.sleep(chance.uniform(0.1, 1.5))
-        what = chance.choice(("kill", "reset", "deaf", "stall"))
+        await asyncio.sleep(rng.uniform(0.1, 1.5))
+        what = rng.choice(("kill", "reset", "deaf", "stall"))
         if what == "kill":
             peer.kill()
-            await asyncio.sleep(chance.uniform(0.0, 0.3))
+            await asyncio.sleep(rng.uniform(0.0, 0.3))
             await peer.start()
         elif what == "reset":
             peer.reset()
         elif what == "deaf":
             loop.deaf.add(AT)
             peer.reset()
-            loop.call_later(chance.uniform(0.1, 1.2), loop.deaf.discard, AT)
+            loop.call_later(rng.uniform(0.1, 1.2), loop.deaf.discard, AT)
         else:
-            loop.stall(chance.uniform(0.1, 1.0))
+            loop.stall(rng.uniform(0.1, 1.0))
     await asyncio.sleep(8.0)
     assert set(asker.said.values()) == {1}, "an ask is told of once"
     assert sum(1 for it in asker.said if "+" not in it) == ASKS
@@ -142,12 +142,12 @@
 def test_a_peer_that_says_no_frame_is_left(caplog: pytest.LogCaptureFixture) -> None:
     """What follows on its connection is no reply to anything."""
 
-    async def cut(loop: Loop, chance: random.Random) -> None:
+    async def cut(loop: Loop, rng: random.Random) -> None:
         frame = encode_reply(1, {"number": "1"}, b"111").unwrap()
         for at in range(len(frame)):
-            peer = Peer(loop, chance, slow=0.0)
+            peer = Peer(loop, rng, slow=0.0)
             await peer.start()
-            asker = Asker(loop, chance, peer, again=0.0)
+            asker = Asker(loop, rng, peer, again=0.0)
             asker.ask("1")
             link = asker.peers._client_connections[f"{AT[0]}:{AT[1]}"]
             await asyncio.sleep(0.01)
--- a/tests/cluster/test_measured.py
+++ b/tests/cluster/test_measured.py
@@ -35,8 +35,8 @@
     """A service with one endpoint, and what of it has been done."""
     net = Network(clock, random.Random(1), 0.001)
     host = Host("edge", "z", "10.0.0.1:7300")
-    world = SimulatedRuntime(net, Incarnation(host, 1, lambda life, error: None), net.chance, 0.0)
-    pool = EndpointPool("z", net.chance, lambda address: 1)
+    world = SimulatedRuntime(net, Incarnation(host, 1, lambda life, error: None), net.rng, 0.0)
+    pool = EndpointPool("z", net.rng, lambda address: 1)
     pool.update("i", EndpointAnnouncement("s", "a", "z", slots, 0.0, "ready"), 0.0)
     done: list[str] = []
 
--- a/tests/cluster/test_replication.py
+++ b/tests/cluster/test_replication.py
@@ -112,12 +112,12 @@
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
 def test_a_restarted_member_leads_with_all_500_changes(seed: int) -> None:
-    group, chance = RaftGroup(seed), random.Random(seed)
+    group, rng = RaftGroup(seed), random.Random(seed)
     for number in range(500):
-        group.submit(number, int(10 ** chance.uniform(3, 6)))
+        group.submit(number, int(10 ** rng.uniform(3, 6)))
         group.run(0.1)
         if number % 15 == 10 and group.tolerates_a_loss:
-            inject_fault(group, chance)
+            inject_fault(group, rng)
     group.run(8.0)
     assert len(group.committed) == 500
     assert (group.lagging, group.failed_assertions, group.net.too_long) == ([], [], 0)
@@ -182,11 +182,11 @@
         assert member.state_machine.state["numbers"] == list(range(20))
 
 
-def inject_fault(group: RaftGroup, chance: random.Random) -> None:
+def inject_fault(group: RaftGroup, rng: random.Random) -> None:
     """For a while one member is restarted, slow, wiped, cut off or reset, or its disk stalls or is full."""
-    member = group.members[chance.choice("abc")]
-    seconds = chance.uniform(0.3, 2.0)
-    what = chance.choice(("down", "slow", "wiped", "cut", "reset", "stalled", "full"))
+    member = group.members[rng.choice("abc")]
+    seconds = rng.uniform(0.3, 2.0)
+    what = rng.choice(("down", "slow", "wiped", "cut", "reset", "stalled", "full"))
     later = partial(group.clock.call_later, seconds)
     if what == "slow":
         member.rate, member.loss = SLOW, 0.02
@@ -194,7 +194,7 @@
     elif what == "cut":
         others = [it for it in "abc" if it != member.name]
         pairs = {(it, member.name) for it in others} | {(member.name, it) for it in others}
-        pairs = {it for it in pairs if chance.random() < 0.8}
+        pairs = {it for it in pairs if rng.random() < 0.8}
         group.net.cut(pairs)
         later(partial(group.net.join, pairs))
     elif what == "reset":
--- a/tests/cluster/test_voter_selection.py
+++ b/tests/cluster/test_voter_selection.py
@@ -62,19 +62,17 @@
 
 def random_members(seed: int) -> tuple[list[MemberStatus], Tolerance, str]:
     """Some members, a minority of the voters unresponsive; the best voters have all places to choose from."""
-    chance = random.Random(seed)
-    zones = chance.randrange(1, 6)
-    places = [(f"z{at}", f"r{at % chance.choice((1, 2, 3))}") for at in range(zones)]
-    count = chance.choice((1, 3, 3, 3, 5))
-    members = [MemberStatus(f"v{at}", True, *chance.choice(places)) for at in range(count)]
-    for at in chance.sample(range(1, count), chance.randrange(0, count // 2 + 1)):
-        members[at] = replace(members[at], unresponsive_s=9.0, is_superseded=chance.random() < 0.3)
-    for at in range(chance.randrange(0, 6)):
-        member = MemberStatus(f"l{at}", False, *chance.choice(places))
-        members.append(
-            replace(member, is_caught_up=chance.random() < 0.8, is_superseded=chance.random() < 0.1)
-        )
-    tolerance = chance.choice((Tolerance(1, 0, 0), A_ZONE, A_REGION, Tolerance(2, 1, 0), Tolerance(2, 0, 0)))
+    rng = random.Random(seed)
+    zones = rng.randrange(1, 6)
+    places = [(f"z{at}", f"r{at % rng.choice((1, 2, 3))}") for at in range(zones)]
+    count = rng.choice((1, 3, 3, 3, 5))
+    members = [MemberStatus(f"v{at}", True, *rng.choice(places)) for at in range(count)]
+    for at in rng.sample(range(1, count), rng.randrange(0, count // 2 + 1)):
+        members[at] = replace(members[at], unresponsive_s=9.0, is_superseded=rng.random() < 0.3)
+    for at in range(rng.randrange(0, 6)):
+        member = MemberStatus(f"l{at}", False, *rng.choice(places))
+        members.append(replace(member, is_caught_up=rng.random() < 0.8, is_superseded=rng.random() < 0.1))
+    tolerance = rng.choice((Tolerance(1, 0, 0), A_ZONE, A_REGION, Tolerance(2, 1, 0), Tolerance(2, 0, 0)))
     return members, tolerance, "v0"
 
 
--- a/tests/cluster/wires.py
+++ b/tests/cluster/wires.py
@@ -96,13 +96,13 @@
 
     def abort(self) -> None:
         self.closing = True
-        self.loop.call_later(self.loop.chance.uniform(*DELAY_S), self.other.reset)
+        self.loop.call_later(self.loop.rng.uniform(*DELAY_S), self.other.reset)
         self.loop.call_soon(self._lost, None)
 
     # -- on the wire
 
     def _leave(self, data: bytes | None) -> None:
-        self._last = max(self._last + 1e-9, self.loop.time() + self.loop.chance.uniform(*DELAY_S))
+        self._last = max(self._last + 1e-9, self.loop.time() + self.loop.rng.uniform(*DELAY_S))
         self.loop.call_at(self._last, self.other.arrive, data, self._last)
 
     def open(self) -> None:
@@ -119,7 +119,7 @@
             return
         self.unread.append(data)
         self._mark.send(b"x")
-        if self.loop.chance.random() < 0.7:
+        if self.loop.rng.random() < 0.7:
             self._read(due)
         else:
             self.loop.call_later(0.0005, self._read, self.loop.time() + 0.0005)
@@ -152,10 +152,10 @@
 class Loop(asyncio.SelectorEventLoop):
     """A loop with virtual time, whose connections are in memory."""
 
-    def __init__(self, chance: random.Random) -> None:
+    def __init__(self, rng: random.Random) -> None:
         self.waits = Waits()
         super().__init__(self.waits)
-        self.chance = chance
+        self.rng = rng
         self.doors: dict[tuple[str, int], Callable[[], asyncio.Protocol]] = {}
         self.deaf: set[tuple[str, int]] = set()  # connections to these do not come up
         self.ends: list[End] = []  # of who dialled
@@ -185,7 +185,7 @@
 
     async def create_connection(self, factory: Any, host: Any = None, port: Any = None, **rest: Any) -> Any:  # type: ignore[override]
         at = str(host), int(port)
-        await asyncio.sleep(self.chance.uniform(*DELAY_S) if at not in self.deaf else FOREVER_S)
+        await asyncio.sleep(self.rng.uniform(*DELAY_S) if at not in self.deaf else FOREVER_S)
         if at not in self.doors:
             raise ConnectionRefusedError
         here, there = factory(), self.doors[at]()
@@ -229,10 +229,10 @@
 
 def run(seed: int, scene: Callable[[Loop, random.Random], Coroutine[Any, Any, None]]) -> None:
     """Play a scene drawn from a seed; what failed unseen in the loop fails here."""
-    chance = random.Random(seed)
-    loop = Loop(chance)
+    rng = random.Random(seed)
+    loop = Loop(rng)
     try:
-        loop.run_until_complete(scene(loop, chance))
+        loop.run_until_complete(scene(loop, rng))
     finally:
         for task in asyncio.all_tasks(loop):
             task.cancel()
