--- a/amberlug/cluster/asyncio_runtime.py
+++ b/amberlug/cluster/asyncio_runtime.py
@@ -7,8 +7,7 @@
 import time
 from collections.abc import Callable
 
-from amberlug.cluster.interfaces import Json, ReplyCallback, TimerHandle
-from amberlug.cluster.rpc.framing import RawMessage
+from amberlug.cluster.interfaces import RawMessage, ReplyCallback, TimerHandle
 from amberlug.cluster.rpc.transport import PeerTransport
 
 
@@ -24,18 +23,10 @@
         """Call back after a delay."""
         return self._loop.call_later(delay_s, callback)
 
-    def send(self, address: str, tag: str, body: Json, payload: bytes = b"") -> None:
+    def send(self, address: str, message: RawMessage) -> None:
         """Send a notification."""
-        self._transport.send(address, RawMessage(tag, body, payload))
-
-    def request(
-        self,
-        address: str,
-        tag: str,
-        body: Json,
-        timeout_s: float,
-        on_reply: ReplyCallback,
-        payload: bytes = b"",
-    ) -> None:
+        self._transport.send(address, message)
+
+    def request(self, address: str, message: RawMessage, timeout_s: float, on_reply: ReplyCallback) -> None:
         """Send a request."""
-        self._transport.request(address, RawMessage(tag, body, payload), timeout_s, on_reply)
+        self._transport.request(address, message, timeout_s, on_reply)
--- a/amberlug/cluster/control/peer_query.py
+++ b/amberlug/cluster/control/peer_query.py
@@ -7,7 +7,7 @@
 
 from result import Result
 
-from amberlug.cluster.interfaces import Json, Reply, RequestFailure, Runtime
+from amberlug.cluster.interfaces import Json, RawMessage, Reply, RequestFailure, Runtime
 
 QUERY_TIMEOUT_S = 0.6  # for peers to reply: operators wait for a second
 
@@ -28,7 +28,7 @@
     def request(self, name: str, address: str, tag: str, body: Json) -> None:
         """Make a request whose reply stands under a name."""
         self._pending += 1
-        self._runtime.request(address, tag, body, QUERY_TIMEOUT_S, partial(self._receive, name))
+        self._runtime.request(address, RawMessage(tag, body), QUERY_TIMEOUT_S, partial(self._receive, name))
 
     def wait(self) -> Callable[[], None]:
         """Wait for something else as well, for as long as for a peer.
--- a/amberlug/cluster/control/session_service.py
+++ b/amberlug/cluster/control/session_service.py
@@ -14,7 +14,7 @@
     SessionReport,
 )
 from amberlug.cluster.control.sessions import HEARTBEAT_INTERVAL_S
-from amberlug.cluster.rpc.messages import Responder, handles
+from amberlug.cluster.rpc.messages import Responder, handles, raw_message
 
 MAX_STALENESS_S = 1e6  # what a node that never had contact states instead of a larger number
 
@@ -91,9 +91,9 @@
             self._registry.take_report(),
             self._quorum.is_in_contact,
         )
-        body = report.to_wire()  # encoded once for all peers: it grows with the deployment
+        message = raw_message(report)  # encoded once for all peers: it grows with the deployment
         for address in self._peers():
-            self._runtime.send(address, report.wire_tag, body)
+            self._runtime.send(address, message)
 
     @handles(SessionReport)
     def on_session_report(self, message: SessionReport, origin: str, respond: Responder) -> None:
--- a/amberlug/cluster/interfaces.py
+++ b/amberlug/cluster/interfaces.py
@@ -33,6 +33,15 @@
     TIMED_OUT = "silent"  # no reply in time: the peer may have acted on it, or may do so yet
 
 
+@value
+class RawMessage:
+    """A message as it stands in a frame: its wire tag, its JSON object, and bytes beside it."""
+
+    tag: str
+    body: Json
+    payload: bytes = b""
+
+
 @value
 class Reply:
     """A peer's reply as it stands in a frame: a JSON object, and bytes beside it."""
@@ -73,34 +82,22 @@
     def call_later(self, delay_s: float, callback: Callable[[], None]) -> TimerHandle:
         """Call `callback` once, after so many seconds."""
 
-    def send(self, address: str, tag: str, body: Json, payload: bytes = b"") -> None:
+    def send(self, address: str, message: RawMessage) -> None:
         """Send a notification; whether it arrives is not known.
 
         Typed messages are sent by `rpc.messages.send`.
 
         :param address: the peer, as `host:port`.
-        :param tag: the message's wire tag.
-        :param payload: bytes beside the JSON object.
         """
 
-    def request(
-        self,
-        address: str,
-        tag: str,
-        body: Json,
-        timeout_s: float,
-        on_reply: ReplyCallback,
-        payload: bytes = b"",
-    ) -> None:
+    def request(self, address: str, message: RawMessage, timeout_s: float, on_reply: ReplyCallback) -> None:
         """Send a request.
 
         Typed messages are sent by `rpc.messages.request`.
 
         :param address: the peer, as `host:port`.
-        :param tag: the message's wire tag.
         :param timeout_s: seconds until the request counts as timed out.
         :param on_reply: called exactly once, with the reply or with the reason why there is none.
-        :param payload: bytes beside the JSON object.
         """
 
 
--- a/amberlug/cluster/process.py
+++ b/amberlug/cluster/process.py
@@ -19,9 +19,8 @@
 from amberlug.cluster.asyncio_runtime import AsyncioRuntime
 from amberlug.cluster.http.api import HttpResponse, pack
 from amberlug.cluster.http.server import Answer, Limits, Request, Server
-from amberlug.cluster.interfaces import Respond
+from amberlug.cluster.interfaces import RawMessage, Respond
 from amberlug.cluster.metrics import PATH, page
-from amberlug.cluster.rpc.framing import RawMessage
 from amberlug.cluster.rpc.transport import PeerTransport
 from amberlug.cluster.settings import HostPort, Settings, read_settings_file
 
--- a/amberlug/cluster/rpc/framing.py
+++ b/amberlug/cluster/rpc/framing.py
@@ -15,7 +15,7 @@
 
 from result import Err, Ok, Result
 
-from amberlug.cluster.interfaces import Json
+from amberlug.cluster.interfaces import Json, RawMessage
 from amberlug.cluster.values import value
 
 MAX_NETSTRING_BYTES = 8 << 20  # a whole configuration and a page of a storage node's messages fit
@@ -55,20 +55,12 @@
     payload: bytes
 
 
-@value
-class RawMessage:
-    """A message as it stands in a frame: its wire tag, its JSON object, and bytes beside it."""
-
-    tag: str
-    body: Json
-    payload: bytes = b""
-
-    def encode(self, number: int | None = None) -> Result[bytes, FrameTooLong]:
-        """The frame of a request with that number, or of a notification."""
-        head: Json = {TAG_FIELD: self.tag, BODY_FIELD: self.body}
-        if number is not None:
-            head[NUMBER_FIELD] = number
-        return encode_frame(head, self.payload)
+def encode_message(message: RawMessage, number: int | None = None) -> Result[bytes, FrameTooLong]:
+    """The frame of a request with that number, or of a notification."""
+    head: Json = {TAG_FIELD: message.tag, BODY_FIELD: message.body}
+    if number is not None:
+        head[NUMBER_FIELD] = number
+    return encode_frame(head, message.payload)
 
 
 def encode_reply(number: object, body: Json, payload: bytes) -> Result[bytes, FrameTooLong]:
@@ -78,7 +70,7 @@
 
 def encode_handshake(origin: str) -> bytes:
     """The first frame of a client whose node listens at that address."""
-    return RawMessage(HANDSHAKE_TAG, {ORIGIN_FIELD: origin}).encode().unwrap()
+    return encode_message(RawMessage(HANDSHAKE_TAG, {ORIGIN_FIELD: origin})).unwrap()
 
 
 def handshake_origin(frame: Frame) -> str:
--- a/amberlug/cluster/rpc/messages.py
+++ b/amberlug/cluster/rpc/messages.py
@@ -12,7 +12,7 @@
 
 from result import Err, Ok, Result
 
-from amberlug.cluster.interfaces import Json, Reply, RequestFailure, Respond, Runtime
+from amberlug.cluster.interfaces import Json, RawMessage, Reply, RequestFailure, Respond, Runtime
 
 
 class WireBody(Protocol):
@@ -75,9 +75,14 @@
     wire_tag: ClassVar[str]
 
 
+def raw_message(message: _Sendable) -> RawMessage:
+    """A typed message as it stands in a frame."""
+    return RawMessage(message.wire_tag, message.to_wire(), message.payload)
+
+
 def send(runtime: Runtime, address: str, message: _Sendable) -> None:
     """Send a notification to the peer at an address; whether it arrives is not known."""
-    runtime.send(address, message.wire_tag, message.to_wire(), message.payload)
+    runtime.send(address, raw_message(message))
 
 
 def request(
@@ -100,7 +105,7 @@
         else:
             on_reply(Ok(reply_type.from_wire(reply.ok_value.body, reply.ok_value.blob)))
 
-    runtime.request(address, message.wire_tag, message.to_wire(), timeout_s, decode, message.payload)
+    runtime.request(address, raw_message(message), timeout_s, decode)
 
 
 Responder = Callable[[WireBody], None]
--- a/amberlug/cluster/rpc/server_connection.py
+++ b/amberlug/cluster/rpc/server_connection.py
@@ -7,13 +7,12 @@
 
 from result import Result
 
-from amberlug.cluster.interfaces import Json, Respond
+from amberlug.cluster.interfaces import Json, RawMessage, Respond
 from amberlug.cluster.rpc.framing import (
     NUMBER_FIELD,
     BadFrameError,
     FrameReader,
     FrameTooLong,
-    RawMessage,
     decode_message,
     encode_reply,
     handshake_origin,
--- a/amberlug/cluster/rpc/transport.py
+++ b/amberlug/cluster/rpc/transport.py
@@ -9,9 +9,9 @@
 from absl import logging
 from result import Err, Ok, Result
 
-from amberlug.cluster.interfaces import ReplyCallback, RequestFailure, Respond
+from amberlug.cluster.interfaces import RawMessage, ReplyCallback, RequestFailure, Respond
 from amberlug.cluster.rpc.client_connection import ClientConnection, ConnectError
-from amberlug.cluster.rpc.framing import BadFrameError, FrameTooLong, RawMessage
+from amberlug.cluster.rpc.framing import BadFrameError, FrameTooLong, encode_message
 from amberlug.cluster.rpc.server_connection import ServerConnection
 
 ACCEPT_BACKLOG = 256  # a restarted node is dialled by all others at once
@@ -60,14 +60,14 @@
 
     def send(self, address: str, message: RawMessage) -> None:
         """Send a notification; whether it arrives is not known."""
-        data = self.frame_to_send(message.encode(), message.tag)
+        data = self.frame_to_send(encode_message(message), message.tag)
         if data is not None:
             self._connection_to(address).send(None, data)
 
     def request(self, address: str, message: RawMessage, timeout_s: float, on_reply: ReplyCallback) -> None:
         """Send a request; `on_reply` is called exactly once, and never before this returns."""
         number = next(self._request_numbers)
-        data = self.frame_to_send(message.encode(number), message.tag)
+        data = self.frame_to_send(encode_message(message, number), message.tag)
         if data is None or not self._connection_to(address).request(number, data, timeout_s, on_reply):
             asyncio.get_running_loop().call_soon(on_reply, Err(RequestFailure.NOT_SENT))
 
--- a/amberlug/cluster/simulation/model_checker.py
+++ b/amberlug/cluster/simulation/model_checker.py
@@ -32,7 +32,7 @@
     TruncateRow,
     row_from,
 )
-from amberlug.cluster.interfaces import Json, Reply, ReplyCallback
+from amberlug.cluster.interfaces import Json, RawMessage, Reply, ReplyCallback
 from amberlug.cluster.rpc.messages import handlers_of
 from amberlug.cluster.simulation.clock import Timer
 
@@ -175,27 +175,26 @@
     def call_later(self, seconds: float, act: Callable[[], None]) -> Timer:
         return Timer(act)
 
-    def send(self, to: str, word: str, body: Json, blob: bytes = b"") -> None:
-        self.request(to, word, body, 0.0, lambda reply: None)
+    def send(self, address: str, message: RawMessage) -> None:
+        self.request(address, message, 0.0, lambda reply: None)
 
-    def request(
-        self, to: str, word: str, body: Json, within: float, then: ReplyCallback, blob: bytes = b""
-    ) -> None:
+    def request(self, address: str, message: RawMessage, timeout_s: float, on_reply: ReplyCallback) -> None:
         play, name, life = self.play, self.name, self.life
-        text = json.dumps([word, body, blob.decode()])
+        tag, payload = message.tag, message.payload
+        text = json.dumps([tag, message.body, payload.decode()])
 
         def back(said: Json) -> None:
             if play.members[name].life == life:
-                then(Ok(Reply(said, b"")))
+                on_reply(Ok(Reply(said, b"")))
 
         def respond(said: Json, blob: bytes = b"") -> None:
             reply = json.dumps(said)
-            play.post(name, f"{to} {text} {reply}", lambda: back(json.loads(reply)))
+            play.post(name, f"{address} {text} {reply}", lambda: back(json.loads(reply)))
 
         def arrive() -> None:
-            play.members[to].handlers[word](json.loads(text)[1], blob, name, respond)
+            play.members[address].handlers[tag](json.loads(text)[1], payload, name, respond)
 
-        play.post(to, f"{name} {text}", arrive)
+        play.post(address, f"{name} {text}", arrive)
 
 
 class Play:
--- a/amberlug/cluster/simulation/network.py
+++ b/amberlug/cluster/simulation/network.py
@@ -12,7 +12,7 @@
 
 from result import Err, Ok
 
-from amberlug.cluster.interfaces import Json, Reply, ReplyCallback, RequestFailure
+from amberlug.cluster.interfaces import Json, RawMessage, Reply, ReplyCallback, RequestFailure
 from amberlug.cluster.rpc.framing import MAX_NETSTRING_BYTES
 from amberlug.cluster.simulation.boundary_digest import BoundaryDigest
 from amberlug.cluster.simulation.clock import Clock, Timer
@@ -211,25 +211,28 @@
 
     # -- words and replies
 
-    def send(self, word: str, body: Json, blob: bytes) -> None:
-        """Send; nobody hears whether it came."""
-        text = json.dumps(body)
+    def send(self, message: RawMessage) -> None:
+        """Send a notification."""
+        word, blob = message.tag, message.payload
+        text = json.dumps(message.body)
         if not self._too_long(text, blob):
             self._record(None, word, text, blob)
             self._send(None, len(text) + len(blob), partial(self._arrive, None, word, text, blob))
 
-    def request(self, word: str, body: Json, blob: bytes, within: float, then: ReplyCallback) -> None:
-        """Send, and have `then` hear once what came of it."""
+    def request(self, message: RawMessage, timeout_s: float, on_reply: ReplyCallback) -> None:
+        """Send a request; `on_reply` is called once."""
+        word, blob = message.tag, message.payload
         number = next(self.net.numbers)
         source = self.ends[0]
         assert source is not None, "a connection has an opener"
-        text = json.dumps(body)
+        text = json.dumps(message.body)
         if self._too_long(text, blob):
-            self.net.clock.call_later(0.0, partial(source.do, partial(then, Err(RequestFailure.NOT_SENT))))
+            not_sent = partial(on_reply, Err(RequestFailure.NOT_SENT))
+            self.net.clock.call_later(0.0, partial(source.do, not_sent))
             return
         timer = Timer(partial(self._late, number))
-        self._asked[number] = then, timer
-        self.net.clock.call_later(within, partial(source.do, timer.fire))
+        self._asked[number] = on_reply, timer
+        self.net.clock.call_later(timeout_s, partial(source.do, timer.fire))
         self._record(number, word, text, blob)
         self._send(number, len(text) + len(blob), partial(self._arrive, number, word, text, blob))
 
@@ -386,12 +389,10 @@
         self.net.clock.call_later(seconds, partial(self.life.do, timer.fire))
         return timer
 
-    def send(self, to: str, word: str, body: Json, blob: bytes = b"") -> None:
+    def send(self, address: str, message: RawMessage) -> None:
         if not self.life.over:  # it may end in the midst of something
-            self.net.link(self.life, to).send(word, body, blob)
+            self.net.link(self.life, address).send(message)
 
-    def request(
-        self, to: str, word: str, body: Json, within: float, then: ReplyCallback, blob: bytes = b""
-    ) -> None:
+    def request(self, address: str, message: RawMessage, timeout_s: float, on_reply: ReplyCallback) -> None:
         if not self.life.over:
-            self.net.link(self.life, to).request(word, body, blob, within, then)
+            self.net.link(self.life, address).request(message, timeout_s, on_reply)
--- a/benchmarks/hollow/net.py
+++ b/benchmarks/hollow/net.py
@@ -25,11 +25,12 @@
     CallVerdict,
     EndpointCall,
     Json,
+    RawMessage,
     Reply,
     ReplyCallback,
     RequestFailure,
 )
-from amberlug.cluster.rpc.framing import FrameReader, encode_frame
+from amberlug.cluster.rpc.framing import FrameReader, encode_frame, encode_message
 from amberlug.cluster.settings import Settings, Tolerance
 from amberlug.cluster.simulation.clock import Clock, Timer
 
@@ -160,26 +161,24 @@
         self.net.clock.call_later(seconds, partial(self.host.do, cause, timer.fire))
         return timer
 
-    def send(self, to: str, word: str, body: Json, blob: bytes = b"") -> None:
-        self._send(None, to, word, body, blob)
+    def send(self, address: str, message: RawMessage) -> None:
+        self._send(None, address, message)
 
-    def request(
-        self, to: str, word: str, body: Json, within: float, then: ReplyCallback, blob: bytes = b""
-    ) -> None:
+    def request(self, address: str, message: RawMessage, timeout_s: float, on_reply: ReplyCallback) -> None:
         number = next(self.net.numbers)
-        self.net.asked[number] = self.host, to, then
-        self.net.clock.call_later(within, partial(self.net.ended, number, RequestFailure.TIMED_OUT))
-        self._send(number, to, word, body, blob)
+        self.net.asked[number] = self.host, address, on_reply
+        self.net.clock.call_later(timeout_s, partial(self.net.ended, number, RequestFailure.TIMED_OUT))
+        self._send(number, address, message)
 
-    def _send(self, number: int | None, to: str, word: str, body: Json, blob: bytes) -> None:
+    def _send(self, number: int | None, to: str, message: RawMessage) -> None:
         net, here = self.net, self.host
         there = net.hosts.get(to)
         if there is None or there.over:
             if number is not None:
                 net.clock.call_later(net.between, partial(net.ended, number, RequestFailure.NOT_SENT))
             return
-        head: Json = {"w": word, "b": body} if number is None else {"w": word, "b": body, "n": number}
-        data = encode_frame(head, blob).unwrap()
+        word = message.tag
+        data = encode_message(message, number).unwrap()
 
         def respond(said: Json, blob: bytes = b"") -> None:
             if number is None:
--- a/tests/cluster/fakes.py
+++ b/tests/cluster/fakes.py
@@ -3,7 +3,7 @@
 import random
 from collections.abc import Callable
 
-from amberlug.cluster.interfaces import Json, ReplyCallback
+from amberlug.cluster.interfaces import Json, RawMessage, ReplyCallback
 from amberlug.cluster.settings import Settings
 from amberlug.cluster.simulation.clock import Clock, Timer
 from amberlug.cluster.simulation.deployment import Deployment
@@ -28,13 +28,11 @@
         self.clock.call_later(seconds, timer.fire)
         return timer
 
-    def send(self, to: str, word: str, body: Json, blob: bytes = b"") -> None:
+    def send(self, address: str, message: RawMessage) -> None:
         pass
 
-    def request(
-        self, to: str, word: str, body: Json, within: float, then: ReplyCallback, blob: bytes = b""
-    ) -> None:
-        self.asked.append((to, word, body, then))
+    def request(self, address: str, message: RawMessage, timeout_s: float, on_reply: ReplyCallback) -> None:
+        self.asked.append((address, message.tag, message.body, on_reply))
 
 
 def settings(kind: str) -> Settings:
--- a/tests/cluster/test_admin.py
+++ b/tests/cluster/test_admin.py
@@ -20,7 +20,7 @@
 from amberlug.cluster.control.dead_messages import merged
 from amberlug.cluster.control.messages import SessionDescription
 from amberlug.cluster.control.node import ControlNode, blank
-from amberlug.cluster.interfaces import Json, Reply, ReplyCallback, RequestFailure
+from amberlug.cluster.interfaces import Json, RawMessage, Reply, ReplyCallback, RequestFailure
 from amberlug.cluster.local_deployment.deployment import Deployment, config
 from amberlug.cluster.local_deployment.fake_endpoint import Run
 from amberlug.cluster.local_deployment.trial import Sent, Tale, play
@@ -47,16 +47,14 @@
     def call_later(self, seconds: float, act: Callable[[], None]) -> Any:
         self.timers.append(act)
 
-    def send(self, to: str, word: str, body: Json, blob: bytes = b"") -> None: ...
+    def send(self, address: str, message: RawMessage) -> None: ...
 
-    def request(
-        self, to: str, word: str, body: Json, within: float, then: ReplyCallback, blob: bytes = b""
-    ) -> None:
-        answer = self.answers.get((to, word))
+    def request(self, address: str, message: RawMessage, timeout_s: float, on_reply: ReplyCallback) -> None:
+        answer = self.answers.get((address, message.tag))
         if answer is not None:
-            then(Ok(Reply(answer, answer.get("blob", b""))))
+            on_reply(Ok(Reply(answer, answer.get("blob", b""))))
         else:
-            self.timers.append(lambda: then(Err(RequestFailure.TIMED_OUT)))
+            self.timers.append(lambda: on_reply(Err(RequestFailure.TIMED_OUT)))
 
     def pass_time(self) -> None:
         timers, self.timers = self.timers, []
--- a/tests/cluster/test_internal_replies.py
+++ b/tests/cluster/test_internal_replies.py
@@ -7,9 +7,9 @@
 import pytest
 from result import Err, Ok, Result
 
-from amberlug.cluster.interfaces import Reply, RequestFailure, Respond
+from amberlug.cluster.interfaces import RawMessage, Reply, RequestFailure, Respond
 from amberlug.cluster.rpc.client_connection import CONNECT_TIMEOUT_S
-from amberlug.cluster.rpc.framing import RawMessage, encode_reply
+from amberlug.cluster.rpc.framing import encode_reply
 from amberlug.cluster.rpc.transport import PeerTransport
 from amberlug.cluster.simulation.mutations_answers import FAULTS
 from tests.cluster.wires import Loop, run
--- a/tests/cluster/test_messages.py
+++ b/tests/cluster/test_messages.py
@@ -8,7 +8,7 @@
 
 from result import Err, Ok, Result
 
-from amberlug.cluster.interfaces import Json, Reply, RequestFailure
+from amberlug.cluster.interfaces import Json, RawMessage, Reply, ReplyCallback, RequestFailure
 from amberlug.cluster.rpc.messages import Body, Request, Responder, handlers_of, handles, request
 from amberlug.cluster.simulation.clock import Clock
 from tests.cluster.fakes import Alone
@@ -57,20 +57,18 @@
         super().__init__(Clock())
         self.handlers = handlers
 
-    def request(
-        self,
-        to: str,
-        word: str,
-        body: Json,
-        within: float,
-        then: Callable[[Result[Reply, RequestFailure]], None],
-        blob: bytes = b"",
-    ) -> None:
-        handler = self.handlers.get(word)
+    def request(self, address: str, message: RawMessage, timeout_s: float, on_reply: ReplyCallback) -> None:
+        handler = self.handlers.get(message.tag)
         if handler is None:
-            then(Err(RequestFailure.TIMED_OUT))
+            on_reply(Err(RequestFailure.TIMED_OUT))
         else:
-            handler(body, blob, "10.0.0.9:7300", lambda said, more: then(Ok(Reply(said, more))))
+            origin = "10.0.0.9:7300"
+            handler(
+                message.body,
+                message.payload,
+                origin,
+                lambda body, payload: on_reply(Ok(Reply(body, payload))),
+            )
 
 
 def test_a_request_reaches_its_typed_handler_and_its_reply_comes_back_typed() -> None:
--- a/tests/cluster/test_replication.py
+++ b/tests/cluster/test_replication.py
@@ -10,6 +10,7 @@
 
 from amberlug.cluster.consensus.election import MIN_ELECTION_TIMEOUT_S
 from amberlug.cluster.consensus.log import SNAPSHOT_BYTES, TAIL_BYTES
+from amberlug.cluster.interfaces import RawMessage
 from tests.cluster.group import SLOW, GroupMember, RaftGroup
 
 
@@ -134,7 +135,8 @@
             assert group.leader is not None
             group.leader.raft.transfer_leadership = lambda: None  # type: ignore[method-assign]
             group.leader.raft.runtime.send(
-                member.name, "vise.now", {"term": member.raft.term, "to": member.raft.member_id}
+                member.name,
+                RawMessage("vise.now", {"term": member.raft.term, "to": member.raft.member_id}),
             )
             group.run(2.0)
         assert group.leader is member
--- a/tests/cluster/test_rpc_transport.py
+++ b/tests/cluster/test_rpc_transport.py
@@ -5,7 +5,7 @@
 import pytest
 from result import Err, Result
 
-from amberlug.cluster.interfaces import Json, Reply, RequestFailure, Respond
+from amberlug.cluster.interfaces import Json, RawMessage, Reply, RequestFailure, Respond
 from amberlug.cluster.rpc.client_connection import ClientConnection, ConnectError
 from amberlug.cluster.rpc.framing import (
     MAX_NETSTRING_BYTES,
@@ -13,9 +13,9 @@
     Frame,
     FrameReader,
     FrameTooLong,
-    RawMessage,
     encode_frame,
     encode_handshake,
+    encode_message,
     encode_reply,
 )
 from amberlug.cluster.rpc.server_connection import MAX_HANDSHAKE_BYTES
@@ -29,9 +29,11 @@
 
 def test_frames_are_the_bytes_that_earlier_versions_read() -> None:
     assert encode_handshake("10.0.0.1:7300") == b'42:{"w":"hello","b":{"from":"10.0.0.1:7300"}},'
-    assert RawMessage("beat", {"a": 1}).encode() == RawMessage("beat", {"a": 1}, b"").encode(None)
-    assert RawMessage("beat", {"a": 1}).encode().unwrap() == b'24:{"w":"beat","b":{"a":1}},'
-    request = RawMessage("store", {"a": 1}, b"data").encode(7).unwrap()
+    assert encode_message(RawMessage("beat", {"a": 1})) == encode_message(
+        RawMessage("beat", {"a": 1}, b""), None
+    )
+    assert encode_message(RawMessage("beat", {"a": 1})).unwrap() == b'24:{"w":"beat","b":{"a":1}},'
+    request = encode_message(RawMessage("store", {"a": 1}, b"data"), 7).unwrap()
     assert request == b'37:{"w":"store","b":{"a":1},"n":7,"x":1},4:data,'
     assert encode_reply(7, {}, b"").unwrap() == b'14:{"n":7,"b":{}},'
     frames = list(FrameReader().feed(request + request))
@@ -89,8 +91,8 @@
 @pytest.mark.parametrize(
     "data",
     [
-        RawMessage("request", {"from": "10.0.0.9:7300"}).encode(1).unwrap(),
-        RawMessage("hello", {"from": ""}).encode().unwrap(),
+        encode_message(RawMessage("request", {"from": "10.0.0.9:7300"}), 1).unwrap(),
+        encode_message(RawMessage("hello", {"from": ""})).unwrap(),
         b"%d:" % (MAX_HANDSHAKE_BYTES + 1),
         encode_handshake("10.0.0.9:7300") + encode_reply(1, {}, b"").unwrap(),
     ],
