--- a/amberlug/cluster/__main__.py
+++ b/amberlug/cluster/__main__.py
@@ -2,50 +2,28 @@
 
 from __future__ import annotations
 
-import importlib
-import os
 import sys
-from typing import ClassVar
 
-import click
+RUN_COMMAND = "run"
+PROGRAM_NAME = "python -m amberlug.cluster"
 
-from amberlug.cluster.settings import DEFAULT_SETTINGS_FILE, SETTINGS_FILE_VARIABLE
 
+def main(arguments: list[str]) -> None:
+    """Run a command, and end the process with its exit code.
 
-class Lazy(click.Group):
-    """Imports a command's module only once it is asked for, so that `run` starts without them."""
+    A node, which starts on a fraction of a core, does not import the command line: it would cost a tenth of
+    the start.
 
-    LATER: ClassVar = {
-        "admin": "amberlug.cluster.admin.commands:admin",
-        "stand-in": "amberlug.cluster.local_deployment.commands:stand_in",
-        "try": "amberlug.cluster.local_deployment.commands:trial",
-    }
+    :param arguments: behind the program's name.
+    """
+    if arguments == [RUN_COMMAND]:
+        from amberlug.cluster.process import run_configured_node
 
-    def list_commands(self, ctx: click.Context) -> list[str]:
-        """Name all commands."""
-        return sorted([*super().list_commands(ctx), *self.LATER])
+        sys.exit(run_configured_node())
+    from amberlug.cluster.command_line import cli
 
-    def get_command(self, ctx: click.Context, cmd_name: str) -> click.Command | None:
-        """Give one command."""
-        if cmd_name not in self.LATER:
-            return super().get_command(ctx, cmd_name)
-        module, _, name = self.LATER[cmd_name].partition(":")
-        command: click.Command = getattr(importlib.import_module(module), name)
-        return command
-
-
-@click.group(cls=Lazy)
-def cli() -> None:
-    """The ingest and dispatch service."""
-
-
-@cli.command()
-def run() -> None:
-    """Serve as the settings file says."""
-    from amberlug.cluster.process import main
-
-    sys.exit(main(os.environ.get(SETTINGS_FILE_VARIABLE, DEFAULT_SETTINGS_FILE)))
+    cli(arguments, prog_name=PROGRAM_NAME)
 
 
 if __name__ == "__main__":
-    cli(prog_name="python -m amberlug.cluster")
+    main(sys.argv[1:])
--- a/amberlug/cluster/process.py
+++ b/amberlug/cluster/process.py
@@ -22,7 +22,13 @@
 from amberlug.cluster.interfaces import RawMessage, Respond
 from amberlug.cluster.metrics import PATH, page
 from amberlug.cluster.rpc.transport import PeerTransport
-from amberlug.cluster.settings import HostPort, Settings, read_settings_file
+from amberlug.cluster.settings import (
+    DEFAULT_SETTINGS_FILE,
+    SETTINGS_FILE_VARIABLE,
+    HostPort,
+    Settings,
+    read_settings_file,
+)
 
 if TYPE_CHECKING:
     from amberlug.cluster.edge.intake import ClientResponse
@@ -336,3 +342,8 @@
         return await NodeProcess(settings, path).run()
 
     return asyncio.run(serve())
+
+
+def run_configured_node() -> int:
+    """Serve as the settings file says that the environment names; returns the exit code."""
+    return main(os.environ.get(SETTINGS_FILE_VARIABLE, DEFAULT_SETTINGS_FILE))
--- a/tests/cluster/test_admin.py
+++ b/tests/cluster/test_admin.py
@@ -14,9 +14,9 @@
 from click.testing import CliRunner, Result
 from result import Err, Ok
 
-from amberlug.cluster.__main__ import cli
 from amberlug.cluster.admin.commands import BAD, DONE, REFUSED, UNCLEAR
 from amberlug.cluster.admin.files import check_deploy, check_settings, differences
+from amberlug.cluster.command_line import cli
 from amberlug.cluster.control.dead_messages import merged
 from amberlug.cluster.control.messages import SessionDescription
 from amberlug.cluster.control.node import ControlNode, blank
--- a/tests/test_documents.py
+++ b/tests/test_documents.py
@@ -12,7 +12,7 @@
 import pytest
 
 from amberlug.cli.main import parser as relay_parser
-from amberlug.cluster.__main__ import cli
+from amberlug.cluster.command_line import cli
 from amberlug.cluster.simulation.__main__ import main as simulation_cli
 
 ROOT = Path(__file__).parents[1]
