--- a/amberlug/cluster/http/api.py
+++ b/amberlug/cluster/http/api.py
@@ -4,10 +4,10 @@
 
 import json
 from collections.abc import Callable
-from dataclasses import dataclass
 from typing import Any, Protocol
 
 from amberlug.cluster.interfaces import Json
+from amberlug.cluster.values import value
 
 
 class HttpRequest(Protocol):
@@ -29,7 +29,7 @@
         """The value of a header by its name in lower case; None where there is none."""
 
 
-@dataclass(frozen=True, slots=True)
+@value
 class HttpResponse:
     """A response to a call.
 
@@ -49,7 +49,7 @@
 _DECLARED = "_api_call"
 
 
-@dataclass(frozen=True, slots=True)
+@value
 class ApiCall:
     """A declared call; a path that ends with `/` is followed by a name."""
 
--- a/amberlug/cluster/http/routing.py
+++ b/amberlug/cluster/http/routing.py
@@ -3,10 +3,11 @@
 from __future__ import annotations
 
 from collections.abc import Mapping
-from dataclasses import dataclass, field
+from dataclasses import field
 from types import MappingProxyType
 
 from amberlug.cluster.interfaces import Json
+from amberlug.cluster.values import value
 
 # What the configuration's page gives where a field is missing.
 DEFAULT_HEADER_BYTES = 16384
@@ -16,7 +17,7 @@
 DEFAULT_RETENTION_S = 86400.0
 
 
-@dataclass(frozen=True, slots=True)
+@value
 class Route:
     """Where requests of one host and path prefix go. Durations are in seconds, as their names say."""
 
@@ -31,7 +32,7 @@
     retention_s: float  # after which an undelivered message expires
 
 
-@dataclass(frozen=True, slots=True)
+@value
 class Destination:
     """One service of the configuration."""
 
@@ -40,7 +41,7 @@
     fixed: str | None  # address of a service whose endpoints do not register
 
 
-@dataclass(frozen=True, slots=True)
+@value
 class RoutingTable:
     """One configuration, complete; `index` is its position in the Raft log, by which newer ones are known."""
 
--- a/amberlug/cluster/http/server.py
+++ b/amberlug/cluster/http/server.py
@@ -7,12 +7,13 @@
 import re
 import select
 from collections.abc import Callable
-from dataclasses import dataclass
 from functools import lru_cache
 from http import HTTPStatus
 
 import h11
 
+from amberlug.cluster.values import value
+
 AHEAD_MOST = 1 << 16  # bytes kept beyond an open request
 UNREAD_MOST = 1 << 20  # bytes passed over behind a last answer
 TURN = 64  # requests of one connection in one go: what one client sends at once must not hold up the others
@@ -38,7 +39,7 @@
 _BARE = frozenset((*range(100, 200), 204, 304))  # statuses without a body or its length
 
 
-@dataclass(frozen=True, slots=True)
+@value
 class Request:
     """One request, read whole; names of headers are in lower case."""
 
@@ -49,13 +50,13 @@
 
     def header(self, name: str) -> str | None:
         """Give the first value of that lower-case name."""
-        for known, value in self.headers:
+        for known, content in self.headers:
             if known == name:
-                return value
+                return content
         return None
 
 
-@dataclass(frozen=True, slots=True)
+@value
 class Answer:
     """What a request is answered with; length and connection headers are the server's to add."""
 
@@ -65,7 +66,7 @@
     close: bool = False
 
 
-@dataclass(frozen=True, slots=True)
+@value
 class Limits:
     """How large requests may be, and how many seconds they may take."""
 
