--- a/amberlug/cluster/control/dead_messages.py
+++ b/amberlug/cluster/control/dead_messages.py
@@ -14,7 +14,7 @@
 from amberlug.cluster.control.state_entries import StoreState
 from amberlug.cluster.http.api import HttpRequest, HttpResponse, RespondHttp, api_call
 from amberlug.cluster.interfaces import Json, Runtime
-from amberlug.cluster.storage.operator_messages import DEAD_MESSAGES_PER_PAGE
+from amberlug.cluster.storage.limits import DEAD_MESSAGES_PER_PAGE
 from amberlug.cluster.values import value
 
 LIST_TAG = "dead"  # asks a storage node for a page of its messages, or for one of them
--- a/amberlug/cluster/storage/status.py
+++ b/amberlug/cluster/storage/status.py
@@ -4,9 +4,9 @@
 
 from amberlug.cluster.node_status import NodeStatusRequest
 from amberlug.cluster.rpc.messages import Responder, handles
+from amberlug.cluster.storage.limits import DEAD_MESSAGES_PER_PAGE
 from amberlug.cluster.storage.messages import DEAD_OUTCOME
 from amberlug.cluster.storage.operator_messages import (
-    DEAD_MESSAGES_PER_PAGE,
     DeadMessage,
     DeadMessagesReply,
     DeadMessagesRequest,
--- /dev/null
+++ b/tests/cluster/test_startup.py
@@ -0,0 +1,99 @@
+"""A node's start imports what its kind needs: it starts on a fraction of a core, where each module counts."""
+
+import os
+import subprocess
+import sys
+from pathlib import Path
+
+import pytest
+from click.testing import CliRunner
+
+from amberlug.cluster.command_line import cli
+from amberlug.cluster.process import EX_BAD_SETTINGS
+from amberlug.cluster.settings import SETTINGS_FILE_VARIABLE
+from benchmarks.startup import Start, start_node
+
+ROOT = Path(__file__).parents[2]
+CLUSTER = "amberlug.cluster"
+EX_BAD_USAGE = 2
+# Packages and parts of the cluster that no node needs to serve.
+NEVER = (
+    "click",
+    "pyrsistent",
+    "msgpack",
+    "rich",
+    f"{CLUSTER}.admin",
+    f"{CLUSTER}.command_line",
+    f"{CLUSTER}.local_deployment",
+    f"{CLUSTER}.simulation",
+)
+# What a kind of node may import of the packages of the others: their messages, and what it shares with them.
+SHARED = {
+    "edge": ("storage.messages", "control.messages", "control.sessions", "control.shard_assignment"),
+    "storage": ("control.messages", "control.sessions"),
+    "control_plane": ("storage.failures", "storage.group_commit", "storage.limits"),
+}
+OTHERS = {
+    "edge": ("storage", "control", "consensus"),
+    "storage": ("edge", "dispatch", "control", "consensus"),
+    "control_plane": ("edge", "dispatch", "storage"),
+}
+MOST_MODULES = {"edge": 68, "storage": 41, "control_plane": 75}  # of the project; two more than there are
+KINDS = tuple(SHARED)
+
+
+@pytest.fixture(scope="module")
+def starts() -> dict[str, Start]:
+    return {kind: start_node(ROOT, kind) for kind in KINDS}
+
+
+def lies_in(module: str, package: str) -> bool:
+    return module == package or module.startswith(package + ".")
+
+
+@pytest.mark.parametrize("kind", KINDS)
+def test_a_start_imports_nothing_of_the_command_line_and_of_the_simulation(
+    starts: dict[str, Start], kind: str
+) -> None:
+    found = [name for name in starts[kind].modules if any(lies_in(name, package) for package in NEVER)]
+    assert found == []
+
+
+@pytest.mark.parametrize("kind", KINDS)
+def test_a_start_imports_only_the_messages_of_other_kinds(starts: dict[str, Start], kind: str) -> None:
+    packages = [f"{CLUSTER}.{name}" for name in OTHERS[kind]]
+    allowed = {*packages, *(f"{CLUSTER}.{name}" for name in SHARED[kind])}
+    found = {name for name in starts[kind].modules if any(lies_in(name, package) for package in packages)}
+    assert found - allowed == set()
+    assert {f"{CLUSTER}.{name}" for name in SHARED[kind]} <= found, "what is not imported need not be allowed"
+
+
+@pytest.mark.parametrize("kind", KINDS)
+def test_a_start_imports_no_more_modules_than_are_counted_here(starts: dict[str, Start], kind: str) -> None:
+    assert f"{CLUSTER}.process" in starts[kind].own_modules
+    assert len(starts[kind].own_modules) <= MOST_MODULES[kind]
+
+
+def test_run_without_the_command_line_does_what_the_command_line_would(tmp_path: Path) -> None:
+    missing = {SETTINGS_FILE_VARIABLE: str(tmp_path / "missing.yaml")}
+    by_command_line = CliRunner().invoke(cli, ["run"], env=missing)
+    alone = subprocess.run(
+        [sys.executable, "-m", "amberlug.cluster", "run"],
+        cwd=ROOT,
+        env=os.environ | missing,
+        capture_output=True,
+        text=True,
+        check=False,
+    )
+    assert by_command_line.exit_code == alone.returncode == EX_BAD_SETTINGS
+    assert by_command_line.stderr == alone.stderr != ""
+
+
+@pytest.mark.parametrize(
+    ("arguments", "status"), [(["--help"], 0), (["run", "--help"], 0), (["run", "x"], 2)]
+)
+def test_all_else_goes_to_the_command_line(arguments: list[str], status: int) -> None:
+    command = [sys.executable, "-m", "amberlug.cluster", *arguments]
+    found = subprocess.run(command, cwd=ROOT, capture_output=True, text=True, check=False)
+    assert found.returncode == status
+    assert "Usage: python -m amberlug.cluster" in found.stdout + found.stderr
--- a/tests/cluster/test_storage_frames.py
+++ b/tests/cluster/test_storage_frames.py
@@ -7,6 +7,7 @@
 
 from amberlug.cluster.node_status import NodeStatusRequest
 from amberlug.cluster.rpc.messages import WireBody
+from amberlug.cluster.storage.limits import DEAD_MESSAGES_PER_PAGE
 from amberlug.cluster.storage.messages import (
     DEAD_OUTCOME,
     OPEN,
@@ -25,7 +26,6 @@
     ReplicaWriteResult,
 )
 from amberlug.cluster.storage.operator_messages import (
-    DEAD_MESSAGES_PER_PAGE,
     DeadMessagesReply,
     DeadMessagesRequest,
     StorageStatusReport,
