--- a/amberlug/cluster/control/node.py
+++ b/amberlug/cluster/control/node.py
@@ -119,12 +119,12 @@
         self.reconciler.begin()
         self.membership.join()
 
-    def leave(self) -> None:
+    def begin_shutdown(self) -> None:
         """Begin a planned stop: another node leads and votes from now on, where there is one."""
         self.membership.leave()
 
     @property
-    def idle(self) -> bool:
+    def is_idle(self) -> bool:
         """Whether a process that was told to stop may stop."""
         return self.membership.has_left
 
@@ -132,11 +132,11 @@
         """Take no further part in consensus."""
         self.raft.stop()
 
-    def settings_are(self, settings: Settings) -> None:
+    def update_settings(self, settings: Settings) -> None:
         """Take over a settings file that has changed."""
         self.settings = settings
 
-    def broken(self, address: str) -> None:
+    def on_peer_disconnected(self, address: str) -> None:
         """Notice that the connection with a process ended."""
         self.session_service.close_connection(address)
 
--- a/amberlug/cluster/dispatch/dispatcher.py
+++ b/amberlug/cluster/dispatch/dispatcher.py
@@ -181,7 +181,7 @@
         now_us = self._now_us()
         if result.status == 421:
             call.endpoint.state = "gone"  # another incarnation has its address
-            self._endpoints.forget(call.endpoint.address)
+            self._endpoints.close_idle_connections(call.endpoint.address)
         elif result.status == 503:
             # A full endpoint tells of its slots at that moment, and nothing of the service's rate. Guards
             # against a limit of a few units learned in the burst after a start, which kept edges back for
--- a/amberlug/cluster/dispatch/endpoint_client.py
+++ b/amberlug/cluster/dispatch/endpoint_client.py
@@ -37,11 +37,11 @@
         self._idle: dict[str, list[_Connection]] = {}  # the newest last
         self._tasks: set[asyncio.Task[None]] = set()  # an event loop refers only weakly to its tasks
 
-    def idle(self, address: str) -> int:
-        """How many idle connections there are to an address."""
+    def available_connections(self, address: str) -> int:
+        """How many idle connections there are to an address, each of which carries one call at a time."""
         return len(self._idle.get(address, ()))
 
-    def forget(self, address: str) -> None:
+    def close_idle_connections(self, address: str) -> None:
         """Close the idle connections to an endpoint that is gone."""
         for connection in self._idle.pop(address, []):
             connection.link.close()
--- a/amberlug/cluster/edge/dispatchers.py
+++ b/amberlug/cluster/edge/dispatchers.py
@@ -31,7 +31,7 @@
     ) -> None:
         self._context, self._shards, self._endpoints = context, shards, endpoints
         self._on_call_finished = on_call_finished
-        self._pool = EndpointPool(context.settings.zone, context.runtime.rng, endpoints.idle)
+        self._pool = EndpointPool(context.settings.zone, context.runtime.rng, endpoints.available_connections)
         self.by_service: dict[str, Dispatcher] = {}
         self._rate_share = 0.0
         self._increase_scheduled = False
@@ -64,7 +64,7 @@
             endpoint_id, EndpointAnnouncement.from_wire(announcement), self._context.runtime.now()
         )
         if unusable is not None and unusable.state == "gone":
-            self._endpoints.forget(unusable.address)
+            self._endpoints.close_idle_connections(unusable.address)
         dispatcher = self.by_service.get(announcement["service"])
         if dispatcher is not None:
             dispatcher.pump()
--- a/amberlug/cluster/edge/node.py
+++ b/amberlug/cluster/edge/node.py
@@ -93,13 +93,13 @@
         self.delivery.begin()
         self.repair.begin()
 
-    def leave(self) -> None:
+    def begin_shutdown(self) -> None:
         """Begin a planned end: this node's shards go to others, to which it forwards late submissions."""
         self._is_leaving = True
         self.member.leave()
 
     @property
-    def idle(self) -> bool:
+    def is_idle(self) -> bool:
         """Whether the process can end, since no other node waits for anything of this one."""
         return self.delivery.is_idle
 
@@ -144,12 +144,12 @@
         """Answer a request of a client."""
         self._intake.handle(request, respond)
 
-    def settings_are(self, settings: Settings) -> None:
+    def update_settings(self, settings: Settings) -> None:
         """Use a settings file that has changed."""
         self._context.settings = self.member.settings = settings
         self.member.add_seeds(seed_addresses(settings))
 
-    def broken(self, address: str) -> None:
+    def on_peer_disconnected(self, address: str) -> None:
         """The connection with the process at an address was lost."""
         self.member.on_disconnect(address)
         self.replicator.connection_lost(address)
--- a/amberlug/cluster/http/server.py
+++ b/amberlug/cluster/http/server.py
@@ -413,7 +413,7 @@
         sockets = self._listening.sockets if self._listening is not None else ()
         return int(sockets[0].getsockname()[1]) if sockets else 0
 
-    def leave(self) -> None:
+    def drain(self) -> None:
         """Let each answer end its connection from now on, and close those that carry no request."""
         self.leaving = True
         for connection in [it for it in self._connections if it.phase == IDLE]:
--- a/amberlug/cluster/interfaces.py
+++ b/amberlug/cluster/interfaces.py
@@ -154,10 +154,10 @@
     def call(self, call: EndpointCall, on_result: Callable[[CallResult], None]) -> None:
         """Call an endpoint; `on_result` is called exactly once."""
 
-    def idle(self, address: str) -> int:
+    def available_connections(self, address: str) -> int:
         """How many connections to an endpoint could carry a call at once."""
 
-    def forget(self, address: str) -> None:
+    def close_idle_connections(self, address: str) -> None:
         """Close the idle connections to an endpoint that has gone."""
 
 
--- a/amberlug/cluster/process.py
+++ b/amberlug/cluster/process.py
@@ -56,19 +56,19 @@
         """Counters for operators, by name."""
 
     @property
-    def idle(self) -> bool:
+    def is_idle(self) -> bool:
         """Whether the process may end without loss."""
 
     def begin(self) -> None:
         """Start, once the process listens."""
 
-    def leave(self) -> None:
+    def begin_shutdown(self) -> None:
         """Announce a planned stop."""
 
-    def settings_are(self, settings: Settings) -> None:
+    def update_settings(self, settings: Settings) -> None:
         """Take the settings of a file that has changed."""
 
-    def broken(self, address: str) -> None:
+    def on_peer_disconnected(self, address: str) -> None:
         """A connection with a peer has ended."""
 
 
@@ -101,7 +101,7 @@
 
     def _on_disconnect(self, address: str) -> None:
         if self._node is not None:
-            self._node.broken(address)
+            self._node.on_peer_disconnected(address)
 
     @property
     def node(self) -> Node:
@@ -207,19 +207,19 @@
 
     def _on_stop_signal(self) -> None:
         logging.info("stopping on a signal")
-        self.node.leave()
+        self.node.begin_shutdown()
         loop = asyncio.get_running_loop()
         if self.settings.front is None:
             loop.call_later(IDLE_CHECK_INTERVAL_S, self._end_when_idle)
             return
         for server in self._servers:
-            server.leave()
+            server.drain()
         now = loop.time()
         self._drain(now + STILL_ROUTED_S, now + self.settings.seconds("graceS") - GRACE_MARGIN_S)
 
     def _end_when_idle(self) -> None:
         """End at once, but for a control-plane node, which is idle once another one votes in its place."""
-        if self.node.idle:
+        if self.node.is_idle:
             self._ended.set()
         else:
             asyncio.get_running_loop().call_later(IDLE_CHECK_INTERVAL_S, self._end_when_idle)
@@ -229,7 +229,7 @@
         loop = asyncio.get_running_loop()
         now = loop.time()
         open_requests = sum(server.open_requests for server in self._servers)
-        is_drained = now >= routed_until_s and open_requests == 0 and self.node.idle
+        is_drained = now >= routed_until_s and open_requests == 0 and self.node.is_idle
         if now >= deadline_s or is_drained:
             for server in self._servers:
                 server.stop()
@@ -257,7 +257,7 @@
             logging.error("ignoring the settings file: %s", "; ".join(map(str, found.err_value)))
             return
         self.settings = found.ok_value
-        self.node.settings_are(found.ok_value)
+        self.node.update_settings(found.ok_value)
 
     def _log_counters(self) -> None:
         asyncio.get_running_loop().call_later(COUNTERS_INTERVAL_S, self._log_counters)
--- a/amberlug/cluster/simulation/deployment.py
+++ b/amberlug/cluster/simulation/deployment.py
@@ -103,7 +103,7 @@
         """All processes take the settings file as it is by now."""
         for machine in self.machines:
             if machine.up and machine.life is not None:
-                machine.life.do(partial(machine.part.settings_are, self.settings(machine)))
+                machine.life.do(partial(machine.part.update_settings, self.settings(machine)))
 
     @property
     def machines(self) -> list[Machine]:
--- a/amberlug/cluster/simulation/endpoints.py
+++ b/amberlug/cluster/simulation/endpoints.py
@@ -334,10 +334,10 @@
         self._kept: set[str] = set()
         self._idle: dict[str, list[Connection]] = {}
 
-    def idle(self, address: str) -> int:
+    def available_connections(self, address: str) -> int:
         return int(address in self._kept)
 
-    def forget(self, address: str) -> None:
+    def close_idle_connections(self, address: str) -> None:
         self._kept.discard(address)
 
     def _connection(self, delivery: EndpointCall) -> Connection:
--- a/amberlug/cluster/simulation/machine.py
+++ b/amberlug/cluster/simulation/machine.py
@@ -187,7 +187,7 @@
         if life is None or life.over:
             return
         self.deployment.history.mark(self.name, What.TERM)
-        life.do(life.machine.leave)
+        life.do(life.machine.begin_shutdown)
         clock = self.deployment.clock
         if self.kind != "edge":
             clock.call_later(STOP_S, partial(self._end_when_idle, life))
@@ -198,7 +198,7 @@
     def _end_when_idle(self, life: Incarnation) -> None:
         if life.over:
             return
-        if life.machine.idle:
+        if life.machine.is_idle:
             self._finish(life)
         else:
             self.deployment.clock.call_later(STOP_S, partial(self._end_when_idle, life))
@@ -207,7 +207,7 @@
         if life.over:
             return
         now = self.deployment.clock.now
-        if now >= until or (now >= served_until and not life.calls and life.machine.idle):
+        if now >= until or (now >= served_until and not life.calls and life.machine.is_idle):
             self._finish(life)
         else:
             self.deployment.clock.call_later(0.05, partial(self._wind_up, life, served_until, until))
--- a/amberlug/cluster/simulation/network.py
+++ b/amberlug/cluster/simulation/network.py
@@ -358,11 +358,11 @@
                 timer.cancel()
                 me.do(partial(then, Err(why)))
             self._waiting = None
-            me.do(lambda: me.machine.broken(self.to))
+            me.do(lambda: me.machine.on_peer_disconnected(self.to))
         else:
             me.incoming.pop(self, None)
             assert other is not None, "a connection has an opener"
-            me.do(lambda: me.machine.broken(other.host.address))
+            me.do(lambda: me.machine.on_peer_disconnected(other.host.address))
         if tell and other is not None:
             self._transmit(side, 0, partial(self.close, 1 - side, RequestFailure.CONNECTION_LOST, False))
 
--- a/amberlug/cluster/storage/node.py
+++ b/amberlug/cluster/storage/node.py
@@ -61,20 +61,20 @@
         self.gossip.begin()
         self.replicas.begin()
 
-    def leave(self) -> None:
+    def begin_shutdown(self) -> None:
         """Prepare an orderly shutdown: there is nothing to hand over, a restart finds all on the disk."""
 
     @property
-    def idle(self) -> bool:
+    def is_idle(self) -> bool:
         """Whether a process that is to shut down may exit: always."""
         return True
 
-    def settings_are(self, settings: Settings) -> None:
+    def update_settings(self, settings: Settings) -> None:
         """Apply a settings file that has changed."""
         self.settings = self.member.settings = settings
         self.member.add_seeds(seed_addresses(settings))
 
-    def broken(self, address: str) -> None:
+    def on_peer_disconnected(self, address: str) -> None:
         """Handle that the connection with a peer has ended."""
         self.member.on_disconnect(address)
 
--- a/benchmarks/hollow/net.py
+++ b/benchmarks/hollow/net.py
@@ -139,7 +139,7 @@
 
 def _broken(host: Host, gone: Host) -> None:
     if host.machine is not None:
-        host.machine.broken(gone.address)
+        host.machine.on_peer_disconnected(gone.address)
 
 
 class HollowWorld:
@@ -226,10 +226,10 @@
         done = CallResult(CallVerdict.ANSWERED, 200, headers)
         self.net.clock.call_later(0.005, partial(self.host.do, "answered", partial(then, done)))
 
-    def idle(self, address: str) -> int:
+    def available_connections(self, address: str) -> int:
         return 0
 
-    def forget(self, address: str) -> None:
+    def close_idle_connections(self, address: str) -> None:
         pass
 
 
--- a/tests/cluster/group.py
+++ b/tests/cluster/group.py
@@ -83,7 +83,7 @@
     def _restore(self, state: Json) -> None:
         self.state = state
 
-    def broken(self, address: str) -> None:
+    def on_peer_disconnected(self, address: str) -> None:
         pass
 
 
--- a/tests/cluster/test_edge_node.py
+++ b/tests/cluster/test_edge_node.py
@@ -20,10 +20,10 @@
     def call(self, delivery: EndpointCall, then: Callable[[CallResult], None]) -> None:
         pass
 
-    def idle(self, address: str) -> int:
+    def available_connections(self, address: str) -> int:
         return 0
 
-    def forget(self, address: str) -> None:
+    def close_idle_connections(self, address: str) -> None:
         pass
 
 
--- a/tests/cluster/test_endpoint_answers.py
+++ b/tests/cluster/test_endpoint_answers.py
@@ -189,7 +189,7 @@
         self.ended: dict[str, str] = {}
         self.messages: dict[str, Message] = {}
         world = AsyncioRuntime(PeerTransport(lambda *given: None, lambda address: None), site.rng)
-        pool = EndpointPool("z", site.rng, self.caller.idle)
+        pool = EndpointPool("z", site.rng, self.caller.available_connections)
         for number in range(2):
             at = f"10.0.0.{number}", 80
             site.loop.doors[at] = lambda: Endpoint(site)
@@ -197,7 +197,10 @@
             pool.update(f"i{number}", announcement, 0.0)
         callbacks = DispatchCallbacks(lambda message: EXPIRY_S, self.finished)
         self.service = Dispatcher("s", world, pool, self, callbacks)
-        self.forget, self.idle = self.caller.forget, self.caller.idle
+        self.close_idle_connections, self.available_connections = (
+            self.caller.close_idle_connections,
+            self.caller.available_connections,
+        )
 
     def call(self, delivery: EndpointCall, then: Any) -> None:
         """Send a call with a number of its own, and see that what is said of it is true."""
--- a/tests/cluster/test_gossip.py
+++ b/tests/cluster/test_gossip.py
@@ -32,7 +32,7 @@
         )
         self.handlers = handlers_of(self.gossip)
 
-    def broken(self, address: str) -> None:
+    def on_peer_disconnected(self, address: str) -> None:
         pass
 
 
--- a/tests/cluster/test_http_server.py
+++ b/tests/cluster/test_http_server.py
@@ -203,7 +203,7 @@
         await idle.readuntil(b"hi")
         asks.write(GET.replace(b"/a", b"/later"))
         await rig.until(lambda: rig.server.open_requests == 1)
-        rig.server.leave()
+        rig.server.drain()
         assert await idle.read() == b""
         rig.later[0](Answer(200))
         assert b"Connection: close" in await busy.read()
--- a/tests/cluster/test_rates.py
+++ b/tests/cluster/test_rates.py
@@ -19,10 +19,10 @@
         self.clock = clock
         self.calls = 0
 
-    def idle(self, address: str) -> int:
+    def available_connections(self, address: str) -> int:
         return 1
 
-    def forget(self, address: str) -> None:
+    def close_idle_connections(self, address: str) -> None:
         pass
 
     def call(self, call: EndpointCall, on_result: Callable[[CallResult], None]) -> None:
