--- a/amberlug/cluster/edge/lookup.py
+++ b/amberlug/cluster/edge/lookup.py
@@ -10,7 +10,7 @@
 from amberlug.cluster.edge.delivery import MessageDelivery
 from amberlug.cluster.edge.outcomes import MessageStatus
 from amberlug.cluster.edge.storage_reads import READ_TIMEOUT_S, StatusCallback, StorageReader
-from amberlug.cluster.http.api import HttpRequest, HttpResponse, RespondHttp, order
+from amberlug.cluster.http.api import HttpRequest, HttpResponse, RespondHttp, api_call
 from amberlug.cluster.interfaces import RequestFailure
 from amberlug.cluster.rpc.messages import Responder, handles, request
 
@@ -24,12 +24,12 @@
     def __init__(self, context: EdgeContext, delivery: MessageDelivery, reader: StorageReader) -> None:
         self._context, self._delivery, self._reader = context, delivery, reader
 
-    @order("GET", "/-/message/")
+    @api_call("GET", "/-/message/")
     def message(self, request: HttpRequest, name: str, respond: RespondHttp) -> None:
         """Answer how a message stands."""
         self.find_status(name, lambda status: respond(_status_response(status)))
 
-    @order("GET", "/-/message-body/")
+    @api_call("GET", "/-/message-body/")
     def message_body(self, request: HttpRequest, name: str, respond: RespondHttp) -> None:
         """Answer with the body of a message that is open or has failed."""
         pending = self._delivery.queue.messages.get(name)
--- a/amberlug/cluster/http/api.py
+++ b/amberlug/cluster/http/api.py
@@ -75,9 +75,6 @@
     return declare
 
 
-order = api_call  # the name that the edge node imports
-
-
 class AdminApi:
     """Finds the handler of a request among those that the classes of some components declare."""
 
--- a/amberlug/cluster/local_deployment/fake_endpoint.py
+++ b/amberlug/cluster/local_deployment/fake_endpoint.py
@@ -4,12 +4,15 @@
 
 import asyncio
 import json
-from collections.abc import Callable, Sequence
+from collections.abc import Sequence
 from dataclasses import dataclass
 
 from result import Ok
 
-from amberlug.cluster.http.server import Answer, Limits, Request, Server
+from amberlug.cluster.http.connection import RespondCallback
+from amberlug.cluster.http.message import Request, Response
+from amberlug.cluster.http.parser import Limits
+from amberlug.cluster.http.server import Server
 from amberlug.cluster.local_deployment.queries import ask
 
 BEAT_S = 0.5
@@ -45,7 +48,7 @@
         self.slots, self.work_s = slots, work_s
         self.runs: list[Run] = []
         self._server = Server(self._handle, self._limits)
-        self._waiting: list[tuple[Request, Callable[[Answer], None]]] = []
+        self._waiting: list[tuple[Request, RespondCallback]] = []
         self._busy = 0
         self._beats: asyncio.Task[None] | None = None
         self._address = ""
@@ -104,23 +107,23 @@
 
     # -- messages
 
-    def _handle(self, asked: Request, answer: Callable[[Answer], None]) -> None:
+    def _handle(self, asked: Request, respond: RespondCallback) -> None:
         if asked.target == "/health":
-            answer(Answer(200, (("Amberlug-Instance-Id", self.name),)))
+            respond(Response(200, (("Amberlug-Instance-Id", self.name),)))
             return
         attempt = asked.header("amberlug-attempt-id") or ""
         named = (("Amberlug-Attempt-Id", attempt),)
         meant = asked.header("amberlug-target-instance")
         if meant is not None and meant != self.name:
-            answer(Answer(421, named))
+            respond(Response(421, named))
         elif self._busy >= self.slots and len(self._waiting) >= WAITING_MOST:
-            answer(Answer(503, (*named, ("Amberlug-Not-Executed", "full"))))
+            respond(Response(503, (*named, ("Amberlug-Not-Executed", "full"))))
         elif self._busy >= self.slots:
-            self._waiting.append((asked, answer))
+            self._waiting.append((asked, respond))
         else:
-            self._begin(asked, answer)
+            self._begin(asked, respond)
 
-    def _begin(self, asked: Request, answer: Callable[[Answer], None]) -> None:
+    def _begin(self, asked: Request, respond: RespondCallback) -> None:
         loop = asyncio.get_running_loop()
         self._busy += 1
         run = Run(
@@ -129,9 +132,9 @@
             loop.time(),
         )
         self.runs.append(run)
-        loop.call_later(self.work_s, self._done, run, asked, answer)
+        loop.call_later(self.work_s, self._done, run, asked, respond)
 
-    def _done(self, run: Run, asked: Request, answer: Callable[[Answer], None]) -> None:
+    def _done(self, run: Run, asked: Request, respond: RespondCallback) -> None:
         run.ended = asyncio.get_running_loop().time()
         headers = [("Amberlug-Attempt-Id", run.attempt)]
         if asked.body.startswith(POISON):
@@ -139,7 +142,7 @@
         else:
             run.status, run.seal = 200, f"{self.name}.{len(self.runs)}"
             headers.append(("Amberlug-Server-Seal", run.seal))
-        answer(Answer(run.status, tuple(headers), b"done"))
+        respond(Response(run.status, tuple(headers), b"done"))
         self._busy -= 1
         if self._waiting:
             self._begin(*self._waiting.pop(0))
--- a/amberlug/cluster/process.py
+++ b/amberlug/cluster/process.py
@@ -18,7 +18,10 @@
 
 from amberlug.cluster.asyncio_runtime import AsyncioRuntime
 from amberlug.cluster.http.api import HttpResponse, pack
-from amberlug.cluster.http.server import Answer, Limits, Request, Server
+from amberlug.cluster.http.connection import NEVER, RequestHandler, RespondCallback
+from amberlug.cluster.http.message import Request, Response
+from amberlug.cluster.http.parser import Limits
+from amberlug.cluster.http.server import Server
 from amberlug.cluster.interfaces import RawMessage, Respond
 from amberlug.cluster.metrics import PATH, page
 from amberlug.cluster.rpc.transport import PeerTransport
@@ -148,8 +151,8 @@
         self._close_storage.append(writer.close)
         node = self._node = ControlNode(runtime, settings, self.transport.address, writer, state)
 
-        def handle(request: Request, answer: Callable[[Answer], None]) -> None:
-            node.counter.take(request, partial(_answer_operator, answer))
+        def handle(request: Request, respond: RespondCallback) -> None:
+            node.counter.take(request, partial(_answer_operator, respond))
 
         await self._serve(settings.control, handle)
 
@@ -187,12 +190,12 @@
     async def _serve(
         self,
         address: HostPort | None,
-        handle: Callable[[Request, Callable[[Answer], None]], None],
+        handle: RequestHandler,
         limits: Callable[[], Limits] = lambda: CONTROL_LIMITS,
-        age_s: float = float("inf"),
+        max_connection_age_s: float = NEVER,
     ) -> None:
         if address is not None:
-            server = Server(handle, limits, age_s)
+            server = Server(handle, limits, max_connection_age_s)
             await server.listen(*address)
             self._servers.append(server)
 
@@ -278,34 +281,34 @@
         routes = self._node.routes
         return Limits(routes.header_bytes, routes.body_bytes, routes.header_s, routes.idle_s)
 
-    def handle(self, request: Request, answer: Callable[[Answer], None]) -> None:
+    def handle(self, request: Request, respond: RespondCallback) -> None:
         """Pass on a client's request."""
 
-        def respond(response: ClientResponse) -> None:
+        def send(response: ClientResponse) -> None:
             if response.body is not None:
-                answer(Answer(response.status, response.headers + JSON, pack(response.body)))
+                respond(Response(response.status, response.headers + JSON, pack(response.body)))
             else:
-                answer(Answer(response.status, response.headers, response.payload))
+                respond(Response(response.status, response.headers, response.payload))
 
-        self._node.handle(request, respond)
+        self._node.handle(request, send)
 
-    def handle_probe(self, request: Request, answer: Callable[[Answer], None]) -> None:
+    def handle_probe(self, request: Request, respond: RespondCallback) -> None:
         """Answer the readiness probe: 200 or 503; and who reads the counters."""
         path = request.target.partition("?")[0]
         if path == PATH:
-            answer(Answer(200, PLAIN, page(self._node.counts)))
+            respond(Response(200, PLAIN, page(self._node.counts)))
         elif path == READINESS_PATH:
-            answer(Answer(200 if self._node.ready else 503, JSON, b"{}"))
+            respond(Response(200 if self._node.ready else 503, JSON, b"{}"))
         else:
-            answer(Answer(404, JSON, b"{}"))
+            respond(Response(404, JSON, b"{}"))
 
 
-def _answer_operator(answer: Callable[[Answer], None], response: HttpResponse) -> None:
+def _answer_operator(respond: RespondCallback, response: HttpResponse) -> None:
     headers = (("Retry-After", str(response.retry_after)),) if response.retry_after is not None else ()
     if response.page is not None:
-        answer(Answer(response.status, PLAIN + headers, response.page))
+        respond(Response(response.status, PLAIN + headers, response.page))
     else:
-        answer(Answer(response.status, JSON + headers, pack(response.body)))
+        respond(Response(response.status, JSON + headers, pack(response.body)))
 
 
 def _post_to_running_loop() -> Callable[[Callable[[], None]], None]:
--- a/amberlug/cluster/simulation/mutations_answers.py
+++ b/amberlug/cluster/simulation/mutations_answers.py
@@ -20,7 +20,8 @@
 from amberlug.cluster.dispatch.messages import Handover
 from amberlug.cluster.dispatch.shard_owner import ShardOwner
 from amberlug.cluster.edge import delivery
-from amberlug.cluster.http.server import Answer, _Reply
+from amberlug.cluster.http.connection import Responder as HttpResponder
+from amberlug.cluster.http.message import Response
 from amberlug.cluster.interfaces import CallResult, CallVerdict, EndpointCall, Json, RequestFailure, Respond
 from amberlug.cluster.rpc.client_connection import ClientConnection
 from amberlug.cluster.rpc.messages import Responder
@@ -139,19 +140,21 @@
 
 def _answer_to_next() -> AbstractContextManager[Any]:
     """A second answer to a request goes to whatever its connection has open by then."""
-    return patch.object(_Reply, "__call__", lambda self, answer: self._connection.answer(answer, False))
+    return patch.object(
+        HttpResponder, "__call__", lambda self, response: self._connection.respond(response, False)
+    )
 
 
 def _answer_again_within() -> AbstractContextManager[Any]:
     """A request counts as answered only after its connection has gone on to the next one."""
 
-    def reply(self: _Reply, answer: Answer) -> None:
-        if self.done:
-            raise RuntimeError("a request is answered once")
-        self._connection.answer(answer, self._head_only)
-        self.done = True
+    def respond(self: HttpResponder, response: Response) -> None:
+        if self.is_used:
+            raise RuntimeError("a request has one response")
+        self._connection.respond(response, self._is_head)
+        self.is_used = True
 
-    return patch.object(_Reply, "__call__", reply)
+    return patch.object(HttpResponder, "__call__", respond)
 
 
 @contextmanager
--- a/tests/cluster/test_client_answers.py
+++ b/tests/cluster/test_client_answers.py
@@ -7,7 +7,10 @@
 
 import pytest
 
-from amberlug.cluster.http.server import Answer, Limits, Request, Server
+from amberlug.cluster.http.connection import RespondCallback
+from amberlug.cluster.http.message import Request, Response
+from amberlug.cluster.http.parser import Limits
+from amberlug.cluster.http.server import Server
 from amberlug.cluster.simulation.mutations_answers import FAULTS
 from tests.cluster.wires import End, Loop, run
 
@@ -23,13 +26,13 @@
         self.seen: list[str] = []
         self.replies: list[Callable[[], None]] = []
 
-    def handle(self, request: Request, reply: Callable[[Answer], None]) -> None:
+    def handle(self, request: Request, reply: RespondCallback) -> None:
         self.seen.append(request.target)
         body = request.target.encode()
 
         def answer() -> None:
             with contextlib.suppress(RuntimeError):  # what is answered already
-                reply(Answer(200, (("X-For", request.target),), body))
+                reply(Response(200, (("X-For", request.target),), body))
 
         self.replies.append(answer)
         what = self.rng.choice(("once", "once", "later", "later", "twice", "earlier", "never", "fails"))
--- a/tests/cluster/test_http_server.py
+++ b/tests/cluster/test_http_server.py
@@ -7,9 +7,11 @@
 
 import pytest
 
-from amberlug.cluster.http.server import Answer, Limits, Request, Server
+from amberlug.cluster.http.connection import RespondCallback
+from amberlug.cluster.http.message import Request, Response
+from amberlug.cluster.http.parser import Limits
+from amberlug.cluster.http.server import Server
 
-Reply = Callable[[Answer], None]
 SMALL = Limits(header_bytes=400, body_bytes=100, header_s=20.0, idle_s=20.0)
 IMPATIENT = Limits(header_bytes=400, body_bytes=100, header_s=0.04, idle_s=0.04)
 PATIENCE_S = 15.0  # a busy machine is slow
@@ -22,7 +24,7 @@
     def __init__(self, limits: Limits) -> None:
         self.server = Server(self.handle, lambda: limits)
         self.seen: list[Request] = []
-        self.later: list[Reply] = []
+        self.later: list[RespondCallback] = []
         self.read = 0  # bytes
         self._add = self.server.add
         self.server.add = self.add  # type: ignore[method-assign]
@@ -38,19 +40,19 @@
         connection.data_received = count
         self._add(connection)
 
-    def handle(self, request: Request, reply: Reply) -> None:
+    def handle(self, request: Request, reply: RespondCallback) -> None:
         self.seen.append(request)
         if request.target == "/later":
             self.later.append(reply)
         elif request.target == "/fails":
             raise ZeroDivisionError
         else:
-            reply(Answer(204 if request.target == "/none" else 200, (("X-A", "b"),), request.body or b"hi"))
+            reply(Response(204 if request.target == "/none" else 200, (("X-A", "b"),), request.body or b"hi"))
 
     async def open(self) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
-        before = self.server.opened
+        before = self.server.accepted_connections
         pair = await asyncio.open_connection("127.0.0.1", self.server.port)
-        await self.until(lambda: self.server.opened > before)
+        await self.until(lambda: self.server.accepted_connections > before)
         return pair
 
     async def ask(self, *pieces: bytes, hang_up: bool = True) -> bytes:
@@ -145,7 +147,9 @@
 
 @pytest.mark.filterwarnings("error")
 @pytest.mark.parametrize(("pieces", "statuses", "bodies"), ANSWERED)
-def test_answers(pieces: tuple[bytes, ...], statuses: list[int], bodies: list[bytes]) -> None:
+def test_each_request_is_answered_in_order_and_a_malformed_one_is_rejected(
+    pieces: tuple[bytes, ...], statuses: list[int], bodies: list[bytes]
+) -> None:
     late = not pieces or statuses == [408]  # the server is to lose its patience
 
     async def scene(rig: Rig) -> None:
@@ -159,7 +163,7 @@
     play(scene, IMPATIENT if late else SMALL)
 
 
-def test_headers_and_lengths() -> None:
+def test_responses_have_their_headers_and_length() -> None:
     async def scene(rig: Rig) -> None:
         assert await rig.ask(GET.replace(b"GET", b"HEAD")) == (
             b"HTTP/1.1 200 OK\r\nX-A: b\r\nContent-Length: 2\r\n\r\n"
@@ -172,31 +176,31 @@
     play(scene)
 
 
-def test_later_answers_hang_ups_and_what_is_ahead() -> None:
+def test_a_late_response_is_sent_once_and_reading_ahead_is_bounded() -> None:
     async def scene(rig: Rig) -> None:
         later = GET.replace(b"/a", b"/later")
         reader, writer = await rig.open()
         writer.write(later + GET)
         await rig.until(lambda: rig.server.open_requests == 1)
         with pytest.raises(ValueError, match="line break"):
-            rig.later[0](Answer(200, (("A", "b\r\nC: d"),)))
-        rig.later[0](Answer(503))
+            rig.later[0](Response(200, (("A", "b\r\nC: d"),)))
+        rig.later[0](Response(503))
         with pytest.raises(RuntimeError):
-            rig.later[0](Answer(200))
+            rig.later[0](Response(200))
         assert (await reader.readuntil(b"hi")).count(b"HTTP/1.1") == 2
         writer.write(later + GET * 5_000)  # more than is read ahead, and a hang-up behind it
-        await rig.until(lambda: any(it.held for it in rig.server._connections))
-        assert max(len(it._buffer) for it in rig.server._connections) < 400_000
+        await rig.until(lambda: any(it.is_reading_paused for it in rig.server._connections))
+        assert max(it.buffered_bytes for it in rig.server._connections) < 400_000
         writer.transport.abort()
         await rig.until(lambda: not rig.server._connections)
         assert rig.server.open_requests == 1
-        rig.later[1](Answer(200))
+        rig.later[1](Response(200))
         assert rig.server.open_requests == 0
 
     play(scene)
 
 
-def test_leave_stop_abort() -> None:
+def test_drain_stop_and_abort_end_connections_one_kind_after_the_other() -> None:
     async def scene(rig: Rig) -> None:
         (idle, writer), (busy, asks) = await rig.open(), await rig.open()
         writer.write(GET)
@@ -205,7 +209,7 @@
         await rig.until(lambda: rig.server.open_requests == 1)
         rig.server.drain()
         assert await idle.read() == b""
-        rig.later[0](Answer(200))
+        rig.later[0](Response(200))
         assert b"Connection: close" in await busy.read()
         assert b"Connection: close" in await rig.ask(GET)
         held, asks = await rig.open()
@@ -218,4 +222,4 @@
         rig.server.abort()
         assert await held.read() == b""
 
-    assert play(scene, Limits()).server.opened == 4
+    assert play(scene, Limits()).server.accepted_connections == 4
--- a/tests/cluster/test_measured.py
+++ b/tests/cluster/test_measured.py
@@ -9,7 +9,9 @@
 from amberlug.cluster.dispatch.dispatcher import DispatchCallbacks, Dispatcher
 from amberlug.cluster.dispatch.endpoint_pool import EndpointAnnouncement, EndpointPool
 from amberlug.cluster.dispatch.message import Message
-from amberlug.cluster.http.server import Answer, Limits, Server
+from amberlug.cluster.http.message import Response
+from amberlug.cluster.http.parser import Limits
+from amberlug.cluster.http.server import Server
 from amberlug.cluster.interfaces import CallResult, CallVerdict, EndpointCall
 from amberlug.cluster.simulation.clock import Clock
 from amberlug.cluster.simulation.network import Host, Incarnation, Network, SimulatedRuntime
@@ -79,7 +81,7 @@
 
 def test_a_connection_that_is_old_ends_with_its_next_answer() -> None:
     async def play() -> list[bytes]:
-        server = Server(lambda asked, answer: answer(Answer(200)), Limits, age_s=100.0)
+        server = Server(lambda asked, answer: answer(Response(200)), Limits, max_connection_age_s=100.0)
         await server.listen("127.0.0.1", 0)
         reader, writer = await asyncio.open_connection("127.0.0.1", server.port)
         heads, clock = [], asyncio.get_running_loop().time
--- a/tests/test_imports.py
+++ b/tests/test_imports.py
@@ -42,7 +42,7 @@
     "rpc": ("interfaces", "values"),
     "gossip": ("interfaces", "rpc", "values"),
     "consensus": ("interfaces", "rpc", "settings", "storage.group_commit", "values"),
-    "http": ("interfaces", "settings"),
+    "http": ("interfaces", "settings", "values"),
 }
 # The only modules of the cluster that know event loops, sockets, threads or databases.
 WITH_IO = (
@@ -54,6 +54,7 @@
     "rpc.server_connection",
     "rpc.tcp",
     "rpc.transport",
+    "http.connection",
     "http.server",
     "dispatch.endpoint_client",
     "storage.group_commit",
--- a/tests/test_readability.py
+++ b/tests/test_readability.py
@@ -8,11 +8,13 @@
 
 ROOT = Path(__file__).parents[1]
 FINISHED = (
+    "amberlug.cluster",
     "amberlug.cluster.consensus",
     "amberlug.cluster.control",
     "amberlug.cluster.dispatch",
     "amberlug.cluster.edge",
     "amberlug.cluster.gossip",
+    "amberlug.cluster.http",
     "amberlug.cluster.rpc",
     "amberlug.cluster.storage",
 )
