--- a/amberlug/cluster/process.py
+++ b/amberlug/cluster/process.py
@@ -18,7 +18,10 @@
 
 from amberlug.cluster.asyncio_runtime import AsyncioRuntime
 from amberlug.cluster.http.api import HttpResponse, pack
-from amberlug.cluster.http.server import Answer, Limits, Request, Server
+from amberlug.cluster.http.connection import NEVER, RequestHandler, RespondCallback
+from amberlug.cluster.http.message import Request, Response
+from amberlug.cluster.http.parser import Limits
+from amberlug.cluster.http.server import Server
 from amberlug.cluster.interfaces import RawMessage, Respond
 from amberlug.cluster.metrics import PATH, page
 from amberlug.cluster.rpc.transport import PeerTransport
@@ -62,19 +65,19 @@
         """Counters for operators, by name."""
 
     @property
-    def idle(self) -> bool:
+    def is_idle(self) -> bool:
         """Whether the process may end without loss."""
 
     def begin(self) -> None:
         """Start, once the process listens."""
 
-    def leave(self) -> None:
+    def begin_shutdown(self) -> None:
         """Announce a planned stop."""
 
-    def settings_are(self, settings: Settings) -> None:
+    def update_settings(self, settings: Settings) -> None:
         """Take the settings of a file that has changed."""
 
-    def broken(self, address: str) -> None:
+    def on_peer_disconnected(self, address: str) -> None:
         """A connection with a peer has ended."""
 
 
@@ -107,7 +110,7 @@
 
     def _on_disconnect(self, address: str) -> None:
         if self._node is not None:
-            self._node.broken(address)
+            self._node.on_peer_disconnected(address)
 
     @property
     def node(self) -> Node:
@@ -154,8 +157,8 @@
         self._close_storage.append(writer.close)
         node = self._node = ControlNode(runtime, settings, self.transport.address, writer, state)
 
-        def handle(request: Request, answer: Callable[[Answer], None]) -> None:
-            node.counter.take(request, partial(_answer_operator, answer))
+        def handle(request: Request, respond: RespondCallback) -> None:
+            node.counter.take(request, partial(_answer_operator, respond))
 
         await self._serve(settings.control, handle)
 
@@ -193,12 +196,12 @@
     async def _serve(
         self,
         address: HostPort | None,
-        handle: Callable[[Request, Callable[[Answer], None]], None],
+        handle: RequestHandler,
         limits: Callable[[], Limits] = lambda: CONTROL_LIMITS,
-        age_s: float = float("inf"),
+        max_connection_age_s: float = NEVER,
     ) -> None:
         if address is not None:
-            server = Server(handle, limits, age_s)
+            server = Server(handle, limits, max_connection_age_s)
             await server.listen(*address)
             self._servers.append(server)
 
@@ -213,19 +216,19 @@
 
     def _on_stop_signal(self) -> None:
         logging.info("stopping on a signal")
-        self.node.leave()
+        self.node.begin_shutdown()
         loop = asyncio.get_running_loop()
         if self.settings.front is None:
             loop.call_later(IDLE_CHECK_INTERVAL_S, self._end_when_idle)
             return
         for server in self._servers:
-            server.leave()
+            server.drain()
         now = loop.time()
         self._drain(now + STILL_ROUTED_S, now + self.settings.seconds("graceS") - GRACE_MARGIN_S)
 
     def _end_when_idle(self) -> None:
         """End at once, but for a control-plane node, which is idle once another one votes in its place."""
-        if self.node.idle:
+        if self.node.is_idle:
             self._ended.set()
         else:
             asyncio.get_running_loop().call_later(IDLE_CHECK_INTERVAL_S, self._end_when_idle)
@@ -235,7 +238,7 @@
         loop = asyncio.get_running_loop()
         now = loop.time()
         open_requests = sum(server.open_requests for server in self._servers)
-        is_drained = now >= routed_until_s and open_requests == 0 and self.node.idle
+        is_drained = now >= routed_until_s and open_requests == 0 and self.node.is_idle
         if now >= deadline_s or is_drained:
             for server in self._servers:
                 server.stop()
@@ -263,7 +266,7 @@
             logging.error("ignoring the settings file: %s", "; ".join(map(str, found.err_value)))
             return
         self.settings = found.ok_value
-        self.node.settings_are(found.ok_value)
+        self.node.update_settings(found.ok_value)
 
     def _log_counters(self) -> None:
         asyncio.get_running_loop().call_later(COUNTERS_INTERVAL_S, self._log_counters)
@@ -284,34 +287,34 @@
         routes = self._node.routes
         return Limits(routes.header_bytes, routes.body_bytes, routes.header_s, routes.idle_s)
 
-    def handle(self, request: Request, answer: Callable[[Answer], None]) -> None:
+    def handle(self, request: Request, respond: RespondCallback) -> None:
         """Pass on a client's request."""
 
-        def respond(response: ClientResponse) -> None:
+        def send(response: ClientResponse) -> None:
             if response.body is not None:
-                answer(Answer(response.status, response.headers + JSON, pack(response.body)))
+                respond(Response(response.status, response.headers + JSON, pack(response.body)))
             else:
-                answer(Answer(response.status, response.headers, response.payload))
+                respond(Response(response.status, response.headers, response.payload))
 
-        self._node.handle(request, respond)
+        self._node.handle(request, send)
 
-    def handle_probe(self, request: Request, answer: Callable[[Answer], None]) -> None:
+    def handle_probe(self, request: Request, respond: RespondCallback) -> None:
         """Answer the readiness probe: 200 or 503; and who reads the counters."""
         path = request.target.partition("?")[0]
         if path == PATH:
-            answer(Answer(200, PLAIN, page(self._node.counts)))
+            respond(Response(200, PLAIN, page(self._node.counts)))
         elif path == READINESS_PATH:
-            answer(Answer(200 if self._node.ready else 503, JSON, b"{}"))
+            respond(Response(200 if self._node.ready else 503, JSON, b"{}"))
         else:
-            answer(Answer(404, JSON, b"{}"))
+            respond(Response(404, JSON, b"{}"))
 
 
-def _answer_operator(answer: Callable[[Answer], None], response: HttpResponse) -> None:
+def _answer_operator(respond: RespondCallback, response: HttpResponse) -> None:
     headers = (("Retry-After", str(response.retry_after)),) if response.retry_after is not None else ()
     if response.page is not None:
-        answer(Answer(response.status, PLAIN + headers, response.page))
+        respond(Response(response.status, PLAIN + headers, response.page))
     else:
-        answer(Answer(response.status, JSON + headers, pack(response.body)))
+        respond(Response(response.status, JSON + headers, pack(response.body)))
 
 
 def _post_to_running_loop() -> Callable[[Callable[[], None]], None]:
--- a/tests/test_imports.py
+++ b/tests/test_imports.py
@@ -54,6 +54,7 @@
     "rpc.server_connection",
     "rpc.tcp",
     "rpc.transport",
+    "http.connection",
     "http.server",
     "dispatch.endpoint_client",
     "storage.group_commit",
