--- a/amberlug/cluster/consensus/context.py
+++ b/amberlug/cluster/consensus/context.py
@@ -6,7 +6,7 @@
 from typing import Protocol
 
 from amberlug.cluster.consensus.log import Entry, Log
-from amberlug.cluster.consensus.membership import Membership
+from amberlug.cluster.consensus.membership import Members, Membership
 from amberlug.cluster.consensus.messages import AcknowledgedIndexes, LeaderHeader
 from amberlug.cluster.consensus.opaque import Command, MachineState, Outcome
 from amberlug.cluster.consensus.peer_progress import LeaderRequest, PeerProgress
@@ -122,6 +122,10 @@
     def is_leader(self) -> bool:
         """Whether it leads in its term, as far as it knows."""
 
+    @property
+    def members(self) -> Members:
+        """All members of the group, by name."""
+
     @property
     def is_voter(self) -> bool:
         """Whether it votes."""
--- a/amberlug/cluster/consensus/election.py
+++ b/amberlug/cluster/consensus/election.py
@@ -80,7 +80,7 @@
         count = _VoteCount(raft, term, is_pre_vote)
         last_index = raft.log.last_index
         last_term = raft.log.term_at(last_index)
-        for name in raft.membership.voters:
+        for name in raft.members.voters:
             if name == raft.member_id:
                 continue
             message = RequestVote(
@@ -93,7 +93,7 @@
                 name,
                 raft.rollback_guard.acknowledged.get(name, 0),
             )
-            address = raft.membership[name].address
+            address = raft.members[name].address
             request(raft.runtime, address, message, REPLY_TIMEOUT_S, partial(count.on_reply, name))
         count.conclude()
 
--- a/amberlug/cluster/consensus/log.py
+++ b/amberlug/cluster/consensus/log.py
@@ -16,10 +16,11 @@
 from itertools import islice
 from typing import NamedTuple
 
-from amberlug.cluster.consensus.opaque import Command, Encodable, MachineState, MemberRecords
+from amberlug.cluster.consensus.membership import Members, Membership
+from amberlug.cluster.consensus.opaque import Command, MachineState
 from amberlug.cluster.consensus.rows import EntryRow, Row, SnapshotRow, TruncateRow, raw_rows
 from amberlug.cluster.consensus.snapshot_transfer import CHUNK_BYTES, TransferHeader
-from amberlug.cluster.interfaces import Disk, Runtime
+from amberlug.cluster.interfaces import Disk, Json, Runtime
 from amberlug.cluster.values import value
 
 MAX_BATCH_ENTRIES = 64  # in one message, which are of CHUNK_BYTES at most in all
@@ -42,9 +43,9 @@
     command: Command | None  # None: the first entry of a new leader (Raft, section 8)
 
     @property
-    def members(self) -> MemberRecords | None:
-        """The membership that the entry puts in place, where it is a configuration entry."""
-        return None if self.command is None else self.command.get("members")
+    def members(self) -> Members | None:
+        """The members that the entry puts in place; None where it is no configuration entry."""
+        return None if self.command is None else Members.from_command(self.command)
 
 
 @value
@@ -56,17 +57,9 @@
     command: Command | None
 
 
-@value
-class MembersAt:
-    """A membership, and the index of the entry that put it in place."""
-
-    members: MemberRecords
-    index: int
-
-
-def encode(value: Encodable | None) -> str:
-    """A command or a snapshot as it goes to disk and to others."""
-    return json.dumps(value, separators=(",", ":"))
+def encode(body: Json | None) -> str:
+    """A command, a state or members as text, as they go to disk and to others."""
+    return json.dumps(body, separators=(",", ":"))
 
 
 @value
@@ -74,17 +67,17 @@
     """The state machine and the membership as of an index: what InstallSnapshot transfers."""
 
     state: MachineState | None
-    members: MemberRecords
+    members: Members
 
     def encoded(self) -> str:
         """The snapshot as text, as it goes to others."""
-        return f'{{"state":{encode(self.state)},"members":{encode(self.members)}}}'
+        return f'{{"state":{encode(self.state)},"members":{encode(self.members.to_wire())}}}'
 
     @classmethod
     def decode(cls, data: bytes) -> Snapshot:
         """Read what a leader has sent."""
         fields = json.loads(data)
-        return cls(fields["state"], fields["members"])
+        return cls(fields["state"], Members.from_wire(fields["members"]))
 
 
 @dataclass(slots=True)
@@ -97,7 +90,7 @@
     snapshot_index: int = 0  # the last entry that the snapshot covers
     snapshot_term: int = 0
     snapshot_state: MachineState | None = None
-    members: MemberRecords = field(default_factory=dict)  # as of the snapshot
+    members: Members = field(default_factory=Members)  # as of the snapshot
     entries: list[Entry] = field(default_factory=list)  # behind what the snapshot covers
     tail: list[Entry] = field(default_factory=list)  # the last ones that it covers, as far as they are kept
     acknowledged: dict[str, int] = field(default_factory=dict)  # by member: the input of the rollback guard
@@ -189,16 +182,16 @@
             return self.base_term
         return self.entry_at(index).term if self.base_index < index <= self.last_index else -1
 
-    def newest_members(self) -> MembersAt:
+    def newest_membership(self) -> Membership:
         """The newest membership in the log, committed or not (dissertation, section 4.1)."""
         for offset in range(len(self.entries) - 1, -1, -1):
             members = self.entries[offset].members
             if members is not None:
-                return MembersAt(members, self.base_index + offset + 1)
-        return MembersAt(self.snapshot_members, self.base_index)
+                return Membership(members, self.base_index + offset + 1)
+        return Membership(self.snapshot_members, self.base_index)
 
-    def members_until(self, index: int) -> MemberRecords:
-        """The membership that holds at an entry of the log."""
+    def members_until(self, index: int) -> Members:
+        """The members of the configuration that holds at an entry of the log."""
         members = self.snapshot_members
         for entry in self.entries[: index - self.base_index]:
             if entry.members is not None:
--- a/amberlug/cluster/consensus/proposals.py
+++ b/amberlug/cluster/consensus/proposals.py
@@ -29,7 +29,8 @@
     leader_id: str = ""  # where to try again; empty where no leader is known
 
 
-ProposalCallback = Callable[[Result[Outcome, ProposalRejected]], None]
+ProposalResult = Result[Outcome, ProposalRejected]
+ProposalCallback = Callable[[ProposalResult], None]
 
 
 @value
@@ -48,9 +49,7 @@
         """Have a caller notified once the entry at an index is applied, or is known not to be."""
         self._pending.append(_PendingProposal(index, on_outcome))
 
-    def on_applied(
-        self, index: int, outcome: Result[Outcome, ProposalRejected], rejection: ProposalRejected
-    ) -> None:
+    def on_applied(self, index: int, outcome: ProposalResult, rejection: ProposalRejected) -> None:
         """Notify the callers up to an applied entry.
 
         :param outcome: what the state machine returned for it, or the rejection if the entry is of another
--- a/amberlug/cluster/consensus/raft.py
+++ b/amberlug/cluster/consensus/raft.py
@@ -18,7 +18,7 @@
 from amberlug.cluster.consensus.election import Election
 from amberlug.cluster.consensus.follower import Follower
 from amberlug.cluster.consensus.log import Entry, Log, PersistentState
-from amberlug.cluster.consensus.membership import Membership
+from amberlug.cluster.consensus.membership import Members
 from amberlug.cluster.consensus.messages import (
     AcknowledgedIndexReply,
     AcknowledgedIndexRequest,
@@ -27,12 +27,13 @@
     TimeoutNow,
     TransferChunk,
 )
-from amberlug.cluster.consensus.opaque import Command, MemberRecords, Outcome
+from amberlug.cluster.consensus.opaque import Command, Outcome
 from amberlug.cluster.consensus.peer_progress import NEVER
 from amberlug.cluster.consensus.proposals import (
     PendingProposals,
     ProposalCallback,
     ProposalRejected,
+    ProposalResult,
     RejectionReason,
 )
 from amberlug.cluster.consensus.read_index import ReadCallback, ReadIndex
@@ -43,7 +44,15 @@
 from amberlug.cluster.interfaces import Disk, Runtime, TimerHandle
 from amberlug.cluster.rpc.messages import Responder, handles
 
-__all__ = ["ProposalCallback", "ProposalRejected", "RaftNode", "RejectionReason", "Role", "StateMachine"]
+__all__ = [
+    "ProposalCallback",
+    "ProposalRejected",
+    "ProposalResult",
+    "RaftNode",
+    "RejectionReason",
+    "Role",
+    "StateMachine",
+]
 
 WRITE_RETRY_S = 0.1  # until the disk is given a new incarnation again that it has refused
 INCARNATION_BITS = 48  # random: two incarnations of a machine never have the same name
@@ -99,12 +108,12 @@
     @property
     def is_voter(self) -> bool:
         """Whether this member votes."""
-        return self.membership.is_voter(self.member_id)
+        return self.members.is_voter(self.member_id)
 
     @property
-    def members(self) -> MemberRecords:
-        """The records of all members, by name."""
-        return self.membership.records
+    def members(self) -> Members:
+        """All members of the group, by name."""
+        return self.membership.members
 
     @property
     def is_membership_committed(self) -> bool:
@@ -122,7 +131,7 @@
 
     def has_majority(self, names: Set[str]) -> bool:
         """Whether these members are a majority of the voters."""
-        return self.membership.has_majority(names)
+        return self.members.has_majority(names)
 
     # -- start and end
 
@@ -221,8 +230,7 @@
 
     def refresh_membership(self) -> None:
         """Use the newest membership in the log, whether it is committed or not."""
-        newest = self.log.newest_members()
-        self.membership = Membership(newest.members, newest.index)
+        self.membership = self.log.newest_membership()
 
     def commit_to(self, index: int) -> None:
         """Commit entries up to an index, and apply them in their order (Raft, section 5.3)."""
@@ -272,7 +280,7 @@
         self.proposals.add(self.log.last_index, on_outcome)
         self.replication.send_new_entries()
 
-    def change_members(self, members: MemberRecords, on_outcome: ProposalCallback) -> None:
+    def change_members(self, members: Members, on_outcome: ProposalCallback) -> None:
         """Put another membership in place: one change at a time, of one voter at most.
 
         Invariant: any majority before the change has a voter in common with any one after it (dissertation,
@@ -280,9 +288,9 @@
         are committed, else the majorities of two leaders could be disjoint; and once a majority of the new
         voters has what is committed, so that a removal leaves enough replicas.
 
-        :param members: the records of all members, by name.
+        :param members: all members after the change.
         """
-        voters = set(Membership(members, 0).voters)
+        voters = set(members.voters)
         up_to_date = sum(1 for name in voters if self.replication.has_replicated(name, self.commit_index))
         if (
             not self.is_leader
@@ -292,8 +300,8 @@
         ):
             on_outcome(Err(self.rejection(RejectionReason.CHANGE_NOT_ALLOWED)))
             return
-        assert len(voters ^ set(self.membership.voters)) <= 1, "two voters change at once"
-        self.propose({"members": members}, on_outcome)
+        assert len(voters ^ set(self.members.voters)) <= 1, "two voters change at once"
+        self.propose(members.to_command(), on_outcome)
 
     def confirm_read(self, on_confirmed: ReadCallback) -> None:
         """Have the commit index confirmed by a majority, for a linearizable read: see `ReadIndex.request`."""
--- a/amberlug/cluster/consensus/replication.py
+++ b/amberlug/cluster/consensus/replication.py
@@ -46,7 +46,7 @@
         now = raft.runtime.now()
         self.peers = {
             name: PeerProgress(raft.log.last_index + 1, replied_at=now)
-            for name in raft.membership.names
+            for name in raft.members
             if name != raft.member_id
         }
         raft.append([Entry(raft.term, None)])
@@ -57,10 +57,10 @@
         if not raft.is_leader:
             return
         now = raft.runtime.now()
-        for name in raft.membership.names:
+        for name in raft.members:
             if name != raft.member_id and name not in self.peers:
                 self.peers[name] = PeerProgress(max(1, raft.log.base_index), replied_at=now)
-        for name in sorted(set(self.peers) - set(raft.membership.names)):
+        for name in sorted(set(self.peers) - set(raft.members)):
             del self.peers[name]
 
     # -- what is known of peers
@@ -204,7 +204,7 @@
                 peer.acknowledged_read = max(peer.acknowledged_read, read_sequence)
                 self._on_reply(name, peer, leader_request, reply)
 
-        address = raft.membership[name].address
+        address = raft.members[name].address
         request(raft.runtime, address, leader_request.message, leader_request.timeout_s, on_outcome)
 
     def _on_reply(
@@ -235,7 +235,7 @@
         """
         raft = self.raft
         matched = self.match_indexes()
-        indexes = sorted((matched.get(name, 0) for name in raft.membership.voters), reverse=True)
+        indexes = sorted((matched.get(name, 0) for name in raft.members.voters), reverse=True)
         if not indexes:
             return
         index = indexes[len(indexes) // 2]
@@ -243,7 +243,7 @@
             raft.commit_to(index)
             self.send_to_all()
             raft.reads.resolve()
-            if raft.member_id not in raft.membership:
+            if raft.member_id not in raft.members:
                 raft.step_down()  # it leads until its own removal is committed (dissertation, section 4.2.2)
 
     # -- planned end
@@ -257,8 +257,8 @@
         candidates = [
             (peer.match_index, name)
             for name, peer in self.peers.items()
-            if raft.membership.is_voter(name) and self.unresponsive_s(name) < MIN_ELECTION_TIMEOUT_S
+            if raft.members.is_voter(name) and self.unresponsive_s(name) < MIN_ELECTION_TIMEOUT_S
         ]
         if candidates:
             name = max(candidates)[1]
-            send(raft.runtime, raft.membership[name].address, TimeoutNow(raft.term, name))
+            send(raft.runtime, raft.members[name].address, TimeoutNow(raft.term, name))
--- a/amberlug/cluster/consensus/rollback_guard.py
+++ b/amberlug/cluster/consensus/rollback_guard.py
@@ -50,7 +50,7 @@
         for name, index in indexes.items():
             if index > self.acknowledged.get(name, 0):
                 self.acknowledged[name] = index
-        for name in sorted(set(self.acknowledged) - set(raft.membership.names)):
+        for name in sorted(set(self.acknowledged) - set(raft.members)):
             del self.acknowledged[name]  # it is no member any more, and comes back as another incarnation
         total, now = sum(self.acknowledged.values()), raft.runtime.now()
         if total != self._saved[0] and now - self._saved[1] >= UNCHANGED_INTERVAL_S:
@@ -95,16 +95,16 @@
             self.may_vote = True
             raft.election.campaign_soon()
             return
-        for name in raft.membership.voters:
+        for name in raft.members.voters:
             if name != raft.member_id and name not in self._replied:
                 message = AcknowledgedIndexRequest(raft.member_id, name)
-                address = raft.membership[name].address
+                address = raft.members[name].address
                 request(raft.runtime, address, message, REPLY_TIMEOUT_S, partial(self._on_reply, name))
         raft.runtime.call_later(RETRY_INTERVAL_S, self.start_check)
 
     @property
     def _has_enough_replies(self) -> bool:
-        return len(self._replied) >= len(self._raft.membership.voters) // 2
+        return len(self._replied) >= len(self._raft.members.voters) // 2
 
     def _on_reply(self, name: str, reply: Result[AcknowledgedIndexReply, RequestFailure]) -> None:
         raft = self._raft
--- a/amberlug/cluster/consensus/rows.py
+++ b/amberlug/cluster/consensus/rows.py
@@ -1,4 +1,4 @@
-"""What a member writes to stable storage: one frozen dataclass a kind of row.
+"""What a member writes to stable storage: one value a kind of row.
 
 A disk is given a row as its kind and values (`raw_rows`); `row_from` reads it back, for `storage` and for
 the disks of the simulation. The kinds are not stored: they name SQL statements.
@@ -10,10 +10,12 @@
 from dataclasses import fields
 from typing import Any, ClassVar
 
-from amberlug.cluster.consensus.opaque import Command, MachineState, MemberRecords
+from amberlug.cluster.consensus.membership import Members
+from amberlug.cluster.consensus.opaque import Command, MachineState
 from amberlug.cluster.values import value
 
 RawRow = tuple[str, tuple[Any, ...]]
+"""A row's kind, and its values as JSON has them."""
 
 
 @value
@@ -51,9 +53,19 @@
     index: int
     term: int
     state: MachineState | None
-    members: MemberRecords
+    members: Members
     first_kept_index: int  # rows of entries before this one are deleted
 
+    def raw_values(self) -> tuple[Any, ...]:
+        """The values as a disk is given them."""
+        return self.index, self.term, self.state, self.members.to_wire(), self.first_kept_index
+
+    @classmethod
+    def from_raw(cls, values: Sequence[Any]) -> SnapshotRow:
+        """Read the values that a disk was given."""
+        index, term, state, members, first_kept_index = values
+        return cls(index, term, state, Members.from_wire(members), first_kept_index)
+
 
 @value
 class AcknowledgedRow:
@@ -83,9 +95,15 @@
 
     :raises KeyError: where no row is of that kind.
     """
-    return _ROW_TYPES[kind](*values)
+    return SnapshotRow.from_raw(values) if kind == SnapshotRow.kind else _ROW_TYPES[kind](*values)
 
 
 def raw_rows(rows: Sequence[Row]) -> list[RawRow]:
     """Rows as a disk is given them."""
-    return [(row.kind, tuple(getattr(row, field.name) for field in fields(row))) for row in rows]
+    return [(row.kind, _raw_values(row)) for row in rows]
+
+
+def _raw_values(row: Row) -> tuple[Any, ...]:
+    if isinstance(row, SnapshotRow):
+        return row.raw_values()
+    return tuple(getattr(row, field.name) for field in fields(row))
--- a/amberlug/cluster/consensus/storage.py
+++ b/amberlug/cluster/consensus/storage.py
@@ -11,10 +11,11 @@
 import zlib
 from collections.abc import Callable, Iterator
 from pathlib import Path
-from typing import Any, NamedTuple
+from typing import NamedTuple, TypeAlias
 
 from amberlug.cluster.consensus.log import PersistentState, StoredEntry, assemble, encode
-from amberlug.cluster.consensus.opaque import MachineState, MemberRecords
+from amberlug.cluster.consensus.membership import Members
+from amberlug.cluster.consensus.opaque import MachineState
 from amberlug.cluster.consensus.rows import (
     AcknowledgedRow,
     EntryRow,
@@ -31,6 +32,9 @@
 
 FILE_NAME = "vise.db"
 FORMAT = 1
+# Names of the values in table `state`; they are historical.
+FORMAT_VALUE, MEMBER_ID_VALUE, TERM_VALUE = "format", "me", "term"
+SNAPSHOT_VALUE, ACKNOWLEDGED_VALUE = "snap", "floors"
 SCHEMA = """
 create table if not exists state (name text primary key, value text not null, sum integer not null);
 create table if not exists log (
@@ -39,6 +43,10 @@
 """
 
 
+StoredValue: TypeAlias = int | str | list[int | str] | Json
+"""A value of table `state`, as JSON has it."""
+
+
 class ChecksumError(Exception):
     """A row is not what was written.
 
@@ -73,26 +81,27 @@
                 (index, term, text, _entry_checksum(index, term, text)),
             )
         case TermRow(term, voted_for):
-            _put_value(database, "term", [term, voted_for])
+            _put_value(database, TERM_VALUE, [term, voted_for])
         case AcknowledgedRow(indexes):
-            _put_value(database, "floors", indexes)
+            _put_value(database, ACKNOWLEDGED_VALUE, indexes)
         case NewIncarnationRow(member_id):
             database.execute("delete from log")
-            database.execute("delete from state where name in ('term', 'floors')")
-            _put_value(database, "me", member_id)
-            _put_value(database, "snap", _snapshot_value(0, 0, None, {}))
+            stale = (TERM_VALUE, ACKNOWLEDGED_VALUE)
+            database.execute("delete from state where name in (?, ?)", stale)
+            _put_value(database, MEMBER_ID_VALUE, member_id)
+            _put_value(database, SNAPSHOT_VALUE, _snapshot_value(0, 0, None, Members()))
         case TruncateRow(first_index):
             database.execute("delete from log where at >= ?", (first_index,))
         case SnapshotRow(index, term, state, members, first_kept_index):
-            _put_value(database, "snap", _snapshot_value(index, term, state, members))
+            _put_value(database, SNAPSHOT_VALUE, _snapshot_value(index, term, state, members))
             database.execute("delete from log where at < ?", (first_kept_index,))
 
 
-def _snapshot_value(index: int, term: int, state: MachineState | None, members: MemberRecords) -> Json:
-    return {"start": index, "term": term, "state": state, "members": members}
+def _snapshot_value(index: int, term: int, state: MachineState | None, members: Members) -> Json:
+    return {"start": index, "term": term, "state": state, "members": members.to_wire()}
 
 
-def _put_value(database: sqlite3.Connection, name: str, value: Any) -> None:
+def _put_value(database: sqlite3.Connection, name: str, value: StoredValue) -> None:
     text = json.dumps(value, separators=(",", ":"))
     database.execute("insert or replace into state values (?, ?, ?)", (name, text, zlib.crc32(text.encode())))
 
@@ -108,20 +117,20 @@
     :raises ChecksumError: where it is damaged.
     """
     values = _load_values(database)
-    if values.get("format") != FORMAT or "me" not in values:
+    if values.get(FORMAT_VALUE) != FORMAT or MEMBER_ID_VALUE not in values:
         return None
-    term, voted_for = values.get("term", (0, ""))
-    snapshot = values["snap"]
+    term, voted_for = values.get(TERM_VALUE, (0, ""))
+    snapshot = values[SNAPSHOT_VALUE]
     saved = PersistentState(
-        values["me"],
+        values[MEMBER_ID_VALUE],
         term,
         voted_for,
         snapshot["start"],
         snapshot["term"],
         snapshot["state"],
-        snapshot["members"],
+        Members.from_wire(snapshot["members"]),
     )
-    saved.acknowledged = values.get("floors", {})
+    saved.acknowledged = values.get(ACKNOWLEDGED_VALUE, {})
     return assemble(saved, list(_load_entries(database)))
 
 
@@ -176,8 +185,8 @@
 def _write_new(database: sqlite3.Connection, saved: PersistentState) -> None:
     """Write what an empty disk begins with."""
     database.execute("begin immediate")
-    _put_value(database, "format", FORMAT)
-    _put_value(database, "me", saved.member_id)
+    _put_value(database, FORMAT_VALUE, FORMAT)
+    _put_value(database, MEMBER_ID_VALUE, saved.member_id)
     snapshot = _snapshot_value(saved.snapshot_index, saved.snapshot_term, saved.snapshot_state, saved.members)
-    _put_value(database, "snap", snapshot)
+    _put_value(database, SNAPSHOT_VALUE, snapshot)
     database.execute("commit")
--- a/amberlug/cluster/control/endpoint_api.py
+++ b/amberlug/cluster/control/endpoint_api.py
@@ -69,11 +69,11 @@
         """The control address of a responsive control-plane node in a zone; empty where there is none."""
         now_s = self._runtime.now()
         for name, member in sorted(self.raft.members.items()):
-            if member["zone"] != zone or not member["control"]:
+            if member.zone != zone or not member.control_address:
                 continue
             is_here = name == self.raft.member_id and self._quorum.is_in_contact
-            if is_here or self._sessions.is_in_contact(member["addr"], now_s):
-                return str(member["control"])
+            if is_here or self._sessions.is_in_contact(member.address, now_s):
+                return member.control_address
         return ""
 
     def depart(
--- a/amberlug/cluster/control/initial_state.py
+++ b/amberlug/cluster/control/initial_state.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 
 from amberlug.cluster.consensus.log import PersistentState
-from amberlug.cluster.interfaces import Json
+from amberlug.cluster.consensus.membership import Member, Members
 from amberlug.cluster.session_client import seed_addresses
 from amberlug.cluster.settings import Settings
 
@@ -13,13 +13,15 @@
 INCARNATION_BITS = 48
 
 
-def founding_members(settings: Settings) -> Json:
+def founding_members(settings: Settings) -> Members:
     """The members that found the cluster: the seeds of the first start, each in its founding incarnation."""
-    unknown = {"voter": True, "name": "", "zone": "", "region": ""}
-    return {
-        f"{host}/{FOUNDING_INCARNATION}": {**unknown, "addr": address, "control": f"{host}:{port}"}
-        for (host, port), address in zip(settings.seeds, seed_addresses(settings), strict=True)
-    }
+    seeds = zip(settings.seeds, seed_addresses(settings), strict=True)
+    return Members(
+        {
+            f"{host}/{FOUNDING_INCARNATION}": Member.founder(address, f"{host}:{port}")
+            for (host, port), address in seeds
+        }
+    )
 
 
 def blank(settings: Settings, random_bits: Callable[[int], int]) -> PersistentState:
@@ -27,7 +29,7 @@
 
     :param random_bits: returns a random integer of so many bits, which names the incarnation.
     """
-    members = founding_members(settings) if settings.first_start else {}
+    members = founding_members(settings) if settings.first_start else Members()
     member_id = f"{settings.ip}/{FOUNDING_INCARNATION}"
     if member_id not in members:
         member_id = f"{settings.ip}/{random_bits(INCARNATION_BITS):x}"
--- a/amberlug/cluster/control/membership.py
+++ b/amberlug/cluster/control/membership.py
@@ -3,9 +3,10 @@
 from __future__ import annotations
 
 from absl import logging
-from result import Ok, Result
+from result import Ok
 
-from amberlug.cluster.consensus.raft import ProposalRejected, Role
+from amberlug.cluster.consensus.membership import Members
+from amberlug.cluster.consensus.raft import ProposalResult, Role
 from amberlug.cluster.consensus.voter_selection import (
     ChangeKind,
     MembershipChange,
@@ -16,7 +17,6 @@
 from amberlug.cluster.control.context import ControlContext
 from amberlug.cluster.control.peer_messages import AnnounceLeaving, JoinCluster, MemberDescription
 from amberlug.cluster.control.quorum_contact import NEVER_S
-from amberlug.cluster.interfaces import Json
 from amberlug.cluster.rpc.messages import Responder, handles, send
 from amberlug.cluster.session_client import seed_addresses
 
@@ -45,7 +45,7 @@
     def leave(self) -> None:
         """Begin a planned stop: another node leads and votes from now on, where there is one."""
         members = self._raft.members.values()
-        if any(not member["voter"] and not member.get("gone") for member in members):
+        if any(not member.is_voter and not member.is_superseded for member in members):
             self._leave_deadline_s = self._runtime.now() + REPLACEMENT_TIMEOUT_S
         self._raft.transfer_leadership()
         self._announce_leaving()
@@ -69,7 +69,7 @@
         self._runtime.call_later(JOIN_INTERVAL_S, self.join)
         is_leader = self._raft.role is Role.LEADER
         is_followed = is_leader or self._runtime.now() - self._raft.leader_contact_at < LEADER_TIMEOUT_S
-        if is_followed and self._is_known():
+        if is_followed and self._is_up_to_date():
             return
         message = JoinCluster(self._raft.member_id, self._description())
         if is_leader:
@@ -83,15 +83,13 @@
         leader = self._quorum.leader_address()
         if leader and is_followed:
             return [leader]
-        known = [*seed_addresses(self._settings()), *self._peers()]
-        return [address for address in known if address != self._address]
+        addresses = [*seed_addresses(self._settings()), *self._peers()]
+        return [address for address in addresses if address != self._address]
 
-    def _is_known(self) -> bool:
+    def _is_up_to_date(self) -> bool:
         """Whether the membership has this node as it is now, as a voter or not."""
-        known = self._raft.members.get(self._raft.member_id)
-        if known is None:
-            return False
-        return {**known, "voter": None} == {**self._description().to_wire(), "voter": None}
+        member = self._raft.members.get(self._raft.member_id)
+        return member is not None and member.with_vote(False) == self._description().as_learner()
 
     def _description(self) -> MemberDescription:
         settings = self._settings()
@@ -115,26 +113,24 @@
             send(self._runtime, leader, forwarded)
 
     def _admit(self, message: JoinCluster) -> None:
-        """Add a node as a learner; whoever had its address before is gone."""
-        joining, description = message.member_id, message.member.to_wire()
-        members: Json = {
-            name: {**member, "gone": True}
-            if name != joining and member["addr"] == message.member.address
-            else member
-            for name, member in self._raft.members.items()
-        }
-        is_voter = members.get(joining, {}).get("voter", False)
-        members[joining] = {**description, "voter": is_voter}
-        if members != self._raft.members:
+        """Add a node as a learner; whoever had its address before is superseded."""
+        joining, current = message.member_id, self._raft.members
+        members = current
+        for name, member in current.items():
+            if name != joining and member.address == message.member.address:
+                members = members.with_member(name, member.superseded())
+        joined = message.member.as_learner().with_vote(current.is_voter(joining))
+        members = members.with_member(joining, joined)
+        if members != current:
             self._change(members, f"{joining} is admitted")
 
-    def _change(self, members: Json, reason: str) -> None:
+    def _change(self, members: Members, reason: str) -> None:
         """Propose a membership, where the one before is committed."""
         if self._is_changing or not self._raft.is_membership_committed:
             return
         self._is_changing = True
 
-        def receive(result: Result[Json, ProposalRejected]) -> None:
+        def receive(result: ProposalResult) -> None:
             self._is_changing = False
             if isinstance(result, Ok):
                 logging.info("control-plane membership changed: %s", reason)
@@ -151,12 +147,13 @@
         if change is not None:
             self._change(self._members_after(change), f"{change.name} {change.reason}")
 
-    def _members_after(self, change: MembershipChange) -> Json:
-        members = dict(self._raft.members)
-        member = members.pop(change.name)
-        if change.kind is not ChangeKind.REMOVE:
-            members[change.name] = {**member, "voter": change.kind is ChangeKind.PROMOTE}
-        return members
+    def _members_after(self, change: MembershipChange) -> Members:
+        members = self._raft.members
+        others = members.without(change.name)
+        if change.kind is ChangeKind.REMOVE:
+            return others
+        member = members[change.name].with_vote(change.kind is ChangeKind.PROMOTE)
+        return others.with_member(change.name, member)
 
     def _member_statuses(self) -> list[MemberStatus]:
         raft, now_s = self._raft, self._runtime.now()
@@ -165,12 +162,12 @@
         return [
             MemberStatus(
                 name,
-                member["voter"],
-                member["zone"],
-                member.get("region", ""),
+                member.is_voter,
+                member.zone,
+                member.region,
                 raft.has_replicated(name, min(committed, raft.commit_index)),
                 raft.unresponsive_s(name),
-                member.get("gone", False),
+                member.is_superseded,
                 now_s - self._leaving_at_s.get(name, NEVER_S) < LEAVING_TIMEOUT_S,
             )
             for name, member in raft.members.items()
--- a/amberlug/cluster/control/node.py
+++ b/amberlug/cluster/control/node.py
@@ -155,7 +155,7 @@
 
     def _peers(self) -> list[str]:
         """Addresses of the other control-plane nodes."""
-        return [member["addr"] for name, member in self.raft.members.items() if name != self.raft.member_id]
+        return [member.address for name, member in self.raft.members.items() if name != self.raft.member_id]
 
     def _keys_known_at(self, address: str) -> tuple[str, ...]:
         """Keys that a node has by its log: sent as gossip besides, they would delay its heartbeats."""
--- a/amberlug/cluster/control/peer_messages.py
+++ b/amberlug/cluster/control/peer_messages.py
@@ -8,6 +8,7 @@
 
 from typing import ClassVar
 
+from amberlug.cluster.consensus.membership import Member
 from amberlug.cluster.control.submitted_commands import SubmittedCommand, submitted_from_wire
 from amberlug.cluster.interfaces import Json
 from amberlug.cluster.rpc.messages import Body, Notification, Request
@@ -78,8 +79,12 @@
     region: str
     control_address: str
 
+    def as_learner(self) -> Member:
+        """The node as a member; who joins does not vote yet."""
+        return Member.from_wire(self.to_wire())
+
     def to_wire(self) -> Json:
-        """The JSON object of the membership; who joins does not vote yet."""
+        """The JSON object, which has the form of a member in the membership."""
         return {
             "addr": self.address,
             "voter": False,
--- a/amberlug/cluster/control/quorum_contact.py
+++ b/amberlug/cluster/control/quorum_contact.py
@@ -44,7 +44,7 @@
     def leader_address(self) -> str | None:
         """The address of the leader; None where this node leads itself or knows of no leader."""
         member = self._raft.members.get(self._raft.leader_id)
-        return None if member is None or self._raft.leader_id == self._raft.member_id else str(member["addr"])
+        return None if member is None or self._raft.leader_id == self._raft.member_id else member.address
 
     def confirm_index(self, on_confirmed: Callable[[int | None], None]) -> None:
         """Have the leader confirm its commit index with a majority (ReadIndex: Raft dissertation, 6.4).
--- a/amberlug/cluster/control/state_publisher.py
+++ b/amberlug/cluster/control/state_publisher.py
@@ -37,7 +37,7 @@
         if state.roster and self._is_newer(ROSTER_KEY, state.roster_index):
             offer(ROSTER_KEY, [state.roster_index], roster_to_wire(state.roster))
         if self._raft.membership.index <= self._raft.commit_index:
-            offer(MEMBERS_KEY, [self._raft.membership.index], self._raft.members)
+            offer(MEMBERS_KEY, [self._raft.membership.index], self._raft.members.to_wire())
         for name, departure in state.take_changed_departures().items():
             self._registry.apply_departure(name, departure)
 
--- a/amberlug/cluster/control/status.py
+++ b/amberlug/cluster/control/status.py
@@ -69,7 +69,7 @@
             query.request(session.id, session.address, NODE_STATUS_TAG, body)
         for member_id, member in self._raft.members.items():
             if member_id != self._raft.member_id:
-                query.request(member_id, member["addr"], ReadControlStatus.wire_tag, {})
+                query.request(member_id, member.address, ReadControlStatus.wire_tag, {})
         finish_waiting = query.wait()
 
         def receive_index(index: int | None) -> None:
@@ -146,7 +146,7 @@
             "leader": self._raft.leader_id,
             "commit": self._raft.commit_index,
             "members": [
-                {"id": member_id, **member, "told": reports.get(member_id)}
+                {"id": member_id, **member.to_wire(), "told": reports.get(member_id)}
                 for member_id, member in sorted(self._raft.members.items())
             ],
         }
--- a/amberlug/cluster/simulation/disk.py
+++ b/amberlug/cluster/simulation/disk.py
@@ -11,6 +11,7 @@
 
 from amberlug.cluster.consensus import storage
 from amberlug.cluster.consensus.log import Entry, PersistentState, StoredEntry, assemble
+from amberlug.cluster.consensus.membership import Members
 from amberlug.cluster.consensus.rows import (
     AcknowledgedRow,
     EntryRow,
@@ -141,10 +142,16 @@
         if self._saved is not None:
             it = self._saved
             state, members, log = json.loads(
-                json.dumps([it.snapshot_state, it.members, sorted(self._rows.items())])
+                json.dumps([it.snapshot_state, it.members.to_wire(), sorted(self._rows.items())])
             )
             found = PersistentState(
-                it.member_id, it.term, it.voted_for, it.snapshot_index, it.snapshot_term, state, members
+                it.member_id,
+                it.term,
+                it.voted_for,
+                it.snapshot_index,
+                it.snapshot_term,
+                state,
+                Members.from_wire(members),
             )
             found.acknowledged = dict(it.acknowledged)
             found = assemble(found, [StoredEntry(index, *entry) for index, entry in log])
--- a/amberlug/cluster/simulation/model_checker.py
+++ b/amberlug/cluster/simulation/model_checker.py
@@ -22,7 +22,7 @@
 
 from amberlug.cluster.consensus import log
 from amberlug.cluster.consensus.log import Entry, PersistentState
-from amberlug.cluster.consensus.membership import Membership
+from amberlug.cluster.consensus.membership import Member, Members, Membership
 from amberlug.cluster.consensus.raft import RaftNode, Role, StateMachine
 from amberlug.cluster.consensus.rows import (
     AcknowledgedRow,
@@ -37,7 +37,7 @@
 from amberlug.cluster.simulation.clock import Timer
 
 NAMES = ("a", "b", "c")
-VOTERS: Json = {name: {"addr": name, "voter": True} for name in NAMES}
+VOTERS = Members.from_wire({name: {"addr": name, "voter": True} for name in NAMES})
 NEW = "d"  # the newcomer: no member at first
 CHANCE = random.Random(1)  # decides nothing here: no timer fires
 STEP_S = 1.0  # what was heard before a step is heard no more after it
@@ -75,7 +75,7 @@
     """A member is let in, made a voter or a learner, or removed (None), and all hear of it."""
     for at, after in enumerate(play.changes(leader)):
         before = play.members[leader].raft.members.get(name)
-        if after.get(name) != before and after.get(name, {}).get("voter") is voter:
+        if after.get(name) != before and (after[name].is_voter if name in after else None) is voter:
             play.take(("change", leader, at))
             play.settle()
             return
@@ -222,7 +222,7 @@
         self.members: dict[str, _Member] = {}
         for name, (term, vote, entries) in start.disks.items():
             rows = [Entry(it, None) for it in entries]
-            members = VOTERS if name in NAMES else {}
+            members = VOTERS if name in NAMES else Members()
             self.members[name] = _Member(
                 name, PersistentState(name, term, vote, members=members, entries=rows)
             )
@@ -259,7 +259,7 @@
                     if key == "peers":
                         setattr(ours, key, deepcopy(value))
                     elif isinstance(
-                        value, bool | int | float | str | tuple | list | dict | Role | Membership
+                        value, bool | int | float | str | tuple | list | dict | Role | Members | Membership
                     ):
                         setattr(ours, key, copy(value))
 
@@ -314,14 +314,14 @@
                 found.append(("cut", name, 0))
         return found
 
-    def changes(self, leader: str) -> list[Json]:
+    def changes(self, leader: str) -> list[Members]:
         """All memberships that a leader could go to from its own by one member."""
-        members = self.members[leader].raft.members
-        after = [{**members, name: {**it, "voter": not it["voter"]}} for name, it in members.items()]
-        after += [{key: it for key, it in members.items() if key != name} for name in members]
+        members: Members = self.members[leader].raft.members
+        after = [members.with_member(name, it.with_vote(not it.is_voter)) for name, it in members.items()]
+        after += [members.without(name) for name in members]
         if NEW not in members and NEW in self.members:
-            after.append({**members, NEW: {"addr": NEW, "voter": False}})
-        return [it for it in after if any(member["voter"] for member in it.values())]
+            after.append(members.with_member(NEW, Member.from_wire({"addr": NEW, "voter": False})))
+        return [it for it in after if it.voters]
 
     def _let_go(self, raft: Any, name: str) -> bool:
         """Whether operators may take away a member: this leader says that it is removed."""
@@ -361,7 +361,7 @@
                 self._sync(member)
             elif what == "away":
                 self._check_copies(name)
-                member.saved = PersistentState(f"{name}/away", members={})
+                member.saved = PersistentState(f"{name}/away", members=Members())
                 self._begin(name)
             elif what == "wipe":
                 member.saved = self.blank(name, member.life)
@@ -414,12 +414,12 @@
                     raise FoundError(f"two entries are committed at {index}")
         self._check_majorities()
 
-    def _membership(self, upto: int) -> Json:
+    def _membership(self, upto: int) -> Members:
         """The newest one that is committed up to an entry."""
         for index in range(upto, 0, -1):
-            command = self.committed[index][1]
-            if command is not None and "members" in command:
-                return dict(command["members"])
+            members = self.committed[index].members
+            if members is not None:
+                return members
         return VOTERS
 
     def _check_book(self, name: str, member: _Member) -> None:
@@ -440,16 +440,16 @@
             return
         raft = max(leaders, key=lambda it: int(it.term))
         if raft.term_at(raft.commit_index) == raft.term:
-            theirs = {key for key, it in self._membership(raft.commit_index).items() if it["voter"]}
-            ours = set(raft.membership.voters)
+            theirs = set(self._membership(raft.commit_index).voters)
+            ours = set(raft.members.voters)
             if len(theirs) // 2 + len(ours) // 2 + 2 <= len(theirs | ours):
                 raise FoundError(f"majorities of {sorted(theirs)} and {sorted(ours)} can be disjoint")
 
     def _check_copies(self, name: str) -> None:
         """As a member is taken away a majority of the rest has what is committed, but for lost disks."""
         raft = next(it.raft for it in self.members.values() if self._let_go(it.raft, name))
-        saved = [self.members[it].saved for it in raft.membership.voters]
-        lost = sum(1 for key, it in zip(raft.membership.voters, saved, strict=True) if it.member_id != key)
+        saved = [self.members[it].saved for it in raft.members.voters]
+        lost = sum(1 for key, it in zip(raft.members.voters, saved, strict=True) if it.member_id != key)
 
         def has(it: PersistentState, index: int, entry: Entry) -> bool:
             rest = it.entries[max(0, index - it.snapshot_index - 1) :]
@@ -547,7 +547,7 @@
 
 def stranger(name: str, life: int) -> PersistentState:
     """What a wiped member comes back as: another one."""
-    return PersistentState(f"{name}/{life}", members={})
+    return PersistentState(f"{name}/{life}", members=Members())
 
 
 def old_self(name: str, life: int) -> PersistentState:
--- a/amberlug/cluster/simulation/mutations.py
+++ b/amberlug/cluster/simulation/mutations.py
@@ -187,7 +187,7 @@
     def advance(self: Replication) -> None:
         raft = self.raft
         matched = self.match_indexes()
-        indexes = sorted((matched.get(name, 0) for name in raft.membership.voters), reverse=True)
+        indexes = sorted((matched.get(name, 0) for name in raft.members.voters), reverse=True)
         if indexes and indexes[len(indexes) // 2] > raft.commit_index:
             raft.commit_to(indexes[len(indexes) // 2])
             self.send_to_all()
@@ -199,7 +199,7 @@
     """A voter that was removed still counts, as one who agrees, until the log is cut."""
 
     def majority(self: RaftNode, names: set[str]) -> bool:
-        voters = self.membership.voters
+        voters = self.members.voters
         gone = [name for name in self.log.snapshot_members if name not in self.members]
         return 2 * (sum(1 for it in voters if it in names) + len(gone)) > len(voters)
 
--- a/amberlug/cluster/simulation/mutations_frames.py
+++ b/amberlug/cluster/simulation/mutations_frames.py
@@ -10,9 +10,9 @@
 from amberlug.cluster.consensus import chunk_sender, log
 from amberlug.cluster.consensus.election import MAX_ELECTION_TIMEOUT_S
 from amberlug.cluster.consensus.log import Log, PersistentState, StoredEntry
+from amberlug.cluster.consensus.membership import Members
 from amberlug.cluster.consensus.replication import HEARTBEAT_INTERVAL_S, Replication
 from amberlug.cluster.consensus.snapshot_transfer import IncomingTransfer, OutgoingTransfer
-from amberlug.cluster.interfaces import Json
 from amberlug.cluster.simulation import disk
 
 
@@ -32,7 +32,7 @@
 def _members_left_behind() -> AbstractContextManager[Any]:
     """A snapshot keeps the membership of the one before."""
 
-    def members_until(self: Log, index: int) -> Json:
+    def members_until(self: Log, index: int) -> Members:
         return self.snapshot_members
 
     return patch.object(Log, "members_until", members_until)
--- a/amberlug/cluster/simulation/mutations_partitions.py
+++ b/amberlug/cluster/simulation/mutations_partitions.py
@@ -54,8 +54,10 @@
             announce(self, request, name, respond)
 
     def any_address(self: EndpointApi, zone: str) -> str:
-        member = self.raft.members.get(self.raft.member_id, {})
-        return str(member["control"]) if member.get("zone") == zone else heartbeat_address(self, zone)
+        member = self.raft.members.get(self.raft.member_id)
+        if member is not None and member.zone == zone:
+            return member.control_address
+        return heartbeat_address(self, zone)
 
     return _both(
         # The call's declaration stands on the function that is replaced.
--- a/amberlug/cluster/simulation/mutations_voters.py
+++ b/amberlug/cluster/simulation/mutations_voters.py
@@ -9,6 +9,7 @@
 
 from amberlug.cluster.consensus import voter_selection
 from amberlug.cluster.consensus.log import Log
+from amberlug.cluster.consensus.membership import Members
 from amberlug.cluster.consensus.raft import ProposalCallback, RaftNode
 from amberlug.cluster.consensus.replication import Replication
 from amberlug.cluster.consensus.rollback_guard import RollbackGuard
@@ -35,13 +36,13 @@
     """A learner's word counts as a voter's does, both for an election and for an entry."""
 
     def majority(self: RaftNode, names: set[str]) -> bool:
-        return 2 * sum(1 for it in self.members if it in names) > len(self.membership.voters)
+        return 2 * sum(1 for it in self.members if it in names) > len(self.members.voters)
 
     def advance(self: Replication) -> None:
         raft = self.raft
         matched = self.match_indexes()
-        indexes = sorted((matched.get(name, 0) for name in raft.membership.records), reverse=True)
-        index = indexes[len(raft.membership.voters) // 2]
+        indexes = sorted((matched.get(name, 0) for name in raft.members), reverse=True)
+        index = indexes[len(raft.members.voters) // 2]
         if index > raft.commit_index and raft.log.term_at(index) == raft.term:
             raft.commit_to(index)
             self.send_to_all()
@@ -51,8 +52,8 @@
         yield
 
 
-def _any_change(self: RaftNode, members: Json, on_outcome: ProposalCallback) -> None:
-    self.propose({"members": members}, on_outcome)
+def _any_change(self: RaftNode, members: Members, on_outcome: ProposalCallback) -> None:
+    self.propose(members.to_command(), on_outcome)
 
 
 @contextmanager
--- a/tests/cluster/group.py
+++ b/tests/cluster/group.py
@@ -6,6 +6,7 @@
 from result import Ok, Result
 
 from amberlug.cluster.consensus.log import PersistentState
+from amberlug.cluster.consensus.membership import Member, Members
 from amberlug.cluster.consensus.raft import ProposalRejected, RaftNode, Role, StateMachine
 from amberlug.cluster.interfaces import Json
 from amberlug.cluster.rpc.messages import handlers_of
@@ -32,7 +33,7 @@
         runtime = SimulatedRuntime(
             group.net, incarnation, random.Random(f"{self.name} {self.incarnations}"), 0.0
         )
-        members = group.founders if self.is_founder else {}
+        members = group.founders if self.is_founder else Members()
         me = self.name if self.is_founder else f"{self.name}/{self.incarnations}"
         incarnation.machine = RecordingStateMachine(
             runtime,
@@ -93,7 +94,7 @@
     def __init__(self, seed: int = 1) -> None:
         self.clock = Clock()
         self.net = Network(self.clock, random.Random(seed), 0.0005)
-        self.founders: Json = {name: {"addr": name, "voter": True} for name in "abc"}
+        self.founders = Members.from_wire({name: {"addr": name, "voter": True} for name in "abc"})
         self.members = {name: GroupMember(self, name) for name in "abc"}
         self.failed_assertions: list[str] = []
         self.committed: list[int] = []  # numbers of the changes that were acknowledged
@@ -144,23 +145,23 @@
             retry()
             return
         members, name = leader.raft.members, member.raft.member_id
-        old = [it for it, known in members.items() if known["addr"] == member.address and it != name]
+        old = [other for other in members if members[other].address == member.address and other != name]
         if old:
-            rest = {it: known for it, known in members.items() if it not in old}
+            rest = Members({other: members[other] for other in members if other not in old})
             leader.raft.change_members(rest, lambda outcome: None)
         elif name not in members or (
-            not members[name]["voter"] and leader.raft.has_replicated(name, leader.raft.commit_index - 8)
+            not members.is_voter(name) and leader.raft.has_replicated(name, leader.raft.commit_index - 8)
         ):
-            known = {"addr": member.address, "voter": name in members}
-            leader.raft.change_members({**members, name: known}, lambda outcome: None)
-        if not members.get(name, {}).get("voter"):
+            record = Member.from_wire({"addr": member.address, "voter": name in members})
+            leader.raft.change_members(members.with_member(name, record), lambda outcome: None)
+        if not members.is_voter(name):
             retry()
 
     @property
     def tolerates_a_loss(self) -> bool:
         """Whether one more may be lost."""
         leader = self.leader
-        return leader is not None and not self.lagging and len(leader.raft.membership.voters) == 3
+        return leader is not None and not self.lagging and len(leader.raft.members.voters) == 3
 
     @property
     def lagging(self) -> list[str]:
--- a/tests/cluster/test_contact.py
+++ b/tests/cluster/test_contact.py
@@ -9,6 +9,7 @@
 from result import Ok
 
 from amberlug.cluster.consensus.log import Entry, PersistentState
+from amberlug.cluster.consensus.membership import Members
 from amberlug.cluster.control.node import ControlNode
 from amberlug.cluster.control.submitted_commands import (
     ConfigCall,
@@ -175,7 +176,8 @@
     of = settings("core")
     world = Alone(Clock())
     names = [f"10.0.0.{number}:7300" for number in (1, 2, 3)]
-    members = {name: {"addr": name, "voter": True, "zone": "", "control": ""} for name in names}
+    member = {"voter": True, "zone": "", "control": ""}
+    members = Members.from_wire({name: {"addr": name, **member} for name in names})
     config = {"do": "config", "base": 0, "edition": 5, "sum": "x", "config": {"edition": 5}}
     core = ControlNode(
         world, of, names[0], Fast(), PersistentState(names[0], 1, members=members, entries=[Entry(1, config)])
@@ -275,7 +277,7 @@
         assert day.clock.now < BEFORE_S + 1.0
     others = [it for it in day.deployment.cores if it is not ending]
     assert all(it.part.raft.is_voter for it in others)
-    assert name not in others[0].part.raft.membership.voters
+    assert name not in others[0].part.raft.members.voters
 
 
 def test_members_find_a_relay_while_several_are_silent() -> None:
--- a/tests/cluster/test_raft.py
+++ b/tests/cluster/test_raft.py
@@ -5,6 +5,7 @@
 from typing import Any
 
 from amberlug.cluster.consensus.log import Entry, PersistentState, encode
+from amberlug.cluster.consensus.membership import Members
 from amberlug.cluster.consensus.raft import RaftNode, StateMachine
 from amberlug.cluster.consensus.snapshot_transfer import (
     CHUNK_BYTES,
@@ -18,7 +19,7 @@
 from amberlug.cluster.simulation.disk import ControlDisk
 from tests.cluster.fakes import Alone
 
-MEMBERS = {name: {"addr": name, "voter": True} for name in "abc"}
+MEMBERS = Members.from_wire({name: {"addr": name, "voter": True} for name in "abc"})
 
 
 class RefusingDisk:
@@ -107,7 +108,7 @@
 
 
 def snapshot(fill: str, last: int = 9) -> OutgoingTransfer:
-    members = {**MEMBERS, "d": {"addr": "d", "voter": fill == "x"}}
+    members = {**MEMBERS.to_wire(), "d": {"addr": "d", "voter": fill == "x"}}
     data = encode({"state": {"text": fill * 3 * CHUNK_BYTES}, "members": members}).encode()
     return OutgoingTransfer(TransferHeader.describe("snapshot", last, 1, data), data, SendWindow())
 
@@ -143,6 +144,17 @@
     assert total > 3 * CHUNK_BYTES
 
 
+def test_member_fields_of_a_newer_version_keep_their_place_in_a_configuration_entry() -> None:
+    first, second = {"rack": 4, "addr": "a", "voter": True}, {"voter": False, "addr": "b", "gone": True}
+    members = Members.from_wire({"a/0": first, "b/1": second})
+    members = members.with_member("a/0", members["a/0"].with_vote(False).superseded())
+    assert encode(members.to_command()) == (
+        '{"members":{"a/0":{"rack":4,"addr":"a","voter":false,"gone":true},'
+        '"b/1":{"voter":false,"addr":"b","gone":true}}}'
+    )
+    assert Members.from_command(members.to_command()) == members
+
+
 def test_a_snapshot_with_a_wrong_checksum_is_rejected() -> None:
     learner, transfer = Learner(), snapshot("x")
     all_chunks = chunks(transfer)
--- a/tests/cluster/test_raft_storage.py
+++ b/tests/cluster/test_raft_storage.py
@@ -8,6 +8,7 @@
 from pathlib import Path
 
 from amberlug.cluster.consensus.log import PersistentState
+from amberlug.cluster.consensus.membership import Members
 from amberlug.cluster.consensus.raft import RaftNode, Role, StateMachine
 from amberlug.cluster.consensus.storage import open_raft_storage
 from amberlug.cluster.interfaces import Json
@@ -15,7 +16,7 @@
 from amberlug.cluster.storage.group_commit import GroupCommitWriter
 from tests.cluster.fakes import Alone
 
-ALONE: Json = {"a": {"addr": "a", "voter": True}}
+ALONE = Members.from_wire({"a": {"addr": "a", "voter": True}})
 
 
 class SingleMember:
@@ -101,7 +102,7 @@
             it.unlink()
         open_raft_storage(tmp_path, lambda: PersistentState("a", members=ALONE), lambda act: None)[1].close()
         base = sqlite3.connect(tmp_path / "vise.db", isolation_level=None)
-        put(base, "snap", {"start": 512, "term": 3, "state": {"text": "512"}, "members": ALONE})
+        put(base, "snap", {"start": 512, "term": 3, "state": {"text": "512"}, "members": ALONE.to_wire()})
         put(base, "term", (4, "a"))
         for at in rows:
             entry(base, at, 3)
--- a/tests/cluster/test_rollback_guard.py
+++ b/tests/cluster/test_rollback_guard.py
@@ -9,6 +9,7 @@
 from absl import logging
 
 from amberlug.cluster.consensus.log import PersistentState
+from amberlug.cluster.consensus.membership import Members
 from amberlug.cluster.consensus.storage import open_raft_storage
 from amberlug.cluster.simulation.deployment import Deployment
 from amberlug.cluster.simulation.machine import BOUNDS, Machine
@@ -142,7 +143,7 @@
     posted: list[Callable[[], None]] = []
     errors: list[str | None] = []
     saved, raft_storage, _ = open_raft_storage(
-        tmp_path, lambda: PersistentState("ip/0", members={"ip/0": {}}), posted.append
+        tmp_path, lambda: PersistentState("ip/0", members=Members.from_wire({"ip/0": {}})), posted.append
     )
     rows = [("term", (3, "x")), ("entry", (1, 3, None)), ("floors", ({"ip/0": 1},)), ("anew", ("ip/1",))]
     raft_storage.write(rows, errors.append)
--- a/tests/cluster/test_voter_selection.py
+++ b/tests/cluster/test_voter_selection.py
@@ -138,7 +138,7 @@
     first = leader(deployment)
     assert first is not None, "nobody leads"
     members = first.part.raft.members
-    addresses = [it["addr"] for it in members.values() if it["voter"]]
+    addresses = [member.address for member in members.values() if member.is_voter]
     assert len(set(addresses)) == len(addresses)
     return [it for it in deployment.cores if it.address in addresses]
 
