--- a/amberlug/cluster/consensus/context.py
+++ b/amberlug/cluster/consensus/context.py
@@ -5,11 +5,12 @@
 from collections.abc import Callable, Mapping, Sequence, Set
 from typing import Protocol
 
-from amberlug.cluster.consensus.log import Entry, Log
+from amberlug.cluster.consensus.log import Log
 from amberlug.cluster.consensus.membership import Members, Membership
 from amberlug.cluster.consensus.messages import AcknowledgedIndexes, LeaderHeader
 from amberlug.cluster.consensus.opaque import Command, MachineState, Outcome
 from amberlug.cluster.consensus.peer_progress import LeaderRequest, PeerProgress
+from amberlug.cluster.consensus.persistent_state import Entry
 from amberlug.cluster.consensus.roles import Role
 from amberlug.cluster.interfaces import Disk, Runtime
 from amberlug.cluster.values import value
--- a/amberlug/cluster/consensus/follower.py
+++ b/amberlug/cluster/consensus/follower.py
@@ -6,7 +6,6 @@
 from collections.abc import Callable
 
 from amberlug.cluster.consensus.context import MemberContext
-from amberlug.cluster.consensus.log import Entry, Snapshot
 from amberlug.cluster.consensus.messages import (
     AcknowledgedIndexes,
     AppendEntries,
@@ -14,6 +13,7 @@
     LeaderHeader,
     TransferChunk,
 )
+from amberlug.cluster.consensus.persistent_state import Entry, Snapshot
 from amberlug.cluster.consensus.roles import Role
 from amberlug.cluster.consensus.snapshot_transfer import IncomingTransfer, TransferHeader
 from amberlug.cluster.rpc.messages import Responder
--- a/amberlug/cluster/consensus/messages.py
+++ b/amberlug/cluster/consensus/messages.py
@@ -8,7 +8,7 @@
 
 from typing import ClassVar
 
-from amberlug.cluster.consensus.log import Entry
+from amberlug.cluster.consensus.persistent_state import Entry
 from amberlug.cluster.consensus.snapshot_transfer import TransferHeader
 from amberlug.cluster.interfaces import Json
 from amberlug.cluster.rpc.messages import Body, Notification, Request
--- a/amberlug/cluster/consensus/raft.py
+++ b/amberlug/cluster/consensus/raft.py
@@ -17,7 +17,7 @@
 from amberlug.cluster.consensus.context import StateMachine
 from amberlug.cluster.consensus.election import Election
 from amberlug.cluster.consensus.follower import Follower
-from amberlug.cluster.consensus.log import Entry, Log, PersistentState
+from amberlug.cluster.consensus.log import Log
 from amberlug.cluster.consensus.membership import Members
 from amberlug.cluster.consensus.messages import (
     AcknowledgedIndexReply,
@@ -29,6 +29,7 @@
 )
 from amberlug.cluster.consensus.opaque import Command, Outcome
 from amberlug.cluster.consensus.peer_progress import NEVER
+from amberlug.cluster.consensus.persistent_state import Entry, PersistentState
 from amberlug.cluster.consensus.proposals import (
     PendingProposals,
     ProposalCallback,
--- a/amberlug/cluster/consensus/replication.py
+++ b/amberlug/cluster/consensus/replication.py
@@ -8,7 +8,6 @@
 from amberlug.cluster.consensus.chunk_sender import ChunkSender
 from amberlug.cluster.consensus.context import MemberContext
 from amberlug.cluster.consensus.election import MAX_ELECTION_TIMEOUT_S, MIN_ELECTION_TIMEOUT_S
-from amberlug.cluster.consensus.log import Entry
 from amberlug.cluster.consensus.messages import (
     AppendEntries,
     FollowerReply,
@@ -21,6 +20,7 @@
     PendingRequest,
     RequestKind,
 )
+from amberlug.cluster.consensus.persistent_state import Entry
 from amberlug.cluster.consensus.snapshot_transfer import reply_timeout_s
 from amberlug.cluster.interfaces import RequestFailure
 from amberlug.cluster.rpc.messages import request, send
--- a/amberlug/cluster/consensus/storage.py
+++ b/amberlug/cluster/consensus/storage.py
@@ -13,9 +13,9 @@
 from pathlib import Path
 from typing import NamedTuple, TypeAlias
 
-from amberlug.cluster.consensus.log import PersistentState, StoredEntry, assemble, encode
 from amberlug.cluster.consensus.membership import Members
 from amberlug.cluster.consensus.opaque import MachineState
+from amberlug.cluster.consensus.persistent_state import PersistentState, StoredEntry, assemble, encode
 from amberlug.cluster.consensus.rows import (
     AcknowledgedRow,
     EntryRow,
--- a/amberlug/cluster/control/initial_state.py
+++ b/amberlug/cluster/control/initial_state.py
@@ -4,8 +4,8 @@
 
 from collections.abc import Callable
 
-from amberlug.cluster.consensus.log import PersistentState
 from amberlug.cluster.consensus.membership import Member, Members
+from amberlug.cluster.consensus.persistent_state import PersistentState
 from amberlug.cluster.session_client import seed_addresses
 from amberlug.cluster.settings import Settings
 
--- a/amberlug/cluster/control/node.py
+++ b/amberlug/cluster/control/node.py
@@ -4,7 +4,7 @@
 
 from absl import logging
 
-from amberlug.cluster.consensus.log import PersistentState
+from amberlug.cluster.consensus.persistent_state import PersistentState
 from amberlug.cluster.consensus.raft import RaftNode, Role, StateMachine
 from amberlug.cluster.control.admin_api import RetirementApi
 from amberlug.cluster.control.cluster_state import ClusterState
--- a/amberlug/cluster/simulation/disk.py
+++ b/amberlug/cluster/simulation/disk.py
@@ -10,8 +10,8 @@
 from typing import Any
 
 from amberlug.cluster.consensus import storage
-from amberlug.cluster.consensus.log import Entry, PersistentState, StoredEntry, assemble
 from amberlug.cluster.consensus.membership import Members
+from amberlug.cluster.consensus.persistent_state import Entry, PersistentState, StoredEntry, assemble
 from amberlug.cluster.consensus.rows import (
     AcknowledgedRow,
     EntryRow,
--- a/amberlug/cluster/simulation/model_checker.py
+++ b/amberlug/cluster/simulation/model_checker.py
@@ -21,8 +21,8 @@
 from result import Ok
 
 from amberlug.cluster.consensus import log
-from amberlug.cluster.consensus.log import Entry, PersistentState
 from amberlug.cluster.consensus.membership import Member, Members, Membership
+from amberlug.cluster.consensus.persistent_state import Entry, PersistentState
 from amberlug.cluster.consensus.raft import RaftNode, Role, StateMachine
 from amberlug.cluster.consensus.rows import (
     AcknowledgedRow,
--- a/amberlug/cluster/simulation/mutations.py
+++ b/amberlug/cluster/simulation/mutations.py
@@ -9,7 +9,7 @@
 
 from result import Ok, Result
 
-from amberlug.cluster.consensus.log import PersistentState
+from amberlug.cluster.consensus.persistent_state import PersistentState
 from amberlug.cluster.consensus.raft import RaftNode
 from amberlug.cluster.consensus.replication import Replication
 from amberlug.cluster.consensus.rollback_guard import RollbackGuard
--- a/amberlug/cluster/simulation/mutations_frames.py
+++ b/amberlug/cluster/simulation/mutations_frames.py
@@ -7,10 +7,11 @@
 from typing import Any
 from unittest.mock import patch
 
-from amberlug.cluster.consensus import chunk_sender, log
+from amberlug.cluster.consensus import chunk_sender, log, persistent_state
 from amberlug.cluster.consensus.election import MAX_ELECTION_TIMEOUT_S
-from amberlug.cluster.consensus.log import Log, PersistentState, StoredEntry
+from amberlug.cluster.consensus.log import Log
 from amberlug.cluster.consensus.membership import Members
+from amberlug.cluster.consensus.persistent_state import PersistentState, StoredEntry
 from amberlug.cluster.consensus.replication import HEARTBEAT_INTERVAL_S, Replication
 from amberlug.cluster.consensus.snapshot_transfer import IncomingTransfer, OutgoingTransfer
 from amberlug.cluster.simulation import disk
@@ -84,7 +85,7 @@
 
 def _last_forgotten() -> AbstractContextManager[Any]:
     """A restarted member forgets the last entry that it acknowledged."""
-    assemble = log.assemble
+    assemble = persistent_state.assemble
 
     def forget(saved: PersistentState, rows: Iterable[StoredEntry]) -> PersistentState | None:
         found = assemble(saved, rows)
--- a/tests/cluster/group.py
+++ b/tests/cluster/group.py
@@ -5,8 +5,8 @@
 
 from result import Ok, Result
 
-from amberlug.cluster.consensus.log import PersistentState
 from amberlug.cluster.consensus.membership import Member, Members
+from amberlug.cluster.consensus.persistent_state import PersistentState
 from amberlug.cluster.consensus.raft import ProposalRejected, RaftNode, Role, StateMachine
 from amberlug.cluster.interfaces import Json
 from amberlug.cluster.rpc.messages import handlers_of
--- a/tests/cluster/test_contact.py
+++ b/tests/cluster/test_contact.py
@@ -8,8 +8,8 @@
 from absl import logging
 from result import Ok
 
-from amberlug.cluster.consensus.log import Entry, PersistentState
 from amberlug.cluster.consensus.membership import Members
+from amberlug.cluster.consensus.persistent_state import Entry, PersistentState
 from amberlug.cluster.control.node import ControlNode
 from amberlug.cluster.control.submitted_commands import (
     ConfigCall,
--- a/tests/cluster/test_frames.py
+++ b/tests/cluster/test_frames.py
@@ -8,7 +8,6 @@
 
 import pytest
 
-from amberlug.cluster.consensus.log import Entry
 from amberlug.cluster.consensus.messages import (
     AcknowledgedIndexes,
     AcknowledgedIndexReply,
@@ -21,6 +20,7 @@
     TransferChunk,
     VoteReply,
 )
+from amberlug.cluster.consensus.persistent_state import Entry
 from amberlug.cluster.consensus.snapshot_transfer import TransferHeader
 from amberlug.cluster.rpc.messages import WireBody
 
--- a/tests/cluster/test_raft.py
+++ b/tests/cluster/test_raft.py
@@ -4,8 +4,8 @@
 from collections.abc import Callable
 from typing import Any
 
-from amberlug.cluster.consensus.log import Entry, PersistentState, encode
 from amberlug.cluster.consensus.membership import Members
+from amberlug.cluster.consensus.persistent_state import Entry, PersistentState, encode
 from amberlug.cluster.consensus.raft import RaftNode, StateMachine
 from amberlug.cluster.consensus.snapshot_transfer import (
     CHUNK_BYTES,
--- a/tests/cluster/test_raft_storage.py
+++ b/tests/cluster/test_raft_storage.py
@@ -7,8 +7,8 @@
 from collections.abc import Callable
 from pathlib import Path
 
-from amberlug.cluster.consensus.log import PersistentState
 from amberlug.cluster.consensus.membership import Members
+from amberlug.cluster.consensus.persistent_state import PersistentState
 from amberlug.cluster.consensus.raft import RaftNode, Role, StateMachine
 from amberlug.cluster.consensus.storage import open_raft_storage
 from amberlug.cluster.interfaces import Json
--- a/tests/cluster/test_rollback_guard.py
+++ b/tests/cluster/test_rollback_guard.py
@@ -8,8 +8,8 @@
 import pytest
 from absl import logging
 
-from amberlug.cluster.consensus.log import PersistentState
 from amberlug.cluster.consensus.membership import Members
+from amberlug.cluster.consensus.persistent_state import PersistentState
 from amberlug.cluster.consensus.storage import open_raft_storage
 from amberlug.cluster.simulation.deployment import Deployment
 from amberlug.cluster.simulation.machine import BOUNDS, Machine
