--- a/amberlug/cluster/consensus/chunk_sender.py
+++ b/amberlug/cluster/consensus/chunk_sender.py
@@ -10,6 +10,8 @@
 from amberlug.cluster.consensus.peer_progress import LeaderRequest, PeerProgress, RequestKind
 from amberlug.cluster.consensus.snapshot_transfer import (
     CHUNK_BYTES,
+    ENTRY,
+    SNAPSHOT,
     Chunk,
     OutgoingTransfer,
     TransferHeader,
@@ -34,24 +36,23 @@
         log, index = self._raft.log, peer.next_index
         peer.transfer = None
         if index <= log.base_index:
-            described = ("snapshot", log.snapshot_index, log.snapshot_term)
-            peer.transfer = self._transfer(peer, *described, log.encoded_snapshot)
+            peer.transfer = self._begin(
+                peer, SNAPSHOT, log.snapshot_index, log.snapshot_term, log.encoded_snapshot
+            )
         elif index <= log.last_index and log.size_bytes(index) > CHUNK_BYTES:
-            described = ("entry", index, log.term_at(index))
-            peer.transfer = self._transfer(peer, *described, partial(log.encoded_entry, index))
+            encode = partial(log.encoded_entry, index)
+            peer.transfer = self._begin(peer, ENTRY, index, log.term_at(index), encode)
         return peer.transfer is not None
 
-    def _transfer(
+    def _begin(
         self, peer: PeerProgress, kind: str, last_index: int, last_term: int, encode: Callable[[], str]
     ) -> OutgoingTransfer:
         """Begin a transfer; bytes that go to another peer already are not encoded again."""
         previous_term = self._raft.log.term_at(last_index - 1)
         for other in self._replication.peers.values():
-            if other.transfer is None:
-                continue
-            header = other.transfer.header
-            if (header.kind, header.last_index, header.last_term) == (kind, last_index, last_term):
-                return OutgoingTransfer(header, other.transfer.data, peer.window, previous_term)
+            transfer = other.transfer
+            if transfer is not None and transfer.header.is_for(kind, last_index, last_term):
+                return OutgoingTransfer(transfer.header, transfer.data, peer.window, previous_term)
         data = encode().encode()
         header = TransferHeader.describe(kind, last_index, last_term, data)
         return OutgoingTransfer(header, data, peer.window, previous_term)
--- a/amberlug/cluster/consensus/election.py
+++ b/amberlug/cluster/consensus/election.py
@@ -1,10 +1,14 @@
-"""Elections: randomized timeouts, pre-votes and votes (Raft, section 5.2; dissertation, sections 4.2.3, 9.6).
+"""Elections: timeouts and votes (Raft, sections 5.2, 5.4.1), pre-votes (dissertation, section 9.6).
 
 A member whose election timeout has elapsed first asks whether it would win (pre-vote), so that one that was
 partitioned does not disturb the group with a higher term. A member that hears from a leader grants no vote,
-so that one that only receives nothing deposes nobody.
+so that one that only receives nothing deposes nobody (dissertation, section 4.2.3).
 
-Invariant (election safety): a member votes at most once in a term, and its vote is on disk before it is sent.
+Requests of members that this one does not know of are answered too: its membership may be an older one than
+the candidate's (dissertation, section 4.1). Candidates count the votes of voters alone.
+
+Invariant (Election Safety; Raft, section 5.2): a member votes at most once in a term, and its vote is on disk
+before it is sent. Two majorities have a voter in common, so two members never win the same term.
 """
 
 from __future__ import annotations
@@ -21,10 +25,11 @@
 from amberlug.cluster.rpc.messages import Responder, request
 
 # Without a message of a leader until a member starts an election: several heartbeats, and a spread that lets
-# one candidate win before the next one's timeout (Raft, section 9.3).
+# one candidate win before the next one's timeout (Raft, sections 5.2, 9.3).
 MIN_ELECTION_TIMEOUT_S = 0.5
 MAX_ELECTION_TIMEOUT_S = 0.9
-# The same right after a start, when no leader was heard of yet.
+# The same right after a start: shorter, since there may be no leader to wait for, and a pre-vote does not
+# disturb the one that there is.
 MIN_STARTUP_TIMEOUT_S = 0.05
 MAX_STARTUP_TIMEOUT_S = 0.3
 
@@ -46,13 +51,13 @@
             raft.schedule(delay_s, self._on_timeout)
 
     def restart_timer(self) -> None:
-        """Wait for another election timeout, drawn anew."""
+        """Wait for another election timeout, drawn anew, so that split votes are rare (Raft, section 5.2)."""
         raft = self._raft
         delay_s = raft.runtime.chance.uniform(MIN_ELECTION_TIMEOUT_S, MAX_ELECTION_TIMEOUT_S)
         raft.schedule(delay_s, self._on_timeout)
 
     def _on_timeout(self) -> None:
-        """No leader was heard of: ask whether an election would be won, and start it then."""
+        """No leader was heard of: ask whether an election would be won (dissertation, section 9.6)."""
         raft = self._raft
         self.restart_timer()
         if not raft.is_voter or not raft.rollback_guard.may_vote:
@@ -63,7 +68,10 @@
         self._request_votes(raft.term + 1, is_pre_vote=True)
 
     def start(self, term: int, is_leadership_transfer: bool = False) -> None:
-        """Become a candidate; the vote for itself is on disk before others are asked for theirs."""
+        """Become a candidate in a new term (Raft, section 5.2).
+
+        Its vote for itself is on disk before others are asked for theirs.
+        """
         raft = self._raft
         raft.role = Role.CANDIDATE
         self.started_count += 1
@@ -71,27 +79,27 @@
 
         def on_saved() -> None:
             if raft.term == term:
-                self._request_votes(term, False, is_leadership_transfer)
+                self._request_votes(term, is_pre_vote=False, is_leadership_transfer=is_leadership_transfer)
 
         raft.save_term(on_saved)
 
     def _request_votes(self, term: int, is_pre_vote: bool, is_leadership_transfer: bool = False) -> None:
+        """Ask the other voters, in the order of the membership."""
         raft = self._raft
         count = _VoteCount(raft, term, is_pre_vote)
         last_index = raft.log.last_index
-        last_term = raft.log.term_at(last_index)
         for name in raft.members.voters:
             if name == raft.member_id:
                 continue
             message = RequestVote(
-                term,
-                last_index,
-                last_term,
-                is_pre_vote,
-                raft.member_id,
-                is_leadership_transfer,
-                name,
-                raft.rollback_guard.acknowledged.get(name, 0),
+                term=term,
+                last_log_index=last_index,
+                last_log_term=raft.log.term_at(last_index),
+                is_pre_vote=is_pre_vote,
+                candidate_id=raft.member_id,
+                is_leadership_transfer=is_leadership_transfer,
+                target_id=name,
+                acknowledged_index=raft.rollback_guard.acknowledged.get(name, 0),
             )
             address = raft.members[name].address
             request(raft.runtime, address, message, REPLY_TIMEOUT_S, partial(count.on_reply, name))
@@ -108,12 +116,14 @@
             raft.restart_as_new_incarnation()
         if not is_right_target or raft.is_stopped or not raft.rollback_guard.may_vote:
             # Another incarnation's vote, or one that was forgotten, must not be cast again.
-            respond(VoteReply(False, 0))
+            respond(VoteReply(granted=False, term=0))
         elif message.is_pre_vote:
             would_vote = message.term > raft.term and self._is_up_to_date(message) and not self._has_leader
-            respond(VoteReply(would_vote, raft.term, message.term))
+            respond(VoteReply(would_vote, raft.term, election_term=message.term))
         elif self._has_leader and message.term > raft.term and not message.is_leadership_transfer:
-            respond(VoteReply(False, raft.term))
+            # The candidate's higher term is not adopted either, else its leader would have to step down
+            # (dissertation, section 4.2.3).
+            respond(VoteReply(granted=False, term=raft.term))
         else:
             self._vote(message, respond)
 
@@ -125,21 +135,24 @@
         raft.observe_term(term)
         may_vote = raft.role is Role.FOLLOWER and raft.voted_for in ("", message.candidate_id)
         if term != raft.term or not is_up_to_date or not may_vote:
-            respond(VoteReply(False, raft.term))
+            respond(VoteReply(granted=False, term=raft.term))
             return
         raft.voted_for = message.candidate_id
         raft.leader_contact_at = raft.runtime.now()
         self.restart_timer()
-        raft.save_term(lambda: respond(VoteReply(True, term, term)))
+        raft.save_term(lambda: respond(VoteReply(granted=True, term=term, election_term=term)))
 
     def _is_up_to_date(self, message: RequestVote) -> bool:
         """Whether the candidate's log is at least as up to date as this one (Raft, section 5.4.1).
 
-        Invariant (leader completeness): whoever wins a majority has all committed entries.
+        The later last term decides, then the longer log.
+
+        Invariant (Leader Completeness; Raft, section 5.4.3): each committed entry is on disk at a majority,
+        so whoever wins the votes of a majority has them all.
         """
         log = self._raft.log
-        ours = log.term_at(log.last_index), log.last_index
-        return (message.last_log_term, message.last_log_index) >= ours
+        own_last_term = log.term_at(log.last_index)
+        return (message.last_log_term, message.last_log_index) >= (own_last_term, log.last_index)
 
     @property
     def _has_leader(self) -> bool:
--- a/amberlug/cluster/consensus/follower.py
+++ b/amberlug/cluster/consensus/follower.py
@@ -15,7 +15,7 @@
 )
 from amberlug.cluster.consensus.persistent_state import Entry, Snapshot
 from amberlug.cluster.consensus.roles import Role
-from amberlug.cluster.consensus.snapshot_transfer import IncomingTransfer, TransferHeader
+from amberlug.cluster.consensus.snapshot_transfer import ENTRY, IncomingTransfer, TransferHeader
 from amberlug.cluster.rpc.messages import Responder
 from amberlug.cluster.values import value
 
@@ -34,8 +34,8 @@
 class Follower:
     """What a follower does with a leader's messages.
 
-    Invariant (log matching): entries are appended behind one that is the same in the leader's log, and so
-    are all before it. What is acknowledged is on disk.
+    Invariant (Log Matching; Raft, section 5.3): entries are appended behind one that is the same in the
+    leader's log, and so are all before it. What is acknowledged is on disk (Raft, figure 2).
     """
 
     def __init__(self, raft: MemberContext) -> None:
@@ -66,7 +66,11 @@
     # -- the leader
 
     def _accept_leader(self, header: LeaderHeader, acknowledged: AcknowledgedIndexes) -> bool:
-        """Whether a message is meant for this member, and from the leader of the newest known term."""
+        """Whether a message is meant for this member, and from the leader of the newest known term.
+
+        A leader of an older term is rejected (Raft, section 5.1). One of the same term has won its election,
+        so a candidate becomes a follower (section 5.2).
+        """
         raft = self._raft
         if header.target_id != raft.member_id or raft.is_stopped:
             return False
@@ -105,7 +109,11 @@
             self._append_after(message.previous_index, message.entries, commit_index, respond)
 
     def _is_consistent(self, previous_index: int, previous_term: int, respond: Responder) -> bool:
-        """The consistency check of AppendEntries; if it fails, the leader is notified where to try next."""
+        """The consistency check of AppendEntries (Raft, section 5.3).
+
+        If it fails, the reply has the last index that may match. So the leader skips what is missing here in
+        one step, and tries entries of conflicting terms one by one.
+        """
         log = self._raft.log
         if previous_index < log.base_index:  # committed, and thus the same in the leader's log
             return True
@@ -118,16 +126,21 @@
     def _append_after(
         self, previous_index: int, entries: list[Entry], commit_index: int, respond: Responder
     ) -> None:
-        """Append the entries that are new, and acknowledge all of them once they are on disk."""
+        """Append the entries that are new, and acknowledge all of them once they are on disk.
+
+        Entries that conflict with the leader's are truncated, those that match are not: the message may be a
+        late one, and the log longer by now (Raft, section 5.3 and figure 2). What is committed and known to
+        be the same as in the leader's log is the smaller of its commit index and the last of the entries.
+        """
         raft, log = self._raft, self._raft.log
         last_index = previous_index + len(entries)
         if previous_index < log.base_index:  # what is no longer in the log is committed: nothing to do
             entries = entries[log.base_index - previous_index :]
             previous_index = log.base_index
-        known = self._known_count(previous_index, entries)
-        new_entries = entries[known:]
+        matching = self._matching_count(previous_index, entries)
+        new_entries = entries[matching:]
         if new_entries:
-            first_index = previous_index + known + 1
+            first_index = previous_index + matching + 1
             truncate_from = first_index if first_index <= log.last_index else 0
             assert (
                 not truncate_from or truncate_from > raft.commit_index
@@ -137,8 +150,8 @@
         self._acknowledge_when_synced(last_index, respond)
         raft.commit_to(min(commit_index, last_index))
 
-    def _known_count(self, previous_index: int, entries: list[Entry]) -> int:
-        """How many of the first entries are in the log already."""
+    def _matching_count(self, previous_index: int, entries: list[Entry]) -> int:
+        """How many of the first entries are in the log already, by their index and term."""
         log = self._raft.log
         for count, entry in enumerate(entries):
             index = previous_index + count + 1
@@ -151,25 +164,26 @@
     def on_chunk(self, message: TransferChunk, respond: Responder) -> None:
         """Take a chunk of an entry or of a snapshot, and all of it with the last one.
 
-        A chunk without data is answered by how much was received.
+        A long entry is treated like the one entry of AppendEntries, a snapshot like InstallSnapshot (Raft,
+        figure 13). A chunk without data is answered by how much was received.
         """
         if not self._accept_leader(message.header, message.acknowledged):
             self._reject(message.header, respond)
             return
         raft, transfer = self._raft, message.transfer
         previous_index = transfer.last_index - 1
-        is_known = False
-        if transfer.kind == "entry":
+        has_entry = False
+        if transfer.kind == ENTRY:
             if not self._is_consistent(previous_index, message.previous_term, respond):
                 return
             raft.commit_to(min(message.header.commit_index, previous_index))
-            is_known = raft.log.term_at(transfer.last_index) == transfer.last_term
-        if is_known or transfer.last_index <= raft.commit_index:
-            self._answer_known(message, respond)
+            has_entry = raft.log.term_at(transfer.last_index) == transfer.last_term
+        if has_entry or transfer.last_index <= raft.commit_index:
+            self._answer_duplicate(message, respond)
         else:
             self._receive(message, respond)
 
-    def _answer_known(self, message: TransferChunk, respond: Responder) -> None:
+    def _answer_duplicate(self, message: TransferChunk, respond: Responder) -> None:
         """All of a transfer is here, though perhaps not on disk yet."""
         raft, transfer = self._raft, message.transfer
         if message.data or raft.log.synced_index >= transfer.last_index:
@@ -190,7 +204,7 @@
             respond(FollowerReply(False, raft.term, received_bytes=len(incoming.data)))
             return
         self.incoming = None
-        if transfer.kind == "entry":
+        if transfer.kind == ENTRY:
             entry = Entry(transfer.last_term, json.loads(data))
             self._append_after(transfer.last_index - 1, [entry], message.header.commit_index, respond)
         else:
--- a/amberlug/cluster/consensus/log.py
+++ b/amberlug/cluster/consensus/log.py
@@ -22,17 +22,15 @@
 from amberlug.cluster.interfaces import Disk, Runtime
 from amberlug.cluster.values import value
 
-MAX_BATCH_ENTRIES = 64  # in one message, which are of CHUNK_BYTES at most in all
-SNAPSHOT_ENTRIES = (
-    512  # applied since the last snapshot until another one is made: a replay takes milliseconds
-)
-SNAPSHOT_BYTES = (
-    4 << 20
-)  # the same in bytes, or as many as the snapshot has: it is not written at each change
+MAX_BATCH_ENTRIES = 64  # in one message; they are of CHUNK_BYTES at most in all
+# Applied since the last snapshot until another one is made: their replay at a start takes milliseconds.
+SNAPSHOT_ENTRIES = 512
+# The same in bytes, or as many as the snapshot has, so that a large one is not written at each change.
+SNAPSHOT_BYTES = 4 << 20
 TAIL_ENTRIES = 128  # kept before the snapshot, so that followers that lack a few need no transfer of it
 TAIL_BYTES = 1 << 20  # of the tail at most
 WRITE_RETRY_S = 0.1  # until what the disk refused is written again, doubled at each refusal
-MAX_WRITE_RETRY_S = 1.6
+MAX_WRITE_RETRY_S = 1.6  # after four refusals in a row: a disk with space again is noticed within seconds
 
 
 @dataclass(slots=True, eq=False)
@@ -45,7 +43,7 @@
 
 @value
 class _EncodedEntry:
-    """The text of a long entry: it is sent to each peer, and encoded once."""
+    """The text of a long entry, which is encoded once for all peers; index 0: of none."""
 
     index: int = 0
     term: int = 0
@@ -98,10 +96,10 @@
 
     def newest_membership(self) -> Membership:
         """The newest membership in the log, committed or not (dissertation, section 4.1)."""
-        for offset in range(len(self.entries) - 1, -1, -1):
-            members = self.entries[offset].members
+        for count_behind, entry in enumerate(reversed(self.entries)):
+            members = entry.members
             if members is not None:
-                return Membership(members, self.base_index + offset + 1)
+                return Membership(members, self.last_index - count_behind)
         return Membership(self.snapshot_members, self.base_index)
 
     def members_until(self, index: int) -> Members:
@@ -113,7 +111,10 @@
         return members
 
     def batch_after(self, index: int) -> list[Entry]:
-        """The entries after an index that one message takes: bounded by number and by bytes."""
+        """The entries after an index that one message takes: bounded by number and by bytes.
+
+        It takes none where the first is too long: that one goes in chunks.
+        """
         entries: list[Entry] = []
         left_bytes, offset = CHUNK_BYTES, index - self.base_index
         sized = zip(self.entries, self.sizes_bytes, strict=True)
@@ -131,9 +132,9 @@
 
     def encoded_entry(self, index: int) -> str:
         """An entry's command as text."""
-        known = self._newest_long
-        if (known.index, known.term) == (index, self.term_at(index)):
-            return known.text
+        encoded = self._newest_long
+        if (encoded.index, encoded.term) == (index, self.term_at(index)):
+            return encoded.text
         return encode(self.entry_at(index).command)
 
     def encoded_snapshot(self) -> str:
@@ -173,7 +174,7 @@
         return self._applied_bytes >= max(SNAPSHOT_BYTES, self._snapshot_bytes)
 
     def compact(self, index: int, state: MachineState) -> None:
-        """Replace the entries up to an index by a snapshot, but for a tail (Raft, section 7)."""
+        """Replace the entries up to an applied index by a snapshot, but for a tail (Raft, section 7)."""
         members = self.members_until(index)
         self.snapshot_term = self.term_at(index)
         self.snapshot_index, self.snapshot_state, self.snapshot_members = index, state, members
@@ -200,7 +201,8 @@
     def install(self, header: TransferHeader, snapshot: Snapshot, commit_index: int) -> None:
         """Replace all that a leader's snapshot covers; entries behind it stay if they follow from it.
 
-        Invariant: entries that conflict with the leader's go with their prefix (Raft, figure 13, steps 6, 7).
+        Invariant (Log Matching): an entry that has the snapshot's last index and term is the same, and so are
+        all before it; else what is behind it may conflict, and goes (Raft, section 7; figure 13, steps 6, 7).
         """
         index, term = header.last_index, header.last_term
         keeps_rest = self.term_at(index) == term
--- a/amberlug/cluster/consensus/membership.py
+++ b/amberlug/cluster/consensus/membership.py
@@ -6,12 +6,22 @@
 
 from __future__ import annotations
 
-from collections.abc import Iterator, Mapping, Set
+from collections.abc import Callable, Iterator, Mapping, Set
 
 from amberlug.cluster.consensus.opaque import Command
 from amberlug.cluster.interfaces import Json
 from amberlug.cluster.values import value
 
+INCARNATION_BITS = 48  # random: two incarnations of a machine never have the same name
+
+
+def new_member_id(host: str, random_bits: Callable[[int], int]) -> str:
+    """The name of another incarnation of a machine: `host/incarnation`.
+
+    :param random_bits: returns a random integer of so many bits.
+    """
+    return f"{host}/{random_bits(INCARNATION_BITS):x}"
+
 
 @value
 class Member:
@@ -84,8 +94,8 @@
 class Members(Mapping[str, Member]):
     """All members by name, in the order in which they are sent and stored. It does not change.
 
-    A name is `ip/incarnation`: a machine that comes back empty is another member, so that the vote which its
-    old incarnation cast is not cast again.
+    A name is `host/incarnation`: a machine that comes back empty is another member, so that the vote which
+    its old incarnation cast is not cast again.
     """
 
     def __init__(self, by_name: Mapping[str, Member] | None = None) -> None:
--- a/amberlug/cluster/consensus/peer_progress.py
+++ b/amberlug/cluster/consensus/peer_progress.py
@@ -10,7 +10,7 @@
 from amberlug.cluster.consensus.snapshot_transfer import OutgoingTransfer, SendWindow
 from amberlug.cluster.values import value
 
-NEVER = -1e9  # a time before any other
+NEVER = -1e9  # a time before any other, in seconds of the steady clock
 
 
 class RequestKind(Enum):
@@ -64,7 +64,7 @@
         self.next_index = max(self.next_index, index + 1)
 
     def step_back(self, last_index: int) -> None:
-        """The consistency check failed: try an earlier entry (Raft, section 5.3).
+        """The consistency check failed: try an earlier entry, at least one (Raft, section 5.3).
 
         :param last_index: the last one that may match, by what the peer has replied.
         """
--- a/amberlug/cluster/consensus/raft.py
+++ b/amberlug/cluster/consensus/raft.py
@@ -1,10 +1,26 @@
-"""One member of the Raft group (Ongaro, Ousterhout 2014; Ongaro's dissertation). No I/O.
+"""One member of the Raft group. No I/O.
+
+The algorithm is that of Ongaro and Ousterhout, "In Search of an Understandable Consensus Algorithm (Extended
+Version)", 2014, which this package cites as Raft. From Ongaro's dissertation, "Consensus: Bridging Theory and
+Practice", 2014, are pre-votes (section 9.6), ReadIndex (6.4), membership changes of one voter at a time
+(chapter 4) and leadership transfer (3.10).
 
 The member's state is here; what it does is in modules by concern: `election`, `replication` and
-`chunk_sender` (the leader's side), `follower`, `read_index`, `proposals`, `rollback_guard`. Membership
-changes are those of one voter at a time (dissertation, chapter 4).
+`chunk_sender` (the leader's side), `follower`, `read_index`, `proposals`, `rollback_guard`.
+
+Invariants (Raft, figure 3), and what keeps them:
+
+- Election Safety, at most one leader in a term: a member votes once in a term, and its vote is on disk before
+  it is sent (`election`).
+- Leader Append-Only: a leader appends to its log and replaces nothing in it; only `follower` truncates.
+- Log Matching: entries are appended behind one that is the same in the leader's log (`follower`).
+- Leader Completeness: nobody votes for a candidate with an older log (`election`), and a leader commits by
+  counting replicas of entries of its own term only (`replication`).
+- State Machine Safety: entries are applied in their order, once they are committed (`RaftNode.commit_to`);
+  `follower` asserts that no committed entry is replaced.
 
-Invariant: terms, votes and entries are on disk before they are sent or acknowledged (section 5.1).
+A vote or an entry is acknowledged once it is on disk (Raft, figure 2). A leader sends entries while its own
+disk still writes them, and counts itself among their replicas only then (dissertation, section 10.2.1).
 """
 
 from __future__ import annotations
@@ -17,8 +33,8 @@
 from amberlug.cluster.consensus.context import StateMachine
 from amberlug.cluster.consensus.election import Election
 from amberlug.cluster.consensus.follower import Follower
-from amberlug.cluster.consensus.log import Log
-from amberlug.cluster.consensus.membership import Members
+from amberlug.cluster.consensus.log import WRITE_RETRY_S, Log
+from amberlug.cluster.consensus.membership import Members, new_member_id
 from amberlug.cluster.consensus.messages import (
     AcknowledgedIndexReply,
     AcknowledgedIndexRequest,
@@ -55,9 +71,6 @@
     "StateMachine",
 ]
 
-WRITE_RETRY_S = 0.1  # until the disk is given a new incarnation again that it has refused
-INCARNATION_BITS = 48  # random: two incarnations of a machine never have the same name
-
 
 class RaftNode:
     """One member.
@@ -157,8 +170,8 @@
         """
         if self.is_stopped:
             return
-        address = self.member_id.rpartition("/")[0]
-        member_id = f"{address}/{self.runtime.chance.getrandbits(INCARNATION_BITS):x}"
+        host = self.member_id.rpartition("/")[0]
+        member_id = new_member_id(host, self.runtime.chance.getrandbits)
         logging.warning(
             "%s has less on disk than it acknowledged: it goes on as %s", self.member_id, member_id
         )
@@ -190,7 +203,7 @@
     # -- terms and roles
 
     def save_term(self, on_saved: Callable[[], None]) -> None:
-        """Write the term and the vote; `on_saved` is not called if the disk refuses them."""
+        """Write the term and the vote (Raft, figure 2); `on_saved` is not called if the disk refuses them."""
         row = TermRow(self.term, self.voted_for)
         self.disk.write(raw_rows([row]), lambda error: None if error else on_saved())
 
@@ -223,18 +236,28 @@
     # -- the log
 
     def append(self, entries: Sequence[Entry]) -> None:
-        """Append entries as the leader; a membership among them holds at once (dissertation, section 4.1)."""
+        """Append entries as the leader; a membership among them holds at once (dissertation, section 4.1).
+
+        Invariant (Leader Append-Only; Raft, section 5.3): nothing in the log is replaced.
+        """
         self.log.append(entries)
         if any(entry.members is not None for entry in entries):
             self.refresh_membership()
             self.replication.track_members()
 
     def refresh_membership(self) -> None:
-        """Use the newest membership in the log, whether it is committed or not."""
+        """Use the newest membership in the log, committed or not (dissertation, section 4.1).
+
+        Where its entry is truncated, that is the one before it again.
+        """
         self.membership = self.log.newest_membership()
 
     def commit_to(self, index: int) -> None:
-        """Commit entries up to an index, and apply them in their order (Raft, section 5.3)."""
+        """Commit entries up to an index, and apply them in their order (Raft, section 5.3).
+
+        Invariant (State Machine Safety; Raft, section 5.4.3): the commit index never decreases, and only
+        committed entries are applied, so all members apply the same entry at an index.
+        """
         if index > self.commit_index:
             self.commit_index = index
             self._apply_committed()
@@ -285,23 +308,26 @@
         """Put another membership in place: one change at a time, of one voter at most.
 
         Invariant: any majority before the change has a voter in common with any one after it (dissertation,
-        section 4.1). Therefore it begins only once the change before it and an entry of this leader's term
-        are committed, else the majorities of two leaders could be disjoint; and once a majority of the new
-        voters has what is committed, so that a removal leaves enough replicas.
+        section 4.1). Therefore it begins only once the change before it is committed, and an entry of this
+        leader's term, else the majorities of two leaders could be disjoint. The second condition is not in
+        the dissertation: Ongaro added it later ("bug in single-server membership changes", raft-dev, 2015).
+        A majority of the new voters must also have what is committed, so that a removal leaves enough
+        replicas.
 
         :param members: all members after the change.
         """
-        voters = set(members.voters)
-        up_to_date = sum(1 for name in voters if self.replication.has_replicated(name, self.commit_index))
+        up_to_date = {
+            name for name in members.voters if self.replication.has_replicated(name, self.commit_index)
+        }
         if (
             not self.is_leader
             or not self.is_membership_committed
             or self.term_at(self.commit_index) != self.term
-            or 2 * up_to_date <= len(voters)
+            or not members.has_majority(up_to_date)
         ):
             on_outcome(Err(self.rejection(RejectionReason.CHANGE_NOT_ALLOWED)))
             return
-        assert len(voters ^ set(self.members.voters)) <= 1, "two voters change at once"
+        assert len(set(members.voters) ^ set(self.members.voters)) <= 1, "two voters change at once"
         self.propose(members.to_command(), on_outcome)
 
     def confirm_read(self, on_confirmed: ReadCallback) -> None:
@@ -351,7 +377,7 @@
 
     @handles(TimeoutNow)
     def on_timeout_now(self, message: TimeoutNow, origin: str, respond: Responder) -> None:
-        """The leader ends: start an election at once (dissertation, section 3.10)."""
+        """The leader ends: start an election at once, without a pre-vote (dissertation, section 3.10)."""
         is_current = message.target_id == self.member_id and message.term == self.term
         if is_current and self.is_voter and self.role is Role.FOLLOWER:
             self.leader_id, self.leader_contact_at = "", NEVER
--- a/amberlug/cluster/consensus/read_index.py
+++ b/amberlug/cluster/consensus/read_index.py
@@ -19,8 +19,9 @@
 class ReadIndex:
     """Reads that wait until a majority confirms that this leader is still the leader.
 
-    Invariant: a confirmed index is at least the commit index at the time of the request. The majority
-    replied to messages sent after the request, so no other leader had been elected by then.
+    Invariant: a confirmed index is at least the commit index at the time of the request (dissertation,
+    section 6.4, step 2). The majority replied to messages sent after the request (step 3), so no other leader
+    had been elected by then. Who reads waits itself until the index is applied (step 4).
     """
 
     def __init__(self, raft: MemberContext) -> None:
--- a/amberlug/cluster/consensus/replication.py
+++ b/amberlug/cluster/consensus/replication.py
@@ -1,4 +1,10 @@
-"""The leader's side: log replication and heartbeats (Raft, section 5.3), the commit rule (section 5.4.2)."""
+"""The leader's side: heartbeats (Raft, section 5.2), log replication (5.3), the commit rule (5.4.2).
+
+A peer has one message with entries in flight at a time, and a heartbeat beside it where one is due.
+
+Invariant (Leader Completeness; Raft, section 5.4.3): an entry counts as committed only once a majority has it
+on disk together with an entry of the leader's term, so each later leader has it.
+"""
 
 from __future__ import annotations
 
@@ -26,7 +32,8 @@
 from amberlug.cluster.rpc.messages import request, send
 
 HEARTBEAT_INTERVAL_S = 0.1  # a fifth of the election timeout: four may be lost in a row
-# A heartbeat goes along with what else is in flight once so much of the interval is over.
+# Without anything sent to a peer until a heartbeat is due, whatever is in flight. It is less than the
+# interval, else one that was measured a little short would leave out a heartbeat.
 HEARTBEAT_DUE_S = 0.9 * HEARTBEAT_INTERVAL_S
 
 
@@ -41,7 +48,10 @@
         self._request_number = 0
 
     def start(self) -> None:
-        """Lead: append an entry of the new term, which commits those before it (Raft, section 8)."""
+        """Lead: append an entry of the new term, which commits those before it (Raft, section 8).
+
+        A peer's next entry is first taken to be the one behind the log (Raft, figure 2).
+        """
         raft = self.raft
         now = raft.runtime.now()
         self.peers = {
@@ -79,10 +89,10 @@
         return 0.0 if peer is None else self.raft.runtime.now() - peer.replied_at
 
     def match_indexes(self) -> dict[str, int]:
-        """Up to which index each member has the log on disk, this one among them."""
-        matched = {name: peer.match_index for name, peer in self.peers.items()}
-        matched[self.raft.member_id] = self.raft.log.synced_index
-        return matched
+        """Up to which index each member has the log on disk, this one among them (Raft, figure 2)."""
+        match_indexes = {name: peer.match_index for name, peer in self.peers.items()}
+        match_indexes[self.raft.member_id] = self.raft.log.synced_index
+        return match_indexes
 
     # -- sending
 
@@ -95,9 +105,8 @@
         raft = self.raft
         if not raft.is_leader or raft.is_stopped:
             return
-        raft.schedule(
-            HEARTBEAT_INTERVAL_S, self.send_heartbeats
-        )  # first: no error below may end the heartbeats
+        # First of all, so that no error below ends the heartbeats.
+        raft.schedule(HEARTBEAT_INTERVAL_S, self.send_heartbeats)
         now = raft.runtime.now()
         responsive = {
             name for name, peer in self.peers.items() if now - peer.replied_at < MAX_ELECTION_TIMEOUT_S
@@ -234,11 +243,11 @@
         majority that has it alone does not keep another leader from replacing it (Raft, figure 8).
         """
         raft = self.raft
-        matched = self.match_indexes()
-        indexes = sorted((matched.get(name, 0) for name in raft.members.voters), reverse=True)
+        match_indexes = self.match_indexes()
+        indexes = sorted((match_indexes.get(name, 0) for name in raft.members.voters), reverse=True)
         if not indexes:
             return
-        index = indexes[len(indexes) // 2]
+        index = indexes[len(indexes) // 2]  # at least so far a majority of the voters has the log
         if index > raft.commit_index and raft.log.term_at(index) == raft.term:
             raft.commit_to(index)
             self.send_to_all()
@@ -251,7 +260,9 @@
     def transfer_leadership(self) -> None:
         """Before a planned end: have a voter start an election at once (dissertation, section 3.10).
 
-        It is the one with the longest log among those that reply; without one nothing happens.
+        It is the one with the longest known log among those that reply; of equals the last by name, and
+        without one nothing happens. Unlike there, the leader does not wait until its log is complete: if the
+        target loses the election, another one begins after the election timeout.
         """
         raft = self.raft
         candidates = [
--- a/amberlug/cluster/consensus/rollback_guard.py
+++ b/amberlug/cluster/consensus/rollback_guard.py
@@ -14,6 +14,7 @@
 
 from collections.abc import Mapping
 from functools import partial
+from typing import NamedTuple
 
 from result import Ok, Result
 
@@ -25,13 +26,30 @@
 )
 from amberlug.cluster.consensus.peer_progress import NEVER
 from amberlug.cluster.consensus.rows import AcknowledgedRow, raw_rows
+from amberlug.cluster.consensus.snapshot_transfer import REPLY_TIMEOUT_S
 from amberlug.cluster.interfaces import RequestFailure
 from amberlug.cluster.rpc.messages import request
 
 RETRY_INTERVAL_S = 0.1  # between requests for the own index: a start must not take an election timeout longer
-REPLY_TIMEOUT_S = 0.4
-CHANGED_INTERVAL_S = 0.5  # between two messages that pass on indexes which have risen
-UNCHANGED_INTERVAL_S = 5.0  # between such messages if none has risen; also between writes to disk
+# Between two messages to a member that pass on all indexes which have risen: a fifth of the heartbeats carry
+# them, since they have as many fields as there are members.
+CHANGED_INTERVAL_S = 0.5
+# The same if none has risen, and between writes to disk: each write costs a sync, and members that are up
+# repeat what a crash loses.
+UNCHANGED_INTERVAL_S = 5.0
+
+
+class _Copy(NamedTuple):
+    """The acknowledged indexes as another member or the disk was last given them.
+
+    Indexes only rise while the members stay the same, so their sum says whether one has.
+    """
+
+    index_sum: int
+    at: float  # seconds of the steady clock
+
+
+_NO_COPY = _Copy(-1, NEVER)
 
 
 class RollbackGuard:
@@ -42,8 +60,12 @@
         self.acknowledged: dict[str, int] = dict(acknowledged)
         self.may_vote = True  # False from a start until it is known that nothing was lost
         self._replied: set[str] = set()  # members that have sent this member's index since the start
-        self._sent: dict[str, tuple[int, float]] = {}  # by member: the sum of the indexes sent last, and when
-        self._saved = sum(self.acknowledged.values()), NEVER  # the same of what is on disk
+        self._sent: dict[str, _Copy] = {}  # by member
+        self._saved = _Copy(self._index_sum, NEVER)
+
+    @property
+    def _index_sum(self) -> int:
+        return sum(self.acknowledged.values())
 
     def _raise_to(self, indexes: Mapping[str, int]) -> None:
         raft = self._raft
@@ -52,9 +74,9 @@
                 self.acknowledged[name] = index
         for name in sorted(set(self.acknowledged) - set(raft.members)):
             del self.acknowledged[name]  # it is no member any more, and comes back as another incarnation
-        total, now = sum(self.acknowledged.values()), raft.runtime.now()
-        if total != self._saved[0] and now - self._saved[1] >= UNCHANGED_INTERVAL_S:
-            self._saved = total, now
+        now = raft.runtime.now()
+        if self._index_sum != self._saved.index_sum and now - self._saved.at >= UNCHANGED_INTERVAL_S:
+            self._saved = _Copy(self._index_sum, now)
             raft.disk.write(raw_rows([AcknowledgedRow(dict(self.acknowledged))]), lambda error: None)
 
     # -- as a leader
@@ -65,14 +87,14 @@
 
     def indexes_for(self, name: str) -> AcknowledgedIndexes:
         """What goes along with a message to a member: all indexes now and then, else its own alone."""
-        now, total = self._raft.runtime.now(), sum(self.acknowledged.values())
-        sent_total, sent_at = self._sent.get(name, (-1, NEVER))
-        interval_s = UNCHANGED_INTERVAL_S if sent_total == total else CHANGED_INTERVAL_S
-        own = self.acknowledged.get(name, 0)
-        if now - sent_at < interval_s:
-            return AcknowledgedIndexes(own)
-        self._sent[name] = total, now
-        return AcknowledgedIndexes(own, self.acknowledged)
+        now, index_sum = self._raft.runtime.now(), self._index_sum
+        sent = self._sent.get(name, _NO_COPY)
+        interval_s = UNCHANGED_INTERVAL_S if sent.index_sum == index_sum else CHANGED_INTERVAL_S
+        of_target = self.acknowledged.get(name, 0)
+        if now - sent.at < interval_s:
+            return AcknowledgedIndexes(of_target)
+        self._sent[name] = _Copy(index_sum, now)
+        return AcknowledgedIndexes(of_target, self.acknowledged)
 
     # -- as a member that starts
 
@@ -83,8 +105,8 @@
         """
         raft = self._raft
         self._raise_to(acknowledged.of_members or {})
-        own = max(acknowledged.of_target, self.acknowledged.get(raft.member_id, 0))
-        return own > raft.log.last_index
+        acknowledged_index = max(acknowledged.of_target, self.acknowledged.get(raft.member_id, 0))
+        return acknowledged_index > raft.log.last_index
 
     def start_check(self) -> None:
         """Ask the other voters up to where this member had acknowledged the log, until enough reply."""
@@ -104,6 +126,7 @@
 
     @property
     def _has_enough_replies(self) -> bool:
+        """Whether the members that have replied are a majority of the voters together with this one."""
         return len(self._replied) >= len(self._raft.members.voters) // 2
 
     def _on_reply(self, name: str, reply: Result[AcknowledgedIndexReply, RequestFailure]) -> None:
--- a/amberlug/cluster/consensus/snapshot_transfer.py
+++ b/amberlug/cluster/consensus/snapshot_transfer.py
@@ -19,7 +19,10 @@
 MAX_QUEUEING_S = 0.1  # of an acknowledgement beyond the shortest until fewer are in flight: one heartbeat
 REPLY_TIMEOUT_S = 0.4  # of a small message: below the election timeout, so that a lost one is sent again
 SLOWEST_LINK_BYTES_PER_S = 250_000  # 2 Mbit/s: on a slower link a transfer times out
-CHECKSUM_BYTES = 12
+CHECKSUM_BYTES = 12  # 96 bits: against damage and mixed-up chunks, not against an adversary
+# The kinds of transfers, as headers name them.
+ENTRY = "entry"
+SNAPSHOT = "snapshot"
 
 
 def reply_timeout_s(size_bytes: int) -> float:
@@ -31,7 +34,7 @@
 class TransferHeader:
     """What is transferred; the same header means the same bytes."""
 
-    kind: str  # `entry` or `snapshot`
+    kind: str  # `ENTRY` or `SNAPSHOT`
     last_index: int  # of the entry, or the last one that the snapshot covers
     last_term: int
     size_bytes: int
@@ -43,6 +46,13 @@
         checksum = hashlib.blake2b(data, digest_size=CHECKSUM_BYTES).hexdigest()
         return cls(kind, last_index, last_term, len(data), checksum)
 
+    def is_for(self, kind: str, last_index: int, last_term: int) -> bool:
+        """Whether this is the header of an entry, or of a snapshot.
+
+        Log Matching (Raft, section 5.3): the index and the term determine an entry and all before it.
+        """
+        return (self.kind, self.last_index, self.last_term) == (kind, last_index, last_term)
+
     def to_wire(self) -> Json:
         """The fields that each chunk carries, in the order in which they are sent."""
         return {
--- a/amberlug/cluster/consensus/voter_selection.py
+++ b/amberlug/cluster/consensus/voter_selection.py
@@ -11,17 +11,19 @@
 from collections import Counter
 from collections.abc import Iterable, Mapping, Set
 from enum import Enum
+from typing import NamedTuple
 
 from amberlug.cluster.settings import Tolerance
 from amberlug.cluster.values import value
 
-MIN_VOTERS = 3  # where there are as many members: fewer survive no loss
+MIN_VOTERS = 3  # where there are as many members: fewer tolerate no loss
 MAX_VOTERS = 7  # more slow down each commit, and 7 survive 3 losses
 VOTER_TIMEOUT_S = 1.5  # without a reply until a voter counts as lost: beyond an election timeout
-LEARNER_TIMEOUT_S = 1.0  # without a reply until a learner is not made a voter
-REMOVAL_TIMEOUT_S = (
-    30.0  # without a reply until a learner is removed; it asks to be let in again if it is back
-)
+# Without a reply until a learner is not made a voter: below VOTER_TIMEOUT_S, else it might count as lost at
+# once.
+LEARNER_TIMEOUT_S = 1.0
+# Without a reply until a learner is removed: beyond a restart. One that comes back later is admitted again.
+REMOVAL_TIMEOUT_S = 30.0
 
 
 @value
@@ -60,6 +62,13 @@
         return self.region or self.zone_key
 
 
+class _Load(NamedTuple):
+    """How many voters the failure domains of a member have already: the smaller, the better."""
+
+    in_region: int  # 0 where no region may be lost
+    in_zone: int
+
+
 class ChangeKind(Enum):
     """What a change does to a member."""
 
@@ -101,17 +110,17 @@
         (member for member in members if (member.is_alive if member.is_voter else member.is_eligible)),
         key=lambda member: (member.name != leader, not member.is_voter, member.name),
     )
-    chosen: list[MemberStatus] = []
-    best: list[MemberStatus] = []
+    chosen: list[MemberStatus] = []  # grows by one a step
+    best: list[MemberStatus] = []  # of the odd numbers until now
     zones: Counter[str] = Counter()
     regions: Counter[str] = Counter()
 
-    def load(member: MemberStatus) -> tuple[int, int]:
-        # The emptiest region first, where regions may be lost, and the emptiest zone in it.
-        return regions[member.region_key] if tolerance.regions else 0, zones[member.zone_key]
+    def load(member: MemberStatus) -> _Load:
+        in_region = regions[member.region_key] if tolerance.regions else 0
+        return _Load(in_region, zones[member.zone_key])
 
     while candidates and len(chosen) < MAX_VOTERS:
-        member = min(candidates, key=load)
+        member = min(candidates, key=load)  # of equal loads the first candidate
         candidates.remove(member)
         chosen.append(member)
         zones[member.zone_key] += 1
@@ -146,19 +155,20 @@
     def margin_of(names: Set[str]) -> int:
         return loss_margin((by_name[name] for name in names), tolerance)
 
-    current = min(0, margin_of(voters))
+    # What is above a tolerated loss is worth no change: margins count up to 0.
+    current_margin = min(0, margin_of(voters))
     has_few = len(voters) < MIN_VOTERS
-    if min(0, margin_of(wanted)) <= current and len(wanted) >= len(voters) and not has_few:
+    if min(0, margin_of(wanted)) <= current_margin and len(wanted) >= len(voters) and not has_few:
         return None
     # Fewer voters than MIN_VOTERS tolerate nothing, so any further one may come.
-    least = -MAX_VOTERS if has_few else current
+    least_margin = -MAX_VOTERS if has_few else current_margin
     # Of equal margins the first one is taken: promotions go first, then voters that do not respond.
     promotions = sorted(wanted - voters)
     demotions = sorted(voters - wanted, key=lambda name: (by_name[name].is_alive, name))
     allowed = [
         name
         for name in promotions + demotions
-        if _has_working_majority(voters ^ {name}, by_name) and margin_of(voters ^ {name}) >= least
+        if _has_working_majority(voters ^ {name}, by_name) and margin_of(voters ^ {name}) >= least_margin
     ]
     if not allowed:
         return None
@@ -170,7 +180,7 @@
 
 
 def _next_removal(by_name: Mapping[str, MemberStatus], leader: str) -> MembershipChange | None:
-    """The first learner that will not come back."""
+    """The first learner, in the order of the members, that will not come back."""
     for name, member in by_name.items():
         if member.is_voter or name == leader:
             continue
--- a/amberlug/cluster/control/initial_state.py
+++ b/amberlug/cluster/control/initial_state.py
@@ -4,13 +4,12 @@
 
 from collections.abc import Callable
 
-from amberlug.cluster.consensus.membership import Member, Members
+from amberlug.cluster.consensus.membership import Member, Members, new_member_id
 from amberlug.cluster.consensus.persistent_state import PersistentState
 from amberlug.cluster.session_client import seed_addresses
 from amberlug.cluster.settings import Settings
 
 FOUNDING_INCARNATION = "0"
-INCARNATION_BITS = 48
 
 
 def founding_members(settings: Settings) -> Members:
@@ -32,5 +31,5 @@
     members = founding_members(settings) if settings.first_start else Members()
     member_id = f"{settings.ip}/{FOUNDING_INCARNATION}"
     if member_id not in members:
-        member_id = f"{settings.ip}/{random_bits(INCARNATION_BITS):x}"
+        member_id = new_member_id(settings.ip, random_bits)
     return PersistentState(member_id, members=members)
