--- a/tests/cluster/group.py
+++ b/tests/cluster/group.py
@@ -1,20 +1,20 @@
-"""Members of a Raft group over the simulated network, with a state as large as its changes make it."""
+"""A Raft group of three members over the simulated network; its state is as large as its commands."""
 
 import random
 from functools import partial
 
-from result import Ok, Result
+from result import Ok
 
 from amberlug.cluster.consensus.membership import Member, Members
 from amberlug.cluster.consensus.persistent_state import PersistentState
-from amberlug.cluster.consensus.raft import ProposalRejected, RaftNode, Role, StateMachine
+from amberlug.cluster.consensus.raft import ProposalResult, RaftNode, Role, StateMachine
 from amberlug.cluster.interfaces import Json
 from amberlug.cluster.rpc.messages import handlers_of
 from amberlug.cluster.simulation.clock import Clock
 from amberlug.cluster.simulation.disk import ControlDisk, ProcessDisk
 from amberlug.cluster.simulation.network import Host, Incarnation, Network, SimulatedRuntime
 
-SLOW = 15e6 / 8  # bytes a second
+SLOW = 15e6 / 8  # bytes a second: a link of 15 Mbit/s
 
 
 class GroupMember(Host):
@@ -34,18 +34,18 @@
             group.net, incarnation, random.Random(f"{self.name} {self.incarnations}"), 0.0
         )
         members = group.founders if self.is_founder else Members()
-        me = self.name if self.is_founder else f"{self.name}/{self.incarnations}"
+        member_id = self.name if self.is_founder else f"{self.name}/{self.incarnations}"
         incarnation.machine = RecordingStateMachine(
             runtime,
             ProcessDisk(incarnation, self.disk),
-            self.disk.begun(lambda: PersistentState(me, members=members)),
+            self.disk.begun(lambda: PersistentState(member_id, members=members)),
         )
         self.raft: RaftNode = incarnation.machine.raft
         self.state_machine: RecordingStateMachine = incarnation.machine
         incarnation.do(self.raft.start)
 
     def stop(self) -> None:
-        """Its power is gone."""
+        """Lose power, with what is not on disk yet."""
         assert self.life is not None
         self.powered = False
         self.life.over = True
@@ -65,7 +65,7 @@
 
 
 class RecordingStateMachine:
-    """What one incarnation of a member holds: the numbers of all changes, and the newest of them."""
+    """The state of one incarnation of a member: the numbers of all commands, and the newest configuration."""
 
     def __init__(self, runtime: SimulatedRuntime, disk: ProcessDisk, saved: PersistentState) -> None:
         self.state: Json = {"numbers": [], "config": None}
@@ -89,7 +89,7 @@
 
 
 class RaftGroup:
-    """Three members, and who changes what they hold."""
+    """Three members, and a client that submits commands."""
 
     def __init__(self, seed: int = 1) -> None:
         self.clock = Clock()
@@ -97,7 +97,7 @@
         self.founders = Members.from_wire({name: {"addr": name, "voter": True} for name in "abc"})
         self.members = {name: GroupMember(self, name) for name in "abc"}
         self.failed_assertions: list[str] = []
-        self.committed: list[int] = []  # numbers of the changes that were acknowledged
+        self.committed: list[int] = []  # numbers of the commands that were acknowledged
         self.latencies_s: list[float] = []  # how long each took
         for member in self.members.values():
             self.net.hosts[member.address] = member
@@ -112,11 +112,14 @@
 
     @property
     def leader(self) -> GroupMember | None:
-        led = [it for it in self.members.values() if it.up and it.raft.role is Role.LEADER]
-        return max(led, key=lambda it: it.raft.term) if led else None
+        """The leader of the newest term."""
+        leaders = [
+            member for member in self.members.values() if member.up and member.raft.role is Role.LEADER
+        ]
+        return max(leaders, key=lambda member: member.raft.term) if leaders else None
 
     def submit(self, number: int, size: int, since: float | None = None) -> None:
-        """Have a change committed, however often it must be proposed."""
+        """Have a command committed, however often it must be proposed."""
         since = self.clock.now if since is None else since
         retry = partial(self.clock.call_later, 0.05, partial(self.submit, number, size, since))
         if number in self.committed:
@@ -126,7 +129,7 @@
             retry()
             return
 
-        def on_outcome(outcome: Result[Json, ProposalRejected]) -> None:
+        def on_outcome(outcome: ProposalResult) -> None:
             if not isinstance(outcome, Ok):
                 retry()
             elif number not in self.committed:
@@ -135,7 +138,7 @@
 
         command = {"number": number, "config": "x" * size}
         leader.life.do(lambda: leader.raft.propose(command, on_outcome))
-        self.clock.call_later(1.5, partial(self.submit, number, size, since))  # its leader may be gone
+        self.clock.call_later(1.5, partial(self.submit, number, size, since))  # its leader may have failed
 
     def admit(self, member: GroupMember) -> None:
         """Put a member that came back empty in the place of the one that it was."""
@@ -159,12 +162,16 @@
 
     @property
     def tolerates_a_loss(self) -> bool:
-        """Whether one more may be lost."""
+        """Whether one more member may be lost."""
         leader = self.leader
         return leader is not None and not self.lagging and len(leader.raft.members.voters) == 3
 
     @property
     def lagging(self) -> list[str]:
-        """Who lacks something that was agreed."""
-        last = max(it.raft.commit_index for it in self.members.values() if it.up)
-        return [name for name, it in self.members.items() if not it.up or it.raft.last_applied < last]
+        """The members that have not applied all committed entries."""
+        commit_index = max(member.raft.commit_index for member in self.members.values() if member.up)
+        return [
+            name
+            for name, member in self.members.items()
+            if not member.up or member.raft.last_applied < commit_index
+        ]
--- a/tests/cluster/test_model_checker.py
+++ b/tests/cluster/test_model_checker.py
@@ -1,4 +1,4 @@
-"""The agreement of the core, in all interleavings to a small depth, and faults that deeper looks found."""
+"""Raft in all interleavings to a small depth, and steps to faults that deeper searches have found."""
 
 import pytest
 
@@ -14,7 +14,7 @@
 )
 from amberlug.cluster.simulation.mutations import mutated
 
-# As `python -m amberlug.cluster.simulation explore --mutant` tells them.
+# Steps as `python -m amberlug.cluster.simulation explore --mutant` prints them.
 TWO_LEADERS: list[Step] = [
     ("stand", "a", 0),
     ("deliver", "b", 1),
@@ -35,13 +35,13 @@
 
 
 @pytest.mark.parametrize("start", list(STARTS))
-def test_invariants_hold_in_all_states_to_a_small_depth(start: str) -> None:
-    it = explore(STARTS[start], 3)
-    assert (it.found, it.whole) == ("", True)
-    assert it.states > 100
+def test_the_invariants_hold_in_all_states_to_a_small_depth(start: str) -> None:
+    explored = explore(STARTS[start], 3)
+    assert (explored.found, explored.whole) == ("", True)
+    assert explored.states > 100
 
 
-def test_a_wiped_voter_under_its_old_name_elects_two_leaders() -> None:
+def test_a_wiped_voter_that_keeps_its_name_breaks_election_safety() -> None:
     play = Play(STARTS["fresh"], old_self)
     for step in TWO_LEADERS[:-1]:
         play.take(step)
@@ -53,7 +53,7 @@
     assert ("stand", "a", 0) not in play.steps()
 
 
-def test_an_entry_of_an_older_term_that_is_counted_is_replaced() -> None:
+def test_committing_an_entry_of_an_older_term_by_counting_replicas_breaks_leader_completeness() -> None:
     with mutated("older-term"):
         play = Play(STARTS["older"], stranger)
         for step in REPLACED[:-1]:
@@ -69,13 +69,13 @@
 @pytest.mark.parametrize("name", list(CHANGES))
 def test_membership_changes_keep_the_invariants(name: str) -> None:
     start, depth = CHANGES[name]
-    it = explore(start, depth)
-    assert (it.found, it.whole) == ("", True)
-    assert it.states > 800
+    explored = explore(start, depth)
+    assert (explored.found, explored.whole) == ("", True)
+    assert explored.states > 800
 
 
 @pytest.mark.parametrize(
-    ("mutant", "name", "message"),
+    ("mutation", "name", "message"),
     [
         ("learner-votes", "learner", "leads without the entry that was committed"),
         ("removed-counts", "removed", "two leaders in term"),
@@ -84,6 +84,6 @@
         ("snapshot-old-members", "snapshots", "members that were not the newest"),
     ],
 )
-def test_a_fault_in_membership_changes_is_found(mutant: str, name: str, message: str) -> None:
-    with mutated(mutant):
+def test_a_mutation_of_membership_changes_breaks_an_invariant(mutation: str, name: str, message: str) -> None:
+    with mutated(mutation):
         assert message in explore(*CHANGES[name]).found
--- a/tests/cluster/test_raft.py
+++ b/tests/cluster/test_raft.py
@@ -23,7 +23,7 @@
 
 
 class RefusingDisk:
-    """A disk that refuses entries for a while."""
+    """A disk that refuses entries while it is full."""
 
     def __init__(self) -> None:
         self.full = False
@@ -35,13 +35,13 @@
             return
         for kind, values in rows:
             if kind == "cut":
-                self.entries = {at: it for at, it in self.entries.items() if at < values[0]}
+                self.entries = {index: entry for index, entry in self.entries.items() if index < values[0]}
             elif kind == "entry":
                 self.entries[values[0]] = values[1:]
         then(None)
 
 
-def test_entries_that_the_disk_refused_are_not_acknowledged_and_are_written_again() -> None:
+def test_entries_that_the_disk_refuses_are_acknowledged_only_once_a_retry_has_written_them() -> None:
     clock, disk = Clock(), RefusingDisk()
     raft = RaftNode(
         Alone(clock),
@@ -50,27 +50,28 @@
         StateMachine(lambda index, command: {}, dict, lambda state: None),
     )
 
-    def append(before: int, *entries: tuple[int, Json]) -> list[Json]:
+    def append_after(previous_index: int, *entries: tuple[int, Json]) -> list[Json]:
         replies: list[Json] = []
-        body = {"term": 1, "me": "b", "to": "a", "commit": 0, "prev": before, "prev_term": 1 if before else 0}
+        body = {"term": 1, "me": "b", "to": "a", "commit": 0}
+        body |= {"prev": previous_index, "prev_term": 1 if previous_index else 0}
         handlers_of(raft)["vise.append"](
             {**body, "entries": list(entries)}, b"", "b", lambda body, blob: replies.append(body)
         )
         return replies
 
     disk.full = True
-    assert append(0, (1, {"n": 1})) == []
-    assert append(0, (1, {"n": 1})) == []
+    assert append_after(0, (1, {"n": 1})) == []
+    assert append_after(0, (1, {"n": 1})) == []
     disk.full = False
-    assert append(1, (1, {"n": 2})) == []  # behind a gap it is worth nothing
+    assert append_after(1, (1, {"n": 2})) == []  # the entry before it is not on disk
     assert disk.entries == {}
     clock.run(0.2)
     assert disk.entries == {1: (1, {"n": 1}), 2: (1, {"n": 2})}
-    assert append(2) == [{"ok": True, "term": 1}]
+    assert append_after(2) == [{"ok": True, "term": 1}]
 
 
 class Learner:
-    """A member without anything, which receives snapshots in chunks."""
+    """A member with an empty log, which receives snapshots in chunks."""
 
     def __init__(self) -> None:
         self.clock = Clock()
@@ -107,15 +108,17 @@
         self.disk.put(rows, then)
 
 
-def snapshot(fill: str, last: int = 9) -> OutgoingTransfer:
+def snapshot(fill: str, last_index: int = 9) -> OutgoingTransfer:
+    """A snapshot of three chunks of a letter and some more; it makes `d` a voter where the letter is x."""
     members = {**MEMBERS.to_wire(), "d": {"addr": "d", "voter": fill == "x"}}
     data = encode({"state": {"text": fill * 3 * CHUNK_BYTES}, "members": members}).encode()
-    return OutgoingTransfer(TransferHeader.describe("snapshot", last, 1, data), data, SendWindow())
+    return OutgoingTransfer(TransferHeader.describe("snapshot", last_index, 1, data), data, SendWindow())
 
 
 def chunks(transfer: OutgoingTransfer) -> list[tuple[int, bytes]]:
+    """The chunks of a transfer: their offsets and bytes."""
     data = transfer.data
-    return [(at, data[at : at + CHUNK_BYTES]) for at in range(0, len(data), CHUNK_BYTES)]
+    return [(offset, data[offset : offset + CHUNK_BYTES]) for offset in range(0, len(data), CHUNK_BYTES)]
 
 
 def test_a_snapshot_in_chunks_is_installed_with_its_membership() -> None:
@@ -123,7 +126,7 @@
     all_chunks = chunks(transfer)
     assert len(all_chunks) == 4
     total = len(transfer.data)
-    for at, received_bytes in (
+    for number, received_bytes in (  # also one out of order, and one twice
         (1, 0),
         (0, CHUNK_BYTES),
         (0, CHUNK_BYTES),
@@ -131,11 +134,12 @@
         (1, 2 * CHUNK_BYTES),
         (2, 3 * CHUNK_BYTES),
     ):
-        assert learner.receive(transfer, *all_chunks[at]) == {"ok": False, "term": 1, "had": received_bytes}
+        reply = learner.receive(transfer, *all_chunks[number])
+        assert reply == {"ok": False, "term": 1, "had": received_bytes}
         assert (learner.restored, learner.raft.commit_index) == ([], 0)
     assert learner.receive(transfer, 0, b"") == {"ok": False, "term": 1, "had": 3 * CHUNK_BYTES}
     assert learner.receive(transfer, *all_chunks[3]) == {"ok": True, "term": 1}
-    assert learner.receive(transfer, *all_chunks[0]) == {"ok": True, "term": 1}  # it comes once more
+    assert learner.receive(transfer, *all_chunks[0]) == {"ok": True, "term": 1}  # a duplicate
     for _ in range(2):
         assert (learner.raft.commit_index, learner.raft.log.last_index, learner.raft.is_voter) == (9, 9, True)
         assert len(learner.restored[-1]["text"]) == 3 * CHUNK_BYTES
@@ -158,19 +162,15 @@
 def test_a_snapshot_with_a_wrong_checksum_is_rejected() -> None:
     learner, transfer = Learner(), snapshot("x")
     all_chunks = chunks(transfer)
-    for at in (0, 1, 2):
-        learner.receive(
-            transfer,
-            all_chunks[at][0],
-            all_chunks[at][1] if at != 1 else all_chunks[at][1].replace(b"x", b"y"),
-        )
+    for number, (offset, data) in enumerate(all_chunks[:3]):
+        learner.receive(transfer, offset, data.replace(b"x", b"y") if number == 1 else data)
     assert learner.receive(transfer, *all_chunks[3]) == {"ok": False, "term": 1, "had": 0}
     assert (learner.restored, learner.raft.follower.checksum_failures) == ([], 1)
-    assert [learner.receive(transfer, *it) for it in all_chunks][-1] == {"ok": True, "term": 1}
+    assert [learner.receive(transfer, *chunk) for chunk in all_chunks][-1] == {"ok": True, "term": 1}
     assert learner.restored[-1] == {"text": "x" * 3 * CHUNK_BYTES}
 
 
-def test_a_transfer_restarts_for_another_leader_and_after_a_restart() -> None:
+def test_a_snapshot_transfer_begins_anew_from_another_leader_and_after_a_restart() -> None:
     learner, old, new = Learner(), snapshot("x"), snapshot("y", 12)
     learner.receive(old, *chunks(old)[0])
     assert learner.receive(new, *chunks(new)[1], 2, "c") == {"ok": False, "term": 2, "had": 0}
@@ -178,7 +178,7 @@
     learner.receive(new, *chunks(new)[0], 2, "c")
     learner.start()
     assert learner.receive(new, *chunks(new)[1], 2, "c") == {"ok": False, "term": 2, "had": 0}
-    assert [learner.receive(new, *it, 2, "c") for it in chunks(new)][-1] == {"ok": True, "term": 2}
+    assert [learner.receive(new, *chunk, 2, "c") for chunk in chunks(new)][-1] == {"ok": True, "term": 2}
     assert (learner.raft.commit_index, learner.raft.is_voter, learner.restored[-1]) == (
         12,
         False,
@@ -190,7 +190,7 @@
     learner, transfer = Learner(), snapshot("x")
     put = learner.disk.put
     learner.disk.put = lambda rows, then: then("no space is left")  # type: ignore[method-assign]
-    assert [learner.receive(transfer, *it) for it in chunks(transfer)][-1] is None
+    assert [learner.receive(transfer, *chunk) for chunk in chunks(transfer)][-1] is None
     assert learner.receive(transfer, 0, b"") == {"ok": False, "term": 1, "had": transfer.header.size_bytes}
     learner.disk.put = put  # type: ignore[method-assign]
     learner.clock.run(learner.clock.now + 0.2)
@@ -199,7 +199,7 @@
     assert learner.raft.commit_index == 9
 
 
-def test_a_leader_of_an_older_term_than_the_last_entry_is_rejected_after_a_start() -> None:
+def test_a_leader_of_an_older_term_than_the_last_entry_is_rejected_after_a_restart() -> None:
     saved = PersistentState("a", 4, "b", members=MEMBERS, entries=[Entry(4, {"n": 1}), Entry(5, {"n": 2})])
     raft = RaftNode(
         Alone(Clock()),
--- a/tests/cluster/test_raft_storage.py
+++ b/tests/cluster/test_raft_storage.py
@@ -58,71 +58,73 @@
         self.disk.close()
 
 
-def test_files_stay_small_and_a_restart_finds_the_newest_state(tmp_path: Path) -> None:
+def test_compaction_bounds_the_files_and_a_restart_restores_the_newest_state(tmp_path: Path) -> None:
     member = SingleMember(tmp_path)
-    most = 0
+    largest_bytes = 0
     for number in range(60):
         member.change(f"{number} " + "x" * 1_000_000)
-        most = max(most, sum(it.stat().st_size for it in tmp_path.iterdir()))
+        largest_bytes = max(largest_bytes, sum(file.stat().st_size for file in tmp_path.iterdir()))
         assert sum(member.raft.log.sizes_bytes) < 7_000_000
     member.close()
-    assert most < 40_000_000
-    again = SingleMember(tmp_path)
-    assert not again.is_new
-    assert again.state["text"].startswith("59 ")
-    again.close()
+    assert largest_bytes < 40_000_000
+    restarted = SingleMember(tmp_path)
+    assert not restarted.is_new
+    assert restarted.state["text"].startswith("59 ")
+    restarted.close()
 
 
-def test_the_tail_before_the_snapshot_survives_a_restart(tmp_path: Path) -> None:
+def test_the_entries_kept_before_the_snapshot_survive_a_restart(tmp_path: Path) -> None:
     member = SingleMember(tmp_path)
     for number in range(600):
         member.change(str(number))
-    snap, start = member.raft.log.snapshot_index, member.raft.log.base_index
-    assert 0 < start < snap < member.raft.log.last_index
+    log = member.raft.log
+    assert 0 < log.base_index < log.snapshot_index < log.last_index
     member.close()
-    again = SingleMember(tmp_path)
-    assert (again.raft.log.snapshot_index, again.raft.log.base_index) == (snap, start)
-    assert again.raft.log.entries[:-1] == member.raft.log.entries
-    again.close()
+    restarted = SingleMember(tmp_path)
+    restarted_log = restarted.raft.log
+    assert (restarted_log.snapshot_index, restarted_log.base_index) == (log.snapshot_index, log.base_index)
+    assert restarted_log.entries[:-1] == log.entries  # the last one is that of the new leader
+    restarted.close()
 
 
-def put(base: sqlite3.Connection, name: str, value: object) -> None:
+def put_value(database: sqlite3.Connection, name: str, value: object) -> None:
     text = json.dumps(value, separators=(",", ":"))
-    base.execute("insert or replace into state values (?, ?, ?)", (name, text, zlib.crc32(text.encode())))
+    database.execute("insert or replace into state values (?, ?, ?)", (name, text, zlib.crc32(text.encode())))
 
 
-def entry(base: sqlite3.Connection, at: int, term: int) -> None:
-    total = zlib.crc32(f'{at} {term} {{"text":"{at}"}}'.encode())
-    base.execute("insert into log values (?, ?, ?, ?)", (at, term, f'{{"text":"{at}"}}', total))
+def put_entry(database: sqlite3.Connection, index: int, term: int) -> None:
+    command = f'{{"text":"{index}"}}'
+    checksum = zlib.crc32(f"{index} {term} {command}".encode())
+    database.execute("insert into log values (?, ?, ?, ?)", (index, term, command, checksum))
 
 
-def test_a_file_without_a_tail_is_read_and_one_with_a_gap_is_not(tmp_path: Path) -> None:
-    def begun(*rows: int) -> PersistentState:
-        for it in tmp_path.iterdir():
-            it.unlink()
+def test_a_log_with_missing_entries_is_discarded_unless_the_snapshot_covers_them(tmp_path: Path) -> None:
+    def reopened(*indexes: int) -> PersistentState:
+        """What is read from a file with a snapshot up to 512, and entries at some indexes."""
+        for file in tmp_path.iterdir():
+            file.unlink()
         open_raft_storage(tmp_path, lambda: PersistentState("a", members=ALONE), lambda act: None)[1].close()
-        base = sqlite3.connect(tmp_path / "vise.db", isolation_level=None)
-        put(base, "snap", {"start": 512, "term": 3, "state": {"text": "512"}, "members": ALONE.to_wire()})
-        put(base, "term", (4, "a"))
-        for at in rows:
-            entry(base, at, 3)
-        base.close()
-        saved, disk, anew = open_raft_storage(tmp_path, lambda: PersistentState("new"), lambda act: None)
+        database = sqlite3.connect(tmp_path / "vise.db", isolation_level=None)
+        put_value(
+            database, "snap", {"start": 512, "term": 3, "state": {"text": "512"}, "members": ALONE.to_wire()}
+        )
+        put_value(database, "term", (4, "a"))
+        for index in indexes:
+            put_entry(database, index, 3)
+        database.close()
+        saved, disk, is_new = open_raft_storage(tmp_path, lambda: PersistentState("new"), lambda act: None)
         assert isinstance(disk, GroupCommitWriter)
         disk.close()
-        assert anew == (saved.member_id == "new")
+        assert is_new == (saved.member_id == "new")
         return saved
 
-    old = begun(513, 514)
-    assert (old.term, old.voted_for, old.snapshot_index, old.snapshot_term, old.snapshot_state) == (
-        4,
-        "a",
-        512,
-        3,
-        {"text": "512"},
-    )
-    assert (old.entries, old.tail) == ([(3, {"text": "513"}), (3, {"text": "514"})], [])
-    assert begun(513, 515).member_id == "new"
-    assert begun(514).member_id == "new"
-    # Before the snapshot gaps may be: it came complete.
-    assert [len(it.tail) for it in (begun(511, 512, 513), begun(509, 511, 512), begun(509, 510))] == [2, 2, 0]
+    saved = reopened(513, 514)
+    assert (saved.term, saved.voted_for) == (4, "a")
+    assert (saved.snapshot_index, saved.snapshot_term, saved.snapshot_state) == (512, 3, {"text": "512"})
+    assert (saved.entries, saved.tail) == ([(3, {"text": "513"}), (3, {"text": "514"})], [])
+    assert reopened(513, 515).member_id == "new"
+    assert reopened(514).member_id == "new"
+    # The snapshot covers what is missing before it.
+    assert len(reopened(511, 512, 513).tail) == 2
+    assert len(reopened(509, 511, 512).tail) == 2
+    assert len(reopened(509, 510).tail) == 0
--- a/tests/cluster/test_rollback_guard.py
+++ b/tests/cluster/test_rollback_guard.py
@@ -1,4 +1,4 @@
-"""A core machine's folder that is put back as it was before, against one that was away."""
+"""A control-plane node whose folder is restored from a backup, and one that was only down."""
 
 from collections.abc import Callable, Iterator
 from copy import deepcopy
@@ -18,7 +18,7 @@
 
 @pytest.fixture(autouse=True)
 def quiet() -> Iterator[None]:
-    """Keep the logs of the machines out of the output."""
+    """Keep the logs of the nodes out of the output."""
     before = logging.get_verbosity()
     logging.set_verbosity(logging.FATAL)
     yield
@@ -26,7 +26,7 @@
 
 
 class ControlPlane:
-    """Three core machines, and what they were told of endpoints that leave."""
+    """Three control-plane nodes, and the endpoints whose draining they have committed."""
 
     def __init__(self) -> None:
         self.deployment = Deployment(3, 3, 0, 0, 3, [], 1.0)
@@ -40,12 +40,13 @@
 
     def leader(self, *among: Machine) -> Machine | None:
         machines = among or self.deployment.cores
-        return next(
-            (it for it in machines if it.up and it.part.raft.leader_id == it.part.raft.member_id), None
-        )
+        for machine in machines:
+            if machine.up and machine.part.raft.leader_id == machine.part.raft.member_id:
+                return machine
+        return None
 
-    def change(self) -> None:
-        """Have an entry taken, and heard of by all who are in touch."""
+    def commit_entry(self) -> None:
+        """Have the leader commit an entry, and time for all that are connected to receive it."""
         leader = self.leader()
         assert leader is not None
         assert leader.life is not None
@@ -57,86 +58,88 @@
         assert name in leader.part.cluster_state.leaving
         self.committed.append(name)
 
-    def folder(self, machine: Machine) -> Callable[[], None]:
-        """What puts a machine's folder back as it is now."""
+    def backup(self, machine: Machine) -> Callable[[], None]:
+        """Back up a node's folder; returns what restores it."""
         disk = machine.disk
-        kept = {key: deepcopy(value) for key, value in vars(disk).items() if key in ("_saved", "_rows")}
-        return lambda: vars(disk).update(deepcopy(kept))
+        saved = {key: deepcopy(value) for key, value in vars(disk).items() if key in ("_saved", "_rows")}
+        return lambda: vars(disk).update(deepcopy(saved))
 
-    def lost(self, leader: Machine) -> list[str]:
-        return [it for it in self.committed if it not in leader.part.cluster_state.leaving]
+    def lost_at(self, machine: Machine) -> list[str]:
+        """What is committed and not in a node's state."""
+        return [name for name in self.committed if name not in machine.part.cluster_state.leaving]
 
 
 def restore_beside_a_lagging_member() -> list[str]:
-    """One follower lags, and another one is put back while the leader is cut off: what is lost then."""
-    core = ControlPlane()
-    leader = core.leader()
+    """One follower lags and the other one is restored while the leader is partitioned: what is lost then."""
+    control_plane = ControlPlane()
+    leader = control_plane.leader()
     assert leader is not None
-    lags, back = (it for it in core.deployment.cores if it is not leader)
-    restore = core.folder(back)
-    core.change()
-    core.run(1.0)
-    core.deployment.net.cut({(leader.name, lags.name), (lags.name, leader.name)})
-    core.change()
-    back.power_off()
+    lagging, restored = (machine for machine in control_plane.deployment.cores if machine is not leader)
+    restore = control_plane.backup(restored)
+    control_plane.commit_entry()
+    control_plane.run(1.0)
+    control_plane.deployment.net.cut({(leader.name, lagging.name), (lagging.name, leader.name)})
+    control_plane.commit_entry()
+    restored.power_off()
     restore()
-    core.deployment.net.cut({(leader.name, back.name), (back.name, leader.name)})
-    back.start()
-    core.run(4.0)
-    newer = core.leader(lags, back)
-    return [] if newer is None else core.lost(newer)
+    control_plane.deployment.net.cut({(leader.name, restored.name), (restored.name, leader.name)})
+    restored.start()
+    control_plane.run(4.0)
+    new_leader = control_plane.leader(lagging, restored)
+    return [] if new_leader is None else control_plane.lost_at(new_leader)
 
 
-def test_a_restored_member_helps_elect_nobody() -> None:
+def test_a_member_restored_from_a_backup_elects_no_leader_without_committed_entries() -> None:
     assert restore_beside_a_lagging_member() == []
     with mutated("put-back-votes"):
         assert restore_beside_a_lagging_member() == ["e1"]
 
 
-@pytest.mark.parametrize("which", ["leader", "follower"])
-def test_a_restored_member_becomes_another_incarnation_and_one_that_was_down_does_not(which: str) -> None:
-    core = ControlPlane()
-    leader = core.leader()
-    machine = next(it for it in core.deployment.cores if (it is leader) == (which == "leader"))
-    me, restore = machine.part.raft.member_id, core.folder(machine)
+@pytest.mark.parametrize("role", ["leader", "follower"])
+def test_a_restored_member_becomes_a_new_incarnation_and_one_that_was_down_does_not(role: str) -> None:
+    control_plane = ControlPlane()
+    leader = control_plane.leader()
+    is_leader = role == "leader"
+    machine = next(node for node in control_plane.deployment.cores if (node is leader) is is_leader)
+    member_id, restore = machine.part.raft.member_id, control_plane.backup(machine)
     for _ in range(3):
-        core.change()
+        control_plane.commit_entry()
     machine.power_off()
-    core.run(2.0)
+    control_plane.run(2.0)
     for _ in range(3):
-        core.change()
+        control_plane.commit_entry()
     machine.start()
-    core.run(BOUNDS["catchUpS"])
-    assert (machine.part.raft.member_id, core.lost(machine)) == (me, [])
+    control_plane.run(BOUNDS["catchUpS"])
+    assert (machine.part.raft.member_id, control_plane.lost_at(machine)) == (member_id, [])
     machine.power_off()
     restore()
     machine.start()
-    core.run(BOUNDS["catchUpS"])
+    control_plane.run(BOUNDS["catchUpS"])
     raft = machine.part.raft
-    assert raft.member_id != me
+    assert raft.member_id != member_id
     assert raft.is_voter
-    assert me not in raft.members
-    assert core.lost(machine) == []
+    assert member_id not in raft.members
+    assert control_plane.lost_at(machine) == []
 
 
-def test_all_lose_power_and_one_is_restored() -> None:
-    for at in range(3):
-        core = ControlPlane()
-        back = core.deployment.cores[at]
-        restore = core.folder(back)
+def test_committed_entries_survive_a_restart_of_all_members_with_one_restored() -> None:
+    for position in range(3):
+        control_plane = ControlPlane()
+        restored = control_plane.deployment.cores[position]
+        restore = control_plane.backup(restored)
         for _ in range(10):
-            core.change()
-        core.run(6.0)
-        for machine in core.deployment.cores:
+            control_plane.commit_entry()
+        control_plane.run(6.0)
+        for machine in control_plane.deployment.cores:
             machine.power_off()
         restore()
-        for machine in core.deployment.cores:
+        for machine in control_plane.deployment.cores:
             machine.start()
-        core.run(BOUNDS["catchUpS"])
-        leader = core.leader()
+        control_plane.run(BOUNDS["catchUpS"])
+        leader = control_plane.leader()
         assert leader is not None
-        assert core.lost(leader) == []
-        assert not back.part.raft.member_id.endswith("/0")
+        assert control_plane.lost_at(leader) == []
+        assert not restored.part.raft.member_id.endswith("/0")
 
 
 def test_a_new_incarnation_has_an_empty_log(tmp_path: Path) -> None:
--- a/tests/cluster/test_voter_selection.py
+++ b/tests/cluster/test_voter_selection.py
@@ -1,4 +1,4 @@
-"""Which members vote: the decision alone over random memberships, and deployments that lose machines."""
+"""Voter selection: the decision by itself over random memberships, and deployments that lose nodes."""
 
 import random
 from collections.abc import Iterator
@@ -37,80 +37,81 @@
 
 
 def make_all_changes(members: list[MemberStatus], tolerance: Tolerance, leader: str) -> list[MemberStatus]:
-    """Take all steps, each of which must leave a majority that lives, and end."""
-    by_name = {it.name: it for it in members}
+    """Make one change after another until there is none; each must leave a majority that is alive."""
+    by_name = {member.name: member for member in members}
 
     def voters() -> list[MemberStatus]:
-        return [it for it in by_name.values() if it.is_voter]
+        return [member for member in by_name.values() if member.is_voter]
 
     for _ in range(30):
         change = next_change(by_name.values(), tolerance, leader)
         if change is None:
             return list(by_name.values())
         assert change.name != leader, "the leader keeps its vote"
-        before, few = loss_margin(voters(), tolerance), len(voters()) < MIN_VOTERS
+        margin_before, has_few = loss_margin(voters(), tolerance), len(voters()) < MIN_VOTERS
         if change.kind is ChangeKind.REMOVE:
             assert not by_name.pop(change.name).is_voter
         else:
             is_voter = change.kind is ChangeKind.PROMOTE
             assert by_name[change.name].is_voter is not is_voter
             by_name[change.name] = replace(by_name[change.name], is_voter=is_voter)
-        assert 2 * sum(it.is_alive and it.is_caught_up for it in voters()) > len(voters())
-        assert few or loss_margin(voters(), tolerance) >= min(0, before), "a further loss would stop it"
-    raise AssertionError("the steps have no end")
+        working = sum(voter.is_alive and voter.is_caught_up for voter in voters())
+        assert 2 * working > len(voters())
+        margin = loss_margin(voters(), tolerance)
+        assert has_few or margin >= min(0, margin_before), "a further loss would stop it"
+    raise AssertionError("the changes have no end")
 
 
 def random_members(seed: int) -> tuple[list[MemberStatus], Tolerance, str]:
-    """Some members, a minority of the voters unresponsive; the best voters have all places to choose from."""
-    chance = random.Random(seed)
-    zones = chance.randrange(1, 6)
-    places = [(f"z{at}", f"r{at % chance.choice((1, 2, 3))}") for at in range(zones)]
-    count = chance.choice((1, 3, 3, 3, 5))
-    members = [MemberStatus(f"v{at}", True, *chance.choice(places)) for at in range(count)]
-    for at in chance.sample(range(1, count), chance.randrange(0, count // 2 + 1)):
-        members[at] = replace(members[at], unresponsive_s=9.0, is_superseded=chance.random() < 0.3)
-    for at in range(chance.randrange(0, 6)):
-        member = MemberStatus(f"l{at}", False, *chance.choice(places))
-        members.append(
-            replace(member, is_caught_up=chance.random() < 0.8, is_superseded=chance.random() < 0.1)
-        )
-    tolerance = chance.choice((Tolerance(1, 0, 0), A_ZONE, A_REGION, Tolerance(2, 1, 0), Tolerance(2, 0, 0)))
+    """Voters of which a minority is unresponsive, learners, the losses to be tolerated, and the leader."""
+    rng = random.Random(seed)
+    zone_count = rng.randrange(1, 6)
+    domains = [(f"z{zone}", f"r{zone % rng.choice((1, 2, 3))}") for zone in range(zone_count)]
+    voter_count = rng.choice((1, 3, 3, 3, 5))
+    members = [MemberStatus(f"v{number}", True, *rng.choice(domains)) for number in range(voter_count)]
+    for number in rng.sample(range(1, voter_count), rng.randrange(0, voter_count // 2 + 1)):
+        members[number] = replace(members[number], unresponsive_s=9.0, is_superseded=rng.random() < 0.3)
+    for number in range(rng.randrange(0, 6)):
+        learner = MemberStatus(f"l{number}", False, *rng.choice(domains))
+        members.append(replace(learner, is_caught_up=rng.random() < 0.8, is_superseded=rng.random() < 0.1))
+    tolerance = rng.choice((Tolerance(1, 0, 0), A_ZONE, A_REGION, Tolerance(2, 1, 0), Tolerance(2, 0, 0)))
     return members, tolerance, "v0"
 
 
 def falls_short(seed: int) -> bool:
-    """Whether the steps end with voters that are not the best there are."""
-    members, tolerance, me = random_members(seed)
-    after = make_all_changes(members, tolerance, me)
-    able = [it for it in members if (it.is_alive if it.is_voter else it.is_eligible)]
-    odd = [it for count in (3, 5, 7) for it in combinations(able, count)]
-    most = max((min(0, loss_margin(it, tolerance)) for it in odd), default=-9)
-    voters = [it for it in after if it.is_voter]
-    return loss_margin(voters, tolerance) < most or len(voters) > MAX_VOTERS
-
-
-def test_changes_end_with_the_best_voters_and_none_is_worse_than_the_start() -> None:
-    assert [it for it in range(600) if falls_short(it)] == []
+    """Whether the changes end with voters that are not the best of all odd numbers of them."""
+    members, tolerance, leader_name = random_members(seed)
+    changed = make_all_changes(members, tolerance, leader_name)
+    candidates = [
+        member for member in members if (member.is_alive if member.is_voter else member.is_eligible)
+    ]
+    choices = [choice for count in (3, 5, 7) for choice in combinations(candidates, count)]
+    best_margin = max((min(0, loss_margin(choice, tolerance)) for choice in choices), default=-9)
+    voters = [member for member in changed if member.is_voter]
+    return loss_margin(voters, tolerance) < best_margin or len(voters) > MAX_VOTERS
+
+
+def test_membership_changes_converge_to_the_best_voters_and_none_lowers_the_loss_margin() -> None:
+    assert [seed for seed in range(600) if falls_short(seed)] == []
     with mutated("voters-in-one-zone"):
-        assert any(falls_short(it) for it in range(100))
+        assert any(falls_short(seed) for seed in range(100))
 
 
 def test_an_unresponsive_learner_is_removed_and_a_lagging_one_is_not_promoted() -> None:
-    voters = [MemberStatus(it, True) for it in "abc"]
+    voters = [MemberStatus(name, True) for name in "abc"]
     unresponsive = MemberStatus("d", False, unresponsive_s=REMOVAL_TIMEOUT_S + 1)
-    assert [it.name for it in make_all_changes([*voters, unresponsive], Tolerance(), "a")] == ["a", "b", "c"]
+    changed = make_all_changes([*voters, unresponsive], Tolerance(), "a")
+    assert [member.name for member in changed] == ["a", "b", "c"]
     lost = replace(voters[2], unresponsive_s=9.0)
-    assert (
-        next_change([*voters[:2], lost, MemberStatus("d", False, is_caught_up=False)], Tolerance(), "a")
-        is None
-    )
+    lagging = MemberStatus("d", False, is_caught_up=False)
+    assert next_change([*voters[:2], lost, lagging], Tolerance(), "a") is None
 
 
 # -- in whole deployments
 
 
-def begun(seed: int, zones: int, cores: int, tolerance: Tolerance = A_MACHINE) -> Deployment:
-    """Core machines that have found each other."""
+def started(seed: int, zones: int, cores: int, tolerance: Tolerance = A_MACHINE) -> Deployment:
+    """Control-plane nodes that have elected a leader."""
     deployment = Deployment(seed, zones, 0, 0, cores, [], 1.0)
     deployment.tolerance = tolerance
     for machine in deployment.cores:
@@ -120,7 +121,7 @@
 
 
 def leader(deployment: Deployment) -> Machine | None:
-    """Who leads and has just heard from a majority."""
+    """The node whose leadership a majority has just confirmed."""
     confirmed: list[Machine] = []
 
     def on_confirmed(machine: Machine, index: int | None) -> None:
@@ -135,106 +136,108 @@
 
 
 def voting(deployment: Deployment) -> list[Machine]:
-    first = leader(deployment)
-    assert first is not None, "nobody leads"
-    members = first.part.raft.members
+    """The nodes that vote, as the leader has them."""
+    leading = leader(deployment)
+    assert leading is not None, "nobody leads"
+    members = leading.part.raft.members
     addresses = [member.address for member in members.values() if member.is_voter]
     assert len(set(addresses)) == len(addresses)
-    return [it for it in deployment.cores if it.address in addresses]
+    return [machine for machine in deployment.cores if machine.address in addresses]
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
 def test_no_zone_has_half_of_the_voters_where_a_zone_may_be_lost(seed: int) -> None:
-    deployment = begun(seed, 3, 6, A_ZONE)
-    # The founders stand in three zones; with one of them gone, only its own zone has another.
-    machine = next(it for it in deployment.cores[:3] if it is not leader(deployment))
-    machine.power_off()
+    deployment = started(seed, 3, 6, A_ZONE)
+    # The founders are in three zones; with one of them lost, only its own zone has another node.
+    lost = next(machine for machine in deployment.cores[:3] if machine is not leader(deployment))
+    lost.power_off()
     deployment.clock.run(deployment.clock.now + 4.0)
-    assert sorted(it.zone for it in voting(deployment)) == ["z0", "z1", "z2"]
+    assert sorted(machine.zone for machine in voting(deployment)) == ["z0", "z1", "z2"]
     for zone in deployment.zones:
-        for it in deployment.cores:
-            if it.zone == zone:
-                it.power_off()
+        for machine in deployment.cores:
+            if machine.zone == zone:
+                machine.power_off()
         deployment.clock.run(deployment.clock.now + 3.0)
         assert leader(deployment) is not None
-        for it in deployment.cores:
-            if it is not machine:
-                it.start()
+        for machine in deployment.cores:
+            if machine is not lost:
+                machine.start()
         deployment.clock.run(deployment.clock.now + BOUNDS["catchUpS"])
 
 
 def zones_of_voters(seed: int) -> list[str]:
-    """Founders that all stand in one zone, and two others elsewhere: where the voters stand in the end."""
+    """The zones of the voters in the end, where all founders are in one zone and two nodes in others."""
     deployment = Deployment(seed, 3, 0, 0, 5, [], 1.0)
     deployment.tolerance = A_ZONE
     for machine, zone in zip(deployment.cores, ("z0", "z0", "z0", "z1", "z2"), strict=True):
         machine.zone = zone
         machine.start()
     deployment.clock.run(4.0)
-    return sorted(it.zone for it in voting(deployment))
+    return sorted(machine.zone for machine in voting(deployment))
 
 
-def test_founders_of_one_zone_are_replaced_as_voters() -> None:
+def test_voters_are_spread_over_zones_where_all_founders_are_in_one() -> None:
     assert zones_of_voters(1) == ["z0", "z1", "z2"]
     with mutated("voters-in-one-zone"):
         assert zones_of_voters(1) == ["z0", "z0", "z0"]
 
 
 @pytest.mark.parametrize("cores", [3, 4, 5])
-@pytest.mark.parametrize("what", ["replaced", "emptied"])
-@pytest.mark.parametrize("leads", [True, False])
-def test_a_second_loss_after_the_first_is_replaced_leaves_a_majority(
-    cores: int, what: str, leads: bool
+@pytest.mark.parametrize("replacement", ["another node", "an empty disk"])
+@pytest.mark.parametrize("is_leader_lost", [True, False])
+def test_a_majority_survives_a_second_loss_once_the_first_is_replaced(
+    cores: int, replacement: str, is_leader_lost: bool
 ) -> None:
-    for other in range(cores):  # the second that is lost
-        deployment = begun(cores * 10 + other, 3, cores)
-        clock, first = deployment.clock, leader(deployment)
-        lost = next(it for it in voting(deployment) if (it is first) is leads)
+    for second in range(cores):  # the position of the node that is lost second; the last is the replacement
+        deployment = started(cores * 10 + second, 3, cores)
+        clock, leading = deployment.clock, leader(deployment)
+        lost = next(machine for machine in voting(deployment) if (machine is leading) is is_leader_lost)
         lost.power_off()
-        if what == "replaced":
+        if replacement == "another node":
             deployment.remove(lost)
         else:
             lost.wipe()
         clock.run(clock.now + 0.5)
-        machine = deployment.add("core", lost.zone) if what == "replaced" else lost
-        machine.start()
+        new = deployment.add("core", lost.zone) if replacement == "another node" else lost
+        new.start()
         clock.run(clock.now + BOUNDS["catchUpS"] - 0.2)
-        rest = [it for it in deployment.cores if it is not machine]
-        (rest[other] if other < len(rest) else machine).power_off()
+        others = [machine for machine in deployment.cores if machine is not new]
+        (others[second] if second < len(others) else new).power_off()
         clock.run(clock.now + BOUNDS["contactMs"] / 1000 - 1.0)
-        assert leader(deployment) is not None, f"{other} was lost second"
+        assert leader(deployment) is not None, f"{second} was lost second"
 
 
-def test_a_leader_that_ends_transfers_leadership_to_a_responsive_voter() -> None:
-    deployment = begun(5, 3, 3)
-    first = leader(deployment)
-    assert first is not None
+def test_a_stopping_leader_transfers_leadership_to_a_responsive_voter() -> None:
+    deployment = started(5, 3, 3)
+    leading = leader(deployment)
+    assert leading is not None
     others = sorted(
-        (it for it in deployment.cores if it is not first), key=lambda it: str(it.part.raft.member_id)
+        (machine for machine in deployment.cores if machine is not leading),
+        key=lambda machine: str(machine.part.raft.member_id),
     )
     others[-1].power_off()
     deployment.clock.run(deployment.clock.now + 0.8)
-    first.term()
+    leading.term()
     deployment.clock.run(deployment.clock.now + 0.1)
     assert others[0].part.raft.role is not Role.FOLLOWER
 
 
-def test_a_learner_that_is_unresponsive_for_long_is_removed_and_admitted_again() -> None:
-    deployment = begun(6, 4, 4)
-    machine = next(it for it in deployment.cores if it not in voting(deployment))
-    me = machine.part.raft.member_id
+def test_an_unresponsive_learner_is_removed_after_a_timeout_and_admitted_again() -> None:
+    deployment = started(6, 4, 4)
+    learner = next(machine for machine in deployment.cores if machine not in voting(deployment))
+    member_id = learner.part.raft.member_id
 
-    def member() -> bool:
-        first = leader(deployment)
-        assert first is not None
-        return me in first.part.raft.members
+    def is_member() -> bool:
+        leading = leader(deployment)
+        assert leading is not None
+        return member_id in leading.part.raft.members
 
-    machine.power_off()
+    learner.power_off()
     deployment.clock.run(deployment.clock.now + REMOVAL_TIMEOUT_S - 5.0)
-    assert member()
+    assert is_member()
     deployment.clock.run(deployment.clock.now + 10.0)
-    assert not member()
-    machine.start()
+    assert not is_member()
+    learner.start()
     deployment.clock.run(deployment.clock.now + 2.0)
-    assert member()
-    assert machine.part.raft.member_id == me
+    assert is_member()
+    assert learner.part.raft.member_id == member_id
