--- a/amberlug/cluster/consensus/storage.py
+++ b/amberlug/cluster/consensus/storage.py
@@ -31,7 +31,7 @@
 from amberlug.cluster.storage.group_commit import GroupCommitWriter, open_file
 
 FILE_NAME = "vise.db"
-FORMAT = 1
+FORMAT = 1  # of the file; one of another format counts as empty
 # Names of the values in table `state`; they are historical.
 FORMAT_VALUE, MEMBER_ID_VALUE, TERM_VALUE = "format", "me", "term"
 SNAPSHOT_VALUE, ACKNOWLEDGED_VALUE = "snap", "floors"
@@ -42,7 +42,6 @@
 );
 """
 
-
 StoredValue: TypeAlias = int | str | list[int | str] | Json
 """A value of table `state`, as JSON has it."""
 
@@ -125,16 +124,17 @@
         values[MEMBER_ID_VALUE],
         term,
         voted_for,
-        snapshot["start"],
-        snapshot["term"],
-        snapshot["state"],
-        Members.from_wire(snapshot["members"]),
+        snapshot_index=snapshot["start"],
+        snapshot_term=snapshot["term"],
+        snapshot_state=snapshot["state"],
+        members=Members.from_wire(snapshot["members"]),
+        acknowledged=values.get(ACKNOWLEDGED_VALUE, {}),
     )
-    saved.acknowledged = values.get(ACKNOWLEDGED_VALUE, {})
     return assemble(saved, list(_load_entries(database)))
 
 
 def _load_values(database: sqlite3.Connection) -> Json:
+    """The values of table `state` by name, as JSON has them."""
     values: Json = {}
     for name, text, checksum in database.execute("select name, value, sum from state"):
         if zlib.crc32(text.encode()) != checksum:
@@ -144,6 +144,7 @@
 
 
 def _load_entries(database: sqlite3.Connection) -> Iterator[StoredEntry]:
+    """The entries in the order of their indexes."""
     for index, term, text, checksum in database.execute("select at, term, command, sum from log order by at"):
         if _entry_checksum(index, term, text) != checksum:
             raise ChecksumError(index)
