--- a/amberlug/cluster/consensus/raft.py
+++ b/amberlug/cluster/consensus/raft.py
@@ -171,7 +171,7 @@
         if self.is_stopped:
             return
         host = self.member_id.rpartition("/")[0]
-        member_id = new_member_id(host, self.runtime.chance.getrandbits)
+        member_id = new_member_id(host, self.runtime.rng.getrandbits)
         logging.warning(
             "%s has less on disk than it acknowledged: it goes on as %s", self.member_id, member_id
         )
--- a/amberlug/cluster/simulation/model_checker.py
+++ b/amberlug/cluster/simulation/model_checker.py
@@ -32,14 +32,14 @@
     TruncateRow,
     row_from,
 )
-from amberlug.cluster.interfaces import Json, Reply, ReplyCallback
+from amberlug.cluster.interfaces import Json, RawMessage, Reply, ReplyCallback
 from amberlug.cluster.rpc.messages import handlers_of
 from amberlug.cluster.simulation.clock import Timer
 
 NAMES = ("a", "b", "c")
 VOTERS = Members.from_wire({name: {"addr": name, "voter": True} for name in NAMES})
 NEW = "d"  # the newcomer: no member at first
-CHANCE = random.Random(1)  # decides nothing here: no timer fires
+RNG = random.Random(1)  # decides nothing here: no timer fires
 STEP_S = 1.0  # what was heard before a step is heard no more after it
 Step = tuple[str, str, int]  # what, whose, which message
 Rows = list[tuple[str, tuple[Any, ...]]]
@@ -163,7 +163,7 @@
     """The world as one life of a member sees it; only explicit steps make anything happen."""
 
     def __init__(self, play: Play, name: str) -> None:
-        self.play, self.name, self.chance = play, name, CHANCE
+        self.play, self.name, self.rng = play, name, RNG
         self.life = play.members[name].life
 
     def now(self) -> float:
@@ -175,27 +175,26 @@
     def call_later(self, seconds: float, act: Callable[[], None]) -> Timer:
         return Timer(act)
 
-    def send(self, to: str, word: str, body: Json, blob: bytes = b"") -> None:
-        self.request(to, word, body, 0.0, lambda reply: None)
+    def send(self, address: str, message: RawMessage) -> None:
+        self.request(address, message, 0.0, lambda reply: None)
 
-    def request(
-        self, to: str, word: str, body: Json, within: float, then: ReplyCallback, blob: bytes = b""
-    ) -> None:
+    def request(self, address: str, message: RawMessage, timeout_s: float, on_reply: ReplyCallback) -> None:
         play, name, life = self.play, self.name, self.life
-        text = json.dumps([word, body, blob.decode()])
+        tag, payload = message.tag, message.payload
+        text = json.dumps([tag, message.body, payload.decode()])
 
         def back(said: Json) -> None:
             if play.members[name].life == life:
-                then(Ok(Reply(said, b"")))
+                on_reply(Ok(Reply(said, b"")))
 
         def respond(said: Json, blob: bytes = b"") -> None:
             reply = json.dumps(said)
-            play.post(name, f"{to} {text} {reply}", lambda: back(json.loads(reply)))
+            play.post(name, f"{address} {text} {reply}", lambda: back(json.loads(reply)))
 
         def arrive() -> None:
-            play.members[to].handlers[word](json.loads(text)[1], blob, name, respond)
+            play.members[address].handlers[tag](json.loads(text)[1], payload, name, respond)
 
-        play.post(to, f"{name} {text}", arrive)
+        play.post(address, f"{name} {text}", arrive)
 
 
 class Play:
