--- a/amberlug/cluster/consensus/context.py
+++ b/amberlug/cluster/consensus/context.py
@@ -85,18 +85,21 @@
 
 
 class MemberContext(Protocol):
-    """One member of the group, as its parts see it; the documentation of its fields stands in `RaftNode`."""
+    """One member of the group, as its parts see it: the state of Raft, figure 2, and what it has besides.
+
+    Times are seconds of the steady clock.
+    """
 
     runtime: Runtime
     disk: Disk
     log: Log
-    membership: Membership
-    member_id: str
-    term: int
-    voted_for: str
+    membership: Membership  # the newest in the log, committed or not
+    member_id: str  # its name: `host/incarnation`
+    term: int  # the newest that it has seen
+    voted_for: str  # in this term; empty where it may vote for any candidate
     role: Role
-    leader_id: str
-    leader_contact_at: float
+    leader_id: str  # the leader of this term; empty where none is known
+    leader_contact_at: float  # when it last heard from a leader, or voted
     commit_index: int
     last_applied: int
     is_stopped: bool
--- a/amberlug/cluster/consensus/follower.py
+++ b/amberlug/cluster/consensus/follower.py
@@ -59,7 +59,7 @@
     def _acknowledge_when_synced(self, index: int, respond: Responder) -> None:
         """Acknowledge the log up to an index once it is on disk, if the term is still the same then."""
         term = self._raft.term
-        waiter = _SyncWaiter(index, term, lambda: respond(FollowerReply(True, term)))
+        waiter = _SyncWaiter(index, term, lambda: respond(FollowerReply(success=True, term=term)))
         self._sync_waiters = [*self._sync_waiters, waiter][-MAX_SYNC_WAITERS:]
         self.on_synced()
 
@@ -83,11 +83,8 @@
         raft.observe_term(header.term)
         assert not raft.is_leader, "two leaders in one term"
         has_changed = raft.leader_id != header.leader_id or raft.role is not Role.FOLLOWER
-        raft.role, raft.leader_id, raft.leader_contact_at = (
-            Role.FOLLOWER,
-            header.leader_id,
-            raft.runtime.now(),
-        )
+        raft.role, raft.leader_id = Role.FOLLOWER, header.leader_id
+        raft.leader_contact_at = raft.runtime.now()
         if has_changed:
             raft.on_change()
         raft.election.restart_timer()
@@ -96,7 +93,7 @@
     def _reject(self, header: LeaderHeader, respond: Responder) -> None:
         raft = self._raft
         is_wrong_target = header.target_id != raft.member_id or raft.is_stopped
-        respond(FollowerReply(False, raft.term, is_wrong_target=is_wrong_target))
+        respond(FollowerReply(success=False, term=raft.term, is_wrong_target=is_wrong_target))
 
     # -- entries
 
@@ -120,7 +117,7 @@
         if previous_index <= log.last_index and log.term_at(previous_index) == previous_term:
             return True
         last_index = min(log.last_index, previous_index - 1)
-        respond(FollowerReply(False, self._raft.term, last_index=last_index))
+        respond(FollowerReply(success=False, term=self._raft.term, last_index=last_index))
         return False
 
     def _append_after(
@@ -189,7 +186,7 @@
         if message.data or raft.log.synced_index >= transfer.last_index:
             self._acknowledge_when_synced(transfer.last_index, respond)
         else:
-            respond(FollowerReply(False, raft.term, received_bytes=transfer.size_bytes))
+            respond(FollowerReply(success=False, term=raft.term, received_bytes=transfer.size_bytes))
 
     def _receive(self, message: TransferChunk, respond: Responder) -> None:
         raft, transfer = self._raft, message.transfer
@@ -201,7 +198,7 @@
         data = incoming.verified() if incoming.is_complete else None
         if data is None:
             self.checksum_failures += 1 if message.data and not incoming.data else 0
-            respond(FollowerReply(False, raft.term, received_bytes=len(incoming.data)))
+            respond(FollowerReply(success=False, term=raft.term, received_bytes=len(incoming.data)))
             return
         self.incoming = None
         if transfer.kind == ENTRY:
--- a/amberlug/cluster/consensus/membership.py
+++ b/amberlug/cluster/consensus/membership.py
@@ -150,7 +150,7 @@
         return name in self and self[name].is_voter
 
     def has_majority(self, names: Set[str]) -> bool:
-        """Whether these are a majority of the voters.
+        """Whether these members have a majority of the voters among them.
 
         Any two majorities have a voter in common, which is what Election Safety and Leader Completeness rest
         on (Raft, sections 5.2, 5.4.3).
--- a/amberlug/cluster/consensus/raft.py
+++ b/amberlug/cluster/consensus/raft.py
@@ -73,9 +73,12 @@
 
 
 class RaftNode:
-    """One member.
+    """One member; its fields are documented in `context.MemberContext`.
 
+    :param runtime: its clock, timers, random numbers and peers.
+    :param disk: its stable storage.
     :param saved: what the disk contains at the start.
+    :param state_machine: what committed commands are applied to.
     """
 
     def __init__(
@@ -101,7 +104,7 @@
         self.leader_contact_at = self.runtime.now()
         self.leader_since = 0.0
         self.is_stopped = False
-        self._timer: TimerHandle | None = None  # of the election timeout, or of the next heartbeats
+        self._timer: TimerHandle | None = None  # the election timeout, or the next heartbeats of a leader
         self.proposals = PendingProposals()
         self.reads = ReadIndex(self)
         self.election = Election(self)
@@ -144,7 +147,7 @@
         return self.log.term_at(index)
 
     def has_majority(self, names: Set[str]) -> bool:
-        """Whether these members are a majority of the voters."""
+        """Whether these members have a majority of the voters among them."""
         return self.members.has_majority(names)
 
     # -- start and end
@@ -213,6 +216,8 @@
             return
         self.term, self.voted_for = term, ""
         self.step_down()
+        # Nothing waits for this write: a vote or an entry of the term is written after it, and `_load` copes
+        # with a disk that refused it and took the entry.
         self.save_term(lambda: None)
 
     def step_down(self) -> None:
