--- a/tests/cluster/test_raft.py
+++ b/tests/cluster/test_raft.py
@@ -13,11 +13,12 @@
     SendWindow,
     TransferHeader,
 )
+from amberlug.cluster.control.initial_state import founding_members
 from amberlug.cluster.interfaces import Json
 from amberlug.cluster.rpc.messages import handlers_of
 from amberlug.cluster.simulation.clock import Clock
 from amberlug.cluster.simulation.disk import ControlDisk
-from tests.cluster.fakes import Alone
+from tests.cluster.fakes import Alone, settings
 
 MEMBERS = Members.from_wire({name: {"addr": name, "voter": True} for name in "abc"})
 
@@ -159,6 +160,19 @@
     assert Members.from_command(members.to_command()) == members
 
 
+def test_founding_members_are_written_with_their_fields_in_the_historical_order() -> None:
+    members = founding_members(settings("core"))
+    assert len(members) == 3
+    for name, member in members.items():
+        host = name.removesuffix("/0")
+        assert encode(member.to_wire()) == (
+            '{"voter":true,"name":"","zone":"","region":"",'
+            f'"addr":"{member.address}","control":"{member.control_address}"}}'
+        )
+        assert member.address.startswith(f"{host}:")
+        assert member.control_address.startswith(f"{host}:")
+
+
 def test_a_snapshot_with_a_wrong_checksum_is_rejected() -> None:
     learner, transfer = Learner(), snapshot("x")
     all_chunks = chunks(transfer)
