--- a/amberlug/cluster/control/endpoint_registry.py
+++ b/amberlug/cluster/control/endpoint_registry.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable, Iterable
+from collections.abc import Callable, Iterable, Sequence
 
 import trafaret as t
 from result import Err, Ok, Result
@@ -188,10 +188,10 @@
         """Start all timeouts anew: this node was out of contact, and knows of nobody's heartbeats."""
         self.receive_report(list(self.last_heartbeat_s))
 
-    def take_report(self) -> tuple[str, ...]:
+    def pop_unreported_heartbeats(self) -> Sequence[str]:
         """The endpoints whose heartbeats have come here since the last call, by name."""
-        report, self.unreported_heartbeats = tuple(sorted(self.unreported_heartbeats)), set()
-        return report
+        names, self.unreported_heartbeats = sorted(self.unreported_heartbeats), set()
+        return names
 
     def expire(self, on_timeout: Callable[[str], None]) -> None:
         """Announce to all nodes which endpoints have timed out."""
--- a/amberlug/cluster/control/messages.py
+++ b/amberlug/cluster/control/messages.py
@@ -6,6 +6,7 @@
 
 from __future__ import annotations
 
+from collections.abc import Sequence
 from typing import Any, ClassVar
 
 from amberlug.cluster.interfaces import Json
@@ -247,8 +248,8 @@
     """
 
     wire_tag: ClassVar[str] = "sessions"
-    rows: tuple[SessionRow, ...]
-    endpoints: tuple[str, ...]
+    rows: Sequence[SessionRow]
+    endpoints: Sequence[str]
     has_contact: bool
 
     def to_wire(self) -> Json:
--- a/amberlug/cluster/control/node.py
+++ b/amberlug/cluster/control/node.py
@@ -2,6 +2,8 @@
 
 from __future__ import annotations
 
+from collections.abc import Collection
+
 from absl import logging
 
 from amberlug.cluster.consensus.log import PersistentState
@@ -54,7 +56,7 @@
             runtime,
             self._gossip_peers,
             lambda key, value: None,
-            DisseminationPolicy(push_to_all=True, replicated_keys=self._keys_known_at),
+            DisseminationPolicy(push_to_all=True, replicated_keys=self._replicated_keys),
         )
         self.registry = EndpointRegistry(runtime, self.gossip, settings.heartbeat_s)
         self.raft = RaftNode(
@@ -157,7 +159,7 @@
         """Addresses of the other control-plane nodes."""
         return [member["addr"] for name, member in self.raft.members.items() if name != self.raft.member_id]
 
-    def _keys_known_at(self, address: str) -> tuple[str, ...]:
+    def _replicated_keys(self, address: str) -> Collection[str]:
         """Keys that a node has by its log: sent as gossip besides, they would delay its heartbeats."""
         return REPLICATED_KEYS if address in self._peers() else ()
 
--- a/amberlug/cluster/control/reconciler.py
+++ b/amberlug/cluster/control/reconciler.py
@@ -22,7 +22,6 @@
 OWNER_TIMEOUT_S = 0.15  # without a session until an owner's shards are assigned to others
 STORE_TIMEOUT_S = 1.5  # without a session until a disk is lost, and its replicas are made anew elsewhere
 GATHERING_S = 0.4  # without a new edge node until those that have come are assigned shards together
-STORAGE_CLASS, EDGE_CLASS = "storage", "edge"
 # Roles of which each has at most one command in flight.
 _ROSTER, _DROP, _ASSIGN = "roster", "drop", "assign"
 
@@ -56,8 +55,8 @@
         members = self._sessions.members(now_s).values()
         for session in members:
             self._first_seen_s.setdefault(session.id, now_s)
-        stores = {session.name: session for session in members if session.machine_class == STORAGE_CLASS}
-        edges = {session.id: session for session in members if session.machine_class == EDGE_CLASS}
+        stores = {session.name: session for session in members if session.is_storage}
+        edges = {session.id: session for session in members if session.is_edge}
         self.update_roster(stores, now_s)
         self.drop_replaced_disks(edges)
         self.reassign_shards(edges, now_s)
--- a/amberlug/cluster/control/session_service.py
+++ b/amberlug/cluster/control/session_service.py
@@ -88,7 +88,7 @@
     def _report(self) -> None:
         report = SessionReport(
             self._sessions.report(self._runtime.now()),
-            self._registry.take_report(),
+            self._registry.pop_unreported_heartbeats(),
             self._quorum.is_in_contact,
         )
         body = report.to_wire()  # encoded once for all peers: it grows with the deployment
--- a/amberlug/cluster/control/sessions.py
+++ b/amberlug/cluster/control/sessions.py
@@ -9,6 +9,7 @@
 from amberlug.cluster.interfaces import Json
 from amberlug.cluster.values import value
 
+EDGE_CLASS, STORAGE_CLASS = "edge", "storage"  # classes of machines that open sessions
 HEARTBEAT_INTERVAL_S = 0.25  # between a member's heartbeats
 SESSION_TIMEOUT_S = 1.2  # without a heartbeat until a session expires: four intervals and a slow link
 # Members of an unresponsive control-plane node have so much longer, since they look for another one.
@@ -46,6 +47,21 @@
         """Whether it takes work, and does not stop."""
         return self.state == "up"
 
+    def is_more_recent_than(self, other: Session) -> bool:
+        """Whether its last heartbeat came later, or with heartbeats at the same time, it was opened later."""
+        mine = self.last_heartbeat_at_s, self.opened_at_s
+        return mine > (other.last_heartbeat_at_s, other.opened_at_s)
+
+    @property
+    def is_edge(self) -> bool:
+        """Whether it is the session of an edge node."""
+        return self.machine_class == EDGE_CLASS
+
+    @property
+    def is_storage(self) -> bool:
+        """Whether it is the session of a storage node."""
+        return self.machine_class == STORAGE_CLASS
+
     def to_row(self, now_s: float) -> SessionRow:
         """The session as it is reported to other control-plane nodes."""
         node = SessionDescription(
@@ -157,9 +173,9 @@
             del self.own[session.name]
         return ended
 
-    def report(self, now_s: float) -> tuple[SessionRow, ...]:
+    def report(self, now_s: float) -> Sequence[SessionRow]:
         """Sessions of this node, as other control-plane nodes get them."""
-        return tuple(session.to_row(now_s) for session in self.own.values())
+        return [session.to_row(now_s) for session in self.own.values()]
 
     def receive_report(
         self, peer: str, rows: Sequence[SessionRow], now_s: float, has_contact: bool = True
@@ -183,23 +199,22 @@
 
     def members(self, now_s: float) -> dict[str, Session]:
         """The live members by name, each in its newest incarnation."""
-        found: dict[str, Session] = {}
-        _add_live(found, self.own, now_s, 0.0)
+        members: dict[str, Session] = {}
+        _add_live(members, self.own, now_s, 0.0)
         for report in self._reports.values():
             is_unresponsive = now_s - report.received_at_s > REPORT_TIMEOUT_S
-            _add_live(found, report.sessions, now_s, FAILOVER_GRACE_S if is_unresponsive else 0.0)
-        return found
+            _add_live(members, report.sessions, now_s, FAILOVER_GRACE_S if is_unresponsive else 0.0)
+        return members
 
 
-def _add_live(found: dict[str, Session], sessions: dict[str, Session], now_s: float, grace_s: float) -> None:
+def _add_live(
+    members: dict[str, Session], sessions: dict[str, Session], now_s: float, grace_s: float
+) -> None:
+    """Add sessions whose heartbeats have not timed out; of several of one member, the most recent stays."""
     for session in sessions.values():
         if now_s - session.last_heartbeat_at_s > SESSION_TIMEOUT_S + grace_s:
             continue
-        known = found.get(session.name)
+        other = members.get(session.name)
         # A member that tried several control-plane nodes stays with one: that one has the latest heartbeat.
-        if known is None or _recency(session) > _recency(known):
-            found[session.name] = session
-
-
-def _recency(session: Session) -> tuple[float, float]:
-    return session.last_heartbeat_at_s, session.opened_at_s
+        if other is None or session.is_more_recent_than(other):
+            members[session.name] = session
