--- a/amberlug/cluster/control/dead_messages.py
+++ b/amberlug/cluster/control/dead_messages.py
@@ -3,8 +3,7 @@
 from __future__ import annotations
 
 import base64
-from collections.abc import Callable, Iterable
-from typing import Any
+from collections.abc import Callable, Iterable, Sequence
 from urllib.parse import parse_qs
 
 from result import Err, Ok
@@ -14,12 +13,15 @@
 from amberlug.cluster.control.state_entries import StoreState
 from amberlug.cluster.http.api import HttpRequest, HttpResponse, RespondHttp, api_call
 from amberlug.cluster.interfaces import Json, Runtime
-from amberlug.cluster.storage.operator_messages import DEAD_MESSAGES_PER_PAGE
+from amberlug.cluster.storage.messages import ContentReply, ContentRequest
+from amberlug.cluster.storage.operator_messages import (
+    DEAD_MESSAGES_PER_PAGE,
+    DeadMessage,
+    DeadMessagesReply,
+    DeadMessagesRequest,
+)
 from amberlug.cluster.values import value
 
-LIST_TAG = "dead"  # asks a storage node for a page of its messages, or for one of them
-BODY_TAG = "body"  # asks a storage node for a message's bytes
-
 
 class DeadMessageApi:
     """Reads messages that ended without success from the storage nodes."""
@@ -36,25 +38,25 @@
             respond(HttpResponse(400, {"cause": f"most: no number from 1 to {DEAD_MESSAGES_PER_PAGE}"}))
             return
 
-        def receive(replies: Replies) -> None:
+        def receive(replies: Replies[DeadMessagesReply]) -> None:
             unresponsive = sorted(disk for disk, reply in replies.items() if isinstance(reply, Err))
             if len(unresponsive) == len(replies):
                 respond(HttpResponse(503, {"cause": "no store answers"}, 1))
                 return
-            page = merged(replies, int(limit))
-            respond(HttpResponse(200, {**page, "silent": unresponsive}))
+            page = merge_pages(replies, int(limit))
+            respond(HttpResponse(200, {**page.to_json(), "silent": unresponsive}))
 
-        self._query_stores({"after": after, "most": int(limit)}, receive)
+        self._query_stores(DeadMessagesRequest(after=after, limit=int(limit)), receive)
 
     @api_call("GET", "/-/Foreman.Dead/")
     def read_message(self, request: HttpRequest, name: str, respond: RespondHttp) -> None:
         """Reply with one message and its bytes."""
 
-        def receive(replies: Replies) -> None:
-            rows = merged(replies, 1)["rows"]
+        def receive(replies: Replies[DeadMessagesReply]) -> None:
+            messages = merge_pages(replies, 1).messages
             is_incomplete = not replies or any(isinstance(reply, Err) for reply in replies.values())
-            if rows:
-                self._read_body(rows[0], replies, respond)
+            if messages:
+                self._read_content(messages[0], replies, respond)
             elif is_incomplete:
                 cause = "not all stores answer, and those that do don't know it"
                 respond(HttpResponse(503, {"cause": cause}, 1))
@@ -62,23 +64,25 @@
                 cause = "no such message has ended without success of late"
                 respond(HttpResponse(404, {"cause": cause}))
 
-        self._query_stores({"id": name}, receive)
+        self._query_stores(DeadMessagesRequest(message_id=name), receive)
 
-    def _query_stores(self, body: Json, on_replies: Callable[[Replies], None]) -> None:
+    def _query_stores(
+        self, message: DeadMessagesRequest, on_replies: Callable[[Replies[DeadMessagesReply]], None]
+    ) -> None:
         query = PeerQuery(self._runtime, on_replies)
         for disk, store in self._cluster_state.roster.items():
             if store.state is not StoreState.LOST:
-                query.request(disk, store.address, LIST_TAG, body)
+                query.request(disk, store.address, message)
         query.finish_sending()
 
-    def _read_body(self, row: Json, disks: Iterable[str], respond: RespondHttp) -> None:
-        """Add a message's bytes to its row, from any storage node that has them."""
+    def _read_content(self, message: DeadMessage, disks: Iterable[str], respond: RespondHttp) -> None:
+        """Reply with a message and its bytes, from any of the storage nodes that has them."""
 
-        def receive(replies: Replies) -> None:
+        def receive(replies: Replies[ContentReply]) -> None:
             for reply in replies.values():
-                if isinstance(reply, Ok) and reply.ok_value.body.get("found"):
-                    text = base64.b64encode(reply.ok_value.blob).decode()
-                    respond(HttpResponse(200, {**row, "body": text}))
+                if isinstance(reply, Ok) and reply.ok_value.content is not None:
+                    text = base64.b64encode(reply.ok_value.content).decode()
+                    respond(HttpResponse(200, {**message_to_json(message), "body": text}))
                     return
             respond(HttpResponse(503, {"cause": "no store that answers has its bytes"}, 1))
 
@@ -86,55 +90,55 @@
         for disk in disks:
             store = self._cluster_state.roster.get(disk)
             if store is not None:
-                query.request(disk, store.address, BODY_TAG, {"id": row["id"]})
+                query.request(disk, store.address, ContentRequest(message.message_id))
         query.finish_sending()
 
 
 @value
-class _StorePages:
-    """The pages of several storage nodes, put together.
+class DeadMessagePage:
+    """One page of messages for an operator, by name.
 
-    :param rows: by name of the message.
-    :param ends: the last names of pages that were cut off: what follows them may be missing.
+    :param next_after: the name after which the next page begins; None after the last one.
     """
 
-    rows: dict[str, Json]
-    ends: list[str]
-
-
-def _collect(replies: Replies) -> _StorePages:
-    pages = _StorePages({}, [])
-    for reply in replies.values():
-        if not isinstance(reply, Ok):
-            continue
-        body = reply.ok_value.body
-        for row in body["rows"]:
-            name, metadata = row[0], row[1]
-            # A storage node that was notified only of the end knows nothing else of the message.
-            if name not in pages.rows or (metadata and not pages.rows[name]["method"]):
-                pages.rows[name] = _document(row)
-        if body["more"]:
-            pages.ends.append(body["rows"][-1][0])
-    return pages
-
-
-def merged(replies: Replies, limit: int) -> Json:
-    """One page made of several storage nodes' pages; `after` is where the next one begins, if any."""
-    pages = _collect(replies)
-    names = sorted(pages.rows)
-    complete = [name for name in names if not pages.ends or name <= min(pages.ends)]
-    page = complete[:limit]
-    document: Json = {"rows": [pages.rows[name] for name in page]}
-    if page and len(page) < len(names):
-        document["after"] = page[-1]
-    return document
-
-
-def _document(row: list[Any]) -> Json:
-    """A message as operators get it, of the row that a storage node sends."""
-    name, metadata, size_bytes, kept_until = row
+    messages: Sequence[DeadMessage]
+    next_after: str | None = None
+
+    def to_json(self) -> Json:
+        """The page as operators get it."""
+        document: Json = {"rows": [message_to_json(message) for message in self.messages]}
+        return document if self.next_after is None else {**document, "after": self.next_after}
+
+
+def merge_pages(replies: Replies[DeadMessagesReply], limit: int) -> DeadMessagePage:
+    """One page made of the pages of those storage nodes that replied, with `limit` messages at the most."""
+    pages = [reply.ok_value for reply in replies.values() if isinstance(reply, Ok)]
+    messages: dict[str, DeadMessage] = {}
+    page_ends: list[str] = []  # last names of pages that were cut off: what follows them may be missing
+    for page in pages:
+        for message in page.messages:
+            known = messages.get(message.message_id)
+            if known is None or _knows_more(message, known):
+                messages[message.message_id] = message
+        if page.has_more:
+            page_ends.append(page.messages[-1].message_id)
+    names = sorted(messages)
+    complete = [name for name in names if not page_ends or name <= min(page_ends)]
+    selected = complete[:limit]
+    next_after = selected[-1] if selected and len(selected) < len(names) else None
+    return DeadMessagePage([messages[name] for name in selected], next_after)
+
+
+def _knows_more(message: DeadMessage, other: DeadMessage) -> bool:
+    """Whether a storage node stored the message, where another one was notified only of its end."""
+    return bool(message.metadata and not other.metadata.get("m"))
+
+
+def message_to_json(message: DeadMessage) -> Json:
+    """A message as operators get it; names of its metadata are those of `dispatch.message`."""
+    metadata = message.metadata
     return {
-        "id": name,
+        "id": message.message_id,
         "route": metadata.get("r", ""),
         "host": metadata.get("h", ""),
         "method": metadata.get("m", ""),
@@ -142,6 +146,6 @@
         "key": metadata.get("k", ""),
         "headers": metadata.get("x", []),
         "taken_at": metadata.get("w"),
-        "kept_until": kept_until,
-        "size": size_bytes,
+        "kept_until": message.retain_until,
+        "size": message.size_bytes,
     }
--- a/amberlug/cluster/control/peer_messages.py
+++ b/amberlug/cluster/control/peer_messages.py
@@ -6,10 +6,12 @@
 
 from __future__ import annotations
 
+from collections.abc import Mapping
 from typing import ClassVar
 
 from amberlug.cluster.control.submitted_commands import SubmittedCommand, submitted_from_wire
 from amberlug.cluster.interfaces import Json
+from amberlug.cluster.node_status import NodeStatusReport
 from amberlug.cluster.rpc.messages import Body, Notification, Request
 from amberlug.cluster.values import value
 
@@ -168,27 +170,53 @@
 
 
 @value
-class StatusReply(Body):
-    """A node's status as it reports it; operators are shown the whole document, whatever its version."""
+class ControlStatusReport(Body):
+    """A control-plane node as its operators see it.
 
-    document: Json
+    :param role: the node's role in the Raft group.
+    :param leader_id: the leader that it knows; empty for none.
+    """
+
+    role: str
+    term: int
+    leader_id: str
+    commit_index: int
+    config_version: int
+    counters: Mapping[str, int]
 
     def to_wire(self) -> Json:
-        """The document."""
-        return self.document
+        """The fields in the order in which operators read them; their names are historical."""
+        return {
+            "role": self.role,
+            "term": self.term,
+            "leader": self.leader_id,
+            "commit": self.commit_index,
+            "edition": self.config_version,
+            "counts": self.counters,
+        }
 
     @classmethod
-    def from_wire(cls, body: Json, payload: bytes) -> StatusReply:
-        """Read a reply."""
-        return cls(body)
+    def from_wire(cls, body: Json, payload: bytes) -> ControlStatusReport:
+        """Read the report.
+
+        :raises KeyError: where a field is missing.
+        """
+        return cls(
+            body["role"],
+            body["term"],
+            body["leader"],
+            body["commit"],
+            body["edition"],
+            body["counts"],
+        )
 
 
 @value
-class ReadControlStatus(Request[StatusReply]):
-    """Read another control-plane node's status."""
+class ReadControlStatus(Request[NodeStatusReport]):
+    """Read another control-plane node's status, which it reports as a `ControlStatusReport`."""
 
     wire_tag: ClassVar[str] = "core.status"
-    reply_type: ClassVar[type[StatusReply]] = StatusReply
+    reply_type: ClassVar[type[NodeStatusReport]] = NodeStatusReport
 
     def to_wire(self) -> Json:
         """An empty JSON object."""
--- a/amberlug/cluster/control/peer_query.py
+++ b/amberlug/cluster/control/peer_query.py
@@ -4,31 +4,33 @@
 
 from collections.abc import Callable, Mapping
 from functools import partial
+from typing import Generic, TypeAlias
 
 from result import Result
 
-from amberlug.cluster.interfaces import Json, Reply, RequestFailure, Runtime
+from amberlug.cluster.interfaces import RequestFailure, Runtime
+from amberlug.cluster.rpc.messages import ReplyT, Request, request
 
 QUERY_TIMEOUT_S = 0.6  # for peers to reply: operators wait for a second
 
-Replies = Mapping[str, Result[Reply, RequestFailure]]  # by the name that a request was made under
+Replies: TypeAlias = Mapping[str, Result[ReplyT, RequestFailure]]  # by the name of a request
 
 
-class PeerQuery:
+class PeerQuery(Generic[ReplyT]):
     """Collects replies to requests, and passes them on together.
 
     :param on_replies: called once, with a reply or a failure for each request.
     """
 
-    def __init__(self, runtime: Runtime, on_replies: Callable[[Replies], None]) -> None:
+    def __init__(self, runtime: Runtime, on_replies: Callable[[Replies[ReplyT]], None]) -> None:
         self._runtime, self._on_replies = runtime, on_replies
-        self._replies: dict[str, Result[Reply, RequestFailure]] = {}
+        self._replies: dict[str, Result[ReplyT, RequestFailure]] = {}
         self._pending = 1  # the query itself, until all requests are made
 
-    def request(self, name: str, address: str, tag: str, body: Json) -> None:
+    def request(self, name: str, address: str, message: Request[ReplyT]) -> None:
         """Make a request whose reply stands under a name."""
         self._pending += 1
-        self._runtime.request(address, tag, body, QUERY_TIMEOUT_S, partial(self._receive, name))
+        request(self._runtime, address, message, QUERY_TIMEOUT_S, partial(self._receive, name))
 
     def wait(self) -> Callable[[], None]:
         """Wait for something else as well, for as long as for a peer.
@@ -49,7 +51,7 @@
         """Note that all requests have been made."""
         self._finish_one()
 
-    def _receive(self, name: str, reply: Result[Reply, RequestFailure]) -> None:
+    def _receive(self, name: str, reply: Result[ReplyT, RequestFailure]) -> None:
         self._replies[name] = reply
         self._finish_one()
 
--- a/amberlug/cluster/node_status.py
+++ b/amberlug/cluster/node_status.py
@@ -1,11 +1,12 @@
 """The status request, by which operators look at edge and storage nodes through a control-plane node. No I/O.
 
-Each role has a report of its own: `EdgeStatusReport` in `edge/status.py` and `StorageStatusReport` in
-`storage/operator_messages.py`.
+Each role has a report of its own: `EdgeStatusReport` in `edge/status.py`, `StorageStatusReport` in
+`storage/operator_messages.py` and `ControlStatusReport` in `control/peer_messages.py`.
 """
 
 from __future__ import annotations
 
+from collections.abc import Mapping
 from typing import ClassVar
 
 from amberlug.cluster.interfaces import Json
@@ -15,10 +16,32 @@
 
 @value
 class NodeStatusReport(Body):
-    """A node's report to its operators; a control-plane node passes on fields that it does not know."""
+    """A node's report to its operators, as a control-plane node receives it.
+
+    All fields are passed on, also those of other versions. The properties are what the deployment's status
+    needs of them; each raises a KeyError where the node's role has no such field.
+    """
 
     fields: Json
 
+    @property
+    def counters(self) -> Mapping[str, int]:
+        """The node's metrics; of every role."""
+        counters: Mapping[str, int] = self.fields["counts"]
+        return counters
+
+    @property
+    def config_version(self) -> int:
+        """The version of the configuration in force there; of edge nodes."""
+        version: int = self.fields["edition"]
+        return version
+
+    @property
+    def under_replicated_messages(self) -> int:
+        """How many messages have fewer replicas than they need; of edge nodes."""
+        count: int = self.fields["copies short"]
+        return count
+
     def to_wire(self) -> Json:
         """The report as it came."""
         return self.fields
--- a/tests/cluster/test_admin.py
+++ b/tests/cluster/test_admin.py
@@ -17,7 +17,7 @@
 from amberlug.cluster.__main__ import cli
 from amberlug.cluster.admin.commands import BAD, DONE, REFUSED, UNCLEAR
 from amberlug.cluster.admin.files import check_deploy, check_settings, differences
-from amberlug.cluster.control.dead_messages import merged
+from amberlug.cluster.control.dead_messages import merge_pages
 from amberlug.cluster.control.messages import SessionDescription
 from amberlug.cluster.control.node import ControlNode, blank
 from amberlug.cluster.interfaces import Json, Reply, ReplyCallback, RequestFailure
@@ -26,6 +26,7 @@
 from amberlug.cluster.local_deployment.trial import Sent, Tale, play
 from amberlug.cluster.metrics import page
 from amberlug.cluster.settings import read_settings_file
+from amberlug.cluster.storage.operator_messages import DeadMessagesReply
 from tests.rig import ROOT
 
 # -- what a control relay answers
@@ -154,10 +155,10 @@
     heard: dict[str, Any] = {
         str(at): Err(RequestFailure.TIMED_OUT)
         if it is None
-        else Ok(Reply({"rows": [row(name) for name in it[0]], "more": it[1]}))
+        else Ok(DeadMessagesReply.from_wire({"rows": [row(name) for name in it[0]], "more": it[1]}, b""))
         for at, it in enumerate(pages)
     }
-    found = merged(heard, most)
+    found = merge_pages(heard, most).to_json()
     assert [it["id"] for it in found["rows"]] == names
     assert found.get("after") == after
 
