--- a/amberlug/cluster/admin/files.py
+++ b/amberlug/cluster/admin/files.py
@@ -11,7 +11,7 @@
 import trafaret as t
 from result import Err, Ok, Result
 
-from amberlug.cluster.control.config_validation import check, parse
+from amberlug.cluster.control.config_validation import parse, validate
 from amberlug.cluster.interfaces import Json
 from amberlug.cluster.settings import read_settings_file
 
@@ -36,9 +36,11 @@
 
 def read_config(path: Path) -> Result[Json, list[str]]:
     """An operator's configuration, checked by what a control relay would check it by."""
-    data = _read(path).and_then(parse)
-    errors = check(data.ok_value) if isinstance(data, Ok) else []
-    return Err(errors) if errors else data
+    content = _read(path)
+    if isinstance(content, Err):
+        return content
+    config = parse(content.ok_value).and_then(validate)
+    return config.map_err(lambda errors: [str(error) for error in errors])
 
 
 def check_settings(path: Path) -> list[str]:
--- a/amberlug/cluster/control/admin_api.py
+++ b/amberlug/cluster/control/admin_api.py
@@ -6,8 +6,8 @@
 from result import Err, Result
 
 from amberlug.cluster.consensus.raft import ProposalRejected
+from amberlug.cluster.control.command_results import CommandResult, ConfirmedState
 from amberlug.cluster.control.command_service import CommandService
-from amberlug.cluster.control.commands import CommandResult, ConfirmedState
 from amberlug.cluster.control.state_entries import Retirement
 from amberlug.cluster.http.api import (
     HttpRequest,
--- a/amberlug/cluster/control/cluster_state.py
+++ b/amberlug/cluster/control/cluster_state.py
@@ -11,12 +11,10 @@
 import json
 from dataclasses import replace
 
+from amberlug.cluster.control.command_results import ACCEPTED, REPEATED, CommandResult
 from amberlug.cluster.control.commands import (
-    ACCEPTED,
-    REPEATED,
     AssignShards,
     Command,
-    CommandResult,
     DrainEndpoints,
     ReplaceConfig,
     RetireStore,
@@ -25,6 +23,7 @@
 )
 from amberlug.cluster.control.shard_assignment import SHARDS
 from amberlug.cluster.control.state_entries import (
+    ConfigDocument,
     ConfigHash,
     Departure,
     DepartureRank,
@@ -50,9 +49,9 @@
 LEAVING_RETENTION_S = 3600.0  # for endpoints that leave and never report that they have left
 
 
-def digest(config: Json) -> str:
-    """A configuration's hash, whatever the order of its keys."""
-    return hashlib.blake2b(json.dumps(config, sort_keys=True).encode(), digest_size=12).hexdigest()
+def digest(document: Json) -> str:
+    """The hash of a JSON object, whatever the order of its keys."""
+    return hashlib.blake2b(json.dumps(document, sort_keys=True).encode(), digest_size=12).hexdigest()
 
 
 def _upgraded(snapshot: Json) -> Json:
@@ -87,7 +86,7 @@
     def __init__(self) -> None:
         self.index = 0
         self.config_version = 0
-        self.config: Json | None = None
+        self.config: ConfigDocument | None = None
         self.config_index = 0
         self.clock_s = 0.0
         self.config_hashes: dict[int, ConfigHash] = {}
@@ -151,14 +150,14 @@
             for name, departure in self.gone.items()
         }
 
-    def apply(self, index: int, command: Json) -> Json:
-        """Apply a committed command of the log.
+    def apply_entry(self, index: int, command: Json) -> Json:
+        """Apply a committed entry of the log, in its JSON form.
 
         :returns: the JSON form of a `CommandResult`, for whoever proposed the command.
         """
-        return self.apply_command(index, command_from_wire(command)).to_wire()
+        return self.apply(index, command_from_wire(command)).to_wire()
 
-    def apply_command(self, index: int, command: Command) -> CommandResult:
+    def apply(self, index: int, command: Command) -> CommandResult:
         """Apply a committed command at its log index."""
         self.index = index
         self.clock_s += command.elapsed_s
--- a/amberlug/cluster/control/commands.py
+++ b/amberlug/cluster/control/commands.py
@@ -1,4 +1,4 @@
-"""Commands of the replicated log, and their results: what the leader proposes and each replica applies.
+"""Commands of the replicated log: what the leader proposes and each replica applies.
 
 `do` names the command in the log; its values and the JSON fields are kept for replicas of other versions.
 """
@@ -10,6 +10,7 @@
 from typing import ClassVar
 
 from amberlug.cluster.control.state_entries import (
+    ConfigDocument,
     EndpointDrain,
     OwnerEntry,
     StoreEntry,
@@ -20,56 +21,11 @@
 from amberlug.cluster.values import value
 
 
-@value
-class CommandResult:
-    """What applying a command, or checking it, came to.
-
-    :param is_repeat: whether the same command had been applied before.
-    :param status: the HTTP status of a rejection; 0 where the command was accepted.
-    :param cause: why it was rejected, for the operator.
-    :param epoch: the fencing token of a shard assignment; 0 for other commands.
-    """
-
-    is_repeat: bool = False
-    status: int = 0
-    cause: str = ""
-    epoch: int = 0
-
-    @property
-    def is_rejected(self) -> bool:
-        """Whether the command was rejected for good."""
-        return self.status != 0
-
-    @classmethod
-    def rejected(cls, status: int, cause: str) -> CommandResult:
-        """A rejection with its HTTP status."""
-        return cls(status=status, cause=cause)
-
-    def to_wire(self) -> Json:
-        """The JSON object of replies between control-plane nodes."""
-        if self.is_rejected:
-            return {"status": self.status, "cause": self.cause}
-        if self.is_repeat:
-            return {"again": True}
-        return {"ok": True, "epoch": self.epoch} if self.epoch else {"ok": True}
-
-    @classmethod
-    def from_wire(cls, body: Json) -> CommandResult:
-        """Read a result; one without a status was accepted."""
-        if "status" in body:
-            return cls.rejected(body["status"], body["cause"])
-        return cls(is_repeat=bool(body.get("again")), epoch=body.get("epoch", 0))
-
-
 def _elapsed_s(body: Json) -> float:
     """By how many seconds a command of the log advances the replicated clock; it never goes back."""
     return max(0.0, float(body.get("after", 0.0)))
 
 
-ACCEPTED = CommandResult()
-REPEATED = CommandResult(is_repeat=True)
-
-
 @value
 class ReplaceConfig:
     """Put a configuration in force.
@@ -83,7 +39,7 @@
     base_version: int
     version: int
     call_hash: str
-    config: Json
+    config: ConfigDocument
     elapsed_s: float = 0.0
 
     def to_wire(self) -> Json:
@@ -219,24 +175,3 @@
 def with_elapsed(command: TimedCommand, elapsed_s: float) -> TimedCommand:
     """The command, advancing the replicated clock by so many seconds."""
     return replace(command, elapsed_s=elapsed_s)
-
-
-@value
-class ConfirmedState:
-    """What an operator's reads need of the replicated state, confirmed by a majority.
-
-    :param config: None where no configuration is in force yet.
-    :param retirements: by name of the storage node, how far its emptying has come.
-    """
-
-    config: Json | None
-    retirements: Mapping[str, str]
-
-    def to_wire(self) -> Json:
-        """The JSON object of replies between control-plane nodes."""
-        return {"config": self.config, "retired": dict(self.retirements)}
-
-    @classmethod
-    def from_wire(cls, body: Json) -> ConfirmedState:
-        """Read a reply."""
-        return cls(body["config"], body["retired"])
--- a/amberlug/cluster/control/config_service.py
+++ b/amberlug/cluster/control/config_service.py
@@ -7,8 +7,8 @@
 
 from amberlug.cluster.consensus.raft import ProposalRejected
 from amberlug.cluster.control.cluster_state import ClusterState
+from amberlug.cluster.control.command_results import CommandResult, ConfirmedState
 from amberlug.cluster.control.command_service import CommandService
-from amberlug.cluster.control.commands import CommandResult, ConfirmedState
 from amberlug.cluster.control.config_validation import parse
 from amberlug.cluster.control.submitted_commands import ConfigCall, SubmitConfig
 from amberlug.cluster.http.api import HttpRequest, HttpResponse, RespondHttp, api_call, unconfirmed
@@ -51,7 +51,7 @@
         data = parse(request.body)
         if isinstance(data, Err):
             self._counters.increment("config refused")
-            respond(HttpResponse(400, {"cause": "; ".join(data.err_value)}))
+            respond(HttpResponse(400, {"cause": "; ".join(map(str, data.err_value))}))
             return
         base_version = request.header(BASE_VERSION_HEADER)
         if base_version is None or not base_version.strip().isdigit():
--- a/amberlug/cluster/control/config_validation.py
+++ b/amberlug/cluster/control/config_validation.py
@@ -4,16 +4,39 @@
 
 import json
 from collections.abc import Hashable, Sequence
-from typing import Any
+from typing import Any, TypeAlias
 
 import trafaret as t
 from result import Err, Ok, Result
 
-from amberlug.cluster.interfaces import Json
+from amberlug.cluster.control.state_entries import ConfigDocument
+from amberlug.cluster.values import value
 
 MAX_CONFIG_BYTES = 4 << 20  # a large table, and far below what a log entry may have
 MAX_NESTING = 32  # levels; no table needs more than five
 TABLES = ("routeTable", "serviceTable")
+ROOT_PATH = "configuration"  # the path of errors that no field has
+
+JsonPairs: TypeAlias = list[tuple[str, Any]]
+"""Names and values of one JSON object in their order, as the decoder gives them."""
+
+
+@value
+class ConfigError:
+    """An error of a configuration.
+
+    :param path: where it is: fields and positions in tables, with dots between.
+    """
+
+    path: str
+    message: str
+
+    def __str__(self) -> str:
+        """The error as operators read it."""
+        return f"{self.path}: {self.message}"
+
+
+ConfigErrors: TypeAlias = list[ConfigError]
 
 
 def _address(value: str) -> str:
@@ -93,15 +116,15 @@
 )
 
 
-def _messages(error: t.DataError, path: str = "") -> list[str]:
+def _schema_errors(error: t.DataError, path: str = "") -> ConfigErrors:
     """The errors of a check, each with its path, in the order of the fields."""
-    found = error.error
-    if not isinstance(found, dict):
-        return [f"{path or 'configuration'}: {found}"]
-    messages = []
-    for field, nested in found.items():
-        messages += _messages(nested, f"{path}.{field}" if path else str(field))
-    return messages
+    detail = error.error
+    if not isinstance(detail, dict):
+        return [ConfigError(path or ROOT_PATH, str(detail))]
+    errors: ConfigErrors = []
+    for field, nested in detail.items():
+        errors += _schema_errors(nested, f"{path}.{field}" if path else str(field))
+    return errors
 
 
 def _nesting(value: object, level: int = 0) -> int:
@@ -112,68 +135,79 @@
     return max((_nesting(child, level + 1) for child in children), default=level)
 
 
-def _object_of(pairs: list[tuple[str, Any]]) -> Json:
+def _object_without_duplicates(pairs: JsonPairs) -> ConfigDocument:
     """A JSON object.
 
     :raises ValueError: where a name stands twice.
     """
-    found = dict(pairs)
-    if len(found) != len(pairs):
+    document = dict(pairs)
+    if len(document) != len(pairs):
         raise ValueError("a name stands twice in one object")
-    return found
+    return document
 
 
-def parse(body: bytes) -> Result[Json, list[str]]:
+def parse(body: bytes) -> Result[ConfigDocument, ConfigErrors]:
     """Read a request's body as one JSON object.
 
     :returns: the object, or the errors.
     """
     if len(body) > MAX_CONFIG_BYTES:
-        return Err([f"configuration: {len(body)} bytes are too many"])
+        return _document_error(f"{len(body)} bytes are too many")
     try:
-        data = json.loads(body, object_pairs_hook=_object_of)
+        document = json.loads(body, object_pairs_hook=_object_without_duplicates)
     except (ValueError, RecursionError) as error:
-        return Err([f"configuration: cannot be read: {error}"])
-    if not isinstance(data, dict):
-        return Err(["configuration: is no object"])
-    if _nesting(data) > MAX_NESTING:
-        return Err(["configuration: is nested too deep"])
-    return Ok(data)
+        return _document_error(f"cannot be read: {error}")
+    if not isinstance(document, dict):
+        return _document_error("is no object")
+    if _nesting(document) > MAX_NESTING:
+        return _document_error("is nested too deep")
+    return Ok(document)
+
+
+def _document_error(message: str) -> Err[ConfigErrors]:
+    return Err([ConfigError(ROOT_PATH, message)])
 
 
-def _duplicates(table: str, keys: Sequence[Hashable], description: str) -> list[str]:
-    first: dict[Hashable, int] = {}
+def _duplicates(table: str, keys: Sequence[Hashable], description: str) -> ConfigErrors:
+    """An error for each row of a table whose key an earlier row has."""
+    first_positions: dict[Hashable, int] = {}
     errors = []
     for position, key in enumerate(keys):
-        if key in first:
-            errors.append(f"{table}.{position}: {description} of {table}.{first[key]} again")
-        first.setdefault(key, position)
+        if key in first_positions:
+            message = f"{description} of {table}.{first_positions[key]} again"
+            errors.append(ConfigError(f"{table}.{position}", message))
+        first_positions.setdefault(key, position)
     return errors
 
 
-def find_errors(config: Json) -> list[str]:
+def find_errors(config: ConfigDocument) -> ConfigErrors:
     """All errors of a whole configuration; empty for one that can be put in force."""
     try:
         _CONFIG.check(config)
     except t.DataError as error:
-        return _messages(error)
+        return _schema_errors(error)
     routes, services = config["routeTable"], config["serviceTable"]
     service_names = {service["name"] for service in services}
     errors = [
-        f"routeTable.{position}.targetService: no service {route['targetService']!r}"
+        ConfigError(f"routeTable.{position}.targetService", f"no service {route['targetService']!r}")
         for position, route in enumerate(routes)
         if route["targetService"] not in service_names
     ]
     errors += _duplicates("routeTable", [route["name"] for route in routes], "the name")
     errors += _duplicates("serviceTable", [service["name"] for service in services], "the name")
-    matched = [(route["authority"].lower(), route["pathPrefix"]) for route in routes]
-    return errors + _duplicates("routeTable", matched, "host and prefix")
+    hosts_and_prefixes = [(route["authority"].lower(), route["pathPrefix"]) for route in routes]
+    return errors + _duplicates("routeTable", hosts_and_prefixes, "host and prefix")
 
 
-check = find_errors  # the name that the operators' command imports
+def validate(config: ConfigDocument) -> Result[ConfigDocument, ConfigErrors]:
+    """A whole configuration that can be put in force, or all its errors."""
+    errors = find_errors(config)
+    return Err(errors) if errors else Ok(config)
 
 
-def apply_change(current: Json | None, change: Json) -> Result[Json, list[str]]:
+def apply_change(
+    current: ConfigDocument | None, change: ConfigDocument
+) -> Result[ConfigDocument, ConfigErrors]:
     """The whole configuration that a change makes of the one in force.
 
     :param current: None where none is in force yet.
@@ -182,7 +216,7 @@
     try:
         _CHANGE.check(change)
     except t.DataError as error:
-        return Err(_messages(error))
+        return Err(_schema_errors(error))
     config = dict(current or {"routeTable": [], "serviceTable": []})
     config["edition"] = change["edition"]
     upsert, remove = change.get("upsert", {}), change.get("remove", {})
--- a/amberlug/cluster/control/endpoint_api.py
+++ b/amberlug/cluster/control/endpoint_api.py
@@ -6,8 +6,8 @@
 from result import Err, Ok, Result
 
 from amberlug.cluster.consensus.raft import ProposalRejected
+from amberlug.cluster.control.command_results import CommandResult
 from amberlug.cluster.control.command_service import CommandService
-from amberlug.cluster.control.commands import CommandResult
 from amberlug.cluster.control.context import ControlContext
 from amberlug.cluster.control.endpoint_registry import (
     MAX_ANNOUNCEMENT_BYTES,
--- a/amberlug/cluster/control/node.py
+++ b/amberlug/cluster/control/node.py
@@ -64,7 +64,7 @@
             disk,
             saved,
             StateMachine(
-                self.cluster_state.apply,
+                self.cluster_state.apply_entry,
                 self.cluster_state.to_json,
                 self.cluster_state.from_json,
                 self.on_state_changed,
--- a/amberlug/cluster/control/peer_messages.py
+++ b/amberlug/cluster/control/peer_messages.py
@@ -9,6 +9,7 @@
 from collections.abc import Mapping
 from typing import ClassVar
 
+from amberlug.cluster.control.command_results import CommandOutcome, outcome_from_wire
 from amberlug.cluster.control.submitted_commands import SubmittedCommand, submitted_from_wire
 from amberlug.cluster.interfaces import Json
 from amberlug.cluster.node_status import NodeStatusReport
@@ -131,21 +132,19 @@
 
 @value
 class CommandReply(Body):
-    """What came of a forwarded command; None where its receiver does not lead, or could not commit it.
+    """What came of a forwarded command; None where its receiver does not lead, or could not commit it."""
 
-    The result's form is the command's own.
-    """
-
-    result: Json | None
+    outcome: CommandOutcome | None
 
     def to_wire(self) -> Json:
-        """The JSON object, which is empty where there is no result."""
-        return {} if self.result is None else {"said": self.result}
+        """The JSON object, which is empty where there is no outcome."""
+        return {} if self.outcome is None else {"said": self.outcome.to_wire()}
 
     @classmethod
     def from_wire(cls, body: Json, payload: bytes) -> CommandReply:
         """Read a reply."""
-        return cls(body.get("said"))
+        outcome = body.get("said")
+        return cls(None if outcome is None else outcome_from_wire(outcome))
 
 
 @value
--- a/amberlug/cluster/control/state_entries.py
+++ b/amberlug/cluster/control/state_entries.py
@@ -8,11 +8,15 @@
 from collections.abc import Mapping
 from dataclasses import replace
 from enum import Enum
-from typing import Any, Final, NamedTuple
+from typing import Any, Final, NamedTuple, TypeAlias
 
 from amberlug.cluster.interfaces import Json
 from amberlug.cluster.values import value
 
+ConfigDocument: TypeAlias = dict[str, Any]
+"""A configuration, or a change of one, as the JSON object that operators send: `config_validation` checks it,
+and the routing tables of edge nodes read it. Everything between passes it on with all its fields."""
+
 
 class StoreState(Enum):
     """What a storage node's replicas count for."""
--- a/amberlug/cluster/control/submitted_commands.py
+++ b/amberlug/cluster/control/submitted_commands.py
@@ -9,7 +9,7 @@
 from enum import Enum
 from typing import ClassVar
 
-from amberlug.cluster.control.state_entries import EndpointDrain
+from amberlug.cluster.control.state_entries import ConfigDocument, EndpointDrain
 from amberlug.cluster.interfaces import Json
 from amberlug.cluster.values import value
 
@@ -66,7 +66,7 @@
 
     call: ConfigCall
     base_version: int
-    data: Json
+    data: ConfigDocument
 
     @property
     def name(self) -> str:
--- a/amberlug/cluster/simulation/mutations_answers.py
+++ b/amberlug/cluster/simulation/mutations_answers.py
@@ -12,7 +12,8 @@
 from result import Err, Result
 
 from amberlug.cluster.consensus.raft import ProposalRejected, RejectionReason
-from amberlug.cluster.control.command_service import CommandService, OnReply
+from amberlug.cluster.control.command_results import CommandOutcome
+from amberlug.cluster.control.command_service import CommandService, OutcomeCallback
 from amberlug.cluster.control.submitted_commands import SubmittedCommand
 from amberlug.cluster.dispatch.call_outcome import CallOutcome, judge
 from amberlug.cluster.dispatch.endpoint_client import EndpointClient
@@ -184,12 +185,12 @@
     """A command whose forwarding timed out is forwarded a second time."""
     submit = CommandService.submit
 
-    def twice(self: CommandService, command: SubmittedCommand, on_reply: OnReply) -> None:
-        def receive(result: Result[Json, ProposalRejected]) -> None:
-            if isinstance(result, Err) and result.err_value.reason is RejectionReason.OUTCOME_UNKNOWN:
-                submit(self, command, on_reply)
+    def twice(self: CommandService, command: SubmittedCommand, on_outcome: OutcomeCallback) -> None:
+        def receive(outcome: Result[CommandOutcome, ProposalRejected]) -> None:
+            if isinstance(outcome, Err) and outcome.err_value.reason is RejectionReason.OUTCOME_UNKNOWN:
+                submit(self, command, on_outcome)
             else:
-                on_reply(result)
+                on_outcome(outcome)
 
         submit(self, command, receive)
 
--- a/amberlug/cluster/simulation/mutations_partitions.py
+++ b/amberlug/cluster/simulation/mutations_partitions.py
@@ -8,8 +8,8 @@
 from unittest.mock import PropertyMock, patch
 
 from amberlug.cluster.control.cluster_state import ClusterState
-from amberlug.cluster.control.command_service import CommandExecutor, OnReply
-from amberlug.cluster.control.commands import CommandResult
+from amberlug.cluster.control.command_results import CommandResult
+from amberlug.cluster.control.command_service import CommandExecutor, OutcomeCallback
 from amberlug.cluster.control.config_service import ConfigService
 from amberlug.cluster.control.endpoint_api import EndpointApi
 from amberlug.cluster.control.quorum_contact import QuorumContact
@@ -20,7 +20,7 @@
 def _unconfirmed_refusal() -> AbstractContextManager[Any]:
     """A relay that takes itself for the leader answers orders from its own book, without a majority."""
 
-    def at_once(self: CommandExecutor, action: Callable[[], None], on_reply: OnReply) -> None:
+    def at_once(self: CommandExecutor, action: Callable[[], None], on_outcome: OutcomeCallback) -> None:
         action()
 
     return patch.object(CommandExecutor, "when_confirmed", at_once)
--- a/benchmarks/hollow/steps.py
+++ b/benchmarks/hollow/steps.py
@@ -17,7 +17,7 @@
 
 from amberlug.cluster.consensus.storage import open_raft_storage
 from amberlug.cluster.control.cluster_state import ClusterState, digest
-from amberlug.cluster.control.config_validation import check, parse
+from amberlug.cluster.control.config_validation import find_errors, parse
 from amberlug.cluster.control.endpoint_registry import EndpointRegistry, read_announcement
 from amberlug.cluster.control.messages import OpenSession
 from amberlug.cluster.control.node import ControlNode, blank
@@ -178,7 +178,7 @@
         gossip = {"w": "news", "b": {"items": [("config", [1], whole)]}}
         steps: dict[str, Callable[[], object]] = {
             "parse": partial(parse, text),
-            "check": partial(check, whole),
+            "check": partial(find_errors, whole),
             "digest": partial(digest, whole),
             "pack": partial(encode_frame, gossip),
             "read": partial(json.loads, text),
@@ -325,7 +325,7 @@
         cluster_state = ClusterState()
         place = {"name": "edge-00000", "addr": "10.3.0.100:7300", "zone": "z0", "region": "r"}
         held = sorted(set(owners))
-        cluster_state.apply(1, {"do": "give", "owners": dict.fromkeys(held, place), "give": {}})
+        cluster_state.apply_entry(1, {"do": "give", "owners": dict.fromkeys(held, place), "give": {}})
         at = {name: number for number, name in enumerate(held)}
         table = {
             "owners": [[name, cluster_state.owners[name].to_wire()] for name in held],
@@ -359,15 +359,17 @@
     for count in (256, 1024, 4096):
         cluster_state = ClusterState()
         ids = [[f"endpoint-{it}", 2, it] for it in range(count)]
-        cluster_state.apply(1, {"do": "drain", "ids": ids})
-        spent = _timed(3, partial(cluster_state.apply, 2, {"do": "drain", "ids": [["endpoint-0", 2, 0]]}))
+        cluster_state.apply_entry(1, {"do": "drain", "ids": ids})
+        spent = _timed(
+            3, partial(cluster_state.apply_entry, 2, {"do": "drain", "ids": [["endpoint-0", 2, 0]]})
+        )
         yield Figure("steps", "drains kept", count, "step", "processor s, one more drain", spent)
         _, host, world = _alone("core")
         told = settings(host, ["10.1.0.1"])
         core = ControlNode(
             world, told, host.address, HollowDisk(world.net, host), blank(told, world.chance.getrandbits)
         )
-        core.cluster_state.apply(1, {"do": "drain", "ids": ids})
+        core.cluster_state.apply_entry(1, {"do": "drain", "ids": ids})
         core.on_state_changed()
         spent = _timed(3, core.on_state_changed)
         yield Figure("steps", "drains kept", count, "step", "processor s, one entry's _changed", spent)
--- a/tests/cluster/test_admin.py
+++ b/tests/cluster/test_admin.py
@@ -90,7 +90,7 @@
         core.sessions.open(node, 9.0)
     for name in ("s1", "s2"):
         store = {"name": name, "addr": name, "zone": "north", "region": "valley", "state": "full"}
-        core.cluster_state.apply(1, {"do": "roster", "set": {f"disk of {name}": store}})
+        core.cluster_state.apply_entry(1, {"do": "roster", "set": {f"disk of {name}": store}})
     return core, world
 
 
--- a/tests/cluster/test_cluster_state.py
+++ b/tests/cluster/test_cluster_state.py
@@ -27,7 +27,7 @@
 
     def give(self, do: str, after: float = 0.0, **command: Any) -> Json:
         self.index += 1
-        return self.cluster_state.apply(self.index, {"do": do, "after": after, **command})
+        return self.cluster_state.apply_entry(self.index, {"do": do, "after": after, **command})
 
     def change(self, edition: int, base: int, sum_: str, after: float = 0.0) -> Json:
         return self.give("config", after, base=base, edition=edition, sum=sum_, config={"edition": edition})
--- a/tests/cluster/test_contact.py
+++ b/tests/cluster/test_contact.py
@@ -9,6 +9,7 @@
 from result import Ok
 
 from amberlug.cluster.consensus.log import Entry, PersistentState
+from amberlug.cluster.control.command_results import CommandResult
 from amberlug.cluster.control.node import ControlNode
 from amberlug.cluster.control.submitted_commands import (
     ConfigCall,
@@ -191,7 +192,8 @@
         for to, word, body, then in world.asked[:]:
             if word == "vise.append" and to == names[1] and body["commit"] == commit:
                 then(Ok(Reply({"ok": True, "term": 2})))
-    statuses = [it.ok_value.get("status") for it in said if isinstance(it, Ok)]
+    results = [it.ok_value for it in said if isinstance(it, Ok)]
+    statuses = [it.status for it in results if isinstance(it, CommandResult)]
     assert core.cluster_state.config_version == 5
     assert 412 not in statuses
     assert len(said) == 2  # the order to retire is proposed by now, and not committed
--- a/tests/cluster/test_control_commands.py
+++ b/tests/cluster/test_control_commands.py
@@ -6,12 +6,10 @@
 import pytest
 
 from amberlug.cluster.control.cluster_state import ClusterState
+from amberlug.cluster.control.command_results import ACCEPTED, REPEATED, CommandResult
 from amberlug.cluster.control.commands import (
-    ACCEPTED,
-    REPEATED,
     AssignShards,
     Command,
-    CommandResult,
     DrainEndpoints,
     ReplaceConfig,
     RetireStore,
@@ -84,7 +82,7 @@
 def replica(commands: list[Command]) -> ClusterState:
     state = ClusterState()
     for index, command in enumerate(commands, 1):
-        state.apply(index, json.loads(json.dumps(command.to_wire())))
+        state.apply_entry(index, json.loads(json.dumps(command.to_wire())))
     return state
 
 
@@ -106,8 +104,8 @@
     owners = {name: OwnerEntry(name, name, "z0", "r0") for name in ("a", "b")}
     first, second = AssignShards(owners, {"a": [0, 1]}), AssignShards(owners, {"b": [1]})
     state = ClusterState()
-    assert state.apply_command(5, first) == CommandResult(epoch=5)
-    assert state.apply_command(6, second) == CommandResult(epoch=6)
+    assert state.apply(5, first) == CommandResult(epoch=5)
+    assert state.apply(6, second) == CommandResult(epoch=6)
     found: list[Any] = state.shards[:3]
     assert found == [("a", 5, ""), ("b", 6, "a"), ("", 0, "")]
     assert len(state.shards) == SHARDS
