--- a/amberlug/cluster/control/admin_api.py
+++ b/amberlug/cluster/control/admin_api.py
@@ -30,10 +30,10 @@
     @api_call("POST", "/-/Retire.Begin/")
     def begin_retirement(self, request: HttpRequest, name: str, respond: RespondHttp) -> None:
         """Have a storage node emptied: its replicas are made anew elsewhere."""
-        data = read_json_object(request, respond, MAX_CALL_BYTES)
-        if data is None:
+        arguments = read_json_object(request, respond, MAX_CALL_BYTES)
+        if arguments is None:
             return
-        duration_s = data.get("durationS")
+        duration_s = arguments.get("durationS")
         if isinstance(duration_s, bool) or not isinstance(duration_s, int | float) or duration_s < 0:
             respond(HttpResponse(400, {"cause": "durationS: no number of seconds"}))
             return
--- a/amberlug/cluster/control/cluster_state.py
+++ b/amberlug/cluster/control/cluster_state.py
@@ -111,7 +111,7 @@
             "config": self.config,
             "config_at": self.config_index,
             "now": self.clock_s,
-            "hashes": {str(version): kept for version, kept in self.config_hashes.items()},
+            "hashes": {str(version): applied for version, applied in self.config_hashes.items()},
             "forgotten": self.forgotten_version,
             "roster": roster_to_wire(self.roster),
             "roster_at": self.roster_index,
@@ -131,7 +131,7 @@
         self.index = body["index"]
         self.config_version, self.config = body["edition"], body["config"]
         self.config_index, self.clock_s = body["config_at"], body["now"]
-        self.config_hashes = {int(version): ConfigHash(*kept) for version, kept in body["hashes"].items()}
+        self.config_hashes = {int(version): ConfigHash(*row) for version, row in body["hashes"].items()}
         self.forgotten_version = body["forgotten"]
         self.roster, self.roster_index = roster_from_wire(body["roster"]), body["roster_at"]
         self.retirements = body["retired"]
@@ -179,8 +179,8 @@
         A call whose hash may have been forgotten gets no final answer, since it may have been applied. One on
         top of the version in force was not, whatever its own version.
         """
-        known = self.config_hashes.get(version)
-        if known is not None and known.call_hash == call_hash:
+        applied = self.config_hashes.get(version)
+        if applied is not None and applied.call_hash == call_hash:
             return REPEATED
         in_force = self.config_version
         if base_version != in_force and version <= self.forgotten_version:
@@ -213,10 +213,10 @@
     def _update_roster(self, index: int, command: UpdateRoster) -> CommandResult:
         roster = dict(self.roster)
         for disk, store in command.entries.items():
-            known = roster.get(disk)
-            state_index = known.state_index if known and known.state is store.state else index
+            current = roster.get(disk)
+            state_index = current.state_index if current and current.state is store.state else index
             # Owners that act under this shard table or a newer one know the disk; it must reject older ones.
-            table_index = self.shards_index if known is None else known.table_index or 0
+            table_index = self.shards_index if current is None else current.table_index or 0
             roster[disk] = replace(store, state_index=state_index, table_index=table_index)
         for disk in command.dropped:
             dropped = roster.pop(disk, None)
--- a/amberlug/cluster/control/config_service.py
+++ b/amberlug/cluster/control/config_service.py
@@ -48,16 +48,16 @@
         self._commands.read_state(receive)
 
     def _change(self, call: ConfigCall, request: HttpRequest, respond: RespondHttp) -> None:
-        data = parse(request.body)
-        if isinstance(data, Err):
+        document = parse(request.body)
+        if isinstance(document, Err):
             self._counters.increment("config refused")
-            respond(HttpResponse(400, {"cause": "; ".join(map(str, data.err_value))}))
+            respond(HttpResponse(400, {"cause": "; ".join(map(str, document.err_value))}))
             return
         base_version = request.header(BASE_VERSION_HEADER)
         if base_version is None or not base_version.strip().isdigit():
             respond(HttpResponse(400, {"cause": "Amberlug-Base-Version: no whole number"}))
             return
-        version = data.ok_value.get("edition")
+        version = document.ok_value.get("edition")
 
         def receive(result: Result[CommandResult, ProposalRejected]) -> None:
             if isinstance(result, Err):
@@ -71,7 +71,7 @@
             else:
                 respond(HttpResponse(200, {"edition": version}))
 
-        command = SubmitConfig(call, int(base_version), data.ok_value)
+        command = SubmitConfig(call, int(base_version), document.ok_value)
         self._commands.change_config(command, receive)
 
     def _log(self, result: CommandResult, version: object) -> None:
--- a/amberlug/cluster/control/endpoint_api.py
+++ b/amberlug/cluster/control/endpoint_api.py
@@ -36,20 +36,20 @@
 
     @api_call("POST", "/-/Instances.Announce/")
     def announce(self, request: HttpRequest, name: str, respond: RespondHttp) -> None:
-        """Take an endpoint's announcement that it is ready, or that it leaves."""
+        """Receive an endpoint's announcement that it is ready, or that it leaves."""
         self._counters.increment("announced")
         if not self._quorum.is_in_contact:
             # The endpoint calls another control-plane node then.
             respond(HttpResponse(503, {"cause": "no contact with a majority"}, 1))
             return
-        data = read_json_object(request, respond, MAX_ANNOUNCEMENT_BYTES)
-        if data is None:
+        arguments = read_json_object(request, respond, MAX_ANNOUNCEMENT_BYTES)
+        if arguments is None:
             return
-        checked = read_announcement(data)
-        if isinstance(checked, Err):
-            respond(HttpResponse(400, {"cause": checked.err_value}))
+        result = read_announcement(arguments)
+        if isinstance(result, Err):
+            respond(HttpResponse(400, {"cause": result.err_value}))
             return
-        announcement = checked.ok_value
+        announcement = result.ok_value
         if announcement.is_ready:
             self.registry.receive_heartbeat(name, announcement)
             address = self.heartbeat_address(announcement.zone)
@@ -60,9 +60,9 @@
 
     @api_call("POST", "/-/Instances.Deregister/")
     def deregister(self, request: HttpRequest, name: str, respond: RespondHttp) -> None:
-        """Take an endpoint's announcement that it has left."""
-        known = self.registry.known(name)
-        sequence = known.sequence if known is not None else 0
+        """Receive an endpoint's announcement that it has left."""
+        endpoint = self.registry.find(name)
+        sequence = endpoint.sequence if endpoint is not None else 0
         self.depart(name, DepartureRank(EndpointRank.GONE, sequence), None, respond)
 
     def heartbeat_address(self, zone: str) -> str:
--- a/amberlug/cluster/control/endpoint_registry.py
+++ b/amberlug/cluster/control/endpoint_registry.py
@@ -134,7 +134,7 @@
         self.unreported_heartbeats: set[str] = set()
         self.timed_out = 0
 
-    def known(self, name: str) -> KnownEndpoint | None:
+    def find(self, name: str) -> KnownEndpoint | None:
         """An endpoint's newest entry; None where nothing is known of it."""
         item = self.gossip.items.get(KEY_PREFIX + name)
         if item is None:
@@ -143,17 +143,17 @@
         return KnownEndpoint(rank, sequence, entry)
 
     def receive_heartbeat(self, name: str, announcement: EndpointAnnouncement) -> bool:
-        """Take a ready endpoint's announcement.
+        """Record a ready endpoint's announcement, and publish it where it changes the endpoint's entry.
 
         :returns: False where it is out of date, or the endpoint has announced its departure.
         """
         self.last_heartbeat_s[name] = self.runtime.now()
         self.unreported_heartbeats.add(name)
-        known = self.known(name)
-        if known is not None:
-            if known.rank != EndpointRank.READY or announcement.sequence < known.sequence:
+        endpoint = self.find(name)
+        if endpoint is not None:
+            if endpoint.rank != EndpointRank.READY or announcement.sequence < endpoint.sequence:
                 return False
-            if known.is_ready and known.has_same_service(announcement):
+            if endpoint.is_ready and endpoint.has_same_service(announcement):
                 return True
         version = [EndpointRank.READY, announcement.sequence, 0]
         entry = announcement.to_gossip(CONDITIONS[EndpointRank.READY])
@@ -164,9 +164,9 @@
         self, name: str, departure: DepartureRank, announcement: EndpointAnnouncement | None = None
     ) -> None:
         """Announce to all nodes that an endpoint leaves or has left; that is never taken back."""
-        known, condition = self.known(name), CONDITIONS[departure.rank]
-        if known is not None:
-            entry = {**known.entry, "cond": condition}
+        endpoint, condition = self.find(name), CONDITIONS[departure.rank]
+        if endpoint is not None:
+            entry = {**endpoint.entry, "cond": condition}
         else:
             entry = (announcement or _UNKNOWN).to_gossip(condition)
         self.last_heartbeat_s.pop(name, None)
@@ -174,8 +174,8 @@
 
     def apply_departure(self, name: str, departure: DepartureRank) -> None:
         """Announce a replicated departure, where a newer one is not known already."""
-        known = self.known(name)
-        if known is None or (known.rank, known.sequence) < departure:
+        endpoint = self.find(name)
+        if endpoint is None or (endpoint.rank, endpoint.sequence) < departure:
             self.depart(name, departure)
 
     def receive_report(self, names: Iterable[str]) -> None:
@@ -198,11 +198,11 @@
         now_s = self.runtime.now()
         for key in [key for key in self.gossip.items if key.startswith(KEY_PREFIX)]:
             name = key.removeprefix(KEY_PREFIX)
-            known = self.known(name)
-            if known is None or not known.is_ready:
+            endpoint = self.find(name)
+            if endpoint is None or not endpoint.is_ready:
                 continue
             if now_s - self.last_heartbeat_s.setdefault(name, now_s) > self.timeout_s:
                 self.timed_out += 1
-                version = [EndpointRank.READY, known.sequence, 1]
-                self.gossip.offer(key, version, {**known.entry, "cond": LOST})
+                version = [EndpointRank.READY, endpoint.sequence, 1]
+                self.gossip.offer(key, version, {**endpoint.entry, "cond": LOST})
                 on_timeout(name)
--- a/amberlug/cluster/control/reconciler.py
+++ b/amberlug/cluster/control/reconciler.py
@@ -6,6 +6,7 @@
 from __future__ import annotations
 
 from collections.abc import Mapping, Sequence
+from enum import Enum
 
 from absl import logging
 
@@ -13,7 +14,7 @@
 from amberlug.cluster.control.commands import AssignShards, UpdateRoster
 from amberlug.cluster.control.context import ControlContext
 from amberlug.cluster.control.membership import Membership
-from amberlug.cluster.control.sessions import EdgeProgress, Session
+from amberlug.cluster.control.sessions import EdgeProgress, Session, StorageDetails
 from amberlug.cluster.control.shard_assignment import SHARDS, assign_shards
 from amberlug.cluster.control.state_entries import OwnerEntry, Retirement, Roster, StoreEntry, StoreState
 
@@ -22,8 +23,14 @@
 OWNER_TIMEOUT_S = 0.15  # without a session until an owner's shards are assigned to others
 STORE_TIMEOUT_S = 1.5  # without a session until a disk is lost, and its replicas are made anew elsewhere
 GATHERING_S = 0.4  # without a new edge node until those that have come are assigned shards together
-# Roles of which each has at most one command in flight.
-_ROSTER, _DROP, _ASSIGN = "roster", "drop", "assign"
+
+
+class LeaderRole(Enum):
+    """What the leader reconciles: each role has at most one command in flight."""
+
+    ENTER_DISKS = "enter disks"  # put disks on the roster, or change their state
+    DROP_DISKS = "drop disks"
+    ASSIGN_SHARDS = "assign shards"
 
 
 class Reconciler:
@@ -33,7 +40,7 @@
         self._runtime, self._raft, self._settings = context.runtime, context.raft, context.settings
         self._sessions, self._membership = context.sessions, membership
         self.cluster_state = context.cluster_state
-        self._in_flight: set[str] = set()
+        self._in_flight: set[LeaderRole] = set()
         self._first_seen_s: dict[str, float] = {}  # when the leader first saw each incarnation's session
         self._owner_missing_since_s: dict[str, float] = {}
         self._disk_missing_since_s: dict[str, float] = {}
@@ -42,14 +49,19 @@
     def begin(self) -> None:
         """Reconcile now and in each interval, while this node leads and has committed in its term."""
         self._runtime.call_later(RECONCILE_INTERVAL_S, self.begin)
-        if (
-            self._raft.role is not Role.LEADER
-            or self._raft.term_at(self._raft.commit_index) != self._raft.term
-        ):
+        if self._is_established_leader():
+            self._reconcile()
+        else:
             self._owner_missing_since_s.clear()
             self._disk_missing_since_s.clear()
             self._first_seen_s.clear()
-            return
+
+    def _is_established_leader(self) -> bool:
+        """Whether this node leads, and its state has all that leaders before it committed."""
+        raft = self._raft
+        return raft.role is Role.LEADER and raft.term_at(raft.commit_index) == raft.term
+
+    def _reconcile(self) -> None:
         self._membership.adjust_voters()
         now_s = self._runtime.now()
         members = self._sessions.members(now_s).values()
@@ -70,7 +82,7 @@
         }
         return self._settings().tolerance.holds(list(domains.values()))
 
-    def propose(self, role: str, command: UpdateRoster | AssignShards) -> None:
+    def propose(self, role: LeaderRole, command: UpdateRoster | AssignShards) -> None:
         """Propose a role's command, where none of this role is in flight."""
         if role in self._in_flight:
             return
@@ -93,22 +105,22 @@
         changes.update(self._lost_disks(stores, now_s))
         if changes:
             logging.info("roster: %s", {store.name: store.state.value for store in changes.values()})
-            self.propose(_ROSTER, UpdateRoster(changes))
+            self.propose(LeaderRole.ENTER_DISKS, UpdateRoster(changes))
 
     def _entries_for(self, session: Session) -> dict[str, StoreEntry]:
         """What a storage node's session changes on the roster."""
         roster, retirement = self.cluster_state.roster, self.cluster_state.retirements.get(session.name)
-        disk = str(session.details["disk"])
-        known = roster.get(disk)
+        details, node = StorageDetails.from_details(session.details), session.node
+        disk, current = details.disk_id, roster.get(details.disk_id)
         is_retired = retirement == Retirement.COMPLETED.value
-        if known is None and (session.details["enrolled"] or is_retired):
+        if current is None and (details.is_enrolled or is_retired):
             return {}  # its disk was dropped or emptied before: it has to come with another one
         # A node that lost its disk while it was emptied comes back as one that is still to be emptied.
         is_retiring = retirement == Retirement.IN_PROGRESS.value
         state = StoreState.RETIRING if is_retiring else StoreState.FULL
-        entry = StoreEntry(session.name, session.address, session.zone, session.region, state)
+        entry = StoreEntry(node.name, node.address, node.zone, node.region, state)
         changes: dict[str, StoreEntry] = {}
-        if known is None or not known.is_same_node(entry) or known.state is not state:
+        if current is None or not current.is_same_node(entry) or current.state is not state:
             changes[disk] = entry
         for other_disk, store in roster.items():
             is_replaced = store.name == session.name and other_disk != disk
@@ -150,9 +162,9 @@
         if any(state.roster[disk].state is StoreState.FULL for disk in self._known_absent_disks()):
             return  # its replicas count, and may be lost: it comes back soon, or they are made anew
         progress = [EdgeProgress.from_details(edges[owner].details) for owner in sorted(owners)]
-        if any(it.shards_index != state.shards_index or not it.is_complete for it in progress):
+        if any(edge.shards_index != state.shards_index or not edge.is_complete for edge in progress):
             return
-        roster_index = min(it.roster_index for it in progress)
+        roster_index = min(edge.roster_index for edge in progress)
         dropped = [
             disk
             for disk, store in leaving.items()
@@ -161,7 +173,7 @@
         if dropped:
             names = [leaving[disk].name for disk in dropped]
             logging.info("roster: %s have no replica that is needed any more", names)
-            self.propose(_DROP, UpdateRoster(dropped=tuple(dropped)))
+            self.propose(LeaderRole.DROP_DISKS, UpdateRoster(dropped=tuple(dropped)))
 
     def _known_absent_disks(self) -> list[str]:
         return [disk for disk in self.cluster_state.roster if disk in self._absent_disks]
@@ -174,7 +186,7 @@
         :param edges: sessions of edge nodes, by incarnation.
         """
         live = [name for name, session in edges.items() if session.is_up]
-        if not live or _ASSIGN in self._in_flight:
+        if not live or LeaderRole.ASSIGN_SHARDS in self._in_flight:
             return
         current = [shard.owner for shard in self.cluster_state.shards]
         owners = sorted(set(current))
@@ -188,7 +200,7 @@
             return
         logging.info("shards assigned: %s", {name: len(numbers) for name, numbers in assignments.items()})
         entries = self._owner_entries(owners, departed, edges)
-        self.propose(_ASSIGN, AssignShards(entries, assignments))
+        self.propose(LeaderRole.ASSIGN_SHARDS, AssignShards(entries, assignments))
 
     def _departed_owners(
         self, owners: Sequence[str], edges: Mapping[str, Session], now_s: float
@@ -220,10 +232,12 @@
     def _owner_entries(
         self, owners: Sequence[str], departed: Sequence[str], edges: Mapping[str, Session]
     ) -> dict[str, OwnerEntry]:
-        known = self.cluster_state.owners
-        entries = {name: known[name] for name in owners if name in known}
+        """Every owner from now on: those that stay, and all edge nodes that have a session."""
+        current = self.cluster_state.owners
+        entries = {name: current[name] for name in owners if name in current}
         for name, session in edges.items():
-            entries[name] = OwnerEntry(session.name, session.address, session.zone, session.region)
+            node = session.node
+            entries[name] = OwnerEntry(node.name, node.address, node.zone, node.region)
         for name in departed:
             if name not in edges:
                 entries.pop(name, None)
--- a/amberlug/cluster/control/session_service.py
+++ b/amberlug/cluster/control/session_service.py
@@ -61,8 +61,8 @@
     @handles(Heartbeat)
     def on_heartbeat(self, message: Heartbeat, origin: str, respond: Responder) -> None:
         """Renew a session; without contact it is not renewed, so that its member looks for another node."""
-        known = self._sessions.own.get(message.node.name)
-        previous_state = known.state if known is not None else ""
+        session = self._sessions.own.get(message.node.name)
+        previous_state = session.node.state if session is not None else ""
         is_renewed = self._quorum.is_in_contact and self._sessions.renew(message.node, self._runtime.now())
         staleness_s = min(self._quorum.staleness_s(), MAX_STALENESS_S)
         respond(SessionReply(is_renewed, round(staleness_s, 3)))
--- a/amberlug/cluster/control/sessions.py
+++ b/amberlug/cluster/control/sessions.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from collections.abc import Sequence
-from dataclasses import dataclass
+from dataclasses import dataclass, replace
 
 from amberlug.cluster.control.messages import SessionDescription, SessionRow
 from amberlug.cluster.interfaces import Json
@@ -15,37 +15,44 @@
 # Members of an unresponsive control-plane node have so much longer, since they look for another one.
 FAILOVER_GRACE_S = 0.9
 REPORT_TIMEOUT_S = 2 * HEARTBEAT_INTERVAL_S + 0.1  # a peer whose report is older is unresponsive
-CONTACT_TIMEOUT_S = 2 * HEARTBEAT_INTERVAL_S + 0.2  # a peer's contact is believed for so long
+PEER_CONTACT_TIMEOUT_S = 2 * HEARTBEAT_INTERVAL_S + 0.2  # a peer's contact is believed for so long
 
 
 @dataclass(slots=True)
 class Session:
-    """A member as one control-plane node sees it; times are this machine's steady clock.
+    """A member as one control-plane node sees it; times are this machine's monotonic clock.
 
-    :ivar incarnation: names one run of the member's process.
-    :ivar state: `up` or `leaving`.
+    :ivar node: the member as it last described itself.
     """
 
-    name: str
-    incarnation: str
-    address: str
-    machine_class: str
-    zone: str
-    region: str
-    state: str
+    node: SessionDescription
     opened_at_s: float
     last_heartbeat_at_s: float
-    details: Json
+
+    @property
+    def name(self) -> str:
+        """The member's name, whatever its incarnation."""
+        return self.node.name
 
     @property
     def id(self) -> str:
         """Name and incarnation: what shards are assigned to."""
-        return f"{self.name}/{self.incarnation}"
+        return f"{self.node.name}/{self.node.incarnation}"
+
+    @property
+    def address(self) -> str:
+        """Where it serves other nodes, `host:port`."""
+        return self.node.address
+
+    @property
+    def details(self) -> Json:
+        """What only its class of node reports: see `EdgeProgress` and `StorageDetails`."""
+        return self.node.details
 
     @property
     def is_up(self) -> bool:
         """Whether it takes work, and does not stop."""
-        return self.state == "up"
+        return self.node.state == "up"
 
     def is_more_recent_than(self, other: Session) -> bool:
         """Whether its last heartbeat came later, or with heartbeats at the same time, it was opened later."""
@@ -55,45 +62,20 @@
     @property
     def is_edge(self) -> bool:
         """Whether it is the session of an edge node."""
-        return self.machine_class == EDGE_CLASS
+        return self.node.machine_class == EDGE_CLASS
 
     @property
     def is_storage(self) -> bool:
         """Whether it is the session of a storage node."""
-        return self.machine_class == STORAGE_CLASS
+        return self.node.machine_class == STORAGE_CLASS
 
     def to_row(self, now_s: float) -> SessionRow:
         """The session as it is reported to other control-plane nodes."""
-        node = SessionDescription(
-            self.name,
-            self.incarnation,
-            self.address,
-            self.machine_class,
-            self.zone,
-            self.region,
-            self.state,
-            self.details,
-        )
         return SessionRow(
-            node, round(now_s - self.opened_at_s, 3), round(now_s - self.last_heartbeat_at_s, 3)
+            self.node, round(now_s - self.opened_at_s, 3), round(now_s - self.last_heartbeat_at_s, 3)
         )
 
 
-def _session(node: SessionDescription, opened_at_s: float, last_heartbeat_at_s: float) -> Session:
-    return Session(
-        node.name,
-        node.incarnation,
-        node.address,
-        node.machine_class,
-        node.zone,
-        node.region,
-        node.state,
-        opened_at_s,
-        last_heartbeat_at_s,
-        node.details,
-    )
-
-
 @value
 class EdgeProgress:
     """What an edge node reports of itself before a disk may be dropped.
@@ -123,6 +105,25 @@
         return cls(details["roster"], details["table"], details["loading"], details["short"])
 
 
+@value
+class StorageDetails:
+    """What a storage node reports of itself.
+
+    :param is_enrolled: whether the disk was on the roster before.
+    """
+
+    disk_id: str
+    is_enrolled: bool
+
+    @classmethod
+    def from_details(cls, details: Json) -> StorageDetails:
+        """Read the details of a storage node's session.
+
+        :raises KeyError: where the disk is missing.
+        """
+        return cls(str(details["disk"]), bool(details.get("enrolled")))
+
+
 @value
 class _PeerReport:
     received_at_s: float
@@ -139,19 +140,20 @@
 
     def open(self, node: SessionDescription, now_s: float) -> Session:
         """Open a member's session, or open it anew."""
-        session = _session(node, now_s, now_s)
+        session = Session(node, now_s, now_s)
         self.own[session.name] = session
         return session
 
     def renew(self, node: SessionDescription, now_s: float) -> bool:
-        """Take a heartbeat.
+        """Renew the session of a member whose heartbeat has come.
 
         :returns: False where there is no such session here, and the member has to open one.
         """
         session = self.own.get(node.name)
-        if session is None or session.incarnation != node.incarnation:
+        if session is None or session.node.incarnation != node.incarnation:
             return False
-        session.last_heartbeat_at_s, session.state, session.details = now_s, node.state, node.details
+        session.node = replace(session.node, state=node.state, details=node.details)
+        session.last_heartbeat_at_s = now_s
         return True
 
     def close_connection(self, address: str) -> list[Session]:
@@ -186,7 +188,7 @@
         else:
             self._peers_in_contact.discard(peer)
         sessions = {
-            row.node.name: _session(row.node, now_s - row.open_for_s, now_s - row.last_heartbeat_age_s)
+            row.node.name: Session(row.node, now_s - row.open_for_s, now_s - row.last_heartbeat_age_s)
             for row in rows
         }
         self._reports[peer] = _PeerReport(now_s, sessions)
@@ -195,7 +197,7 @@
         """Whether another control-plane node responds, and reported contact with a majority."""
         if peer not in self._peers_in_contact:
             return False
-        return now_s - self._reports[peer].received_at_s < CONTACT_TIMEOUT_S
+        return now_s - self._reports[peer].received_at_s < PEER_CONTACT_TIMEOUT_S
 
     def members(self, now_s: float) -> dict[str, Session]:
         """The live members by name, each in its newest incarnation."""
--- a/amberlug/cluster/control/status.py
+++ b/amberlug/cluster/control/status.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from collections import Counter
-from collections.abc import Iterable, Mapping
+from collections.abc import Iterable, Mapping, Sequence
 from typing import TypeAlias
 
 from result import Ok
@@ -94,17 +94,17 @@
             counters=self._counters,
         )
 
-    def _replica_disks(self, members: Members) -> tuple[str, ...]:
+    def _replica_disks(self, members: Members) -> Sequence[str]:
         """Disks whose replicas count, and whose storage nodes have a session."""
-        return tuple(
+        return [
             disk
             for disk, store in self._cluster_state.roster.items()
             if store.state is StoreState.FULL and _has_session(members, disk, store)
-        )
+        ]
 
     def _cluster_status(self, members: Members, reports: Reports, is_confirmed: bool) -> ClusterStatus:
         state = self._cluster_state
-        sessions = sorted(members.values(), key=lambda session: (session.machine_class, session.name))
+        sessions = sorted(members.values(), key=lambda session: (session.node.machine_class, session.name))
         return ClusterStatus(
             reported_by=self._raft.member_id,
             reported_at_s=self._runtime.now(),
--- a/amberlug/cluster/control/status_document.py
+++ b/amberlug/cluster/control/status_document.py
@@ -30,17 +30,17 @@
 
     def to_json(self, now_s: float) -> Json:
         """The member's row at a time of the monotonic clock."""
-        session = self.session
+        node = self.session.node
         return {
-            "name": session.name,
-            "incarnation": session.incarnation,
-            "class": session.machine_class,
-            "zone": session.zone,
-            "region": session.region,
-            "state": session.state,
-            "address": session.address,
-            "for_s": round(now_s - session.opened_at_s, 1),
-            "silent_s": round(now_s - session.last_heartbeat_at_s, 2),
+            "name": node.name,
+            "incarnation": node.incarnation,
+            "class": node.machine_class,
+            "zone": node.zone,
+            "region": node.region,
+            "state": node.state,
+            "address": node.address,
+            "for_s": round(now_s - self.session.opened_at_s, 1),
+            "silent_s": round(now_s - self.session.last_heartbeat_at_s, 2),
             "told": _report_to_json(self.report),
         }
 
--- a/amberlug/cluster/node_status.py
+++ b/amberlug/cluster/node_status.py
@@ -6,7 +6,7 @@
 
 from __future__ import annotations
 
-from collections.abc import Mapping
+from collections.abc import Mapping, Sequence
 from typing import ClassVar
 
 from amberlug.cluster.interfaces import Json
@@ -58,7 +58,7 @@
 
     wire_tag: ClassVar[str] = "status"
     reply_type: ClassVar[type[NodeStatusReport]] = NodeStatusReport
-    storage_disk_ids: tuple[str, ...]  # disks in service whose nodes have a session: their replicas count
+    storage_disk_ids: Sequence[str]  # disks in service whose nodes have a session: their replicas count
 
     def to_wire(self) -> Json:
         """The list of disks."""
--- a/tests/cluster/test_control_node.py
+++ b/tests/cluster/test_control_node.py
@@ -6,6 +6,7 @@
 
 import pytest
 
+from amberlug.cluster.control.messages import SessionDescription
 from amberlug.cluster.control.node import ControlNode, blank
 from amberlug.cluster.control.sessions import Session
 from amberlug.cluster.control.state_entries import ShardEntry, StoreEntry, StoreState
@@ -39,7 +40,8 @@
         monkeypatch.setattr(self.core.raft, "propose", lambda command, then: self.proposed.append(command))
 
     def session(self, name: str, machine_class: str, **details: object) -> Session:
-        return Session(name, "1", name, machine_class, "z", "r", "up", 0.0, 0.0, details)
+        node = SessionDescription(name, "1", name, machine_class, "z", "r", "up", details)
+        return Session(node, 0.0, 0.0)
 
     def set_state(self, disk: str, state: StoreState) -> None:
         roster = self.core.cluster_state.roster
