--- a/amberlug/cluster/control/node.py
+++ b/amberlug/cluster/control/node.py
@@ -8,7 +8,6 @@
 
 from amberlug.cluster.consensus.log import PersistentState
 from amberlug.cluster.consensus.raft import RaftNode, Role, StateMachine
-from amberlug.cluster.control.admin_api import RetirementApi
 from amberlug.cluster.control.cluster_state import ClusterState
 from amberlug.cluster.control.command_service import CommandExecutor, CommandService
 from amberlug.cluster.control.config_service import ConfigService
@@ -20,6 +19,7 @@
 from amberlug.cluster.control.membership import Membership
 from amberlug.cluster.control.quorum_contact import QuorumContact
 from amberlug.cluster.control.reconciler import Reconciler
+from amberlug.cluster.control.retirement_api import RetirementApi
 from amberlug.cluster.control.session_service import SessionService
 from amberlug.cluster.control.sessions import Sessions
 from amberlug.cluster.control.state_publisher import CONFIG_KEY, StatePublisher
@@ -41,15 +41,15 @@
     """Wires the parts of one control-plane node.
 
     :ivar handlers: handlers of frames by their wire tag.
-    :ivar counter: the control API, which finds the handler of an HTTP request.
-    :ivar counts: the node's metrics.
+    :ivar admin_api: the HTTP calls of operators and endpoints.
+    :ivar counters: the node's metrics.
     """
 
     def __init__(
         self, runtime: Runtime, settings: Settings, address: str, disk: Disk, saved: PersistentState
     ) -> None:
         self.runtime, self.settings, self.address = runtime, settings, address
-        self.counts = Counters()
+        self.counters = Counters()
         self._known_leader = ""
         self.cluster_state, self.sessions = ClusterState(), Sessions()
         self.gossip = GossipStore(
@@ -83,7 +83,7 @@
             self.sessions,
             self.registry,
             self.gossip,
-            self.counts,
+            self.counters,
             self.address,
             lambda: self.settings,
             self._peers,
@@ -96,8 +96,8 @@
         self.executor = CommandExecutor(context, self.reconciler)
         self.commands = CommandService(context, self.executor)
         status = StatusService(context)
-        self.counter = AdminApi(
-            ConfigService(self.commands, self.cluster_state, self.counts),
+        self.admin_api = AdminApi(
+            ConfigService(self.commands, self.cluster_state, self.counters),
             RetirementApi(self.commands),
             EndpointApi(context, self.commands),
             DeadMessageApi(self.runtime, self.cluster_state),
--- a/amberlug/cluster/edge/context.py
+++ b/amberlug/cluster/edge/context.py
@@ -25,7 +25,7 @@
     session: SessionClient
     replicator: Replicator
     routes: RoutingTable = field(default_factory=RoutingTable)
-    counts: dict[str, int] = field(default_factory=dict)
+    counters: dict[str, int] = field(default_factory=dict)
 
     @property
     def has_routes(self) -> bool:
@@ -34,4 +34,4 @@
 
     def count(self, event: str) -> None:
         """Count an event; the names of events are published on the counters page and stay as they are."""
-        self.counts[event] = self.counts.get(event, 0) + 1
+        self.counters[event] = self.counters.get(event, 0) + 1
--- a/amberlug/cluster/edge/intake.py
+++ b/amberlug/cluster/edge/intake.py
@@ -116,7 +116,7 @@
     def handle(self, request: ClientRequest, respond: RespondToClient) -> None:
         """Answer a request: a declared call under `/-/`, or a submission to a configured route."""
         if request.target.startswith("/-/"):
-            self._api.take(request, lambda response: respond(_client_response(response)))
+            self._api.handle(request, lambda response: respond(_client_response(response)))
             return
         if not (self._context.has_routes and self._context.session.is_confirmed):
             # The routing table may be older than one that was acknowledged, or there is none at all.
--- a/amberlug/cluster/edge/node.py
+++ b/amberlug/cluster/edge/node.py
@@ -60,9 +60,9 @@
         return self._context.routes
 
     @property
-    def counts(self) -> dict[str, int]:
+    def counters(self) -> dict[str, int]:
         """Counted events, as the counters page shows them."""
-        return self._context.counts
+        return self._context.counters
 
     @property
     def delivery_queue(self) -> DeliveryQueue:
@@ -122,7 +122,7 @@
             under_replicated_messages=sum(
                 not self.replicator.enough(message.holders & live_disk_ids) for message in messages
             ),
-            counters=self.counts,
+            counters=self.counters,
         )
 
     @property
--- a/amberlug/cluster/http/api.py
+++ b/amberlug/cluster/http/api.py
@@ -95,7 +95,7 @@
                     table = self._named if call.is_named else self._exact
                     table.setdefault(call.path, {}).setdefault(call.method, getattr(component, name))
 
-    def take(self, request: HttpRequest, respond: RespondHttp) -> None:
+    def handle(self, request: HttpRequest, respond: RespondHttp) -> None:
         """Have a request handled; a path or method without a handler is answered here by 404 or 405."""
         path = request.target.partition("?")[0]
         methods, name = self._exact.get(path), ""
--- a/amberlug/cluster/process.py
+++ b/amberlug/cluster/process.py
@@ -53,7 +53,7 @@
         """Handlers of peers' messages by wire tag: `(body, payload, origin, respond)`."""
 
     @property
-    def counts(self) -> Mapping[str, int]:
+    def counters(self) -> Mapping[str, int]:
         """Counters for operators, by name."""
 
     @property
@@ -150,7 +150,7 @@
         node = self._node = ControlNode(runtime, settings, self.transport.address, writer, state)
 
         def handle(request: Request, answer: Callable[[Answer], None]) -> None:
-            node.counter.take(request, partial(_answer_operator, answer))
+            node.admin_api.handle(request, partial(_answer_operator, answer))
 
         await self._serve(settings.control, handle)
 
@@ -262,9 +262,9 @@
 
     def _log_counters(self) -> None:
         asyncio.get_running_loop().call_later(COUNTERS_INTERVAL_S, self._log_counters)
-        counts = self.node.counts
+        counters = self.node.counters
         logging.info(
-            "counters: %s", " ".join(f"{key}={value}" for key, value in sorted(counts.items())) or "none"
+            "counters: %s", " ".join(f"{key}={value}" for key, value in sorted(counters.items())) or "none"
         )
 
 
@@ -294,7 +294,7 @@
         """Answer the readiness probe: 200 or 503; and who reads the counters."""
         path = request.target.partition("?")[0]
         if path == PATH:
-            answer(Answer(200, PLAIN, page(self._node.counts)))
+            answer(Answer(200, PLAIN, page(self._node.counters)))
         elif path == READINESS_PATH:
             answer(Answer(200 if self._node.ready else 503, JSON, b"{}"))
         else:
--- a/amberlug/cluster/simulation/deployment.py
+++ b/amberlug/cluster/simulation/deployment.py
@@ -212,7 +212,7 @@
                 answer(said.status, said.body)
                 leaves(said.status)
 
-            life.machine.counter.take(request, say)
+            life.machine.admin_api.handle(request, say)
 
         self.call(core, ask, within, then)
 
--- a/amberlug/cluster/storage/node.py
+++ b/amberlug/cluster/storage/node.py
@@ -44,7 +44,7 @@
         )
         self.replicas = ReplicaService(runtime, contents, store)
         self.enrollment = Enrollment(runtime, contents, store, self.gossip)
-        self.counts = self.replicas.counters
+        self.counters = self.replicas.counters
         self.handlers = {
             **handlers_of(self.replicas),
             **handlers_of(self.gossip),
--- a/benchmarks/hollow/deployment.py
+++ b/benchmarks/hollow/deployment.py
@@ -86,7 +86,7 @@
         def say(said: HttpResponse) -> None:
             answers.append(said.status)
 
-        host.do(target.split("/")[2], lambda: host.machine.counter.take(request, say))
+        host.do(target.split("/")[2], lambda: host.machine.admin_api.handle(request, say))
         return answers
 
     def configure(self, size: int) -> None:
--- a/tests/cluster/test_admin.py
+++ b/tests/cluster/test_admin.py
@@ -96,7 +96,7 @@
 
 def asked(core: ControlNode, world: Runtime, target: str) -> tuple[int, Json]:
     said: list[Any] = []
-    core.counter.take(HttpRequest(target), said.append)
+    core.admin_api.handle(HttpRequest(target), said.append)
     if not said:
         world.pass_time()
     (answer,) = said
@@ -119,7 +119,7 @@
     core, world = core_of(
         tmp_path, {("e1", "status"): EDGE, ("127.0.1.11:7300", "core.status"): {"counts": {}}}
     )
-    core.counts["announced"] = 2
+    core.counters["announced"] = 2
     status, data = asked(core, world, "/-/Foreman.Status")
     assert status == 200
     assert not data["confirmed"]
@@ -178,7 +178,7 @@
     answers["s2", "body"] = {"found": True, "blob": b"abc"}
     core, world = core_of(tmp_path, answers)
     said: list[Any] = []
-    core.counter.take(HttpRequest("/-/Foreman.Dead/a"), said.append)
+    core.admin_api.handle(HttpRequest("/-/Foreman.Dead/a"), said.append)
     world.pass_time()
     world.pass_time()
     assert [it.status for it in said] == [status]
--- a/tests/cluster/test_unclear_asks.py
+++ b/tests/cluster/test_unclear_asks.py
@@ -73,7 +73,7 @@
     core.quorum.leader_address = lambda: "10.0.0.9:7300"  # type: ignore[method-assign]
     said: list[HttpResponse] = []
     request = Request("POST", "/-/Configuration.Replace", (("amberlug-base-version", "0"),), b'{"edition":1}')
-    core.counter.take(request, said.append)
+    core.admin_api.handle(request, said.append)
     at = 0
     while at < len(world.asked) and at < 5:
         world.asked[at][3](Err(fate) if isinstance(fate, RequestFailure) else Ok(Reply(fate)))
