--- a/amberlug/cluster/control/cluster_state.py
+++ b/amberlug/cluster/control/cluster_state.py
@@ -33,6 +33,8 @@
     ShardEntry,
     StoreEntry,
     StoreState,
+    retirements_from_wire,
+    retirements_to_wire,
     roster_from_wire,
     roster_to_wire,
     shards_from_wire,
@@ -93,7 +95,7 @@
         self.forgotten_version = 0
         self.roster: dict[str, StoreEntry] = {}
         self.roster_index = 0
-        self.retirements: dict[str, str] = {}
+        self.retirements: dict[str, Retirement] = {}
         self.owners: dict[str, OwnerEntry] = {}
         self.shards: list[ShardEntry] = []
         self.shards_index = 0
@@ -115,7 +117,7 @@
             "forgotten": self.forgotten_version,
             "roster": roster_to_wire(self.roster),
             "roster_at": self.roster_index,
-            "retired": self.retirements,
+            "retired": retirements_to_wire(self.retirements),
             "owners": {name: owner.to_wire() for name, owner in self.owners.items()},
             "shards": [list(shard) for shard in self.shards],
             "shards_at": self.shards_index,
@@ -134,21 +136,14 @@
         self.config_hashes = {int(version): ConfigHash(*row) for version, row in body["hashes"].items()}
         self.forgotten_version = body["forgotten"]
         self.roster, self.roster_index = roster_from_wire(body["roster"]), body["roster_at"]
-        self.retirements = body["retired"]
+        self.retirements = retirements_from_wire(body["retired"])
         self.owners = {name: OwnerEntry.from_wire(owner) for name, owner in body["owners"].items()}
         self.shards, self.shards_index = shards_from_wire(body["shards"]), body["shards_at"]
         self.shards_roster_index = body["shards_roster"]
         self.leaving = {name: Departure(*departure) for name, departure in body["leaving"].items()}
         self.gone = {name: Departure(*departure) for name, departure in body["gone"].items()}
         self.drains_index = body["drains_at"]
-        self._changed_departures = {
-            name: DepartureRank(EndpointRank.LEAVING, departure.sequence)
-            for name, departure in self.leaving.items()
-        }
-        self._changed_departures |= {
-            name: DepartureRank(EndpointRank.GONE, departure.sequence)
-            for name, departure in self.gone.items()
-        }
+        self._changed_departures = {name: self.departure(name) for name in (*self.leaving, *self.gone)}
 
     def apply_entry(self, index: int, command: Json) -> Json:
         """Apply a committed entry of the log, in its JSON form.
@@ -221,7 +216,7 @@
         for disk in command.dropped:
             dropped = roster.pop(disk, None)
             if dropped is not None and dropped.state is StoreState.RETIRING:
-                self.retirements = {**self.retirements, dropped.name: Retirement.COMPLETED.value}
+                self.retirements = {**self.retirements, dropped.name: Retirement.COMPLETED}
         self.roster, self.roster_index = roster, index
         return ACCEPTED
 
@@ -236,7 +231,7 @@
             return REPEATED
         if not affected:
             return CommandResult.rejected(404, f"no store {name}")
-        self.retirements = {**self.retirements, name: Retirement.IN_PROGRESS.value}
+        self.retirements = {**self.retirements, name: Retirement.IN_PROGRESS}
         retiring = {disk: store.with_state(StoreState.RETIRING) for disk, store in affected.items()}
         return self._update_roster(index, UpdateRoster(retiring))
 
--- a/amberlug/cluster/control/command_results.py
+++ b/amberlug/cluster/control/command_results.py
@@ -8,7 +8,12 @@
 from collections.abc import Mapping
 from typing import TypeAlias
 
-from amberlug.cluster.control.state_entries import ConfigDocument
+from amberlug.cluster.control.state_entries import (
+    ConfigDocument,
+    Retirement,
+    retirements_from_wire,
+    retirements_to_wire,
+)
 from amberlug.cluster.interfaces import Json
 from amberlug.cluster.values import value
 
@@ -67,11 +72,11 @@
     """
 
     config: ConfigDocument | None
-    retirements: Mapping[str, str]
+    retirements: Mapping[str, Retirement]
 
     def to_wire(self) -> Json:
         """The JSON object."""
-        return {"config": self.config, "retired": dict(self.retirements)}
+        return {"config": self.config, "retired": retirements_to_wire(self.retirements)}
 
     @classmethod
     def from_wire(cls, body: Json) -> ConfirmedState:
@@ -79,7 +84,7 @@
 
         :raises KeyError: where a field is missing.
         """
-        return cls(body["config"], body["retired"])
+        return cls(body["config"], retirements_from_wire(body["retired"]))
 
 
 CommandOutcome: TypeAlias = CommandResult | ConfirmedState
--- a/amberlug/cluster/control/dead_messages.py
+++ b/amberlug/cluster/control/dead_messages.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable, Iterable, Sequence
 from urllib.parse import parse_qs
 
-from result import Err, Ok
+from result import Err, Ok, Result
 
 from amberlug.cluster.control.cluster_state import ClusterState
 from amberlug.cluster.control.peer_query import PeerQuery, Replies
@@ -32,21 +32,21 @@
     @api_call("GET", "/-/Foreman.Dead")
     def list_messages(self, request: HttpRequest, name: str, respond: RespondHttp) -> None:
         """Reply with one page of messages by name, those after the query's `after`, `most` at the most."""
-        query = parse_qs(request.target.partition("?")[2])
-        after, limit = query.get("after", [""])[0], query.get("most", [str(DEAD_MESSAGES_PER_PAGE)])[0]
-        if not limit.isdigit() or not 0 < int(limit) <= DEAD_MESSAGES_PER_PAGE:
-            respond(HttpResponse(400, {"cause": f"most: no number from 1 to {DEAD_MESSAGES_PER_PAGE}"}))
+        message = _page_request(request.target)
+        if isinstance(message, Err):
+            respond(HttpResponse(400, {"cause": message.err_value}))
             return
+        limit = message.ok_value.limit
 
         def receive(replies: Replies[DeadMessagesReply]) -> None:
             unresponsive = sorted(disk for disk, reply in replies.items() if isinstance(reply, Err))
             if len(unresponsive) == len(replies):
                 respond(HttpResponse(503, {"cause": "no store answers"}, 1))
                 return
-            page = merge_pages(replies, int(limit))
+            page = merge_pages(replies, limit)
             respond(HttpResponse(200, {**page.to_json(), "silent": unresponsive}))
 
-        self._query_stores(DeadMessagesRequest(after=after, limit=int(limit)), receive)
+        self._query_stores(message.ok_value, receive)
 
     @api_call("GET", "/-/Foreman.Dead/")
     def read_message(self, request: HttpRequest, name: str, respond: RespondHttp) -> None:
@@ -94,6 +94,15 @@
         query.finish_sending()
 
 
+def _page_request(target: str) -> Result[DeadMessagesRequest, str]:
+    """What to ask storage nodes for, or what is wrong with the query of a request's target."""
+    query = parse_qs(target.partition("?")[2])
+    after, limit = query.get("after", [""])[0], query.get("most", [str(DEAD_MESSAGES_PER_PAGE)])[0]
+    if not limit.isdigit() or not 0 < int(limit) <= DEAD_MESSAGES_PER_PAGE:
+        return Err(f"most: no number from 1 to {DEAD_MESSAGES_PER_PAGE}")
+    return Ok(DeadMessagesRequest(after=after, limit=int(limit)))
+
+
 @value
 class DeadMessagePage:
     """One page of messages for an operator, by name.
--- a/amberlug/cluster/control/quorum_contact.py
+++ b/amberlug/cluster/control/quorum_contact.py
@@ -11,12 +11,21 @@
 from amberlug.cluster.control.peer_messages import ConfirmedIndex, ConfirmIndex
 from amberlug.cluster.interfaces import RequestFailure, Runtime
 from amberlug.cluster.rpc.messages import Responder, handles, request
+from amberlug.cluster.values import value
 
 CONTACT_TIMEOUT_S = 1.2  # since a majority last confirmed its commit index: longer than an election takes
 CONFIRM_TIMEOUT_S = 0.9  # for the leader to confirm its commit index: callers wait for a second
 NEVER_S = -1e9  # a time before any
 
 
+@value
+class _WaitingCall:
+    """A call that is made once the log is applied up to an index."""
+
+    index: int
+    action: Callable[[], None]
+
+
 class QuorumContact:
     """Whether a majority's commit index was confirmed, and applied here, of late.
 
@@ -30,7 +39,7 @@
         self._runtime, self._raft, self._on_regained = runtime, raft, on_regained
         self._confirmed_at_s = NEVER_S  # when the newest confirmation that succeeded was requested
         self._had_contact = False
-        self._waiting: list[tuple[int, Callable[[], None]]] = []  # calls that wait for an index
+        self._waiting: list[_WaitingCall] = []
 
     def staleness_s(self) -> float:
         """For how many seconds at most the state that is applied here may be older than a majority's."""
@@ -97,10 +106,10 @@
         if index <= self._raft.last_applied:
             action()
         else:
-            self._waiting.append((index, action))
+            self._waiting.append(_WaitingCall(index, action))
 
     def on_applied(self) -> None:
         """Make the calls that waited for what has been applied by now."""
         waiting, self._waiting = self._waiting, []
-        for index, action in waiting:
-            self.call_when_applied(index, action)
+        for call in waiting:
+            self.call_when_applied(call.index, call.action)
--- a/amberlug/cluster/control/reconciler.py
+++ b/amberlug/cluster/control/reconciler.py
@@ -112,21 +112,22 @@
         roster, retirement = self.cluster_state.roster, self.cluster_state.retirements.get(session.name)
         details, node = StorageDetails.from_details(session.details), session.node
         disk, current = details.disk_id, roster.get(details.disk_id)
-        is_retired = retirement == Retirement.COMPLETED.value
-        if current is None and (details.is_enrolled or is_retired):
+        if current is None and (details.is_enrolled or retirement is Retirement.COMPLETED):
             return {}  # its disk was dropped or emptied before: it has to come with another one
         # A node that lost its disk while it was emptied comes back as one that is still to be emptied.
-        is_retiring = retirement == Retirement.IN_PROGRESS.value
-        state = StoreState.RETIRING if is_retiring else StoreState.FULL
+        state = StoreState.RETIRING if retirement is Retirement.IN_PROGRESS else StoreState.FULL
         entry = StoreEntry(node.name, node.address, node.zone, node.region, state)
-        changes: dict[str, StoreEntry] = {}
-        if current is None or not current.is_same_node(entry) or current.state is not state:
-            changes[disk] = entry
-        for other_disk, store in roster.items():
-            is_replaced = store.name == session.name and other_disk != disk
-            if is_replaced and store.state is not StoreState.LOST:
-                changes[other_disk] = store.with_state(StoreState.LOST)
-        return changes
+        is_unchanged = current is not None and current.is_same_node(entry) and current.state is state
+        changes = {} if is_unchanged else {disk: entry}
+        return changes | self._replaced_disks(session.name, disk)
+
+    def _replaced_disks(self, name: str, current_disk: str) -> dict[str, StoreEntry]:
+        """Earlier disks of a storage node that has come with another one: they are lost."""
+        return {
+            disk: store.with_state(StoreState.LOST)
+            for disk, store in self.cluster_state.roster.items()
+            if store.name == name and disk != current_disk and store.state is not StoreState.LOST
+        }
 
     def _lost_disks(self, stores: Mapping[str, Session], now_s: float) -> dict[str, StoreEntry]:
         """Full disks whose storage nodes have had no session for too long."""
@@ -154,17 +155,16 @@
         """
         state = self.cluster_state
         leaving = {disk: store for disk, store in state.roster.items() if store.state is not StoreState.FULL}
-        owners = {shard.owner for shard in state.shards}
-        if not leaving or not owners or not owners <= set(edges):
-            return
-        if not self.can_hold_messages(state.roster):
+        if not leaving or not self.can_hold_messages(state.roster):
             return  # no owner reports a shortage only because nothing can be replicated
-        if any(state.roster[disk].state is StoreState.FULL for disk in self._known_absent_disks()):
+        if self._is_full_disk_absent():
             return  # its replicas count, and may be lost: it comes back soon, or they are made anew
-        progress = [EdgeProgress.from_details(edges[owner].details) for owner in sorted(owners)]
-        if any(edge.shards_index != state.shards_index or not edge.is_complete for edge in progress):
+        progress = self._owners_progress(edges)
+        if not progress:
             return
-        roster_index = min(edge.roster_index for edge in progress)
+        if any(owner.shards_index != state.shards_index or not owner.is_complete for owner in progress):
+            return
+        roster_index = min(owner.roster_index for owner in progress)
         dropped = [
             disk
             for disk, store in leaving.items()
@@ -175,8 +175,19 @@
             logging.info("roster: %s have no replica that is needed any more", names)
             self.propose(LeaderRole.DROP_DISKS, UpdateRoster(dropped=tuple(dropped)))
 
-    def _known_absent_disks(self) -> list[str]:
-        return [disk for disk in self.cluster_state.roster if disk in self._absent_disks]
+    def _is_full_disk_absent(self) -> bool:
+        """Whether a disk whose replicas count belongs to a storage node without a session."""
+        roster = self.cluster_state.roster
+        return any(
+            disk in self._absent_disks for disk, store in roster.items() if store.state is StoreState.FULL
+        )
+
+    def _owners_progress(self, edges: Mapping[str, Session]) -> Sequence[EdgeProgress]:
+        """What all owners of shards report; empty where there is none, or one has no session."""
+        owners = {shard.owner for shard in self.cluster_state.shards}
+        if not owners <= set(edges):
+            return []
+        return [EdgeProgress.from_details(edges[owner].details) for owner in sorted(owners)]
 
     # -- owners of shards
 
--- a/amberlug/cluster/control/retirement_api.py
+++ b/amberlug/cluster/control/retirement_api.py
@@ -56,9 +56,9 @@
         def receive(result: Result[ConfirmedState, ProposalRejected]) -> None:
             if isinstance(result, Err):
                 respond(unconfirmed())
-            elif result.ok_value.retirements.get(name) is None:
+            elif (retirement := result.ok_value.retirements.get(name)) is None:
                 respond(HttpResponse(404, {"cause": f"{name} is not being emptied"}))
             else:
-                respond(HttpResponse(200, {"condition": result.ok_value.retirements[name]}))
+                respond(HttpResponse(200, {"condition": retirement.value}))
 
         self._commands.read_state(receive)
--- a/amberlug/cluster/control/state_entries.py
+++ b/amberlug/cluster/control/state_entries.py
@@ -186,6 +186,19 @@
     return {disk: StoreEntry.from_wire(store) for disk, store in body.items()}
 
 
+def retirements_to_wire(retirements: Mapping[str, Retirement]) -> Json:
+    """The JSON object of retirements, by name of the storage node."""
+    return {name: retirement.value for name, retirement in retirements.items()}
+
+
+def retirements_from_wire(body: Json) -> dict[str, Retirement]:
+    """Read retirements.
+
+    :raises ValueError: where one is in a state that this version does not know.
+    """
+    return {name: Retirement(retirement) for name, retirement in body.items()}
+
+
 def shards_from_wire(rows: list[Any]) -> list[ShardEntry]:
     """Read the shards of a snapshot."""
     return [ShardEntry(str(owner), epoch, str(previous)) for owner, epoch, previous in rows]
--- a/amberlug/cluster/control/status.py
+++ b/amberlug/cluster/control/status.py
@@ -48,14 +48,14 @@
     def read_status(self, request: HttpRequest, name: str, respond: RespondHttp) -> None:
         """Reply with the status of the whole deployment, also where some nodes do not respond."""
         members = self._sessions.members(self._runtime.now())
-        confirmed_indices: list[int] = []
+        is_confirmed = False
 
         def receive(replies: Replies[NodeStatusReport]) -> None:
             reports = {
                 node: reply.ok_value if isinstance(reply, Ok) else None for node, reply in replies.items()
             }
             reports[self._raft.member_id] = NodeStatusReport(self._own_status().to_wire())
-            status = self._cluster_status(members, reports, is_confirmed=bool(confirmed_indices))
+            status = self._cluster_status(members, reports, is_confirmed)
             respond(HttpResponse(200, status.to_json()))
 
         query = PeerQuery(self._runtime, receive)
@@ -63,8 +63,8 @@
         finish_waiting = query.wait()
 
         def receive_index(index: int | None) -> None:
-            if index is not None:
-                confirmed_indices.append(index)
+            nonlocal is_confirmed
+            is_confirmed = index is not None
             finish_waiting()
 
         self._quorum.confirm_index(receive_index)
--- a/tests/cluster/test_cluster_state.py
+++ b/tests/cluster/test_cluster_state.py
@@ -11,7 +11,7 @@
     MIN_CONFIG_HASHES,
     ClusterState,
 )
-from amberlug.cluster.control.state_entries import EndpointRank, StoreState
+from amberlug.cluster.control.state_entries import EndpointRank, Retirement, StoreState
 from amberlug.cluster.interfaces import Json
 from amberlug.cluster.simulation.mutations import mutated
 
@@ -138,4 +138,5 @@
     assert log.cluster_state.roster["disk"].state is StoreState.RETIRING
     assert log.give("retire", name="store-1") == {"again": True}
     log.give("roster", drop=["disk"])
-    assert log.cluster_state.retirements == {"store-1": "completed"}
+    assert log.cluster_state.retirements == {"store-1": Retirement.COMPLETED}
+    assert log.cluster_state.to_json()["retired"] == {"store-1": "completed"}
