--- a/tests/cluster/test_admin.py
+++ b/tests/cluster/test_admin.py
@@ -1,4 +1,4 @@
-"""Operators' commands, what control relays answer them with, and a trial of a whole deployment."""
+"""The admin command line, the control plane's replies to it, and a trial of a local deployment."""
 
 import asyncio
 import json
@@ -29,11 +29,11 @@
 from amberlug.cluster.storage.operator_messages import DeadMessagesReply
 from tests.rig import ROOT
 
-# -- what a control relay answers
+# -- calls of a control-plane node
 
 
 class Runtime:
-    """Peers answer at once by a table; those that are not in it are silent until the time is let pass."""
+    """Peers reply at once by a table; requests to others time out when the time passes."""
 
     def __init__(self, answers: dict[tuple[str, str], Json]) -> None:
         self.answers, self.chance = answers, random.Random(1)
@@ -115,13 +115,16 @@
 }
 
 
-def test_the_status_shows_all_where_some_are_silent(tmp_path: Path) -> None:
+def test_the_status_shows_all_nodes_where_some_do_not_reply(tmp_path: Path) -> None:
     core, world = core_of(
         tmp_path, {("e1", "status"): EDGE, ("127.0.1.11:7300", "core.status"): {"counts": {}}}
     )
     core.counters["announced"] = 2
     status, data = asked(core, world, "/-/Foreman.Status")
     assert status == 200
+    assert " ".join(data) == (
+        "by confirmed members core shards stores configuration endpoints copies_short copies_unknown counters"
+    )
     assert not data["confirmed"]
     assert {it["name"]: it["told"] is not None for it in data["members"]} == {
         "e1": True,
@@ -140,7 +143,7 @@
 
 
 PAGES = [
-    # the stores' pages (None: silent), how many are wanted, the names, and where the next page begins
+    # the storage nodes' pages (None: no reply), the limit, the names, and where the next page begins
     ([None], 9, [], None),
     ([(["a", "b"], False)], 9, ["a", "b"], None),
     ([(["a", "c"], False), (["b", "c"], False)], 9, ["a", "b", "c"], None),
@@ -150,21 +153,23 @@
 ]
 
 
-@pytest.mark.parametrize(("pages", "most", "names", "after"), PAGES)
-def test_pages_of_stores_are_merged(pages: list[Any], most: int, names: list[str], after: str | None) -> None:
-    heard: dict[str, Any] = {
+@pytest.mark.parametrize(("pages", "limit", "names", "after"), PAGES)
+def test_pages_of_dead_messages_are_merged(
+    pages: list[Any], limit: int, names: list[str], after: str | None
+) -> None:
+    replies: dict[str, Any] = {
         str(at): Err(RequestFailure.TIMED_OUT)
         if it is None
         else Ok(DeadMessagesReply.from_wire({"rows": [row(name) for name in it[0]], "more": it[1]}, b""))
         for at, it in enumerate(pages)
     }
-    found = merge_pages(heard, most).to_json()
-    assert [it["id"] for it in found["rows"]] == names
-    assert found.get("after") == after
+    page = merge_pages(replies, limit).to_json()
+    assert [it["id"] for it in page["rows"]] == names
+    assert page.get("after") == after
 
 
 DEAD = [
-    # what the stores answer, the answer to who asks for one
+    # the storage nodes' replies, the status of the reply to the operator
     ({"s1": {"rows": [row("a", {})], "more": False}, "s2": {"rows": [row("a")], "more": False}}, 200),
     ({"s1": {"rows": [], "more": False}, "s2": {"rows": [], "more": False}}, 404),
     ({"s1": {"rows": [], "more": False}}, 503),
@@ -173,7 +178,9 @@
 
 
 @pytest.mark.parametrize(("stores", "status"), DEAD)
-def test_one_dead_message_is_found(tmp_path: Path, stores: dict[str, Json], status: int) -> None:
+def test_a_dead_message_is_read_from_any_storage_node(
+    tmp_path: Path, stores: dict[str, Json], status: int
+) -> None:
     answers: dict[tuple[str, str], Json] = {(name, "dead"): it for name, it in stores.items()}
     answers["s2", "body"] = {"found": True, "blob": b"abc"}
     core, world = core_of(tmp_path, answers)
@@ -185,7 +192,7 @@
     assert status != 200 or (said[0].body["body"], said[0].body["method"]) == ("YWJj", "POST")
 
 
-def test_counters_are_a_page() -> None:
+def test_the_counters_page_has_a_line_for_each_counter() -> None:
     assert page({"ended: done": 2, "called: answered": 3}) == b"called_answered 3\nended_done 2\n"
 
 
@@ -193,7 +200,7 @@
 
 
 class Control:
-    """A control relay that gives prepared answers, in order; the last one again and again."""
+    """A control-plane node that gives prepared answers, in order; the last one again and again."""
 
     def __init__(self) -> None:
         self.answers: dict[str, list[tuple[int, Any]]] = {}
@@ -331,7 +338,7 @@
 
 
 @pytest.mark.parametrize(("words", "answers", "code", "said"), COMMANDS)
-def test_commands(
+def test_a_command_exits_by_its_outcome(
     control: Control, tmp_path: Path, words: str, answers: dict[str, Any], code: int, said: str
 ) -> None:
     bad = {**NEW, "routeTable": [{**NEW["routeTable"][0], "targetService": "none"}]}
@@ -347,7 +354,7 @@
     assert (result.exit_code, said in result.output) == (code, True), result.output
 
 
-def test_a_push_is_sent_again_unchanged(control: Control, tmp_path: Path) -> None:
+def test_a_configuration_push_is_retried_unchanged(control: Control, tmp_path: Path) -> None:
     (tmp_path / "c").write_text(json.dumps(NEW))
     control.answers = {READ: [(200, config())], REPLACE: [(503, {}), (503, {}), (200, {})]}
     assert control.admin("config", "push", str(tmp_path / "c"), "--at", "@").exit_code == DONE
@@ -359,7 +366,7 @@
     assert pushed == [("1", json.dumps(NEW).encode())] * 3
 
 
-def test_a_dead_message_goes_again_as_it_came(control: Control) -> None:
+def test_a_dead_message_is_resubmitted_unchanged_with_a_new_attempt_id(control: Control) -> None:
     control.answers = {"/-/Foreman.Dead/1-a": [(200, FOUND)], "/a": [(202, b"")]}
     for _ in range(2):
         control.admin("dead", "again", "1-a", "--at", "@", "--front", "@")
@@ -392,7 +399,7 @@
 
 
 @pytest.mark.parametrize(("text", "places"), DEPLOYS)
-def test_deploy_files(tmp_path: Path, text: str, places: list[str]) -> None:
+def test_errors_of_a_deploy_file_name_their_paths(tmp_path: Path, text: str, places: list[str]) -> None:
     (tmp_path / "d.toml").write_text(text)
     errors = check_deploy(tmp_path / "d.toml")
     assert len(errors) == len(places), errors
@@ -412,7 +419,9 @@
 
 
 @pytest.mark.parametrize(("name", "change", "places"), SETTINGS)
-def test_settings_files(tmp_path: Path, name: str, change: Json, places: list[str]) -> None:
+def test_errors_of_a_settings_file_name_their_paths(
+    tmp_path: Path, name: str, change: Json, places: list[str]
+) -> None:
     deployment = Deployment(tmp_path, "127.0.1")
     deployment.write(first_start=True)
     path = deployment.machines[name].path
@@ -422,7 +431,7 @@
     assert all(any(error.startswith(place) for error in errors) for place in places), errors
 
 
-def test_differences_name_what_changes() -> None:
+def test_differences_name_the_changed_fields() -> None:
     old, new = config(), config()
     new["routeTable"][0]["expiryMs"] = 9
     new["routeTable"][1]["name"] = "other"
@@ -452,12 +461,12 @@
 
 
 @pytest.mark.parametrize(("sent", "runs", "wrong"), TALES)
-def test_trials_are_judged(sent: list[Sent], runs: list[Run], wrong: list[str]) -> None:
+def test_a_trial_reports_broken_guarantees(sent: list[Sent], runs: list[Run], wrong: list[str]) -> None:
     judged = Tale(sent, runs).judged()
     assert [it.startswith(start) for it, start in zip(judged, wrong, strict=True)] == [True] * len(wrong)
 
 
-def test_a_whole_deployment_keeps_what_it_accepted(tmp_path: Path) -> None:
+def test_a_local_deployment_keeps_accepted_messages(tmp_path: Path) -> None:
     chance = random.Random()
     net = f"127.{chance.randrange(2, 255)}.{chance.randrange(1, 255)}"
     lines: list[str] = []
--- a/tests/cluster/test_cluster_state.py
+++ b/tests/cluster/test_cluster_state.py
@@ -1,4 +1,4 @@
-"""What the replicated state keeps, and what it forgets when."""
+"""What the replicated state retains, and for how long."""
 
 import json
 from typing import Any
@@ -19,68 +19,68 @@
 
 
 class Log:
-    """A replica, and commands for it as a leader proposes them."""
+    """A replica, and commands for it in the form of the log."""
 
     def __init__(self) -> None:
         self.cluster_state = ClusterState()
         self.index = 0
 
-    def give(self, do: str, after: float = 0.0, **command: Any) -> Json:
+    def apply(self, do: str, after: float = 0.0, **command: Any) -> Json:
         self.index += 1
         return self.cluster_state.apply_entry(self.index, {"do": do, "after": after, **command})
 
-    def change(self, edition: int, base: int, sum_: str, after: float = 0.0) -> Json:
-        return self.give("config", after, base=base, edition=edition, sum=sum_, config={"edition": edition})
+    def replace_config(self, edition: int, base: int, sum_: str, after: float = 0.0) -> Json:
+        return self.apply("config", after, base=base, edition=edition, sum=sum_, config={"edition": edition})
 
-    def move(self) -> None:
-        """Another member goes on, from a snapshot."""
+    def restore_from_snapshot(self) -> None:
+        """Go on with another replica, which is restored from a snapshot."""
         text = json.dumps(self.cluster_state.to_json())
         self.cluster_state = ClusterState()
         self.cluster_state.from_json(json.loads(text))
 
 
-def test_of_two_changes_under_one_number_one_is_taken_and_its_repeats_are_known() -> None:
+def test_one_of_two_changes_of_the_same_version_is_accepted_and_its_repeats_are_recognized() -> None:
     log = Log()
-    assert log.change(1, 0, "first") == {"ok": True}
-    assert log.change(5, 1, "mine") == {"ok": True}
-    assert log.change(5, 1, "yours")["status"] == 412
+    assert log.replace_config(1, 0, "first") == {"ok": True}
+    assert log.replace_config(5, 1, "mine") == {"ok": True}
+    assert log.replace_config(5, 1, "yours")["status"] == 412
     for _ in range(2):
         assert log.cluster_state.check_config(1, 5, "mine").to_wire() == {"again": True}
-        assert log.change(5, 1, "mine") == {"again": True}
-        assert log.change(5, 1, "yours")["status"] == 412
-        assert log.change(5, 5, "yours")["status"] == 400
-        log.move()
-    assert log.change(6, 5, "next") == {"ok": True}
+        assert log.replace_config(5, 1, "mine") == {"again": True}
+        assert log.replace_config(5, 1, "yours")["status"] == 412
+        assert log.replace_config(5, 5, "yours")["status"] == 400
+        log.restore_from_snapshot()
+    assert log.replace_config(6, 5, "next") == {"ok": True}
     assert log.cluster_state.check_config(1, 5, "mine").to_wire() == {"again": True}
     assert log.cluster_state.config == {"edition": 6}
 
 
-def forgets(edition: int, changes: int, seconds: float) -> Json:
-    """What is said to a repeat of an edition after so many changes, each so many seconds after the other."""
+def answer_to_repeat(edition: int, changes: int, seconds: float) -> Json:
+    """The answer to a repeat of a version, after so many changes with so many seconds between."""
     log = Log()
     for it in range(1, changes + 1):
-        assert log.change(it, it - 1, f"sum {it}", seconds) == {"ok": True}
-    log.move()
+        assert log.replace_config(it, it - 1, f"sum {it}", seconds) == {"ok": True}
+    log.restore_from_snapshot()
     return log.cluster_state.check_config(edition - 1, edition, f"sum {edition}").to_wire()
 
 
-def test_a_repeat_is_known_after_an_hour_and_after_a_thousand_changes_and_never_refused() -> None:
-    assert forgets(1, MIN_CONFIG_HASHES, CONFIG_HASH_RETENTION_S) == {"again": True}
-    assert forgets(1, 3000, CONFIG_HASH_RETENTION_S / 3001) == {"again": True}
-    assert forgets(1, MIN_CONFIG_HASHES + 2, 2 * CONFIG_HASH_RETENTION_S)["status"] == 503
-    assert forgets(1, MAX_CONFIG_HASHES + 2, 0.0)["status"] == 503
+def test_a_repeat_is_recognized_for_an_hour_and_a_thousand_changes_and_then_answered_503() -> None:
+    assert answer_to_repeat(1, MIN_CONFIG_HASHES, CONFIG_HASH_RETENTION_S) == {"again": True}
+    assert answer_to_repeat(1, 3000, CONFIG_HASH_RETENTION_S / 3001) == {"again": True}
+    assert answer_to_repeat(1, MIN_CONFIG_HASHES + 2, 2 * CONFIG_HASH_RETENTION_S)["status"] == 503
+    assert answer_to_repeat(1, MAX_CONFIG_HASHES + 2, 0.0)["status"] == 503
     with mutated("editions-by-count"):
-        assert forgets(1, 400, 0.0) != {"again": True}
+        assert answer_to_repeat(1, 400, 0.0) != {"again": True}
 
 
-def test_endpoints_that_leave_are_kept_by_time_whatever_their_number() -> None:
+def test_departures_of_endpoints_are_retained_by_time_whatever_their_number() -> None:
     log = Log()
-    log.give("drain", ids=[["first", LEAVING, 7], ["second", LEAVING, 1]])
+    log.apply("drain", ids=[["first", LEAVING, 7], ["second", LEAVING, 1]])
     for it in range(20):
-        log.give("drain", 1.0, ids=[[f"e{it}-{at}", LEAVING, 1] for at in range(500)])
-    log.move()
+        log.apply("drain", 1.0, ids=[[f"e{it}-{at}", LEAVING, 1] for at in range(500)])
+    log.restore_from_snapshot()
     assert log.cluster_state.departure("first") == (LEAVING, 7)
-    log.give(
+    log.apply(
         "drain",
         ids=[
             ["first", GONE, 0],
@@ -92,32 +92,32 @@
         (GONE, 0),
         (GONE, 2),
     )
-    log.give("drain", GONE_RETENTION_S - 1, ids=[])
+    log.apply("drain", GONE_RETENTION_S - 1, ids=[])
     assert log.cluster_state.departure("first") == (GONE, 0)
-    log.give("drain", 2.0, ids=[])
+    log.apply("drain", 2.0, ids=[])
     assert log.cluster_state.departure("first") == (0, 0)
     assert log.cluster_state.departure("e0-0") == (LEAVING, 1)
-    log.give("drain", LEAVING_RETENTION_S, ids=[])
+    log.apply("drain", LEAVING_RETENTION_S, ids=[])
     assert (log.cluster_state.leaving, log.cluster_state.gone) == ({}, {})
 
 
-def test_what_has_changed_of_endpoints_is_told_once_and_all_of_it_after_a_snapshot() -> None:
+def test_changed_departures_are_returned_once_and_all_of_them_after_a_snapshot() -> None:
     log = Log()
-    log.give("drain", ids=[["a", LEAVING, 1], ["b", GONE, 2]])
-    log.give("drain", ids=[["a", LEAVING, 1]])
+    log.apply("drain", ids=[["a", LEAVING, 1], ["b", GONE, 2]])
+    log.apply("drain", ids=[["a", LEAVING, 1]])
     assert log.cluster_state.take_changed_departures() == {
         "a": (LEAVING, 1),
         "b": (GONE, 2),
     }
     assert log.cluster_state.take_changed_departures() == {}
-    log.move()
+    log.restore_from_snapshot()
     assert log.cluster_state.take_changed_departures() == {
         "a": (LEAVING, 1),
         "b": (GONE, 2),
     }
 
 
-def test_a_snapshot_of_the_version_before_is_read() -> None:
+def test_a_snapshot_of_an_earlier_version_is_restored() -> None:
     cluster_state = ClusterState()
     before = {"edition": 3, "hashes": {"2": "x", "3": "y"}, "drains": {"a": [1, 7], "b": [2, 0]}}
     cluster_state.from_json(before)
@@ -128,15 +128,15 @@
     )
 
 
-def test_a_store_that_is_away_is_known_to_an_order_to_empty_it() -> None:
+def test_a_lost_storage_node_can_still_be_retired() -> None:
     log = Log()
     place = {"name": "store-1", "addr": "a", "zone": "z", "region": "r"}
-    log.give("roster", set={"disk": {**place, "state": "full"}})
-    log.give("roster", set={"disk": {**place, "state": "lost"}})
-    assert log.give("retire", name="store-2")["status"] == 404
-    assert log.give("retire", name="store-1") == {"ok": True}
+    log.apply("roster", set={"disk": {**place, "state": "full"}})
+    log.apply("roster", set={"disk": {**place, "state": "lost"}})
+    assert log.apply("retire", name="store-2")["status"] == 404
+    assert log.apply("retire", name="store-1") == {"ok": True}
     assert log.cluster_state.roster["disk"].state is StoreState.RETIRING
-    assert log.give("retire", name="store-1") == {"again": True}
-    log.give("roster", drop=["disk"])
+    assert log.apply("retire", name="store-1") == {"again": True}
+    log.apply("roster", drop=["disk"])
     assert log.cluster_state.retirements == {"store-1": Retirement.COMPLETED}
     assert log.cluster_state.to_json()["retired"] == {"store-1": "completed"}
--- a/tests/cluster/test_control_commands.py
+++ b/tests/cluster/test_control_commands.py
@@ -48,12 +48,12 @@
 
 
 @pytest.mark.parametrize(("command", "text"), COMMANDS)
-def test_a_command_has_one_form_in_the_log(command: Command, text: str) -> None:
+def test_a_command_of_the_log_is_encoded_and_decoded(command: Command, text: str) -> None:
     assert json.dumps(command.to_wire()) == text
     assert command_from_wire(json.loads(text)) == command
 
 
-def test_a_command_that_no_version_knows_is_an_error() -> None:
+def test_an_unknown_command_of_the_log_is_an_error() -> None:
     with pytest.raises(KeyError):
         command_from_wire({"do": "unknown"})
 
@@ -67,12 +67,12 @@
 
 
 @pytest.mark.parametrize(("result", "text"), RESULTS)
-def test_a_result_has_one_form_in_replies(result: CommandResult, text: str) -> None:
+def test_a_result_is_encoded_and_decoded(result: CommandResult, text: str) -> None:
     assert json.dumps(result.to_wire()) == text
     assert CommandResult.from_wire(json.loads(text)) == result
 
 
-def test_the_indices_of_a_disk_are_kept_where_they_are_known() -> None:
+def test_a_roster_entry_keeps_its_log_indices() -> None:
     text = STORE_TEXT + ', "at": 4, "table": 0}'
     assert json.dumps(StoreEntry.from_wire(json.loads(text)).to_wire()) == text
     lost = StoreEntry.from_wire(json.loads(text)).with_state(StoreState.LOST)
@@ -86,7 +86,7 @@
     return state
 
 
-def test_a_snapshot_is_the_same_after_it_was_taken_over() -> None:
+def test_a_restored_snapshot_is_encoded_to_the_same_bytes() -> None:
     config = ReplaceConfig(0, 2, "hash", {"edition": 2}, 0.5)
     state = replica([config, *(command for command, _ in COMMANDS[1:])])
     text = json.dumps(state.to_json())
@@ -100,7 +100,7 @@
     assert " ".join(json.loads(text)) == names
 
 
-def test_an_assignment_is_fenced_by_its_index_and_names_the_owner_before() -> None:
+def test_a_shard_assignment_has_its_index_as_fencing_token_and_names_the_previous_owner() -> None:
     owners = {name: OwnerEntry(name, name, "z0", "r0") for name in ("a", "b")}
     first, second = AssignShards(owners, {"a": [0, 1]}), AssignShards(owners, {"b": [1]})
     state = ClusterState()
--- a/tests/cluster/test_control_days.py
+++ b/tests/cluster/test_control_days.py
@@ -1,4 +1,4 @@
-"""Days on which a core machine is cut off, and orders come to both sides meanwhile."""
+"""Days on which a control-plane node is partitioned, and commands come to both sides meanwhile."""
 
 from __future__ import annotations
 
@@ -20,17 +20,17 @@
 
 @pytest.fixture(autouse=True)
 def quiet() -> Iterator[None]:
-    """Machines' logs tell nothing here."""
+    """Suppress the log lines of the simulated machines."""
     before = logging.get_verbosity()
     logging.set_verbosity(logging.FATAL)
     yield
     logging.set_verbosity(before)
 
 
-def planned(seed: int, plan: Plan) -> list[Broken]:
-    """Play a day on which a plan of ours takes the place of what is drawn; the rules that broke.
+def play_with_plan(seed: int, plan: Plan) -> list[Broken]:
+    """Play a day on which a plan takes the place of random faults; returns the invariants that broke.
 
-    All endpoints beat at one relay, and the core's logs are short between snapshots.
+    All endpoints send heartbeats to one control-plane node, and the Raft logs are short between snapshots.
     """
     day = Day(seed, "control")
     day.home, day.compact = day.deployment.cores[0].zone, 20
@@ -38,8 +38,8 @@
         return day.play()
 
 
-def relay_cut_off(day: Day, start: float, end: float, form: str = "silent") -> None:
-    """One relay is cut off for 20 s, and all others that count are restarted."""
+def control_node_partitioned(day: Day, start: float, end: float, form: str = "silent") -> None:
+    """One control-plane node is partitioned for 20 s; the others and the storage nodes are restarted."""
     control, later, first = day.control, day.clock.call_later, day.deployment.cores[0]
     later(start - day.clock.now, partial(control.cut_off, first, 20.0, form, False))
     for machine in day.deployment.cores[1:] + day.deployment.stores:
@@ -49,8 +49,8 @@
         later(start + 2.1 + number - day.clock.now, day.look_at_routes)
 
 
-def edges_start(day: Day, start: float, end: float) -> None:
-    """Again and again edges start just as a relay is cut off, and changes are made."""
+def edges_start_during_partitions(day: Day, start: float, end: float) -> None:
+    """Again and again edge nodes start just as a control-plane node is partitioned, and changes are made."""
 
     def act() -> None:
         day.control.cut_off(day.control.victim(), 2.0, "silent", False)
@@ -60,8 +60,8 @@
     day.clock.call_later(start - day.clock.now, act)
 
 
-def leader_cut_off(day: Day, start: float, end: float) -> None:
-    """Again and again the leader is cut off: orders go to it, and to whoever leads next."""
+def leader_partitioned(day: Day, start: float, end: float) -> None:
+    """Again and again the leader is partitioned: commands go to it, and to whoever leads next."""
 
     def act() -> None:
         leader = day.leader()
@@ -76,7 +76,7 @@
 
 
 def repeats_after_snapshots(day: Day, start: float, end: float) -> None:
-    """All changes are sent again, to core machines that began from a snapshot meanwhile."""
+    """All changes are sent again, to control-plane nodes that began from a snapshot meanwhile."""
     day.operator.repeats = 1.0
 
     def act(number: int) -> None:
@@ -89,43 +89,43 @@
 
 
 @pytest.mark.parametrize("form", ["silent", "from", "refuse"])
-def test_what_is_acknowledged_reaches_edges_while_a_relay_is_cut_off(form: str) -> None:
-    assert planned(7, partial(relay_cut_off, form=form)) == []
+def test_acknowledged_changes_reach_edges_while_a_control_node_is_partitioned(form: str) -> None:
+    assert play_with_plan(7, partial(control_node_partitioned, form=form)) == []
 
 
-@pytest.mark.parametrize("plan", [edges_start, leader_cut_off, repeats_after_snapshots])
-def test_orders_and_starts_around_cuts_break_no_rule(plan: Plan) -> None:
-    assert planned(3, plan) == []
+@pytest.mark.parametrize("plan", [edges_start_during_partitions, leader_partitioned, repeats_after_snapshots])
+def test_commands_and_starts_around_partitions_break_no_invariant(plan: Plan) -> None:
+    assert play_with_plan(3, plan) == []
 
 
 @pytest.mark.parametrize("seed", [2, 6])
-def test_drawn_days_with_cuts_of_the_core_break_no_rule(seed: int) -> None:
+def test_random_days_with_control_plane_partitions_break_no_invariant(seed: int) -> None:
     assert play(seed, "control") == []
 
 
 @pytest.mark.parametrize(
     ("name", "plan"),
     [
-        ("session-alone", relay_cut_off),
-        ("announce-alone", relay_cut_off),
-        ("unconfirmed-edge", edges_start),
-        ("unconfirmed-refusal", leader_cut_off),
-        ("old-read", leader_cut_off),
+        ("session-alone", control_node_partitioned),
+        ("announce-alone", control_node_partitioned),
+        ("unconfirmed-edge", edges_start_during_partitions),
+        ("unconfirmed-refusal", leader_partitioned),
+        ("old-read", leader_partitioned),
         ("repeat-refused", repeats_after_snapshots),
     ],
 )
-def test_a_fault_of_a_relay_without_a_majority_is_found(name: str, plan: Plan) -> None:
+def test_a_mutation_of_a_control_node_without_quorum_is_detected(name: str, plan: Plan) -> None:
     # One day finds each of them with a chance of a half at least.
     with mutated(name):
-        assert any(planned(seed, plan) for seed in range(1, 11))
+        assert any(play_with_plan(seed, plan) for seed in range(1, 11))
 
 
-def test_two_changes_under_one_number_are_found() -> None:
+def test_two_configurations_under_one_version_are_detected() -> None:
     with mutated("same-number"):
         assert any("on top of" in it.what for it in play(2, "control"))
 
 
-def test_who_is_in_touch_while_a_core_machine_is_cut_off() -> None:
+def test_which_nodes_are_in_contact_while_a_control_node_is_partitioned() -> None:
     clock = Clock()
     history = History(clock)
     for name in ("edge-0", "edge-1", "core-0", "core-1", "core-2"):
--- a/tests/cluster/test_control_messages.py
+++ b/tests/cluster/test_control_messages.py
@@ -10,6 +10,7 @@
     AnnounceLeaving,
     CommandReply,
     ConfirmIndex,
+    ControlStatusReport,
     ForwardCommand,
     JoinCluster,
     ReadControlStatus,
@@ -53,18 +54,27 @@
     ("core.order", '{"word": "replace", "body": {"base": 0, "data": {"edition": 1}}}'),
     ("core.order", '{"word": "modify", "body": {"base": 1, "data": {"edition": 2}}}'),
     ("core.order/reply", "{}"),
+    ("core.order/reply", '{"said": {"again": true}}'),
+    ("core.order/reply", '{"said": {"config": null, "retired": {"store-0": "in_progress"}}}'),
     ("core.order/reply", '{"said": {"status": 412, "cause": "edition 1 is in place, not 0"}}'),
 ]
 
 
 @pytest.mark.parametrize(("tag", "text"), FRAMES)
-def test_a_frame_is_encoded_as_it_was_recorded(tag: str, text: str) -> None:
+def test_a_recorded_frame_is_decoded_and_encoded_to_the_same_bytes(tag: str, text: str) -> None:
     message = (MESSAGES | REPLIES)[tag].from_wire(json.loads(text), b"")
     assert json.dumps(message.to_wire()) == text
     assert message.payload == b""
 
 
-def test_every_message_and_reply_stands_in_the_frames() -> None:
+def test_a_control_node_reports_its_status_in_the_recorded_form() -> None:
+    recorded = RECORDED["core.status/reply"]["body"]
+    report = ControlStatusReport.from_wire(json.loads(recorded), b"")
+    assert (report.role, report.commit_index, report.counters) == ("follower", 20, {"announced": 2})
+    assert json.dumps(report.to_wire()) == recorded
+
+
+def test_every_message_and_reply_has_an_example() -> None:
     assert MESSAGES.keys() | REPLIES.keys() == {tag for tag, _ in FRAMES}
 
 
@@ -79,7 +89,7 @@
 }
 
 
-def test_details_and_contact_may_be_missing() -> None:
+def test_missing_optional_fields_have_defaults() -> None:
     assert OpenSession.from_wire(NODE, b"").node.details == {}
     assert Heartbeat.from_wire({**NODE, "extra": None}, b"").node.details == {}
     assert SessionReport.from_wire({"rows": [], "seen": []}, b"").has_contact
@@ -87,11 +97,11 @@
 
 
 @pytest.mark.parametrize("field", NODE)
-def test_a_session_is_not_opened_without_a_field(field: str) -> None:
+def test_a_session_request_without_a_required_field_is_an_error(field: str) -> None:
     body: Json = {name: value for name, value in NODE.items() if name != field}
     with pytest.raises(KeyError, match=field):
         OpenSession.from_wire(body, b"")
 
 
-def test_an_empty_reply_to_a_command_has_no_result() -> None:
+def test_an_empty_reply_to_a_command_has_no_outcome() -> None:
     assert CommandReply.from_wire({}, b"") == CommandReply(None)
--- a/tests/cluster/test_control_node.py
+++ b/tests/cluster/test_control_node.py
@@ -17,8 +17,8 @@
 Rows = list[tuple[str, tuple[Any, ...]]]
 
 
-class Fast:
-    """A disk that keeps nothing."""
+class InstantDisk:
+    """A disk that acknowledges each write at once, and keeps nothing."""
 
     def write(self, rows: Rows, then: Callable[[str | None], None]) -> None:
         then(None)
@@ -30,7 +30,9 @@
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
         of = settings("core")
         self.clock = Clock()
-        self.core = ControlNode(Alone(self.clock), of, "10.0.0.1:7300", Fast(), blank(of, lambda bits: 1))
+        self.core = ControlNode(
+            Alone(self.clock), of, "10.0.0.1:7300", InstantDisk(), blank(of, lambda bits: 1)
+        )
         self.core.cluster_state.roster = {
             f"disk-{name}": StoreEntry(name, name, "z", "r", StoreState.FULL, state_index=1)
             for name in ("a", "b", "c")
@@ -47,7 +49,7 @@
         roster = self.core.cluster_state.roster
         roster[disk] = replace(roster[disk], state=state)
 
-    def keep(self, *stores: str) -> None:
+    def reconcile_roster(self, *stores: str) -> None:
         """Reconcile the roster for 5 s, with sessions of these storage nodes."""
         sessions = {
             name: self.session(name, "storage", disk=f"disk-{name}", enrolled=True) for name in stores
@@ -55,31 +57,31 @@
         for step in range(50):
             self.core.reconciler.update_roster(sessions, step / 10)
 
-    def drop(self) -> None:
+    def drop_disks(self) -> None:
         """Look for disks to drop, with an edge node that lacks no replica."""
         edge = self.session("edge", "edge", table=0, loading=0, short=0, roster=9)
         self.core.reconciler.drop_replaced_disks({edge.id: edge})
 
 
-def test_a_store_that_is_silent_is_lost_and_dropped(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_disk_without_a_session_is_lost_and_then_dropped(monkeypatch: pytest.MonkeyPatch) -> None:
     rig = Rig(monkeypatch)
-    rig.keep("a", "b")
+    rig.reconcile_roster("a", "b")
     assert [list(it["set"]) for it in rig.proposed] == [["disk-c"]]
     rig.set_state("disk-c", StoreState.LOST)
-    rig.drop()
+    rig.drop_disks()
     assert rig.proposed[-1]["drop"] == ["disk-c"]
 
 
-def test_more_stores_than_may_be_lost_are_not_lost_but_unheard(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_no_disk_is_lost_while_more_are_absent_than_are_tolerated(monkeypatch: pytest.MonkeyPatch) -> None:
     rig = Rig(monkeypatch)
-    rig.keep("a")
-    rig.keep()
+    rig.reconcile_roster("a")
+    rig.reconcile_roster()
     assert rig.proposed == []
 
 
-def test_nothing_is_dropped_while_too_few_stores_are_full(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_no_disk_is_dropped_while_too_few_are_full(monkeypatch: pytest.MonkeyPatch) -> None:
     rig = Rig(monkeypatch)
     for name in ("b", "c"):
         rig.set_state(f"disk-{name}", StoreState.LOST)
-    rig.drop()
+    rig.drop_disks()
     assert rig.proposed == []
--- a/tests/cluster/test_losses.py
+++ b/tests/cluster/test_losses.py
@@ -170,7 +170,7 @@
 ) -> None:
     rig = Leader(monkeypatch)
     rig.set_state("disk-c", StoreState.RETIRING)
-    rig.keep("a", "b", "c")
+    rig.reconcile_roster("a", "b", "c")
     rig.proposed.clear()
     edge = rig.session("edge", "edge", table=0, loading=0, short=1, roster=9)
     with mutated(name):
@@ -182,13 +182,13 @@
     rig = Leader(monkeypatch)
     roster = rig.core.cluster_state.roster
     roster["disk-d"] = replace(roster["disk-c"], name="d", state=StoreState.RETIRING)
-    rig.keep("a", "b", "d")
+    rig.reconcile_roster("a", "b", "d")
     rig.proposed.clear()
-    rig.drop()
+    rig.drop_disks()
     assert rig.proposed == []
-    rig.keep("a", "b", "c", "d")
+    rig.reconcile_roster("a", "b", "c", "d")
     rig.proposed.clear()
-    rig.drop()
+    rig.drop_disks()
     assert [it["drop"] for it in rig.proposed] == [["disk-d"]]
 
 
--- a/tests/cluster/test_unclear_asks.py
+++ b/tests/cluster/test_unclear_asks.py
@@ -15,7 +15,7 @@
 from amberlug.cluster.simulation.deployment import Request
 from amberlug.cluster.simulation.mutations_answers import FAULTS
 from tests.cluster.fakes import Alone, settings
-from tests.cluster.test_control_node import Fast
+from tests.cluster.test_control_node import InstantDisk
 from tests.cluster.test_edge_node import Nowhere
 
 AWAY = {"owners": [["edge/other", {"addr": "10.0.0.9:7300"}]], "shards": [[0, 1, -1]]}
@@ -69,7 +69,7 @@
     clock = Clock()
     world = Alone(clock)
     of = settings("core")
-    core = ControlNode(world, of, "10.0.0.1:7300", Fast(), blank(of, lambda bits: 1))
+    core = ControlNode(world, of, "10.0.0.1:7300", InstantDisk(), blank(of, lambda bits: 1))
     core.quorum.leader_address = lambda: "10.0.0.9:7300"  # type: ignore[method-assign]
     said: list[HttpResponse] = []
     request = Request("POST", "/-/Configuration.Replace", (("amberlug-base-version", "0"),), b'{"edition":1}')
