--- a/amberlug/cluster/control/messages.py
+++ b/amberlug/cluster/control/messages.py
@@ -7,7 +7,7 @@
 from __future__ import annotations
 
 from collections.abc import Sequence
-from typing import Any, ClassVar
+from typing import Any, ClassVar, TypeAlias
 
 from amberlug.cluster.interfaces import Json
 from amberlug.cluster.rpc.messages import Body, Notification, Request
@@ -17,6 +17,9 @@
 REQUIRED_FIELDS = ("name", "incarnation", "address", "machine_class", "zone", "region", "state")
 # Rows of gossip as `GossipStore` pages them; their form is the gossip package's.
 GossipRows = list[Any]
+SessionDetails: TypeAlias = dict[str, Any]
+"""What only one class of node reports of itself, as a JSON object: `control.sessions` reads those of edge and
+storage nodes, and passes on what it does not know."""
 
 
 @value
@@ -35,7 +38,7 @@
     zone: str
     region: str
     state: str
-    details: Json
+    details: SessionDetails
 
     def to_wire(self) -> Json:
         """The JSON object of `hello` and `beat`."""
--- a/amberlug/cluster/control/sessions.py
+++ b/amberlug/cluster/control/sessions.py
@@ -5,8 +5,7 @@
 from collections.abc import Sequence
 from dataclasses import dataclass, replace
 
-from amberlug.cluster.control.messages import SessionDescription, SessionRow
-from amberlug.cluster.interfaces import Json
+from amberlug.cluster.control.messages import SessionDescription, SessionDetails, SessionRow
 from amberlug.cluster.values import value
 
 EDGE_CLASS, STORAGE_CLASS = "edge", "storage"  # classes of machines that open sessions
@@ -45,7 +44,7 @@
         return self.node.address
 
     @property
-    def details(self) -> Json:
+    def details(self) -> SessionDetails:
         """What only its class of node reports: see `EdgeProgress` and `StorageDetails`."""
         return self.node.details
 
@@ -97,7 +96,7 @@
         return not self.loading_shards and not self.short_messages
 
     @classmethod
-    def from_details(cls, details: Json) -> EdgeProgress:
+    def from_details(cls, details: SessionDetails) -> EdgeProgress:
         """Read the details of an edge node's session.
 
         :raises KeyError: where one is missing.
@@ -116,7 +115,7 @@
     is_enrolled: bool
 
     @classmethod
-    def from_details(cls, details: Json) -> StorageDetails:
+    def from_details(cls, details: SessionDetails) -> StorageDetails:
         """Read the details of a storage node's session.
 
         :raises KeyError: where the disk is missing.
