--- a/tests/cluster/test_control_days.py
+++ b/tests/cluster/test_control_days.py
@@ -115,7 +115,7 @@
     ],
 )
 def test_a_mutation_of_a_control_node_without_quorum_is_detected(name: str, plan: Plan) -> None:
-    # One day finds each of them with a chance of a half at least.
+    # One day finds each of them with a probability of a half at least.
     with mutated(name):
         assert any(play_with_plan(seed, plan) for seed in range(1, 11))
 
--- a/tests/cluster/test_internal_replies.py
+++ b/tests/cluster/test_internal_replies.py
@@ -7,9 +7,9 @@
 import pytest
 from result import Err, Ok, Result
 
-from amberlug.cluster.interfaces import Reply, RequestFailure, Respond
+from amberlug.cluster.interfaces import RawMessage, Reply, RequestFailure, Respond
 from amberlug.cluster.rpc.client_connection import CONNECT_TIMEOUT_S
-from amberlug.cluster.rpc.framing import RawMessage, encode_reply
+from amberlug.cluster.rpc.framing import encode_reply
 from amberlug.cluster.rpc.transport import PeerTransport
 from amberlug.cluster.simulation.mutations_answers import FAULTS
 from tests.cluster.wires import Loop, run
@@ -22,8 +22,8 @@
 class Peer:
     """A process that replies once, twice, late, out of order or never, and may restart."""
 
-    def __init__(self, loop: Loop, chance: random.Random, slow_connect_probability: float = 0.1) -> None:
-        self.loop, self.chance, self.slow_connect_probability = loop, chance, slow_connect_probability
+    def __init__(self, loop: Loop, rng: random.Random, slow_connect_probability: float = 0.1) -> None:
+        self.loop, self.rng, self.slow_connect_probability = loop, rng, slow_connect_probability
         self.received: Counter[str] = Counter()
         self.starts = 0
         self.peers = PeerTransport(self.receive, lambda address: None)
@@ -36,7 +36,7 @@
         accept = self.loop.doors[ADDRESS]
 
         def connect_slowly() -> asyncio.Protocol:
-            if self.chance.random() < self.slow_connect_probability:  # the peer that connects is delayed
+            if self.rng.random() < self.slow_connect_probability:  # the peer that connects is delayed
                 self.loop.stall(CONNECT_TIMEOUT_S)
             return accept()
 
@@ -49,32 +49,32 @@
             connection.transport.abort()
 
     def receive(self, message: RawMessage, origin: str, respond: Respond) -> None:
-        number, chance = message.body["number"], self.chance
+        number, rng = message.body["number"], self.rng
         self.received[number] += 1
         self.requests.append((respond, number))
-        fault = chance.choice(("once", "once", "twice", "late", "never", "another", "stall", "broken"))
+        fault = rng.choice(("once", "once", "twice", "late", "never", "another", "stall", "broken"))
         if fault == "another":  # a handler replies to an earlier request again
-            respond, number = chance.choice(self.requests)
+            respond, number = rng.choice(self.requests)
         if fault == "stall":
-            self.loop.stall(chance.uniform(0.01, 0.5))
+            self.loop.stall(rng.uniform(0.01, 0.5))
         if fault == "broken":
-            self.loop.call_later(chance.uniform(0.0, 0.1), self.reset)
-        seconds = chance.uniform(0.0, TIMEOUT_S * (2.0 if fault == "late" else 0.5))
+            self.loop.call_later(rng.uniform(0.0, 0.1), self.reset)
+        seconds = rng.uniform(0.0, TIMEOUT_S * (2.0 if fault == "late" else 0.5))
         for _ in range({"twice": 2, "never": 0}.get(fault, 1)):
             self.loop.call_later(seconds, respond, {"number": number}, number.encode() * 3)
-            seconds += chance.choice((0.0, 0.1))
+            seconds += rng.choice((0.0, 0.1))
 
     def reset(self) -> None:
         for stream_end in self.loop.ends:
-            if not stream_end.closing and self.chance.random() < 0.5:
-                self.chance.choice((stream_end, stream_end.other)).abort()
+            if not stream_end.closing and self.rng.random() < 0.5:
+                self.rng.choice((stream_end, stream_end.other)).abort()
 
 
 class Requester:
     """A process that sends requests, and checks each reply that it receives."""
 
-    def __init__(self, loop: Loop, chance: random.Random, peer: Peer, retry_probability: float = 0.2) -> None:
-        self.loop, self.chance, self.peer, self.retry_probability = loop, chance, peer, retry_probability
+    def __init__(self, loop: Loop, rng: random.Random, peer: Peer, retry_probability: float = 0.2) -> None:
+        self.loop, self.rng, self.peer, self.retry_probability = loop, rng, peer, retry_probability
         self.peers = PeerTransport(lambda *given: None, lambda address: None)
         self.peers.address = "10.0.0.1:7300"
         self.outcomes: Counter[str] = Counter()
@@ -89,34 +89,34 @@
                 assert self.peer.received[number], "a reply to a request that was not received"
             elif reply.err_value is RequestFailure.NOT_SENT:
                 self.not_sent.add(number)
-            if isinstance(reply, Err) and self.chance.random() < self.retry_probability:
+            if isinstance(reply, Err) and self.rng.random() < self.retry_probability:
                 self.request(f"{number}+")  # at once, over another connection
 
         message = RawMessage("word", {"number": number})
         self.peers.request(f"{ADDRESS[0]}:{ADDRESS[1]}", message, TIMEOUT_S, on_reply)
 
 
-async def exchange(loop: Loop, chance: random.Random) -> None:
-    peer = Peer(loop, chance)
-    requester = Requester(loop, chance, peer)
+async def exchange(loop: Loop, rng: random.Random) -> None:
+    peer = Peer(loop, rng)
+    requester = Requester(loop, rng, peer)
     await peer.start()
     for number in range(REQUESTS):
-        loop.call_later(chance.uniform(0.0, 4.0), requester.request, str(number))
+        loop.call_later(rng.uniform(0.0, 4.0), requester.request, str(number))
     for _ in range(4):
-        await asyncio.sleep(chance.uniform(0.1, 1.5))
-        fault = chance.choice(("kill", "reset", "deaf", "stall"))
+        await asyncio.sleep(rng.uniform(0.1, 1.5))
+        fault = rng.choice(("kill", "reset", "deaf", "stall"))
         if fault == "kill":
             peer.kill()
-            await asyncio.sleep(chance.uniform(0.0, 0.3))
+            await asyncio.sleep(rng.uniform(0.0, 0.3))
             await peer.start()
         elif fault == "reset":
             peer.reset()
         elif fault == "deaf":
             loop.deaf.add(ADDRESS)
             peer.reset()
-            loop.call_later(chance.uniform(0.1, 1.2), loop.deaf.discard, ADDRESS)
+            loop.call_later(rng.uniform(0.1, 1.2), loop.deaf.discard, ADDRESS)
         else:
-            loop.stall(chance.uniform(0.1, 1.0))
+            loop.stall(rng.uniform(0.1, 1.0))
     await asyncio.sleep(8.0)
     assert set(requester.outcomes.values()) == {1}, "a request has one outcome"
     assert sum(1 for number in requester.outcomes if "+" not in number) == REQUESTS
@@ -142,12 +142,12 @@
 def test_a_connection_with_an_invalid_frame_is_closed(caplog: pytest.LogCaptureFixture) -> None:
     """What follows on its connection is not taken for a reply."""
 
-    async def cut_frames(loop: Loop, chance: random.Random) -> None:
+    async def cut_frames(loop: Loop, rng: random.Random) -> None:
         frame = encode_reply(1, {"number": "1"}, b"111").unwrap()
         for length in range(len(frame)):
-            peer = Peer(loop, chance, slow_connect_probability=0.0)
+            peer = Peer(loop, rng, slow_connect_probability=0.0)
             await peer.start()
-            requester = Requester(loop, chance, peer, retry_probability=0.0)
+            requester = Requester(loop, rng, peer, retry_probability=0.0)
             requester.request("1")
             link = requester.peers._client_connections[f"{ADDRESS[0]}:{ADDRESS[1]}"]
             await asyncio.sleep(0.01)
