--- a/tests/cluster/test_admin.py
+++ b/tests/cluster/test_admin.py
@@ -77,31 +77,32 @@
         return None
 
 
-def core_of(tmp_path: Path, answers: dict[tuple[str, str], Json]) -> tuple[ControlNode, Runtime]:
+def control_node_of(tmp_path: Path, answers: dict[tuple[str, str], Json]) -> tuple[ControlNode, Runtime]:
     deployment = Deployment(tmp_path, "127.0.1")
     deployment.write(first_start=True)
     settings = read_settings_file(str(deployment.machines["core-1"].path)).unwrap()
-    world = Runtime(answers)
-    core = ControlNode(world, settings, "127.0.1.10:7300", Disk(), blank(settings, world.rng.getrandbits))
+    runtime = Runtime(answers)
+    node = ControlNode(runtime, settings, "127.0.1.10:7300", Disk(), blank(settings, runtime.rng.getrandbits))
     for kind, name in (("edge", "e1"), ("edge", "e2"), ("storage", "s1")):
-        node = SessionDescription(name, "1", name, kind, "north", "valley", "up", {"disk": f"disk of {name}"})
-        core.sessions.open(node, 9.0)
+        details = {"disk": f"disk of {name}"}
+        member = SessionDescription(name, "1", name, kind, "north", "valley", "up", details)
+        node.sessions.open(member, 9.0)
     for name in ("s1", "s2"):
         store = {"name": name, "addr": name, "zone": "north", "region": "valley", "state": "full"}
-        core.cluster_state.apply_entry(1, {"do": "roster", "set": {f"disk of {name}": store}})
-    return core, world
+        node.cluster_state.apply_entry(1, {"do": "roster", "set": {f"disk of {name}": store}})
+    return node, runtime
 
 
-def asked(core: ControlNode, world: Runtime, target: str) -> tuple[int, Json]:
-    said: list[Any] = []
-    core.admin_api.handle(HttpRequest(target), said.append)
-    if not said:
-        world.pass_time()
-    (answer,) = said
+def call(node: ControlNode, runtime: Runtime, target: str) -> tuple[int, Json]:
+    responses: list[Any] = []
+    node.admin_api.handle(HttpRequest(target), responses.append)
+    if not responses:
+        runtime.pass_time()
+    (answer,) = responses
     return answer.status, answer.body
 
 
-EDGE = {
+EDGE_REPORT = {
     "ready": True,
     "edition": 3,
     "shards": 9,
@@ -114,11 +115,11 @@
 
 
 def test_the_status_shows_all_nodes_where_some_do_not_reply(tmp_path: Path) -> None:
-    core, world = core_of(
-        tmp_path, {("e1", "status"): EDGE, ("127.0.1.11:7300", "core.status"): {"counts": {}}}
+    node, runtime = control_node_of(
+        tmp_path, {("e1", "status"): EDGE_REPORT, ("127.0.1.11:7300", "core.status"): {"counts": {}}}
     )
-    core.counters["announced"] = 2
-    status, data = asked(core, world, "/-/Foreman.Status")
+    node.counters["announced"] = 2
+    status, data = call(node, runtime, "/-/Foreman.Status")
     assert status == 200
     assert " ".join(data) == (
         "by confirmed members core shards stores configuration endpoints copies_short copies_unknown counters"
@@ -166,7 +167,7 @@
     assert page.get("after") == after
 
 
-DEAD = [
+DEAD_MESSAGE_REPLIES = [
     # the storage nodes' replies, the status of the reply to the operator
     ({"s1": {"rows": [row("a", {})], "more": False}, "s2": {"rows": [row("a")], "more": False}}, 200),
     ({"s1": {"rows": [], "more": False}, "s2": {"rows": [], "more": False}}, 404),
@@ -175,19 +176,19 @@
 ]
 
 
-@pytest.mark.parametrize(("stores", "status"), DEAD)
+@pytest.mark.parametrize(("stores", "status"), DEAD_MESSAGE_REPLIES)
 def test_a_dead_message_is_read_from_any_storage_node(
     tmp_path: Path, stores: dict[str, Json], status: int
 ) -> None:
     answers: dict[tuple[str, str], Json] = {(name, "dead"): it for name, it in stores.items()}
     answers["s2", "body"] = {"found": True, "blob": b"abc"}
-    core, world = core_of(tmp_path, answers)
-    said: list[Any] = []
-    core.admin_api.handle(HttpRequest("/-/Foreman.Dead/a"), said.append)
-    world.pass_time()
-    world.pass_time()
-    assert [it.status for it in said] == [status]
-    assert status != 200 or (said[0].body["body"], said[0].body["method"]) == ("YWJj", "POST")
+    node, runtime = control_node_of(tmp_path, answers)
+    responses: list[Any] = []
+    node.admin_api.handle(HttpRequest("/-/Foreman.Dead/a"), responses.append)
+    runtime.pass_time()
+    runtime.pass_time()
+    assert [it.status for it in responses] == [status]
+    assert status != 200 or (responses[0].body["body"], responses[0].body["method"]) == ("YWJj", "POST")
 
 
 def test_the_counters_page_has_a_line_for_each_counter() -> None:
