--- a/amberlug/cluster/control/cluster_state.py
+++ b/amberlug/cluster/control/cluster_state.py
@@ -11,12 +11,10 @@
 import json
 from dataclasses import replace
 
+from amberlug.cluster.control.command_results import ACCEPTED, REPEATED, CommandResult
 from amberlug.cluster.control.commands import (
-    ACCEPTED,
-    REPEATED,
     AssignShards,
     Command,
-    CommandResult,
     DrainEndpoints,
     ReplaceConfig,
     RetireStore,
@@ -25,6 +23,7 @@
 )
 from amberlug.cluster.control.shard_assignment import SHARDS
 from amberlug.cluster.control.state_entries import (
+    ConfigDocument,
     ConfigHash,
     Departure,
     DepartureRank,
@@ -34,6 +33,8 @@
     ShardEntry,
     StoreEntry,
     StoreState,
+    retirements_from_wire,
+    retirements_to_wire,
     roster_from_wire,
     roster_to_wire,
     shards_from_wire,
@@ -50,9 +51,9 @@
 LEAVING_RETENTION_S = 3600.0  # for endpoints that leave and never report that they have left
 
 
-def digest(config: Json) -> str:
-    """A configuration's hash, whatever the order of its keys."""
-    return hashlib.blake2b(json.dumps(config, sort_keys=True).encode(), digest_size=12).hexdigest()
+def digest(document: Json) -> str:
+    """The hash of a JSON object, whatever the order of its keys."""
+    return hashlib.blake2b(json.dumps(document, sort_keys=True).encode(), digest_size=12).hexdigest()
 
 
 def _upgraded(snapshot: Json) -> Json:
@@ -87,14 +88,14 @@
     def __init__(self) -> None:
         self.index = 0
         self.config_version = 0
-        self.config: Json | None = None
+        self.config: ConfigDocument | None = None
         self.config_index = 0
         self.clock_s = 0.0
         self.config_hashes: dict[int, ConfigHash] = {}
         self.forgotten_version = 0
         self.roster: dict[str, StoreEntry] = {}
         self.roster_index = 0
-        self.retirements: dict[str, str] = {}
+        self.retirements: dict[str, Retirement] = {}
         self.owners: dict[str, OwnerEntry] = {}
         self.shards: list[ShardEntry] = []
         self.shards_index = 0
@@ -112,11 +113,11 @@
             "config": self.config,
             "config_at": self.config_index,
             "now": self.clock_s,
-            "hashes": {str(version): kept for version, kept in self.config_hashes.items()},
+            "hashes": {str(version): applied for version, applied in self.config_hashes.items()},
             "forgotten": self.forgotten_version,
             "roster": roster_to_wire(self.roster),
             "roster_at": self.roster_index,
-            "retired": self.retirements,
+            "retired": retirements_to_wire(self.retirements),
             "owners": {name: owner.to_wire() for name, owner in self.owners.items()},
             "shards": [list(shard) for shard in self.shards],
             "shards_at": self.shards_index,
@@ -132,33 +133,26 @@
         self.index = body["index"]
         self.config_version, self.config = body["edition"], body["config"]
         self.config_index, self.clock_s = body["config_at"], body["now"]
-        self.config_hashes = {int(version): ConfigHash(*kept) for version, kept in body["hashes"].items()}
+        self.config_hashes = {int(version): ConfigHash(*row) for version, row in body["hashes"].items()}
         self.forgotten_version = body["forgotten"]
         self.roster, self.roster_index = roster_from_wire(body["roster"]), body["roster_at"]
-        self.retirements = body["retired"]
+        self.retirements = retirements_from_wire(body["retired"])
         self.owners = {name: OwnerEntry.from_wire(owner) for name, owner in body["owners"].items()}
         self.shards, self.shards_index = shards_from_wire(body["shards"]), body["shards_at"]
         self.shards_roster_index = body["shards_roster"]
         self.leaving = {name: Departure(*departure) for name, departure in body["leaving"].items()}
         self.gone = {name: Departure(*departure) for name, departure in body["gone"].items()}
         self.drains_index = body["drains_at"]
-        self._changed_departures = {
-            name: DepartureRank(EndpointRank.LEAVING, departure.sequence)
-            for name, departure in self.leaving.items()
-        }
-        self._changed_departures |= {
-            name: DepartureRank(EndpointRank.GONE, departure.sequence)
-            for name, departure in self.gone.items()
-        }
+        self._changed_departures = {name: self.departure(name) for name in (*self.leaving, *self.gone)}
 
-    def apply(self, index: int, command: Json) -> Json:
-        """Apply a committed command of the log.
+    def apply_entry(self, index: int, command: Json) -> Json:
+        """Apply a committed entry of the log, in its JSON form.
 
         :returns: the JSON form of a `CommandResult`, for whoever proposed the command.
         """
-        return self.apply_command(index, command_from_wire(command)).to_wire()
+        return self.apply(index, command_from_wire(command)).to_wire()
 
-    def apply_command(self, index: int, command: Command) -> CommandResult:
+    def apply(self, index: int, command: Command) -> CommandResult:
         """Apply a committed command at its log index."""
         self.index = index
         self.clock_s += command.elapsed_s
@@ -180,8 +174,8 @@
         A call whose hash may have been forgotten gets no final answer, since it may have been applied. One on
         top of the version in force was not, whatever its own version.
         """
-        known = self.config_hashes.get(version)
-        if known is not None and known.call_hash == call_hash:
+        applied = self.config_hashes.get(version)
+        if applied is not None and applied.call_hash == call_hash:
             return REPEATED
         in_force = self.config_version
         if base_version != in_force and version <= self.forgotten_version:
@@ -214,15 +208,15 @@
     def _update_roster(self, index: int, command: UpdateRoster) -> CommandResult:
         roster = dict(self.roster)
         for disk, store in command.entries.items():
-            known = roster.get(disk)
-            state_index = known.state_index if known and known.state is store.state else index
+            current = roster.get(disk)
+            state_index = current.state_index if current and current.state is store.state else index
             # Owners that act under this shard table or a newer one know the disk; it must reject older ones.
-            table_index = self.shards_index if known is None else known.table_index or 0
+            table_index = self.shards_index if current is None else current.table_index or 0
             roster[disk] = replace(store, state_index=state_index, table_index=table_index)
         for disk in command.dropped:
             dropped = roster.pop(disk, None)
             if dropped is not None and dropped.state is StoreState.RETIRING:
-                self.retirements = {**self.retirements, dropped.name: Retirement.COMPLETED.value}
+                self.retirements = {**self.retirements, dropped.name: Retirement.COMPLETED}
         self.roster, self.roster_index = roster, index
         return ACCEPTED
 
@@ -237,7 +231,7 @@
             return REPEATED
         if not affected:
             return CommandResult.rejected(404, f"no store {name}")
-        self.retirements = {**self.retirements, name: Retirement.IN_PROGRESS.value}
+        self.retirements = {**self.retirements, name: Retirement.IN_PROGRESS}
         retiring = {disk: store.with_state(StoreState.RETIRING) for disk, store in affected.items()}
         return self._update_roster(index, UpdateRoster(retiring))
 
--- a/amberlug/cluster/control/admin_api.py
+++ b/amberlug/cluster/control/retirement_api.py
@@ -6,8 +6,8 @@
 from result import Err, Result
 
 from amberlug.cluster.consensus.raft import ProposalRejected
+from amberlug.cluster.control.command_results import CommandResult, ConfirmedState
 from amberlug.cluster.control.command_service import CommandService
-from amberlug.cluster.control.commands import CommandResult, ConfirmedState
 from amberlug.cluster.control.state_entries import Retirement
 from amberlug.cluster.http.api import (
     HttpRequest,
@@ -30,10 +30,10 @@
     @api_call("POST", "/-/Retire.Begin/")
     def begin_retirement(self, request: HttpRequest, name: str, respond: RespondHttp) -> None:
         """Have a storage node emptied: its replicas are made anew elsewhere."""
-        data = read_json_object(request, respond, MAX_CALL_BYTES)
-        if data is None:
+        arguments = read_json_object(request, respond, MAX_CALL_BYTES)
+        if arguments is None:
             return
-        duration_s = data.get("durationS")
+        duration_s = arguments.get("durationS")
         if isinstance(duration_s, bool) or not isinstance(duration_s, int | float) or duration_s < 0:
             respond(HttpResponse(400, {"cause": "durationS: no number of seconds"}))
             return
@@ -56,9 +56,9 @@
         def receive(result: Result[ConfirmedState, ProposalRejected]) -> None:
             if isinstance(result, Err):
                 respond(unconfirmed())
-            elif result.ok_value.retirements.get(name) is None:
+            elif (retirement := result.ok_value.retirements.get(name)) is None:
                 respond(HttpResponse(404, {"cause": f"{name} is not being emptied"}))
             else:
-                respond(HttpResponse(200, {"condition": result.ok_value.retirements[name]}))
+                respond(HttpResponse(200, {"condition": retirement.value}))
 
         self._commands.read_state(receive)
