--- a/amberlug/cluster/control/node.py
+++ b/amberlug/cluster/control/node.py
@@ -2,11 +2,12 @@
 
 from __future__ import annotations
 
+from collections.abc import Collection
+
 from absl import logging
 
 from amberlug.cluster.consensus.persistent_state import PersistentState
 from amberlug.cluster.consensus.raft import RaftNode, Role, StateMachine
-from amberlug.cluster.control.admin_api import RetirementApi
 from amberlug.cluster.control.cluster_state import ClusterState
 from amberlug.cluster.control.command_service import CommandExecutor, CommandService
 from amberlug.cluster.control.config_service import ConfigService
@@ -18,6 +19,7 @@
 from amberlug.cluster.control.membership import Membership
 from amberlug.cluster.control.quorum_contact import QuorumContact
 from amberlug.cluster.control.reconciler import Reconciler
+from amberlug.cluster.control.retirement_api import RetirementApi
 from amberlug.cluster.control.session_service import SessionService
 from amberlug.cluster.control.sessions import Sessions
 from amberlug.cluster.control.state_publisher import CONFIG_KEY, StatePublisher
@@ -39,22 +41,22 @@
     """Wires the parts of one control-plane node.
 
     :ivar handlers: handlers of frames by their wire tag.
-    :ivar counter: the control API, which finds the handler of an HTTP request.
-    :ivar counts: the node's metrics.
+    :ivar admin_api: the HTTP calls of operators and endpoints.
+    :ivar counters: the node's metrics.
     """
 
     def __init__(
         self, runtime: Runtime, settings: Settings, address: str, disk: Disk, saved: PersistentState
     ) -> None:
         self.runtime, self.settings, self.address = runtime, settings, address
-        self.counts = Counters()
+        self.counters = Counters()
         self._known_leader = ""
         self.cluster_state, self.sessions = ClusterState(), Sessions()
         self.gossip = GossipStore(
             runtime,
             self._gossip_peers,
             lambda key, value: None,
-            DisseminationPolicy(push_to_all=True, replicated_keys=self._keys_known_at),
+            DisseminationPolicy(push_to_all=True, replicated_keys=self._replicated_keys),
         )
         self.registry = EndpointRegistry(runtime, self.gossip, settings.heartbeat_s)
         self.raft = RaftNode(
@@ -62,7 +64,7 @@
             disk,
             saved,
             StateMachine(
-                self.cluster_state.apply,
+                self.cluster_state.apply_entry,
                 self.cluster_state.to_json,
                 self.cluster_state.from_json,
                 self.on_state_changed,
@@ -81,7 +83,7 @@
             self.sessions,
             self.registry,
             self.gossip,
-            self.counts,
+            self.counters,
             self.address,
             lambda: self.settings,
             self._peers,
@@ -94,8 +96,8 @@
         self.executor = CommandExecutor(context, self.reconciler)
         self.commands = CommandService(context, self.executor)
         status = StatusService(context)
-        self.counter = AdminApi(
-            ConfigService(self.commands, self.cluster_state, self.counts),
+        self.admin_api = AdminApi(
+            ConfigService(self.commands, self.cluster_state, self.counters),
             RetirementApi(self.commands),
             EndpointApi(context, self.commands),
             DeadMessageApi(self.runtime, self.cluster_state),
@@ -157,7 +159,7 @@
         """Addresses of the other control-plane nodes."""
         return [member.address for name, member in self.raft.members.items() if name != self.raft.member_id]
 
-    def _keys_known_at(self, address: str) -> tuple[str, ...]:
+    def _replicated_keys(self, address: str) -> Collection[str]:
         """Keys that a node has by its log: sent as gossip besides, they would delay its heartbeats."""
         return REPLICATED_KEYS if address in self._peers() else ()
 
--- a/amberlug/cluster/control/state_entries.py
+++ b/amberlug/cluster/control/state_entries.py
@@ -8,11 +8,15 @@
 from collections.abc import Mapping
 from dataclasses import replace
 from enum import Enum
-from typing import Any, Final, NamedTuple
+from typing import Any, Final, NamedTuple, TypeAlias
 
 from amberlug.cluster.interfaces import Json
 from amberlug.cluster.values import value
 
+ConfigDocument: TypeAlias = dict[str, Any]
+"""A configuration, or a change of one, as the JSON object that operators send: `config_validation` checks it,
+and the routing tables of edge nodes read it. Everything between passes it on with all its fields."""
+
 
 class StoreState(Enum):
     """What a storage node's replicas count for."""
@@ -182,6 +186,19 @@
     return {disk: StoreEntry.from_wire(store) for disk, store in body.items()}
 
 
+def retirements_to_wire(retirements: Mapping[str, Retirement]) -> Json:
+    """The JSON object of retirements, by name of the storage node."""
+    return {name: retirement.value for name, retirement in retirements.items()}
+
+
+def retirements_from_wire(body: Json) -> dict[str, Retirement]:
+    """Read retirements.
+
+    :raises ValueError: where one is in a state that this version does not know.
+    """
+    return {name: Retirement(retirement) for name, retirement in body.items()}
+
+
 def shards_from_wire(rows: list[Any]) -> list[ShardEntry]:
     """Read the shards of a snapshot."""
     return [ShardEntry(str(owner), epoch, str(previous)) for owner, epoch, previous in rows]
