--- a/amberlug/cluster/control/peer_messages.py
+++ b/amberlug/cluster/control/peer_messages.py
@@ -9,6 +9,7 @@
 from collections.abc import Mapping
 from typing import ClassVar
 
+from amberlug.cluster.consensus.membership import Member
 from amberlug.cluster.control.command_results import CommandOutcome, outcome_from_wire
 from amberlug.cluster.control.submitted_commands import SubmittedCommand, submitted_from_wire
 from amberlug.cluster.interfaces import Json
@@ -81,8 +82,12 @@
     region: str
     control_address: str
 
+    def as_learner(self) -> Member:
+        """The node as a member; who joins does not vote yet."""
+        return Member.from_wire(self.to_wire())
+
     def to_wire(self) -> Json:
-        """The JSON object of the membership; who joins does not vote yet."""
+        """The JSON object, which has the form of a member in the membership."""
         return {
             "addr": self.address,
             "voter": False,
