--- a/amberlug/cluster/consensus/membership.py
+++ b/amberlug/cluster/consensus/membership.py
@@ -7,6 +7,7 @@
 from __future__ import annotations
 
 from collections.abc import Callable, Iterator, Mapping, Set
+from functools import cached_property
 
 from amberlug.cluster.consensus.opaque import Command
 from amberlug.cluster.interfaces import Json
@@ -140,14 +141,14 @@
         """These members but one."""
         return Members({other: member for other, member in self.items() if other != name})
 
-    @property
-    def voters(self) -> list[str]:
-        """The names of the members that vote, in the order of all."""
-        return [name for name, member in self.items() if member.is_voter]
+    @cached_property
+    def voters(self) -> tuple[str, ...]:
+        """The names of the members that vote, in the order of all; looked at with each reply of a peer."""
+        return tuple([name for name, member in self._by_name.items() if member.is_voter])
 
     def is_voter(self, name: str) -> bool:
         """Whether there is a voter of that name."""
-        return name in self and self[name].is_voter
+        return name in self.voters
 
     def has_majority(self, names: Set[str]) -> bool:
         """Whether these members have a majority of the voters among them.
@@ -155,8 +156,7 @@
         Any two majorities have a voter in common, which is what Election Safety and Leader Completeness rest
         on (Raft, sections 5.2, 5.4.3).
         """
-        voters = self.voters
-        return 2 * sum(1 for name in voters if name in names) > len(voters)
+        return 2 * sum(1 for name in self.voters if name in names) > len(self.voters)
 
 
 @value
