--- a/amberlug/cluster/__main__.py
+++ b/amberlug/cluster/__main__.py
@@ -20,7 +20,7 @@
         from amberlug.cluster.process import run_configured_node
 
         sys.exit(run_configured_node())
-    from amberlug.cluster.command_line import cli
+    from amberlug.cluster.cli import cli
 
     cli(arguments, prog_name=PROGRAM_NAME)
 
--- a/amberlug/cluster/consensus/context.py
+++ b/amberlug/cluster/consensus/context.py
@@ -5,11 +5,12 @@
 from collections.abc import Callable, Mapping, Sequence, Set
 from typing import Protocol
 
-from amberlug.cluster.consensus.log import Entry, Log
-from amberlug.cluster.consensus.membership import Membership
+from amberlug.cluster.consensus.log import Log
+from amberlug.cluster.consensus.membership import Members, Membership
 from amberlug.cluster.consensus.messages import AcknowledgedIndexes, LeaderHeader
 from amberlug.cluster.consensus.opaque import Command, MachineState, Outcome
 from amberlug.cluster.consensus.peer_progress import LeaderRequest, PeerProgress
+from amberlug.cluster.consensus.persistent_state import Entry
 from amberlug.cluster.consensus.roles import Role
 from amberlug.cluster.interfaces import Disk, Runtime
 from amberlug.cluster.values import value
@@ -84,18 +85,21 @@
 
 
 class MemberContext(Protocol):
-    """One member of the group, as its parts see it; the documentation of its fields stands in `RaftNode`."""
+    """One member of the group, as its parts see it: the state of Raft, figure 2, and what it has besides.
+
+    Times are seconds of the steady clock.
+    """
 
     runtime: Runtime
     disk: Disk
     log: Log
-    membership: Membership
-    member_id: str
-    term: int
-    voted_for: str
+    membership: Membership  # the newest in the log, committed or not
+    member_id: str  # its name: `host/incarnation`
+    term: int  # the newest that it has seen
+    voted_for: str  # in this term; empty where it may vote for any candidate
     role: Role
-    leader_id: str
-    leader_contact_at: float
+    leader_id: str  # the leader of this term; empty where none is known
+    leader_contact_at: float  # when it last heard from a leader, or voted
     commit_index: int
     last_applied: int
     is_stopped: bool
@@ -122,6 +126,10 @@
     def is_leader(self) -> bool:
         """Whether it leads in its term, as far as it knows."""
 
+    @property
+    def members(self) -> Members:
+        """All members of the group, by name."""
+
     @property
     def is_voter(self) -> bool:
         """Whether it votes."""
--- a/amberlug/cluster/consensus/replication.py
+++ b/amberlug/cluster/consensus/replication.py
@@ -1,4 +1,10 @@
-"""The leader's side: log replication and heartbeats (Raft, section 5.3), the commit rule (section 5.4.2)."""
+"""The leader's side: heartbeats (Raft, section 5.2), log replication (5.3), the commit rule (5.4.2).
+
+A peer has one message with entries in flight at a time, and a heartbeat beside it where one is due.
+
+Invariant (Leader Completeness; Raft, section 5.4.3): an entry counts as committed only once a majority has it
+on disk together with an entry of the leader's term, so each later leader has it.
+"""
 
 from __future__ import annotations
 
@@ -8,7 +14,6 @@
 from amberlug.cluster.consensus.chunk_sender import ChunkSender
 from amberlug.cluster.consensus.context import MemberContext
 from amberlug.cluster.consensus.election import MAX_ELECTION_TIMEOUT_S, MIN_ELECTION_TIMEOUT_S
-from amberlug.cluster.consensus.log import Entry
 from amberlug.cluster.consensus.messages import (
     AppendEntries,
     FollowerReply,
@@ -21,12 +26,14 @@
     PendingRequest,
     RequestKind,
 )
+from amberlug.cluster.consensus.persistent_state import Entry
 from amberlug.cluster.consensus.snapshot_transfer import reply_timeout_s
 from amberlug.cluster.interfaces import RequestFailure
 from amberlug.cluster.rpc.messages import request, send
 
 HEARTBEAT_INTERVAL_S = 0.1  # a fifth of the election timeout: four may be lost in a row
-# A heartbeat goes along with what else is in flight once so much of the interval is over.
+# Without anything sent to a peer until a heartbeat is due, whatever is in flight. It is less than the
+# interval, else one that was measured a little short would leave out a heartbeat.
 HEARTBEAT_DUE_S = 0.9 * HEARTBEAT_INTERVAL_S
 
 
@@ -41,12 +48,15 @@
         self._request_number = 0
 
     def start(self) -> None:
-        """Lead: append an entry of the new term, which commits those before it (Raft, section 8)."""
+        """Lead: append an entry of the new term, which commits those before it (Raft, section 8).
+
+        A peer's next entry is first taken to be the one behind the log (Raft, figure 2).
+        """
         raft = self.raft
         now = raft.runtime.now()
         self.peers = {
             name: PeerProgress(raft.log.last_index + 1, replied_at=now)
-            for name in raft.membership.names
+            for name in raft.members
             if name != raft.member_id
         }
         raft.append([Entry(raft.term, None)])
@@ -57,10 +67,10 @@
         if not raft.is_leader:
             return
         now = raft.runtime.now()
-        for name in raft.membership.names:
+        for name in raft.members:
             if name != raft.member_id and name not in self.peers:
                 self.peers[name] = PeerProgress(max(1, raft.log.base_index), replied_at=now)
-        for name in sorted(set(self.peers) - set(raft.membership.names)):
+        for name in sorted(set(self.peers) - set(raft.members)):
             del self.peers[name]
 
     # -- what is known of peers
@@ -79,10 +89,10 @@
         return 0.0 if peer is None else self.raft.runtime.now() - peer.replied_at
 
     def match_indexes(self) -> dict[str, int]:
-        """Up to which index each member has the log on disk, this one among them."""
-        matched = {name: peer.match_index for name, peer in self.peers.items()}
-        matched[self.raft.member_id] = self.raft.log.synced_index
-        return matched
+        """Up to which index each member has the log on disk, this one among them (Raft, figure 2)."""
+        match_indexes = {name: peer.match_index for name, peer in self.peers.items()}
+        match_indexes[self.raft.member_id] = self.raft.log.synced_index
+        return match_indexes
 
     # -- sending
 
@@ -95,9 +105,8 @@
         raft = self.raft
         if not raft.is_leader or raft.is_stopped:
             return
-        raft.schedule(
-            HEARTBEAT_INTERVAL_S, self.send_heartbeats
-        )  # first: no error below may end the heartbeats
+        # First of all, so that no error below ends the heartbeats.
+        raft.schedule(HEARTBEAT_INTERVAL_S, self.send_heartbeats)
         now = raft.runtime.now()
         responsive = {
             name for name, peer in self.peers.items() if now - peer.replied_at < MAX_ELECTION_TIMEOUT_S
@@ -204,7 +213,7 @@
                 peer.acknowledged_read = max(peer.acknowledged_read, read_sequence)
                 self._on_reply(name, peer, leader_request, reply)
 
-        address = raft.membership[name].address
+        address = raft.members[name].address
         request(raft.runtime, address, leader_request.message, leader_request.timeout_s, on_outcome)
 
     def _on_reply(
@@ -234,16 +243,16 @@
         majority that has it alone does not keep another leader from replacing it (Raft, figure 8).
         """
         raft = self.raft
-        matched = self.match_indexes()
-        indexes = sorted((matched.get(name, 0) for name in raft.membership.voters), reverse=True)
+        match_indexes = self.match_indexes()
+        indexes = sorted((match_indexes.get(name, 0) for name in raft.members.voters), reverse=True)
         if not indexes:
             return
-        index = indexes[len(indexes) // 2]
+        index = indexes[len(indexes) // 2]  # at least so far a majority of the voters has the log
         if index > raft.commit_index and raft.log.term_at(index) == raft.term:
             raft.commit_to(index)
             self.send_to_all()
             raft.reads.resolve()
-            if raft.member_id not in raft.membership:
+            if raft.member_id not in raft.members:
                 raft.step_down()  # it leads until its own removal is committed (dissertation, section 4.2.2)
 
     # -- planned end
@@ -251,14 +260,16 @@
     def transfer_leadership(self) -> None:
         """Before a planned end: have a voter start an election at once (dissertation, section 3.10).
 
-        It is the one with the longest log among those that reply; without one nothing happens.
+        It is the one with the longest known log among those that reply; of equals the last by name, and
+        without one nothing happens. Unlike there, the leader does not wait until its log is complete: if the
+        target loses the election, another one begins after the election timeout.
         """
         raft = self.raft
         candidates = [
             (peer.match_index, name)
             for name, peer in self.peers.items()
-            if raft.membership.is_voter(name) and self.unresponsive_s(name) < MIN_ELECTION_TIMEOUT_S
+            if raft.members.is_voter(name) and self.unresponsive_s(name) < MIN_ELECTION_TIMEOUT_S
         ]
         if candidates:
             name = max(candidates)[1]
-            send(raft.runtime, raft.membership[name].address, TimeoutNow(raft.term, name))
+            send(raft.runtime, raft.members[name].address, TimeoutNow(raft.term, name))
