--- a/amberlug/cluster/control/endpoint_registry.py
+++ b/amberlug/cluster/control/endpoint_registry.py
@@ -7,6 +7,12 @@
 import trafaret as t
 from result import Err, Ok, Result
 
+from amberlug.cluster.control.published_state import (
+    ENDPOINT_KEY_PREFIX,
+    EndpointCondition,
+    PublishedEndpoint,
+    with_condition,
+)
 from amberlug.cluster.control.state_entries import DepartureRank, EndpointRank
 from amberlug.cluster.gossip.store import GossipStore
 from amberlug.cluster.interfaces import Json, Runtime
@@ -14,9 +20,7 @@
 
 MISSED_HEARTBEATS = 3.2  # an endpoint that misses so many heartbeats gets no more calls
 MAX_ANNOUNCEMENT_BYTES = 4096
-KEY_PREFIX = "ep/"  # of endpoints among the keys of gossip; the name is historical
-CONDITIONS = ("ready", "draining", "gone")  # by rank
-LOST = "lost"  # the condition of an endpoint that has timed out
+CONDITION_BY_RANK = (EndpointCondition.READY, EndpointCondition.DRAINING, EndpointCondition.GONE)
 
 _NAME = t.String(min_length=1, max_length=256)
 _ANNOUNCEMENT = t.Dict(
@@ -26,7 +30,9 @@
         t.Key("zone", default=""): t.String(allow_blank=True),
         t.Key("edition", default=""): t.String(allow_blank=True) | t.Int() | t.Float(),
         t.Key("capacity", default=1): t.Int(gte=0),
-        t.Key("condition", default="ready"): t.Enum("ready", "draining"),
+        t.Key("condition", default=EndpointCondition.READY): t.Enum(
+            EndpointCondition.READY, EndpointCondition.DRAINING
+        ),
         t.Key("warmupLeftMs", default=0): t.Int(gte=0) | t.Float(gte=0),
         t.Key("sequence"): t.Int(gte=0),
     },
@@ -55,19 +61,19 @@
     @property
     def is_ready(self) -> bool:
         """Whether it takes calls, and does not leave."""
-        return self.condition == "ready"
-
-    def to_gossip(self, condition: str) -> Json:
-        """The endpoint's entry in gossip, in a condition."""
-        return {
-            "service": self.service,
-            "addr": self.address,
-            "zone": self.zone,
-            "slots": self.capacity,
-            "edition": self.version,
-            "warm_ms": self.warmup_left_ms,
-            "cond": condition,
-        }
+        return self.condition == EndpointCondition.READY
+
+    def published(self, condition: str) -> PublishedEndpoint:
+        """What is published of the endpoint, in a condition."""
+        return PublishedEndpoint(
+            self.service,
+            self.address,
+            self.zone,
+            self.capacity,
+            self.version,
+            self.warmup_left_ms,
+            condition,
+        )
 
 
 # Stands for an endpoint of which only the departure is known.
@@ -76,21 +82,33 @@
 
 @value
 class KnownEndpoint:
-    """An endpoint's newest entry in gossip; fields of other versions of this program stay in the entry."""
+    """An endpoint's newest entry in gossip.
+
+    :param body: the entry as it was published; it may have fields of other versions of this program.
+    """
 
     rank: int
     sequence: int
-    entry: Json
+    body: Json
+
+    @property
+    def published(self) -> PublishedEndpoint:
+        """The entry, decoded."""
+        return PublishedEndpoint.from_wire(self.body)
 
     @property
     def is_ready(self) -> bool:
         """Whether it takes calls: it neither leaves nor has timed out."""
-        return self.rank == EndpointRank.READY and self.entry["cond"] == CONDITIONS[EndpointRank.READY]
+        return self.rank == EndpointRank.READY and self.published.condition == EndpointCondition.READY
 
     def has_same_service(self, announcement: EndpointAnnouncement) -> bool:
         """Whether service, address and capacity are those of an announcement."""
-        mine = self.entry["service"], self.entry["addr"], self.entry["slots"]
-        return mine == (announcement.service, announcement.address, announcement.capacity)
+        published = self.published
+        return (published.service, published.address, published.capacity) == (
+            announcement.service,
+            announcement.address,
+            announcement.capacity,
+        )
 
 
 def read_announcement(body: object) -> Result[EndpointAnnouncement, str]:
@@ -136,11 +154,11 @@
 
     def known(self, name: str) -> KnownEndpoint | None:
         """An endpoint's newest entry; None where nothing is known of it."""
-        item = self.gossip.items.get(KEY_PREFIX + name)
+        item = self.gossip.items.get(ENDPOINT_KEY_PREFIX + name)
         if item is None:
             return None
-        (rank, sequence, _), entry = item
-        return KnownEndpoint(rank, sequence, entry)
+        (rank, sequence, _), body = item
+        return KnownEndpoint(rank, sequence, body)
 
     def receive_heartbeat(self, name: str, announcement: EndpointAnnouncement) -> bool:
         """Take a ready endpoint's announcement.
@@ -156,21 +174,21 @@
             if known.is_ready and known.has_same_service(announcement):
                 return True
         version = [EndpointRank.READY, announcement.sequence, 0]
-        entry = announcement.to_gossip(CONDITIONS[EndpointRank.READY])
-        self.gossip.offer(KEY_PREFIX + name, version, entry)
+        published = announcement.published(EndpointCondition.READY)
+        self.gossip.offer(ENDPOINT_KEY_PREFIX + name, version, published.to_wire())
         return True
 
     def depart(
         self, name: str, departure: DepartureRank, announcement: EndpointAnnouncement | None = None
     ) -> None:
         """Announce to all nodes that an endpoint leaves or has left; that is never taken back."""
-        known, condition = self.known(name), CONDITIONS[departure.rank]
+        known, condition = self.known(name), CONDITION_BY_RANK[departure.rank]
         if known is not None:
-            entry = {**known.entry, "cond": condition}
+            body = with_condition(known.body, condition)
         else:
-            entry = (announcement or _UNKNOWN).to_gossip(condition)
+            body = (announcement or _UNKNOWN).published(condition).to_wire()
         self.last_heartbeat_s.pop(name, None)
-        self.gossip.offer(KEY_PREFIX + name, [departure.rank, departure.sequence, 0], entry)
+        self.gossip.offer(ENDPOINT_KEY_PREFIX + name, [departure.rank, departure.sequence, 0], body)
 
     def apply_departure(self, name: str, departure: DepartureRank) -> None:
         """Announce a replicated departure, where a newer one is not known already."""
@@ -196,13 +214,13 @@
     def expire(self, on_timeout: Callable[[str], None]) -> None:
         """Announce to all nodes which endpoints have timed out."""
         now_s = self.runtime.now()
-        for key in [key for key in self.gossip.items if key.startswith(KEY_PREFIX)]:
-            name = key.removeprefix(KEY_PREFIX)
+        for key in [key for key in self.gossip.items if key.startswith(ENDPOINT_KEY_PREFIX)]:
+            name = key.removeprefix(ENDPOINT_KEY_PREFIX)
             known = self.known(name)
             if known is None or not known.is_ready:
                 continue
             if now_s - self.last_heartbeat_s.setdefault(name, now_s) > self.timeout_s:
                 self.timed_out += 1
                 version = [EndpointRank.READY, known.sequence, 1]
-                self.gossip.offer(key, version, {**known.entry, "cond": LOST})
+                self.gossip.offer(key, version, with_condition(known.body, EndpointCondition.LOST))
                 on_timeout(name)
--- a/amberlug/cluster/control/node.py
+++ b/amberlug/cluster/control/node.py
@@ -16,11 +16,12 @@
 from amberlug.cluster.control.endpoint_registry import EndpointRegistry
 from amberlug.cluster.control.initial_state import blank
 from amberlug.cluster.control.membership import Membership
+from amberlug.cluster.control.published_state import CONFIG_KEY
 from amberlug.cluster.control.quorum_contact import QuorumContact
 from amberlug.cluster.control.reconciler import Reconciler
 from amberlug.cluster.control.session_service import SessionService
 from amberlug.cluster.control.sessions import Sessions
-from amberlug.cluster.control.state_publisher import CONFIG_KEY, StatePublisher
+from amberlug.cluster.control.state_publisher import StatePublisher
 from amberlug.cluster.control.status import StatusService
 from amberlug.cluster.gossip.store import DisseminationPolicy, GossipStore
 from amberlug.cluster.http.api import AdminApi
--- a/amberlug/cluster/control/status.py
+++ b/amberlug/cluster/control/status.py
@@ -9,9 +9,9 @@
 
 from amberlug.cluster import metrics
 from amberlug.cluster.control.context import ControlContext
-from amberlug.cluster.control.endpoint_registry import KEY_PREFIX
 from amberlug.cluster.control.peer_messages import ReadControlStatus, StatusReply
 from amberlug.cluster.control.peer_query import PeerQuery, Replies
+from amberlug.cluster.control.published_state import ENDPOINT_KEY_PREFIX
 from amberlug.cluster.control.reconciler import EDGE_CLASS
 from amberlug.cluster.control.sessions import Session
 from amberlug.cluster.control.state_entries import StoreEntry, StoreState
@@ -176,9 +176,9 @@
 
     def _endpoints(self) -> list[Json]:
         endpoints: list[Json] = [
-            {"id": key.removeprefix(KEY_PREFIX), **entry}
+            {"id": key.removeprefix(ENDPOINT_KEY_PREFIX), **entry}
             for key, (_, entry) in self._gossip.items.items()
-            if key.startswith(KEY_PREFIX)
+            if key.startswith(ENDPOINT_KEY_PREFIX)
         ]
         return sorted(endpoints, key=lambda it: (it["service"], it["cond"], it["id"]))
 
--- a/amberlug/cluster/dispatch/dispatcher.py
+++ b/amberlug/cluster/dispatch/dispatcher.py
@@ -12,10 +12,19 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
+from amberlug.cluster.control.published_state import EndpointCondition
 from amberlug.cluster.dispatch.call_outcome import NOT_EXECUTED_HEADER
 from amberlug.cluster.dispatch.endpoint_pool import Endpoint, EndpointPool
 from amberlug.cluster.dispatch.message import Message
-from amberlug.cluster.interfaces import CallResult, CallVerdict, EndpointCall, Endpoints, Runtime, TimerHandle
+from amberlug.cluster.interfaces import (
+    CallResult,
+    CallVerdict,
+    EndpointCall,
+    Endpoints,
+    Headers,
+    Runtime,
+    TimerHandle,
+)
 from amberlug.cluster.values import value
 from amberlug.core.usual import message_class, settings
 from amberlug.policy.account import SECOND, WINDOW_US, Account
@@ -148,7 +157,7 @@
         )
         self._endpoints.call(endpoint_call, lambda result: self._on_result(call, result))
 
-    def _headers(self, message: Message, endpoint: Endpoint, timeout_s: float) -> tuple[tuple[str, str], ...]:
+    def _headers(self, message: Message, endpoint: Endpoint, timeout_s: float) -> Headers:
         headers = [
             ("Host", message.host),
             *message.headers,
@@ -180,7 +189,7 @@
         """Learn from a response: of a restarted endpoint, of a full one, or how long calls take."""
         now_us = self._now_us()
         if result.status == 421:
-            call.endpoint.state = "gone"  # another incarnation has its address
+            call.endpoint.condition = EndpointCondition.GONE  # another incarnation has its address
             self._endpoints.forget(call.endpoint.address)
         elif result.status == 503:
             # A full endpoint tells of its slots at that moment, and nothing of the service's rate. Guards
--- a/amberlug/cluster/dispatch/endpoint_pool.py
+++ b/amberlug/cluster/dispatch/endpoint_pool.py
@@ -6,10 +6,8 @@
 import random
 from collections.abc import Callable
 from dataclasses import dataclass
-from typing import Self
 
-from amberlug.cluster.interfaces import Json
-from amberlug.cluster.values import value
+from amberlug.cluster.control.published_state import EndpointCondition, PublishedEndpoint
 
 MIN_BACKOFF_S = 0.25  # an unreachable endpoint gets no calls for so long, doubled each time
 MAX_BACKOFF_S = 4.0  # a restarted endpoint is found within this time also where nothing announces it
@@ -23,33 +21,6 @@
 SAME_ENDPOINT_COST = 5.0  # the endpoint of the last call: a retry goes to another one where there is any
 
 
-@value
-class EndpointAnnouncement:
-    """What control-plane nodes announce of an endpoint."""
-
-    service: str
-    address: str
-    zone: str
-    slots: int
-    warm_up_s: float  # from now on
-    state: str  # `ready`, `gone`, `lost` or another one in which it gets no calls
-
-    @classmethod
-    def from_wire(cls, body: Json) -> Self:
-        """Read the announcement.
-
-        :raises KeyError: where a field is missing.
-        """
-        return cls(
-            body["service"],
-            body["addr"],
-            body["zone"],
-            body["slots"],
-            body["warm_ms"] / 1000,
-            body["cond"],
-        )
-
-
 @dataclass(slots=True, eq=False)
 class Endpoint:
     """One incarnation of an endpoint. Times are seconds of the steady clock."""
@@ -59,7 +30,7 @@
     address: str
     zone: str
     slots: int
-    state: str = "ready"
+    condition: str = EndpointCondition.READY
     calls_in_flight: int = 0  # of this edge
     backoff_until: float = 0.0
     failures: int = 0  # calls in succession that did not reach it
@@ -67,7 +38,11 @@
 
     def is_usable(self, now: float) -> bool:
         """Whether it may get a call now."""
-        return self.state == "ready" and self.backoff_until <= now and self.calls_in_flight < self.slots
+        return (
+            self.condition == EndpointCondition.READY
+            and self.backoff_until <= now
+            and self.calls_in_flight < self.slots
+        )
 
     def on_unreachable(self, now: float) -> None:
         """Back off exponentially: it could not be reached, or did not respond in time."""
@@ -96,42 +71,42 @@
         self._by_id: dict[str, Endpoint] = {}
         self._by_service: dict[str, dict[str, Endpoint]] = {}
 
-    def update(self, endpoint_id: str, announcement: EndpointAnnouncement, now: float) -> Endpoint | None:
-        """Take an announcement.
+    def update(self, endpoint_id: str, published: PublishedEndpoint, now: float) -> Endpoint | None:
+        """Take an published.
 
         :returns: the endpoint where it gets no more calls, None where it does or was not known.
         """
         endpoint = self._by_id.get(endpoint_id)
         if endpoint is None:
-            if announcement.state in ("gone", "lost"):
+            if published.condition in (EndpointCondition.GONE, EndpointCondition.LOST):
                 return None
             endpoint = self._add(
                 Endpoint(
                     endpoint_id,
-                    announcement.service,
-                    announcement.address,
-                    announcement.zone,
-                    max(1, announcement.slots),
+                    published.service,
+                    published.address,
+                    published.zone,
+                    max(1, published.capacity),
                 )
             )
-        self._apply(endpoint, announcement)
-        endpoint.warm_at = now + announcement.warm_up_s
-        if announcement.state == "gone":
+        self._apply(endpoint, published)
+        endpoint.warm_at = now + published.warm_up_s
+        if published.condition == EndpointCondition.GONE:
             self._remove(endpoint)
-        if announcement.state != "ready":
+        if published.condition != EndpointCondition.READY:
             return endpoint
         if endpoint.failures == 0:
             endpoint.backoff_until = 0.0
         return None
 
-    def _apply(self, endpoint: Endpoint, announcement: EndpointAnnouncement) -> None:
-        if announcement.service not in ("", endpoint.service):
+    def _apply(self, endpoint: Endpoint, published: PublishedEndpoint) -> None:
+        if published.service not in ("", endpoint.service):
             self._by_service.get(endpoint.service, {}).pop(endpoint.id, None)
-            endpoint.service = announcement.service
+            endpoint.service = published.service
             self._add(endpoint)
-        if announcement.address:
-            endpoint.address, endpoint.slots = announcement.address, max(1, announcement.slots)
-        endpoint.state = announcement.state
+        if published.address:
+            endpoint.address, endpoint.slots = published.address, max(1, published.capacity)
+        endpoint.condition = published.condition
 
     def _add(self, endpoint: Endpoint) -> Endpoint:
         self._by_id[endpoint.id] = endpoint
--- a/amberlug/cluster/dispatch/replicator.py
+++ b/amberlug/cluster/dispatch/replicator.py
@@ -6,15 +6,17 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable, Set
+from collections.abc import Callable, Mapping, Set
 
 from result import Ok, Result
 
+from amberlug.cluster.control.published_state import StorageRoster
+from amberlug.cluster.control.state_entries import StoreEntry, StoreState
 from amberlug.cluster.dispatch.message import Message
 from amberlug.cluster.dispatch.outcome_delivery import OutcomeDelivery
 from amberlug.cluster.dispatch.replica_write import ReplicationOutcome, ReplicaWrite
 from amberlug.cluster.dispatch.store_health import PROBE_INTERVAL_S, StoreHealth
-from amberlug.cluster.interfaces import Json, RequestFailure, Runtime
+from amberlug.cluster.interfaces import RequestFailure, Runtime
 from amberlug.cluster.rpc.messages import request
 from amberlug.cluster.settings import Tolerance
 from amberlug.cluster.storage.messages import (
@@ -23,31 +25,11 @@
     AcknowledgeRequest,
     MessageOutcome,
 )
-from amberlug.cluster.values import value
 
 PROBE_TIMEOUT_S = 0.5
 SUSPECT_DISCONNECTED_S = 0.3  # a process whose connection ended may be restarting
 
 
-@value
-class StorageMember:
-    """A storage node of the roster."""
-
-    name: str
-    address: str
-    zone: str
-    region: str
-    state: str  # `full`, `retiring` or `lost`: only full members take replicas and count as having them
-
-    @classmethod
-    def from_roster(cls, row: Json) -> StorageMember:
-        """Decode a row of the roster.
-
-        :raises KeyError: where a field is missing.
-        """
-        return cls(row["name"], row["addr"], row["zone"], row["region"], row["state"])
-
-
 class Replicator:
     """The storage nodes of the roster, each known by the id of its disk.
 
@@ -61,26 +43,33 @@
         self.runtime, self.tolerance = runtime, tolerance
         self._zone, self._region = zone, region
         self._outcome_retention_s = outcome_retention_s
-        self.stores: dict[str, StorageMember] = {}
-        self.roster_index = 0  # log index of the roster
+        self._roster = StorageRoster()
         self.health = StoreHealth(runtime)
-        self._outcomes = OutcomeDelivery(runtime, self.health, self._address_of, self._writable)
+        self._outcomes = OutcomeDelivery(runtime, self.health, self._address_of, lambda: self.writable_disks)
 
-    def update_roster(self, roster: Json, index: int = 0) -> None:
-        """Take a newer roster. Its keys are disks: a machine that lost its disk is another storage node.
+    @property
+    def stores(self) -> Mapping[str, StoreEntry]:
+        """The storage nodes of the roster, by disk."""
+        return self._roster.stores
 
-        :param index: log index of the roster.
-        """
-        self.stores = {disk: StorageMember.from_roster(row) for disk, row in roster.items()}
+    @property
+    def roster_index(self) -> int:
+        """The log index of the roster; 0 where none is known."""
+        return self._roster.index
+
+    def update_roster(self, roster: StorageRoster) -> None:
+        """Use a newer roster."""
+        self._roster = roster
         self._outcomes.forget_except(self.stores)
         self.health.forget_except(self.stores)
-        self.roster_index = index
 
     def _address_of(self, disk: str) -> str | None:
         return self.stores[disk].address if disk in self.stores else None
 
-    def _writable(self) -> list[str]:
-        return [disk for disk, store in self.stores.items() if store.state == "full"]
+    @property
+    def writable_disks(self) -> list[str]:
+        """The disks that take replicas."""
+        return [disk for disk, store in self.stores.items() if store.state is StoreState.FULL]
 
     # -- quorums
 
@@ -94,7 +83,7 @@
     def enough(self, disks: Set[str]) -> bool:
         """Whether replicas on these disks outlive the tolerated losses; only full members count."""
         return self.is_quorum(
-            {disk for disk in disks if disk in self.stores and self.stores[disk].state == "full"}
+            {disk for disk in disks if disk in self.stores and self.stores[disk].state is StoreState.FULL}
         )
 
     def covers_all_messages(self, disks: Set[str]) -> bool:
@@ -111,7 +100,7 @@
 
         Unresponsive ones are probed until enough of them respond, also while no message arrives.
         """
-        writable = self._writable()
+        writable = self.writable_disks
         unresponsive = {disk for disk in writable if self.health.is_unresponsive(disk)}
         full = {disk for disk in writable if self.health.is_full(disk)}
         if self.enough(set(writable) - unresponsive - full):
@@ -150,7 +139,7 @@
         Those that are not suspect come first, then those in this zone, then those in this region. Messages
         take turns among equals, by their shard and number.
         """
-        disks = sorted(self._writable())
+        disks = sorted(self.writable_disks)
         offset = (message.shard + message.order[1]) % max(1, len(disks))
         return sorted(disks[offset:] + disks[:offset], key=self._distance)
 
@@ -179,7 +168,7 @@
         retain_until = max(self.runtime.wall_clock() + self._outcome_retention_s, message.keep_until)
         acknowledgement = Acknowledgement(message.id, message.shard, outcome, round(retain_until, 3))
         for disk in sorted(self._disks_to_notify(message)):
-            if self.stores[disk].state != "lost":
+            if self.stores[disk].state is not StoreState.LOST:
                 self._outcomes.add(disk, acknowledgement)
 
     def _disks_to_notify(self, message: Message) -> set[str]:
--- a/amberlug/cluster/dispatch/shard_owner.py
+++ b/amberlug/cluster/dispatch/shard_owner.py
@@ -9,14 +9,14 @@
 
 from absl import logging
 
+from amberlug.cluster.control.published_state import ShardTable, TableOwner
 from amberlug.cluster.dispatch.message import Message, SequencePosition
 from amberlug.cluster.dispatch.messages import AdmissionOutcome, CallEnded, Handover
 from amberlug.cluster.dispatch.previous_owners import PreviousOwners, evict_oldest
 from amberlug.cluster.dispatch.replica_write import ReplicationOutcome
 from amberlug.cluster.dispatch.replicator import Replicator
 from amberlug.cluster.dispatch.shard_recovery import ShardRecovery
-from amberlug.cluster.dispatch.shard_table import EdgeAddress, ShardTable
-from amberlug.cluster.interfaces import Json, Runtime
+from amberlug.cluster.interfaces import Runtime
 from amberlug.cluster.rpc.messages import Responder, handles, send
 from amberlug.cluster.storage.messages import MessageOutcome
 from amberlug.cluster.values import value
@@ -89,7 +89,7 @@
         self._recoveries: list[ShardRecovery] = []
 
     @property
-    def owners(self) -> tuple[EdgeAddress, ...]:
+    def owners(self) -> tuple[TableOwner, ...]:
         """The edges of the table."""
         return self.table.owners
 
@@ -107,7 +107,7 @@
         """
         return sum(recovery.is_fencing for recovery in self._recoveries)
 
-    def owner_of(self, shard: int) -> EdgeAddress | None:
+    def owner_of(self, shard: int) -> TableOwner | None:
         """The owner of a shard; None for one without an owner and for one that does not exist."""
         return self.table.owner_of(shard)
 
@@ -117,9 +117,9 @@
         """Go on with take-overs that wait for the roster which their table was agreed on."""
         self._continue_recoveries()
 
-    def update_table(self, body: Json) -> None:
-        """Take a newer table, as it is announced: hand over what was lost, read what was gained."""
-        self.table = ShardTable.from_wire(body)
+    def update_table(self, table: ShardTable) -> None:
+        """Use a newer table: hand over the shards that were lost, recover those that were gained."""
+        self.table = table
         epochs = self.table.epochs_of(self._node_id)
         gained = {
             shard: epoch
--- a/amberlug/cluster/dispatch/shard_recovery.py
+++ b/amberlug/cluster/dispatch/shard_recovery.py
@@ -90,9 +90,9 @@
         Guards against an owner of before that still writes where no fence has come: together with a disk that
         is dropped meanwhile, and does not know it, these could be enough replicas, of which nobody learns.
         """
-        writable = {disk for disk, store in self._replicator.stores.items() if store.state == "full"}
+        writable = self._replicator.writable_disks
         is_current = any(self._owner.owns(shard, epoch) for shard, epoch in self.epochs.items())
-        if not is_current or (self.is_read and writable <= self._fenced):
+        if not is_current or (self.is_read and set(writable) <= self._fenced):
             self.is_fencing = False
             return
         for disk, store in self._replicator.stores.items():
--- a/amberlug/cluster/edge/dispatchers.py
+++ b/amberlug/cluster/edge/dispatchers.py
@@ -4,12 +4,13 @@
 
 from collections.abc import Callable
 
+from amberlug.cluster.control.published_state import EndpointCondition, PublishedEndpoint
 from amberlug.cluster.dispatch.dispatcher import DispatchCallbacks, Dispatcher, InFlightCall
-from amberlug.cluster.dispatch.endpoint_pool import EndpointAnnouncement, EndpointPool
+from amberlug.cluster.dispatch.endpoint_pool import EndpointPool
 from amberlug.cluster.dispatch.message import Message
 from amberlug.cluster.dispatch.shard_owner import ShardOwner
 from amberlug.cluster.edge.context import EdgeContext
-from amberlug.cluster.interfaces import CallResult, Endpoints, Json
+from amberlug.cluster.interfaces import CallResult, Endpoints
 
 RATE_INCREASE_DELAY_S = (
     1.0  # until a larger share is used: the other edge nodes use their smaller ones by then
@@ -58,14 +59,12 @@
         """Send a message that is due to an endpoint of a service, as soon as its rate and endpoints allow."""
         self._dispatcher(service).add(message)
 
-    def endpoint_announced(self, endpoint_id: str, announcement: Json) -> None:
-        """Apply an announcement of an endpoint, and send what waited for it."""
-        unusable = self._pool.update(
-            endpoint_id, EndpointAnnouncement.from_wire(announcement), self._context.runtime.now()
-        )
-        if unusable is not None and unusable.state == "gone":
+    def update_endpoint(self, endpoint_id: str, published: PublishedEndpoint) -> None:
+        """Use what is published of an endpoint now, and send what waited for it."""
+        unusable = self._pool.update(endpoint_id, published, self._context.runtime.now())
+        if unusable is not None and unusable.condition == EndpointCondition.GONE:
             self._endpoints.forget(unusable.address)
-        dispatcher = self.by_service.get(announcement["service"])
+        dispatcher = self.by_service.get(published.service)
         if dispatcher is not None:
             dispatcher.pump()
 
--- a/amberlug/cluster/edge/node.py
+++ b/amberlug/cluster/edge/node.py
@@ -6,6 +6,18 @@
 
 from absl import logging
 
+from amberlug.cluster.control.published_state import (
+    CONFIG_KEY,
+    CONTROL_NODES_KEY,
+    ENDPOINT_KEY_PREFIX,
+    ROSTER_KEY,
+    SHARD_TABLE_KEY,
+    PublishedEndpoint,
+    ShardTable,
+    StorageRoster,
+    control_nodes_from_wire,
+    published_index,
+)
 from amberlug.cluster.dispatch.delivery_queue import DeliveryQueue
 from amberlug.cluster.dispatch.dispatcher import Dispatcher
 from amberlug.cluster.dispatch.replicator import Replicator
@@ -18,6 +30,7 @@
 from amberlug.cluster.edge.repair import ReplicaRepair
 from amberlug.cluster.edge.status import EdgeStatus, EdgeStatusReport
 from amberlug.cluster.edge.storage_reads import StorageReader
+from amberlug.cluster.gossip.announcements import Payload
 from amberlug.cluster.gossip.store import GossipStore
 from amberlug.cluster.http.api import AdminApi
 from amberlug.cluster.http.routing import RoutingTable, build
@@ -26,14 +39,12 @@
 from amberlug.cluster.session_client import LocalNode, SessionClient, seed_addresses
 from amberlug.cluster.settings import Settings
 
-ENDPOINT_KEY_PREFIX = "ep/"  # of announcements of endpoints; the endpoint's id follows
-
 
 class EdgeNode:
     """One edge node."""
 
     def __init__(self, runtime: Runtime, settings: Settings, address: str, endpoints: Endpoints) -> None:
-        self.gossip = GossipStore(runtime, self._gossip_peers, self._announced)
+        self.gossip = GossipStore(runtime, self._gossip_peers, self._on_published)
         local = LocalNode(address, "edge", self._session_attributes)
         self.member = SessionClient(runtime, settings, local, self.gossip)
         self.replicator = Replicator(
@@ -155,32 +166,28 @@
         self.replicator.connection_lost(address)
         self.shards.connection_lost(address)
 
-    # What the control plane announces.
+    # What the control plane publishes.
 
     def _gossip_peers(self) -> list[str]:
         """Addresses of the other edge nodes that own shards, and of the session's control-plane node."""
         peers = [owner.address for owner in self.shards.owners if owner.node_id != self.member.id]
         return peers + ([self.member.control_address] if self.member.control_address else [])
 
-    def _announced(self, key: str, announcement: Json) -> None:
-        """Apply an announcement that is newer than what was known under its key."""
+    def _on_published(self, key: str, body: Payload) -> None:
+        """Apply a published value that is newer than what was known under its key."""
+        index = published_index(self.gossip.items, key)
         if key.startswith(ENDPOINT_KEY_PREFIX):
             endpoint_id = key.removeprefix(ENDPOINT_KEY_PREFIX)
-            self.delivery.dispatchers.endpoint_announced(endpoint_id, announcement)
-        elif key == "config":
-            self.apply_routes(build(self._version_of(key), announcement))
-        elif key == "shards":
-            self.shards.update_table(announcement)
+            self.delivery.dispatchers.update_endpoint(endpoint_id, PublishedEndpoint.from_wire(body))
+        elif key == CONFIG_KEY:
+            self.apply_routes(build(index, body))
+        elif key == SHARD_TABLE_KEY:
+            self.shards.update_table(ShardTable.from_wire(index, body))
             self.delivery.dispatchers.update_rate_share()
-        elif key == "roster":
-            self.repair.apply_roster(self._version_of(key), announcement)
-        elif key == "cores":
-            self.member.apply_roster(announcement)
-
-    def _version_of(self, key: str) -> int:
-        """The index in the control plane's log of what was announced under a key."""
-        version, _ = self.gossip.items[key]
-        return version[0]
+        elif key == ROSTER_KEY:
+            self.repair.apply_roster(StorageRoster.from_wire(index, body))
+        elif key == CONTROL_NODES_KEY:
+            self.member.update_control_nodes(control_nodes_from_wire(body))
 
     def apply_routes(self, routes: RoutingTable) -> None:
         """Put a newer configuration in force.
--- a/amberlug/cluster/edge/repair.py
+++ b/amberlug/cluster/edge/repair.py
@@ -4,6 +4,7 @@
 
 from functools import partial
 
+from amberlug.cluster.control.published_state import StorageRoster
 from amberlug.cluster.dispatch.message import Message
 from amberlug.cluster.edge.context import EdgeContext
 from amberlug.cluster.edge.delivery import MessageDelivery
@@ -40,17 +41,17 @@
     def __init__(self, context: EdgeContext, delivery: MessageDelivery, reader: StorageReader) -> None:
         self._context, self._delivery, self._reader = context, delivery, reader
         self._in_progress: set[str] = set()  # ids of messages
-        self._roster_version, self._roster_changed_at = 0, 0.0
+        self._roster_changed_at = 0.0
 
     def begin(self) -> None:
         """Start the periodic search for messages with too few replicas."""
         self._context.runtime.call_later(REPAIR_INTERVAL_S, self._search)
 
-    def apply_roster(self, version: int, roster: Json) -> None:
+    def apply_roster(self, roster: StorageRoster) -> None:
         """Count replicas by a new roster of storage nodes."""
         replicator = self._context.replicator
-        replicator.update_roster(roster, version)
-        self._roster_version, self._roster_changed_at = version, self._context.runtime.now()
+        replicator.update_roster(roster)
+        self._roster_changed_at = self._context.runtime.now()
         self._delivery.shards.roster_changed()
         self._delivery.under_replicated = {
             message_id: message
@@ -65,10 +66,9 @@
         early_writes = sum(
             1 for began_at in shards.write_started_at.values() if began_at <= self._roster_changed_at
         )
-        table = self._context.gossip.items.get("shards")
         return RepairReport(
-            roster_version=self._roster_version,
-            shard_table_version=table[0][0] if table is not None else 0,
+            roster_version=self._context.replicator.roster_index,
+            shard_table_version=shards.table.index,
             shards_recovering=sum(1 for it in shards.owned.values() if not it.serving) + shards.unfenced,
             messages_under_replicated=len(self._delivery.under_replicated) + early_writes,
         )
--- a/amberlug/cluster/session_client.py
+++ b/amberlug/cluster/session_client.py
@@ -6,7 +6,7 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable
+from collections.abc import Callable, Sequence
 from dataclasses import dataclass
 from functools import partial
 
@@ -20,8 +20,9 @@
     SessionDescription,
     SessionReply,
 )
+from amberlug.cluster.control.published_state import ControlNode
 from amberlug.cluster.control.sessions import HEARTBEAT_INTERVAL_S
-from amberlug.cluster.gossip.announcements import Announcement, Payload
+from amberlug.cluster.gossip.announcements import Announcement
 from amberlug.cluster.gossip.store import GossipStore
 from amberlug.cluster.interfaces import Json, RequestFailure, Runtime
 from amberlug.cluster.rpc.messages import request, send
@@ -103,16 +104,14 @@
         self.runtime.chance.shuffle(self._candidates)
         self._search()
 
-    def apply_roster(self, roster: Payload) -> None:
+    def update_control_nodes(self, control_nodes: Sequence[ControlNode]) -> None:
         """Prefer the control-plane nodes of the own zone, then the others in random order.
 
-        :param roster: the value of the announcement `roster`: a JSON object of control-plane nodes by member.
-            It is ignored where it is empty.
+        :param control_nodes: ignored where there are none.
         """
-        same_zone: list[str] = []
-        others: list[str] = []
-        for member in roster.values():
-            (same_zone if member.get("zone") == self.settings.zone else others).append(member["addr"])
+        zone = self.settings.zone
+        same_zone = [node.address for node in control_nodes if node.zone == zone]
+        others = [node.address for node in control_nodes if node.zone != zone]
         self.runtime.chance.shuffle(others)
         self._candidates = same_zone + others or self._candidates
 
--- a/amberlug/cluster/simulation/mutations_losses.py
+++ b/amberlug/cluster/simulation/mutations_losses.py
@@ -10,6 +10,7 @@
 
 from amberlug.cluster.control.reconciler import Reconciler
 from amberlug.cluster.control.sessions import Session
+from amberlug.cluster.control.state_entries import StoreState
 from amberlug.cluster.dispatch.replicator import Replicator
 from amberlug.cluster.dispatch.shard_owner import ShardOwner
 from amberlug.cluster.edge.repair import RepairReport, ReplicaRepair
@@ -25,7 +26,7 @@
             {
                 disk
                 for disk in disks
-                if disk in self.stores and self.stores[disk].state in ("full", "retiring")
+                if disk in self.stores and self.stores[disk].state in (StoreState.FULL, StoreState.RETIRING)
             }
         )
 
--- a/amberlug/cluster/storage/enrollment.py
+++ b/amberlug/cluster/storage/enrollment.py
@@ -1,6 +1,6 @@
 """Whether replicas may be written to this disk: its enrollment in the roster of storage nodes. No I/O.
 
-The control plane publishes two announcements that matter here: the roster of disks, and the shard table with
+The control plane publishes two values that matter here: the roster of disks, and the shard table with
 the epoch of each shard's owner. An owner fences the disks of the roster on which its table was agreed. A disk
 that was enrolled later was never fenced by it, so an owner from before, which wakes up and learns of the new
 disks before it learns of the new table, might find enough of them that know no fencing token, and write
@@ -10,12 +10,17 @@
 
 from __future__ import annotations
 
-from collections.abc import Mapping
-
 from absl import logging
 
+from amberlug.cluster.control.published_state import (
+    ROSTER_KEY,
+    SHARD_TABLE_KEY,
+    ShardTable,
+    StorageRoster,
+    published_index,
+)
 from amberlug.cluster.gossip.store import GossipStore
-from amberlug.cluster.interfaces import Json, Runtime
+from amberlug.cluster.interfaces import Runtime
 from amberlug.cluster.storage.records import (
     DurableStore,
     EnrollmentRow,
@@ -24,53 +29,17 @@
     StoredContents,
 )
 from amberlug.cluster.storage.replica_service import ignore_failure
-from amberlug.cluster.values import value
 
-ROSTER_KEY = "roster"
-SHARD_TABLE_KEY = "shards"
 DISK_ID_BITS = 64  # random names of disks: a collision is out of the question
 
 
-@value
-class Roster:
-    """The disks that replicas are written to.
-
-    :param index: the log index at which it was agreed.
-    :param table_indexes: by disk, the log index of the newest shard table when it was enrolled.
-    """
-
-    index: int
-    table_indexes: Mapping[str, int]
-
-    @classmethod
-    def from_announcement(cls, index: int, value: Json) -> Roster:
-        """Read the value of the announcement; disks of early versions lack the index of a table."""
-        return cls(index, {disk_id: disk.get("table", 0) for disk_id, disk in value.items()})
-
-
-@value
-class ShardTable:
-    """The epochs of the owners of all shards, by the shards' numbers.
-
-    :param index: the log index at which it was agreed; 0 where none is known.
-    """
-
-    index: int = 0
-    epochs: tuple[int, ...] = ()
-
-    @classmethod
-    def from_announcement(cls, index: int, value: Json) -> ShardTable:
-        """Read the value of the announcement."""
-        return cls(index, tuple(epoch for _, epoch, _ in value["shards"]))
-
-
 def new_disk_id(runtime: Runtime) -> str:
     """Draw a name for a disk that is empty."""
     return f"{runtime.chance.getrandbits(DISK_ID_BITS):x}"
 
 
 class Enrollment:
-    """Follows the announcements, and keeps the enrollment of one disk up to date.
+    """Follows the published roster and shard table, and keeps the enrollment of one disk up to date.
 
     :param contents: the state of the disk, shared with the parts of the node that read it.
     """
@@ -80,26 +49,27 @@
     ) -> None:
         self._runtime, self._contents, self._store, self._gossip = runtime, contents, store, gossip
 
-    def on_announcement(self, key: str) -> None:
-        """Look again after an announcement has changed."""
-        if key in (ROSTER_KEY, SHARD_TABLE_KEY) and ROSTER_KEY in self._gossip.items:
-            (index, *_), value = self._gossip.items[ROSTER_KEY]
-            self._apply(Roster.from_announcement(index, value))
+    def on_published(self, key: str) -> None:
+        """Apply the roster after it or the shard table has changed."""
+        items = self._gossip.items
+        if key in (ROSTER_KEY, SHARD_TABLE_KEY) and ROSTER_KEY in items:
+            index = published_index(items, ROSTER_KEY)
+            self._apply(StorageRoster.from_wire(index, items[ROSTER_KEY].value))
 
-    def _apply(self, roster: Roster) -> None:
+    def _apply(self, roster: StorageRoster) -> None:
         contents = self._contents
         if roster.index <= contents.enrolled_index:
             return
-        if contents.disk_id in roster.table_indexes:
+        if contents.disk_id in roster.stores:
             self._enroll(roster)
         elif contents.enrolled_index:
             self._begin_anew()
 
-    def _enroll(self, roster: Roster) -> None:
-        """Take the roster, at the first one together with the fencing tokens of the time of enrollment."""
+    def _enroll(self, roster: StorageRoster) -> None:
+        """Record the roster, the first one together with the fencing tokens of the time of enrollment."""
         fences: list[FenceRow] | None = []
         if not self._contents.enrolled_index:
-            fences = self._fence_earlier_owners(roster.table_indexes[self._contents.disk_id])
+            fences = self._fence_earlier_owners(roster.stores[self._contents.disk_id].table_index or 0)
         if fences is None:
             return
         self._contents.enrolled_index = roster.index
@@ -116,16 +86,18 @@
             return None
         tokens = self._contents.fencing_tokens
         rows = [
-            FenceRow(shard, epoch) for shard, epoch in enumerate(table.epochs) if epoch > tokens.get(shard, 0)
+            FenceRow(shard, row.epoch)
+            for shard, row in enumerate(table.rows)
+            if row.epoch > tokens.get(shard, 0)
         ]
         tokens.update({row.shard: row.epoch for row in rows})
         return rows
 
     def _shard_table(self) -> ShardTable:
-        if SHARD_TABLE_KEY not in self._gossip.items:
+        items = self._gossip.items
+        if SHARD_TABLE_KEY not in items:
             return ShardTable()
-        (index, *_), value = self._gossip.items[SHARD_TABLE_KEY]
-        return ShardTable.from_announcement(index, value)
+        return ShardTable.from_wire(published_index(items, SHARD_TABLE_KEY), items[SHARD_TABLE_KEY].value)
 
     def _begin_anew(self) -> None:
         """Empty a disk that has been replaced: its open messages may have ended, and it was not notified."""
--- a/amberlug/cluster/storage/node.py
+++ b/amberlug/cluster/storage/node.py
@@ -4,6 +4,8 @@
 
 from absl import logging
 
+from amberlug.cluster.control.published_state import CONTROL_NODES_KEY, control_nodes_from_wire
+from amberlug.cluster.gossip.announcements import Payload
 from amberlug.cluster.gossip.store import DisseminationPolicy, GossipStore
 from amberlug.cluster.interfaces import Json, Runtime
 from amberlug.cluster.rpc.messages import handlers_of
@@ -15,7 +17,6 @@
 from amberlug.cluster.storage.status import StorageStatus
 
 MACHINE_CLASS = "storage"  # how a session names the role of its node
-CONTROL_NODES_KEY = "cores"  # the announcement of the control-plane nodes' addresses
 
 
 class StorageNode:
@@ -37,7 +38,7 @@
         self.settings, self.contents = settings, contents
         # A storage node passes nothing on: it only compares with the control-plane node of its session.
         self.gossip = GossipStore(
-            runtime, self._gossip_peers, self._on_announcement, DisseminationPolicy(fanout=0)
+            runtime, self._gossip_peers, self._on_published, DisseminationPolicy(fanout=0)
         )
         self.member = SessionClient(
             runtime, settings, LocalNode(address, MACHINE_CLASS, self._session_attributes), self.gossip
@@ -85,8 +86,8 @@
         """What the control plane is told of this disk with the session."""
         return {"disk": self.contents.disk_id, "enrolled": self.contents.enrolled_index > 0}
 
-    def _on_announcement(self, key: str, value: Json) -> None:
+    def _on_published(self, key: str, body: Payload) -> None:
         if key == CONTROL_NODES_KEY:
-            self.member.apply_roster(value)
+            self.member.update_control_nodes(control_nodes_from_wire(body))
         else:
-            self.enrollment.on_announcement(key)
+            self.enrollment.on_published(key)
--- a/benchmarks/hollow/steps.py
+++ b/benchmarks/hollow/steps.py
@@ -21,10 +21,11 @@
 from amberlug.cluster.control.endpoint_registry import EndpointRegistry, read_announcement
 from amberlug.cluster.control.messages import OpenSession
 from amberlug.cluster.control.node import ControlNode, blank
+from amberlug.cluster.control.published_state import PublishedEndpoint, StorageRoster
 from amberlug.cluster.control.sessions import Sessions
 from amberlug.cluster.control.shard_assignment import SHARDS, assign_shards
 from amberlug.cluster.dispatch.delivery_queue import DeliveryQueue
-from amberlug.cluster.dispatch.endpoint_pool import EndpointAnnouncement, EndpointPool
+from amberlug.cluster.dispatch.endpoint_pool import EndpointPool
 from amberlug.cluster.dispatch.message import Message, SequencePosition
 from amberlug.cluster.dispatch.replicator import Replicator
 from amberlug.cluster.edge.node import EdgeNode
@@ -113,7 +114,7 @@
         for what, act in (
             ("sweep of what is too old", edge.delivery.sweep),
             ("new configuration", partial(edge.apply_routes, build(2, {**config(1000), "edition": 2}))),
-            ("new roster", partial(edge.repair.apply_roster, 2, stores)),
+            ("new roster", partial(edge.repair.apply_roster, StorageRoster.from_wire(2, stores))),
             ("one shard given away", partial(edge.delivery.release_shard, 0)),
         ):
             spent: list[float] = []
@@ -255,7 +256,7 @@
         def pool(items: dict[str, Any], world: HollowWorld) -> EndpointPool:
             known = EndpointPool("z0", world.chance, lambda address: 0)
             for key, value in items.items():
-                known.update(key, EndpointAnnouncement.from_wire(value), 1.0)
+                known.update(key, PublishedEndpoint.from_wire(value), 1.0)
             return known
 
         made, room = _room(partial(pool, items, world))
@@ -301,7 +302,7 @@
                 "cond": "ready",
                 "warm_ms": 0,
             }
-            known.update(f"endpoint-{it}", EndpointAnnouncement.from_wire(value), 0.0)
+            known.update(f"endpoint-{it}", PublishedEndpoint.from_wire(value), 0.0)
         spent = _timed(20, partial(known.pick, "s", 1.0))
         yield Figure(
             "steps", "endpoints of a service", count, "step", "processor s, which gets a call", spent
@@ -344,7 +345,7 @@
         roster = {
             f"disk-{it}": {**place, "name": f"store-{it}", "zone": f"z{it % ZONES}"} for it in range(count)
         }
-        replicator.update_roster(roster)
+        replicator.update_roster(StorageRoster.from_wire(1, roster))
         held = message(1, 0)
         heard = set(roster) - {"disk-1"}
         acts: dict[str, Callable[[], object]] = {
--- a/tests/cluster/test_endpoint_answers.py
+++ b/tests/cluster/test_endpoint_answers.py
@@ -12,10 +12,11 @@
 import pytest
 
 from amberlug.cluster.asyncio_runtime import AsyncioRuntime
+from amberlug.cluster.control.published_state import PublishedEndpoint
 from amberlug.cluster.dispatch.call_outcome import judge
 from amberlug.cluster.dispatch.dispatcher import TIMEOUT_SLACK_S, DispatchCallbacks, Dispatcher
 from amberlug.cluster.dispatch.endpoint_client import EndpointClient
-from amberlug.cluster.dispatch.endpoint_pool import EndpointAnnouncement, EndpointPool
+from amberlug.cluster.dispatch.endpoint_pool import EndpointPool
 from amberlug.cluster.dispatch.message import Message
 from amberlug.cluster.interfaces import CallResult, CallVerdict, EndpointCall
 from amberlug.cluster.rpc.transport import PeerTransport
@@ -193,7 +194,7 @@
         for number in range(2):
             at = f"10.0.0.{number}", 80
             site.loop.doors[at] = lambda: Endpoint(site)
-            announcement = EndpointAnnouncement("s", f"{at[0]}:80", "z", 3, 0.0, "ready")
+            announcement = PublishedEndpoint("s", f"{at[0]}:80", "z", 3, "", 0, "ready")
             pool.update(f"i{number}", announcement, 0.0)
         callbacks = DispatchCallbacks(lambda message: EXPIRY_S, self.finished)
         self.service = Dispatcher("s", world, pool, self, callbacks)
--- a/tests/cluster/test_losses.py
+++ b/tests/cluster/test_losses.py
@@ -9,6 +9,7 @@
 from absl import logging
 from result import Ok
 
+from amberlug.cluster.control.published_state import StorageRoster
 from amberlug.cluster.control.state_entries import StoreState
 from amberlug.cluster.dispatch.messages import AdmissionOutcome
 from amberlug.cluster.gossip.store import GossipStore
@@ -18,7 +19,7 @@
 from amberlug.cluster.simulation.scenarios import Day, play
 from amberlug.cluster.simulation.seed_search import one
 from tests.cluster.test_control_node import Rig as Leader
-from tests.cluster.test_shard_owner import STORES, OwnerRig, new_message
+from tests.cluster.test_shard_owner import STORES, OwnerRig, new_message, table_of_one_shard
 from tests.cluster.test_storage_node import Rig
 
 
@@ -97,10 +98,10 @@
 def test_an_owner_serves_once_it_knows_the_roster_that_its_table_was_agreed_on() -> None:
     rig = OwnerRig()
     heard: dict[str, Json] = {it: {"open": []} for it in STORES}
-    rig.shards.update_table({"owners": [["me", {"addr": "me"}]], "shards": [[0, 8, -1]], "roster": 5})
+    rig.shards.update_table(table_of_one_shard(epoch=8, roster=5))
     rig.reply("fence", heard)
     assert not rig.shards.owned[0].serving
-    rig.replicator.update_roster(rig.roster, 5)
+    rig.replicator.update_roster(StorageRoster.from_wire(5, rig.roster))
     rig.shards.roster_changed()
     assert rig.shards.owned[0].serving
 
@@ -126,7 +127,8 @@
     rig.shards.accept(new_message(), said.append)
     first, second = (to for to, word, _, _ in rig.runtime.asked if word == "put")
     (left,) = set(STORES) - {first, second}
-    rig.replicator.update_roster({it: rig.roster[it] for it in STORES if it != left})
+    remaining = {disk: rig.roster[disk] for disk in STORES if disk != left}
+    rig.replicator.update_roster(StorageRoster.from_wire(0, remaining))
     rig.clock.run(0.5)  # long enough to ask a further store
     rig.reply("put", {first: {}, second: {}})
     assert said == [AdmissionOutcome.ACCEPTED]
--- a/tests/cluster/test_measured.py
+++ b/tests/cluster/test_measured.py
@@ -5,9 +5,10 @@
 
 import pytest
 
+from amberlug.cluster.control.published_state import PublishedEndpoint
 from amberlug.cluster.control.shard_assignment import assign_shards
 from amberlug.cluster.dispatch.dispatcher import DispatchCallbacks, Dispatcher
-from amberlug.cluster.dispatch.endpoint_pool import EndpointAnnouncement, EndpointPool
+from amberlug.cluster.dispatch.endpoint_pool import EndpointPool
 from amberlug.cluster.dispatch.message import Message
 from amberlug.cluster.http.server import Answer, Limits, Server
 from amberlug.cluster.interfaces import CallResult, CallVerdict, EndpointCall
@@ -37,7 +38,7 @@
     host = Host("edge", "z", "10.0.0.1:7300")
     world = SimulatedRuntime(net, Incarnation(host, 1, lambda life, error: None), net.chance, 0.0)
     pool = EndpointPool("z", net.chance, lambda address: 1)
-    pool.update("i", EndpointAnnouncement("s", "a", "z", slots, 0.0, "ready"), 0.0)
+    pool.update("i", PublishedEndpoint("s", "a", "z", slots, "", 0, "ready"), 0.0)
     done: list[str] = []
 
     def finished(message: Message, called: CallResult) -> None:
--- a/tests/cluster/test_rates.py
+++ b/tests/cluster/test_rates.py
@@ -4,8 +4,9 @@
 from collections.abc import Callable
 from functools import partial
 
+from amberlug.cluster.control.published_state import PublishedEndpoint
 from amberlug.cluster.dispatch.dispatcher import DispatchCallbacks, Dispatcher
-from amberlug.cluster.dispatch.endpoint_pool import EndpointAnnouncement, EndpointPool
+from amberlug.cluster.dispatch.endpoint_pool import EndpointPool
 from amberlug.cluster.dispatch.message import Message
 from amberlug.cluster.interfaces import CallResult, CallVerdict, EndpointCall
 from amberlug.cluster.simulation.clock import Clock
@@ -37,7 +38,7 @@
         network, Incarnation(Host("edge", "z", "10.0.0.1:7300"), 1, lambda incarnation, error: None), rng, 0.0
     )
     pool, endpoints = EndpointPool("z", rng, lambda address: 1), OneEndpoint(clock)
-    pool.update("i", EndpointAnnouncement("s", "a", "z", 9, 0.0, "ready"), 0.0)
+    pool.update("i", PublishedEndpoint("s", "a", "z", 9, "", 0, "ready"), 0.0)
     callbacks = DispatchCallbacks(lambda message: 1.0, lambda message, result: None)
     service = Dispatcher("s", runtime, pool, endpoints, callbacks)
     service.set_rate(8.0, 0.2)
--- a/tests/cluster/test_shard_owner.py
+++ b/tests/cluster/test_shard_owner.py
@@ -2,6 +2,7 @@
 
 from result import Err, Ok
 
+from amberlug.cluster.control.published_state import ShardTable, StorageRoster
 from amberlug.cluster.dispatch.message import Message
 from amberlug.cluster.dispatch.messages import AdmissionOutcome
 from amberlug.cluster.dispatch.replicator import Replicator
@@ -18,6 +19,12 @@
 DONE = MessageOutcome("done", "seal")
 
 
+def table_of_one_shard(epoch: int, **fields: int) -> ShardTable:
+    """A table that assigns shard 0 to this owner; like those of early versions, with few fields."""
+    body = {"owners": [["me", {"addr": "me"}]], "shards": [[0, epoch, -1]], **fields}
+    return ShardTable.from_wire(epoch, body)
+
+
 def new_message() -> Message:
     return Message("0-x", 0, "x", "", "POST", "/", "r", "", 0.0, 0.0, body=b"hi", size=2)
 
@@ -32,13 +39,13 @@
         self.roster = {
             disk: {"name": disk, "addr": disk, "zone": "z", "region": "r", "state": "full"} for disk in STORES
         }
-        self.replicator.update_roster(self.roster)
+        self.replicator.update_roster(StorageRoster.from_wire(0, self.roster))
         self.admitted: list[Message] = []
         callbacks = DeliveryCallbacks(
             self.admitted.append, lambda shard: [], lambda ended: None, lambda message_id: False
         )
         self.shards = ShardOwner(self.runtime, self.replicator, "me", callbacks)
-        self.shards.update_table({"owners": [["me", {"addr": "me"}]], "shards": [[0, 7, -1]]})
+        self.shards.update_table(table_of_one_shard(epoch=7))
 
     def reply(self, wire_tag: str, bodies: dict[str, Json]) -> None:
         """Have storage nodes reply to requests with a tag; all others stay without a reply."""
--- a/tests/cluster/test_unclear_asks.py
+++ b/tests/cluster/test_unclear_asks.py
@@ -6,6 +6,7 @@
 from result import Err, Ok
 
 from amberlug.cluster.control.node import ControlNode, blank
+from amberlug.cluster.control.published_state import ShardTable
 from amberlug.cluster.dispatch.message import Message
 from amberlug.cluster.dispatch.messages import AdmissionOutcome
 from amberlug.cluster.edge.node import EdgeNode
@@ -18,7 +19,9 @@
 from tests.cluster.test_control_node import Fast
 from tests.cluster.test_edge_node import Nowhere
 
-AWAY = {"owners": [["edge/other", {"addr": "10.0.0.9:7300"}]], "shards": [[0, 1, -1]]}
+AWAY = ShardTable.from_wire(
+    1, {"owners": [["edge/other", {"addr": "10.0.0.9:7300"}]], "shards": [[0, 1, -1]]}
+)
 FATES = [*RequestFailure, *AdmissionOutcome]
 
 
