--- a/amberlug/cluster/control/reconciler.py
+++ b/amberlug/cluster/control/reconciler.py
@@ -13,7 +13,8 @@
 from amberlug.cluster.control.commands import AssignShards, UpdateRoster
 from amberlug.cluster.control.context import ControlContext
 from amberlug.cluster.control.membership import Membership
-from amberlug.cluster.control.sessions import EdgeProgress, Session
+from amberlug.cluster.control.session_attributes import EdgeAttributes, StorageAttributes
+from amberlug.cluster.control.sessions import Session
 from amberlug.cluster.control.shard_assignment import SHARDS, assign_shards
 from amberlug.cluster.control.state_entries import OwnerEntry, Retirement, Roster, StoreEntry, StoreState
 
@@ -99,10 +100,11 @@
     def _entries_for(self, session: Session) -> dict[str, StoreEntry]:
         """What a storage node's session changes on the roster."""
         roster, retirement = self.cluster_state.roster, self.cluster_state.retirements.get(session.name)
-        disk = str(session.details["disk"])
+        attributes = StorageAttributes.from_wire(session.details)
+        disk = attributes.disk_id
         known = roster.get(disk)
         is_retired = retirement == Retirement.COMPLETED.value
-        if known is None and (session.details["enrolled"] or is_retired):
+        if known is None and (attributes.is_enrolled or is_retired):
             return {}  # its disk was dropped or emptied before: it has to come with another one
         # A node that lost its disk while it was emptied comes back as one that is still to be emptied.
         is_retiring = retirement == Retirement.IN_PROGRESS.value
@@ -150,10 +152,10 @@
             return  # no owner reports a shortage only because nothing can be replicated
         if any(state.roster[disk].state is StoreState.FULL for disk in self._known_absent_disks()):
             return  # its replicas count, and may be lost: it comes back soon, or they are made anew
-        progress = [EdgeProgress.from_details(edges[owner].details) for owner in sorted(owners)]
-        if any(it.shards_index != state.shards_index or not it.is_complete for it in progress):
+        progress = [EdgeAttributes.from_wire(edges[owner].details) for owner in sorted(owners)]
+        if any(edge.shard_table_index != state.shards_index or not edge.is_complete for edge in progress):
             return
-        roster_index = min(it.roster_index for it in progress)
+        roster_index = min(edge.roster_index for edge in progress)
         dropped = [
             disk
             for disk, store in leaving.items()
--- a/amberlug/cluster/control/sessions.py
+++ b/amberlug/cluster/control/sessions.py
@@ -78,35 +78,6 @@
     )
 
 
-@value
-class EdgeProgress:
-    """What an edge node reports of itself before a disk may be dropped.
-
-    :param roster_index: the roster that it has acted upon; 0 for none.
-    :param shards_index: the shard table that it acts under; 0 for none.
-    :param loading_shards: shards whose messages it still reads from storage nodes.
-    :param short_messages: messages with fewer replicas than they need.
-    """
-
-    roster_index: int
-    shards_index: int
-    loading_shards: int
-    short_messages: int
-
-    @property
-    def is_complete(self) -> bool:
-        """Whether it has read all its shards, and each message has enough replicas."""
-        return not self.loading_shards and not self.short_messages
-
-    @classmethod
-    def from_details(cls, details: Json) -> EdgeProgress:
-        """Read the details of an edge node's session.
-
-        :raises KeyError: where one is missing.
-        """
-        return cls(details["roster"], details["table"], details["loading"], details["short"])
-
-
 @value
 class _PeerReport:
     received_at_s: float
--- a/amberlug/cluster/edge/node.py
+++ b/amberlug/cluster/edge/node.py
@@ -18,6 +18,7 @@
     control_nodes_from_wire,
     published_index,
 )
+from amberlug.cluster.control.session_attributes import EdgeAttributes
 from amberlug.cluster.dispatch.delivery_queue import DeliveryQueue
 from amberlug.cluster.dispatch.dispatcher import Dispatcher
 from amberlug.cluster.dispatch.replicator import Replicator
@@ -34,7 +35,7 @@
 from amberlug.cluster.gossip.store import GossipStore
 from amberlug.cluster.http.api import AdminApi
 from amberlug.cluster.http.routing import RoutingTable, build
-from amberlug.cluster.interfaces import Endpoints, Json, Runtime
+from amberlug.cluster.interfaces import Endpoints, Runtime
 from amberlug.cluster.rpc.messages import handlers_of
 from amberlug.cluster.session_client import LocalNode, SessionClient, seed_addresses
 from amberlug.cluster.settings import Settings
@@ -114,8 +115,8 @@
         """Whether the process can end, since no other node waits for anything of this one."""
         return self.delivery.is_idle
 
-    def _session_attributes(self) -> Json:
-        return self.repair.report().to_wire()
+    def _session_attributes(self) -> EdgeAttributes:
+        return self.repair.progress()
 
     def status_report(self, live_disk_ids: Set[str]) -> EdgeStatusReport:
         """Report this node's state to its operators.
--- a/amberlug/cluster/edge/repair.py
+++ b/amberlug/cluster/edge/repair.py
@@ -5,36 +5,16 @@
 from functools import partial
 
 from amberlug.cluster.control.published_state import StorageRoster
+from amberlug.cluster.control.session_attributes import EdgeAttributes
 from amberlug.cluster.dispatch.message import Message
 from amberlug.cluster.edge.context import EdgeContext
 from amberlug.cluster.edge.delivery import MessageDelivery
 from amberlug.cluster.edge.storage_reads import StorageReader
-from amberlug.cluster.interfaces import Json
-from amberlug.cluster.values import value
 
 REPAIR_INTERVAL_S = 0.1  # between searches for messages with too few replicas
 MAX_CONCURRENT_REPAIRS = 16  # so that repairs do not delay the writes of new messages
 
 
-@value
-class RepairReport:
-    """What the control plane waits for before it drops a storage node's disk for good."""
-
-    roster_version: int
-    shard_table_version: int
-    shards_recovering: int
-    messages_under_replicated: int
-
-    def to_wire(self) -> Json:
-        """The form in a session's requests; the names of the fields are historical."""
-        return {
-            "roster": self.roster_version,
-            "table": self.shard_table_version,
-            "loading": self.shards_recovering,
-            "short": self.messages_under_replicated,
-        }
-
-
 class ReplicaRepair:
     """Writes further replicas of messages after a change of the roster, some at a time."""
 
@@ -59,18 +39,19 @@
             if not replicator.enough(message.holders)
         }
 
-    def report(self) -> RepairReport:
+    def progress(self) -> EdgeAttributes:
         """How far this node is with the newest roster that it knows."""
         shards = self._delivery.shards
         # A write that began under the roster before may yet end with replicas that no longer count.
         early_writes = sum(
             1 for began_at in shards.write_started_at.values() if began_at <= self._roster_changed_at
         )
-        return RepairReport(
-            roster_version=self._context.replicator.roster_index,
-            shard_table_version=shards.table.index,
-            shards_recovering=sum(1 for it in shards.owned.values() if not it.serving) + shards.unfenced,
-            messages_under_replicated=len(self._delivery.under_replicated) + early_writes,
+        unread_shards = sum(not shard.serving for shard in shards.owned.values())
+        return EdgeAttributes(
+            roster_index=self._context.replicator.roster_index,
+            shard_table_index=shards.table.index,
+            recovering_shards=unread_shards + shards.unfenced,
+            under_replicated_messages=len(self._delivery.under_replicated) + early_writes,
         )
 
     def _search(self) -> None:
--- a/amberlug/cluster/session_client.py
+++ b/amberlug/cluster/session_client.py
@@ -21,10 +21,11 @@
     SessionReply,
 )
 from amberlug.cluster.control.published_state import ControlNode
+from amberlug.cluster.control.session_attributes import SessionAttributes
 from amberlug.cluster.control.sessions import HEARTBEAT_INTERVAL_S
 from amberlug.cluster.gossip.announcements import Announcement
 from amberlug.cluster.gossip.store import GossipStore
-from amberlug.cluster.interfaces import Json, RequestFailure, Runtime
+from amberlug.cluster.interfaces import RequestFailure, Runtime
 from amberlug.cluster.rpc.messages import request, send
 from amberlug.cluster.settings import Settings
 from amberlug.cluster.values import value
@@ -58,12 +59,12 @@
     """The node that the session is for.
 
     :param address: where it listens for peers.
-    :param details: gives what only this class of node reports.
+    :param attributes: gives what only this class of node reports.
     """
 
     address: str
     machine_class: str
-    details: Callable[[], Json]
+    attributes: Callable[[], SessionAttributes]
 
 
 @dataclass(slots=True)
@@ -139,7 +140,7 @@
             zone=self.settings.zone,
             region=self.settings.region,
             state=self.state,
-            details=self.node.details(),
+            details=self.node.attributes().to_wire(),
         )
 
     # -- opening a session
--- a/amberlug/cluster/simulation/mutations_losses.py
+++ b/amberlug/cluster/simulation/mutations_losses.py
@@ -9,11 +9,12 @@
 from unittest.mock import patch
 
 from amberlug.cluster.control.reconciler import Reconciler
+from amberlug.cluster.control.session_attributes import EdgeAttributes
 from amberlug.cluster.control.sessions import Session
 from amberlug.cluster.control.state_entries import StoreState
 from amberlug.cluster.dispatch.replicator import Replicator
 from amberlug.cluster.dispatch.shard_owner import ShardOwner
-from amberlug.cluster.edge.repair import RepairReport, ReplicaRepair
+from amberlug.cluster.edge.repair import ReplicaRepair
 from amberlug.cluster.storage.enrollment import Enrollment
 from amberlug.cluster.storage.records import FenceRow
 
@@ -75,12 +76,12 @@
 
 def _blind_drop() -> AbstractContextManager[Any]:
     """Owners say that nothing lacks a copy, before they have looked."""
-    report = ReplicaRepair.report
+    progress = ReplicaRepair.progress
 
-    def nothing_lacks(self: ReplicaRepair) -> RepairReport:
-        return replace(report(self), messages_under_replicated=0)
+    def nothing_lacks(self: ReplicaRepair) -> EdgeAttributes:
+        return replace(progress(self), under_replicated_messages=0)
 
-    return patch.object(ReplicaRepair, "report", nothing_lacks)
+    return patch.object(ReplicaRepair, "progress", nothing_lacks)
 
 
 FAULTS: Mapping[str, tuple[Callable[[], AbstractContextManager[Any]], str]] = {
--- a/amberlug/cluster/storage/node.py
+++ b/amberlug/cluster/storage/node.py
@@ -5,9 +5,10 @@
 from absl import logging
 
 from amberlug.cluster.control.published_state import CONTROL_NODES_KEY, control_nodes_from_wire
+from amberlug.cluster.control.session_attributes import StorageAttributes
 from amberlug.cluster.gossip.announcements import Payload
 from amberlug.cluster.gossip.store import DisseminationPolicy, GossipStore
-from amberlug.cluster.interfaces import Json, Runtime
+from amberlug.cluster.interfaces import Runtime
 from amberlug.cluster.rpc.messages import handlers_of
 from amberlug.cluster.session_client import LocalNode, SessionClient, seed_addresses
 from amberlug.cluster.settings import Settings
@@ -82,9 +83,9 @@
     def _gossip_peers(self) -> list[str]:
         return [self.member.control_address] if self.member.control_address else []
 
-    def _session_attributes(self) -> Json:
+    def _session_attributes(self) -> StorageAttributes:
         """What the control plane is told of this disk with the session."""
-        return {"disk": self.contents.disk_id, "enrolled": self.contents.enrolled_index > 0}
+        return StorageAttributes(self.contents.disk_id, self.contents.enrolled_index > 0)
 
     def _on_published(self, key: str, body: Payload) -> None:
         if key == CONTROL_NODES_KEY:
--- a/tests/cluster/test_edge_parts.py
+++ b/tests/cluster/test_edge_parts.py
@@ -21,7 +21,6 @@
 )
 from amberlug.cluster.edge.node import EdgeNode
 from amberlug.cluster.edge.outcomes import NOT_FOUND, MessageStatus, RecentOutcomes
-from amberlug.cluster.edge.repair import RepairReport
 from amberlug.cluster.simulation.clock import Clock
 from amberlug.cluster.simulation.deployment import Request
 from tests.cluster.fakes import Alone, settings
@@ -107,15 +106,6 @@
     assert "0-b" not in outcomes
 
 
-def test_a_repair_report_keeps_its_fields_on_the_wire() -> None:
-    assert list(RepairReport(1, 2, 3, 4).to_wire().items()) == [
-        ("roster", 1),
-        ("table", 2),
-        ("loading", 3),
-        ("short", 4),
-    ]
-
-
 def test_a_larger_rate_share_is_used_only_after_the_others_have_reduced_theirs(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
