--- a/amberlug/cluster/consensus/log.py
+++ b/amberlug/cluster/consensus/log.py
@@ -19,7 +19,7 @@
 from amberlug.cluster.consensus.opaque import Command, Encodable, MachineState, MemberRecords
 from amberlug.cluster.consensus.rows import EntryRow, Row, SnapshotRow, TruncateRow, raw_rows
 from amberlug.cluster.consensus.snapshot_transfer import CHUNK_BYTES, TransferHeader
-from amberlug.cluster.interfaces import Disk, Runtime
+from amberlug.cluster.interfaces import Disk, Runtime, WriteFailure
 from amberlug.cluster.values import value
 
 MAX_BATCH_ENTRIES = 64  # in one message, which are of CHUNK_BYTES at most in all
@@ -326,12 +326,12 @@
         :param snapshot_index: of the snapshot among the rows; 0: there is none.
         """
 
-        def on_written(error: str | None) -> None:
+        def on_written(failure: WriteFailure | None) -> None:
             if self._is_closed:
                 return
             if write in self._pending_writes:
                 self._pending_writes.remove(write)
-            if error is not None:
+            if failure is not None:
                 self._retry_later()
                 return
             self._retry_s = WRITE_RETRY_S
--- a/amberlug/cluster/consensus/raft.py
+++ b/amberlug/cluster/consensus/raft.py
@@ -40,7 +40,7 @@
 from amberlug.cluster.consensus.roles import Role
 from amberlug.cluster.consensus.rollback_guard import RollbackGuard
 from amberlug.cluster.consensus.rows import NewIncarnationRow, TermRow, raw_rows
-from amberlug.cluster.interfaces import Disk, Runtime, TimerHandle
+from amberlug.cluster.interfaces import Disk, Runtime, TimerHandle, WriteFailure
 from amberlug.cluster.rpc.messages import Responder, handles
 
 __all__ = ["ProposalCallback", "ProposalRejected", "RaftNode", "RejectionReason", "Role", "StateMachine"]
@@ -156,8 +156,8 @@
         self.stop()
         self.log.close()
 
-        def on_written(error: str | None) -> None:
-            if error is not None:
+        def on_written(failure: WriteFailure | None) -> None:
+            if failure is not None:
                 self.runtime.call_later(WRITE_RETRY_S, write)
                 return
             self.state_machine.restore(self._initial_state)
--- a/amberlug/cluster/interfaces.py
+++ b/amberlug/cluster/interfaces.py
@@ -164,14 +164,38 @@
         """Close the idle connections to an endpoint that has gone."""
 
 
+class WriteFailureReason(Enum):
+    """Why a write to a disk failed; the value is the text for logs."""
+
+    OUT_OF_SPACE = "no space is left"
+    IO_ERROR = "the disk failed"
+    DATABASE_ERROR = "the database rejected it"
+
+
+@value
+class WriteFailure:
+    """A write to a disk of which nothing is there.
+
+    :param detail: what the database reported; empty where there is nothing more to say.
+    """
+
+    reason: WriteFailureReason
+    detail: str = ""
+
+    def __str__(self) -> str:
+        """The text for logs."""
+        return f"{self.reason.value}: {self.detail}" if self.detail else self.reason.value
+
+
+OnWritten = Callable[[WriteFailure | None], None]
+"""Called once at the end of a write: with None when it is on disk, else with the reason why it is not."""
+
+
 class Disk(Protocol):
     """Durable writes."""
 
-    def write(self, statements: list[SqlStatement], on_synced: Callable[[str | None], None], /) -> None:
-        """Execute statements in one transaction with others that are pending.
-
-        :param on_synced: called once: with None when the transaction is on disk, else with the error.
-        """
+    def write(self, statements: list[SqlStatement], on_written: OnWritten, /) -> None:
+        """Execute statements in one transaction with others that are pending."""
 
 
 def on(tag: str) -> Callable[[Callable[..., None]], Callable[..., None]]:
--- a/amberlug/cluster/simulation/disk.py
+++ b/amberlug/cluster/simulation/disk.py
@@ -20,11 +20,11 @@
     TruncateRow,
     row_from,
 )
+from amberlug.cluster.interfaces import OnWritten, WriteFailure, WriteFailureReason
 from amberlug.cluster.simulation.boundary_digest import BoundaryDigest
 from amberlug.cluster.simulation.clock import Clock
 from amberlug.cluster.simulation.network import Incarnation
 from amberlug.cluster.storage import message_store
-from amberlug.cluster.storage.failures import WriteFailure, WriteFailureReason
 from amberlug.cluster.storage.messages import DEAD_OUTCOME
 from amberlug.cluster.storage.records import (
     DeletionRow,
@@ -282,7 +282,7 @@
     def __init__(self, life: Incarnation, disk_model: SimulatedDisk) -> None:
         self.life, self.disk_model = life, disk_model
 
-    def write(self, rows: Sequence[Row], then: Callable[[WriteFailure | None], None]) -> None:
+    def write(self, rows: Sequence[Row], then: OnWritten) -> None:
         if not self.life.over:  # it may end in the midst of something
             self.disk_model.put(list(rows), lambda error: self.life.do(partial(then, error)))
 
--- a/amberlug/cluster/simulation/model_checker.py
+++ b/amberlug/cluster/simulation/model_checker.py
@@ -32,7 +32,7 @@
     TruncateRow,
     row_from,
 )
-from amberlug.cluster.interfaces import Json, Reply, ReplyCallback
+from amberlug.cluster.interfaces import Json, OnWritten, Reply, ReplyCallback
 from amberlug.cluster.rpc.messages import handlers_of
 from amberlug.cluster.simulation.clock import Timer
 
@@ -145,7 +145,7 @@
     raft: Any = None
     handlers: dict[str, Callable[..., None]] = field(default_factory=dict)
     cluster_state: Json = field(default_factory=dict)  # what was applied
-    waiting: list[tuple[Rows, Callable[[str | None], None]]] = field(default_factory=list)
+    waiting: list[tuple[Rows, OnWritten]] = field(default_factory=list)
     life: int = 0
 
     def apply(self, index: int, command: Json) -> Json:
@@ -540,7 +540,7 @@
     def __init__(self, member: _Member, life: int) -> None:
         self.member, self.life = member, life
 
-    def write(self, rows: Rows, then: Callable[[str | None], None]) -> None:
+    def write(self, rows: Rows, then: OnWritten) -> None:
         if self.member.life == self.life:
             self.member.waiting.append((rows, then))
 
--- a/amberlug/cluster/storage/group_commit.py
+++ b/amberlug/cluster/storage/group_commit.py
@@ -14,7 +14,7 @@
 from pathlib import Path
 from typing import Generic, TypeVar
 
-from amberlug.cluster.storage.failures import WriteFailure, WriteFailureReason
+from amberlug.cluster.interfaces import OnWritten, WriteFailure, WriteFailureReason
 from amberlug.cluster.values import value
 
 MAX_WRITES_PER_COMMIT = 256  # bounds how long the first write of a commit waits for the others
@@ -28,7 +28,6 @@
 RowT = TypeVar("RowT")
 ResultT = TypeVar("ResultT")
 Callback = Callable[[], None]
-OnWritten = Callable[[WriteFailure | None], None]
 
 
 def open_file(path: Path, schema: str) -> sqlite3.Connection:
@@ -59,12 +58,12 @@
 @value
 class _Write(Generic[RowT]):
     rows: Sequence[RowT]
-    on_done: OnWritten
+    on_written: OnWritten
 
 
 def _notify(batch: Sequence[_Write[RowT]], failure: WriteFailure | None) -> None:
     for write in batch:
-        write.on_done(failure)
+        write.on_written(failure)
 
 
 class GroupCommitWriter(Generic[RowT]):
@@ -94,12 +93,12 @@
         self._thread.start()
         self.commits = 0
 
-    def write(self, rows: Sequence[RowT], on_done: OnWritten) -> None:
+    def write(self, rows: Sequence[RowT], on_written: OnWritten) -> None:
         """Queue rows for the next transaction.
 
-        :param on_done: called once they are synced, or with the reason why none of them is there.
+        :param on_written: called once they are synced, or with the reason why none of them is there.
         """
-        self._queue.put(_Write(rows, on_done))
+        self._queue.put(_Write(rows, on_written))
 
     def query(
         self, run_query: Callable[[sqlite3.Connection], ResultT], on_result: Callable[[ResultT], None]
--- a/amberlug/cluster/storage/message_store.py
+++ b/amberlug/cluster/storage/message_store.py
@@ -13,7 +13,7 @@
 from pathlib import Path
 from typing import NamedTuple
 
-from amberlug.cluster.storage.failures import WriteFailure
+from amberlug.cluster.interfaces import OnWritten
 from amberlug.cluster.storage.group_commit import GroupCommitWriter, open_file
 from amberlug.cluster.storage.messages import DEAD_OUTCOME, MessageOutcome
 from amberlug.cluster.storage.records import (
@@ -174,12 +174,12 @@
     def __init__(self, database: sqlite3.Connection, post: Callable[[Callable[[], None]], None]) -> None:
         self._writer: GroupCommitWriter[StorageRow] = GroupCommitWriter(database, execute_rows, post)
 
-    def write(self, rows: Sequence[StorageRow], on_done: Callable[[WriteFailure | None], None]) -> None:
+    def write(self, rows: Sequence[StorageRow], on_written: OnWritten) -> None:
         """Write rows in one transaction.
 
-        :param on_done: called once they are synced, or with the reason why none of them is there.
+        :param on_written: called once they are synced, or with the reason why none of them is there.
         """
-        self._writer.write(rows, on_done)
+        self._writer.write(rows, on_written)
 
     def read(self, message_ids: Sequence[str], on_read: Callable[[dict[str, bytes]], None]) -> None:
         """Read bodies behind the writes before; those that are missing or damaged are left out."""
--- a/amberlug/cluster/storage/records.py
+++ b/amberlug/cluster/storage/records.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 from typing import Protocol
 
-from amberlug.cluster.storage.failures import WriteFailure
+from amberlug.cluster.interfaces import OnWritten
 from amberlug.cluster.storage.messages import OPEN, MessageMetadata, MessageOutcome
 from amberlug.cluster.values import value
 
@@ -106,10 +106,10 @@
 class DurableStore(Protocol):
     """A disk of messages as the decisions use it. Writes and reads take effect in the order of the calls."""
 
-    def write(self, rows: Sequence[StorageRow], on_done: Callable[[WriteFailure | None], None], /) -> None:
+    def write(self, rows: Sequence[StorageRow], on_written: OnWritten, /) -> None:
         """Write rows in one transaction.
 
-        :param on_done: called once they are synced, or with the reason why none of them is there.
+        :param on_written: called once they are synced, or with the reason why none of them is there.
         """
 
     def read(self, message_ids: Sequence[str], on_read: Callable[[dict[str, bytes]], None], /) -> None:
--- a/amberlug/cluster/storage/replica_service.py
+++ b/amberlug/cluster/storage/replica_service.py
@@ -16,9 +16,8 @@
 
 from absl import logging
 
-from amberlug.cluster.interfaces import Runtime
+from amberlug.cluster.interfaces import Runtime, WriteFailure
 from amberlug.cluster.rpc.messages import Responder, handles
-from amberlug.cluster.storage.failures import WriteFailure
 from amberlug.cluster.storage.messages import (
     DEAD_OUTCOME,
     OPEN,
--- a/tests/cluster/test_admin.py
+++ b/tests/cluster/test_admin.py
@@ -20,7 +20,7 @@
 from amberlug.cluster.control.dead_messages import merged
 from amberlug.cluster.control.messages import SessionDescription
 from amberlug.cluster.control.node import ControlNode, blank
-from amberlug.cluster.interfaces import Json, Reply, ReplyCallback, RequestFailure
+from amberlug.cluster.interfaces import Json, OnWritten, Reply, ReplyCallback, RequestFailure
 from amberlug.cluster.local_deployment.deployment import Deployment, config
 from amberlug.cluster.local_deployment.fake_endpoint import Run
 from amberlug.cluster.local_deployment.trial import Sent, Tale, play
@@ -65,7 +65,7 @@
 
 
 class Disk:
-    def write(self, rows: object, then: Callable[[str | None], None]) -> None: ...
+    def write(self, rows: object, then: OnWritten) -> None: ...
 
 
 class HttpRequest:
--- a/tests/cluster/test_contact.py
+++ b/tests/cluster/test_contact.py
@@ -19,7 +19,7 @@
 from amberlug.cluster.dispatch.message import Message
 from amberlug.cluster.edge.outcomes import MessageStatus
 from amberlug.cluster.gossip import announcements, store
-from amberlug.cluster.interfaces import Reply
+from amberlug.cluster.interfaces import OnWritten, Reply
 from amberlug.cluster.simulation.clock import Clock
 from amberlug.cluster.simulation.machine import Machine
 from amberlug.cluster.simulation.scenarios import Day
@@ -41,7 +41,7 @@
 class Fast:
     """A disk that keeps nothing."""
 
-    def write(self, rows: list[tuple[str, tuple[Any, ...]]], then: Callable[[str | None], None]) -> None:
+    def write(self, rows: list[tuple[str, tuple[Any, ...]]], then: OnWritten) -> None:
         then(None)
 
 
--- a/tests/cluster/test_control_node.py
+++ b/tests/cluster/test_control_node.py
@@ -1,6 +1,5 @@
 """A control-plane node alone, as the leader of a log whose proposals are only recorded."""
 
-from collections.abc import Callable
 from dataclasses import replace
 from typing import Any
 
@@ -9,7 +8,7 @@
 from amberlug.cluster.control.node import ControlNode, blank
 from amberlug.cluster.control.sessions import Session
 from amberlug.cluster.control.state_entries import ShardEntry, StoreEntry, StoreState
-from amberlug.cluster.interfaces import Json
+from amberlug.cluster.interfaces import Json, OnWritten
 from amberlug.cluster.simulation.clock import Clock
 from tests.cluster.fakes import Alone, settings
 
@@ -19,7 +18,7 @@
 class Fast:
     """A disk that keeps nothing."""
 
-    def write(self, rows: Rows, then: Callable[[str | None], None]) -> None:
+    def write(self, rows: Rows, then: OnWritten) -> None:
         then(None)
 
 
--- a/tests/cluster/test_message_store.py
+++ b/tests/cluster/test_message_store.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from amberlug.cluster.storage.failures import WriteFailure, WriteFailureReason
+from amberlug.cluster.interfaces import WriteFailure, WriteFailureReason
 from amberlug.cluster.storage.group_commit import GroupCommitWriter, write_failure
 from amberlug.cluster.storage.message_store import FILE_NAME, OpenedMessageStore, open_message_store
 from amberlug.cluster.storage.messages import MessageOutcome
@@ -140,7 +140,7 @@
     failure = failures[2]
     assert failure is not None
     assert failure.reason is WriteFailureReason.DATABASE_ERROR
-    assert failure == "the database rejected it: IntegrityError: UNIQUE constraint failed: numbers.value"
+    assert str(failure) == "the database rejected it: IntegrityError: UNIQUE constraint failed: numbers.value"
 
 
 @pytest.mark.parametrize(
@@ -156,7 +156,7 @@
     error.sqlite_errorcode = code
     failure = write_failure(error)
     assert failure.reason is reason
-    assert failure == f"{reason.value}: OperationalError: cause"
+    assert str(failure) == f"{reason.value}: OperationalError: cause"
 
 
 def test_a_full_database_is_out_of_space() -> None:
--- a/tests/cluster/test_raft.py
+++ b/tests/cluster/test_raft.py
@@ -1,7 +1,6 @@
 """Single members of the Raft group, driven by frames."""
 
 import random
-from collections.abc import Callable
 from typing import Any
 
 from amberlug.cluster.consensus.log import Entry, PersistentState, encode
@@ -12,10 +11,10 @@
     SendWindow,
     TransferHeader,
 )
-from amberlug.cluster.interfaces import Json
+from amberlug.cluster.interfaces import Json, OnWritten
 from amberlug.cluster.rpc.messages import handlers_of
 from amberlug.cluster.simulation.clock import Clock
-from amberlug.cluster.simulation.disk import ControlDisk
+from amberlug.cluster.simulation.disk import OUT_OF_SPACE, ControlDisk
 from tests.cluster.fakes import Alone
 
 MEMBERS = {name: {"addr": name, "voter": True} for name in "abc"}
@@ -28,9 +27,9 @@
         self.full = False
         self.entries: dict[int, Any] = {}
 
-    def write(self, rows: list[tuple[str, tuple[Any, ...]]], then: Callable[[str | None], None]) -> None:
+    def write(self, rows: list[tuple[str, tuple[Any, ...]]], then: OnWritten) -> None:
         if self.full and any(kind == "entry" for kind, _ in rows):
-            then("no space is left")
+            then(OUT_OF_SPACE)
             return
         for kind, values in rows:
             if kind == "cut":
@@ -102,7 +101,7 @@
     def __init__(self, disk: ControlDisk) -> None:
         self.disk = disk
 
-    def write(self, rows: list[tuple[str, tuple[Any, ...]]], then: Callable[[str | None], None]) -> None:
+    def write(self, rows: list[tuple[str, tuple[Any, ...]]], then: OnWritten) -> None:
         self.disk.put(rows, then)
 
 
@@ -177,7 +176,7 @@
 def test_a_snapshot_that_the_disk_refuses_is_not_acknowledged() -> None:
     learner, transfer = Learner(), snapshot("x")
     put = learner.disk.put
-    learner.disk.put = lambda rows, then: then("no space is left")  # type: ignore[method-assign]
+    learner.disk.put = lambda rows, then: then(OUT_OF_SPACE)  # type: ignore[method-assign]
     assert [learner.receive(transfer, *it) for it in chunks(transfer)][-1] is None
     assert learner.receive(transfer, 0, b"") == {"ok": False, "term": 1, "had": transfer.header.size_bytes}
     learner.disk.put = put  # type: ignore[method-assign]
--- a/tests/cluster/test_rollback_guard.py
+++ b/tests/cluster/test_rollback_guard.py
@@ -10,6 +10,7 @@
 
 from amberlug.cluster.consensus.log import PersistentState
 from amberlug.cluster.consensus.storage import open_raft_storage
+from amberlug.cluster.interfaces import WriteFailure
 from amberlug.cluster.simulation.deployment import Deployment
 from amberlug.cluster.simulation.machine import BOUNDS, Machine
 from amberlug.cluster.simulation.mutations import mutated
@@ -140,12 +141,12 @@
 
 def test_a_new_incarnation_has_an_empty_log(tmp_path: Path) -> None:
     posted: list[Callable[[], None]] = []
-    errors: list[str | None] = []
+    failures: list[WriteFailure | None] = []
     saved, raft_storage, _ = open_raft_storage(
         tmp_path, lambda: PersistentState("ip/0", members={"ip/0": {}}), posted.append
     )
     rows = [("term", (3, "x")), ("entry", (1, 3, None)), ("floors", ({"ip/0": 1},)), ("anew", ("ip/1",))]
-    raft_storage.write(rows, errors.append)
+    raft_storage.write(rows, failures.append)
     raft_storage.close()
     saved, raft_storage, is_new = open_raft_storage(tmp_path, partial(PersistentState, "ip/2"), posted.append)
     raft_storage.close()
--- a/tests/cluster/test_storage_node.py
+++ b/tests/cluster/test_storage_node.py
@@ -2,9 +2,8 @@
 
 from collections.abc import Callable, Sequence
 
-from amberlug.cluster.interfaces import Json
+from amberlug.cluster.interfaces import Json, OnWritten, WriteFailure, WriteFailureReason
 from amberlug.cluster.simulation.clock import Clock
-from amberlug.cluster.storage.failures import WriteFailure, WriteFailureReason
 from amberlug.cluster.storage.node import StorageNode
 from amberlug.cluster.storage.records import StorageRow, StoredContents
 from tests.cluster.fakes import Alone, settings
@@ -16,10 +15,10 @@
     """A disk whose writes are decided by the test, in their order."""
 
     def __init__(self) -> None:
-        self.pending: list[Callable[[WriteFailure | None], None]] = []
+        self.pending: list[OnWritten] = []
 
-    def write(self, rows: Sequence[StorageRow], on_done: Callable[[WriteFailure | None], None]) -> None:
-        self.pending.append(on_done)
+    def write(self, rows: Sequence[StorageRow], on_written: OnWritten) -> None:
+        self.pending.append(on_written)
 
     def read(self, message_ids: Sequence[str], on_read: Callable[[dict[str, bytes]], None]) -> None:
         on_read({})
