--- a/amberlug/cluster/dispatch/call_outcome.py
+++ b/amberlug/cluster/dispatch/call_outcome.py
@@ -4,6 +4,7 @@
 
 from amberlug.cluster.dispatch.message import Message
 from amberlug.cluster.interfaces import CallResult, CallVerdict
+from amberlug.cluster.storage.messages import DEAD_OUTCOME, DONE_OUTCOME, MessageOutcome
 from amberlug.cluster.values import value
 
 MIN_RETRY_S = 0.02  # a usual call takes as long: an endpoint that restarts is found soon after
@@ -25,6 +26,11 @@
     is_failure: bool = False  # the call counts as a failed attempt
     retry_delay_s: float = 0.0
 
+    @property
+    def message_outcome(self) -> MessageOutcome:
+        """How the message ended; open where it is called again."""
+        return MessageOutcome(self.end, self.seal)
+
 
 def judge(message: Message, result: CallResult, max_attempts: int) -> CallOutcome:
     """Read the response of an endpoint. Only one that names the message's attempt is trusted.
@@ -40,9 +46,9 @@
         return CallOutcome(retry_delay_s=backoff_s)
     if 200 <= result.status < 300:
         seal = result.header(SEAL_HEADER)
-        return CallOutcome("done", seal) if seal else CallOutcome(retry_delay_s=backoff_s)
+        return CallOutcome(DONE_OUTCOME, seal) if seal else CallOutcome(retry_delay_s=backoff_s)
     if result.status == 422:
-        return CallOutcome("dead")
+        return CallOutcome(DEAD_OUTCOME)
     if result.status == 500:
         return _failed(message, max_attempts)
     return CallOutcome(retry_delay_s=STILL_RUNNING_RETRY_S if result.status == 409 else backoff_s)
@@ -51,4 +57,4 @@
 def _failed(message: Message, max_attempts: int) -> CallOutcome:
     is_last = message.failures + 1 >= max_attempts
     retry_delay_s = MIN_RETRY_S * 2**message.failures
-    return CallOutcome("dead" if is_last else "", is_failure=True, retry_delay_s=retry_delay_s)
+    return CallOutcome(DEAD_OUTCOME if is_last else "", is_failure=True, retry_delay_s=retry_delay_s)
--- a/amberlug/cluster/dispatch/delivery_queue.py
+++ b/amberlug/cluster/dispatch/delivery_queue.py
@@ -34,7 +34,7 @@
         self.messages[message.id] = message
         if message.key:
             same_key = self._by_key.setdefault(message.key, [])
-            bisect.insort(same_key, message, key=lambda it: it.order)
+            bisect.insort(same_key, message, key=lambda queued: queued.order)
             if same_key[0] is not message:
                 return
         self._schedule(message)
@@ -69,7 +69,7 @@
         if self.messages.get(message.id) is not message or message.ended or message.in_flight:
             return
         same_key = self._by_key.get(message.key, []) if message.key else []
-        if same_key and (same_key[0] is not message or any(it.in_flight for it in same_key)):
+        if same_key and (same_key[0] is not message or any(queued.in_flight for queued in same_key)):
             return  # it is offered once those before it have ended
         self._on_ready(message)
 
--- a/amberlug/cluster/dispatch/dispatcher.py
+++ b/amberlug/cluster/dispatch/dispatcher.py
@@ -139,11 +139,9 @@
         call = InFlightCall(message, endpoint, now_us, timeout_s)
         self._account.reserved[call] = None
         self.calls[call] = None
-        message.in_flight, message.call_count, message.last_endpoint_id = (
-            True,
-            message.call_count + 1,
-            endpoint.id,
-        )
+        message.in_flight = True
+        message.call_count += 1
+        message.last_endpoint_id = endpoint.id
         endpoint.calls_in_flight += 1
         endpoint_call = EndpointCall(
             endpoint.address,
--- a/amberlug/cluster/dispatch/endpoint_client.py
+++ b/amberlug/cluster/dispatch/endpoint_client.py
@@ -50,7 +50,9 @@
         """Close the connections that their endpoint is about to close."""
         now = asyncio.get_running_loop().time()
         for address, idle in list(self._idle.items()):
-            usable = [it for it in idle if it.usable_until > now and it.link.usable]
+            usable = [
+                connection for connection in idle if connection.usable_until > now and connection.link.usable
+            ]
             for connection in idle:
                 if connection not in usable:
                     connection.link.close()
@@ -72,7 +74,7 @@
         on_result(await self._try(call))
 
     async def _try(self, call: EndpointCall) -> CallResult:
-        connection = self._take_idle(call.address, call.attempt) or await self._connect(call)
+        connection = self._pop_idle(call.address, call.attempt) or await self._connect(call)
         if connection is None:
             return CallResult(CallVerdict.NOT_CONNECTED)
         response = await self._exchange(connection.link, call)
@@ -88,23 +90,23 @@
         self._release(call.address, connection, response.headers)
         return CallResult(CallVerdict.ANSWERED, response.status, tuple(response.headers.items()))
 
-    def _take_idle(self, address: str, attempt: str) -> _Connection | None:
-        """Take out the newest connection that may carry a call of this attempt."""
+    def _pop_idle(self, address: str, attempt: str) -> _Connection | None:
+        """Remove and return the newest connection that may carry a call of this attempt."""
         now = asyncio.get_running_loop().time()
         idle = self._idle.pop(address, [])
         passed_over: list[_Connection] = []
-        found = None
-        while idle and found is None:
+        selected = None
+        while idle and selected is None:
             connection = idle.pop()
             if not (connection.usable_until > now and connection.link.usable):
                 connection.link.close()
             elif attempt in connection.open_attempts:
                 passed_over.insert(0, connection)
             else:
-                found = connection
+                selected = connection
         if idle or passed_over:
             self._idle[address] = idle + passed_over
-        return found
+        return selected
 
     @staticmethod
     async def _connect(call: EndpointCall) -> _Connection | None:
@@ -142,8 +144,8 @@
         if not connection.link.usable or len(connection.open_attempts) >= MAX_OPEN_ATTEMPTS:
             connection.link.close()
             return
-        announced = _KEEP_ALIVE_TIMEOUT.search(headers.get("keep-alive", ""))
-        timeout_s = float(announced[1]) if announced else IDLE_TIMEOUT_S
+        keep_alive = _KEEP_ALIVE_TIMEOUT.search(headers.get("keep-alive", ""))
+        timeout_s = float(keep_alive[1]) if keep_alive else IDLE_TIMEOUT_S
         connection.usable_until = asyncio.get_running_loop().time() + timeout_s - IDLE_MARGIN_S
         idle = self._idle.setdefault(address, [])
         idle.append(connection)
--- a/amberlug/cluster/dispatch/message.py
+++ b/amberlug/cluster/dispatch/message.py
@@ -6,7 +6,8 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple, Self
 
-from amberlug.cluster.interfaces import Json
+from amberlug.cluster.interfaces import Headers
+from amberlug.cluster.storage.messages import OPEN, MessageMetadata, MessageOutcome
 
 MAX_SHARD_DIGITS = 4  # hexadecimal digits of a shard's number in a message id
 
@@ -35,7 +36,7 @@
     key: str  # the sequence key; empty where no order is asked for
     accepted_at: float  # when it arrived at an edge
     due_at: float  # no delivery before it
-    headers: tuple[tuple[str, str], ...] = ()
+    headers: Headers = ()
     body: bytes | None = b""  # None while it has to be read from a replica
     size: int = 0  # bytes of the body
     order: SequencePosition = FIRST_POSITION
@@ -48,12 +49,11 @@
     ended: bool = False
     service: str = ""
     rank: int = 0  # the route's precedence
-    end: str = ""  # its outcome: `done`, `dead`, `expired` or `dropped`; empty while it is open
-    seal: str = ""  # the endpoint's seal of its success
+    outcome: MessageOutcome = OPEN
     config_index: int = 0  # log index of the newest configuration at the edge that admitted it
     last_endpoint_id: str = ""  # where it was called last
 
-    def metadata(self) -> Json:
+    def encode_metadata(self) -> MessageMetadata:
         """Encode what is stored beside the body; the keys are the format of the stored rows."""
         return {
             "a": self.attempt,
@@ -69,10 +69,10 @@
         }
 
     @classmethod
-    def from_metadata(
-        cls, message_id: str, shard: int, metadata: Json, body: bytes | None, size: int
+    def decode(
+        cls, message_id: str, shard: int, metadata: MessageMetadata, body: bytes | None, size: int
     ) -> Self:
-        """Decode a message from what `metadata` encoded.
+        """Decode a message from what `encode_metadata` encoded.
 
         :param body: the body, or None where it was not sent along.
         :param size: bytes of the body, also where it was not sent along.
--- a/amberlug/cluster/dispatch/messages.py
+++ b/amberlug/cluster/dispatch/messages.py
@@ -60,13 +60,11 @@
     def of(cls, message: Message) -> Offer:
         """The submission of a message whose body is here."""
         assert message.body is not None, "a message that is submitted has its body"
-        return cls(message.id, message.shard, message.metadata(), message.body)
+        return cls(message.id, message.shard, message.encode_metadata(), message.body)
 
     def to_message(self) -> Message:
         """The message, as its owner is to admit it."""
-        return Message.from_metadata(
-            self.message_id, self.shard, self.metadata, self.content, len(self.content)
-        )
+        return Message.decode(self.message_id, self.shard, self.metadata, self.content, len(self.content))
 
     @property
     def payload(self) -> bytes:
--- a/amberlug/cluster/dispatch/previous_owners.py
+++ b/amberlug/cluster/dispatch/previous_owners.py
@@ -50,7 +50,7 @@
         """Whether a shard's handover for that epoch has come."""
         return (shard, epoch) in self._handovers
 
-    def take_handover(self, shard: int, epoch: int) -> dict[str, str]:
+    def pop_handover(self, shard: int, epoch: int) -> dict[str, str]:
         """By message that its previous owner has in flight: that owner's address. It is given once."""
         received = self._handovers.pop((shard, epoch), None)
         return dict.fromkeys(received.in_flight, received.address) if received is not None else {}
@@ -60,7 +60,7 @@
         self._early_ends[ended.message_id] = ended
         evict_oldest(self._early_ends)
 
-    def take_early_end(self, message_id: str) -> CallEnded | None:
+    def pop_early_end(self, message_id: str) -> CallEnded | None:
         """The end of a call that came before its message was read. It is given once."""
         return self._early_ends.pop(message_id, None)
 
--- a/amberlug/cluster/dispatch/replica_write.py
+++ b/amberlug/cluster/dispatch/replica_write.py
@@ -73,7 +73,7 @@
     def stores(self) -> Mapping[str, ReplicaLocation]:
         """The roster by disk."""
 
-    def enough(self, disks: Set[str]) -> bool:
+    def is_write_quorum(self, disks: Set[str]) -> bool:
         """Whether replicas on these disks outlast what may be lost at once."""
 
     def record_outcome(self, message: Message, outcome: MessageOutcome) -> None:
@@ -110,15 +110,21 @@
         self._deadline = replicator.runtime.now() + WRITE_TIMEOUT_S
         accepted_epoch, sequence = message.order
         self._request = ReplicaWriteRequest(
-            message.id, message.shard, epoch, accepted_epoch, sequence, message.metadata(), message.body
+            message.id,
+            message.shard,
+            epoch,
+            accepted_epoch,
+            sequence,
+            message.encode_metadata(),
+            message.body,
         )
 
     def begin(self) -> None:
         """Ask as many storage nodes as are needed."""
-        if not self.replicator.enough(self._chosen | set(self._remaining)):
+        if not self.replicator.is_write_quorum(self._chosen | set(self._remaining)):
             self.complete(ReplicationOutcome.REJECTED)
             return
-        while not self._is_over and not self.replicator.enough(self._chosen):
+        while not self._is_over and not self.replicator.is_write_quorum(self._chosen):
             # A disk in a zone that has a replica is passed over until it is needed.
             useful = (disk for disk in self._remaining if not self._is_redundant(disk))
             self._send(next(useful, self._remaining[0]))
@@ -171,7 +177,7 @@
         request(runtime, self.replicator.stores[disk].address, self._request, timeout_s, on_reply)
 
     def on_reply(self, disk: str, reply: Result[ReplicaWriteReply, RequestFailure]) -> None:
-        """Take what came of one request, and go on or end."""
+        """Handle the end of one request, then go on or end the write."""
         self._in_flight.discard(disk)
         if isinstance(reply, Err):
             self._on_failure(disk, reply.err_value)
@@ -195,17 +201,17 @@
     def _on_stored(self, reply: ReplicaWriteReply) -> None:
         self.message.holders.add(reply.disk_id)  # not the disk that was meant, if the machine has a new one
         if not reply.outcome.is_open:  # it was admitted by an earlier owner, and has ended
-            self.message.end, self.message.seal = reply.outcome.status, reply.outcome.receipt
+            self.message.outcome = reply.outcome
             self.complete(ReplicationOutcome.REPLICATED)
-        elif self.message.end:
-            self.replicator.record_outcome(self.message, MessageOutcome(self.message.end, self.message.seal))
+        elif not self.message.outcome.is_open:
+            self.replicator.record_outcome(self.message, self.message.outcome)
 
     def _continue(self) -> None:
         """End where enough replicas are durable, else ask a further storage node where it is needed."""
-        if self.replicator.enough(self.message.holders):
+        if self.replicator.is_write_quorum(self.message.holders):
             self.complete(ReplicationOutcome.REPLICATED)
             return
-        if self.replicator.enough(self.message.holders | self._in_flight):
+        if self.replicator.is_write_quorum(self.message.holders | self._in_flight):
             return
         self._drop_removed()
         if self._remaining:
--- a/amberlug/cluster/dispatch/replicator.py
+++ b/amberlug/cluster/dispatch/replicator.py
@@ -7,6 +7,7 @@
 from __future__ import annotations
 
 from collections.abc import Callable, Mapping, Set
+from typing import NamedTuple
 
 from result import Ok, Result
 
@@ -30,6 +31,14 @@
 SUSPECT_DISCONNECTED_S = 0.3  # a process whose connection ended may be restarting
 
 
+class _Distance(NamedTuple):
+    """How a disk ranks for a replica: in this order, those for which a field is False come first."""
+
+    is_suspect: bool
+    is_in_other_zone: bool
+    is_in_other_region: bool
+
+
 class Replicator:
     """The storage nodes of the roster, each known by the id of its disk.
 
@@ -80,7 +89,7 @@
         domains = {member.name: (member.zone, member.region) for member in members}
         return self.tolerance.holds(list(domains.values()))
 
-    def enough(self, disks: Set[str]) -> bool:
+    def is_write_quorum(self, disks: Set[str]) -> bool:
         """Whether replicas on these disks outlive the tolerated losses; only full members count."""
         return self.is_quorum(
             {disk for disk in disks if disk in self.stores and self.stores[disk].state is StoreState.FULL}
@@ -103,7 +112,7 @@
         writable = self.writable_disks
         unresponsive = {disk for disk in writable if self.health.is_unresponsive(disk)}
         full = {disk for disk in writable if self.health.is_full(disk)}
-        if self.enough(set(writable) - unresponsive - full):
+        if self.is_write_quorum(set(writable) - unresponsive - full):
             return False
         for disk in sorted(unresponsive):
             self._probe(disk)
@@ -143,11 +152,13 @@
         offset = (message.shard + message.order[1]) % max(1, len(disks))
         return sorted(disks[offset:] + disks[:offset], key=self._distance)
 
-    def _distance(self, disk: str) -> tuple[bool, bool, bool]:
+    def _distance(self, disk: str) -> _Distance:
         store = self.stores[disk]
-        return self.health.is_suspect(disk), store.zone != self._zone, store.region != self._region
+        return _Distance(self.health.is_suspect(disk), store.zone != self._zone, store.region != self._region)
 
-    def put(self, message: Message, epoch: int, on_complete: Callable[[ReplicationOutcome], None]) -> None:
+    def replicate(
+        self, message: Message, epoch: int, on_complete: Callable[[ReplicationOutcome], None]
+    ) -> None:
         """Write replicas of a message until enough are durable; those that it has count.
 
         :param epoch: the fencing token of the shard's owner.
@@ -164,7 +175,7 @@
         All that may have a replica are told, so that none brings the message back as open; and enough of them
         for the outcome to outlive the tolerated losses.
         """
-        message.end, message.seal = outcome.status, outcome.receipt
+        message.outcome = outcome
         retain_until = max(self.runtime.wall_clock() + self._outcome_retention_s, message.keep_until)
         acknowledgement = Acknowledgement(message.id, message.shard, outcome, round(retain_until, 3))
         for disk in sorted(self._disks_to_notify(message)):
@@ -174,7 +185,7 @@
     def _disks_to_notify(self, message: Message) -> set[str]:
         disks = {disk for disk in message.holders | message.possible_holders if disk in self.stores}
         for disk in self.preferred_disks(message):
-            if self.enough(disks):
+            if self.is_write_quorum(disks):
                 break
             disks.add(disk)
         return disks
--- a/amberlug/cluster/dispatch/shard_owner.py
+++ b/amberlug/cluster/dispatch/shard_owner.py
@@ -90,16 +90,16 @@
 
     @property
     def owners(self) -> tuple[TableOwner, ...]:
-        """The edges of the table."""
+        """The edge nodes of the table."""
         return self.table.owners
 
     @property
-    def edges(self) -> int:
-        """How many edges own anything, one at least."""
+    def owner_count(self) -> int:
+        """How many edge nodes own shards, one at least."""
         return self.table.count_owners()
 
     @property
-    def unfenced(self) -> int:
+    def unfenced_recoveries(self) -> int:
         """Take-overs that some storage node which takes replicas has not acknowledged.
 
         Until it has, an older owner may write there. Together with a disk that was dropped meanwhile, and
@@ -161,10 +161,10 @@
         for address, numbers in by_address.items():
             epochs = {number: self.table.rows[number].epoch for number in numbers}
             calls = tuple(message_id for number in numbers for message_id in in_flight[number])
-            ended = tuple(it for it in unacknowledged.values() if it.shard in epochs)
+            ended = tuple(outcome for outcome in unacknowledged.values() if outcome.shard in epochs)
             send(self._runtime, address, Handover(epochs, calls, ended))
 
-    def outcome_elsewhere(self, message: Message, outcome: MessageOutcome, is_failure: bool) -> None:
+    def report_to_new_owner(self, message: Message, outcome: MessageOutcome, is_failure: bool) -> None:
         """Tell the new owner of a message's shard how a call ended that was in flight here."""
         owner = self.owner_of(message.shard)
         if owner is not None:
@@ -211,7 +211,9 @@
     # -- take-over
 
     def _recover(self, epochs: dict[int, int]) -> None:
-        self._recoveries = [it for it in self._recoveries if it.is_fencing or not it.is_read]
+        self._recoveries = [
+            recovery for recovery in self._recoveries if recovery.is_fencing or not recovery.is_read
+        ]
         roster_index = self.table.roster_index
         recovery = ShardRecovery(self._runtime, self._replicator, self, epochs, roster_index)
         self._recoveries.append(recovery)
@@ -248,8 +250,8 @@
         unread_disks = recovery.unread_disks
         in_flight: dict[str, str] = {}
         for number, shard in shards.items():
-            in_flight.update(self._previous_owners.take_handover(number, shard.epoch))
-        for message in sorted(recovery.open_messages.values(), key=lambda it: it.order):
+            in_flight.update(self._previous_owners.pop_handover(number, shard.epoch))
+        for message in sorted(recovery.open_messages.values(), key=lambda message: message.order):
             if message.shard in shards and not self._delivery.is_admitted(message.id):
                 message.possible_holders |= unread_disks
                 self._admit_recovered(message, in_flight.get(message.id))
@@ -261,7 +263,7 @@
 
         :param caller: address of the previous owner where that one has a call of it in flight.
         """
-        ended = self._previous_owners.take_early_end(message.id)
+        ended = self._previous_owners.pop_early_end(message.id)
         if ended is not None and not ended.outcome.is_open:
             self._delivery.call_ended(CallEnded(message.id, ended.outcome, False))
             return
@@ -319,14 +321,14 @@
         self.pending_writes[message.id] = [on_complete]
         self.write_started_at[message.id] = self._runtime.now()
         on_written = partial(self._on_written, number, shard.epoch, message)
-        self._replicator.put(message, shard.epoch, on_written)
+        self._replicator.replicate(message, shard.epoch, on_written)
 
     def _on_written(self, number: int, epoch: int, message: Message, outcome: ReplicationOutcome) -> None:
         if outcome is not ReplicationOutcome.REPLICATED:
             self._unadmitted_replicas[message.id] = set(message.possible_holders)
             evict_oldest(self._unadmitted_replicas)
-        elif message.end:  # it was admitted by an earlier owner, and has ended
-            self._delivery.call_ended(CallEnded(message.id, MessageOutcome(message.end, message.seal), False))
+        elif not message.outcome.is_open:  # it was admitted by an earlier owner, and has ended
+            self._delivery.call_ended(CallEnded(message.id, message.outcome, False))
         elif self.owns(number, epoch):
             self._delivery.admit(message)
         del self.write_started_at[message.id]
--- a/amberlug/cluster/dispatch/shard_recovery.py
+++ b/amberlug/cluster/dispatch/shard_recovery.py
@@ -126,7 +126,7 @@
         self._open_at[disk].add(replica.message_id)
         message = self.open_messages.get(replica.message_id)
         if message is None:
-            message = self.open_messages[replica.message_id] = Message.from_metadata(
+            message = self.open_messages[replica.message_id] = Message.decode(
                 replica.message_id, replica.shard, replica.metadata, replica.content, replica.size_bytes
             )
         elif message.body is None:
--- a/amberlug/cluster/edge/delivery.py
+++ b/amberlug/cluster/edge/delivery.py
@@ -11,12 +11,7 @@
 from amberlug.cluster.dispatch.shard_owner import DeliveryCallbacks, ShardOwner
 from amberlug.cluster.edge.context import EdgeContext
 from amberlug.cluster.edge.dispatchers import ServiceDispatchers
-from amberlug.cluster.edge.outcomes import (
-    END_DROPPED,
-    END_EXPIRED,
-    MessageStatus,
-    RecentOutcomes,
-)
+from amberlug.cluster.edge.outcomes import DROPPED, EXPIRED, RecentOutcomes
 from amberlug.cluster.edge.storage_reads import StorageReader
 from amberlug.cluster.http.routing import Route
 from amberlug.cluster.interfaces import CallResult, Endpoints
@@ -39,9 +34,9 @@
         self._context, self._reader = context, reader
         self.queue = DeliveryQueue(context.runtime, self._dispatch)
         self.outcomes = RecentOutcomes()
-        callbacks = DeliveryCallbacks(self.add, self.release_shard, self._call_ended, self._is_admitted)
-        self.shards = ShardOwner(context.runtime, context.replicator, context.session.id, callbacks)
-        self.dispatchers = ServiceDispatchers(context, self.shards, endpoints, self._call_finished)
+        callbacks = DeliveryCallbacks(self.add, self.release_shard, self._on_call_ended, self._is_admitted)
+        self.shard_owner = ShardOwner(context.runtime, context.replicator, context.session.id, callbacks)
+        self.dispatchers = ServiceDispatchers(context, self.shard_owner, endpoints, self._call_finished)
         self.pending_bytes = 0  # of the bodies of the messages in `queue`
         self.under_replicated: dict[str, Message] = {}  # by id: messages with too few replicas
         self._in_flight_of_released_shards: set[Message] = set()
@@ -56,8 +51,8 @@
         """Whether this node owns nothing, and no other node waits for anything of it."""
         return not (
             self.dispatchers.has_calls
-            or self.shards.owned
-            or self.shards.pending_writes
+            or self.shard_owner.owned
+            or self.shard_owner.pending_writes
             or self._context.replicator.pending_outcomes
         )
 
@@ -71,13 +66,13 @@
         routes = self._context.routes
         if message.route not in routes.by_name and message.config_index <= routes.index:
             message.ended = True
-            self._count_end(message.id, MessageStatus(END_DROPPED))
-            self._context.replicator.record_outcome(message, MessageOutcome(END_DROPPED))
+            self._count_end(message.id, DROPPED)
+            self._context.replicator.record_outcome(message, DROPPED)
             return
         self.pending_bytes += message.size
         self._assign_service(message)
         self.queue.add(message)
-        if not self._context.replicator.enough(message.holders):
+        if not self._context.replicator.is_write_quorum(message.holders):
             self.under_replicated[message.id] = message
 
     def _assign_service(self, message: Message) -> bool:
@@ -94,7 +89,7 @@
             message.keep_until = message.accepted_at + route.retention_s + 2 * RETENTION_SLACK_S
             return True
         if message.config_index <= routes.index and not message.in_flight:
-            self._end(message, MessageStatus(END_DROPPED))
+            self._end(message, DROPPED)
         return False
 
     def apply_routes(self) -> None:
@@ -120,9 +115,9 @@
             if message.config_index > routes.index:
                 self._awaiting_routes.append(message)
             else:
-                self._end(message, MessageStatus(END_DROPPED))
+                self._end(message, DROPPED)
         elif self._is_expired(message, route):
-            self._end(message, MessageStatus(END_EXPIRED))
+            self._end(message, EXPIRED)
         elif message.body is None:
             self._read_body(message)
         else:
@@ -134,12 +129,12 @@
 
     def _read_body(self, message: Message) -> None:
         message.in_flight = True
-        self._reader.read_body(message, partial(self._body_read, message))
+        self._reader.read_body(message, partial(self._on_body_read, message))
 
-    def _body_read(self, message: Message, found: bool) -> None:
-        if message.end and not message.ended:
-            self.settle_stored_end(message)
-        elif found:
+    def _on_body_read(self, message: Message, is_read: bool) -> None:
+        if not message.outcome.is_open and not message.ended:
+            self.settle_stored_outcome(message)
+        elif is_read:
             self.queue.requeue(message)
         elif not message.ended:
             self._context.runtime.call_later(BODY_READ_RETRY_S, lambda: self._read_body(message))
@@ -156,7 +151,7 @@
             return
         elif outcome.end:
             message.in_flight = False
-            self._end(message, MessageStatus(outcome.end, outcome.seal))
+            self._end(message, outcome.message_outcome)
         elif outcome.retry_delay_s > 0:
             self._context.runtime.call_later(outcome.retry_delay_s, lambda: self._retry(message))
         else:
@@ -165,11 +160,11 @@
     def _call_of_released_shard_finished(self, message: Message, outcome: CallOutcome) -> None:
         self._in_flight_of_released_shards.discard(message)
         message.in_flight = False
-        status = MessageStatus(outcome.end, outcome.seal)
-        if outcome.end:
-            self._context.replicator.record_outcome(message, status.to_outcome())
-            self._remember(message.id, status)
-        self.shards.outcome_elsewhere(message, status.to_outcome(), outcome.is_failure)
+        message_outcome = outcome.message_outcome
+        if not message_outcome.is_open:
+            self._context.replicator.record_outcome(message, message_outcome)
+            self._remember(message.id, message_outcome)
+        self.shard_owner.report_to_new_owner(message, message_outcome, outcome.is_failure)
 
     def _retry(self, message: Message) -> None:
         if message.id in self.queue.messages and not message.ended:
@@ -179,45 +174,37 @@
 
     # Messages end, or go to another owner.
 
-    def _end(self, message: Message, status: MessageStatus) -> None:
+    def _end(self, message: Message, outcome: MessageOutcome) -> None:
         assert not message.ended, "a message ends twice"
         self.pending_bytes -= message.size
-        self._count_end(message.id, status)
+        self._count_end(message.id, outcome)
         self.queue.end(message)
-        self._context.replicator.record_outcome(message, status.to_outcome())
+        self._context.replicator.record_outcome(message, outcome)
 
-    def _count_end(self, message_id: str, status: MessageStatus) -> None:
-        self._context.count(f"ended: {status.end}")
-        self._remember(message_id, status)
+    def _count_end(self, message_id: str, outcome: MessageOutcome) -> None:
+        self._context.count(f"ended: {outcome.status}")
+        self._remember(message_id, outcome)
 
-    def _remember(self, message_id: str, status: MessageStatus) -> None:
-        self.outcomes.record(message_id, status, self._context.runtime.now())
+    def _remember(self, message_id: str, outcome: MessageOutcome) -> None:
+        self.outcomes.record(message_id, outcome, self._context.runtime.now())
 
-    def _call_ended(self, ended: CallEnded) -> None:
-        outcome = ended.outcome
-        self.settle(ended.message_id, outcome.status, outcome.receipt, ended.is_failure)
-
-    def settle(self, message_id: str, end: str, seal: str, failed: bool) -> None:
-        """Apply what came of a call that the owner before had in flight.
-
-        :param end: how the message ended, empty where it is to be called again.
-        :param failed: whether the call counts as one of the attempts that its route allows.
-        """
-        message = self.queue.messages.get(message_id)
+    def _on_call_ended(self, ended: CallEnded) -> None:
+        """Apply the end of a call that the previous owner had in flight."""
+        message, outcome = self.queue.messages.get(ended.message_id), ended.outcome
         if message is None or message.ended:
-            if end and message is None:
-                self._remember(message_id, MessageStatus(end, seal))
+            if message is None and not outcome.is_open:
+                self._remember(ended.message_id, outcome)
             return
         message.in_flight = False
-        message.failures += failed
-        if end:
-            self._end(message, MessageStatus(end, seal))
-        else:
+        message.failures += ended.is_failure
+        if outcome.is_open:
             self._retry(message)
+        else:
+            self._end(message, outcome)
 
-    def settle_stored_end(self, message: Message) -> None:
+    def settle_stored_outcome(self, message: Message) -> None:
         """End a message of which a storage node knows an end that an earlier owner did not hand over."""
-        self.settle(message.id, message.end, message.seal, False)
+        self._on_call_ended(CallEnded(message.id, message.outcome, False))
 
     def release_shard(self, shard: int) -> list[Message]:
         """Stop delivering the messages of a shard that has another owner now.
@@ -245,4 +232,4 @@
         for message in list(self.queue.messages.values()):
             route = self._context.routes.by_name.get(message.route)
             if route is not None and not message.in_flight and self._is_expired(message, route):
-                self._end(message, MessageStatus(END_EXPIRED))
+                self._end(message, EXPIRED)
--- a/amberlug/cluster/edge/dispatchers.py
+++ b/amberlug/cluster/edge/dispatchers.py
@@ -26,11 +26,11 @@
     def __init__(
         self,
         context: EdgeContext,
-        shards: ShardOwner,
+        shard_owner: ShardOwner,
         endpoints: Endpoints,
         on_call_finished: Callable[[Message, CallResult], None],
     ) -> None:
-        self._context, self._shards, self._endpoints = context, shards, endpoints
+        self._context, self._shard_owner, self._endpoints = context, shard_owner, endpoints
         self._on_call_finished = on_call_finished
         self._pool = EndpointPool(context.settings.zone, context.runtime.chance, endpoints.idle)
         self.by_service: dict[str, Dispatcher] = {}
@@ -97,7 +97,7 @@
             self._set_rate_share(share / FIRST_SHARE_DIVISOR)
 
     def _assigned_share(self) -> float:
-        return 1 / self._shards.edges if self._shards.owned else 0.0
+        return 1 / self._shard_owner.owner_count if self._shard_owner.owned else 0.0
 
     def _increase_rate_share(self) -> None:
         self._increase_scheduled = False
--- a/amberlug/cluster/edge/forwarding.py
+++ b/amberlug/cluster/edge/forwarding.py
@@ -2,13 +2,11 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable
-
 from result import Err, Result
 
 from amberlug.cluster.dispatch.message import Message
 from amberlug.cluster.dispatch.messages import AdmissionOutcome, Offer, OfferReply
-from amberlug.cluster.dispatch.shard_owner import ShardOwner
+from amberlug.cluster.dispatch.shard_owner import AdmissionCallback, ShardOwner
 from amberlug.cluster.edge.context import EdgeContext
 from amberlug.cluster.interfaces import RequestFailure
 from amberlug.cluster.rpc.messages import Responder, handles, request
@@ -17,16 +15,14 @@
 RETRY_INTERVAL_S = 0.03  # until the next attempt: a shard's move to another owner takes a few of them
 NO_OWNER_TIMEOUT_S = 1.0  # for the shard to have an owner that answers, where the client would wait longer
 
-OutcomeCallback = Callable[[AdmissionOutcome], None]
-
 
 class Forwarder:
     """Submits messages of this node's clients, and accepts those that other edge nodes forward."""
 
-    def __init__(self, context: EdgeContext, shards: ShardOwner) -> None:
-        self.context, self.shards = context, shards
+    def __init__(self, context: EdgeContext, shard_owner: ShardOwner) -> None:
+        self.context, self.shard_owner = context, shard_owner
 
-    def submit(self, message: Message, timeout_s: float, on_outcome: OutcomeCallback) -> None:
+    def submit(self, message: Message, timeout_s: float, on_outcome: AdmissionCallback) -> None:
         """Have the owner of the message's shard accept it.
 
         :param timeout_s: seconds until the client is answered at the latest.
@@ -42,10 +38,10 @@
         self.context.count("offered")
         if message.config_index > self.context.routes.index:
             self.context.gossip.compare_with(origin)
-        if message.shard in self.shards.owned and self.context.replicator.is_unavailable():
+        if message.shard in self.shard_owner.owned and self.context.replicator.is_unavailable():
             respond(OfferReply(AdmissionOutcome.REJECTED, is_unavailable=True))
             return
-        self.shards.accept(message, lambda outcome: respond(OfferReply(outcome)))
+        self.shard_owner.accept(message, lambda outcome: respond(OfferReply(outcome)))
 
 
 class _Submission:
@@ -58,10 +54,10 @@
     """
 
     def __init__(
-        self, forwarder: Forwarder, message: Message, timeout_s: float, on_outcome: OutcomeCallback
+        self, forwarder: Forwarder, message: Message, timeout_s: float, on_outcome: AdmissionCallback
     ) -> None:
         self._runtime, self._session = forwarder.context.runtime, forwarder.context.session
-        self._shards, self._message, self._on_outcome = forwarder.shards, message, on_outcome
+        self._shard_owner, self._message, self._on_outcome = forwarder.shard_owner, message, on_outcome
         now = self._runtime.now()
         self._deadline = now + timeout_s
         self._no_owner_deadline = now + min(timeout_s, NO_OWNER_TIMEOUT_S)
@@ -78,11 +74,11 @@
         if now >= self._deadline or (not self._may_be_stored and now > self._no_owner_deadline):
             self._give_up(self._may_be_stored)
             return
-        if self._message.shard in self._shards.owned:
+        if self._message.shard in self._shard_owner.owned:
             self._in_flight = True
-            self._shards.accept(self._message, self._owner_answered)
+            self._shard_owner.accept(self._message, self._owner_answered)
             return
-        owner = self._shards.owner_of(self._message.shard)
+        owner = self._shard_owner.owner_of(self._message.shard)
         if owner is None or owner.node_id == self._session.id:
             self._retry_later()
             return
--- a/amberlug/cluster/edge/intake.py
+++ b/amberlug/cluster/edge/intake.py
@@ -15,7 +15,7 @@
 from amberlug.cluster.edge.forwarding import Forwarder
 from amberlug.cluster.http.api import AdminApi, HttpRequest, HttpResponse
 from amberlug.cluster.http.routing import Route
-from amberlug.cluster.interfaces import Json
+from amberlug.cluster.interfaces import Headers, Json
 from amberlug.cluster.values import value
 
 DEFAULT_CLIENT_TIMEOUT_S = 1.5  # where a client does not say for how long it waits
@@ -46,14 +46,12 @@
     )
 )
 
-HttpHeaders = tuple[tuple[str, str], ...]
-
 
 class ClientRequest(HttpRequest, Protocol):
     """A request of a client, with all its headers by lower-case name."""
 
     @property
-    def headers(self) -> HttpHeaders:
+    def headers(self) -> Headers:
         """Names and values in the order in which they came."""
 
 
@@ -63,7 +61,7 @@
 
     status: int
     body: Json | None = None
-    headers: HttpHeaders = ()
+    headers: Headers = ()
     payload: bytes = b""
 
 
@@ -93,7 +91,7 @@
     if (
         not attempt_id
         or len(attempt_id) > MAX_ATTEMPT_ID_CHARACTERS
-        or not all(it.isalnum() or it in "-_." for it in attempt_id)
+        or not all(character.isalnum() or character in "-_." for character in attempt_id)
     ):
         return Err("Amberlug-Attempt-Id: none, or not one of up to 58 letters, digits or -_.")
     not_before = request.header("amberlug-not-before") or "0"
@@ -143,10 +141,10 @@
         if shard is None:
             self._reject(respond, 503, "no shard has an owner")
             return
-        if shard in self._delivery.shards.owned and self._context.replicator.is_unavailable():
+        if shard in self._delivery.shard_owner.owned and self._context.replicator.is_unavailable():
             self._reject(respond, 503, "too few stores answer")
             return
-        message = self._message(request, parsed.ok_value, route, shard, key)
+        message = self._new_message(request, parsed.ok_value, route, shard, key)
         self._forwarder.submit(
             message,
             parsed.ok_value.timeout_s,
@@ -161,14 +159,16 @@
         """The shard of a sequence key; without a key one that is served here, else any that has an owner."""
         if key:
             return shard_of(key, SHARDS)
-        shards = self._delivery.shards
-        serving = [number for number, shard in shards.owned.items() if shard.serving]
+        shard_owner = self._delivery.shard_owner
+        serving = [number for number, shard in shard_owner.owned.items() if shard.serving]
         if serving:
             return self._context.runtime.chance.choice(serving)
-        owned = [number for number in range(len(shards.table)) if shards.owner_of(number) is not None]
+        owned = [
+            number for number in range(len(shard_owner.table)) if shard_owner.owner_of(number) is not None
+        ]
         return self._context.runtime.chance.choice(owned) if owned else None
 
-    def _message(
+    def _new_message(
         self, request: ClientRequest, submission: SubmissionHeaders, route: Route, shard: int, key: str
     ) -> Message:
         accepted_at = self._context.runtime.wall_clock()
@@ -183,7 +183,9 @@
             key=key,
             accepted_at=accepted_at,
             due_at=accepted_at + submission.not_before_ms / 1000,
-            headers=tuple(it for it in request.headers if it[0] not in HEADERS_NOT_FORWARDED),
+            headers=tuple(
+                (name, text) for name, text in request.headers if name not in HEADERS_NOT_FORWARDED
+            ),
             body=request.body,
             size=len(request.body),
             config_index=self._context.routes.index,
@@ -207,7 +209,7 @@
         respond(ClientResponse(status, {"cause": cause}, _retry_after(RETRY_AFTER_S)))
 
 
-def _retry_after(seconds: int) -> HttpHeaders:
+def _retry_after(seconds: int) -> Headers:
     return (("Retry-After", str(seconds)),)
 
 
--- a/amberlug/cluster/edge/lookup.py
+++ b/amberlug/cluster/edge/lookup.py
@@ -8,11 +8,12 @@
 from amberlug.cluster.dispatch.messages import StandingReply, StandingRequest
 from amberlug.cluster.edge.context import EdgeContext
 from amberlug.cluster.edge.delivery import MessageDelivery
-from amberlug.cluster.edge.outcomes import MessageStatus
-from amberlug.cluster.edge.storage_reads import READ_TIMEOUT_S, StatusCallback, StorageReader
+from amberlug.cluster.edge.outcomes import NOT_FOUND
+from amberlug.cluster.edge.storage_reads import READ_TIMEOUT_S, OutcomeCallback, StorageReader
 from amberlug.cluster.http.api import HttpRequest, HttpResponse, RespondHttp, order
 from amberlug.cluster.interfaces import RequestFailure
 from amberlug.cluster.rpc.messages import Responder, handles, request
+from amberlug.cluster.storage.messages import OPEN, MessageOutcome
 
 LOOKUP_TIMEOUT_S = 1.7  # for the answer to a client: clients wait two seconds
 RETRY_AFTER_S = 1  # that a client waits where the answer can't be known now
@@ -27,7 +28,7 @@
     @order("GET", "/-/message/")
     def message(self, request: HttpRequest, name: str, respond: RespondHttp) -> None:
         """Answer how a message stands."""
-        self.find_status(name, lambda status: respond(_status_response(status)))
+        self.find_outcome(name, lambda outcome: respond(_outcome_response(outcome)))
 
     @order("GET", "/-/message-body/")
     def message_body(self, request: HttpRequest, name: str, respond: RespondHttp) -> None:
@@ -43,48 +44,50 @@
     @handles(StandingRequest)
     def on_standing(self, question: StandingRequest, origin: str, respond: Responder) -> None:
         """Answer another edge node how a message of a shard that is owned here stands."""
-        status = self.local_status(question.message_id)
-        respond(StandingReply(status.to_outcome() if status is not None else None))
+        respond(StandingReply(self.local_outcome(question.message_id)))
 
-    def local_status(self, message_id: str) -> MessageStatus | None:
+    def local_outcome(self, message_id: str) -> MessageOutcome | None:
         """How a message stands by what is in this node's memory; None where it is not there."""
-        if message_id in self._delivery.queue.messages or message_id in self._delivery.shards.pending_writes:
-            return MessageStatus()
+        if (
+            message_id in self._delivery.queue.messages
+            or message_id in self._delivery.shard_owner.pending_writes
+        ):
+            return OPEN
         return self._delivery.outcomes.get(message_id)
 
-    def find_status(self, message_id: str, on_status: StatusCallback) -> None:
+    def find_outcome(self, message_id: str, on_outcome: OutcomeCallback) -> None:
         """Find how a message stands.
 
-        :param on_status: called once, with None where it can't be known now.
+        :param on_outcome: called once, with None where it can't be known now.
         """
-        known = self.local_status(message_id)
-        if known is not None:
-            on_status(known)
+        local_outcome = self.local_outcome(message_id)
+        if local_outcome is not None:
+            on_outcome(local_outcome)
             return
         runtime = self._context.runtime
-        owner = self._delivery.shards.owner_of(shard_in(message_id))
+        owner = self._delivery.shard_owner.owner_of(shard_in(message_id))
         if owner is None or owner.node_id == self._context.session.id:
-            self._reader.find_status(message_id, runtime.now() + LOOKUP_TIMEOUT_S, on_status)
+            self._reader.find_outcome(message_id, runtime.now() + LOOKUP_TIMEOUT_S, on_outcome)
             return
 
-        def receive(reply: Result[StandingReply, RequestFailure]) -> None:
+        def on_reply(reply: Result[StandingReply, RequestFailure]) -> None:
             if isinstance(reply, Ok) and reply.ok_value.outcome is not None:
-                on_status(MessageStatus.from_outcome(reply.ok_value.outcome))
+                on_outcome(reply.ok_value.outcome)
                 return
             deadline = runtime.now() + LOOKUP_TIMEOUT_S - READ_TIMEOUT_S
-            self._reader.find_status(message_id, deadline, on_status)
+            self._reader.find_outcome(message_id, deadline, on_outcome)
 
-        request(runtime, owner.address, StandingRequest(message_id), READ_TIMEOUT_S, receive)
+        request(runtime, owner.address, StandingRequest(message_id), READ_TIMEOUT_S, on_reply)
 
 
-def _status_response(status: MessageStatus | None) -> HttpResponse:
-    if status is None:
+def _outcome_response(outcome: MessageOutcome | None) -> HttpResponse:
+    if outcome is None:
         return HttpResponse(503, {"cause": "it can't be known now"}, RETRY_AFTER_S)
-    if not status.is_found:
+    if outcome == NOT_FOUND:
         return HttpResponse(404, {"cause": "no such message"})
-    if status.is_completed:
-        return HttpResponse(200, {"condition": "completed", "seal": status.seal})
-    return HttpResponse(200, {"condition": "pending" if status.is_open else "failed"})
+    if outcome.is_completed:
+        return HttpResponse(200, {"condition": "completed", "seal": outcome.receipt})
+    return HttpResponse(200, {"condition": "pending" if outcome.is_open else "failed"})
 
 
 def _body_response(body: bytes | None) -> HttpResponse:
--- a/amberlug/cluster/edge/node.py
+++ b/amberlug/cluster/edge/node.py
@@ -54,13 +54,13 @@
         self._context = EdgeContext(runtime, settings, self.gossip, self.member, self.replicator)
         reader = StorageReader(self._context)
         self.delivery = MessageDelivery(self._context, endpoints, reader)
-        self.forwarder = Forwarder(self._context, self.shards)
+        self.forwarder = Forwarder(self._context, self.shard_owner)
         self.repair = ReplicaRepair(self._context, self.delivery, reader)
         self.lookup = MessageLookup(self._context, self.delivery, reader)
         self._intake = Intake(self._context, self.delivery, self.forwarder, AdminApi(self.lookup))
         self.handlers = {
             tag: handler
-            for part in (self.lookup, self.forwarder, self.gossip, self.shards, EdgeStatus(self))
+            for part in (self.lookup, self.forwarder, self.gossip, self.shard_owner, EdgeStatus(self))
             for tag, handler in handlers_of(part).items()
         }
         self._is_leaving = False
@@ -82,9 +82,9 @@
         return self.delivery.queue
 
     @property
-    def shards(self) -> ShardOwner:
+    def shard_owner(self) -> ShardOwner:
         """The shards that are owned here, and the table of all owners."""
-        return self.delivery.shards
+        return self.delivery.shard_owner
 
     @property
     def services(self) -> dict[str, Dispatcher]:
@@ -127,12 +127,12 @@
         return EdgeStatusReport(
             is_ready=self.ready,
             config_version=self.routes.edition,
-            owned_shards=len(self.shards.owned),
+            owned_shards=len(self.shard_owner.owned),
             queued_messages=len(messages),
             queued_bytes=self.size,
             active_calls=sum(len(service.calls) for service in self.services.values()),
             under_replicated_messages=sum(
-                not self.replicator.enough(message.holders & live_disk_ids) for message in messages
+                not self.replicator.is_write_quorum(message.holders & live_disk_ids) for message in messages
             ),
             counters=self.counts,
         )
@@ -144,7 +144,7 @@
             not self._is_leaving
             and self.member.is_confirmed
             and self._context.has_routes
-            and bool(self.shards.table)
+            and bool(self.shard_owner.table)
             and not self.replicator.is_unavailable()
         )
         if ready != self._was_ready:
@@ -165,13 +165,13 @@
         """The connection with the process at an address was lost."""
         self.member.on_disconnect(address)
         self.replicator.connection_lost(address)
-        self.shards.connection_lost(address)
+        self.shard_owner.connection_lost(address)
 
     # What the control plane publishes.
 
     def _gossip_peers(self) -> list[str]:
         """Addresses of the other edge nodes that own shards, and of the session's control-plane node."""
-        peers = [owner.address for owner in self.shards.owners if owner.node_id != self.member.id]
+        peers = [owner.address for owner in self.shard_owner.owners if owner.node_id != self.member.id]
         return peers + ([self.member.control_address] if self.member.control_address else [])
 
     def _on_published(self, key: str, body: Payload) -> None:
@@ -183,7 +183,7 @@
         elif key == CONFIG_KEY:
             self.apply_routes(build(index, body))
         elif key == SHARD_TABLE_KEY:
-            self.shards.update_table(ShardTable.from_wire(index, body))
+            self.shard_owner.update_table(ShardTable.from_wire(index, body))
             self.delivery.dispatchers.update_rate_share()
         elif key == ROSTER_KEY:
             self.repair.apply_roster(StorageRoster.from_wire(index, body))
--- a/amberlug/cluster/edge/repair.py
+++ b/amberlug/cluster/edge/repair.py
@@ -32,25 +32,25 @@
         replicator = self._context.replicator
         replicator.update_roster(roster)
         self._roster_changed_at = self._context.runtime.now()
-        self._delivery.shards.roster_changed()
+        self._delivery.shard_owner.roster_changed()
         self._delivery.under_replicated = {
             message_id: message
             for message_id, message in self._delivery.queue.messages.items()
-            if not replicator.enough(message.holders)
+            if not replicator.is_write_quorum(message.holders)
         }
 
     def progress(self) -> EdgeAttributes:
         """How far this node is with the newest roster that it knows."""
-        shards = self._delivery.shards
+        shard_owner = self._delivery.shard_owner
         # A write that began under the roster before may yet end with replicas that no longer count.
         early_writes = sum(
-            1 for began_at in shards.write_started_at.values() if began_at <= self._roster_changed_at
+            1 for began_at in shard_owner.write_started_at.values() if began_at <= self._roster_changed_at
         )
-        unread_shards = sum(not shard.serving for shard in shards.owned.values())
+        unread_shards = sum(not shard.serving for shard in shard_owner.owned.values())
         return EdgeAttributes(
             roster_index=self._context.replicator.roster_index,
-            shard_table_index=shards.table.index,
-            recovering_shards=unread_shards + shards.unfenced,
+            shard_table_index=shard_owner.table.index,
+            recovering_shards=unread_shards + shard_owner.unfenced_recoveries,
             under_replicated_messages=len(self._delivery.under_replicated) + early_writes,
         )
 
@@ -64,7 +64,7 @@
             if (
                 message.ended
                 or message_id not in self._delivery.queue.messages
-                or self._context.replicator.enough(message.holders)
+                or self._context.replicator.is_write_quorum(message.holders)
             ):
                 del under_replicated[message_id]
             elif message_id not in self._in_progress:
@@ -74,16 +74,18 @@
                 self._write_replicas(message)
 
     def _write_replicas(self, message: Message) -> None:
-        shard = self._delivery.shards.owned.get(message.shard)
+        shard = self._delivery.shard_owner.owned.get(message.shard)
         if message.body is None:
-            self._reader.read_body(message, partial(self._body_read, message))
+            self._reader.read_body(message, partial(self._on_body_read, message))
         elif shard is None or message.ended:
             self.repair_finished(message)
         else:
-            self._context.replicator.put(message, shard.epoch, lambda outcome: self.repair_finished(message))
+            self._context.replicator.replicate(
+                message, shard.epoch, lambda outcome: self.repair_finished(message)
+            )
 
-    def _body_read(self, message: Message, found: bool) -> None:
-        if found:
+    def _on_body_read(self, message: Message, is_read: bool) -> None:
+        if is_read:
             self._write_replicas(message)
         else:
             self.repair_finished(message)
@@ -91,9 +93,9 @@
     def repair_finished(self, message: Message) -> None:
         """Apply what came of a repair; where replicas are still too few, the next search tries again."""
         self._in_progress.discard(message.id)
-        if message.end and not message.ended:
-            self._delivery.settle_stored_end(message)
-        if self._context.replicator.enough(message.holders):
+        if not message.outcome.is_open and not message.ended:
+            self._delivery.settle_stored_outcome(message)
+        if self._context.replicator.is_write_quorum(message.holders):
             self._context.count("mended")
             self._delivery.under_replicated.pop(message.id, None)
             if self._delivery.under_replicated and not self._in_progress:
--- a/amberlug/cluster/edge/storage_reads.py
+++ b/amberlug/cluster/edge/storage_reads.py
@@ -9,15 +9,21 @@
 
 from amberlug.cluster.dispatch.message import Message
 from amberlug.cluster.edge.context import EdgeContext
-from amberlug.cluster.edge.outcomes import NOT_FOUND, MessageStatus
+from amberlug.cluster.edge.outcomes import NOT_FOUND
 from amberlug.cluster.interfaces import RequestFailure
 from amberlug.cluster.rpc.messages import request
-from amberlug.cluster.storage.messages import ContentReply, ContentRequest, OutcomesReply, OutcomesRequest
+from amberlug.cluster.storage.messages import (
+    ContentReply,
+    ContentRequest,
+    MessageOutcome,
+    OutcomesReply,
+    OutcomesRequest,
+)
 
 READ_TIMEOUT_S = 0.5  # for a storage node, or an edge node that is asked, to answer
 READ_SLACK_S = 0.05  # beyond it, until a read of several nodes ends without those that have not answered
 
-StatusCallback = Callable[[MessageStatus | None], None]
+OutcomeCallback = Callable[[MessageOutcome | None], None]
 
 
 class StorageReader:
@@ -29,9 +35,9 @@
     def read_body(self, message: Message, on_done: Callable[[bool], None]) -> None:
         """Read the body of a message into it, from one of its replicas.
 
-        Where the storage node knows that the message has ended, its `end` and `seal` are set.
+        Where the storage node knows that the message has ended, its `outcome` is set.
 
-        :param on_done: called once, with whether the body was found.
+        :param on_done: called once, with whether the body was read.
         """
         storage_nodes = self._context.replicator.stores
         replicas = [disk for disk in sorted(message.holders) if disk in storage_nodes] or list(storage_nodes)
@@ -43,8 +49,8 @@
             content, outcome = reply.ok_value.content, reply.ok_value.outcome
             if content is not None:
                 message.body = content
-            if not outcome.is_open and not message.end:
-                message.end, message.seal = outcome.status, outcome.receipt
+            if not outcome.is_open and message.outcome.is_open:
+                message.outcome = outcome
             on_done(content is not None)
 
         disk = self._context.runtime.chance.choice(replicas)
@@ -75,13 +81,13 @@
         for storage_node in storage_nodes.values():
             self._request_body(storage_node.address, message_id, receive)
 
-    def find_status(self, message_id: str, deadline: float, on_status: StatusCallback) -> None:
+    def find_outcome(self, message_id: str, deadline: float, on_outcome: OutcomeCallback) -> None:
         """Ask all storage nodes how a message stands.
 
         :param deadline: monotonic time in seconds at which None is reported at the latest.
-        :param on_status: called once, see `_StatusQuery`.
+        :param on_outcome: called once, see `_OutcomeQuery`.
         """
-        _StatusQuery(self._context, message_id, on_status).begin(deadline)
+        _OutcomeQuery(self._context, message_id, on_outcome).begin(deadline)
 
     def _request_body(
         self, address: str, message_id: str, receive: Callable[[Result[ContentReply, RequestFailure]], None]
@@ -89,7 +95,7 @@
         request(self._context.runtime, address, ContentRequest(message_id), READ_TIMEOUT_S, receive)
 
 
-class _StatusQuery:
+class _OutcomeQuery:
     """One question to all storage nodes, how a message stands.
 
     Invariant: a message is reported as open or as not found only if the storage nodes that have answered are
@@ -97,11 +103,11 @@
     since an end is final.
     """
 
-    def __init__(self, context: EdgeContext, message_id: str, on_status: StatusCallback) -> None:
+    def __init__(self, context: EdgeContext, message_id: str, on_outcome: OutcomeCallback) -> None:
         self._runtime, self._replicator = context.runtime, context.replicator
-        self._message_id, self._on_status = message_id, on_status
+        self._message_id, self._on_outcome = message_id, on_outcome
         self._answered_disks: set[str] = set()
-        self._found: list[MessageStatus] = []
+        self._outcomes: list[MessageOutcome] = []
         self._finished = False
 
     def begin(self, deadline: float) -> None:
@@ -121,16 +127,15 @@
             self._answered_disks.add(disk)
             outcome = reply.ok_value.outcomes.get(self._message_id)
             if outcome is not None:
-                self._found.append(MessageStatus.from_outcome(outcome))
-        ended = [status for status in self._found if not status.is_open]
+                self._outcomes.append(outcome)
+        ended = [outcome for outcome in self._outcomes if not outcome.is_open]
         if ended or self._replicator.covers_all_messages(self._answered_disks):
-            known = ended or self._found
-            self._finish(known[0] if known else MessageStatus(NOT_FOUND))
+            self._finish(next(iter(ended or self._outcomes), NOT_FOUND))
 
     def _timed_out(self) -> None:
         if not self._finished:
             self._finish(None)
 
-    def _finish(self, status: MessageStatus | None) -> None:
+    def _finish(self, outcome: MessageOutcome | None) -> None:
         self._finished = True
-        self._on_status(status)
+        self._on_outcome(outcome)
--- a/amberlug/cluster/simulation/mutations.py
+++ b/amberlug/cluster/simulation/mutations.py
@@ -30,7 +30,6 @@
 from amberlug.cluster.edge.forwarding import _Submission
 from amberlug.cluster.edge.lookup import MessageLookup
 from amberlug.cluster.edge.node import EdgeNode
-from amberlug.cluster.edge.outcomes import MessageStatus
 from amberlug.cluster.gossip.store import GossipStore
 from amberlug.cluster.http.api import HttpResponse, RespondHttp
 from amberlug.cluster.http.routing import RoutingTable
@@ -43,7 +42,7 @@
     mutations_partitions,
     mutations_voters,
 )
-from amberlug.cluster.storage.messages import ReplicaWriteReply, ReplicaWriteResult
+from amberlug.cluster.storage.messages import MessageOutcome, ReplicaWriteReply, ReplicaWriteResult
 from amberlug.cluster.storage.records import StoredContents
 
 Mutant = Callable[[], AbstractContextManager[Any]]
@@ -158,15 +157,15 @@
 
 def _failed_early() -> AbstractContextManager[Any]:
     """A name is answered `failed` while its message is open."""
-    local_status = MessageLookup.local_status
+    local_outcome = MessageLookup.local_outcome
 
-    def failed(self: MessageLookup, message_id: str) -> MessageStatus | None:
+    def failed(self: MessageLookup, message_id: str) -> MessageOutcome | None:
         message = self._delivery.queue.messages.get(message_id)
         if message is not None and message.failures:
-            return MessageStatus("dead")
-        return local_status(self, message_id)
+            return MessageOutcome("dead")
+        return local_outcome(self, message_id)
 
-    return patch.object(MessageLookup, "local_status", failed)
+    return patch.object(MessageLookup, "local_outcome", failed)
 
 
 def _rate_alone() -> AbstractContextManager[Any]:
--- a/amberlug/cluster/simulation/mutations_answers.py
+++ b/amberlug/cluster/simulation/mutations_answers.py
@@ -36,9 +36,9 @@
 
 def _attempt_by_order() -> AbstractContextManager[Any]:
     """An attempt is called again where a second copy of its last answer may still come."""
-    take_idle = EndpointClient._take_idle
+    pop_idle = EndpointClient._pop_idle
     return patch.object(
-        EndpointClient, "_take_idle", lambda self, address, attempt: take_idle(self, address, "")
+        EndpointClient, "_pop_idle", lambda self, address, attempt: pop_idle(self, address, "")
     )
 
 
--- a/amberlug/cluster/simulation/mutations_losses.py
+++ b/amberlug/cluster/simulation/mutations_losses.py
@@ -22,7 +22,7 @@
 def _retire_short() -> AbstractContextManager[Any]:
     """A store that is emptied counts as one of the copies of what it holds."""
 
-    def enough(self: Replicator, disks: Set[str]) -> bool:
+    def is_write_quorum(self: Replicator, disks: Set[str]) -> bool:
         return self.is_quorum(
             {
                 disk
@@ -31,7 +31,7 @@
             }
         )
 
-    return patch.object(Replicator, "enough", enough)
+    return patch.object(Replicator, "is_write_quorum", is_write_quorum)
 
 
 def _last_short() -> AbstractContextManager[Any]:
@@ -71,7 +71,7 @@
 
 def _unfenced_drop() -> AbstractContextManager[Any]:
     """A take-over that serves counts as fenced everywhere."""
-    return patch.object(ShardOwner, "unfenced", 0)
+    return patch.object(ShardOwner, "unfenced_recoveries", 0)
 
 
 def _blind_drop() -> AbstractContextManager[Any]:
--- a/amberlug/cluster/storage/messages.py
+++ b/amberlug/cluster/storage/messages.py
@@ -15,6 +15,7 @@
 from amberlug.cluster.rpc.messages import Body, Request
 from amberlug.cluster.values import value
 
+DONE_OUTCOME = "done"  # the outcome of a message that an endpoint has run with success
 DEAD_OUTCOME = "dead"  # the outcome of a message that was given up on; its body stays readable
 
 # What a shard's owner stores beside a body. Storage nodes return it as it came, with fields that they do not
@@ -38,6 +39,11 @@
         """Whether the message has not ended."""
         return not self.status
 
+    @property
+    def is_completed(self) -> bool:
+        """Whether an endpoint has run the message with success."""
+        return self.status == DONE_OUTCOME
+
 
 OPEN = MessageOutcome()
 
--- a/benchmarks/hollow/steps.py
+++ b/benchmarks/hollow/steps.py
@@ -132,7 +132,7 @@
         def fill(contents: StoredContents, many: int) -> None:
             for it in range(many):
                 kept = message(it, 1000)
-                meta = json.loads(json.dumps(kept.metadata()))
+                meta = json.loads(json.dumps(kept.encode_metadata()))
                 contents.messages[kept.id] = StoredMessage(0, 7, it, meta, 1000)
 
         size = _room(partial(fill, contents, count))[1]
--- a/tests/cluster/test_contact.py
+++ b/tests/cluster/test_contact.py
@@ -17,7 +17,6 @@
     SubmitRetirement,
 )
 from amberlug.cluster.dispatch.message import Message
-from amberlug.cluster.edge.outcomes import MessageStatus
 from amberlug.cluster.gossip import announcements, store
 from amberlug.cluster.interfaces import OnWritten, Reply
 from amberlug.cluster.simulation.clock import Clock
@@ -237,7 +236,7 @@
     day.clock.call_later(0.6, day.operator.begin)
     day.clock.run(5.0)
     edge = day.deployment.edges[0].part
-    shard = next(iter(edge.shards.owned))
+    shard = next(iter(edge.shard_owner.owned))
     for machine in day.deployment.stores:
         machine.part.contents.messages[f"{shard}-x"] = StoredMessage(
             shard, 1, 1, {}, 1, MessageOutcome("done", "seal"), day.clock.now + 2e9
@@ -247,7 +246,7 @@
     edge.delivery.add(message)  # read as open without its body, before its end was known there
     day.clock.run(6.0)
     assert message.ended
-    assert edge.delivery.outcomes.get(message.id) == MessageStatus("done", "seal")
+    assert edge.delivery.outcomes.get(message.id) == MessageOutcome("done", "seal")
 
 
 def started(cores: int) -> Day:
--- a/tests/cluster/test_edge_node.py
+++ b/tests/cluster/test_edge_node.py
@@ -5,12 +5,12 @@
 
 from amberlug.cluster.dispatch.message import Message
 from amberlug.cluster.edge.node import EdgeNode
-from amberlug.cluster.edge.outcomes import MessageStatus
 from amberlug.cluster.interfaces import CallResult, EndpointCall
 from amberlug.cluster.simulation.clients import HOST
 from amberlug.cluster.simulation.clock import Clock
 from amberlug.cluster.simulation.deployment import Request
 from amberlug.cluster.simulation.scenarios import Day
+from amberlug.cluster.storage.messages import MessageOutcome
 from tests.cluster.fakes import Alone, settings
 
 
@@ -31,10 +31,10 @@
     edge = EdgeNode(Alone(Clock()), settings("edge"), "10.0.0.1:7300", Nowhere())
     message = Message("0-x", 0, "x", "", "POST", "/", "r", "", 0.0, 100.0)
     edge.delivery_queue.add(message)
-    message.end, message.seal = "done", "seal"  # as the reply to a replica write sets them
+    message.outcome = MessageOutcome("done", "seal")  # as the reply to a replica write sets it
     edge.repair.repair_finished(message)
     assert edge.delivery_queue.messages == {}
-    assert edge.delivery.outcomes.get("0-x") == MessageStatus("done", "seal")
+    assert edge.delivery.outcomes.get("0-x") == MessageOutcome("done", "seal")
 
 
 def test_submissions_are_rejected_at_once_while_too_few_storage_nodes_answer() -> None:
--- a/tests/cluster/test_edge_parts.py
+++ b/tests/cluster/test_edge_parts.py
@@ -20,9 +20,10 @@
     parse_submission_headers,
 )
 from amberlug.cluster.edge.node import EdgeNode
-from amberlug.cluster.edge.outcomes import NOT_FOUND, MessageStatus, RecentOutcomes
+from amberlug.cluster.edge.outcomes import NOT_FOUND, RecentOutcomes
 from amberlug.cluster.simulation.clock import Clock
 from amberlug.cluster.simulation.deployment import Request
+from amberlug.cluster.storage.messages import MessageOutcome
 from tests.cluster.fakes import Alone, settings
 from tests.cluster.test_edge_node import Nowhere
 
@@ -77,31 +78,29 @@
 
 
 @pytest.mark.parametrize(
-    ("status", "is_open", "is_completed", "is_found"),
+    ("outcome", "is_open", "is_completed", "is_found"),
     [
-        (MessageStatus(), True, False, True),
-        (MessageStatus("done", "seal"), False, True, True),
-        (MessageStatus("dead"), False, False, True),
-        (MessageStatus(NOT_FOUND), False, False, False),
+        (MessageOutcome(), True, False, True),
+        (MessageOutcome("done", "seal"), False, True, True),
+        (MessageOutcome("dead"), False, False, True),
+        (NOT_FOUND, False, False, False),
     ],
 )
-def test_a_message_status_says_how_the_message_stands(
-    status: MessageStatus, is_open: bool, is_completed: bool, is_found: bool
+def test_an_outcome_says_how_the_message_stands(
+    outcome: MessageOutcome, is_open: bool, is_completed: bool, is_found: bool
 ) -> None:
-    assert (status.is_open, status.is_completed, status.is_found) == (is_open, is_completed, is_found)
-    reply = StandingReply.from_wire(StandingReply(status.to_outcome()).to_wire(), b"")
-    assert reply.outcome is not None
-    assert MessageStatus.from_outcome(reply.outcome) == status
+    assert (outcome.is_open, outcome.is_completed, outcome != NOT_FOUND) == (is_open, is_completed, is_found)
+    assert StandingReply.from_wire(StandingReply(outcome).to_wire(), b"").outcome == outcome
 
 
 def test_outcomes_are_forgotten_by_age() -> None:
     outcomes = RecentOutcomes()
-    outcomes.record("0-a", MessageStatus("done", "s"), 1.0)
-    outcomes.record("0-b", MessageStatus("dead"), 2.0)
+    outcomes.record("0-a", MessageOutcome("done", "s"), 1.0)
+    outcomes.record("0-b", MessageOutcome("dead"), 2.0)
     outcomes.forget_before(2.0)
     assert "0-a" not in outcomes
     assert outcomes.get("0-a") is None
-    assert outcomes.get("0-b") == MessageStatus("dead")
+    assert outcomes.get("0-b") == MessageOutcome("dead")
     outcomes.forget_before(2.1)
     assert "0-b" not in outcomes
 
@@ -121,8 +120,8 @@
     monkeypatch.setattr(ServiceDispatchers, "_set_rate_share", record)
 
     def assign(edges: int, owns: bool) -> None:
-        shards: Any = SimpleNamespace(edges=edges, owned={0: None} if owns else {})
-        monkeypatch.setattr(dispatchers, "_shards", shards)
+        shard_owner: Any = SimpleNamespace(owner_count=edges, owned={0: None} if owns else {})
+        monkeypatch.setattr(dispatchers, "_shard_owner", shard_owner)
         dispatchers.update_rate_share()
 
     assign(2, True)
--- a/tests/cluster/test_found.py
+++ b/tests/cluster/test_found.py
@@ -64,11 +64,11 @@
     day = Calm(1)
     day.play()
     edge = day.deployment.edges[0].part
-    number, shard = next(iter(edge.shards.owned.items()))
+    number, shard = next(iter(edge.shard_owner.owned.items()))
     message = Message(
         f"{number:x}-again", number, "again", "", "GET", "/", "r", "k", 0.0, 0.0, order=SequencePosition(3, 7)
     )
-    edge.replicator.put(message, shard.epoch, lambda put: None)
+    edge.replicator.replicate(message, shard.epoch, lambda put: None)
     day.clock.run(day.clock.now + 0.5)
     stored = [it.part.contents.messages.get(message.id) for it in day.deployment.stores]
     positions = {(it.shard, it.accepted_epoch, it.sequence) for it in stored if it is not None}
@@ -85,7 +85,7 @@
     edge, message = next(
         (edge, it) for edge in edges for it in edge.delivery_queue.messages.values() if it.in_flight
     )
-    edge.shards.on_outcome(CallEnded(message.id, MessageOutcome(), False), "", lambda reply: None)
+    edge.shard_owner.on_outcome(CallEnded(message.id, MessageOutcome(), False), "", lambda reply: None)
     day.clock.run(day.clock.now + 1.0)
     assert sum(run.attempt == message.attempt for run in day.history.runs) == 1
 
--- a/tests/cluster/test_killed_steps.py
+++ b/tests/cluster/test_killed_steps.py
@@ -70,6 +70,6 @@
 
 def test_a_message_that_is_accepted_before_it_is_kept_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(
-        Replicator, "put", lambda self, message, epoch, then: then(ReplicationOutcome.REPLICATED)
+        Replicator, "replicate", lambda self, message, epoch, then: then(ReplicationOutcome.REPLICATED)
     )
     assert "LOST" in {it.rule for ms in (15, 40) for it in killed(ms, False)}
--- a/tests/cluster/test_losses.py
+++ b/tests/cluster/test_losses.py
@@ -98,12 +98,12 @@
 def test_an_owner_serves_once_it_knows_the_roster_that_its_table_was_agreed_on() -> None:
     rig = OwnerRig()
     heard: dict[str, Json] = {it: {"open": []} for it in STORES}
-    rig.shards.update_table(table_of_one_shard(epoch=8, roster=5))
+    rig.shard_owner.update_table(table_of_one_shard(epoch=8, roster=5))
     rig.reply("fence", heard)
-    assert not rig.shards.owned[0].serving
+    assert not rig.shard_owner.owned[0].serving
     rig.replicator.update_roster(StorageRoster.from_wire(5, rig.roster))
-    rig.shards.roster_changed()
-    assert rig.shards.owned[0].serving
+    rig.shard_owner.roster_changed()
+    assert rig.shard_owner.owned[0].serving
 
 
 @pytest.mark.parametrize("name", ["", "unfenced-drop"])
@@ -112,19 +112,19 @@
     (last,) = (then for to, _, _, then in rig.runtime.asked if to == STORES[2])
     rig.reply("fence", {it: {"open": []} for it in STORES[:2]})
     rig.clock.run(1.0)
-    assert rig.shards.owned[0].serving
+    assert rig.shard_owner.owned[0].serving
     with mutated(name):
-        assert bool(rig.shards.unfenced) != bool(name)
+        assert bool(rig.shard_owner.unfenced_recoveries) != bool(name)
     last(Ok(Reply({"ok": True, "disk": STORES[2], "refused": {}, "open": []}, b"")))
     rig.clock.run(2.0)
-    assert rig.shards.unfenced == 0
+    assert rig.shard_owner.unfenced_recoveries == 0
 
 
 def test_a_put_outlasts_a_disk_that_is_dropped_meanwhile() -> None:
     rig = OwnerRig()
     rig.reply("fence", {it: {"open": []} for it in STORES})
     said: list[AdmissionOutcome] = []
-    rig.shards.accept(new_message(), said.append)
+    rig.shard_owner.accept(new_message(), said.append)
     first, second = (to for to, word, _, _ in rig.runtime.asked if word == "put")
     (left,) = set(STORES) - {first, second}
     remaining = {disk: rig.roster[disk] for disk in STORES if disk != left}
--- a/tests/cluster/test_shard_owner.py
+++ b/tests/cluster/test_shard_owner.py
@@ -44,8 +44,8 @@
         callbacks = DeliveryCallbacks(
             self.admitted.append, lambda shard: [], lambda ended: None, lambda message_id: False
         )
-        self.shards = ShardOwner(self.runtime, self.replicator, "me", callbacks)
-        self.shards.update_table(table_of_one_shard(epoch=7))
+        self.shard_owner = ShardOwner(self.runtime, self.replicator, "me", callbacks)
+        self.shard_owner.update_table(table_of_one_shard(epoch=7))
 
     def reply(self, wire_tag: str, bodies: dict[str, Json]) -> None:
         """Have storage nodes reply to requests with a tag; all others stay without a reply."""
@@ -82,14 +82,14 @@
     rig = OwnerRig()
     rig.reply("fence", {disk: {"open": []} for disk in STORES})
     outcomes: list[AdmissionOutcome] = []
-    rig.shards.accept(new_message(), outcomes.append)
+    rig.shard_owner.accept(new_message(), outcomes.append)
     first, second = (request[0] for request in rig.runtime.asked)
     rig.clock.run(2.0)
     for _, _, _, on_reply in rig.runtime.asked:
         on_reply(Err(RequestFailure.TIMED_OUT))
     assert outcomes == [AdmissionOutcome.OUTCOME_UNKNOWN]
     rig.runtime.asked.clear()
-    rig.shards.accept(new_message(), outcomes.append)
+    rig.shard_owner.accept(new_message(), outcomes.append)
     rig.reply("put", {disk: {} for disk in STORES})
     assert outcomes == [AdmissionOutcome.OUTCOME_UNKNOWN, AdmissionOutcome.ACCEPTED]
     rig.replicator.record_outcome(rig.admitted[0], DONE)
--- a/tests/cluster/test_unclear_asks.py
+++ b/tests/cluster/test_unclear_asks.py
@@ -32,7 +32,7 @@
     clock = Clock()
     world = Alone(clock)
     edge = EdgeNode(world, settings("edge"), "10.0.0.1:7300", Nowhere())
-    edge.shards.update_table(AWAY)
+    edge.shard_owner.update_table(AWAY)
     said: list[AdmissionOutcome] = []
     message = Message("0-x", 0, "x", "", "POST", "/", "r", "", 0.0, 0.0)
     edge.forwarder.submit(message, 1.5, said.append)
