--- a/amberlug/cluster/dispatch/messages.py
+++ b/amberlug/cluster/dispatch/messages.py
@@ -149,15 +149,13 @@
 
     def to_wire(self) -> Json:
         """`known`: a pair, or null."""
-        if self.outcome is None:
-            return {"known": None}
-        return {"known": [self.outcome.status, self.outcome.receipt]}
+        return {"known": self.outcome.to_pair() if self.outcome is not None else None}
 
     @classmethod
     def from_wire(cls, body: Json, payload: bytes) -> StandingReply:
         """Read the reply; without the field nothing is known."""
-        known = body.get("known")
-        return cls(MessageOutcome(*known) if known else None)
+        pair = body.get("known")
+        return cls(MessageOutcome(*pair) if pair else None)
 
 
 @value
--- a/amberlug/cluster/dispatch/shard_owner.py
+++ b/amberlug/cluster/dispatch/shard_owner.py
@@ -55,14 +55,18 @@
 
 @value
 class DeliveryCallbacks:
-    """What delivers the messages of owned shards."""
+    """What delivers the messages of owned shards.
 
-    admit: Callable[[Message], None]  # deliver a message from now on
-    release: Callable[[int], list[Message]]  # deliver those of a shard no longer; returns them
-    call_ended: Callable[
-        [CallEnded], None
-    ]  # a call at the previous owner, of a message that is admitted here
-    is_admitted: Callable[[str], bool]  # whether a message is being delivered, or is known to have ended
+    :param admit: delivers a message from now on.
+    :param release: delivers the messages of a shard no longer, and returns them.
+    :param call_ended: applies the end of a call at the previous owner, of a message that is admitted here.
+    :param is_admitted: whether a message is being delivered, or is known to have ended.
+    """
+
+    admit: Callable[[Message], None]
+    release: Callable[[int], list[Message]]
+    call_ended: Callable[[CallEnded], None]
+    is_admitted: Callable[[str], bool]
 
 
 class ShardOwner:
@@ -143,27 +147,35 @@
 
     # -- handover to the next owner
 
-    def _send_handovers(self, shards: list[int]) -> None:
-        logging.info("%d shards lost to other owners", len(shards))
-        in_flight: dict[int, list[str]] = {}
+    def _send_handovers(self, lost: list[int]) -> None:
+        """Release shards, and tell each new owner what is in flight in those that it has now."""
+        logging.info("%d shards lost to other owners", len(lost))
         unacknowledged = self._replicator.unacknowledged_outcomes()
-        for number in shards:
-            for queued in self.owned.pop(number).queued:
-                queued.on_complete(AdmissionOutcome.NOT_OWNER)
-            in_flight[number] = [
-                message.id for message in self._delivery.release(number) if message.in_flight
-            ]
-        by_address: dict[str, list[int]] = {}
-        for number in shards:
-            owner = self.owner_of(number)
-            if owner is not None:
-                by_address.setdefault(owner.address, []).append(number)
-        for address, numbers in by_address.items():
-            epochs = {number: self.table.rows[number].epoch for number in numbers}
-            calls = tuple(message_id for number in numbers for message_id in in_flight[number])
+        in_flight = {shard: self._release(shard) for shard in lost}
+        for address, shards in self._by_owner_address(lost).items():
+            epochs = {shard: self.table.rows[shard].epoch for shard in shards}
+            calls = tuple(message_id for shard in shards for message_id in in_flight[shard])
             ended = tuple(outcome for outcome in unacknowledged.values() if outcome.shard in epochs)
             send(self._runtime, address, Handover(epochs, calls, ended))
 
+    def _release(self, shard: int) -> list[str]:
+        """Own a shard no longer.
+
+        :returns: ids of its messages that have a call in flight here.
+        """
+        for queued in self.owned.pop(shard).queued:
+            queued.on_complete(AdmissionOutcome.NOT_OWNER)
+        return [message.id for message in self._delivery.release(shard) if message.in_flight]
+
+    def _by_owner_address(self, shards: list[int]) -> dict[str, list[int]]:
+        """Shards by the address of their owner, but for those without one."""
+        by_address: dict[str, list[int]] = {}
+        for shard in shards:
+            owner = self.owner_of(shard)
+            if owner is not None:
+                by_address.setdefault(owner.address, []).append(shard)
+        return by_address
+
     def report_to_new_owner(self, message: Message, outcome: MessageOutcome, is_failure: bool) -> None:
         """Tell the new owner of a message's shard how a call ended that was in flight here."""
         owner = self.owner_of(message.shard)
--- a/amberlug/cluster/edge/dispatchers.py
+++ b/amberlug/cluster/edge/dispatchers.py
@@ -12,9 +12,8 @@
 from amberlug.cluster.edge.context import EdgeContext
 from amberlug.cluster.interfaces import CallResult, Endpoints
 
-RATE_INCREASE_DELAY_S = (
-    1.0  # until a larger share is used: the other edge nodes use their smaller ones by then
-)
+# Until a larger share is used: the other edge nodes use their smaller ones by then.
+RATE_INCREASE_DELAY_S = 1.0
 FIRST_SHARE_DIVISOR = 4  # what a node that had no share may use of its new one in that time
 MIN_RATE_SHARE = 0.01  # of a node without shards, whose calls from before may still need a retry
 UNROUTED_CALL_TIMEOUT_S = 1.0  # of a message whose route has been removed since it became due
--- a/amberlug/cluster/gossip/announcements.py
+++ b/amberlug/cluster/gossip/announcements.py
@@ -74,12 +74,12 @@
         self._sizes: dict[str, int] = {}  # bytes of values that were put into pages
 
     def put_if_newer(self, key: str, version: Version, value: Payload) -> bool:
-        """Keep a value unless the known one is as new; returns whether it was kept."""
-        known = self.items.get(key)
-        if known is not None:
-            if known.version >= version:
+        """Keep a value unless the newest known one is as new; returns whether it was kept."""
+        newest = self.items.get(key)
+        if newest is not None:
+            if newest.version >= version:
                 return False
-            self.digest ^= _item_digest(key, known.version)
+            self.digest ^= _item_digest(key, newest.version)
         self.digest ^= _item_digest(key, version)
         self.items[key] = VersionedValue(version, value)
         self._sizes.pop(key, None)
@@ -116,8 +116,8 @@
     def _size_bytes(self, announcement: Announcement) -> int:
         """Length of the value as JSON; it is computed once for the newest version."""
         key, version, value = announcement
-        known = self.items.get(key)
-        if known is None or known.version != version:
+        newest = self.items.get(key)
+        if newest is None or newest.version != version:
             return len(json.dumps(value))
         if key not in self._sizes:
             self._sizes[key] = len(json.dumps(value))
--- a/amberlug/cluster/gossip/store.py
+++ b/amberlug/cluster/gossip/store.py
@@ -93,7 +93,7 @@
     ) -> None:
         self.runtime, self._peers, self._on_update, self._policy = runtime, peers, on_update, policy
         self.repaired = 0  # announcements that were fetched from a peer
-        self._known = AnnouncementMap()
+        self._announcements = AnnouncementMap()
         self._pending_fetches: dict[str, _PendingFetch] = {}
         self._unsent: dict[str, VersionedValue] = {}  # new since peers were last notified
         self._comparisons = 0
@@ -101,12 +101,12 @@
     @property
     def items(self) -> Mapping[str, VersionedValue]:
         """The newest known value of each key."""
-        return self._known.items
+        return self._announcements.items
 
     @property
     def digest(self) -> str:
         """The digest of all known versions, in hexadecimal."""
-        return f"{self._known.digest:x}"
+        return f"{self._announcements.digest:x}"
 
     def begin(self) -> None:
         """Start anti-entropy, at a random time so that nodes that start together do not stay in step."""
@@ -115,17 +115,17 @@
 
     def everything(self) -> list[Announcement]:
         """All announcements, in the order in which their keys became known."""
-        return list(self._known)
+        return list(self._announcements)
 
     def page_after(self, after: str) -> Page:
         """One page of all announcements, of the keys that come after that one."""
-        return self._known.page_after(after)
+        return self._announcements.page_after(after)
 
     # -- announcements
 
     def offer(self, key: str, version: Version, value: Payload) -> bool:
         """Apply an announcement and pass it on; returns False where the known version is as new."""
-        if not self._known.put_if_newer(key, version, value):
+        if not self._announcements.put_if_newer(key, version, value):
             return False
         if not self._unsent:
             self.runtime.call_later(0.0 if self._policy.push_to_all else NOTICE_DELAY_S, self._disseminate)
@@ -162,7 +162,7 @@
         """Send pages one after another: heartbeats must not queue behind all of them on the connection."""
         if not announcements:
             return
-        page, rest = self._known.split_page(announcements)
+        page, rest = self._announcements.split_page(announcements)
         if not rest:
             send(self.runtime, peer, Update(page))
             return
@@ -217,7 +217,7 @@
         """What is known of keys in (after, last], or to the end where `last` is "", in newer versions."""
         return [
             announcement
-            for announcement in self._known
+            for announcement in self._announcements
             if after < announcement.key
             and (not last or announcement.key <= last)
             and announcement.key not in skipped
@@ -230,7 +230,7 @@
         if message.digest == self.digest:
             respond(DigestReply(None))
         else:
-            respond(DigestReply(*self._known.versions_after(message.after, VERSIONS_PER_MESSAGE)))
+            respond(DigestReply(*self._announcements.versions_after(message.after, VERSIONS_PER_MESSAGE)))
 
     # -- fetching
 
@@ -239,7 +239,7 @@
         missing = [
             key
             for key, version in versions.items()
-            if self._known.lacks(key, version)
+            if self._announcements.lacks(key, version)
             and self._pending_fetches.get(key) != _PendingFetch(peer, version)
         ]
         self._pending_fetches |= {key: _PendingFetch(peer, versions[key]) for key in missing}
@@ -274,7 +274,7 @@
     @handles(FetchRequest)
     def on_fetch_request(self, message: FetchRequest, origin: str, respond: Responder) -> None:
         """Reply with as many announcements as fit into one message."""
-        items = self._known.items
+        items = self._announcements.items
         requested = [Announcement(key, *items[key]) for key in message.keys if key in items]
-        page, rest = self._known.split_page(requested)
+        page, rest = self._announcements.split_page(requested)
         respond(FetchReply(page, [announcement.key for announcement in rest]))
--- a/amberlug/cluster/storage/group_commit.py
+++ b/amberlug/cluster/storage/group_commit.py
@@ -12,7 +12,7 @@
 from collections.abc import Callable, Sequence
 from functools import partial
 from pathlib import Path
-from typing import Generic, TypeVar
+from typing import Generic, NamedTuple, TypeVar
 
 from amberlug.cluster.interfaces import OnWritten, WriteFailure, WriteFailureReason
 from amberlug.cluster.values import value
@@ -61,6 +61,16 @@
     on_written: OnWritten
 
 
+class _Batch(NamedTuple, Generic[RowT]):
+    """Writes for one transaction.
+
+    :param last_item: the item that ended the batch: its last write, or a query or None that came next.
+    """
+
+    writes: list[_Write[RowT]]
+    last_item: _Write[RowT] | Callback | None
+
+
 def _notify(batch: Sequence[_Write[RowT]], failure: WriteFailure | None) -> None:
     for write in batch:
         write.on_written(failure)
@@ -118,21 +128,31 @@
         self._post(partial(on_result, run_query(self._database)))
 
     def _run(self) -> None:
-        """Serve the queue until `close`: runs of writes as one transaction each, queries one by one."""
-        while True:
-            batch: list[_Write[RowT]] = []
+        while self._serve_batch():
+            pass
+
+    def _serve_batch(self) -> bool:
+        """Serve the queue: consecutive writes as one transaction, then the query after them if any.
+
+        :returns: False once `close` was called, and all that was queued before is served.
+        """
+        writes, last_item = self._next_batch()
+        if writes:
+            self._commit(writes)
+        if last_item is not None and not isinstance(last_item, _Write):
+            last_item()
+        return last_item is not None
+
+    def _next_batch(self) -> _Batch[RowT]:
+        """Wait for an item, and take with it the writes that are queued after it, up to the limit."""
+        writes: list[_Write[RowT]] = []
+        item = self._queue.get()
+        while isinstance(item, _Write):
+            writes.append(item)
+            if len(writes) >= MAX_WRITES_PER_COMMIT or self._queue.empty():
+                break
             item = self._queue.get()
-            while isinstance(item, _Write):
-                batch.append(item)
-                if len(batch) >= MAX_WRITES_PER_COMMIT or self._queue.empty():
-                    break
-                item = self._queue.get()
-            if batch:
-                self._commit(batch)
-            if item is None:
-                return
-            if not isinstance(item, _Write):
-                item()
+        return _Batch(writes, item)
 
     def _commit(self, batch: list[_Write[RowT]]) -> None:
         """Commit writes together; where that fails, each on its own, so that one does not fail the others."""
--- a/amberlug/cluster/storage/message_store.py
+++ b/amberlug/cluster/storage/message_store.py
@@ -152,7 +152,7 @@
 
 
 def _read_contents(database: sqlite3.Connection, message_ids: Sequence[str]) -> dict[str, bytes]:
-    found = {}
+    intact = {}
     for message_id in message_ids:
         row = database.execute(
             "select shard, meta, body, sum from message where id = ?", (message_id,)
@@ -161,8 +161,8 @@
             continue
         shard, metadata_text, content, checksum = row
         if content is not None and _checksum(message_id, shard, metadata_text, content) == checksum:
-            found[message_id] = bytes(content)
-    return found
+            intact[message_id] = bytes(content)
+    return intact
 
 
 class MessageStore:
@@ -221,14 +221,18 @@
         is_unreadable = True
     if is_unreadable:
         database.close()
-        for suffix in FILE_SUFFIXES:
-            (folder / f"{FILE_NAME}{suffix}").unlink(missing_ok=True)
+        _delete_files(folder)
         database = open_file(path, SCHEMA)
     disk_id = new_disk_id()
     _begin_disk(database, disk_id)
     return OpenedMessageStore(StoredContents(disk_id), MessageStore(database, post))
 
 
+def _delete_files(folder: Path) -> None:
+    for suffix in FILE_SUFFIXES:
+        (folder / f"{FILE_NAME}{suffix}").unlink(missing_ok=True)
+
+
 def _begin_disk(database: sqlite3.Connection, disk_id: str) -> None:
     database.execute("begin immediate")
     database.executemany("insert into about values (?, ?)", [("format", str(FORMAT)), ("disk", disk_id)])
--- a/amberlug/cluster/storage/messages.py
+++ b/amberlug/cluster/storage/messages.py
@@ -44,6 +44,22 @@
         """Whether an endpoint has run the message with success."""
         return self.status == DONE_OUTCOME
 
+    def to_fields(self) -> Json:
+        """`end` and `seal` for a JSON object; nothing of a message that is open."""
+        return {} if self.is_open else {"end": self.status, "seal": self.receipt}
+
+    @classmethod
+    def from_fields(cls, body: Json) -> MessageOutcome:
+        """Read `end` and `seal`; without them the message is open.
+
+        :raises KeyError: where there is an `end` without a `seal`.
+        """
+        return cls(body["end"], body["seal"]) if body.get("end") else OPEN
+
+    def to_pair(self) -> list[str]:
+        """Status and receipt, for a JSON array."""
+        return [self.status, self.receipt]
+
 
 OPEN = MessageOutcome()
 
@@ -72,17 +88,13 @@
             return {"fenced": self.fencing_token}
         if self.result is not ReplicaWriteResult.STORED:
             return {self.result.value: True}
-        stored: Json = {"ok": True, "disk": self.disk_id}
-        if not self.outcome.is_open:
-            stored.update(end=self.outcome.status, seal=self.outcome.receipt)
-        return stored
+        return {"ok": True, "disk": self.disk_id, **self.outcome.to_fields()}
 
     @classmethod
     def from_wire(cls, body: Json, payload: bytes) -> ReplicaWriteReply:
         """Read the reply; one without a known reason counts as `NOT_ENROLLED`: it is tried again soon."""
         if body.get("ok"):
-            outcome = MessageOutcome(body["end"], body["seal"]) if "end" in body else OPEN
-            return cls(ReplicaWriteResult.STORED, body["disk"], outcome)
+            return cls(ReplicaWriteResult.STORED, body["disk"], MessageOutcome.from_fields(body))
         if body.get("fenced"):
             return cls(ReplicaWriteResult.FENCED, fencing_token=body["fenced"])
         return cls(ReplicaWriteResult.STORAGE_FULL if body.get("full") else ReplicaWriteResult.NOT_ENROLLED)
@@ -97,9 +109,8 @@
     message_id: str
     shard: int
     epoch: int  # the writer's fencing token
-    accepted_epoch: (
-        int  # the epoch in which the message was accepted; an earlier one in a replica that is repaired
-    )
+    # The epoch in which the message was accepted; an earlier one in a replica that is repaired.
+    accepted_epoch: int
     sequence: int  # its number in that epoch: both together order the messages of a shard
     metadata: MessageMetadata
     content: bytes  # the message's body
@@ -140,13 +151,7 @@
 
     def to_wire(self) -> list[object]:
         """One row of the request."""
-        return [
-            self.message_id,
-            self.shard,
-            self.outcome.status,
-            self.outcome.receipt,
-            self.retain_until,
-        ]
+        return [self.message_id, self.shard, *self.outcome.to_pair(), self.retain_until]
 
     @classmethod
     def from_wire(cls, row: list[Any]) -> Acknowledgement:
@@ -294,10 +299,8 @@
 
     def to_wire(self) -> Json:
         """By message: its status and its receipt."""
-        found = {
-            message_id: [outcome.status, outcome.receipt] for message_id, outcome in self.outcomes.items()
-        }
-        return {"found": found, "disk": self.disk_id}
+        pairs = {message_id: outcome.to_pair() for message_id, outcome in self.outcomes.items()}
+        return {"found": pairs, "disk": self.disk_id}
 
     @classmethod
     def from_wire(cls, body: Json, payload: bytes) -> OutcomesReply:
@@ -347,16 +350,12 @@
 
     def to_wire(self) -> Json:
         """Whether it is here, then `end` and `seal` where the message has ended."""
-        found: Json = {"found": self.content is not None}
-        if not self.outcome.is_open:
-            found.update(end=self.outcome.status, seal=self.outcome.receipt)
-        return found
+        return {"found": self.content is not None, **self.outcome.to_fields()}
 
     @classmethod
     def from_wire(cls, body: Json, payload: bytes) -> ContentReply:
         """Read the reply; without its fields the body is not there and the message is open."""
-        outcome = MessageOutcome(body["end"], body["seal"]) if body.get("end") else OPEN
-        return cls(payload if body.get("found") else None, outcome)
+        return cls(payload if body.get("found") else None, MessageOutcome.from_fields(body))
 
 
 @value
--- a/amberlug/cluster/storage/replica_service.py
+++ b/amberlug/cluster/storage/replica_service.py
@@ -47,9 +47,8 @@
 from amberlug.cluster.values import value
 
 EXPIRY_INTERVAL_S = 2.0  # between searches for outcomes that nobody needs any more
-INCLUDED_CONTENT_BYTES = (
-    1 << 20
-)  # of bodies in the reply to a fence; larger frames delay what comes after them
+# Of bodies in the reply to a fence: larger frames delay what comes after them on the connection.
+INCLUDED_CONTENT_BYTES = 1 << 20
 
 
 def ignore_failure(failure: WriteFailure | None) -> None:
@@ -103,28 +102,24 @@
         if reply is not None:
             respond(reply)
             return
-        known = self.contents.messages.get(request.message_id)
-        message = StoredMessage(
-            request.shard,
-            # A replica that a later owner repairs keeps the position at which the message was accepted.
-            request.accepted_epoch,
-            request.sequence,
-            request.metadata,
-            len(request.content),
-            is_durable=known is not None and known.is_durable,
-        )
+        message = self._message_of(request)
         # Before it is durable, so that a new owner whose fence comes now finds it.
         self.contents.messages[request.message_id] = message
-        row = ReplicaRow(
-            request.message_id,
+        pending = _PendingWrite(request.message_id, message, self.contents.disk_id, respond)
+        self._store.write([_row_of(request)], partial(self._on_replica_written, pending))
+
+    def _message_of(self, request: ReplicaWriteRequest) -> StoredMessage:
+        """The message that a replica is of, durable only if an earlier replica of it is."""
+        earlier = self.contents.messages.get(request.message_id)
+        return StoredMessage(
             request.shard,
+            # A replica that a later owner repairs keeps the position at which the message was accepted.
             request.accepted_epoch,
             request.sequence,
             request.metadata,
-            request.content,
+            len(request.content),
+            is_durable=earlier is not None and earlier.is_durable,
         )
-        pending = _PendingWrite(request.message_id, message, self.contents.disk_id, respond)
-        self._store.write([row], partial(self._on_replica_written, pending))
 
     def _reply_without_write(self, request: ReplicaWriteRequest) -> ReplicaWriteReply | None:
         """Reply to a replica that is rejected, or whose message has ended; None where it is to be written."""
@@ -136,9 +131,9 @@
         if not contents.enrolled_index:
             self._count("put before it is enrolled")
             return ReplicaWriteReply(ReplicaWriteResult.NOT_ENROLLED)
-        known = contents.messages.get(request.message_id)
-        if known is not None and not known.outcome.is_open:
-            return ReplicaWriteReply(ReplicaWriteResult.STORED, contents.disk_id, known.outcome)
+        stored = contents.messages.get(request.message_id)
+        if stored is not None and not stored.outcome.is_open:
+            return ReplicaWriteReply(ReplicaWriteResult.STORED, contents.disk_id, stored.outcome)
         return None
 
     def _on_replica_written(self, pending: _PendingWrite, failure: WriteFailure | None) -> None:
@@ -168,15 +163,15 @@
         messages = self.contents.messages
         rows: list[StorageRow] = []
         for ended in request.acknowledgements:
-            known = messages.get(ended.message_id)
-            if known is None:
+            stored = messages.get(ended.message_id)
+            if stored is None:
                 messages[ended.message_id] = StoredMessage(
                     ended.shard, 0, 0, {}, 0, ended.outcome, ended.retain_until
                 )
-            elif not known.outcome.is_open:
-                continue
+            elif not stored.outcome.is_open:
+                continue  # the first outcome stays
             else:
-                known.outcome, known.retain_until = ended.outcome, ended.retain_until
+                stored.outcome, stored.retain_until = ended.outcome, ended.retain_until
             rows.append(OutcomeRow(ended.message_id, ended.shard, ended.outcome, ended.retain_until))
         self._count("marks", len(rows))
         self._store.write(rows, lambda failure: respond(AcknowledgeReply(failure is None)))
@@ -274,6 +269,17 @@
             self._store.write([DeletionRow(message_id) for message_id in expired], ignore_failure)
 
 
+def _row_of(request: ReplicaWriteRequest) -> ReplicaRow:
+    return ReplicaRow(
+        request.message_id,
+        request.shard,
+        request.accepted_epoch,
+        request.sequence,
+        request.metadata,
+        request.content,
+    )
+
+
 def _first_that_fit(candidates: Mapping[str, StoredMessage]) -> list[str]:
     """The messages up to the one with which the bodies would exceed `INCLUDED_CONTENT_BYTES`."""
     total_bytes = 0
--- a/tests/cluster/test_dispatch_messages.py
+++ b/tests/cluster/test_dispatch_messages.py
@@ -55,7 +55,7 @@
     assert type(reply).from_wire(body, b"") == reply
 
 
-def test_a_standing_reply_without_its_field_tells_nothing() -> None:
+def test_a_standing_reply_without_its_field_has_no_outcome() -> None:
     assert StandingReply.from_wire({}, b"") == StandingReply(None)
 
 
--- a/tests/cluster/test_edge_node.py
+++ b/tests/cluster/test_edge_node.py
@@ -27,7 +27,7 @@
         pass
 
 
-def test_a_message_with_an_end_in_storage_is_not_run_after_its_repair() -> None:
+def test_a_message_whose_outcome_is_stored_is_not_called_after_its_repair() -> None:
     edge = EdgeNode(Alone(Clock()), settings("edge"), "10.0.0.1:7300", Nowhere())
     message = Message("0-x", 0, "x", "", "POST", "/", "r", "", 0.0, 100.0)
     edge.delivery_queue.add(message)
--- a/tests/cluster/test_gossip.py
+++ b/tests/cluster/test_gossip.py
@@ -42,7 +42,7 @@
     return clock, net, GossipNode(net, "a", "b").gossip, GossipNode(net, "b", "a").gossip
 
 
-def test_gaps_of_any_size_are_repaired_on_both_sides() -> None:
+def test_anti_entropy_repairs_any_number_of_gaps_on_both_sides() -> None:
     clock, net, a, b = two_nodes()
     for number in range(30):
         a.offer(f"a{number:02}", [1], "x" * 1_000_000)
@@ -56,7 +56,7 @@
     assert (len(a.items), net.too_long) == (1030, 0)
 
 
-def test_small_messages_do_not_queue_behind_all_pages() -> None:
+def test_small_messages_do_not_queue_behind_all_pages_of_a_transfer() -> None:
     clock, net, a, b = two_nodes()
     net.hosts["b"].rate = 15e6 / 8
     for number in range(60):
@@ -79,7 +79,7 @@
     assert b.items == a.items
 
 
-def test_versions_are_compared_some_at_a_time(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_digest_reply_has_a_limited_number_of_versions(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(store, "VERSIONS_PER_MESSAGE", 7)
     clock, _, a, b = two_nodes()
     for number in range(40):
@@ -91,7 +91,7 @@
     assert len(a.items) == len(b.items) == 40
 
 
-def test_pages_after_each_other_contain_all_and_are_bounded() -> None:
+def test_pages_are_bounded_and_together_contain_every_announcement() -> None:
     _, _, a, _ = two_nodes()
     sizes = [10] * 1000 + [PAGE_BYTES // 3] * 7 + [PAGE_BYTES * 2, 10]
     for number, size in enumerate(sizes):
@@ -106,7 +106,7 @@
     assert found == a.everything()
 
 
-def test_what_the_peer_replicates_itself_is_neither_sent_nor_fetched() -> None:
+def test_keys_that_the_peer_replicates_itself_are_neither_sent_nor_fetched() -> None:
     clock = Clock()
     net = Network(clock, random.Random(1), 0.0005)
     a, b = (GossipNode(net, *names, replicated=("config",)).gossip for names in (("a", "b"), ("b", "a")))
@@ -120,7 +120,7 @@
     assert list(b.items) == ["other"]
 
 
-def test_messages_stand_in_frames_as_before() -> None:
+def test_gossip_messages_keep_their_wire_format() -> None:
     announcement = Announcement("ep/a", [1, 2], {"cond": "ready"})
     text = '{"items": [["ep/a", [1, 2], {"cond": "ready"}]]}'
     assert json.dumps(Update([announcement]).to_wire()) == text
--- a/tests/cluster/test_handover.py
+++ b/tests/cluster/test_handover.py
@@ -19,7 +19,7 @@
 
 
 @pytest.mark.parametrize("seed", [39, 2089, 2272, 2273])
-def test_what_ends_before_the_owner_before_hears_of_its_successor_does_not_run_again(
+def test_a_message_that_ends_before_its_owner_learns_of_the_successor_is_not_run_again(
     seed: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     # Other control-plane nodes have the table by the log alone: the previous owner learns of it late.
--- a/tests/cluster/test_message_store.py
+++ b/tests/cluster/test_message_store.py
@@ -52,7 +52,7 @@
     return ReplicaRow(message_id, 1, 5, 7, {"m": "POST"}, content)
 
 
-def test_what_was_written_is_there_after_a_restart(tmp_path: Path) -> None:
+def test_written_rows_survive_a_restart(tmp_path: Path) -> None:
     opened = Opened(tmp_path)
     opened.write(replica("1-a"), replica("1-b"), replica("1-c"), FenceRow(1, 5), EnrollmentRow(9))
     opened.write(
@@ -77,7 +77,7 @@
     opened.store.close()
 
 
-def test_a_disk_that_begins_anew_keeps_its_fencing_tokens(tmp_path: Path) -> None:
+def test_an_emptied_disk_keeps_its_fencing_tokens(tmp_path: Path) -> None:
     opened = Opened(tmp_path)
     opened.write(replica("1-a"), FenceRow(1, 5), EnrollmentRow(9), NewDiskRow("e"))
     opened = opened.reopened()
@@ -87,7 +87,7 @@
     opened.store.close()
 
 
-def test_a_row_with_a_wrong_checksum_is_skipped_and_named(tmp_path: Path) -> None:
+def test_a_row_with_a_wrong_checksum_is_skipped_and_reported(tmp_path: Path) -> None:
     opened = Opened(tmp_path)
     opened.write(replica("1-a"), replica("1-b"))
     opened.store.close()
@@ -110,7 +110,7 @@
     assert list(opened.reopened().contents.messages) == ["1-a"]
 
 
-def test_a_write_that_fails_does_not_fail_the_others_of_its_commit() -> None:
+def test_a_failed_write_does_not_fail_the_others_of_its_group_commit() -> None:
     database = sqlite3.connect(":memory:", isolation_level=None, check_same_thread=False)
     database.execute("create table numbers (value integer primary key)")
 
@@ -151,7 +151,9 @@
         (sqlite3.SQLITE_CORRUPT, WriteFailureReason.DATABASE_ERROR),
     ],
 )
-def test_a_failed_write_has_a_reason(code: int, reason: WriteFailureReason) -> None:
+def test_an_error_code_of_sqlite_gives_the_reason_of_a_failed_write(
+    code: int, reason: WriteFailureReason
+) -> None:
     error = sqlite3.OperationalError("cause")
     error.sqlite_errorcode = code
     failure = write_failure(error)
--- a/tests/cluster/test_rates.py
+++ b/tests/cluster/test_rates.py
@@ -31,7 +31,7 @@
         self.clock.call_later(0.01, partial(on_result, CallResult(CallVerdict.ANSWERED, 200)))
 
 
-def test_a_share_of_a_rate_is_spent_in_full() -> None:
+def test_a_fractional_rate_share_is_used_in_full() -> None:
     clock, rng = Clock(), random.Random(1)
     network = Network(clock, rng, 0.001)
     runtime = SimulatedRuntime(
--- a/tests/cluster/test_shard_owner.py
+++ b/tests/cluster/test_shard_owner.py
@@ -78,7 +78,7 @@
     assert "a" in rig.notified_of_outcomes()
 
 
-def test_disks_of_an_earlier_try_are_notified_of_the_outcome() -> None:
+def test_disks_of_an_earlier_write_attempt_are_notified_of_the_outcome() -> None:
     rig = OwnerRig()
     rig.reply("fence", {disk: {"open": []} for disk in STORES})
     outcomes: list[AdmissionOutcome] = []
--- a/tests/cluster/test_storage_frames.py
+++ b/tests/cluster/test_storage_frames.py
@@ -82,12 +82,12 @@
 
 
 @pytest.mark.parametrize(("message", "text"), REPLIES)
-def test_each_shape_of_a_reply_is_encoded_as_before(message: WireBody, text: str) -> None:
+def test_each_shape_of_a_reply_keeps_its_wire_format(message: WireBody, text: str) -> None:
     assert json.dumps(message.to_wire()) == text
     assert type(message).from_wire(json.loads(text), message.payload) == message
 
 
-def test_bodies_stand_beside_the_open_messages_in_their_order() -> None:
+def test_a_fence_reply_carries_bodies_in_the_order_of_its_open_messages() -> None:
     first, second, third = (OpenMessage("1-a", 1, 2, 3, {}, 4, content) for content in (b"ab", None, b""))
     reply = FenceReply(True, "d", {5: 6}, (first, second, third))
     assert reply.payload == b"ab"
@@ -95,7 +95,7 @@
     assert FenceReply.from_wire(reply.to_wire(), reply.payload) == reply
 
 
-def test_what_a_peer_leaves_out_has_a_default() -> None:
+def test_missing_optional_fields_have_defaults() -> None:
     assert ReplicaWriteReply.from_wire({}, b"").result is ReplicaWriteResult.NOT_ENROLLED
     assert AcknowledgeReply.from_wire({}, b"") == AcknowledgeReply(False)
     assert FenceReply.from_wire({}, b"") == FenceReply(False)
--- a/tests/cluster/test_storage_node.py
+++ b/tests/cluster/test_storage_node.py
@@ -53,7 +53,7 @@
         return [row[0] for row in self.replies[-1]["open"]]
 
 
-def test_two_replicas_that_the_disk_rejects_leave_nothing() -> None:
+def test_a_message_is_not_stored_if_both_of_its_replica_writes_fail() -> None:
     rig = Rig()
     rig.put(1)
     rig.put(2)
@@ -63,7 +63,7 @@
     assert rig.open_messages() == []
 
 
-def test_one_of_two_replicas_that_is_stored_stays() -> None:
+def test_a_message_stays_stored_if_one_of_its_two_replica_writes_succeeds() -> None:
     for first, second in ((None, OUT_OF_SPACE), (OUT_OF_SPACE, None)):
         rig = Rig()
         rig.put(1)
@@ -73,7 +73,7 @@
         assert rig.open_messages() == ["1-a"]
 
 
-def test_a_replica_that_fails_while_a_fence_is_pending_is_not_listed() -> None:
+def test_a_fence_reply_leaves_out_a_replica_whose_write_failed_meanwhile() -> None:
     rig = Rig()
     rig.put(1)
     rig.request("fence", {"shards": {"1": 6}})
@@ -83,7 +83,7 @@
     assert rig.replies[-1]["open"] == []
 
 
-def test_a_replica_of_an_owner_that_is_fenced_is_rejected() -> None:
+def test_a_replica_write_of_a_fenced_owner_is_rejected() -> None:
     rig = Rig()
     rig.request("fence", {"shards": {"1": 6, "2": 3}})
     rig.request("fence", {"shards": {"1": 5, "2": 4}})
@@ -102,7 +102,7 @@
     assert rig.replies == [{"ok": False}]
 
 
-def test_the_first_outcome_stays_and_a_replica_that_comes_later_learns_of_it() -> None:
+def test_the_first_outcome_is_final_and_is_the_reply_to_a_later_replica_write() -> None:
     rig = Rig()
     for outcome in ("done", "dead"):
         rig.acknowledge(outcome)
