--- a/amberlug/cluster/edge/dispatchers.py
+++ b/amberlug/cluster/edge/dispatchers.py
@@ -31,7 +31,7 @@
     ) -> None:
         self._context, self._shard_owner, self._endpoints = context, shard_owner, endpoints
         self._on_call_finished = on_call_finished
-        self._pool = EndpointPool(context.settings.zone, context.runtime.chance, endpoints.idle)
+        self._pool = EndpointPool(context.settings.zone, context.runtime.rng, endpoints.available_connections)
         self.by_service: dict[str, Dispatcher] = {}
         self._rate_share = 0.0
         self._increase_scheduled = False
@@ -62,7 +62,7 @@
         """Use what is published of an endpoint now, and send what waited for it."""
         unusable = self._pool.update(endpoint_id, published, self._context.runtime.now())
         if unusable is not None and unusable.condition == EndpointCondition.GONE:
-            self._endpoints.forget(unusable.address)
+            self._endpoints.close_idle_connections(unusable.address)
         dispatcher = self.by_service.get(published.service)
         if dispatcher is not None:
             dispatcher.pump()
--- a/amberlug/cluster/edge/intake.py
+++ b/amberlug/cluster/edge/intake.py
@@ -162,11 +162,11 @@
         shard_owner = self._delivery.shard_owner
         serving = [number for number, shard in shard_owner.owned.items() if shard.serving]
         if serving:
-            return self._context.runtime.chance.choice(serving)
+            return self._context.runtime.rng.choice(serving)
         owned = [
             number for number in range(len(shard_owner.table)) if shard_owner.owner_of(number) is not None
         ]
-        return self._context.runtime.chance.choice(owned) if owned else None
+        return self._context.runtime.rng.choice(owned) if owned else None
 
     def _new_message(
         self, request: ClientRequest, submission: SubmissionHeaders, route: Route, shard: int, key: str
--- a/amberlug/cluster/process.py
+++ b/amberlug/cluster/process.py
@@ -19,9 +19,8 @@
 from amberlug.cluster.asyncio_runtime import AsyncioRuntime
 from amberlug.cluster.http.api import HttpResponse, pack
 from amberlug.cluster.http.server import Answer, Limits, Request, Server
-from amberlug.cluster.interfaces import Respond
+from amberlug.cluster.interfaces import RawMessage, Respond
 from amberlug.cluster.metrics import PATH, page
-from amberlug.cluster.rpc.framing import RawMessage
 from amberlug.cluster.rpc.transport import PeerTransport
 from amberlug.cluster.settings import HostPort, Settings, read_settings_file
 
@@ -57,19 +56,19 @@
         """Counters for operators, by name."""
 
     @property
-    def idle(self) -> bool:
+    def is_idle(self) -> bool:
         """Whether the process may end without loss."""
 
     def begin(self) -> None:
         """Start, once the process listens."""
 
-    def leave(self) -> None:
+    def begin_shutdown(self) -> None:
         """Announce a planned stop."""
 
-    def settings_are(self, settings: Settings) -> None:
+    def update_settings(self, settings: Settings) -> None:
         """Take the settings of a file that has changed."""
 
-    def broken(self, address: str) -> None:
+    def on_peer_disconnected(self, address: str) -> None:
         """A connection with a peer has ended."""
 
 
@@ -102,7 +101,7 @@
 
     def _on_disconnect(self, address: str) -> None:
         if self._node is not None:
-            self._node.broken(address)
+            self._node.on_peer_disconnected(address)
 
     @property
     def node(self) -> Node:
@@ -142,7 +141,7 @@
         from amberlug.cluster.consensus.storage import open_raft_storage
         from amberlug.cluster.control.node import ControlNode, blank
 
-        settings, rng = self.settings, runtime.chance
+        settings, rng = self.settings, runtime.rng
         state, writer, _ = open_raft_storage(
             self._data_dir(), lambda: blank(settings, rng.getrandbits), _post_to_running_loop()
         )
@@ -158,7 +157,7 @@
         from amberlug.cluster.storage.message_store import open_message_store
         from amberlug.cluster.storage.node import StorageNode
 
-        rng = runtime.chance
+        rng = runtime.rng
         contents, message_store = open_message_store(
             self._data_dir(), lambda: f"{rng.getrandbits(64):x}", _post_to_running_loop()
         )
@@ -208,19 +207,19 @@
 
     def _on_stop_signal(self) -> None:
         logging.info("stopping on a signal")
-        self.node.leave()
+        self.node.begin_shutdown()
         loop = asyncio.get_running_loop()
         if self.settings.front is None:
             loop.call_later(IDLE_CHECK_INTERVAL_S, self._end_when_idle)
             return
         for server in self._servers:
-            server.leave()
+            server.drain()
         now = loop.time()
         self._drain(now + STILL_ROUTED_S, now + self.settings.seconds("graceS") - GRACE_MARGIN_S)
 
     def _end_when_idle(self) -> None:
         """End at once, but for a control-plane node, which is idle once another one votes in its place."""
-        if self.node.idle:
+        if self.node.is_idle:
             self._ended.set()
         else:
             asyncio.get_running_loop().call_later(IDLE_CHECK_INTERVAL_S, self._end_when_idle)
@@ -230,7 +229,7 @@
         loop = asyncio.get_running_loop()
         now = loop.time()
         open_requests = sum(server.open_requests for server in self._servers)
-        is_drained = now >= routed_until_s and open_requests == 0 and self.node.idle
+        is_drained = now >= routed_until_s and open_requests == 0 and self.node.is_idle
         if now >= deadline_s or is_drained:
             for server in self._servers:
                 server.stop()
@@ -258,7 +257,7 @@
             logging.error("ignoring the settings file: %s", "; ".join(map(str, found.err_value)))
             return
         self.settings = found.ok_value
-        self.node.settings_are(found.ok_value)
+        self.node.update_settings(found.ok_value)
 
     def _log_counters(self) -> None:
         asyncio.get_running_loop().call_later(COUNTERS_INTERVAL_S, self._log_counters)
--- a/amberlug/cluster/storage/enrollment.py
+++ b/amberlug/cluster/storage/enrollment.py
@@ -35,7 +35,7 @@
 
 def new_disk_id(runtime: Runtime) -> str:
     """Draw a name for a disk that is empty."""
-    return f"{runtime.chance.getrandbits(DISK_ID_BITS):x}"
+    return f"{runtime.rng.getrandbits(DISK_ID_BITS):x}"
 
 
 class Enrollment:
