--- a/amberlug/cluster/dispatch/endpoint_pool.py
+++ b/amberlug/cluster/dispatch/endpoint_pool.py
@@ -72,7 +72,7 @@
         self._by_service: dict[str, dict[str, Endpoint]] = {}
 
     def update(self, endpoint_id: str, published: PublishedEndpoint, now: float) -> Endpoint | None:
-        """Take an published.
+        """Use what is published of an endpoint now.
 
         :returns: the endpoint where it gets no more calls, None where it does or was not known.
         """
--- a/amberlug/cluster/dispatch/messages.py
+++ b/amberlug/cluster/dispatch/messages.py
@@ -8,7 +8,12 @@
 from amberlug.cluster.dispatch.message import Message
 from amberlug.cluster.interfaces import Json
 from amberlug.cluster.rpc.messages import Body, Notification, Request
-from amberlug.cluster.storage.messages import Acknowledgement, MessageMetadata, MessageOutcome
+from amberlug.cluster.storage.messages import (
+    Acknowledgement,
+    MessageIdRequest,
+    MessageMetadata,
+    MessageOutcome,
+)
 from amberlug.cluster.values import value
 
 
@@ -159,21 +164,8 @@
 
 
 @value
-class StandingRequest(Request[StandingReply]):
+class StandingRequest(MessageIdRequest[StandingReply]):
     """An edge asks the owner of a message's shard how the message stands."""
 
     wire_tag: ClassVar[str] = "standing"
     reply_type: ClassVar[type[StandingReply]] = StandingReply
-    message_id: str
-
-    def to_wire(self) -> Json:
-        """The message's id."""
-        return {"id": self.message_id}
-
-    @classmethod
-    def from_wire(cls, body: Json, payload: bytes) -> StandingRequest:
-        """Read the request.
-
-        :raises KeyError: without the id.
-        """
-        return cls(body["id"])
--- a/amberlug/cluster/edge/node.py
+++ b/amberlug/cluster/edge/node.py
@@ -47,11 +47,11 @@
     def __init__(self, runtime: Runtime, settings: Settings, address: str, endpoints: Endpoints) -> None:
         self.gossip = GossipStore(runtime, self._gossip_peers, self._on_published)
         local = LocalNode(address, "edge", self._session_attributes)
-        self.member = SessionClient(runtime, settings, local, self.gossip)
+        self.session = SessionClient(runtime, settings, local, self.gossip)
         self.replicator = Replicator(
             runtime, settings.tolerance, settings.zone, settings.region, settings.seconds("statusTtlS")
         )
-        self._context = EdgeContext(runtime, settings, self.gossip, self.member, self.replicator)
+        self._context = EdgeContext(runtime, settings, self.gossip, self.session, self.replicator)
         reader = StorageReader(self._context)
         self.delivery = MessageDelivery(self._context, endpoints, reader)
         self.forwarder = Forwarder(self._context, self.shard_owner)
@@ -92,7 +92,7 @@
         return self.delivery.dispatchers.by_service
 
     @property
-    def size(self) -> int:
+    def pending_bytes(self) -> int:
         """Bytes of the bodies of the messages that are pending here."""
         return self.delivery.pending_bytes
 
@@ -100,7 +100,7 @@
 
     def begin(self) -> None:
         """Start: find a control-plane node, and set the periodic timers."""
-        self.member.begin()
+        self.session.begin()
         self.gossip.begin()
         self.delivery.begin()
         self.repair.begin()
@@ -108,7 +108,7 @@
     def begin_shutdown(self) -> None:
         """Begin a planned end: this node's shards go to others, to which it forwards late submissions."""
         self._is_leaving = True
-        self.member.leave()
+        self.session.leave()
 
     @property
     def is_idle(self) -> bool:
@@ -129,7 +129,7 @@
             config_version=self.routes.edition,
             owned_shards=len(self.shard_owner.owned),
             queued_messages=len(messages),
-            queued_bytes=self.size,
+            queued_bytes=self.pending_bytes,
             active_calls=sum(len(service.calls) for service in self.services.values()),
             under_replicated_messages=sum(
                 not self.replicator.is_write_quorum(message.holders & live_disk_ids) for message in messages
@@ -142,7 +142,7 @@
         """Whether clients should be sent here."""
         ready = (
             not self._is_leaving
-            and self.member.is_confirmed
+            and self.session.is_confirmed
             and self._context.has_routes
             and bool(self.shard_owner.table)
             and not self.replicator.is_unavailable()
@@ -158,12 +158,12 @@
 
     def update_settings(self, settings: Settings) -> None:
         """Use a settings file that has changed."""
-        self._context.settings = self.member.settings = settings
-        self.member.add_seeds(seed_addresses(settings))
+        self._context.settings = self.session.settings = settings
+        self.session.add_seeds(seed_addresses(settings))
 
     def on_peer_disconnected(self, address: str) -> None:
         """The connection with the process at an address was lost."""
-        self.member.on_disconnect(address)
+        self.session.on_disconnect(address)
         self.replicator.connection_lost(address)
         self.shard_owner.connection_lost(address)
 
@@ -171,8 +171,8 @@
 
     def _gossip_peers(self) -> list[str]:
         """Addresses of the other edge nodes that own shards, and of the session's control-plane node."""
-        peers = [owner.address for owner in self.shard_owner.owners if owner.node_id != self.member.id]
-        return peers + ([self.member.control_address] if self.member.control_address else [])
+        peers = [owner.address for owner in self.shard_owner.owners if owner.node_id != self.session.id]
+        return peers + ([self.session.control_address] if self.session.control_address else [])
 
     def _on_published(self, key: str, body: Payload) -> None:
         """Apply a published value that is newer than what was known under its key."""
@@ -188,7 +188,7 @@
         elif key == ROSTER_KEY:
             self.repair.apply_roster(StorageRoster.from_wire(index, body))
         elif key == CONTROL_NODES_KEY:
-            self.member.update_control_nodes(control_nodes_from_wire(body))
+            self.session.update_control_nodes(control_nodes_from_wire(body))
 
     def apply_routes(self, routes: RoutingTable) -> None:
         """Put a newer configuration in force.
--- a/amberlug/cluster/storage/messages.py
+++ b/amberlug/cluster/storage/messages.py
@@ -9,10 +9,10 @@
 
 from dataclasses import field
 from enum import Enum
-from typing import Any, ClassVar
+from typing import Any, ClassVar, Self
 
 from amberlug.cluster.interfaces import Json
-from amberlug.cluster.rpc.messages import Body, Request
+from amberlug.cluster.rpc.messages import Body, ReplyT, Request
 from amberlug.cluster.values import value
 
 DONE_OUTCOME = "done"  # the outcome of a message that an endpoint has run with success
@@ -359,21 +359,27 @@
 
 
 @value
-class ContentRequest(Request[ContentReply]):
-    """Ask for the body of a message that is open or dead."""
+class MessageIdRequest(Request[ReplyT]):
+    """The form of requests that only name a message."""
 
-    wire_tag: ClassVar[str] = "body"
-    reply_type: ClassVar[type[ContentReply]] = ContentReply
     message_id: str
 
     def to_wire(self) -> Json:
-        """The message's name."""
+        """The message's id."""
         return {"id": self.message_id}
 
     @classmethod
-    def from_wire(cls, body: Json, payload: bytes) -> ContentRequest:
+    def from_wire(cls, body: Json, payload: bytes) -> Self:
         """Read the request.
 
-        :raises KeyError: without the message's name.
+        :raises KeyError: without the id.
         """
         return cls(body["id"])
+
+
+@value
+class ContentRequest(MessageIdRequest[ContentReply]):
+    """Ask for the body of a message that is open or dead."""
+
+    wire_tag: ClassVar[str] = "body"
+    reply_type: ClassVar[type[ContentReply]] = ContentReply
--- a/amberlug/cluster/storage/node.py
+++ b/amberlug/cluster/storage/node.py
@@ -41,7 +41,7 @@
         self.gossip = GossipStore(
             runtime, self._gossip_peers, self._on_published, DisseminationPolicy(fanout=0)
         )
-        self.member = SessionClient(
+        self.session = SessionClient(
             runtime, settings, LocalNode(address, MACHINE_CLASS, self._session_attributes), self.gossip
         )
         self.replicas = ReplicaService(runtime, contents, store)
@@ -59,7 +59,7 @@
 
     def begin(self) -> None:
         """Start the session, anti-entropy, and the deletion of what has expired."""
-        self.member.begin()
+        self.session.begin()
         self.gossip.begin()
         self.replicas.begin()
 
@@ -73,15 +73,15 @@
 
     def update_settings(self, settings: Settings) -> None:
         """Apply a settings file that has changed."""
-        self.settings = self.member.settings = settings
-        self.member.add_seeds(seed_addresses(settings))
+        self.settings = self.session.settings = settings
+        self.session.add_seeds(seed_addresses(settings))
 
     def on_peer_disconnected(self, address: str) -> None:
         """Handle that the connection with a peer has ended."""
-        self.member.on_disconnect(address)
+        self.session.on_disconnect(address)
 
     def _gossip_peers(self) -> list[str]:
-        return [self.member.control_address] if self.member.control_address else []
+        return [self.session.control_address] if self.session.control_address else []
 
     def _session_attributes(self) -> StorageAttributes:
         """What the control plane is told of this disk with the session."""
@@ -89,6 +89,6 @@
 
     def _on_published(self, key: str, body: Payload) -> None:
         if key == CONTROL_NODES_KEY:
-            self.member.update_control_nodes(control_nodes_from_wire(body))
+            self.session.update_control_nodes(control_nodes_from_wire(body))
         else:
             self.enrollment.on_published(key)
--- a/benchmarks/hollow/plays.py
+++ b/benchmarks/hollow/plays.py
@@ -280,7 +280,7 @@
         cluster_state = next(
             it for it in play.cores if it.machine.raft.role is Role.LEADER
         ).machine.cluster_state
-        away = {it.machine.member.id for it in play.edges if it.zone == zone}
+        away = {it.machine.session.id for it in play.edges if it.zone == zone}
         rates = {(it.role, it.name): it.value for it in summed("", "", 0, play.measure(SPAN_S), SPAN_S)}
         for host in play.net.hosts.values():
             host.meter = Meter()
--- a/tests/cluster/test_contact.py
+++ b/tests/cluster/test_contact.py
@@ -90,7 +90,7 @@
         return {it.part.routes.edition for it in self.deployment.edges}
 
     def relays(self) -> set[str]:
-        return {it.part.member.control_address for it in self.deployment.edges + self.deployment.stores}
+        return {it.part.session.control_address for it in self.deployment.edges + self.deployment.stores}
 
 
 @pytest.mark.parametrize("way", ["both", "to", "from"])
@@ -219,7 +219,7 @@
     edge.kill()
     edge.start()
     pages.clear()
-    while not edge.part.member.is_confirmed:
+    while not edge.part.session.is_confirmed:
         day.clock.run(day.clock.now + 0.001)
         assert day.clock.now < 7.0
     known = edge.part.gossip.items
@@ -282,15 +282,15 @@
     silent = [it for it in day.deployment.cores if not it.part.raft.is_voter]
     assert len(silent) == 2
     gone = {it.address for it in silent}
-    members = [it.part.member for it in day.deployment.edges + day.deployment.stores]
-    member = next(it for it in members if it.control_address not in gone)
+    sessions = [it.part.session for it in day.deployment.edges + day.deployment.stores]
+    session = next(it for it in sessions if it.control_address not in gone)
     for machine in silent:
         machine.power_off()
     day.clock.run(day.clock.now + 2.0)
-    member._candidates = [it.address for it in silent] + [
+    session._candidates = [it.address for it in silent] + [
         it.address for it in day.deployment.cores if it not in silent
     ]
-    member._attempts = 0
-    member.on_disconnect(member.control_address)
+    session._attempts = 0
+    session.on_disconnect(session.control_address)
     day.clock.run(day.clock.now + 0.8)
-    assert member.control_address != ""
+    assert session.control_address != ""
