--- a/amberlug/cluster/control/sessions.py
+++ b/amberlug/cluster/control/sessions.py
@@ -3,81 +3,78 @@
 from __future__ import annotations
 
 from collections.abc import Sequence
-from dataclasses import dataclass
+from dataclasses import dataclass, replace
 
-from amberlug.cluster.control.messages import SessionDescription, SessionRow
-from amberlug.cluster.interfaces import Json
+from amberlug.cluster.control.messages import SessionDescription, SessionDetails, SessionRow
 from amberlug.cluster.values import value
 
+EDGE_CLASS, STORAGE_CLASS = "edge", "storage"  # classes of machines that open sessions
 HEARTBEAT_INTERVAL_S = 0.25  # between a member's heartbeats
 SESSION_TIMEOUT_S = 1.2  # without a heartbeat until a session expires: four intervals and a slow link
 # Members of an unresponsive control-plane node have so much longer, since they look for another one.
 FAILOVER_GRACE_S = 0.9
 REPORT_TIMEOUT_S = 2 * HEARTBEAT_INTERVAL_S + 0.1  # a peer whose report is older is unresponsive
-CONTACT_TIMEOUT_S = 2 * HEARTBEAT_INTERVAL_S + 0.2  # a peer's contact is believed for so long
+PEER_CONTACT_TIMEOUT_S = 2 * HEARTBEAT_INTERVAL_S + 0.2  # a peer's contact is believed for so long
 
 
 @dataclass(slots=True)
 class Session:
-    """A member as one control-plane node sees it; times are this machine's steady clock.
+    """A member as one control-plane node sees it; times are this machine's monotonic clock.
 
-    :ivar incarnation: names one run of the member's process.
-    :ivar state: `up` or `leaving`.
+    :ivar node: the member as it last described itself.
     """
 
-    name: str
-    incarnation: str
-    address: str
-    machine_class: str
-    zone: str
-    region: str
-    state: str
+    node: SessionDescription
     opened_at_s: float
     last_heartbeat_at_s: float
-    details: Json
+
+    @property
+    def name(self) -> str:
+        """The member's name, whatever its incarnation."""
+        return self.node.name
 
     @property
     def id(self) -> str:
         """Name and incarnation: what shards are assigned to."""
-        return f"{self.name}/{self.incarnation}"
+        return f"{self.node.name}/{self.node.incarnation}"
+
+    @property
+    def address(self) -> str:
+        """Where it serves other nodes, `host:port`."""
+        return self.node.address
+
+    @property
+    def details(self) -> SessionDetails:
+        """What only its class of node reports: see `control.session_attributes`."""
+        return self.node.details
 
     @property
     def is_up(self) -> bool:
         """Whether it takes work, and does not stop."""
-        return self.state == "up"
+        return self.node.state == "up"
+
+    def is_more_recent_than(self, other: Session) -> bool:
+        """Whether its last heartbeat came later, or with heartbeats at the same time, it was opened later."""
+        mine = self.last_heartbeat_at_s, self.opened_at_s
+        return mine > (other.last_heartbeat_at_s, other.opened_at_s)
+
+    @property
+    def is_edge(self) -> bool:
+        """Whether it is the session of an edge node."""
+        return self.node.machine_class == EDGE_CLASS
+
+    @property
+    def is_storage(self) -> bool:
+        """Whether it is the session of a storage node."""
+        return self.node.machine_class == STORAGE_CLASS
 
     def to_row(self, now_s: float) -> SessionRow:
         """The session as it is reported to other control-plane nodes."""
-        node = SessionDescription(
-            self.name,
-            self.incarnation,
-            self.address,
-            self.machine_class,
-            self.zone,
-            self.region,
-            self.state,
-            self.details,
-        )
         return SessionRow(
-            node, round(now_s - self.opened_at_s, 3), round(now_s - self.last_heartbeat_at_s, 3)
+            self.node, round(now_s - self.opened_at_s, 3), round(now_s - self.last_heartbeat_at_s, 3)
         )
 
 
-def _session(node: SessionDescription, opened_at_s: float, last_heartbeat_at_s: float) -> Session:
-    return Session(
-        node.name,
-        node.incarnation,
-        node.address,
-        node.machine_class,
-        node.zone,
-        node.region,
-        node.state,
-        opened_at_s,
-        last_heartbeat_at_s,
-        node.details,
-    )
-
-
 @value
 class _PeerReport:
     received_at_s: float
@@ -94,19 +91,20 @@
 
     def open(self, node: SessionDescription, now_s: float) -> Session:
         """Open a member's session, or open it anew."""
-        session = _session(node, now_s, now_s)
+        session = Session(node, now_s, now_s)
         self.own[session.name] = session
         return session
 
     def renew(self, node: SessionDescription, now_s: float) -> bool:
-        """Take a heartbeat.
+        """Renew the session of a member whose heartbeat has come.
 
         :returns: False where there is no such session here, and the member has to open one.
         """
         session = self.own.get(node.name)
-        if session is None or session.incarnation != node.incarnation:
+        if session is None or session.node.incarnation != node.incarnation:
             return False
-        session.last_heartbeat_at_s, session.state, session.details = now_s, node.state, node.details
+        session.node = replace(session.node, state=node.state, details=node.details)
+        session.last_heartbeat_at_s = now_s
         return True
 
     def close_connection(self, address: str) -> list[Session]:
@@ -128,9 +126,9 @@
             del self.own[session.name]
         return ended
 
-    def report(self, now_s: float) -> tuple[SessionRow, ...]:
+    def report(self, now_s: float) -> Sequence[SessionRow]:
         """Sessions of this node, as other control-plane nodes get them."""
-        return tuple(session.to_row(now_s) for session in self.own.values())
+        return [session.to_row(now_s) for session in self.own.values()]
 
     def receive_report(
         self, peer: str, rows: Sequence[SessionRow], now_s: float, has_contact: bool = True
@@ -141,7 +139,7 @@
         else:
             self._peers_in_contact.discard(peer)
         sessions = {
-            row.node.name: _session(row.node, now_s - row.open_for_s, now_s - row.last_heartbeat_age_s)
+            row.node.name: Session(row.node, now_s - row.open_for_s, now_s - row.last_heartbeat_age_s)
             for row in rows
         }
         self._reports[peer] = _PeerReport(now_s, sessions)
@@ -150,27 +148,26 @@
         """Whether another control-plane node responds, and reported contact with a majority."""
         if peer not in self._peers_in_contact:
             return False
-        return now_s - self._reports[peer].received_at_s < CONTACT_TIMEOUT_S
+        return now_s - self._reports[peer].received_at_s < PEER_CONTACT_TIMEOUT_S
 
     def members(self, now_s: float) -> dict[str, Session]:
         """The live members by name, each in its newest incarnation."""
-        found: dict[str, Session] = {}
-        _add_live(found, self.own, now_s, 0.0)
+        members: dict[str, Session] = {}
+        _add_live(members, self.own, now_s, 0.0)
         for report in self._reports.values():
             is_unresponsive = now_s - report.received_at_s > REPORT_TIMEOUT_S
-            _add_live(found, report.sessions, now_s, FAILOVER_GRACE_S if is_unresponsive else 0.0)
-        return found
+            _add_live(members, report.sessions, now_s, FAILOVER_GRACE_S if is_unresponsive else 0.0)
+        return members
 
 
-def _add_live(found: dict[str, Session], sessions: dict[str, Session], now_s: float, grace_s: float) -> None:
+def _add_live(
+    members: dict[str, Session], sessions: dict[str, Session], now_s: float, grace_s: float
+) -> None:
+    """Add sessions whose heartbeats have not timed out; of several of one member, the most recent stays."""
     for session in sessions.values():
         if now_s - session.last_heartbeat_at_s > SESSION_TIMEOUT_S + grace_s:
             continue
-        known = found.get(session.name)
+        other = members.get(session.name)
         # A member that tried several control-plane nodes stays with one: that one has the latest heartbeat.
-        if known is None or _recency(session) > _recency(known):
-            found[session.name] = session
-
-
-def _recency(session: Session) -> tuple[float, float]:
-    return session.last_heartbeat_at_s, session.opened_at_s
+        if other is None or session.is_more_recent_than(other):
+            members[session.name] = session
--- a/amberlug/cluster/edge/node.py
+++ b/amberlug/cluster/edge/node.py
@@ -19,6 +19,7 @@
     published_index,
 )
 from amberlug.cluster.control.session_attributes import EdgeAttributes
+from amberlug.cluster.control.sessions import EDGE_CLASS
 from amberlug.cluster.dispatch.delivery_queue import DeliveryQueue
 from amberlug.cluster.dispatch.dispatcher import Dispatcher
 from amberlug.cluster.dispatch.replicator import Replicator
@@ -46,7 +47,7 @@
 
     def __init__(self, runtime: Runtime, settings: Settings, address: str, endpoints: Endpoints) -> None:
         self.gossip = GossipStore(runtime, self._gossip_peers, self._on_published)
-        local = LocalNode(address, "edge", self._session_attributes)
+        local = LocalNode(address, EDGE_CLASS, self._session_attributes)
         self.session = SessionClient(runtime, settings, local, self.gossip)
         self.replicator = Replicator(
             runtime, settings.tolerance, settings.zone, settings.region, settings.seconds("statusTtlS")
@@ -72,9 +73,9 @@
         return self._context.routes
 
     @property
-    def counts(self) -> dict[str, int]:
+    def counters(self) -> dict[str, int]:
         """Counted events, as the counters page shows them."""
-        return self._context.counts
+        return self._context.counters
 
     @property
     def delivery_queue(self) -> DeliveryQueue:
@@ -134,7 +135,7 @@
             under_replicated_messages=sum(
                 not self.replicator.is_write_quorum(message.holders & live_disk_ids) for message in messages
             ),
-            counters=self.counts,
+            counters=self.counters,
         )
 
     @property
--- a/amberlug/cluster/storage/node.py
+++ b/amberlug/cluster/storage/node.py
@@ -6,6 +6,7 @@
 
 from amberlug.cluster.control.published_state import CONTROL_NODES_KEY, control_nodes_from_wire
 from amberlug.cluster.control.session_attributes import StorageAttributes
+from amberlug.cluster.control.sessions import STORAGE_CLASS
 from amberlug.cluster.gossip.announcements import Payload
 from amberlug.cluster.gossip.store import DisseminationPolicy, GossipStore
 from amberlug.cluster.interfaces import Runtime
@@ -17,8 +18,6 @@
 from amberlug.cluster.storage.replica_service import ReplicaService
 from amberlug.cluster.storage.status import StorageStatus
 
-MACHINE_CLASS = "storage"  # how a session names the role of its node
-
 
 class StorageNode:
     """Wires the parts of one storage node: its session, gossip, enrollment, replicas and status.
@@ -42,11 +41,11 @@
             runtime, self._gossip_peers, self._on_published, DisseminationPolicy(fanout=0)
         )
         self.session = SessionClient(
-            runtime, settings, LocalNode(address, MACHINE_CLASS, self._session_attributes), self.gossip
+            runtime, settings, LocalNode(address, STORAGE_CLASS, self._session_attributes), self.gossip
         )
         self.replicas = ReplicaService(runtime, contents, store)
         self.enrollment = Enrollment(runtime, contents, store, self.gossip)
-        self.counts = self.replicas.counters
+        self.counters = self.replicas.counters
         self.handlers = {
             **handlers_of(self.replicas),
             **handlers_of(self.gossip),
--- a/tests/cluster/test_admin.py
+++ b/tests/cluster/test_admin.py
@@ -1,4 +1,4 @@
-"""Operators' commands, what control relays answer them with, and a trial of a whole deployment."""
+"""The admin command line, the control plane's replies to it, and a trial of a local deployment."""
 
 import asyncio
 import json
@@ -17,7 +17,7 @@
 from amberlug.cluster.__main__ import cli
 from amberlug.cluster.admin.commands import BAD, DONE, REFUSED, UNCLEAR
 from amberlug.cluster.admin.files import check_deploy, check_settings, differences
-from amberlug.cluster.control.dead_messages import merged
+from amberlug.cluster.control.dead_messages import merge_pages
 from amberlug.cluster.control.messages import SessionDescription
 from amberlug.cluster.control.node import ControlNode, blank
 from amberlug.cluster.interfaces import Json, OnWritten, RawMessage, Reply, ReplyCallback, RequestFailure
@@ -26,13 +26,14 @@
 from amberlug.cluster.local_deployment.trial import Sent, Tale, play
 from amberlug.cluster.metrics import page
 from amberlug.cluster.settings import read_settings_file
+from amberlug.cluster.storage.operator_messages import DeadMessagesReply
 from tests.rig import ROOT
 
-# -- what a control relay answers
+# -- calls of a control-plane node
 
 
 class Runtime:
-    """Peers answer at once by a table; those that are not in it are silent until the time is let pass."""
+    """Peers reply at once by a table; requests to others time out when the time passes."""
 
     def __init__(self, answers: dict[tuple[str, str], Json]) -> None:
         self.answers, self.rng = answers, random.Random(1)
@@ -76,31 +77,32 @@
         return None
 
 
-def core_of(tmp_path: Path, answers: dict[tuple[str, str], Json]) -> tuple[ControlNode, Runtime]:
+def control_node_of(tmp_path: Path, answers: dict[tuple[str, str], Json]) -> tuple[ControlNode, Runtime]:
     deployment = Deployment(tmp_path, "127.0.1")
     deployment.write(first_start=True)
     settings = read_settings_file(str(deployment.machines["core-1"].path)).unwrap()
-    world = Runtime(answers)
-    core = ControlNode(world, settings, "127.0.1.10:7300", Disk(), blank(settings, world.rng.getrandbits))
+    runtime = Runtime(answers)
+    node = ControlNode(runtime, settings, "127.0.1.10:7300", Disk(), blank(settings, runtime.rng.getrandbits))
     for kind, name in (("edge", "e1"), ("edge", "e2"), ("storage", "s1")):
-        node = SessionDescription(name, "1", name, kind, "north", "valley", "up", {"disk": f"disk of {name}"})
-        core.sessions.open(node, 9.0)
+        details = {"disk": f"disk of {name}"}
+        member = SessionDescription(name, "1", name, kind, "north", "valley", "up", details)
+        node.sessions.open(member, 9.0)
     for name in ("s1", "s2"):
         store = {"name": name, "addr": name, "zone": "north", "region": "valley", "state": "full"}
-        core.cluster_state.apply(1, {"do": "roster", "set": {f"disk of {name}": store}})
-    return core, world
+        node.cluster_state.apply_entry(1, {"do": "roster", "set": {f"disk of {name}": store}})
+    return node, runtime
 
 
-def asked(core: ControlNode, world: Runtime, target: str) -> tuple[int, Json]:
-    said: list[Any] = []
-    core.counter.take(HttpRequest(target), said.append)
-    if not said:
-        world.pass_time()
-    (answer,) = said
+def call(node: ControlNode, runtime: Runtime, target: str) -> tuple[int, Json]:
+    responses: list[Any] = []
+    node.admin_api.handle(HttpRequest(target), responses.append)
+    if not responses:
+        runtime.pass_time()
+    (answer,) = responses
     return answer.status, answer.body
 
 
-EDGE = {
+EDGE_REPORT = {
     "ready": True,
     "edition": 3,
     "shards": 9,
@@ -112,13 +114,16 @@
 }
 
 
-def test_the_status_shows_all_where_some_are_silent(tmp_path: Path) -> None:
-    core, world = core_of(
-        tmp_path, {("e1", "status"): EDGE, ("127.0.1.11:7300", "core.status"): {"counts": {}}}
+def test_the_status_shows_all_nodes_where_some_do_not_reply(tmp_path: Path) -> None:
+    node, runtime = control_node_of(
+        tmp_path, {("e1", "status"): EDGE_REPORT, ("127.0.1.11:7300", "core.status"): {"counts": {}}}
     )
-    core.counts["announced"] = 2
-    status, data = asked(core, world, "/-/Foreman.Status")
+    node.counters["announced"] = 2
+    status, data = call(node, runtime, "/-/Foreman.Status")
     assert status == 200
+    assert " ".join(data) == (
+        "by confirmed members core shards stores configuration endpoints copies_short copies_unknown counters"
+    )
     assert not data["confirmed"]
     assert {it["name"]: it["told"] is not None for it in data["members"]} == {
         "e1": True,
@@ -137,7 +142,7 @@
 
 
 PAGES = [
-    # the stores' pages (None: silent), how many are wanted, the names, and where the next page begins
+    # the storage nodes' pages (None: no reply), the limit, the names, and where the next page begins
     ([None], 9, [], None),
     ([(["a", "b"], False)], 9, ["a", "b"], None),
     ([(["a", "c"], False), (["b", "c"], False)], 9, ["a", "b", "c"], None),
@@ -147,21 +152,23 @@
 ]
 
 
-@pytest.mark.parametrize(("pages", "most", "names", "after"), PAGES)
-def test_pages_of_stores_are_merged(pages: list[Any], most: int, names: list[str], after: str | None) -> None:
-    heard: dict[str, Any] = {
+@pytest.mark.parametrize(("pages", "limit", "names", "after"), PAGES)
+def test_pages_of_dead_messages_are_merged(
+    pages: list[Any], limit: int, names: list[str], after: str | None
+) -> None:
+    replies: dict[str, Any] = {
         str(at): Err(RequestFailure.TIMED_OUT)
         if it is None
-        else Ok(Reply({"rows": [row(name) for name in it[0]], "more": it[1]}))
+        else Ok(DeadMessagesReply.from_wire({"rows": [row(name) for name in it[0]], "more": it[1]}, b""))
         for at, it in enumerate(pages)
     }
-    found = merged(heard, most)
-    assert [it["id"] for it in found["rows"]] == names
-    assert found.get("after") == after
+    page = merge_pages(replies, limit).to_json()
+    assert [it["id"] for it in page["rows"]] == names
+    assert page.get("after") == after
 
 
-DEAD = [
-    # what the stores answer, the answer to who asks for one
+DEAD_MESSAGE_REPLIES = [
+    # the storage nodes' replies, the status of the reply to the operator
     ({"s1": {"rows": [row("a", {})], "more": False}, "s2": {"rows": [row("a")], "more": False}}, 200),
     ({"s1": {"rows": [], "more": False}, "s2": {"rows": [], "more": False}}, 404),
     ({"s1": {"rows": [], "more": False}}, 503),
@@ -169,20 +176,22 @@
 ]
 
 
-@pytest.mark.parametrize(("stores", "status"), DEAD)
-def test_one_dead_message_is_found(tmp_path: Path, stores: dict[str, Json], status: int) -> None:
+@pytest.mark.parametrize(("stores", "status"), DEAD_MESSAGE_REPLIES)
+def test_a_dead_message_is_read_from_any_storage_node(
+    tmp_path: Path, stores: dict[str, Json], status: int
+) -> None:
     answers: dict[tuple[str, str], Json] = {(name, "dead"): it for name, it in stores.items()}
     answers["s2", "body"] = {"found": True, "blob": b"abc"}
-    core, world = core_of(tmp_path, answers)
-    said: list[Any] = []
-    core.counter.take(HttpRequest("/-/Foreman.Dead/a"), said.append)
-    world.pass_time()
-    world.pass_time()
-    assert [it.status for it in said] == [status]
-    assert status != 200 or (said[0].body["body"], said[0].body["method"]) == ("YWJj", "POST")
+    node, runtime = control_node_of(tmp_path, answers)
+    responses: list[Any] = []
+    node.admin_api.handle(HttpRequest("/-/Foreman.Dead/a"), responses.append)
+    runtime.pass_time()
+    runtime.pass_time()
+    assert [it.status for it in responses] == [status]
+    assert status != 200 or (responses[0].body["body"], responses[0].body["method"]) == ("YWJj", "POST")
 
 
-def test_counters_are_a_page() -> None:
+def test_the_counters_page_has_a_line_for_each_counter() -> None:
     assert page({"ended: done": 2, "called: answered": 3}) == b"called_answered 3\nended_done 2\n"
 
 
@@ -190,7 +199,7 @@
 
 
 class Control:
-    """A control relay that gives prepared answers, in order; the last one again and again."""
+    """A control-plane node that gives prepared answers, in order; the last one again and again."""
 
     def __init__(self) -> None:
         self.answers: dict[str, list[tuple[int, Any]]] = {}
@@ -328,7 +337,7 @@
 
 
 @pytest.mark.parametrize(("words", "answers", "code", "said"), COMMANDS)
-def test_commands(
+def test_a_command_exits_by_its_outcome(
     control: Control, tmp_path: Path, words: str, answers: dict[str, Any], code: int, said: str
 ) -> None:
     bad = {**NEW, "routeTable": [{**NEW["routeTable"][0], "targetService": "none"}]}
@@ -344,7 +353,7 @@
     assert (result.exit_code, said in result.output) == (code, True), result.output
 
 
-def test_a_push_is_sent_again_unchanged(control: Control, tmp_path: Path) -> None:
+def test_a_configuration_push_is_retried_unchanged(control: Control, tmp_path: Path) -> None:
     (tmp_path / "c").write_text(json.dumps(NEW))
     control.answers = {READ: [(200, config())], REPLACE: [(503, {}), (503, {}), (200, {})]}
     assert control.admin("config", "push", str(tmp_path / "c"), "--at", "@").exit_code == DONE
@@ -356,7 +365,7 @@
     assert pushed == [("1", json.dumps(NEW).encode())] * 3
 
 
-def test_a_dead_message_goes_again_as_it_came(control: Control) -> None:
+def test_a_dead_message_is_resubmitted_unchanged_with_a_new_attempt_id(control: Control) -> None:
     control.answers = {"/-/Foreman.Dead/1-a": [(200, FOUND)], "/a": [(202, b"")]}
     for _ in range(2):
         control.admin("dead", "again", "1-a", "--at", "@", "--front", "@")
@@ -389,7 +398,7 @@
 
 
 @pytest.mark.parametrize(("text", "places"), DEPLOYS)
-def test_deploy_files(tmp_path: Path, text: str, places: list[str]) -> None:
+def test_errors_of_a_deploy_file_name_their_paths(tmp_path: Path, text: str, places: list[str]) -> None:
     (tmp_path / "d.toml").write_text(text)
     errors = check_deploy(tmp_path / "d.toml")
     assert len(errors) == len(places), errors
@@ -409,7 +418,9 @@
 
 
 @pytest.mark.parametrize(("name", "change", "places"), SETTINGS)
-def test_settings_files(tmp_path: Path, name: str, change: Json, places: list[str]) -> None:
+def test_errors_of_a_settings_file_name_their_paths(
+    tmp_path: Path, name: str, change: Json, places: list[str]
+) -> None:
     deployment = Deployment(tmp_path, "127.0.1")
     deployment.write(first_start=True)
     path = deployment.machines[name].path
@@ -419,7 +430,7 @@
     assert all(any(error.startswith(place) for error in errors) for place in places), errors
 
 
-def test_differences_name_what_changes() -> None:
+def test_differences_name_the_changed_fields() -> None:
     old, new = config(), config()
     new["routeTable"][0]["expiryMs"] = 9
     new["routeTable"][1]["name"] = "other"
@@ -449,12 +460,12 @@
 
 
 @pytest.mark.parametrize(("sent", "runs", "wrong"), TALES)
-def test_trials_are_judged(sent: list[Sent], runs: list[Run], wrong: list[str]) -> None:
+def test_a_trial_reports_broken_guarantees(sent: list[Sent], runs: list[Run], wrong: list[str]) -> None:
     judged = Tale(sent, runs).judged()
     assert [it.startswith(start) for it, start in zip(judged, wrong, strict=True)] == [True] * len(wrong)
 
 
-def test_a_whole_deployment_keeps_what_it_accepted(tmp_path: Path) -> None:
+def test_a_local_deployment_keeps_accepted_messages(tmp_path: Path) -> None:
     rng = random.Random()
     net = f"127.{rng.randrange(2, 255)}.{rng.randrange(1, 255)}"
     lines: list[str] = []
