--- a/amberlug/cluster/dispatch/dispatcher.py
+++ b/amberlug/cluster/dispatch/dispatcher.py
@@ -71,7 +71,7 @@
         self._account = Account(_SETTINGS, None)
         self._backlog: list[tuple[int, float, int, Message]] = []  # a heap: rank, due time, tie-breaker
         self.calls: dict[InFlightCall, None] = {}  # ordered as a set by their start
-        self.fixed = False  # the service is a single address, and its endpoint has no id of its own
+        self.has_fixed_address = False  # its one endpoint has no id of its own
         self._tie_breakers = itertools.count()
         self._timer: TimerHandle | None = None
 
@@ -94,13 +94,13 @@
     def add(self, message: Message) -> None:
         """Send a message, which is due and the first of its key, as soon as it may be sent."""
         heapq.heappush(self._backlog, (message.rank, message.due_at, next(self._tie_breakers), message))
-        self.pump()
+        self.send_due()
 
     def _now_us(self) -> int:
         return int(self._runtime.now() * SECOND)
 
-    def pump(self) -> None:
-        """Send what may be sent now; the rest as the account allows it, or once something changes."""
+    def send_due(self) -> None:
+        """Send the messages that rate and endpoints allow now; the others follow as these change."""
         while self._backlog:
             message = self._backlog[0][3]
             if message.ended or message.in_flight or message.service != self.name:
@@ -131,7 +131,7 @@
 
     def _on_timer(self) -> None:
         self._timer = None
-        self.pump()
+        self.send_due()
 
     def _call(self, message: Message, endpoint: Endpoint, now_us: int) -> None:
         assert message.body is not None, "a call has a body"
@@ -162,7 +162,7 @@
             ("Amberlug-Attempt-Id", message.attempt),
             ("Amberlug-Time-Remaining", str(max(1, int(timeout_s * 1000)))),
         ]
-        if not self.fixed:
+        if not self.has_fixed_address:
             headers.append(("Amberlug-Target-Instance", endpoint.id))
         return tuple(headers)
 
@@ -181,7 +181,7 @@
         elif result.verdict is not CallVerdict.CONNECTION_LOST:
             call.endpoint.on_unreachable(self._runtime.now())
         self._callbacks.on_result(call.message, result)
-        self.pump()
+        self.send_due()
 
     def _learn(self, call: InFlightCall, result: CallResult) -> None:
         """Learn from a response: of a restarted endpoint, of a full one, or how long calls take."""
--- a/amberlug/cluster/edge/dispatchers.py
+++ b/amberlug/cluster/edge/dispatchers.py
@@ -65,7 +65,7 @@
             self._endpoints.close_idle_connections(unusable.address)
         dispatcher = self.by_service.get(published.service)
         if dispatcher is not None:
-            dispatcher.pump()
+            dispatcher.send_due()
 
     def apply_routes(self) -> None:
         """Have a dispatcher for each service of the routing table, and know its fixed endpoint if any."""
@@ -78,7 +78,7 @@
         self._rate_share = 0.0
         self.update_rate_share()
         for dispatcher in self.by_service.values():
-            dispatcher.pump()
+            dispatcher.send_due()
 
     def update_rate_share(self) -> None:
         """Adapt this node's share of the rate limits to the number of edge nodes that own shards.
@@ -119,7 +119,7 @@
                 DispatchCallbacks(self._call_timeout_s, self._on_call_finished),
             )
         destination = self._context.routes.services.get(service)
-        dispatcher.fixed = destination is not None and destination.fixed is not None
+        dispatcher.has_fixed_address = destination is not None and destination.fixed is not None
         return dispatcher
 
     def _call_timeout_s(self, message: Message) -> float:
--- a/amberlug/cluster/gossip/announcements.py
+++ b/amberlug/cluster/gossip/announcements.py
@@ -73,7 +73,7 @@
         self.digest = 0
         self._sizes: dict[str, int] = {}  # bytes of values that were put into pages
 
-    def put_if_newer(self, key: str, version: Version, value: Payload) -> bool:
+    def keep_if_newer(self, key: str, version: Version, value: Payload) -> bool:
         """Keep a value unless the newest known one is as new; returns whether it was kept."""
         newest = self.items.get(key)
         if newest is not None:
--- a/amberlug/cluster/gossip/store.py
+++ b/amberlug/cluster/gossip/store.py
@@ -113,7 +113,7 @@
         first_delay_s = self.runtime.rng.uniform(0.2, 1.0) * ANTI_ENTROPY_INTERVAL_S
         self.runtime.call_later(first_delay_s, self._run_anti_entropy)
 
-    def everything(self) -> list[Announcement]:
+    def announcements(self) -> list[Announcement]:
         """All announcements, in the order in which their keys became known."""
         return list(self._announcements)
 
@@ -125,7 +125,7 @@
 
     def offer(self, key: str, version: Version, value: Payload) -> bool:
         """Apply an announcement and pass it on; returns False where the known version is as new."""
-        if not self._announcements.put_if_newer(key, version, value):
+        if not self._announcements.keep_if_newer(key, version, value):
             return False
         if not self._unsent:
             self.runtime.call_later(0.0 if self._policy.push_to_all else NOTICE_DELAY_S, self._disseminate)
--- a/benchmarks/hollow/plays.py
+++ b/benchmarks/hollow/plays.py
@@ -189,7 +189,7 @@
         told = host.meter
         yield Figure("an edge joins", "endpoints", count, "edge", "bytes heard", told.heard)
         yield Figure("an edge joins", "endpoints", count, "edge", "processor s", sum(told.processor.values()))
-        items = play.cores[0].machine.gossip.everything()
+        items = play.cores[0].machine.gossip.announcements()
         size = len(json.dumps({"ok": True, "items": items}, separators=(",", ":")))
         yield Figure("an edge joins", "endpoints", count, "core", "bytes of all news in one frame", size)
 
--- a/tests/cluster/test_contact.py
+++ b/tests/cluster/test_contact.py
@@ -163,7 +163,7 @@
         def header(self, name: str) -> str | None:
             return {"host": "x", "amberlug-attempt-id": "a"}.get(name)
 
-    old = play.deployment.edges[1].part.gossip.everything()
+    old = play.deployment.edges[1].part.gossip.announcements()
     part.gossip.apply(old)  # what it hears from another edge first
     assert part.routes.index > 0
     part.handle(HttpRequest(), lambda response: statuses.append(response.status))
--- a/tests/cluster/test_gossip.py
+++ b/tests/cluster/test_gossip.py
@@ -103,7 +103,7 @@
         assert 0 < len(page) <= PAGE_ITEMS
         assert len(page) == 1 or len(json.dumps(page)) < PAGE_BYTES * 1.1
         found += page
-    assert found == a.everything()
+    assert found == a.announcements()
 
 
 def test_keys_that_the_peer_replicates_itself_are_neither_sent_nor_fetched() -> None:
