--- a/amberlug/cluster/consensus/log.py
+++ b/amberlug/cluster/consensus/log.py
@@ -10,122 +10,27 @@
 
 from __future__ import annotations
 
-import json
-from collections.abc import Callable, Iterable, Sequence
-from dataclasses import dataclass, field
+from collections.abc import Callable, Sequence
+from dataclasses import dataclass
 from itertools import islice
-from typing import NamedTuple
 
-from amberlug.cluster.consensus.opaque import Command, Encodable, MachineState, MemberRecords
+from amberlug.cluster.consensus.membership import Members, Membership
+from amberlug.cluster.consensus.opaque import MachineState
+from amberlug.cluster.consensus.persistent_state import Entry, PersistentState, Snapshot, encode
 from amberlug.cluster.consensus.rows import EntryRow, Row, SnapshotRow, TruncateRow, raw_rows
 from amberlug.cluster.consensus.snapshot_transfer import CHUNK_BYTES, TransferHeader
 from amberlug.cluster.interfaces import Disk, Runtime, WriteFailure
 from amberlug.cluster.values import value
 
-MAX_BATCH_ENTRIES = 64  # in one message, which are of CHUNK_BYTES at most in all
-SNAPSHOT_ENTRIES = (
-    512  # applied since the last snapshot until another one is made: a replay takes milliseconds
-)
-SNAPSHOT_BYTES = (
-    4 << 20
-)  # the same in bytes, or as many as the snapshot has: it is not written at each change
+MAX_BATCH_ENTRIES = 64  # in one message; they are of CHUNK_BYTES at most in all
+# Applied since the last snapshot until another one is made: their replay at a start takes milliseconds.
+SNAPSHOT_ENTRIES = 512
+# The same in bytes, or as many as the snapshot has, so that a large one is not written at each change.
+SNAPSHOT_BYTES = 4 << 20
 TAIL_ENTRIES = 128  # kept before the snapshot, so that followers that lack a few need no transfer of it
 TAIL_BYTES = 1 << 20  # of the tail at most
 WRITE_RETRY_S = 0.1  # until what the disk refused is written again, doubled at each refusal
-MAX_WRITE_RETRY_S = 1.6
-
-
-class Entry(NamedTuple):
-    """An entry of the log; it is encoded as the pair `[term, command]`."""
-
-    term: int
-    command: Command | None  # None: the first entry of a new leader (Raft, section 8)
-
-    @property
-    def members(self) -> MemberRecords | None:
-        """The membership that the entry puts in place, where it is a configuration entry."""
-        return None if self.command is None else self.command.get("members")
-
-
-@value
-class StoredEntry:
-    """An entry as it is read from disk."""
-
-    index: int
-    term: int
-    command: Command | None
-
-
-@value
-class MembersAt:
-    """A membership, and the index of the entry that put it in place."""
-
-    members: MemberRecords
-    index: int
-
-
-def encode(value: Encodable | None) -> str:
-    """A command or a snapshot as it goes to disk and to others."""
-    return json.dumps(value, separators=(",", ":"))
-
-
-@value
-class Snapshot:
-    """The state machine and the membership as of an index: what InstallSnapshot transfers."""
-
-    state: MachineState | None
-    members: MemberRecords
-
-    def encoded(self) -> str:
-        """The snapshot as text, as it goes to others."""
-        return f'{{"state":{encode(self.state)},"members":{encode(self.members)}}}'
-
-    @classmethod
-    def decode(cls, data: bytes) -> Snapshot:
-        """Read what a leader has sent."""
-        fields = json.loads(data)
-        return cls(fields["state"], fields["members"])
-
-
-@dataclass(slots=True)
-class PersistentState:
-    """What a member has on disk: its name, the persistent state of figure 2, and its snapshot."""
-
-    member_id: str
-    term: int = 0
-    voted_for: str = ""
-    snapshot_index: int = 0  # the last entry that the snapshot covers
-    snapshot_term: int = 0
-    snapshot_state: MachineState | None = None
-    members: MemberRecords = field(default_factory=dict)  # as of the snapshot
-    entries: list[Entry] = field(default_factory=list)  # behind what the snapshot covers
-    tail: list[Entry] = field(default_factory=list)  # the last ones that it covers, as far as they are kept
-    acknowledged: dict[str, int] = field(default_factory=dict)  # by member: the input of the rollback guard
-
-
-def assemble(saved: PersistentState, rows: Iterable[StoredEntry]) -> PersistentState | None:
-    """Put the rows of a log, in their order, behind and before a snapshot.
-
-    What the snapshot covers may have gaps: it came from a leader, or was written when entries before it were
-    refused.
-
-    :returns: None where entries behind the snapshot are missing.
-    """
-    previous = 0
-    for row in rows:
-        entry = Entry(row.term, row.command)
-        if row.index <= saved.snapshot_index:
-            if row.index != previous + 1:
-                saved.tail.clear()
-            saved.tail.append(entry)
-            previous = row.index
-        elif row.index == saved.snapshot_index + len(saved.entries) + 1:
-            saved.entries.append(entry)
-        else:
-            return None
-    if previous != saved.snapshot_index or (saved.tail and saved.tail[-1].term != saved.snapshot_term):
-        saved.tail.clear()
-    return saved
+MAX_WRITE_RETRY_S = 1.6  # after four refusals in a row: a disk with space again is noticed within seconds
 
 
 @dataclass(slots=True, eq=False)
@@ -138,7 +43,7 @@
 
 @value
 class _EncodedEntry:
-    """The text of a long entry: it is sent to each peer, and encoded once."""
+    """The text of a long entry, which is encoded once for all peers; index 0: of none."""
 
     index: int = 0
     term: int = 0
@@ -189,16 +94,16 @@
             return self.base_term
         return self.entry_at(index).term if self.base_index < index <= self.last_index else -1
 
-    def newest_members(self) -> MembersAt:
+    def newest_membership(self) -> Membership:
         """The newest membership in the log, committed or not (dissertation, section 4.1)."""
-        for offset in range(len(self.entries) - 1, -1, -1):
-            members = self.entries[offset].members
+        for count_behind, entry in enumerate(reversed(self.entries)):
+            members = entry.members
             if members is not None:
-                return MembersAt(members, self.base_index + offset + 1)
-        return MembersAt(self.snapshot_members, self.base_index)
+                return Membership(members, self.last_index - count_behind)
+        return Membership(self.snapshot_members, self.base_index)
 
-    def members_until(self, index: int) -> MemberRecords:
-        """The membership that holds at an entry of the log."""
+    def members_until(self, index: int) -> Members:
+        """The members of the configuration that holds at an entry of the log."""
         members = self.snapshot_members
         for entry in self.entries[: index - self.base_index]:
             if entry.members is not None:
@@ -206,7 +111,10 @@
         return members
 
     def batch_after(self, index: int) -> list[Entry]:
-        """The entries after an index that one message takes: bounded by number and by bytes."""
+        """The entries after an index that one message takes: bounded by number and by bytes.
+
+        It takes none where the first is too long: that one goes in chunks.
+        """
         entries: list[Entry] = []
         left_bytes, offset = CHUNK_BYTES, index - self.base_index
         sized = zip(self.entries, self.sizes_bytes, strict=True)
@@ -224,9 +132,9 @@
 
     def encoded_entry(self, index: int) -> str:
         """An entry's command as text."""
-        known = self._newest_long
-        if (known.index, known.term) == (index, self.term_at(index)):
-            return known.text
+        encoded = self._newest_long
+        if (encoded.index, encoded.term) == (index, self.term_at(index)):
+            return encoded.text
         return encode(self.entry_at(index).command)
 
     def encoded_snapshot(self) -> str:
@@ -266,7 +174,7 @@
         return self._applied_bytes >= max(SNAPSHOT_BYTES, self._snapshot_bytes)
 
     def compact(self, index: int, state: MachineState) -> None:
-        """Replace the entries up to an index by a snapshot, but for a tail (Raft, section 7)."""
+        """Replace the entries up to an applied index by a snapshot, but for a tail (Raft, section 7)."""
         members = self.members_until(index)
         self.snapshot_term = self.term_at(index)
         self.snapshot_index, self.snapshot_state, self.snapshot_members = index, state, members
@@ -293,7 +201,8 @@
     def install(self, header: TransferHeader, snapshot: Snapshot, commit_index: int) -> None:
         """Replace all that a leader's snapshot covers; entries behind it stay if they follow from it.
 
-        Invariant: entries that conflict with the leader's go with their prefix (Raft, figure 13, steps 6, 7).
+        Invariant (Log Matching): an entry that has the snapshot's last index and term is the same, and so are
+        all before it; else what is behind it may conflict, and goes (Raft, section 7; figure 13, steps 6, 7).
         """
         index, term = header.last_index, header.last_term
         keeps_rest = self.term_at(index) == term
--- a/amberlug/cluster/control/node.py
+++ b/amberlug/cluster/control/node.py
@@ -6,7 +6,7 @@
 
 from absl import logging
 
-from amberlug.cluster.consensus.log import PersistentState
+from amberlug.cluster.consensus.persistent_state import PersistentState
 from amberlug.cluster.consensus.raft import RaftNode, Role, StateMachine
 from amberlug.cluster.control.cluster_state import ClusterState
 from amberlug.cluster.control.command_service import CommandExecutor, CommandService
@@ -158,7 +158,7 @@
 
     def _peers(self) -> list[str]:
         """Addresses of the other control-plane nodes."""
-        return [member["addr"] for name, member in self.raft.members.items() if name != self.raft.member_id]
+        return [member.address for name, member in self.raft.members.items() if name != self.raft.member_id]
 
     def _replicated_keys(self, address: str) -> Collection[str]:
         """Keys that a node has by its log: sent as gossip besides, they would delay its heartbeats."""
--- a/amberlug/cluster/control/published_state.py
+++ b/amberlug/cluster/control/published_state.py
@@ -2,7 +2,8 @@
 
 Gossip passes the values on unread. Publisher and readers share the codecs of this module, so that the form of
 a value stands in one place. Names of keys and fields are historical: they are a protocol between versions.
-The value of `CONFIG_KEY` is the operators' document itself, which `http.routing.build` reads.
+Two values have their codec elsewhere: that of `CONFIG_KEY` is the operators' document itself, which
+`http.routing.build` reads, and that of `CONTROL_NODES_KEY` is `consensus.membership.Members`.
 """
 
 from __future__ import annotations
@@ -220,21 +221,3 @@
 def with_condition(body: Json, condition: str) -> Json:
     """A published endpoint in another condition; fields of other versions of this program stay in it."""
     return {**body, "cond": condition}
-
-
-class ControlNode(NamedTuple):
-    """A control-plane node, as the nodes look for it that keep a session with one.
-
-    :param zone: None in the records of members that were written without one.
-    """
-
-    address: str
-    zone: str | None
-
-
-def control_nodes_from_wire(body: Json) -> tuple[ControlNode, ...]:
-    """Read the published members of the Raft group; the group's own records are published as they are.
-
-    :raises KeyError: where a member has no address.
-    """
-    return tuple(ControlNode(record["addr"], record.get("zone")) for record in body.values())
--- a/amberlug/cluster/control/state_publisher.py
+++ b/amberlug/cluster/control/state_publisher.py
@@ -43,7 +43,7 @@
             roster = StorageRoster(state.roster_index, state.roster)
             offer(ROSTER_KEY, [roster.index], roster.to_wire())
         if self._raft.membership.index <= self._raft.commit_index:
-            offer(CONTROL_NODES_KEY, [self._raft.membership.index], self._raft.members)
+            offer(CONTROL_NODES_KEY, [self._raft.membership.index], self._raft.members.to_wire())
         for name, departure in state.take_changed_departures().items():
             self._registry.apply_departure(name, departure)
 
--- a/amberlug/cluster/control/status.py
+++ b/amberlug/cluster/control/status.py
@@ -82,7 +82,7 @@
             query.request(session.id, session.address, node_request)
         for member_id, member in self._raft.members.items():
             if member_id != self._raft.member_id:
-                query.request(member_id, member["addr"], ReadControlStatus())
+                query.request(member_id, member.address, ReadControlStatus())
 
     def _own_status(self) -> ControlStatusReport:
         return ControlStatusReport(
--- a/amberlug/cluster/control/status_document.py
+++ b/amberlug/cluster/control/status_document.py
@@ -10,6 +10,7 @@
 from collections.abc import Mapping, Sequence
 from typing import TypeAlias
 
+from amberlug.cluster.consensus.membership import Members
 from amberlug.cluster.control.published_state import ENDPOINT_KEY_PREFIX
 from amberlug.cluster.control.sessions import Session
 from amberlug.cluster.control.state_entries import StoreEntry
@@ -47,26 +48,23 @@
 
 @value
 class ConsensusStatus:
-    """The Raft group as the reporting node sees it.
-
-    :param member_records: each member's record in the membership, by its id.
-    """
+    """The Raft group as the reporting node sees it."""
 
     term: int
     leader_id: str
     commit_index: int
-    member_records: Mapping[str, Json]
+    members: Members
     reports: Reports
 
     def to_json(self) -> Json:
-        """The members' records, each with the member's own report."""
+        """The members as the membership has them, each with the member's own report."""
         return {
             "term": self.term,
             "leader": self.leader_id,
             "commit": self.commit_index,
             "members": [
-                {"id": member_id, **record, "told": _report_to_json(self.reports.get(member_id))}
-                for member_id, record in sorted(self.member_records.items())
+                {"id": member_id, **member.to_wire(), "told": _report_to_json(self.reports.get(member_id))}
+                for member_id, member in sorted(self.members.items())
             ],
         }
 
--- a/amberlug/cluster/edge/node.py
+++ b/amberlug/cluster/edge/node.py
@@ -6,6 +6,7 @@
 
 from absl import logging
 
+from amberlug.cluster.consensus.membership import Members
 from amberlug.cluster.control.published_state import (
     CONFIG_KEY,
     CONTROL_NODES_KEY,
@@ -15,7 +16,6 @@
     PublishedEndpoint,
     ShardTable,
     StorageRoster,
-    control_nodes_from_wire,
     published_index,
 )
 from amberlug.cluster.control.session_attributes import EdgeAttributes
@@ -189,7 +189,7 @@
         elif key == ROSTER_KEY:
             self.repair.apply_roster(StorageRoster.from_wire(index, body))
         elif key == CONTROL_NODES_KEY:
-            self.session.update_control_nodes(control_nodes_from_wire(body))
+            self.session.update_control_nodes(Members.from_wire(body))
 
     def apply_routes(self, routes: RoutingTable) -> None:
         """Put a newer configuration in force.
--- a/amberlug/cluster/session_client.py
+++ b/amberlug/cluster/session_client.py
@@ -6,12 +6,13 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable, Sequence
+from collections.abc import Callable
 from dataclasses import dataclass
 from functools import partial
 
 from result import Err, Ok, Result
 
+from amberlug.cluster.consensus.membership import Members
 from amberlug.cluster.control.messages import (
     CurrentStateReply,
     Heartbeat,
@@ -20,7 +21,6 @@
     SessionDescription,
     SessionReply,
 )
-from amberlug.cluster.control.published_state import ControlNode
 from amberlug.cluster.control.session_attributes import SessionAttributes
 from amberlug.cluster.control.sessions import HEARTBEAT_INTERVAL_S
 from amberlug.cluster.gossip.announcements import Announcement
@@ -105,14 +105,14 @@
         self.runtime.rng.shuffle(self._candidates)
         self._search()
 
-    def update_control_nodes(self, control_nodes: Sequence[ControlNode]) -> None:
+    def update_control_nodes(self, members: Members) -> None:
         """Prefer the control-plane nodes of the own zone, then the others in random order.
 
-        :param control_nodes: ignored where there are none.
+        :param members: the control plane's Raft group; ignored where it is empty.
         """
         zone = self.settings.zone
-        same_zone = [node.address for node in control_nodes if node.zone == zone]
-        others = [node.address for node in control_nodes if node.zone != zone]
+        same_zone = [member.address for member in members.values() if member.zone == zone]
+        others = [member.address for member in members.values() if member.zone != zone]
         self.runtime.rng.shuffle(others)
         self._candidates = same_zone + others or self._candidates
 
--- a/amberlug/cluster/storage/node.py
+++ b/amberlug/cluster/storage/node.py
@@ -4,7 +4,8 @@
 
 from absl import logging
 
-from amberlug.cluster.control.published_state import CONTROL_NODES_KEY, control_nodes_from_wire
+from amberlug.cluster.consensus.membership import Members
+from amberlug.cluster.control.published_state import CONTROL_NODES_KEY
 from amberlug.cluster.control.session_attributes import StorageAttributes
 from amberlug.cluster.control.sessions import STORAGE_CLASS
 from amberlug.cluster.gossip.announcements import Payload
@@ -88,6 +89,6 @@
 
     def _on_published(self, key: str, body: Payload) -> None:
         if key == CONTROL_NODES_KEY:
-            self.session.update_control_nodes(control_nodes_from_wire(body))
+            self.session.update_control_nodes(Members.from_wire(body))
         else:
             self.enrollment.on_published(key)
--- a/tests/cluster/test_published_state.py
+++ b/tests/cluster/test_published_state.py
@@ -4,16 +4,15 @@
 
 import pytest
 
+from amberlug.cluster.consensus.membership import Members
 from amberlug.cluster.control.published_state import (
     NO_OWNER,
-    ControlNode,
     EndpointCondition,
     PublishedEndpoint,
     ShardRow,
     ShardTable,
     StorageRoster,
     TableOwner,
-    control_nodes_from_wire,
     published_index,
     with_condition,
 )
@@ -99,7 +98,8 @@
 
 def test_control_nodes_may_have_no_zone() -> None:
     records = {"1/a": {"addr": "a", "zone": "z", "voter": True}, "2/b": {"addr": "b"}}
-    assert control_nodes_from_wire(records) == (ControlNode("a", "z"), ControlNode("b", None))
+    members = Members.from_wire(records).values()
+    assert [(member.address, member.zone) for member in members] == [("a", "z"), ("b", "")]
 
 
 def test_the_index_of_a_value_that_is_not_known_is_zero() -> None:
