--- a/amberlug/cluster/control/endpoint_registry.py
+++ b/amberlug/cluster/control/endpoint_registry.py
@@ -11,6 +11,7 @@
     ENDPOINT_KEY_PREFIX,
     EndpointCondition,
     PublishedEndpoint,
+    condition_of,
     with_condition,
 )
 from amberlug.cluster.control.state_entries import DepartureRank, EndpointRank
@@ -91,19 +92,14 @@
     sequence: int
     body: Json
 
-    @property
-    def published(self) -> PublishedEndpoint:
-        """The entry, decoded."""
-        return PublishedEndpoint.from_wire(self.body)
-
     @property
     def is_ready(self) -> bool:
         """Whether it takes calls: it neither leaves nor has timed out."""
-        return self.rank == EndpointRank.READY and self.published.condition == EndpointCondition.READY
+        return self.rank == EndpointRank.READY and condition_of(self.body) == EndpointCondition.READY
 
     def has_same_service(self, announcement: EndpointAnnouncement) -> bool:
         """Whether service, address and capacity are those of an announcement."""
-        published = self.published
+        published = PublishedEndpoint.from_wire(self.body)
         return (published.service, published.address, published.capacity) == (
             announcement.service,
             announcement.address,
--- a/amberlug/cluster/control/published_state.py
+++ b/amberlug/cluster/control/published_state.py
@@ -218,6 +218,11 @@
         )
 
 
+def condition_of(body: Json) -> str:
+    """The condition of a published endpoint, for searches over all of them."""
+    return str(body["cond"])
+
+
 def with_condition(body: Json, condition: str) -> Json:
     """A published endpoint in another condition; fields of other versions of this program stay in it."""
     return {**body, "cond": condition}
--- a/amberlug/cluster/dispatch/replicator.py
+++ b/amberlug/cluster/dispatch/replicator.py
@@ -52,23 +52,14 @@
         self.runtime, self.tolerance = runtime, tolerance
         self._zone, self._region = zone, region
         self._outcome_retention_s = outcome_retention_s
-        self._roster = StorageRoster()
+        self.stores: Mapping[str, StoreEntry] = {}  # the roster, by disk
+        self.roster_index = 0  # its log index; 0 where none is known
         self.health = StoreHealth(runtime)
         self._outcomes = OutcomeDelivery(runtime, self.health, self._address_of, lambda: self.writable_disks)
 
-    @property
-    def stores(self) -> Mapping[str, StoreEntry]:
-        """The storage nodes of the roster, by disk."""
-        return self._roster.stores
-
-    @property
-    def roster_index(self) -> int:
-        """The log index of the roster; 0 where none is known."""
-        return self._roster.index
-
     def update_roster(self, roster: StorageRoster) -> None:
         """Use a newer roster."""
-        self._roster = roster
+        self.stores, self.roster_index = roster.stores, roster.index
         self._outcomes.forget_except(self.stores)
         self.health.forget_except(self.stores)
 
