--- a/amberlug/cluster/control/status.py
+++ b/amberlug/cluster/control/status.py
@@ -10,9 +10,9 @@
 
 from amberlug.cluster import metrics
 from amberlug.cluster.control.context import ControlContext
-from amberlug.cluster.control.endpoint_registry import KEY_PREFIX
 from amberlug.cluster.control.peer_messages import ControlStatusReport, ReadControlStatus
 from amberlug.cluster.control.peer_query import PeerQuery, Replies
+from amberlug.cluster.control.published_state import ENDPOINT_KEY_PREFIX
 from amberlug.cluster.control.sessions import Session
 from amberlug.cluster.control.state_entries import StoreEntry, StoreState
 from amberlug.cluster.control.status_document import (
@@ -131,7 +131,7 @@
         return [
             EndpointStatus.from_gossip(key, entry)
             for key, (_, entry) in self._gossip.items.items()
-            if key.startswith(KEY_PREFIX)
+            if key.startswith(ENDPOINT_KEY_PREFIX)
         ]
 
 
--- a/amberlug/cluster/dispatch/dispatcher.py
+++ b/amberlug/cluster/dispatch/dispatcher.py
@@ -12,10 +12,19 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
+from amberlug.cluster.control.published_state import EndpointCondition
 from amberlug.cluster.dispatch.call_outcome import NOT_EXECUTED_HEADER
 from amberlug.cluster.dispatch.endpoint_pool import Endpoint, EndpointPool
 from amberlug.cluster.dispatch.message import Message
-from amberlug.cluster.interfaces import CallResult, CallVerdict, EndpointCall, Endpoints, Runtime, TimerHandle
+from amberlug.cluster.interfaces import (
+    CallResult,
+    CallVerdict,
+    EndpointCall,
+    Endpoints,
+    Headers,
+    Runtime,
+    TimerHandle,
+)
 from amberlug.cluster.values import value
 from amberlug.core.usual import message_class, settings
 from amberlug.policy.account import SECOND, WINDOW_US, Account
@@ -62,7 +71,7 @@
         self._account = Account(_SETTINGS, None)
         self._backlog: list[tuple[int, float, int, Message]] = []  # a heap: rank, due time, tie-breaker
         self.calls: dict[InFlightCall, None] = {}  # ordered as a set by their start
-        self.fixed = False  # the service is a single address, and its endpoint has no id of its own
+        self.has_fixed_address = False  # its one endpoint has no id of its own
         self._tie_breakers = itertools.count()
         self._timer: TimerHandle | None = None
 
@@ -85,13 +94,13 @@
     def add(self, message: Message) -> None:
         """Send a message, which is due and the first of its key, as soon as it may be sent."""
         heapq.heappush(self._backlog, (message.rank, message.due_at, next(self._tie_breakers), message))
-        self.pump()
+        self.send_due()
 
     def _now_us(self) -> int:
         return int(self._runtime.now() * SECOND)
 
-    def pump(self) -> None:
-        """Send what may be sent now; the rest as the account allows it, or once something changes."""
+    def send_due(self) -> None:
+        """Send the messages that rate and endpoints allow now; the others follow as these change."""
         while self._backlog:
             message = self._backlog[0][3]
             if message.ended or message.in_flight or message.service != self.name:
@@ -122,7 +131,7 @@
 
     def _on_timer(self) -> None:
         self._timer = None
-        self.pump()
+        self.send_due()
 
     def _call(self, message: Message, endpoint: Endpoint, now_us: int) -> None:
         assert message.body is not None, "a call has a body"
@@ -130,11 +139,9 @@
         call = InFlightCall(message, endpoint, now_us, timeout_s)
         self._account.reserved[call] = None
         self.calls[call] = None
-        message.in_flight, message.call_count, message.last_endpoint_id = (
-            True,
-            message.call_count + 1,
-            endpoint.id,
-        )
+        message.in_flight = True
+        message.call_count += 1
+        message.last_endpoint_id = endpoint.id
         endpoint.calls_in_flight += 1
         endpoint_call = EndpointCall(
             endpoint.address,
@@ -148,14 +155,14 @@
         )
         self._endpoints.call(endpoint_call, lambda result: self._on_result(call, result))
 
-    def _headers(self, message: Message, endpoint: Endpoint, timeout_s: float) -> tuple[tuple[str, str], ...]:
+    def _headers(self, message: Message, endpoint: Endpoint, timeout_s: float) -> Headers:
         headers = [
             ("Host", message.host),
             *message.headers,
             ("Amberlug-Attempt-Id", message.attempt),
             ("Amberlug-Time-Remaining", str(max(1, int(timeout_s * 1000)))),
         ]
-        if not self.fixed:
+        if not self.has_fixed_address:
             headers.append(("Amberlug-Target-Instance", endpoint.id))
         return tuple(headers)
 
@@ -174,13 +181,13 @@
         elif result.verdict is not CallVerdict.CONNECTION_LOST:
             call.endpoint.on_unreachable(self._runtime.now())
         self._callbacks.on_result(call.message, result)
-        self.pump()
+        self.send_due()
 
     def _learn(self, call: InFlightCall, result: CallResult) -> None:
         """Learn from a response: of a restarted endpoint, of a full one, or how long calls take."""
         now_us = self._now_us()
         if result.status == 421:
-            call.endpoint.state = "gone"  # another incarnation has its address
+            call.endpoint.condition = EndpointCondition.GONE  # another incarnation has its address
             self._endpoints.close_idle_connections(call.endpoint.address)
         elif result.status == 503:
             # A full endpoint tells of its slots at that moment, and nothing of the service's rate. Guards
--- a/amberlug/cluster/dispatch/shard_owner.py
+++ b/amberlug/cluster/dispatch/shard_owner.py
@@ -9,14 +9,14 @@
 
 from absl import logging
 
+from amberlug.cluster.control.published_state import ShardTable, TableOwner
 from amberlug.cluster.dispatch.message import Message, SequencePosition
 from amberlug.cluster.dispatch.messages import AdmissionOutcome, CallEnded, Handover
 from amberlug.cluster.dispatch.previous_owners import PreviousOwners, evict_oldest
 from amberlug.cluster.dispatch.replica_write import ReplicationOutcome
 from amberlug.cluster.dispatch.replicator import Replicator
 from amberlug.cluster.dispatch.shard_recovery import ShardRecovery
-from amberlug.cluster.dispatch.shard_table import EdgeAddress, ShardTable
-from amberlug.cluster.interfaces import Json, Runtime
+from amberlug.cluster.interfaces import Runtime
 from amberlug.cluster.rpc.messages import Responder, handles, send
 from amberlug.cluster.storage.messages import MessageOutcome
 from amberlug.cluster.values import value
@@ -55,14 +55,18 @@
 
 @value
 class DeliveryCallbacks:
-    """What delivers the messages of owned shards."""
+    """What delivers the messages of owned shards.
 
-    admit: Callable[[Message], None]  # deliver a message from now on
-    release: Callable[[int], list[Message]]  # deliver those of a shard no longer; returns them
-    call_ended: Callable[
-        [CallEnded], None
-    ]  # a call at the previous owner, of a message that is admitted here
-    is_admitted: Callable[[str], bool]  # whether a message is being delivered, or is known to have ended
+    :param admit: delivers a message from now on.
+    :param release: delivers the messages of a shard no longer, and returns them.
+    :param call_ended: applies the end of a call at the previous owner, of a message that is admitted here.
+    :param is_admitted: whether a message is being delivered, or is known to have ended.
+    """
+
+    admit: Callable[[Message], None]
+    release: Callable[[int], list[Message]]
+    call_ended: Callable[[CallEnded], None]
+    is_admitted: Callable[[str], bool]
 
 
 class ShardOwner:
@@ -89,17 +93,17 @@
         self._recoveries: list[ShardRecovery] = []
 
     @property
-    def owners(self) -> tuple[EdgeAddress, ...]:
-        """The edges of the table."""
+    def owners(self) -> tuple[TableOwner, ...]:
+        """The edge nodes of the table."""
         return self.table.owners
 
     @property
-    def edges(self) -> int:
-        """How many edges own anything, one at least."""
+    def owner_count(self) -> int:
+        """How many edge nodes own shards, one at least."""
         return self.table.count_owners()
 
     @property
-    def unfenced(self) -> int:
+    def unfenced_recoveries(self) -> int:
         """Take-overs that some storage node which takes replicas has not acknowledged.
 
         Until it has, an older owner may write there. Together with a disk that was dropped meanwhile, and
@@ -107,7 +111,7 @@
         """
         return sum(recovery.is_fencing for recovery in self._recoveries)
 
-    def owner_of(self, shard: int) -> EdgeAddress | None:
+    def owner_of(self, shard: int) -> TableOwner | None:
         """The owner of a shard; None for one without an owner and for one that does not exist."""
         return self.table.owner_of(shard)
 
@@ -117,9 +121,9 @@
         """Go on with take-overs that wait for the roster which their table was agreed on."""
         self._continue_recoveries()
 
-    def update_table(self, body: Json) -> None:
-        """Take a newer table, as it is announced: hand over what was lost, read what was gained."""
-        self.table = ShardTable.from_wire(body)
+    def update_table(self, table: ShardTable) -> None:
+        """Use a newer table: hand over the shards that were lost, recover those that were gained."""
+        self.table = table
         epochs = self.table.epochs_of(self._node_id)
         gained = {
             shard: epoch
@@ -143,28 +147,36 @@
 
     # -- handover to the next owner
 
-    def _send_handovers(self, shards: list[int]) -> None:
-        logging.info("%d shards lost to other owners", len(shards))
-        in_flight: dict[int, list[str]] = {}
+    def _send_handovers(self, lost: list[int]) -> None:
+        """Release shards, and tell each new owner what is in flight in those that it has now."""
+        logging.info("%d shards lost to other owners", len(lost))
         unacknowledged = self._replicator.unacknowledged_outcomes()
-        for number in shards:
-            for queued in self.owned.pop(number).queued:
-                queued.on_complete(AdmissionOutcome.NOT_OWNER)
-            in_flight[number] = [
-                message.id for message in self._delivery.release(number) if message.in_flight
-            ]
+        in_flight = {shard: self._release(shard) for shard in lost}
+        for address, shards in self._by_owner_address(lost).items():
+            epochs = {shard: self.table.rows[shard].epoch for shard in shards}
+            calls = tuple(message_id for shard in shards for message_id in in_flight[shard])
+            ended = tuple(outcome for outcome in unacknowledged.values() if outcome.shard in epochs)
+            send(self._runtime, address, Handover(epochs, calls, ended))
+
+    def _release(self, shard: int) -> list[str]:
+        """Own a shard no longer.
+
+        :returns: ids of its messages that have a call in flight here.
+        """
+        for queued in self.owned.pop(shard).queued:
+            queued.on_complete(AdmissionOutcome.NOT_OWNER)
+        return [message.id for message in self._delivery.release(shard) if message.in_flight]
+
+    def _by_owner_address(self, shards: list[int]) -> dict[str, list[int]]:
+        """Shards by the address of their owner, but for those without one."""
         by_address: dict[str, list[int]] = {}
-        for number in shards:
-            owner = self.owner_of(number)
+        for shard in shards:
+            owner = self.owner_of(shard)
             if owner is not None:
-                by_address.setdefault(owner.address, []).append(number)
-        for address, numbers in by_address.items():
-            epochs = {number: self.table.rows[number].epoch for number in numbers}
-            calls = tuple(message_id for number in numbers for message_id in in_flight[number])
-            ended = tuple(it for it in unacknowledged.values() if it.shard in epochs)
-            send(self._runtime, address, Handover(epochs, calls, ended))
+                by_address.setdefault(owner.address, []).append(shard)
+        return by_address
 
-    def outcome_elsewhere(self, message: Message, outcome: MessageOutcome, is_failure: bool) -> None:
+    def report_to_new_owner(self, message: Message, outcome: MessageOutcome, is_failure: bool) -> None:
         """Tell the new owner of a message's shard how a call ended that was in flight here."""
         owner = self.owner_of(message.shard)
         if owner is not None:
@@ -211,7 +223,9 @@
     # -- take-over
 
     def _recover(self, epochs: dict[int, int]) -> None:
-        self._recoveries = [it for it in self._recoveries if it.is_fencing or not it.is_read]
+        self._recoveries = [
+            recovery for recovery in self._recoveries if recovery.is_fencing or not recovery.is_read
+        ]
         roster_index = self.table.roster_index
         recovery = ShardRecovery(self._runtime, self._replicator, self, epochs, roster_index)
         self._recoveries.append(recovery)
@@ -248,8 +262,8 @@
         unread_disks = recovery.unread_disks
         in_flight: dict[str, str] = {}
         for number, shard in shards.items():
-            in_flight.update(self._previous_owners.take_handover(number, shard.epoch))
-        for message in sorted(recovery.open_messages.values(), key=lambda it: it.order):
+            in_flight.update(self._previous_owners.pop_handover(number, shard.epoch))
+        for message in sorted(recovery.open_messages.values(), key=lambda message: message.order):
             if message.shard in shards and not self._delivery.is_admitted(message.id):
                 message.possible_holders |= unread_disks
                 self._admit_recovered(message, in_flight.get(message.id))
@@ -261,7 +275,7 @@
 
         :param caller: address of the previous owner where that one has a call of it in flight.
         """
-        ended = self._previous_owners.take_early_end(message.id)
+        ended = self._previous_owners.pop_early_end(message.id)
         if ended is not None and not ended.outcome.is_open:
             self._delivery.call_ended(CallEnded(message.id, ended.outcome, False))
             return
@@ -319,14 +333,14 @@
         self.pending_writes[message.id] = [on_complete]
         self.write_started_at[message.id] = self._runtime.now()
         on_written = partial(self._on_written, number, shard.epoch, message)
-        self._replicator.put(message, shard.epoch, on_written)
+        self._replicator.replicate(message, shard.epoch, on_written)
 
     def _on_written(self, number: int, epoch: int, message: Message, outcome: ReplicationOutcome) -> None:
         if outcome is not ReplicationOutcome.REPLICATED:
             self._unadmitted_replicas[message.id] = set(message.possible_holders)
             evict_oldest(self._unadmitted_replicas)
-        elif message.end:  # it was admitted by an earlier owner, and has ended
-            self._delivery.call_ended(CallEnded(message.id, MessageOutcome(message.end, message.seal), False))
+        elif not message.outcome.is_open:  # it was admitted by an earlier owner, and has ended
+            self._delivery.call_ended(CallEnded(message.id, message.outcome, False))
         elif self.owns(number, epoch):
             self._delivery.admit(message)
         del self.write_started_at[message.id]
--- a/amberlug/cluster/edge/node.py
+++ b/amberlug/cluster/edge/node.py
@@ -6,6 +6,20 @@
 
 from absl import logging
 
+from amberlug.cluster.consensus.membership import Members
+from amberlug.cluster.control.published_state import (
+    CONFIG_KEY,
+    CONTROL_NODES_KEY,
+    ENDPOINT_KEY_PREFIX,
+    ROSTER_KEY,
+    SHARD_TABLE_KEY,
+    PublishedEndpoint,
+    ShardTable,
+    StorageRoster,
+    published_index,
+)
+from amberlug.cluster.control.session_attributes import EdgeAttributes
+from amberlug.cluster.control.sessions import EDGE_CLASS
 from amberlug.cluster.dispatch.delivery_queue import DeliveryQueue
 from amberlug.cluster.dispatch.dispatcher import Dispatcher
 from amberlug.cluster.dispatch.replicator import Replicator
@@ -18,37 +32,36 @@
 from amberlug.cluster.edge.repair import ReplicaRepair
 from amberlug.cluster.edge.status import EdgeStatus, EdgeStatusReport
 from amberlug.cluster.edge.storage_reads import StorageReader
+from amberlug.cluster.gossip.announcements import Payload
 from amberlug.cluster.gossip.store import GossipStore
 from amberlug.cluster.http.api import AdminApi
 from amberlug.cluster.http.routing import RoutingTable, build
-from amberlug.cluster.interfaces import Endpoints, Json, Runtime
+from amberlug.cluster.interfaces import Endpoints, Runtime
 from amberlug.cluster.rpc.messages import handlers_of
 from amberlug.cluster.session_client import LocalNode, SessionClient, seed_addresses
 from amberlug.cluster.settings import Settings
 
-ENDPOINT_KEY_PREFIX = "ep/"  # of announcements of endpoints; the endpoint's id follows
-
 
 class EdgeNode:
     """One edge node."""
 
     def __init__(self, runtime: Runtime, settings: Settings, address: str, endpoints: Endpoints) -> None:
-        self.gossip = GossipStore(runtime, self._gossip_peers, self._announced)
-        local = LocalNode(address, "edge", self._session_attributes)
-        self.member = SessionClient(runtime, settings, local, self.gossip)
+        self.gossip = GossipStore(runtime, self._gossip_peers, self._on_published)
+        local = LocalNode(address, EDGE_CLASS, self._session_attributes)
+        self.session = SessionClient(runtime, settings, local, self.gossip)
         self.replicator = Replicator(
             runtime, settings.tolerance, settings.zone, settings.region, settings.seconds("statusTtlS")
         )
-        self._context = EdgeContext(runtime, settings, self.gossip, self.member, self.replicator)
+        self._context = EdgeContext(runtime, settings, self.gossip, self.session, self.replicator)
         reader = StorageReader(self._context)
         self.delivery = MessageDelivery(self._context, endpoints, reader)
-        self.forwarder = Forwarder(self._context, self.shards)
+        self.forwarder = Forwarder(self._context, self.shard_owner)
         self.repair = ReplicaRepair(self._context, self.delivery, reader)
         self.lookup = MessageLookup(self._context, self.delivery, reader)
         self._intake = Intake(self._context, self.delivery, self.forwarder, AdminApi(self.lookup))
         self.handlers = {
             tag: handler
-            for part in (self.lookup, self.forwarder, self.gossip, self.shards, EdgeStatus(self))
+            for part in (self.lookup, self.forwarder, self.gossip, self.shard_owner, EdgeStatus(self))
             for tag, handler in handlers_of(part).items()
         }
         self._is_leaving = False
@@ -70,9 +83,9 @@
         return self.delivery.queue
 
     @property
-    def shards(self) -> ShardOwner:
+    def shard_owner(self) -> ShardOwner:
         """The shards that are owned here, and the table of all owners."""
-        return self.delivery.shards
+        return self.delivery.shard_owner
 
     @property
     def services(self) -> dict[str, Dispatcher]:
@@ -80,7 +93,7 @@
         return self.delivery.dispatchers.by_service
 
     @property
-    def size(self) -> int:
+    def pending_bytes(self) -> int:
         """Bytes of the bodies of the messages that are pending here."""
         return self.delivery.pending_bytes
 
@@ -88,7 +101,7 @@
 
     def begin(self) -> None:
         """Start: find a control-plane node, and set the periodic timers."""
-        self.member.begin()
+        self.session.begin()
         self.gossip.begin()
         self.delivery.begin()
         self.repair.begin()
@@ -96,15 +109,15 @@
     def begin_shutdown(self) -> None:
         """Begin a planned end: this node's shards go to others, to which it forwards late submissions."""
         self._is_leaving = True
-        self.member.leave()
+        self.session.leave()
 
     @property
     def is_idle(self) -> bool:
         """Whether the process can end, since no other node waits for anything of this one."""
         return self.delivery.is_idle
 
-    def _session_attributes(self) -> Json:
-        return self.repair.report().to_wire()
+    def _session_attributes(self) -> EdgeAttributes:
+        return self.repair.progress()
 
     def status_report(self, live_disk_ids: Set[str]) -> EdgeStatusReport:
         """Report this node's state to its operators.
@@ -115,12 +128,12 @@
         return EdgeStatusReport(
             is_ready=self.ready,
             config_version=self.routes.edition,
-            owned_shards=len(self.shards.owned),
+            owned_shards=len(self.shard_owner.owned),
             queued_messages=len(messages),
-            queued_bytes=self.size,
+            queued_bytes=self.pending_bytes,
             active_calls=sum(len(service.calls) for service in self.services.values()),
             under_replicated_messages=sum(
-                not self.replicator.enough(message.holders & live_disk_ids) for message in messages
+                not self.replicator.is_write_quorum(message.holders & live_disk_ids) for message in messages
             ),
             counters=self.counters,
         )
@@ -130,9 +143,9 @@
         """Whether clients should be sent here."""
         ready = (
             not self._is_leaving
-            and self.member.is_confirmed
+            and self.session.is_confirmed
             and self._context.has_routes
-            and bool(self.shards.table)
+            and bool(self.shard_owner.table)
             and not self.replicator.is_unavailable()
         )
         if ready != self._was_ready:
@@ -146,41 +159,37 @@
 
     def update_settings(self, settings: Settings) -> None:
         """Use a settings file that has changed."""
-        self._context.settings = self.member.settings = settings
-        self.member.add_seeds(seed_addresses(settings))
+        self._context.settings = self.session.settings = settings
+        self.session.add_seeds(seed_addresses(settings))
 
     def on_peer_disconnected(self, address: str) -> None:
         """The connection with the process at an address was lost."""
-        self.member.on_disconnect(address)
+        self.session.on_disconnect(address)
         self.replicator.connection_lost(address)
-        self.shards.connection_lost(address)
+        self.shard_owner.connection_lost(address)
 
-    # What the control plane announces.
+    # What the control plane publishes.
 
     def _gossip_peers(self) -> list[str]:
         """Addresses of the other edge nodes that own shards, and of the session's control-plane node."""
-        peers = [owner.address for owner in self.shards.owners if owner.node_id != self.member.id]
-        return peers + ([self.member.control_address] if self.member.control_address else [])
+        peers = [owner.address for owner in self.shard_owner.owners if owner.node_id != self.session.id]
+        return peers + ([self.session.control_address] if self.session.control_address else [])
 
-    def _announced(self, key: str, announcement: Json) -> None:
-        """Apply an announcement that is newer than what was known under its key."""
+    def _on_published(self, key: str, body: Payload) -> None:
+        """Apply a published value that is newer than what was known under its key."""
+        index = published_index(self.gossip.items, key)
         if key.startswith(ENDPOINT_KEY_PREFIX):
             endpoint_id = key.removeprefix(ENDPOINT_KEY_PREFIX)
-            self.delivery.dispatchers.endpoint_announced(endpoint_id, announcement)
-        elif key == "config":
-            self.apply_routes(build(self._version_of(key), announcement))
-        elif key == "shards":
-            self.shards.update_table(announcement)
+            self.delivery.dispatchers.update_endpoint(endpoint_id, PublishedEndpoint.from_wire(body))
+        elif key == CONFIG_KEY:
+            self.apply_routes(build(index, body))
+        elif key == SHARD_TABLE_KEY:
+            self.shard_owner.update_table(ShardTable.from_wire(index, body))
             self.delivery.dispatchers.update_rate_share()
-        elif key == "roster":
-            self.repair.apply_roster(self._version_of(key), announcement)
-        elif key == "cores":
-            self.member.apply_roster(announcement)
-
-    def _version_of(self, key: str) -> int:
-        """The index in the control plane's log of what was announced under a key."""
-        version, _ = self.gossip.items[key]
-        return version[0]
+        elif key == ROSTER_KEY:
+            self.repair.apply_roster(StorageRoster.from_wire(index, body))
+        elif key == CONTROL_NODES_KEY:
+            self.session.update_control_nodes(Members.from_wire(body))
 
     def apply_routes(self, routes: RoutingTable) -> None:
         """Put a newer configuration in force.
