--- a/amberlug/cluster/control/status_document.py
+++ b/amberlug/cluster/control/status_document.py
@@ -11,7 +11,7 @@
 from typing import TypeAlias
 
 from amberlug.cluster.consensus.membership import Members
-from amberlug.cluster.control.endpoint_registry import KEY_PREFIX
+from amberlug.cluster.control.published_state import ENDPOINT_KEY_PREFIX
 from amberlug.cluster.control.sessions import Session
 from amberlug.cluster.control.state_entries import StoreEntry
 from amberlug.cluster.interfaces import Json
@@ -112,7 +112,7 @@
     @classmethod
     def from_gossip(cls, key: str, entry: Json) -> EndpointStatus:
         """The status of an entry of gossip by its key."""
-        return cls(key.removeprefix(KEY_PREFIX), entry)
+        return cls(key.removeprefix(ENDPOINT_KEY_PREFIX), entry)
 
     def to_json(self) -> Json:
         """The name and the entry."""
--- a/amberlug/cluster/dispatch/messages.py
+++ b/amberlug/cluster/dispatch/messages.py
@@ -8,7 +8,12 @@
 from amberlug.cluster.dispatch.message import Message
 from amberlug.cluster.interfaces import Json
 from amberlug.cluster.rpc.messages import Body, Notification, Request
-from amberlug.cluster.storage.messages import Acknowledgement, MessageMetadata, MessageOutcome
+from amberlug.cluster.storage.messages import (
+    Acknowledgement,
+    MessageIdRequest,
+    MessageMetadata,
+    MessageOutcome,
+)
 from amberlug.cluster.values import value
 
 
@@ -60,13 +65,11 @@
     def of(cls, message: Message) -> Offer:
         """The submission of a message whose body is here."""
         assert message.body is not None, "a message that is submitted has its body"
-        return cls(message.id, message.shard, message.metadata(), message.body)
+        return cls(message.id, message.shard, message.encode_metadata(), message.body)
 
     def to_message(self) -> Message:
         """The message, as its owner is to admit it."""
-        return Message.from_metadata(
-            self.message_id, self.shard, self.metadata, self.content, len(self.content)
-        )
+        return Message.decode(self.message_id, self.shard, self.metadata, self.content, len(self.content))
 
     @property
     def payload(self) -> bytes:
@@ -151,33 +154,18 @@
 
     def to_wire(self) -> Json:
         """`known`: a pair, or null."""
-        if self.outcome is None:
-            return {"known": None}
-        return {"known": [self.outcome.status, self.outcome.receipt]}
+        return {"known": self.outcome.to_pair() if self.outcome is not None else None}
 
     @classmethod
     def from_wire(cls, body: Json, payload: bytes) -> StandingReply:
         """Read the reply; without the field nothing is known."""
-        known = body.get("known")
-        return cls(MessageOutcome(*known) if known else None)
+        pair = body.get("known")
+        return cls(MessageOutcome(*pair) if pair else None)
 
 
 @value
-class StandingRequest(Request[StandingReply]):
+class StandingRequest(MessageIdRequest[StandingReply]):
     """An edge asks the owner of a message's shard how the message stands."""
 
     wire_tag: ClassVar[str] = "standing"
     reply_type: ClassVar[type[StandingReply]] = StandingReply
-    message_id: str
-
-    def to_wire(self) -> Json:
-        """The message's id."""
-        return {"id": self.message_id}
-
-    @classmethod
-    def from_wire(cls, body: Json, payload: bytes) -> StandingRequest:
-        """Read the request.
-
-        :raises KeyError: without the id.
-        """
-        return cls(body["id"])
--- a/amberlug/cluster/session_client.py
+++ b/amberlug/cluster/session_client.py
@@ -12,6 +12,7 @@
 
 from result import Err, Ok, Result
 
+from amberlug.cluster.consensus.membership import Members
 from amberlug.cluster.control.messages import (
     CurrentStateReply,
     Heartbeat,
@@ -20,10 +21,11 @@
     SessionDescription,
     SessionReply,
 )
+from amberlug.cluster.control.session_attributes import SessionAttributes
 from amberlug.cluster.control.sessions import HEARTBEAT_INTERVAL_S
-from amberlug.cluster.gossip.announcements import Announcement, Payload
+from amberlug.cluster.gossip.announcements import Announcement
 from amberlug.cluster.gossip.store import GossipStore
-from amberlug.cluster.interfaces import Json, RequestFailure, Runtime
+from amberlug.cluster.interfaces import RequestFailure, Runtime
 from amberlug.cluster.rpc.messages import request, send
 from amberlug.cluster.settings import Settings
 from amberlug.cluster.values import value
@@ -57,12 +59,12 @@
     """The node that the session is for.
 
     :param address: where it listens for peers.
-    :param details: gives what only this class of node reports.
+    :param attributes: gives what only this class of node reports.
     """
 
     address: str
     machine_class: str
-    details: Callable[[], Json]
+    attributes: Callable[[], SessionAttributes]
 
 
 @dataclass(slots=True)
@@ -103,16 +105,14 @@
         self.runtime.rng.shuffle(self._candidates)
         self._search()
 
-    def apply_roster(self, roster: Payload) -> None:
+    def update_control_nodes(self, members: Members) -> None:
         """Prefer the control-plane nodes of the own zone, then the others in random order.
 
-        :param roster: the value of the announcement `roster`: a JSON object of control-plane nodes by member.
-            It is ignored where it is empty.
+        :param members: the control plane's Raft group; ignored where it is empty.
         """
-        same_zone: list[str] = []
-        others: list[str] = []
-        for member in roster.values():
-            (same_zone if member.get("zone") == self.settings.zone else others).append(member["addr"])
+        zone = self.settings.zone
+        same_zone = [member.address for member in members.values() if member.zone == zone]
+        others = [member.address for member in members.values() if member.zone != zone]
         self.runtime.rng.shuffle(others)
         self._candidates = same_zone + others or self._candidates
 
@@ -140,7 +140,7 @@
             zone=self.settings.zone,
             region=self.settings.region,
             state=self.state,
-            details=self.node.details(),
+            details=self.node.attributes().to_wire(),
         )
 
     # -- opening a session
--- a/amberlug/cluster/simulation/mutations_losses.py
+++ b/amberlug/cluster/simulation/mutations_losses.py
@@ -9,10 +9,12 @@
 from unittest.mock import patch
 
 from amberlug.cluster.control.reconciler import Reconciler
+from amberlug.cluster.control.session_attributes import EdgeAttributes
 from amberlug.cluster.control.sessions import Session
+from amberlug.cluster.control.state_entries import StoreState
 from amberlug.cluster.dispatch.replicator import Replicator
 from amberlug.cluster.dispatch.shard_owner import ShardOwner
-from amberlug.cluster.edge.repair import RepairReport, ReplicaRepair
+from amberlug.cluster.edge.repair import ReplicaRepair
 from amberlug.cluster.storage.enrollment import Enrollment
 from amberlug.cluster.storage.records import FenceRow
 
@@ -20,16 +22,16 @@
 def _retire_short() -> AbstractContextManager[Any]:
     """A store that is emptied counts as one of the copies of what it holds."""
 
-    def enough(self: Replicator, disks: Set[str]) -> bool:
+    def is_write_quorum(self: Replicator, disks: Set[str]) -> bool:
         return self.is_quorum(
             {
                 disk
                 for disk in disks
-                if disk in self.stores and self.stores[disk].state in ("full", "retiring")
+                if disk in self.stores and self.stores[disk].state in (StoreState.FULL, StoreState.RETIRING)
             }
         )
 
-    return patch.object(Replicator, "enough", enough)
+    return patch.object(Replicator, "is_write_quorum", is_write_quorum)
 
 
 def _last_short() -> AbstractContextManager[Any]:
@@ -69,17 +71,17 @@
 
 def _unfenced_drop() -> AbstractContextManager[Any]:
     """A take-over that serves counts as fenced everywhere."""
-    return patch.object(ShardOwner, "unfenced", 0)
+    return patch.object(ShardOwner, "unfenced_recoveries", 0)
 
 
 def _blind_drop() -> AbstractContextManager[Any]:
     """Owners say that nothing lacks a copy, before they have looked."""
-    report = ReplicaRepair.report
+    progress = ReplicaRepair.progress
 
-    def nothing_lacks(self: ReplicaRepair) -> RepairReport:
-        return replace(report(self), messages_under_replicated=0)
+    def nothing_lacks(self: ReplicaRepair) -> EdgeAttributes:
+        return replace(progress(self), under_replicated_messages=0)
 
-    return patch.object(ReplicaRepair, "report", nothing_lacks)
+    return patch.object(ReplicaRepair, "progress", nothing_lacks)
 
 
 FAULTS: Mapping[str, tuple[Callable[[], AbstractContextManager[Any]], str]] = {
--- a/amberlug/cluster/storage/node.py
+++ b/amberlug/cluster/storage/node.py
@@ -4,8 +4,13 @@
 
 from absl import logging
 
+from amberlug.cluster.consensus.membership import Members
+from amberlug.cluster.control.published_state import CONTROL_NODES_KEY
+from amberlug.cluster.control.session_attributes import StorageAttributes
+from amberlug.cluster.control.sessions import STORAGE_CLASS
+from amberlug.cluster.gossip.announcements import Payload
 from amberlug.cluster.gossip.store import DisseminationPolicy, GossipStore
-from amberlug.cluster.interfaces import Json, Runtime
+from amberlug.cluster.interfaces import Runtime
 from amberlug.cluster.rpc.messages import handlers_of
 from amberlug.cluster.session_client import LocalNode, SessionClient, seed_addresses
 from amberlug.cluster.settings import Settings
@@ -14,9 +19,6 @@
 from amberlug.cluster.storage.replica_service import ReplicaService
 from amberlug.cluster.storage.status import StorageStatus
 
-MACHINE_CLASS = "storage"  # how a session names the role of its node
-CONTROL_NODES_KEY = "cores"  # the announcement of the control-plane nodes' addresses
-
 
 class StorageNode:
     """Wires the parts of one storage node: its session, gossip, enrollment, replicas and status.
@@ -37,10 +39,10 @@
         self.settings, self.contents = settings, contents
         # A storage node passes nothing on: it only compares with the control-plane node of its session.
         self.gossip = GossipStore(
-            runtime, self._gossip_peers, self._on_announcement, DisseminationPolicy(fanout=0)
+            runtime, self._gossip_peers, self._on_published, DisseminationPolicy(fanout=0)
         )
-        self.member = SessionClient(
-            runtime, settings, LocalNode(address, MACHINE_CLASS, self._session_attributes), self.gossip
+        self.session = SessionClient(
+            runtime, settings, LocalNode(address, STORAGE_CLASS, self._session_attributes), self.gossip
         )
         self.replicas = ReplicaService(runtime, contents, store)
         self.enrollment = Enrollment(runtime, contents, store, self.gossip)
@@ -57,7 +59,7 @@
 
     def begin(self) -> None:
         """Start the session, anti-entropy, and the deletion of what has expired."""
-        self.member.begin()
+        self.session.begin()
         self.gossip.begin()
         self.replicas.begin()
 
@@ -71,22 +73,22 @@
 
     def update_settings(self, settings: Settings) -> None:
         """Apply a settings file that has changed."""
-        self.settings = self.member.settings = settings
-        self.member.add_seeds(seed_addresses(settings))
+        self.settings = self.session.settings = settings
+        self.session.add_seeds(seed_addresses(settings))
 
     def on_peer_disconnected(self, address: str) -> None:
         """Handle that the connection with a peer has ended."""
-        self.member.on_disconnect(address)
+        self.session.on_disconnect(address)
 
     def _gossip_peers(self) -> list[str]:
-        return [self.member.control_address] if self.member.control_address else []
+        return [self.session.control_address] if self.session.control_address else []
 
-    def _session_attributes(self) -> Json:
+    def _session_attributes(self) -> StorageAttributes:
         """What the control plane is told of this disk with the session."""
-        return {"disk": self.contents.disk_id, "enrolled": self.contents.enrolled_index > 0}
+        return StorageAttributes(self.contents.disk_id, self.contents.enrolled_index > 0)
 
-    def _on_announcement(self, key: str, value: Json) -> None:
+    def _on_published(self, key: str, body: Payload) -> None:
         if key == CONTROL_NODES_KEY:
-            self.member.apply_roster(value)
+            self.session.update_control_nodes(Members.from_wire(body))
         else:
-            self.enrollment.on_announcement(key)
+            self.enrollment.on_published(key)
--- a/benchmarks/hollow/plays.py
+++ b/benchmarks/hollow/plays.py
@@ -189,7 +189,7 @@
         told = host.meter
         yield Figure("an edge joins", "endpoints", count, "edge", "bytes heard", told.heard)
         yield Figure("an edge joins", "endpoints", count, "edge", "processor s", sum(told.processor.values()))
-        items = play.cores[0].machine.gossip.everything()
+        items = play.cores[0].machine.gossip.announcements()
         size = len(json.dumps({"ok": True, "items": items}, separators=(",", ":")))
         yield Figure("an edge joins", "endpoints", count, "core", "bytes of all news in one frame", size)
 
@@ -280,7 +280,7 @@
         cluster_state = next(
             it for it in play.cores if it.machine.raft.role is Role.LEADER
         ).machine.cluster_state
-        away = {it.machine.member.id for it in play.edges if it.zone == zone}
+        away = {it.machine.session.id for it in play.edges if it.zone == zone}
         rates = {(it.role, it.name): it.value for it in summed("", "", 0, play.measure(SPAN_S), SPAN_S)}
         for host in play.net.hosts.values():
             host.meter = Meter()
--- a/tests/cluster/test_contact.py
+++ b/tests/cluster/test_contact.py
@@ -19,9 +19,8 @@
     SubmitRetirement,
 )
 from amberlug.cluster.dispatch.message import Message
-from amberlug.cluster.edge.outcomes import MessageStatus
 from amberlug.cluster.gossip import announcements, store
-from amberlug.cluster.interfaces import Reply
+from amberlug.cluster.interfaces import OnWritten, Reply
 from amberlug.cluster.simulation.clock import Clock
 from amberlug.cluster.simulation.machine import Machine
 from amberlug.cluster.simulation.scenarios import Day
@@ -43,7 +42,7 @@
 class Fast:
     """A disk that keeps nothing."""
 
-    def write(self, rows: list[tuple[str, tuple[Any, ...]]], then: Callable[[str | None], None]) -> None:
+    def write(self, rows: list[tuple[str, tuple[Any, ...]]], then: OnWritten) -> None:
         then(None)
 
 
@@ -93,7 +92,7 @@
         return {it.part.routes.edition for it in self.deployment.edges}
 
     def relays(self) -> set[str]:
-        return {it.part.member.control_address for it in self.deployment.edges + self.deployment.stores}
+        return {it.part.session.control_address for it in self.deployment.edges + self.deployment.stores}
 
 
 @pytest.mark.parametrize("way", ["both", "to", "from"])
@@ -165,7 +164,7 @@
         def header(self, name: str) -> str | None:
             return {"host": "x", "amberlug-attempt-id": "a"}.get(name)
 
-    old = play.deployment.edges[1].part.gossip.everything()
+    old = play.deployment.edges[1].part.gossip.announcements()
     part.gossip.apply(old)  # what it hears from another edge first
     assert part.routes.index > 0
     part.handle(HttpRequest(), lambda response: statuses.append(response.status))
@@ -224,7 +223,7 @@
     edge.kill()
     edge.start()
     pages.clear()
-    while not edge.part.member.is_confirmed:
+    while not edge.part.session.is_confirmed:
         day.clock.run(day.clock.now + 0.001)
         assert day.clock.now < 7.0
     known = edge.part.gossip.items
@@ -241,7 +240,7 @@
     day.clock.call_later(0.6, day.operator.begin)
     day.clock.run(5.0)
     edge = day.deployment.edges[0].part
-    shard = next(iter(edge.shards.owned))
+    shard = next(iter(edge.shard_owner.owned))
     for machine in day.deployment.stores:
         machine.part.contents.messages[f"{shard}-x"] = StoredMessage(
             shard, 1, 1, {}, 1, MessageOutcome("done", "seal"), day.clock.now + 2e9
@@ -251,7 +250,7 @@
     edge.delivery.add(message)  # read as open without its body, before its end was known there
     day.clock.run(6.0)
     assert message.ended
-    assert edge.delivery.outcomes.get(message.id) == MessageStatus("done", "seal")
+    assert edge.delivery.outcomes.get(message.id) == MessageOutcome("done", "seal")
 
 
 def started(cores: int) -> Day:
@@ -287,15 +286,15 @@
     silent = [it for it in day.deployment.cores if not it.part.raft.is_voter]
     assert len(silent) == 2
     gone = {it.address for it in silent}
-    members = [it.part.member for it in day.deployment.edges + day.deployment.stores]
-    member = next(it for it in members if it.control_address not in gone)
+    sessions = [it.part.session for it in day.deployment.edges + day.deployment.stores]
+    session = next(it for it in sessions if it.control_address not in gone)
     for machine in silent:
         machine.power_off()
     day.clock.run(day.clock.now + 2.0)
-    member._candidates = [it.address for it in silent] + [
+    session._candidates = [it.address for it in silent] + [
         it.address for it in day.deployment.cores if it not in silent
     ]
-    member._attempts = 0
-    member.on_disconnect(member.control_address)
+    session._attempts = 0
+    session.on_disconnect(session.control_address)
     day.clock.run(day.clock.now + 0.8)
-    assert member.control_address != ""
+    assert session.control_address != ""
--- a/tests/cluster/test_losses.py
+++ b/tests/cluster/test_losses.py
@@ -9,6 +9,7 @@
 from absl import logging
 from result import Ok
 
+from amberlug.cluster.control.published_state import StorageRoster
 from amberlug.cluster.control.state_entries import StoreState
 from amberlug.cluster.dispatch.messages import AdmissionOutcome
 from amberlug.cluster.gossip.store import GossipStore
@@ -18,7 +19,7 @@
 from amberlug.cluster.simulation.scenarios import Day, play
 from amberlug.cluster.simulation.seed_search import one
 from tests.cluster.test_control_node import Rig as Leader
-from tests.cluster.test_shard_owner import STORES, OwnerRig, new_message
+from tests.cluster.test_shard_owner import STORES, OwnerRig, new_message, table_of_one_shard
 from tests.cluster.test_storage_node import Rig
 
 
@@ -97,12 +98,12 @@
 def test_an_owner_serves_once_it_knows_the_roster_that_its_table_was_agreed_on() -> None:
     rig = OwnerRig()
     heard: dict[str, Json] = {it: {"open": []} for it in STORES}
-    rig.shards.update_table({"owners": [["me", {"addr": "me"}]], "shards": [[0, 8, -1]], "roster": 5})
+    rig.shard_owner.update_table(table_of_one_shard(epoch=8, roster=5))
     rig.reply("fence", heard)
-    assert not rig.shards.owned[0].serving
-    rig.replicator.update_roster(rig.roster, 5)
-    rig.shards.roster_changed()
-    assert rig.shards.owned[0].serving
+    assert not rig.shard_owner.owned[0].serving
+    rig.replicator.update_roster(StorageRoster.from_wire(5, rig.roster))
+    rig.shard_owner.roster_changed()
+    assert rig.shard_owner.owned[0].serving
 
 
 @pytest.mark.parametrize("name", ["", "unfenced-drop"])
@@ -111,22 +112,23 @@
     (last,) = (then for to, _, _, then in rig.runtime.asked if to == STORES[2])
     rig.reply("fence", {it: {"open": []} for it in STORES[:2]})
     rig.clock.run(1.0)
-    assert rig.shards.owned[0].serving
+    assert rig.shard_owner.owned[0].serving
     with mutated(name):
-        assert bool(rig.shards.unfenced) != bool(name)
+        assert bool(rig.shard_owner.unfenced_recoveries) != bool(name)
     last(Ok(Reply({"ok": True, "disk": STORES[2], "refused": {}, "open": []}, b"")))
     rig.clock.run(2.0)
-    assert rig.shards.unfenced == 0
+    assert rig.shard_owner.unfenced_recoveries == 0
 
 
 def test_a_put_outlasts_a_disk_that_is_dropped_meanwhile() -> None:
     rig = OwnerRig()
     rig.reply("fence", {it: {"open": []} for it in STORES})
     said: list[AdmissionOutcome] = []
-    rig.shards.accept(new_message(), said.append)
+    rig.shard_owner.accept(new_message(), said.append)
     first, second = (to for to, word, _, _ in rig.runtime.asked if word == "put")
     (left,) = set(STORES) - {first, second}
-    rig.replicator.update_roster({it: rig.roster[it] for it in STORES if it != left})
+    remaining = {disk: rig.roster[disk] for disk in STORES if disk != left}
+    rig.replicator.update_roster(StorageRoster.from_wire(0, remaining))
     rig.clock.run(0.5)  # long enough to ask a further store
     rig.reply("put", {first: {}, second: {}})
     assert said == [AdmissionOutcome.ACCEPTED]
