--- a/amberlug/cluster/control/config_service.py
+++ b/amberlug/cluster/control/config_service.py
@@ -50,7 +50,7 @@
     def _change(self, call: ConfigCall, request: HttpRequest, respond: RespondHttp) -> None:
         document = parse(request.body)
         if isinstance(document, Err):
-            self._counters.increment("config refused")
+            self._counters.increment("configurations rejected")
             respond(HttpResponse(400, {"cause": "; ".join(map(str, document.err_value))}))
             return
         base_version = request.header(BASE_VERSION_HEADER)
@@ -76,8 +76,8 @@
 
     def _log(self, result: CommandResult, version: object) -> None:
         if result.is_rejected:
-            self._counters.increment("config refused")
+            self._counters.increment("configurations rejected")
             logging.info("configuration rejected: %s", result.cause)
         else:
-            self._counters.increment("config taken")
+            self._counters.increment("configurations accepted")
             logging.info("configuration version %s is in force", version)
--- a/amberlug/cluster/control/endpoint_api.py
+++ b/amberlug/cluster/control/endpoint_api.py
@@ -37,7 +37,7 @@
     @api_call("POST", "/-/Instances.Announce/")
     def announce(self, request: HttpRequest, name: str, respond: RespondHttp) -> None:
         """Receive an endpoint's announcement that it is ready, or that it leaves."""
-        self._counters.increment("announced")
+        self._counters.increment("endpoint heartbeats")
         if not self._quorum.is_in_contact:
             # The endpoint calls another control-plane node then.
             respond(HttpResponse(503, {"cause": "no contact with a majority"}, 1))
--- a/amberlug/cluster/control/session_service.py
+++ b/amberlug/cluster/control/session_service.py
@@ -50,7 +50,7 @@
     def on_open_session(self, message: OpenSession, origin: str, respond: Responder) -> None:
         """Open a session, where this node is in contact with a majority."""
         if not self._quorum.is_in_contact:
-            self._counters.increment("sessions refused")
+            self._counters.increment("sessions rejected")
             respond(SessionReply(False, rejection="no contact with a majority"))
             return
         session = self._sessions.open(message.node, self._runtime.now())
--- a/amberlug/cluster/edge/delivery.py
+++ b/amberlug/cluster/edge/delivery.py
@@ -143,7 +143,7 @@
         route = self._context.routes.by_name.get(message.route)
         max_attempts = route.max_attempts if route is not None else UNROUTED_MAX_ATTEMPTS
         outcome = judge(message, result, max_attempts)
-        self._context.count(f"called: {outcome.end or result.verdict.value}")
+        self._context.count(f"calls: {outcome.end or result.verdict.description}")
         message.failures += outcome.is_failure
         if message in self._in_flight_of_released_shards:
             self._call_of_released_shard_finished(message, outcome)
--- a/amberlug/cluster/edge/forwarding.py
+++ b/amberlug/cluster/edge/forwarding.py
@@ -35,7 +35,7 @@
     def on_offer(self, offer: Offer, origin: str, respond: Responder) -> None:
         """Accept a message that another edge node's client has submitted."""
         message = offer.to_message()
-        self.context.count("offered")
+        self.context.count("forwarded by others")
         if message.config_index > self.context.routes.index:
             self.context.gossip.compare_with(origin)
         if message.shard in self.shard_owner.owned and self.context.replicator.is_unavailable():
--- a/amberlug/cluster/edge/intake.py
+++ b/amberlug/cluster/edge/intake.py
@@ -195,17 +195,17 @@
         self, message_id: str, outcome: AdmissionOutcome, respond: RespondToClient
     ) -> None:
         if outcome is AdmissionOutcome.ACCEPTED:
-            self._context.count("taken")
+            self._context.count("accepted")
             respond(ClientResponse(202, headers=(("Amberlug-Message-Name", message_id),)))
         elif outcome is AdmissionOutcome.OUTCOME_UNKNOWN:
-            self._context.count("unclear")
+            self._context.count("outcome unknown")
             respond(ClientResponse(504, {"cause": "it is not known whether the message is kept"}))
         else:
             self._reject(respond, 503, "not enough stores can be reached")
 
     def _reject(self, respond: RespondToClient, status: int, cause: str) -> None:
         """Answer that the message is stored nowhere, and when the client may submit it again."""
-        self._context.count("refused")
+        self._context.count("rejected")
         respond(ClientResponse(status, {"cause": cause}, _retry_after(RETRY_AFTER_S)))
 
 
--- a/amberlug/cluster/edge/repair.py
+++ b/amberlug/cluster/edge/repair.py
@@ -96,7 +96,7 @@
         if not message.outcome.is_open and not message.ended:
             self._delivery.settle_stored_outcome(message)
         if self._context.replicator.is_write_quorum(message.holders):
-            self._context.count("mended")
+            self._context.count("repaired")
             self._delivery.under_replicated.pop(message.id, None)
             if self._delivery.under_replicated and not self._in_progress:
                 self._context.runtime.call_later(0.0, self._repair_more)
--- a/amberlug/cluster/interfaces.py
+++ b/amberlug/cluster/interfaces.py
@@ -102,13 +102,18 @@
 
 
 class CallVerdict(Enum):
-    """How a call of an endpoint ended. The values are historical: counters are named by them."""
+    """How a call of an endpoint ended. The values are historical; recorded simulated days have them."""
 
     ANSWERED = "answered"
     NOT_CONNECTED = "unreached"  # no connection, or the request was not sent completely: it has not run
     CONNECTION_LOST = "broken"  # the connection ended, or its response was not to this call: it may have run
     TIMED_OUT = "silent"  # no response in time: it may have run, or may do so yet
 
+    @property
+    def description(self) -> str:
+        """In words, as counters name it."""
+        return self.name.lower().replace("_", " ")
+
 
 @value
 class EndpointCall:
--- a/amberlug/cluster/storage/replica_service.py
+++ b/amberlug/cluster/storage/replica_service.py
@@ -125,11 +125,11 @@
         """Reply to a replica that is rejected, or whose message has ended; None where it is to be written."""
         contents = self.contents
         if contents.is_fenced(request.shard, request.epoch):
-            self._count("fenced")
+            self._count("writes fenced")
             token = contents.fencing_tokens[request.shard]
             return ReplicaWriteReply(ReplicaWriteResult.FENCED, fencing_token=token)
         if not contents.enrolled_index:
-            self._count("put before it is enrolled")
+            self._count("writes before enrollment")
             return ReplicaWriteReply(ReplicaWriteResult.NOT_ENROLLED)
         stored = contents.messages.get(request.message_id)
         if stored is not None and not stored.outcome.is_open:
@@ -141,7 +141,7 @@
             pending.respond(ReplicaWriteReply(ReplicaWriteResult.NOT_ENROLLED))
         elif failure is None:
             self.is_full = False
-            self._count("put")
+            self._count("replicas stored")
             # A second write of the same message may have failed meanwhile, and removed what this one stored.
             self.contents.messages.setdefault(pending.message_id, pending.message).is_durable = True
             pending.respond(ReplicaWriteReply(ReplicaWriteResult.STORED, pending.disk_id))
@@ -173,7 +173,7 @@
             else:
                 stored.outcome, stored.retain_until = ended.outcome, ended.retain_until
             rows.append(OutcomeRow(ended.message_id, ended.shard, ended.outcome, ended.retain_until))
-        self._count("marks", len(rows))
+        self._count("outcomes stored", len(rows))
         self._store.write(rows, lambda failure: respond(AcknowledgeReply(failure is None)))
 
     # -- fencing
@@ -195,7 +195,7 @@
             for message_id, message in self.contents.messages.items()
             if message.outcome.is_open and message.shard in fenced
         }
-        self._count("fences", len(fenced))
+        self._count("fencing tokens raised", len(fenced))
         pending = _PendingFence(rejected, candidates, respond)
         self._store.write(rows, partial(self._on_fence_written, pending))
 
--- a/benchmarks/core_away.py
+++ b/benchmarks/core_away.py
@@ -90,7 +90,7 @@
         "cpu_s": sum(map(int, ticks)) / 100,
         "disk_mb": round(sum(it.stat().st_size for it in files) / 1e6, 1),
         "tracebacks": log.count("Traceback"),
-        "terms": log.count("is led by"),
+        "terms": log.count("the leader is"),
     }
 
 
