--- a/amberlug/cluster/settings.py
+++ b/amberlug/cluster/settings.py
@@ -50,6 +50,7 @@
 }
 _DEFAULT_TOLERANCE = {"machines": 1, "zones": 0, "regions": 0}
 
+# `machineClass`, `counted`, `diskMb` and `fileDescriptors` are checked, and not used.
 SCHEMA = t.Dict(
     {
         t.Key("nodeName"): t.String(),
@@ -120,7 +121,6 @@
     :param seeds: control-plane nodes to find the cluster by.
     :param first_start: whether the control plane is founded by this start.
     :param bounds: by their names in the file, in the unit of the name.
-    :param regions: by zone.
     """
 
     name: str
@@ -128,7 +128,6 @@
     zone: str
     region: str
     serves: frozenset[str]
-    machine_class: str
     front: HostPort | None
     readiness: HostPort | None
     control: HostPort | None
@@ -139,9 +138,7 @@
     heartbeat_s: float
     tolerance: Tolerance
     memory_mb: float
-    disk_mb: float
     bounds: dict[str, float] = field(hash=False)
-    regions: dict[str, str] = field(hash=False, default_factory=dict)
 
     def seconds(self, name: str) -> float:
         """A bound in seconds, whatever its unit in the file.
@@ -187,7 +184,6 @@
         zone=data["zone"],
         region=data["region"] or data["zones"].get(data["zone"], ""),
         serves=frozenset(data["serves"]),
-        machine_class=data["machineClass"],
         front=bindings.get("front"),
         readiness=bindings.get("readiness"),
         control=bindings.get("control"),
@@ -198,9 +194,7 @@
         heartbeat_s=data["heartbeatMs"] / 1000,
         tolerance=Tolerance(**data["faultTolerance"]),
         memory_mb=data["limits"]["memoryMb"],
-        disk_mb=data["limits"]["diskMb"],
         bounds={name: float(value) for name, value in data["bounds"].items()},
-        regions=dict(data["zones"]),
     )
 
 
--- a/amberlug/cluster/simulation/deployment.py
+++ b/amberlug/cluster/simulation/deployment.py
@@ -118,7 +118,6 @@
             machine.zone,
             self.regions[machine.zone],
             frozenset((serves,)),
-            machine.kind,
             None,
             None,
             (machine.ip, 7000) if machine.kind == "core" else None,
@@ -129,7 +128,6 @@
             self.heartbeat_s,
             self.tolerance,
             300.0,
-            360.0,
             BOUNDS,
         )
 
--- a/benchmarks/hollow/net.py
+++ b/benchmarks/hollow/net.py
@@ -244,7 +244,6 @@
         host.zone,
         "r",
         frozenset(),
-        host.role,
         None,
         None,
         control,
@@ -255,7 +254,6 @@
         1.0,
         Tolerance(1, 0, 0),
         300.0,
-        360.0,
         BOUNDS,
     )
 
