--- a/amberlug/cluster/simulation/clients.py
+++ b/amberlug/cluster/simulation/clients.py
@@ -106,7 +106,6 @@
             return
         sent = Sent(
             f"{self.chance.getrandbits(64):016x}",
-            HOST,
             f"{path}a",
             key,
             body,
--- a/amberlug/cluster/simulation/control_faults.py
+++ b/amberlug/cluster/simulation/control_faults.py
@@ -25,8 +25,6 @@
     """One machine that is cut off."""
 
     machine: Machine
-    pairs: set[tuple[str, str]]
-    form: str
     until: float
 
 
@@ -106,7 +104,7 @@
             seconds,
             marked=True,
         )
-        cut = self.cut = Cut(machine, pairs, form, self.clock.now + seconds)
+        cut = self.cut = Cut(machine, self.clock.now + seconds)
         refuse = form == "refuse"
         self.deployment.net.cut(pairs, refuse)
         if form == "reset":
--- a/amberlug/cluster/simulation/history.py
+++ b/amberlug/cluster/simulation/history.py
@@ -14,7 +14,6 @@
     """One try of a client."""
 
     attempt: str
-    host: str
     target: str
     key: str
     body: bytes
@@ -74,7 +73,6 @@
 
     at: float
     until: float
-    what: str
     planned: bool
     marked: bool = False  # whether events tell all of it: which machine, which links, when
 
@@ -177,7 +175,7 @@
     def trouble(self, what: str, seconds: float = 0.0, planned: bool = False, marked: bool = False) -> None:
         """Something is done to a machine, for so long; `marked` where events tell all of it."""
         self.say(what)
-        self.troubles.append(Trouble(self.clock.now, self.clock.now + seconds, what, planned, marked))
+        self.troubles.append(Trouble(self.clock.now, self.clock.now + seconds, planned, marked))
 
     def mark(self, machine: str, what: What) -> None:
         """Something happened to a machine, just now."""
--- a/amberlug/cluster/simulation/model_checker.py
+++ b/amberlug/cluster/simulation/model_checker.py
@@ -140,7 +140,6 @@
 class _Member:
     """One member: its process, its disk, and what its disk was asked to write."""
 
-    name: str
     saved: PersistentState
     raft: Any = None
     handlers: dict[str, Callable[..., None]] = field(default_factory=dict)
@@ -223,9 +222,7 @@
         for name, (term, vote, entries) in start.disks.items():
             rows = [Entry(it, None) for it in entries]
             members = VOTERS if name in NAMES else {}
-            self.members[name] = _Member(
-                name, PersistentState(name, term, vote, members=members, entries=rows)
-            )
+            self.members[name] = _Member(PersistentState(name, term, vote, members=members, entries=rows))
         for name in self.members:
             self._begin(name)
         if like is not None:
@@ -370,13 +367,6 @@
                 self._begin(name)
         self._check()
 
-    def deliver(self, to: str, word: str, sender: str) -> None:
-        """Take the steps that bring all messages of a word from a sender, and then their answers."""
-        for name, text in ((to, f'{sender} ["{word}"'), (sender, f'{to} ["{word}"')):
-            keys = [key for key, it in self.messages.items() if it.to == name and it.text.startswith(text)]
-            for key in keys:
-                self.take(("deliver", name, key))
-
     def settle(self) -> None:
         """Take the steps that bring all messages, and those that they bring about."""
         while self.messages:
@@ -559,7 +549,6 @@
 class Explored:
     """What was looked at, and the first steps that break an invariant."""
 
-    depth: int
     states: int
     steps: int
     whole: bool  # whether all states to this depth were looked at
@@ -594,7 +583,7 @@
         try:
             play.take(step)
         except (FoundError, AssertionError) as error:
-            return Explored(depth, len(seen), taken, False, str(error), (*path, step))
+            return Explored(len(seen), taken, False, str(error), (*path, step))
         key, left = play.state(), depth - len(path) - 1
         if left <= 0 or seen.get(key, -1) >= left:
             seen.setdefault(key, left)
@@ -603,4 +592,4 @@
         seen[key] = left
         path.append(step)
         todo.append(iter(play.steps()))
-    return Explored(depth, len(seen), taken, len(seen) < most)
+    return Explored(len(seen), taken, len(seen) < most)
--- a/amberlug/cluster/simulation/network.py
+++ b/amberlug/cluster/simulation/network.py
@@ -42,7 +42,7 @@
     def __init__(
         self, host: Host, number: int, failed: Callable[[Incarnation, AssertionError], None]
     ) -> None:
-        self.host, self.number, self._failed = host, number, failed
+        self.host, self._failed = host, failed
         self.name = f"{host.name}#{number}"
         self.machine: Any = None
         self.over = False
--- a/amberlug/cluster/simulation/scenarios.py
+++ b/amberlug/cluster/simulation/scenarios.py
@@ -44,7 +44,7 @@
     """One play of one seed."""
 
     def __init__(self, seed: int, aim: str = "") -> None:
-        self.seed, self.aim = seed, aim
+        self.aim = aim
         chance = self.chance = random.Random(f"{seed} day")
         size = self.size = Size(
             chance.choice((2, 3, 3, 4)),
