--- a/amberlug/cluster/admin/client.py
+++ b/amberlug/cluster/admin/client.py
@@ -21,12 +21,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Told:
-    """An answer, and who gave it."""
+    """An answer."""
 
     status: int
     headers: dict[str, str]  # names in lower case
     body: bytes
-    by: str
 
     @property
     def clear(self) -> bool:
@@ -79,7 +78,7 @@
         to = urlsplit(answer.headers.get("Location", ""))
         if answer.status != 307 or not to.hostname:
             headers = {name.lower(): value for name, value in answer.headers.items()}
-            return Ok(Told(answer.status, headers, body, at))
+            return Ok(Told(answer.status, headers, body))
         at, path = f"{to.hostname}:{to.port or 80}", to.path + (f"?{to.query}" if to.query else "")
     return Err(f"{at}: redirected too often")
 
--- a/amberlug/cluster/consensus/storage.py
+++ b/amberlug/cluster/consensus/storage.py
@@ -42,12 +42,11 @@
 class ChecksumError(Exception):
     """A row is not what was written.
 
-    :ivar row: the name of a value, or the index of an entry.
+    :param row: the name of a value, or the index of an entry.
     """
 
     def __init__(self, row: str | int) -> None:
         super().__init__(f"the checksum of {row} is wrong")
-        self.row = row
 
 
 class OpenedStorage(NamedTuple):
--- a/amberlug/cluster/control/endpoint_registry.py
+++ b/amberlug/cluster/control/endpoint_registry.py
@@ -132,7 +132,6 @@
         self.timeout_s = MISSED_HEARTBEATS * heartbeat_interval_s
         self.last_heartbeat_s: dict[str, float] = {}
         self.unreported_heartbeats: set[str] = set()
-        self.timed_out = 0
 
     def known(self, name: str) -> KnownEndpoint | None:
         """An endpoint's newest entry; None where nothing is known of it."""
@@ -202,7 +201,6 @@
             if known is None or not known.is_ready:
                 continue
             if now_s - self.last_heartbeat_s.setdefault(name, now_s) > self.timeout_s:
-                self.timed_out += 1
                 version = [EndpointRank.READY, known.sequence, 1]
                 self.gossip.offer(key, version, {**known.entry, "cond": LOST})
                 on_timeout(name)
--- a/amberlug/cluster/dispatch/dispatcher.py
+++ b/amberlug/cluster/dispatch/dispatcher.py
@@ -35,7 +35,6 @@
     message: Message
     endpoint: Endpoint
     start_us: int  # by the steady clock
-    timeout_s: float
 
 
 @value
@@ -127,7 +126,7 @@
     def _call(self, message: Message, endpoint: Endpoint, now_us: int) -> None:
         assert message.body is not None, "a call has a body"
         timeout_s = self._callbacks.timeout_s(message)
-        call = InFlightCall(message, endpoint, now_us, timeout_s)
+        call = InFlightCall(message, endpoint, now_us)
         self._account.reserved[call] = None
         self.calls[call] = None
         message.in_flight, message.call_count, message.last_endpoint_id = (
--- a/amberlug/cluster/dispatch/previous_owners.py
+++ b/amberlug/cluster/dispatch/previous_owners.py
@@ -14,9 +14,9 @@
 ValueT = TypeVar("ValueT")
 
 
-def evict_oldest(entries: MutableMapping[KeyT, ValueT], limit: int = MAX_ANNOUNCED) -> None:
-    """Drop the entries that came first until no more than `limit` are left."""
-    while len(entries) > limit:
+def evict_oldest(entries: MutableMapping[KeyT, ValueT]) -> None:
+    """Drop the entries that came first until no more than `MAX_ANNOUNCED` are left."""
+    while len(entries) > MAX_ANNOUNCED:
         del entries[next(iter(entries))]
 
 
--- a/amberlug/cluster/dispatch/shard_table.py
+++ b/amberlug/cluster/dispatch/shard_table.py
@@ -7,8 +7,6 @@
 from amberlug.cluster.interfaces import Json
 from amberlug.cluster.values import value
 
-NO_OWNER = -1
-
 
 class EdgeAddress(NamedTuple):
     """An edge node that owns shards, or did."""
@@ -18,7 +16,7 @@
 
 
 class ShardRow(NamedTuple):
-    """One shard's ownership; owners are indices in the table's list of them, or `NO_OWNER`."""
+    """One shard's ownership; owners are indices in the table's list of them, negative for none."""
 
     owner: int
     epoch: int  # grows with each change of the owner: its fencing token at storage nodes
--- a/amberlug/cluster/gossip/store.py
+++ b/amberlug/cluster/gossip/store.py
@@ -92,7 +92,6 @@
         policy: DisseminationPolicy = DEFAULT_POLICY,
     ) -> None:
         self.runtime, self._peers, self._on_update, self._policy = runtime, peers, on_update, policy
-        self.repaired = 0  # announcements that were fetched from a peer
         self._known = AnnouncementMap()
         self._pending_fetches: dict[str, _PendingFetch] = {}
         self._unsent: dict[str, VersionedValue] = {}  # new since peers were last notified
@@ -133,9 +132,10 @@
         self._on_update(key, value)
         return True
 
-    def apply(self, announcements: Iterable[Announcement]) -> int:
-        """Offer several announcements; returns how many were new."""
-        return sum(self.offer(key, version, value) for key, version, value in announcements)
+    def apply(self, announcements: Iterable[Announcement]) -> None:
+        """Offer several announcements."""
+        for announcement in announcements:
+            self.offer(*announcement)
 
     def _disseminate(self) -> None:
         unsent, self._unsent = self._unsent, {}
@@ -258,7 +258,7 @@
     ) -> None:
         remaining: list[str] = []
         if isinstance(reply, Ok):
-            self.repaired += self.apply(reply.ok_value.announcements)
+            self.apply(reply.ok_value.announcements)
             postponed = list(reply.ok_value.remaining_keys)
             # A peer that postpones all of the keys would be sent the same request without end.
             remaining = (postponed if len(postponed) < len(requested) else []) + later
--- a/amberlug/cluster/http/routing.py
+++ b/amberlug/cluster/http/routing.py
@@ -35,7 +35,6 @@
 class Destination:
     """One service of the configuration."""
 
-    name: str
     rate: float  # attempts a second over all edge nodes; 0 for no limit
     fixed: str | None  # address of a service whose endpoints do not register
 
@@ -80,7 +79,7 @@
 
 
 def _destination(item: Json) -> Destination:
-    return Destination(item["name"], float(item.get("ratePerS", 0.0)), item.get("fixedAddress"))
+    return Destination(float(item.get("ratePerS", 0.0)), item.get("fixedAddress"))
 
 
 def _by_host(routes: list[Route]) -> Mapping[str, tuple[Route, ...]]:
--- a/amberlug/cluster/http/server.py
+++ b/amberlug/cluster/http/server.py
@@ -266,8 +266,6 @@
             self._transport.write_eof()
 
     def _refuse(self, status: int) -> None:
-        self._server.bad += status != 408
-        self._server.late += status == 408
         if self._transport is not None and not self._transport.is_closing():
             self._transport.write(_written(Answer(status), False, True))
             self.end()
@@ -385,7 +383,7 @@
 
 
 class Server:
-    """All connections of one listening address, with counts of what came of them."""
+    """All connections of one listening address."""
 
     def __init__(self, handle: Handler, limits: Callable[[], Limits], age_s: float = NEVER) -> None:
         self.handle, self._read_limits = handle, limits
@@ -393,7 +391,7 @@
         self.limits = limits()  # read anew with each sweep
         self.time: Callable[[], float] = lambda: 0.0  # the loop's
         self.leaving = False
-        self.opened = self.bad = self.late = 0
+        self.opened = 0  # connections since the start
         self.open_requests = 0  # read whole and not yet answered, those whose client hung up among them
         self._connections: set[_Connection] = set()
         self._listening: asyncio.Server | None = None
--- a/amberlug/cluster/interfaces.py
+++ b/amberlug/cluster/interfaces.py
@@ -172,16 +172,3 @@
 
         :param on_synced: called once: with None when the transaction is on disk, else with the error.
         """
-
-
-def on(tag: str) -> Callable[[Callable[..., None]], Callable[..., None]]:
-    """Declare a method as the handler of a raw message: `(body, payload, origin, respond)`.
-
-    `rpc.messages.handles` declares handlers of typed messages.
-    """
-
-    def declare(handler: Callable[..., None]) -> Callable[..., None]:
-        handler.__dict__["wire_tag"] = tag
-        return handler
-
-    return declare
--- a/amberlug/cluster/session_client.py
+++ b/amberlug/cluster/session_client.py
@@ -87,7 +87,6 @@
         self.state = "up"
         self.control_address = ""  # of the control-plane node that the session is with
         self.is_confirmed = False  # whether the announcements were once as new as a majority's
-        self.sessions_opened = 0
         self._candidates: list[str] = seed_addresses(settings)
         self._attempts = 0  # which candidate is next
         self._failures = 0  # since a session was open
@@ -180,7 +179,6 @@
 
     def _start_session(self, attempt: _Attempt) -> None:
         self.control_address = attempt.address
-        self.sessions_opened += 1
         self._failures = 0
         self.gossip.compare_with(attempt.address)
         self.runtime.call_later(HEARTBEAT_INTERVAL_S, partial(self._send_heartbeat, attempt.epoch))
--- a/amberlug/cluster/storage/group_commit.py
+++ b/amberlug/cluster/storage/group_commit.py
@@ -92,7 +92,6 @@
         self._queue: queue.SimpleQueue[_Write[RowT] | Callback | None] = queue.SimpleQueue()
         self._thread = threading.Thread(target=self._run, name=THREAD_NAME, daemon=True)
         self._thread.start()
-        self.commits = 0
 
     def write(self, rows: Sequence[RowT], on_done: OnWritten) -> None:
         """Queue rows for the next transaction.
@@ -155,5 +154,4 @@
             if self._database.in_transaction:
                 self._database.execute("rollback")
             return write_failure(error)
-        self.commits += 1
         return None
