--- a/amberlug/mqtt/intake.py
+++ b/amberlug/mqtt/intake.py
@@ -38,11 +38,6 @@
     text: str = ""
     retry_ms: int = 0
 
-    @property
-    def lasting(self) -> bool:
-        """Whether the same publish would be refused again."""
-        return self.code != 0 and not self.retry_ms
-
 
 Done = Callable[[Verdict], None]
 
--- a/amberlug/mqtt/link.py
+++ b/amberlug/mqtt/link.py
@@ -34,7 +34,6 @@
 PAUSE = 0.1, 5.0  # first and longest pause before a further try, drawn between half and all of it
 STEADY = 10.0  # seconds after which a connection that is lost counts as a first failure
 WINDOW_3 = 20  # publishes at once to a broker of 3.1.1, which can't tell how many it takes
-NOT_AUTHORIZED = 0x87
 
 
 @dataclass(frozen=True, slots=True)
--- a/amberlug/mqtt/mapping.py
+++ b/amberlug/mqtt/mapping.py
@@ -218,7 +218,6 @@
 class Target:
     """Where messages go whose endpoints are of one kind."""
 
-    kind: str
     topic: str  # {destination} and {endpoint} are filled in
     login: Login  # as whom; the address is the endpoint's
     qos: Mapping[str, int]  # by class; 1 for others
@@ -539,4 +538,4 @@
         if value not in (1, 2):
             table.wrong(f"qos.{name}", f"neither 1 nor 2: {value!r}; at 0 nobody tells that it arrived")
     table.finish()
-    return Target(kind, topic, login, qos)
+    return Target(topic, login, qos)
--- a/amberlug/mqtt/sessions.py
+++ b/amberlug/mqtt/sessions.py
@@ -31,11 +31,6 @@
         self._open: dict[int, int] = {}  # packet ids that wait for an answer, and their QoS
         self._received: set[int] = set()  # that wait for their PUBREL
 
-    @property
-    def open(self) -> int:
-        """How many publishes wait for an answer."""
-        return len(self._open)
-
     def came(self, packet: Publish) -> tuple[bool, Ack | None]:
         """Whether a publish is to be offered, and what goes out at once; `MqttError` if it is too many."""
         if not packet.qos:
--- a/amberlug/mqtt/topics.py
+++ b/amberlug/mqtt/topics.py
@@ -46,8 +46,3 @@
         elif level != given[at]:
             return None
     return tuple(found) if len(wanted) == len(given) else None
-
-
-def unshared(name: str) -> str:
-    """A filter without what makes it shared."""
-    return name[len(SHARED) :].partition("/")[2] if name.startswith(SHARED) else name
--- a/tests/test_mqtt_packets.py
+++ b/tests/test_mqtt_packets.py
@@ -26,7 +26,7 @@
     Wanted,
 )
 from amberlug.mqtt.properties import P
-from amberlug.mqtt.topics import captured, is_filter, is_topic, unshared
+from amberlug.mqtt.topics import captured, is_filter, is_topic
 
 TEXT = st.text(st.characters(exclude_categories=["Cs"], exclude_characters="\0"), max_size=8)
 TOPIC = st.text(st.sampled_from("ab/é$"), min_size=1, max_size=8)
@@ -258,4 +258,3 @@
     bad = ("", "a#", "a/#/b", "a+", "$share/g", "$share//a", "$share/+/a", "$share/g/", "a\0")
     assert all(map(is_filter, good))
     assert not any(map(is_filter, bad))
-    assert (unshared("$share/g/a/b"), unshared("a/b")) == ("a/b", "a/b")
