--- a/amberlug/lab/clock.py
+++ b/amberlug/lab/clock.py
@@ -58,8 +58,8 @@
 class LifeClock:
     """The clock as one life of a relay sees it; its timers end with it."""
 
-    def __init__(self, time: Time, boot: str = "lab") -> None:
-        self._time, self.boot, self._ended = time, boot, False
+    def __init__(self, time: Time) -> None:
+        self._time, self.boot, self._ended = time, "lab", False
 
     def end(self) -> None:
         """Have none of its timers happen any more."""
--- a/amberlug/lab/copies.py
+++ b/amberlug/lab/copies.py
@@ -77,7 +77,6 @@
         self.promised: set[str] = set()
         self.calls: Counter[str] = Counter()
         self.ends: dict[str, set[str]] = defaultdict(set)
-        self.delivered: set[str] = set()
         self.broken: list[str] = []
 
     def called(self, name: str) -> None:
--- a/amberlug/lab/explore.py
+++ b/amberlug/lab/explore.py
@@ -161,7 +161,6 @@
 
     states: int = 0
     depth: int = 0  # up to which every state was seen
-    whole: bool = False  # nothing is left beyond that
     broken: list[tuple[list[str], list[Action]]] = field(default_factory=list)
 
 
@@ -197,5 +196,4 @@
                 return found
         found.depth += 1
         front = following
-    found.whole = not front
     return found
--- a/amberlug/lab/fleet.py
+++ b/amberlug/lab/fleet.py
@@ -57,7 +57,6 @@
     earned: float = 0.0
     calls: int = 0
     refused: int = 0  # by the limit
-    full: int = 0  # by the table
     ends: Counter[str] = field(default_factory=Counter)
     served: Counter[int] = field(default_factory=Counter)  # calls, by second
     turned_away: Counter[int] = field(default_factory=Counter)  # by the limit, by second
@@ -160,8 +159,8 @@
 class _Relay:
     """One sender with its timers and connections; it steps at once on whatever comes."""
 
-    def __init__(self, of: _Play, number: int, seed: int) -> None:
-        self._of, self.number, self._refs = of, number, count(1)
+    def __init__(self, of: _Play, seed: int) -> None:
+        self._of, self._refs = of, count(1)
         self.begin(seed)
 
     def begin(self, seed: int) -> None:
@@ -263,7 +262,7 @@
         seeds = [int(it) for it in np.random.default_rng(relays).integers(1 << 60, size=2 * told.relays)]
         weights = np.exp(self._clients.normal(0, told.uneven, told.relays))
         self._weights = weights / weights.sum()
-        self.relays = [_Relay(self, number, seeds[number]) for number in range(told.relays)]
+        self.relays = [_Relay(self, seeds[number]) for number in range(told.relays)]
         at_s, many = told.restarted
         for number in range(many):
             later_s = at_s + float(self._partner.random())
@@ -316,7 +315,6 @@
         told, tally = self.told, self.tally
         tally.calls += 1
         if told.table and not reused and self.connections > told.table:
-            tally.full += 1
             return Result.REFUSED, NETWORK_US, 0
         took_us = NETWORK_US + HANDSHAKE_US * (not reused) + int(self._partner.integers(5000)) + 1
         second, (down_s, lasts_s) = self.now // SECOND, told.down
--- a/amberlug/lab/play.py
+++ b/amberlug/lab/play.py
@@ -81,7 +81,6 @@
     kind: Kind
     began_us: int
     tries: int = 0
-    calls: int = 0
     delivered_us: int | None = None
 
 
@@ -285,7 +284,6 @@
             for began_us, over_us in request.relay.away:  # an end that was due then may come when it is back
                 if began_us <= (track.until + LATE) * SECOND <= over_us + LATE * SECOND:
                     track.until = over_us / SECOND
-            wish.calls += len(track.calls)
             if track.delivered is not None and track.taken is not None:  # and its client has heard so
                 at_us = int(track.delivered * SECOND)
                 wish.delivered_us = min(at_us, wish.delivered_us or at_us)
