--- a/amberlug/standin/checker.py
+++ b/amberlug/standin/checker.py
@@ -36,7 +36,6 @@
 class Call:
     """One call with one message."""
 
-    endpoint: str
     began: float
     ended: float | None = None
     ran: Ran = Ran.MAY
@@ -96,7 +95,7 @@
             return None
         self._check_repeat(track, at)
         self._check_place(track, endpoint, at)
-        call = Call(endpoint, at)
+        call = Call(at)
         track.calls.append(call)
         if len(track.calls) > MOST_CALLS:
             self.broken.append(f"{name}: call {len(track.calls)}, {MOST_CALLS} at most")
--- a/amberlug/standin/crowd.py
+++ b/amberlug/standin/crowd.py
@@ -48,12 +48,11 @@
 
 @dataclass(slots=True)
 class Crowd:
-    """Endpoints of destinations 0 to `size` - 1, on `listeners` ports of 127.0.0.1.
+    """Endpoints of any number of destinations, on `listeners` ports of 127.0.0.1.
 
     `mood` tells how a destination answers; `gone` are those to which nothing may be sent any more.
     """
 
-    size: int
     mood: Callable[[int], Mood] = lambda destination: Mood.WELL
     listeners: int = 16
     quick: float = 0.02  # seconds to an answer
@@ -172,7 +171,6 @@
     deadline: float  # seconds from when it was made
     client: Client
     status: int = 0
-    times: int = 0
     lives: int = 0  # how often it was handed back, each time to come again under a new id
     ended: str = ""  # the last end that was told
 
@@ -198,12 +196,11 @@
         self.ask(name)
 
     def ask(self, name: str) -> None:
-        told = self._told[name]
         """Hand a message in, once more or for the first time, if there is time left for it."""
+        told = self._told[name]
         left_ms = int((told.made + told.deadline - asyncio.get_running_loop().time()) * 1000)
         if left_ms < 1 or not self._ready:
             return
-        told.times += 1
         again = f"~{told.lives}" if told.lives else ""
         head = (
             f"POST /{told.message_class} HTTP/1.1\r\nHost: relay\r\nReq-Id: {name}{again}\r\n"
@@ -256,15 +253,8 @@
 
     def whole(self, members: list[dict[str, Any]]) -> None:
         """Tell a whole list: what is not in it is gone."""
-        self._list(members, complete=True)
-
-    def change(self, members: list[dict[str, Any]]) -> None:
-        """Tell some entries that are new or have changed."""
-        self._list(members, complete=False)
-
-    def _list(self, members: list[dict[str, Any]], complete: bool) -> None:
         self.revision += 1
-        news = {"revision": self.revision, "complete": complete, "members": members}
+        news = {"revision": self.revision, "complete": True, "members": members}
         self.tell(json.dumps(news).encode())
 
     def _requested(self, seen: Seen) -> bool:
--- a/amberlug/standin/partners.py
+++ b/amberlug/standin/partners.py
@@ -38,7 +38,7 @@
     def __init__(self, endpoint: str, destination: int, mood: Mood, checker: Checker, clock: Clock) -> None:
         super().__init__(None)
         self.endpoint, self.destination, self.mood = endpoint, destination, mood
-        self.calls = self.delivered = self.waits = self.dropped = 0
+        self.calls = self.waits = 0
         self._checker, self._clock = checker, clock
         self._chance = random.Random(endpoint)
         self._out: dict[asyncio.StreamWriter, Call] = {}
@@ -80,12 +80,10 @@
         call = self._out.pop(seen.writer, None)
         if call is None:
             return  # given up meanwhile
-        self.delivered += ran is Ran.YES
         self._checker.ended(call, self._clock(), ran, delivered=ran is Ran.YES)
         seen.answer(answer)
 
     def _drop(self, seen: Seen) -> None:
-        self.dropped += 1
         seen.reset()
 
     def _closed(self, writer: asyncio.StreamWriter) -> None:
--- a/amberlug/standin/promises.py
+++ b/amberlug/standin/promises.py
@@ -8,8 +8,6 @@
 
 from dataclasses import dataclass, field
 
-MAY_HAVE_RUN = "may have run"
-
 
 @dataclass(slots=True)
 class Track:
--- a/amberlug/standin/proxy.py
+++ b/amberlug/standin/proxy.py
@@ -15,7 +15,6 @@
     def __init__(self, to: int, seed: int) -> None:
         self._to, self._chance = to, random.Random(seed)
         self.port = 0
-        self.cut = False  # nothing passes, either way, and nobody is told
         self.delay = self.spread = 0.0  # seconds
         self.rate = 0.0  # bytes a second; 0: any number
         self.flips = 0  # bytes to be spoilt
@@ -41,12 +40,11 @@
 
     def sever(self) -> None:
         """Have nothing pass from now on; connections stay open, and silent."""
-        self.cut = True
         self._open.clear()
 
     def heal(self) -> None:
         """Have all pass again, with what was under way before."""
-        self.cut, self.delay, self.spread, self.rate = False, 0.0, 0.0, 0.0
+        self.delay = self.spread = self.rate = 0.0
         self._open.set()
 
     def reset(self) -> None:
--- a/benchmarks/sleeping.py
+++ b/benchmarks/sleeping.py
@@ -143,14 +143,14 @@
         await asyncio.sleep(0.5)
         found.append(((daemon.cpu - start) / (len(crowd.delivered) - before) * 1e6, memory, daemon.started))
 
-    crowd = Crowd(max(listed, 100))
+    crowd = Crowd()
     await with_daemon(listed, crowd, work)
     return found[0]
 
 
 async def whole_list(listed: int, share: float) -> None:
     """Replace a share of all endpoints in one list, under load: hold-ups, memory, calls to what is gone."""
-    crowd = Crowd(listed)
+    crowd = Crowd()
 
     async def work(daemon: Daemon) -> None:
         told, loop = daemon.told, asyncio.get_running_loop()
@@ -202,7 +202,7 @@
 
 async def hold_ups(listed: int, share: float) -> None:
     """How long a turn of the loop takes at most while a whole list comes in and is applied, here."""
-    loop, crowd = asyncio.get_running_loop(), await Crowd(listed).start()
+    loop, crowd = asyncio.get_running_loop(), await Crowd().start()
     clock = LoopClock()
     with tempfile.TemporaryDirectory() as folder:
         journal = open_journal(Path(folder), 10**7, clock, Durability.PROCESS)
@@ -257,7 +257,7 @@
     """Wake many at once while the busy go on: first calls, the busy ones' aims, memory."""
     seen = Woken([])
     moods = [Mood.WELL, Mood.SLOW, Mood.WELL, Mood.REFUSES, Mood.WELL, Mood.DEAD, Mood.WELL, Mood.SILENT]
-    crowd = Crowd(listed, lambda number: moods[number % 8] if bad and number >= BUSY else Mood.WELL)
+    crowd = Crowd(lambda number: moods[number % 8] if bad and number >= BUSY else Mood.WELL)
 
     async def work(daemon: Daemon) -> None:
         told, loop, memory = daemon.told, asyncio.get_running_loop(), daemon.memory
--- a/tests/test_crowd.py
+++ b/tests/test_crowd.py
@@ -65,7 +65,7 @@
 @pytest.mark.parametrize("bad", [False, True])
 def test_many_that_wake_are_each_called_soon_and_the_busy_go_on(tmp_path: Path, bad: bool) -> None:
     woken, each = range(BUSY, BUSY + 200), 5
-    crowd = Crowd(3000, lambda number: MOODS[number % 8] if bad and number >= BUSY else Mood.WELL)
+    crowd = Crowd(lambda number: MOODS[number % 8] if bad and number >= BUSY else Mood.WELL)
 
     async def scenario() -> None:
         told: dict[str, Told] = {}
@@ -108,7 +108,7 @@
 
 def test_a_list_that_replaces_most_under_load_costs_no_message(tmp_path: Path) -> None:
     listed, kept = 10_000, 4_200
-    crowd = Crowd(listed)
+    crowd = Crowd()
 
     async def scenario() -> None:
         told: dict[str, Told] = {}
@@ -147,7 +147,7 @@
 def test_a_kill_with_fifty_thousand_listed_loses_nothing_and_repeats_nothing_unsafe(tmp_path: Path) -> None:
     listed, asked = 50_000, range(100, 50_000, 1_000)
     moods = dict.fromkeys(asked, Mood.SILENT)
-    crowd = Crowd(listed, lambda number: moods.get(number, Mood.WELL))
+    crowd = Crowd(lambda number: moods.get(number, Mood.WELL))
 
     async def scenario() -> None:
         told: dict[str, Told] = {}
