--- a/amberlug/policy/settings.py
+++ b/amberlug/policy/settings.py
@@ -28,8 +28,8 @@
     return float(value)
 
 
-def _whole(table: Mapping[str, Any], path: str, low: int, high: int = _NEVER) -> int:
-    value = _number(table, path, low, high)
+def _whole(table: Mapping[str, Any], path: str, low: int) -> int:
+    value = _number(table, path, low)
     if value != int(value):
         raise ValueError(f"setting {path} is not a whole number: {value!r}")
     return int(value)
@@ -49,9 +49,9 @@
     return str(value)
 
 
-def _list(table: Mapping[str, Any], path: str, size: int | None = None) -> list[Any]:
+def _list(table: Mapping[str, Any], path: str) -> list[Any]:
     value = _get(table, path)
-    if not isinstance(value, list) or size not in (None, len(value)):
+    if not isinstance(value, list):
         raise ValueError(f"setting {path} is not a list of the right length: {value!r}")
     return value
 
