--- a/benchmarks/hollow/net.py
+++ b/benchmarks/hollow/net.py
@@ -34,6 +34,7 @@
 from amberlug.cluster.simulation.clock import Clock, Timer
 
 SYNC_S = 0.002
+WITHIN_ZONE_S = 0.0002  # one way between machines of one zone
 BOUNDS = {
     "seedLagS": 3.0,
     "reuseAfterS": 2.0,
@@ -88,17 +89,17 @@
 class HollowNet:
     """The clock, the machines, and what is on its way."""
 
-    def __init__(self, seed: int = 1, within: float = 0.0002, between: float = 0.0009) -> None:
+    def __init__(self, seed: int = 1, between: float = 0.0009) -> None:
         self.clock = Clock()
         self.chance = random.Random(seed)
-        self.within, self.between = within, between
+        self.between = between
         self.hosts: dict[str, Host] = {}
         self.numbers = itertools.count(1)
         self.asked: dict[int, tuple[Host, str, ReplyCallback]] = {}
         self.apart = ""  # a zone that nothing gets to or from
 
     def delay(self, a: Host, b: Host) -> float:
-        return self.within if a.zone == b.zone else self.between
+        return WITHIN_ZONE_S if a.zone == b.zone else self.between
 
     def send(self, source: Host, to: Host, word: str, data: bytes, hear: Callable[[], None]) -> None:
         """Count a frame, and have it heard at the other end."""
--- a/benchmarks/readability.py
+++ b/benchmarks/readability.py
@@ -16,6 +16,7 @@
 
 FUNCTION_LINES_MOST = 40
 FILE_LINES_MOST = 400
+PACKAGE_DEPTH = 3  # folders of a package with figures of its own
 # Names of the themes of earlier versions: programs, packages and types were called by them.
 THEMED_WORDS = frozenset(
     "workshop vise crib chest lathe whistle belt hatch jig foreman lookout drawer cabinet rack shelf footing "
@@ -149,13 +150,13 @@
             self._against("public undocumented", node.lineno, node.name)
 
 
-def read_packages(root: Path, depth: int = 3) -> dict[str, Reading]:
-    """Read the tree below a folder: figures by package, `depth` folders deep at most."""
+def read_packages(root: Path) -> dict[str, Reading]:
+    """Read the tree below a folder: figures by package, `PACKAGE_DEPTH` folders deep at most."""
     packages: dict[str, Reading] = {}
     folders = [it for it in sorted(root.iterdir()) if it.is_dir() and not it.name.startswith(".")]
     for path in (path for folder in folders if folder.name != "target" for path in folder.rglob("*.py")):
         parts = path.relative_to(root).parts[:-1]
-        reading = packages.setdefault(".".join(parts[:depth]), Reading())
+        reading = packages.setdefault(".".join(parts[:PACKAGE_DEPTH]), Reading())
         _Reader(reading, path, root).read()
     return packages
 
