--- a/tests/cluster/group.py
+++ b/tests/cluster/group.py
@@ -19,9 +19,9 @@
 class GroupMember(Host):
     """One member of the group, and its disk."""
 
-    def __init__(self, group: "RaftGroup", name: str, is_founder: bool = True) -> None:
+    def __init__(self, group: "RaftGroup", name: str) -> None:
         super().__init__(name, "z", name)
-        self.group, self.is_founder, self.incarnations = group, is_founder, 0
+        self.group, self.is_founder, self.incarnations = group, True, 0
         self.disk = ControlDisk(group.clock, random.Random(name), 0.002)
 
     def start(self) -> None:
--- a/tests/cluster/test_cluster_state.py
+++ b/tests/cluster/test_cluster_state.py
@@ -55,22 +55,22 @@
     assert log.cluster_state.config == {"edition": 6}
 
 
-def forgets(edition: int, changes: int, seconds: float) -> Json:
-    """What is said to a repeat of an edition after so many changes, each so many seconds after the other."""
+def forgets(changes: int, seconds: float) -> Json:
+    """What is said to a repeat of the first edition after so many changes, each so many seconds apart."""
     log = Log()
     for it in range(1, changes + 1):
         assert log.change(it, it - 1, f"sum {it}", seconds) == {"ok": True}
     log.move()
-    return log.cluster_state.check_config(edition - 1, edition, f"sum {edition}").to_wire()
+    return log.cluster_state.check_config(0, 1, "sum 1").to_wire()
 
 
 def test_a_repeat_is_known_after_an_hour_and_after_a_thousand_changes_and_never_refused() -> None:
-    assert forgets(1, MIN_CONFIG_HASHES, CONFIG_HASH_RETENTION_S) == {"again": True}
-    assert forgets(1, 3000, CONFIG_HASH_RETENTION_S / 3001) == {"again": True}
-    assert forgets(1, MIN_CONFIG_HASHES + 2, 2 * CONFIG_HASH_RETENTION_S)["status"] == 503
-    assert forgets(1, MAX_CONFIG_HASHES + 2, 0.0)["status"] == 503
+    assert forgets(MIN_CONFIG_HASHES, CONFIG_HASH_RETENTION_S) == {"again": True}
+    assert forgets(3000, CONFIG_HASH_RETENTION_S / 3001) == {"again": True}
+    assert forgets(MIN_CONFIG_HASHES + 2, 2 * CONFIG_HASH_RETENTION_S)["status"] == 503
+    assert forgets(MAX_CONFIG_HASHES + 2, 0.0)["status"] == 503
     with mutated("editions-by-count"):
-        assert forgets(1, 400, 0.0) != {"again": True}
+        assert forgets(400, 0.0) != {"again": True}
 
 
 def test_endpoints_that_leave_are_kept_by_time_whatever_their_number() -> None:
--- a/tests/cluster/test_internal_replies.py
+++ b/tests/cluster/test_internal_replies.py
@@ -139,7 +139,7 @@
         play(range(60))
 
 
-def test_a_peer_that_says_no_frame_is_left(caplog: pytest.LogCaptureFixture) -> None:
+def test_a_peer_that_says_no_frame_is_left() -> None:
     """What follows on its connection is no reply to anything."""
 
     async def cut(loop: Loop, chance: random.Random) -> None:
--- a/tests/cluster/test_message_store.py
+++ b/tests/cluster/test_message_store.py
@@ -43,13 +43,13 @@
         self.posted.get(timeout=5.0)()
         return found[0]
 
-    def reopened(self, disk_id: str = "d") -> "Opened":
+    def reopened(self) -> "Opened":
         self.store.close()
-        return Opened(self.path.parent, disk_id)
+        return Opened(self.path.parent)
 
 
-def replica(message_id: str, content: bytes = b"body") -> ReplicaRow:
-    return ReplicaRow(message_id, 1, 5, 7, {"m": "POST"}, content)
+def replica(message_id: str) -> ReplicaRow:
+    return ReplicaRow(message_id, 1, 5, 7, {"m": "POST"}, b"body")
 
 
 def test_what_was_written_is_there_after_a_restart(tmp_path: Path) -> None:
--- a/tests/cluster/test_voter_selection.py
+++ b/tests/cluster/test_voter_selection.py
@@ -163,9 +163,9 @@
         deployment.clock.run(deployment.clock.now + BOUNDS["catchUpS"])
 
 
-def zones_of_voters(seed: int) -> list[str]:
+def zones_of_voters() -> list[str]:
     """Founders that all stand in one zone, and two others elsewhere: where the voters stand in the end."""
-    deployment = Deployment(seed, 3, 0, 0, 5, [], 1.0)
+    deployment = Deployment(1, 3, 0, 0, 5, [], 1.0)
     deployment.tolerance = A_ZONE
     for machine, zone in zip(deployment.cores, ("z0", "z0", "z0", "z1", "z2"), strict=True):
         machine.zone = zone
@@ -175,9 +175,9 @@
 
 
 def test_founders_of_one_zone_are_replaced_as_voters() -> None:
-    assert zones_of_voters(1) == ["z0", "z1", "z2"]
+    assert zones_of_voters() == ["z0", "z1", "z2"]
     with mutated("voters-in-one-zone"):
-        assert zones_of_voters(1) == ["z0", "z0", "z0"]
+        assert zones_of_voters() == ["z0", "z0", "z0"]
 
 
 @pytest.mark.parametrize("cores", [3, 4, 5])
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -182,8 +182,8 @@
     return headers | {key.replace("_", "-"): value for key, value in more.items()}
 
 
-def journal_in(folder: Path, room: int = 10**6) -> Journal:
-    return Journal(FolderDisk(folder), room, 0, lambda: time.monotonic_ns() // 1000)
+def journal_in(folder: Path) -> Journal:
+    return Journal(FolderDisk(folder), 10**6, 0, lambda: time.monotonic_ns() // 1000)
 
 
 def node_in(folder: Path, settings: Settings) -> Node:
--- a/tests/test_copies_store.py
+++ b/tests/test_copies_store.py
@@ -33,8 +33,8 @@
         raise OSError(errno.ENOSPC, answer[3])
 
 
-def names(store: CopyStore, meta: Meta = META) -> set[str]:
-    return set(store.logs[meta.log].copies)
+def names(store: CopyStore) -> set[str]:
+    return set(store.logs[META.log].copies)
 
 
 def newest(folder: Path) -> Path:
--- a/tests/test_folding.py
+++ b/tests/test_folding.py
@@ -228,8 +228,8 @@
     assert relay.endpoint("a").account.usual_us == FIRST_GUESS_US
 
 
-def gone(name: str = "a", state: State = State.GONE) -> api.Listed:
-    return api.Listed(api.ListKind.PATCH, (api.Entry(name, "north", "plain", 1, state, 1.0),))
+def gone(state: State = State.GONE) -> api.Listed:
+    return api.Listed(api.ListKind.PATCH, (api.Entry("a", "north", "plain", 1, state, 1.0),))
 
 
 def test_what_waits_for_a_destination_that_is_gone_ends_at_once() -> None:
--- a/tests/test_journal.py
+++ b/tests/test_journal.py
@@ -27,6 +27,7 @@
 NOW = 1_000_000_000_000
 LONG = NOW + 3_600_000
 ROOM = 200_000
+EVENING_BODY = 1500  # bytes of a body in `evening`
 
 
 def opened(disk: FaultyDisk, most: int = ROOM, now_ms: int = NOW) -> Journal:
@@ -144,13 +145,13 @@
             assert not extra or crossing
 
 
-def evening(world: World, bodies: int = 1500) -> None:
+def evening(world: World) -> None:
     """All classes of records while segments are compacted."""
-    world.take("held", bodies)
+    world.take("held", EVENING_BODY)
     world.attempt("held")
     for count in range(14):
         name = f"m{count}"
-        world.take(name, bodies)
+        world.take(name, EVENING_BODY)
         if name not in world.truths:
             continue
         world.reply(name, b"hall\0ends/a\0\xff")
--- a/tests/test_learning.py
+++ b/tests/test_learning.py
@@ -96,8 +96,8 @@
     return learner.recall(listed[0].destination, listed) or api.Known(listed[0].destination)
 
 
-def wait_at(time: Time, destination: int = 1, length_us: int = 5 * SECOND, route: str = "") -> Wait:
-    return Wait(destination, route, length_us, time.us + length_us, time.boot)
+def wait_at(time: Time, destination: int = 1, length_us: int = 5 * SECOND) -> Wait:
+    return Wait(destination, "", length_us, time.us + length_us, time.boot)
 
 
 # Deaths.
--- a/tests/test_mqtt_mapping.py
+++ b/tests/test_mqtt_mapping.py
@@ -69,8 +69,8 @@
 """
 
 
-def mapped(text: str = FILE) -> Mapped:
-    found, problems = mapping.read(tomllib.loads(text), SETTINGS)
+def mapped() -> Mapped:
+    found, problems = mapping.read(tomllib.loads(FILE), SETTINGS)
     assert problems == []
     return found
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -141,9 +141,9 @@
     assert {send.endpoint for _, _, send, _ in relay.sent[1:]} == {"a", "b"} - {told}
 
 
-def down(relay: Relay, failures: int = 5) -> None:
+def down(relay: Relay) -> None:
     relay.listed("a", rate=4.0)
-    for ref in range(1, failures + 1):
+    for ref in range(1, 6):
         relay.step(relay.take("unsafe"))
         relay.answer(ref, 0, Result.RESET)
         relay.now += 4 * SECOND
