--- a/amberlug/cluster/control/node.py
+++ b/amberlug/cluster/control/node.py
@@ -128,10 +128,6 @@
         """Whether a process that was told to stop may stop."""
         return self.membership.has_left
 
-    def stop(self) -> None:
-        """Take no further part in consensus."""
-        self.raft.stop()
-
     def settings_are(self, settings: Settings) -> None:
         """Take over a settings file that has changed."""
         self.settings = settings
--- a/amberlug/cluster/rpc/messages.py
+++ b/amberlug/cluster/rpc/messages.py
@@ -136,9 +136,7 @@
     for cls in type(component).__mro__:
         for name, member in vars(cls).items():
             declared = getattr(member, "__dict__", {}) if callable(member) else {}
-            message_type, tag = declared.get(_DECLARED), declared.get("wire_tag")
+            message_type = declared.get(_DECLARED)
             if message_type is not None and message_type.wire_tag not in found:
                 found[message_type.wire_tag] = raw_handler(message_type, getattr(component, name))
-            elif tag is not None and tag not in found:
-                found[tag] = getattr(component, name)
     return found
--- a/amberlug/cluster/simulation/model_checker.py
+++ b/amberlug/cluster/simulation/model_checker.py
@@ -203,7 +203,7 @@
     def __init__(
         self, start: Start, blank: Callable[[str, int], PersistentState], like: Play | None = None
     ) -> None:
-        self.start, self.blank, self.now = start, blank, 0.0
+        self.blank, self.now = blank, 0.0
         self.left = {
             "stand": start.stands,
             "power": start.losses,
--- a/amberlug/cluster/storage/node.py
+++ b/amberlug/cluster/storage/node.py
@@ -34,7 +34,7 @@
         store: DurableStore,
         contents: StoredContents,
     ) -> None:
-        self.settings, self.contents = settings, contents
+        self.contents = contents
         # A storage node passes nothing on: it only compares with the control-plane node of its session.
         self.gossip = GossipStore(
             runtime, self._gossip_peers, self._on_announcement, DisseminationPolicy(fanout=0)
@@ -71,7 +71,7 @@
 
     def settings_are(self, settings: Settings) -> None:
         """Apply a settings file that has changed."""
-        self.settings = self.member.settings = settings
+        self.member.settings = settings
         self.member.add_seeds(seed_addresses(settings))
 
     def broken(self, address: str) -> None:
