--- a/benchmarks/hollow/deployment.py
+++ b/benchmarks/hollow/deployment.py
@@ -41,7 +41,7 @@
         zone = number % ZONES
         kind = {"core": 1, "store": 2, "edge": 3}[role]
         address = f"10.{kind}.{number // 250}.{number % 250 + 1}:7300"
-        host = self.net.hosts[address] = Host(self.net, role, f"{role}-{number}", f"z{zone}", address)
+        host = self.net.hosts[address] = Host(role, f"{role}-{number}", f"z{zone}", address)
         return host
 
     def start(self, host: Host) -> None:
--- a/benchmarks/hollow/net.py
+++ b/benchmarks/hollow/net.py
@@ -69,8 +69,8 @@
 class Host:
     """One hollow machine."""
 
-    def __init__(self, net: HollowNet, role: str, name: str, zone: str, address: str) -> None:
-        self.net, self.role, self.name, self.zone, self.address = net, role, name, zone, address
+    def __init__(self, role: str, name: str, zone: str, address: str) -> None:
+        self.role, self.name, self.zone, self.address = role, name, zone, address
         self.machine: Any = None
         self.over = False
         self.meter = Meter()
--- a/benchmarks/hollow/steps.py
+++ b/benchmarks/hollow/steps.py
@@ -51,7 +51,7 @@
 
 def _alone(role: str) -> tuple[HollowNet, Host, HollowWorld]:
     net = HollowNet()
-    host = net.hosts["10.1.0.1:7300"] = Host(net, role, f"{role}-0", "z0", "10.1.0.1:7300")
+    host = net.hosts["10.1.0.1:7300"] = Host(role, f"{role}-0", "z0", "10.1.0.1:7300")
     return net, host, HollowWorld(net, host)
 
 
