--- a/amberlug/cluster/edge/intake.py
+++ b/amberlug/cluster/edge/intake.py
@@ -116,7 +116,7 @@
     def handle(self, request: ClientRequest, respond: RespondToClient) -> None:
         """Answer a request: a declared call under `/-/`, or a submission to a configured route."""
         if request.target.startswith("/-/"):
-            self._api.take(request, lambda response: respond(_client_response(response)))
+            self._api.handle(request, lambda response: respond(_client_response(response)))
             return
         if not (self._context.has_routes and self._context.session.is_confirmed):
             # The routing table may be older than one that was acknowledged, or there is none at all.
@@ -164,9 +164,9 @@
         shards = self._delivery.shards
         serving = [number for number, shard in shards.owned.items() if shard.serving]
         if serving:
-            return self._context.runtime.chance.choice(serving)
+            return self._context.runtime.rng.choice(serving)
         owned = [number for number in range(len(shards.table)) if shards.owner_of(number) is not None]
-        return self._context.runtime.chance.choice(owned) if owned else None
+        return self._context.runtime.rng.choice(owned) if owned else None
 
     def _message(
         self, request: ClientRequest, submission: SubmissionHeaders, route: Route, shard: int, key: str
--- a/amberlug/cluster/simulation/network.py
+++ b/amberlug/cluster/simulation/network.py
@@ -12,7 +12,7 @@
 
 from result import Err, Ok
 
-from amberlug.cluster.interfaces import Json, Reply, ReplyCallback, RequestFailure
+from amberlug.cluster.interfaces import Json, RawMessage, Reply, ReplyCallback, RequestFailure
 from amberlug.cluster.rpc.framing import MAX_NETSTRING_BYTES
 from amberlug.cluster.simulation.boundary_digest import BoundaryDigest
 from amberlug.cluster.simulation.clock import Clock, Timer
@@ -64,11 +64,11 @@
         except AssertionError as error:
             self._failed(self, error)
 
-    def thaw(self, chance: random.Random) -> None:
+    def thaw(self, rng: random.Random) -> None:
         """Run again: what has piled up happens, timers before or after what came from outside."""
         self.frozen = False
         waiting, self._waiting = self._waiting, []
-        first = chance.random() < 0.5
+        first = rng.random() < 0.5
         waiting.sort(key=lambda act: (getattr(act, "__name__", "") == "fire") != first)
         for act in waiting:
             self.do(act)
@@ -77,8 +77,8 @@
 class Network:
     """Addresses, delays, cuts and losses."""
 
-    def __init__(self, clock: Clock, chance: random.Random, between_zones: float) -> None:
-        self.clock, self.chance, self.between_zones = clock, chance, between_zones
+    def __init__(self, clock: Clock, rng: random.Random, between_zones: float) -> None:
+        self.clock, self.rng, self.between_zones = clock, rng, between_zones
         self.digest = BoundaryDigest(lambda: clock.now)
         self.hosts: dict[str, Host] = {}  # by address
         self.regions: dict[str, str] = {}  # by zone; those of one region where there are none
@@ -97,9 +97,9 @@
         if self.regions.get(a.zone) != self.regions.get(b.zone):
             seconds += BETWEEN_REGIONS_S
         loss = a.loss + b.loss
-        if loss and self.chance.random() < loss:
+        if loss and self.rng.random() < loss:
             seconds += LOST_S
-        return seconds + self.chance.expovariate(20000)
+        return seconds + self.rng.expovariate(20000)
 
     def departure(self, a: Host, b: Host, size: int) -> float:
         """When so many bytes have left the one machine and come in at the other, but for the delay."""
@@ -132,7 +132,7 @@
         self._tell()
         held, self._held = self._held, {}
         for link in held:
-            self.clock.call_later(self.chance.uniform(*AGAIN_S), link.flush)
+            self.clock.call_later(self.rng.uniform(*AGAIN_S), link.flush)
 
     def _tell(self) -> None:
         self.told(frozenset(self._cuts) | frozenset(self._refused))
@@ -211,25 +211,28 @@
 
     # -- words and replies
 
-    def send(self, word: str, body: Json, blob: bytes) -> None:
-        """Send; nobody hears whether it came."""
-        text = json.dumps(body)
+    def send(self, message: RawMessage) -> None:
+        """Send a notification."""
+        word, blob = message.tag, message.payload
+        text = json.dumps(message.body)
         if not self._too_long(text, blob):
             self._record(None, word, text, blob)
             self._send(None, len(text) + len(blob), partial(self._arrive, None, word, text, blob))
 
-    def request(self, word: str, body: Json, blob: bytes, within: float, then: ReplyCallback) -> None:
-        """Send, and have `then` hear once what came of it."""
+    def request(self, message: RawMessage, timeout_s: float, on_reply: ReplyCallback) -> None:
+        """Send a request; `on_reply` is called once."""
+        word, blob = message.tag, message.payload
         number = next(self.net.numbers)
         source = self.ends[0]
         assert source is not None, "a connection has an opener"
-        text = json.dumps(body)
+        text = json.dumps(message.body)
         if self._too_long(text, blob):
-            self.net.clock.call_later(0.0, partial(source.do, partial(then, Err(RequestFailure.NOT_SENT))))
+            not_sent = partial(on_reply, Err(RequestFailure.NOT_SENT))
+            self.net.clock.call_later(0.0, partial(source.do, not_sent))
             return
         timer = Timer(partial(self._late, number))
-        self._asked[number] = then, timer
-        self.net.clock.call_later(within, partial(source.do, timer.fire))
+        self._asked[number] = on_reply, timer
+        self.net.clock.call_later(timeout_s, partial(source.do, timer.fire))
         self._record(number, word, text, blob)
         self._send(number, len(text) + len(blob), partial(self._arrive, number, word, text, blob))
 
@@ -355,11 +358,11 @@
                 timer.cancel()
                 me.do(partial(then, Err(why)))
             self._waiting = None
-            me.do(lambda: me.machine.broken(self.to))
+            me.do(lambda: me.machine.on_peer_disconnected(self.to))
         else:
             me.incoming.pop(self, None)
             assert other is not None, "a connection has an opener"
-            me.do(lambda: me.machine.broken(other.host.address))
+            me.do(lambda: me.machine.on_peer_disconnected(other.host.address))
         if tell and other is not None:
             self._transmit(side, 0, partial(self.close, 1 - side, RequestFailure.CONNECTION_LOST, False))
 
@@ -372,8 +375,8 @@
 class SimulatedRuntime:
     """The world as one life of a process sees it."""
 
-    def __init__(self, net: Network, life: Incarnation, chance: random.Random, wall: float) -> None:
-        self.net, self.life, self.chance, self._wall = net, life, chance, wall
+    def __init__(self, net: Network, life: Incarnation, rng: random.Random, wall: float) -> None:
+        self.net, self.life, self.rng, self._wall = net, life, rng, wall
 
     def now(self) -> float:
         return self.net.clock.now
@@ -386,12 +389,10 @@
         self.net.clock.call_later(seconds, partial(self.life.do, timer.fire))
         return timer
 
-    def send(self, to: str, word: str, body: Json, blob: bytes = b"") -> None:
+    def send(self, address: str, message: RawMessage) -> None:
         if not self.life.over:  # it may end in the midst of something
-            self.net.link(self.life, to).send(word, body, blob)
+            self.net.link(self.life, address).send(message)
 
-    def request(
-        self, to: str, word: str, body: Json, within: float, then: ReplyCallback, blob: bytes = b""
-    ) -> None:
+    def request(self, address: str, message: RawMessage, timeout_s: float, on_reply: ReplyCallback) -> None:
         if not self.life.over:
-            self.net.link(self.life, to).request(word, body, blob, within, then)
+            self.net.link(self.life, address).request(message, timeout_s, on_reply)
--- a/tests/cluster/test_measured.py
+++ b/tests/cluster/test_measured.py
@@ -9,7 +9,9 @@
 from amberlug.cluster.dispatch.dispatcher import DispatchCallbacks, Dispatcher
 from amberlug.cluster.dispatch.endpoint_pool import EndpointAnnouncement, EndpointPool
 from amberlug.cluster.dispatch.message import Message
-from amberlug.cluster.http.server import Answer, Limits, Server
+from amberlug.cluster.http.message import Response
+from amberlug.cluster.http.parser import Limits
+from amberlug.cluster.http.server import Server
 from amberlug.cluster.interfaces import CallResult, CallVerdict, EndpointCall
 from amberlug.cluster.simulation.clock import Clock
 from amberlug.cluster.simulation.network import Host, Incarnation, Network, SimulatedRuntime
@@ -35,8 +37,8 @@
     """A service with one endpoint, and what of it has been done."""
     net = Network(clock, random.Random(1), 0.001)
     host = Host("edge", "z", "10.0.0.1:7300")
-    world = SimulatedRuntime(net, Incarnation(host, 1, lambda life, error: None), net.chance, 0.0)
-    pool = EndpointPool("z", net.chance, lambda address: 1)
+    world = SimulatedRuntime(net, Incarnation(host, 1, lambda life, error: None), net.rng, 0.0)
+    pool = EndpointPool("z", net.rng, lambda address: 1)
     pool.update("i", EndpointAnnouncement("s", "a", "z", slots, 0.0, "ready"), 0.0)
     done: list[str] = []
 
@@ -79,7 +81,7 @@
 
 def test_a_connection_that_is_old_ends_with_its_next_answer() -> None:
     async def play() -> list[bytes]:
-        server = Server(lambda asked, answer: answer(Answer(200)), Limits, age_s=100.0)
+        server = Server(lambda asked, answer: answer(Response(200)), Limits, max_connection_age_s=100.0)
         await server.listen("127.0.0.1", 0)
         reader, writer = await asyncio.open_connection("127.0.0.1", server.port)
         heads, clock = [], asyncio.get_running_loop().time
