--- a/amberlug/cluster/control/endpoint_registry.py
+++ b/amberlug/cluster/control/endpoint_registry.py
@@ -141,23 +141,22 @@
         (rank, sequence, _), entry = item
         return KnownEndpoint(rank, sequence, entry)
 
-    def receive_heartbeat(self, name: str, announcement: EndpointAnnouncement) -> bool:
+    def receive_heartbeat(self, name: str, announcement: EndpointAnnouncement) -> None:
         """Record a ready endpoint's announcement, and publish it where it changes the endpoint's entry.
 
-        :returns: False where it is out of date, or the endpoint has announced its departure.
+        It changes nothing where it is out of date, or the endpoint has announced its departure.
         """
         self.last_heartbeat_s[name] = self.runtime.now()
         self.unreported_heartbeats.add(name)
         endpoint = self.find(name)
         if endpoint is not None:
             if endpoint.rank != EndpointRank.READY or announcement.sequence < endpoint.sequence:
-                return False
+                return
             if endpoint.is_ready and endpoint.has_same_service(announcement):
-                return True
+                return
         version = [EndpointRank.READY, announcement.sequence, 0]
         entry = announcement.to_gossip(CONDITIONS[EndpointRank.READY])
         self.gossip.offer(KEY_PREFIX + name, version, entry)
-        return True
 
     def depart(
         self, name: str, departure: DepartureRank, announcement: EndpointAnnouncement | None = None
