--- a/amberlug/cluster/consensus/membership.py
+++ b/amberlug/cluster/consensus/membership.py
@@ -66,7 +66,7 @@
     @property
     def zone(self) -> str:
         """Its failure domain; empty where it is not known."""
-        return str(self._record["zone"])
+        return str(self._record.get("zone", ""))
 
     @property
     def region(self) -> str:
--- a/amberlug/cluster/control/messages.py
+++ b/amberlug/cluster/control/messages.py
@@ -18,8 +18,8 @@
 # Rows of gossip as `GossipStore` pages them; their form is the gossip package's.
 GossipRows = list[Any]
 SessionDetails: TypeAlias = dict[str, Any]
-"""What only one class of node reports of itself, as a JSON object: `control.sessions` reads those of edge and
-storage nodes, and passes on what it does not know."""
+"""What only one class of node reports of itself, as a JSON object, which is passed on as it came:
+`control.session_attributes` reads and writes those of edge and storage nodes."""
 
 
 @value
--- a/amberlug/cluster/control/reconciler.py
+++ b/amberlug/cluster/control/reconciler.py
@@ -14,7 +14,8 @@
 from amberlug.cluster.control.commands import AssignShards, UpdateRoster
 from amberlug.cluster.control.context import ControlContext
 from amberlug.cluster.control.membership import Membership
-from amberlug.cluster.control.sessions import EdgeProgress, Session, StorageDetails
+from amberlug.cluster.control.session_attributes import EdgeAttributes, StorageAttributes
+from amberlug.cluster.control.sessions import Session
 from amberlug.cluster.control.shard_assignment import SHARDS, assign_shards
 from amberlug.cluster.control.state_entries import OwnerEntry, Retirement, Roster, StoreEntry, StoreState
 
@@ -110,9 +111,9 @@
     def _entries_for(self, session: Session) -> dict[str, StoreEntry]:
         """What a storage node's session changes on the roster."""
         roster, retirement = self.cluster_state.roster, self.cluster_state.retirements.get(session.name)
-        details, node = StorageDetails.from_details(session.details), session.node
-        disk, current = details.disk_id, roster.get(details.disk_id)
-        if current is None and (details.is_enrolled or retirement is Retirement.COMPLETED):
+        attributes, node = StorageAttributes.from_wire(session.details), session.node
+        disk, current = attributes.disk_id, roster.get(attributes.disk_id)
+        if current is None and (attributes.is_enrolled or retirement is Retirement.COMPLETED):
             return {}  # its disk was dropped or emptied before: it has to come with another one
         # A node that lost its disk while it was emptied comes back as one that is still to be emptied.
         state = StoreState.RETIRING if retirement is Retirement.IN_PROGRESS else StoreState.FULL
@@ -162,7 +163,7 @@
         progress = self._owners_progress(edges)
         if not progress:
             return
-        if any(owner.shards_index != state.shards_index or not owner.is_complete for owner in progress):
+        if any(owner.shard_table_index != state.shards_index or not owner.is_complete for owner in progress):
             return
         roster_index = min(owner.roster_index for owner in progress)
         dropped = [
@@ -182,12 +183,12 @@
             disk in self._absent_disks for disk, store in roster.items() if store.state is StoreState.FULL
         )
 
-    def _owners_progress(self, edges: Mapping[str, Session]) -> Sequence[EdgeProgress]:
+    def _owners_progress(self, edges: Mapping[str, Session]) -> Sequence[EdgeAttributes]:
         """What all owners of shards report; empty where there is none, or one has no session."""
         owners = {shard.owner for shard in self.cluster_state.shards}
         if not owners <= set(edges):
             return []
-        return [EdgeProgress.from_details(edges[owner].details) for owner in sorted(owners)]
+        return [EdgeAttributes.from_wire(edges[owner].details) for owner in sorted(owners)]
 
     # -- owners of shards
 
--- a/amberlug/cluster/dispatch/replicator.py
+++ b/amberlug/cluster/dispatch/replicator.py
@@ -6,15 +6,18 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable, Set
+from collections.abc import Callable, Mapping, Set
+from typing import NamedTuple
 
 from result import Ok, Result
 
+from amberlug.cluster.control.published_state import StorageRoster
+from amberlug.cluster.control.state_entries import StoreEntry, StoreState
 from amberlug.cluster.dispatch.message import Message
 from amberlug.cluster.dispatch.outcome_delivery import OutcomeDelivery
 from amberlug.cluster.dispatch.replica_write import ReplicationOutcome, ReplicaWrite
 from amberlug.cluster.dispatch.store_health import PROBE_INTERVAL_S, StoreHealth
-from amberlug.cluster.interfaces import Json, RequestFailure, Runtime
+from amberlug.cluster.interfaces import RequestFailure, Runtime
 from amberlug.cluster.rpc.messages import request
 from amberlug.cluster.settings import Tolerance
 from amberlug.cluster.storage.messages import (
@@ -23,29 +26,17 @@
     AcknowledgeRequest,
     MessageOutcome,
 )
-from amberlug.cluster.values import value
 
 PROBE_TIMEOUT_S = 0.5
 SUSPECT_DISCONNECTED_S = 0.3  # a process whose connection ended may be restarting
 
 
-@value
-class StorageMember:
-    """A storage node of the roster."""
+class _Distance(NamedTuple):
+    """How a disk ranks for a replica: in this order, those for which a field is False come first."""
 
-    name: str
-    address: str
-    zone: str
-    region: str
-    state: str  # `full`, `retiring` or `lost`: only full members take replicas and count as having them
-
-    @classmethod
-    def from_roster(cls, row: Json) -> StorageMember:
-        """Decode a row of the roster.
-
-        :raises KeyError: where a field is missing.
-        """
-        return cls(row["name"], row["addr"], row["zone"], row["region"], row["state"])
+    is_suspect: bool
+    is_in_other_zone: bool
+    is_in_other_region: bool
 
 
 class Replicator:
@@ -61,26 +52,24 @@
         self.runtime, self.tolerance = runtime, tolerance
         self._zone, self._region = zone, region
         self._outcome_retention_s = outcome_retention_s
-        self.stores: dict[str, StorageMember] = {}
-        self.roster_index = 0  # log index of the roster
+        self.stores: Mapping[str, StoreEntry] = {}  # the roster, by disk
+        self.roster_index = 0  # its log index; 0 where none is known
         self.health = StoreHealth(runtime)
-        self._outcomes = OutcomeDelivery(runtime, self.health, self._address_of, self._writable)
-
-    def update_roster(self, roster: Json, index: int = 0) -> None:
-        """Take a newer roster. Its keys are disks: a machine that lost its disk is another storage node.
+        self._outcomes = OutcomeDelivery(runtime, self.health, self._address_of, lambda: self.writable_disks)
 
-        :param index: log index of the roster.
-        """
-        self.stores = {disk: StorageMember.from_roster(row) for disk, row in roster.items()}
+    def update_roster(self, roster: StorageRoster) -> None:
+        """Use a newer roster."""
+        self.stores, self.roster_index = roster.stores, roster.index
         self._outcomes.forget_except(self.stores)
         self.health.forget_except(self.stores)
-        self.roster_index = index
 
     def _address_of(self, disk: str) -> str | None:
         return self.stores[disk].address if disk in self.stores else None
 
-    def _writable(self) -> list[str]:
-        return [disk for disk, store in self.stores.items() if store.state == "full"]
+    @property
+    def writable_disks(self) -> list[str]:
+        """The disks that take replicas."""
+        return [disk for disk, store in self.stores.items() if store.state is StoreState.FULL]
 
     # -- quorums
 
@@ -91,10 +80,10 @@
         domains = {member.name: (member.zone, member.region) for member in members}
         return self.tolerance.holds(list(domains.values()))
 
-    def enough(self, disks: Set[str]) -> bool:
+    def is_write_quorum(self, disks: Set[str]) -> bool:
         """Whether replicas on these disks outlive the tolerated losses; only full members count."""
         return self.is_quorum(
-            {disk for disk in disks if disk in self.stores and self.stores[disk].state == "full"}
+            {disk for disk in disks if disk in self.stores and self.stores[disk].state is StoreState.FULL}
         )
 
     def covers_all_messages(self, disks: Set[str]) -> bool:
@@ -111,10 +100,10 @@
 
         Unresponsive ones are probed until enough of them respond, also while no message arrives.
         """
-        writable = self._writable()
+        writable = self.writable_disks
         unresponsive = {disk for disk in writable if self.health.is_unresponsive(disk)}
         full = {disk for disk in writable if self.health.is_full(disk)}
-        if self.enough(set(writable) - unresponsive - full):
+        if self.is_write_quorum(set(writable) - unresponsive - full):
             return False
         for disk in sorted(unresponsive):
             self._probe(disk)
@@ -150,15 +139,17 @@
         Those that are not suspect come first, then those in this zone, then those in this region. Messages
         take turns among equals, by their shard and number.
         """
-        disks = sorted(self._writable())
+        disks = sorted(self.writable_disks)
         offset = (message.shard + message.order[1]) % max(1, len(disks))
         return sorted(disks[offset:] + disks[:offset], key=self._distance)
 
-    def _distance(self, disk: str) -> tuple[bool, bool, bool]:
+    def _distance(self, disk: str) -> _Distance:
         store = self.stores[disk]
-        return self.health.is_suspect(disk), store.zone != self._zone, store.region != self._region
+        return _Distance(self.health.is_suspect(disk), store.zone != self._zone, store.region != self._region)
 
-    def put(self, message: Message, epoch: int, on_complete: Callable[[ReplicationOutcome], None]) -> None:
+    def replicate(
+        self, message: Message, epoch: int, on_complete: Callable[[ReplicationOutcome], None]
+    ) -> None:
         """Write replicas of a message until enough are durable; those that it has count.
 
         :param epoch: the fencing token of the shard's owner.
@@ -175,17 +166,17 @@
         All that may have a replica are told, so that none brings the message back as open; and enough of them
         for the outcome to outlive the tolerated losses.
         """
-        message.end, message.seal = outcome.status, outcome.receipt
+        message.outcome = outcome
         retain_until = max(self.runtime.wall_clock() + self._outcome_retention_s, message.keep_until)
         acknowledgement = Acknowledgement(message.id, message.shard, outcome, round(retain_until, 3))
         for disk in sorted(self._disks_to_notify(message)):
-            if self.stores[disk].state != "lost":
+            if self.stores[disk].state is not StoreState.LOST:
                 self._outcomes.add(disk, acknowledgement)
 
     def _disks_to_notify(self, message: Message) -> set[str]:
         disks = {disk for disk in message.holders | message.possible_holders if disk in self.stores}
         for disk in self.preferred_disks(message):
-            if self.enough(disks):
+            if self.is_write_quorum(disks):
                 break
             disks.add(disk)
         return disks
--- a/amberlug/cluster/edge/dispatchers.py
+++ b/amberlug/cluster/edge/dispatchers.py
@@ -4,16 +4,16 @@
 
 from collections.abc import Callable
 
+from amberlug.cluster.control.published_state import EndpointCondition, PublishedEndpoint
 from amberlug.cluster.dispatch.dispatcher import DispatchCallbacks, Dispatcher, InFlightCall
-from amberlug.cluster.dispatch.endpoint_pool import EndpointAnnouncement, EndpointPool
+from amberlug.cluster.dispatch.endpoint_pool import EndpointPool
 from amberlug.cluster.dispatch.message import Message
 from amberlug.cluster.dispatch.shard_owner import ShardOwner
 from amberlug.cluster.edge.context import EdgeContext
-from amberlug.cluster.interfaces import CallResult, Endpoints, Json
+from amberlug.cluster.interfaces import CallResult, Endpoints
 
-RATE_INCREASE_DELAY_S = (
-    1.0  # until a larger share is used: the other edge nodes use their smaller ones by then
-)
+# Until a larger share is used: the other edge nodes use their smaller ones by then.
+RATE_INCREASE_DELAY_S = 1.0
 FIRST_SHARE_DIVISOR = 4  # what a node that had no share may use of its new one in that time
 MIN_RATE_SHARE = 0.01  # of a node without shards, whose calls from before may still need a retry
 UNROUTED_CALL_TIMEOUT_S = 1.0  # of a message whose route has been removed since it became due
@@ -25,11 +25,11 @@
     def __init__(
         self,
         context: EdgeContext,
-        shards: ShardOwner,
+        shard_owner: ShardOwner,
         endpoints: Endpoints,
         on_call_finished: Callable[[Message, CallResult], None],
     ) -> None:
-        self._context, self._shards, self._endpoints = context, shards, endpoints
+        self._context, self._shard_owner, self._endpoints = context, shard_owner, endpoints
         self._on_call_finished = on_call_finished
         self._pool = EndpointPool(context.settings.zone, context.runtime.rng, endpoints.available_connections)
         self.by_service: dict[str, Dispatcher] = {}
@@ -58,16 +58,14 @@
         """Send a message that is due to an endpoint of a service, as soon as its rate and endpoints allow."""
         self._dispatcher(service).add(message)
 
-    def endpoint_announced(self, endpoint_id: str, announcement: Json) -> None:
-        """Apply an announcement of an endpoint, and send what waited for it."""
-        unusable = self._pool.update(
-            endpoint_id, EndpointAnnouncement.from_wire(announcement), self._context.runtime.now()
-        )
-        if unusable is not None and unusable.state == "gone":
+    def update_endpoint(self, endpoint_id: str, published: PublishedEndpoint) -> None:
+        """Use what is published of an endpoint now, and send what waited for it."""
+        unusable = self._pool.update(endpoint_id, published, self._context.runtime.now())
+        if unusable is not None and unusable.condition == EndpointCondition.GONE:
             self._endpoints.close_idle_connections(unusable.address)
-        dispatcher = self.by_service.get(announcement["service"])
+        dispatcher = self.by_service.get(published.service)
         if dispatcher is not None:
-            dispatcher.pump()
+            dispatcher.send_due()
 
     def apply_routes(self) -> None:
         """Have a dispatcher for each service of the routing table, and know its fixed endpoint if any."""
@@ -80,7 +78,7 @@
         self._rate_share = 0.0
         self.update_rate_share()
         for dispatcher in self.by_service.values():
-            dispatcher.pump()
+            dispatcher.send_due()
 
     def update_rate_share(self) -> None:
         """Adapt this node's share of the rate limits to the number of edge nodes that own shards.
@@ -98,7 +96,7 @@
             self._set_rate_share(share / FIRST_SHARE_DIVISOR)
 
     def _assigned_share(self) -> float:
-        return 1 / self._shards.edges if self._shards.owned else 0.0
+        return 1 / self._shard_owner.owner_count if self._shard_owner.owned else 0.0
 
     def _increase_rate_share(self) -> None:
         self._increase_scheduled = False
@@ -121,7 +119,7 @@
                 DispatchCallbacks(self._call_timeout_s, self._on_call_finished),
             )
         destination = self._context.routes.services.get(service)
-        dispatcher.fixed = destination is not None and destination.fixed is not None
+        dispatcher.has_fixed_address = destination is not None and destination.fixed is not None
         return dispatcher
 
     def _call_timeout_s(self, message: Message) -> float:
--- a/tests/cluster/test_raft.py
+++ b/tests/cluster/test_raft.py
@@ -1,7 +1,6 @@
 """Single members of the Raft group, driven by frames."""
 
 import random
-from collections.abc import Callable
 from typing import Any
 
 from amberlug.cluster.consensus.membership import Members
@@ -14,10 +13,10 @@
     TransferHeader,
 )
 from amberlug.cluster.control.initial_state import founding_members
-from amberlug.cluster.interfaces import Json
+from amberlug.cluster.interfaces import Json, OnWritten
 from amberlug.cluster.rpc.messages import handlers_of
 from amberlug.cluster.simulation.clock import Clock
-from amberlug.cluster.simulation.disk import ControlDisk
+from amberlug.cluster.simulation.disk import OUT_OF_SPACE, ControlDisk
 from tests.cluster.fakes import Alone, settings
 
 MEMBERS = Members.from_wire({name: {"addr": name, "voter": True} for name in "abc"})
@@ -30,9 +29,9 @@
         self.full = False
         self.entries: dict[int, Any] = {}
 
-    def write(self, rows: list[tuple[str, tuple[Any, ...]]], then: Callable[[str | None], None]) -> None:
+    def write(self, rows: list[tuple[str, tuple[Any, ...]]], then: OnWritten) -> None:
         if self.full and any(kind == "entry" for kind, _ in rows):
-            then("no space is left")
+            then(OUT_OF_SPACE)
             return
         for kind, values in rows:
             if kind == "cut":
@@ -105,7 +104,7 @@
     def __init__(self, disk: ControlDisk) -> None:
         self.disk = disk
 
-    def write(self, rows: list[tuple[str, tuple[Any, ...]]], then: Callable[[str | None], None]) -> None:
+    def write(self, rows: list[tuple[str, tuple[Any, ...]]], then: OnWritten) -> None:
         self.disk.put(rows, then)
 
 
@@ -203,7 +202,7 @@
 def test_a_snapshot_that_the_disk_refuses_is_not_acknowledged() -> None:
     learner, transfer = Learner(), snapshot("x")
     put = learner.disk.put
-    learner.disk.put = lambda rows, then: then("no space is left")  # type: ignore[method-assign]
+    learner.disk.put = lambda rows, then: then(OUT_OF_SPACE)  # type: ignore[method-assign]
     assert [learner.receive(transfer, *chunk) for chunk in chunks(transfer)][-1] is None
     assert learner.receive(transfer, 0, b"") == {"ok": False, "term": 1, "had": transfer.header.size_bytes}
     learner.disk.put = put  # type: ignore[method-assign]
--- a/tests/cluster/test_unclear_asks.py
+++ b/tests/cluster/test_unclear_asks.py
@@ -6,6 +6,7 @@
 from result import Err, Ok
 
 from amberlug.cluster.control.node import ControlNode, blank
+from amberlug.cluster.control.published_state import ShardTable
 from amberlug.cluster.dispatch.message import Message
 from amberlug.cluster.dispatch.messages import AdmissionOutcome
 from amberlug.cluster.edge.node import EdgeNode
@@ -18,7 +19,9 @@
 from tests.cluster.test_control_node import InstantDisk
 from tests.cluster.test_edge_node import Nowhere
 
-AWAY = {"owners": [["edge/other", {"addr": "10.0.0.9:7300"}]], "shards": [[0, 1, -1]]}
+AWAY = ShardTable.from_wire(
+    1, {"owners": [["edge/other", {"addr": "10.0.0.9:7300"}]], "shards": [[0, 1, -1]]}
+)
 FATES = [*RequestFailure, *AdmissionOutcome]
 
 
@@ -29,7 +32,7 @@
     clock = Clock()
     world = Alone(clock)
     edge = EdgeNode(world, settings("edge"), "10.0.0.1:7300", Nowhere())
-    edge.shards.update_table(AWAY)
+    edge.shard_owner.update_table(AWAY)
     said: list[AdmissionOutcome] = []
     message = Message("0-x", 0, "x", "", "POST", "/", "r", "", 0.0, 0.0)
     edge.forwarder.submit(message, 1.5, said.append)
