--- a/amberlug/cluster/control/endpoint_registry.py
+++ b/amberlug/cluster/control/endpoint_registry.py
@@ -155,23 +155,22 @@
         (rank, sequence, _), body = item
         return KnownEndpoint(rank, sequence, body)
 
-    def receive_heartbeat(self, name: str, announcement: EndpointAnnouncement) -> bool:
+    def receive_heartbeat(self, name: str, announcement: EndpointAnnouncement) -> None:
         """Record a ready endpoint's announcement, and publish it where it changes the endpoint's entry.
 
-        :returns: False where it is out of date, or the endpoint has announced its departure.
+        It changes nothing where it is out of date, or the endpoint has announced its departure.
         """
         self.last_heartbeat_s[name] = self.runtime.now()
         self.unreported_heartbeats.add(name)
         endpoint = self.find(name)
         if endpoint is not None:
             if endpoint.rank != EndpointRank.READY or announcement.sequence < endpoint.sequence:
-                return False
+                return
             if endpoint.is_ready and endpoint.has_same_service(announcement):
-                return True
+                return
         version = [EndpointRank.READY, announcement.sequence, 0]
         published = announcement.published(EndpointCondition.READY)
         self.gossip.offer(ENDPOINT_KEY_PREFIX + name, version, published.to_wire())
-        return True
 
     def depart(
         self, name: str, departure: DepartureRank, announcement: EndpointAnnouncement | None = None
--- a/amberlug/cluster/interfaces.py
+++ b/amberlug/cluster/interfaces.py
@@ -198,16 +198,3 @@
 
     def write(self, statements: list[SqlStatement], on_written: OnWritten, /) -> None:
         """Execute statements in one transaction with others that are pending."""
-
-
-def on(tag: str) -> Callable[[Callable[..., None]], Callable[..., None]]:
-    """Declare a method as the handler of a raw message: `(body, payload, origin, respond)`.
-
-    `rpc.messages.handles` declares handlers of typed messages.
-    """
-
-    def declare(handler: Callable[..., None]) -> Callable[..., None]:
-        handler.__dict__["wire_tag"] = tag
-        return handler
-
-    return declare
--- a/amberlug/cluster/simulation/scenarios.py
+++ b/amberlug/cluster/simulation/scenarios.py
@@ -44,7 +44,7 @@
     """One play of one seed."""
 
     def __init__(self, seed: int, aim: str = "") -> None:
-        self.seed, self.aim = seed, aim
+        self.aim = aim
         rng = self.rng = random.Random(f"{seed} day")
         size = self.size = Size(
             rng.choice((2, 3, 3, 4)),
--- a/amberlug/cluster/storage/node.py
+++ b/amberlug/cluster/storage/node.py
@@ -36,7 +36,7 @@
         store: DurableStore,
         contents: StoredContents,
     ) -> None:
-        self.settings, self.contents = settings, contents
+        self.contents = contents
         # A storage node passes nothing on: it only compares with the control-plane node of its session.
         self.gossip = GossipStore(
             runtime, self._gossip_peers, self._on_published, DisseminationPolicy(fanout=0)
@@ -73,7 +73,7 @@
 
     def update_settings(self, settings: Settings) -> None:
         """Apply a settings file that has changed."""
-        self.settings = self.session.settings = settings
+        self.session.settings = settings
         self.session.add_seeds(seed_addresses(settings))
 
     def on_peer_disconnected(self, address: str) -> None:
--- a/benchmarks/hollow/net.py
+++ b/benchmarks/hollow/net.py
@@ -35,6 +35,7 @@
 from amberlug.cluster.simulation.clock import Clock, Timer
 
 SYNC_S = 0.002
+WITHIN_ZONE_S = 0.0002  # one way between machines of one zone
 BOUNDS = {
     "seedLagS": 3.0,
     "reuseAfterS": 2.0,
@@ -69,8 +70,8 @@
 class Host:
     """One hollow machine."""
 
-    def __init__(self, net: HollowNet, role: str, name: str, zone: str, address: str) -> None:
-        self.net, self.role, self.name, self.zone, self.address = net, role, name, zone, address
+    def __init__(self, role: str, name: str, zone: str, address: str) -> None:
+        self.role, self.name, self.zone, self.address = role, name, zone, address
         self.machine: Any = None
         self.over = False
         self.meter = Meter()
@@ -89,17 +90,17 @@
 class HollowNet:
     """The clock, the machines, and what is on its way."""
 
-    def __init__(self, seed: int = 1, within: float = 0.0002, between: float = 0.0009) -> None:
+    def __init__(self, seed: int = 1, between: float = 0.0009) -> None:
         self.clock = Clock()
         self.rng = random.Random(seed)
-        self.within, self.between = within, between
+        self.between = between
         self.hosts: dict[str, Host] = {}
         self.numbers = itertools.count(1)
         self.asked: dict[int, tuple[Host, str, ReplyCallback]] = {}
         self.apart = ""  # a zone that nothing gets to or from
 
     def delay(self, a: Host, b: Host) -> float:
-        return self.within if a.zone == b.zone else self.between
+        return WITHIN_ZONE_S if a.zone == b.zone else self.between
 
     def send(self, source: Host, to: Host, word: str, data: bytes, hear: Callable[[], None]) -> None:
         """Count a frame, and have it heard at the other end."""
@@ -243,7 +244,6 @@
         host.zone,
         "r",
         frozenset(),
-        host.role,
         None,
         None,
         control,
@@ -254,7 +254,6 @@
         1.0,
         Tolerance(1, 0, 0),
         300.0,
-        360.0,
         BOUNDS,
     )
 
