--- a/amberlug/cluster/process.py
+++ b/amberlug/cluster/process.py
@@ -11,19 +11,18 @@
 from collections.abc import Callable, Mapping
 from functools import partial
 from pathlib import Path
-from typing import TYPE_CHECKING, Any, NamedTuple, Protocol
+from typing import Any, NamedTuple, Protocol
 
 from absl import logging
 from result import Err
 
 from amberlug.cluster.asyncio_runtime import AsyncioRuntime
-from amberlug.cluster.http.api import HttpResponse, pack
+from amberlug.cluster.frontends import EdgeFrontend, respond_to_operator
 from amberlug.cluster.http.connection import NEVER, RequestHandler, RespondCallback
-from amberlug.cluster.http.message import Request, Response
+from amberlug.cluster.http.message import Request
 from amberlug.cluster.http.parser import Limits
 from amberlug.cluster.http.server import Server
 from amberlug.cluster.interfaces import RawMessage, Respond
-from amberlug.cluster.metrics import PATH, page
 from amberlug.cluster.rpc.transport import PeerTransport
 from amberlug.cluster.settings import (
     DEFAULT_SETTINGS_FILE,
@@ -33,19 +32,12 @@
     read_settings_file,
 )
 
-if TYPE_CHECKING:
-    from amberlug.cluster.edge.intake import ClientResponse
-    from amberlug.cluster.edge.node import EdgeNode
-
 COUNTERS_INTERVAL_S = 10.0  # between log lines with the counters
 SETTINGS_CHECK_INTERVAL_S = 2.0
 SWEEP_INTERVAL_S = 0.5  # between looks for idle connections to endpoints
-READINESS_PATH = "/-/readiness"
 STILL_ROUTED_S = 2.6  # after SIGTERM until the platform routes no new client to this process
 MAX_CONNECTION_AGE_S = 6.0  # of clients: else they stay where they were routed while other edges were down
 GRACE_MARGIN_S = 0.8  # of the grace period that is kept for the end of the process
-JSON = (("Content-Type", "application/json"),)
-PLAIN = (("Content-Type", "text/plain; charset=utf-8"),)
 EX_SOFTWARE = 70  # exit code: an invariant does not hold
 EX_BAD_SETTINGS = 2  # exit code
 DRAIN_CHECK_INTERVAL_S = 0.05
@@ -158,7 +150,7 @@
         node = self._node = ControlNode(runtime, settings, self.transport.address, writer, state)
 
         def handle(request: Request, respond: RespondCallback) -> None:
-            node.admin_api.handle(request, partial(_answer_operator, respond))
+            node.admin_api.handle(request, partial(respond_to_operator, respond))
 
         await self._serve(settings.control, handle)
 
@@ -179,7 +171,7 @@
 
         endpoint_client = EndpointClient()
         node = self._node = EdgeNode(runtime, self.settings, self.transport.address, endpoint_client)
-        frontend = _EdgeFrontend(node)
+        frontend = EdgeFrontend(node)
 
         def sweep() -> None:
             endpoint_client.sweep()
@@ -276,47 +268,6 @@
         )
 
 
-class _EdgeFrontend:
-    """The HTTP requests of clients and of probes, as an edge node answers them."""
-
-    def __init__(self, node: EdgeNode) -> None:
-        self._node = node
-
-    def limits(self) -> Limits:
-        """The limits of the newest configuration."""
-        routes = self._node.routes
-        return Limits(routes.header_bytes, routes.body_bytes, routes.header_s, routes.idle_s)
-
-    def handle(self, request: Request, respond: RespondCallback) -> None:
-        """Pass on a client's request."""
-
-        def send(response: ClientResponse) -> None:
-            if response.body is not None:
-                respond(Response(response.status, response.headers + JSON, pack(response.body)))
-            else:
-                respond(Response(response.status, response.headers, response.payload))
-
-        self._node.handle(request, send)
-
-    def handle_probe(self, request: Request, respond: RespondCallback) -> None:
-        """Answer the readiness probe: 200 or 503; and who reads the counters."""
-        path = request.target.partition("?")[0]
-        if path == PATH:
-            respond(Response(200, PLAIN, page(self._node.counters)))
-        elif path == READINESS_PATH:
-            respond(Response(200 if self._node.ready else 503, JSON, b"{}"))
-        else:
-            respond(Response(404, JSON, b"{}"))
-
-
-def _answer_operator(respond: RespondCallback, response: HttpResponse) -> None:
-    headers = (("Retry-After", str(response.retry_after)),) if response.retry_after is not None else ()
-    if response.page is not None:
-        respond(Response(response.status, PLAIN + headers, response.page))
-    else:
-        respond(Response(response.status, JSON + headers, pack(response.body)))
-
-
 def _post_to_running_loop() -> Callable[[Callable[[], None]], None]:
     """What has the running loop call something, from other threads."""
     loop = asyncio.get_running_loop()
