--- a/amberlug/cluster/control/membership.py
+++ b/amberlug/cluster/control/membership.py
@@ -28,7 +28,7 @@
 LEAVING_TIMEOUT_S = 2.0  # after the last announcement a node is taken to stay after all
 
 
-class Membership:
+class MembershipService:
     """One node's part in the membership: its own, and as the leader that of all nodes."""
 
     def __init__(self, context: ControlContext) -> None:
--- a/amberlug/cluster/control/node.py
+++ b/amberlug/cluster/control/node.py
@@ -16,7 +16,7 @@
 from amberlug.cluster.control.endpoint_api import EndpointApi
 from amberlug.cluster.control.endpoint_registry import EndpointRegistry
 from amberlug.cluster.control.initial_state import blank
-from amberlug.cluster.control.membership import Membership
+from amberlug.cluster.control.membership import MembershipService
 from amberlug.cluster.control.published_state import CONFIG_KEY
 from amberlug.cluster.control.quorum_contact import QuorumContact
 from amberlug.cluster.control.reconciler import Reconciler
@@ -92,7 +92,7 @@
 
     def _build_services(self, context: ControlContext) -> None:
         self.session_service = SessionService(context)
-        self.membership = Membership(context)
+        self.membership = MembershipService(context)
         self.reconciler = Reconciler(context, self.membership)
         self.executor = CommandExecutor(context, self.reconciler)
         self.commands = CommandService(context, self.executor)
--- a/amberlug/cluster/control/reconciler.py
+++ b/amberlug/cluster/control/reconciler.py
@@ -13,7 +13,7 @@
 from amberlug.cluster.consensus.raft import Role
 from amberlug.cluster.control.commands import AssignShards, UpdateRoster
 from amberlug.cluster.control.context import ControlContext
-from amberlug.cluster.control.membership import Membership
+from amberlug.cluster.control.membership import MembershipService
 from amberlug.cluster.control.session_attributes import EdgeAttributes, StorageAttributes
 from amberlug.cluster.control.sessions import Session
 from amberlug.cluster.control.shard_assignment import SHARDS, assign_shards
@@ -37,7 +37,7 @@
 class Reconciler:
     """What a control-plane node does while it leads."""
 
-    def __init__(self, context: ControlContext, membership: Membership) -> None:
+    def __init__(self, context: ControlContext, membership: MembershipService) -> None:
         self._runtime, self._raft, self._settings = context.runtime, context.raft, context.settings
         self._sessions, self._membership = context.sessions, membership
         self.cluster_state = context.cluster_state
