--- a/amberlug/cluster/dispatch/call_outcome.py
+++ b/amberlug/cluster/dispatch/call_outcome.py
@@ -40,7 +40,7 @@
     if result.verdict is not CallVerdict.ANSWERED:
         return CallOutcome()
     backoff_s = min(MAX_RETRY_S, MIN_RETRY_S * 2 ** min(message.call_count, MAX_BACKOFF_EXPONENT))
-    if result.header(ATTEMPT_HEADER) != message.attempt:
+    if result.header(ATTEMPT_HEADER) != message.attempt_id:
         return CallOutcome(retry_delay_s=backoff_s)
     if result.header(NOT_EXECUTED_HEADER) is not None or result.status == 421:
         return CallOutcome(retry_delay_s=backoff_s)
--- a/amberlug/cluster/dispatch/delivery_queue.py
+++ b/amberlug/cluster/dispatch/delivery_queue.py
@@ -32,9 +32,9 @@
         """Add a message that is not in the queue."""
         assert message.id not in self.messages, "a message is queued twice"
         self.messages[message.id] = message
-        if message.key:
-            same_key = self._by_key.setdefault(message.key, [])
-            bisect.insort(same_key, message, key=lambda queued: queued.order)
+        if message.sequence_key:
+            same_key = self._by_key.setdefault(message.sequence_key, [])
+            bisect.insort(same_key, message, key=lambda queued: queued.position)
             if same_key[0] is not message:
                 return
         self._schedule(message)
@@ -68,7 +68,7 @@
         """Give a due message to `on_ready`, unless it left the queue or is not the first of its key."""
         if self.messages.get(message.id) is not message or message.ended or message.in_flight:
             return
-        same_key = self._by_key.get(message.key, []) if message.key else []
+        same_key = self._by_key.get(message.sequence_key, []) if message.sequence_key else []
         if same_key and (same_key[0] is not message or any(queued.in_flight for queued in same_key)):
             return  # it is offered once those before it have ended
         self._on_ready(message)
@@ -78,7 +78,7 @@
         message.in_flight = False
         if self.messages.get(message.id) is message and not message.ended:
             # One that was admitted before it may have been added meanwhile, and waited for this call to end.
-            self._schedule(self._by_key[message.key][0] if message.key else message)
+            self._schedule(self._by_key[message.sequence_key][0] if message.sequence_key else message)
 
     def end(self, message: Message) -> None:
         """Remove a message that has ended; the next one of its key may begin."""
@@ -90,11 +90,11 @@
         if self.messages.get(message.id) is not message:
             return
         del self.messages[message.id]
-        if not message.key:
+        if not message.sequence_key:
             return
-        same_key = self._by_key[message.key]
+        same_key = self._by_key[message.sequence_key]
         same_key.remove(message)
         if not same_key:
-            del self._by_key[message.key]
+            del self._by_key[message.sequence_key]
         elif message.ended:
             self._schedule(same_key[0])
--- a/amberlug/cluster/dispatch/dispatcher.py
+++ b/amberlug/cluster/dispatch/dispatcher.py
@@ -145,7 +145,7 @@
         endpoint_call = EndpointCall(
             endpoint.address,
             endpoint.id,
-            message.attempt,
+            message.attempt_id,
             message.method,
             message.target,
             self._headers(message, endpoint, timeout_s),
@@ -158,7 +158,7 @@
         headers = [
             ("Host", message.host),
             *message.headers,
-            ("Amberlug-Attempt-Id", message.attempt),
+            ("Amberlug-Attempt-Id", message.attempt_id),
             ("Amberlug-Time-Remaining", str(max(1, int(timeout_s * 1000)))),
         ]
         if not self.has_fixed_address:
--- a/amberlug/cluster/dispatch/endpoint_client.py
+++ b/amberlug/cluster/dispatch/endpoint_client.py
@@ -74,7 +74,7 @@
         on_result(await self._try(call))
 
     async def _try(self, call: EndpointCall) -> CallResult:
-        connection = self._pop_idle(call.address, call.attempt) or await self._connect(call)
+        connection = self._pop_idle(call.address, call.attempt_id) or await self._connect(call)
         if connection is None:
             return CallResult(CallVerdict.NOT_CONNECTED)
         response = await self._exchange(connection.link, call)
@@ -86,7 +86,7 @@
             connection.link.close()
             return CallResult(CallVerdict.CONNECTION_LOST)
         if not response.headers.get(SEAL_HEADER):
-            connection.open_attempts.add(call.attempt)
+            connection.open_attempts.add(call.attempt_id)
         self._release(call.address, connection, response.headers)
         return CallResult(CallVerdict.ANSWERED, response.status, tuple(response.headers.items()))
 
@@ -111,7 +111,7 @@
     @staticmethod
     async def _connect(call: EndpointCall) -> _Connection | None:
         host, _, port = call.address.rpartition(":")
-        link = await dial(host, int(port), min(CONNECT_TIMEOUT_S, call.seconds))
+        link = await dial(host, int(port), min(CONNECT_TIMEOUT_S, call.timeout_s))
         return _Connection(link) if link is not None else None
 
     async def _exchange(self, link: Link, call: EndpointCall) -> Reply | CallVerdict:
@@ -120,7 +120,7 @@
         headers = [(name, value) for name, value in call.headers if name != "Host"]
         waiter = link.request(call.method, call.target, headers, call.body, host=host)
         try:
-            async with asyncio.timeout(call.seconds):
+            async with asyncio.timeout(call.timeout_s):
                 return await waiter
         except LinkLostError as lost:
             was_sent = lost.written or lost.answered
@@ -137,7 +137,7 @@
     @staticmethod
     def is_response_to(call: EndpointCall, response: Reply) -> bool:
         """Whether a response is to this call, by the attempt that it names and not by its order."""
-        return response.headers.get(ATTEMPT_HEADER) == call.attempt
+        return response.headers.get(ATTEMPT_HEADER) == call.attempt_id
 
     def _release(self, address: str, connection: _Connection, headers: dict[str, str]) -> None:
         """Make a connection idle, or close it where it can carry no further call."""
--- a/amberlug/cluster/dispatch/message.py
+++ b/amberlug/cluster/dispatch/message.py
@@ -28,18 +28,18 @@
 
     id: str
     shard: int
-    attempt: str
+    attempt_id: str
     host: str
     method: str
     target: str
     route: str
-    key: str  # the sequence key; empty where no order is asked for
+    sequence_key: str  # the sequence key; empty where no order is asked for
     accepted_at: float  # when it arrived at an edge
     due_at: float  # no delivery before it
     headers: Headers = ()
     body: bytes | None = b""  # None while it has to be read from a replica
-    size: int = 0  # bytes of the body
-    order: SequencePosition = FIRST_POSITION
+    body_bytes: int = 0
+    position: SequencePosition = FIRST_POSITION
     holders: set[str] = field(default_factory=set)  # disks that acknowledged their replica
     possible_holders: set[str] = field(default_factory=set)  # disks that may have one
     keep_until: float = 0.0  # its outcome is kept until then at least
@@ -56,12 +56,12 @@
     def encode_metadata(self) -> MessageMetadata:
         """Encode what is stored beside the body; the keys are the format of the stored rows."""
         return {
-            "a": self.attempt,
+            "a": self.attempt_id,
             "h": self.host,
             "m": self.method,
             "t": self.target,
             "r": self.route,
-            "k": self.key,
+            "k": self.sequence_key,
             "w": round(self.accepted_at, 4),
             "d": round(self.due_at, 4),
             "x": self.headers,
@@ -70,12 +70,12 @@
 
     @classmethod
     def decode(
-        cls, message_id: str, shard: int, metadata: MessageMetadata, body: bytes | None, size: int
+        cls, message_id: str, shard: int, metadata: MessageMetadata, body: bytes | None, body_bytes: int
     ) -> Self:
         """Decode a message from what `encode_metadata` encoded.
 
         :param body: the body, or None where it was not sent along.
-        :param size: bytes of the body, also where it was not sent along.
+        :param body_bytes: bytes of the body, also where it was not sent along.
         :raises KeyError: where a field is missing.
         """
         return cls(
@@ -91,19 +91,19 @@
             metadata["d"],
             tuple((name, value) for name, value in metadata["x"]),
             body,
-            size,
+            body_bytes,
             config_index=metadata["c"],
         )
 
 
-def shard_of(key: str, count: int) -> int:
+def shard_of(sequence_key: str, count: int) -> int:
     """The shard of a sequence key, out of so many."""
-    return zlib.crc32(key.encode()) % count
+    return zlib.crc32(sequence_key.encode()) % count
 
 
-def name_of(shard: int, attempt: str) -> str:
+def name_of(shard: int, attempt_id: str) -> str:
     """The id of a message. It carries the shard, so that any edge finds the owner without a lookup."""
-    return f"{shard:x}-{attempt}"
+    return f"{shard:x}-{attempt_id}"
 
 
 def shard_in(message_id: str) -> int:
--- a/amberlug/cluster/dispatch/replica_write.py
+++ b/amberlug/cluster/dispatch/replica_write.py
@@ -13,7 +13,7 @@
 from result import Err, Ok, Result
 
 from amberlug.cluster.dispatch.message import Message
-from amberlug.cluster.dispatch.store_health import StoreHealth
+from amberlug.cluster.dispatch.store_health import SUSPECT_DISCONNECTED_S, StoreHealth
 from amberlug.cluster.interfaces import RequestFailure, Runtime, TimerHandle
 from amberlug.cluster.rpc.messages import request
 from amberlug.cluster.settings import Tolerance
@@ -28,7 +28,6 @@
 WRITE_TIMEOUT_S = 1.2  # for enough replicas: clients wait for 1.5 s where they do not say
 MIN_REQUEST_TIMEOUT_S = 0.05  # of a request that is sent as the write is about to time out
 SUSPECT_TIMED_OUT_S = 1.0  # a storage node that did not respond in time is asked last for so long
-SUSPECT_DISCONNECTED_S = 0.3  # and one whose connection ended: it may be restarting
 SUSPECT_FULL_S = 3.0  # and one without space
 SUSPECT_NOT_ENROLLED_S = 0.1  # and one that joined a moment ago
 
@@ -108,7 +107,7 @@
         self._may_exist = False  # a request failed that may have been acted on
         self._timer: TimerHandle | None = None
         self._deadline = replicator.runtime.now() + WRITE_TIMEOUT_S
-        accepted_epoch, sequence = message.order
+        accepted_epoch, sequence = message.position
         self._request = ReplicaWriteRequest(
             message.id,
             message.shard,
--- a/amberlug/cluster/dispatch/replicator.py
+++ b/amberlug/cluster/dispatch/replicator.py
@@ -16,7 +16,7 @@
 from amberlug.cluster.dispatch.message import Message
 from amberlug.cluster.dispatch.outcome_delivery import OutcomeDelivery
 from amberlug.cluster.dispatch.replica_write import ReplicationOutcome, ReplicaWrite
-from amberlug.cluster.dispatch.store_health import PROBE_INTERVAL_S, StoreHealth
+from amberlug.cluster.dispatch.store_health import PROBE_INTERVAL_S, SUSPECT_DISCONNECTED_S, StoreHealth
 from amberlug.cluster.interfaces import RequestFailure, Runtime
 from amberlug.cluster.rpc.messages import request
 from amberlug.cluster.settings import Tolerance
@@ -28,7 +28,6 @@
 )
 
 PROBE_TIMEOUT_S = 0.5
-SUSPECT_DISCONNECTED_S = 0.3  # a process whose connection ended may be restarting
 
 
 class _Distance(NamedTuple):
@@ -140,7 +139,7 @@
         take turns among equals, by their shard and number.
         """
         disks = sorted(self.writable_disks)
-        offset = (message.shard + message.order[1]) % max(1, len(disks))
+        offset = (message.shard + message.position[1]) % max(1, len(disks))
         return sorted(disks[offset:] + disks[:offset], key=self._distance)
 
     def _distance(self, disk: str) -> _Distance:
--- a/amberlug/cluster/dispatch/shard_owner.py
+++ b/amberlug/cluster/dispatch/shard_owner.py
@@ -263,7 +263,7 @@
         in_flight: dict[str, str] = {}
         for number, shard in shards.items():
             in_flight.update(self._previous_owners.pop_handover(number, shard.epoch))
-        for message in sorted(recovery.open_messages.values(), key=lambda message: message.order):
+        for message in sorted(recovery.open_messages.values(), key=lambda message: message.position):
             if message.shard in shards and not self._delivery.is_admitted(message.id):
                 message.possible_holders |= unread_disks
                 self._admit_recovered(message, in_flight.get(message.id))
@@ -327,7 +327,7 @@
 
     def _write(self, number: int, shard: Shard, message: Message, on_complete: AdmissionCallback) -> None:
         shard.admitted += 1
-        message.order = SequencePosition(shard.epoch, shard.admitted)
+        message.position = SequencePosition(shard.epoch, shard.admitted)
         # Disks that may have a replica of an earlier try learn the outcome too, else it comes back as open.
         message.possible_holders |= shard.unread_disks | self._unadmitted_replicas.pop(message.id, set())
         self.pending_writes[message.id] = [on_complete]
--- a/amberlug/cluster/dispatch/shard_recovery.py
+++ b/amberlug/cluster/dispatch/shard_recovery.py
@@ -131,7 +131,7 @@
             )
         elif message.body is None:
             message.body = replica.content
-        message.order = max(message.order, SequencePosition(replica.accepted_epoch, replica.sequence))
+        message.position = max(message.position, SequencePosition(replica.accepted_epoch, replica.sequence))
         message.holders.add(disk)
 
     # -- the end of the reading
--- a/amberlug/cluster/dispatch/store_health.py
+++ b/amberlug/cluster/dispatch/store_health.py
@@ -11,6 +11,7 @@
 LATENCY_FACTOR = 2.5  # or so many times the slowest recent response, on links that lose packets
 LATENCY_DECAY = 0.95  # of the slowest recent response, with each response
 PROBE_INTERVAL_S = 0.1  # between probes of one unresponsive node
+SUSPECT_DISCONNECTED_S = 0.3  # after its connection ended: it may be restarting
 
 
 class StoreHealth:
--- a/amberlug/cluster/edge/delivery.py
+++ b/amberlug/cluster/edge/delivery.py
@@ -69,7 +69,7 @@
             self._count_end(message.id, DROPPED)
             self._context.replicator.record_outcome(message, DROPPED)
             return
-        self.pending_bytes += message.size
+        self.pending_bytes += message.body_bytes
         self._assign_service(message)
         self.queue.add(message)
         if not self._context.replicator.is_write_quorum(message.holders):
@@ -176,7 +176,7 @@
 
     def _end(self, message: Message, outcome: MessageOutcome) -> None:
         assert not message.ended, "a message ends twice"
-        self.pending_bytes -= message.size
+        self.pending_bytes -= message.body_bytes
         self._count_end(message.id, outcome)
         self.queue.end(message)
         self._context.replicator.record_outcome(message, outcome)
@@ -216,7 +216,7 @@
         released = [message for message in self.queue.messages.values() if message.shard == shard]
         for message in released:
             self.queue.drop(message)
-            self.pending_bytes -= message.size
+            self.pending_bytes -= message.body_bytes
             if message.in_flight and self.dispatchers.calls_of(message):
                 self._in_flight_of_released_shards.add(message)
             else:
--- a/amberlug/cluster/edge/intake.py
+++ b/amberlug/cluster/edge/intake.py
@@ -175,19 +175,19 @@
         return Message(
             id=name_of(shard, submission.attempt_id),
             shard=shard,
-            attempt=submission.attempt_id,
+            attempt_id=submission.attempt_id,
             host=request.header("host") or "",
             method=request.method,
             target=request.target,
             route=route.name,
-            key=key,
+            sequence_key=key,
             accepted_at=accepted_at,
             due_at=accepted_at + submission.not_before_ms / 1000,
             headers=tuple(
                 (name, text) for name, text in request.headers if name not in HEADERS_NOT_FORWARDED
             ),
             body=request.body,
-            size=len(request.body),
+            body_bytes=len(request.body),
             config_index=self._context.routes.index,
         )
 
--- a/amberlug/cluster/interfaces.py
+++ b/amberlug/cluster/interfaces.py
@@ -121,19 +121,19 @@
 
     :param address: of the endpoint, as `host:port`.
     :param instance: which start of the endpoint is meant.
-    :param attempt: identifies this call among all calls for the message.
+    :param attempt_id: identifies this call among all calls for the message.
     :param headers: of the request as it was received.
-    :param seconds: until the call counts as timed out.
+    :param timeout_s: seconds until the call counts as timed out.
     """
 
     address: str
     instance: str
-    attempt: str
+    attempt_id: str
     method: str
     target: str
     headers: Headers
     body: bytes
-    seconds: float
+    timeout_s: float
 
 
 @value
--- a/amberlug/cluster/simulation/endpoints.py
+++ b/amberlug/cluster/simulation/endpoints.py
@@ -94,13 +94,13 @@
     def take(self, delivery: EndpointCall, life: Incarnation, sent: float, answer: Answer) -> None:
         """A message arrives."""
         names = {name.lower(): value for name, value in delivery.headers}
-        about = ("amberlug-attempt-id", delivery.attempt)
+        about = ("amberlug-attempt-id", delivery.attempt_id)
         if names.get("amberlug-target-instance", self.name) != self.name:
             answer(CallResult(CallVerdict.ANSWERED, 421, (about, NOT_RUN)))
             return
         now, history = self.deployment.clock.now, self.deployment.history
         run = Run(
-            delivery.attempt,
+            delivery.attempt_id,
             self.name,
             self.kind.name,
             life.name,
@@ -110,7 +110,7 @@
             delivery.body,
         )
         history.runs.append(run)
-        first = self.endpoint_fleet.done.get(delivery.attempt) if self.kind.dedup else None
+        first = self.endpoint_fleet.done.get(delivery.attempt_id) if self.kind.dedup else None
         if first == "":
             answer(CallResult(CallVerdict.ANSWERED, 409, (about, NOT_RUN)))
         elif first is not None:
@@ -294,7 +294,7 @@
         return self._numbers
 
     def fate(self, delivery: EndpointCall) -> str:
-        return self.fates.get(delivery.attempt, "")
+        return self.fates.get(delivery.attempt_id, "")
 
     def start(self, service: str, zone: str, address: str = "") -> Endpoint:
         """A new life, at an address of its own or at one that another life has left."""
@@ -343,7 +343,7 @@
     def _connection(self, delivery: EndpointCall) -> Connection:
         idle = self._idle.setdefault(delivery.address, [])
         idle[:] = [it for it in idle if it.open]
-        found = next((it for it in idle if delivery.attempt not in it.answered), None)
+        found = next((it for it in idle if delivery.attempt_id not in it.answered), None)
         if found is None:
             return Connection()
         idle.remove(found)
@@ -364,7 +364,7 @@
         )
         sent = clock.now
         digest.add("call", life.name, delivery.address, delivery.method, delivery.target, delivery.headers)
-        digest.add("call body", delivery.body, delivery.instance, delivery.attempt, delivery.seconds)
+        digest.add("call body", delivery.body, delivery.instance, delivery.attempt_id, delivery.timeout_s)
         over = False
 
         def end(called: CallResult) -> None:
@@ -376,11 +376,11 @@
             connection.open = called.verdict is CallVerdict.ANSWERED
             if called.verdict is CallVerdict.ANSWERED:
                 if called.header("amberlug-server-seal") is None:
-                    connection.answered.add(delivery.attempt)
+                    connection.answered.add(delivery.attempt_id)
                 self._idle.setdefault(delivery.address, []).append(connection)
                 self._kept.add(delivery.address)
                 for run in reversed(self.endpoint_fleet.deployment.history.runs):
-                    if run.sent == sent and run.attempt == delivery.attempt:
+                    if run.sent == sent and run.attempt == delivery.attempt_id:
                         run.read = clock.now
                         break
             else:
@@ -410,5 +410,5 @@
             elif endpoint is None or not endpoint.silent:
                 back(CallResult(CallVerdict.NOT_CONNECTED))
 
-        clock.call_later(delivery.seconds, lambda: life.do(partial(end, CallResult(CallVerdict.TIMED_OUT))))
+        clock.call_later(delivery.timeout_s, lambda: life.do(partial(end, CallResult(CallVerdict.TIMED_OUT))))
         clock.call_later(DELAY_S, arrive)
--- a/amberlug/cluster/simulation/mutations.py
+++ b/amberlug/cluster/simulation/mutations.py
@@ -126,7 +126,7 @@
     def by_name(self: ShardOwner, recovery: ShardRecovery) -> None:
         found = recovery.open_messages
         for number, name in enumerate(sorted(found, key=lambda it: it.partition("-")[2])):
-            found[name].order = SequencePosition(0, number)
+            found[name].position = SequencePosition(0, number)
         recovered(self, recovery)
 
     return patch.object(ShardOwner, "recovered", by_name)
--- a/amberlug/cluster/simulation/mutations_answers.py
+++ b/amberlug/cluster/simulation/mutations_answers.py
@@ -164,7 +164,7 @@
 
     def believe(message: Message, called: CallResult, max_attempts: int) -> CallOutcome:
         rest = tuple(it for it in called.headers if it[0] != "amberlug-attempt-id")
-        named = (("amberlug-attempt-id", message.attempt), *rest)
+        named = (("amberlug-attempt-id", message.attempt_id), *rest)
         return judge(message, CallResult(called.verdict, called.status, named), max_attempts)
 
     with _answer_by_order(), patch.object(delivery, "judge", believe):
--- a/benchmarks/hollow/net.py
+++ b/benchmarks/hollow/net.py
@@ -223,7 +223,7 @@
         self.net, self.host = net, host
 
     def call(self, delivery: EndpointCall, then: Callable[[CallResult], None]) -> None:
-        headers = (("amberlug-attempt-id", delivery.attempt), ("amberlug-server-seal", "0123456789abcdef"))
+        headers = (("amberlug-attempt-id", delivery.attempt_id), ("amberlug-server-seal", "0123456789abcdef"))
         done = CallResult(CallVerdict.ANSWERED, 200, headers)
         self.net.clock.call_later(0.005, partial(self.host.do, "answered", partial(then, done)))
 
--- a/tests/cluster/test_delivery_queue.py
+++ b/tests/cluster/test_delivery_queue.py
@@ -10,7 +10,7 @@
 
 def new_message(message_id: str, number: int) -> Message:
     return Message(
-        message_id, 0, message_id, "", "GET", "/", "r", "k", 0.0, 0.0, order=SequencePosition(1, number)
+        message_id, 0, message_id, "", "GET", "/", "r", "k", 0.0, 0.0, position=SequencePosition(1, number)
     )
 
 
--- a/tests/cluster/test_endpoint_answers.py
+++ b/tests/cluster/test_endpoint_answers.py
@@ -210,15 +210,15 @@
         numbered = EndpointCall(
             delivery.address,
             delivery.instance,
-            delivery.attempt,
+            delivery.attempt_id,
             delivery.method,
             delivery.target,
             (*delivery.headers, ("X-Call", number)),
             delivery.body,
-            delivery.seconds,
+            delivery.timeout_s,
         )
 
-        until = self.loop.time() + delivery.seconds
+        until = self.loop.time() + delivery.timeout_s
 
         def hear(called: CallResult) -> None:
             ran = next((it for it in self.site.asks if it.call == number), None)
@@ -244,14 +244,14 @@
     def finished(self, message: Message, called: CallResult) -> None:
         outcome = judge(message, called, MAX_ATTEMPTS)
         message.failures += outcome.is_failure
-        asks = self.site.by_attempt[message.attempt]
+        asks = self.site.by_attempt[message.attempt_id]
         assert message.failures <= sum(it.status == 500 for it in asks), "a failure counts twice"
         if outcome.end:
             if outcome.end == "done":
                 assert outcome.seal in {it.seal for it in asks}, "a success of another message"
-                self.site.known.add(message.attempt)
+                self.site.known.add(message.attempt_id)
             message.ended = True
-            self.ended[message.attempt] = outcome.end
+            self.ended[message.attempt_id] = outcome.end
         else:
             self.loop.call_later(outcome.retry_delay_s, self.again, message)
 
@@ -264,7 +264,7 @@
             f"1-a{number}", 1, f"a{number}", "h", "POST", "/", "r", "", 0.0, 0.0, body=b"b" * 20
         )
         message.service = "s"
-        self.messages[message.attempt] = message
+        self.messages[message.attempt_id] = message
         self.service.add(message)
 
 
--- a/tests/cluster/test_found.py
+++ b/tests/cluster/test_found.py
@@ -66,7 +66,17 @@
     edge = day.deployment.edges[0].part
     number, shard = next(iter(edge.shard_owner.owned.items()))
     message = Message(
-        f"{number:x}-again", number, "again", "", "GET", "/", "r", "k", 0.0, 0.0, order=SequencePosition(3, 7)
+        f"{number:x}-again",
+        number,
+        "again",
+        "",
+        "GET",
+        "/",
+        "r",
+        "k",
+        0.0,
+        0.0,
+        position=SequencePosition(3, 7),
     )
     edge.replicator.replicate(message, shard.epoch, lambda put: None)
     day.clock.run(day.clock.now + 0.5)
@@ -87,7 +97,7 @@
     )
     edge.shard_owner.on_outcome(CallEnded(message.id, MessageOutcome(), False), "", lambda reply: None)
     day.clock.run(day.clock.now + 1.0)
-    assert sum(run.attempt == message.attempt for run in day.history.runs) == 1
+    assert sum(run.attempt == message.attempt_id for run in day.history.runs) == 1
 
 
 def test_a_call_is_told_of_after_its_route_went_elsewhere() -> None:
--- a/tests/cluster/test_measured.py
+++ b/tests/cluster/test_measured.py
@@ -26,7 +26,7 @@
 
     def call(self, delivery: EndpointCall, then: object) -> None:
         self.calls += 1
-        attempt = ("amberlug-attempt-id", delivery.attempt)
+        attempt = ("amberlug-attempt-id", delivery.attempt_id)
         turned_away = CallResult(CallVerdict.ANSWERED, 503, (attempt, ("amberlug-not-executed", "1")))
         done = CallResult(CallVerdict.ANSWERED, 200, (attempt, ("amberlug-server-seal", "s")))
         assert callable(then)
--- a/tests/cluster/test_shard_owner.py
+++ b/tests/cluster/test_shard_owner.py
@@ -26,7 +26,7 @@
 
 
 def new_message() -> Message:
-    return Message("0-x", 0, "x", "", "POST", "/", "r", "", 0.0, 0.0, body=b"hi", size=2)
+    return Message("0-x", 0, "x", "", "POST", "/", "r", "", 0.0, 0.0, body=b"hi", body_bytes=2)
 
 
 class OwnerRig:
