--- a/amberlug/cluster/__main__.py
+++ b/amberlug/cluster/__main__.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+import gc
 import sys
 
 RUN_COMMAND = "run"
@@ -17,6 +18,7 @@
     :param arguments: behind the program's name.
     """
     if arguments == [RUN_COMMAND]:
+        gc.disable()  # imports leave no garbage, and looking for it takes a thirtieth of the start
         from amberlug.cluster.process import run_configured_node
 
         sys.exit(run_configured_node())
--- a/amberlug/cluster/control/dead_messages.py
+++ b/amberlug/cluster/control/dead_messages.py
@@ -13,7 +13,7 @@
 from amberlug.cluster.control.state_entries import StoreState
 from amberlug.cluster.http.api import HttpRequest, HttpResponse, RespondHttp, api_call
 from amberlug.cluster.interfaces import Json, Runtime
-from amberlug.cluster.storage.messages import ContentReply, ContentRequest
+from amberlug.cluster.storage.content_messages import ContentReply, ContentRequest
 from amberlug.cluster.storage.operator_messages import (
     DEAD_MESSAGES_PER_PAGE,
     DeadMessage,
--- a/amberlug/cluster/dispatch/call_outcome.py
+++ b/amberlug/cluster/dispatch/call_outcome.py
@@ -4,7 +4,7 @@
 
 from amberlug.cluster.dispatch.message import Message
 from amberlug.cluster.interfaces import CallResult, CallVerdict
-from amberlug.cluster.storage.messages import DEAD_OUTCOME, DONE_OUTCOME, MessageOutcome
+from amberlug.cluster.storage.outcomes import DEAD_OUTCOME, DONE_OUTCOME, MessageOutcome
 from amberlug.cluster.values import value
 
 MIN_RETRY_S = 0.02  # a usual call takes as long: an endpoint that restarts is found soon after
--- a/amberlug/cluster/dispatch/message.py
+++ b/amberlug/cluster/dispatch/message.py
@@ -7,7 +7,7 @@
 from typing import NamedTuple, Self
 
 from amberlug.cluster.interfaces import Headers
-from amberlug.cluster.storage.messages import OPEN, MessageMetadata, MessageOutcome
+from amberlug.cluster.storage.outcomes import OPEN, MessageMetadata, MessageOutcome
 
 MAX_SHARD_DIGITS = 4  # hexadecimal digits of a shard's number in a message id
 
--- a/amberlug/cluster/dispatch/messages.py
+++ b/amberlug/cluster/dispatch/messages.py
@@ -8,12 +8,9 @@
 from amberlug.cluster.dispatch.message import Message
 from amberlug.cluster.interfaces import Json
 from amberlug.cluster.rpc.messages import Body, Notification, Request
-from amberlug.cluster.storage.messages import (
-    Acknowledgement,
-    MessageIdRequest,
-    MessageMetadata,
-    MessageOutcome,
-)
+from amberlug.cluster.storage.content_messages import MessageIdRequest
+from amberlug.cluster.storage.messages import Acknowledgement
+from amberlug.cluster.storage.outcomes import MessageMetadata, MessageOutcome
 from amberlug.cluster.values import value
 
 
--- a/amberlug/cluster/dispatch/replica_write.py
+++ b/amberlug/cluster/dispatch/replica_write.py
@@ -17,12 +17,8 @@
 from amberlug.cluster.interfaces import RequestFailure, Runtime, TimerHandle
 from amberlug.cluster.rpc.messages import request
 from amberlug.cluster.settings import Tolerance
-from amberlug.cluster.storage.messages import (
-    MessageOutcome,
-    ReplicaWriteReply,
-    ReplicaWriteRequest,
-    ReplicaWriteResult,
-)
+from amberlug.cluster.storage.messages import ReplicaWriteReply, ReplicaWriteRequest, ReplicaWriteResult
+from amberlug.cluster.storage.outcomes import MessageOutcome
 
 HEDGE_INTERVAL_S = 0.03  # without a response until a further storage node is asked: three times a usual write
 WRITE_TIMEOUT_S = 1.2  # for enough replicas: clients wait for 1.5 s where they do not say
--- a/amberlug/cluster/dispatch/replicator.py
+++ b/amberlug/cluster/dispatch/replicator.py
@@ -20,12 +20,8 @@
 from amberlug.cluster.interfaces import RequestFailure, Runtime
 from amberlug.cluster.rpc.messages import request
 from amberlug.cluster.settings import Tolerance
-from amberlug.cluster.storage.messages import (
-    Acknowledgement,
-    AcknowledgeReply,
-    AcknowledgeRequest,
-    MessageOutcome,
-)
+from amberlug.cluster.storage.messages import Acknowledgement, AcknowledgeReply, AcknowledgeRequest
+from amberlug.cluster.storage.outcomes import MessageOutcome
 
 PROBE_TIMEOUT_S = 0.5
 
--- a/amberlug/cluster/dispatch/shard_owner.py
+++ b/amberlug/cluster/dispatch/shard_owner.py
@@ -18,7 +18,7 @@
 from amberlug.cluster.dispatch.shard_recovery import ShardRecovery
 from amberlug.cluster.interfaces import Runtime
 from amberlug.cluster.rpc.messages import Responder, handles, send
-from amberlug.cluster.storage.messages import MessageOutcome
+from amberlug.cluster.storage.outcomes import MessageOutcome
 from amberlug.cluster.values import value
 
 PREVIOUS_CALL_TIMEOUT_S = 4.0  # for a call at the previous owner to end, else the message is called again
--- a/amberlug/cluster/dispatch/shard_recovery.py
+++ b/amberlug/cluster/dispatch/shard_recovery.py
@@ -20,11 +20,11 @@
 from amberlug.cluster.storage.messages import (
     FenceReply,
     FenceRequest,
-    MessageOutcome,
     OpenMessage,
     OutcomesReply,
     OutcomesRequest,
 )
+from amberlug.cluster.storage.outcomes import MessageOutcome
 
 FENCE_TIMEOUT_S = 0.6  # a storage node reads its open messages, with their bodies, for the reply
 FENCE_RETRY_S = 0.25  # until storage nodes that did not reply are asked again
--- a/amberlug/cluster/edge/delivery.py
+++ b/amberlug/cluster/edge/delivery.py
@@ -15,7 +15,7 @@
 from amberlug.cluster.edge.storage_reads import StorageReader
 from amberlug.cluster.http.routing import Route
 from amberlug.cluster.interfaces import CallResult, Endpoints
-from amberlug.cluster.storage.messages import MessageOutcome
+from amberlug.cluster.storage.outcomes import MessageOutcome
 
 SWEEP_INTERVAL_S = 1.0  # between searches for messages whose retention time is over: it is hours as a rule
 RETENTION_SLACK_S = 0.5  # by which a message may have been sent before it arrived, since that is not known
--- a/amberlug/cluster/edge/lookup.py
+++ b/amberlug/cluster/edge/lookup.py
@@ -13,7 +13,7 @@
 from amberlug.cluster.http.api import HttpRequest, HttpResponse, RespondHttp, api_call
 from amberlug.cluster.interfaces import RequestFailure
 from amberlug.cluster.rpc.messages import Responder, handles, request
-from amberlug.cluster.storage.messages import OPEN, MessageOutcome
+from amberlug.cluster.storage.outcomes import OPEN, MessageOutcome
 
 LOOKUP_TIMEOUT_S = 1.7  # for the answer to a client: clients wait two seconds
 RETRY_AFTER_S = 1  # that a client waits where the answer can't be known now
--- a/amberlug/cluster/edge/outcomes.py
+++ b/amberlug/cluster/edge/outcomes.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from amberlug.cluster.storage.messages import MessageOutcome
+from amberlug.cluster.storage.outcomes import MessageOutcome
 from amberlug.cluster.values import value
 
 DROPPED = MessageOutcome("dropped")  # its route is no longer configured
--- a/amberlug/cluster/edge/storage_reads.py
+++ b/amberlug/cluster/edge/storage_reads.py
@@ -12,13 +12,9 @@
 from amberlug.cluster.edge.outcomes import NOT_FOUND
 from amberlug.cluster.interfaces import RequestFailure
 from amberlug.cluster.rpc.messages import request
-from amberlug.cluster.storage.messages import (
-    ContentReply,
-    ContentRequest,
-    MessageOutcome,
-    OutcomesReply,
-    OutcomesRequest,
-)
+from amberlug.cluster.storage.content_messages import ContentReply, ContentRequest
+from amberlug.cluster.storage.messages import OutcomesReply, OutcomesRequest
+from amberlug.cluster.storage.outcomes import MessageOutcome
 
 READ_TIMEOUT_S = 0.5  # for a storage node, or an edge node that is asked, to answer
 READ_SLACK_S = 0.05  # beyond it, until a read of several nodes ends without those that have not answered
--- a/amberlug/cluster/process.py
+++ b/amberlug/cluster/process.py
@@ -4,6 +4,7 @@
 
 import asyncio
 import contextlib
+import gc
 import os
 import random
 import signal
@@ -119,6 +120,7 @@
         for number in (signal.SIGTERM, signal.SIGINT):
             loop.add_signal_handler(number, self._on_stop_signal)
         loop.add_signal_handler(signal.SIGHUP, self._reload_settings)
+        gc.enable()  # it is off while modules are imported
         self.node.begin()
         loop.call_later(COUNTERS_INTERVAL_S, self._log_counters)
         loop.call_later(SETTINGS_CHECK_INTERVAL_S, self._check_settings_file)
--- a/amberlug/cluster/simulation/disk.py
+++ b/amberlug/cluster/simulation/disk.py
@@ -26,7 +26,7 @@
 from amberlug.cluster.simulation.clock import Clock
 from amberlug.cluster.simulation.network import Incarnation
 from amberlug.cluster.storage import message_store
-from amberlug.cluster.storage.messages import DEAD_OUTCOME
+from amberlug.cluster.storage.outcomes import DEAD_OUTCOME
 from amberlug.cluster.storage.records import (
     DeletionRow,
     EnrollmentRow,
--- a/amberlug/cluster/simulation/mutations.py
+++ b/amberlug/cluster/simulation/mutations.py
@@ -42,7 +42,8 @@
     mutations_partitions,
     mutations_voters,
 )
-from amberlug.cluster.storage.messages import MessageOutcome, ReplicaWriteReply, ReplicaWriteResult
+from amberlug.cluster.storage.messages import ReplicaWriteReply, ReplicaWriteResult
+from amberlug.cluster.storage.outcomes import MessageOutcome
 from amberlug.cluster.storage.records import StoredContents
 
 Mutant = Callable[[], AbstractContextManager[Any]]
--- a/amberlug/cluster/storage/message_store.py
+++ b/amberlug/cluster/storage/message_store.py
@@ -15,7 +15,7 @@
 
 from amberlug.cluster.interfaces import OnWritten
 from amberlug.cluster.storage.group_commit import GroupCommitWriter, open_file
-from amberlug.cluster.storage.messages import DEAD_OUTCOME, MessageOutcome
+from amberlug.cluster.storage.outcomes import DEAD_OUTCOME, MessageOutcome
 from amberlug.cluster.storage.records import (
     DeletionRow,
     EnrollmentRow,
--- a/amberlug/cluster/storage/messages.py
+++ b/amberlug/cluster/storage/messages.py
@@ -9,60 +9,13 @@
 
 from dataclasses import field
 from enum import Enum
-from typing import Any, ClassVar, Self
+from typing import Any, ClassVar
 
 from amberlug.cluster.interfaces import Json
-from amberlug.cluster.rpc.messages import Body, ReplyT, Request
+from amberlug.cluster.rpc.messages import Body, Request
+from amberlug.cluster.storage.outcomes import OPEN, MessageMetadata, MessageOutcome
 from amberlug.cluster.values import value
 
-DONE_OUTCOME = "done"  # the outcome of a message that an endpoint has run with success
-DEAD_OUTCOME = "dead"  # the outcome of a message that was given up on; its body stays readable
-
-# What a shard's owner stores beside a body. Storage nodes return it as it came, with fields that they do not
-# know: `amberlug.cluster.dispatch.message` is where it is read and written.
-MessageMetadata = dict[str, Any]
-
-
-@value
-class MessageOutcome:
-    """How a message ended: an empty status while it is open, and the receipt of a success.
-
-    The receipt is what the endpoint gave with its success, in the header `amberlug-server-seal`; on the wire
-    and on disk it is called `seal`.
-    """
-
-    status: str = ""
-    receipt: str = ""
-
-    @property
-    def is_open(self) -> bool:
-        """Whether the message has not ended."""
-        return not self.status
-
-    @property
-    def is_completed(self) -> bool:
-        """Whether an endpoint has run the message with success."""
-        return self.status == DONE_OUTCOME
-
-    def to_fields(self) -> Json:
-        """`end` and `seal` for a JSON object; nothing of a message that is open."""
-        return {} if self.is_open else {"end": self.status, "seal": self.receipt}
-
-    @classmethod
-    def from_fields(cls, body: Json) -> MessageOutcome:
-        """Read `end` and `seal`; without them the message is open.
-
-        :raises KeyError: where there is an `end` without a `seal`.
-        """
-        return cls(body["end"], body["seal"]) if body.get("end") else OPEN
-
-    def to_pair(self) -> list[str]:
-        """Status and receipt, for a JSON array."""
-        return [self.status, self.receipt]
-
-
-OPEN = MessageOutcome()
-
 
 class ReplicaWriteResult(Enum):
     """What a storage node did with a replica."""
@@ -334,52 +287,3 @@
         :raises KeyError: without the list.
         """
         return cls(tuple(body["ids"]))
-
-
-@value
-class ContentReply(Body):
-    """A message's body, where it is here, and how the message ended where it has."""
-
-    content: bytes | None
-    outcome: MessageOutcome = OPEN
-
-    @property
-    def payload(self) -> bytes:
-        """The message's body."""
-        return self.content or b""
-
-    def to_wire(self) -> Json:
-        """Whether it is here, then `end` and `seal` where the message has ended."""
-        return {"found": self.content is not None, **self.outcome.to_fields()}
-
-    @classmethod
-    def from_wire(cls, body: Json, payload: bytes) -> ContentReply:
-        """Read the reply; without its fields the body is not there and the message is open."""
-        return cls(payload if body.get("found") else None, MessageOutcome.from_fields(body))
-
-
-@value
-class MessageIdRequest(Request[ReplyT]):
-    """The form of requests that only name a message."""
-
-    message_id: str
-
-    def to_wire(self) -> Json:
-        """The message's id."""
-        return {"id": self.message_id}
-
-    @classmethod
-    def from_wire(cls, body: Json, payload: bytes) -> Self:
-        """Read the request.
-
-        :raises KeyError: without the id.
-        """
-        return cls(body["id"])
-
-
-@value
-class ContentRequest(MessageIdRequest[ContentReply]):
-    """Ask for the body of a message that is open or dead."""
-
-    wire_tag: ClassVar[str] = "body"
-    reply_type: ClassVar[type[ContentReply]] = ContentReply
--- a/amberlug/cluster/storage/operator_messages.py
+++ b/amberlug/cluster/storage/operator_messages.py
@@ -6,7 +6,7 @@
 
 from amberlug.cluster.interfaces import Json
 from amberlug.cluster.rpc.messages import Body, Request
-from amberlug.cluster.storage.messages import MessageMetadata
+from amberlug.cluster.storage.outcomes import MessageMetadata
 from amberlug.cluster.values import value
 
 DEAD_MESSAGES_PER_PAGE = 200  # an answer of so many rows stays far below the largest frame
--- a/amberlug/cluster/storage/records.py
+++ b/amberlug/cluster/storage/records.py
@@ -7,7 +7,7 @@
 from typing import Protocol
 
 from amberlug.cluster.interfaces import OnWritten
-from amberlug.cluster.storage.messages import OPEN, MessageMetadata, MessageOutcome
+from amberlug.cluster.storage.outcomes import OPEN, MessageMetadata, MessageOutcome
 from amberlug.cluster.values import value
 
 
--- a/amberlug/cluster/storage/replica_service.py
+++ b/amberlug/cluster/storage/replica_service.py
@@ -18,13 +18,10 @@
 
 from amberlug.cluster.interfaces import Runtime, WriteFailure
 from amberlug.cluster.rpc.messages import Responder, handles
+from amberlug.cluster.storage.content_messages import ContentReply, ContentRequest
 from amberlug.cluster.storage.messages import (
-    DEAD_OUTCOME,
-    OPEN,
     AcknowledgeReply,
     AcknowledgeRequest,
-    ContentReply,
-    ContentRequest,
     FenceReply,
     FenceRequest,
     OpenMessage,
@@ -34,6 +31,7 @@
     ReplicaWriteRequest,
     ReplicaWriteResult,
 )
+from amberlug.cluster.storage.outcomes import DEAD_OUTCOME, OPEN
 from amberlug.cluster.storage.records import (
     DeletionRow,
     DurableStore,
--- a/amberlug/cluster/storage/status.py
+++ b/amberlug/cluster/storage/status.py
@@ -4,7 +4,6 @@
 
 from amberlug.cluster.node_status import NodeStatusRequest
 from amberlug.cluster.rpc.messages import Responder, handles
-from amberlug.cluster.storage.messages import DEAD_OUTCOME
 from amberlug.cluster.storage.operator_messages import (
     DEAD_MESSAGES_PER_PAGE,
     DeadMessage,
@@ -12,6 +11,7 @@
     DeadMessagesRequest,
     StorageStatusReport,
 )
+from amberlug.cluster.storage.outcomes import DEAD_OUTCOME
 from amberlug.cluster.storage.replica_service import ReplicaService
 
 RETAIN_UNTIL_DIGITS = 3  # operators read milliseconds
--- a/amberlug/cluster/values.py
+++ b/amberlug/cluster/values.py
@@ -1,15 +1,16 @@
 """Immutable values whose classes are cheap to define.
 
 A frozen dataclass takes several times as long to define (see `benchmarks/values.py`), since each of its
-methods is compiled anew. A node defines up to a hundred values at its start, on a fraction of a core.
+methods is compiled anew. A node defines more than a hundred values at its start, on a fraction of a core.
 `value` therefore leaves immutability to the type checker, which rejects an assignment to a field. Of its
-methods only `__init__` is compiled for each class; the others share their code.
+methods only `__init__` is compiled for each class, and not before the first instance is made; the others
+share their code.
 """
 
 from __future__ import annotations
 
 from collections.abc import Callable
-from dataclasses import dataclass, field, fields
+from dataclasses import MISSING, dataclass, field, fields
 from operator import attrgetter
 from typing import Any, TypeVar, cast, dataclass_transform
 
@@ -42,6 +43,37 @@
     cls.__eq__, cls.__hash__ = is_equal, hash_fields
 
 
+_FROM_FACTORY = object()  # the default of a parameter whose field has a factory
+
+
+def _compile_init(cls: Any) -> None:
+    """Give a class the `__init__` that a dataclass has: its parameters are the fields in their order."""
+    names: dict[str, Any] = {"_FROM_FACTORY": _FROM_FACTORY}
+    parameters, assignments = ["self"], []
+    for each in fields(cls):
+        name, content = each.name, each.name
+        if each.default is not MISSING:
+            names[f"default_{name}"] = each.default
+            parameters.append(f"{name}=default_{name}")
+        elif each.default_factory is not MISSING:
+            names[f"make_{name}"] = each.default_factory
+            parameters.append(f"{name}=_FROM_FACTORY")
+            content = f"make_{name}() if {name} is _FROM_FACTORY else {name}"
+        else:
+            parameters.append(name)
+        assignments.append(f"self.{name} = {content}")
+    text = "\n ".join([f"def __init__({', '.join(parameters)}):", *(assignments or ["pass"])])
+    exec(text, names)
+    cls.__init__ = names["__init__"]
+
+
+def _init_first(self: Any, *args: Any, **kwargs: Any) -> None:
+    """Make the first instance of a class: later ones go to the `__init__` that is compiled here."""
+    cls = type(self)
+    _compile_init(cls)
+    cls.__init__(self, *args, **kwargs)
+
+
 def _represent(self: Any) -> str:
     shown = ", ".join(f"{name}={getattr(self, name)!r}" for name in self.__match_args__)
     return f"{type(self).__qualname__}({shown})"
@@ -50,7 +82,7 @@
 @dataclass_transform(frozen_default=True, field_specifiers=(field,))
 def value(cls: type[ValueT]) -> type[ValueT]:
     """Make a class with annotated fields a value: compared, hashed and shown by its fields, with slots."""
-    made: Any = dataclass(slots=True, eq=False, repr=False)(cls)
+    made: Any = dataclass(slots=True, init=False, eq=False, repr=False)(cls)
     _add_comparison(made)
-    made.__repr__ = _represent
+    made.__init__, made.__repr__ = _init_first, _represent
     return cast(type[ValueT], made)
--- a/benchmarks/startup.py
+++ b/benchmarks/startup.py
@@ -85,6 +85,7 @@
         environment = os.environ | {SETTINGS_FILE_VARIABLE: str(folder / "boot.yaml")}
         if bytecode is not None:
             environment["PYTHONPYCACHEPREFIX"] = str(bytecode)
+            environment.pop("PYTHONDONTWRITEBYTECODE", None)
         process = subprocess.Popen(
             [sys.executable, "-c", START, package_of(checkout)],
             cwd=checkout,
--- a/tests/cluster/test_contact.py
+++ b/tests/cluster/test_contact.py
@@ -24,7 +24,7 @@
 from amberlug.cluster.simulation.clock import Clock
 from amberlug.cluster.simulation.machine import Machine
 from amberlug.cluster.simulation.scenarios import Day
-from amberlug.cluster.storage.messages import MessageOutcome
+from amberlug.cluster.storage.outcomes import MessageOutcome
 from amberlug.cluster.storage.records import StoredMessage
 from tests.cluster.fakes import Alone, settings
 
--- a/tests/cluster/test_dispatch_messages.py
+++ b/tests/cluster/test_dispatch_messages.py
@@ -15,7 +15,7 @@
     StandingRequest,
 )
 from amberlug.cluster.rpc.messages import WireBody
-from amberlug.cluster.storage.messages import MessageOutcome
+from amberlug.cluster.storage.outcomes import MessageOutcome
 
 FRAMES = json.loads((Path(__file__).parent.parent / "data" / "frames.json").read_text())
 TYPES: dict[str, type[WireBody]] = {
--- a/tests/cluster/test_edge_node.py
+++ b/tests/cluster/test_edge_node.py
@@ -10,7 +10,7 @@
 from amberlug.cluster.simulation.clock import Clock
 from amberlug.cluster.simulation.deployment import Request
 from amberlug.cluster.simulation.scenarios import Day
-from amberlug.cluster.storage.messages import MessageOutcome
+from amberlug.cluster.storage.outcomes import MessageOutcome
 from tests.cluster.fakes import Alone, settings
 
 
--- a/tests/cluster/test_edge_parts.py
+++ b/tests/cluster/test_edge_parts.py
@@ -23,7 +23,7 @@
 from amberlug.cluster.edge.outcomes import NOT_FOUND, RecentOutcomes
 from amberlug.cluster.simulation.clock import Clock
 from amberlug.cluster.simulation.deployment import Request
-from amberlug.cluster.storage.messages import MessageOutcome
+from amberlug.cluster.storage.outcomes import MessageOutcome
 from tests.cluster.fakes import Alone, settings
 from tests.cluster.test_edge_node import Nowhere
 
--- a/tests/cluster/test_found.py
+++ b/tests/cluster/test_found.py
@@ -10,7 +10,7 @@
 from amberlug.cluster.dispatch.messages import CallEnded
 from amberlug.cluster.simulation.history import Broken
 from amberlug.cluster.simulation.scenarios import TRAFFIC_S, Day
-from amberlug.cluster.storage.messages import MessageOutcome
+from amberlug.cluster.storage.outcomes import MessageOutcome
 
 
 @pytest.fixture(autouse=True)
--- a/tests/cluster/test_message_store.py
+++ b/tests/cluster/test_message_store.py
@@ -10,7 +10,7 @@
 from amberlug.cluster.interfaces import WriteFailure, WriteFailureReason
 from amberlug.cluster.storage.group_commit import GroupCommitWriter, write_failure
 from amberlug.cluster.storage.message_store import FILE_NAME, OpenedMessageStore, open_message_store
-from amberlug.cluster.storage.messages import MessageOutcome
+from amberlug.cluster.storage.outcomes import MessageOutcome
 from amberlug.cluster.storage.records import (
     DeletionRow,
     EnrollmentRow,
--- a/tests/cluster/test_shard_owner.py
+++ b/tests/cluster/test_shard_owner.py
@@ -10,7 +10,7 @@
 from amberlug.cluster.interfaces import Json, Reply, RequestFailure
 from amberlug.cluster.settings import Tolerance
 from amberlug.cluster.simulation.clock import Clock
-from amberlug.cluster.storage.messages import MessageOutcome
+from amberlug.cluster.storage.outcomes import MessageOutcome
 from tests.cluster.fakes import Alone
 
 METADATA = {"a": "x", "h": "", "m": "POST", "t": "/", "r": "r", "k": "", "w": 0.0, "d": 0.0, "x": [], "c": 0}
--- a/tests/cluster/test_startup.py
+++ b/tests/cluster/test_startup.py
@@ -39,9 +39,20 @@
 )
 # What a kind of node may import of the packages of the others: their messages, and what it shares with them.
 SHARED = {
-    "edge": (*SESSION, "control.shard_assignment", "storage.messages"),
+    "edge": (
+        *SESSION,
+        "control.shard_assignment",
+        "storage.content_messages",
+        "storage.messages",
+        "storage.outcomes",
+    ),
     "storage": SESSION,
-    "control_plane": ("storage.group_commit", "storage.messages", "storage.operator_messages"),
+    "control_plane": (
+        "storage.content_messages",
+        "storage.group_commit",
+        "storage.operator_messages",
+        "storage.outcomes",
+    ),
 }
 OTHERS = {
     "edge": ("storage", "control", "consensus"),
--- a/tests/cluster/test_storage_frames.py
+++ b/tests/cluster/test_storage_frames.py
@@ -7,16 +7,12 @@
 
 from amberlug.cluster.node_status import NodeStatusRequest
 from amberlug.cluster.rpc.messages import WireBody
+from amberlug.cluster.storage.content_messages import ContentReply, ContentRequest
 from amberlug.cluster.storage.messages import (
-    DEAD_OUTCOME,
-    OPEN,
     AcknowledgeReply,
     AcknowledgeRequest,
-    ContentReply,
-    ContentRequest,
     FenceReply,
     FenceRequest,
-    MessageOutcome,
     OpenMessage,
     OutcomesReply,
     OutcomesRequest,
@@ -30,6 +26,7 @@
     DeadMessagesRequest,
     StorageStatusReport,
 )
+from amberlug.cluster.storage.outcomes import DEAD_OUTCOME, OPEN, MessageOutcome
 
 FRAMES = json.loads((Path(__file__).parents[1] / "data" / "frames.json").read_text())
 MESSAGES: dict[str, type[WireBody]] = {
