--- a/tests/features/steps/deployment.py
+++ b/tests/features/steps/deployment.py
@@ -35,7 +35,8 @@
         out = [
             edge
             for edge in day.deployment.edges
-            if edge.up and any(it.key and it.in_flight for it in edge.part.delivery_queue.messages.values())
+            if edge.up
+            and any(it.sequence_key and it.in_flight for it in edge.part.delivery_queue.messages.values())
         ]
         if not out:
             day.clock.call_later(0.01, strike)
