--- a/tests/cluster/test_answers_days.py
+++ b/tests/cluster/test_answers_days.py
@@ -1,33 +1,23 @@
 """Days on which endpoints cut, double, delay and lose their answers, and faults that these must find."""
 
-from collections.abc import Iterator
-
 import pytest
-from absl import logging
 
 from amberlug.cluster.simulation.mutations import MUTANTS
 from amberlug.cluster.simulation.scenarios import play
 from amberlug.cluster.simulation.seed_search import one
 
-
-@pytest.fixture(autouse=True)
-def quiet() -> Iterator[None]:
-    """Machines' logs tell nothing here."""
-    before = logging.get_verbosity()
-    logging.set_verbosity(logging.FATAL)
-    yield
-    logging.set_verbosity(before)
+pytestmark = pytest.mark.usefixtures("suppressed_logs")
 
 
 @pytest.mark.parametrize("seed", [201, 205, 208])
-def test_days_of_garbled_answers_break_no_rule(seed: int) -> None:
+def test_days_with_garbled_responses_break_no_invariant(seed: int) -> None:
     assert play(seed, "answers") == []
 
 
 @pytest.mark.parametrize(
     ("name", "seed", "rule"), [("answer-believed", 201, "MIXED"), ("out-elsewhere", 2, "TWICE")]
 )
-def test_a_fault_is_found(name: str, seed: int, rule: str) -> None:
+def test_a_mutation_is_detected(name: str, seed: int, rule: str) -> None:
     aim = MUTANTS[name][1]
     # A change of the program may move what a seed finds by a few days.
     found = (one(it, aim, name)[1] for it in range(seed, seed + 20))
--- a/tests/cluster/test_client_answers.py
+++ b/tests/cluster/test_client_answers.py
@@ -122,11 +122,11 @@
         run(seed, scene)
 
 
-def test_each_request_gets_its_own_answer_in_order() -> None:
+def test_each_request_gets_its_own_response_in_order() -> None:
     play(range(40))
 
 
 @pytest.mark.parametrize("name", ["answer-to-next", "answer-again-within"])
-def test_a_fault_is_found(name: str) -> None:
+def test_a_mutation_is_detected(name: str) -> None:
     with FAULTS[name][0](), pytest.raises(AssertionError):
         play(range(40))
--- a/tests/cluster/test_contact.py
+++ b/tests/cluster/test_contact.py
@@ -1,11 +1,10 @@
 """Control relays that reach no majority: they hold no sessions, refuse nothing, and edges go elsewhere."""
 
-from collections.abc import Callable, Iterator
+from collections.abc import Callable
 from functools import partial
 from typing import Any
 
 import pytest
-from absl import logging
 from result import Ok
 
 from amberlug.cluster.consensus.membership import Members
@@ -28,15 +27,9 @@
 from amberlug.cluster.storage.records import StoredMessage
 from tests.cluster.fakes import Alone, settings
 
-BEFORE_S, CUT_S, APPLY_S = 6.0, 20.0, 3.0
-
+pytestmark = pytest.mark.usefixtures("suppressed_logs")
 
-@pytest.fixture(autouse=True)
-def quiet() -> Iterator[None]:
-    before = logging.get_verbosity()
-    logging.set_verbosity(logging.FATAL)
-    yield
-    logging.set_verbosity(before)
+BEFORE_S, CUT_S, APPLY_S = 6.0, 20.0, 3.0
 
 
 class Fast:
@@ -97,7 +90,7 @@
 
 @pytest.mark.parametrize("way", ["both", "to", "from"])
 @pytest.mark.parametrize("which", ["leader", "follower"])
-def test_no_session_stays_with_a_relay_that_is_cut_off(which: str, way: str) -> None:
+def test_no_session_stays_with_a_partitioned_control_node(which: str, way: str) -> None:
     play = Cut(3, which, way)
     play.clock.run(BEFORE_S + 0.5)
     play.restart_others()
@@ -109,7 +102,7 @@
     assert play.wait(lambda: play.editions() == {play.day.operator.edition}, APPLY_S)
 
 
-def test_a_relay_that_is_cut_off_refuses_no_order_and_takes_none() -> None:
+def test_a_partitioned_control_node_neither_accepts_nor_rejects_commands() -> None:
     play = Cut(3, "leader", "both")
     play.clock.run(BEFORE_S + 0.1)  # it still takes itself for the leader
     calls: list[tuple[str, str, bytes, str]] = [
@@ -135,7 +128,7 @@
     assert said[0][1].get("heartbeatUri") != play.cut.control
 
 
-def test_endpoints_of_its_zone_are_heard_elsewhere_and_lost_by_nobody() -> None:
+def test_endpoints_of_a_partitioned_zone_fail_over_and_are_not_lost() -> None:
     play = Cut(5, "follower", "both")
     endpoint_fleet = play.deployment.endpoint_fleet
     for _ in range(3):
@@ -172,7 +165,7 @@
     assert not part.ready
 
 
-def test_a_new_leader_refuses_nothing_from_a_book_that_lags() -> None:
+def test_a_new_leader_rejects_nothing_while_its_state_lags() -> None:
     of = settings("core")
     world = Alone(Clock())
     names = [f"10.0.0.{number}:7300" for number in (1, 2, 3)]
@@ -200,7 +193,9 @@
     assert len(said) == 2  # the order to retire is proposed by now, and not committed
 
 
-def test_all_news_come_page_by_page_before_an_edge_serves(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_an_edge_reads_all_published_state_page_by_page_before_it_serves(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     monkeypatch.setattr(announcements, "PAGE_ITEMS", 2)
     monkeypatch.setattr(store, "PAGE_ITEMS", 2)
     pages: list[int] = []
@@ -233,7 +228,7 @@
     assert max(pages) == 2
 
 
-def test_a_message_whose_end_the_stores_know_is_not_asked_for_without_end() -> None:
+def test_a_body_is_not_read_again_and_again_once_the_outcome_is_stored() -> None:
     day = Day(2, "quiet")
     for machine in day.deployment.machines:
         machine.start()
@@ -264,7 +259,7 @@
 
 
 @pytest.mark.parametrize("which", ["leader", "follower"])
-def test_a_voter_that_is_told_to_end_gives_its_vote_away_first(which: str) -> None:
+def test_a_voter_that_shuts_down_hands_over_its_vote_first(which: str) -> None:
     day = started(4)
     leader = day.leader()
     assert leader is not None
@@ -281,7 +276,7 @@
     assert name not in others[0].part.raft.members.voters
 
 
-def test_members_find_a_relay_while_several_are_silent() -> None:
+def test_nodes_find_a_control_node_while_several_do_not_respond() -> None:
     day = started(5)
     silent = [it for it in day.deployment.cores if not it.part.raft.is_voter]
     assert len(silent) == 2
--- a/tests/cluster/test_control_days.py
+++ b/tests/cluster/test_control_days.py
@@ -2,12 +2,11 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable, Iterator
+from collections.abc import Callable
 from functools import partial
 from unittest.mock import patch
 
 import pytest
-from absl import logging
 
 from amberlug.cluster.simulation.clock import Clock
 from amberlug.cluster.simulation.history import Broken, History, Place, What
@@ -15,16 +14,9 @@
 from amberlug.cluster.simulation.quorum_contact import Contact
 from amberlug.cluster.simulation.scenarios import Day, play
 
-Plan = Callable[[Day, float, float], None]
-
+pytestmark = pytest.mark.usefixtures("suppressed_logs")
 
-@pytest.fixture(autouse=True)
-def quiet() -> Iterator[None]:
-    """Suppress the log lines of the simulated machines."""
-    before = logging.get_verbosity()
-    logging.set_verbosity(logging.FATAL)
-    yield
-    logging.set_verbosity(before)
+Plan = Callable[[Day, float, float], None]
 
 
 def play_with_plan(seed: int, plan: Plan) -> list[Broken]:
--- a/tests/cluster/test_endpoint_answers.py
+++ b/tests/cluster/test_endpoint_answers.py
@@ -288,7 +288,7 @@
         run(seed, scene)
 
 
-def test_each_call_gets_its_own_answer_or_an_honest_failure() -> None:
+def test_each_call_gets_its_own_response_or_the_failure_that_happened() -> None:
     play(range(40))
 
 
@@ -296,6 +296,6 @@
     "name",
     ["answer-by-order", "attempt-by-order", "read-answer-lost", "silent-open", "sent-again", "extra-kept"],
 )
-def test_a_fault_is_found(name: str) -> None:
+def test_a_mutation_is_detected(name: str) -> None:
     with FAULTS[name][0](), pytest.raises(AssertionError):
         play(range(40))
--- a/tests/cluster/test_frame_mutations.py
+++ b/tests/cluster/test_frame_mutations.py
@@ -1,15 +1,16 @@
 """Faults put into how the log is sent, kept and read back: each is found by a test that passes without it."""
 
-from collections.abc import Callable, Iterator
+from collections.abc import Callable
 from functools import partial
 
 import pytest
-from absl import logging
 
 from amberlug.cluster.simulation.mutations import mutated
 from amberlug.cluster.simulation.mutations_frames import FAULTS
 from tests.cluster import test_raft, test_replication
 
+pytestmark = pytest.mark.usefixtures("suppressed_logs")
+
 FOUND_BY: dict[str, Callable[[], None]] = {
     "batch-unbounded": test_replication.test_a_slow_member_stays_a_follower_while_it_receives_large_entries,
     "members-left-behind": test_replication.test_a_snapshot_contains_the_newest_membership,
@@ -25,16 +26,7 @@
 }
 
 
-@pytest.fixture(autouse=True)
-def quiet() -> Iterator[None]:
-    """Keep the logs of the members out of the output."""
-    before = logging.get_verbosity()
-    logging.set_verbosity(logging.FATAL)
-    yield
-    logging.set_verbosity(before)
-
-
 @pytest.mark.parametrize("name", list(FAULTS))
-def test_a_fault_is_found(name: str) -> None:
+def test_a_mutation_is_detected(name: str) -> None:
     with mutated(name), pytest.raises(AssertionError):
         FOUND_BY[name]()
--- a/tests/cluster/test_handover.py
+++ b/tests/cluster/test_handover.py
@@ -1,21 +1,11 @@
 """Handover of shards whose previous owner learns of its successor a moment late."""
 
-from collections.abc import Iterator
-
 import pytest
-from absl import logging
 
 from amberlug.cluster.control import node
 from amberlug.cluster.simulation.scenarios import play
 
-
-@pytest.fixture(autouse=True)
-def quiet() -> Iterator[None]:
-    """Silence the log lines of simulated nodes."""
-    before = logging.get_verbosity()
-    logging.set_verbosity(logging.FATAL)
-    yield
-    logging.set_verbosity(before)
+pytestmark = pytest.mark.usefixtures("suppressed_logs")
 
 
 @pytest.mark.parametrize("seed", [39, 2089, 2272, 2273])
--- a/tests/cluster/test_killed_steps.py
+++ b/tests/cluster/test_killed_steps.py
@@ -1,16 +1,16 @@
 """A call to an endpoint whose edge is killed, or loses power, at each step of it."""
 
-from collections.abc import Iterator
 from dataclasses import replace
 
 import pytest
-from absl import logging
 
 from amberlug.cluster.dispatch.replica_write import ReplicationOutcome
 from amberlug.cluster.dispatch.replicator import Replicator
 from amberlug.cluster.simulation.history import Broken
 from amberlug.cluster.simulation.scenarios import TRAFFIC_S, Day
 
+pytestmark = pytest.mark.usefixtures("suppressed_logs")
+
 STEPS_MS = (
     0,
     2,
@@ -27,15 +27,6 @@
 )  # after the request: taken in, called, answered, marked
 
 
-@pytest.fixture(autouse=True)
-def quiet() -> Iterator[None]:
-    """Machines' logs tell nothing here."""
-    before = logging.get_verbosity()
-    logging.set_verbosity(logging.FATAL)
-    yield
-    logging.set_verbosity(before)
-
-
 class KilledAt(Day):
     """Nothing else is done to any machine; all edges end so long after one message is sent."""
 
@@ -64,11 +55,11 @@
 
 
 @pytest.mark.parametrize("power", [False, True])
-def test_a_message_is_neither_lost_nor_mixed_nor_run_again_after_its_success(power: bool) -> None:
+def test_a_message_is_neither_lost_nor_mixed_up_nor_run_again_after_its_success(power: bool) -> None:
     assert {ms: broken for ms in STEPS_MS if (broken := killed(ms, power))} == {}
 
 
-def test_a_message_that_is_accepted_before_it_is_kept_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_message_that_is_accepted_before_it_is_durable_is_detected(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(
         Replicator, "replicate", lambda self, message, epoch, then: then(ReplicationOutcome.REPLICATED)
     )
--- a/tests/cluster/test_losses.py
+++ b/tests/cluster/test_losses.py
@@ -1,12 +1,10 @@
 """Losses that follow repairs, and who may still write to stores then."""
 
-from collections.abc import Iterator
 from dataclasses import replace
 from functools import partial
 from typing import Any
 
 import pytest
-from absl import logging
 from result import Ok
 
 from amberlug.cluster.control.published_state import StorageRoster
@@ -22,18 +20,11 @@
 from tests.cluster.test_shard_owner import STORES, OwnerRig, new_message, table_of_one_shard
 from tests.cluster.test_storage_node import Rig
 
-
-@pytest.fixture(autouse=True)
-def quiet() -> Iterator[None]:
-    """Machines' logs tell nothing here."""
-    before = logging.get_verbosity()
-    logging.set_verbosity(logging.FATAL)
-    yield
-    logging.set_verbosity(before)
+pytestmark = pytest.mark.usefixtures("suppressed_logs")
 
 
 @pytest.mark.parametrize("name", ["", "old-epoch"])
-def test_an_owner_of_before_puts_nothing_on_stores_that_joined_after_the_fence(name: str) -> None:
+def test_a_fenced_owner_writes_nothing_to_nodes_that_joined_after_the_fence(name: str) -> None:
     """It wakes after its shards were given away, and hears of two new stores before it hears of that."""
     day = Day(5, "quiet")
     old, zone = day.deployment.edges[0], day.deployment.edges[0].zone
@@ -80,7 +71,7 @@
 }
 
 
-def test_a_store_that_joins_refuses_who_owned_shards_before_it_came() -> None:
+def test_a_joining_storage_node_rejects_owners_of_earlier_epochs() -> None:
     rig = Rig()
     rig.node.contents.enrolled_index = 0
     gossip = rig.node.gossip
@@ -95,7 +86,7 @@
     assert rig.node.contents.enrolled_index == 9
 
 
-def test_an_owner_serves_once_it_knows_the_roster_that_its_table_was_agreed_on() -> None:
+def test_an_owner_serves_once_it_knows_the_roster_of_its_shard_table() -> None:
     rig = OwnerRig()
     heard: dict[str, Json] = {it: {"open": []} for it in STORES}
     rig.shard_owner.update_table(table_of_one_shard(epoch=8, roster=5))
@@ -107,7 +98,7 @@
 
 
 @pytest.mark.parametrize("name", ["", "unfenced-drop"])
-def test_no_disk_is_dropped_while_a_store_may_take_puts_of_an_owner_of_before(name: str) -> None:
+def test_no_disk_is_dropped_while_a_node_may_accept_writes_of_a_previous_owner(name: str) -> None:
     rig = OwnerRig()
     (last,) = (then for to, _, _, then in rig.runtime.asked if to == STORES[2])
     rig.reply("fence", {it: {"open": []} for it in STORES[:2]})
@@ -120,7 +111,7 @@
     assert rig.shard_owner.unfenced_recoveries == 0
 
 
-def test_a_put_outlasts_a_disk_that_is_dropped_meanwhile() -> None:
+def test_a_replica_write_survives_the_removal_of_its_disk() -> None:
     rig = OwnerRig()
     rig.reply("fence", {it: {"open": []} for it in STORES})
     said: list[AdmissionOutcome] = []
@@ -134,7 +125,7 @@
     assert said == [AdmissionOutcome.ACCEPTED]
 
 
-def test_a_put_under_way_as_its_disk_is_emptied_leaves_nothing() -> None:
+def test_a_replica_write_in_flight_while_its_disk_is_emptied_leaves_nothing() -> None:
     rig = Rig()
     rig.put(1)
     rig.node.gossip.offer("roster", [9], {})  # others have taken its place
@@ -161,13 +152,13 @@
 
 
 @pytest.mark.parametrize("name", ["", "retire-short", "blind-drop"])
-def test_a_store_is_called_empty_once_enough_copies_stand_elsewhere(name: str) -> None:
+def test_a_storage_node_is_retired_once_enough_replicas_are_elsewhere(name: str) -> None:
     with mutated(name):
         assert any(_emptied(seed) for seed in range(1, 4)) == bool(name)
 
 
 @pytest.mark.parametrize("name", ["", "last-short"])
-def test_no_disk_is_dropped_while_one_message_lacks_a_copy(
+def test_no_disk_is_dropped_while_a_message_is_under_replicated(
     name: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     rig = Leader(monkeypatch)
@@ -180,7 +171,7 @@
     assert bool(rig.proposed) == bool(name)
 
 
-def test_no_disk_is_dropped_while_a_store_that_counts_is_silent(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_no_disk_is_dropped_while_a_full_member_does_not_respond(monkeypatch: pytest.MonkeyPatch) -> None:
     rig = Leader(monkeypatch)
     roster = rig.core.cluster_state.roster
     roster["disk-d"] = replace(roster["disk-c"], name="d", state=StoreState.RETIRING)
@@ -197,9 +188,9 @@
 @pytest.mark.parametrize(
     ("seed", "aim"), [(1, "losses-stores"), (2, "losses-stores-zone"), (3, "losses-stores-region")]
 )
-def test_a_loss_right_after_each_repair_breaks_no_rule(seed: int, aim: str) -> None:
+def test_a_loss_right_after_each_repair_breaks_no_invariant(seed: int, aim: str) -> None:
     assert play(seed, aim) == []
 
 
-def test_copies_in_one_zone_are_found() -> None:
+def test_replicas_in_one_zone_are_detected() -> None:
     assert any(one(seed, "losses-stores-zone", "one-zone")[1] for seed in range(5, 20))
--- a/tests/cluster/test_measured.py
+++ b/tests/cluster/test_measured_regressions.py
@@ -1,4 +1,4 @@
-"""What measured rounds found: each fails without its mend."""
+"""Faults that benchmarks have found: each test fails without the fix."""
 
 import asyncio
 import random
@@ -55,7 +55,7 @@
     return service, done
 
 
-def test_full_endpoints_after_a_start_teach_no_limit_of_a_few_units() -> None:
+def test_full_endpoints_after_a_start_do_not_lower_the_learned_rate() -> None:
     clock = Clock()
     endpoints = FullAtFirst(clock)
     service, done = dispatch(endpoints, clock, 8)
@@ -80,7 +80,7 @@
     assert {name: it for name, it in assign_shards(owners, live, 4, keep).items() if it} == moved
 
 
-def test_a_connection_that_is_old_ends_with_its_next_answer() -> None:
+def test_an_old_connection_closes_with_its_next_response() -> None:
     async def play() -> list[bytes]:
         server = Server(lambda asked, answer: answer(Response(200)), Limits, max_connection_age_s=100.0)
         await server.listen("127.0.0.1", 0)
--- a/tests/cluster/test_recorded.py
+++ b/tests/cluster/test_recorded.py
@@ -44,7 +44,7 @@
     assert done.returncode == 0
 
 
-def test_a_digest_that_moved_is_told() -> None:
+def test_a_moved_digest_is_reported() -> None:
     recorded = json.loads((DATA / "simulation_digests.json").read_text())
     assert len(recorded["days"]) >= 60
     assert differences(recorded, recorded) == []
@@ -54,7 +54,7 @@
     assert len(differences(recorded, moved)) == 2
 
 
-def test_a_core_folder_is_read_and_left_as_it_is(tmp_path: Path) -> None:
+def test_a_control_node_folder_of_the_version_before_is_read_and_left_unchanged(tmp_path: Path) -> None:
     path = copy_of("core/vise.db", tmp_path)
     before = dump(path, TABLES["core/vise.db"])
     saved, disk, anew = open_raft_storage(
@@ -67,7 +67,7 @@
     assert dump(path, TABLES["core/vise.db"]) == before
 
 
-def test_a_core_folder_is_written_as_it_was(tmp_path: Path) -> None:
+def test_a_control_node_folder_is_written_as_by_the_version_before(tmp_path: Path) -> None:
     path = copy_of("core/vise.db", tmp_path)
     before = dump(path, TABLES["core/vise.db"])
     saved, disk, _ = open_raft_storage(tmp_path, lambda: pytest.fail("it was begun anew"), lambda act: None)
@@ -82,7 +82,7 @@
     assert dump(path, TABLES["core/vise.db"]) == before
 
 
-def test_a_store_folder_is_read_and_written_as_it_was(tmp_path: Path) -> None:
+def test_a_storage_node_folder_is_read_and_written_as_by_the_version_before(tmp_path: Path) -> None:
     path = copy_of("storage/chest.db", tmp_path)
     before = dump(path, TABLES["storage/chest.db"])
     contents, message_store = open_message_store(
--- a/tests/cluster/test_replication.py
+++ b/tests/cluster/test_replication.py
@@ -1,26 +1,17 @@
 """Replication under large changes: members restarted, slow, lossy and wiped meanwhile."""
 
 import random
-from collections.abc import Iterator
 from functools import partial
 from typing import Any
 
 import pytest
-from absl import logging
 
 from amberlug.cluster.consensus.election import MIN_ELECTION_TIMEOUT_S
 from amberlug.cluster.consensus.log import SNAPSHOT_BYTES, TAIL_BYTES
 from amberlug.cluster.interfaces import RawMessage
 from tests.cluster.group import SLOW, GroupMember, RaftGroup
 
-
-@pytest.fixture(autouse=True)
-def quiet() -> Iterator[None]:
-    """Keep the logs of the members out of the output."""
-    before = logging.get_verbosity()
-    logging.set_verbosity(logging.FATAL)
-    yield
-    logging.set_verbosity(before)
+pytestmark = pytest.mark.usefixtures("suppressed_logs")
 
 
 def follower(group: RaftGroup) -> GroupMember:
--- a/tests/cluster/test_rollback_guard.py
+++ b/tests/cluster/test_rollback_guard.py
@@ -1,12 +1,11 @@
 """A control-plane node whose folder is restored from a backup, and one that was only down."""
 
-from collections.abc import Callable, Iterator
+from collections.abc import Callable
 from copy import deepcopy
 from functools import partial
 from pathlib import Path
 
 import pytest
-from absl import logging
 
 from amberlug.cluster.consensus.membership import Members
 from amberlug.cluster.consensus.persistent_state import PersistentState
@@ -16,14 +15,7 @@
 from amberlug.cluster.simulation.machine import BOUNDS, Machine
 from amberlug.cluster.simulation.mutations import mutated
 
-
-@pytest.fixture(autouse=True)
-def quiet() -> Iterator[None]:
-    """Keep the logs of the nodes out of the output."""
-    before = logging.get_verbosity()
-    logging.set_verbosity(logging.FATAL)
-    yield
-    logging.set_verbosity(before)
+pytestmark = pytest.mark.usefixtures("suppressed_logs")
 
 
 class ControlPlane:
--- a/tests/cluster/test_found.py
+++ b/tests/cluster/test_simulation_regressions.py
@@ -1,10 +1,8 @@
-"""Faults that days in virtual time have found, each in the smallest day that shows it."""
+"""Faults that the simulation has found, each in the smallest scenario that shows it."""
 
-from collections.abc import Iterator
 from functools import partial
 
 import pytest
-from absl import logging
 
 from amberlug.cluster.dispatch.message import Message, SequencePosition
 from amberlug.cluster.dispatch.messages import CallEnded
@@ -12,14 +10,7 @@
 from amberlug.cluster.simulation.scenarios import TRAFFIC_S, Day
 from amberlug.cluster.storage.outcomes import MessageOutcome
 
-
-@pytest.fixture(autouse=True)
-def quiet() -> Iterator[None]:
-    """Machines' logs tell nothing here."""
-    before = logging.get_verbosity()
-    logging.set_verbosity(logging.FATAL)
-    yield
-    logging.set_verbosity(before)
+pytestmark = pytest.mark.usefixtures("suppressed_logs")
 
 
 def rules(broken: list[Broken]) -> set[str]:
@@ -49,7 +40,7 @@
 
 
 @pytest.mark.parametrize("seed", [2, 6])
-def test_a_message_offered_again_is_not_marked_as_dropped(seed: int) -> None:
+def test_a_resubmitted_message_is_not_recorded_as_dropped(seed: int) -> None:
     assert rules(CutThenDark(seed).play()) == set()
 
 
@@ -60,7 +51,7 @@
         pass
 
 
-def test_a_message_that_is_copied_again_keeps_its_place() -> None:
+def test_a_message_that_is_replicated_again_keeps_its_position() -> None:
     day = Calm(1)
     day.play()
     edge = day.deployment.edges[0].part
@@ -85,7 +76,7 @@
     assert positions == {(number, 3, 7)}
 
 
-def test_a_late_word_of_the_owner_before_does_not_repeat_a_call() -> None:
+def test_a_late_report_of_the_previous_owner_does_not_repeat_a_call() -> None:
     day = Calm(1)
     day.play()
     day.clients.send("/plain/")
@@ -100,7 +91,7 @@
     assert sum(run.attempt == message.attempt_id for run in day.history.runs) == 1
 
 
-def test_a_call_is_told_of_after_its_route_went_elsewhere() -> None:
+def test_the_outcome_of_a_call_is_recorded_after_its_route_changed_service() -> None:
     day = Calm(1)
     day.play()
     day.clients.send("/plain/")
--- a/tests/cluster/test_unclear_asks.py
+++ b/tests/cluster/test_unknown_outcomes.py
@@ -1,4 +1,4 @@
-"""What becomes of asks whose fate is open: silence, breaks, what was not sent, answers that come twice."""
+"""Requests whose outcome is unknown: time-outs, lost connections, requests not sent, repeated replies."""
 
 import itertools
 
@@ -50,7 +50,7 @@
 
 
 @pytest.mark.parametrize("fates", list(itertools.product(FATES, repeat=2)))
-def test_an_offer_whose_fate_is_open_keeps_its_name_and_is_never_refused(
+def test_a_submission_of_unknown_outcome_keeps_its_id_and_is_never_rejected(
     fates: tuple[RequestFailure | AdmissionOutcome, ...],
 ) -> None:
     said, sent, thens = offer(fates)
@@ -93,10 +93,10 @@
         assert [it.status for it in said] == [expected]
 
 
-def test_an_order_is_passed_on_once_and_is_refused_only_by_the_leader() -> None:
+def test_a_command_is_forwarded_once_and_rejected_only_by_the_leader() -> None:
     look_at_orders()
 
 
-def test_an_order_that_is_passed_on_again_is_found() -> None:
+def test_a_command_that_is_forwarded_twice_is_detected() -> None:
     with FAULTS["order-again"][0](), pytest.raises(AssertionError, match="passed on once"):
         look_at_orders()
--- a/tests/cluster/test_voter_selection.py
+++ b/tests/cluster/test_voter_selection.py
@@ -1,13 +1,11 @@
 """Voter selection: the decision by itself over random memberships, and deployments that lose nodes."""
 
 import random
-from collections.abc import Iterator
 from dataclasses import replace
 from functools import partial
 from itertools import combinations
 
 import pytest
-from absl import logging
 
 from amberlug.cluster.consensus.raft import Role
 from amberlug.cluster.consensus.voter_selection import (
@@ -24,16 +22,9 @@
 from amberlug.cluster.simulation.machine import BOUNDS, Machine
 from amberlug.cluster.simulation.mutations import mutated
 
-A_MACHINE, A_ZONE, A_REGION = Tolerance(1, 0, 0), Tolerance(1, 1, 0), Tolerance(1, 1, 1)
-
+pytestmark = pytest.mark.usefixtures("suppressed_logs")
 
-@pytest.fixture(autouse=True)
-def quiet() -> Iterator[None]:
-    """Keep the logs of the machines out of the output."""
-    before = logging.get_verbosity()
-    logging.set_verbosity(logging.FATAL)
-    yield
-    logging.set_verbosity(before)
+A_MACHINE, A_ZONE, A_REGION = Tolerance(1, 0, 0), Tolerance(1, 1, 0), Tolerance(1, 1, 1)
 
 
 def make_all_changes(members: list[MemberStatus], tolerance: Tolerance, leader: str) -> list[MemberStatus]:
