--- a/tests/cluster/fakes.py
+++ b/tests/cluster/fakes.py
@@ -15,7 +15,7 @@
 
     def __init__(self, clock: Clock) -> None:
         self.clock, self.rng = clock, random.Random(1)
-        self.asked: list[tuple[str, str, Json, ReplyCallback]] = []
+        self.requests: list[tuple[str, str, Json, ReplyCallback]] = []
 
     def now(self) -> float:
         return self.clock.now
@@ -32,7 +32,7 @@
         pass
 
     def request(self, address: str, message: RawMessage, timeout_s: float, on_reply: ReplyCallback) -> None:
-        self.asked.append((address, message.tag, message.body, on_reply))
+        self.requests.append((address, message.tag, message.body, on_reply))
 
 
 def settings(kind: str) -> Settings:
--- a/tests/cluster/test_admin.py
+++ b/tests/cluster/test_admin.py
@@ -203,14 +203,14 @@
 
     def __init__(self) -> None:
         self.answers: dict[str, list[tuple[int, Any]]] = {}
-        self.asked: list[tuple[str, str, dict[str, str], bytes]] = []
+        self.requests: list[tuple[str, str, dict[str, str], bytes]] = []
         rig = self
 
         class Handler(BaseHTTPRequestHandler):
             def do_GET(self) -> None:  # noqa: N802
                 body = self.rfile.read(int(self.headers.get("Content-Length", 0)))
                 headers = {name.lower(): value for name, value in self.headers.items()}
-                rig.asked.append((self.command, self.path, headers, body))
+                rig.requests.append((self.command, self.path, headers, body))
                 left = rig.answers.get(self.path.partition("?")[0], [(404, {"cause": "no call"})])
                 status, data = left.pop(0) if len(left) > 1 else left[0]
                 text = data if isinstance(data, bytes) else json.dumps(data).encode()
@@ -229,8 +229,8 @@
         self.at = f"127.0.0.1:{self.server.server_address[1]}"
         threading.Thread(target=self.server.serve_forever, args=(0.01,), daemon=True).start()
 
-    def admin(self, *words: str) -> Result:
-        return CliRunner().invoke(cli, ["admin", *(self.at if it == "@" else it for it in words)])
+    def admin(self, *arguments: str) -> Result:
+        return CliRunner().invoke(cli, ["admin", *(self.at if it == "@" else it for it in arguments)])
 
 
 @pytest.fixture
@@ -336,9 +336,9 @@
 ]
 
 
-@pytest.mark.parametrize(("words", "answers", "code", "said"), COMMANDS)
+@pytest.mark.parametrize(("arguments", "answers", "code", "expected_output"), COMMANDS)
 def test_a_command_exits_by_its_outcome(
-    control: Control, tmp_path: Path, words: str, answers: dict[str, Any], code: int, said: str
+    control: Control, tmp_path: Path, arguments: str, answers: dict[str, Any], code: int, expected_output: str
 ) -> None:
     bad = {**NEW, "routeTable": [{**NEW["routeTable"][0], "targetService": "none"}]}
     for name, data in (("NEW", NEW), ("BAD", bad)):
@@ -349,8 +349,8 @@
         "DEPLOY": str(ROOT / "deploy/system.toml"),
     }
     control.answers = {path: list(it) for path, it in answers.items()}
-    result = control.admin(*(files.get(it, it) for it in words.split()))
-    assert (result.exit_code, said in result.output) == (code, True), result.output
+    result = control.admin(*(files.get(it, it) for it in arguments.split()))
+    assert (result.exit_code, expected_output in result.output) == (code, True), result.output
 
 
 def test_a_configuration_push_is_retried_unchanged(control: Control, tmp_path: Path) -> None:
@@ -359,7 +359,7 @@
     assert control.admin("config", "push", str(tmp_path / "c"), "--at", "@").exit_code == DONE
     pushed = [
         (headers["amberlug-base-version"], body)
-        for _, path, headers, body in control.asked
+        for _, path, headers, body in control.requests
         if path == REPLACE
     ]
     assert pushed == [("1", json.dumps(NEW).encode())] * 3
@@ -369,7 +369,7 @@
     control.answers = {"/-/Foreman.Dead/1-a": [(200, FOUND)], "/a": [(202, b"")]}
     for _ in range(2):
         control.admin("dead", "again", "1-a", "--at", "@", "--front", "@")
-    (_, _, first, body), (_, _, second, _) = [it for it in control.asked if it[1] == "/a"]
+    (_, _, first, body), (_, _, second, _) = [it for it in control.requests if it[1] == "/a"]
     assert (first["host"], first["x-a"], body) == ("h", "b", b"abc")
     assert first["amberlug-attempt-id"] != second["amberlug-attempt-id"]
 
@@ -397,12 +397,12 @@
 ]
 
 
-@pytest.mark.parametrize(("text", "places"), DEPLOYS)
-def test_errors_of_a_deploy_file_name_their_paths(tmp_path: Path, text: str, places: list[str]) -> None:
+@pytest.mark.parametrize(("text", "paths"), DEPLOYS)
+def test_errors_of_a_deploy_file_name_their_paths(tmp_path: Path, text: str, paths: list[str]) -> None:
     (tmp_path / "d.toml").write_text(text)
     errors = check_deploy(tmp_path / "d.toml")
-    assert len(errors) == len(places), errors
-    assert all(error.startswith(place) for error, place in zip(errors, places, strict=True)), errors
+    assert len(errors) == len(paths), errors
+    assert all(error.startswith(error_path) for error, error_path in zip(errors, paths, strict=True)), errors
 
 
 SETTINGS: list[tuple[str, Json, list[str]]] = [
@@ -417,17 +417,17 @@
 ]
 
 
-@pytest.mark.parametrize(("name", "change", "places"), SETTINGS)
+@pytest.mark.parametrize(("name", "change", "paths"), SETTINGS)
 def test_errors_of_a_settings_file_name_their_paths(
-    tmp_path: Path, name: str, change: Json, places: list[str]
+    tmp_path: Path, name: str, change: Json, paths: list[str]
 ) -> None:
     deployment = Deployment(tmp_path, "127.0.1")
     deployment.write(first_start=True)
     path = deployment.machines[name].path
     path.write_text(yaml.safe_dump({**yaml.safe_load(path.read_text()), **change}))
     errors = check_settings(path)
-    assert len(errors) == len(places), errors
-    assert all(any(error.startswith(place) for error in errors) for place in places), errors
+    assert len(errors) == len(paths), errors
+    assert all(any(error.startswith(error_path) for error in errors) for error_path in paths), errors
 
 
 def test_differences_name_the_changed_fields() -> None:
--- a/tests/cluster/test_answers_days.py
+++ b/tests/cluster/test_answers_days.py
@@ -18,7 +18,7 @@
     ("name", "seed", "rule"), [("answer-believed", 201, "MIXED"), ("out-elsewhere", 2, "TWICE")]
 )
 def test_a_mutation_is_detected(name: str, seed: int, rule: str) -> None:
-    aim = MUTANTS[name][1]
+    family = MUTANTS[name][1]
     # A change of the program may move what a seed finds by a few days.
-    found = (one(it, aim, name)[1] for it in range(seed, seed + 20))
+    found = (one(it, family, name)[1] for it in range(seed, seed + 20))
     assert any(rule in {it.rule for it in broken} for broken in found)
--- a/tests/cluster/test_client_answers.py
+++ b/tests/cluster/test_client_answers.py
@@ -81,12 +81,12 @@
             if not whole:
                 return
             status = int(head.split()[1])
-            fields = dict(line.split(": ", 1) for line in head.decode().split("\r\n")[1:])
+            fields = dict(field.split(": ", 1) for field in head.decode().split("\r\n")[1:])
             length = int(fields["Content-Length"])
             if len(rest) < length:
                 return
-            asked = sum(len(it) for it in self.lines[: self.answers + 1])
-            assert asked <= self.sent, "an answer to what was not asked"
+            requested_bytes = sum(len(it) for it in self.lines[: self.answers + 1])
+            assert requested_bytes <= self.sent, "an answer to what was not asked"
             assert self.answers < len(self.targets), "an answer too many"
             target = self.targets[self.answers]
             assert status in (200, 408, 500), status
@@ -108,8 +108,8 @@
         await loop.create_connection(lambda client=client: client, *AT)
     await asyncio.sleep(10.0)
     assert len(set(handlers.seen)) == len(handlers.seen), "a request is handed over twice"
-    asked = {target for client in clients for target in client.targets}
-    assert set(handlers.seen) <= asked
+    requested_bytes = {target for client in clients for target in client.targets}
+    assert set(handlers.seen) <= requested_bytes
     server.stop()
     server.abort()
     await asyncio.sleep(1.0)
--- a/tests/cluster/test_cluster_state.py
+++ b/tests/cluster/test_cluster_state.py
@@ -130,9 +130,9 @@
 
 def test_a_lost_storage_node_can_still_be_retired() -> None:
     log = Log()
-    place = {"name": "store-1", "addr": "a", "zone": "z", "region": "r"}
-    log.apply("roster", set={"disk": {**place, "state": "full"}})
-    log.apply("roster", set={"disk": {**place, "state": "lost"}})
+    placement = {"name": "store-1", "addr": "a", "zone": "z", "region": "r"}
+    log.apply("roster", set={"disk": {**placement, "state": "full"}})
+    log.apply("roster", set={"disk": {**placement, "state": "lost"}})
     assert log.apply("retire", name="store-2")["status"] == 404
     assert log.apply("retire", name="store-1") == {"ok": True}
     assert log.cluster_state.roster["disk"].state is StoreState.RETIRING
--- a/tests/cluster/test_contact.py
+++ b/tests/cluster/test_contact.py
@@ -76,7 +76,7 @@
         found: list[int] = []
         headers = (("amberlug-base-version", base),) if base else ()
         self.deployment.control(
-            core, method, path, body, 1.0, lambda status, said: found.append(status), headers
+            core, method, path, body, 1.0, lambda status, responses: found.append(status), headers
         )
         self.clock.run(self.clock.now + 1.1)
         return found[0]
@@ -117,15 +117,20 @@
     announce = b'{"targetService": "alpha", "address": "10.0.0.9:80", "sequence": 1}'
     assert {play.ask(play.cut, *it) for it in calls} == {503}
     assert play.ask(play.cut, "POST", "/-/Instances.Announce/i-1", announce) == 503
-    said: list[Any] = []
+    responses: list[Any] = []
     other = play.others[0]
     body = announce.replace(b"{", b'{"zone": "%s",' % play.cut.zone.encode(), 1)
     play.deployment.control(
-        other, "POST", "/-/Instances.Announce/i-1", body, 1.0, lambda status, it: said.append((status, it))
+        other,
+        "POST",
+        "/-/Instances.Announce/i-1",
+        body,
+        1.0,
+        lambda status, it: responses.append((status, it)),
     )
     play.clock.run(play.clock.now + 1.1)
-    assert said[0][0] == 200
-    assert said[0][1].get("heartbeatUri") != play.cut.control
+    assert responses[0][0] == 200
+    assert responses[0][1].get("heartbeatUri") != play.cut.control
 
 
 def test_endpoints_of_a_partitioned_zone_fail_over_and_are_not_lost() -> None:
@@ -177,20 +182,20 @@
     )
     core.raft.election.start(2)
     core.raft.become_leader()  # what the leader before it committed is in its log, but not in its book yet
-    said: list[Any] = []
-    core.executor.execute(SubmitConfig(ConfigCall.REPLACE, 5, {"edition": 6}), said.append)
-    core.executor.execute(SubmitRetirement("store-0"), said.append)
-    core.executor.execute(ReadState(), said.append)
-    assert said == []
+    responses: list[Any] = []
+    core.executor.execute(SubmitConfig(ConfigCall.REPLACE, 5, {"edition": 6}), responses.append)
+    core.executor.execute(SubmitRetirement("store-0"), responses.append)
+    core.executor.execute(ReadState(), responses.append)
+    assert responses == []
     for commit in (0, 2):
-        for to, word, body, then in world.asked[:]:
-            if word == "vise.append" and to == names[1] and body["commit"] == commit:
+        for to, tag, body, then in world.requests[:]:
+            if tag == "vise.append" and to == names[1] and body["commit"] == commit:
                 then(Ok(Reply({"ok": True, "term": 2})))
-    results = [it.ok_value for it in said if isinstance(it, Ok)]
+    results = [it.ok_value for it in responses if isinstance(it, Ok)]
     statuses = [it.status for it in results if isinstance(it, CommandResult)]
     assert core.cluster_state.config_version == 5
     assert 412 not in statuses
-    assert len(said) == 2  # the order to retire is proposed by now, and not committed
+    assert len(responses) == 2  # the order to retire is proposed by now, and not committed
 
 
 def test_an_edge_reads_all_published_state_page_by_page_before_it_serves(
@@ -278,16 +283,16 @@
 
 def test_nodes_find_a_control_node_while_several_do_not_respond() -> None:
     day = started(5)
-    silent = [it for it in day.deployment.cores if not it.part.raft.is_voter]
-    assert len(silent) == 2
-    gone = {it.address for it in silent}
+    unresponsive = [it for it in day.deployment.cores if not it.part.raft.is_voter]
+    assert len(unresponsive) == 2
+    gone = {it.address for it in unresponsive}
     sessions = [it.part.session for it in day.deployment.edges + day.deployment.stores]
     session = next(it for it in sessions if it.control_address not in gone)
-    for machine in silent:
+    for machine in unresponsive:
         machine.power_off()
     day.clock.run(day.clock.now + 2.0)
-    session._candidates = [it.address for it in silent] + [
-        it.address for it in day.deployment.cores if it not in silent
+    session._candidates = [it.address for it in unresponsive] + [
+        it.address for it in day.deployment.cores if it not in unresponsive
     ]
     session._attempts = 0
     session.on_disconnect(session.control_address)
--- a/tests/cluster/test_endpoint_answers.py
+++ b/tests/cluster/test_endpoint_answers.py
@@ -27,7 +27,7 @@
 EXPIRY_S = 0.4
 MAX_ATTEMPTS = 3
 MESSAGES = 30
-TROUBLES = (
+FAULT_KINDS = (
     "fine",
     "fine",
     "fine",
@@ -85,7 +85,7 @@
     """One connection at an endpoint."""
 
     def __init__(self, site: Site) -> None:
-        self.site, self.read, self.said = site, b"", b""
+        self.site, self.read, self.response_text = site, b"", b""
         self.before: Ask | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -104,7 +104,7 @@
         head, found, rest = self.read.partition(b"\r\n\r\n")
         if not found:
             return
-        fields = dict(line.split(": ", 1) for line in head.decode().split("\r\n")[1:])
+        fields = dict(header_text.split(": ", 1) for header_text in head.decode().split("\r\n")[1:])
         length = int(fields["Content-Length"])
         assert len(rest) <= length, "a further request before the answer"
         if len(rest) == length:
@@ -114,7 +114,9 @@
     def _take(self, ask: Ask) -> None:
         site, here = self.site, ask.end.other
         assert all(it.call != ask.call for it in site.asks), "one call is sent twice"
-        assert here.closing or here.had_come == self.said, "a connection is used again on which more has come"
+        assert (
+            here.closing or here.had_come == self.response_text
+        ), "a connection is used again on which more has come"
         if not here.closing:  # else it was given up while it was on its way
             assert ask.attempt not in site.known, "a success that is known runs again"
             for before in site.by_attempt[ask.attempt]:
@@ -122,7 +124,7 @@
                 assert not out, "a second call while the first is under way"
         site.asks.append(ask)
         site.by_attempt[ask.attempt].append(ask)
-        what = site.rng.choice(TROUBLES)
+        what = site.rng.choice(FAULT_KINDS)
         ask.status = {"fails": 500, "full": 503, "dead": 422}.get(what, 200)
         if what == "doubled later":
             ask.status = site.rng.choice((200, 500, 500, 503))
@@ -164,11 +166,11 @@
             end.write(before.copy)
             site.loop.call_later(again, end.write, copy)
         elif what == "informs":
-            self.said += b"HTTP/1.1 103 Early Hints\r\n\r\n"
+            self.response_text += b"HTTP/1.1 103 Early Hints\r\n\r\n"
             end.write(b"HTTP/1.1 103 Early Hints\r\n\r\n" + copy)
         else:
             end.write(copy * (2 if what == "doubled" else 1))
-        self.said += copy
+        self.response_text += copy
         ask.answered = True
         self.before = ask
         if what == "doubled later":
@@ -232,7 +234,7 @@
             elif called.verdict is CallVerdict.TIMED_OUT and ran is not None:
                 passed = ran.end.other.read_at > until or len(ran.copy) > BODY_MOST
                 assert (
-                    passed or ran.copy not in ran.end.other.heard
+                    passed or ran.copy not in ran.end.other.received
                 ), "an answer that was read is called silence"
             then(called)
 
--- a/tests/cluster/test_http_server.py
+++ b/tests/cluster/test_http_server.py
@@ -55,13 +55,13 @@
         await self.until(lambda: self.server.accepted_connections > before)
         return pair
 
-    async def ask(self, *pieces: bytes, hang_up: bool = True) -> bytes:
+    async def ask(self, *parts: bytes, hang_up: bool = True) -> bytes:
         """Send the pieces, each once the last one is read, and read until the server has said all."""
         reader, writer = await self.open()
         sent = self.read
-        for piece in pieces:
-            writer.write(piece)
-            sent += len(piece)
+        for chunk in parts:
+            writer.write(chunk)
+            sent += len(chunk)
             await self.until(partial(self._has_read, sent))
         if hang_up and self.server._connections:
             writer.write_eof()
@@ -146,16 +146,16 @@
 
 
 @pytest.mark.filterwarnings("error")
-@pytest.mark.parametrize(("pieces", "statuses", "bodies"), ANSWERED)
+@pytest.mark.parametrize(("parts", "statuses", "bodies"), ANSWERED)
 def test_each_request_is_answered_in_order_and_a_malformed_one_is_rejected(
-    pieces: tuple[bytes, ...], statuses: list[int], bodies: list[bytes]
+    parts: tuple[bytes, ...], statuses: list[int], bodies: list[bytes]
 ) -> None:
-    late = not pieces or statuses == [408]  # the server is to lose its patience
+    late = not parts or statuses == [408]  # the server is to lose its patience
 
     async def scene(rig: Rig) -> None:
-        answer = await rig.ask(*pieces, hang_up=not late)
+        answer = await rig.ask(*parts, hang_up=not late)
         assert [int(part[:3]) for part in answer.split(b"HTTP/1.1 ")[1:]] == statuses
-        closed = bool(statuses) and (statuses[-1] >= 400 or b"HTTP/1.0" in pieces[0][:20])
+        closed = bool(statuses) and (statuses[-1] >= 400 or b"HTTP/1.0" in parts[0][:20])
         assert not closed or answer.count(b"Connection: close") == 1
         assert [it.body for it in rig.seen] == bodies
         assert rig.server.open_requests == 0
@@ -212,7 +212,7 @@
         rig.later[0](Response(200))
         assert b"Connection: close" in await busy.read()
         assert b"Connection: close" in await rig.ask(GET)
-        held, asks = await rig.open()
+        waiting, asks = await rig.open()
         asks.write(GET.replace(b"/a", b"/later"))
         await rig.until(lambda: rig.server.open_requests == 1)
         port = rig.server.port
@@ -220,6 +220,6 @@
         with pytest.raises(OSError, match=r".*"):
             await asyncio.open_connection("127.0.0.1", port)
         rig.server.abort()
-        assert await held.read() == b""
+        assert await waiting.read() == b""
 
     assert play(scene, Limits()).server.accepted_connections == 4
--- a/tests/cluster/test_losses.py
+++ b/tests/cluster/test_losses.py
@@ -88,9 +88,9 @@
 
 def test_an_owner_serves_once_it_knows_the_roster_of_its_shard_table() -> None:
     rig = OwnerRig()
-    heard: dict[str, Json] = {it: {"open": []} for it in STORES}
+    received: dict[str, Json] = {it: {"open": []} for it in STORES}
     rig.shard_owner.update_table(table_of_one_shard(epoch=8, roster=5))
-    rig.reply("fence", heard)
+    rig.reply("fence", received)
     assert not rig.shard_owner.owned[0].serving
     rig.replicator.update_roster(StorageRoster.from_wire(5, rig.roster))
     rig.shard_owner.roster_changed()
@@ -100,7 +100,7 @@
 @pytest.mark.parametrize("name", ["", "unfenced-drop"])
 def test_no_disk_is_dropped_while_a_node_may_accept_writes_of_a_previous_owner(name: str) -> None:
     rig = OwnerRig()
-    (last,) = (then for to, _, _, then in rig.runtime.asked if to == STORES[2])
+    (last,) = (then for to, _, _, then in rig.runtime.requests if to == STORES[2])
     rig.reply("fence", {it: {"open": []} for it in STORES[:2]})
     rig.clock.run(1.0)
     assert rig.shard_owner.owned[0].serving
@@ -114,15 +114,15 @@
 def test_a_replica_write_survives_the_removal_of_its_disk() -> None:
     rig = OwnerRig()
     rig.reply("fence", {it: {"open": []} for it in STORES})
-    said: list[AdmissionOutcome] = []
-    rig.shard_owner.accept(new_message(), said.append)
-    first, second = (to for to, word, _, _ in rig.runtime.asked if word == "put")
+    reply_body: list[AdmissionOutcome] = []
+    rig.shard_owner.accept(new_message(), reply_body.append)
+    first, second = (to for to, tag, _, _ in rig.runtime.requests if tag == "put")
     (left,) = set(STORES) - {first, second}
     remaining = {disk: rig.roster[disk] for disk in STORES if disk != left}
     rig.replicator.update_roster(StorageRoster.from_wire(0, remaining))
     rig.clock.run(0.5)  # long enough to ask a further store
     rig.reply("put", {first: {}, second: {}})
-    assert said == [AdmissionOutcome.ACCEPTED]
+    assert reply_body == [AdmissionOutcome.ACCEPTED]
 
 
 def test_a_replica_write_in_flight_while_its_disk_is_emptied_leaves_nothing() -> None:
@@ -186,10 +186,10 @@
 
 
 @pytest.mark.parametrize(
-    ("seed", "aim"), [(1, "losses-stores"), (2, "losses-stores-zone"), (3, "losses-stores-region")]
+    ("seed", "family"), [(1, "losses-stores"), (2, "losses-stores-zone"), (3, "losses-stores-region")]
 )
-def test_a_loss_right_after_each_repair_breaks_no_invariant(seed: int, aim: str) -> None:
-    assert play(seed, aim) == []
+def test_a_loss_right_after_each_repair_breaks_no_invariant(seed: int, family: str) -> None:
+    assert play(seed, family) == []
 
 
 def test_replicas_in_one_zone_are_detected() -> None:
--- a/tests/cluster/test_measured_regressions.py
+++ b/tests/cluster/test_measured_regressions.py
@@ -30,8 +30,8 @@
         turned_away = CallResult(CallVerdict.ANSWERED, 503, (attempt, ("amberlug-not-executed", "1")))
         done = CallResult(CallVerdict.ANSWERED, 200, (attempt, ("amberlug-server-seal", "s")))
         assert callable(then)
-        said = turned_away if self.calls <= self.full else done
-        self.clock.call_later(0.01 if said is turned_away else 0.1, lambda: then(said))
+        result = turned_away if self.calls <= self.full else done
+        self.clock.call_later(0.01 if result is turned_away else 0.1, lambda: then(result))
 
 
 def dispatch(endpoints: OneEndpoint, clock: Clock, slots: int) -> tuple[Dispatcher, list[str]]:
--- a/tests/cluster/test_shard_owner.py
+++ b/tests/cluster/test_shard_owner.py
@@ -49,7 +49,7 @@
 
     def reply(self, wire_tag: str, bodies: dict[str, Json]) -> None:
         """Have storage nodes reply to requests with a tag; all others stay without a reply."""
-        requests, self.runtime.asked = self.runtime.asked, []
+        requests, self.runtime.requests = self.runtime.requests, []
         for address, tag, _, on_reply in requests:
             if tag == wire_tag and address in bodies:
                 body = bodies[address]
@@ -58,9 +58,9 @@
 
     def notified_of_outcomes(self) -> list[str]:
         """The storage nodes that outcomes are sent to from now on."""
-        self.runtime.asked.clear()
+        self.runtime.requests.clear()
         self.clock.run(self.clock.now + 0.1)
-        return sorted(address for address, tag, _, _ in self.runtime.asked if tag == "marks")
+        return sorted(address for address, tag, _, _ in self.runtime.requests if tag == "marks")
 
 
 def test_disks_that_were_not_read_are_notified_of_outcomes() -> None:
@@ -83,12 +83,12 @@
     rig.reply("fence", {disk: {"open": []} for disk in STORES})
     outcomes: list[AdmissionOutcome] = []
     rig.shard_owner.accept(new_message(), outcomes.append)
-    first, second = (request[0] for request in rig.runtime.asked)
+    first, second = (request[0] for request in rig.runtime.requests)
     rig.clock.run(2.0)
-    for _, _, _, on_reply in rig.runtime.asked:
+    for _, _, _, on_reply in rig.runtime.requests:
         on_reply(Err(RequestFailure.TIMED_OUT))
     assert outcomes == [AdmissionOutcome.OUTCOME_UNKNOWN]
-    rig.runtime.asked.clear()
+    rig.runtime.requests.clear()
     rig.shard_owner.accept(new_message(), outcomes.append)
     rig.reply("put", {disk: {} for disk in STORES})
     assert outcomes == [AdmissionOutcome.OUTCOME_UNKNOWN, AdmissionOutcome.ACCEPTED]
--- a/tests/cluster/test_simulation.py
+++ b/tests/cluster/test_simulation.py
@@ -10,10 +10,10 @@
 
 
 @pytest.mark.parametrize(
-    ("seed", "aim"), [(1, ""), (2, ""), (11, "closing"), (15, "core"), (39, "edges"), (504, "config")]
+    ("seed", "family"), [(1, ""), (2, ""), (11, "closing"), (15, "core"), (39, "edges"), (504, "config")]
 )
-def test_random_days_break_no_invariant(seed: int, aim: str) -> None:
-    assert play(seed, aim) == []
+def test_random_days_break_no_invariant(seed: int, family: str) -> None:
+    assert play(seed, family) == []
 
 
 def test_a_storage_node_that_loses_its_disk_during_retirement_is_retired() -> None:
@@ -40,7 +40,7 @@
     ],
 )
 def test_a_mutation_is_detected(name: str, seed: int) -> None:
-    aim = MUTANTS[name][1]
+    family = MUTANTS[name][1]
     # A change of the program may move what a seed finds by a few days.
-    found = next((it for it in range(seed, seed + 20) if one(it, aim, name)[1]), None)
+    found = next((it for it in range(seed, seed + 20) if one(it, family, name)[1]), None)
     assert found is not None
--- a/tests/cluster/test_unknown_outcomes.py
+++ b/tests/cluster/test_unknown_outcomes.py
@@ -33,12 +33,12 @@
     world = Alone(clock)
     edge = EdgeNode(world, settings("edge"), "10.0.0.1:7300", Nowhere())
     edge.shard_owner.update_table(AWAY)
-    said: list[AdmissionOutcome] = []
+    outcomes: list[AdmissionOutcome] = []
     message = Message("0-x", 0, "x", "", "POST", "/", "r", "", 0.0, 0.0)
-    edge.forwarder.submit(message, 1.5, said.append)
+    edge.forwarder.submit(message, 1.5, outcomes.append)
     sent: list[Json] = []
     thens: list[ReplyCallback] = []
-    while len(sent) < 30 and (new := [it for it in world.asked[len(sent) :] if it[1] == "offer"]):
+    while len(sent) < 30 and (new := [it for it in world.requests[len(sent) :] if it[1] == "offer"]):
         for _, _, body, then in new:
             fate = fates[min(len(sent), len(fates) - 1)]
             sent.append(body)
@@ -46,25 +46,25 @@
             then(Err(fate) if isinstance(fate, RequestFailure) else Ok(Reply({"taken": fate.value})))
         clock.run(clock.now + 0.1)
     clock.run(5.0)
-    return said, sent, thens
+    return outcomes, sent, thens
 
 
 @pytest.mark.parametrize("fates", list(itertools.product(FATES, repeat=2)))
 def test_a_submission_of_unknown_outcome_keeps_its_id_and_is_never_rejected(
     fates: tuple[RequestFailure | AdmissionOutcome, ...],
 ) -> None:
-    said, sent, thens = offer(fates)
-    assert len(said) == 1
+    outcomes, sent, thens = offer(fates)
+    assert len(outcomes) == 1
     assert {it["id"] for it in sent} == {"0-x"}
     if AdmissionOutcome.ACCEPTED in fates:
-        assert said == [AdmissionOutcome.ACCEPTED]
+        assert outcomes == [AdmissionOutcome.ACCEPTED]
         assert len(sent) == fates.index(AdmissionOutcome.ACCEPTED) + 1, "what is held is not offered again"
     else:
         surely_not = all(it in (RequestFailure.NOT_SENT, AdmissionOutcome.REJECTED) for it in fates)
-        assert said == [AdmissionOutcome.REJECTED if surely_not else AdmissionOutcome.OUTCOME_UNKNOWN]
+        assert outcomes == [AdmissionOutcome.REJECTED if surely_not else AdmissionOutcome.OUTCOME_UNKNOWN]
     for then in thens:  # replies that come once more
         then(Ok(Reply({"taken": "held"})))
-    assert len(said) == 1
+    assert len(outcomes) == 1
 
 
 def order(fate: RequestFailure | Json) -> tuple[list[HttpResponse], int]:
@@ -74,23 +74,23 @@
     of = settings("core")
     core = ControlNode(world, of, "10.0.0.1:7300", InstantDisk(), blank(of, lambda bits: 1))
     core.quorum.leader_address = lambda: "10.0.0.9:7300"  # type: ignore[method-assign]
-    said: list[HttpResponse] = []
+    outcomes: list[HttpResponse] = []
     request = Request("POST", "/-/Configuration.Replace", (("amberlug-base-version", "0"),), b'{"edition":1}')
-    core.admin_api.handle(request, said.append)
+    core.admin_api.handle(request, outcomes.append)
     at = 0
-    while at < len(world.asked) and at < 5:
-        world.asked[at][3](Err(fate) if isinstance(fate, RequestFailure) else Ok(Reply(fate)))
+    while at < len(world.requests) and at < 5:
+        world.requests[at][3](Err(fate) if isinstance(fate, RequestFailure) else Ok(Reply(fate)))
         at += 1
     clock.run(3.0)
-    return said, len([it for it in world.asked if it[1] == "core.order"])
+    return outcomes, len([it for it in world.requests if it[1] == "core.order"])
 
 
 def look_at_orders() -> None:
     for fate in (*RequestFailure, {}, {"said": {"status": 412, "cause": "x"}}, {"said": {"ok": True}}):
-        said, asked = order(fate)
-        assert asked == 1, "an order is passed on once: whoever sent it sends it again"
+        outcomes, requests = order(fate)
+        assert requests == 1, "an order is passed on once: whoever sent it sends it again"
         expected = fate["said"].get("status", 200) if isinstance(fate, dict) and fate else 503
-        assert [it.status for it in said] == [expected]
+        assert [it.status for it in outcomes] == [expected]
 
 
 def test_a_command_is_forwarded_once_and_rejected_only_by_the_leader() -> None:
--- a/tests/cluster/wires.py
+++ b/tests/cluster/wires.py
@@ -39,7 +39,7 @@
         marker, self._mark = socket.socketpair()
         self.marker = Marker(fileno=marker.detach())
         self.unread: list[bytes | None] = []  # None: the other side has said all
-        self.heard = bytearray()  # all that the protocol was given
+        self.received = bytearray()  # all that the protocol was given
         self.had_come = b""  # all that had come, read or not, when it last wrote
         self.window = FOREVER_S  # bytes that still leave, until it is opened
         self.closing = self.over = False
@@ -72,7 +72,7 @@
     def write(self, data: Any) -> None:
         if self.closing or self._ending:
             return
-        self.had_come = bytes(self.heard) + b"".join(it or b"" for it in self.unread)
+        self.had_come = bytes(self.received) + b"".join(it or b"" for it in self.unread)
         out = int(min(len(data), max(0, self.window))) if not self._left else 0
         self.window -= out
         if out:
@@ -130,7 +130,7 @@
             self.marker.recv(1)
             data = self.unread.pop(0)
             if data is not None:
-                self.heard += data
+                self.received += data
                 self.protocol.data_received(data)
             elif not self.protocol.eof_received():
                 self.close()
