--- a/amberlug/cluster/consensus/context.py
+++ b/amberlug/cluster/consensus/context.py
@@ -33,7 +33,7 @@
         """Begin an election after a short random delay."""
 
     def restart_timer(self) -> None:
-        """Begin the election timeout anew."""
+        """Restart the election timeout."""
 
     def start(self, term: int, is_leadership_transfer: bool = False) -> None:
         """Begin an election in a term."""
@@ -136,7 +136,7 @@
 
     @property
     def since_leader_contact_s(self) -> float:
-        """For how many seconds no leader was heard of."""
+        """Seconds since the last contact with a leader."""
 
     def has_majority(self, names: Set[str]) -> bool:
         """Whether these members are a majority of the voters."""
--- a/amberlug/cluster/consensus/election.py
+++ b/amberlug/cluster/consensus/election.py
@@ -44,20 +44,20 @@
     # -- as a candidate
 
     def campaign_soon(self) -> None:
-        """Start an election before long, unless a leader is heard of."""
+        """Start an election after a short delay, unless a leader makes contact."""
         raft = self._raft
         if raft.leader_id == "":
             delay_s = raft.runtime.rng.uniform(MIN_STARTUP_TIMEOUT_S, MAX_STARTUP_TIMEOUT_S)
             raft.schedule(delay_s, self._on_timeout)
 
     def restart_timer(self) -> None:
-        """Wait for another election timeout, drawn anew, so that split votes are rare (Raft, section 5.2)."""
+        """Wait for another random election timeout, so that split votes are rare (Raft, section 5.2)."""
         raft = self._raft
         delay_s = raft.runtime.rng.uniform(MIN_ELECTION_TIMEOUT_S, MAX_ELECTION_TIMEOUT_S)
         raft.schedule(delay_s, self._on_timeout)
 
     def _on_timeout(self) -> None:
-        """No leader was heard of: ask whether an election would be won (dissertation, section 9.6)."""
+        """No leader has made contact: ask whether an election would be won (dissertation, section 9.6)."""
         raft = self._raft
         self.restart_timer()
         if not raft.is_voter or not raft.rollback_guard.may_vote:
@@ -156,7 +156,7 @@
 
     @property
     def _has_leader(self) -> bool:
-        """Whether a leader was heard of within the minimum election timeout (dissertation, section 4.2.3)."""
+        """Whether a leader made contact within the minimum election timeout (dissertation, section 4.2.3)."""
         raft = self._raft
         if raft.is_leader:
             return True
--- a/amberlug/cluster/consensus/raft.py
+++ b/amberlug/cluster/consensus/raft.py
@@ -96,8 +96,8 @@
         newest_term = self.log.term_at(self.log.last_index)
         if newest_term > self.term:
             # The disk took entries of a term whose own row it refused. No leader of an older term is
-            # accepted, lest it replaces what was acknowledged; and the vote of this term is not known, so it
-            # is not cast again.
+            # accepted, since it could replace what was acknowledged; and the vote of this term is not known,
+            # so it is not cast again.
             self.term, self.voted_for = newest_term, self.member_id
         self.role, self.leader_id = Role.FOLLOWER, ""
         self.commit_index = self.last_applied = self.log.snapshot_index
@@ -139,7 +139,7 @@
 
     @property
     def since_leader_contact_s(self) -> float:
-        """For how many seconds no leader was heard of."""
+        """Seconds since the last contact with a leader."""
         return self.runtime.now() - self.leader_contact_at
 
     def term_at(self, index: int) -> int:
@@ -168,7 +168,7 @@
     def restart_as_new_incarnation(self) -> None:
         """The folder was restored from a backup: its log ends before what this member had acknowledged.
 
-        Nobody knows what else it has lost, so its vote is worth nothing: it goes on with an empty log under
+        Nobody knows what else it has lost, so its vote proves nothing: it continues with an empty log under
         another name, and has to be let in, like a machine that has lost its disk.
         """
         if self.is_stopped:
--- a/amberlug/cluster/consensus/rollback_guard.py
+++ b/amberlug/cluster/consensus/rollback_guard.py
@@ -112,7 +112,7 @@
         """Ask the other voters up to where this member had acknowledged the log, until enough reply."""
         raft = self._raft
         if self.may_vote or raft.rollback_guard is not self or not raft.is_voter:
-            return  # one that becomes a voter later hears of it from a leader
+            return  # one that becomes a voter later learns of it from a leader
         if self._has_enough_replies:
             self.may_vote = True
             raft.election.campaign_soon()
--- a/amberlug/cluster/consensus/rows.py
+++ b/amberlug/cluster/consensus/rows.py
@@ -77,7 +77,7 @@
 
 @value
 class NewIncarnationRow:
-    """The member goes on with an empty log under another name."""
+    """The member continues with an empty log under another name."""
 
     kind: ClassVar[str] = "anew"
     member_id: str
--- a/amberlug/cluster/consensus/snapshot_transfer.py
+++ b/amberlug/cluster/consensus/snapshot_transfer.py
@@ -134,7 +134,7 @@
     def on_acknowledged(self, number: int, received_bytes: int, now: float) -> bool:
         """Take the reply to a chunk.
 
-        :returns: False where the peer lacks what it had: sending goes on from there.
+        :returns: False where the peer lacks what it had: sending resumes there.
         """
         chunk = self._in_flight.pop(number, None)
         if chunk is not None:
@@ -147,7 +147,7 @@
         return True
 
     def on_status(self, received_bytes: int) -> None:
-        """Take the reply to a chunk without data; it is less than before where the peer began anew."""
+        """Take the reply to a chunk without data; it is less than before where the peer has restarted."""
         if received_bytes < self.received_bytes:
             self.received_bytes = received_bytes
             self.on_lost()
@@ -186,7 +186,7 @@
         return len(self.data) >= self.header.size_bytes
 
     def verified(self) -> bytes | None:
-        """All bytes if their checksum is right; else None, and the transfer begins anew."""
+        """All bytes if their checksum is right; else None, and the transfer restarts."""
         data = bytes(self.data)
         header = self.header
         if TransferHeader.describe(header.kind, header.last_index, header.last_term, data) == header:
--- a/amberlug/cluster/control/config_service.py
+++ b/amberlug/cluster/control/config_service.py
@@ -61,7 +61,7 @@
 
         def receive(result: Result[CommandResult, ProposalRejected]) -> None:
             if isinstance(result, Err):
-                # Nobody can tell yet whether it is in force: the caller sends it again unchanged.
+                # It is not known yet whether it is in force: the caller sends it again unchanged.
                 cause = f"no answer of a majority: {result.err_value.reason.value}"
                 respond(HttpResponse(503, {"cause": cause}, 1))
                 return
--- a/amberlug/cluster/control/endpoint_registry.py
+++ b/amberlug/cluster/control/endpoint_registry.py
@@ -197,7 +197,7 @@
             self.last_heartbeat_s[name] = now_s
 
     def restart_timeouts(self) -> None:
-        """Start all timeouts anew: this node was out of contact, and knows of nobody's heartbeats."""
+        """Restart all timeouts: this node was out of contact, and does not know of any heartbeats."""
         self.receive_report(list(self.last_heartbeat_s))
 
     def pop_unreported_heartbeats(self) -> Sequence[str]:
--- a/amberlug/cluster/control/membership.py
+++ b/amberlug/cluster/control/membership.py
@@ -23,7 +23,7 @@
 JOIN_INTERVAL_S = 0.3  # between a node's attempts to become a member
 # Without a leader's message until a node asks to be admitted again: it may have been removed meanwhile.
 LEADER_TIMEOUT_S = 1.5
-REPLACEMENT_TIMEOUT_S = 0.8  # for another node to vote in the place of one that is told to stop
+REPLACEMENT_TIMEOUT_S = 0.8  # for another node to vote in the place of one that is to stop
 LEAVING_INTERVAL_S = 0.05  # between announcements that this node leaves
 LEAVING_TIMEOUT_S = 2.0  # after the last announcement a node is taken to stay after all
 
@@ -52,11 +52,11 @@
 
     @property
     def has_left(self) -> bool:
-        """Whether a node that was told to stop may stop: it votes no more, or nobody can in its place."""
+        """Whether a node that is shutting down may stop: it votes no more, or no other node can instead."""
         return self._runtime.now() >= self._leave_deadline_s or not self._raft.is_voter
 
     def _announce_leaving(self) -> None:
-        """Have the leader, whoever that is by now, put another voter in this one's place."""
+        """Have the present leader replace this voter by another one."""
         if self.has_left:
             return
         leader = self._quorum.leader_address()
@@ -113,7 +113,7 @@
             send(self._runtime, leader, forwarded)
 
     def _admit(self, message: JoinCluster) -> None:
-        """Add a node as a learner; whoever had its address before is superseded."""
+        """Add a node as a learner; the incarnation that had its address before is superseded."""
         joining, current = message.member_id, self._raft.members
         members = current
         for name, member in current.items():
--- a/amberlug/cluster/control/node.py
+++ b/amberlug/cluster/control/node.py
@@ -128,7 +128,7 @@
 
     @property
     def is_idle(self) -> bool:
-        """Whether a process that was told to stop may stop."""
+        """Whether a process that is shutting down may stop."""
         return self.membership.has_left
 
     def update_settings(self, settings: Settings) -> None:
--- a/amberlug/cluster/control/quorum_contact.py
+++ b/amberlug/cluster/control/quorum_contact.py
@@ -79,7 +79,7 @@
         self._raft.confirm_read(lambda index: respond(ConfirmedIndex(index)))
 
     def refresh(self) -> None:
-        """Confirm anew; the time of the request counts, since the state may be as old as that."""
+        """Confirm again; the time of the request counts, since the state may be as old as that."""
         requested_at_s = self._runtime.now()
 
         def receive(index: int | None) -> None:
--- a/amberlug/cluster/control/reconciler.py
+++ b/amberlug/cluster/control/reconciler.py
@@ -20,9 +20,9 @@
 from amberlug.cluster.control.state_entries import OwnerEntry, Retirement, Roster, StoreEntry, StoreState
 
 RECONCILE_INTERVAL_S = 0.1
-SETTLING_S = 1.5  # a new leader waits so long for reports of sessions before it takes anyone for gone
+SETTLING_S = 1.5  # a new leader waits so long for reports of sessions before it treats any member as gone
 OWNER_TIMEOUT_S = 0.15  # without a session until an owner's shards are assigned to others
-STORE_TIMEOUT_S = 1.5  # without a session until a disk is lost, and its replicas are made anew elsewhere
+STORE_TIMEOUT_S = 1.5  # without a session until a disk is lost, and its messages are replicated again
 GATHERING_S = 0.4  # without a new edge node until those that have come are assigned shards together
 
 
@@ -96,7 +96,7 @@
     # -- the roster of storage nodes
 
     def update_roster(self, stores: Mapping[str, Session], now_s: float) -> None:
-        """Enter disks that come, and mark those that are lost, so that their replicas are made anew.
+        """Enter disks that come, and mark those that are lost, so that their messages are replicated again.
 
         :param stores: sessions of storage nodes, by name.
         """
@@ -159,7 +159,7 @@
         if not leaving or not self.can_hold_messages(state.roster):
             return  # no owner reports a shortage only because nothing can be replicated
         if self._is_full_disk_absent():
-            return  # its replicas count, and may be lost: it comes back soon, or they are made anew
+            return  # its replicas count, and may be lost: it comes back, or its messages are replicated again
         progress = self._owners_progress(edges)
         if not progress:
             return
@@ -217,7 +217,7 @@
     def _departed_owners(
         self, owners: Sequence[str], edges: Mapping[str, Session], now_s: float
     ) -> list[str]:
-        """Owners that leave, were started anew, or have had no session for too long."""
+        """Owners that leave, have restarted, or have had no session for too long."""
         names = {session.name for session in edges.values()}
         departed = []
         for owner in owners:
--- a/amberlug/cluster/control/retirement_api.py
+++ b/amberlug/cluster/control/retirement_api.py
@@ -29,7 +29,7 @@
 
     @api_call("POST", "/-/Retire.Begin/")
     def begin_retirement(self, request: HttpRequest, name: str, respond: RespondHttp) -> None:
-        """Have a storage node emptied: its replicas are made anew elsewhere."""
+        """Have a storage node emptied: its messages are replicated elsewhere."""
         arguments = read_json_object(request, respond, MAX_CALL_BYTES)
         if arguments is None:
             return
--- a/amberlug/cluster/control/session_attributes.py
+++ b/amberlug/cluster/control/session_attributes.py
@@ -57,7 +57,7 @@
 class StorageAttributes:
     """A storage node's disk.
 
-    :param is_enrolled: whether it was once on the roster, so that it is not taken for a new one.
+    :param is_enrolled: whether it was once on the roster, so that it does not count as a new one.
     """
 
     disk_id: str
--- a/amberlug/cluster/control/sessions.py
+++ b/amberlug/cluster/control/sessions.py
@@ -90,7 +90,7 @@
         self._peers_in_contact: set[str] = set()  # those that reported contact with a majority
 
     def open(self, node: SessionDescription, now_s: float) -> Session:
-        """Open a member's session, or open it anew."""
+        """Open a member's session, or replace the one that it has."""
         session = Session(node, now_s, now_s)
         self.own[session.name] = session
         return session
--- a/amberlug/cluster/dispatch/dispatcher.py
+++ b/amberlug/cluster/dispatch/dispatcher.py
@@ -48,7 +48,7 @@
 
 @value
 class DispatchCallbacks:
-    """What a dispatcher is given by whoever owns the messages."""
+    """What a dispatcher is given by the owner of the messages."""
 
     timeout_s: Callable[[Message], float]  # for an endpoint to respond
     on_result: Callable[[Message, CallResult], None]  # a call ended
@@ -189,9 +189,9 @@
             call.endpoint.condition = EndpointCondition.GONE  # another incarnation has its address
             self._endpoints.close_idle_connections(call.endpoint.address)
         elif result.status == 503:
-            # A full endpoint tells of its slots at that moment, and nothing of the service's rate. Guards
-            # against a limit of a few units learned in the burst after a start, which kept edges back for
-            # ten seconds.
+            # A full endpoint says something of its slots at that moment, and nothing of the service's rate.
+            # Guards against a limit of a few units learned in the burst after a start, which kept edges
+            # back for ten seconds.
             call.endpoint.on_full(self._runtime.now())
         elif result.status == 429:
             call.endpoint.on_full(self._runtime.now())
--- a/amberlug/cluster/dispatch/endpoint_client.py
+++ b/amberlug/cluster/dispatch/endpoint_client.py
@@ -14,7 +14,7 @@
 CONNECT_TIMEOUT_S = 0.7
 MAX_IDLE_PER_ENDPOINT = 8
 IDLE_TIMEOUT_S = 4.0  # of a connection whose endpoint does not say: below the five seconds of usual servers
-IDLE_MARGIN_S = 0.4  # before the endpoint closes it, lest a call meets the close
+IDLE_MARGIN_S = 0.4  # before the endpoint closes it, so that no call meets the close
 MAX_OPEN_ATTEMPTS = 64  # answered on one connection without success; more of them would only use memory
 _KEEP_ALIVE_TIMEOUT = re.compile(r"timeout=(\d+)")
 
--- a/amberlug/cluster/dispatch/messages.py
+++ b/amberlug/cluster/dispatch/messages.py
@@ -88,11 +88,11 @@
 
 @value
 class Handover(Notification):
-    """The previous owner of shards tells the new one what it has in flight, and what ended a moment ago."""
+    """What the previous owner of shards reports to the new one: calls in flight, and recent outcomes."""
 
     wire_tag: ClassVar[str] = "handover"
     epochs: dict[int, int]  # by shard: the epoch of its new owner
-    in_flight: tuple[str, ...]  # ids of messages whose call goes on at the previous owner
+    in_flight: tuple[str, ...]  # ids of messages with a call in flight at the previous owner
     ended: tuple[Acknowledgement, ...]  # some storage node has not acknowledged these outcomes
 
     def to_wire(self) -> Json:
@@ -118,7 +118,7 @@
 
 @value
 class CallEnded(Notification):
-    """A call ended whose shard was handed over meanwhile: the previous owner tells the new one."""
+    """A call of a shard that was handed over has ended: the previous owner reports it to the new one."""
 
     wire_tag: ClassVar[str] = "outcome"
     message_id: str
@@ -145,7 +145,7 @@
 
 @value
 class StandingReply(Body):
-    """How a message stands at the edge that was asked; None where that edge does not know of it."""
+    """The status of a message at the edge that replies; None where that edge does not know of it."""
 
     outcome: MessageOutcome | None
 
@@ -162,7 +162,7 @@
 
 @value
 class StandingRequest(MessageIdRequest[StandingReply]):
-    """An edge asks the owner of a message's shard how the message stands."""
+    """A request to the owner of a shard for the status of a message."""
 
     wire_tag: ClassVar[str] = "standing"
     reply_type: ClassVar[type[StandingReply]] = StandingReply
--- a/amberlug/cluster/dispatch/replicator.py
+++ b/amberlug/cluster/dispatch/replicator.py
@@ -158,8 +158,8 @@
     def record_outcome(self, message: Message, outcome: MessageOutcome) -> None:
         """Have the storage nodes know how a message ended.
 
-        All that may have a replica are told, so that none brings the message back as open; and enough of them
-        for the outcome to outlive the tolerated losses.
+        All that may have a replica are notified, so that none brings the message back as open; and enough
+        of them for the outcome to outlive the tolerated losses.
         """
         message.outcome = outcome
         retain_until = max(self.runtime.wall_clock() + self._outcome_retention_s, message.keep_until)
--- a/amberlug/cluster/dispatch/shard_owner.py
+++ b/amberlug/cluster/dispatch/shard_owner.py
@@ -50,7 +50,7 @@
     serving: bool = False
     admitted: int = 0  # messages that were given a position in this epoch
     queued: list[QueuedAdmission] = field(default_factory=list)
-    unread_disks: frozenset[str] = frozenset()  # they did not tell what they have when it was taken over
+    unread_disks: frozenset[str] = frozenset()  # they did not report what they have when it was taken over
 
 
 @value
@@ -148,7 +148,7 @@
     # -- handover to the next owner
 
     def _send_handovers(self, lost: list[int]) -> None:
-        """Release shards, and tell each new owner what is in flight in those that it has now."""
+        """Release shards, and report to each new owner what is in flight in those that it has now."""
         logging.info("%d shards lost to other owners", len(lost))
         unacknowledged = self._replicator.unacknowledged_outcomes()
         in_flight = {shard: self._release(shard) for shard in lost}
@@ -177,7 +177,7 @@
         return by_address
 
     def report_to_new_owner(self, message: Message, outcome: MessageOutcome, is_failure: bool) -> None:
-        """Tell the new owner of a message's shard how a call ended that was in flight here."""
+        """Report to the new owner of a message's shard how a call ended that was in flight here."""
         owner = self.owner_of(message.shard)
         if owner is not None:
             send(self._runtime, owner.address, CallEnded(message.id, outcome, is_failure))
@@ -212,7 +212,7 @@
             self._call_ended(CallEnded(message_id, MessageOutcome(), False))
 
     def connection_lost(self, address: str) -> None:
-        """Wait no longer for what a process would have told, since it ended."""
+        """Wait no longer for the reports of a process, since it ended."""
         for shard in self.owned.values():
             if shard.previous_owner == address:
                 shard.previous_owner = ""
@@ -240,7 +240,7 @@
         return shard in self.owned and self.owned[shard].epoch == epoch
 
     def awaits_handover(self, shard: int, epoch: int) -> bool:
-        """Whether the shard is owned, and its previous owner lives and has not handed it over yet."""
+        """Whether the shard is owned, and its previous owner is up and has not handed it over yet."""
         has_previous_owner = shard in self.owned and bool(self.owned[shard].previous_owner)
         return has_previous_owner and not self.has_handover(shard, epoch)
 
--- a/amberlug/cluster/dispatch/shard_recovery.py
+++ b/amberlug/cluster/dispatch/shard_recovery.py
@@ -28,7 +28,7 @@
 
 FENCE_TIMEOUT_S = 0.6  # a storage node reads its open messages, with their bodies, for the reply
 FENCE_RETRY_S = 0.25  # until storage nodes that did not reply are asked again
-HANDOVER_TIMEOUT_S = 0.6  # for the previous owner, where it lives, to tell what it has in flight
+HANDOVER_TIMEOUT_S = 0.6  # for the previous owner, where it is up, to report what it has in flight
 HANDOVER_CHECKS = 6  # looks for its handover in that time
 
 
@@ -39,7 +39,7 @@
         """Whether the shard is owned in that epoch still."""
 
     def awaits_handover(self, shard: int, epoch: int) -> bool:
-        """Whether the shard is owned, and its previous owner lives and has not handed it over yet."""
+        """Whether the shard is owned, and its previous owner is up and has not handed it over yet."""
 
     def has_handover(self, shard: int, epoch: int) -> bool:
         """Whether the previous owner has handed the shard over for that epoch."""
@@ -79,7 +79,7 @@
 
     @property
     def unread_disks(self) -> frozenset[str]:
-        """Disks of the roster that did not tell what they have."""
+        """Disks of the roster that have not reported what they have."""
         return frozenset(set(self._replicator.stores) - self.read_disks)
 
     # -- fencing
@@ -110,7 +110,7 @@
         for shard in fence.rejected:
             self.epochs.pop(shard, None)  # a later owner was there already: its table is on its way
         if fence.disk_id != disk:
-            return  # the machine has lost the disk that is meant: this reply tells nothing of that one
+            return  # the machine has lost the disk that is meant: this reply says nothing of that one
         self._fenced.add(disk)
         if self.is_read:
             return
@@ -137,7 +137,7 @@
     # -- the end of the reading
 
     def finish_if_read(self) -> None:
-        """Go on once enough storage nodes were read, and previous owners that live have handed over."""
+        """Continue once enough storage nodes were read, and previous owners that are up have handed over."""
         if self.is_read or self._replicator.roster_index < self._required_roster:
             return
         if not self._replicator.covers_all_messages(self.read_disks):
--- a/amberlug/cluster/edge/intake.py
+++ b/amberlug/cluster/edge/intake.py
@@ -1,4 +1,4 @@
-"""Requests of clients: which are answered at once, which become messages, and what a client hears. No I/O."""
+"""Requests of clients: which are answered at once, which become messages, and the responses. No I/O."""
 
 from __future__ import annotations
 
--- a/amberlug/cluster/edge/lookup.py
+++ b/amberlug/cluster/edge/lookup.py
@@ -1,4 +1,4 @@
-"""Questions of clients about a message: how it stands, and its body. No I/O."""
+"""Look-ups of clients: a message's status, and its body. No I/O."""
 
 from __future__ import annotations
 
@@ -20,14 +20,14 @@
 
 
 class MessageLookup:
-    """Answers how a message stands: from memory, by the owner of its shard, else by the storage nodes."""
+    """Finds the status of a message: in memory, at the owner of its shard, else at the storage nodes."""
 
     def __init__(self, context: EdgeContext, delivery: MessageDelivery, reader: StorageReader) -> None:
         self._context, self._delivery, self._reader = context, delivery, reader
 
     @api_call("GET", "/-/message/")
     def message(self, request: HttpRequest, name: str, respond: RespondHttp) -> None:
-        """Answer how a message stands."""
+        """Respond with the status of a message."""
         self.find_outcome(name, lambda outcome: respond(_outcome_response(outcome)))
 
     @api_call("GET", "/-/message-body/")
@@ -43,11 +43,11 @@
 
     @handles(StandingRequest)
     def on_standing(self, question: StandingRequest, origin: str, respond: Responder) -> None:
-        """Answer another edge node how a message of a shard that is owned here stands."""
+        """Reply to another edge node with the status of a message of a shard that is owned here."""
         respond(StandingReply(self.local_outcome(question.message_id)))
 
     def local_outcome(self, message_id: str) -> MessageOutcome | None:
-        """How a message stands by what is in this node's memory; None where it is not there."""
+        """The status of a message by this node's memory; None where it is not there."""
         if (
             message_id in self._delivery.queue.messages
             or message_id in self._delivery.shard_owner.pending_writes
@@ -56,7 +56,7 @@
         return self._delivery.outcomes.get(message_id)
 
     def find_outcome(self, message_id: str, on_outcome: OutcomeCallback) -> None:
-        """Find how a message stands.
+        """Find the status of a message.
 
         :param on_outcome: called once, with None where it can't be known now.
         """
--- a/amberlug/cluster/edge/storage_reads.py
+++ b/amberlug/cluster/edge/storage_reads.py
@@ -1,4 +1,4 @@
-"""Reads from storage nodes: bodies of messages, and how messages stand. No I/O."""
+"""Reads from storage nodes: bodies and status of messages. No I/O."""
 
 from __future__ import annotations
 
@@ -78,7 +78,7 @@
             self._request_body(storage_node.address, message_id, receive)
 
     def find_outcome(self, message_id: str, deadline: float, on_outcome: OutcomeCallback) -> None:
-        """Ask all storage nodes how a message stands.
+        """Ask all storage nodes for the status of a message.
 
         :param deadline: monotonic time in seconds at which None is reported at the latest.
         :param on_outcome: called once, see `_OutcomeQuery`.
@@ -92,7 +92,7 @@
 
 
 class _OutcomeQuery:
-    """One question to all storage nodes, how a message stands.
+    """One request to all storage nodes for the status of a message.
 
     Invariant: a message is reported as open or as not found only if the storage nodes that have answered are
     so many that the others alone can't hold a message (a read quorum). That it has ended is reported at once,
--- a/amberlug/cluster/session_client.py
+++ b/amberlug/cluster/session_client.py
@@ -69,7 +69,7 @@
 
 @dataclass(slots=True)
 class _Attempt:
-    """A request to open a session. The search goes on without it once it was continued."""
+    """A request to open a session. The search continues without it once it has been hedged."""
 
     epoch: int
     address: str
--- a/amberlug/cluster/storage/node.py
+++ b/amberlug/cluster/storage/node.py
@@ -84,7 +84,7 @@
         return [self.session.control_address] if self.session.control_address else []
 
     def _session_attributes(self) -> StorageAttributes:
-        """What the control plane is told of this disk with the session."""
+        """What the session reports of this disk to the control plane."""
         return StorageAttributes(self.contents.disk_id, self.contents.enrolled_index > 0)
 
     def _on_published(self, key: str, body: Payload) -> None:
--- a/amberlug/cluster/storage/records.py
+++ b/amberlug/cluster/storage/records.py
@@ -88,7 +88,7 @@
 
 @value
 class NewDiskRow:
-    """The disk is emptied and goes on under another name. Fencing tokens stay: they can only grow."""
+    """The disk is emptied and continues under another name. Fencing tokens stay: they can only grow."""
 
     disk_id: str
 
