--- a/tests/test_readability.py
+++ b/tests/test_readability.py
@@ -1,5 +1,6 @@
 """Packages that are finished in the field's terms stay so, by the figures of the readability benchmark."""
 
+import re
 from pathlib import Path
 
 import pytest
@@ -27,6 +28,25 @@
     "public undocumented",
 )
 
+# Where JSON, rows and HTTP bodies are read and written: `to_wire`, `from_wire` and their like in any module,
+# and these modules, which are codecs as a whole or have one.
+CODEC_FUNCTION = re.compile(r"_?(\w+_)?(to|from)_(wire|json|fields|file|raw|gossip)")
+CODEC_MODULES = (
+    "cluster/consensus/persistent_state.py",  # entries as text
+    "cluster/consensus/rows.py",
+    "cluster/consensus/storage.py",
+    "cluster/control/cluster_state.py",  # entries of the log, snapshots, the digest of a configuration
+    "cluster/control/commands.py",
+    "cluster/control/published_state.py",
+    "cluster/http/api.py",
+    "cluster/http/routing.py",
+    "cluster/process.py",  # the context of an error, as asyncio gives it
+    "cluster/rpc/framing.py",
+    "cluster/rpc/messages.py",
+    "cluster/rpc/server_connection.py",
+    "cluster/values.py",  # fields of any type
+)
+
 
 @pytest.fixture(scope="module")
 def packages() -> dict[str, Reading]:
@@ -40,6 +60,20 @@
     assert [line for line in reading.found if any(f": {row}: " in line for row in ROWS)] == []
 
 
+@pytest.mark.parametrize("package", FINISHED)
+def test_only_codecs_of_a_finished_package_take_untyped_maps(
+    packages: dict[str, Reading], package: str
+) -> None:
+    found = [line.split(": ") for line in packages[package].found if ": untyped maps: " in line]
+    against = [
+        f"{place}: {function}"
+        for place, _, function in found
+        if CODEC_FUNCTION.fullmatch(function) is None
+        and not any(place.partition(":")[0].endswith(module) for module in CODEC_MODULES)
+    ]
+    assert against == []
+
+
 def test_no_package_has_a_themed_name(packages: dict[str, Reading]) -> None:
     assert [line for it in packages.values() for line in it.found if ": themed names: " in line] == []
 
