--- a/amberlug/cluster/local_deployment/commands.py
+++ b/amberlug/cluster/local_deployment/commands.py
@@ -14,16 +14,17 @@
 
 import click
 
-from amberlug.cluster.local_deployment.deployment import free_net
-from amberlug.cluster.local_deployment.fake_endpoint import StandIn
-from amberlug.cluster.local_deployment.trial import Tale, play
+from amberlug.cluster.local_deployment.deployment import Deployment, free_net
+from amberlug.cluster.local_deployment.fake_endpoint import EndpointSettings, FakeEndpoint
+from amberlug.cluster.local_deployment.trial import Trial, TrialLoad
+from amberlug.cluster.local_deployment.trial_report import TrialReport
 
-ENDED = 130  # as shells say of a command that Ctrl-C ended
+EX_INTERRUPTED = 130  # exit code, as shells have it of a command that Ctrl-C ended
 
-_T = TypeVar("_T")
+ResultT = TypeVar("ResultT")
 
 
-async def _unless_told(work: Coroutine[Any, Any, _T]) -> _T:
+async def _until_interrupted(work: Coroutine[object, object, ResultT]) -> ResultT:
     """Do it; Ctrl-C and SIGTERM cancel it, so that it cleans up."""
     loop, task = asyncio.get_running_loop(), asyncio.ensure_future(work)
     for number in (signal.SIGINT, signal.SIGTERM):
@@ -31,27 +32,34 @@
     return await task
 
 
-def _show(tale: Tale, as_json: bool) -> int:
-    figures = tale.figures()
+# -- try
+
+
+def _print_report(report: TrialReport, as_json: bool) -> int:
+    """Print what came of a trial; returns the exit code."""
+    figures = report.figures()
     if as_json:
         click.echo(json.dumps(figures))
     else:
-        ack, run = figures["accept_ms"], figures["first_run_ms"]
-        click.echo(
-            f"accepted   {figures['accepted']} of {figures['sent']}, {figures['refused']} refused, ", nl=False
-        )
-        click.echo(f"{figures['unclear']} unclear")
-        click.echo(
-            f"ended      {figures['ended']}, {figures['delivered']} of them delivered, {figures['runs']} runs"
-        )
-        click.echo(f"202        p50 {ack['p50']} ms, p99 {ack['p99']} ms")
-        click.echo(f"first run  p50 {run['p50']} ms, p99 {run['p99']} ms")
-        for line in figures["wrong"]:
-            click.echo(f"WRONG: {line}")
-        click.echo("all that was accepted ended as it should, in order" if not figures["wrong"] else "FAILED")
+        for text in _report_lines(report):
+            click.echo(text)
     return 1 if figures["wrong"] else 0
 
 
+def _report_lines(report: TrialReport) -> list[str]:
+    figures = report.figures()
+    acceptance, first_run = figures["accept_ms"], figures["first_run_ms"]
+    rejected, unknown = figures["refused"], figures["unclear"]
+    return [
+        f"accepted   {figures['accepted']} of {figures['sent']}, {rejected} rejected, {unknown} unknown",
+        f"ended      {figures['ended']}, {figures['delivered']} of them delivered, {figures['runs']} runs",
+        f"202        p50 {acceptance['p50']} ms, p99 {acceptance['p99']} ms",
+        f"first run  p50 {first_run['p50']} ms, p99 {first_run['p99']} ms",
+        *(f"WRONG: {failure}" for failure in figures["wrong"]),
+        "FAILED" if figures["wrong"] else "all that was accepted ended as it should, in order",
+    ]
+
+
 @click.command("try")
 @click.option("--seconds", type=click.FloatRange(1, 600), default=8.0, show_default=True, help="Of load.")
 @click.option(
@@ -69,42 +77,59 @@
 @click.option("--net", help="First three numbers of the loopback addresses; else free ones are taken.")
 @click.option("--json", "as_json", is_flag=True, help="Print one JSON object.")
 def trial(seconds: float, rate: float, keep: Path | None, net: str | None, as_json: bool) -> None:
-    """Try a whole small deployment on loopback, in one command.
+    """Try a complete small deployment on loopback, in one command.
 
-    Three machines of each class, in two zones; an edge and a store are killed on the way. Exit code 0 only
-    where every message that was accepted ended as it should; else 1.
+    Three machines of each class, in two zones; an edge and a storage node are killed on the way. Exit code 0
+    only where every message that was accepted ended as it should; else 1.
     """
     rng = random.Random()
     net = net or free_net(rng)
+    load = TrialLoad(rate, seconds)
+
+    def report_progress(text: str) -> None:
+        click.echo(text, err=True)
 
-    def say(line: str) -> None:
-        click.echo(line, err=True)
+    async def play(folder: Path) -> TrialReport:
+        return await Trial(Deployment(folder.resolve(), net), load, rng, report_progress).run()
 
     def run(folder: Path) -> int:
-        tale = asyncio.run(_unless_told(play(folder.resolve(), net, rate, seconds, rng, say)))
-        return _show(tale, as_json)
+        return _print_report(asyncio.run(_until_interrupted(play(folder))), as_json)
 
-    sys.exit(_in_folder(keep, run))
+    sys.exit(_run_in_folder(keep, run))
 
 
-def _in_folder(keep: Path | None, run: Callable[[Path], int]) -> int:
+def _run_in_folder(kept_folder: Path | None, run: Callable[[Path], int]) -> int:
     try:
-        if keep is None:
+        if kept_folder is None:
             with tempfile.TemporaryDirectory(prefix="amberlug-cluster-") as folder:
                 return run(Path(folder))
-        keep.mkdir(parents=True, exist_ok=True)
-        if any(keep.iterdir()):
+        kept_folder.mkdir(parents=True, exist_ok=True)
+        if any(kept_folder.iterdir()):
             raise click.BadParameter("the folder is not empty", param_hint="--keep")
-        return run(keep)
+        return run(kept_folder)
     except asyncio.CancelledError:
         click.echo("ended before it was done", err=True)
-        return ENDED
+        return EX_INTERRUPTED
+
+
+# -- stand-in
+
+
+async def _serve_endpoint(settings: EndpointSettings, at: tuple[str, ...], host: str, port: int) -> None:
+    """Serve until the task is cancelled, then drain."""
+    endpoint = FakeEndpoint(settings, at)
+    await endpoint.start(host, port)
+    click.echo(f"{settings.name} works at {host}:{port}")
+    try:
+        await asyncio.Event().wait()
+    finally:
+        await endpoint.drain()
 
 
 @click.command("stand-in")
 @click.argument("service")
 @click.option(
-    "--at", multiple=True, required=True, help="HOST:PORT of a control relay; several may be given."
+    "--at", multiple=True, required=True, help="HOST:PORT of a control-plane node; several may be given."
 )
 @click.option("--listen", required=True, help="HOST:PORT to work at.")
 @click.option("--zone", default="", help="Its zone.")
@@ -112,22 +137,19 @@
     "--slots", type=click.IntRange(1), default=4, show_default=True, help="Messages worked on at once."
 )
 @click.option("--work-ms", type=click.FloatRange(0), default=50.0, show_default=True, help="Of one message.")
-def stand_in(service: str, at: tuple[str, ...], listen: str, zone: str, slots: int, work_ms: float) -> None:
-    """Serve as an endpoint of SERVICE, announced to control relays, until Ctrl-C."""
+def stand_in(service: str, at: tuple[str, ...], listen: str, **options: Any) -> None:
+    """Serve as an endpoint of SERVICE, announced to control-plane nodes, until Ctrl-C."""
     host, _, port = listen.rpartition(":")
     if not host or not port.isdigit():
         raise click.BadParameter("no address of the form host:port", param_hint="--listen")
-
-    async def serve() -> None:
-        it = StandIn(f"{service}-{random.getrandbits(32):08x}", service, zone, at, slots, work_ms / 1000)
-        await it.begin(host, int(port))
-        click.echo(f"{it.name} works at {listen}")
-        try:
-            await asyncio.Event().wait()
-        finally:
-            await it.end()
-
+    settings = EndpointSettings(
+        name=f"{service}-{random.getrandbits(32):08x}",
+        service=service,
+        zone=options["zone"],
+        slots=options["slots"],
+        work_s=options["work_ms"] / 1000,
+    )
     try:
-        asyncio.run(_unless_told(serve()))
+        asyncio.run(_until_interrupted(_serve_endpoint(settings, at, host, int(port))))
     except asyncio.CancelledError:
         click.echo("ended")
--- a/amberlug/cluster/local_deployment/deployment.py
+++ b/amberlug/cluster/local_deployment/deployment.py
@@ -10,7 +10,7 @@
 import socket
 import subprocess
 import sys
-from collections.abc import Awaitable, Callable
+from collections.abc import Awaitable, Callable, Mapping
 from dataclasses import dataclass
 from pathlib import Path
 
@@ -18,28 +18,46 @@
 from result import Ok
 
 from amberlug.cluster.interfaces import Json
-from amberlug.cluster.local_deployment.queries import ask
+from amberlug.cluster.local_deployment.http_call import HttpCall, send_call
 from amberlug.cluster.settings import SETTINGS_FILE_VARIABLE
 
-FRONT, READINESS, CONTROL, INTERNAL, ENDPOINT = 8263, 8268, 8262, (7300, 7315), 8080
-ZONES = {"north": "valley", "south": "valley"}
-USUAL = "127.0.1"  # the first three numbers of the addresses, where they are free
-READY_S = 15.0  # for all edges to be ready
-GRACE_S = 3.0  # that the processes are told to end within
-KILL_S = 5.0  # from SIGTERM to SIGKILL
-LOOK_S = 0.05
-KINDS: tuple[tuple[str, str, dict[str, int], int], ...] = (
-    # class, what it serves, its bindings, the first of its addresses
-    ("core", "control_plane", {"control": CONTROL}, 10),
-    ("storage", "storage", {}, 20),
-    ("edge", "edge", {"front": FRONT, "readiness": READINESS}, 30),
-)
-SERVICES = {"weigh": False, "clear": True}  # whether its messages go in sequence
+FRONT_PORT, READINESS_PORT, CONTROL_PORT, ENDPOINT_PORT = 8263, 8268, 8262, 8080
+INTERNAL_PORTS = (7300, 7315)
+ZONES = {"north": "valley", "south": "valley"}  # with their region
+DEFAULT_NET = "127.0.1"  # the first three numbers of the addresses, where they are free
+MACHINES_PER_CLASS = 3
+READY_TIMEOUT_S = 15.0  # for all edge nodes to be ready
+PROBE_TIMEOUT_S = 0.5
+GRACE_S = 3.0  # that the processes have to stop, by their settings
+KILL_AFTER_S = 5.0  # from SIGTERM to SIGKILL
+POLL_INTERVAL_S = 0.05
+SERVICES = {"weigh": False, "clear": True}  # whether messages of one sequence key keep their order
 HOST = "try.example"
 
 Condition = Callable[[], Awaitable[bool]]
 
 
+@dataclass(frozen=True, slots=True)
+class MachineClass:
+    """What the machines of a class run.
+
+    :param ports: where they listen for HTTP, by binding.
+    :param first_host: the last number of the first machine's address.
+    """
+
+    name: str
+    serves: str
+    ports: Mapping[str, int]
+    first_host: int
+
+
+MACHINE_CLASSES = (
+    MachineClass("core", "control_plane", {"control": CONTROL_PORT}, 10),
+    MachineClass("storage", "storage", {}, 20),
+    MachineClass("edge", "edge", {"front": FRONT_PORT, "readiness": READINESS_PORT}, 30),
+)
+
+
 def config() -> Json:
     """The configuration that is put in place first."""
     return {
@@ -75,23 +93,27 @@
 
 
 def free_net(rng: random.Random) -> str:
-    """Three numbers of loopback addresses at which nobody listens: the usual ones, else some."""
-    net = USUAL
-    while not all(
-        _free(f"{net}.{first + at}", port)
-        for _, _, _, first in KINDS
-        for at in range(3)
-        for port in (CONTROL, FRONT, READINESS, INTERNAL[0])
-    ):
+    """The first three numbers of loopback addresses at which nobody listens."""
+    net = DEFAULT_NET
+    while not _is_free_net(net):
         net = f"127.{rng.randrange(1, 255)}.{rng.randrange(1, 255)}"
     return net
 
 
-def _free(host: str, port: int) -> bool:
+def _is_free_net(net: str) -> bool:
+    ports = (CONTROL_PORT, FRONT_PORT, READINESS_PORT, INTERNAL_PORTS[0])
+    hosts = [
+        f"{net}.{machine_class.first_host + number}"
+        for machine_class in MACHINE_CLASSES
+        for number in range(MACHINES_PER_CLASS)
+    ]
+    return all(_is_free(host, port) for host in hosts for port in ports)
+
+
+def _is_free(host: str, port: int) -> bool:
     with socket.socket() as probe:
-        probe.setsockopt(
-            socket.SOL_SOCKET, socket.SO_REUSEADDR, 1
-        )  # as the programs do: who was here is no matter
+        # As the programs do: connections of an earlier process there do not matter.
+        probe.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         try:
             probe.bind((host, port))
         except OSError:
@@ -104,12 +126,17 @@
     """One machine: its settings file, and its process while it runs."""
 
     name: str
-    kind: str
+    machine_class: str
     ip: str
     zone: str
-    path: Path
+    settings_path: Path
     process: subprocess.Popen[bytes] | None = None
 
+    @property
+    def has_exited(self) -> bool:
+        """Whether its process has ended by itself."""
+        return self.process is not None and self.process.poll() is not None
+
 
 class Deployment:
     """Three machines of each class, in two zones."""
@@ -117,73 +144,82 @@
     def __init__(self, folder: Path, net: str) -> None:
         self.folder, self.net = folder, net
         self.machines: dict[str, Machine] = {}
-        for kind, _, _, first in KINDS:
-            for at in range(3):
-                name, zone = f"{kind}-{at + 1}", list(ZONES)[at % 2]
-                self.machines[name] = Machine(
-                    name, kind, f"{net}.{first + at}", zone, folder / f"{name}.yaml"
-                )
-        self.controls = [f"{it.ip}:{CONTROL}" for it in self.of("core")]
-
-    def of(self, kind: str) -> list[Machine]:
+        zones = list(ZONES)
+        for machine_class in MACHINE_CLASSES:
+            for number in range(MACHINES_PER_CLASS):
+                name = f"{machine_class.name}-{number + 1}"
+                ip = f"{net}.{machine_class.first_host + number}"
+                zone, path = zones[number % len(zones)], folder / f"{name}.yaml"
+                self.machines[name] = Machine(name, machine_class.name, ip, zone, path)
+        self.controls = [f"{machine.ip}:{CONTROL_PORT}" for machine in self.of("core")]
+
+    def of(self, machine_class: str) -> list[Machine]:
         """All machines of a class."""
-        return [it for it in self.machines.values() if it.kind == kind]
+        return [machine for machine in self.machines.values() if machine.machine_class == machine_class]
 
     @property
     def fronts(self) -> list[str]:
-        """Where clients may go."""
-        return [f"{it.ip}:{FRONT}" for it in self.of("edge") if it.process is not None]
+        """The client addresses of the edge nodes that run."""
+        return [f"{machine.ip}:{FRONT_PORT}" for machine in self.of("edge") if machine.process is not None]
+
+    # -- files
 
-    def write(self, first_start: bool) -> None:
+    def write_settings(self, first_start: bool) -> None:
         """Write the settings files and the configuration."""
-        for kind, serves, bindings, _ in KINDS:
-            for it in self.of(kind):
-                data = {
-                    "nodeName": it.name,
-                    "function": kind,
-                    "machineClass": kind,
-                    "serves": [serves],
-                    "ipAddress": it.ip,
-                    "zone": it.zone,
-                    "region": ZONES[it.zone],
-                    "zones": ZONES,
-                    "bindings": {name: f"{it.ip}:{port}" for name, port in bindings.items()},
-                    "internalPorts": list(INTERNAL),
-                    "seedNodes": self.controls,
-                    "firstStart": first_start,
-                    "counted": kind != "edge",
-                    "dataDir": str(self.folder / f"{it.name}.data") if kind != "edge" else None,
-                    "heartbeatMs": 500,
-                    "faultTolerance": {"machines": 1, "zones": 0, "regions": 0},
-                    "bounds": {"graceS": GRACE_S},
-                }
-                # Guards against a process that reads half a file: it looks at the file while it runs.
-                beside = it.path.with_suffix(".new")
-                beside.write_text(yaml.safe_dump(data, sort_keys=False))
-                beside.replace(it.path)
+        for machine_class in MACHINE_CLASSES:
+            for machine in self.of(machine_class.name):
+                text = yaml.safe_dump(self._settings_of(machine, machine_class, first_start), sort_keys=False)
+                # Renamed, so that a process, which looks at the file while it runs, never reads half of it.
+                temporary = machine.settings_path.with_suffix(".new")
+                temporary.write_text(text)
+                temporary.replace(machine.settings_path)
         (self.folder / "configuration.json").write_text(json.dumps(config(), indent=2) + "\n")
 
+    def _settings_of(self, machine: Machine, machine_class: MachineClass, first_start: bool) -> Json:
+        is_edge = machine_class.name == "edge"
+        return {
+            "nodeName": machine.name,
+            "function": machine_class.name,
+            "machineClass": machine_class.name,
+            "serves": [machine_class.serves],
+            "ipAddress": machine.ip,
+            "zone": machine.zone,
+            "region": ZONES[machine.zone],
+            "zones": ZONES,
+            "bindings": {name: f"{machine.ip}:{port}" for name, port in machine_class.ports.items()},
+            "internalPorts": list(INTERNAL_PORTS),
+            "seedNodes": self.controls,
+            "firstStart": first_start,
+            "counted": not is_edge,
+            "dataDir": None if is_edge else str(self.folder / f"{machine.name}.data"),
+            "heartbeatMs": 500,
+            "faultTolerance": {"machines": 1, "zones": 0, "regions": 0},
+            "bounds": {"graceS": GRACE_S},
+        }
+
+    # -- processes
+
     def start(self, machine: Machine) -> None:
-        """Start a machine's process; what it says goes to a file of its own."""
-        above = str(Path(__file__).parents[3])
-        paths = [above, *filter(None, [os.environ.get("PYTHONPATH")])]
+        """Start a machine's process; its log is a file of its own."""
+        project_folder = str(Path(__file__).parents[3])
+        paths = [project_folder, *filter(None, [os.environ.get("PYTHONPATH")])]
         with (self.folder / f"{machine.name}.log").open("ab") as log:
             machine.process = subprocess.Popen(
                 [sys.executable, "-m", "amberlug.cluster", "run"],
                 env={
                     **os.environ,
-                    SETTINGS_FILE_VARIABLE: str(machine.path),
+                    SETTINGS_FILE_VARIABLE: str(machine.settings_path),
                     "PYTHONPATH": os.pathsep.join(paths),
                 },
                 stdin=subprocess.DEVNULL,
                 stdout=log,
                 stderr=log,
-                start_new_session=True,  # Ctrl-C is for `try` alone: it ends them in order
+                start_new_session=True,  # Ctrl-C is for the trial alone, which stops them in order
             )
 
     def start_all(self) -> None:
-        """Start all for the first time."""
-        self.write(first_start=True)
+        """Start all machines for the first time."""
+        self.write_settings(first_start=True)
         for machine in self.machines.values():
             self.start(machine)
 
@@ -194,52 +230,61 @@
             process.kill()
             process.wait()
 
-    async def ready(self) -> bool:
-        """Wait until all edges are ready."""
-        return await self.until(self._all_ready, READY_S)
+    def kill_all(self) -> None:
+        """Kill all processes that still run."""
+        for machine in self.machines.values():
+            self.kill(machine)
 
-    async def _all_ready(self) -> bool:
-        asked = [ask(f"{it.ip}:{READINESS}", "GET", "/-/readiness", within=0.5) for it in self.of("edge")]
-        return all(isinstance(it, Ok) and it.ok_value.status == 200 for it in await asyncio.gather(*asked))
+    def exited(self) -> list[str]:
+        """Names of the machines whose processes have ended by themselves."""
+        return [machine.name for machine in self.machines.values() if machine.has_exited]
 
-    async def until(self, true: Condition, seconds: float) -> bool:
-        """Wait until something is so, or a process has ended by itself, or the time is up."""
-        loop = asyncio.get_running_loop()
-        until = loop.time() + seconds
-        while not await true():
-            if loop.time() > until or self.ended():
-                return False
-            await asyncio.sleep(LOOK_S)
-        return True
+    async def stop(self) -> list[str]:
+        """Stop all processes.
 
-    def ended(self) -> list[str]:
-        """Machines whose processes have ended by themselves."""
-        return [
-            it.name
-            for it in self.machines.values()
-            if it.process is not None and it.process.poll() is not None
-        ]
+        :returns: names of the machines whose process ended before, not in time, or not with exit code 0.
+        """
+        running = [machine for machine in self.machines.values() if machine.process is not None]
+        unclean = self.exited()
+        for machine in running:
+            if machine.process is not None and not machine.has_exited:
+                machine.process.send_signal(signal.SIGTERM)
+        await self._wait_for_exit(running)
+        for machine in running:
+            is_clean = machine.process is not None and machine.process.poll() == 0
+            if not is_clean and machine.name not in unclean:
+                unclean.append(machine.name)
+            self.kill(machine)
+        return unclean
 
-    async def stop(self) -> list[str]:
-        """End all processes in order; who did not end within the grace, or not with 0."""
-        left = [it for it in self.machines.values() if it.process is not None]
-        wrong = self.ended()
-        for it in left:
-            if it.process is not None and it.process.poll() is None:
-                it.process.send_signal(signal.SIGTERM)
+    async def _wait_for_exit(self, machines: list[Machine]) -> None:
         loop = asyncio.get_running_loop()
-        until = loop.time() + KILL_S
-        while any(it.process is not None and it.process.poll() is None for it in left):
-            if loop.time() > until:
-                break
-            await asyncio.sleep(LOOK_S)
-        for it in left:
-            if it.process is not None and it.process.poll() != 0 and it.name not in wrong:
-                wrong.append(it.name)
-            self.kill(it)
-        return wrong
+        deadline = loop.time() + KILL_AFTER_S
+        while not all(machine.has_exited for machine in machines) and loop.time() <= deadline:
+            await asyncio.sleep(POLL_INTERVAL_S)
 
-    def kill_all(self) -> None:
-        """Kill what still runs."""
-        for it in self.machines.values():
-            self.kill(it)
+    # -- conditions
+
+    async def wait_until_ready(self) -> bool:
+        """Wait until all edge nodes are ready; False where they are not in time."""
+        return await self.wait_until(self._all_ready, READY_TIMEOUT_S)
+
+    async def _all_ready(self) -> bool:
+        probe = HttpCall("GET", "/-/readiness")
+        sent = await asyncio.gather(
+            *(
+                send_call(f"{machine.ip}:{READINESS_PORT}", probe, PROBE_TIMEOUT_S)
+                for machine in self.of("edge")
+            )
+        )
+        return all(isinstance(reply, Ok) and reply.ok_value.status == 200 for reply in sent)
+
+    async def wait_until(self, condition: Condition, timeout_s: float) -> bool:
+        """Wait for a condition; False where a process has ended by itself, or the time is up."""
+        loop = asyncio.get_running_loop()
+        deadline = loop.time() + timeout_s
+        while not await condition():
+            if loop.time() > deadline or self.exited():
+                return False
+            await asyncio.sleep(POLL_INTERVAL_S)
+        return True
--- a/amberlug/cluster/local_deployment/fake_endpoint.py
+++ b/amberlug/cluster/local_deployment/fake_endpoint.py
@@ -1,11 +1,13 @@
-"""A stand-in for a service's endpoint: it works on messages, and announces itself to control relays."""
+"""A fake endpoint of a service: it works on messages, and announces itself to control-plane nodes."""
 
 from __future__ import annotations
 
 import asyncio
 import json
+from collections import deque
 from collections.abc import Sequence
 from dataclasses import dataclass
+from typing import NamedTuple
 
 from result import Ok
 
@@ -13,136 +15,148 @@
 from amberlug.cluster.http.message import Request, Response
 from amberlug.cluster.http.parser import Limits
 from amberlug.cluster.http.server import Server
-from amberlug.cluster.local_deployment.queries import ask
+from amberlug.cluster.local_deployment.http_call import HttpCall, send_call
 
-BEAT_S = 0.5
-WAITING_MOST = 8  # messages that wait for a slot
-POISON = b"poison"  # a body that begins so can never be done
+HEARTBEAT_INTERVAL_S = 0.5
+MAX_QUEUED = 8  # messages that wait for a slot
+UNPROCESSABLE_PREFIX = b"poison"  # a body that begins so is rejected for good
+LIMITS = Limits(body_bytes=1 << 20, idle_s=30.0)
 
 
 @dataclass(slots=True)
 class Run:
     """A message's run at an endpoint; times of the loop's clock."""
 
-    attempt: str
-    key: str
-    begun: float
-    ended: float = 0.0
-    status: int = 0
-    seal: str = ""
-
-
-class StandIn:
-    """One endpoint."""
-
-    def __init__(
-        self,
-        name: str,
-        service: str,
-        zone: str,
-        controls: Sequence[str],
-        slots: int = 4,
-        work_s: float = 0.05,
-    ) -> None:
-        self.name, self.service, self.zone, self.controls = name, service, zone, list(controls)
-        self.slots, self.work_s = slots, work_s
+    attempt_id: str
+    sequence_key: str
+    started_at: float
+    ended_at: float = 0.0
+    status: int = 0  # 0 while it runs
+    receipt: str = ""
+
+
+@dataclass(frozen=True, slots=True)
+class EndpointSettings:
+    """What an endpoint announces, and how it works.
+
+    :param slots: messages that it works on at once.
+    :param work_s: seconds for one message.
+    """
+
+    name: str
+    service: str
+    zone: str
+    slots: int = 4
+    work_s: float = 0.05
+
+
+class _Queued(NamedTuple):
+    """A message that waits for a slot."""
+
+    request: Request
+    respond: RespondCallback
+
+
+class FakeEndpoint:
+    """One endpoint.
+
+    :param controls: addresses of control-plane nodes.
+    """
+
+    def __init__(self, settings: EndpointSettings, controls: Sequence[str]) -> None:
+        self.settings = settings
         self.runs: list[Run] = []
-        self._server = Server(self._handle, self._limits)
-        self._waiting: list[tuple[Request, RespondCallback]] = []
-        self._busy = 0
-        self._beats: asyncio.Task[None] | None = None
+        self._controls = deque(controls)
+        self._server = Server(self._handle, lambda: LIMITS)
+        self._queue: deque[_Queued] = deque()
+        self._busy_slots = 0
+        self._heartbeats: asyncio.Task[None] | None = None
         self._address = ""
         self._condition, self._sequence = "ready", 0
 
-    @staticmethod
-    def _limits() -> Limits:
-        return Limits(body_bytes=1 << 20, idle_s=30.0)
-
-    async def begin(self, host: str, port: int) -> None:
-        """Listen, and announce from now on."""
+    async def start(self, host: str, port: int) -> None:
+        """Listen, and send heartbeats from now on."""
         await self._server.listen(host, port)
         self._address = f"{host}:{self._server.port}"
-        self._beats = asyncio.get_running_loop().create_task(self._announce())
+        self._heartbeats = asyncio.get_running_loop().create_task(self._send_heartbeats())
 
-    async def end(self) -> None:
-        """Say that it leaves, then end."""
-        if self._beats is not None:
-            self._beats.cancel()
+    async def drain(self) -> None:
+        """Announce the planned end, then end."""
+        if self._heartbeats is not None:
+            self._heartbeats.cancel()
         self._condition = "draining"
-        await self._call(f"/-/Instances.Announce/{self.name}")
-        await self._call(f"/-/Instances.Deregister/{self.name}")
+        await self._announce(f"/-/Instances.Announce/{self.settings.name}")
+        await self._announce(f"/-/Instances.Deregister/{self.settings.name}")
         self.close()
 
     def close(self) -> None:
-        """End without a word."""
-        if self._beats is not None:
-            self._beats.cancel()
+        """End without an announcement."""
+        if self._heartbeats is not None:
+            self._heartbeats.cancel()
         self._server.stop()
         self._server.abort()
 
-    async def _announce(self) -> None:
+    # -- announcements
+
+    async def _send_heartbeats(self) -> None:
         while True:
-            await self._call(f"/-/Instances.Announce/{self.name}")
-            await asyncio.sleep(BEAT_S)
+            await self._announce(f"/-/Instances.Announce/{self.settings.name}")
+            await asyncio.sleep(HEARTBEAT_INTERVAL_S)
 
-    async def _call(self, path: str) -> bool:
-        """Tell one control relay; the next one where that one does not answer."""
+    async def _announce(self, path: str) -> None:
+        """Call one control-plane node, and the next one where that one does not acknowledge."""
         self._sequence += 1
-        said = {
-            "targetService": self.service,
+        body = {
+            "targetService": self.settings.service,
             "address": self._address,
-            "zone": self.zone,
+            "zone": self.settings.zone,
             "edition": "1",
-            "capacity": self.slots,
+            "capacity": self.settings.slots,
             "condition": self._condition,
             "warmupLeftMs": 0,
             "sequence": self._sequence,
         }
-        for _ in self.controls:
-            told = await ask(self.controls[0], "POST", path, body=json.dumps(said).encode())
-            if isinstance(told, Ok) and told.ok_value.status < 300:
-                return True
-            self.controls.append(self.controls.pop(0))
-        return False
+        call = HttpCall("POST", path, body=json.dumps(body).encode())
+        for _ in range(len(self._controls)):
+            sent = await send_call(self._controls[0], call)
+            if isinstance(sent, Ok) and sent.ok_value.status < 300:
+                return
+            self._controls.rotate(-1)
 
     # -- messages
 
-    def _handle(self, asked: Request, respond: RespondCallback) -> None:
-        if asked.target == "/health":
-            respond(Response(200, (("Amberlug-Instance-Id", self.name),)))
+    def _handle(self, request: Request, respond: RespondCallback) -> None:
+        name = self.settings.name
+        if request.target == "/health":
+            respond(Response(200, (("Amberlug-Instance-Id", name),)))
             return
-        attempt = asked.header("amberlug-attempt-id") or ""
-        named = (("Amberlug-Attempt-Id", attempt),)
-        meant = asked.header("amberlug-target-instance")
-        if meant is not None and meant != self.name:
-            respond(Response(421, named))
-        elif self._busy >= self.slots and len(self._waiting) >= WAITING_MOST:
-            respond(Response(503, (*named, ("Amberlug-Not-Executed", "full"))))
-        elif self._busy >= self.slots:
-            self._waiting.append((asked, respond))
+        attempt_header = (("Amberlug-Attempt-Id", request.header("amberlug-attempt-id") or ""),)
+        if (request.header("amberlug-target-instance") or name) != name:
+            respond(Response(421, attempt_header))
+        elif self._busy_slots < self.settings.slots:
+            self._start_run(request, respond)
+        elif len(self._queue) < MAX_QUEUED:
+            self._queue.append(_Queued(request, respond))
         else:
-            self._begin(asked, respond)
+            respond(Response(503, (*attempt_header, ("Amberlug-Not-Executed", "full"))))
 
-    def _begin(self, asked: Request, respond: RespondCallback) -> None:
+    def _start_run(self, request: Request, respond: RespondCallback) -> None:
         loop = asyncio.get_running_loop()
-        self._busy += 1
-        run = Run(
-            asked.header("amberlug-attempt-id") or "",
-            asked.header("amberlug-sequence-key") or "",
-            loop.time(),
-        )
+        self._busy_slots += 1
+        attempt_id = request.header("amberlug-attempt-id") or ""
+        run = Run(attempt_id, request.header("amberlug-sequence-key") or "", loop.time())
         self.runs.append(run)
-        loop.call_later(self.work_s, self._done, run, asked, respond)
+        loop.call_later(self.settings.work_s, self._end_run, run, request, respond)
 
-    def _done(self, run: Run, asked: Request, respond: RespondCallback) -> None:
-        run.ended = asyncio.get_running_loop().time()
-        headers = [("Amberlug-Attempt-Id", run.attempt)]
-        if asked.body.startswith(POISON):
+    def _end_run(self, run: Run, request: Request, respond: RespondCallback) -> None:
+        run.ended_at = asyncio.get_running_loop().time()
+        headers = [("Amberlug-Attempt-Id", run.attempt_id)]
+        if request.body.startswith(UNPROCESSABLE_PREFIX):
             run.status = 422
         else:
-            run.status, run.seal = 200, f"{self.name}.{len(self.runs)}"
-            headers.append(("Amberlug-Server-Seal", run.seal))
+            run.status, run.receipt = 200, f"{self.settings.name}.{len(self.runs)}"
+            headers.append(("Amberlug-Server-Seal", run.receipt))
         respond(Response(run.status, tuple(headers), b"done"))
-        self._busy -= 1
-        if self._waiting:
-            self._begin(*self._waiting.pop(0))
+        self._busy_slots -= 1
+        if self._queue:
+            self._start_run(*self._queue.popleft())
--- a/amberlug/cluster/local_deployment/trial.py
+++ b/amberlug/cluster/local_deployment/trial.py
@@ -1,4 +1,4 @@
-"""`python -m amberlug.cluster try`: a small deployment under load that loses an edge and a store."""
+"""`python -m amberlug.cluster try`: a small deployment under load that loses an edge and a storage node."""
 
 from __future__ import annotations
 
@@ -6,275 +6,203 @@
 import json
 import random
 import secrets
-from collections.abc import Callable, Iterable
-from dataclasses import dataclass, field
-from pathlib import Path
-from typing import Any
-
-from result import Err, Ok
-
-from amberlug.cluster.interfaces import Json, RequestFailure
-from amberlug.cluster.local_deployment.deployment import ENDPOINT, HOST, SERVICES, Deployment, config
-from amberlug.cluster.local_deployment.fake_endpoint import POISON, Run, StandIn
-from amberlug.cluster.local_deployment.queries import ask
-
-ENDPOINTS = 2  # of each service
-KEYS = 5  # things whose messages go in sequence
-POISONED = 40  # one message in so many can never be done
-DOWN_S = 1.0  # that a killed machine stays down
-PATIENCE_S = 3.0  # of a client, over all its tries
-PAUSE_S = 0.1  # between a client's tries
-PUSH_S = 10.0  # for the configuration to be taken
-END_S = 20.0  # for all that was accepted to end
-BACK_S = 10.0  # for all machines to be members again
-ASKED_AT_ONCE = 32
-PROMISES = frozenset((408, 421, 429, 503))
-
-
-@dataclass(slots=True)
-class Sent:
-    """A message that a client sent; times of the loop's clock."""
-
-    key: str
-    poisoned: bool
-    sent_at: float = 0.0  # its last try
-    attempt: str = ""
-    name: str = ""
-    accepted_at: float = 0.0  # 0 while it is not
-    unclear: bool = False
-    condition: str = "pending"
-    seal: str = ""
-
-
-@dataclass(slots=True)
-class Tale:
-    """What came of a trial."""
-
-    sent: list[Sent] = field(default_factory=list)
-    runs: list[Run] = field(default_factory=list)
-    wrong: list[str] = field(default_factory=list)
-
-    def accepted(self) -> list[Sent]:
-        """The messages that were accepted."""
-        return [it for it in self.sent if it.accepted_at]
-
-    def judged(self) -> list[str]:
-        """All that did not go as it should."""
-        runs: dict[str, list[Run]] = {}
-        for run in self.runs:
-            runs.setdefault(run.attempt, []).append(run)
-        wrong = list(self.wrong)
-        for it in self.accepted():
-            wrong += _ended_well(it, runs.get(it.attempt, []))
-        if not self.accepted():
-            wrong.append("no message was accepted")
-        return wrong + _order(self.accepted(), runs)
-
-    def figures(self) -> Json:
-        """The summary."""
-        first: dict[str, float] = {}
-        for run in self.runs:
-            first[run.attempt] = min(run.begun, first.get(run.attempt, run.begun))
-        accepted = self.accepted()
-        acks = [it.accepted_at - it.sent_at for it in accepted]
-        begins = [first[it.attempt] - it.sent_at for it in accepted if it.attempt in first]
-        wrong = self.judged()
-        return {
-            "sent": len(self.sent),
-            "accepted": len(accepted),
-            "unclear": sum(it.unclear for it in self.sent),
-            "refused": sum(not it.unclear and not it.accepted_at for it in self.sent),
-            "delivered": sum(it.condition == "completed" for it in accepted),
-            "ended": sum(it.condition != "pending" for it in accepted),
-            "runs": len(self.runs),
-            "accept_ms": _centiles(acks),
-            "first_run_ms": _centiles(begins),
-            "wrong": wrong,
-        }
-
-
-def _ended_well(it: Sent, runs: list[Run]) -> Iterable[str]:
-    if it.poisoned:
-        if it.condition != "failed" or not any(run.status == 422 for run in runs):
-            yield f"{it.name}: can't be done, and is {it.condition} after {len(runs)} runs"
-    elif it.condition != "completed":
-        yield f"{it.name}: accepted, and is {it.condition} after {len(runs)} runs"
-    elif it.seal not in {run.seal for run in runs if run.status == 200}:
-        yield f"{it.name}: completed with the seal {it.seal!r}, which no run of it gave"
-
-
-def _order(accepted: list[Sent], runs: dict[str, list[Run]]) -> list[str]:
-    """Messages that began while one of their key, accepted before they were sent, had not ended."""
-    wrong = []
-    for key in sorted({it.key for it in accepted if it.key}):
-        line = [it for it in accepted if it.key == key]
-        for it in line:
-            begun = min((run.begun for run in runs.get(it.attempt, [])), default=None)
-            for before in line:
-                if begun is None or before is it or before.accepted_at >= it.sent_at:
-                    continue
-                ends = [run.ended for run in runs.get(before.attempt, []) if run.status]
-                if not ends or min(ends) > begun:
-                    wrong.append(f"{it.name}: began before {before.name} of its key had ended")
-    return wrong
-
-
-def _centiles(seconds: list[float]) -> dict[str, float | None]:
-    ranked = sorted(seconds)
-    return {
-        f"p{part}": round(1000 * ranked[min(len(ranked) - 1, len(ranked) * part // 100)], 1)
-        if ranked
-        else None
-        for part in (50, 99)
-    }
+from collections.abc import Callable
+from dataclasses import dataclass
+
+from result import Err, Ok, Result
+
+from amberlug.cluster.interfaces import Headers, RequestFailure
+from amberlug.cluster.local_deployment.deployment import ENDPOINT_PORT, HOST, SERVICES, Deployment, config
+from amberlug.cluster.local_deployment.fake_endpoint import (
+    UNPROCESSABLE_PREFIX,
+    EndpointSettings,
+    FakeEndpoint,
+)
+from amberlug.cluster.local_deployment.http_call import HttpCall, send_call
+from amberlug.cluster.local_deployment.trial_report import PENDING, SentMessage, TrialReport
+from amberlug.http.link import Reply
+
+ENDPOINT_ZONES = ("north", "south")  # of the endpoints of each service
+FIRST_ENDPOINT_HOST = 101  # the last number of the first endpoint's address
+SEQUENCE_KEYS = 5
+UNPROCESSABLE_INTERVAL = 40  # one message in so many is rejected for good
+BODY_BYTES = 300
+ATTEMPT_ID_BYTES = 8
+DOWNTIME_S = 1.0  # of a killed machine
+CLIENT_TIMEOUT_S = 3.0  # of a client, over all its attempts
+CLIENT_RETRY_S = 0.1  # between a client's attempts
+PUSH_TIMEOUT_S = 10.0  # for the configuration to be accepted
+END_TIMEOUT_S = 20.0  # for all that was accepted to end
+REJOIN_TIMEOUT_S = 10.0  # for all machines to have a session again
+MAX_CONCURRENT_LOOKUPS = 32
+REJECTED_STATUSES = frozenset((408, 421, 429, 503))  # the message was not accepted, and never will be
+
+ReportProgress = Callable[[str], None]
+
+
+@dataclass(frozen=True, slots=True)
+class TrialLoad:
+    """What clients send: so many messages a second, for so many seconds."""
+
+    rate_per_s: float
+    duration_s: float
 
 
 class Trial:
     """One trial of a deployment."""
 
     def __init__(
-        self,
-        deployment: Deployment,
-        rate: float,
-        seconds: float,
-        rng: random.Random,
-        say: Callable[[str], None],
+        self, deployment: Deployment, load: TrialLoad, rng: random.Random, report_progress: ReportProgress
     ) -> None:
-        self.deployment, self.rate, self.seconds = deployment, rate, seconds
-        self.rng, self.say = rng, say
-        self.tale = Tale()
-        self._stand_ins: list[StandIn] = []
+        self.deployment, self.load = deployment, load
+        self.rng, self.report_progress = rng, report_progress
+        self.report = TrialReport()
+        self._endpoints: list[FakeEndpoint] = []
         self._time = asyncio.get_running_loop().time
 
-    async def run(self) -> Tale:
+    async def run(self) -> TrialReport:
         """Play it, and leave nothing running."""
         try:
             await self._play()
-            self.say("all processes are told to end")
-            self.tale.wrong += [
-                f"{it}: its process did not end as told" for it in await self.deployment.stop()
-            ]
+            self.report_progress("all processes are stopped")
+            unclean = await self.deployment.stop()
+            self.report.failures += [f"{name}: its process did not stop as it should" for name in unclean]
         finally:
-            for it in self._stand_ins:
-                it.close()
+            for endpoint in self._endpoints:
+                endpoint.close()
             self.deployment.kill_all()
-        for it in self._stand_ins:
-            self.tale.runs += it.runs
-        return self.tale
+        for endpoint in self._endpoints:
+            self.report.runs += endpoint.runs
+        return self.report
 
     async def _play(self) -> None:
         deployment = self.deployment
-        self.say(f"{len(deployment.machines)} machines begin at {deployment.net}.x, in {deployment.folder}")
+        self.report_progress(
+            f"{len(deployment.machines)} machines start at {deployment.net}.x, in {deployment.folder}"
+        )
         deployment.start_all()
-        await self._endpoints()
-        if not await deployment.until(self._configured, PUSH_S):
-            self._fail("the configuration was not taken")
+        await self._start_endpoints()
+        if not await deployment.wait_until(self._push_config, PUSH_TIMEOUT_S):
+            self._fail("the configuration was not accepted")
             return
-        if not await deployment.ready():
-            self._fail("the edges did not become ready")
+        if not await deployment.wait_until_ready():
+            self._fail("the edge nodes did not become ready")
             return
-        # They are told, as a platform would at any later start, that this is not the first.
-        deployment.write(first_start=False)
-        self.say(f"{self.rate:g} messages a second for {self.seconds:g} s")
-        trouble = asyncio.create_task(self._trouble())
-        await self._load()
-        await trouble
-        if not await deployment.until(self._all_ended, END_S):
+        # As a platform does at any later start: this is not the first.
+        deployment.write_settings(first_start=False)
+        self.report_progress(f"{self.load.rate_per_s:g} messages a second for {self.load.duration_s:g} s")
+        faults = asyncio.create_task(self._inject_faults())
+        await self._send_load()
+        await faults
+        if not await deployment.wait_until(self._all_ended, END_TIMEOUT_S):
             self._fail("not all that was accepted has ended")
-        if not await deployment.until(self._all_back, BACK_S):
-            self._fail("not all machines are members again")
+        if not await deployment.wait_until(self._all_rejoined, REJOIN_TIMEOUT_S):
+            self._fail("not all machines have a session again")
 
-    def _fail(self, what: str) -> None:
-        ended = self.deployment.ended()
-        self.tale.wrong.append(what + (f"; ended by themselves: {', '.join(ended)}" if ended else ""))
+    def _fail(self, reason: str) -> None:
+        exited = self.deployment.exited()
+        self.report.failures.append(
+            reason + (f"; exited by themselves: {', '.join(exited)}" if exited else "")
+        )
 
-    async def _endpoints(self) -> None:
-        number = 0
+    async def _start_endpoints(self) -> None:
         for service in SERVICES:
-            for zone in ("north", "south")[:ENDPOINTS]:
-                number += 1
-                it = StandIn(f"{service}-{zone}", service, zone, self.deployment.controls)
-                await it.begin(f"{self.deployment.net}.{100 + number}", ENDPOINT)
-                self._stand_ins.append(it)
-
-    async def _configured(self) -> bool:
-        """Send the configuration, unchanged, until a control relay acknowledges it."""
-        at = self.rng.choice(self.deployment.controls)
+            for zone in ENDPOINT_ZONES:
+                settings = EndpointSettings(f"{service}-{zone}", service, zone)
+                endpoint = FakeEndpoint(settings, self.deployment.controls)
+                host = f"{self.deployment.net}.{FIRST_ENDPOINT_HOST + len(self._endpoints)}"
+                await endpoint.start(host, ENDPOINT_PORT)
+                self._endpoints.append(endpoint)
+
+    async def _push_config(self) -> bool:
+        """Send the configuration, unchanged on each attempt; whether a control-plane node acknowledges it."""
         headers = (("Content-Type", "application/json"), ("Amberlug-Base-Version", "0"))
-        body = json.dumps(config()).encode()
-        told = await ask(at, "POST", "/-/Configuration.Replace", headers, body)
-        return isinstance(told, Ok) and told.ok_value.status == 200
+        call = HttpCall("POST", "/-/Configuration.Replace", headers, json.dumps(config()).encode())
+        sent = await send_call(self.rng.choice(self.deployment.controls), call)
+        return isinstance(sent, Ok) and sent.ok_value.status == 200
+
+    # -- load
 
-    async def _load(self) -> None:
-        begun, sending = self._time(), []
-        for number in range(int(self.rate * self.seconds)):
-            await asyncio.sleep(begun + number / self.rate - self._time())
-            sending.append(asyncio.create_task(self._send(number)))
+    async def _send_load(self) -> None:
+        started_at, sending = self._time(), []
+        for number in range(int(self.load.rate_per_s * self.load.duration_s)):
+            await asyncio.sleep(started_at + number / self.load.rate_per_s - self._time())
+            sending.append(asyncio.create_task(self._send_message(number)))
         await asyncio.gather(*sending)
 
-    async def _send(self, number: int) -> None:
-        """Hand a message in as a client does: again, as another attempt, only if it was surely not taken."""
+    async def _send_message(self, number: int) -> None:
+        """Submit a message as a client does: again, as another attempt, only after a rejection."""
         service = list(SERVICES)[number % len(SERVICES)]
-        key = f"thing-{self.rng.randrange(KEYS)}" if SERVICES[service] else ""
-        it = Sent(key, poisoned=number % POISONED == POISONED - 1)
-        self.tale.sent.append(it)
-        body = (POISON if it.poisoned else b"") + secrets.token_bytes(300)
-        until = self._time() + PATIENCE_S
-        while not it.accepted_at and self._time() < until:
-            fronts = self.deployment.fronts
-            it.attempt, it.sent_at = secrets.token_hex(8), self._time()
-            headers = [("Amberlug-Attempt-Id", it.attempt), ("Amberlug-Time-Remaining", "1500")]
-            headers += [("Amberlug-Sequence-Key", key)] if key else []
-            told = await ask(
-                self.rng.choice(fronts), "POST", f"/{service}/{number}", tuple(headers), body, HOST
-            )
-            if isinstance(told, Ok) and told.ok_value.status == 202:
-                it.accepted_at = self._time()
-                it.name = told.ok_value.headers.get("amberlug-message-name", it.attempt)
-            elif told == Err(RequestFailure.NOT_SENT) or (
-                isinstance(told, Ok) and told.ok_value.status in PROMISES
-            ):
-                await asyncio.sleep(PAUSE_S)
-            else:
-                it.unclear = True
-                return
-
-    async def _trouble(self) -> None:
-        """An edge and a store are killed one after the other, and started again."""
-        for kind, after in (("edge", 0.3), ("storage", 0.1)):
-            await asyncio.sleep(self.seconds * after)
-            machine = self.rng.choice(self.deployment.of(kind))
-            self.say(f"{machine.name} is killed")
+        key = f"thing-{self.rng.randrange(SEQUENCE_KEYS)}" if SERVICES[service] else ""
+        is_unprocessable = number % UNPROCESSABLE_INTERVAL == UNPROCESSABLE_INTERVAL - 1
+        message = SentMessage(key, is_unprocessable)
+        self.report.sent.append(message)
+        body = (UNPROCESSABLE_PREFIX if is_unprocessable else b"") + secrets.token_bytes(BODY_BYTES)
+        deadline = self._time() + CLIENT_TIMEOUT_S
+        while not message.accepted_at and not message.is_outcome_unknown and self._time() < deadline:
+            front = self.rng.choice(self.deployment.fronts)
+            message.attempt_id, message.sent_at = secrets.token_hex(ATTEMPT_ID_BYTES), self._time()
+            call = HttpCall("POST", f"/{service}/{number}", _submission_headers(message), body, HOST)
+            await self._apply_response(message, await send_call(front, call))
+
+    async def _apply_response(self, message: SentMessage, sent: Result[Reply, RequestFailure]) -> None:
+        """Note what came of an attempt; after a rejection, wait for the next one."""
+        if isinstance(sent, Ok) and sent.ok_value.status == 202:
+            message.accepted_at = self._time()
+            message.name = sent.ok_value.headers.get("amberlug-message-name", message.attempt_id)
+        elif _is_rejection(sent):
+            await asyncio.sleep(CLIENT_RETRY_S)
+        else:
+            message.is_outcome_unknown = True
+
+    # -- faults
+
+    async def _inject_faults(self) -> None:
+        """An edge and a storage node are killed one after the other, and started again."""
+        for machine_class, delay_share in (("edge", 0.3), ("storage", 0.1)):
+            await asyncio.sleep(self.load.duration_s * delay_share)
+            machine = self.rng.choice(self.deployment.of(machine_class))
+            self.report_progress(f"{machine.name} is killed")
             self.deployment.kill(machine)
-            await asyncio.sleep(DOWN_S)
+            await asyncio.sleep(DOWNTIME_S)
             self.deployment.start(machine)
-            self.say(f"{machine.name} is started again")
+            self.report_progress(f"{machine.name} is started again")
+
+    # -- the end
 
     async def _all_ended(self) -> bool:
-        """Ask for what was accepted and has not ended, as far as is known."""
-        waiting = [it for it in self.tale.accepted() if it.condition == "pending"]
-        await asyncio.gather(*(self._look(it) for it in waiting[:ASKED_AT_ONCE]))
-        return all(it.condition != "pending" for it in waiting)
+        """Look up the messages that were accepted, and have not ended as far as is known."""
+        pending = [message for message in self.report.accepted() if message.condition == PENDING]
+        await asyncio.gather(*(self._look_up(message) for message in pending[:MAX_CONCURRENT_LOOKUPS]))
+        return all(message.condition != PENDING for message in pending)
+
+    async def _look_up(self, message: SentMessage) -> None:
+        front = self.rng.choice(self.deployment.fronts)
+        sent = await send_call(front, HttpCall("GET", f"/-/message/{message.name}"))
+        if isinstance(sent, Ok) and sent.ok_value.status == 200:
+            status = json.loads(sent.ok_value.body)
+            message.condition, message.receipt = status["condition"], status.get("seal", "")
+
+    async def _all_rejoined(self) -> bool:
+        """Whether a control-plane node has a report of each edge and storage node."""
+        sent = await send_call(
+            self.rng.choice(self.deployment.controls), HttpCall("GET", "/-/Foreman.Status")
+        )
+        if isinstance(sent, Err) or sent.ok_value.status != 200:
+            return False
+        sessions = json.loads(sent.ok_value.body)["members"]
+        responsive = {session["name"] for session in sessions if session["told"] is not None}
+        machines = self.deployment.machines.values()
+        return responsive == {machine.name for machine in machines if machine.machine_class != "core"}
 
-    async def _look(self, it: Sent) -> None:
-        told = await ask(self.rng.choice(self.deployment.fronts), "GET", f"/-/message/{it.name}")
-        if isinstance(told, Ok) and told.ok_value.status == 200:
-            said: dict[str, Any] = json.loads(told.ok_value.body)
-            it.condition, it.seal = said["condition"], said.get("seal", "")
 
-    async def _all_back(self) -> bool:
-        """Whether a control relay has all edges and stores as members that answer."""
-        at = self.rng.choice(self.deployment.controls)
-        told = await ask(at, "GET", "/-/Foreman.Status")
-        if isinstance(told, Err) or told.ok_value.status != 200:
-            return False
-        members = json.loads(told.ok_value.body)["members"]
-        back = {it["name"] for it in members if it["told"] is not None}
-        return back == {it.name for it in self.deployment.machines.values() if it.kind != "core"}
+def _submission_headers(message: SentMessage) -> Headers:
+    headers = (("Amberlug-Attempt-Id", message.attempt_id), ("Amberlug-Time-Remaining", "1500"))
+    return (*headers, ("Amberlug-Sequence-Key", message.sequence_key)) if message.sequence_key else headers
 
 
-async def play(
-    folder: Path, net: str, rate: float, seconds: float, rng: random.Random, say: Callable[[str], None]
-) -> Tale:
-    """Play a trial in a folder, at addresses that begin with `net`."""
-    return await Trial(Deployment(folder, net), rate, seconds, rng, say).run()
+def _is_rejection(sent: Result[Reply, RequestFailure]) -> bool:
+    """Whether the message was certainly not accepted."""
+    if isinstance(sent, Err):
+        return sent.err_value is RequestFailure.NOT_SENT
+    return sent.ok_value.status in REJECTED_STATUSES
--- /dev/null
+++ b/amberlug/cluster/local_deployment/trial_report.py
@@ -0,0 +1,124 @@
+"""What came of a trial, and whether what the service guarantees was kept."""
+
+from __future__ import annotations
+
+from collections.abc import Iterator, Mapping, Sequence
+from dataclasses import dataclass, field
+
+from amberlug.cluster.interfaces import Json
+from amberlug.cluster.local_deployment.fake_endpoint import Run
+
+PENDING, COMPLETED, FAILED = "pending", "completed", "failed"  # conditions, as edge nodes name them
+PERCENTILES = (50, 99)
+
+RunsByAttempt = Mapping[str, Sequence[Run]]
+
+
+@dataclass(slots=True)
+class SentMessage:
+    """A message that a client sent; times of the loop's clock.
+
+    :param is_unprocessable: whether endpoints reject it for good.
+    :param sent_at: when its last attempt began.
+    :param accepted_at: 0 while it is not accepted.
+    """
+
+    sequence_key: str
+    is_unprocessable: bool
+    sent_at: float = 0.0
+    attempt_id: str = ""
+    name: str = ""
+    accepted_at: float = 0.0
+    is_outcome_unknown: bool = False
+    condition: str = PENDING
+    receipt: str = ""
+
+
+@dataclass(slots=True)
+class TrialReport:
+    """What came of a trial."""
+
+    sent: list[SentMessage] = field(default_factory=list)
+    runs: list[Run] = field(default_factory=list)
+    failures: list[str] = field(default_factory=list)  # beside broken guarantees
+
+    def accepted(self) -> list[SentMessage]:
+        """The messages that were accepted."""
+        return [message for message in self.sent if message.accepted_at]
+
+    def all_failures(self) -> list[str]:
+        """All that did not go as it should, broken guarantees among it."""
+        runs: dict[str, list[Run]] = {}
+        for run in self.runs:
+            runs.setdefault(run.attempt_id, []).append(run)
+        accepted = self.accepted()
+        failures = list(self.failures)
+        for message in accepted:
+            failures += _outcome_failures(message, runs.get(message.attempt_id, ()))
+        if not accepted:
+            failures.append("no message was accepted")
+        return [*failures, *_order_failures(accepted, runs)]
+
+    def figures(self) -> Json:
+        """The summary, as a JSON object; its keys are those that the command prints."""
+        started_at: dict[str, float] = {}
+        for run in self.runs:
+            started_at[run.attempt_id] = min(run.started_at, started_at.get(run.attempt_id, run.started_at))
+        accepted = self.accepted()
+        acceptance_s = [message.accepted_at - message.sent_at for message in accepted]
+        first_run_s = [
+            started_at[message.attempt_id] - message.sent_at
+            for message in accepted
+            if message.attempt_id in started_at
+        ]
+        unknown = sum(message.is_outcome_unknown for message in self.sent)
+        return {
+            "sent": len(self.sent),
+            "accepted": len(accepted),
+            "unclear": unknown,
+            "refused": len(self.sent) - len(accepted) - unknown,
+            "delivered": sum(message.condition == COMPLETED for message in accepted),
+            "ended": sum(message.condition != PENDING for message in accepted),
+            "runs": len(self.runs),
+            "accept_ms": _percentiles_ms(acceptance_s),
+            "first_run_ms": _percentiles_ms(first_run_s),
+            "wrong": self.all_failures(),
+        }
+
+
+def _outcome_failures(message: SentMessage, runs: Sequence[Run]) -> Iterator[str]:
+    if message.is_unprocessable:
+        if message.condition != FAILED or not any(run.status == 422 for run in runs):
+            yield f"{message.name}: can't be done, and is {message.condition} after {len(runs)} runs"
+    elif message.condition != COMPLETED:
+        yield f"{message.name}: accepted, and is {message.condition} after {len(runs)} runs"
+    elif message.receipt not in {run.receipt for run in runs if run.status == 200}:
+        yield f"{message.name}: completed with the seal {message.receipt!r}, which no run of it gave"
+
+
+def _order_failures(accepted: Sequence[SentMessage], runs: RunsByAttempt) -> Iterator[str]:
+    """Messages whose first run began before that of an earlier one of their key had ended.
+
+    Earlier is what was accepted before the other one was sent.
+    """
+    for key in sorted({message.sequence_key for message in accepted if message.sequence_key}):
+        same_key = [message for message in accepted if message.sequence_key == key]
+        for message in same_key:
+            started_at = min((run.started_at for run in runs.get(message.attempt_id, ())), default=None)
+            for earlier in same_key:
+                if started_at is None or earlier is message or earlier.accepted_at >= message.sent_at:
+                    continue
+                ends = [run.ended_at for run in runs.get(earlier.attempt_id, ()) if run.status]
+                if not ends or min(ends) > started_at:
+                    yield f"{message.name}: began before {earlier.name} of its key had ended"
+
+
+def _percentiles_ms(durations_s: Sequence[float]) -> dict[str, float | None]:
+    ranked = sorted(durations_s)
+    if not ranked:
+        return {f"p{percent}": None for percent in PERCENTILES}
+    last = len(ranked) - 1
+    return {
+        f"p{percent}": round(1000 * ranked[min(last, len(ranked) * percent // 100)], 1)
+        for percent in PERCENTILES
+    }
--- a/benchmarks/core_away.py
+++ b/benchmarks/core_away.py
@@ -21,8 +21,8 @@
 from result import Ok, Result
 
 from amberlug.cluster.interfaces import Json, RequestFailure
-from amberlug.cluster.local_deployment.deployment import CONTROL, Deployment, Machine, config, free_net
-from amberlug.cluster.local_deployment.queries import ask
+from amberlug.cluster.local_deployment.deployment import CONTROL_PORT, Deployment, Machine, config, free_net
+from amberlug.cluster.local_deployment.http_call import HttpCall, send_call
 from amberlug.http.link import Reply
 
 ROUTE_BYTES = 275  # of one route, about
@@ -30,6 +30,7 @@
 PUSH_S = 20.0  # for one change to be taken
 BACK_S = 15.0  # for the machine that was away to catch up
 PAGE = 4096
+STATUS = HttpCall("GET", "/-/Foreman.Status")
 
 
 def body(edition: int, size: int) -> bytes:
@@ -45,7 +46,7 @@
 async def replace(at: str, edition: int, data: bytes, hops: int = 2) -> Result[Reply, RequestFailure]:
     """Send a configuration, and follow where it is sent on."""
     base = (("Amberlug-Base-Version", str(edition - 1)), ("Content-Type", "application/json"))
-    said = await ask(at, "POST", "/-/Configuration.Replace", base, data, within=3.0)
+    said = await send_call(at, HttpCall("POST", "/-/Configuration.Replace", base, data), timeout_s=3.0)
     if hops and isinstance(said, Ok) and said.ok_value.status == 307:
         place = {key.lower(): it for key, it in said.ok_value.headers.items()}["location"]
         return await replace(place.split("/")[2], edition, data, hops - 1)
@@ -68,7 +69,7 @@
     """After how many seconds all three agree, as this one tells it."""
     began = time.monotonic()
     while time.monotonic() - began < BACK_S:
-        said = await ask(f"{core.ip}:{CONTROL}", "GET", "/-/Foreman.Status", within=1.0)
+        said = await send_call(f"{core.ip}:{CONTROL_PORT}", STATUS, timeout_s=1.0)
         if isinstance(said, Ok) and said.ok_value.status == 200:
             members: list[Json] = json.loads(said.ok_value.body)["core"]["members"]
             commits = [(it["told"] or {}).get("commit") for it in members if it["voter"]]
@@ -97,7 +98,7 @@
 async def play(folder: Path, count: int, size: int, how: str) -> dict[str, Any]:
     """One run."""
     deployment = Deployment(folder, free_net(random.Random()))
-    deployment.write(first_start=True)
+    deployment.write_settings(first_start=True)
     cores = deployment.of("core")
     try:
         for core in cores:
--- a/tests/cluster/test_admin.py
+++ b/tests/cluster/test_admin.py
@@ -24,7 +24,8 @@
 from amberlug.cluster.interfaces import Json, OnWritten, RawMessage, Reply, ReplyCallback, RequestFailure
 from amberlug.cluster.local_deployment.deployment import Deployment, config
 from amberlug.cluster.local_deployment.fake_endpoint import Run
-from amberlug.cluster.local_deployment.trial import Sent, Tale, play
+from amberlug.cluster.local_deployment.trial import Trial, TrialLoad
+from amberlug.cluster.local_deployment.trial_report import SentMessage, TrialReport
 from amberlug.cluster.metrics import page
 from amberlug.cluster.settings import read_settings_file
 from amberlug.cluster.storage.operator_messages import DeadMessagesReply
@@ -80,8 +81,8 @@
 
 def control_node_of(tmp_path: Path, answers: dict[tuple[str, str], Json]) -> tuple[ControlNode, Runtime]:
     deployment = Deployment(tmp_path, "127.0.1")
-    deployment.write(first_start=True)
-    settings = read_settings_file(str(deployment.machines["core-1"].path)).unwrap()
+    deployment.write_settings(first_start=True)
+    settings = read_settings_file(str(deployment.machines["core-1"].settings_path)).unwrap()
     runtime = Runtime(answers)
     node = ControlNode(runtime, settings, "127.0.1.10:7300", Disk(), blank(settings, runtime.rng.getrandbits))
     for kind, name in (("edge", "e1"), ("edge", "e2"), ("storage", "s1")):
@@ -452,8 +453,8 @@
     tmp_path: Path, name: str, change: Json, paths: list[str]
 ) -> None:
     deployment = Deployment(tmp_path, "127.0.1")
-    deployment.write(first_start=True)
-    path = deployment.machines[name].path
+    deployment.write_settings(first_start=True)
+    path = deployment.machines[name].settings_path
     path.write_text(yaml.safe_dump({**yaml.safe_load(path.read_text()), **change}))
     errors = check_settings(path)
     assert len(errors) == len(paths), errors
@@ -475,31 +476,38 @@
 
 # -- a trial
 
-SENT = Sent("k", False, 1.0, "a", "1-a", 1.1, condition="completed", seal="z")
-NEXT = Sent("k", False, 1.2, "b", "1-b", 1.3, condition="completed", seal="y")
+SENT = SentMessage("k", False, 1.0, "a", "1-a", 1.1, condition="completed", receipt="z")
+NEXT = SentMessage("k", False, 1.2, "b", "1-b", 1.3, condition="completed", receipt="y")
 RAN = [Run("a", "k", 1.1, 1.2, 200, "z"), Run("b", "k", 1.3, 1.4, 200, "y")]
-TALES: list[tuple[list[Sent], list[Run], list[str]]] = [
+REPORTS: list[tuple[list[SentMessage], list[Run], list[str]]] = [
     ([SENT, NEXT], RAN, []),
     ([], [], ["no message"]),
-    ([Sent("", False, 1.0, "a", "1-a", 1.1)], [], ["1-a: accepted, and is pending"]),
+    ([SentMessage("", False, 1.0, "a", "1-a", 1.1)], [], ["1-a: accepted, and is pending"]),
     ([SENT], [Run("a", "k", 1.1, 1.2, 200, "other")], ["1-a: completed with the seal"]),
-    ([Sent("", True, 1.0, "a", "1-a", 1.1, condition="failed")], [Run("a", "", 1.1, 1.2, 422)], []),
-    ([Sent("", True, 1.0, "a", "1-a", 1.1, condition="failed")], [], ["1-a: can't be done"]),
+    ([SentMessage("", True, 1.0, "a", "1-a", 1.1, condition="failed")], [Run("a", "", 1.1, 1.2, 422)], []),
+    ([SentMessage("", True, 1.0, "a", "1-a", 1.1, condition="failed")], [], ["1-a: can't be done"]),
     ([SENT, NEXT], [Run("a", "k", 1.1, 1.35, 200, "z"), RAN[1]], ["1-b: began before 1-a"]),
 ]
 
 
-@pytest.mark.parametrize(("sent", "runs", "wrong"), TALES)
-def test_a_trial_reports_broken_guarantees(sent: list[Sent], runs: list[Run], wrong: list[str]) -> None:
-    judged = Tale(sent, runs).judged()
-    assert [it.startswith(start) for it, start in zip(judged, wrong, strict=True)] == [True] * len(wrong)
+@pytest.mark.parametrize(("sent", "runs", "wrong"), REPORTS)
+def test_a_trial_reports_broken_guarantees(
+    sent: list[SentMessage], runs: list[Run], wrong: list[str]
+) -> None:
+    failures = TrialReport(sent, runs).all_failures()
+    assert [it.startswith(start) for it, start in zip(failures, wrong, strict=True)] == [True] * len(wrong)
 
 
 def test_a_local_deployment_keeps_accepted_messages(tmp_path: Path) -> None:
     rng = random.Random()
     net = f"127.{rng.randrange(2, 255)}.{rng.randrange(1, 255)}"
     lines: list[str] = []
-    tale = asyncio.run(play(tmp_path, net, 20.0, 3.0, rng, lines.append))
-    assert tale.figures()["wrong"] == []
-    assert len(tale.accepted()) > 20
+
+    async def play() -> TrialReport:
+        deployment = Deployment(tmp_path, net)
+        return await Trial(deployment, TrialLoad(20.0, 3.0), rng, lines.append).run()
+
+    report = asyncio.run(play())
+    assert report.figures()["wrong"] == []
+    assert len(report.accepted()) > 20
     assert sum("is killed" in it for it in lines) == 2
--- a/tests/test_readability.py
+++ b/tests/test_readability.py
@@ -17,6 +17,7 @@
     "amberlug.cluster.edge",
     "amberlug.cluster.gossip",
     "amberlug.cluster.http",
+    "amberlug.cluster.local_deployment",
     "amberlug.cluster.rpc",
     "amberlug.cluster.storage",
 )
@@ -47,6 +48,8 @@
     "cluster/control/published_state.py",
     "cluster/http/api.py",
     "cluster/http/routing.py",
+    "cluster/local_deployment/deployment.py",  # settings files and the first configuration
+    "cluster/local_deployment/trial_report.py",  # the summary, as it is printed
     "cluster/process.py",  # the context of an error, as asyncio gives it
     "cluster/rpc/framing.py",
     "cluster/rpc/messages.py",
