--- a/tests/cluster/test_admin.py
+++ b/tests/cluster/test_admin.py
@@ -14,8 +14,9 @@
 from click.testing import CliRunner, Result
 from result import Err, Ok
 
-from amberlug.cluster.admin.commands import BAD, DONE, REFUSED, UNCLEAR
-from amberlug.cluster.admin.files import check_deploy, check_settings, differences
+from amberlug.cluster.admin.config_differences import differences
+from amberlug.cluster.admin.files import check_deploy, check_settings
+from amberlug.cluster.admin.options import ExitCode
 from amberlug.cluster.cli import cli
 from amberlug.cluster.control.dead_messages import merge_pages
 from amberlug.cluster.control.messages import SessionDescription
@@ -23,7 +24,8 @@
 from amberlug.cluster.interfaces import Json, OnWritten, RawMessage, Reply, ReplyCallback, RequestFailure
 from amberlug.cluster.local_deployment.deployment import Deployment, config
 from amberlug.cluster.local_deployment.fake_endpoint import Run
-from amberlug.cluster.local_deployment.trial import Sent, Tale, play
+from amberlug.cluster.local_deployment.trial import Trial, TrialLoad
+from amberlug.cluster.local_deployment.trial_report import SentMessage, TrialReport
 from amberlug.cluster.metrics import page
 from amberlug.cluster.settings import read_settings_file
 from amberlug.cluster.storage.operator_messages import DeadMessagesReply
@@ -79,8 +81,8 @@
 
 def control_node_of(tmp_path: Path, answers: dict[tuple[str, str], Json]) -> tuple[ControlNode, Runtime]:
     deployment = Deployment(tmp_path, "127.0.1")
-    deployment.write(first_start=True)
-    settings = read_settings_file(str(deployment.machines["core-1"].path)).unwrap()
+    deployment.write_settings(first_start=True)
+    settings = read_settings_file(str(deployment.machines["core-1"].settings_path)).unwrap()
     runtime = Runtime(answers)
     node = ControlNode(runtime, settings, "127.0.1.10:7300", Disk(), blank(settings, runtime.rng.getrandbits))
     for kind, name in (("edge", "e1"), ("edge", "e2"), ("storage", "s1")):
@@ -203,14 +205,14 @@
 
     def __init__(self) -> None:
         self.answers: dict[str, list[tuple[int, Any]]] = {}
-        self.asked: list[tuple[str, str, dict[str, str], bytes]] = []
+        self.requests: list[tuple[str, str, dict[str, str], bytes]] = []
         rig = self
 
         class Handler(BaseHTTPRequestHandler):
             def do_GET(self) -> None:  # noqa: N802
                 body = self.rfile.read(int(self.headers.get("Content-Length", 0)))
                 headers = {name.lower(): value for name, value in self.headers.items()}
-                rig.asked.append((self.command, self.path, headers, body))
+                rig.requests.append((self.command, self.path, headers, body))
                 left = rig.answers.get(self.path.partition("?")[0], [(404, {"cause": "no call"})])
                 status, data = left.pop(0) if len(left) > 1 else left[0]
                 text = data if isinstance(data, bytes) else json.dumps(data).encode()
@@ -229,8 +231,8 @@
         self.at = f"127.0.0.1:{self.server.server_address[1]}"
         threading.Thread(target=self.server.serve_forever, args=(0.01,), daemon=True).start()
 
-    def admin(self, *words: str) -> Result:
-        return CliRunner().invoke(cli, ["admin", *(self.at if it == "@" else it for it in words)])
+    def admin(self, *arguments: str) -> Result:
+        return CliRunner().invoke(cli, ["admin", *(self.at if it == "@" else it for it in arguments)])
 
 
 @pytest.fixture
@@ -253,52 +255,72 @@
 }
 COMMANDS = [
     # the command, what the relay answers by path, the exit code, what is said
-    ("status --at 127.0.0.1:9", {}, UNCLEAR, "refused"),
+    ("status --at 127.0.0.1:9", {}, ExitCode.UNKNOWN, "refused"),
     ("status --at nowhere", {}, 2, "no address"),
     (
         "message 1-a --at @",
         {"/-/message/1-a": [(200, {"condition": "completed", "seal": "z"})]},
-        DONE,
+        ExitCode.DONE,
         "seal z",
     ),
-    ("message 1-a --at @", {"/-/message/1-a": [(404, {"cause": "no such message"})]}, REFUSED, "no such"),
-    ("message 1-a --at @", {"/-/message/1-a": [(503, {"cause": "not now"})]}, UNCLEAR, "not now"),
+    (
+        "message 1-a --at @",
+        {"/-/message/1-a": [(404, {"cause": "no such message"})]},
+        ExitCode.REJECTED,
+        "no such",
+    ),
+    ("message 1-a --at @", {"/-/message/1-a": [(503, {"cause": "not now"})]}, ExitCode.UNKNOWN, "not now"),
     (
         "message 1-a --at 127.0.0.1:9 --at @",
         {"/-/message/1-a": [(200, {"condition": "failed"})]},
-        DONE,
+        ExitCode.DONE,
         "failed",
     ),
-    ("message 1-a --body --at @", {"/-/message-body/1-a": [(200, b"abc")]}, DONE, "abc"),
-    ("counters --at @ --json", {"/-/Foreman.Counters": [(200, b"a 1\nb 2\n")]}, DONE, '{"a": 1, "b": 2}'),
-    ("config show --at @", {READ: [(200, NEW)]}, DONE, '"edition": 4'),
-    ("config show --at @", {}, REFUSED, "no configuration"),
-    ("config check NEW", {}, DONE, "edition 4"),
-    ("config check BAD", {}, BAD, "routeTable.0.targetService"),
-    ("config check none.json", {}, BAD, "No such file"),
-    ("config diff NEW --at @", {READ: [(200, config())]}, DONE, "edition 1 -> 4"),
-    ("config push BAD --at @", {}, BAD, "routeTable.0.targetService"),
-    ("config push NEW --at @", {REPLACE: [(200, {})]}, DONE, "edition 4 is in force"),
-    ("config push NEW --at @", {READ: [(200, NEW)]}, DONE, "already"),
-    ("config push NEW --at @ --base 3", {REPLACE: [(503, {}), (503, {}), (200, {})]}, DONE, "is in force"),
-    ("config push NEW --at @ --base 3", {REPLACE: [(412, {"cause": "2 is in place"})]}, REFUSED, "412: 2 is"),
+    ("message 1-a --body --at @", {"/-/message-body/1-a": [(200, b"abc")]}, ExitCode.DONE, "abc"),
+    (
+        "counters --at @ --json",
+        {"/-/Foreman.Counters": [(200, b"a 1\nb 2\n")]},
+        ExitCode.DONE,
+        '{"a": 1, "b": 2}',
+    ),
+    ("config show --at @", {READ: [(200, NEW)]}, ExitCode.DONE, '"edition": 4'),
+    ("config show --at @", {}, ExitCode.REJECTED, "no configuration"),
+    ("config check NEW", {}, ExitCode.DONE, "edition 4"),
+    ("config check BAD", {}, ExitCode.BAD_INPUT, "routeTable.0.targetService"),
+    ("config check none.json", {}, ExitCode.BAD_INPUT, "No such file"),
+    ("config diff NEW --at @", {READ: [(200, config())]}, ExitCode.DONE, "edition 1 -> 4"),
+    ("config push BAD --at @", {}, ExitCode.BAD_INPUT, "routeTable.0.targetService"),
+    ("config push NEW --at @", {REPLACE: [(200, {})]}, ExitCode.DONE, "edition 4 is in force"),
+    ("config push NEW --at @", {READ: [(200, NEW)]}, ExitCode.DONE, "already"),
+    (
+        "config push NEW --at @ --base 3",
+        {REPLACE: [(503, {}), (503, {}), (200, {})]},
+        ExitCode.DONE,
+        "is in force",
+    ),
+    (
+        "config push NEW --at @ --base 3",
+        {REPLACE: [(412, {"cause": "2 is in place"})]},
+        ExitCode.REJECTED,
+        "412: 2 is",
+    ),
     (
         "config push NEW --at @ --base 3 --for 0",
         {REPLACE: [(503, {"cause": "no majority"})]},
-        UNCLEAR,
+        ExitCode.UNKNOWN,
         "no maj",
     ),
     ("retire s1 --at @", {}, 2, "either"),
     (
         "retire s1 --at @ --seconds 5",
         {"/-/Retire.Begin/s1": [(409, {"cause": "too few"})]},
-        REFUSED,
+        ExitCode.REJECTED,
         "too few",
     ),
     (
         "retire s1 --at @ --read",
         {"/-/Retire.Read/s1": [(200, {"condition": "in_progress"})]},
-        DONE,
+        ExitCode.DONE,
         "in_prog",
     ),
     (
@@ -309,36 +331,36 @@
                 (200, {"rows": [], "silent": []}),
             ]
         },
-        DONE,
-        "store s1",
+        ExitCode.DONE,
+        "storage node s1",
     ),
     (
         "dead again 1-a --at @ --front @",
         {"/-/Foreman.Dead/1-a": [(200, FOUND)], "/a": [(202, b"")]},
-        DONE,
+        ExitCode.DONE,
         "1-new",
     ),
     (
         "dead again 1-a --at @ --front @",
         {"/-/Foreman.Dead/1-a": [(200, FOUND)], "/a": [(503, {}), (202, b"")]},
-        DONE,
+        ExitCode.DONE,
         "1-new",
     ),
     (
         "dead again 1-a --at @ --front @",
         {"/-/Foreman.Dead/1-a": [(200, FOUND)], "/a": [(504, {})]},
-        UNCLEAR,
+        ExitCode.UNKNOWN,
         "may",
     ),
-    ("dead again 1-a --at @ --front @", {"/-/Foreman.Dead/1-a": [(200, FOUND)]}, REFUSED, "404"),
-    ("check deploy DEPLOY", {}, DONE, "well formed"),
-    ("check settings none.yaml", {}, BAD, "file:"),
+    ("dead again 1-a --at @ --front @", {"/-/Foreman.Dead/1-a": [(200, FOUND)]}, ExitCode.REJECTED, "404"),
+    ("check deploy DEPLOY", {}, ExitCode.DONE, "well formed"),
+    ("check settings none.yaml", {}, ExitCode.BAD_INPUT, "file:"),
 ]
 
 
-@pytest.mark.parametrize(("words", "answers", "code", "said"), COMMANDS)
+@pytest.mark.parametrize(("arguments", "answers", "code", "expected_output"), COMMANDS)
 def test_a_command_exits_by_its_outcome(
-    control: Control, tmp_path: Path, words: str, answers: dict[str, Any], code: int, said: str
+    control: Control, tmp_path: Path, arguments: str, answers: dict[str, Any], code: int, expected_output: str
 ) -> None:
     bad = {**NEW, "routeTable": [{**NEW["routeTable"][0], "targetService": "none"}]}
     for name, data in (("NEW", NEW), ("BAD", bad)):
@@ -349,17 +371,26 @@
         "DEPLOY": str(ROOT / "deploy/system.toml"),
     }
     control.answers = {path: list(it) for path, it in answers.items()}
-    result = control.admin(*(files.get(it, it) for it in words.split()))
-    assert (result.exit_code, said in result.output) == (code, True), result.output
+    result = control.admin(*(files.get(it, it) for it in arguments.split()))
+    assert (result.exit_code, expected_output in result.output) == (code, True), result.output
+
+
+def test_exit_codes_are_those_of_the_operators_page() -> None:
+    assert [(code.name, code.value) for code in ExitCode] == [
+        ("DONE", 0),
+        ("REJECTED", 1),
+        ("BAD_INPUT", 2),
+        ("UNKNOWN", 3),
+    ]
 
 
 def test_a_configuration_push_is_retried_unchanged(control: Control, tmp_path: Path) -> None:
     (tmp_path / "c").write_text(json.dumps(NEW))
     control.answers = {READ: [(200, config())], REPLACE: [(503, {}), (503, {}), (200, {})]}
-    assert control.admin("config", "push", str(tmp_path / "c"), "--at", "@").exit_code == DONE
+    assert control.admin("config", "push", str(tmp_path / "c"), "--at", "@").exit_code == ExitCode.DONE
     pushed = [
         (headers["amberlug-base-version"], body)
-        for _, path, headers, body in control.asked
+        for _, path, headers, body in control.requests
         if path == REPLACE
     ]
     assert pushed == [("1", json.dumps(NEW).encode())] * 3
@@ -369,7 +400,7 @@
     control.answers = {"/-/Foreman.Dead/1-a": [(200, FOUND)], "/a": [(202, b"")]}
     for _ in range(2):
         control.admin("dead", "again", "1-a", "--at", "@", "--front", "@")
-    (_, _, first, body), (_, _, second, _) = [it for it in control.asked if it[1] == "/a"]
+    (_, _, first, body), (_, _, second, _) = [it for it in control.requests if it[1] == "/a"]
     assert (first["host"], first["x-a"], body) == ("h", "b", b"abc")
     assert first["amberlug-attempt-id"] != second["amberlug-attempt-id"]
 
@@ -397,12 +428,12 @@
 ]
 
 
-@pytest.mark.parametrize(("text", "places"), DEPLOYS)
-def test_errors_of_a_deploy_file_name_their_paths(tmp_path: Path, text: str, places: list[str]) -> None:
+@pytest.mark.parametrize(("text", "paths"), DEPLOYS)
+def test_errors_of_a_deploy_file_name_their_paths(tmp_path: Path, text: str, paths: list[str]) -> None:
     (tmp_path / "d.toml").write_text(text)
     errors = check_deploy(tmp_path / "d.toml")
-    assert len(errors) == len(places), errors
-    assert all(error.startswith(place) for error, place in zip(errors, places, strict=True)), errors
+    assert len(errors) == len(paths), errors
+    assert all(error.startswith(error_path) for error, error_path in zip(errors, paths, strict=True)), errors
 
 
 SETTINGS: list[tuple[str, Json, list[str]]] = [
@@ -417,17 +448,17 @@
 ]
 
 
-@pytest.mark.parametrize(("name", "change", "places"), SETTINGS)
+@pytest.mark.parametrize(("name", "change", "paths"), SETTINGS)
 def test_errors_of_a_settings_file_name_their_paths(
-    tmp_path: Path, name: str, change: Json, places: list[str]
+    tmp_path: Path, name: str, change: Json, paths: list[str]
 ) -> None:
     deployment = Deployment(tmp_path, "127.0.1")
-    deployment.write(first_start=True)
-    path = deployment.machines[name].path
+    deployment.write_settings(first_start=True)
+    path = deployment.machines[name].settings_path
     path.write_text(yaml.safe_dump({**yaml.safe_load(path.read_text()), **change}))
     errors = check_settings(path)
-    assert len(errors) == len(places), errors
-    assert all(any(error.startswith(place) for error in errors) for place in places), errors
+    assert len(errors) == len(paths), errors
+    assert all(any(error.startswith(error_path) for error in errors) for error_path in paths), errors
 
 
 def test_differences_name_the_changed_fields() -> None:
@@ -445,31 +476,38 @@
 
 # -- a trial
 
-SENT = Sent("k", False, 1.0, "a", "1-a", 1.1, condition="completed", seal="z")
-NEXT = Sent("k", False, 1.2, "b", "1-b", 1.3, condition="completed", seal="y")
+SENT = SentMessage("k", False, 1.0, "a", "1-a", 1.1, condition="completed", receipt="z")
+NEXT = SentMessage("k", False, 1.2, "b", "1-b", 1.3, condition="completed", receipt="y")
 RAN = [Run("a", "k", 1.1, 1.2, 200, "z"), Run("b", "k", 1.3, 1.4, 200, "y")]
-TALES: list[tuple[list[Sent], list[Run], list[str]]] = [
+REPORTS: list[tuple[list[SentMessage], list[Run], list[str]]] = [
     ([SENT, NEXT], RAN, []),
     ([], [], ["no message"]),
-    ([Sent("", False, 1.0, "a", "1-a", 1.1)], [], ["1-a: accepted, and is pending"]),
+    ([SentMessage("", False, 1.0, "a", "1-a", 1.1)], [], ["1-a: accepted, and is pending"]),
     ([SENT], [Run("a", "k", 1.1, 1.2, 200, "other")], ["1-a: completed with the seal"]),
-    ([Sent("", True, 1.0, "a", "1-a", 1.1, condition="failed")], [Run("a", "", 1.1, 1.2, 422)], []),
-    ([Sent("", True, 1.0, "a", "1-a", 1.1, condition="failed")], [], ["1-a: can't be done"]),
+    ([SentMessage("", True, 1.0, "a", "1-a", 1.1, condition="failed")], [Run("a", "", 1.1, 1.2, 422)], []),
+    ([SentMessage("", True, 1.0, "a", "1-a", 1.1, condition="failed")], [], ["1-a: can't be done"]),
     ([SENT, NEXT], [Run("a", "k", 1.1, 1.35, 200, "z"), RAN[1]], ["1-b: began before 1-a"]),
 ]
 
 
-@pytest.mark.parametrize(("sent", "runs", "wrong"), TALES)
-def test_a_trial_reports_broken_guarantees(sent: list[Sent], runs: list[Run], wrong: list[str]) -> None:
-    judged = Tale(sent, runs).judged()
-    assert [it.startswith(start) for it, start in zip(judged, wrong, strict=True)] == [True] * len(wrong)
+@pytest.mark.parametrize(("sent", "runs", "wrong"), REPORTS)
+def test_a_trial_reports_broken_guarantees(
+    sent: list[SentMessage], runs: list[Run], wrong: list[str]
+) -> None:
+    failures = TrialReport(sent, runs).all_failures()
+    assert [it.startswith(start) for it, start in zip(failures, wrong, strict=True)] == [True] * len(wrong)
 
 
 def test_a_local_deployment_keeps_accepted_messages(tmp_path: Path) -> None:
     rng = random.Random()
     net = f"127.{rng.randrange(2, 255)}.{rng.randrange(1, 255)}"
     lines: list[str] = []
-    tale = asyncio.run(play(tmp_path, net, 20.0, 3.0, rng, lines.append))
-    assert tale.figures()["wrong"] == []
-    assert len(tale.accepted()) > 20
+
+    async def play() -> TrialReport:
+        deployment = Deployment(tmp_path, net)
+        return await Trial(deployment, TrialLoad(20.0, 3.0), rng, lines.append).run()
+
+    report = asyncio.run(play())
+    assert report.figures()["wrong"] == []
+    assert len(report.accepted()) > 20
     assert sum("is killed" in it for it in lines) == 2
--- a/tests/cluster/test_contact.py
+++ b/tests/cluster/test_contact.py
@@ -1,11 +1,10 @@
 """Control relays that reach no majority: they hold no sessions, refuse nothing, and edges go elsewhere."""
 
-from collections.abc import Callable, Iterator
+from collections.abc import Callable
 from functools import partial
 from typing import Any
 
 import pytest
-from absl import logging
 from result import Ok
 
 from amberlug.cluster.consensus.membership import Members
@@ -28,15 +27,9 @@
 from amberlug.cluster.storage.records import StoredMessage
 from tests.cluster.fakes import Alone, settings
 
-BEFORE_S, CUT_S, APPLY_S = 6.0, 20.0, 3.0
-
+pytestmark = pytest.mark.usefixtures("suppressed_logs")
 
-@pytest.fixture(autouse=True)
-def quiet() -> Iterator[None]:
-    before = logging.get_verbosity()
-    logging.set_verbosity(logging.FATAL)
-    yield
-    logging.set_verbosity(before)
+BEFORE_S, CUT_S, APPLY_S = 6.0, 20.0, 3.0
 
 
 class Fast:
@@ -83,7 +76,7 @@
         found: list[int] = []
         headers = (("amberlug-base-version", base),) if base else ()
         self.deployment.control(
-            core, method, path, body, 1.0, lambda status, said: found.append(status), headers
+            core, method, path, body, 1.0, lambda status, responses: found.append(status), headers
         )
         self.clock.run(self.clock.now + 1.1)
         return found[0]
@@ -97,7 +90,7 @@
 
 @pytest.mark.parametrize("way", ["both", "to", "from"])
 @pytest.mark.parametrize("which", ["leader", "follower"])
-def test_no_session_stays_with_a_relay_that_is_cut_off(which: str, way: str) -> None:
+def test_no_session_stays_with_a_partitioned_control_node(which: str, way: str) -> None:
     play = Cut(3, which, way)
     play.clock.run(BEFORE_S + 0.5)
     play.restart_others()
@@ -109,7 +102,7 @@
     assert play.wait(lambda: play.editions() == {play.day.operator.edition}, APPLY_S)
 
 
-def test_a_relay_that_is_cut_off_refuses_no_order_and_takes_none() -> None:
+def test_a_partitioned_control_node_neither_accepts_nor_rejects_commands() -> None:
     play = Cut(3, "leader", "both")
     play.clock.run(BEFORE_S + 0.1)  # it still takes itself for the leader
     calls: list[tuple[str, str, bytes, str]] = [
@@ -124,18 +117,23 @@
     announce = b'{"targetService": "alpha", "address": "10.0.0.9:80", "sequence": 1}'
     assert {play.ask(play.cut, *it) for it in calls} == {503}
     assert play.ask(play.cut, "POST", "/-/Instances.Announce/i-1", announce) == 503
-    said: list[Any] = []
+    responses: list[Any] = []
     other = play.others[0]
     body = announce.replace(b"{", b'{"zone": "%s",' % play.cut.zone.encode(), 1)
     play.deployment.control(
-        other, "POST", "/-/Instances.Announce/i-1", body, 1.0, lambda status, it: said.append((status, it))
+        other,
+        "POST",
+        "/-/Instances.Announce/i-1",
+        body,
+        1.0,
+        lambda status, it: responses.append((status, it)),
     )
     play.clock.run(play.clock.now + 1.1)
-    assert said[0][0] == 200
-    assert said[0][1].get("heartbeatUri") != play.cut.control
+    assert responses[0][0] == 200
+    assert responses[0][1].get("heartbeatUri") != play.cut.control
 
 
-def test_endpoints_of_its_zone_are_heard_elsewhere_and_lost_by_nobody() -> None:
+def test_endpoints_of_a_partitioned_zone_fail_over_and_are_not_lost() -> None:
     play = Cut(5, "follower", "both")
     endpoint_fleet = play.deployment.endpoint_fleet
     for _ in range(3):
@@ -172,7 +170,7 @@
     assert not part.ready
 
 
-def test_a_new_leader_refuses_nothing_from_a_book_that_lags() -> None:
+def test_a_new_leader_rejects_nothing_while_its_state_lags() -> None:
     of = settings("core")
     world = Alone(Clock())
     names = [f"10.0.0.{number}:7300" for number in (1, 2, 3)]
@@ -184,23 +182,25 @@
     )
     core.raft.election.start(2)
     core.raft.become_leader()  # what the leader before it committed is in its log, but not in its book yet
-    said: list[Any] = []
-    core.executor.execute(SubmitConfig(ConfigCall.REPLACE, 5, {"edition": 6}), said.append)
-    core.executor.execute(SubmitRetirement("store-0"), said.append)
-    core.executor.execute(ReadState(), said.append)
-    assert said == []
+    responses: list[Any] = []
+    core.executor.execute(SubmitConfig(ConfigCall.REPLACE, 5, {"edition": 6}), responses.append)
+    core.executor.execute(SubmitRetirement("store-0"), responses.append)
+    core.executor.execute(ReadState(), responses.append)
+    assert responses == []
     for commit in (0, 2):
-        for to, word, body, then in world.asked[:]:
-            if word == "vise.append" and to == names[1] and body["commit"] == commit:
+        for to, tag, body, then in world.requests[:]:
+            if tag == "vise.append" and to == names[1] and body["commit"] == commit:
                 then(Ok(Reply({"ok": True, "term": 2})))
-    results = [it.ok_value for it in said if isinstance(it, Ok)]
+    results = [it.ok_value for it in responses if isinstance(it, Ok)]
     statuses = [it.status for it in results if isinstance(it, CommandResult)]
     assert core.cluster_state.config_version == 5
     assert 412 not in statuses
-    assert len(said) == 2  # the order to retire is proposed by now, and not committed
+    assert len(responses) == 2  # the order to retire is proposed by now, and not committed
 
 
-def test_all_news_come_page_by_page_before_an_edge_serves(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_an_edge_reads_all_published_state_page_by_page_before_it_serves(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     monkeypatch.setattr(announcements, "PAGE_ITEMS", 2)
     monkeypatch.setattr(store, "PAGE_ITEMS", 2)
     pages: list[int] = []
@@ -233,7 +233,7 @@
     assert max(pages) == 2
 
 
-def test_a_message_whose_end_the_stores_know_is_not_asked_for_without_end() -> None:
+def test_a_body_is_not_read_again_and_again_once_the_outcome_is_stored() -> None:
     day = Day(2, "quiet")
     for machine in day.deployment.machines:
         machine.start()
@@ -264,7 +264,7 @@
 
 
 @pytest.mark.parametrize("which", ["leader", "follower"])
-def test_a_voter_that_is_told_to_end_gives_its_vote_away_first(which: str) -> None:
+def test_a_voter_that_shuts_down_hands_over_its_vote_first(which: str) -> None:
     day = started(4)
     leader = day.leader()
     assert leader is not None
@@ -281,18 +281,18 @@
     assert name not in others[0].part.raft.members.voters
 
 
-def test_members_find_a_relay_while_several_are_silent() -> None:
+def test_nodes_find_a_control_node_while_several_do_not_respond() -> None:
     day = started(5)
-    silent = [it for it in day.deployment.cores if not it.part.raft.is_voter]
-    assert len(silent) == 2
-    gone = {it.address for it in silent}
+    unresponsive = [it for it in day.deployment.cores if not it.part.raft.is_voter]
+    assert len(unresponsive) == 2
+    gone = {it.address for it in unresponsive}
     sessions = [it.part.session for it in day.deployment.edges + day.deployment.stores]
     session = next(it for it in sessions if it.control_address not in gone)
-    for machine in silent:
+    for machine in unresponsive:
         machine.power_off()
     day.clock.run(day.clock.now + 2.0)
-    session._candidates = [it.address for it in silent] + [
-        it.address for it in day.deployment.cores if it not in silent
+    session._candidates = [it.address for it in unresponsive] + [
+        it.address for it in day.deployment.cores if it not in unresponsive
     ]
     session._attempts = 0
     session.on_disconnect(session.control_address)
