--- a/amberlug/copies/__init__.py
+++ b/amberlug/copies/__init__.py
@@ -1,1 +1,1 @@
-"""What relays hold for each other, so that a machine lost with its disk loses nothing that was promised."""
+"""Replication of accepted messages between relays, so that none is lost with a machine and its disk."""
--- a/amberlug/copies/holder.py
+++ b/amberlug/copies/holder.py
@@ -1,8 +1,8 @@
-"""The holder's side: keeps what owners record, promises a log to a successor, and refuses who was followed.
+"""The replica holder: stores owners' records, promises logs to successors and rejects fenced owners.
 
-No I/O: what has to outlast the process goes through `Store` before it is answered for, and answers are what
-the methods return. A log is known by its `Meta`; a relay holds it with the disk that the log names, and no
-other: one that comes back with an empty folder is a stranger to it.
+No I/O: whatever must survive the process is written through `Store` before it is acknowledged, and replies
+are returned by the methods. A log is identified by its `Meta`. A relay may hold a log only with the disk
+(incarnation) that the log's ensemble names: one that returns with an empty directory is not a holder of it.
 """
 
 from __future__ import annotations
@@ -13,52 +13,52 @@
 
 from amberlug.copies.states import Ballot, Copy, Kind, Meta, ballot_of
 
-Wire = list[Any]  # a message to another relay, as it goes into a frame
-SLICE = 200  # states, or names, in one message
+Wire = list[Any]  # a message to another relay, before framing
+SLICE = 200  # states, or message names, per wire message
 
 
 class Store(Protocol):
-    """What outlasts the process. `OSError` where it is not kept; then nothing was."""
+    """Durable storage of a holder. Methods raise `OSError` when nothing was written."""
 
     def promise(self, meta: Meta, ballot: Ballot) -> None:
-        """Keep whose a log is, before that is answered."""
+        """Persist the ballot to which a log is promised, before the promise is sent."""
 
     def record(self, log: str, name: str, kind: str, ballot: Ballot, told: list[Any]) -> None:
-        """Keep one record."""
+        """Persist one record."""
 
     def drop(self, log: str) -> None:
-        """Forget a log with all that it holds."""
+        """Delete a log and everything held for it."""
 
 
 @dataclass(slots=True)
 class Holding:
-    """One log as it is held here."""
+    """One log as held by this relay."""
 
     meta: Meta
     promised: Ballot
     copies: dict[str, Copy] = field(default_factory=dict)
-    left: bool = False  # its owner said that it goes; whoever asks may follow it
-    serving: bool = False  # its owner has opened it here, under the newest ballot
-    since_us: int = 0  # when it was last promised; one that does not open it then is as good as silent
+    left: bool = False  # its owner announced a clean shutdown: a successor may take over without waiting
+    serving: bool = False  # its owner has opened it here under the highest promised ballot
+    since_us: int = 0  # when last promised; a successor that does not open the log then counts as silent
 
     @property
     def owner(self) -> tuple[str, str]:
-        """Name and incarnation of the relay that it was promised to last."""
+        """Name and incarnation of the relay that the log was last promised to."""
         return self.promised[1], self.promised[2]
 
 
 class Holder:
-    """All logs that this relay holds for others."""
+    """All logs that this relay holds for other relays."""
 
     def __init__(self, name: str, incarnation: str, store: Store) -> None:
         self.name, self.incarnation, self._store = name, incarnation, store
         self.logs: dict[str, Holding] = {}
-        self.strange: set[str] = set()  # logs of which it could not keep all that it should
+        self.strange: set[str] = set()  # logs of which this relay failed to persist everything
 
-    # What owners ask.
+    # Requests from owners.
 
     def open(self, meta: Meta, ballot: Ballot) -> Wire:
-        """An owner begins, or goes on: whether its records are kept from now on."""
+        """Let an owner start or resume: replies whether this relay accepts its records from now on."""
         if not self._belongs(meta):
             return ["opened", meta.log, list(ballot), "stranger", None]
         of = self.logs.get(meta.log)
@@ -72,7 +72,7 @@
         return ["opened", meta.log, list(ballot), "", None]
 
     def _belongs(self, meta: Meta) -> bool:
-        """Whether this relay may hold a log, with the disk that it has."""
+        """Whether this relay, with its current disk, may hold a log."""
         return meta.incarnation_of(self.name) == self.incarnation and meta.log not in self.strange
 
     def _promised(self, meta: Meta, ballot: Ballot) -> Holding:
@@ -86,9 +86,10 @@
         return of
 
     def keep(self, meta: Meta, ballot: Ballot, copies: dict[str, Copy]) -> None:
-        """Hold a log of this relay's own that another owns now, as far as it knows it; `OSError` as above.
+        """Hold a log of this relay's own that another relay has taken over, with all known state.
 
-        Guards against an origin that is read as if it held nothing, though others count on its disk.
+        Raises `OSError` as `Store` does. Guards against an origin being read as if it held nothing while the
+        quorum counts on its disk.
         """
         try:
             of = self._promised(meta, ballot)
@@ -100,7 +101,7 @@
             raise
 
     def live(self, log: str, ballot: Ballot) -> Iterator[Wire]:
-        """Tell the owner what is live here, some names a message: it says which of them have ended."""
+        """Send the owner the names of live messages, in slices; the owner replies which of them ended."""
         of = self.logs[log]
         names = [name for name, copy in of.copies.items() if copy.live]
         for at in range(0, len(names), SLICE):
@@ -108,19 +109,19 @@
         yield ["live", log, list(ballot), None]
 
     def records(self, log: str, ballot: Ballot, number: int, told: list[Any]) -> Wire:
-        """Keep records: all of them, or none is answered for."""
+        """Store a batch of records. The batch is acknowledged only as a whole."""
         of = self.logs.get(log)
         if of is None:
             return ["nack", log, number, "unknown", None]
         if ballot < of.promised:
             return ["nack", log, number, "followed", list(of.promised)]
-        if ballot > of.promised:  # it has the promises of enough others, and this one's went astray
+        if ballot > of.promised:  # a quorum promised this ballot, but the request to this holder was lost
             return ["nack", log, number, "unknown", None]
         try:
             for name, kind, rest in told:
                 copy = of.copies.get(name)
                 fresh = Copy() if copy is None else copy
-                fresh.add(kind, ballot, rest)  # what can't be read is kept nowhere
+                fresh.add(kind, ballot, rest)  # raises on a malformed record, before anything is stored
                 self._store.record(log, name, kind, ballot, rest)
                 of.copies[name] = fresh
         except OSError:
@@ -128,17 +129,17 @@
         return ["ack", log, number]
 
     def leave(self, owner: str, incarnation: str, only: str | None) -> None:
-        """An owner goes in good order, from one log or from all: they may be followed at once."""
+        """Note that an owner shuts down cleanly, for one log or for all: successors need not wait."""
         for log, of in self.logs.items():
             if of.owner == (owner, incarnation) and only in (None, log):
                 of.left = True
 
-    # What successors ask.
+    # Requests from successors.
 
     def fence(self, meta: Meta, ballot: Ballot, owner_is_there: bool, now_us: int) -> Iterator[Wire]:
-        """Promise a log to a successor and tell it all that is held, or say why not.
+        """Promise a log to a successor and send it everything held, or reply why not.
 
-        `owner_is_there`: whether this relay has heard from the owner lately. Any may follow itself.
+        `owner_is_there`: whether this relay has recently heard from the owner. A relay may succeed itself.
         """
         log = meta.log
         if not self._belongs(meta):
@@ -146,12 +147,12 @@
             return
         of = self.logs.get(log)
         if of is not None and ballot <= of.promised:
-            if ballot == of.promised:  # asked once more: the answer went astray
+            if ballot == of.promised:  # a repeated request: the first answer was lost
                 yield from self._states(of, ballot)
             else:
                 yield ["deny", log, list(ballot), "followed", list(of.promised)]
             return
-        # Guards against a successor that alone hears nothing of an owner who serves.
+        # Guards against a take-over by a successor that alone has lost contact with an active owner.
         owner, left = (of.owner, of.left) if of is not None else ((meta.origin, meta.incarnation), False)
         if owner_is_there and owner[0] != ballot[1] and not left:
             yield ["deny", log, list(ballot), "owner is there", None]
@@ -177,14 +178,14 @@
     # Time.
 
     def forget(self, before_ms: int) -> None:
-        """Forget names that ended long ago."""
+        """Remove messages that ended before a time."""
         for of in self.logs.values():
             ended = ((name, copy.ended) for name, copy in of.copies.items())
             for name in [name for name, end in ended if end is not None and end[1] < before_ms]:
                 del of.copies[name]
 
     def drop(self, log: str) -> None:
-        """Forget a log that its owner has no use for any more."""
+        """Delete a log at its owner's request."""
         if self.logs.pop(log, None) is not None:
             self._store.drop(log)
 
@@ -192,7 +193,7 @@
 def read_back(
     logs: dict[str, Holding], meta: Meta | None, log: str, name: str, kind: str, ballot: Any, told: Any
 ) -> None:
-    """Take in one entry of a store, in the order in which they were kept; `ValueError` where it is none."""
+    """Apply one stored entry, in the order written; `ValueError` if it is malformed."""
     if meta is not None:
         of = logs.setdefault(meta.log, Holding(meta, ballot_of(ballot)))
         of.promised = max(of.promised, ballot_of(ballot))
--- a/amberlug/copies/journal.py
+++ b/amberlug/copies/journal.py
@@ -1,7 +1,8 @@
-"""The core's journal where "recorded" means recorded here and at others: the one place that the core asks.
+"""The journal of a replicated relay: a record is complete once it is on this disk and at enough holders.
 
-What this relay takes on goes to its own journal first, then to the log's holders. What it goes on with for
-another relay is in no journal of its own: the log's holders have it, of which it is one.
+Messages that this relay accepts are written to its own journal first and then to the log's holders. Messages
+taken over from another relay are not in its own journal: they are stored by the log's holders, of which this
+relay is one.
 """
 
 from __future__ import annotations
@@ -25,15 +26,15 @@
 from amberlug.peers.fleet import Fleet, WhenShort
 from amberlug.policy.interface import Effect, Result, Settings
 
-LOGS = "logs.json"  # which logs are this folder's own
-SHORT_RETRY_US = 1_000_000  # when a client may come again that too few relays are there for
-ELSEWHERE_RETRY_US = 500_000  # the same, of what another relay has
+LOGS = "logs.json"  # the metadata of the logs that originate in this directory
+SHORT_RETRY_US = 1_000_000  # retry delay for clients when too few holders are reachable
+ELSEWHERE_RETRY_US = 500_000  # retry delay for clients when another relay has the message
 Callback = Callable[[], object]
 
 
 @dataclass(slots=True)
 class Promise:
-    """A hand-in whose client waits for its answer."""
+    """A hand-in whose client waits for the response."""
 
     message: Message
     kept: Callback
@@ -43,10 +44,11 @@
 
 
 class CopiedJournal:
-    """The journal of a relay in a fleet; everything goes on in the thread of its node.
+    """The core's journal for a relay of a fleet. All methods run in the thread of the relay's node.
 
-    `adopt` is told what another relay held, `relinquish` which messages it goes on with, `renew` that the
-    folder is older than what others have seen of it: it must begin anew under another incarnation.
+    Callbacks: `adopt` receives messages taken over from another relay; `relinquish` receives the names of
+    messages that another relay has taken over; `renew` is called when other relays have seen a newer state of
+    the directory (it was restored from a copy) and the relay must restart under a new incarnation.
     """
 
     def __init__(
@@ -62,12 +64,13 @@
     ) -> None:
         self._inner, self._fleet, self._store, self._folder = inner, fleet, store, folder
         self._settings, self._clock = settings, clock
-        self._log_of: dict[str, str] = {}  # of messages that others hold, too
-        self._alone: dict[str, Copy] = {}  # of messages that were taken on short
+        self._log_of: dict[str, str] = {}  # of replicated messages
+        self._alone: dict[str, Copy] = {}  # of messages accepted while too few holders were reachable
         self._followed_for: dict[
             str, int
-        ] = {}  # names that ended here, of other relays' logs, and until when
-        self._let_go: dict[str, int] = {}  # names that another relay went on with, which may come back
+        ] = {}  # messages of other origins' logs that ended here, with their expiry (wall clock, ms)
+        # Messages that another relay took over, with their expiry; they may be taken over from it again.
+        self._let_go: dict[str, int] = {}
         self._callbacks: dict[str, list[tuple[Callback, Callback | None]]] = defaultdict(list)
         self._promises: dict[str, Promise] = {}
         self._ended = inner.known()
@@ -76,7 +79,7 @@
         self.adopt: Callable[[list[Held]], None] = _nobody
         self.relinquish: Callable[[list[str]], None] = _nobody
         self.renew: Callback = _nothing
-        self.wake: Callback = _nothing  # something is to be sent
+        self.wake: Callback = _nothing  # called when messages are ready to be sent
         self._first_water = (*_pair(inner.water), store.sequence)
         self.machine = Machine(fleet, incarnation, store, self, clock.now_us(), fresh)
         self.machine.holder.logs = store.logs
@@ -88,7 +91,7 @@
         self._reopen()
 
     def begin_anew(self, incarnation: str, store: CopyStore) -> None:
-        """Go on as another incarnation, which holds nothing and owns nothing yet."""
+        """Continue as a new incarnation that holds and owns nothing yet."""
         now_ms = self._clock.wall_ms()
         names = list(self._log_of)
         self.relinquish(names)
@@ -109,10 +112,10 @@
         for name, it in before.neighbours.items():
             self.machine.neighbours[name].water = it.water
 
-    # An earlier life.
+    # Recovery.
 
     def _reopen(self) -> None:
-        """Go on with the logs of this folder, and what its own journal holds of them."""
+        """Reopen the logs that originate in this directory with their messages in the own journal."""
         try:
             told = json.loads((self._folder / LOGS).read_text(encoding="utf-8"))
         except FileNotFoundError:
@@ -133,7 +136,7 @@
             elif copies:
                 self._alone[name] = self._copy_of(it)
         for log, meta in list(self._metas.items()):
-            # Which log a name was in that has ended is not known any more: said of each it does no harm.
+            # The log of an ended message is no longer known: reporting it as ended in every log is harmless.
             ended = dict(self._ended)
             self.machine.reopen(meta, held[log], ended, log in newest.values(), self._clock.now_us())
 
@@ -161,11 +164,11 @@
             now_ms,
         ]
 
-    # What the core asks and tells.
+    # Interface to the core.
 
     @property
     def held(self) -> dict[str, Held]:
-        """What the own journal holds, less what was followed before anything began."""
+        """What the own journal holds, except messages of logs taken over before recovery finished."""
         lost = [name for name, log in self._log_of.items() if log not in self.machine.owners]
         for name in lost:
             self._inner.held.pop(name, None)
@@ -173,7 +176,7 @@
 
     @property
     def earlier(self) -> Earlier:
-        """What an earlier release kept."""
+        """What an earlier release stored."""
         return self._inner.earlier
 
     def knows(self, name: str) -> bool:
@@ -191,7 +194,7 @@
         return self._inner.retry_us(size)
 
     def refuses(self, message: Message) -> Refusal | None:
-        """Refuse what too few can hold, and what another relay has taken on, or goes on with."""
+        """Refuse a message that too few holders can store, or that another relay has accepted."""
         if self._elsewhere(message.name, live=True):
             return Refusal(Reason.FOLLOWED, ELSEWHERE_RETRY_US)
         if self._fleet.when_short is WhenShort.REFUSE and self._short(message):
@@ -199,7 +202,7 @@
         return None
 
     def _elsewhere(self, name: str, live: bool) -> bool:
-        """Whether this relay holds a message for another one that is live, or one that has ended."""
+        """Whether a holding here for another relay has the message: live, or only as ended."""
         logs = self.machine.holder.logs.values()
         found = [it for it in (of.copies.get(name) for of in logs) if it is not None]
         return any(it.live for it in found) if live else bool(found) and not any(it.live for it in found)
@@ -256,7 +259,7 @@
             self._record(message.name, Kind.OUTCOME, [attempt.number, how.result.value])
 
     def _harmless(self, message: Message) -> bool:
-        """Whether a repeat does no harm, so that nobody else need know of an attempt."""
+        """Whether a repeated attempt is harmless, so that attempts need not be replicated."""
         kind = self._settings.classes.get(message.message_class)
         return kind is not None and kind.effect is Effect.SAFE
 
@@ -275,7 +278,7 @@
         self._alone.pop(name, None)
 
     def _foreign(self, name: str) -> bool:
-        """Whether a message is in a log of which this relay is not the origin."""
+        """Whether a message is in a log that originates at another relay."""
         return self._log_of.get(name, "") not in ("", *self._metas)
 
     def _record(self, name: str, kind: Kind, told: list[Any]) -> None:
@@ -307,10 +310,10 @@
     def work(self) -> int | None:
         return self._inner.work()
 
-    # What the machine asks and tells.
+    # Callbacks from the replication state machine.
 
     def water(self) -> Water:
-        # Guards against a folder that was put back: what this life writes must not make up for the rest.
+        # A restored directory: writes of this process must not make up for the difference that reveals it.
         if not self.machine.confirmed:
             return self._first_water
         return (*_pair(self._inner.water), self._store.sequence)
@@ -336,7 +339,7 @@
         self._save()
 
     def _save(self) -> None:
-        """Keep which logs there are; before anything is recorded in a new one."""
+        """Persist the list of logs, before anything is recorded in a new one."""
         owners = self.machine.owners
         self._metas = {
             log: it
@@ -352,7 +355,7 @@
         os.replace(new, path)
 
     def counted(self, log: str, name: str) -> None:
-        """Go on with all that waited for a message's records."""
+        """Run everything that waited for a message's records to be committed."""
         if self._log_of.get(name) != log:
             return
         if (promise := self._promises.pop(name, None)) is not None:
@@ -371,7 +374,7 @@
             let_go = self._let_go.pop(name, None) is not None
             own = self._inner.knows(name) and not let_go
             if own or name in self._log_of or copy.taken is None:
-                # It is this relay's own already, or nothing more is known of it than its name.
+                # Either this relay already has the message, or nothing but its name is known.
                 owner = self.machine.owners[log]
                 owner.record(name, Kind.ENDED, [self.until_ms(name)], self._clock.now_us())
                 continue
@@ -402,7 +405,7 @@
     # Time.
 
     def tick(self) -> None:
-        """Do what time asks for: hand-ins that wait for too long, what was taken short, what is forgotten."""
+        """Withdraw late hand-ins, advance the state machine and replicate local-only messages."""
         now_us, now_ms = self._clock.now_us(), self._clock.wall_ms()
         for promise in list(self._promises.values()):
             if promise.until_us <= now_us and not promise.withdrawn:
@@ -413,7 +416,7 @@
         self.wake()
 
     def _withdraw(self, promise: Promise, now_us: int, now_ms: int) -> None:
-        """Have nobody hold a message whose client can't be told in time that it is held."""
+        """Withdraw a message whose client can't be told in time that it is stored."""
         message = promise.message
         owner = self.machine.owners.get(self._log_of.get(message.name, ""))
         if owner is None:
@@ -422,7 +425,7 @@
         until_ms = now_ms + int(self._fleet.remember_s * 1000)
         self._inner.end(message.name, until_ms, now_ms)
         self._ended[message.name] = until_ms
-        promise.broken(False)  # it is over here, whatever its client can be told
+        promise.broken(False)  # it has ended here, whether or not the client can be told
         owner.withdraw(message.name, until_ms, now_us)
 
     def _make_whole(self, now_us: int) -> None:
@@ -436,7 +439,7 @@
                 owner.adopt(name, copy, now_us)
 
     def tidy(self) -> None:
-        """Do what is due once a second."""
+        """Run maintenance; call once a second."""
         now_ms = self._clock.wall_ms()
         for name in list(self._dirty):
             it = self.machine.neighbours[name]
@@ -448,13 +451,14 @@
                 del names[name]
         if self.taken_short != self._told_short:
             self._told_short = self.taken_short
-            say(f"copies: {self.taken_short} taken on short so far, {len(self._alone)} on this disk alone")
+            alone = len(self._alone)
+            say(f"copies: {self.taken_short} messages accepted without replicas, {alone} on this disk only")
         self.machine.retire()
         self._store.work()
 
 
 def held_of(name: str, copy: Copy) -> Held:
-    """A message as the core goes on with it."""
+    """Convert a replicated message for the core to resume."""
     assert copy.taken is not None
     message_class, tenant, destination, key, body, deadline_ms, taken_ms = copy.taken
     message = Message(name, message_class, tenant, destination, key, body, deadline_ms, taken=True)
@@ -473,14 +477,14 @@
 
 
 def _pair(water: tuple[int, int]) -> tuple[int, ...]:
-    """One number of a segment and a size: a larger segment counts for more than any size."""
+    """Combine segment number and size into one number: a later segment outweighs any size."""
     number, size = water
     return (number << 40 | size,)
 
 
 def _nothing() -> None:
-    """Nobody has to be told."""
+    """Default callback."""
 
 
 def _nobody(_: object) -> None:
-    """Nobody has to be told."""
+    """Default callback."""
--- a/amberlug/copies/machine.py
+++ b/amberlug/copies/machine.py
@@ -1,8 +1,8 @@
-"""All that one relay does about copies, as one machine: what comes in, what is to be sent. No I/O.
+"""The replication state machine of one relay: holder, owner and successor. No I/O.
 
-Messages to others pile up in `out` until the driver takes them; what must outlast the process goes through
-the store at once. The clock is given with each call, in microseconds; `wall_ms` is what deadlines count by.
-The machine tells its `Host` what came of it.
+Outgoing messages are queued in `out` until the driver sends them; whatever must survive the process is
+written through the store at once. Each call passes the monotonic time in microseconds; deadlines count in
+`wall_ms`. Results are reported to the `Host`.
 """
 
 from __future__ import annotations
@@ -25,54 +25,55 @@
 
 
 class Host(Protocol):
-    """Who the machine works for."""
+    """The environment of the state machine."""
 
     def water(self) -> Water:
-        """How much this relay's disk has ever kept: each of these only grows on one folder."""
+        """How much this relay's disk has ever stored, as counters that never decrease for one directory."""
 
     def old_folder(self) -> None:
-        """The folder is older than what others have seen of it: nothing in it may be gone by."""
+        """The directory is older than other relays have seen it: nothing in it may be relied on."""
 
     def wall_ms(self) -> int:
-        """The wall's clock."""
+        """Wall-clock time."""
 
     def draw(self) -> float:
-        """A number from 0 to 1."""
+        """A random number from 0 to 1."""
 
     def counted(self, log: str, name: str) -> None:
-        """All that was recorded of a message counts by now."""
+        """All records of a message have been committed so far."""
 
     def adopted(self, log: str, copies: dict[str, Copy]) -> None:
-        """Go on with a log's messages: the relay follows their owner."""
+        """Resume the messages of a log that this relay has taken over."""
 
     def followed(self, log: str, names: list[str], kept: bool) -> None:
-        """Another relay owns a log; nothing may be done about its messages any more.
+        """Stop work on the messages of a log that another relay has taken over.
 
-        Whether they are kept as a holder keeps them: only then may the relay's own journal forget them.
+        `kept`: whether the messages are stored here as a holder stores them; only then may the relay's own
+        journal drop them.
         """
 
     def saw(self, name: str, incarnation: str, water: Water) -> None:
-        """Keep how much another relay's disk has kept, where there is room for it."""
+        """Persist another relay's watermark, if there is room."""
 
     def until_ms(self, name: str) -> int:
-        """Until when the name of a message counts that has ended here, or that this relay does not know."""
+        """Expiry of the name of a message that has ended here or is unknown here."""
 
     def opened(self, meta: Meta, older: dict[str, list[str]]) -> None:
-        """Keep that a log is the newest, and what is in older ones; `OSError` where that can't be."""
+        """Persist that a log is the newest, and which messages are in older ones; `OSError` if that fails."""
 
 
 @dataclass(slots=True)
 class Neighbour:
-    """Another relay as it is seen from here; by this relay's clock."""
+    """Another relay as observed from here; times are of this relay's clock."""
 
     incarnation: str = ""
-    linked: bool = False  # messages to it have a way
+    linked: bool = False  # messages to it can be sent
     heard_us: int | None = None
-    water: dict[str, Water] = field(default_factory=dict)  # by its incarnation, the most that was heard
+    water: dict[str, Water] = field(default_factory=dict)  # highest observed, by its incarnation
 
 
 class Machine:
-    """One relay's part in holding, owning and following."""
+    """One relay's part as holder, owner and successor."""
 
     def __init__(
         self, fleet: Fleet, incarnation: str, store: Store, host: Host, now_us: int, fresh: bool
@@ -80,16 +81,16 @@
         self.fleet, self.name, self.incarnation, self._host = fleet, fleet.name, incarnation, host
         self.holder = Holder(fleet.name, incarnation, store)
         self.neighbours = {it.name: Neighbour() for it in fleet.members if it.name != fleet.name}
-        self.owners: dict[str, Owner] = {}  # by log
+        self.owners: dict[str, Owner] = {}  # by log name
         self.followings: dict[str, Following] = {}
-        self.newest: dict[int, str] = {}  # by how many must hold it: the log for what is new
+        self.newest: dict[int, str] = {}  # by write quorum: the log that accepts new messages
         self.out: list[tuple[str, Wire]] = []
-        self.confirmed = fresh  # whether nobody has seen more of this folder than it holds
+        self.confirmed = fresh  # whether no other relay has seen more of this directory than it holds
         self._confirming: set[str] = set()
-        self._retry_us: dict[str, int] = {}  # when a log may be tried again
-        self._above: dict[str, int] = {}  # by log, the number of a ballot that stood against this relay's
+        self._retry_us: dict[str, int] = {}  # by log: earliest time of the next take-over attempt
+        self._above: dict[str, int] = {}  # by log: the highest ballot number that this relay's lost against
         self._started_us = self._beat_us = now_us
-        self.over = False  # its folder was older than it should be: it does nothing any more
+        self.over = False  # the directory was found to be outdated: all input is ignored
 
     @property
     def _most_copies(self) -> int:
@@ -98,13 +99,13 @@
     # The relay's own logs.
 
     def own(self, meta: Meta) -> Owner:
-        """Own a log under the ballot of its origin."""
+        """Own a log under its origin's ballot."""
         return self._owner(meta, meta.first, self.name)
 
     def reopen(
         self, meta: Meta, copies: dict[str, Copy], ended: dict[str, int], newest: bool, now_us: int
     ) -> None:
-        """Go on with a log of an earlier life, and what this relay's own journal holds and knows of it."""
+        """Reopen a log of an earlier process with what this relay's journal holds and knows of it."""
         owner = self.own(meta)
         owner.ended = ended
         if newest:
@@ -112,7 +113,7 @@
         for name, copy in copies.items():
             owner.adopt(name, copy, now_us)
         of = self.holder.logs.get(meta.log)
-        if of is not None and of.promised > owner.ballot:  # it was followed in the earlier life already
+        if of is not None and of.promised > owner.ballot:  # taken over before the restart
             owner.state = State.FOLLOWED
             self._stopped(owner, of.promised)
 
@@ -127,7 +128,7 @@
         return owner
 
     def log_for(self, need: int, now_us: int) -> Owner | None:
-        """The log that takes on what `need` others are to hold; None where too few relays are there."""
+        """The log for messages that `need` other relays must hold; None if too few are reachable."""
         if not self.confirmed:
             return None
         owner = self.owners.get(self.newest.get(need + 1, ""))
@@ -138,8 +139,8 @@
         names = placing.ensemble(self.name, self.fleet.own, self.fleet.members, present, known, need)
         serves = owner is not None and owner.state is not State.FOLLOWED
         if not names or (serves and not present.issuperset(names)):
-            return owner if serves else None  # one that is gone would be replaced by one that is not there
-        # Drawn: a folder that was put back must not give a number once more.
+            return owner if serves else None  # replacing a lost holder by an unreachable one gains nothing
+        # Random: a directory restored from a copy must not reuse a number.
         serial = int(self._host.draw() * (1 << 52))
         others = tuple((name, self.neighbours[name].incarnation) for name in names)
         ensemble = ((self.name, self.incarnation), *others)
@@ -148,13 +149,13 @@
         try:
             self._host.opened(meta, older)
         except OSError as error:
-            say(f"copies: no new log: {error}")
+            say(f"copies: could not create a new log: {error}")
             return owner
         self.newest[meta.need] = meta.log
         return self.own(meta)
 
     def _gone(self, owner: Owner, now_us: int) -> bool:
-        """Whether one of a log's ensemble is gone for good, or for so long that another takes its place."""
+        """Whether a holder of the log is lost for good, or unreachable for long enough to be replaced."""
         return bool(self._lost_of(owner, now_us))
 
     def _lost_of(self, owner: Owner, now_us: int) -> set[str]:
@@ -176,12 +177,12 @@
     # Links.
 
     def connected(self, name: str, incarnation: str, now_us: int) -> None:
-        """There is a link to another relay, which has a disk with that word."""
+        """A link to another relay is up; `incarnation` identifies its disk."""
         it = self.neighbours.get(name)
         if it is None:
             return
         if it.incarnation and it.incarnation != incarnation:
-            say(f"copies: {name} has another folder than before")
+            say(f"copies: {name} has another directory than before")
             self.disconnected(name, now_us)
         it.incarnation, it.linked = incarnation, True
         self._tell_water(name)
@@ -193,12 +194,12 @@
                 following.ask(name)
 
     def _tell_water(self, name: str) -> None:
-        """Tell another relay how much of its disk was seen here."""
+        """Tell another relay the highest watermark observed of its disk."""
         it = self.neighbours[name]
         self._send(name, ["water", list(it.water.get(it.incarnation, ()))])
 
     def disconnected(self, name: str, now_us: int) -> None:
-        """The link to another relay is gone."""
+        """The link to another relay is down."""
         it = self.neighbours.get(name)
         if it is None or not it.linked:
             return
@@ -212,9 +213,9 @@
         self.out.append((name, message))
 
     def receive(self, name: str, incarnation: str, water: Sequence[int], message: Any, now_us: int) -> None:
-        """Take a message in, which came with how much its sender's disk had kept when it was sent.
+        """Handle a message, sent with its sender's watermark at the time of sending.
 
-        `ValueError` where it is none, and nothing of it counts but what came before.
+        Raises `ValueError` if it is malformed; messages before it stay applied.
         """
         if self.over:
             return
@@ -223,27 +224,27 @@
             it.heard_us = now_us
             if not it.linked:
                 it.incarnation = incarnation
-            # With each message, not now and then: who holds a record has seen the disk that it came from.
+            # Sent with every message, not periodically: a record's holder has seen the disk it came from.
             self._saw(name, incarnation, water)
         elif name != self.name:
-            raise ValueError(f"a stranger: {name!r}")
+            raise ValueError(f"unknown relay {name!r}")
         try:
             handler = self._handlers[message[0]]
         except (KeyError, TypeError, IndexError):
-            raise ValueError("a message of no kind") from None
+            raise ValueError("unknown message type") from None
         if not self.confirmed and message[0] != "water":
-            return  # it is asked for again
+            return  # the sender repeats it
         try:
             handler(self, name, incarnation, now_us, *message[1:])
         except TypeError as error:
-            raise ValueError(f"a message that can't be read: {error}") from None
+            raise ValueError(f"malformed message: {error}") from None
 
-    # What comes of the holder's side.
+    # Messages for the holder.
 
     def _on_water(self, name: str, own: str, now_us: int, seen: list[int]) -> None:
-        """A relay tells how much it has ever seen that this one's disk had kept."""
+        """A relay reports the highest watermark that it has observed of this one's disk."""
         if any(mine < most for mine, most in zip(self._host.water(), seen, strict=False)):
-            # Guards against a folder of an hour ago: what it took on, did and promised since would be undone.
+            # Guards against a restored backup: what this relay accepted, did and promised since is missing.
             say(f"copies: this folder is older than what {name} has seen of it")
             self.over = True
             self._host.old_folder()
@@ -252,9 +253,9 @@
         self._confirm(now_us)
 
     def _confirm(self, now_us: int) -> None:
-        """Go by this relay's folder once enough others have not seen more of it than it holds."""
-        # One more than must hold a record: of those that may, any so many have one that saw the last record.
-        # Could harm where a machine is lost while this one restarts: it waits, for `confirm_s` at the most.
+        """Rely on this relay's directory once enough other relays have not seen more of it than it holds."""
+        # One more relay than must hold a record: any that many of the possible holders include one that saw
+        # the last record. If a machine is lost while this one restarts, this waits, at most `confirm_s`.
         patient = now_us - self._started_us < int(self.fleet.confirm_s * 1e6)
         wanted = min(len(self.neighbours), self._most_copies + patient)
         if len(self._confirming) >= max(1, wanted):
@@ -287,21 +288,21 @@
             self._send(name, part)
 
     def is_there(self, meta: Meta, now_us: int) -> bool:
-        """Whether a log's owner was heard from lately, or is this relay, which serves."""
+        """Whether a log's owner was heard from recently, or is this relay and owns it."""
         since = self._silent_since(meta, self.holder.logs.get(meta.log), now_us)
         return since is None or now_us - since < int(self.fleet.suspect_s * 1e6)
 
     def _silent_since(self, meta: Meta, of: Holding | None, now_us: int) -> int | None:
-        """Since when a log's owner has done nothing for it; None where it has just now."""
+        """Since when a log's owner has been inactive; None if it is active."""
         name, incarnation = of.owner if of is not None else (meta.origin, meta.incarnation)
         if name == self.name:
             return None if meta.log in self.owners else 0
         it = self.neighbours.get(name)
         if it is None or (it.incarnation and it.incarnation != incarnation):
-            return 0  # its disk is not there any more
-        # A relay that starts has had no time to hear anybody.
+            return 0  # its disk is gone
+        # After a restart, silence counts from the start: no relay could be heard before.
         heard = max(it.heard_us or 0, self._started_us)
-        if of is not None and not of.serving:  # it asked for the log, and gave up
+        if of is not None and not of.serving:  # a successor that got the promise and gave up
             return max(min(heard, of.since_us), self._started_us)
         return None if now_us - heard < BEAT_US else heard
 
@@ -313,7 +314,7 @@
         if of is not None and of.owner == (name, own) and log not in self.owners:
             self.holder.drop(log)
 
-    # And of the owner's and the successor's.
+    # Messages for the owner and the successor.
 
     def _on_opened(
         self, name: str, own: str, now_us: int, log: str, ballot: Any, why: str, more: Any
@@ -359,7 +360,7 @@
             self._try(following, now_us)
 
     def _asked(self, log: str, ballot: Any, name: str, own: str) -> Following | None:
-        """The attempt that an answer is for, from one that has the disk which the log counts on."""
+        """The take-over attempt that an answer belongs to, if its sender has the disk that the log names."""
         following = self.followings.get(log)
         if following is None or following.ballot != ballot_of(ballot):
             return None
@@ -375,7 +376,7 @@
             if more is not None:
                 self._above[log] = max(self._above.get(log, 0), ballot_of(more)[0])
 
-    _handlers: dict[str, Callable[..., None]] = {  # noqa: RUF012 - one table for all
+    _handlers: dict[str, Callable[..., None]] = {  # noqa: RUF012 - one constant table for all instances
         "open": _on_open,
         "recs": _on_records,
         "fence": _on_fence,
@@ -394,10 +395,10 @@
     def _later(self, log: str, now_us: int) -> None:
         self._retry_us[log] = now_us + int((0.3 + self._host.draw()) * self.fleet.suspect_s * 5e5)
 
-    # Following.
+    # Take-over.
 
     def follow(self, meta: Meta, now_us: int) -> None:
-        """Ask for the promises that make this relay a log's owner."""
+        """Ask the ensemble for the promises that make this relay a log's owner."""
         of = self.holder.logs.get(meta.log)
         number = max(of.promised[0] if of is not None else 0, self._above.get(meta.log, 0)) + 1
         ballot = (number, self.name, self.incarnation)
@@ -430,7 +431,7 @@
         owner.flush(now_us)
 
     def _stopped(self, owner: Owner, by: Ballot) -> None:
-        """Another relay owns a log of this one's."""
+        """Another relay has taken over a log of this one's."""
         log = owner.meta.log
         if self.owners.get(log) is owner:
             del self.owners[log]
@@ -443,14 +444,14 @@
             try:
                 self.holder.keep(owner.meta, by, known)
             except OSError as error:
-                say(f"copies: what {log} held is not kept for others: {error}")
+                say(f"copies: the state of {log} could not be stored for its new owner: {error}")
                 kept = False
         self._host.followed(log, list(known), kept)
 
     # Time.
 
     def tick(self, now_us: int) -> None:
-        """Do what time asks for; to be called some times a second."""
+        """Run timeouts, retries and take-overs; call several times a second."""
         if now_us - self._beat_us >= BEAT_US:
             self._beat_us = now_us
             for name, it in self.neighbours.items():
@@ -472,7 +473,7 @@
             self.follow(of.meta, now_us)
 
     def _suspects(self, now_us: int) -> Iterator[Holding]:
-        """Logs whose owner may be followed by now."""
+        """Logs whose owner this relay may try to replace by now."""
         present = {name for name, it in self.neighbours.items() if it.linked}
         suspect_us, stagger_us = int(self.fleet.suspect_s * 1e6), int(self.fleet.stagger_s * 1e6)
         for log, of in list(self.holder.logs.items()):
@@ -487,15 +488,15 @@
                 yield of
 
     def leave(self) -> None:
-        """Tell all others that this relay goes: they may follow it at once."""
+        """Announce a clean shutdown, so that other relays may take over without waiting."""
         for name, it in self.neighbours.items():
             if it.linked:
                 self._send(name, ["leave", None])
 
     def retire(self) -> None:
-        """Let go of older logs in which nothing is owed."""
+        """Delete older logs that have no live messages."""
         for log, owner in list(self.owners.items()):
-            # Guards against one that was away, and finds others that have forgotten what ended there.
+            # Guards against a holder that was away and still has as live what all others have forgotten.
             if owner.done and owner.settled and log not in self.newest.values() and owner.state is State.OPEN:
                 del self.owners[log]
                 for name in owner.peers:
--- a/amberlug/copies/owner.py
+++ b/amberlug/copies/owner.py
@@ -1,8 +1,8 @@
-"""The owner's side of one log: records go to holders, and count once enough of them have answered. No I/O.
+"""The owner of one log: sends records to holders and commits them by quorum. No I/O.
 
-A record counts once `need` of the log's ensemble have it; which of them does not matter. So any `reads`
-of the ensemble know of it, and these must have promised the log to a successor before that goes on. An
-owner that was followed meets at least one of them with each record, and stops.
+A record is committed once `need` relays of the log's ensemble store it, whichever they are. So any `reads`
+relays of the ensemble know of it, and a successor needs the promise of that many before it proceeds. An
+owner that was replaced meets at least one of them with each new record, and stops.
 """
 
 from __future__ import annotations
@@ -15,24 +15,24 @@
 from amberlug.copies.holder import Wire
 from amberlug.copies.states import Ballot, Copy, Kind, Meta
 
-HEDGE_US = 60_000  # after which a record goes to one more holder: many times a turn on a local network
-FULL_US = 1_000_000  # how long a holder without room is not asked
-LOST_US = 1_000_000  # after which a holder that is there is sent a record once more
-WINDOW = 1 << 20  # bytes that may be out to one holder, so that a slow one costs a bounded queue
-FRAME = 64 << 10  # bytes of records in one message
+HEDGE_US = 60_000  # an unanswered record then goes to one more holder; many turns on a local network
+FULL_US = 1_000_000  # how long a holder that reported a full disk is not asked again
+LOST_US = 1_000_000  # a batch unanswered for so long by a reachable holder is sent to it again
+WINDOW = 1 << 20  # bytes in flight to one holder; bounds the queue for a slow one
+FRAME = 64 << 10  # bytes of records per message
 
 
 class State(Enum):
-    """Whether an owner may still record."""
+    """Whether an owner may record."""
 
-    OPENING = "opening"  # not enough holders have said yet that nobody has followed
+    OPENING = "opening"  # too few holders have confirmed yet that no other relay has taken over
     OPEN = "open"
-    FOLLOWED = "followed"  # by another relay; or its own folder is older than what holders saw
+    FOLLOWED = "followed"  # another relay took over, or holders saw a newer state of this directory
 
 
 @dataclass(slots=True, eq=False)
 class Entry:
-    """One record on its way."""
+    """One record until it is committed."""
 
     name: str
     kind: Kind
@@ -40,26 +40,26 @@
     at_us: int
     sent: set[str] = field(default_factory=set)
     had: set[str] = field(default_factory=set)
-    must: frozenset[str] | None = None  # who has to have it, where not any will do
+    must: frozenset[str] | None = None  # the holders that must all store it; None: any quorum
 
     def lacks(self, need: int) -> int:
-        """How many more have to be sent it."""
+        """How many more holders it has to be sent to."""
         if self.must is not None:
             return len(self.must - self.sent - self.had)
         return need - len(self.sent | self.had)
 
     def counts(self, need: int) -> bool:
-        """Whether enough have it."""
+        """Whether enough holders store it."""
         return self.must <= self.had if self.must is not None else len(self.had) >= need
 
     def fits(self, holder: str) -> bool:
-        """Whether it may go to a holder."""
+        """Whether it may be sent to a holder."""
         wanted = self.must is None or holder in self.must
         return wanted and holder not in self.sent and holder not in self.had
 
     @property
     def size(self) -> int:
-        """Bytes, about."""
+        """Approximate size in bytes."""
         body = self.told[4] if self.kind is Kind.TAKEN else b""
         if self.kind is Kind.STATE and self.told[1] is not None:
             body = self.told[1][4]
@@ -68,7 +68,7 @@
 
 @dataclass(slots=True, eq=False)
 class Batch:
-    """Records in one message to one holder, which answers for all of them."""
+    """Records sent to one holder in one message, which is acknowledged as a whole."""
 
     entries: list[Entry]
     size: int
@@ -77,27 +77,28 @@
 
 @dataclass(slots=True)
 class Peer:
-    """A holder as its owner sees it."""
+    """A holder as seen by the owner."""
 
     rank: int
-    opened: bool = False  # it said that it keeps records from this owner
-    settled: bool = False  # and all that is live there
+    opened: bool = False  # it accepts records from this owner
+    settled: bool = False  # it has also listed all messages that are live there
     full_until_us: int = 0
-    away_since_us: int | None = 0  # None while there is a link
+    away_since_us: int | None = 0  # None while the link is up
     out: dict[int, Batch] = field(default_factory=dict)
 
     @property
     def out_bytes(self) -> int:
-        """What it has not answered for."""
+        """Bytes sent and not acknowledged."""
         return sum(it.size for it in self.out.values())
 
 
 class Owner:
-    """One log that this relay owns.
+    """One log owned by this relay.
 
-    `send` takes a message for a holder, `held` is told the name of a message whose every record counts, and
-    `followed` that nothing recorded here will, with the ballot that stands against it. `kept` is this relay's
-    name where it keeps each record by itself before it comes here, as an origin does in its own journal.
+    Callbacks: `send` queues a message for a holder; `held` gets the name of a message whose records are all
+    committed; `followed` gets the ballot of the relay that took over, after which nothing recorded here is
+    committed. `kept` is this relay's name if it stores each record itself before recording it here, as an
+    origin does in its own journal.
     """
 
     def __init__(
@@ -113,37 +114,37 @@
         self._kept = frozenset() if kept is None else frozenset([kept])
         self._send, self._held, self._followed = send, held, followed
         self.peers = {name: Peer(rank) for rank, (name, _) in enumerate(meta.ensemble) if name != kept}
-        self.copies: dict[str, Copy] = {}  # live messages, as records have told them here
+        self.copies: dict[str, Copy] = {}  # live messages, by their records so far
         self.ended: dict[
             str, int
-        ] = {}  # until when names count that ended here: who reads this log asks for them
-        self.where: dict[str, set[str]] = {}  # who has all that is told of a live message
-        self._waiting: dict[str, list[Entry]] = {}  # by message, what does not count yet
-        self._unsent: list[Entry] = []  # to fewer holders than must have it
+        ] = {}  # messages that ended here, with their expiry: a successor that reads this log needs them
+        self.where: dict[str, set[str]] = {}  # by live message: the holders that store its full state
+        self._waiting: dict[str, list[Entry]] = {}  # by message: records not committed yet
+        self._unsent: list[Entry] = []  # records sent to fewer holders than needed
         self._number = 0
 
     @property
     def done(self) -> bool:
-        """Whether nothing is owed in this log any more."""
+        """Whether the log has no live messages and no pending records."""
         return not self.copies and not self._waiting
 
     @property
     def short(self) -> bool:
-        """Whether too few holders are there to have a record counted now."""
+        """Whether too few holders are reachable for a record to be committed now."""
         return self.state is not State.OPEN or len(self._able(0)) + len(self._kept) < self.meta.need
 
     def waits(self, name: str) -> bool:
-        """Whether something told of a message does not count yet."""
+        """Whether a message has records that are not committed yet."""
         return name in self._waiting
 
     def reached(self, name: str) -> set[str]:
-        """Whom anything of a message's records that don't count yet was sent to."""
+        """The holders to which uncommitted records of a message were sent."""
         return {peer for entry in self._waiting.get(name, ()) for peer in entry.sent}
 
-    # What is recorded.
+    # Recording.
 
     def record(self, name: str, kind: Kind, told: list[Any], now_us: int) -> None:
-        """Have one record held; `held` is told once it is, with all before it of the same message."""
+        """Replicate one record; `held` is called once all records of the message are committed."""
         if self.state is State.FOLLOWED:
             return
         copy = self.copies.get(name)
@@ -159,7 +160,7 @@
         self._unsent.append(entry)
 
     def withdraw(self, name: str, until_ms: int, now_us: int) -> None:
-        """Have nobody hold a message any more that was not taken on; `held` is told once nobody does."""
+        """Remove a message that was not accepted from every holder; `held` is called once none stores it."""
         reached = (frozenset(self.reached(name)) | frozenset(self.where.pop(name, ()))) - self._kept
         self.copies.pop(name, None)
         for entry in self._waiting.pop(name, ()):
@@ -173,11 +174,11 @@
         self._unsent.append(entry)
 
     def adopt(self, name: str, copy: Copy, now_us: int) -> None:
-        """Have a state held that was read from others, under this owner's ballot."""
+        """Replicate a state read from holders under this owner's ballot."""
         self.record(name, Kind.STATE, copy.rebased(self.ballot).packed(), now_us)
 
     def flush(self, now_us: int) -> None:
-        """Send what this turn has brought, and what waits for a holder; together where it goes together."""
+        """Send new records and those that wait for a holder, batched by holder."""
         if self.state is not State.OPEN:
             return
         self._unsent = [entry for entry in self._unsent if not entry.counts(self.meta.need)]
@@ -201,12 +202,12 @@
             self._send_batch(name, entries, now_us)
 
     def _order(self, name: str, able: Iterable[str]) -> list[str]:
-        """Whom a message's records go to first: those that have it, then the log's first ones."""
+        """Holders in order of preference for a message: those that store it, then by rank in the ensemble."""
         has = self.where.get(name, ())
         return sorted(able, key=lambda it: (it not in has, self.peers[it].rank))
 
     def _able(self, now_us: int) -> list[str]:
-        """Holders that can be asked, the first ones first."""
+        """Holders that can be sent records, in order of rank."""
         return [
             name
             for name, it in self.peers.items()
@@ -227,10 +228,10 @@
                 part.append(entry)
                 size += entry.size
 
-    # What holders say.
+    # Replies from holders.
 
     def linked(self, name: str) -> None:
-        """There is a link to a holder that has the disk this log counts on."""
+        """A link is up to a holder with the disk that this log names."""
         peer = self.peers[name]
         peer.away_since_us, peer.opened, peer.settled = None, False, False
         self._ask(name)
@@ -239,7 +240,7 @@
         self._send(name, ["open", self.meta.packed(), list(self.ballot)])
 
     def lost(self, name: str, now_us: int) -> None:
-        """The link to a holder is gone: what it has not answered for goes to others, or to it once more."""
+        """The link to a holder is down: unacknowledged records go to other holders, or to it again later."""
         peer = self.peers[name]
         if peer.away_since_us is None:
             peer.away_since_us = now_us
@@ -255,7 +256,7 @@
                 self._unsent.append(entry)
 
     def opened(self, name: str, why: str, by: Ballot | None, now_us: int) -> None:
-        """A holder keeps this owner's records from now on, or says why not."""
+        """A holder accepts this owner's records from now on, or replies why not."""
         peer = self.peers.get(name)
         if peer is None or self.state is State.FOLLOWED or peer.away_since_us is not None:
             return
@@ -270,11 +271,11 @@
                 self.state = State.OPEN
 
     def acknowledged(self, name: str, number: int) -> None:
-        """A holder has what a message brought."""
+        """A holder stores a batch."""
         peer = self.peers.get(name)
         batch = peer.out.pop(number, None) if peer is not None else None
         if batch is None:
-            return  # answered before, or of an earlier link
+            return  # a duplicate, or a reply from an earlier link
         for entry in batch.entries:
             entry.had.add(name)
             if entry.kind in (Kind.TAKEN, Kind.STATE) and entry.name in self.copies:
@@ -292,7 +293,7 @@
             self._held(entry.name)
 
     def refused(self, name: str, number: int, why: str, by: Ballot | None, now_us: int) -> None:
-        """A holder does not keep what a message brought."""
+        """A holder rejects a batch."""
         peer = self.peers.get(name)
         if peer is None or self.state is State.FOLLOWED:
             return
@@ -312,7 +313,7 @@
         self._followed(self, by)
 
     def known(self) -> dict[str, Copy]:
-        """All that is known here of messages, also of those that have ended, which others may not know."""
+        """Everything known of messages, including ended ones that other relays may not know of."""
         found = dict(self.copies)
         for name, until_ms in self.ended.items():
             found[name] = Copy(base=self.ballot, ended=(self.ballot, until_ms))
@@ -325,12 +326,12 @@
     # Time.
 
     def tick(self, now_us: int) -> None:
-        """Have what a holder is slow to answer for go to one more."""
+        """Repeat unanswered requests, and hedge records that a holder is slow to acknowledge."""
         if self.state is State.FOLLOWED:
             return
         for name, peer in self.peers.items():
             if peer.away_since_us is None and not peer.opened and peer.full_until_us <= now_us:
-                self._ask(name)  # it had no room, or its answer went astray
+                self._ask(name)  # it had no room, or its reply was lost
             for number in [number for number, it in peer.out.items() if it.at_us + LOST_US <= now_us]:
                 self._again(name, peer.out.pop(number))
         late = [
@@ -348,17 +349,17 @@
         self.flush(now_us)
 
     def forget(self, before_ms: int) -> None:
-        """Forget names that ended long ago; the oldest stand first."""
+        """Remove messages that ended before a time; insertion order is roughly by age."""
         for name in [name for name, until_ms in self.ended.items() if until_ms < before_ms]:
             del self.ended[name]
 
     @property
     def settled(self) -> bool:
-        """Whether all that may hold the log are there, and have said what is live with them."""
+        """Whether every other relay of the ensemble is reachable and has listed its live messages."""
         return all(it.opened and it.settled for it in self.peers.values())
 
     def settle(self, names: list[str], until_ms: Callable[[str], int], now_us: int) -> None:
-        """A holder told what is live there: what has ended here is told it, and the others it has."""
+        """Handle a holder's list of live messages: those that ended here are reported to it as ended."""
         for name in names:
             if name not in self.copies and name not in self._waiting:
                 entry = Entry(name, Kind.ENDED, [until_ms(name)], now_us, had=set(self._kept))
--- a/amberlug/copies/placing.py
+++ b/amberlug/copies/placing.py
@@ -1,4 +1,4 @@
-"""Who holds what: rendezvous hashing over the members, other machines and zones first. No I/O."""
+"""Choice of holders: rendezvous hashing over the members, spread over machines and zones. No I/O."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def ranked(key: str, names: Collection[str]) -> list[str]:
-    """The names in the order in which a key asks for them: the same at every relay."""
+    """The names in a key's rendezvous order, the same at every relay."""
     return sorted(names, key=lambda name: (-xxh64_intdigest(f"{key}\\0{name}".encode()), name))
 
 
@@ -22,16 +22,16 @@
     known: Collection[str],
     need: int,
 ) -> list[str]:
-    """Who may hold a log: `SPARE` times `need` others on machines of their own, or nobody.
+    """The `SPARE * need` relays that may hold a log, each on its own machine; empty if there are too few.
 
-    Those that are present come before those that are only known, then zones other than `own`'s in turn.
+    Relays in `present` come before those only in `known`, then zones in turn, `own`'s zone last.
     """
     able = {it.name: it for it in members if it.machine != own.machine and it.name in known}
     chosen: list[Member] = []
     left = [able[name] for name in ranked(key, able)]
     while left and len(chosen) < SPARE * need:
         zones = [it.zone for it in chosen]
-        # The least used zone is next; our own counts as used once more than it is.
+        # Take the least used zone; the origin's own zone counts as used once more.
         best = min(
             left,
             key=lambda it: (
--- a/amberlug/copies/service.py
+++ b/amberlug/copies/service.py
@@ -1,4 +1,4 @@
-"""Copies as a part of the daemon: wires links, disk and machine by an operator's file."""
+"""Replication as a component of the daemon: connects links, storage and state machine by the fleet file."""
 
 from __future__ import annotations
 
@@ -20,14 +20,14 @@
 from amberlug.peers.links import Links
 from amberlug.policy.interface import Settings
 
-FOLDER = "copies"  # within the state folder
-TICK = 0.05  # seconds: a holder that is slow is passed over after some of them
+FOLDER = "copies"  # within the state directory
+TICK = 0.05  # seconds between timer calls; a slow holder is bypassed after some of them
 TIDY = 1.0
-LEAVE = 0.05  # seconds for the last word to go out
+LEAVE = 0.05  # seconds for the shutdown announcement to be sent
 
 
 class Copies:
-    """All of it, beside a node that others have made. Errors as `fleets.load` has them, and of the folder."""
+    """Replication for one node. Raises what `fleets.load` raises, and `OSError` for the state directory."""
 
     def __init__(self, path: Path, state: Path, settings: Settings, clock: Clock) -> None:
         self._fleet = fleets.load(path)
@@ -39,7 +39,7 @@
         self._woken = False
 
     def journal(self, inner: Journal) -> CopiedJournal:
-        """Take the place of the journal."""
+        """Wrap the node's journal."""
         self._inner = inner
         self._open()
         return self._journal
@@ -51,8 +51,8 @@
         try:
             store = self._store(folder)
         except DamagedError as error:
-            # Guards against a holder that others count on and that has lost a part: it comes as another one.
-            log(f"copies: {error}: this folder begins anew")
+            # Guards against a holder that has lost data other relays count on: it gets a new incarnation.
+            log(f"copies: {error}: starting with an empty directory and a new incarnation")
             self._begin_anew(folder)
             store, fresh = self._store(folder), True
         self._journal = CopiedJournal(
@@ -72,12 +72,12 @@
         return CopyStore(FolderDisk(folder), room, len(self._fleet.members) - 1)
 
     def _begin_anew(self, folder: Path) -> None:
-        """Forget all that was held, and be another incarnation."""
+        """Delete everything held; the next incarnation is a new one."""
         shutil.rmtree(folder)
         folder.mkdir()
 
     async def start(self, node: Node) -> None:
-        """Make links and go on; `OSError` where the address can't be used."""
+        """Start the links and timers; `OSError` if the listen address can't be used."""
         self._node = node
         self._journal.adopt, self._journal.relinquish = node.adopt, node.relinquish
         self._journal.renew, self._journal.wake = self._renew, self._wake
@@ -101,7 +101,7 @@
             self._send()
 
     def _wake(self) -> None:
-        """Have what was recorded sent at the end of this turn of the loop."""
+        """Schedule sending at the end of this event loop iteration."""
         if not self._woken:
             self._woken = True
             asyncio.get_running_loop().call_soon(self._flush)
@@ -114,7 +114,7 @@
         self._send()
 
     def _send(self) -> None:
-        """Put what the machine has to say on its way; what it tells itself arrives at once."""
+        """Hand queued messages to the links; messages to this relay itself are delivered at once."""
         machine = self._journal.machine
         while machine.out:
             out, machine.out = machine.out, []
@@ -139,8 +139,8 @@
         self._wake()
 
     def _renew(self) -> None:
-        """Begin anew: what the folder says is older than what others have seen of it."""
-        log("copies: this relay begins anew, under another incarnation; others go on with what it held")
+        """Restart as a new incarnation: other relays have seen a newer state of this directory."""
+        log("copies: restarting under a new incarnation; other relays take over what this one held")
         self._disk_store.close()
         self._begin_anew(self._state / FOLDER)
         self._tasks.append(asyncio.get_running_loop().create_task(self._again()))
@@ -154,7 +154,7 @@
         await self.start(self._node)
 
     async def stop(self) -> None:
-        """Tell the others that this relay goes, so that they go on at once; let go of everything."""
+        """Announce the shutdown, so that other relays take over at once, and release all resources."""
         self._journal.machine.leave()
         self._send()
         await asyncio.sleep(LEAVE)
--- a/amberlug/copies/states.py
+++ b/amberlug/copies/states.py
@@ -1,9 +1,9 @@
-"""What is known of a message at a holder: a state that records only add to, in whatever order they come.
+"""The state of a message at a holder: a join of its records that does not depend on their order.
 
-Records may be lost, doubled or come in any order: `Copy.add` and `Copy.merge` are idempotent, and
-commute. Each is made under a ballot; a whole state that a successor records (`Kind.STATE`) outweighs what
-earlier ballots said of an end, since that was never told: an end is told only once enough holders have it,
-and one that they had the successor would have read. Attempts are never outweighed: one may have run.
+Records may be lost, duplicated or reordered: `Copy.add` and `Copy.merge` are idempotent and commutative.
+Each record is made under a ballot. A full state recorded by a successor (`Kind.STATE`) overrides ends that
+earlier ballots recorded: such an end was never reported, since an end is reported only once a quorum holds
+it, and the successor would have read one that a quorum held. Attempts are never overridden: one may have run.
 """
 
 from __future__ import annotations
@@ -12,60 +12,60 @@
 from enum import StrEnum
 from typing import Any
 
-Ballot = tuple[int, str, str]  # number, and whose: a relay's name and incarnation
-FIRST = 0  # the number under which a log's origin owns it
+Ballot = tuple[int, str, str]  # number, and the relay's name and incarnation
+FIRST = 0  # the ballot number under which a log's origin owns it
 
 
 class Kind(StrEnum):
-    """What a record adds."""
+    """Type of a record. The comments list the fields."""
 
-    TAKEN = "T"  # class, tenant, destination, key, body, deadline and when it was taken on (wall, ms)
-    ATTEMPT = "A"  # number, when (wall, ms), endpoint
-    OUTCOME = "O"  # number, result
-    REPLY = "R"  # how often it was changed, whether the platform is told, the address
-    OWED = "N"  # outcome, when to come again (ms): an end that is still to be acknowledged
-    ENDED = "E"  # until when its name counts (wall, ms): nothing more is owed
-    STATE = "S"  # all of it
+    TAKEN = "T"  # class, tenant, destination, key, body, deadline, time of acceptance (wall clock, ms)
+    ATTEMPT = "A"  # attempt number, time (wall clock, ms), endpoint
+    OUTCOME = "O"  # attempt number, result
+    REPLY = "R"  # revision, whether the platform was notified, the address
+    OWED = "N"  # outcome, retry delay (ms): an end that the platform has not acknowledged
+    ENDED = "E"  # expiry of the name (wall clock, ms): nothing is owed any more
+    STATE = "S"  # the full state
 
 
-Tries = dict[tuple[int, str, int], list[Any]]  # by ballot's number and owner, and the attempt's own
+Tries = dict[tuple[int, str, int], list[Any]]  # key: ballot number, ballot's relay, attempt number
 
 
 @dataclass(slots=True)
 class Copy:
-    """One message as its records tell it."""
+    """One message as reconstructed from its records."""
 
-    base: Ballot = (FIRST, "", "")  # of the newest whole state
+    base: Ballot = (FIRST, "", "")  # of the newest full state
     taken: list[Any] | None = None
-    tried: Tries = field(default_factory=dict)  # endpoint, when (wall, ms), result or ""
+    tried: Tries = field(default_factory=dict)  # endpoint, time (wall clock, ms), result or ""
     reply: list[Any] = field(default_factory=lambda: [0, True, b""])
     owed: tuple[Ballot, list[Any]] | None = None
     ended: tuple[Ballot, int] | None = None
 
     @property
     def live(self) -> bool:
-        """Whether something is still owed for the message."""
+        """Whether the message has not ended."""
         return self.ended is None
 
     @property
     def size(self) -> int:
-        """Bytes, about, that it takes in memory and on disk."""
+        """Approximate size in memory and on disk, in bytes."""
         body = len(self.taken[4]) if self.taken is not None else 0
         return 120 + body + 60 * len(self.tried) + len(self.reply[2])
 
     def add(self, kind: str, ballot: Ballot, told: list[Any]) -> None:
-        """Add what a record tells; `ValueError` where it is none."""
+        """Apply a record; `ValueError` if it is malformed."""
         try:
             self._add(kind, ballot, told)
         except (IndexError, TypeError, KeyError) as error:
-            raise ValueError(f"a record {kind!r} that can't be read: {error!r}") from None
+            raise ValueError(f"malformed record of kind {kind!r}: {error!r}") from None
 
     def _add(self, kind: str, ballot: Ballot, told: list[Any]) -> None:
         number, owner, _ = ballot
         match kind:
             case Kind.TAKEN:
                 if len(told) != 7 or not isinstance(told[4], bytes):
-                    raise ValueError("a message that can't be read")
+                    raise ValueError("malformed record of an accepted message")
                 if self.ended is None:
                     self.taken = self.taken or list(told)
             case Kind.ATTEMPT:
@@ -83,21 +83,21 @@
             case Kind.STATE:
                 self.merge(unpacked(told))
             case _:
-                raise ValueError(f"a record of kind {kind!r}")
+                raise ValueError(f"unknown record kind {kind!r}")
 
     def _end(
         self, owed: tuple[Ballot, list[Any]] | None = None, ended: tuple[Ballot, int] | None = None
     ) -> None:
-        """Take an end in, unless a newer owner has gone on without it; the newest one counts."""
+        """Apply an end unless a newer owner has continued without it; the highest ballot wins."""
         over = self.ended is not None
         if owed is not None and owed[0] >= self.base and not over and (self.owed is None or owed > self.owed):
             self.owed = owed
         if ended is not None and ended[0] >= self.base and (self.ended is None or ended > self.ended):
             self.ended = ended
-            self.taken, self.owed = None, None  # its body is of no use any more
+            self.taken, self.owed = None, None  # the body is not needed any more
 
     def merge(self, other: Copy) -> None:
-        """Add all that another copy tells."""
+        """Apply everything that another copy contains."""
         if other.base > self.base:
             self.base = other.base
             if self.owed is not None and self.owed[0] < self.base:
@@ -116,12 +116,12 @@
             self._end(owed=other.owed)
 
     def packed(self) -> list[Any]:
-        """The state as it goes into frames and files."""
+        """The state as it is encoded in frames and files."""
         tried = [[*key, *told] for key, told in sorted(self.tried.items())]
         return [list(self.base), self.taken, tried, self.reply, self.owed, self.ended]
 
     def rebased(self, ballot: Ballot) -> Copy:
-        """A copy of it as its new owner records it."""
+        """A copy of the state for recording under its new owner's ballot."""
         found = unpacked([list(ballot), *self.packed()[1:]])
         if found.owed is not None:
             found.owed = ballot, found.owed[1]
@@ -129,7 +129,7 @@
 
 
 def unpacked(told: list[Any]) -> Copy:
-    """Read a state; `ValueError` where it is none."""
+    """Decode a state; `ValueError` if it is malformed."""
     try:
         base, taken, tried, reply, owed, ended = told
         return Copy(
@@ -141,56 +141,56 @@
             None if ended is None else (ballot_of(ended[0]), int(ended[1])),
         )
     except (TypeError, IndexError, KeyError) as error:
-        raise ValueError(f"a state that can't be read: {error!r}") from None
+        raise ValueError(f"malformed message state: {error!r}") from None
 
 
 def ballot_of(told: Any) -> Ballot:
-    """Read a ballot; `ValueError` where it is none."""
+    """Decode a ballot; `ValueError` if it is malformed."""
     try:
         number, owner, incarnation = told
     except TypeError:
-        raise ValueError(f"no ballot: {told!r}") from None
+        raise ValueError(f"malformed ballot: {told!r}") from None
     if not isinstance(number, int) or not isinstance(owner, str) or not isinstance(incarnation, str):
-        raise ValueError(f"no ballot: {told!r}")
+        raise ValueError(f"malformed ballot: {told!r}")
     return number, owner, incarnation
 
 
 @dataclass(frozen=True, slots=True)
 class Meta:
-    """What a log is: whose, which of its origin's, how many must hold a record, and who may."""
+    """Metadata of a log: its origin, its serial number, its write quorum and its possible holders."""
 
     origin: str
     incarnation: str
     serial: int
-    need: int  # how many of the ensemble have a record before it counts
-    ensemble: tuple[tuple[str, str], ...]  # names and incarnations of those that may, the origin first
+    need: int  # write quorum: how many of the ensemble must store a record
+    ensemble: tuple[tuple[str, str], ...]  # names and incarnations of the possible holders, the origin first
 
     @property
     def log(self) -> str:
-        """Its name."""
+        """The log's name."""
         return f"{self.origin}.{self.incarnation}.{self.serial}"
 
     @property
     def first(self) -> Ballot:
-        """The ballot under which its origin owns it."""
+        """The ballot under which the origin owns the log."""
         return FIRST, self.origin, self.incarnation
 
     @property
     def reads(self) -> int:
-        """How many of the ensemble meet any `need` of it: as many must promise before another owns it."""
+        """The read quorum, which intersects every write quorum: a take-over needs that many promises."""
         return len(self.ensemble) - self.need + 1
 
     def incarnation_of(self, name: str) -> str | None:
-        """With which disk a relay may hold this log; None where it may not."""
+        """The disk with which a relay may hold this log; None if it may not."""
         return dict(self.ensemble).get(name)
 
     def packed(self) -> list[Any]:
-        """As it goes into frames and files."""
+        """The metadata as encoded in frames and files."""
         return [self.origin, self.incarnation, self.serial, self.need, [list(it) for it in self.ensemble]]
 
 
 def meta_of(told: Any) -> Meta:
-    """Read what a log is; `ValueError` where that can't be."""
+    """Decode log metadata; `ValueError` if it is malformed."""
     try:
         origin, incarnation, serial, need, ensemble = told
         meta = Meta(
@@ -201,9 +201,9 @@
             tuple((str(name), str(own)) for name, own in ensemble),
         )
     except (TypeError, ValueError) as error:
-        raise ValueError(f"no log: {error!r}") from None
+        raise ValueError(f"malformed log metadata: {error!r}") from None
     names = [name for name, _ in meta.ensemble]
     first = (meta.origin, meta.incarnation)
     if not 1 <= meta.need <= len(names) or len(set(names)) != len(names) or meta.ensemble[0] != first:
-        raise ValueError(f"no log: {meta!r}")
+        raise ValueError(f"invalid log metadata: {meta!r}")
     return meta
--- a/amberlug/copies/store.py
+++ b/amberlug/copies/store.py
@@ -1,10 +1,10 @@
-"""A holder's copies on disk: files that only grow, every record under a checksum, made anew when loose.
+"""A holder's disk storage: append-only files of checksummed records, compacted in the background.
 
-A file begins with a head (`amberlug.core.journal.records`). What is kept goes to the newest file. To make it
-anew a further file is begun: from then on all goes there, with the state of each log and message, some a
-slice; then the older one goes. States only add up, so that a death in the middle leaves two files that say
-the same. A record that can't be read, but for a torn last one, means that this disk has lost what others
-count on.
+A file begins with a header (`amberlug.core.journal.records`). Records are appended to the newest file.
+Compaction begins a new file, which receives all records from then on, and copies the state of each log and
+message to it in slices; then it deletes the older files. Applying a state twice is harmless, so a crash in
+between leaves two files with the same meaning. An unreadable record, other than a torn one at the end, means
+that this disk has lost data that other relays count on.
 """
 
 from __future__ import annotations
@@ -24,32 +24,32 @@
 from amberlug.core.log import log as say
 
 PROMISE, RECORD, DROP, SEEN = b"P", b"C", b"D", b"W"
-SLACK = 1 << 18  # bytes that a file may be longer than twice what lives
-SLICE = 64  # states copied in one slice
-SCRUB = 1 << 16  # bytes that are read again in one slice
+SLACK = 1 << 18  # bytes by which a file may exceed twice its live data
+SLICE = 64  # states copied per step
+SCRUB = 1 << 16  # bytes checked per step
 _NAME = re.compile(r"copies-([0-9]{12})\.log")
 _SEQUENCE = struct.Struct(">Q")
 
 
 class DamagedError(ValueError):
-    """The disk has lost what it once kept."""
+    """The disk has lost data that it once stored."""
 
 
 class CopyStore:
-    """All that this relay holds for others; `room_bytes` for all of them, shared out evenly by origin.
+    """Everything this relay holds for others. `room_bytes` is divided evenly among origins.
 
-    Raises `DamagedError` where it can't be believed, `NewerVersionError` where a newer release wrote it.
+    Raises `DamagedError` if stored data is damaged, `NewerVersionError` if a newer release wrote it.
     """
 
     def __init__(self, disk: Disk, room_bytes: int, origins: int) -> None:
-        # Half for a file, since two are there while one is made anew; of that half again for new messages, so
-        # that what is still to be recorded of them, and a successor's states of all, always finds room.
+        # Half for each file, since compaction needs two. Half of that for new messages, so that later
+        # records of held messages, and a successor's states of them all, always find room.
         self._disk, self._most = disk, room_bytes // 2
         self._share = room_bytes // (4 * max(1, origins))
         self._slack = min(SLACK, room_bytes // 8)
         self.logs: dict[str, Holding] = {}
         self.seen: dict[str, tuple[str, tuple[int, ...]]] = {}
-        self.sequence = 0  # of what was ever kept here: it only grows
+        self.sequence = 0  # of the last record ever stored here; never decreases
         self._used: dict[str, int] = {}  # live bytes by origin
         self._size = self._number = 0
         self._old: list[str] = []
@@ -75,17 +75,17 @@
         self._number = max(self._number, number)
         if head is None:
             if size >= it.HEAD_SIZE:
-                raise DamagedError(f"{name}: its head can't be read")
+                raise DamagedError(f"{name}: unreadable header")
             return
         for record in it.records(data, head.folder, number, size):
             if isinstance(record, it.Hole):
                 if it.is_torn(data, record):
                     return
-                raise DamagedError(f"{name}: {record.size} bytes at {record.offset} can't be read")
+                raise DamagedError(f"{name}: {record.size} unreadable bytes at offset {record.offset}")
             try:
                 self._apply(record)
             except (ValueError, TypeError, KeyError, IndexError) as error:
-                raise DamagedError(f"{name}: at {record.offset}: {error!r}") from None
+                raise DamagedError(f"{name}: malformed record at offset {record.offset}: {error!r}") from None
 
     def _apply(self, record: it.Record) -> None:
         (sequence,) = _SEQUENCE.unpack_from(record.rest)
@@ -100,7 +100,7 @@
         elif told[0] in self.logs:
             read_back(self.logs, None, told[0], record.name, told[1], told[2], told[3])
 
-    # What the holder keeps.
+    # Storage for `Holder`.
 
     def promise(self, meta: Meta, ballot: Ballot) -> None:
         self._append(PROMISE, "", [meta.packed(), ballot])
@@ -109,7 +109,7 @@
         origin = self.logs[log].meta.origin if log in self.logs else log.split(".")[0]
         before = self.logs[log].copies.get(name) if log in self.logs else None
         size = 120 + (len(told[4]) if kind == Kind.TAKEN else 60)
-        # Guards against one relay's burst that takes the room of what others have copied here.
+        # Guards against a burst of one relay's messages taking the room of other relays' replicas.
         if kind == Kind.TAKEN and before is None and self._used.get(origin, 0) + size > self._share:
             raise OSError(errno.ENOSPC, f"no room for more copies of {origin}")
         self._append(RECORD, name, [log, kind, ballot, told])
@@ -119,15 +119,15 @@
         try:
             self._append(DROP, "", [log])
         except OSError as error:
-            say(f"copies: {log} is still kept: {error}")
+            say(f"copies: could not delete log {log}: {error}")
 
     def saw(self, name: str, incarnation: str, water: tuple[int, ...]) -> None:
-        """Keep how much another relay's disk has kept."""
+        """Persist another relay's watermark."""
         self.seen[name] = incarnation, water
         try:
             self._append(SEEN, "", [name, incarnation, water])
         except OSError:
-            return  # it is told again with the next message
+            return  # the next message repeats it
 
     def _append(self, kind: bytes, name: str, told: Any) -> None:
         rest = _SEQUENCE.pack(self.sequence + 1) + msgpack.packb(told)
@@ -145,9 +145,9 @@
         self._size += len(data)
 
     def _make_room(self) -> None:
-        """Make the file anew at once: it is full before its slices came to it."""
-        # Guards against records of what is held that find no room. Could hold the loop up for milliseconds
-        # a megabyte; the slices begin long before, unless a burst comes faster.
+        """Compact to completion at once: the file filled up before background compaction was done."""
+        # Guards against rejecting records of held messages. May block the event loop for milliseconds per
+        # megabyte; background compaction starts long before this is needed, unless a burst is faster.
         if self._copying:
             return
         self._copying = True
@@ -160,14 +160,14 @@
         finally:
             self._copying = False
 
-    # Making it anew.
+    # Compaction.
 
     @property
     def _file(self) -> str:
         return f"copies-{self._number:012d}.log"
 
     def _begin(self) -> None:
-        """Begin a further file, and copy to it what lives."""
+        """Begin a new file and the copying of live data to it."""
         self._number += 1
         self._size = 0
         self._disk.create(self._file)
@@ -192,11 +192,11 @@
                         yield
 
     def work(self) -> None:
-        """Do a slice of what is due: copies to a newer file, and a look at what was written long ago."""
+        """Do one step of background work: compaction, or checking data written earlier."""
         try:
             self._work()
         except OSError as error:
-            say(f"copies: not made anew: {error}")
+            say(f"copies: compaction failed: {error}")
 
     def _work(self) -> None:
         if self._todo is not None:
@@ -213,7 +213,7 @@
             self._begin()
 
     def _step(self) -> None:
-        """Copy one slice; once all is copied the older files go."""
+        """Copy one slice; delete the older files once everything is copied."""
         assert self._todo is not None
         try:
             next(self._todo)
@@ -224,8 +224,8 @@
             self._old = []
 
     def _scrub(self) -> bool:
-        """Read some of the file again: whether it still says what was written."""
-        # Guards against a bit that has flipped since: memory still has it, and it is written once more.
+        """Read back a part of the file; False if it does not match what was written."""
+        # Guards against bits that flipped on disk: the data is still in memory and is written again.
         size = self._size
         data = self._disk.read(self._file, 0, it.HEAD_SIZE)
         if it.read_head(data) is None:
@@ -238,12 +238,12 @@
             if claimed and seen + claimed > len(data) and at + len(data) < size:
                 break
             if it.record_at(data, seen, 0, self._number, at) is None:
-                say(f"copies: {self._file} can't be read at {at + seen}: it is written anew")
+                say(f"copies: {self._file}: unreadable record at offset {at + seen}; rewriting the file")
                 return False
             seen += claimed
         self._scrubbed = at + seen if at + seen < size else 0
         return True
 
     def close(self) -> None:
-        """Let go of the files."""
+        """Close the files."""
         self._disk.close()
--- a/amberlug/copies/successor.py
+++ b/amberlug/copies/successor.py
@@ -1,9 +1,9 @@
-"""Following an owner: who may, when, and what it must have read before it goes on. No I/O.
+"""Take-over of a log: who may attempt it, when, and what it must read first. No I/O.
 
-A relay asks the log's whole ensemble for a promise under a ballot above all that it knows. Whoever promises
-refuses what earlier owners record from then on, and tells all that it holds. With the promises of `reads` of
-the ensemble, each of which has met every record that counted, the successor knows all of those; it records
-what it knows under its own ballot, and goes on with a message once that counts.
+A relay asks the log's whole ensemble for a promise under a ballot higher than any it knows. A relay that
+promises rejects records of earlier owners from then on, and sends everything it holds. With promises from
+`reads` relays, which together have seen every committed record, the successor knows all of those; it records
+the merged state under its own ballot, and resumes a message once that state is committed.
 """
 
 from __future__ import annotations
@@ -15,19 +15,19 @@
 from amberlug.copies.holder import Holding, Wire
 from amberlug.copies.states import Ballot, Copy, Meta, unpacked
 
-PATIENCE_US = 2_000_000  # after which an attempt to follow is given up, and made again later
+PATIENCE_US = 2_000_000  # an attempt is abandoned after this time and repeated later
 
 
 @dataclass(slots=True)
 class Answer:
-    """What one of the ensemble has told so far."""
+    """What one relay of the ensemble has sent so far."""
 
     parts: dict[int, list[Any]] = field(default_factory=dict)
-    promised: int | None = None  # in so many parts
+    promised: int | None = None  # the number of parts, once it has promised
 
 
 class Following:
-    """One attempt to follow an owner."""
+    """One attempt to take over a log."""
 
     def __init__(self, meta: Meta, ballot: Ballot, now_us: int, send: Callable[[str, Wire], None]) -> None:
         self.meta, self.ballot, self._send = meta, ballot, send
@@ -35,29 +35,29 @@
         self._answers: dict[str, Answer] = {}
 
     def ask(self, name: str) -> None:
-        """Ask one of the ensemble for its promise."""
+        """Ask one relay of the ensemble for its promise."""
         self._send(name, ["fence", self.meta.packed(), list(self.ballot)])
 
     def state(self, name: str, part: int, states: list[Any]) -> None:
-        """A part of what one of them holds."""
+        """Handle one part of the state that a relay holds."""
         if self.meta.incarnation_of(name) is not None:
             self._answers.setdefault(name, Answer()).parts[part] = states
 
     def promise(self, name: str, parts: int) -> None:
-        """One of them has promised, and told all that it holds in so many parts."""
+        """Handle a relay's promise, which follows all parts of its state."""
         if self.meta.incarnation_of(name) is not None:
             self._answers.setdefault(name, Answer()).promised = parts
 
     @property
     def complete(self) -> bool:
-        """Whether enough have promised and told all."""
+        """Whether enough relays have promised and sent all parts."""
         whole = [
             it for it in self._answers.values() if it.promised is not None and len(it.parts) >= it.promised
         ]
         return len(whole) >= self.meta.reads
 
     def read(self) -> dict[str, Copy]:
-        """All that they hold together; `ValueError` where one told what can't be read."""
+        """The merged state; `ValueError` if a relay sent a malformed one."""
         found: dict[str, Copy] = {}
         for answer in self._answers.values():
             for states in answer.parts.values():
@@ -74,10 +74,10 @@
     suspect_us: int,
     stagger_us: int,
 ) -> int | None:
-    """When a relay may begin to follow a log's owner; None where it may not.
+    """When a relay may attempt to take over a log; None if it may not.
 
-    `silent_since_us`: when the owner was last heard, None where it is there. Those of the ensemble that are
-    there begin one after the other, in the log's order: the first alone, unless it can't.
+    `silent_since_us`: when the owner was last active, None if it is active. The reachable relays of the
+    ensemble attempt one after the other in its order, so that the first succeeds alone unless it can't.
     """
     if of.meta.incarnation_of(name) is None or (silent_since_us is None and not of.left):
         return None
--- a/amberlug/peers/__init__.py
+++ b/amberlug/peers/__init__.py
@@ -1,1 +1,1 @@
-"""Links between the relays of a fleet: who they are, their frames, and the connections that carry these."""
+"""Links between the relays of a fleet: membership, framing and connections."""
--- a/amberlug/peers/fleet.py
+++ b/amberlug/peers/fleet.py
@@ -1,7 +1,7 @@
-"""An operator's file of the fleet: who its relays are, and how many further ones hold a message.
+"""The fleet file: the member relays, and on how many further relays a message is stored.
 
-Nothing here does I/O but `load`. `read` checks a table that TOML's reader gave, all its errors at once, each
-with its place; what is not there has the default of its field.
+Only `load` does I/O. `read` validates a parsed TOML table and reports all errors with their places. Settings
+that are missing have the default of their field.
 """
 
 from __future__ import annotations
@@ -19,20 +19,20 @@
 from amberlug.platform.checking import Problem
 
 MEMBERS_MOST = 200
-SPARE = 2  # times as many others as must hold a record may: with one machine lost the rest still can
-KEY_LEAST, KEY_MOST = 16, 4096  # bytes of the key's file
+SPARE = 2  # possible holders per required copy: a quorum is left when a machine is lost
+KEY_LEAST, KEY_MOST = 16, 4096  # size of the key file in bytes
 
 
 class WhenShort(Enum):
-    """What becomes of a hand-in while too few relays can hold it."""
+    """What to do with a hand-in while too few relays can hold it."""
 
     REFUSE = "refuse"
-    TAKE = "take"  # on this relay's disk alone; counted, and made whole as soon as that can be
+    TAKE = "take"  # store it on this relay's disk only, count it, and replicate it as soon as possible
 
 
 @dataclass(frozen=True, slots=True)
 class Member:
-    """One relay of the fleet: where its links are, and what it shares with others."""
+    """One relay of the fleet: its link address and its failure domains."""
 
     name: str
     address: Address
@@ -42,36 +42,36 @@
 
 @dataclass(frozen=True, slots=True)
 class Fleet:
-    """The whole file. Times in milliseconds or seconds as their names say, room in megabytes."""
+    """The settings of the file. Units are in the names: milliseconds, seconds, megabytes."""
 
-    name: str  # this relay's
+    name: str  # of this relay
     members: tuple[Member, ...]
     copies: int = 1
-    classes: Mapping[str, int] = field(default_factory=dict)  # copies of a class, where they are others
+    classes: Mapping[str, int] = field(default_factory=dict)  # by class, where it differs from `copies`
     when_short: WhenShort = WhenShort.REFUSE
-    bound_ms: int = 200  # a hand-in is answered by then: a client waits 400 ms
-    suspect_s: float = 2.0  # silence of an owner after which it may be followed
-    stagger_s: float = 0.7  # longer for each relay that is asked first to follow it
-    replace_s: float = 3.0  # absence of a holder after which another takes its place
+    bound_ms: int = 200  # time limit for answering a hand-in; clients wait 400 ms
+    suspect_s: float = 2.0  # an owner silent for so long may be replaced
+    stagger_s: float = 0.7  # added per relay of the ensemble that may attempt it earlier
+    replace_s: float = 3.0  # a holder absent for so long is replaced in new logs
     confirm_s: float = (
-        10.0  # that a restarted relay waits for one more than must say its folder is no old one
+        10.0  # a restarted relay waits so long for one relay more than needed to confirm its directory
     )
-    remember_s: float = 600.0  # how long holders know that a message has ended
-    room_mb: float = 8.0  # of this relay's disk for what it holds for all others together
-    listen: Address | None = None  # where this relay takes links, if not at its address
-    key: bytes = b""  # with which frames are signed; empty: they carry a checksum alone
+    remember_s: float = 600.0  # how long holders remember that a message has ended
+    room_mb: float = 8.0  # of this relay's disk, for the copies of all other relays together
+    listen: Address | None = None  # the listen address if it differs from the member's address
+    key: bytes = b""  # signs frames; empty: frames have an unkeyed checksum
 
     @property
     def own(self) -> Member:
-        """The relay that read the file."""
+        """The member that is this relay."""
         return next(it for it in self.members if it.name == self.name)
 
     def copies_of(self, message_class: str) -> int:
-        """How many further relays hold a message of a class."""
+        """On how many further relays a message of a class is stored."""
         return self.classes.get(message_class, self.copies)
 
 
-# Each number: its least and most.
+# Least and greatest value of each numeric setting.
 _BOUNDS: dict[str, tuple[float, float]] = {
     "copies": (0, 8),
     "bound_ms": (10, 390),
@@ -88,7 +88,7 @@
 
 
 def load(path: Path) -> Fleet:
-    """Read a file with its key; `ValueError` with the first problem, `OSError` where it can't be read."""
+    """Read a file and its key; `ValueError` with the first problem, `OSError` if a file can't be read."""
     try:
         table = tomllib.loads(path.read_text(encoding="utf-8"))
     except (tomllib.TOMLDecodeError, UnicodeDecodeError) as error:
@@ -101,7 +101,7 @@
 
 
 def read(table: Mapping[str, Any], folder: Path) -> tuple[Fleet | None, list[Problem]]:
-    """Read a table; the fleet where nothing is wrong, else all that is. Paths are seen from `folder`."""
+    """Validate a table: the fleet, or None and all problems. Paths are relative to `folder`."""
     wrong: list[Problem] = []
     known = {*_BOUNDS, *_TEXTS, "member", "classes"}
     wrong += [Problem(name, "no such setting") for name in table if name not in known]
@@ -109,13 +109,13 @@
     members = _members(table.get("member"), wrong)
     name = table.get("name")
     if name not in [it.name for it in members]:
-        wrong.append(Problem("name", f"not the name of a member: {name!r}"))
+        wrong.append(Problem("name", f"no member has this name: {name!r}"))
     if "when_short" in table:
         try:
             given["when_short"] = WhenShort(table["when_short"])
         except ValueError:
             words = ", ".join(it.value for it in WhenShort)
-            wrong.append(Problem("when_short", f"none of {words}: {table['when_short']!r}"))
+            wrong.append(Problem("when_short", f"must be one of {words}: {table['when_short']!r}"))
     if "listen" in table:
         given["listen"] = _address(table["listen"], "listen", wrong)
     given["classes"] = _classes(table.get("classes", {}), wrong)
@@ -137,7 +137,7 @@
     fits = isinstance(value, int if whole else int | float) and not isinstance(value, bool)
     if not fits or not least <= value <= most:
         kind = "whole number" if whole else "number"
-        wrong.append(Problem(name, f"not a {kind} from {least:g} to {most:g}: {value!r}"))
+        wrong.append(Problem(name, f"must be a {kind} from {least:g} to {most:g}: {value!r}"))
         return 0
     return int(value) if whole else float(value)
 
@@ -146,25 +146,25 @@
     try:
         return address(value)
     except (ValueError, AttributeError, TypeError):
-        wrong.append(Problem(where, f"not an IP address and port: {value!r}"))
+        wrong.append(Problem(where, f"must be an IP address and port: {value!r}"))
         return None
 
 
 def _members(told: Any, wrong: list[Problem]) -> tuple[Member, ...]:
     if not isinstance(told, list) or not told:
-        wrong.append(Problem("member", "missing, or no list of tables"))
+        wrong.append(Problem("member", "must be a non-empty list of tables"))
         return ()
     if len(told) > MEMBERS_MOST:
-        wrong.append(Problem("member", f"{len(told)} members, {MEMBERS_MOST} at the most"))
+        wrong.append(Problem("member", f"{len(told)} members; at most {MEMBERS_MOST} are allowed"))
     members: list[Member] = []
     for number, it in enumerate(told):
         where = f"member[{number}]"
         if not isinstance(it, Mapping):
-            wrong.append(Problem(where, "not a table"))
+            wrong.append(Problem(where, "must be a table"))
             continue
         wrong += [Problem(f"{where}.{name}", "no such setting") for name in it if name not in _MEMBER]
         bad = [name for name in ("name", "machine", "zone") if not _is_name(it.get(name, it.get("name")))]
-        wrong += [Problem(f"{where}.{name}", f"missing, or no word: {it.get(name)!r}") for name in bad]
+        wrong += [Problem(f"{where}.{name}", f"missing, or no valid name: {it.get(name)!r}") for name in bad]
         at = _address(it.get("address"), f"{where}.address", wrong)
         if not bad and at is not None:
             name = it["name"]
@@ -199,8 +199,8 @@
     try:
         key: bytes = (folder / path).read_bytes().strip()
     except (OSError, TypeError) as error:
-        wrong.append(Problem("key_file", str(error)))
+        wrong.append(Problem("key_file", f"can't be read: {error}"))
         return b""
     if not KEY_LEAST <= len(key) <= KEY_MOST:
-        wrong.append(Problem("key_file", f"a key has {KEY_LEAST} to {KEY_MOST} bytes"))
+        wrong.append(Problem("key_file", f"the key must have {KEY_LEAST} to {KEY_MOST} bytes"))
     return key
--- a/amberlug/peers/frames.py
+++ b/amberlug/peers/frames.py
@@ -1,9 +1,9 @@
-"""Frames between relays: a head, messages in msgpack, and a seal. No I/O.
+"""Frames between relays: header, msgpack payload and authentication tag. No I/O.
 
-A frame is `AL`, a version, a kind, the length of its payload (all big-endian) and the payload, then 16 bytes
-of BLAKE3 over its number on this connection, head and payload: keyed where the fleet has a key,
-else a checksum. The key of a connection is made of the fleet's key and a number that each side draws, so
-that no frame of another connection or from another place in this one passes.
+A frame is `AL`, version, kind, payload length (big-endian), payload, and 16 bytes of BLAKE3 over the frame's
+number on this connection, header and payload: keyed if the fleet has a key, else a checksum. The connection's
+key is derived from the fleet's key and a nonce of each side, so that frames replayed from another connection
+or another position in this one are rejected.
 """
 
 from __future__ import annotations
@@ -16,18 +16,18 @@
 import msgpack
 from blake3 import blake3
 
-VERSIONS = (1, 1)  # oldest and newest that this release speaks
+VERSIONS = (1, 1)  # oldest and newest protocol version of this release
 MAGIC = b"AL"
 _HEAD = struct.Struct(">2sBBI")
 _NUMBER = struct.Struct(">Q")
-SEAL = 16  # bytes
-FRAME_MOST = 1 << 20  # bytes of a payload: what is longer ends the connection
+SEAL = 16  # bytes of the authentication tag
+FRAME_MOST = 1 << 20  # bytes of payload; a larger one closes the connection
 DEEP_MOST = 1 << 16  # entries of one list or map
 CONTEXT = "amberlug 2026-12 links between relays"
 
 
 class Kind(IntEnum):
-    """What a frame holds."""
+    """Type of a frame."""
 
     HELLO = 1
     WELCOME = 2
@@ -35,25 +35,25 @@
 
 
 class BadFrameError(ValueError):
-    """What came is no frame of this connection: it ends."""
+    """Malformed or unauthentic input; the connection is to be closed."""
 
 
 def key_of(fleet_key: bytes, nonces: bytes = b"") -> bytes:
-    """The key of a connection; `nonces` are those of both sides, none before they are known."""
+    """Derive a connection's key; `nonces` are both sides', empty during the handshake."""
     return bytes(blake3(fleet_key + nonces, derive_key_context=CONTEXT).digest())
 
 
 class Sealer:
-    """Makes the frames of one direction of a connection."""
+    """Encodes the frames of one direction of a connection."""
 
     def __init__(self, key: bytes) -> None:
         self._key, self._number = key, 0
 
     def frame(self, kind: Kind, content: Any, version: int = VERSIONS[1]) -> bytes:
-        """One frame; `ValueError` where it would be longer than any may be."""
+        """Encode a frame; `ValueError` if it exceeds the size limit."""
         payload = msgpack.packb(content, use_bin_type=True)
         if len(payload) > FRAME_MOST:
-            raise ValueError(f"a frame of {len(payload)} bytes")
+            raise ValueError(f"a frame of {len(payload)} bytes exceeds the limit of {FRAME_MOST}")
         head = _HEAD.pack(MAGIC, version, kind, len(payload))
         seal = _seal(self._key, self._number, head, payload)
         self._number += 1
@@ -61,30 +61,30 @@
 
 
 class Opener:
-    """Reads the frames of one direction of a connection, out of pieces of any size."""
+    """Decodes the frames of one direction of a connection from chunks of any size."""
 
     def __init__(self, key: bytes) -> None:
         self._key, self._number = key, 0
         self._rest = bytearray()
 
     def rekey(self, key: bytes) -> None:
-        """Go on with the connection's own key; what has come already is read with it."""
+        """Switch to the connection's own key; applies to buffered data too."""
         self._key, self._number = key, 0
 
     def feed(self, data: bytes) -> None:
-        """Take in what came; `frames` reads it."""
+        """Buffer received data for `frames`."""
         self._rest += data
 
     def frames(self) -> Iterator[tuple[Kind, Any]]:
-        """The whole frames so far; `BadFrameError` at the first that is none."""
+        """The complete frames so far; `BadFrameError` at the first invalid one."""
         while len(self._rest) >= _HEAD.size:
             magic, version, kind, size = _HEAD.unpack_from(self._rest)
             if magic != MAGIC or kind not in Kind._value2member_map_:
-                raise BadFrameError("no frame")
+                raise BadFrameError("not a frame: wrong magic or kind")
             if not VERSIONS[0] <= version <= VERSIONS[1]:
-                raise BadFrameError(f"a frame of version {version}")
+                raise BadFrameError(f"unsupported frame version {version}")
             if size > FRAME_MOST:
-                raise BadFrameError(f"a frame of {size} bytes")
+                raise BadFrameError(f"a frame of {size} bytes exceeds the limit of {FRAME_MOST}")
             end = _HEAD.size + size
             if len(self._rest) < end + SEAL:
                 return
@@ -111,12 +111,12 @@
             max_map_len=DEEP_MOST,
         )
     except (ValueError, msgpack.exceptions.UnpackException) as error:
-        raise BadFrameError(f"a payload that can't be read: {error!r}") from None
+        raise BadFrameError(f"undecodable payload: {error!r}") from None
 
 
 def version_of(theirs: Sequence[int]) -> int:
-    """The newest version that both sides speak; `BadFrameError` where there is none."""
+    """The newest version that both sides support; `BadFrameError` if there is none."""
     newest = min(VERSIONS[1], theirs[1])
     if newest < max(VERSIONS[0], theirs[0]):
-        raise BadFrameError(f"versions {theirs[0]} to {theirs[1]}, this release speaks {VERSIONS}")
+        raise BadFrameError(f"peer supports versions {theirs[0]} to {theirs[1]}, this release {VERSIONS}")
     return newest
--- a/amberlug/peers/identity.py
+++ b/amberlug/peers/identity.py
@@ -1,4 +1,4 @@
-"""The identity of a folder: a relay that comes back with an empty one is another incarnation of its name."""
+"""The incarnation of a state directory: a relay that restarts with an empty one gets another incarnation."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def incarnation(folder: Path) -> str:
-    """The folder's own word, drawn when first asked for; `OSError`, or `ValueError` where it is damaged."""
+    """The directory's incarnation, drawn on first use; `OSError`, or `ValueError` if its file is damaged."""
     path = folder / FILE
     try:
         text = path.read_text(encoding="ascii", errors="replace").strip()
@@ -22,7 +22,8 @@
         with new.open("w", encoding="ascii") as file:
             file.write(text)
             file.flush()
-            os.fsync(file.fileno())  # what others promise to this word must not be promised to another one
+            # Synced before use: a crash must not change an incarnation that others already made promises to.
+            os.fsync(file.fileno())
         new.replace(path)
     if not _FORM.fullmatch(text):
         raise ValueError(f"{path}: no incarnation: {text[:40]!r}")
--- a/amberlug/peers/links.py
+++ b/amberlug/peers/links.py
@@ -1,9 +1,9 @@
-"""The connections between relays: one each way, dialed by whoever sends on it.
+"""Connections between relays: one for each direction, opened by the sending side.
 
-A sender says who it is and gets the other's word; then frames go one way only, each with a count, the newest
-count that was seen the other way, how much the sender's disk has kept, and all messages of one turn of the
-loop. So each side knows whether the other hears it; a link on which nothing was seen
-for a while is as good as none, whether it was closed, stalled or cut one way.
+After a handshake of names and incarnations, frames flow one way only. Each carries its number, the highest
+frame number received from the other side, the sender's watermark, and all messages of one event loop turn.
+So each side knows whether the other receives its frames: a link without acknowledgements for a while counts
+as down, whether it was closed, has stalled or is cut in one direction.
 """
 
 from __future__ import annotations
@@ -20,49 +20,49 @@
 from amberlug.peers.fleet import Fleet, Member
 from amberlug.peers.frames import VERSIONS, BadFrameError, Kind, Opener, Sealer, key_of, version_of
 
-DIAL = 1.0  # seconds for a connection and both words
-QUIET = 0.9  # seconds without a sign that the other side hears: three beats and a bit
-AGAIN = 0.1, 1.0  # least and most seconds between two tries, drawn
-QUEUE_MOST = 8 << 20  # bytes that wait to be written to one relay: over it the link is begun anew
-FRAME_BYTES = 256 << 10  # of messages in one frame, about
+DIAL = 1.0  # seconds for connecting and the handshake
+QUIET = 0.9  # seconds without an acknowledgement before a link counts as down: a little over three heartbeats
+AGAIN = 0.1, 1.0  # least and greatest delay between connection attempts, in seconds; randomized
+QUEUE_MOST = 8 << 20  # bytes waiting to be written to one relay; the link is reset above it
+FRAME_BYTES = 256 << 10  # approximate size of the messages in one frame
 READ = 1 << 16
 
 
 class Bad:
-    """What was dropped, by reason; each reason is logged once in a while."""
+    """Counts dropped input and messages by reason, and logs some of them."""
 
     def __init__(self) -> None:
         self.counts: Counter[str] = Counter()
 
     def note(self, who: str, why: str) -> None:
-        """Count one; the first of a reason, and each hundredth, is a line in the log."""
+        """Count one event; the first of a reason and every hundredth after it are logged."""
         self.counts[why] += 1
         if self.counts[why] % 100 == 1:
             log(f"peers: {who}: {why} ({self.counts[why]} so far)")
 
 
 class Peer:
-    """Another relay: the link to it, and what is seen of it on the link from it."""
+    """Another relay: the outgoing link and what the incoming one says about it."""
 
     def __init__(self, member: Member) -> None:
         self.member = member
-        self.incarnation = ""  # of the process that the link goes to
+        self.incarnation = ""  # of the relay process that the link is connected to
         self.writer: asyncio.StreamWriter | None = None
         self.sealer: Sealer | None = None
-        self.up = False  # the machine was told that there is a link
-        self.count = 0  # of frames sent on this link
-        self.seen = 0  # newest count that came the other way
-        self.waiting: dict[int, float] = {}  # when each frame was sent that no count has come back for
+        self.up = False  # `changed` was last told that the relay is reachable
+        self.count = 0  # frames sent on this link
+        self.seen = 0  # highest frame number received from the relay
+        self.waiting: dict[int, float] = {}  # send time of each unacknowledged frame
         self.queue: list[Any] = []
 
     def heard(self, count: int, echo: int) -> None:
-        """Take in what a frame from there says of the link to there."""
+        """Handle the frame number and the acknowledgement of an incoming frame."""
         self.seen = max(self.seen, count)
         for known in [it for it in self.waiting if it <= echo]:
             del self.waiting[known]
 
     def reaches(self, now: float) -> bool:
-        """Whether what is sent arrives, as far as can be known by now."""
+        """Whether frames sent now are expected to arrive."""
         if self.writer is None:
             return False
         return not self.waiting or now - next(iter(self.waiting.values())) < QUIET
@@ -71,8 +71,8 @@
 class Links:
     """All links of one relay.
 
-    `receive` takes (name, incarnation, water, message); `changed` is told (name, incarnation) of a relay that
-    can be reached from now on, and (name, None) of one that can't.
+    `receive` takes (name, incarnation, watermark, message); `changed` is called with (name, incarnation) when
+    a relay becomes reachable, and with (name, None) when it no longer is.
     """
 
     def __init__(
@@ -93,7 +93,7 @@
         self._due = False
 
     async def start(self) -> None:
-        """Take links, and begin to make them; `OSError` where the address can't be used."""
+        """Listen, and start connecting to all peers; `OSError` if the address can't be used."""
         host, port = self._fleet.listen or self._fleet.own.address
         self._server = await asyncio.start_server(self._accepted, host, port)
         for peer in self.peers.values():
@@ -105,7 +105,7 @@
         task.add_done_callback(self._tasks.discard)
 
     async def stop(self) -> None:
-        """Close everything."""
+        """Close all connections and the listener."""
         if self._server is not None:
             self._server.close()
         for task in list(self._tasks):
@@ -116,15 +116,15 @@
             writer.close()
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
-    # Outward.
+    # Outgoing connections.
 
     async def _keep(self, peer: Peer) -> None:
-        """Make a link, and another one when it is lost, for ever."""
+        """Keep a link connected until cancelled."""
         while True:
             reader = await self._dial(peer)
             if reader is not None:
                 with suppress(OSError):
-                    await reader.read(1)  # nothing comes: it ends with the connection
+                    await reader.read(1)  # nothing is ever sent here: returns when the connection ends
                 self._drop(peer)
             await asyncio.sleep(random.uniform(*AGAIN))
 
@@ -144,7 +144,7 @@
         return None
 
     async def _greet(self, peer: Peer, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Say who this is, hear who the other is, and go on with a key of this connection alone."""
+        """Exchange names and nonces, then switch to this connection's own key."""
         nonce = secrets.token_bytes(16)
         first = key_of(self._fleet.key)
         hello = [self._fleet.name, self._incarnation, list(VERSIONS), nonce, peer.member.name]
@@ -153,14 +153,14 @@
         while True:
             data = await reader.read(READ)
             if not data:
-                raise ConnectionError("closed before it said who it is")
+                raise ConnectionError("connection closed during the handshake")
             opener.feed(data)
             for kind, told in opener.frames():
                 if kind is not Kind.WELCOME:
-                    raise BadFrameError("no welcome")
+                    raise BadFrameError("expected a WELCOME frame")
                 name, incarnation, version, theirs = _words(told, 4)
                 if name != peer.member.name or not VERSIONS[0] <= version <= VERSIONS[1]:
-                    raise BadFrameError(f"{name!r} of version {version!r} answers there")
+                    raise BadFrameError(f"unexpected relay {name!r} with version {version!r} at this address")
                 peer.sealer = Sealer(key_of(self._fleet.key, nonce + bytes(theirs)))
                 peer.writer, peer.incarnation = writer, str(incarnation)
                 peer.count, peer.waiting, peer.queue = 0, {}, []
@@ -185,7 +185,7 @@
             self._changed(peer.member.name, None)
 
     def send(self, name: str, message: Any) -> None:
-        """Have a message sent with others of this turn; one that has no way is dropped."""
+        """Queue a message for the frame of this event loop turn; dropped if there is no connection."""
         peer = self.peers.get(name)
         if peer is None or peer.writer is None:
             return
@@ -222,13 +222,13 @@
             peer.writer.write(peer.sealer.frame(Kind.MESSAGES, content))
         except ValueError as error:
             self.bad.note(peer.member.name, f"not sent: {error}")
-        # Guards against memory that fills with what a slow relay does not read: it is told anew.
+        # Bounds the memory used for a slow relay; its owner sends the records again.
         if peer.writer.transport.get_write_buffer_size() > QUEUE_MOST:
             self.bad.note(peer.member.name, "reads too slowly, link begun anew")
             self._drop(peer)
 
     def look(self) -> None:
-        """Find out who is reached and who is not; to be called some times a second."""
+        """Update which relays are reachable; call several times a second."""
         now = asyncio.get_running_loop().time()
         for peer in self.peers.values():
             if peer.writer is None:
@@ -236,14 +236,14 @@
             if peer.reaches(now):
                 self._reached(peer)
             elif peer.up:
-                log(f"peers: {peer.member.name} does not hear this relay")
+                log(f"peers: {peer.member.name} does not acknowledge frames; link counts as down")
                 self._unreached(peer)
             elif now - next(iter(peer.waiting.values()), now) > 4 * QUIET:
-                self._drop(peer)  # a connection that was forgotten on the way comes back only as a new one
+                self._drop(peer)  # a middlebox that lost the connection's state requires a new connection
             if not peer.up:
-                self._frame(peer, [])  # whether it hears again
+                self._frame(peer, [])  # a probe: its acknowledgement brings the link up again
 
-    # Inward.
+    # Incoming connections.
 
     async def _accepted(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         name, bad = str(writer.get_extra_info("peername")), ""
@@ -257,7 +257,7 @@
                         own, incarnation = self._welcome(kind, told, opener, writer)
                         name = own
                     elif self._inbound.get(own, (None, None))[1] is not writer:
-                        return  # a newer link of its has taken this one's place
+                        return  # replaced by a newer connection from the same relay
                     else:
                         self._messages(own, incarnation, kind, told)
         except BadFrameError as error:
@@ -275,14 +275,14 @@
         self, kind: Kind, told: Any, opener: Opener, writer: asyncio.StreamWriter
     ) -> tuple[str, str]:
         if kind is not Kind.HELLO:
-            raise BadFrameError("no hello")
+            raise BadFrameError("expected a HELLO frame")
         name, incarnation, versions, theirs, to = _words(told, 5)
         if name not in self.peers or to != self._fleet.name:
-            raise BadFrameError(f"a stranger: {name!r}, who looks for {to!r}")
+            raise BadFrameError(f"unknown relay {name!r}, or wrong destination {to!r}")
         version = version_of(_words(versions, 2))
         before = self._inbound.get(name)
         if before is not None and before[0] != incarnation:
-            log(f"peers: two relays call themselves {name}, or it has another folder: the newest one counts")
+            log(f"peers: two relays call themselves {name}, or its folder changed; using the newest link")
         if before is not None:
             before[1].close()
         self._inbound[name] = str(incarnation), writer
@@ -295,10 +295,10 @@
 
     def _messages(self, name: str, incarnation: str, kind: Kind, told: Any) -> None:
         if kind is not Kind.MESSAGES:
-            raise BadFrameError("a second hello")
+            raise BadFrameError("expected a MESSAGES frame")
         count, echo, water, messages = _words(told, 4)
         if not isinstance(count, int) or not isinstance(echo, int) or not isinstance(messages, list):
-            raise BadFrameError("a frame that can't be read")
+            raise BadFrameError("malformed frame content")
         self.peers[name].heard(count, echo)
         for message in messages:
             try:
@@ -309,12 +309,12 @@
 
 def _words(told: Any, count: int) -> list[Any]:
     if not isinstance(told, list) or len(told) != count:
-        raise BadFrameError("a frame that can't be read")
+        raise BadFrameError("malformed frame content")
     return told
 
 
 def _size(message: Any) -> int:
-    """Bytes, about, that a message takes in a frame: records and states count, the rest is small."""
+    """Approximate encoded size; only records and states matter, the rest is small."""
     if isinstance(message, list):
         return sum(map(_size, message)) + 2
     return len(message) if isinstance(message, bytes | str) else 8
