--- a/amberlug/copies/machine.py
+++ b/amberlug/copies/machine.py
@@ -245,7 +245,7 @@
         """A relay reports the highest watermark that it has observed of this one's disk."""
         if any(mine < most for mine, most in zip(self._host.water(), seen, strict=False)):
             # Guards against a restored backup: what this relay accepted, did and promised since is missing.
-            say(f"copies: this folder is older than what {name} has seen of it")
+            say(f"copies: this state directory is outdated: {name} has seen newer data of it")
             self.over = True
             self._host.old_folder()
             return
@@ -402,7 +402,8 @@
         of = self.holder.logs.get(meta.log)
         number = max(of.promised[0] if of is not None else 0, self._above.get(meta.log, 0)) + 1
         ballot = (number, self.name, self.incarnation)
-        say(f"copies: asks to follow {(of.promised if of is not None else meta.first)[1]} in {meta.log}")
+        owner = (of.promised if of is not None else meta.first)[1]
+        say(f"copies: attempting take-over from {owner} of log {meta.log}")
         following = self.followings[meta.log] = Following(meta, ballot, now_us, self._send)
         for name, incarnation in meta.ensemble:
             it = self.neighbours.get(name)
@@ -423,7 +424,7 @@
             for name, copy in copies.items()
             if copy.live and (copy.taken is None or int(copy.taken[5]) > forgotten_ms)
         }
-        say(f"copies: follows in {log}, {len(live)} messages")
+        say(f"copies: took over log {log}, {len(live)} messages")
         owner = self._owner(following.meta, following.ballot, None)
         for name, copy in live.items():
             owner.adopt(name, copy, now_us)
@@ -439,7 +440,7 @@
             if newest == log:
                 del self.newest[need]
         known, kept = owner.known(), True
-        say(f"copies: {by[1]} follows this relay in {log}, {len(known)} messages")
+        say(f"copies: fenced: {by[1]} has taken over log {log}, {len(known)} messages")
         if owner.ballot == owner.meta.first:
             try:
                 self.holder.keep(owner.meta, by, known)
--- a/amberlug/peers/frames.py
+++ b/amberlug/peers/frames.py
@@ -90,7 +90,7 @@
                 return
             head, payload = bytes(self._rest[: _HEAD.size]), bytes(self._rest[_HEAD.size : end])
             if bytes(self._rest[end : end + SEAL]) != _seal(self._key, self._number, head, payload):
-                raise BadFrameError("a frame with a wrong seal")
+                raise BadFrameError("frame with an invalid authentication tag")
             self._number += 1
             del self._rest[: end + SEAL]
             yield Kind(kind), _unpacked(payload)
--- a/tests/test_copies.py
+++ b/tests/test_copies.py
@@ -1,4 +1,4 @@
-"""Several processes of the program that hold messages for each other, while machines and links fail."""
+"""Replication between relay processes while machines, disks and links fail."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 
 from amberlug.standin.fleet import Fleet, Relay
 
-LONG = 90.0  # seconds after which a scenario hangs
+TIMEOUT_S = 90.0
 
 
 def run(scenario: Coroutine[Any, Any, None]) -> None:
     async def limited() -> None:
-        async with asyncio.timeout(LONG):
+        async with asyncio.timeout(TIMEOUT_S):
             await scenario
 
     asyncio.run(limited())
@@ -25,7 +25,7 @@
 
 @asynccontextmanager
 async def fleet(folder: Path, relays: int = 3, **options: Any) -> AsyncIterator[Fleet]:
-    """A fleet in which nothing may be broken in the end."""
+    """A fleet; at the end, no promise may be broken."""
     async with Fleet(folder, relays, **options) as rig:
         yield rig
         rig.heal()
@@ -34,7 +34,7 @@
 
 
 async def held_calls(rig: Fleet, relay: Relay, *kinds: str) -> list[str]:
-    """Hand in what partners then leave without an answer; the names of it."""
+    """Hand in messages whose calls partners leave unanswered; returns the names."""
     rig.holding = True
     names = [f"held-{number}" for number in range(len(kinds))]
     for name, kind in zip(names, kinds, strict=True):
@@ -46,7 +46,7 @@
 ALL = "payment", "entry", "result"
 
 
-def test_a_machine_that_is_lost_with_its_disk_loses_nothing_that_it_promised(tmp_path: Path) -> None:
+def test_losing_a_machine_and_its_disk_loses_no_promised_message(tmp_path: Path) -> None:
     async def scenario() -> None:
         async with fleet(tmp_path) as rig:
             lost = rig.relays[0]
@@ -59,14 +59,14 @@
             rig.holding = False
             await load
             assert await rig.ended() == []
-            # The one that comes back under its name is another one, and serves.
+            # The relay restarts on an empty disk as a new incarnation, and serves.
             await lost.start()
             await rig.linked()
 
     run(scenario())
 
 
-def test_what_had_been_called_for_is_not_called_for_again_unless_that_is_safe(tmp_path: Path) -> None:
+def test_after_take_over_only_safe_messages_are_attempted_again(tmp_path: Path) -> None:
     async def scenario() -> None:
         async with fleet(tmp_path) as rig:
             names = await held_calls(rig, rig.relays[0], *ALL * 3)
@@ -81,7 +81,7 @@
     run(scenario())
 
 
-def test_the_origin_and_a_holder_lost_in_the_same_second(tmp_path: Path) -> None:
+def test_origin_and_holder_lost_at_once(tmp_path: Path) -> None:
     async def scenario() -> None:
         async with fleet(tmp_path, 5, copies=2) as rig:
             load = asyncio.ensure_future(rig.load(60, 2.0))
@@ -92,7 +92,7 @@
     run(scenario())
 
 
-def test_the_successor_lost_too(tmp_path: Path) -> None:
+def test_successor_lost_during_take_over(tmp_path: Path) -> None:
     async def scenario() -> None:
         async with fleet(tmp_path, 5, copies=2) as rig:
             await held_calls(rig, rig.relays[0], *ALL * 2)
@@ -100,7 +100,7 @@
             others, begun = rig.relays[1:], asyncio.Event()
 
             async def watch(relay: Relay) -> None:
-                await relay.said("asks to follow n0")
+                await relay.said("attempting take-over from n0")
                 if not begun.is_set():
                     begun.set()
                     await relay.kill(empty=True)
@@ -116,24 +116,24 @@
 
 
 @pytest.mark.parametrize("both", [True, False], ids=["both ways", "one way"])
-def test_one_that_is_cut_off_stops_and_another_goes_on(tmp_path: Path, both: bool) -> None:
+def test_partitioned_owner_stops_and_a_successor_takes_over(tmp_path: Path, both: bool) -> None:
     async def scenario() -> None:
         async with fleet(tmp_path) as rig:
             cut, *others = rig.relays
             await held_calls(rig, cut, *ALL)
             rig.sever([cut], others, both)
-            assert await rig.hand_in(cut) in (0, 503)  # never 202: nobody else has it
+            assert await rig.hand_in(cut) in (0, 503)  # never 202: no other relay could store it
             rig.holding = False
             assert await rig.ended() == []
             rig.heal()
-            await cut.said("follows this relay")
-            rig.release()  # the cut one hears the answers, which count for nothing any more
+            await cut.said("has taken over log")
+            rig.release()  # the fenced relay receives the answers, which must have no effect
             await rig.linked()
 
     run(scenario())
 
 
-def test_a_cut_in_three_takes_nothing_on_and_ends_nothing_twice(tmp_path: Path) -> None:
+def test_three_way_partition_accepts_nothing_and_reports_no_end_twice(tmp_path: Path) -> None:
     async def scenario() -> None:
         async with fleet(tmp_path) as rig:
             await held_calls(rig, rig.relays[0], *ALL)
@@ -148,7 +148,7 @@
     run(scenario())
 
 
-def test_one_that_was_paused_wakes_up_and_does_no_harm(tmp_path: Path) -> None:
+def test_paused_owner_is_fenced_when_it_resumes(tmp_path: Path) -> None:
     async def scenario() -> None:
         async with fleet(tmp_path) as rig:
             paused = rig.relays[0]
@@ -164,7 +164,7 @@
     run(scenario())
 
 
-def test_a_restart_with_its_folder_goes_on_with_what_it_held(tmp_path: Path) -> None:
+def test_restart_with_intact_folder_resumes_its_logs(tmp_path: Path) -> None:
     async def scenario() -> None:
         async with fleet(tmp_path, suspect_s=8.0) as rig:
             relay = rig.relays[0]
@@ -173,12 +173,12 @@
             rig.holding = False
             await relay.start()
             assert await rig.ended() == []
-            assert not any("follows in" in line for it in rig.relays[1:] for line in it.log)
+            assert not any("took over log" in line for it in rig.relays[1:] for line in it.log)
 
     run(scenario())
 
 
-def test_one_that_closes_is_followed_at_once(tmp_path: Path) -> None:
+def test_clean_shutdown_is_taken_over_without_waiting(tmp_path: Path) -> None:
     async def scenario() -> None:
         async with fleet(tmp_path, suspect_s=30.0) as rig:
             await held_calls(rig, rig.relays[0], *ALL)
@@ -189,7 +189,7 @@
     run(scenario())
 
 
-def test_a_folder_that_was_put_back_is_not_gone_by(tmp_path: Path) -> None:
+def test_restored_old_folder_is_rejected(tmp_path: Path) -> None:
     async def scenario() -> None:
         async with fleet(tmp_path) as rig:
             relay = rig.relays[0]
@@ -197,17 +197,17 @@
             kept = relay.keep_folder()
             rig.release()
             assert await rig.ended() == []
-            assert await rig.hand_in(relay) == 202  # others have seen more of its folder by now
+            assert await rig.hand_in(relay) == 202  # other relays have now seen newer data of its folder
             await relay.kill()
             relay.put_back(kept)
             await relay.start()
-            await relay.said("this folder is older than")
+            await relay.said("this state directory is outdated")
             await rig.linked()
 
     run(scenario())
 
 
-def test_half_of_the_fleet_and_then_the_other(tmp_path: Path) -> None:
+def test_half_of_the_fleet_lost_and_then_the_other_half(tmp_path: Path) -> None:
     async def scenario() -> None:
         async with fleet(tmp_path, 5, copies=2) as rig:
             for half in (rig.relays[:2], rig.relays[2:4]):
@@ -218,13 +218,13 @@
                 assert await rig.ended() == []
                 await asyncio.gather(*(it.start() for it in half))
                 await rig.linked()
-                await asyncio.sleep(2.5)  # as long as it takes until those that came back hold what is new
+                await asyncio.sleep(2.5)  # until the restarted relays hold new messages
 
     run(scenario())
 
 
 @pytest.mark.parametrize("what", ["reset", "flip", "delay", "throttle"])
-def test_links_that_break_spoil_or_crawl_lose_nothing(tmp_path: Path, what: str) -> None:
+def test_faulty_links_lose_no_message(tmp_path: Path, what: str) -> None:
     async def scenario() -> None:
         async with fleet(tmp_path) as rig:
             load = asyncio.ensure_future(rig.load(60, 2.0))
@@ -244,13 +244,13 @@
 
 
 @pytest.mark.parametrize("when_short", ["refuse", "take"])
-def test_too_few_holders_are_told_or_counted_and_made_whole(tmp_path: Path, when_short: str) -> None:
+def test_too_few_holders_refuse_or_replicate_later(tmp_path: Path, when_short: str) -> None:
     async def scenario() -> None:
         async with fleet(tmp_path, when_short=when_short) as rig:
             relay, *others = rig.relays
             for it in others:
                 await it.kill()
-            await asyncio.sleep(0.2)  # it hears of their end at once
+            await asyncio.sleep(0.2)  # it notices the closed links at once
             status = await rig.hand_in(relay, "result")
             assert status == (503 if when_short == "refuse" else 202)
             assert await rig.hand_in(relay) == status
@@ -261,18 +261,18 @@
     run(scenario())
 
 
-def test_the_same_id_at_two_relays_while_one_is_followed(tmp_path: Path) -> None:
+def test_same_message_id_at_a_holder_during_take_over(tmp_path: Path) -> None:
     async def scenario() -> None:
         async with fleet(tmp_path) as rig:
             (name,) = await held_calls(rig, rig.relays[0], "payment")
             await rig.relays[0].kill(empty=True)
             rig.holding = False
-            asks = [asyncio.ensure_future(it.said("asks to follow n0")) for it in rig.relays[1:]]
+            asks = [asyncio.ensure_future(it.said("attempting take-over from n0")) for it in rig.relays[1:]]
             await asyncio.wait(asks, return_when=asyncio.FIRST_COMPLETED)
             holder = rig.relays[1:][[it.done() for it in asks].index(True)]
             while not rig.promises.tracks[name].ends:
                 assert await rig.hand_in(holder, "payment", name) in (202, 503)
-            assert await rig.hand_in(holder, "payment", name) == 202  # it was taken on, by whomever
+            assert await rig.hand_in(holder, "payment", name) == 202  # another relay has accepted it
             assert rig.promises.tracks[name].effects == 1
             for it in asks:
                 it.cancel()
@@ -280,7 +280,7 @@
     run(scenario())
 
 
-def test_strangers_are_dropped(tmp_path: Path) -> None:
+def test_unauthenticated_connection_is_closed(tmp_path: Path) -> None:
     (tmp_path / "key").write_bytes(b"k" * 32)
 
     async def scenario() -> None:
@@ -289,14 +289,14 @@
             writer.write(b"AL\x01\x01\x00\x00\x00\x05hello" + b"x" * 16)
             assert await reader.read() == b""
             writer.close()
-            await rig.relays[0].said("a frame with a wrong seal")
+            await rig.relays[0].said("frame with an invalid authentication tag")
             assert await rig.hand_in(rig.relays[0]) == 202
 
     run(scenario())
 
 
-def test_without_copies_a_lost_machine_is_seen_to_lose_what_it_promised(tmp_path: Path) -> None:
-    """The control: what the checker says of a fleet that holds nothing for each other."""
+def test_checker_reports_lost_messages_without_copies(tmp_path: Path) -> None:
+    """The control: without replication, the checker must report the lost messages."""
 
     async def scenario() -> None:
         async with Fleet(tmp_path, 3, copies=0) as rig:
@@ -309,7 +309,7 @@
     run(scenario())
 
 
-def test_holders_without_room_refuse_and_lose_nothing(tmp_path: Path) -> None:
+def test_full_holders_refuse_and_lose_nothing(tmp_path: Path) -> None:
     async def scenario() -> None:
         async with fleet(tmp_path, room_mb=0.1) as rig:
             rig.holding = True
@@ -323,12 +323,12 @@
     run(scenario())
 
 
-def test_two_that_call_themselves_by_one_name_are_found_out_and_harm_nothing(tmp_path: Path) -> None:
+def test_two_relays_with_one_name_are_detected_and_lose_nothing(tmp_path: Path) -> None:
     async def scenario() -> None:
         async with fleet(tmp_path) as rig:
             other = Relay(rig, 0)
             other.folder = tmp_path / "impostor"
-            rig.relays.append(other)  # so that it is ended with the others
+            rig.relays.append(other)  # so that it is stopped with the others
             load = asyncio.ensure_future(rig.load(40, 1.5, *rig.relays[:3]))
             await other.start()
             await rig.relays[1].said("two relays call themselves n0")
--- a/tests/test_copies_machine.py
+++ b/tests/test_copies_machine.py
@@ -1,4 +1,4 @@
-"""What relays hold for each other, as machines: drawn schedules, all schedules of a small world, mutants."""
+"""The replication state machines under random and exhaustive schedules, and mutations of their checks."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 from amberlug.lab.copies import play
 from amberlug.lab.explore import TROUBLES, explore
 
-# Relays, copies, machines lost with their disks, and how many schedules a test draws.
+# Relays, copies, machines lost with their disks, and the number of random schedules.
 WORLDS = [(3, 1, 1, 500), (4, 1, 1, 500), (5, 2, 2, 200)]
 
 
 @pytest.mark.parametrize(("relays", "copies", "losses", "count"), WORLDS)
-def test_drawn_schedules_lose_nothing_and_repeat_nothing(
+def test_random_schedules_lose_nothing_and_repeat_nothing(
     relays: int, copies: int, losses: int, count: int
 ) -> None:
     promised = 0
@@ -26,24 +26,26 @@
         world, broken = play(seed, relays, copies, losses=losses)
         assert broken == [], f"seed {seed}"
         promised += len(world.checker.promised)
-    assert promised > count / 2  # the schedules are no dead ones
+    assert promised > count / 2  # guards against schedules in which nothing is accepted
 
 
 @pytest.mark.parametrize("troubles", [TROUBLES, ("cut",), ("lost", "dies")], ids=["all", "cut", "lost"])
-def test_all_schedules_of_a_small_world_up_to_a_depth(troubles: tuple[str, ...]) -> None:
+def test_all_schedules_of_a_small_model_up_to_a_depth(troubles: tuple[str, ...]) -> None:
     found = explore(2500, troubles=troubles)
     assert found.broken == []
     assert found.depth >= (3 if troubles == TROUBLES else 5)
 
 
-# Each guard that is taken out, and what stands in its place.
+# Mutations: each replaces one safety check.
 
 
-def _counts_at_once(self: owner.Entry, need: int) -> bool:
+def _commits_at_once(self: owner.Entry, need: int) -> bool:
     return True
 
 
-def _unfenced(self: holder.Holder, log: str, ballot: states.Ballot, number: int, told: Any) -> list[Any]:
+def _without_fencing(
+    self: holder.Holder, log: str, ballot: states.Ballot, number: int, told: Any
+) -> list[Any]:
     of = self.logs.get(log)
     if of is None:
         return ["nack", log, number, "unknown", None]
@@ -53,8 +55,8 @@
     return ["ack", log, number]
 
 
-def _at_once(*kinds: Kind) -> Callable[..., None]:
-    """Records of some kinds count before anybody has them."""
+def _commits_kinds_at_once(*kinds: Kind) -> Callable[..., None]:
+    """Commit records of some kinds before any holder stores them."""
     real = owner.Owner.record
 
     def record(self: owner.Owner, name: str, kind: Kind, told: list[Any], now_us: int) -> None:
@@ -68,13 +70,13 @@
     return record
 
 
-def _forgetful(self: lab.MemoryStore, meta: states.Meta, ballot: states.Ballot) -> None:
+def _promise_in_first_ballot_only(self: lab.MemoryStore, meta: states.Meta, ballot: states.Ballot) -> None:
     if not any(entry[1] == meta.log for entry in self.entries):
         self._keep(meta.packed(), meta.log, "", "", meta.first, [])
 
 
-class _AnyDisk(str):
-    """An incarnation that is like each other one."""
+class _AnyIncarnation(str):
+    """An incarnation that equals every other one."""
 
     __slots__ = ()
     __hash__ = str.__hash__
@@ -86,58 +88,56 @@
         return False
 
 
-def _any_disk(self: states.Meta, name: str) -> str | None:
-    return _AnyDisk() if name in dict(self.ensemble) else None
+def _any_incarnation(self: states.Meta, name: str) -> str | None:
+    return _AnyIncarnation() if name in dict(self.ensemble) else None
 
 
-def _never_again(self: owner.Owner, name: str, batch: owner.Batch) -> None:
+def _no_resend(self: owner.Owner, name: str, batch: owner.Batch) -> None:
     return None
 
 
-def _believes(self: machine.Machine, name: str, own: str, now_us: int, seen: list[int]) -> None:
+def _always_confirmed(self: machine.Machine, name: str, own: str, now_us: int, seen: list[int]) -> None:
     self.confirmed = True
 
 
-# Relays and copies, and the seeds.
+# Relays and copies, and the seeds to play.
 WHERE: dict[str, tuple[tuple[int, int], range]] = {
-    "acknowledged before held": ((4, 1), range(200)),
+    "acknowledged before stored": ((4, 1), range(200)),
     "no fencing": ((3, 1), range(200)),
-    "attempt not copied": ((3, 1), range(100)),
-    "end told before recorded": ((3, 1), range(100)),
-    "followed with too few": ((4, 1), range(100)),
-    "ballot not kept on disk": ((4, 1), range(200)),
-    "new disk believed": ((3, 1), range(700, 900)),
-    "old folder believed": ((3, 1), range(100, 300)),
-    "catch-up that skips": ((3, 1), range(100)),
+    "attempt not replicated": ((3, 1), range(100)),
+    "end reported before committed": ((3, 1), range(100)),
+    "take-over without read quorum": ((4, 1), range(100)),
+    "promise not persisted": ((4, 1), range(200)),
+    "incarnation not checked": ((3, 1), range(700, 900)),
+    "watermark not checked": ((3, 1), range(100, 300)),
+    "nothing resent after a lost link": ((3, 1), range(100)),
 }
 MUTANTS: dict[str, tuple[object, str, Any]] = {
-    "acknowledged before held": (owner.Entry, "counts", _counts_at_once),
-    "no fencing": (holder.Holder, "records", _unfenced),
-    "attempt not copied": (owner.Owner, "record", _at_once(Kind.ATTEMPT)),
-    "end told before recorded": (owner.Owner, "record", _at_once(Kind.OWED)),
-    "followed with too few": (states.Meta, "reads", property(lambda self: 1)),
-    "ballot not kept on disk": (lab.MemoryStore, "promise", _forgetful),
-    "new disk believed": (states.Meta, "incarnation_of", _any_disk),
-    "old folder believed": (machine.Machine, "_on_water", _believes),
-    "catch-up that skips": (owner.Owner, "_again", _never_again),
+    "acknowledged before stored": (owner.Entry, "counts", _commits_at_once),
+    "no fencing": (holder.Holder, "records", _without_fencing),
+    "attempt not replicated": (owner.Owner, "record", _commits_kinds_at_once(Kind.ATTEMPT)),
+    "end reported before committed": (owner.Owner, "record", _commits_kinds_at_once(Kind.OWED)),
+    "take-over without read quorum": (states.Meta, "reads", property(lambda self: 1)),
+    "promise not persisted": (lab.MemoryStore, "promise", _promise_in_first_ballot_only),
+    "incarnation not checked": (states.Meta, "incarnation_of", _any_incarnation),
+    "watermark not checked": (machine.Machine, "_on_water", _always_confirmed),
+    "nothing resent after a lost link": (owner.Owner, "_again", _no_resend),
 }
 
 
 @pytest.mark.parametrize("mutant", MUTANTS)
-def test_a_guard_that_is_taken_out_is_found(mutant: str, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_mutation_is_found(mutant: str, monkeypatch: pytest.MonkeyPatch) -> None:
     of, name, instead = MUTANTS[mutant]
     monkeypatch.setattr(of, name, instead)
-    if mutant == "old folder believed":
+    if mutant == "watermark not checked":
         handlers = machine.Machine._handlers | {"water": instead}
         monkeypatch.setattr(machine.Machine, "_handlers", handlers)
-    # Seeds near the first that finds it, of some 1,500 looked through: the whole search takes minutes.
+    # Seeds near the first that finds the mutation, of about 1,500 searched: the full search takes minutes.
     assert any(play(seed, *WHERE[mutant][0])[1] for seed in WHERE[mutant][1])
 
 
-@pytest.mark.parametrize("mutant", ["attempt not copied", "followed with too few"])
-def test_a_guard_that_is_taken_out_is_found_within_a_few_steps(
-    mutant: str, monkeypatch: pytest.MonkeyPatch
-) -> None:
+@pytest.mark.parametrize("mutant", ["attempt not replicated", "take-over without read quorum"])
+def test_a_mutation_is_found_within_a_few_steps(mutant: str, monkeypatch: pytest.MonkeyPatch) -> None:
     of, name, instead = MUTANTS[mutant]
     monkeypatch.setattr(of, name, instead)
     found = explore(6000, settle_each=20)
--- a/tests/test_copies_store.py
+++ b/tests/test_copies_store.py
@@ -1,4 +1,4 @@
-"""A holder's disk: what it keeps over deaths, damage and want of room."""
+"""A holder's storage across crashes, damage and lack of room."""
 
 from __future__ import annotations
 
@@ -41,18 +41,18 @@
     return max(folder.glob("copies-*.log"))
 
 
-def test_a_promise_and_what_is_held_outlast_the_process(tmp_path: Path) -> None:
+def test_promises_and_records_survive_a_restart(tmp_path: Path) -> None:
     store = open_in(tmp_path)
     keep(store, "m1")
     store.promise(META, (4, "n2", "cc"))
     store.saw("n2", "cc", (5, 6))
     before = store.sequence
-    for _ in range(3):  # each start begins a file, and the one before goes once all of it is copied
+    for _ in range(3):  # each start begins a file, and deletes the older one once it is copied
         store = open_in(tmp_path)
         assert names(store) == {"m1"}
         assert store.logs[META.log].promised == (4, "n2", "cc")
         assert store.seen == {"n2": ("cc", (5, 6))}
-        assert store.sequence >= before, "what is said of how much was kept must never go back"
+        assert store.sequence >= before, "the watermark must never decrease"
         before = store.sequence
         for _ in range(5):
             store.work()
@@ -61,7 +61,7 @@
     assert open_in(tmp_path).logs == {}
 
 
-def test_a_death_at_any_byte_of_a_write_keeps_all_that_was_answered_for(tmp_path: Path) -> None:
+def test_a_crash_at_any_byte_of_a_write_keeps_all_acknowledged_records(tmp_path: Path) -> None:
     store = open_in(tmp_path)
     keep(store, "m1")
     size = newest(tmp_path).stat().st_size
@@ -74,18 +74,18 @@
         assert names(open_in(folder)) == {"m1"}
 
 
-def test_a_death_while_it_is_made_anew_loses_nothing(tmp_path: Path) -> None:
+def test_a_crash_during_compaction_loses_nothing(tmp_path: Path) -> None:
     store = open_in(tmp_path)
     for number in range(300):
         keep(store, f"m{number}", size=10)
     again = open_in(tmp_path)
-    again.work()  # one slice of several
+    again.work()  # one step of several
     assert len(list(tmp_path.glob("copies-*.log"))) == 2
     keep(again, "late")
     assert names(open_in(tmp_path)) == {f"m{number}" for number in range(300)} | {"late"}
 
 
-def test_a_flipped_bit_is_no_copy_to_be_believed(tmp_path: Path) -> None:
+def test_a_flipped_bit_is_reported_as_damage(tmp_path: Path) -> None:
     store = open_in(tmp_path)
     for number in range(20):
         keep(store, f"m{number}")
@@ -97,14 +97,14 @@
         open_in(tmp_path)
 
 
-def test_a_bit_that_flips_while_it_runs_is_found_and_written_anew(
+def test_a_bit_flip_at_run_time_is_found_and_the_file_rewritten(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr("amberlug.copies.store.SCRUB", 1000)
     store = open_in(tmp_path)
     for number in range(40):
         keep(store, f"m{number}")
-    store.work()  # what it began with is copied
+    store.work()  # finishes the compaction begun at the start
     path = newest(tmp_path)
     data = bytearray(path.read_bytes())
     data[HEAD_SIZE + 900] ^= 4
@@ -116,7 +116,7 @@
     assert names(open_in(tmp_path)) == {f"m{number}" for number in range(40)}
 
 
-def test_a_burst_at_one_relay_leaves_room_for_the_copies_of_another(tmp_path: Path) -> None:
+def test_a_burst_of_one_origin_leaves_room_for_another(tmp_path: Path) -> None:
     store = open_in(tmp_path)
 
     def burst() -> None:
@@ -130,7 +130,7 @@
     assert sum(path.stat().st_size for path in tmp_path.iterdir()) <= ROOM
 
 
-def test_what_has_ended_gives_its_room_back(tmp_path: Path) -> None:
+def test_ended_messages_free_their_room(tmp_path: Path) -> None:
     store = open_in(tmp_path)
     for number in range(2000):
         keep(store, f"m{number}", size=500)
--- a/tests/test_fleet_file.py
+++ b/tests/test_fleet_file.py
@@ -1,4 +1,4 @@
-"""What an operator's file of the fleet may say, frames of links, and who is asked to hold what."""
+"""The fleet file, link frames, placement of holders, and merging of records."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 SAMPLE = ROOT / "deploy" / "fleet.example.toml"
 
 
-def test_the_sample_is_good(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
+def test_the_example_file_is_valid(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
     path = tmp_path / "fleet.toml"
     path.write_text(SAMPLE.read_text(encoding="utf-8"), encoding="utf-8")
     (tmp_path / "fleet.key").write_bytes(b"k" * 32)
@@ -48,14 +48,14 @@
         ("suspect_s = 'x'", "suspect_s"),
     ],
 )
-def test_each_mistake_is_told_with_its_place(tmp_path: Path, change: str, where: str) -> None:
+def test_each_error_is_reported_with_its_place(tmp_path: Path, change: str, where: str) -> None:
     key = change.partition("=")[0].strip()
     whole = SAMPLE.read_text(encoding="utf-8").splitlines()
     lines = [it for it in whole if it.partition("=")[0].strip() != key]
     text = "\n".join([change, *lines])
     if key == "classes":
         text = text.replace("[classes]", "").replace("fee-payment = 2", "")
-    if key == "name":  # only the relay's own: members have one, too
+    if key == "name":  # only the relay's own name: members have names, too
         text = SAMPLE.read_text(encoding="utf-8").replace('name = "n0"', change, 1)
     (tmp_path / "fleet.key").write_bytes(b"k" * 32)
     read, problems = fleet.read(tomllib.loads(text), tmp_path)
@@ -63,7 +63,7 @@
     assert where in [it.where for it in problems]
 
 
-def test_members_that_are_alike_or_no_members_are_told(tmp_path: Path) -> None:
+def test_duplicate_missing_and_malformed_members_are_reported(tmp_path: Path) -> None:
     one = {"name": "a", "address": "127.0.0.1:1"}
     for told in ([], "x", [one, one], [{"name": "a b", "address": "127.0.0.1:1"}], [one, 3], [{"name": "a"}]):
         read, problems = fleet.read({"name": "a", "copies": 0, "member": told}, tmp_path)
@@ -71,7 +71,7 @@
         assert problems
 
 
-def test_a_folder_keeps_its_word_and_an_empty_one_draws_another(tmp_path: Path) -> None:
+def test_a_folder_keeps_its_incarnation_and_an_empty_one_gets_another(tmp_path: Path) -> None:
     one, other = tmp_path / "a", tmp_path / "b"
     one.mkdir()
     other.mkdir()
@@ -85,7 +85,7 @@
 CONTENT = [1, "two", [b"three", None, 4.5, {"five": True}]]
 
 
-def test_frames_come_in_any_parts_and_each_cut_waits_for_the_rest() -> None:
+def test_frames_are_decoded_from_any_chunks() -> None:
     sealer = Sealer(KEY)
     data = sealer.frame(Frame.MESSAGES, CONTENT) + sealer.frame(Frame.MESSAGES, [2])
     for cut in range(len(data) + 1):
@@ -98,36 +98,37 @@
 
 
 @given(st.integers(0, 10**6), st.integers(1, 255))
-def test_a_spoilt_byte_ends_the_connection_or_is_waited_on(at: int, by: int) -> None:
+def test_a_changed_byte_is_rejected_or_leaves_the_frame_incomplete(at: int, by: int) -> None:
     data = bytearray(Sealer(KEY).frame(Frame.MESSAGES, CONTENT))
     data[at % len(data)] ^= by
     opener = Opener(KEY)
     opener.feed(bytes(data))
     with suppress(BadFrameError):
-        assert list(opener.frames()) == []  # its length grew: the rest never comes with a seal that fits
+        # With a greater length the frame stays incomplete: no tag fits later data.
+        assert list(opener.frames()) == []
 
 
 @given(st.binary(max_size=400))
-def test_garbage_is_never_a_frame(data: bytes) -> None:
+def test_random_bytes_are_never_a_frame(data: bytes) -> None:
     opener = Opener(KEY)
     opener.feed(data)
     with suppress(BadFrameError):
         assert list(opener.frames()) == []
 
 
-def test_frames_of_another_place_connection_or_key_do_not_pass() -> None:
+def test_replayed_frames_and_frames_of_another_key_are_rejected() -> None:
     sealer = Sealer(KEY)
     first, second = sealer.frame(Frame.MESSAGES, [1]), sealer.frame(Frame.MESSAGES, [2])
     for key, data in ((KEY, second), (KEY, first + first), (key_of(b"k" * 32, b"other"), first)):
         opener = Opener(key)
         opener.feed(data)
-        with pytest.raises(BadFrameError, match="seal"):
+        with pytest.raises(BadFrameError, match="authentication tag"):
             list(opener.frames())
     with pytest.raises(ValueError, match="a frame of"):
         sealer.frame(Frame.MESSAGES, [b"x" * (1 << 21)])
 
 
-def test_versions_are_the_newest_that_both_speak() -> None:
+def test_the_newest_common_version_is_chosen() -> None:
     assert version_of([1, 9]) == 1
     with pytest.raises(BadFrameError):
         version_of([2, 9])
@@ -138,7 +139,7 @@
 
 
 @given(st.integers(3, 40), st.integers(1, 40), st.integers(1, 4), st.integers(1, 2), st.randoms())
-def test_holders_are_on_machines_of_their_own_and_in_other_zones_first(
+def test_holders_are_on_distinct_machines_and_in_other_zones_first(
     count: int, machines: int, zones: int, need: int, chance: object
 ) -> None:
     members = [member(number, machines, zones) for number in range(count)]
@@ -150,7 +151,7 @@
     assert len({it.machine for it in placed} | {own.machine}) == len(placed) + 1
     if chosen and any(it.zone != own.zone and it.machine != own.machine for it in members):
         assert any(it.zone != own.zone for it in placed)
-    # The same at every relay, in whatever order it lists them; and one that is away comes last.
+    # Independent of the order of members; an unreachable relay comes last.
     assert chosen == ensemble(own.name, own, members[::-1], names, names, need)
     if len(others) > fleet.SPARE * need and chosen:
         spare = [it for it in members if it.machine not in {own.machine, placed[0].machine}]
@@ -173,7 +174,7 @@
 
 
 @given(st.lists(st.tuples(st.sampled_from(RECORDS), st.sampled_from(BALLOTS[:1])), max_size=9), st.randoms())
-def test_records_of_an_owner_add_up_in_any_order_and_any_number_of_times(
+def test_records_of_an_owner_merge_in_any_order_and_any_number_of_times(
     told: list[tuple[tuple[Kind, list[object]], tuple[int, str, str]]], chance: object
 ) -> None:
     one, other = Copy(), Copy()
@@ -187,6 +188,6 @@
 @pytest.mark.parametrize(
     "told", [None, [], [1, 2], ["x"] * 6, [[0, "a", "b"], [1], [], [0, True, b""], 3, None]]
 )
-def test_a_state_that_is_none_is_an_error(told: object) -> None:
-    with pytest.raises(ValueError):  # noqa: PT011 - whatever is wrong with it
+def test_a_malformed_state_is_an_error(told: object) -> None:
+    with pytest.raises(ValueError):  # noqa: PT011 - the message depends on the input
         unpacked(told)  # type: ignore[arg-type]
