--- a/amberlug/copies/placing.py
+++ b/amberlug/copies/placing.py
@@ -6,7 +6,7 @@
 
 from xxhash import xxh64_intdigest
 
-from amberlug.peers.fleet import SPARE, Member
+from amberlug.peers.fleet import HOLDERS_PER_COPY, Member
 
 
 def ranked(key: str, names: Collection[str]) -> list[str]:
@@ -29,7 +29,7 @@
     able = {it.name: it for it in members if it.machine != own.machine and it.name in known}
     chosen: list[Member] = []
     left = [able[name] for name in ranked(key, able)]
-    while left and len(chosen) < SPARE * need:
+    while left and len(chosen) < HOLDERS_PER_COPY * need:
         zones = [it.zone for it in chosen]
         # Take the least used zone; the origin's own zone counts as used once more.
         best = min(
@@ -42,4 +42,4 @@
         )
         chosen.append(best)
         left = [it for it in left if it.machine != best.machine]
-    return [it.name for it in chosen] if len(chosen) == SPARE * need else []
+    return [it.name for it in chosen] if len(chosen) == HOLDERS_PER_COPY * need else []
--- a/amberlug/peers/fleet.py
+++ b/amberlug/peers/fleet.py
@@ -18,9 +18,9 @@
 from amberlug.core.ports import Address
 from amberlug.platform.checking import Problem
 
-MEMBERS_MOST = 200
-SPARE = 2  # possible holders per required copy: a quorum is left when a machine is lost
-KEY_LEAST, KEY_MOST = 16, 4096  # size of the key file in bytes
+MAX_MEMBERS = 200
+HOLDERS_PER_COPY = 2  # possible holders per required copy: a quorum is left when a machine is lost
+MIN_KEY_BYTES, MAX_KEY_BYTES = 16, 4096  # size of the key file in bytes
 
 
 class WhenShort(Enum):
@@ -64,7 +64,7 @@
     @property
     def own(self) -> Member:
         """The member that is this relay."""
-        return next(it for it in self.members if it.name == self.name)
+        return next(member for member in self.members if member.name == self.name)
 
     def copies_of(self, message_class: str) -> int:
         """On how many further relays a message of a class is stored."""
@@ -82,9 +82,9 @@
     "remember_s": (30, 86_400),
     "room_mb": (0.1, 1e6),
 }
-_WHOLE = ("copies", "bound_ms")
-_TEXTS = ("name", "when_short", "key_file", "listen")
-_MEMBER = ("name", "address", "machine", "zone")
+_INTEGERS = ("copies", "bound_ms")
+_STRINGS = ("name", "when_short", "key_file", "listen")
+_MEMBER_SETTINGS = ("name", "address", "machine", "zone")
 
 
 def load(path: Path) -> Fleet:
@@ -102,77 +102,86 @@
 
 def read(table: Mapping[str, Any], folder: Path) -> tuple[Fleet | None, list[Problem]]:
     """Validate a table: the fleet, or None and all problems. Paths are relative to `folder`."""
-    wrong: list[Problem] = []
-    known = {*_BOUNDS, *_TEXTS, "member", "classes"}
-    wrong += [Problem(name, "no such setting") for name in table if name not in known]
-    given: dict[str, Any] = {name: _number(name, table[name], wrong) for name in _BOUNDS if name in table}
-    members = _members(table.get("member"), wrong)
+    problems: list[Problem] = []
+    known = {*_BOUNDS, *_STRINGS, "member", "classes"}
+    problems += [Problem(name, "no such setting") for name in table if name not in known]
+    given: dict[str, Any] = {name: _number(name, table[name], problems) for name in _BOUNDS if name in table}
+    members = _members(table.get("member"), problems)
     name = table.get("name")
-    if name not in [it.name for it in members]:
-        wrong.append(Problem("name", f"no member has this name: {name!r}"))
+    if name not in [member.name for member in members]:
+        problems.append(Problem("name", f"no member has this name: {name!r}"))
     if "when_short" in table:
         try:
             given["when_short"] = WhenShort(table["when_short"])
         except ValueError:
-            words = ", ".join(it.value for it in WhenShort)
-            wrong.append(Problem("when_short", f"must be one of {words}: {table['when_short']!r}"))
+            words = ", ".join(member.value for member in WhenShort)
+            problems.append(Problem("when_short", f"must be one of {words}: {table['when_short']!r}"))
     if "listen" in table:
-        given["listen"] = _address(table["listen"], "listen", wrong)
-    given["classes"] = _classes(table.get("classes", {}), wrong)
-    given["key"] = _key(table.get("key_file"), folder, wrong)
-    if wrong:
-        return None, wrong
+        given["listen"] = _address(table["listen"], "listen", problems)
+    given["classes"] = _classes(table.get("classes", {}), problems)
+    given["key"] = _key(table.get("key_file"), folder, problems)
+    if problems:
+        return None, problems
     fleet = Fleet(name=str(name), members=members, **given)
-    others = {it.machine for it in members} - {fleet.own.machine}
-    most = max([fleet.copies, *fleet.classes.values()])
-    if SPARE * most > len(others):
-        what = f"{most} copies need {SPARE * most} other machines; there are {len(others)}"
-        wrong.append(Problem("copies", what))
-    return (None if wrong else fleet), wrong
-
-
-def _number(name: str, value: Any, wrong: list[Problem]) -> float | int:
-    least, most = _BOUNDS[name]
-    whole = name in _WHOLE
-    fits = isinstance(value, int if whole else int | float) and not isinstance(value, bool)
-    if not fits or not least <= value <= most:
-        kind = "whole number" if whole else "number"
-        wrong.append(Problem(name, f"must be a {kind} from {least:g} to {most:g}: {value!r}"))
+    others = {member.machine for member in members} - {fleet.own.machine}
+    most_copies = max([fleet.copies, *fleet.classes.values()])
+    needed = HOLDERS_PER_COPY * most_copies
+    if needed > len(others):
+        what = f"{most_copies} copies need {needed} other machines; there are {len(others)}"
+        problems.append(Problem("copies", what))
+    return (None if problems else fleet), problems
+
+
+def _number(name: str, value: Any, problems: list[Problem]) -> float | int:
+    minimum, maximum = _BOUNDS[name]
+    integer = name in _INTEGERS
+    valid = isinstance(value, int if integer else int | float) and not isinstance(value, bool)
+    if not valid or not minimum <= value <= maximum:
+        kind = "whole number" if integer else "number"
+        problems.append(Problem(name, f"must be a {kind} from {minimum:g} to {maximum:g}: {value!r}"))
         return 0
-    return int(value) if whole else float(value)
+    return int(value) if integer else float(value)
 
 
-def _address(value: Any, where: str, wrong: list[Problem]) -> Address | None:
+def _address(value: Any, where: str, problems: list[Problem]) -> Address | None:
     try:
         return address(value)
     except (ValueError, AttributeError, TypeError):
-        wrong.append(Problem(where, f"must be an IP address and port: {value!r}"))
+        problems.append(Problem(where, f"must be an IP address and port: {value!r}"))
         return None
 
 
-def _members(told: Any, wrong: list[Problem]) -> tuple[Member, ...]:
-    if not isinstance(told, list) or not told:
-        wrong.append(Problem("member", "must be a non-empty list of tables"))
+def _members(tables: Any, problems: list[Problem]) -> tuple[Member, ...]:
+    if not isinstance(tables, list) or not tables:
+        problems.append(Problem("member", "must be a non-empty list of tables"))
         return ()
-    if len(told) > MEMBERS_MOST:
-        wrong.append(Problem("member", f"{len(told)} members; at most {MEMBERS_MOST} are allowed"))
+    if len(tables) > MAX_MEMBERS:
+        problems.append(Problem("member", f"{len(tables)} members; at most {MAX_MEMBERS} are allowed"))
     members: list[Member] = []
-    for number, it in enumerate(told):
+    for number, table in enumerate(tables):
         where = f"member[{number}]"
-        if not isinstance(it, Mapping):
-            wrong.append(Problem(where, "must be a table"))
+        if not isinstance(table, Mapping):
+            problems.append(Problem(where, "must be a table"))
             continue
-        wrong += [Problem(f"{where}.{name}", "no such setting") for name in it if name not in _MEMBER]
-        bad = [name for name in ("name", "machine", "zone") if not _is_name(it.get(name, it.get("name")))]
-        wrong += [Problem(f"{where}.{name}", f"missing, or no valid name: {it.get(name)!r}") for name in bad]
-        at = _address(it.get("address"), f"{where}.address", wrong)
+        problems += [
+            Problem(f"{where}.{name}", "no such setting") for name in table if name not in _MEMBER_SETTINGS
+        ]
+        bad = [
+            name for name in ("name", "machine", "zone") if not _is_name(table.get(name, table.get("name")))
+        ]
+        problems += [
+            Problem(f"{where}.{name}", f"missing, or no valid name: {table.get(name)!r}") for name in bad
+        ]
+        at = _address(table.get("address"), f"{where}.address", problems)
         if not bad and at is not None:
-            name = it["name"]
-            members.append(Member(name, at, it.get("machine", name), it.get("zone", "")))
+            name = table["name"]
+            members.append(Member(name, at, table.get("machine", name), table.get("zone", "")))
     for what in ("name", "address"):
-        values = [getattr(it, what) for it in members]
-        twice = {str(it) for it in values if values.count(it) > 1}
-        wrong += [Problem("member", f"two members have the {what} {it}") for it in sorted(twice)]
+        values = [getattr(member, what) for member in members]
+        duplicates = {str(value) for value in values if values.count(value) > 1}
+        problems += [
+            Problem("member", f"two members have the {what} {value}") for value in sorted(duplicates)
+        ]
     return tuple(members)
 
 
@@ -180,27 +189,29 @@
     return isinstance(value, str) and is_word(value)
 
 
-def _classes(told: Any, wrong: list[Problem]) -> dict[str, int]:
-    if not isinstance(told, Mapping):
-        wrong.append(Problem("classes", "not a table"))
+def _classes(table: Any, problems: list[Problem]) -> dict[str, int]:
+    if not isinstance(table, Mapping):
+        problems.append(Problem("classes", "must be a table"))
         return {}
-    least, most = _BOUNDS["copies"]
-    for name, value in told.items():
-        if isinstance(value, bool) or not isinstance(value, int) or not least <= value <= most:
-            wrong.append(
-                Problem(f"classes.{name}", f"not a whole number from {least:g} to {most:g}: {value!r}")
+    minimum, maximum = _BOUNDS["copies"]
+    for name, value in table.items():
+        if isinstance(value, bool) or not isinstance(value, int) or not minimum <= value <= maximum:
+            problems.append(
+                Problem(
+                    f"classes.{name}", f"must be a whole number from {minimum:g} to {maximum:g}: {value!r}"
+                )
             )
-    return dict(told)
+    return dict(table)
 
 
-def _key(path: Any, folder: Path, wrong: list[Problem]) -> bytes:
+def _key(path: Any, folder: Path, problems: list[Problem]) -> bytes:
     if path is None:
         return b""
     try:
         key: bytes = (folder / path).read_bytes().strip()
     except (OSError, TypeError) as error:
-        wrong.append(Problem("key_file", f"can't be read: {error}"))
+        problems.append(Problem("key_file", f"can't be read: {error}"))
         return b""
-    if not KEY_LEAST <= len(key) <= KEY_MOST:
-        wrong.append(Problem("key_file", f"the key must have {KEY_LEAST} to {KEY_MOST} bytes"))
+    if not MIN_KEY_BYTES <= len(key) <= MAX_KEY_BYTES:
+        problems.append(Problem("key_file", f"the key must have {MIN_KEY_BYTES} to {MAX_KEY_BYTES} bytes"))
     return key
--- a/tests/test_fleet_file.py
+++ b/tests/test_fleet_file.py
@@ -147,15 +147,15 @@
     chosen = ensemble(own.name, own, members, names, names, need)
     placed = [it for it in members if it.name in chosen]
     others = {it.machine for it in members} - {own.machine}
-    assert len(chosen) == (fleet.SPARE * need if len(others) >= fleet.SPARE * need else 0)
+    assert len(chosen) == (fleet.HOLDERS_PER_COPY * need if len(others) >= fleet.HOLDERS_PER_COPY * need else 0)
     assert len({it.machine for it in placed} | {own.machine}) == len(placed) + 1
     if chosen and any(it.zone != own.zone and it.machine != own.machine for it in members):
         assert any(it.zone != own.zone for it in placed)
     # Independent of the order of members; an unreachable relay comes last.
     assert chosen == ensemble(own.name, own, members[::-1], names, names, need)
-    if len(others) > fleet.SPARE * need and chosen:
+    if len(others) > fleet.HOLDERS_PER_COPY * need and chosen:
         spare = [it for it in members if it.machine not in {own.machine, placed[0].machine}]
-        if len({it.machine for it in spare}) >= fleet.SPARE * need:
+        if len({it.machine for it in spare}) >= fleet.HOLDERS_PER_COPY * need:
             assert placed[0].name not in ensemble(
                 own.name, own, members, names - {placed[0].name}, names, need
             )
