--- a/amberlug/copies/service.py
+++ b/amberlug/copies/service.py
@@ -93,7 +93,7 @@
         tidy_at = loop.time() + TIDY
         while True:
             await asyncio.sleep(TICK)
-            self._links.look()
+            self._links.check_links()
             self._journal.tick()
             if loop.time() >= tidy_at:
                 tidy_at = loop.time() + TIDY
--- a/amberlug/peers/frames.py
+++ b/amberlug/peers/frames.py
@@ -18,15 +18,15 @@
 
 VERSIONS = (1, 1)  # oldest and newest protocol version of this release
 MAGIC = b"AL"
-_HEAD = struct.Struct(">2sBBI")
-_NUMBER = struct.Struct(">Q")
-SEAL = 16  # bytes of the authentication tag
-FRAME_MOST = 1 << 20  # bytes of payload; a larger one closes the connection
-DEEP_MOST = 1 << 16  # entries of one list or map
-CONTEXT = "amberlug 2026-12 links between relays"
+_HEADER = struct.Struct(">2sBBI")
+_FRAME_NUMBER = struct.Struct(">Q")
+TAG_BYTES = 16  # bytes of the authentication tag
+MAX_PAYLOAD_BYTES = 1 << 20  # bytes of payload; a larger one closes the connection
+MAX_COLLECTION_ENTRIES = 1 << 16  # entries of one list or map
+KEY_CONTEXT = "amberlug 2026-12 links between relays"
 
 
-class Kind(IntEnum):
+class FrameKind(IntEnum):
     """Type of a frame."""
 
     HELLO = 1
@@ -38,34 +38,34 @@
     """Malformed or unauthentic input; the connection is to be closed."""
 
 
-def key_of(fleet_key: bytes, nonces: bytes = b"") -> bytes:
+def derive_key(fleet_key: bytes, nonces: bytes = b"") -> bytes:
     """Derive a connection's key; `nonces` are both sides', empty during the handshake."""
-    return bytes(blake3(fleet_key + nonces, derive_key_context=CONTEXT).digest())
+    return bytes(blake3(fleet_key + nonces, derive_key_context=KEY_CONTEXT).digest())
 
 
-class Sealer:
+class FrameEncoder:
     """Encodes the frames of one direction of a connection."""
 
     def __init__(self, key: bytes) -> None:
         self._key, self._number = key, 0
 
-    def frame(self, kind: Kind, content: Any, version: int = VERSIONS[1]) -> bytes:
+    def encode(self, kind: FrameKind, content: Any, version: int = VERSIONS[1]) -> bytes:
         """Encode a frame; `ValueError` if it exceeds the size limit."""
         payload = msgpack.packb(content, use_bin_type=True)
-        if len(payload) > FRAME_MOST:
-            raise ValueError(f"a frame of {len(payload)} bytes exceeds the limit of {FRAME_MOST}")
-        head = _HEAD.pack(MAGIC, version, kind, len(payload))
-        seal = _seal(self._key, self._number, head, payload)
+        if len(payload) > MAX_PAYLOAD_BYTES:
+            raise ValueError(f"a frame of {len(payload)} bytes exceeds the limit of {MAX_PAYLOAD_BYTES}")
+        header = _HEADER.pack(MAGIC, version, kind, len(payload))
+        tag = _tag(self._key, self._number, header, payload)
         self._number += 1
-        return bytes(head + payload + seal)
+        return bytes(header + payload + tag)
 
 
-class Opener:
+class FrameDecoder:
     """Decodes the frames of one direction of a connection from chunks of any size."""
 
     def __init__(self, key: bytes) -> None:
         self._key, self._number = key, 0
-        self._rest = bytearray()
+        self._buffer = bytearray()
 
     def rekey(self, key: bytes) -> None:
         """Switch to the connection's own key; applies to buffered data too."""
@@ -73,50 +73,52 @@
 
     def feed(self, data: bytes) -> None:
         """Buffer received data for `frames`."""
-        self._rest += data
+        self._buffer += data
 
-    def frames(self) -> Iterator[tuple[Kind, Any]]:
+    def frames(self) -> Iterator[tuple[FrameKind, Any]]:
         """The complete frames so far; `BadFrameError` at the first invalid one."""
-        while len(self._rest) >= _HEAD.size:
-            magic, version, kind, size = _HEAD.unpack_from(self._rest)
-            if magic != MAGIC or kind not in Kind._value2member_map_:
+        while len(self._buffer) >= _HEADER.size:
+            magic, version, kind, size = _HEADER.unpack_from(self._buffer)
+            if magic != MAGIC or kind not in FrameKind._value2member_map_:
                 raise BadFrameError("not a frame: wrong magic or kind")
             if not VERSIONS[0] <= version <= VERSIONS[1]:
                 raise BadFrameError(f"unsupported frame version {version}")
-            if size > FRAME_MOST:
-                raise BadFrameError(f"a frame of {size} bytes exceeds the limit of {FRAME_MOST}")
-            end = _HEAD.size + size
-            if len(self._rest) < end + SEAL:
+            if size > MAX_PAYLOAD_BYTES:
+                raise BadFrameError(f"a frame of {size} bytes exceeds the limit of {MAX_PAYLOAD_BYTES}")
+            end = _HEADER.size + size
+            if len(self._buffer) < end + TAG_BYTES:
                 return
-            head, payload = bytes(self._rest[: _HEAD.size]), bytes(self._rest[_HEAD.size : end])
-            if bytes(self._rest[end : end + SEAL]) != _seal(self._key, self._number, head, payload):
+            header, payload = bytes(self._buffer[: _HEADER.size]), bytes(self._buffer[_HEADER.size : end])
+            if bytes(self._buffer[end : end + TAG_BYTES]) != _tag(self._key, self._number, header, payload):
                 raise BadFrameError("frame with an invalid authentication tag")
             self._number += 1
-            del self._rest[: end + SEAL]
-            yield Kind(kind), _unpacked(payload)
+            del self._buffer[: end + TAG_BYTES]
+            yield FrameKind(kind), _decode_payload(payload)
 
 
-def _seal(key: bytes, number: int, head: bytes, payload: bytes) -> bytes:
-    return bytes(blake3(_NUMBER.pack(number) + head + payload, key=key).digest(length=SEAL))
+def _tag(key: bytes, number: int, header: bytes, payload: bytes) -> bytes:
+    return bytes(blake3(_FRAME_NUMBER.pack(number) + header + payload, key=key).digest(length=TAG_BYTES))
 
 
-def _unpacked(payload: bytes) -> Any:
+def _decode_payload(payload: bytes) -> Any:
     try:
         return msgpack.unpackb(
             payload,
             raw=False,
             use_list=True,
             strict_map_key=True,
-            max_array_len=DEEP_MOST,
-            max_map_len=DEEP_MOST,
+            max_array_len=MAX_COLLECTION_ENTRIES,
+            max_map_len=MAX_COLLECTION_ENTRIES,
         )
     except (ValueError, msgpack.exceptions.UnpackException) as error:
         raise BadFrameError(f"undecodable payload: {error!r}") from None
 
 
-def version_of(theirs: Sequence[int]) -> int:
+def negotiate_version(peer_versions: Sequence[int]) -> int:
     """The newest version that both sides support; `BadFrameError` if there is none."""
-    newest = min(VERSIONS[1], theirs[1])
-    if newest < max(VERSIONS[0], theirs[0]):
-        raise BadFrameError(f"peer supports versions {theirs[0]} to {theirs[1]}, this release {VERSIONS}")
+    newest = min(VERSIONS[1], peer_versions[1])
+    if newest < max(VERSIONS[0], peer_versions[0]):
+        raise BadFrameError(
+            f"peer supports versions {peer_versions[0]} to {peer_versions[1]}, this release {VERSIONS}"
+        )
     return newest
--- a/amberlug/peers/identity.py
+++ b/amberlug/peers/identity.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 
 FILE = "incarnation"
-_FORM = re.compile(r"[0-9a-f]{16}")
+_PATTERN = re.compile(r"[0-9a-f]{16}")
 
 
 def incarnation(folder: Path) -> str:
@@ -18,13 +18,13 @@
         text = path.read_text(encoding="ascii", errors="replace").strip()
     except FileNotFoundError:
         text = secrets.token_hex(8)
-        new = folder / f"{FILE}.new"
-        with new.open("w", encoding="ascii") as file:
+        temporary = folder / f"{FILE}.new"
+        with temporary.open("w", encoding="ascii") as file:
             file.write(text)
             file.flush()
             # Synced before use: a crash must not change an incarnation that others already made promises to.
             os.fsync(file.fileno())
-        new.replace(path)
-    if not _FORM.fullmatch(text):
+        temporary.replace(path)
+    if not _PATTERN.fullmatch(text):
         raise ValueError(f"{path}: no incarnation: {text[:40]!r}")
     return text
--- a/amberlug/peers/links.py
+++ b/amberlug/peers/links.py
@@ -18,27 +18,35 @@
 
 from amberlug.core.log import log
 from amberlug.peers.fleet import Fleet, Member
-from amberlug.peers.frames import VERSIONS, BadFrameError, Kind, Opener, Sealer, key_of, version_of
-
-DIAL = 1.0  # seconds for connecting and the handshake
-QUIET = 0.9  # seconds without an acknowledgement before a link counts as down: a little over three heartbeats
-AGAIN = 0.1, 1.0  # least and greatest delay between connection attempts, in seconds; randomized
-QUEUE_MOST = 8 << 20  # bytes waiting to be written to one relay; the link is reset above it
-FRAME_BYTES = 256 << 10  # approximate size of the messages in one frame
-READ = 1 << 16
-
-
-class Bad:
+from amberlug.peers.frames import (
+    VERSIONS,
+    BadFrameError,
+    FrameDecoder,
+    FrameEncoder,
+    FrameKind,
+    derive_key,
+    negotiate_version,
+)
+
+CONNECT_TIMEOUT_S = 1.0  # seconds for connecting and the handshake
+ACK_TIMEOUT_S = 0.9  # without an acknowledgement a link then counts as down: just over three heartbeats
+RECONNECT_DELAY_S = 0.1, 1.0  # least and greatest delay between connection attempts, in seconds; randomized
+MAX_WRITE_BUFFER_BYTES = 8 << 20  # bytes waiting to be written to one relay; the link is reset above it
+TARGET_FRAME_BYTES = 256 << 10  # approximate size of the messages in one frame
+READ_CHUNK_BYTES = 1 << 16
+
+
+class DropCounter:
     """Counts dropped input and messages by reason, and logs some of them."""
 
     def __init__(self) -> None:
         self.counts: Counter[str] = Counter()
 
-    def note(self, who: str, why: str) -> None:
+    def count(self, peer_name: str, reason: str) -> None:
         """Count one event; the first of a reason and every hundredth after it are logged."""
-        self.counts[why] += 1
-        if self.counts[why] % 100 == 1:
-            log(f"peers: {who}: {why} ({self.counts[why]} so far)")
+        self.counts[reason] += 1
+        if self.counts[reason] % 100 == 1:
+            log(f"peers: {peer_name}: {reason} ({self.counts[reason]} so far)")
 
 
 class Peer:
@@ -48,24 +56,24 @@
         self.member = member
         self.incarnation = ""  # of the relay process that the link is connected to
         self.writer: asyncio.StreamWriter | None = None
-        self.sealer: Sealer | None = None
-        self.up = False  # `changed` was last told that the relay is reachable
-        self.count = 0  # frames sent on this link
-        self.seen = 0  # highest frame number received from the relay
-        self.waiting: dict[int, float] = {}  # send time of each unacknowledged frame
+        self.encoder: FrameEncoder | None = None
+        self.reported_up = False  # `changed` was last told that the relay is reachable
+        self.sent_number = 0  # frames sent on this link
+        self.received_number = 0  # highest frame number received from the relay
+        self.unacknowledged: dict[int, float] = {}  # send time of each unacknowledged frame
         self.queue: list[Any] = []
 
-    def heard(self, count: int, echo: int) -> None:
+    def on_frame(self, number: int, acknowledged: int) -> None:
         """Handle the frame number and the acknowledgement of an incoming frame."""
-        self.seen = max(self.seen, count)
-        for known in [it for it in self.waiting if it <= echo]:
-            del self.waiting[known]
+        self.received_number = max(self.received_number, number)
+        for sent in [it for it in self.unacknowledged if it <= acknowledged]:
+            del self.unacknowledged[sent]
 
-    def reaches(self, now: float) -> bool:
+    def is_reachable(self, now: float) -> bool:
         """Whether frames sent now are expected to arrive."""
         if self.writer is None:
             return False
-        return not self.waiting or now - next(iter(self.waiting.values())) < QUIET
+        return not self.unacknowledged or now - next(iter(self.unacknowledged.values())) < ACK_TIMEOUT_S
 
 
 class Links:
@@ -85,22 +93,22 @@
     ) -> None:
         self._fleet, self._incarnation, self._water = fleet, incarnation, water
         self._receive, self._changed = receive, changed
-        self.peers = {it.name: Peer(it) for it in fleet.members if it.name != fleet.name}
-        self.bad = Bad()
+        self.peers = {member.name: Peer(member) for member in fleet.members if member.name != fleet.name}
+        self.drops = DropCounter()
         self._tasks: set[asyncio.Task[None]] = set()
         self._server: asyncio.Server | None = None
         self._inbound: dict[str, tuple[str, asyncio.StreamWriter]] = {}
-        self._due = False
+        self._flush_scheduled = False
 
     async def start(self) -> None:
         """Listen, and start connecting to all peers; `OSError` if the address can't be used."""
         host, port = self._fleet.listen or self._fleet.own.address
-        self._server = await asyncio.start_server(self._accepted, host, port)
+        self._server = await asyncio.start_server(self._serve_connection, host, port)
         for peer in self.peers.values():
-            self._begin(self._keep(peer))
+            self._spawn(self._maintain(peer))
 
-    def _begin(self, work: Any) -> None:
-        task = asyncio.get_running_loop().create_task(work)
+    def _spawn(self, coroutine: Any) -> None:
+        task = asyncio.get_running_loop().create_task(coroutine)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
@@ -111,77 +119,79 @@
         for task in list(self._tasks):
             task.cancel()
         for peer in self.peers.values():
-            self._drop(peer)
+            self._disconnect(peer)
         for _, writer in self._inbound.values():
             writer.close()
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
     # Outgoing connections.
 
-    async def _keep(self, peer: Peer) -> None:
+    async def _maintain(self, peer: Peer) -> None:
         """Keep a link connected until cancelled."""
         while True:
-            reader = await self._dial(peer)
+            reader = await self._connect(peer)
             if reader is not None:
                 with suppress(OSError):
                     await reader.read(1)  # nothing is ever sent here: returns when the connection ends
-                self._drop(peer)
-            await asyncio.sleep(random.uniform(*AGAIN))
+                self._disconnect(peer)
+            await asyncio.sleep(random.uniform(*RECONNECT_DELAY_S))
 
-    async def _dial(self, peer: Peer) -> asyncio.StreamReader | None:
+    async def _connect(self, peer: Peer) -> asyncio.StreamReader | None:
         writer: asyncio.StreamWriter | None = None
         try:
-            async with asyncio.timeout(DIAL):
+            async with asyncio.timeout(CONNECT_TIMEOUT_S):
                 reader, writer = await asyncio.open_connection(*peer.member.address)
-                await self._greet(peer, reader, writer)
+                await self._handshake(peer, reader, writer)
                 return reader
         except (OSError, TimeoutError, asyncio.IncompleteReadError):
             pass
         except BadFrameError as error:
-            self.bad.note(peer.member.name, str(error))
+            self.drops.count(peer.member.name, str(error))
         if writer is not None:
             writer.close()
         return None
 
-    async def _greet(self, peer: Peer, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Exchange names and nonces, then switch to this connection's own key."""
+    async def _handshake(
+        self, peer: Peer, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+    ) -> None:
+        """Exchange names and nonces, then switch to this connection's peer_name key."""
         nonce = secrets.token_bytes(16)
-        first = key_of(self._fleet.key)
+        handshake_key = derive_key(self._fleet.key)
         hello = [self._fleet.name, self._incarnation, list(VERSIONS), nonce, peer.member.name]
-        writer.write(Sealer(first).frame(Kind.HELLO, hello))
-        opener = Opener(first)
+        writer.write(FrameEncoder(handshake_key).encode(FrameKind.HELLO, hello))
+        decoder = FrameDecoder(handshake_key)
         while True:
-            data = await reader.read(READ)
+            data = await reader.read(READ_CHUNK_BYTES)
             if not data:
                 raise ConnectionError("connection closed during the handshake")
-            opener.feed(data)
-            for kind, told in opener.frames():
-                if kind is not Kind.WELCOME:
+            decoder.feed(data)
+            for kind, content in decoder.frames():
+                if kind is not FrameKind.WELCOME:
                     raise BadFrameError("expected a WELCOME frame")
-                name, incarnation, version, theirs = _words(told, 4)
+                name, incarnation, version, peer_nonce = _fields(content, 4)
                 if name != peer.member.name or not VERSIONS[0] <= version <= VERSIONS[1]:
                     raise BadFrameError(f"unexpected relay {name!r} with version {version!r} at this address")
-                peer.sealer = Sealer(key_of(self._fleet.key, nonce + bytes(theirs)))
+                peer.encoder = FrameEncoder(derive_key(self._fleet.key, nonce + bytes(peer_nonce)))
                 peer.writer, peer.incarnation = writer, str(incarnation)
-                peer.count, peer.waiting, peer.queue = 0, {}, []
-                self._reached(peer)
+                peer.sent_number, peer.unacknowledged, peer.queue = 0, {}, []
+                self._report_up(peer)
                 return
 
-    def _reached(self, peer: Peer) -> None:
-        if not peer.up:
-            peer.up = True
+    def _report_up(self, peer: Peer) -> None:
+        if not peer.reported_up:
+            peer.reported_up = True
             self._changed(peer.member.name, peer.incarnation)
 
-    def _drop(self, peer: Peer) -> None:
+    def _disconnect(self, peer: Peer) -> None:
         if peer.writer is not None:
             peer.writer.transport.abort()
             peer.writer = None
-        self._unreached(peer)
+        self._report_down(peer)
 
-    def _unreached(self, peer: Peer) -> None:
+    def _report_down(self, peer: Peer) -> None:
         peer.queue.clear()
-        if peer.up:
-            peer.up = False
+        if peer.reported_up:
+            peer.reported_up = False
             self._changed(peer.member.name, None)
 
     def send(self, name: str, message: Any) -> None:
@@ -190,12 +200,12 @@
         if peer is None or peer.writer is None:
             return
         peer.queue.append(message)
-        if not self._due:
-            self._due = True
+        if not self._flush_scheduled:
+            self._flush_scheduled = True
             asyncio.get_running_loop().call_soon(self._flush)
 
     def _flush(self) -> None:
-        self._due = False
+        self._flush_scheduled = False
         for peer in self.peers.values():
             if peer.queue:
                 self._write(peer)
@@ -205,81 +215,81 @@
         part, size = list[Any](), 0
         for message in queue:
             part.append(message)
-            size += _size(message)
-            if size > FRAME_BYTES:
-                self._frame(peer, part)
+            size += _approximate_size(message)
+            if size > TARGET_FRAME_BYTES:
+                self._send_frame(peer, part)
                 part, size = [], 0
         if part:
-            self._frame(peer, part)
+            self._send_frame(peer, part)
 
-    def _frame(self, peer: Peer, messages: list[Any]) -> None:
-        if peer.writer is None or peer.sealer is None:
+    def _send_frame(self, peer: Peer, messages: list[Any]) -> None:
+        if peer.writer is None or peer.encoder is None:
             return
-        peer.count += 1
-        peer.waiting[peer.count] = asyncio.get_running_loop().time()
-        content = [peer.count, peer.seen, list(self._water()), messages]
+        peer.sent_number += 1
+        peer.unacknowledged[peer.sent_number] = asyncio.get_running_loop().time()
+        content = [peer.sent_number, peer.received_number, list(self._water()), messages]
         try:
-            peer.writer.write(peer.sealer.frame(Kind.MESSAGES, content))
+            peer.writer.write(peer.encoder.encode(FrameKind.MESSAGES, content))
         except ValueError as error:
-            self.bad.note(peer.member.name, f"not sent: {error}")
+            self.drops.count(peer.member.name, f"not sent: {error}")
         # Bounds the memory used for a slow relay; its owner sends the records again.
-        if peer.writer.transport.get_write_buffer_size() > QUEUE_MOST:
-            self.bad.note(peer.member.name, "reads too slowly, link begun anew")
-            self._drop(peer)
+        if peer.writer.transport.get_write_buffer_size() > MAX_WRITE_BUFFER_BYTES:
+            self.drops.count(peer.member.name, "reads too slowly; resetting the link")
+            self._disconnect(peer)
 
-    def look(self) -> None:
+    def check_links(self) -> None:
         """Update which relays are reachable; call several times a second."""
         now = asyncio.get_running_loop().time()
         for peer in self.peers.values():
             if peer.writer is None:
                 continue
-            if peer.reaches(now):
-                self._reached(peer)
-            elif peer.up:
+            if peer.is_reachable(now):
+                self._report_up(peer)
+            elif peer.reported_up:
                 log(f"peers: {peer.member.name} does not acknowledge frames; link counts as down")
-                self._unreached(peer)
-            elif now - next(iter(peer.waiting.values()), now) > 4 * QUIET:
-                self._drop(peer)  # a middlebox that lost the connection's state requires a new connection
-            if not peer.up:
-                self._frame(peer, [])  # a probe: its acknowledgement brings the link up again
+                self._report_down(peer)
+            elif now - next(iter(peer.unacknowledged.values()), now) > 4 * ACK_TIMEOUT_S:
+                self._disconnect(peer)  # a middlebox may have dropped the connection's state: reconnect
+            if not peer.reported_up:
+                self._send_frame(peer, [])  # a probe: its acknowledgement brings the link up again
 
     # Incoming connections.
 
-    async def _accepted(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        name, bad = str(writer.get_extra_info("peername")), ""
-        opener = Opener(key_of(self._fleet.key))
-        own, incarnation = "", ""
+    async def _serve_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        label, reason = str(writer.get_extra_info("peername")), ""
+        decoder = FrameDecoder(derive_key(self._fleet.key))
+        peer_name, incarnation = "", ""
         try:
-            while data := await reader.read(READ):
-                opener.feed(data)
-                for kind, told in opener.frames():
-                    if not own:
-                        own, incarnation = self._welcome(kind, told, opener, writer)
-                        name = own
-                    elif self._inbound.get(own, (None, None))[1] is not writer:
+            while data := await reader.read(READ_CHUNK_BYTES):
+                decoder.feed(data)
+                for kind, content in decoder.frames():
+                    if not peer_name:
+                        peer_name, incarnation = self._accept_hello(kind, content, decoder, writer)
+                        label = peer_name
+                    elif self._inbound.get(peer_name, (None, None))[1] is not writer:
                         return  # replaced by a newer connection from the same relay
                     else:
-                        self._messages(own, incarnation, kind, told)
+                        self._handle_messages(peer_name, incarnation, kind, content)
         except BadFrameError as error:
-            bad = str(error)
+            reason = str(error)
         except OSError:
             pass
         finally:
-            if bad:
-                self.bad.note(name, bad)
-            if own and self._inbound.get(own, (None, None))[1] is writer:
-                del self._inbound[own]
+            if reason:
+                self.drops.count(label, reason)
+            if peer_name and self._inbound.get(peer_name, (None, None))[1] is writer:
+                del self._inbound[peer_name]
             writer.close()
 
-    def _welcome(
-        self, kind: Kind, told: Any, opener: Opener, writer: asyncio.StreamWriter
+    def _accept_hello(
+        self, kind: FrameKind, content: Any, decoder: FrameDecoder, writer: asyncio.StreamWriter
     ) -> tuple[str, str]:
-        if kind is not Kind.HELLO:
+        if kind is not FrameKind.HELLO:
             raise BadFrameError("expected a HELLO frame")
-        name, incarnation, versions, theirs, to = _words(told, 5)
-        if name not in self.peers or to != self._fleet.name:
-            raise BadFrameError(f"unknown relay {name!r}, or wrong destination {to!r}")
-        version = version_of(_words(versions, 2))
+        name, incarnation, versions, peer_nonce, destination = _fields(content, 5)
+        if name not in self.peers or destination != self._fleet.name:
+            raise BadFrameError(f"unknown relay {name!r}, or wrong destination {destination!r}")
+        version = negotiate_version(_fields(versions, 2))
         before = self._inbound.get(name)
         if before is not None and before[0] != incarnation:
             log(f"peers: two relays call themselves {name}, or its folder changed; using the newest link")
@@ -288,18 +298,18 @@
         self._inbound[name] = str(incarnation), writer
         nonce = secrets.token_bytes(16)
         answer = [self._fleet.name, self._incarnation, version, nonce]
-        writer.write(Sealer(key_of(self._fleet.key)).frame(Kind.WELCOME, answer))
-        opener.rekey(key_of(self._fleet.key, bytes(theirs) + nonce))
-        self.peers[name].seen = 0
+        writer.write(FrameEncoder(derive_key(self._fleet.key)).encode(FrameKind.WELCOME, answer))
+        decoder.rekey(derive_key(self._fleet.key, bytes(peer_nonce) + nonce))
+        self.peers[name].received_number = 0
         return name, str(incarnation)
 
-    def _messages(self, name: str, incarnation: str, kind: Kind, told: Any) -> None:
-        if kind is not Kind.MESSAGES:
+    def _handle_messages(self, name: str, incarnation: str, kind: FrameKind, content: Any) -> None:
+        if kind is not FrameKind.MESSAGES:
             raise BadFrameError("expected a MESSAGES frame")
-        count, echo, water, messages = _words(told, 4)
-        if not isinstance(count, int) or not isinstance(echo, int) or not isinstance(messages, list):
+        number, acknowledged, water, messages = _fields(content, 4)
+        if not isinstance(number, int) or not isinstance(acknowledged, int) or not isinstance(messages, list):
             raise BadFrameError("malformed frame content")
-        self.peers[name].heard(count, echo)
+        self.peers[name].on_frame(number, acknowledged)
         for message in messages:
             try:
                 self._receive(name, incarnation, water, message)
@@ -307,14 +317,14 @@
                 raise BadFrameError(str(error)) from None
 
 
-def _words(told: Any, count: int) -> list[Any]:
-    if not isinstance(told, list) or len(told) != count:
+def _fields(content: Any, count: int) -> list[Any]:
+    if not isinstance(content, list) or len(content) != count:
         raise BadFrameError("malformed frame content")
-    return told
+    return content
 
 
-def _size(message: Any) -> int:
+def _approximate_size(message: Any) -> int:
     """Approximate encoded size; only records and states matter, the rest is small."""
     if isinstance(message, list):
-        return sum(map(_size, message)) + 2
+        return sum(map(_approximate_size, message)) + 2
     return len(message) if isinstance(message, bytes | str) else 8
--- a/tests/test_fleet_file.py
+++ b/tests/test_fleet_file.py
@@ -14,8 +14,14 @@
 from amberlug.copies.placing import ensemble
 from amberlug.copies.states import Copy, Kind, unpacked
 from amberlug.peers import fleet
-from amberlug.peers.frames import BadFrameError, Opener, Sealer, key_of, version_of
-from amberlug.peers.frames import Kind as Frame
+from amberlug.peers.frames import (
+    BadFrameError,
+    FrameDecoder,
+    FrameEncoder,
+    FrameKind,
+    derive_key,
+    negotiate_version,
+)
 from amberlug.peers.identity import incarnation
 from tests.rig import ROOT
 
@@ -81,57 +87,57 @@
         incarnation(one)
 
 
-KEY = key_of(b"k" * 32, b"both")
+KEY = derive_key(b"k" * 32, b"both")
 CONTENT = [1, "two", [b"three", None, 4.5, {"five": True}]]
 
 
 def test_frames_are_decoded_from_any_chunks() -> None:
-    sealer = Sealer(KEY)
-    data = sealer.frame(Frame.MESSAGES, CONTENT) + sealer.frame(Frame.MESSAGES, [2])
+    encoder = FrameEncoder(KEY)
+    data = encoder.encode(FrameKind.MESSAGES, CONTENT) + encoder.encode(FrameKind.MESSAGES, [2])
     for cut in range(len(data) + 1):
-        opener = Opener(KEY)
-        opener.feed(data[:cut])
-        found = list(opener.frames())
-        opener.feed(data[cut:])
-        found += opener.frames()
-        assert found == [(Frame.MESSAGES, CONTENT), (Frame.MESSAGES, [2])]
+        decoder = FrameDecoder(KEY)
+        decoder.feed(data[:cut])
+        found = list(decoder.frames())
+        decoder.feed(data[cut:])
+        found += decoder.frames()
+        assert found == [(FrameKind.MESSAGES, CONTENT), (FrameKind.MESSAGES, [2])]
 
 
 @given(st.integers(0, 10**6), st.integers(1, 255))
 def test_a_changed_byte_is_rejected_or_leaves_the_frame_incomplete(at: int, by: int) -> None:
-    data = bytearray(Sealer(KEY).frame(Frame.MESSAGES, CONTENT))
+    data = bytearray(FrameEncoder(KEY).encode(FrameKind.MESSAGES, CONTENT))
     data[at % len(data)] ^= by
-    opener = Opener(KEY)
-    opener.feed(bytes(data))
+    decoder = FrameDecoder(KEY)
+    decoder.feed(bytes(data))
     with suppress(BadFrameError):
         # With a greater length the frame stays incomplete: no tag fits later data.
-        assert list(opener.frames()) == []
+        assert list(decoder.frames()) == []
 
 
 @given(st.binary(max_size=400))
 def test_random_bytes_are_never_a_frame(data: bytes) -> None:
-    opener = Opener(KEY)
-    opener.feed(data)
+    decoder = FrameDecoder(KEY)
+    decoder.feed(data)
     with suppress(BadFrameError):
-        assert list(opener.frames()) == []
+        assert list(decoder.frames()) == []
 
 
 def test_replayed_frames_and_frames_of_another_key_are_rejected() -> None:
-    sealer = Sealer(KEY)
-    first, second = sealer.frame(Frame.MESSAGES, [1]), sealer.frame(Frame.MESSAGES, [2])
-    for key, data in ((KEY, second), (KEY, first + first), (key_of(b"k" * 32, b"other"), first)):
-        opener = Opener(key)
-        opener.feed(data)
+    encoder = FrameEncoder(KEY)
+    first, second = encoder.encode(FrameKind.MESSAGES, [1]), encoder.encode(FrameKind.MESSAGES, [2])
+    for key, data in ((KEY, second), (KEY, first + first), (derive_key(b"k" * 32, b"other"), first)):
+        decoder = FrameDecoder(key)
+        decoder.feed(data)
         with pytest.raises(BadFrameError, match="authentication tag"):
-            list(opener.frames())
+            list(decoder.frames())
     with pytest.raises(ValueError, match="a frame of"):
-        sealer.frame(Frame.MESSAGES, [b"x" * (1 << 21)])
+        encoder.encode(FrameKind.MESSAGES, [b"x" * (1 << 21)])
 
 
 def test_the_newest_common_version_is_chosen() -> None:
-    assert version_of([1, 9]) == 1
+    assert negotiate_version([1, 9]) == 1
     with pytest.raises(BadFrameError):
-        version_of([2, 9])
+        negotiate_version([2, 9])
 
 
 def member(number: int, machines: int, zones: int) -> fleet.Member:
@@ -147,7 +153,9 @@
     chosen = ensemble(own.name, own, members, names, names, need)
     placed = [it for it in members if it.name in chosen]
     others = {it.machine for it in members} - {own.machine}
-    assert len(chosen) == (fleet.HOLDERS_PER_COPY * need if len(others) >= fleet.HOLDERS_PER_COPY * need else 0)
+    assert len(chosen) == (
+        fleet.HOLDERS_PER_COPY * need if len(others) >= fleet.HOLDERS_PER_COPY * need else 0
+    )
     assert len({it.machine for it in placed} | {own.machine}) == len(placed) + 1
     if chosen and any(it.zone != own.zone and it.machine != own.machine for it in members):
         assert any(it.zone != own.zone for it in placed)
