--- a/amberlug/copies/journal.py
+++ b/amberlug/copies/journal.py
@@ -16,7 +16,7 @@
 from pathlib import Path
 from typing import Any
 
-from amberlug.copies.machine import Machine, Water
+from amberlug.copies.machine import Machine, Watermark
 from amberlug.copies.states import Copy, Kind, Meta, meta_of
 from amberlug.copies.store import CopyStore
 from amberlug.core.journal import Journal
@@ -80,12 +80,12 @@
         self.relinquish: Callable[[list[str]], None] = _nobody
         self.renew: Callback = _nothing
         self.wake: Callback = _nothing  # called when messages are ready to be sent
-        self._first_water = (*_pair(inner.water), store.sequence)
+        self._startup_watermark = (*_pair(inner.water), store.sequence)
         self.machine = Machine(fleet, incarnation, store, self, clock.now_us(), fresh)
         self.machine.holder.logs = store.logs
-        for name, (own, water) in store.seen.items():
+        for name, (own, watermark) in store.peer_watermarks.items():
             if (it := self.machine.neighbours.get(name)) is not None:
-                it.water, it.incarnation = {own: water}, own
+                it.watermark, it.incarnation = {own: watermark}, own
         self._metas: dict[str, Meta] = {}
         self._older: dict[str, list[str]] = {}
         self._reopen()
@@ -110,7 +110,7 @@
         self.machine = Machine(self._fleet, incarnation, store, self, self._clock.now_us(), True)
         self.machine.holder.logs = store.logs
         for name, it in before.neighbours.items():
-            self.machine.neighbours[name].water = it.water
+            self.machine.neighbours[name].watermark = it.watermark
 
     # Recovery.
 
@@ -312,10 +312,10 @@
 
     # Callbacks from the replication state machine.
 
-    def water(self) -> Water:
+    def watermark(self) -> Watermark:
         # A restored directory: writes of this process must not make up for the difference that reveals it.
         if not self.machine.confirmed:
-            return self._first_water
+            return self._startup_watermark
         return (*_pair(self._inner.water), self._store.sequence)
 
     def wall_ms(self) -> int:
@@ -324,10 +324,10 @@
     def draw(self) -> float:
         return random.SystemRandom().random()
 
-    def saw(self, name: str, incarnation: str, water: Water) -> None:
+    def watermark_observed(self, name: str, incarnation: str, watermark: Watermark) -> None:
         self._dirty.add(name)
 
-    def old_folder(self) -> None:
+    def outdated_directory(self) -> None:
         self.renew()
 
     def until_ms(self, name: str) -> int:
@@ -443,8 +443,8 @@
         now_ms = self._clock.wall_ms()
         for name in list(self._dirty):
             it = self.machine.neighbours[name]
-            for own, water in it.water.items():
-                self._store.saw(name, own, water)
+            for own, watermark in it.watermark.items():
+                self._store.watermark_observed(name, own, watermark)
         self._dirty.clear()
         for names in (self._ended, self._followed_for, self._let_go):
             for name in [name for name, until_ms in names.items() if until_ms < now_ms]:
@@ -476,9 +476,9 @@
     return held
 
 
-def _pair(water: tuple[int, int]) -> tuple[int, ...]:
+def _pair(watermark: tuple[int, int]) -> tuple[int, ...]:
     """Combine segment number and size into one number: a later segment outweighs any size."""
-    number, size = water
+    number, size = watermark
     return (number << 40 | size,)
 
 
--- a/amberlug/copies/machine.py
+++ b/amberlug/copies/machine.py
@@ -21,16 +21,16 @@
 from amberlug.peers.fleet import Fleet
 
 BEAT_US = 250_000
-Water = tuple[int, ...]
+Watermark = tuple[int, ...]
 
 
 class Host(Protocol):
     """The environment of the state machine."""
 
-    def water(self) -> Water:
+    def watermark(self) -> Watermark:
         """How much this relay's disk has ever stored, as counters that never decrease for one directory."""
 
-    def old_folder(self) -> None:
+    def outdated_directory(self) -> None:
         """The directory is older than other relays have seen it: nothing in it may be relied on."""
 
     def wall_ms(self) -> int:
@@ -52,7 +52,7 @@
         journal drop them.
         """
 
-    def saw(self, name: str, incarnation: str, water: Water) -> None:
+    def watermark_observed(self, name: str, incarnation: str, watermark: Watermark) -> None:
         """Persist another relay's watermark, if there is room."""
 
     def until_ms(self, name: str) -> int:
@@ -69,7 +69,7 @@
     incarnation: str = ""
     linked: bool = False  # messages to it can be sent
     heard_us: int | None = None
-    water: dict[str, Water] = field(default_factory=dict)  # highest observed, by its incarnation
+    watermark: dict[str, Watermark] = field(default_factory=dict)  # highest observed, by its incarnation
 
 
 class Machine:
@@ -185,7 +185,7 @@
             say(f"copies: {name} has another directory than before")
             self.disconnected(name, now_us)
         it.incarnation, it.linked = incarnation, True
-        self._tell_water(name)
+        self._send_watermark(name)
         for owner in self.owners.values():
             if owner.meta.incarnation_of(name) == incarnation:
                 owner.linked(name)
@@ -193,10 +193,10 @@
             if following.meta.incarnation_of(name) == incarnation:
                 following.ask(name)
 
-    def _tell_water(self, name: str) -> None:
+    def _send_watermark(self, name: str) -> None:
         """Tell another relay the highest watermark observed of its disk."""
         it = self.neighbours[name]
-        self._send(name, ["water", list(it.water.get(it.incarnation, ()))])
+        self._send(name, ["water", list(it.watermark.get(it.incarnation, ()))])
 
     def disconnected(self, name: str, now_us: int) -> None:
         """The link to another relay is down."""
@@ -212,7 +212,9 @@
     def _send(self, name: str, message: Wire) -> None:
         self.out.append((name, message))
 
-    def receive(self, name: str, incarnation: str, water: Sequence[int], message: Any, now_us: int) -> None:
+    def receive(
+        self, name: str, incarnation: str, watermark: Sequence[int], message: Any, now_us: int
+    ) -> None:
         """Handle a message, sent with its sender's watermark at the time of sending.
 
         Raises `ValueError` if it is malformed; messages before it stay applied.
@@ -225,7 +227,7 @@
             if not it.linked:
                 it.incarnation = incarnation
             # Sent with every message, not periodically: a record's holder has seen the disk it came from.
-            self._saw(name, incarnation, water)
+            self._note_watermark(name, incarnation, watermark)
         elif name != self.name:
             raise ValueError(f"unknown relay {name!r}")
         try:
@@ -241,13 +243,13 @@
 
     # Messages for the holder.
 
-    def _on_water(self, name: str, own: str, now_us: int, seen: list[int]) -> None:
+    def _on_watermark(self, name: str, own: str, now_us: int, observed: list[int]) -> None:
         """A relay reports the highest watermark that it has observed of this one's disk."""
-        if any(mine < most for mine, most in zip(self._host.water(), seen, strict=False)):
+        if any(mine < most for mine, most in zip(self._host.watermark(), observed, strict=False)):
             # Guards against a restored backup: what this relay accepted, did and promised since is missing.
             say(f"copies: this state directory is outdated: {name} has seen newer data of it")
             self.over = True
-            self._host.old_folder()
+            self._host.outdated_directory()
             return
         self._confirming.add(name)
         self._confirm(now_us)
@@ -261,13 +263,15 @@
         if len(self._confirming) >= max(1, wanted):
             self.confirmed = True
 
-    def _saw(self, name: str, own: str, water: Sequence[int]) -> None:
+    def _note_watermark(self, name: str, own: str, watermark: Sequence[int]) -> None:
         it = self.neighbours[name]
-        before = it.water.get(own, ())
-        most = tuple(max(pair) for pair in zip(map(int, water), before or map(int, water), strict=False))
+        before = it.watermark.get(own, ())
+        most = tuple(
+            max(pair) for pair in zip(map(int, watermark), before or map(int, watermark), strict=False)
+        )
         if most != before:
-            it.water = {own: most}
-            self._host.saw(name, own, most)
+            it.watermark = {own: most}
+            self._host.watermark_observed(name, own, most)
 
     def _on_open(self, name: str, own: str, now_us: int, meta: Any, ballot: Any) -> None:
         of, by = meta_of(meta), ballot_of(ballot)
@@ -386,7 +390,7 @@
         "live": _on_live,
         "ack": _on_ack,
         "nack": _on_nack,
-        "water": _on_water,
+        "water": _on_watermark,
         "state": _on_state,
         "promise": _on_promise,
         "deny": _on_deny,
@@ -457,7 +461,7 @@
             self._beat_us = now_us
             for name, it in self.neighbours.items():
                 if it.linked:
-                    self._tell_water(name)
+                    self._send_watermark(name)
             before_ms = self._host.wall_ms() - int(self.fleet.remember_s * 1000)
             self.holder.forget(before_ms)
             for owner in self.owners.values():
--- a/amberlug/copies/service.py
+++ b/amberlug/copies/service.py
@@ -83,7 +83,7 @@
         self._journal.renew, self._journal.wake = self._renew, self._wake
         machine = self._journal.machine
         self._links = Links(
-            self._fleet, machine.incarnation, self._journal.water, self._receive, self._changed
+            self._fleet, machine.incarnation, self._journal.watermark, self._receive, self._changed
         )
         await self._links.start()
         self._tasks = [asyncio.get_running_loop().create_task(self._run())]
@@ -121,13 +121,13 @@
             for name, message in out:
                 if name == machine.name:
                     machine.receive(
-                        name, machine.incarnation, self._journal.water(), message, self._clock.now_us()
+                        name, machine.incarnation, self._journal.watermark(), message, self._clock.now_us()
                     )
                 else:
                     self._links.send(name, message)
 
-    def _receive(self, name: str, incarnation: str, water: Sequence[int], message: Any) -> None:
-        self._journal.machine.receive(name, incarnation, water, message, self._clock.now_us())
+    def _receive(self, name: str, incarnation: str, watermark: Sequence[int], message: Any) -> None:
+        self._journal.machine.receive(name, incarnation, watermark, message, self._clock.now_us())
         self._wake()
 
     def _changed(self, name: str, incarnation: str | None) -> None:
--- a/amberlug/copies/store.py
+++ b/amberlug/copies/store.py
@@ -48,7 +48,7 @@
         self._share = room_bytes // (4 * max(1, origins))
         self._slack = min(SLACK, room_bytes // 8)
         self.logs: dict[str, Holding] = {}
-        self.seen: dict[str, tuple[str, tuple[int, ...]]] = {}
+        self.peer_watermarks: dict[str, tuple[str, tuple[int, ...]]] = {}
         self.sequence = 0  # of the last record ever stored here; never decreases
         self._used: dict[str, int] = {}  # live bytes by origin
         self._size = self._number = 0
@@ -96,7 +96,7 @@
         elif record.kind == DROP:
             self.logs.pop(told[0], None)
         elif record.kind == SEEN:
-            self.seen[told[0]] = str(told[1]), tuple(told[2])
+            self.peer_watermarks[told[0]] = str(told[1]), tuple(told[2])
         elif told[0] in self.logs:
             read_back(self.logs, None, told[0], record.name, told[1], told[2], told[3])
 
@@ -121,11 +121,11 @@
         except OSError as error:
             say(f"copies: could not delete log {log}: {error}")
 
-    def saw(self, name: str, incarnation: str, water: tuple[int, ...]) -> None:
+    def watermark_observed(self, name: str, incarnation: str, watermark: tuple[int, ...]) -> None:
         """Persist another relay's watermark."""
-        self.seen[name] = incarnation, water
+        self.peer_watermarks[name] = incarnation, watermark
         try:
-            self._append(SEEN, "", [name, incarnation, water])
+            self._append(SEEN, "", [name, incarnation, watermark])
         except OSError:
             return  # the next message repeats it
 
@@ -178,8 +178,8 @@
         self._todo = self._copies()
 
     def _copies(self) -> Iterator[None]:
-        for name, (incarnation, water) in list(self.seen.items()):
-            self._append(SEEN, "", [name, incarnation, water])
+        for name, (incarnation, watermark) in list(self.peer_watermarks.items()):
+            self._append(SEEN, "", [name, incarnation, watermark])
         for of in list(self.logs.values()):
             self._append(PROMISE, "", [of.meta.packed(), of.promised])
         count = 0
@@ -232,16 +232,16 @@
             return False
         at = max(self._scrubbed, it.HEAD_SIZE)
         data = self._disk.read(self._file, at, min(size - at, 2 * SCRUB))
-        seen = 0
-        while seen < len(data):
-            claimed = it.size_at(data, seen)
-            if claimed and seen + claimed > len(data) and at + len(data) < size:
+        offset = 0
+        while offset < len(data):
+            claimed = it.size_at(data, offset)
+            if claimed and offset + claimed > len(data) and at + len(data) < size:
                 break
-            if it.record_at(data, seen, 0, self._number, at) is None:
-                say(f"copies: {self._file}: unreadable record at offset {at + seen}; rewriting the file")
+            if it.record_at(data, offset, 0, self._number, at) is None:
+                say(f"copies: {self._file}: unreadable record at offset {at + offset}; rewriting the file")
                 return False
-            seen += claimed
-        self._scrubbed = at + seen if at + seen < size else 0
+            offset += claimed
+        self._scrubbed = at + offset if at + offset < size else 0
         return True
 
     def close(self) -> None:
--- a/amberlug/lab/copies.py
+++ b/amberlug/lab/copies.py
@@ -17,7 +17,7 @@
 import msgpack
 
 from amberlug.copies.holder import Holding, read_back
-from amberlug.copies.machine import Machine, Water
+from amberlug.copies.machine import Machine, Watermark
 from amberlug.copies.states import Ballot, Copy, Kind, Meta, meta_of
 from amberlug.peers.fleet import Fleet, Member
 
@@ -66,7 +66,7 @@
     records: int = 0
     log_of: dict[str, str] = field(default_factory=dict)
     metas: dict[str, Meta] = field(default_factory=dict)
-    seen: dict[str, dict[str, Water]] = field(default_factory=dict)  # of others' disks
+    seen: dict[str, dict[str, Watermark]] = field(default_factory=dict)  # of others' disks
     lives: int = 0
 
 
@@ -103,7 +103,7 @@
         disk.lives += 1
         self.machine.holder.logs = disk.store.read()
         for other, seen in disk.seen.items():
-            self.machine.neighbours[other].water = dict(seen)
+            self.machine.neighbours[other].watermark = dict(seen)
             self.machine.neighbours[other].incarnation = next(iter(seen))
         self.doing: dict[str, str] = {}  # what waits for a message's records to count
         self.log_of: dict[str, str] = dict(disk.log_of)
@@ -122,13 +122,13 @@
 
     # What the machine asks and tells.
 
-    def water(self) -> Water:
+    def watermark(self) -> Watermark:
         return self.disk.records, self.disk.store.kept
 
-    def saw(self, name: str, incarnation: str, water: Water) -> None:
-        self.disk.seen[name] = {incarnation: water}
+    def watermark_observed(self, name: str, incarnation: str, watermark: Watermark) -> None:
+        self.disk.seen[name] = {incarnation: watermark}
 
-    def old_folder(self) -> None:
+    def outdated_directory(self) -> None:
         self.world.old.append(self.name)
 
     def wall_ms(self) -> int:
@@ -303,19 +303,19 @@
         for name, relay in list(self.relays.items()):
             while relay.machine.out and name not in self.paused:
                 sent, relay.machine.out = relay.machine.out, []
-                water = relay.water()
+                watermark = relay.watermark()
                 for to, message in sent:
                     if to == name:
-                        self._arrive(name, to, msgpack.packb([water, message]))
+                        self._arrive(name, to, msgpack.packb([watermark, message]))
                     elif (name, to) not in self.cut and to in self.relays:
                         self.flying[name, to].append(
-                            (self.disks[name].incarnation, msgpack.packb([water, message]))
+                            (self.disks[name].incarnation, msgpack.packb([watermark, message]))
                         )
 
     def _arrive(self, name: str, to: str, frame: bytes, incarnation: str | None = None) -> None:
         machine = self.relays[to].machine
-        water, told = msgpack.unpackb(frame)
-        machine.receive(name, incarnation or self.disks[name].incarnation, water, told, self.now_us)
+        watermark, told = msgpack.unpackb(frame)
+        machine.receive(name, incarnation or self.disks[name].incarnation, watermark, told, self.now_us)
 
     def deliver(self, pair: tuple[str, str], at: int = 0, keep: bool = False) -> None:
         """Deliver one frame of a link, the first by default; one that is kept comes again."""
--- a/amberlug/peers/links.py
+++ b/amberlug/peers/links.py
@@ -87,11 +87,11 @@
         self,
         fleet: Fleet,
         incarnation: str,
-        water: Callable[[], Sequence[int]],
+        watermark: Callable[[], Sequence[int]],
         receive: Callable[[str, str, Sequence[int], Any], None],
         changed: Callable[[str, str | None], None],
     ) -> None:
-        self._fleet, self._incarnation, self._water = fleet, incarnation, water
+        self._fleet, self._incarnation, self._watermark = fleet, incarnation, watermark
         self._receive, self._changed = receive, changed
         self.peers = {member.name: Peer(member) for member in fleet.members if member.name != fleet.name}
         self.drops = DropCounter()
@@ -227,7 +227,7 @@
             return
         peer.sent_number += 1
         peer.unacknowledged[peer.sent_number] = asyncio.get_running_loop().time()
-        content = [peer.sent_number, peer.received_number, list(self._water()), messages]
+        content = [peer.sent_number, peer.received_number, list(self._watermark()), messages]
         try:
             peer.writer.write(peer.encoder.encode(FrameKind.MESSAGES, content))
         except ValueError as error:
@@ -306,13 +306,13 @@
     def _handle_messages(self, name: str, incarnation: str, kind: FrameKind, content: Any) -> None:
         if kind is not FrameKind.MESSAGES:
             raise BadFrameError("expected a MESSAGES frame")
-        number, acknowledged, water, messages = _fields(content, 4)
+        number, acknowledged, watermark, messages = _fields(content, 4)
         if not isinstance(number, int) or not isinstance(acknowledged, int) or not isinstance(messages, list):
             raise BadFrameError("malformed frame content")
         self.peers[name].on_frame(number, acknowledged)
         for message in messages:
             try:
-                self._receive(name, incarnation, water, message)
+                self._receive(name, incarnation, watermark, message)
             except ValueError as error:
                 raise BadFrameError(str(error)) from None
 
--- a/tests/test_copies_machine.py
+++ b/tests/test_copies_machine.py
@@ -120,7 +120,7 @@
     "take-over without read quorum": (states.Meta, "reads", property(lambda self: 1)),
     "promise not persisted": (lab.MemoryStore, "promise", _promise_in_first_ballot_only),
     "incarnation not checked": (states.Meta, "incarnation_of", _any_incarnation),
-    "watermark not checked": (machine.Machine, "_on_water", _always_confirmed),
+    "watermark not checked": (machine.Machine, "_on_watermark", _always_confirmed),
     "nothing resent after a lost link": (owner.Owner, "_again", _no_resend),
 }
 
--- a/tests/test_copies_store.py
+++ b/tests/test_copies_store.py
@@ -45,13 +45,13 @@
     store = open_in(tmp_path)
     keep(store, "m1")
     store.promise(META, (4, "n2", "cc"))
-    store.saw("n2", "cc", (5, 6))
+    store.watermark_observed("n2", "cc", (5, 6))
     before = store.sequence
     for _ in range(3):  # each start begins a file, and deletes the older one once it is copied
         store = open_in(tmp_path)
         assert names(store) == {"m1"}
         assert store.logs[META.log].promised == (4, "n2", "cc")
-        assert store.seen == {"n2": ("cc", (5, 6))}
+        assert store.peer_watermarks == {"n2": ("cc", (5, 6))}
         assert store.sequence >= before, "the watermark must never decrease"
         before = store.sequence
         for _ in range(5):
