--- a/amberlug/copies/journal.py
+++ b/amberlug/copies/journal.py
@@ -383,7 +383,7 @@
         self.adopt(ones)
         self.wake()
 
-    def followed(self, log: str, names: list[str], kept: bool) -> None:
+    def superseded(self, log: str, names: list[str], kept: bool) -> None:
         mine = [name for name in names if self._log_of.get(name) == log]
         self.relinquish(mine)
         now_ms = self._clock.wall_ms()
--- a/amberlug/copies/machine.py
+++ b/amberlug/copies/machine.py
@@ -12,11 +12,11 @@
 from functools import partial
 from typing import Any, Protocol
 
-from amberlug.copies import placing
+from amberlug.copies import placement
 from amberlug.copies.holder import Holder, Holding, Store, Wire
 from amberlug.copies.owner import Owner, State
 from amberlug.copies.states import Ballot, Copy, Kind, Meta, ballot_of, meta_of
-from amberlug.copies.successor import Following, due_us
+from amberlug.copies.takeover import Takeover, takeover_due_us
 from amberlug.core.log import log as say
 from amberlug.peers.fleet import Fleet
 
@@ -45,7 +45,7 @@
     def adopted(self, log: str, copies: dict[str, Copy]) -> None:
         """Resume the messages of a log that this relay has taken over."""
 
-    def followed(self, log: str, names: list[str], kept: bool) -> None:
+    def superseded(self, log: str, names: list[str], kept: bool) -> None:
         """Stop work on the messages of a log that another relay has taken over.
 
         `kept`: whether the messages are stored here as a holder stores them; only then may the relay's own
@@ -82,13 +82,15 @@
         self.holder = Holder(fleet.name, incarnation, store)
         self.neighbours = {it.name: Neighbour() for it in fleet.members if it.name != fleet.name}
         self.owners: dict[str, Owner] = {}  # by log name
-        self.followings: dict[str, Following] = {}
+        self.takeovers: dict[str, Takeover] = {}
         self.newest: dict[int, str] = {}  # by write quorum: the log that accepts new messages
         self.out: list[tuple[str, Wire]] = []
         self.confirmed = fresh  # whether no other relay has seen more of this directory than it holds
         self._confirming: set[str] = set()
         self._retry_us: dict[str, int] = {}  # by log: earliest time of the next take-over attempt
-        self._above: dict[str, int] = {}  # by log: the highest ballot number that this relay's lost against
+        self._lost_to_ballot: dict[
+            str, int
+        ] = {}  # by log: the highest ballot number that this relay's lost against
         self._started_us = self._beat_us = now_us
         self.over = False  # the directory was found to be outdated: all input is ignored
 
@@ -114,11 +116,11 @@
             owner.adopt(name, copy, now_us)
         of = self.holder.logs.get(meta.log)
         if of is not None and of.promised > owner.ballot:  # taken over before the restart
-            owner.state = State.FOLLOWED
-            self._stopped(owner, of.promised)
+            owner.state = State.FENCED
+            self._superseded(owner, of.promised)
 
     def _owner(self, meta: Meta, ballot: Ballot, kept: str | None) -> Owner:
-        owner = Owner(meta, ballot, kept, self._send, partial(self._host.counted, meta.log), self._stopped)
+        owner = Owner(meta, ballot, kept, self._send, partial(self._host.counted, meta.log), self._superseded)
         self.owners[meta.log] = owner
         if kept is None and meta.incarnation_of(self.name) == self.incarnation:
             owner.linked(self.name)
@@ -132,12 +134,12 @@
         if not self.confirmed:
             return None
         owner = self.owners.get(self.newest.get(need + 1, ""))
-        if owner is not None and owner.state is not State.FOLLOWED and not self._gone(owner, now_us):
+        if owner is not None and owner.state is not State.FENCED and not self._gone(owner, now_us):
             return owner
         present = {name for name, it in self.neighbours.items() if it.linked}
         known = {name for name, it in self.neighbours.items() if it.incarnation}
-        names = placing.ensemble(self.name, self.fleet.own, self.fleet.members, present, known, need)
-        serves = owner is not None and owner.state is not State.FOLLOWED
+        names = placement.ensemble(self.name, self.fleet.own, self.fleet.members, present, known, need)
+        serves = owner is not None and owner.state is not State.FENCED
         if not names or (serves and not present.issuperset(names)):
             return owner if serves else None  # replacing a lost holder by an unreachable one gains nothing
         # Random: a directory restored from a copy must not reuse a number.
@@ -189,9 +191,9 @@
         for owner in self.owners.values():
             if owner.meta.incarnation_of(name) == incarnation:
                 owner.linked(name)
-        for following in self.followings.values():
-            if following.meta.incarnation_of(name) == incarnation:
-                following.ask(name)
+        for takeover in self.takeovers.values():
+            if takeover.meta.incarnation_of(name) == incarnation:
+                takeover.ask(name)
 
     def _send_watermark(self, name: str) -> None:
         """Tell another relay the highest watermark observed of its disk."""
@@ -354,31 +356,31 @@
     def _on_state(
         self, name: str, own: str, now_us: int, log: str, ballot: Any, part: int, states: list[Any]
     ) -> None:
-        if (following := self._asked(log, ballot, name, own)) is not None:
-            following.state(name, int(part), states)
-            self._try(following, now_us)
+        if (takeover := self._takeover_for(log, ballot, name, own)) is not None:
+            takeover.state(name, int(part), states)
+            self._finish_takeover(takeover, now_us)
 
     def _on_promise(self, name: str, own: str, now_us: int, log: str, ballot: Any, parts: int) -> None:
-        if (following := self._asked(log, ballot, name, own)) is not None:
-            following.promise(name, int(parts))
-            self._try(following, now_us)
+        if (takeover := self._takeover_for(log, ballot, name, own)) is not None:
+            takeover.promise(name, int(parts))
+            self._finish_takeover(takeover, now_us)
 
-    def _asked(self, log: str, ballot: Any, name: str, own: str) -> Following | None:
+    def _takeover_for(self, log: str, ballot: Any, name: str, own: str) -> Takeover | None:
         """The take-over attempt that an answer belongs to, if its sender has the disk that the log names."""
-        following = self.followings.get(log)
-        if following is None or following.ballot != ballot_of(ballot):
+        takeover = self.takeovers.get(log)
+        if takeover is None or takeover.ballot != ballot_of(ballot):
             return None
-        return following if following.meta.incarnation_of(name) == own else None
+        return takeover if takeover.meta.incarnation_of(name) == own else None
 
     def _on_deny(self, name: str, own: str, now_us: int, log: str, ballot: Any, why: str, more: Any) -> None:
-        following = self.followings.get(log)
-        if following is None or following.ballot != ballot_of(ballot):
+        takeover = self.takeovers.get(log)
+        if takeover is None or takeover.ballot != ballot_of(ballot):
             return
         if why == "followed":
-            del self.followings[log]
-            self._later(log, now_us)
+            del self.takeovers[log]
+            self._delay_takeover(log, now_us)
             if more is not None:
-                self._above[log] = max(self._above.get(log, 0), ballot_of(more)[0])
+                self._lost_to_ballot[log] = max(self._lost_to_ballot.get(log, 0), ballot_of(more)[0])
 
     _handlers: dict[str, Callable[..., None]] = {  # noqa: RUF012 - one constant table for all instances
         "open": _on_open,
@@ -396,32 +398,32 @@
         "deny": _on_deny,
     }
 
-    def _later(self, log: str, now_us: int) -> None:
+    def _delay_takeover(self, log: str, now_us: int) -> None:
         self._retry_us[log] = now_us + int((0.3 + self._host.draw()) * self.fleet.suspect_s * 5e5)
 
     # Take-over.
 
-    def follow(self, meta: Meta, now_us: int) -> None:
+    def start_takeover(self, meta: Meta, now_us: int) -> None:
         """Ask the ensemble for the promises that make this relay a log's owner."""
         of = self.holder.logs.get(meta.log)
-        number = max(of.promised[0] if of is not None else 0, self._above.get(meta.log, 0)) + 1
+        number = max(of.promised[0] if of is not None else 0, self._lost_to_ballot.get(meta.log, 0)) + 1
         ballot = (number, self.name, self.incarnation)
         owner = (of.promised if of is not None else meta.first)[1]
         say(f"copies: attempting take-over from {owner} of log {meta.log}")
-        following = self.followings[meta.log] = Following(meta, ballot, now_us, self._send)
+        takeover = self.takeovers[meta.log] = Takeover(meta, ballot, now_us, self._send)
         for name, incarnation in meta.ensemble:
             it = self.neighbours.get(name)
             if name == self.name or (it is not None and it.linked and it.incarnation == incarnation):
-                following.ask(name)
+                takeover.ask(name)
 
-    def _try(self, following: Following, now_us: int) -> None:
-        if not following.complete:
+    def _finish_takeover(self, takeover: Takeover, now_us: int) -> None:
+        if not takeover.complete:
             return
-        log = following.meta.log
-        del self.followings[log]
-        if log in self.owners and self.owners[log].ballot >= following.ballot:
+        log = takeover.meta.log
+        del self.takeovers[log]
+        if log in self.owners and self.owners[log].ballot >= takeover.ballot:
             return
-        copies = following.read()
+        copies = takeover.read()
         forgotten_ms = self._host.wall_ms() - int(self.fleet.remember_s * 1000)
         live = {
             name: copy
@@ -429,13 +431,13 @@
             if copy.live and (copy.taken is None or int(copy.taken[5]) > forgotten_ms)
         }
         say(f"copies: took over log {log}, {len(live)} messages")
-        owner = self._owner(following.meta, following.ballot, None)
+        owner = self._owner(takeover.meta, takeover.ballot, None)
         for name, copy in live.items():
             owner.adopt(name, copy, now_us)
         self._host.adopted(log, live)
         owner.flush(now_us)
 
-    def _stopped(self, owner: Owner, by: Ballot) -> None:
+    def _superseded(self, owner: Owner, by: Ballot) -> None:
         """Another relay has taken over a log of this one's."""
         log = owner.meta.log
         if self.owners.get(log) is owner:
@@ -451,7 +453,7 @@
             except OSError as error:
                 say(f"copies: the state of {log} could not be stored for its new owner: {error}")
                 kept = False
-        self._host.followed(log, list(known), kept)
+        self._host.superseded(log, list(known), kept)
 
     # Time.
 
@@ -468,27 +470,27 @@
                 owner.forget(before_ms)
         for owner in list(self.owners.values()):
             owner.tick(now_us)
-        for log, following in list(self.followings.items()):
-            if now_us > following.until_us:
-                del self.followings[log]
-                self._later(log, now_us)
+        for log, takeover in list(self.takeovers.items()):
+            if now_us > takeover.until_us:
+                del self.takeovers[log]
+                self._delay_takeover(log, now_us)
         if not self.confirmed:
             self._confirm(now_us)
-        for of in self._suspects(now_us) if self.confirmed else ():
-            self.follow(of.meta, now_us)
+        for of in self._takeover_candidates(now_us) if self.confirmed else ():
+            self.start_takeover(of.meta, now_us)
 
-    def _suspects(self, now_us: int) -> Iterator[Holding]:
+    def _takeover_candidates(self, now_us: int) -> Iterator[Holding]:
         """Logs whose owner this relay may try to replace by now."""
         present = {name for name, it in self.neighbours.items() if it.linked}
         suspect_us, stagger_us = int(self.fleet.suspect_s * 1e6), int(self.fleet.stagger_s * 1e6)
         for log, of in list(self.holder.logs.items()):
-            if log in self.followings or log in self.owners or now_us < self._retry_us.get(log, 0):
+            if log in self.takeovers or log in self.owners or now_us < self._retry_us.get(log, 0):
                 continue
             if not any(copy.live for copy in of.copies.values()):
                 continue
             since = self._silent_since(of.meta, of, now_us)
             mine = of.owner[0] == self.name
-            due = due_us(of, self.name, present, since, 0 if mine else suspect_us, stagger_us)
+            due = takeover_due_us(of, self.name, present, since, 0 if mine else suspect_us, stagger_us)
             if due is not None and due <= now_us:
                 yield of
 
--- a/amberlug/copies/owner.py
+++ b/amberlug/copies/owner.py
@@ -27,7 +27,7 @@
 
     OPENING = "opening"  # too few holders have confirmed yet that no other relay has taken over
     OPEN = "open"
-    FOLLOWED = "followed"  # another relay took over, or holders saw a newer state of this directory
+    FENCED = "fenced"  # another relay took over, or holders saw a newer state of this directory
 
 
 @dataclass(slots=True, eq=False)
@@ -96,7 +96,7 @@
     """One log owned by this relay.
 
     Callbacks: `send` queues a message for a holder; `held` gets the name of a message whose records are all
-    committed; `followed` gets the ballot of the relay that took over, after which nothing recorded here is
+    committed; `superseded` gets the ballot of the relay that took over, after which nothing recorded here is
     committed. `kept` is this relay's name if it stores each record itself before recording it here, as an
     origin does in its own journal.
     """
@@ -108,11 +108,11 @@
         kept: str | None,
         send: Callable[[str, Wire], None],
         held: Callable[[str], None],
-        followed: Callable[[Owner, Ballot], None],
+        superseded: Callable[[Owner, Ballot], None],
     ) -> None:
         self.meta, self.ballot, self.state = meta, ballot, State.OPENING
         self._kept = frozenset() if kept is None else frozenset([kept])
-        self._send, self._held, self._followed = send, held, followed
+        self._send, self._held, self._superseded = send, held, superseded
         self.peers = {name: Peer(rank) for rank, (name, _) in enumerate(meta.ensemble) if name != kept}
         self.copies: dict[str, Copy] = {}  # live messages, by their records so far
         self.ended: dict[
@@ -145,7 +145,7 @@
 
     def record(self, name: str, kind: Kind, told: list[Any], now_us: int) -> None:
         """Replicate one record; `held` is called once all records of the message are committed."""
-        if self.state is State.FOLLOWED:
+        if self.state is State.FENCED:
             return
         copy = self.copies.get(name)
         if copy is None:
@@ -258,10 +258,10 @@
     def opened(self, name: str, why: str, by: Ballot | None, now_us: int) -> None:
         """A holder accepts this owner's records from now on, or replies why not."""
         peer = self.peers.get(name)
-        if peer is None or self.state is State.FOLLOWED or peer.away_since_us is not None:
+        if peer is None or self.state is State.FENCED or peer.away_since_us is not None:
             return
         if why == "followed" and by is not None:
-            self._stop(by)
+            self._fence(by)
         elif why == "no room":
             peer.full_until_us = now_us + FULL_US
         elif not why:
@@ -295,10 +295,10 @@
     def refused(self, name: str, number: int, why: str, by: Ballot | None, now_us: int) -> None:
         """A holder rejects a batch."""
         peer = self.peers.get(name)
-        if peer is None or self.state is State.FOLLOWED:
+        if peer is None or self.state is State.FENCED:
             return
         if why == "followed" and by is not None:
-            self._stop(by)
+            self._fence(by)
             return
         if (batch := peer.out.pop(number, None)) is not None:
             self._again(name, batch)
@@ -308,9 +308,9 @@
             peer.opened = False
             self._ask(name)
 
-    def _stop(self, by: Ballot) -> None:
-        self.state = State.FOLLOWED
-        self._followed(self, by)
+    def _fence(self, by: Ballot) -> None:
+        self.state = State.FENCED
+        self._superseded(self, by)
 
     def known(self) -> dict[str, Copy]:
         """Everything known of messages, including ended ones that other relays may not know of."""
@@ -327,7 +327,7 @@
 
     def tick(self, now_us: int) -> None:
         """Repeat unanswered requests, and hedge records that a holder is slow to acknowledge."""
-        if self.state is State.FOLLOWED:
+        if self.state is State.FENCED:
             return
         for name, peer in self.peers.items():
             if peer.away_since_us is None and not peer.opened and peer.full_until_us <= now_us:
--- a/amberlug/copies/successor.py
+++ b/amberlug/copies/takeover.py
@@ -15,24 +15,24 @@
 from amberlug.copies.holder import Holding, Wire
 from amberlug.copies.states import Ballot, Copy, Meta, unpacked
 
-PATIENCE_US = 2_000_000  # an attempt is abandoned after this time and repeated later
+TAKEOVER_TIMEOUT_US = 2_000_000  # an attempt is abandoned after this time and repeated later
 
 
 @dataclass(slots=True)
-class Answer:
+class PromiseProgress:
     """What one relay of the ensemble has sent so far."""
 
     parts: dict[int, list[Any]] = field(default_factory=dict)
     promised: int | None = None  # the number of parts, once it has promised
 
 
-class Following:
+class Takeover:
     """One attempt to take over a log."""
 
     def __init__(self, meta: Meta, ballot: Ballot, now_us: int, send: Callable[[str, Wire], None]) -> None:
         self.meta, self.ballot, self._send = meta, ballot, send
-        self.until_us = now_us + PATIENCE_US
-        self._answers: dict[str, Answer] = {}
+        self.until_us = now_us + TAKEOVER_TIMEOUT_US
+        self._progress: dict[str, PromiseProgress] = {}
 
     def ask(self, name: str) -> None:
         """Ask one relay of the ensemble for its promise."""
@@ -41,32 +41,32 @@
     def state(self, name: str, part: int, states: list[Any]) -> None:
         """Handle one part of the state that a relay holds."""
         if self.meta.incarnation_of(name) is not None:
-            self._answers.setdefault(name, Answer()).parts[part] = states
+            self._progress.setdefault(name, PromiseProgress()).parts[part] = states
 
     def promise(self, name: str, parts: int) -> None:
         """Handle a relay's promise, which follows all parts of its state."""
         if self.meta.incarnation_of(name) is not None:
-            self._answers.setdefault(name, Answer()).promised = parts
+            self._progress.setdefault(name, PromiseProgress()).promised = parts
 
     @property
     def complete(self) -> bool:
         """Whether enough relays have promised and sent all parts."""
         whole = [
-            it for it in self._answers.values() if it.promised is not None and len(it.parts) >= it.promised
+            it for it in self._progress.values() if it.promised is not None and len(it.parts) >= it.promised
         ]
         return len(whole) >= self.meta.reads
 
     def read(self) -> dict[str, Copy]:
         """The merged state; `ValueError` if a relay sent a malformed one."""
         found: dict[str, Copy] = {}
-        for answer in self._answers.values():
+        for answer in self._progress.values():
             for states in answer.parts.values():
                 for name, state in states:
                     found.setdefault(str(name), Copy()).merge(unpacked(state))
         return found
 
 
-def due_us(
+def takeover_due_us(
     of: Holding,
     name: str,
     present: set[str],
--- a/amberlug/lab/copies.py
+++ b/amberlug/lab/copies.py
@@ -164,7 +164,7 @@
             self.log_of[name] = log
             self._resume(name, it)
 
-    def followed(self, log: str, names: list[str], kept: bool) -> None:
+    def superseded(self, log: str, names: list[str], kept: bool) -> None:
         for name in names:
             self.doing.pop(name, None)
             self.log_of.pop(name, None)
@@ -375,7 +375,7 @@
                 return
 
     def _quiet(self) -> bool:
-        resting = all(it.settled() and not it.machine.followings for it in self.relays.values())
+        resting = all(it.settled() and not it.machine.takeovers for it in self.relays.values())
         return resting and not self.flying and not (self.checker.promised - self._ended())
 
     def _ended(self) -> set[str]:
--- a/amberlug/lab/explore.py
+++ b/amberlug/lab/explore.py
@@ -146,7 +146,7 @@
         for log, of in sorted(machine.holder.logs.items()):
             copies = [(name, it.packed()) for name, it in sorted(of.copies.items())]
             told.append((log, of.promised, of.left, of.serving, copies))
-        follows = [(log, it.ballot, sorted(it._answers)) for log, it in sorted(machine.followings.items())]
+        follows = [(log, it.ballot, sorted(it._progress)) for log, it in sorted(machine.takeovers.items())]
         near = [(it.incarnation, it.linked, it.heard_us) for _, it in sorted(machine.neighbours.items())]
         told.append((name, sorted(relay.doing.items()), machine.confirmed, follows, near))
     told.append((sorted(world.flying.items()), sorted(world.cut), world.now_us))
--- a/tests/test_fleet_file.py
+++ b/tests/test_fleet_file.py
@@ -11,7 +11,7 @@
 from hypothesis import strategies as st
 
 from amberlug.cli.main import main
-from amberlug.copies.placing import ensemble
+from amberlug.copies.placement import ensemble
 from amberlug.copies.states import Copy, Kind, unpacked
 from amberlug.peers import fleet
 from amberlug.peers.frames import (
