--- a/amberlug/copies/journal.py
+++ b/amberlug/copies/journal.py
@@ -354,7 +354,7 @@
         new.write_text(json.dumps(told), encoding="utf-8")
         os.replace(new, path)
 
-    def counted(self, log: str, name: str) -> None:
+    def committed(self, log: str, name: str) -> None:
         """Run everything that waited for a message's records to be committed."""
         if self._log_of.get(name) != log:
             return
--- a/amberlug/copies/machine.py
+++ b/amberlug/copies/machine.py
@@ -39,7 +39,7 @@
     def draw(self) -> float:
         """A random number from 0 to 1."""
 
-    def counted(self, log: str, name: str) -> None:
+    def committed(self, log: str, name: str) -> None:
         """All records of a message have been committed so far."""
 
     def adopted(self, log: str, copies: dict[str, Copy]) -> None:
@@ -120,12 +120,14 @@
             self._superseded(owner, of.promised)
 
     def _owner(self, meta: Meta, ballot: Ballot, kept: str | None) -> Owner:
-        owner = Owner(meta, ballot, kept, self._send, partial(self._host.counted, meta.log), self._superseded)
+        owner = Owner(
+            meta, ballot, kept, self._send, partial(self._host.committed, meta.log), self._superseded
+        )
         self.owners[meta.log] = owner
         if kept is None and meta.incarnation_of(self.name) == self.incarnation:
             owner.linked(self.name)
         for name, it in self.neighbours.items():
-            if name in owner.peers and it.linked and it.incarnation == meta.incarnation_of(name):
+            if name in owner.holders and it.linked and it.incarnation == meta.incarnation_of(name):
                 owner.linked(name)
         return owner
 
@@ -134,7 +136,7 @@
         if not self.confirmed:
             return None
         owner = self.owners.get(self.newest.get(need + 1, ""))
-        if owner is not None and owner.state is not State.FENCED and not self._gone(owner, now_us):
+        if owner is not None and owner.state is not State.FENCED and not self._has_lost_holder(owner, now_us):
             return owner
         present = {name for name, it in self.neighbours.items() if it.linked}
         known = {name for name, it in self.neighbours.items() if it.incarnation}
@@ -156,21 +158,21 @@
         self.newest[meta.need] = meta.log
         return self.own(meta)
 
-    def _gone(self, owner: Owner, now_us: int) -> bool:
+    def _has_lost_holder(self, owner: Owner, now_us: int) -> bool:
         """Whether a holder of the log is lost for good, or unreachable for long enough to be replaced."""
-        return bool(self._lost_of(owner, now_us))
+        return bool(self._lost_holders(owner, now_us))
 
-    def _lost_of(self, owner: Owner, now_us: int) -> set[str]:
+    def _lost_holders(self, owner: Owner, now_us: int) -> set[str]:
         replace_us = int(self.fleet.replace_s * 1e6)
         lost = set()
-        for name, peer in owner.peers.items():
+        for name, holder in owner.holders.items():
             it = self.neighbours.get(name)
             if it is None:
                 continue
             other = it.linked and it.incarnation != owner.meta.incarnation_of(name)
             away = (
-                peer.away_since_us is not None
-                and now_us - max(peer.away_since_us, self._started_us) > replace_us
+                holder.away_since_us is not None
+                and now_us - max(holder.away_since_us, self._started_us) > replace_us
             )
             if other or away:
                 lost.add(name)
@@ -207,7 +209,7 @@
             return
         it.linked = False
         for owner in self.owners.values():
-            if name in owner.peers:
+            if name in owner.holders:
                 owner.lost(name, now_us)
                 owner.flush(now_us)
 
@@ -338,7 +340,7 @@
         if owner is None or owner.ballot != ballot_of(ballot) or owner.meta.incarnation_of(name) != own:
             return
         if names is None:
-            owner.peers[name].settled = owner.peers[name].opened
+            owner.holders[name].settled = owner.holders[name].opened
         else:
             owner.settle([str(it) for it in names], self._host.until_ms, now_us)
 
@@ -506,7 +508,7 @@
             # Guards against a holder that was away and still has as live what all others have forgotten.
             if owner.done and owner.settled and log not in self.newest.values() and owner.state is State.OPEN:
                 del self.owners[log]
-                for name in owner.peers:
+                for name in owner.holders:
                     self._send(name, ["drop", log])
 
 
--- a/amberlug/copies/owner.py
+++ b/amberlug/copies/owner.py
@@ -16,10 +16,10 @@
 from amberlug.copies.states import Ballot, Copy, Kind, Meta
 
 HEDGE_US = 60_000  # an unanswered record then goes to one more holder; many turns on a local network
-FULL_US = 1_000_000  # how long a holder that reported a full disk is not asked again
-LOST_US = 1_000_000  # a batch unanswered for so long by a reachable holder is sent to it again
-WINDOW = 1 << 20  # bytes in flight to one holder; bounds the queue for a slow one
-FRAME = 64 << 10  # bytes of records per message
+FULL_HOLDER_BACKOFF_US = 1_000_000  # how long a holder that reported a full disk is not asked again
+RESEND_US = 1_000_000  # a batch unanswered for so long by a reachable holder is sent to it again
+WINDOW_BYTES = 1 << 20  # bytes in flight to one holder; bounds the queue for a slow one
+MESSAGE_BYTES = 64 << 10  # bytes of records per message
 
 
 class State(Enum):
@@ -31,31 +31,31 @@
 
 
 @dataclass(slots=True, eq=False)
-class Entry:
+class PendingRecord:
     """One record until it is committed."""
 
     name: str
     kind: Kind
     told: list[Any]
     at_us: int
-    sent: set[str] = field(default_factory=set)
-    had: set[str] = field(default_factory=set)
-    must: frozenset[str] | None = None  # the holders that must all store it; None: any quorum
+    sent_to: set[str] = field(default_factory=set)
+    acked_by: set[str] = field(default_factory=set)
+    required: frozenset[str] | None = None  # the holders that must all store it; None: any quorum
 
-    def lacks(self, need: int) -> int:
+    def missing(self, need: int) -> int:
         """How many more holders it has to be sent to."""
-        if self.must is not None:
-            return len(self.must - self.sent - self.had)
-        return need - len(self.sent | self.had)
+        if self.required is not None:
+            return len(self.required - self.sent_to - self.acked_by)
+        return need - len(self.sent_to | self.acked_by)
 
-    def counts(self, need: int) -> bool:
+    def is_committed(self, need: int) -> bool:
         """Whether enough holders store it."""
-        return self.must <= self.had if self.must is not None else len(self.had) >= need
+        return self.required <= self.acked_by if self.required is not None else len(self.acked_by) >= need
 
-    def fits(self, holder: str) -> bool:
+    def may_go_to(self, holder: str) -> bool:
         """Whether it may be sent to a holder."""
-        wanted = self.must is None or holder in self.must
-        return wanted and holder not in self.sent and holder not in self.had
+        wanted = self.required is None or holder in self.required
+        return wanted and holder not in self.sent_to and holder not in self.acked_by
 
     @property
     def size(self) -> int:
@@ -70,13 +70,13 @@
 class Batch:
     """Records sent to one holder in one message, which is acknowledged as a whole."""
 
-    entries: list[Entry]
+    entries: list[PendingRecord]
     size: int
     at_us: int
 
 
 @dataclass(slots=True)
-class Peer:
+class HolderState:
     """A holder as seen by the owner."""
 
     rank: int
@@ -84,21 +84,21 @@
     settled: bool = False  # it has also listed all messages that are live there
     full_until_us: int = 0
     away_since_us: int | None = 0  # None while the link is up
-    out: dict[int, Batch] = field(default_factory=dict)
+    in_flight: dict[int, Batch] = field(default_factory=dict)
 
     @property
-    def out_bytes(self) -> int:
+    def in_flight_bytes(self) -> int:
         """Bytes sent and not acknowledged."""
-        return sum(it.size for it in self.out.values())
+        return sum(it.size for it in self.in_flight.values())
 
 
 class Owner:
     """One log owned by this relay.
 
-    Callbacks: `send` queues a message for a holder; `held` gets the name of a message whose records are all
-    committed; `superseded` gets the ballot of the relay that took over, after which nothing recorded here is
-    committed. `kept` is this relay's name if it stores each record itself before recording it here, as an
-    origin does in its own journal.
+    Callbacks: `send` queues a message for a holder; `on_committed` gets the name of a message once all its
+    records are committed; `on_superseded` gets the ballot of the relay that took over, after which nothing
+    recorded here is committed. `kept` is this relay's name if it stores each record itself before recording
+    it here, as an origin does in its own journal.
     """
 
     def __init__(
@@ -107,20 +107,22 @@
         ballot: Ballot,
         kept: str | None,
         send: Callable[[str, Wire], None],
-        held: Callable[[str], None],
-        superseded: Callable[[Owner, Ballot], None],
+        on_committed: Callable[[str], None],
+        on_superseded: Callable[[Owner, Ballot], None],
     ) -> None:
         self.meta, self.ballot, self.state = meta, ballot, State.OPENING
         self._kept = frozenset() if kept is None else frozenset([kept])
-        self._send, self._held, self._superseded = send, held, superseded
-        self.peers = {name: Peer(rank) for rank, (name, _) in enumerate(meta.ensemble) if name != kept}
+        self._send, self._on_committed, self._on_superseded = send, on_committed, on_superseded
+        self.holders = {
+            name: HolderState(rank) for rank, (name, _) in enumerate(meta.ensemble) if name != kept
+        }
         self.copies: dict[str, Copy] = {}  # live messages, by their records so far
         self.ended: dict[
             str, int
         ] = {}  # messages that ended here, with their expiry: a successor that reads this log needs them
-        self.where: dict[str, set[str]] = {}  # by live message: the holders that store its full state
-        self._waiting: dict[str, list[Entry]] = {}  # by message: records not committed yet
-        self._unsent: list[Entry] = []  # records sent to fewer holders than needed
+        self.stored_at: dict[str, set[str]] = {}  # by live message: the holders that store its full state
+        self._waiting: dict[str, list[PendingRecord]] = {}  # by message: records not committed yet
+        self._unsent: list[PendingRecord] = []  # records sent to fewer holders than needed
         self._number = 0
 
     @property
@@ -131,20 +133,22 @@
     @property
     def short(self) -> bool:
         """Whether too few holders are reachable for a record to be committed now."""
-        return self.state is not State.OPEN or len(self._able(0)) + len(self._kept) < self.meta.need
+        return (
+            self.state is not State.OPEN or len(self._reachable_holders(0)) + len(self._kept) < self.meta.need
+        )
 
     def waits(self, name: str) -> bool:
         """Whether a message has records that are not committed yet."""
         return name in self._waiting
 
-    def reached(self, name: str) -> set[str]:
+    def holders_sent(self, name: str) -> set[str]:
         """The holders to which uncommitted records of a message were sent."""
-        return {peer for entry in self._waiting.get(name, ()) for peer in entry.sent}
+        return {holder for entry in self._waiting.get(name, ()) for holder in entry.sent_to}
 
     # Recording.
 
     def record(self, name: str, kind: Kind, told: list[Any], now_us: int) -> None:
-        """Replicate one record; `held` is called once all records of the message are committed."""
+        """Replicate one record; `on_committed` is called once all records of the message are committed."""
         if self.state is State.FENCED:
             return
         copy = self.copies.get(name)
@@ -153,23 +157,23 @@
         copy.add(kind, self.ballot, told)
         if copy.ended is not None:
             del self.copies[name]
-            self.where.pop(name, None)
+            self.stored_at.pop(name, None)
             self.ended[name] = copy.ended[1]
-        entry = Entry(name, kind, told, now_us, had=set(self._kept))
+        entry = PendingRecord(name, kind, told, now_us, acked_by=set(self._kept))
         self._waiting.setdefault(name, []).append(entry)
         self._unsent.append(entry)
 
     def withdraw(self, name: str, until_ms: int, now_us: int) -> None:
-        """Remove a message that was not accepted from every holder; `held` is called once none stores it."""
-        reached = (frozenset(self.reached(name)) | frozenset(self.where.pop(name, ()))) - self._kept
+        """Remove an unaccepted message from every holder; calls `on_committed` once none stores it."""
+        reached = (frozenset(self.holders_sent(name)) | frozenset(self.stored_at.pop(name, ()))) - self._kept
         self.copies.pop(name, None)
         for entry in self._waiting.pop(name, ()):
             if entry in self._unsent:
                 self._unsent.remove(entry)
         if not reached:
-            self._held(name)
+            self._on_committed(name)
             return
-        entry = Entry(name, Kind.ENDED, [until_ms], now_us, must=reached)
+        entry = PendingRecord(name, Kind.ENDED, [until_ms], now_us, required=reached)
         self._waiting[name] = [entry]
         self._unsent.append(entry)
 
@@ -181,17 +185,20 @@
         """Send new records and those that wait for a holder, batched by holder."""
         if self.state is not State.OPEN:
             return
-        self._unsent = [entry for entry in self._unsent if not entry.counts(self.meta.need)]
-        batches: dict[str, list[Entry]] = {}
-        room = {name: WINDOW - self.peers[name].out_bytes for name in self._able(now_us)}
+        self._unsent = [entry for entry in self._unsent if not entry.is_committed(self.meta.need)]
+        batches: dict[str, list[PendingRecord]] = {}
+        room = {
+            name: WINDOW_BYTES - self.holders[name].in_flight_bytes
+            for name in self._reachable_holders(now_us)
+        }
         later = []
         for entry in self._unsent:
-            wanted = entry.lacks(self.meta.need)
-            for name in self._order(entry.name, room):
+            wanted = entry.missing(self.meta.need)
+            for name in self._preferred(entry.name, room):
                 if wanted <= 0:
                     break
-                if entry.fits(name) and room[name] > 0:
-                    entry.sent.add(name)
+                if entry.may_go_to(name) and room[name] > 0:
+                    entry.sent_to.add(name)
                     room[name] -= entry.size
                     batches.setdefault(name, []).append(entry)
                     wanted -= 1
@@ -201,26 +208,26 @@
         for name, entries in batches.items():
             self._send_batch(name, entries, now_us)
 
-    def _order(self, name: str, able: Iterable[str]) -> list[str]:
+    def _preferred(self, name: str, able: Iterable[str]) -> list[str]:
         """Holders in order of preference for a message: those that store it, then by rank in the ensemble."""
-        has = self.where.get(name, ())
-        return sorted(able, key=lambda it: (it not in has, self.peers[it].rank))
+        has = self.stored_at.get(name, ())
+        return sorted(able, key=lambda it: (it not in has, self.holders[it].rank))
 
-    def _able(self, now_us: int) -> list[str]:
+    def _reachable_holders(self, now_us: int) -> list[str]:
         """Holders that can be sent records, in order of rank."""
         return [
             name
-            for name, it in self.peers.items()
+            for name, it in self.holders.items()
             if it.opened and it.away_since_us is None and it.full_until_us <= now_us
         ]
 
-    def _send_batch(self, name: str, entries: list[Entry], now_us: int) -> None:
-        part: list[Entry] = []
+    def _send_batch(self, name: str, entries: list[PendingRecord], now_us: int) -> None:
+        part: list[PendingRecord] = []
         size = 0
         for entry in [*entries, None]:
-            if part and (entry is None or size + entry.size > FRAME):
+            if part and (entry is None or size + entry.size > MESSAGE_BYTES):
                 self._number += 1
-                self.peers[name].out[self._number] = Batch(part, size, now_us)
+                self.holders[name].in_flight[self._number] = Batch(part, size, now_us)
                 told = [[it.name, it.kind.value, it.told] for it in part]
                 self._send(name, ["recs", self.meta.log, list(self.ballot), self._number, told])
                 part, size = [], 0
@@ -232,85 +239,85 @@
 
     def linked(self, name: str) -> None:
         """A link is up to a holder with the disk that this log names."""
-        peer = self.peers[name]
-        peer.away_since_us, peer.opened, peer.settled = None, False, False
-        self._ask(name)
+        holder = self.holders[name]
+        holder.away_since_us, holder.opened, holder.settled = None, False, False
+        self._send_open(name)
 
-    def _ask(self, name: str) -> None:
+    def _send_open(self, name: str) -> None:
         self._send(name, ["open", self.meta.packed(), list(self.ballot)])
 
     def lost(self, name: str, now_us: int) -> None:
         """The link to a holder is down: unacknowledged records go to other holders, or to it again later."""
-        peer = self.peers[name]
-        if peer.away_since_us is None:
-            peer.away_since_us = now_us
-        peer.opened = peer.settled = False
-        out, peer.out = peer.out, {}
-        for batch in out.values():
-            self._again(name, batch)
-
-    def _again(self, name: str, batch: Batch) -> None:
+        holder = self.holders[name]
+        if holder.away_since_us is None:
+            holder.away_since_us = now_us
+        holder.opened = holder.settled = False
+        in_flight, holder.in_flight = holder.in_flight, {}
+        for batch in in_flight.values():
+            self._requeue(name, batch)
+
+    def _requeue(self, name: str, batch: Batch) -> None:
         for entry in batch.entries:
-            entry.sent.discard(name)
-            if not entry.counts(self.meta.need) and entry not in self._unsent:
+            entry.sent_to.discard(name)
+            if not entry.is_committed(self.meta.need) and entry not in self._unsent:
                 self._unsent.append(entry)
 
     def opened(self, name: str, why: str, by: Ballot | None, now_us: int) -> None:
         """A holder accepts this owner's records from now on, or replies why not."""
-        peer = self.peers.get(name)
-        if peer is None or self.state is State.FENCED or peer.away_since_us is not None:
+        holder = self.holders.get(name)
+        if holder is None or self.state is State.FENCED or holder.away_since_us is not None:
             return
         if why == "followed" and by is not None:
             self._fence(by)
         elif why == "no room":
-            peer.full_until_us = now_us + FULL_US
+            holder.full_until_us = now_us + FULL_HOLDER_BACKOFF_US
         elif not why:
-            peer.opened = True
-            able = sum(it.opened for it in self.peers.values()) + len(self._kept)
+            holder.opened = True
+            able = sum(it.opened for it in self.holders.values()) + len(self._kept)
             if self.state is State.OPENING and able >= self.meta.need:
                 self.state = State.OPEN
 
     def acknowledged(self, name: str, number: int) -> None:
         """A holder stores a batch."""
-        peer = self.peers.get(name)
-        batch = peer.out.pop(number, None) if peer is not None else None
+        holder = self.holders.get(name)
+        batch = holder.in_flight.pop(number, None) if holder is not None else None
         if batch is None:
             return  # a duplicate, or a reply from an earlier link
         for entry in batch.entries:
-            entry.had.add(name)
+            entry.acked_by.add(name)
             if entry.kind in (Kind.TAKEN, Kind.STATE) and entry.name in self.copies:
-                self.where.setdefault(entry.name, set(self._kept)).add(name)
-            if entry.counts(self.meta.need):
-                self._counts(entry)
+                self.stored_at.setdefault(entry.name, set(self._kept)).add(name)
+            if entry.is_committed(self.meta.need):
+                self._commit(entry)
 
-    def _counts(self, entry: Entry) -> None:
+    def _commit(self, entry: PendingRecord) -> None:
         waiting = self._waiting.get(entry.name)
         if waiting is None or entry not in waiting:
             return
         waiting.remove(entry)
         if not waiting:
             del self._waiting[entry.name]
-            self._held(entry.name)
+            self._on_committed(entry.name)
 
     def refused(self, name: str, number: int, why: str, by: Ballot | None, now_us: int) -> None:
         """A holder rejects a batch."""
-        peer = self.peers.get(name)
-        if peer is None or self.state is State.FENCED:
+        holder = self.holders.get(name)
+        if holder is None or self.state is State.FENCED:
             return
         if why == "followed" and by is not None:
             self._fence(by)
             return
-        if (batch := peer.out.pop(number, None)) is not None:
-            self._again(name, batch)
+        if (batch := holder.in_flight.pop(number, None)) is not None:
+            self._requeue(name, batch)
         if why == "no room":
-            peer.full_until_us = now_us + FULL_US
+            holder.full_until_us = now_us + FULL_HOLDER_BACKOFF_US
         elif why == "unknown":
-            peer.opened = False
-            self._ask(name)
+            holder.opened = False
+            self._send_open(name)
 
     def _fence(self, by: Ballot) -> None:
         self.state = State.FENCED
-        self._superseded(self, by)
+        self._on_superseded(self, by)
 
     def known(self) -> dict[str, Copy]:
         """Everything known of messages, including ended ones that other relays may not know of."""
@@ -329,11 +336,13 @@
         """Repeat unanswered requests, and hedge records that a holder is slow to acknowledge."""
         if self.state is State.FENCED:
             return
-        for name, peer in self.peers.items():
-            if peer.away_since_us is None and not peer.opened and peer.full_until_us <= now_us:
-                self._ask(name)  # it had no room, or its reply was lost
-            for number in [number for number, it in peer.out.items() if it.at_us + LOST_US <= now_us]:
-                self._again(name, peer.out.pop(number))
+        for name, holder in self.holders.items():
+            if holder.away_since_us is None and not holder.opened and holder.full_until_us <= now_us:
+                self._send_open(name)  # it had no room, or its reply was lost
+            for number in [
+                number for number, it in holder.in_flight.items() if it.at_us + RESEND_US <= now_us
+            ]:
+                self._requeue(name, holder.in_flight.pop(number))
         late = [
             entry
             for entries in self._waiting.values()
@@ -341,9 +350,13 @@
             if entry.at_us + HEDGE_US <= now_us and entry not in self._unsent
         ]
         for entry in late:
-            spare = [it for it in self._order(entry.name, self._able(now_us)) if entry.fits(it)]
+            spare = [
+                it
+                for it in self._preferred(entry.name, self._reachable_holders(now_us))
+                if entry.may_go_to(it)
+            ]
             if spare and self.state is State.OPEN:
-                entry.sent.add(spare[0])
+                entry.sent_to.add(spare[0])
                 entry.at_us = now_us
                 self._send_batch(spare[0], [entry], now_us)
         self.flush(now_us)
@@ -356,12 +369,12 @@
     @property
     def settled(self) -> bool:
         """Whether every other relay of the ensemble is reachable and has listed its live messages."""
-        return all(it.opened and it.settled for it in self.peers.values())
+        return all(it.opened and it.settled for it in self.holders.values())
 
     def settle(self, names: list[str], until_ms: Callable[[str], int], now_us: int) -> None:
         """Handle a holder's list of live messages: those that ended here are reported to it as ended."""
         for name in names:
             if name not in self.copies and name not in self._waiting:
-                entry = Entry(name, Kind.ENDED, [until_ms(name)], now_us, had=set(self._kept))
+                entry = PendingRecord(name, Kind.ENDED, [until_ms(name)], now_us, acked_by=set(self._kept))
                 self._waiting.setdefault(name, []).append(entry)
                 self._unsent.append(entry)
--- a/amberlug/lab/copies.py
+++ b/amberlug/lab/copies.py
@@ -143,7 +143,7 @@
     def opened(self, meta: Meta, older: dict[str, list[str]]) -> None:
         self.disk.metas[meta.log] = meta
 
-    def counted(self, log: str, name: str) -> None:
+    def committed(self, log: str, name: str) -> None:
         what = self.doing.get(name, "")
         if what != "answer":  # a state that was recorded again counts once more
             self.doing.pop(name, None)
--- a/amberlug/lab/explore.py
+++ b/amberlug/lab/explore.py
@@ -137,12 +137,14 @@
         machine = relay.machine
         for log, owner in sorted(machine.owners.items()):
             waiting = [
-                (name, [(it.kind, it.told, sorted(it.sent), sorted(it.had)) for it in entries])
+                (name, [(it.kind, it.told, sorted(it.sent_to), sorted(it.acked_by)) for it in entries])
                 for name, entries in sorted(owner._waiting.items())
             ]
-            peers = [(name, it.opened, it.away_since_us, len(it.out)) for name, it in owner.peers.items()]
+            holders = [
+                (name, it.opened, it.away_since_us, len(it.in_flight)) for name, it in owner.holders.items()
+            ]
             copies = [(name, it.packed()) for name, it in sorted(owner.copies.items())]
-            told.append((log, owner.ballot, owner.state, waiting, peers, copies))
+            told.append((log, owner.ballot, owner.state, waiting, holders, copies))
         for log, of in sorted(machine.holder.logs.items()):
             copies = [(name, it.packed()) for name, it in sorted(of.copies.items())]
             told.append((log, of.promised, of.left, of.serving, copies))
--- a/tests/test_copies_machine.py
+++ b/tests/test_copies_machine.py
@@ -39,7 +39,7 @@
 # Mutations: each replaces one safety check.
 
 
-def _commits_at_once(self: owner.Entry, need: int) -> bool:
+def _commits_at_once(self: owner.PendingRecord, need: int) -> bool:
     return True
 
 
@@ -65,7 +65,7 @@
             return
         self.copies[name].add(kind, self.ballot, told)
         if not self.waits(name):
-            self._held(name)
+            self._on_committed(name)
 
     return record
 
@@ -113,7 +113,7 @@
     "nothing resent after a lost link": ((3, 1), range(100)),
 }
 MUTANTS: dict[str, tuple[object, str, Any]] = {
-    "acknowledged before stored": (owner.Entry, "counts", _commits_at_once),
+    "acknowledged before stored": (owner.PendingRecord, "is_committed", _commits_at_once),
     "no fencing": (holder.Holder, "records", _without_fencing),
     "attempt not replicated": (owner.Owner, "record", _commits_kinds_at_once(Kind.ATTEMPT)),
     "end reported before committed": (owner.Owner, "record", _commits_kinds_at_once(Kind.OWED)),
@@ -121,7 +121,7 @@
     "promise not persisted": (lab.MemoryStore, "promise", _promise_in_first_ballot_only),
     "incarnation not checked": (states.Meta, "incarnation_of", _any_incarnation),
     "watermark not checked": (machine.Machine, "_on_watermark", _always_confirmed),
-    "nothing resent after a lost link": (owner.Owner, "_again", _no_resend),
+    "nothing resent after a lost link": (owner.Owner, "_requeue", _no_resend),
 }
 
 
