--- a/amberlug/copies/holder.py
+++ b/amberlug/copies/holder.py
@@ -37,8 +37,8 @@
     meta: Meta
     promised: Ballot
     copies: dict[str, Copy] = field(default_factory=dict)
-    left: bool = False  # its owner announced a clean shutdown: a successor may take over without waiting
-    serving: bool = False  # its owner has opened it here under the highest promised ballot
+    owner_left: bool = False  # its owner shut down cleanly: a successor may take over without waiting
+    opened_by_owner: bool = False  # its owner has opened it here under the highest promised ballot
     since_us: int = 0  # when last promised; a successor that does not open the log then counts as silent
 
     @property
@@ -53,7 +53,7 @@
     def __init__(self, name: str, incarnation: str, store: Store) -> None:
         self.name, self.incarnation, self._store = name, incarnation, store
         self.logs: dict[str, Holding] = {}
-        self.strange: set[str] = set()  # logs of which this relay failed to persist everything
+        self.incomplete: set[str] = set()  # logs of which this relay failed to persist everything
 
     # Requests from owners.
 
@@ -68,12 +68,12 @@
             of = self._promised(meta, ballot)
         except OSError:
             return ["opened", meta.log, list(ballot), "no room", None]
-        of.left, of.serving = False, True
+        of.owner_left, of.opened_by_owner = False, True
         return ["opened", meta.log, list(ballot), "", None]
 
     def _belongs(self, meta: Meta) -> bool:
         """Whether this relay, with its current disk, may hold a log."""
-        return meta.incarnation_of(self.name) == self.incarnation and meta.log not in self.strange
+        return meta.incarnation_of(self.name) == self.incarnation and meta.log not in self.incomplete
 
     def _promised(self, meta: Meta, ballot: Ballot) -> Holding:
         of = self.logs.get(meta.log)
@@ -81,7 +81,7 @@
             self._store.promise(meta, ballot)
         if of is None:
             of = self.logs[meta.log] = Holding(meta, ballot)
-        of.serving = of.serving and ballot == of.promised
+        of.opened_by_owner = of.opened_by_owner and ballot == of.promised
         of.promised = max(of.promised, ballot)
         return of
 
@@ -97,7 +97,7 @@
                 self._store.record(meta.log, name, Kind.STATE, meta.first, copy.packed())
                 of.copies.setdefault(name, Copy()).merge(copy)
         except OSError:
-            self.strange.add(meta.log)
+            self.incomplete.add(meta.log)
             raise
 
     def live(self, log: str, ballot: Ballot) -> Iterator[Wire]:
@@ -132,7 +132,7 @@
         """Note that an owner shuts down cleanly, for one log or for all: successors need not wait."""
         for log, of in self.logs.items():
             if of.owner == (owner, incarnation) and only in (None, log):
-                of.left = True
+                of.owner_left = True
 
     # Requests from successors.
 
@@ -153,8 +153,10 @@
                 yield ["deny", log, list(ballot), "followed", list(of.promised)]
             return
         # Guards against a take-over by a successor that alone has lost contact with an active owner.
-        owner, left = (of.owner, of.left) if of is not None else ((meta.origin, meta.incarnation), False)
-        if owner_is_there and owner[0] != ballot[1] and not left:
+        owner, owner_left = (
+            (of.owner, of.owner_left) if of is not None else ((meta.origin, meta.incarnation), False)
+        )
+        if owner_is_there and owner[0] != ballot[1] and not owner_left:
             yield ["deny", log, list(ballot), "owner is there", None]
             return
         try:
@@ -162,7 +164,7 @@
         except OSError:
             yield ["deny", log, list(ballot), "no room", None]
             return
-        of.left, of.since_us = False, now_us
+        of.owner_left, of.since_us = False, now_us
         yield from self._states(of, ballot)
 
     def _states(self, of: Holding, ballot: Ballot) -> Iterator[Wire]:
--- a/amberlug/copies/journal.py
+++ b/amberlug/copies/journal.py
@@ -84,7 +84,7 @@
         self.machine = Machine(fleet, incarnation, store, self, clock.now_us(), fresh)
         self.machine.holder.logs = store.logs
         for name, (own, watermark) in store.peer_watermarks.items():
-            if (it := self.machine.neighbours.get(name)) is not None:
+            if (it := self.machine.peers.get(name)) is not None:
                 it.watermark, it.incarnation = {own: watermark}, own
         self._metas: dict[str, Meta] = {}
         self._older: dict[str, list[str]] = {}
@@ -109,8 +109,8 @@
         before = self.machine
         self.machine = Machine(self._fleet, incarnation, store, self, self._clock.now_us(), True)
         self.machine.holder.logs = store.logs
-        for name, it in before.neighbours.items():
-            self.machine.neighbours[name].watermark = it.watermark
+        for name, it in before.peers.items():
+            self.machine.peers[name].watermark = it.watermark
 
     # Recovery.
 
@@ -442,7 +442,7 @@
         """Run maintenance; call once a second."""
         now_ms = self._clock.wall_ms()
         for name in list(self._dirty):
-            it = self.machine.neighbours[name]
+            it = self.machine.peers[name]
             for own, watermark in it.watermark.items():
                 self._store.watermark_observed(name, own, watermark)
         self._dirty.clear()
--- a/amberlug/copies/machine.py
+++ b/amberlug/copies/machine.py
@@ -63,7 +63,7 @@
 
 
 @dataclass(slots=True)
-class Neighbour:
+class PeerStatus:
     """Another relay as observed from here; times are of this relay's clock."""
 
     incarnation: str = ""
@@ -80,7 +80,7 @@
     ) -> None:
         self.fleet, self.name, self.incarnation, self._host = fleet, fleet.name, incarnation, host
         self.holder = Holder(fleet.name, incarnation, store)
-        self.neighbours = {it.name: Neighbour() for it in fleet.members if it.name != fleet.name}
+        self.peers = {it.name: PeerStatus() for it in fleet.members if it.name != fleet.name}
         self.owners: dict[str, Owner] = {}  # by log name
         self.takeovers: dict[str, Takeover] = {}
         self.newest: dict[int, str] = {}  # by write quorum: the log that accepts new messages
@@ -92,7 +92,7 @@
             str, int
         ] = {}  # by log: the highest ballot number that this relay's lost against
         self._started_us = self._beat_us = now_us
-        self.over = False  # the directory was found to be outdated: all input is ignored
+        self.outdated = False  # the directory was found to be outdated: all input is ignored
 
     @property
     def _most_copies(self) -> int:
@@ -126,7 +126,7 @@
         self.owners[meta.log] = owner
         if kept is None and meta.incarnation_of(self.name) == self.incarnation:
             owner.linked(self.name)
-        for name, it in self.neighbours.items():
+        for name, it in self.peers.items():
             if name in owner.holders and it.linked and it.incarnation == meta.incarnation_of(name):
                 owner.linked(name)
         return owner
@@ -138,15 +138,15 @@
         owner = self.owners.get(self.newest.get(need + 1, ""))
         if owner is not None and owner.state is not State.FENCED and not self._has_lost_holder(owner, now_us):
             return owner
-        present = {name for name, it in self.neighbours.items() if it.linked}
-        known = {name for name, it in self.neighbours.items() if it.incarnation}
+        present = {name for name, it in self.peers.items() if it.linked}
+        known = {name for name, it in self.peers.items() if it.incarnation}
         names = placement.ensemble(self.name, self.fleet.own, self.fleet.members, present, known, need)
         serves = owner is not None and owner.state is not State.FENCED
         if not names or (serves and not present.issuperset(names)):
             return owner if serves else None  # replacing a lost holder by an unreachable one gains nothing
         # Random: a directory restored from a copy must not reuse a number.
         serial = int(self._host.draw() * (1 << 52))
-        others = tuple((name, self.neighbours[name].incarnation) for name in names)
+        others = tuple((name, self.peers[name].incarnation) for name in names)
         ensemble = ((self.name, self.incarnation), *others)
         meta = Meta(self.name, self.incarnation, serial, need + 1, ensemble)
         older = {log: list(it.copies) for log, it in self.owners.items() if it.ballot == it.meta.first}
@@ -166,7 +166,7 @@
         replace_us = int(self.fleet.replace_s * 1e6)
         lost = set()
         for name, holder in owner.holders.items():
-            it = self.neighbours.get(name)
+            it = self.peers.get(name)
             if it is None:
                 continue
             other = it.linked and it.incarnation != owner.meta.incarnation_of(name)
@@ -182,7 +182,7 @@
 
     def connected(self, name: str, incarnation: str, now_us: int) -> None:
         """A link to another relay is up; `incarnation` identifies its disk."""
-        it = self.neighbours.get(name)
+        it = self.peers.get(name)
         if it is None:
             return
         if it.incarnation and it.incarnation != incarnation:
@@ -199,12 +199,12 @@
 
     def _send_watermark(self, name: str) -> None:
         """Tell another relay the highest watermark observed of its disk."""
-        it = self.neighbours[name]
+        it = self.peers[name]
         self._send(name, ["water", list(it.watermark.get(it.incarnation, ()))])
 
     def disconnected(self, name: str, now_us: int) -> None:
         """The link to another relay is down."""
-        it = self.neighbours.get(name)
+        it = self.peers.get(name)
         if it is None or not it.linked:
             return
         it.linked = False
@@ -223,9 +223,9 @@
 
         Raises `ValueError` if it is malformed; messages before it stay applied.
         """
-        if self.over:
+        if self.outdated:
             return
-        it = self.neighbours.get(name)
+        it = self.peers.get(name)
         if it is not None:
             it.heard_us = now_us
             if not it.linked:
@@ -252,7 +252,7 @@
         if any(mine < most for mine, most in zip(self._host.watermark(), observed, strict=False)):
             # Guards against a restored backup: what this relay accepted, did and promised since is missing.
             say(f"copies: this state directory is outdated: {name} has seen newer data of it")
-            self.over = True
+            self.outdated = True
             self._host.outdated_directory()
             return
         self._confirming.add(name)
@@ -263,12 +263,12 @@
         # One more relay than must hold a record: any that many of the possible holders include one that saw
         # the last record. If a machine is lost while this one restarts, this waits, at most `confirm_s`.
         patient = now_us - self._started_us < int(self.fleet.confirm_s * 1e6)
-        wanted = min(len(self.neighbours), self._most_copies + patient)
+        wanted = min(len(self.peers), self._most_copies + patient)
         if len(self._confirming) >= max(1, wanted):
             self.confirmed = True
 
     def _note_watermark(self, name: str, own: str, watermark: Sequence[int]) -> None:
-        it = self.neighbours[name]
+        it = self.peers[name]
         before = it.watermark.get(own, ())
         most = tuple(
             max(pair) for pair in zip(map(int, watermark), before or map(int, watermark), strict=False)
@@ -305,12 +305,12 @@
         name, incarnation = of.owner if of is not None else (meta.origin, meta.incarnation)
         if name == self.name:
             return None if meta.log in self.owners else 0
-        it = self.neighbours.get(name)
+        it = self.peers.get(name)
         if it is None or (it.incarnation and it.incarnation != incarnation):
             return 0  # its disk is gone
         # After a restart, silence counts from the start: no relay could be heard before.
         heard = max(it.heard_us or 0, self._started_us)
-        if of is not None and not of.serving:  # a successor that got the promise and gave up
+        if of is not None and not of.opened_by_owner:  # a successor that got the promise and gave up
             return max(min(heard, of.since_us), self._started_us)
         return None if now_us - heard < BEAT_US else heard
 
@@ -414,7 +414,7 @@
         say(f"copies: attempting take-over from {owner} of log {meta.log}")
         takeover = self.takeovers[meta.log] = Takeover(meta, ballot, now_us, self._send)
         for name, incarnation in meta.ensemble:
-            it = self.neighbours.get(name)
+            it = self.peers.get(name)
             if name == self.name or (it is not None and it.linked and it.incarnation == incarnation):
                 takeover.ask(name)
 
@@ -463,7 +463,7 @@
         """Run timeouts, retries and take-overs; call several times a second."""
         if now_us - self._beat_us >= BEAT_US:
             self._beat_us = now_us
-            for name, it in self.neighbours.items():
+            for name, it in self.peers.items():
                 if it.linked:
                     self._send_watermark(name)
             before_ms = self._host.wall_ms() - int(self.fleet.remember_s * 1000)
@@ -483,7 +483,7 @@
 
     def _takeover_candidates(self, now_us: int) -> Iterator[Holding]:
         """Logs whose owner this relay may try to replace by now."""
-        present = {name for name, it in self.neighbours.items() if it.linked}
+        present = {name for name, it in self.peers.items() if it.linked}
         suspect_us, stagger_us = int(self.fleet.suspect_s * 1e6), int(self.fleet.stagger_s * 1e6)
         for log, of in list(self.holder.logs.items()):
             if log in self.takeovers or log in self.owners or now_us < self._retry_us.get(log, 0):
@@ -498,7 +498,7 @@
 
     def leave(self) -> None:
         """Announce a clean shutdown, so that other relays may take over without waiting."""
-        for name, it in self.neighbours.items():
+        for name, it in self.peers.items():
             if it.linked:
                 self._send(name, ["leave", None])
 
@@ -512,4 +512,4 @@
                     self._send(name, ["drop", log])
 
 
-__all__ = ["Host", "Kind", "Machine", "Neighbour"]
+__all__ = ["Host", "Kind", "Machine", "PeerStatus"]
--- a/amberlug/copies/takeover.py
+++ b/amberlug/copies/takeover.py
@@ -79,8 +79,8 @@
     `silent_since_us`: when the owner was last active, None if it is active. The reachable relays of the
     ensemble attempt one after the other in its order, so that the first succeeds alone unless it can't.
     """
-    if of.meta.incarnation_of(name) is None or (silent_since_us is None and not of.left):
+    if of.meta.incarnation_of(name) is None or (silent_since_us is None and not of.owner_left):
         return None
     order = [it for it, _ in of.meta.ensemble if it == name or (it in present and it != of.promised[1])]
     since_us = silent_since_us or 0
-    return since_us + (0 if of.left else suspect_us) + order.index(name) * stagger_us
+    return since_us + (0 if of.owner_left else suspect_us) + order.index(name) * stagger_us
--- a/amberlug/lab/copies.py
+++ b/amberlug/lab/copies.py
@@ -103,8 +103,8 @@
         disk.lives += 1
         self.machine.holder.logs = disk.store.read()
         for other, seen in disk.seen.items():
-            self.machine.neighbours[other].watermark = dict(seen)
-            self.machine.neighbours[other].incarnation = next(iter(seen))
+            self.machine.peers[other].watermark = dict(seen)
+            self.machine.peers[other].incarnation = next(iter(seen))
         self.doing: dict[str, str] = {}  # what waits for a message's records to count
         self.log_of: dict[str, str] = dict(disk.log_of)
         newest = next(reversed(disk.metas), "")
--- a/amberlug/lab/explore.py
+++ b/amberlug/lab/explore.py
@@ -147,9 +147,9 @@
             told.append((log, owner.ballot, owner.state, waiting, holders, copies))
         for log, of in sorted(machine.holder.logs.items()):
             copies = [(name, it.packed()) for name, it in sorted(of.copies.items())]
-            told.append((log, of.promised, of.left, of.serving, copies))
+            told.append((log, of.promised, of.owner_left, of.opened_by_owner, copies))
         follows = [(log, it.ballot, sorted(it._progress)) for log, it in sorted(machine.takeovers.items())]
-        near = [(it.incarnation, it.linked, it.heard_us) for _, it in sorted(machine.neighbours.items())]
+        near = [(it.incarnation, it.linked, it.heard_us) for _, it in sorted(machine.peers.items())]
         told.append((name, sorted(relay.doing.items()), machine.confirmed, follows, near))
     told.append((sorted(world.flying.items()), sorted(world.cut), world.now_us))
     told.append((sorted(world.checker.promised), sorted(world.checker.calls.items())))
