--- a/amberlug/copies/holder.py
+++ b/amberlug/copies/holder.py
@@ -1,7 +1,7 @@
 """The replica holder: stores owners' records, promises logs to successors and rejects fenced owners.
 
 No I/O: whatever must survive the process is written through `Store` before it is acknowledged, and replies
-are returned by the methods. A log is identified by its `Meta`. A relay may hold a log only with the disk
+are returned by the methods. A log is identified by its `LogMetadata`. A relay may hold a log only with the disk
 (incarnation) that the log's ensemble names: one that returns with an empty directory is not a holder of it.
 """
 
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, field
 from typing import Any, Protocol
 
-from amberlug.copies.states import Ballot, Copy, Kind, Meta, ballot_of
+from amberlug.copies.states import Ballot, Kind, LogMetadata, MessageState, decode_ballot
 
 Wire = list[Any]  # a message to another relay, before framing
 SLICE = 200  # states, or message names, per wire message
@@ -20,7 +20,7 @@
 class Store(Protocol):
     """Durable storage of a holder. Methods raise `OSError` when nothing was written."""
 
-    def promise(self, meta: Meta, ballot: Ballot) -> None:
+    def promise(self, meta: LogMetadata, ballot: Ballot) -> None:
         """Persist the ballot to which a log is promised, before the promise is sent."""
 
     def record(self, log: str, name: str, kind: str, ballot: Ballot, told: list[Any]) -> None:
@@ -31,12 +31,12 @@
 
 
 @dataclass(slots=True)
-class Holding:
+class HeldLog:
     """One log as held by this relay."""
 
-    meta: Meta
+    meta: LogMetadata
     promised: Ballot
-    copies: dict[str, Copy] = field(default_factory=dict)
+    copies: dict[str, MessageState] = field(default_factory=dict)
     owner_left: bool = False  # its owner shut down cleanly: a successor may take over without waiting
     opened_by_owner: bool = False  # its owner has opened it here under the highest promised ballot
     since_us: int = 0  # when last promised; a successor that does not open the log then counts as silent
@@ -52,12 +52,12 @@
 
     def __init__(self, name: str, incarnation: str, store: Store) -> None:
         self.name, self.incarnation, self._store = name, incarnation, store
-        self.logs: dict[str, Holding] = {}
+        self.logs: dict[str, HeldLog] = {}
         self.incomplete: set[str] = set()  # logs of which this relay failed to persist everything
 
     # Requests from owners.
 
-    def open(self, meta: Meta, ballot: Ballot) -> Wire:
+    def open(self, meta: LogMetadata, ballot: Ballot) -> Wire:
         """Let an owner start or resume: replies whether this relay accepts its records from now on."""
         if not self._belongs(meta):
             return ["opened", meta.log, list(ballot), "stranger", None]
@@ -71,21 +71,21 @@
         of.owner_left, of.opened_by_owner = False, True
         return ["opened", meta.log, list(ballot), "", None]
 
-    def _belongs(self, meta: Meta) -> bool:
+    def _belongs(self, meta: LogMetadata) -> bool:
         """Whether this relay, with its current disk, may hold a log."""
         return meta.incarnation_of(self.name) == self.incarnation and meta.log not in self.incomplete
 
-    def _promised(self, meta: Meta, ballot: Ballot) -> Holding:
+    def _promised(self, meta: LogMetadata, ballot: Ballot) -> HeldLog:
         of = self.logs.get(meta.log)
         if of is None or ballot > of.promised:
             self._store.promise(meta, ballot)
         if of is None:
-            of = self.logs[meta.log] = Holding(meta, ballot)
+            of = self.logs[meta.log] = HeldLog(meta, ballot)
         of.opened_by_owner = of.opened_by_owner and ballot == of.promised
         of.promised = max(of.promised, ballot)
         return of
 
-    def keep(self, meta: Meta, ballot: Ballot, copies: dict[str, Copy]) -> None:
+    def keep(self, meta: LogMetadata, ballot: Ballot, copies: dict[str, MessageState]) -> None:
         """Hold a log of this relay's own that another relay has taken over, with all known state.
 
         Raises `OSError` as `Store` does. Guards against an origin being read as if it held nothing while the
@@ -94,8 +94,8 @@
         try:
             of = self._promised(meta, ballot)
             for name, copy in copies.items():
-                self._store.record(meta.log, name, Kind.STATE, meta.first, copy.packed())
-                of.copies.setdefault(name, Copy()).merge(copy)
+                self._store.record(meta.log, name, Kind.STATE, meta.origin_ballot, copy.encoded())
+                of.copies.setdefault(name, MessageState()).merge(copy)
         except OSError:
             self.incomplete.add(meta.log)
             raise
@@ -120,7 +120,7 @@
         try:
             for name, kind, rest in told:
                 copy = of.copies.get(name)
-                fresh = Copy() if copy is None else copy
+                fresh = MessageState() if copy is None else copy
                 fresh.add(kind, ballot, rest)  # raises on a malformed record, before anything is stored
                 self._store.record(log, name, kind, ballot, rest)
                 of.copies[name] = fresh
@@ -136,10 +136,10 @@
 
     # Requests from successors.
 
-    def fence(self, meta: Meta, ballot: Ballot, owner_is_there: bool, now_us: int) -> Iterator[Wire]:
+    def fence(self, meta: LogMetadata, ballot: Ballot, owner_active: bool, now_us: int) -> Iterator[Wire]:
         """Promise a log to a successor and send it everything held, or reply why not.
 
-        `owner_is_there`: whether this relay has recently heard from the owner. A relay may succeed itself.
+        `owner_active`: whether this relay has recently heard from the owner. A relay may succeed itself.
         """
         log = meta.log
         if not self._belongs(meta):
@@ -156,7 +156,7 @@
         owner, owner_left = (
             (of.owner, of.owner_left) if of is not None else ((meta.origin, meta.incarnation), False)
         )
-        if owner_is_there and owner[0] != ballot[1] and not owner_left:
+        if owner_active and owner[0] != ballot[1] and not owner_left:
             yield ["deny", log, list(ballot), "owner is there", None]
             return
         try:
@@ -167,11 +167,11 @@
         of.owner_left, of.since_us = False, now_us
         yield from self._states(of, ballot)
 
-    def _states(self, of: Holding, ballot: Ballot) -> Iterator[Wire]:
+    def _states(self, of: HeldLog, ballot: Ballot) -> Iterator[Wire]:
         names, parts = list(of.copies), 0
         for at in range(0, len(names), SLICE):
             states = [
-                [name, of.copies[name].packed()] for name in names[at : at + SLICE] if name in of.copies
+                [name, of.copies[name].encoded()] for name in names[at : at + SLICE] if name in of.copies
             ]
             yield ["state", of.meta.log, list(ballot), parts, states]
             parts += 1
@@ -192,13 +192,13 @@
             self._store.drop(log)
 
 
-def read_back(
-    logs: dict[str, Holding], meta: Meta | None, log: str, name: str, kind: str, ballot: Any, told: Any
+def apply_stored(
+    logs: dict[str, HeldLog], meta: LogMetadata | None, log: str, name: str, kind: str, ballot: Any, told: Any
 ) -> None:
     """Apply one stored entry, in the order written; `ValueError` if it is malformed."""
     if meta is not None:
-        of = logs.setdefault(meta.log, Holding(meta, ballot_of(ballot)))
-        of.promised = max(of.promised, ballot_of(ballot))
+        of = logs.setdefault(meta.log, HeldLog(meta, decode_ballot(ballot)))
+        of.promised = max(of.promised, decode_ballot(ballot))
         return
     of = logs[log]
-    of.copies.setdefault(name, Copy()).add(Kind(kind), ballot_of(ballot), told)
+    of.copies.setdefault(name, MessageState()).add(Kind(kind), decode_ballot(ballot), told)
--- a/amberlug/copies/journal.py
+++ b/amberlug/copies/journal.py
@@ -17,7 +17,7 @@
 from typing import Any
 
 from amberlug.copies.machine import Machine, Watermark
-from amberlug.copies.states import Copy, Kind, Meta, meta_of
+from amberlug.copies.states import Kind, LogMetadata, MessageState, decode_metadata
 from amberlug.copies.store import CopyStore
 from amberlug.core.journal import Journal
 from amberlug.core.log import log as say
@@ -65,7 +65,7 @@
         self._inner, self._fleet, self._store, self._folder = inner, fleet, store, folder
         self._settings, self._clock = settings, clock
         self._log_of: dict[str, str] = {}  # of replicated messages
-        self._alone: dict[str, Copy] = {}  # of messages accepted while too few holders were reachable
+        self._alone: dict[str, MessageState] = {}  # of messages accepted while too few holders were reachable
         self._followed_for: dict[
             str, int
         ] = {}  # messages of other origins' logs that ended here, with their expiry (wall clock, ms)
@@ -86,7 +86,7 @@
         for name, (own, watermark) in store.peer_watermarks.items():
             if (it := self.machine.peers.get(name)) is not None:
                 it.watermark, it.incarnation = {own: watermark}, own
-        self._metas: dict[str, Meta] = {}
+        self._metas: dict[str, LogMetadata] = {}
         self._older: dict[str, list[str]] = {}
         self._reopen()
 
@@ -120,13 +120,13 @@
             told = json.loads((self._folder / LOGS).read_text(encoding="utf-8"))
         except FileNotFoundError:
             return
-        metas = [meta_of(it) for it in told["metas"]]
+        metas = [decode_metadata(it) for it in told["metas"]]
         own = (self._fleet.name, self.machine.incarnation)
         self._metas = {it.log: it for it in metas if (it.origin, it.incarnation) == own}
         self._older = {log: list(names) for log, names in told["older"].items() if log in self._metas}
-        newest = {meta.need: log for log, meta in self._metas.items()}
+        newest = {meta.write_quorum: log for log, meta in self._metas.items()}
         placed = {name: log for log, names in self._older.items() for name in names}
-        held: dict[str, dict[str, Copy]] = defaultdict(dict)
+        held: dict[str, dict[str, MessageState]] = defaultdict(dict)
         for name, it in self._inner.held.items():
             copies = self._fleet.copies_of(it.message.message_class)
             log = placed.get(name, newest.get(copies + 1, ""))
@@ -140,9 +140,9 @@
             ended = dict(self._ended)
             self.machine.reopen(meta, held[log], ended, log in newest.values(), self._clock.now_us())
 
-    def _copy_of(self, held: Held) -> Copy:
+    def _copy_of(self, held: Held) -> MessageState:
         message = held.message
-        copy = Copy(base=(0, self._fleet.name, self.machine.incarnation))
+        copy = MessageState(base=(0, self._fleet.name, self.machine.incarnation))
         copy.add(Kind.TAKEN, copy.base, self._taken_record(message, held.taken_ms))
         for number, tried in held.tried.items():
             result = tried.result.value if tried.result is not None else ""
@@ -225,7 +225,9 @@
         told = self._taken_record(message, now_ms)
         owner = self.machine.log_for(copies, self._clock.now_us())
         if short or owner is None:
-            copy = self._alone[message.name] = Copy(base=(0, self._fleet.name, self.machine.incarnation))
+            copy = self._alone[message.name] = MessageState(
+                base=(0, self._fleet.name, self.machine.incarnation)
+            )
             copy.add(Kind.TAKEN, copy.base, told)
             self.taken_short += 1
             return
@@ -333,7 +335,7 @@
     def until_ms(self, name: str) -> int:
         return self._ended.get(name, self._clock.wall_ms() + int(self._fleet.remember_s * 1000))
 
-    def opened(self, meta: Meta, older: dict[str, list[str]]) -> None:
+    def opened(self, meta: LogMetadata, older: dict[str, list[str]]) -> None:
         self._metas[meta.log] = meta
         self._older = older
         self._save()
@@ -347,7 +349,7 @@
             if log in owners or log in self.machine.newest.values() or log not in self._older
         }
         told = {
-            "metas": [it.packed() for it in self._metas.values()],
+            "metas": [it.encoded() for it in self._metas.values()],
             "older": {log: names for log, names in self._older.items() if log in self._metas},
         }
         path, new = self._folder / LOGS, self._folder / f"{LOGS}.new"
@@ -368,7 +370,7 @@
         if name in self._ended and name in self._log_of:
             del self._log_of[name]
 
-    def adopted(self, log: str, copies: dict[str, Copy]) -> None:
+    def adopted(self, log: str, copies: dict[str, MessageState]) -> None:
         ones: list[Held] = []
         for name, copy in copies.items():
             let_go = self._let_go.pop(name, None) is not None
@@ -457,7 +459,7 @@
         self._store.work()
 
 
-def held_of(name: str, copy: Copy) -> Held:
+def held_of(name: str, copy: MessageState) -> Held:
     """Convert a replicated message for the core to resume."""
     assert copy.taken is not None
     message_class, tenant, destination, key, body, deadline_ms, taken_ms = copy.taken
--- a/amberlug/copies/machine.py
+++ b/amberlug/copies/machine.py
@@ -13,9 +13,9 @@
 from typing import Any, Protocol
 
 from amberlug.copies import placement
-from amberlug.copies.holder import Holder, Holding, Store, Wire
+from amberlug.copies.holder import HeldLog, Holder, Store, Wire
 from amberlug.copies.owner import Owner, State
-from amberlug.copies.states import Ballot, Copy, Kind, Meta, ballot_of, meta_of
+from amberlug.copies.states import Ballot, Kind, LogMetadata, MessageState, decode_ballot, decode_metadata
 from amberlug.copies.takeover import Takeover, takeover_due_us
 from amberlug.core.log import log as say
 from amberlug.peers.fleet import Fleet
@@ -42,7 +42,7 @@
     def committed(self, log: str, name: str) -> None:
         """All records of a message have been committed so far."""
 
-    def adopted(self, log: str, copies: dict[str, Copy]) -> None:
+    def adopted(self, log: str, copies: dict[str, MessageState]) -> None:
         """Resume the messages of a log that this relay has taken over."""
 
     def superseded(self, log: str, names: list[str], kept: bool) -> None:
@@ -58,7 +58,7 @@
     def until_ms(self, name: str) -> int:
         """Expiry of the name of a message that has ended here or is unknown here."""
 
-    def opened(self, meta: Meta, older: dict[str, list[str]]) -> None:
+    def opened(self, meta: LogMetadata, older: dict[str, list[str]]) -> None:
         """Persist that a log is the newest, and which messages are in older ones; `OSError` if that fails."""
 
 
@@ -100,18 +100,23 @@
 
     # The relay's own logs.
 
-    def own(self, meta: Meta) -> Owner:
+    def own(self, meta: LogMetadata) -> Owner:
         """Own a log under its origin's ballot."""
-        return self._owner(meta, meta.first, self.name)
+        return self._owner(meta, meta.origin_ballot, self.name)
 
     def reopen(
-        self, meta: Meta, copies: dict[str, Copy], ended: dict[str, int], newest: bool, now_us: int
+        self,
+        meta: LogMetadata,
+        copies: dict[str, MessageState],
+        ended: dict[str, int],
+        newest: bool,
+        now_us: int,
     ) -> None:
         """Reopen a log of an earlier process with what this relay's journal holds and knows of it."""
         owner = self.own(meta)
         owner.ended = ended
         if newest:
-            self.newest[meta.need] = meta.log
+            self.newest[meta.write_quorum] = meta.log
         for name, copy in copies.items():
             owner.adopt(name, copy, now_us)
         of = self.holder.logs.get(meta.log)
@@ -119,7 +124,7 @@
             owner.state = State.FENCED
             self._superseded(owner, of.promised)
 
-    def _owner(self, meta: Meta, ballot: Ballot, kept: str | None) -> Owner:
+    def _owner(self, meta: LogMetadata, ballot: Ballot, kept: str | None) -> Owner:
         owner = Owner(
             meta, ballot, kept, self._send, partial(self._host.committed, meta.log), self._superseded
         )
@@ -131,16 +136,16 @@
                 owner.linked(name)
         return owner
 
-    def log_for(self, need: int, now_us: int) -> Owner | None:
-        """The log for messages that `need` other relays must hold; None if too few are reachable."""
+    def log_for(self, copies: int, now_us: int) -> Owner | None:
+        """The log for messages that `copies` other relays must hold; None if too few are reachable."""
         if not self.confirmed:
             return None
-        owner = self.owners.get(self.newest.get(need + 1, ""))
+        owner = self.owners.get(self.newest.get(copies + 1, ""))
         if owner is not None and owner.state is not State.FENCED and not self._has_lost_holder(owner, now_us):
             return owner
         present = {name for name, it in self.peers.items() if it.linked}
         known = {name for name, it in self.peers.items() if it.incarnation}
-        names = placement.ensemble(self.name, self.fleet.own, self.fleet.members, present, known, need)
+        names = placement.ensemble(self.name, self.fleet.own, self.fleet.members, present, known, copies)
         serves = owner is not None and owner.state is not State.FENCED
         if not names or (serves and not present.issuperset(names)):
             return owner if serves else None  # replacing a lost holder by an unreachable one gains nothing
@@ -148,14 +153,16 @@
         serial = int(self._host.draw() * (1 << 52))
         others = tuple((name, self.peers[name].incarnation) for name in names)
         ensemble = ((self.name, self.incarnation), *others)
-        meta = Meta(self.name, self.incarnation, serial, need + 1, ensemble)
-        older = {log: list(it.copies) for log, it in self.owners.items() if it.ballot == it.meta.first}
+        meta = LogMetadata(self.name, self.incarnation, serial, copies + 1, ensemble)
+        older = {
+            log: list(it.copies) for log, it in self.owners.items() if it.ballot == it.meta.origin_ballot
+        }
         try:
             self._host.opened(meta, older)
         except OSError as error:
             say(f"copies: could not create a new log: {error}")
             return owner
-        self.newest[meta.need] = meta.log
+        self.newest[meta.write_quorum] = meta.log
         return self.own(meta)
 
     def _has_lost_holder(self, owner: Owner, now_us: int) -> bool:
@@ -278,7 +285,7 @@
             self._host.watermark_observed(name, own, most)
 
     def _on_open(self, name: str, own: str, now_us: int, meta: Any, ballot: Any) -> None:
-        of, by = meta_of(meta), ballot_of(ballot)
+        of, by = decode_metadata(meta), decode_ballot(ballot)
         answer = self.holder.open(of, by)
         self._send(name, answer)
         if not answer[3]:
@@ -288,19 +295,19 @@
     def _on_records(
         self, name: str, own: str, now_us: int, log: str, ballot: Any, number: int, told: list[Any]
     ) -> None:
-        self._send(name, self.holder.records(log, ballot_of(ballot), int(number), told))
+        self._send(name, self.holder.records(log, decode_ballot(ballot), int(number), told))
 
     def _on_fence(self, name: str, own: str, now_us: int, meta: Any, ballot: Any) -> None:
-        of, by = meta_of(meta), ballot_of(ballot)
+        of, by = decode_metadata(meta), decode_ballot(ballot)
         for part in self.holder.fence(of, by, self.is_there(of, now_us), now_us):
             self._send(name, part)
 
-    def is_there(self, meta: Meta, now_us: int) -> bool:
+    def is_there(self, meta: LogMetadata, now_us: int) -> bool:
         """Whether a log's owner was heard from recently, or is this relay and owns it."""
         since = self._silent_since(meta, self.holder.logs.get(meta.log), now_us)
         return since is None or now_us - since < int(self.fleet.suspect_s * 1e6)
 
-    def _silent_since(self, meta: Meta, of: Holding | None, now_us: int) -> int | None:
+    def _silent_since(self, meta: LogMetadata, of: HeldLog | None, now_us: int) -> int | None:
         """Since when a log's owner has been inactive; None if it is active."""
         name, incarnation = of.owner if of is not None else (meta.origin, meta.incarnation)
         if name == self.name:
@@ -328,16 +335,16 @@
         self, name: str, own: str, now_us: int, log: str, ballot: Any, why: str, more: Any
     ) -> None:
         owner = self.owners.get(log)
-        if owner is None or owner.ballot != ballot_of(ballot) or owner.meta.incarnation_of(name) != own:
+        if owner is None or owner.ballot != decode_ballot(ballot) or owner.meta.incarnation_of(name) != own:
             return
-        owner.opened(name, why, None if more is None else ballot_of(more), now_us)
+        owner.opened(name, why, None if more is None else decode_ballot(more), now_us)
         owner.flush(now_us)
 
     def _on_live(
         self, name: str, own: str, now_us: int, log: str, ballot: Any, names: list[str] | None
     ) -> None:
         owner = self.owners.get(log)
-        if owner is None or owner.ballot != ballot_of(ballot) or owner.meta.incarnation_of(name) != own:
+        if owner is None or owner.ballot != decode_ballot(ballot) or owner.meta.incarnation_of(name) != own:
             return
         if names is None:
             owner.holders[name].settled = owner.holders[name].opened
@@ -353,7 +360,7 @@
     def _on_nack(self, name: str, own: str, now_us: int, log: str, number: int, why: str, more: Any) -> None:
         owner = self.owners.get(log)
         if owner is not None and owner.meta.incarnation_of(name) == own:
-            owner.refused(name, int(number), why, None if more is None else ballot_of(more), now_us)
+            owner.refused(name, int(number), why, None if more is None else decode_ballot(more), now_us)
 
     def _on_state(
         self, name: str, own: str, now_us: int, log: str, ballot: Any, part: int, states: list[Any]
@@ -370,19 +377,19 @@
     def _takeover_for(self, log: str, ballot: Any, name: str, own: str) -> Takeover | None:
         """The take-over attempt that an answer belongs to, if its sender has the disk that the log names."""
         takeover = self.takeovers.get(log)
-        if takeover is None or takeover.ballot != ballot_of(ballot):
+        if takeover is None or takeover.ballot != decode_ballot(ballot):
             return None
         return takeover if takeover.meta.incarnation_of(name) == own else None
 
     def _on_deny(self, name: str, own: str, now_us: int, log: str, ballot: Any, why: str, more: Any) -> None:
         takeover = self.takeovers.get(log)
-        if takeover is None or takeover.ballot != ballot_of(ballot):
+        if takeover is None or takeover.ballot != decode_ballot(ballot):
             return
         if why == "followed":
             del self.takeovers[log]
             self._delay_takeover(log, now_us)
             if more is not None:
-                self._lost_to_ballot[log] = max(self._lost_to_ballot.get(log, 0), ballot_of(more)[0])
+                self._lost_to_ballot[log] = max(self._lost_to_ballot.get(log, 0), decode_ballot(more)[0])
 
     _handlers: dict[str, Callable[..., None]] = {  # noqa: RUF012 - one constant table for all instances
         "open": _on_open,
@@ -405,12 +412,12 @@
 
     # Take-over.
 
-    def start_takeover(self, meta: Meta, now_us: int) -> None:
+    def start_takeover(self, meta: LogMetadata, now_us: int) -> None:
         """Ask the ensemble for the promises that make this relay a log's owner."""
         of = self.holder.logs.get(meta.log)
         number = max(of.promised[0] if of is not None else 0, self._lost_to_ballot.get(meta.log, 0)) + 1
         ballot = (number, self.name, self.incarnation)
-        owner = (of.promised if of is not None else meta.first)[1]
+        owner = (of.promised if of is not None else meta.origin_ballot)[1]
         say(f"copies: attempting take-over from {owner} of log {meta.log}")
         takeover = self.takeovers[meta.log] = Takeover(meta, ballot, now_us, self._send)
         for name, incarnation in meta.ensemble:
@@ -444,12 +451,12 @@
         log = owner.meta.log
         if self.owners.get(log) is owner:
             del self.owners[log]
-        for need, newest in list(self.newest.items()):
+        for write_quorum, newest in list(self.newest.items()):
             if newest == log:
-                del self.newest[need]
+                del self.newest[write_quorum]
         known, kept = owner.known(), True
         say(f"copies: fenced: {by[1]} has taken over log {log}, {len(known)} messages")
-        if owner.ballot == owner.meta.first:
+        if owner.ballot == owner.meta.origin_ballot:
             try:
                 self.holder.keep(owner.meta, by, known)
             except OSError as error:
@@ -481,7 +488,7 @@
         for of in self._takeover_candidates(now_us) if self.confirmed else ():
             self.start_takeover(of.meta, now_us)
 
-    def _takeover_candidates(self, now_us: int) -> Iterator[Holding]:
+    def _takeover_candidates(self, now_us: int) -> Iterator[HeldLog]:
         """Logs whose owner this relay may try to replace by now."""
         present = {name for name, it in self.peers.items() if it.linked}
         suspect_us, stagger_us = int(self.fleet.suspect_s * 1e6), int(self.fleet.stagger_s * 1e6)
--- a/amberlug/copies/owner.py
+++ b/amberlug/copies/owner.py
@@ -1,7 +1,7 @@
 """The owner of one log: sends records to holders and commits them by quorum. No I/O.
 
-A record is committed once `need` relays of the log's ensemble store it, whichever they are. So any `reads`
-relays of the ensemble know of it, and a successor needs the promise of that many before it proceeds. An
+A record is committed once `write_quorum` relays of the log's ensemble store it, whichever they are. So any
+`read_quorum` relays of the ensemble know of it, and a successor needs the promise of that many before it proceeds. An
 owner that was replaced meets at least one of them with each new record, and stops.
 """
 
@@ -13,7 +13,7 @@
 from typing import Any
 
 from amberlug.copies.holder import Wire
-from amberlug.copies.states import Ballot, Copy, Kind, Meta
+from amberlug.copies.states import Ballot, Kind, LogMetadata, MessageState
 
 HEDGE_US = 60_000  # an unanswered record then goes to one more holder; many turns on a local network
 FULL_HOLDER_BACKOFF_US = 1_000_000  # how long a holder that reported a full disk is not asked again
@@ -42,15 +42,19 @@
     acked_by: set[str] = field(default_factory=set)
     required: frozenset[str] | None = None  # the holders that must all store it; None: any quorum
 
-    def missing(self, need: int) -> int:
+    def missing(self, write_quorum: int) -> int:
         """How many more holders it has to be sent to."""
         if self.required is not None:
             return len(self.required - self.sent_to - self.acked_by)
-        return need - len(self.sent_to | self.acked_by)
+        return write_quorum - len(self.sent_to | self.acked_by)
 
-    def is_committed(self, need: int) -> bool:
+    def is_committed(self, write_quorum: int) -> bool:
         """Whether enough holders store it."""
-        return self.required <= self.acked_by if self.required is not None else len(self.acked_by) >= need
+        return (
+            self.required <= self.acked_by
+            if self.required is not None
+            else len(self.acked_by) >= write_quorum
+        )
 
     def may_go_to(self, holder: str) -> bool:
         """Whether it may be sent to a holder."""
@@ -103,7 +107,7 @@
 
     def __init__(
         self,
-        meta: Meta,
+        meta: LogMetadata,
         ballot: Ballot,
         kept: str | None,
         send: Callable[[str, Wire], None],
@@ -116,7 +120,7 @@
         self.holders = {
             name: HolderState(rank) for rank, (name, _) in enumerate(meta.ensemble) if name != kept
         }
-        self.copies: dict[str, Copy] = {}  # live messages, by their records so far
+        self.copies: dict[str, MessageState] = {}  # live messages, by their records so far
         self.ended: dict[
             str, int
         ] = {}  # messages that ended here, with their expiry: a successor that reads this log needs them
@@ -134,7 +138,8 @@
     def short(self) -> bool:
         """Whether too few holders are reachable for a record to be committed now."""
         return (
-            self.state is not State.OPEN or len(self._reachable_holders(0)) + len(self._kept) < self.meta.need
+            self.state is not State.OPEN
+            or len(self._reachable_holders(0)) + len(self._kept) < self.meta.write_quorum
         )
 
     def waits(self, name: str) -> bool:
@@ -153,7 +158,7 @@
             return
         copy = self.copies.get(name)
         if copy is None:
-            copy = self.copies[name] = Copy(base=self.ballot)
+            copy = self.copies[name] = MessageState(base=self.ballot)
         copy.add(kind, self.ballot, told)
         if copy.ended is not None:
             del self.copies[name]
@@ -177,15 +182,15 @@
         self._waiting[name] = [entry]
         self._unsent.append(entry)
 
-    def adopt(self, name: str, copy: Copy, now_us: int) -> None:
+    def adopt(self, name: str, copy: MessageState, now_us: int) -> None:
         """Replicate a state read from holders under this owner's ballot."""
-        self.record(name, Kind.STATE, copy.rebased(self.ballot).packed(), now_us)
+        self.record(name, Kind.STATE, copy.under_ballot(self.ballot).encoded(), now_us)
 
     def flush(self, now_us: int) -> None:
         """Send new records and those that wait for a holder, batched by holder."""
         if self.state is not State.OPEN:
             return
-        self._unsent = [entry for entry in self._unsent if not entry.is_committed(self.meta.need)]
+        self._unsent = [entry for entry in self._unsent if not entry.is_committed(self.meta.write_quorum)]
         batches: dict[str, list[PendingRecord]] = {}
         room = {
             name: WINDOW_BYTES - self.holders[name].in_flight_bytes
@@ -193,7 +198,7 @@
         }
         later = []
         for entry in self._unsent:
-            wanted = entry.missing(self.meta.need)
+            wanted = entry.missing(self.meta.write_quorum)
             for name in self._preferred(entry.name, room):
                 if wanted <= 0:
                     break
@@ -244,7 +249,7 @@
         self._send_open(name)
 
     def _send_open(self, name: str) -> None:
-        self._send(name, ["open", self.meta.packed(), list(self.ballot)])
+        self._send(name, ["open", self.meta.encoded(), list(self.ballot)])
 
     def lost(self, name: str, now_us: int) -> None:
         """The link to a holder is down: unacknowledged records go to other holders, or to it again later."""
@@ -259,7 +264,7 @@
     def _requeue(self, name: str, batch: Batch) -> None:
         for entry in batch.entries:
             entry.sent_to.discard(name)
-            if not entry.is_committed(self.meta.need) and entry not in self._unsent:
+            if not entry.is_committed(self.meta.write_quorum) and entry not in self._unsent:
                 self._unsent.append(entry)
 
     def opened(self, name: str, why: str, by: Ballot | None, now_us: int) -> None:
@@ -274,7 +279,7 @@
         elif not why:
             holder.opened = True
             able = sum(it.opened for it in self.holders.values()) + len(self._kept)
-            if self.state is State.OPENING and able >= self.meta.need:
+            if self.state is State.OPENING and able >= self.meta.write_quorum:
                 self.state = State.OPEN
 
     def acknowledged(self, name: str, number: int) -> None:
@@ -287,7 +292,7 @@
             entry.acked_by.add(name)
             if entry.kind in (Kind.TAKEN, Kind.STATE) and entry.name in self.copies:
                 self.stored_at.setdefault(entry.name, set(self._kept)).add(name)
-            if entry.is_committed(self.meta.need):
+            if entry.is_committed(self.meta.write_quorum):
                 self._commit(entry)
 
     def _commit(self, entry: PendingRecord) -> None:
@@ -319,13 +324,13 @@
         self.state = State.FENCED
         self._on_superseded(self, by)
 
-    def known(self) -> dict[str, Copy]:
+    def known(self) -> dict[str, MessageState]:
         """Everything known of messages, including ended ones that other relays may not know of."""
         found = dict(self.copies)
         for name, until_ms in self.ended.items():
-            found[name] = Copy(base=self.ballot, ended=(self.ballot, until_ms))
+            found[name] = MessageState(base=self.ballot, ended=(self.ballot, until_ms))
         for name, entries in self._waiting.items():
-            copy = found.setdefault(name, Copy(base=self.ballot))
+            copy = found.setdefault(name, MessageState(base=self.ballot))
             for entry in entries:
                 copy.add(entry.kind, self.ballot, entry.told)
         return found
--- a/amberlug/copies/placement.py
+++ b/amberlug/copies/placement.py
@@ -20,16 +20,17 @@
     members: Sequence[Member],
     present: Collection[str],
     known: Collection[str],
-    need: int,
+    copies: int,
 ) -> list[str]:
-    """The `SPARE * need` relays that may hold a log, each on its own machine; empty if there are too few.
+    """The relays that may hold a log, each on its own machine; empty if there are too few.
 
-    Relays in `present` come before those only in `known`, then zones in turn, `own`'s zone last.
+    Chooses `HOLDERS_PER_COPY * copies` of them: relays in `present` before those only in `known`, then zones in
+    turn, `own`'s zone last.
     """
     able = {it.name: it for it in members if it.machine != own.machine and it.name in known}
     chosen: list[Member] = []
     left = [able[name] for name in ranked(key, able)]
-    while left and len(chosen) < HOLDERS_PER_COPY * need:
+    while left and len(chosen) < HOLDERS_PER_COPY * copies:
         zones = [it.zone for it in chosen]
         # Take the least used zone; the origin's own zone counts as used once more.
         best = min(
@@ -42,4 +43,4 @@
         )
         chosen.append(best)
         left = [it for it in left if it.machine != best.machine]
-    return [it.name for it in chosen] if len(chosen) == HOLDERS_PER_COPY * need else []
+    return [it.name for it in chosen] if len(chosen) == HOLDERS_PER_COPY * copies else []
--- a/amberlug/copies/states.py
+++ b/amberlug/copies/states.py
@@ -1,7 +1,7 @@
 """The state of a message at a holder: a join of its records that does not depend on their order.
 
-Records may be lost, duplicated or reordered: `Copy.add` and `Copy.merge` are idempotent and commutative.
-Each record is made under a ballot. A full state recorded by a successor (`Kind.STATE`) overrides ends that
+Records may be lost, duplicated or reordered: `MessageState.add` and `MessageState.merge` are idempotent and
+commutative. Each record is made under a ballot. A full state recorded by a successor (`Kind.STATE`) overrides ends that
 earlier ballots recorded: such an end was never reported, since an end is reported only once a quorum holds
 it, and the successor would have read one that a quorum held. Attempts are never overridden: one may have run.
 """
@@ -13,7 +13,7 @@
 from typing import Any
 
 Ballot = tuple[int, str, str]  # number, and the relay's name and incarnation
-FIRST = 0  # the ballot number under which a log's origin owns it
+ORIGIN_BALLOT_NUMBER = 0  # the ballot number under which a log's origin owns it
 
 
 class Kind(StrEnum):
@@ -28,16 +28,16 @@
     STATE = "S"  # the full state
 
 
-Tries = dict[tuple[int, str, int], list[Any]]  # key: ballot number, ballot's relay, attempt number
+Attempts = dict[tuple[int, str, int], list[Any]]  # key: ballot number, ballot's relay, attempt number
 
 
 @dataclass(slots=True)
-class Copy:
+class MessageState:
     """One message as reconstructed from its records."""
 
-    base: Ballot = (FIRST, "", "")  # of the newest full state
+    base: Ballot = (ORIGIN_BALLOT_NUMBER, "", "")  # of the newest full state
     taken: list[Any] | None = None
-    tried: Tries = field(default_factory=dict)  # endpoint, time (wall clock, ms), result or ""
+    tried: Attempts = field(default_factory=dict)  # endpoint, time (wall clock, ms), result or ""
     reply: list[Any] = field(default_factory=lambda: [0, True, b""])
     owed: tuple[Ballot, list[Any]] | None = None
     ended: tuple[Ballot, int] | None = None
@@ -81,7 +81,7 @@
             case Kind.ENDED:
                 self._end(ended=(ballot, int(told[0])))
             case Kind.STATE:
-                self.merge(unpacked(told))
+                self.merge(decode_state(told))
             case _:
                 raise ValueError(f"unknown record kind {kind!r}")
 
@@ -96,7 +96,7 @@
             self.ended = ended
             self.taken, self.owed = None, None  # the body is not needed any more
 
-    def merge(self, other: Copy) -> None:
+    def merge(self, other: MessageState) -> None:
         """Apply everything that another copy contains."""
         if other.base > self.base:
             self.base = other.base
@@ -115,36 +115,36 @@
         if other.owed is not None and self.ended is None:
             self._end(owed=other.owed)
 
-    def packed(self) -> list[Any]:
+    def encoded(self) -> list[Any]:
         """The state as it is encoded in frames and files."""
         tried = [[*key, *told] for key, told in sorted(self.tried.items())]
         return [list(self.base), self.taken, tried, self.reply, self.owed, self.ended]
 
-    def rebased(self, ballot: Ballot) -> Copy:
+    def under_ballot(self, ballot: Ballot) -> MessageState:
         """A copy of the state for recording under its new owner's ballot."""
-        found = unpacked([list(ballot), *self.packed()[1:]])
+        found = decode_state([list(ballot), *self.encoded()[1:]])
         if found.owed is not None:
             found.owed = ballot, found.owed[1]
         return found
 
 
-def unpacked(told: list[Any]) -> Copy:
+def decode_state(told: list[Any]) -> MessageState:
     """Decode a state; `ValueError` if it is malformed."""
     try:
         base, taken, tried, reply, owed, ended = told
-        return Copy(
-            ballot_of(base),
+        return MessageState(
+            decode_ballot(base),
             None if taken is None else list(taken),
             {(int(it[0]), str(it[1]), int(it[2])): [str(it[3]), int(it[4]), str(it[5])] for it in tried},
             [int(reply[0]), bool(reply[1]), bytes(reply[2])],
-            None if owed is None else (ballot_of(owed[0]), [str(owed[1][0]), int(owed[1][1])]),
-            None if ended is None else (ballot_of(ended[0]), int(ended[1])),
+            None if owed is None else (decode_ballot(owed[0]), [str(owed[1][0]), int(owed[1][1])]),
+            None if ended is None else (decode_ballot(ended[0]), int(ended[1])),
         )
     except (TypeError, IndexError, KeyError) as error:
         raise ValueError(f"malformed message state: {error!r}") from None
 
 
-def ballot_of(told: Any) -> Ballot:
+def decode_ballot(told: Any) -> Ballot:
     """Decode a ballot; `ValueError` if it is malformed."""
     try:
         number, owner, incarnation = told
@@ -156,13 +156,13 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Meta:
+class LogMetadata:
     """Metadata of a log: its origin, its serial number, its write quorum and its possible holders."""
 
     origin: str
     incarnation: str
     serial: int
-    need: int  # write quorum: how many of the ensemble must store a record
+    write_quorum: int  # how many of the ensemble must store a record
     ensemble: tuple[tuple[str, str], ...]  # names and incarnations of the possible holders, the origin first
 
     @property
@@ -171,39 +171,49 @@
         return f"{self.origin}.{self.incarnation}.{self.serial}"
 
     @property
-    def first(self) -> Ballot:
+    def origin_ballot(self) -> Ballot:
         """The ballot under which the origin owns the log."""
-        return FIRST, self.origin, self.incarnation
+        return ORIGIN_BALLOT_NUMBER, self.origin, self.incarnation
 
     @property
-    def reads(self) -> int:
+    def read_quorum(self) -> int:
         """The read quorum, which intersects every write quorum: a take-over needs that many promises."""
-        return len(self.ensemble) - self.need + 1
+        return len(self.ensemble) - self.write_quorum + 1
 
     def incarnation_of(self, name: str) -> str | None:
         """The disk with which a relay may hold this log; None if it may not."""
         return dict(self.ensemble).get(name)
 
-    def packed(self) -> list[Any]:
+    def encoded(self) -> list[Any]:
         """The metadata as encoded in frames and files."""
-        return [self.origin, self.incarnation, self.serial, self.need, [list(it) for it in self.ensemble]]
+        return [
+            self.origin,
+            self.incarnation,
+            self.serial,
+            self.write_quorum,
+            [list(it) for it in self.ensemble],
+        ]
 
 
-def meta_of(told: Any) -> Meta:
+def decode_metadata(told: Any) -> LogMetadata:
     """Decode log metadata; `ValueError` if it is malformed."""
     try:
-        origin, incarnation, serial, need, ensemble = told
-        meta = Meta(
+        origin, incarnation, serial, write_quorum, ensemble = told
+        meta = LogMetadata(
             str(origin),
             str(incarnation),
             int(serial),
-            int(need),
+            int(write_quorum),
             tuple((str(name), str(own)) for name, own in ensemble),
         )
     except (TypeError, ValueError) as error:
         raise ValueError(f"malformed log metadata: {error!r}") from None
     names = [name for name, _ in meta.ensemble]
-    first = (meta.origin, meta.incarnation)
-    if not 1 <= meta.need <= len(names) or len(set(names)) != len(names) or meta.ensemble[0] != first:
+    origin = (meta.origin, meta.incarnation)
+    if (
+        not 1 <= meta.write_quorum <= len(names)
+        or len(set(names)) != len(names)
+        or meta.ensemble[0] != origin
+    ):
         raise ValueError(f"invalid log metadata: {meta!r}")
     return meta
--- a/amberlug/copies/store.py
+++ b/amberlug/copies/store.py
@@ -17,8 +17,8 @@
 
 import msgpack
 
-from amberlug.copies.holder import Holding, read_back
-from amberlug.copies.states import Ballot, Kind, Meta, meta_of
+from amberlug.copies.holder import HeldLog, apply_stored
+from amberlug.copies.states import Ballot, Kind, LogMetadata, decode_metadata
 from amberlug.core.journal import records as it
 from amberlug.core.journal.disk import Disk
 from amberlug.core.log import log as say
@@ -47,7 +47,7 @@
         self._disk, self._most = disk, room_bytes // 2
         self._share = room_bytes // (4 * max(1, origins))
         self._slack = min(SLACK, room_bytes // 8)
-        self.logs: dict[str, Holding] = {}
+        self.logs: dict[str, HeldLog] = {}
         self.peer_watermarks: dict[str, tuple[str, tuple[int, ...]]] = {}
         self.sequence = 0  # of the last record ever stored here; never decreases
         self._used: dict[str, int] = {}  # live bytes by origin
@@ -92,18 +92,18 @@
         self.sequence = max(self.sequence, sequence)
         told = msgpack.unpackb(record.rest[_SEQUENCE.size :])
         if record.kind == PROMISE:
-            read_back(self.logs, meta_of(told[0]), "", "", "", told[1], None)
+            apply_stored(self.logs, decode_metadata(told[0]), "", "", "", told[1], None)
         elif record.kind == DROP:
             self.logs.pop(told[0], None)
         elif record.kind == SEEN:
             self.peer_watermarks[told[0]] = str(told[1]), tuple(told[2])
         elif told[0] in self.logs:
-            read_back(self.logs, None, told[0], record.name, told[1], told[2], told[3])
+            apply_stored(self.logs, None, told[0], record.name, told[1], told[2], told[3])
 
     # Storage for `Holder`.
 
-    def promise(self, meta: Meta, ballot: Ballot) -> None:
-        self._append(PROMISE, "", [meta.packed(), ballot])
+    def promise(self, meta: LogMetadata, ballot: Ballot) -> None:
+        self._append(PROMISE, "", [meta.encoded(), ballot])
 
     def record(self, log: str, name: str, kind: str, ballot: Ballot, told: list[Any]) -> None:
         origin = self.logs[log].meta.origin if log in self.logs else log.split(".")[0]
@@ -181,12 +181,12 @@
         for name, (incarnation, watermark) in list(self.peer_watermarks.items()):
             self._append(SEEN, "", [name, incarnation, watermark])
         for of in list(self.logs.values()):
-            self._append(PROMISE, "", [of.meta.packed(), of.promised])
+            self._append(PROMISE, "", [of.meta.encoded(), of.promised])
         count = 0
         for log, of in list(self.logs.items()):
             for name, copy in list(of.copies.items()):
                 if log in self.logs:
-                    self._append(RECORD, name, [log, Kind.STATE, of.meta.first, copy.packed()])
+                    self._append(RECORD, name, [log, Kind.STATE, of.meta.origin_ballot, copy.encoded()])
                     count += 1
                     if count % SLICE == 0:
                         yield
--- a/amberlug/copies/takeover.py
+++ b/amberlug/copies/takeover.py
@@ -2,8 +2,8 @@
 
 A relay asks the log's whole ensemble for a promise under a ballot higher than any it knows. A relay that
 promises rejects records of earlier owners from then on, and sends everything it holds. With promises from
-`reads` relays, which together have seen every committed record, the successor knows all of those; it records
-the merged state under its own ballot, and resumes a message once that state is committed.
+`read_quorum` relays, which together have seen every committed record, the successor knows all of those; it
+records the merged state under its own ballot, and resumes a message once that state is committed.
 """
 
 from __future__ import annotations
@@ -12,8 +12,8 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from amberlug.copies.holder import Holding, Wire
-from amberlug.copies.states import Ballot, Copy, Meta, unpacked
+from amberlug.copies.holder import HeldLog, Wire
+from amberlug.copies.states import Ballot, LogMetadata, MessageState, decode_state
 
 TAKEOVER_TIMEOUT_US = 2_000_000  # an attempt is abandoned after this time and repeated later
 
@@ -29,14 +29,16 @@
 class Takeover:
     """One attempt to take over a log."""
 
-    def __init__(self, meta: Meta, ballot: Ballot, now_us: int, send: Callable[[str, Wire], None]) -> None:
+    def __init__(
+        self, meta: LogMetadata, ballot: Ballot, now_us: int, send: Callable[[str, Wire], None]
+    ) -> None:
         self.meta, self.ballot, self._send = meta, ballot, send
         self.until_us = now_us + TAKEOVER_TIMEOUT_US
         self._progress: dict[str, PromiseProgress] = {}
 
     def ask(self, name: str) -> None:
         """Ask one relay of the ensemble for its promise."""
-        self._send(name, ["fence", self.meta.packed(), list(self.ballot)])
+        self._send(name, ["fence", self.meta.encoded(), list(self.ballot)])
 
     def state(self, name: str, part: int, states: list[Any]) -> None:
         """Handle one part of the state that a relay holds."""
@@ -54,20 +56,20 @@
         whole = [
             it for it in self._progress.values() if it.promised is not None and len(it.parts) >= it.promised
         ]
-        return len(whole) >= self.meta.reads
+        return len(whole) >= self.meta.read_quorum
 
-    def read(self) -> dict[str, Copy]:
+    def read(self) -> dict[str, MessageState]:
         """The merged state; `ValueError` if a relay sent a malformed one."""
-        found: dict[str, Copy] = {}
+        found: dict[str, MessageState] = {}
         for answer in self._progress.values():
             for states in answer.parts.values():
                 for name, state in states:
-                    found.setdefault(str(name), Copy()).merge(unpacked(state))
+                    found.setdefault(str(name), MessageState()).merge(decode_state(state))
         return found
 
 
 def takeover_due_us(
-    of: Holding,
+    of: HeldLog,
     name: str,
     present: set[str],
     silent_since_us: int | None,
--- a/amberlug/lab/copies.py
+++ b/amberlug/lab/copies.py
@@ -16,9 +16,9 @@
 
 import msgpack
 
-from amberlug.copies.holder import Holding, read_back
+from amberlug.copies.holder import HeldLog, apply_stored
 from amberlug.copies.machine import Machine, Watermark
-from amberlug.copies.states import Ballot, Copy, Kind, Meta, meta_of
+from amberlug.copies.states import Ballot, Kind, LogMetadata, MessageState, decode_metadata
 from amberlug.peers.fleet import Fleet, Member
 
 STEP_US = 20_000
@@ -33,8 +33,8 @@
         self.entries: list[tuple[Any, ...]] = []
         self.full, self.kept = False, 0
 
-    def promise(self, meta: Meta, ballot: Ballot) -> None:
-        self._keep(meta.packed(), meta.log, "", "", ballot, [])
+    def promise(self, meta: LogMetadata, ballot: Ballot) -> None:
+        self._keep(meta.encoded(), meta.log, "", "", ballot, [])
 
     def record(self, log: str, name: str, kind: str, ballot: Ballot, told: list[Any]) -> None:
         self._keep(None, log, name, kind, ballot, told)
@@ -48,11 +48,11 @@
         self.kept += 1
         self.entries.append(copy.deepcopy(entry))
 
-    def read(self) -> dict[str, Holding]:
+    def read(self) -> dict[str, HeldLog]:
         """What a holder begins with."""
-        logs: dict[str, Holding] = {}
+        logs: dict[str, HeldLog] = {}
         for meta, log, name, kind, ballot, told in copy.deepcopy(self.entries):
-            read_back(logs, None if meta is None else meta_of(meta), log, name, kind, ballot, told)
+            apply_stored(logs, None if meta is None else decode_metadata(meta), log, name, kind, ballot, told)
         return logs
 
 
@@ -62,10 +62,10 @@
 
     incarnation: str
     store: MemoryStore = field(default_factory=MemoryStore)
-    journal: dict[str, Copy] = field(default_factory=dict)  # own messages, by their records
+    journal: dict[str, MessageState] = field(default_factory=dict)  # own messages, by their records
     records: int = 0
     log_of: dict[str, str] = field(default_factory=dict)
-    metas: dict[str, Meta] = field(default_factory=dict)
+    metas: dict[str, LogMetadata] = field(default_factory=dict)
     seen: dict[str, dict[str, Watermark]] = field(default_factory=dict)  # of others' disks
     lives: int = 0
 
@@ -108,7 +108,7 @@
         self.doing: dict[str, str] = {}  # what waits for a message's records to count
         self.log_of: dict[str, str] = dict(disk.log_of)
         newest = next(reversed(disk.metas), "")
-        by_log: dict[str, dict[str, Copy]] = defaultdict(dict)
+        by_log: dict[str, dict[str, MessageState]] = defaultdict(dict)
         ended: dict[str, dict[str, int]] = defaultdict(dict)
         for name, it in disk.journal.items():
             if it.ended is None:
@@ -140,7 +140,7 @@
     def until_ms(self, name: str) -> int:
         return self.wall_ms() + LIFE_MS
 
-    def opened(self, meta: Meta, older: dict[str, list[str]]) -> None:
+    def opened(self, meta: LogMetadata, older: dict[str, list[str]]) -> None:
         self.disk.metas[meta.log] = meta
 
     def committed(self, log: str, name: str) -> None:
@@ -159,7 +159,7 @@
             self._record(log, name, Kind.ENDED, [self.until_ms(name)])
             self.log_of.pop(name, None)
 
-    def adopted(self, log: str, copies: dict[str, Copy]) -> None:
+    def adopted(self, log: str, copies: dict[str, MessageState]) -> None:
         for name, it in copies.items():
             self.log_of[name] = log
             self._resume(name, it)
@@ -190,8 +190,8 @@
         owner = self.machine.owners.get(log)
         if owner is None:
             return
-        if owner.ballot == owner.meta.first:
-            self.disk.journal.setdefault(name, Copy()).add(kind, owner.ballot, copy.deepcopy(told))
+        if owner.ballot == owner.meta.origin_ballot:
+            self.disk.journal.setdefault(name, MessageState()).add(kind, owner.ballot, copy.deepcopy(told))
             self.disk.records += 1
         owner.record(name, kind, told, self.world.now_us)
         owner.flush(self.world.now_us)
@@ -200,7 +200,7 @@
         self.doing[name] = "call"
         self._record(log, name, Kind.ATTEMPT, [0, self.wall_ms(), "e"])
 
-    def _resume(self, name: str, it: Copy) -> None:
+    def _resume(self, name: str, it: MessageState) -> None:
         """Go on with what another life, or another relay, began."""
         log = self.log_of[name]
         if it.owed is not None:
--- a/amberlug/lab/explore.py
+++ b/amberlug/lab/explore.py
@@ -143,10 +143,10 @@
             holders = [
                 (name, it.opened, it.away_since_us, len(it.in_flight)) for name, it in owner.holders.items()
             ]
-            copies = [(name, it.packed()) for name, it in sorted(owner.copies.items())]
+            copies = [(name, it.encoded()) for name, it in sorted(owner.copies.items())]
             told.append((log, owner.ballot, owner.state, waiting, holders, copies))
         for log, of in sorted(machine.holder.logs.items()):
-            copies = [(name, it.packed()) for name, it in sorted(of.copies.items())]
+            copies = [(name, it.encoded()) for name, it in sorted(of.copies.items())]
             told.append((log, of.promised, of.owner_left, of.opened_by_owner, copies))
         follows = [(log, it.ballot, sorted(it._progress)) for log, it in sorted(machine.takeovers.items())]
         near = [(it.incarnation, it.linked, it.heard_us) for _, it in sorted(machine.peers.items())]
--- a/tests/test_copies_machine.py
+++ b/tests/test_copies_machine.py
@@ -8,7 +8,7 @@
 import pytest
 
 from amberlug.copies import holder, machine, owner, states
-from amberlug.copies.states import Copy, Kind
+from amberlug.copies.states import Kind, MessageState
 from amberlug.lab import copies as lab
 from amberlug.lab.copies import play
 from amberlug.lab.explore import TROUBLES, explore
@@ -39,7 +39,7 @@
 # Mutations: each replaces one safety check.
 
 
-def _commits_at_once(self: owner.PendingRecord, need: int) -> bool:
+def _commits_at_once(self: owner.PendingRecord, write_quorum: int) -> bool:
     return True
 
 
@@ -50,7 +50,7 @@
     if of is None:
         return ["nack", log, number, "unknown", None]
     for name, kind, rest in told:
-        of.copies.setdefault(name, Copy()).add(kind, ballot, rest)
+        of.copies.setdefault(name, MessageState()).add(kind, ballot, rest)
         self._store.record(log, name, kind, ballot, rest)
     return ["ack", log, number]
 
@@ -70,9 +70,11 @@
     return record
 
 
-def _promise_in_first_ballot_only(self: lab.MemoryStore, meta: states.Meta, ballot: states.Ballot) -> None:
+def _promise_in_first_ballot_only(
+    self: lab.MemoryStore, meta: states.LogMetadata, ballot: states.Ballot
+) -> None:
     if not any(entry[1] == meta.log for entry in self.entries):
-        self._keep(meta.packed(), meta.log, "", "", meta.first, [])
+        self._keep(meta.encoded(), meta.log, "", "", meta.origin_ballot, [])
 
 
 class _AnyIncarnation(str):
@@ -88,7 +90,7 @@
         return False
 
 
-def _any_incarnation(self: states.Meta, name: str) -> str | None:
+def _any_incarnation(self: states.LogMetadata, name: str) -> str | None:
     return _AnyIncarnation() if name in dict(self.ensemble) else None
 
 
@@ -117,9 +119,9 @@
     "no fencing": (holder.Holder, "records", _without_fencing),
     "attempt not replicated": (owner.Owner, "record", _commits_kinds_at_once(Kind.ATTEMPT)),
     "end reported before committed": (owner.Owner, "record", _commits_kinds_at_once(Kind.OWED)),
-    "take-over without read quorum": (states.Meta, "reads", property(lambda self: 1)),
+    "take-over without read quorum": (states.LogMetadata, "read_quorum", property(lambda self: 1)),
     "promise not persisted": (lab.MemoryStore, "promise", _promise_in_first_ballot_only),
-    "incarnation not checked": (states.Meta, "incarnation_of", _any_incarnation),
+    "incarnation not checked": (states.LogMetadata, "incarnation_of", _any_incarnation),
     "watermark not checked": (machine.Machine, "_on_watermark", _always_confirmed),
     "nothing resent after a lost link": (owner.Owner, "_requeue", _no_resend),
 }
--- a/tests/test_copies_store.py
+++ b/tests/test_copies_store.py
@@ -7,13 +7,13 @@
 
 import pytest
 
-from amberlug.copies.states import Kind, Meta
+from amberlug.copies.states import Kind, LogMetadata
 from amberlug.copies.store import CopyStore, DamagedError
 from amberlug.core.journal import FolderDisk
 from amberlug.core.journal.records import HEAD_SIZE
 
-META = Meta("n0", "aa", 7, 2, (("n0", "aa"), ("n1", "bb"), ("n2", "cc")))
-OTHER = Meta("n2", "cc", 8, 2, (("n2", "cc"), ("n1", "bb"), ("n0", "aa")))
+META = LogMetadata("n0", "aa", 7, 2, (("n0", "aa"), ("n1", "bb"), ("n2", "cc")))
+OTHER = LogMetadata("n2", "cc", 8, 2, (("n2", "cc"), ("n1", "bb"), ("n0", "aa")))
 ROOM = 400_000
 
 
@@ -21,14 +21,14 @@
     return CopyStore(FolderDisk(folder), ROOM, 2)
 
 
-def keep(store: CopyStore, name: str, meta: Meta = META, size: int = 100) -> None:
+def keep(store: CopyStore, name: str, meta: LogMetadata = META, size: int = 100) -> None:
     from amberlug.copies.holder import Holder
 
     holder = Holder("n1", "bb", store)
     holder.logs = store.logs
-    holder.open(meta, meta.first)
+    holder.open(meta, meta.origin_ballot)
     told = [name, Kind.TAKEN, ["payment", None, 1, None, b"x" * size, 9, 1]]
-    answer = holder.records(meta.log, meta.first, 1, [told])
+    answer = holder.records(meta.log, meta.origin_ballot, 1, [told])
     if answer[0] != "ack":
         raise OSError(errno.ENOSPC, answer[3])
 
--- a/tests/test_fleet_file.py
+++ b/tests/test_fleet_file.py
@@ -12,7 +12,7 @@
 
 from amberlug.cli.main import main
 from amberlug.copies.placement import ensemble
-from amberlug.copies.states import Copy, Kind, unpacked
+from amberlug.copies.states import Kind, MessageState, decode_state
 from amberlug.peers import fleet
 from amberlug.peers.frames import (
     BadFrameError,
@@ -125,7 +125,11 @@
 def test_replayed_frames_and_frames_of_another_key_are_rejected() -> None:
     encoder = FrameEncoder(KEY)
     first, second = encoder.encode(FrameKind.MESSAGES, [1]), encoder.encode(FrameKind.MESSAGES, [2])
-    for key, data in ((KEY, second), (KEY, first + first), (derive_key(b"k" * 32, b"other"), first)):
+    for key, data in (
+        (KEY, second),
+        (KEY, first + first),
+        (derive_key(b"k" * 32, b"other"), first),
+    ):
         decoder = FrameDecoder(key)
         decoder.feed(data)
         with pytest.raises(BadFrameError, match="authentication tag"):
@@ -185,12 +189,12 @@
 def test_records_of_an_owner_merge_in_any_order_and_any_number_of_times(
     told: list[tuple[tuple[Kind, list[object]], tuple[int, str, str]]], chance: object
 ) -> None:
-    one, other = Copy(), Copy()
+    one, other = MessageState(), MessageState()
     for (kind, record), ballot in told:
         one.add(kind, ballot, list(record))
     for (kind, record), ballot in [*reversed(told), *told]:
         other.add(kind, ballot, list(record))
-    assert one.packed() == other.packed() == unpacked(one.packed()).packed()
+    assert one.encoded() == other.encoded() == decode_state(one.encoded()).encoded()
 
 
 @pytest.mark.parametrize(
@@ -198,4 +202,4 @@
 )
 def test_a_malformed_state_is_an_error(told: object) -> None:
     with pytest.raises(ValueError):  # noqa: PT011 - the message depends on the input
-        unpacked(told)  # type: ignore[arg-type]
+        decode_state(told)  # type: ignore[arg-type]
