--- a/amberlug/copies/holder.py
+++ b/amberlug/copies/holder.py
@@ -1,8 +1,8 @@
 """The replica holder: stores owners' records, promises logs to successors and rejects fenced owners.
 
 No I/O: whatever must survive the process is written through `Store` before it is acknowledged, and replies
-are returned by the methods. A log is identified by its `LogMetadata`. A relay may hold a log only with the disk
-(incarnation) that the log's ensemble names: one that returns with an empty directory is not a holder of it.
+are returned by the methods. A log is identified by its `LogMetadata`. A relay may hold a log only with the
+disk (incarnation) that the log's ensemble names: one that returns with an empty directory is not a holder.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
     def promise(self, meta: LogMetadata, ballot: Ballot) -> None:
         """Persist the ballot to which a log is promised, before the promise is sent."""
 
-    def record(self, log: str, name: str, kind: str, ballot: Ballot, told: list[Any]) -> None:
+    def record(self, log: str, name: str, kind: str, ballot: Ballot, fields: list[Any]) -> None:
         """Persist one record."""
 
     def drop(self, log: str) -> None:
@@ -61,14 +61,14 @@
         """Let an owner start or resume: replies whether this relay accepts its records from now on."""
         if not self._belongs(meta):
             return ["opened", meta.log, list(ballot), "stranger", None]
-        of = self.logs.get(meta.log)
-        if of is not None and ballot < of.promised:
-            return ["opened", meta.log, list(ballot), "followed", list(of.promised)]
+        held_log = self.logs.get(meta.log)
+        if held_log is not None and ballot < held_log.promised:
+            return ["opened", meta.log, list(ballot), "followed", list(held_log.promised)]
         try:
-            of = self._promised(meta, ballot)
+            held_log = self._promised(meta, ballot)
         except OSError:
             return ["opened", meta.log, list(ballot), "no room", None]
-        of.owner_left, of.opened_by_owner = False, True
+        held_log.owner_left, held_log.opened_by_owner = False, True
         return ["opened", meta.log, list(ballot), "", None]
 
     def _belongs(self, meta: LogMetadata) -> bool:
@@ -76,14 +76,14 @@
         return meta.incarnation_of(self.name) == self.incarnation and meta.log not in self.incomplete
 
     def _promised(self, meta: LogMetadata, ballot: Ballot) -> HeldLog:
-        of = self.logs.get(meta.log)
-        if of is None or ballot > of.promised:
+        held_log = self.logs.get(meta.log)
+        if held_log is None or ballot > held_log.promised:
             self._store.promise(meta, ballot)
-        if of is None:
-            of = self.logs[meta.log] = HeldLog(meta, ballot)
-        of.opened_by_owner = of.opened_by_owner and ballot == of.promised
-        of.promised = max(of.promised, ballot)
-        return of
+        if held_log is None:
+            held_log = self.logs[meta.log] = HeldLog(meta, ballot)
+        held_log.opened_by_owner = held_log.opened_by_owner and ballot == held_log.promised
+        held_log.promised = max(held_log.promised, ballot)
+        return held_log
 
     def keep(self, meta: LogMetadata, ballot: Ballot, copies: dict[str, MessageState]) -> None:
         """Hold a log of this relay's own that another relay has taken over, with all known state.
@@ -92,47 +92,49 @@
         quorum counts on its disk.
         """
         try:
-            of = self._promised(meta, ballot)
+            held_log = self._promised(meta, ballot)
             for name, copy in copies.items():
                 self._store.record(meta.log, name, Kind.STATE, meta.origin_ballot, copy.encoded())
-                of.copies.setdefault(name, MessageState()).merge(copy)
+                held_log.copies.setdefault(name, MessageState()).merge(copy)
         except OSError:
             self.incomplete.add(meta.log)
             raise
 
     def live(self, log: str, ballot: Ballot) -> Iterator[Wire]:
         """Send the owner the names of live messages, in slices; the owner replies which of them ended."""
-        of = self.logs[log]
-        names = [name for name, copy in of.copies.items() if copy.live]
+        held_log = self.logs[log]
+        names = [name for name, copy in held_log.copies.items() if copy.live]
         for at in range(0, len(names), SLICE):
             yield ["live", log, list(ballot), names[at : at + SLICE]]
         yield ["live", log, list(ballot), None]
 
-    def records(self, log: str, ballot: Ballot, number: int, told: list[Any]) -> Wire:
+    def records(self, log: str, ballot: Ballot, number: int, batch: list[Any]) -> Wire:
         """Store a batch of records. The batch is acknowledged only as a whole."""
-        of = self.logs.get(log)
-        if of is None:
+        held_log = self.logs.get(log)
+        if held_log is None:
             return ["nack", log, number, "unknown", None]
-        if ballot < of.promised:
-            return ["nack", log, number, "followed", list(of.promised)]
-        if ballot > of.promised:  # a quorum promised this ballot, but the request to this holder was lost
+        if ballot < held_log.promised:
+            return ["nack", log, number, "followed", list(held_log.promised)]
+        if (
+            ballot > held_log.promised
+        ):  # a quorum promised this ballot, but the request to this holder was lost
             return ["nack", log, number, "unknown", None]
         try:
-            for name, kind, rest in told:
-                copy = of.copies.get(name)
+            for name, kind, fields in batch:
+                copy = held_log.copies.get(name)
                 fresh = MessageState() if copy is None else copy
-                fresh.add(kind, ballot, rest)  # raises on a malformed record, before anything is stored
-                self._store.record(log, name, kind, ballot, rest)
-                of.copies[name] = fresh
+                fresh.add(kind, ballot, fields)  # raises on a malformed record, before anything is stored
+                self._store.record(log, name, kind, ballot, fields)
+                held_log.copies[name] = fresh
         except OSError:
             return ["nack", log, number, "no room", None]
         return ["ack", log, number]
 
     def leave(self, owner: str, incarnation: str, only: str | None) -> None:
         """Note that an owner shuts down cleanly, for one log or for all: successors need not wait."""
-        for log, of in self.logs.items():
-            if of.owner == (owner, incarnation) and only in (None, log):
-                of.owner_left = True
+        for log, held_log in self.logs.items():
+            if held_log.owner == (owner, incarnation) and only in (None, log):
+                held_log.owner_left = True
 
     # Requests from successors.
 
@@ -145,46 +147,50 @@
         if not self._belongs(meta):
             yield ["deny", log, list(ballot), "stranger", None]
             return
-        of = self.logs.get(log)
-        if of is not None and ballot <= of.promised:
-            if ballot == of.promised:  # a repeated request: the first answer was lost
-                yield from self._states(of, ballot)
+        held_log = self.logs.get(log)
+        if held_log is not None and ballot <= held_log.promised:
+            if ballot == held_log.promised:  # a repeated request: the first answer was lost
+                yield from self._states(held_log, ballot)
             else:
-                yield ["deny", log, list(ballot), "followed", list(of.promised)]
+                yield ["deny", log, list(ballot), "followed", list(held_log.promised)]
             return
         # Guards against a take-over by a successor that alone has lost contact with an active owner.
         owner, owner_left = (
-            (of.owner, of.owner_left) if of is not None else ((meta.origin, meta.incarnation), False)
+            (held_log.owner, held_log.owner_left)
+            if held_log is not None
+            else ((meta.origin, meta.incarnation), False)
         )
         if owner_active and owner[0] != ballot[1] and not owner_left:
             yield ["deny", log, list(ballot), "owner is there", None]
             return
         try:
-            of = self._promised(meta, ballot)
+            held_log = self._promised(meta, ballot)
         except OSError:
             yield ["deny", log, list(ballot), "no room", None]
             return
-        of.owner_left, of.since_us = False, now_us
-        yield from self._states(of, ballot)
+        held_log.owner_left, held_log.since_us = False, now_us
+        yield from self._states(held_log, ballot)
 
-    def _states(self, of: HeldLog, ballot: Ballot) -> Iterator[Wire]:
-        names, parts = list(of.copies), 0
+    def _states(self, held_log: HeldLog, ballot: Ballot) -> Iterator[Wire]:
+        names, parts = list(held_log.copies), 0
         for at in range(0, len(names), SLICE):
             states = [
-                [name, of.copies[name].encoded()] for name in names[at : at + SLICE] if name in of.copies
+                [name, held_log.copies[name].encoded()]
+                for name in names[at : at + SLICE]
+                if name in held_log.copies
             ]
-            yield ["state", of.meta.log, list(ballot), parts, states]
+            yield ["state", held_log.meta.log, list(ballot), parts, states]
             parts += 1
-        yield ["promise", of.meta.log, list(ballot), parts]
+        yield ["promise", held_log.meta.log, list(ballot), parts]
 
     # Time.
 
     def forget(self, before_ms: int) -> None:
         """Remove messages that ended before a time."""
-        for of in self.logs.values():
-            ended = ((name, copy.ended) for name, copy in of.copies.items())
+        for held_log in self.logs.values():
+            ended = ((name, copy.ended) for name, copy in held_log.copies.items())
             for name in [name for name, end in ended if end is not None and end[1] < before_ms]:
-                del of.copies[name]
+                del held_log.copies[name]
 
     def drop(self, log: str) -> None:
         """Delete a log at its owner's request."""
@@ -193,12 +199,18 @@
 
 
 def apply_stored(
-    logs: dict[str, HeldLog], meta: LogMetadata | None, log: str, name: str, kind: str, ballot: Any, told: Any
+    logs: dict[str, HeldLog],
+    meta: LogMetadata | None,
+    log: str,
+    name: str,
+    kind: str,
+    ballot: Any,
+    fields: Any,
 ) -> None:
     """Apply one stored entry, in the order written; `ValueError` if it is malformed."""
     if meta is not None:
-        of = logs.setdefault(meta.log, HeldLog(meta, decode_ballot(ballot)))
-        of.promised = max(of.promised, decode_ballot(ballot))
+        held_log = logs.setdefault(meta.log, HeldLog(meta, decode_ballot(ballot)))
+        held_log.promised = max(held_log.promised, decode_ballot(ballot))
         return
-    of = logs[log]
-    of.copies.setdefault(name, MessageState()).add(Kind(kind), decode_ballot(ballot), told)
+    held_log = logs[log]
+    held_log.copies.setdefault(name, MessageState()).add(Kind(kind), decode_ballot(ballot), fields)
--- a/amberlug/copies/journal.py
+++ b/amberlug/copies/journal.py
@@ -20,7 +20,7 @@
 from amberlug.copies.states import Kind, LogMetadata, MessageState, decode_metadata
 from amberlug.copies.store import CopyStore
 from amberlug.core.journal import Journal
-from amberlug.core.log import log as say
+from amberlug.core.log import log as log_line
 from amberlug.core.messages import Attempt, End, Ending, Message, Outcome, Reason, Refusal
 from amberlug.core.ports import Clock, Earlier, Held, Tried
 from amberlug.peers.fleet import Fleet, WhenShort
@@ -117,13 +117,13 @@
     def _reopen(self) -> None:
         """Reopen the logs that originate in this directory with their messages in the own journal."""
         try:
-            told = json.loads((self._folder / LOGS).read_text(encoding="utf-8"))
+            stored = json.loads((self._folder / LOGS).read_text(encoding="utf-8"))
         except FileNotFoundError:
             return
-        metas = [decode_metadata(it) for it in told["metas"]]
+        metas = [decode_metadata(it) for it in stored["metas"]]
         own = (self._fleet.name, self.machine.incarnation)
         self._metas = {it.log: it for it in metas if (it.origin, it.incarnation) == own}
-        self._older = {log: list(names) for log, names in told["older"].items() if log in self._metas}
+        self._older = {log: list(names) for log, names in stored["older"].items() if log in self._metas}
         newest = {meta.write_quorum: log for log, meta in self._metas.items()}
         placed = {name: log for log, names in self._older.items() for name in names}
         held: dict[str, dict[str, MessageState]] = defaultdict(dict)
@@ -204,7 +204,7 @@
     def _elsewhere(self, name: str, live: bool) -> bool:
         """Whether a holding here for another relay has the message: live, or only as ended."""
         logs = self.machine.holder.logs.values()
-        found = [it for it in (of.copies.get(name) for of in logs) if it is not None]
+        found = [it for it in (held_log.copies.get(name) for held_log in logs) if it is not None]
         return any(it.live for it in found) if live else bool(found) and not any(it.live for it in found)
 
     def _short(self, message: Message) -> bool:
@@ -222,17 +222,17 @@
         self._inner.take(message, now_ms)
         if not copies:
             return
-        told = self._taken_record(message, now_ms)
+        fields = self._taken_record(message, now_ms)
         owner = self.machine.log_for(copies, self._clock.now_us())
         if short or owner is None:
             copy = self._alone[message.name] = MessageState(
                 base=(0, self._fleet.name, self.machine.incarnation)
             )
-            copy.add(Kind.TAKEN, copy.base, told)
+            copy.add(Kind.TAKEN, copy.base, fields)
             self.taken_short += 1
             return
         self._log_of[message.name] = owner.meta.log
-        self._record(message.name, Kind.TAKEN, told)
+        self._record(message.name, Kind.TAKEN, fields)
 
     def promise(self, message: Message, kept: Callback, broken: Callable[[bool], object]) -> None:
         if not self._waits(message.name):
@@ -283,13 +283,13 @@
         """Whether a message is in a log that originates at another relay."""
         return self._log_of.get(name, "") not in ("", *self._metas)
 
-    def _record(self, name: str, kind: Kind, told: list[Any]) -> None:
+    def _record(self, name: str, kind: Kind, fields: list[Any]) -> None:
         if (copy := self._alone.get(name)) is not None:
-            copy.add(kind, copy.base, told)
+            copy.add(kind, copy.base, fields)
             return
         owner = self.machine.owners.get(self._log_of.get(name, ""))
         if owner is not None:
-            owner.record(name, kind, told, self._clock.now_us())
+            owner.record(name, kind, fields, self._clock.now_us())
             self.wake()
 
     @property
@@ -348,12 +348,12 @@
             for log, it in self._metas.items()
             if log in owners or log in self.machine.newest.values() or log not in self._older
         }
-        told = {
+        stored = {
             "metas": [it.encoded() for it in self._metas.values()],
             "older": {log: names for log, names in self._older.items() if log in self._metas},
         }
         path, new = self._folder / LOGS, self._folder / f"{LOGS}.new"
-        new.write_text(json.dumps(told), encoding="utf-8")
+        new.write_text(json.dumps(stored), encoding="utf-8")
         os.replace(new, path)
 
     def committed(self, log: str, name: str) -> None:
@@ -454,7 +454,9 @@
         if self.taken_short != self._told_short:
             self._told_short = self.taken_short
             alone = len(self._alone)
-            say(f"copies: {self.taken_short} messages accepted without replicas, {alone} on this disk only")
+            log_line(
+                f"copies: {self.taken_short} messages accepted without replicas, {alone} on this disk only"
+            )
         self.machine.retire()
         self._store.work()
 
--- a/amberlug/copies/machine.py
+++ b/amberlug/copies/machine.py
@@ -17,7 +17,7 @@
 from amberlug.copies.owner import Owner, State
 from amberlug.copies.states import Ballot, Kind, LogMetadata, MessageState, decode_ballot, decode_metadata
 from amberlug.copies.takeover import Takeover, takeover_due_us
-from amberlug.core.log import log as say
+from amberlug.core.log import log as log_line
 from amberlug.peers.fleet import Fleet
 
 BEAT_US = 250_000
@@ -119,10 +119,10 @@
             self.newest[meta.write_quorum] = meta.log
         for name, copy in copies.items():
             owner.adopt(name, copy, now_us)
-        of = self.holder.logs.get(meta.log)
-        if of is not None and of.promised > owner.ballot:  # taken over before the restart
+        held_log = self.holder.logs.get(meta.log)
+        if held_log is not None and held_log.promised > owner.ballot:  # taken over before the restart
             owner.state = State.FENCED
-            self._superseded(owner, of.promised)
+            self._superseded(owner, held_log.promised)
 
     def _owner(self, meta: LogMetadata, ballot: Ballot, kept: str | None) -> Owner:
         owner = Owner(
@@ -160,7 +160,7 @@
         try:
             self._host.opened(meta, older)
         except OSError as error:
-            say(f"copies: could not create a new log: {error}")
+            log_line(f"copies: could not create a new log: {error}")
             return owner
         self.newest[meta.write_quorum] = meta.log
         return self.own(meta)
@@ -193,7 +193,7 @@
         if it is None:
             return
         if it.incarnation and it.incarnation != incarnation:
-            say(f"copies: {name} has another directory than before")
+            log_line(f"copies: {name} has another directory than before")
             self.disconnected(name, now_us)
         it.incarnation, it.linked = incarnation, True
         self._send_watermark(name)
@@ -258,7 +258,7 @@
         """A relay reports the highest watermark that it has observed of this one's disk."""
         if any(mine < most for mine, most in zip(self._host.watermark(), observed, strict=False)):
             # Guards against a restored backup: what this relay accepted, did and promised since is missing.
-            say(f"copies: this state directory is outdated: {name} has seen newer data of it")
+            log_line(f"copies: this state directory is outdated: {name} has seen newer data of it")
             self.outdated = True
             self._host.outdated_directory()
             return
@@ -285,21 +285,21 @@
             self._host.watermark_observed(name, own, most)
 
     def _on_open(self, name: str, own: str, now_us: int, meta: Any, ballot: Any) -> None:
-        of, by = decode_metadata(meta), decode_ballot(ballot)
-        answer = self.holder.open(of, by)
+        log_meta, by = decode_metadata(meta), decode_ballot(ballot)
+        answer = self.holder.open(log_meta, by)
         self._send(name, answer)
         if not answer[3]:
-            for part in self.holder.live(of.log, by):
+            for part in self.holder.live(log_meta.log, by):
                 self._send(name, part)
 
     def _on_records(
-        self, name: str, own: str, now_us: int, log: str, ballot: Any, number: int, told: list[Any]
+        self, name: str, own: str, now_us: int, log: str, ballot: Any, number: int, batch: list[Any]
     ) -> None:
-        self._send(name, self.holder.records(log, decode_ballot(ballot), int(number), told))
+        self._send(name, self.holder.records(log, decode_ballot(ballot), int(number), batch))
 
     def _on_fence(self, name: str, own: str, now_us: int, meta: Any, ballot: Any) -> None:
-        of, by = decode_metadata(meta), decode_ballot(ballot)
-        for part in self.holder.fence(of, by, self.is_there(of, now_us), now_us):
+        log_meta, by = decode_metadata(meta), decode_ballot(ballot)
+        for part in self.holder.fence(log_meta, by, self.is_there(log_meta, now_us), now_us):
             self._send(name, part)
 
     def is_there(self, meta: LogMetadata, now_us: int) -> bool:
@@ -307,9 +307,9 @@
         since = self._silent_since(meta, self.holder.logs.get(meta.log), now_us)
         return since is None or now_us - since < int(self.fleet.suspect_s * 1e6)
 
-    def _silent_since(self, meta: LogMetadata, of: HeldLog | None, now_us: int) -> int | None:
+    def _silent_since(self, meta: LogMetadata, held_log: HeldLog | None, now_us: int) -> int | None:
         """Since when a log's owner has been inactive; None if it is active."""
-        name, incarnation = of.owner if of is not None else (meta.origin, meta.incarnation)
+        name, incarnation = held_log.owner if held_log is not None else (meta.origin, meta.incarnation)
         if name == self.name:
             return None if meta.log in self.owners else 0
         it = self.peers.get(name)
@@ -317,16 +317,18 @@
             return 0  # its disk is gone
         # After a restart, silence counts from the start: no relay could be heard before.
         heard = max(it.heard_us or 0, self._started_us)
-        if of is not None and not of.opened_by_owner:  # a successor that got the promise and gave up
-            return max(min(heard, of.since_us), self._started_us)
+        if (
+            held_log is not None and not held_log.opened_by_owner
+        ):  # a successor that got the promise and gave up
+            return max(min(heard, held_log.since_us), self._started_us)
         return None if now_us - heard < BEAT_US else heard
 
     def _on_leave(self, name: str, own: str, now_us: int, log: str | None) -> None:
         self.holder.leave(name, own, log)
 
     def _on_drop(self, name: str, own: str, now_us: int, log: str) -> None:
-        of = self.holder.logs.get(log)
-        if of is not None and of.owner == (name, own) and log not in self.owners:
+        held_log = self.holder.logs.get(log)
+        if held_log is not None and held_log.owner == (name, own) and log not in self.owners:
             self.holder.drop(log)
 
     # Messages for the owner and the successor.
@@ -414,11 +416,14 @@
 
     def start_takeover(self, meta: LogMetadata, now_us: int) -> None:
         """Ask the ensemble for the promises that make this relay a log's owner."""
-        of = self.holder.logs.get(meta.log)
-        number = max(of.promised[0] if of is not None else 0, self._lost_to_ballot.get(meta.log, 0)) + 1
+        held_log = self.holder.logs.get(meta.log)
+        number = (
+            max(held_log.promised[0] if held_log is not None else 0, self._lost_to_ballot.get(meta.log, 0))
+            + 1
+        )
         ballot = (number, self.name, self.incarnation)
-        owner = (of.promised if of is not None else meta.origin_ballot)[1]
-        say(f"copies: attempting take-over from {owner} of log {meta.log}")
+        owner = (held_log.promised if held_log is not None else meta.origin_ballot)[1]
+        log_line(f"copies: attempting take-over from {owner} of log {meta.log}")
         takeover = self.takeovers[meta.log] = Takeover(meta, ballot, now_us, self._send)
         for name, incarnation in meta.ensemble:
             it = self.peers.get(name)
@@ -439,7 +444,7 @@
             for name, copy in copies.items()
             if copy.live and (copy.taken is None or int(copy.taken[5]) > forgotten_ms)
         }
-        say(f"copies: took over log {log}, {len(live)} messages")
+        log_line(f"copies: took over log {log}, {len(live)} messages")
         owner = self._owner(takeover.meta, takeover.ballot, None)
         for name, copy in live.items():
             owner.adopt(name, copy, now_us)
@@ -455,12 +460,12 @@
             if newest == log:
                 del self.newest[write_quorum]
         known, kept = owner.known(), True
-        say(f"copies: fenced: {by[1]} has taken over log {log}, {len(known)} messages")
+        log_line(f"copies: fenced: {by[1]} has taken over log {log}, {len(known)} messages")
         if owner.ballot == owner.meta.origin_ballot:
             try:
                 self.holder.keep(owner.meta, by, known)
             except OSError as error:
-                say(f"copies: the state of {log} could not be stored for its new owner: {error}")
+                log_line(f"copies: the state of {log} could not be stored for its new owner: {error}")
                 kept = False
         self._host.superseded(log, list(known), kept)
 
@@ -485,23 +490,23 @@
                 self._delay_takeover(log, now_us)
         if not self.confirmed:
             self._confirm(now_us)
-        for of in self._takeover_candidates(now_us) if self.confirmed else ():
-            self.start_takeover(of.meta, now_us)
+        for held_log in self._takeover_candidates(now_us) if self.confirmed else ():
+            self.start_takeover(held_log.meta, now_us)
 
     def _takeover_candidates(self, now_us: int) -> Iterator[HeldLog]:
         """Logs whose owner this relay may try to replace by now."""
         present = {name for name, it in self.peers.items() if it.linked}
         suspect_us, stagger_us = int(self.fleet.suspect_s * 1e6), int(self.fleet.stagger_s * 1e6)
-        for log, of in list(self.holder.logs.items()):
+        for log, held_log in list(self.holder.logs.items()):
             if log in self.takeovers or log in self.owners or now_us < self._retry_us.get(log, 0):
                 continue
-            if not any(copy.live for copy in of.copies.values()):
+            if not any(copy.live for copy in held_log.copies.values()):
                 continue
-            since = self._silent_since(of.meta, of, now_us)
-            mine = of.owner[0] == self.name
-            due = takeover_due_us(of, self.name, present, since, 0 if mine else suspect_us, stagger_us)
+            since = self._silent_since(held_log.meta, held_log, now_us)
+            mine = held_log.owner[0] == self.name
+            due = takeover_due_us(held_log, self.name, present, since, 0 if mine else suspect_us, stagger_us)
             if due is not None and due <= now_us:
-                yield of
+                yield held_log
 
     def leave(self) -> None:
         """Announce a clean shutdown, so that other relays may take over without waiting."""
--- a/amberlug/copies/owner.py
+++ b/amberlug/copies/owner.py
@@ -1,8 +1,8 @@
 """The owner of one log: sends records to holders and commits them by quorum. No I/O.
 
 A record is committed once `write_quorum` relays of the log's ensemble store it, whichever they are. So any
-`read_quorum` relays of the ensemble know of it, and a successor needs the promise of that many before it proceeds. An
-owner that was replaced meets at least one of them with each new record, and stops.
+`read_quorum` relays of the ensemble know of it, and a successor needs the promise of that many before it
+proceeds. An owner that was replaced meets at least one of them with each new record, and stops.
 """
 
 from __future__ import annotations
@@ -36,7 +36,7 @@
 
     name: str
     kind: Kind
-    told: list[Any]
+    fields: list[Any]
     at_us: int
     sent_to: set[str] = field(default_factory=set)
     acked_by: set[str] = field(default_factory=set)
@@ -64,9 +64,9 @@
     @property
     def size(self) -> int:
         """Approximate size in bytes."""
-        body = self.told[4] if self.kind is Kind.TAKEN else b""
-        if self.kind is Kind.STATE and self.told[1] is not None:
-            body = self.told[1][4]
+        body = self.fields[4] if self.kind is Kind.TAKEN else b""
+        if self.kind is Kind.STATE and self.fields[1] is not None:
+            body = self.fields[1][4]
         return 80 + len(body)
 
 
@@ -152,19 +152,19 @@
 
     # Recording.
 
-    def record(self, name: str, kind: Kind, told: list[Any], now_us: int) -> None:
+    def record(self, name: str, kind: Kind, fields: list[Any], now_us: int) -> None:
         """Replicate one record; `on_committed` is called once all records of the message are committed."""
         if self.state is State.FENCED:
             return
         copy = self.copies.get(name)
         if copy is None:
             copy = self.copies[name] = MessageState(base=self.ballot)
-        copy.add(kind, self.ballot, told)
+        copy.add(kind, self.ballot, fields)
         if copy.ended is not None:
             del self.copies[name]
             self.stored_at.pop(name, None)
             self.ended[name] = copy.ended[1]
-        entry = PendingRecord(name, kind, told, now_us, acked_by=set(self._kept))
+        entry = PendingRecord(name, kind, fields, now_us, acked_by=set(self._kept))
         self._waiting.setdefault(name, []).append(entry)
         self._unsent.append(entry)
 
@@ -233,8 +233,8 @@
             if part and (entry is None or size + entry.size > MESSAGE_BYTES):
                 self._number += 1
                 self.holders[name].in_flight[self._number] = Batch(part, size, now_us)
-                told = [[it.name, it.kind.value, it.told] for it in part]
-                self._send(name, ["recs", self.meta.log, list(self.ballot), self._number, told])
+                records = [[it.name, it.kind.value, it.fields] for it in part]
+                self._send(name, ["recs", self.meta.log, list(self.ballot), self._number, records])
                 part, size = [], 0
             if entry is not None:
                 part.append(entry)
@@ -332,7 +332,7 @@
         for name, entries in self._waiting.items():
             copy = found.setdefault(name, MessageState(base=self.ballot))
             for entry in entries:
-                copy.add(entry.kind, self.ballot, entry.told)
+                copy.add(entry.kind, self.ballot, entry.fields)
         return found
 
     # Time.
--- a/amberlug/copies/placement.py
+++ b/amberlug/copies/placement.py
@@ -24,8 +24,8 @@
 ) -> list[str]:
     """The relays that may hold a log, each on its own machine; empty if there are too few.
 
-    Chooses `HOLDERS_PER_COPY * copies` of them: relays in `present` before those only in `known`, then zones in
-    turn, `own`'s zone last.
+    Chooses `HOLDERS_PER_COPY * copies` of them: relays in `present` before those only in `known`, then zones
+    in turn, `own`'s zone last.
     """
     able = {it.name: it for it in members if it.machine != own.machine and it.name in known}
     chosen: list[Member] = []
--- a/amberlug/copies/states.py
+++ b/amberlug/copies/states.py
@@ -1,9 +1,10 @@
 """The state of a message at a holder: a join of its records that does not depend on their order.
 
 Records may be lost, duplicated or reordered: `MessageState.add` and `MessageState.merge` are idempotent and
-commutative. Each record is made under a ballot. A full state recorded by a successor (`Kind.STATE`) overrides ends that
-earlier ballots recorded: such an end was never reported, since an end is reported only once a quorum holds
-it, and the successor would have read one that a quorum held. Attempts are never overridden: one may have run.
+commutative. Each record is made under a ballot. A full state recorded by a successor (`Kind.STATE`) overrides
+ends that earlier ballots recorded: such an end was never reported, since an end is reported only once a
+quorum holds it, and the successor would have read one that a quorum held. Attempts are never overridden: one
+may have run.
 """
 
 from __future__ import annotations
@@ -53,35 +54,35 @@
         body = len(self.taken[4]) if self.taken is not None else 0
         return 120 + body + 60 * len(self.tried) + len(self.reply[2])
 
-    def add(self, kind: str, ballot: Ballot, told: list[Any]) -> None:
+    def add(self, kind: str, ballot: Ballot, fields: list[Any]) -> None:
         """Apply a record; `ValueError` if it is malformed."""
         try:
-            self._add(kind, ballot, told)
+            self._add(kind, ballot, fields)
         except (IndexError, TypeError, KeyError) as error:
             raise ValueError(f"malformed record of kind {kind!r}: {error!r}") from None
 
-    def _add(self, kind: str, ballot: Ballot, told: list[Any]) -> None:
+    def _add(self, kind: str, ballot: Ballot, fields: list[Any]) -> None:
         number, owner, _ = ballot
         match kind:
             case Kind.TAKEN:
-                if len(told) != 7 or not isinstance(told[4], bytes):
+                if len(fields) != 7 or not isinstance(fields[4], bytes):
                     raise ValueError("malformed record of an accepted message")
                 if self.ended is None:
-                    self.taken = self.taken or list(told)
+                    self.taken = self.taken or list(fields)
             case Kind.ATTEMPT:
-                tried = self.tried.setdefault((number, owner, int(told[0])), ["", 0, ""])
-                tried[0], tried[1] = str(told[2]), int(told[1])
+                tried = self.tried.setdefault((number, owner, int(fields[0])), ["", 0, ""])
+                tried[0], tried[1] = str(fields[2]), int(fields[1])
             case Kind.OUTCOME:
-                tried = self.tried.setdefault((number, owner, int(told[0])), ["", 0, ""])
-                tried[2] = str(told[1])
+                tried = self.tried.setdefault((number, owner, int(fields[0])), ["", 0, ""])
+                tried[2] = str(fields[1])
             case Kind.REPLY:
-                self.reply = max(self.reply, list(told), key=lambda it: int(it[0]))
+                self.reply = max(self.reply, list(fields), key=lambda it: int(it[0]))
             case Kind.OWED:
-                self._end(owed=(ballot, [str(told[0]), int(told[1])]))
+                self._end(owed=(ballot, [str(fields[0]), int(fields[1])]))
             case Kind.ENDED:
-                self._end(ended=(ballot, int(told[0])))
+                self._end(ended=(ballot, int(fields[0])))
             case Kind.STATE:
-                self.merge(decode_state(told))
+                self.merge(decode_state(fields))
             case _:
                 raise ValueError(f"unknown record kind {kind!r}")
 
@@ -117,7 +118,7 @@
 
     def encoded(self) -> list[Any]:
         """The state as it is encoded in frames and files."""
-        tried = [[*key, *told] for key, told in sorted(self.tried.items())]
+        tried = [[*key, *fields] for key, fields in sorted(self.tried.items())]
         return [list(self.base), self.taken, tried, self.reply, self.owed, self.ended]
 
     def under_ballot(self, ballot: Ballot) -> MessageState:
@@ -128,10 +129,10 @@
         return found
 
 
-def decode_state(told: list[Any]) -> MessageState:
+def decode_state(encoded: list[Any]) -> MessageState:
     """Decode a state; `ValueError` if it is malformed."""
     try:
-        base, taken, tried, reply, owed, ended = told
+        base, taken, tried, reply, owed, ended = encoded
         return MessageState(
             decode_ballot(base),
             None if taken is None else list(taken),
@@ -144,14 +145,14 @@
         raise ValueError(f"malformed message state: {error!r}") from None
 
 
-def decode_ballot(told: Any) -> Ballot:
+def decode_ballot(encoded: Any) -> Ballot:
     """Decode a ballot; `ValueError` if it is malformed."""
     try:
-        number, owner, incarnation = told
+        number, owner, incarnation = encoded
     except TypeError:
-        raise ValueError(f"malformed ballot: {told!r}") from None
+        raise ValueError(f"malformed ballot: {encoded!r}") from None
     if not isinstance(number, int) or not isinstance(owner, str) or not isinstance(incarnation, str):
-        raise ValueError(f"malformed ballot: {told!r}")
+        raise ValueError(f"malformed ballot: {encoded!r}")
     return number, owner, incarnation
 
 
@@ -195,10 +196,10 @@
         ]
 
 
-def decode_metadata(told: Any) -> LogMetadata:
+def decode_metadata(encoded: Any) -> LogMetadata:
     """Decode log metadata; `ValueError` if it is malformed."""
     try:
-        origin, incarnation, serial, write_quorum, ensemble = told
+        origin, incarnation, serial, write_quorum, ensemble = encoded
         meta = LogMetadata(
             str(origin),
             str(incarnation),
--- a/amberlug/copies/store.py
+++ b/amberlug/copies/store.py
@@ -21,13 +21,13 @@
 from amberlug.copies.states import Ballot, Kind, LogMetadata, decode_metadata
 from amberlug.core.journal import records as it
 from amberlug.core.journal.disk import Disk
-from amberlug.core.log import log as say
+from amberlug.core.log import log as log_line
 
 PROMISE, RECORD, DROP, SEEN = b"P", b"C", b"D", b"W"
 SLACK = 1 << 18  # bytes by which a file may exceed twice its live data
 SLICE = 64  # states copied per step
 SCRUB = 1 << 16  # bytes checked per step
-_NAME = re.compile(r"copies-([0-9]{12})\.log")
+_FILE_NAME = re.compile(r"copies-([0-9]{12})\.log")
 _SEQUENCE = struct.Struct(">Q")
 
 
@@ -59,13 +59,17 @@
         for number, name in self._files():
             self._read(number, name)
             self._old.append(name)
-        for of in self.logs.values():
-            origin = of.meta.origin
-            self._used[origin] = self._used.get(origin, 0) + sum(copy.size for copy in of.copies.values())
+        for held_log in self.logs.values():
+            origin = held_log.meta.origin
+            self._used[origin] = self._used.get(origin, 0) + sum(
+                copy.size for copy in held_log.copies.values()
+            )
         self._begin()
 
     def _files(self) -> list[tuple[int, str]]:
-        found = [(int(match[1]), name) for name in self._disk.files() if (match := _NAME.fullmatch(name))]
+        found = [
+            (int(match[1]), name) for name in self._disk.files() if (match := _FILE_NAME.fullmatch(name))
+        ]
         return sorted(found)
 
     def _read(self, number: int, name: str) -> None:
@@ -90,36 +94,36 @@
     def _apply(self, record: it.Record) -> None:
         (sequence,) = _SEQUENCE.unpack_from(record.rest)
         self.sequence = max(self.sequence, sequence)
-        told = msgpack.unpackb(record.rest[_SEQUENCE.size :])
+        payload = msgpack.unpackb(record.rest[_SEQUENCE.size :])
         if record.kind == PROMISE:
-            apply_stored(self.logs, decode_metadata(told[0]), "", "", "", told[1], None)
+            apply_stored(self.logs, decode_metadata(payload[0]), "", "", "", payload[1], None)
         elif record.kind == DROP:
-            self.logs.pop(told[0], None)
+            self.logs.pop(payload[0], None)
         elif record.kind == SEEN:
-            self.peer_watermarks[told[0]] = str(told[1]), tuple(told[2])
-        elif told[0] in self.logs:
-            apply_stored(self.logs, None, told[0], record.name, told[1], told[2], told[3])
+            self.peer_watermarks[payload[0]] = str(payload[1]), tuple(payload[2])
+        elif payload[0] in self.logs:
+            apply_stored(self.logs, None, payload[0], record.name, payload[1], payload[2], payload[3])
 
     # Storage for `Holder`.
 
     def promise(self, meta: LogMetadata, ballot: Ballot) -> None:
         self._append(PROMISE, "", [meta.encoded(), ballot])
 
-    def record(self, log: str, name: str, kind: str, ballot: Ballot, told: list[Any]) -> None:
+    def record(self, log: str, name: str, kind: str, ballot: Ballot, fields: list[Any]) -> None:
         origin = self.logs[log].meta.origin if log in self.logs else log.split(".")[0]
         before = self.logs[log].copies.get(name) if log in self.logs else None
-        size = 120 + (len(told[4]) if kind == Kind.TAKEN else 60)
+        size = 120 + (len(fields[4]) if kind == Kind.TAKEN else 60)
         # Guards against a burst of one relay's messages taking the room of other relays' replicas.
         if kind == Kind.TAKEN and before is None and self._used.get(origin, 0) + size > self._share:
             raise OSError(errno.ENOSPC, f"no room for more copies of {origin}")
-        self._append(RECORD, name, [log, kind, ballot, told])
+        self._append(RECORD, name, [log, kind, ballot, fields])
         self._used[origin] = self._used.get(origin, 0) + (size if before is None else 60)
 
     def drop(self, log: str) -> None:
         try:
             self._append(DROP, "", [log])
         except OSError as error:
-            say(f"copies: could not delete log {log}: {error}")
+            log_line(f"copies: could not delete log {log}: {error}")
 
     def watermark_observed(self, name: str, incarnation: str, watermark: tuple[int, ...]) -> None:
         """Persist another relay's watermark."""
@@ -129,8 +133,8 @@
         except OSError:
             return  # the next message repeats it
 
-    def _append(self, kind: bytes, name: str, told: Any) -> None:
-        rest = _SEQUENCE.pack(self.sequence + 1) + msgpack.packb(told)
+    def _append(self, kind: bytes, name: str, payload: Any) -> None:
+        rest = _SEQUENCE.pack(self.sequence + 1) + msgpack.packb(payload)
         data = it.encode(kind, name.encode("latin-1"), rest, 0, self._number, self._size)
         if self._size + len(data) > self._most:
             self._make_room()
@@ -180,13 +184,13 @@
     def _copies(self) -> Iterator[None]:
         for name, (incarnation, watermark) in list(self.peer_watermarks.items()):
             self._append(SEEN, "", [name, incarnation, watermark])
-        for of in list(self.logs.values()):
-            self._append(PROMISE, "", [of.meta.encoded(), of.promised])
+        for held_log in list(self.logs.values()):
+            self._append(PROMISE, "", [held_log.meta.encoded(), held_log.promised])
         count = 0
-        for log, of in list(self.logs.items()):
-            for name, copy in list(of.copies.items()):
+        for log, held_log in list(self.logs.items()):
+            for name, copy in list(held_log.copies.items()):
                 if log in self.logs:
-                    self._append(RECORD, name, [log, Kind.STATE, of.meta.origin_ballot, copy.encoded()])
+                    self._append(RECORD, name, [log, Kind.STATE, held_log.meta.origin_ballot, copy.encoded()])
                     count += 1
                     if count % SLICE == 0:
                         yield
@@ -196,16 +200,16 @@
         try:
             self._work()
         except OSError as error:
-            say(f"copies: compaction failed: {error}")
+            log_line(f"copies: compaction failed: {error}")
 
     def _work(self) -> None:
         if self._todo is not None:
             self._step()
             return
         live: dict[str, int] = {}
-        for of in self.logs.values():
-            origin = of.meta.origin
-            live[origin] = live.get(origin, 0) + sum(copy.size for copy in of.copies.values())
+        for held_log in self.logs.values():
+            origin = held_log.meta.origin
+            live[origin] = live.get(origin, 0) + sum(copy.size for copy in held_log.copies.values())
         self._used = live
         loose = self._size > min(2 * sum(live.values()) + self._slack, self._most - self._slack)
         if loose or (self._size > SCRUB and not self._scrub()):
@@ -238,7 +242,9 @@
             if claimed and offset + claimed > len(data) and at + len(data) < size:
                 break
             if it.record_at(data, offset, 0, self._number, at) is None:
-                say(f"copies: {self._file}: unreadable record at offset {at + offset}; rewriting the file")
+                log_line(
+                    f"copies: {self._file}: unreadable record at offset {at + offset}; rewriting the file"
+                )
                 return False
             offset += claimed
         self._scrubbed = at + offset if at + offset < size else 0
--- a/amberlug/copies/takeover.py
+++ b/amberlug/copies/takeover.py
@@ -69,7 +69,7 @@
 
 
 def takeover_due_us(
-    of: HeldLog,
+    held_log: HeldLog,
     name: str,
     present: set[str],
     silent_since_us: int | None,
@@ -81,8 +81,10 @@
     `silent_since_us`: when the owner was last active, None if it is active. The reachable relays of the
     ensemble attempt one after the other in its order, so that the first succeeds alone unless it can't.
     """
-    if of.meta.incarnation_of(name) is None or (silent_since_us is None and not of.owner_left):
+    if held_log.meta.incarnation_of(name) is None or (silent_since_us is None and not held_log.owner_left):
         return None
-    order = [it for it, _ in of.meta.ensemble if it == name or (it in present and it != of.promised[1])]
+    order = [
+        it for it, _ in held_log.meta.ensemble if it == name or (it in present and it != held_log.promised[1])
+    ]
     since_us = silent_since_us or 0
-    return since_us + (0 if of.owner_left else suspect_us) + order.index(name) * stagger_us
+    return since_us + (0 if held_log.owner_left else suspect_us) + order.index(name) * stagger_us
--- a/amberlug/lab/explore.py
+++ b/amberlug/lab/explore.py
@@ -137,7 +137,7 @@
         machine = relay.machine
         for log, owner in sorted(machine.owners.items()):
             waiting = [
-                (name, [(it.kind, it.told, sorted(it.sent_to), sorted(it.acked_by)) for it in entries])
+                (name, [(it.kind, it.fields, sorted(it.sent_to), sorted(it.acked_by)) for it in entries])
                 for name, entries in sorted(owner._waiting.items())
             ]
             holders = [
--- a/tests/test_copies_machine.py
+++ b/tests/test_copies_machine.py
@@ -44,14 +44,14 @@
 
 
 def _without_fencing(
-    self: holder.Holder, log: str, ballot: states.Ballot, number: int, told: Any
+    self: holder.Holder, log: str, ballot: states.Ballot, number: int, batch: Any
 ) -> list[Any]:
     of = self.logs.get(log)
     if of is None:
         return ["nack", log, number, "unknown", None]
-    for name, kind, rest in told:
-        of.copies.setdefault(name, MessageState()).add(kind, ballot, rest)
-        self._store.record(log, name, kind, ballot, rest)
+    for name, kind, fields in batch:
+        of.copies.setdefault(name, MessageState()).add(kind, ballot, fields)
+        self._store.record(log, name, kind, ballot, fields)
     return ["ack", log, number]
 
 
@@ -59,11 +59,11 @@
     """Commit records of some kinds before any holder stores them."""
     real = owner.Owner.record
 
-    def record(self: owner.Owner, name: str, kind: Kind, told: list[Any], now_us: int) -> None:
+    def record(self: owner.Owner, name: str, kind: Kind, fields: list[Any], now_us: int) -> None:
         if kind not in kinds:
-            real(self, name, kind, told, now_us)
+            real(self, name, kind, fields, now_us)
             return
-        self.copies[name].add(kind, self.ballot, told)
+        self.copies[name].add(kind, self.ballot, fields)
         if not self.waits(name):
             self._on_committed(name)
 
