--- a/amberlug/copies/holder.py
+++ b/amberlug/copies/holder.py
@@ -13,8 +13,8 @@
 
 from amberlug.copies.states import Ballot, Kind, LogMetadata, MessageState, decode_ballot
 
-Wire = list[Any]  # a message to another relay, before framing
-SLICE = 200  # states, or message names, per wire message
+WireMessage = list[Any]  # a message to another relay, before framing
+ITEMS_PER_MESSAGE = 200  # states, or message names, per wire message
 
 
 class Store(Protocol):
@@ -57,9 +57,9 @@
 
     # Requests from owners.
 
-    def open(self, meta: LogMetadata, ballot: Ballot) -> Wire:
+    def open(self, meta: LogMetadata, ballot: Ballot) -> WireMessage:
         """Let an owner start or resume: replies whether this relay accepts its records from now on."""
-        if not self._belongs(meta):
+        if not self._may_hold(meta):
             return ["opened", meta.log, list(ballot), "stranger", None]
         held_log = self.logs.get(meta.log)
         if held_log is not None and ballot < held_log.promised:
@@ -71,7 +71,7 @@
         held_log.owner_left, held_log.opened_by_owner = False, True
         return ["opened", meta.log, list(ballot), "", None]
 
-    def _belongs(self, meta: LogMetadata) -> bool:
+    def _may_hold(self, meta: LogMetadata) -> bool:
         """Whether this relay, with its current disk, may hold a log."""
         return meta.incarnation_of(self.name) == self.incarnation and meta.log not in self.incomplete
 
@@ -85,7 +85,7 @@
         held_log.promised = max(held_log.promised, ballot)
         return held_log
 
-    def keep(self, meta: LogMetadata, ballot: Ballot, copies: dict[str, MessageState]) -> None:
+    def hold_superseded(self, meta: LogMetadata, ballot: Ballot, copies: dict[str, MessageState]) -> None:
         """Hold a log of this relay's own that another relay has taken over, with all known state.
 
         Raises `OSError` as `Store` does. Guards against an origin being read as if it held nothing while the
@@ -100,15 +100,15 @@
             self.incomplete.add(meta.log)
             raise
 
-    def live(self, log: str, ballot: Ballot) -> Iterator[Wire]:
+    def live(self, log: str, ballot: Ballot) -> Iterator[WireMessage]:
         """Send the owner the names of live messages, in slices; the owner replies which of them ended."""
         held_log = self.logs[log]
         names = [name for name, copy in held_log.copies.items() if copy.live]
-        for at in range(0, len(names), SLICE):
-            yield ["live", log, list(ballot), names[at : at + SLICE]]
+        for at in range(0, len(names), ITEMS_PER_MESSAGE):
+            yield ["live", log, list(ballot), names[at : at + ITEMS_PER_MESSAGE]]
         yield ["live", log, list(ballot), None]
 
-    def records(self, log: str, ballot: Ballot, number: int, batch: list[Any]) -> Wire:
+    def records(self, log: str, ballot: Ballot, number: int, batch: list[Any]) -> WireMessage:
         """Store a batch of records. The batch is acknowledged only as a whole."""
         held_log = self.logs.get(log)
         if held_log is None:
@@ -138,19 +138,21 @@
 
     # Requests from successors.
 
-    def fence(self, meta: LogMetadata, ballot: Ballot, owner_active: bool, now_us: int) -> Iterator[Wire]:
+    def fence(
+        self, meta: LogMetadata, ballot: Ballot, owner_active: bool, now_us: int
+    ) -> Iterator[WireMessage]:
         """Promise a log to a successor and send it everything held, or reply why not.
 
         `owner_active`: whether this relay has recently heard from the owner. A relay may succeed itself.
         """
         log = meta.log
-        if not self._belongs(meta):
+        if not self._may_hold(meta):
             yield ["deny", log, list(ballot), "stranger", None]
             return
         held_log = self.logs.get(log)
         if held_log is not None and ballot <= held_log.promised:
             if ballot == held_log.promised:  # a repeated request: the first answer was lost
-                yield from self._states(held_log, ballot)
+                yield from self._state_parts(held_log, ballot)
             else:
                 yield ["deny", log, list(ballot), "followed", list(held_log.promised)]
             return
@@ -169,14 +171,14 @@
             yield ["deny", log, list(ballot), "no room", None]
             return
         held_log.owner_left, held_log.since_us = False, now_us
-        yield from self._states(held_log, ballot)
+        yield from self._state_parts(held_log, ballot)
 
-    def _states(self, held_log: HeldLog, ballot: Ballot) -> Iterator[Wire]:
+    def _state_parts(self, held_log: HeldLog, ballot: Ballot) -> Iterator[WireMessage]:
         names, parts = list(held_log.copies), 0
-        for at in range(0, len(names), SLICE):
+        for at in range(0, len(names), ITEMS_PER_MESSAGE):
             states = [
                 [name, held_log.copies[name].encoded()]
-                for name in names[at : at + SLICE]
+                for name in names[at : at + ITEMS_PER_MESSAGE]
                 if name in held_log.copies
             ]
             yield ["state", held_log.meta.log, list(ballot), parts, states]
@@ -185,7 +187,7 @@
 
     # Time.
 
-    def forget(self, before_ms: int) -> None:
+    def expire(self, before_ms: int) -> None:
         """Remove messages that ended before a time."""
         for held_log in self.logs.values():
             ended = ((name, copy.ended) for name, copy in held_log.copies.items())
--- a/amberlug/copies/machine.py
+++ b/amberlug/copies/machine.py
@@ -13,7 +13,7 @@
 from typing import Any, Protocol
 
 from amberlug.copies import placement
-from amberlug.copies.holder import HeldLog, Holder, Store, Wire
+from amberlug.copies.holder import HeldLog, Holder, Store, WireMessage
 from amberlug.copies.owner import Owner, State
 from amberlug.copies.states import Ballot, Kind, LogMetadata, MessageState, decode_ballot, decode_metadata
 from amberlug.copies.takeover import Takeover, takeover_due_us
@@ -84,7 +84,7 @@
         self.owners: dict[str, Owner] = {}  # by log name
         self.takeovers: dict[str, Takeover] = {}
         self.newest: dict[int, str] = {}  # by write quorum: the log that accepts new messages
-        self.out: list[tuple[str, Wire]] = []
+        self.out: list[tuple[str, WireMessage]] = []
         self.confirmed = fresh  # whether no other relay has seen more of this directory than it holds
         self._confirming: set[str] = set()
         self._retry_us: dict[str, int] = {}  # by log: earliest time of the next take-over attempt
@@ -220,7 +220,7 @@
                 owner.lost(name, now_us)
                 owner.flush(now_us)
 
-    def _send(self, name: str, message: Wire) -> None:
+    def _send(self, name: str, message: WireMessage) -> None:
         self.out.append((name, message))
 
     def receive(
@@ -463,7 +463,7 @@
         log_line(f"copies: fenced: {by[1]} has taken over log {log}, {len(known)} messages")
         if owner.ballot == owner.meta.origin_ballot:
             try:
-                self.holder.keep(owner.meta, by, known)
+                self.holder.hold_superseded(owner.meta, by, known)
             except OSError as error:
                 log_line(f"copies: the state of {log} could not be stored for its new owner: {error}")
                 kept = False
@@ -479,9 +479,9 @@
                 if it.linked:
                     self._send_watermark(name)
             before_ms = self._host.wall_ms() - int(self.fleet.remember_s * 1000)
-            self.holder.forget(before_ms)
+            self.holder.expire(before_ms)
             for owner in self.owners.values():
-                owner.forget(before_ms)
+                owner.expire(before_ms)
         for owner in list(self.owners.values()):
             owner.tick(now_us)
         for log, takeover in list(self.takeovers.items()):
--- a/amberlug/copies/owner.py
+++ b/amberlug/copies/owner.py
@@ -12,7 +12,7 @@
 from enum import Enum
 from typing import Any
 
-from amberlug.copies.holder import Wire
+from amberlug.copies.holder import WireMessage
 from amberlug.copies.states import Ballot, Kind, LogMetadata, MessageState
 
 HEDGE_US = 60_000  # an unanswered record then goes to one more holder; many turns on a local network
@@ -110,7 +110,7 @@
         meta: LogMetadata,
         ballot: Ballot,
         kept: str | None,
-        send: Callable[[str, Wire], None],
+        send: Callable[[str, WireMessage], None],
         on_committed: Callable[[str], None],
         on_superseded: Callable[[Owner, Ballot], None],
     ) -> None:
@@ -366,7 +366,7 @@
                 self._send_batch(spare[0], [entry], now_us)
         self.flush(now_us)
 
-    def forget(self, before_ms: int) -> None:
+    def expire(self, before_ms: int) -> None:
         """Remove messages that ended before a time; insertion order is roughly by age."""
         for name in [name for name, until_ms in self.ended.items() if until_ms < before_ms]:
             del self.ended[name]
--- a/amberlug/copies/takeover.py
+++ b/amberlug/copies/takeover.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from amberlug.copies.holder import HeldLog, Wire
+from amberlug.copies.holder import HeldLog, WireMessage
 from amberlug.copies.states import Ballot, LogMetadata, MessageState, decode_state
 
 TAKEOVER_TIMEOUT_US = 2_000_000  # an attempt is abandoned after this time and repeated later
@@ -30,7 +30,7 @@
     """One attempt to take over a log."""
 
     def __init__(
-        self, meta: LogMetadata, ballot: Ballot, now_us: int, send: Callable[[str, Wire], None]
+        self, meta: LogMetadata, ballot: Ballot, now_us: int, send: Callable[[str, WireMessage], None]
     ) -> None:
         self.meta, self.ballot, self._send = meta, ballot, send
         self.until_us = now_us + TAKEOVER_TIMEOUT_US
--- a/tests/test_copies_store.py
+++ b/tests/test_copies_store.py
@@ -100,7 +100,7 @@
 def test_a_bit_flip_at_run_time_is_found_and_the_file_rewritten(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr("amberlug.copies.store.SCRUB", 1000)
+    monkeypatch.setattr("amberlug.copies.store.SCRUB_BYTES", 1000)
     store = open_in(tmp_path)
     for number in range(40):
         keep(store, f"m{number}")
