--- a/amberlug/cli/main.py
+++ b/amberlug/cli/main.py
@@ -112,9 +112,9 @@
 
         front = partial(Mqtt, Path(os.environ["AMBERLUG_MQTT"]))
     if os.environ.get("AMBERLUG_FLEET"):
-        from amberlug.copies.service import Copies
+        from amberlug.copies.service import ReplicationService
 
-        guard = partial(Copies, Path(os.environ["AMBERLUG_FLEET"]))
+        guard = partial(ReplicationService, Path(os.environ["AMBERLUG_FLEET"]))
     return daemon.main(front, guard)
 
 
--- a/amberlug/copies/journal.py
+++ b/amberlug/copies/journal.py
@@ -26,29 +26,29 @@
 from amberlug.peers.fleet import Fleet, WhenShort
 from amberlug.policy.interface import Effect, Result, Settings
 
-LOGS = "logs.json"  # the metadata of the logs that originate in this directory
-SHORT_RETRY_US = 1_000_000  # retry delay for clients when too few holders are reachable
+LOGS_FILE = "logs.json"  # the metadata of the logs that originate in this directory
+TOO_FEW_HOLDERS_RETRY_US = 1_000_000  # retry delay for clients when too few holders are reachable
 ELSEWHERE_RETRY_US = 500_000  # retry delay for clients when another relay has the message
 Callback = Callable[[], object]
 
 
 @dataclass(slots=True)
-class Promise:
+class PendingHandIn:
     """A hand-in whose client waits for the response."""
 
     message: Message
     kept: Callback
     broken: Callable[[bool], object]
-    until_us: int
+    deadline_us: int
     withdrawn: bool = False
 
 
-class CopiedJournal:
+class ReplicatedJournal:
     """The core's journal for a relay of a fleet. All methods run in the thread of the relay's node.
 
     Callbacks: `adopt` receives messages taken over from another relay; `relinquish` receives the names of
-    messages that another relay has taken over; `renew` is called when other relays have seen a newer state of
-    the directory (it was restored from a copy) and the relay must restart under a new incarnation.
+    messages that another relay has taken over; `restart_required` is called when other relays have seen a newer
+    state of the directory (it was restored from a copy): the relay must restart under a new incarnation.
     """
 
     def __init__(
@@ -65,46 +65,46 @@
         self._inner, self._fleet, self._store, self._folder = inner, fleet, store, folder
         self._settings, self._clock = settings, clock
         self._log_of: dict[str, str] = {}  # of replicated messages
-        self._alone: dict[str, MessageState] = {}  # of messages accepted while too few holders were reachable
-        self._followed_for: dict[
-            str, int
-        ] = {}  # messages of other origins' logs that ended here, with their expiry (wall clock, ms)
+        # Messages accepted while too few holders were reachable, not replicated yet.
+        self._local_only: dict[str, MessageState] = {}
+        # Messages of other origins' logs that ended here, with their expiry (wall clock, ms).
+        self._ended_for_others: dict[str, int] = {}
         # Messages that another relay took over, with their expiry; they may be taken over from it again.
-        self._let_go: dict[str, int] = {}
+        self._relinquished: dict[str, int] = {}
         self._callbacks: dict[str, list[tuple[Callback, Callback | None]]] = defaultdict(list)
-        self._promises: dict[str, Promise] = {}
+        self._pending_hand_ins: dict[str, PendingHandIn] = {}
         self._ended = inner.known()
-        self._dirty: set[str] = set()
-        self.taken_short = self._told_short = 0
-        self.adopt: Callable[[list[Held]], None] = _nobody
-        self.relinquish: Callable[[list[str]], None] = _nobody
-        self.renew: Callback = _nothing
-        self.wake: Callback = _nothing  # called when messages are ready to be sent
-        self._startup_watermark = (*_pair(inner.water), store.sequence)
+        self._changed_watermarks: set[str] = set()
+        self.accepted_unreplicated = self._logged_unreplicated = 0
+        self.adopt: Callable[[list[Held]], None] = _ignore_argument
+        self.relinquish: Callable[[list[str]], None] = _ignore_argument
+        self.restart_required: Callback = _ignore
+        self.outgoing_ready: Callback = _ignore  # called when messages are ready to be sent
+        self._startup_watermark = (*_as_watermark(inner.water), store.sequence)
         self.machine = Machine(fleet, incarnation, store, self, clock.now_us(), fresh)
         self.machine.holder.logs = store.logs
         for name, (own, watermark) in store.peer_watermarks.items():
             if (it := self.machine.peers.get(name)) is not None:
                 it.watermark, it.incarnation = {own: watermark}, own
         self._metas: dict[str, LogMetadata] = {}
-        self._older: dict[str, list[str]] = {}
+        self._older_logs: dict[str, list[str]] = {}
         self._reopen()
 
-    def begin_anew(self, incarnation: str, store: CopyStore) -> None:
+    def restart_as(self, incarnation: str, store: CopyStore) -> None:
         """Continue as a new incarnation that holds and owns nothing yet."""
         now_ms = self._clock.wall_ms()
         names = list(self._log_of)
         self.relinquish(names)
         for name in names:
             until_ms = now_ms + int(self._fleet.remember_s * 1000)
-            if self._foreign(name):
-                self._followed_for[name] = until_ms
+            if self._other_origin(name):
+                self._ended_for_others[name] = until_ms
             else:
                 self._inner.end(name, until_ms, now_ms)
             for _, never in self._callbacks.pop(name, ()):
                 if never is not None:
                     never()
-        self._log_of, self._promises, self._metas, self._older = {}, {}, {}, {}
+        self._log_of, self._pending_hand_ins, self._metas, self._older_logs = {}, {}, {}, {}
         self._store = store
         before = self.machine
         self.machine = Machine(self._fleet, incarnation, store, self, self._clock.now_us(), True)
@@ -117,15 +117,15 @@
     def _reopen(self) -> None:
         """Reopen the logs that originate in this directory with their messages in the own journal."""
         try:
-            stored = json.loads((self._folder / LOGS).read_text(encoding="utf-8"))
+            stored = json.loads((self._folder / LOGS_FILE).read_text(encoding="utf-8"))
         except FileNotFoundError:
             return
         metas = [decode_metadata(it) for it in stored["metas"]]
         own = (self._fleet.name, self.machine.incarnation)
         self._metas = {it.log: it for it in metas if (it.origin, it.incarnation) == own}
-        self._older = {log: list(names) for log, names in stored["older"].items() if log in self._metas}
+        self._older_logs = {log: list(names) for log, names in stored["older"].items() if log in self._metas}
         newest = {meta.write_quorum: log for log, meta in self._metas.items()}
-        placed = {name: log for log, names in self._older.items() for name in names}
+        placed = {name: log for log, names in self._older_logs.items() for name in names}
         held: dict[str, dict[str, MessageState]] = defaultdict(dict)
         for name, it in self._inner.held.items():
             copies = self._fleet.copies_of(it.message.message_class)
@@ -134,7 +134,7 @@
                 self._log_of[name] = log
                 held[log][name] = self._copy_of(it)
             elif copies:
-                self._alone[name] = self._copy_of(it)
+                self._local_only[name] = self._copy_of(it)
         for log, meta in list(self._metas.items()):
             # The log of an ended message is no longer known: reporting it as ended in every log is harmless.
             ended = dict(self._ended)
@@ -180,9 +180,9 @@
         return self._inner.earlier
 
     def knows(self, name: str) -> bool:
-        known = name in self._log_of or name in self._followed_for or name in self._let_go
+        known = name in self._log_of or name in self._ended_for_others or name in self._relinquished
         known = known or self._inner.knows(name)
-        return known or self._elsewhere(name, live=False)
+        return known or self._held_for_other(name, live=False)
 
     def ended(self, name: str) -> End | None:
         return self._inner.ended(name)
@@ -195,19 +195,19 @@
 
     def refuses(self, message: Message) -> Refusal | None:
         """Refuse a message that too few holders can store, or that another relay has accepted."""
-        if self._elsewhere(message.name, live=True):
+        if self._held_for_other(message.name, live=True):
             return Refusal(Reason.FOLLOWED, ELSEWHERE_RETRY_US)
-        if self._fleet.when_short is WhenShort.REFUSE and self._short(message):
-            return Refusal(Reason.SHORT, SHORT_RETRY_US)
+        if self._fleet.when_short is WhenShort.REFUSE and self._too_few_holders(message):
+            return Refusal(Reason.SHORT, TOO_FEW_HOLDERS_RETRY_US)
         return None
 
-    def _elsewhere(self, name: str, live: bool) -> bool:
+    def _held_for_other(self, name: str, live: bool) -> bool:
         """Whether a holding here for another relay has the message: live, or only as ended."""
         logs = self.machine.holder.logs.values()
         found = [it for it in (held_log.copies.get(name) for held_log in logs) if it is not None]
         return any(it.live for it in found) if live else bool(found) and not any(it.live for it in found)
 
-    def _short(self, message: Message) -> bool:
+    def _too_few_holders(self, message: Message) -> bool:
         copies = self._fleet.copies_of(message.message_class)
         if not copies:
             return False
@@ -216,7 +216,7 @@
 
     def take(self, message: Message, now_ms: int) -> None:
         copies = self._fleet.copies_of(message.message_class)
-        short = self._short(message)
+        short = self._too_few_holders(message)
         if short and self._fleet.when_short is WhenShort.REFUSE:
             raise OSError("too few relays can hold it")
         self._inner.take(message, now_ms)
@@ -225,11 +225,11 @@
         fields = self._taken_record(message, now_ms)
         owner = self.machine.log_for(copies, self._clock.now_us())
         if short or owner is None:
-            copy = self._alone[message.name] = MessageState(
+            copy = self._local_only[message.name] = MessageState(
                 base=(0, self._fleet.name, self.machine.incarnation)
             )
             copy.add(Kind.TAKEN, copy.base, fields)
-            self.taken_short += 1
+            self.accepted_unreplicated += 1
             return
         self._log_of[message.name] = owner.meta.log
         self._record(message.name, Kind.TAKEN, fields)
@@ -238,59 +238,59 @@
         if not self._waits(message.name):
             self._inner.after(kept)
             return
-        until_us = self._clock.now_us() + self._fleet.bound_ms * 1000
-        self._promises[message.name] = Promise(message, kept, broken, until_us)
+        deadline_us = self._clock.now_us() + self._fleet.bound_ms * 1000
+        self._pending_hand_ins[message.name] = PendingHandIn(message, kept, broken, deadline_us)
 
     def reply(self, message: Message) -> None:
-        if not self._foreign(message.name):
+        if not self._other_origin(message.name):
             self._inner.reply(message)
         self._record(message.name, Kind.REPLY, [message.replies, message.noticed, message.reply])
 
     def attempt(self, attempt: Attempt, now_ms: int) -> None:
         message = attempt.message
-        if not self._foreign(message.name):
+        if not self._other_origin(message.name):
             self._inner.attempt(attempt, now_ms)
-        if not self._harmless(message):
+        if not self._repeat_harmless(message):
             self._record(message.name, Kind.ATTEMPT, [attempt.number, now_ms, attempt.endpoint])
 
     def outcome(self, attempt: Attempt, how: Ending) -> None:
         message = attempt.message
-        if not self._foreign(message.name):
+        if not self._other_origin(message.name):
             self._inner.outcome(attempt, how)
-        if not self._harmless(message):
+        if not self._repeat_harmless(message):
             self._record(message.name, Kind.OUTCOME, [attempt.number, how.result.value])
 
-    def _harmless(self, message: Message) -> bool:
+    def _repeat_harmless(self, message: Message) -> bool:
         """Whether a repeated attempt is harmless, so that attempts need not be replicated."""
         kind = self._settings.classes.get(message.message_class)
         return kind is not None and kind.effect is Effect.SAFE
 
     def owe(self, message: Message, end: End) -> None:
-        if not self._foreign(message.name):
+        if not self._other_origin(message.name):
             self._inner.owe(message, end)
         self._record(message.name, Kind.OWED, [end.outcome.value, end.retry_ms])
 
     def end(self, name: str, until_ms: int, now_ms: int, how: End | None = None) -> None:
-        if self._foreign(name):
-            self._followed_for[name] = until_ms
+        if self._other_origin(name):
+            self._ended_for_others[name] = until_ms
         else:
             self._inner.end(name, until_ms, now_ms, how)
         self._ended[name] = until_ms
         self._record(name, Kind.ENDED, [until_ms])
-        self._alone.pop(name, None)
+        self._local_only.pop(name, None)
 
-    def _foreign(self, name: str) -> bool:
+    def _other_origin(self, name: str) -> bool:
         """Whether a message is in a log that originates at another relay."""
         return self._log_of.get(name, "") not in ("", *self._metas)
 
     def _record(self, name: str, kind: Kind, fields: list[Any]) -> None:
-        if (copy := self._alone.get(name)) is not None:
+        if (copy := self._local_only.get(name)) is not None:
             copy.add(kind, copy.base, fields)
             return
         owner = self.machine.owners.get(self._log_of.get(name, ""))
         if owner is not None:
             owner.record(name, kind, fields, self._clock.now_us())
-            self.wake()
+            self.outgoing_ready()
 
     @property
     def waits(self) -> bool:
@@ -318,26 +318,26 @@
         # A restored directory: writes of this process must not make up for the difference that reveals it.
         if not self.machine.confirmed:
             return self._startup_watermark
-        return (*_pair(self._inner.water), self._store.sequence)
+        return (*_as_watermark(self._inner.water), self._store.sequence)
 
     def wall_ms(self) -> int:
         return self._clock.wall_ms()
 
-    def draw(self) -> float:
+    def random_fraction(self) -> float:
         return random.SystemRandom().random()
 
     def watermark_observed(self, name: str, incarnation: str, watermark: Watermark) -> None:
-        self._dirty.add(name)
+        self._changed_watermarks.add(name)
 
     def outdated_directory(self) -> None:
-        self.renew()
+        self.restart_required()
 
     def until_ms(self, name: str) -> int:
         return self._ended.get(name, self._clock.wall_ms() + int(self._fleet.remember_s * 1000))
 
     def opened(self, meta: LogMetadata, older: dict[str, list[str]]) -> None:
         self._metas[meta.log] = meta
-        self._older = older
+        self._older_logs = older
         self._save()
 
     def _save(self) -> None:
@@ -346,13 +346,13 @@
         self._metas = {
             log: it
             for log, it in self._metas.items()
-            if log in owners or log in self.machine.newest.values() or log not in self._older
+            if log in owners or log in self.machine.newest.values() or log not in self._older_logs
         }
         stored = {
             "metas": [it.encoded() for it in self._metas.values()],
-            "older": {log: names for log, names in self._older.items() if log in self._metas},
+            "older": {log: names for log, names in self._older_logs.items() if log in self._metas},
         }
-        path, new = self._folder / LOGS, self._folder / f"{LOGS}.new"
+        path, new = self._folder / LOGS_FILE, self._folder / f"{LOGS_FILE}.new"
         new.write_text(json.dumps(stored), encoding="utf-8")
         os.replace(new, path)
 
@@ -360,43 +360,43 @@
         """Run everything that waited for a message's records to be committed."""
         if self._log_of.get(name) != log:
             return
-        if (promise := self._promises.pop(name, None)) is not None:
-            if promise.withdrawn:
-                promise.broken(True)
+        if (pending := self._pending_hand_ins.pop(name, None)) is not None:
+            if pending.withdrawn:
+                pending.broken(True)
             else:
-                self._inner.after(promise.kept)
+                self._inner.after(pending.kept)
         for callback, _ in self._callbacks.pop(name, ()):
             self._inner.after(callback)
         if name in self._ended and name in self._log_of:
             del self._log_of[name]
 
     def adopted(self, log: str, copies: dict[str, MessageState]) -> None:
-        ones: list[Held] = []
+        taken_over: list[Held] = []
         for name, copy in copies.items():
-            let_go = self._let_go.pop(name, None) is not None
-            own = self._inner.knows(name) and not let_go
-            if own or name in self._log_of or copy.taken is None:
+            relinquished = self._relinquished.pop(name, None) is not None
+            known_here = self._inner.knows(name) and not relinquished
+            if known_here or name in self._log_of or copy.taken is None:
                 # Either this relay already has the message, or nothing but its name is known.
                 owner = self.machine.owners[log]
                 owner.record(name, Kind.ENDED, [self.until_ms(name)], self._clock.now_us())
                 continue
             self._log_of[name] = log
-            ones.append(held_of(name, copy))
-        self.adopt(ones)
-        self.wake()
+            taken_over.append(to_held(name, copy))
+        self.adopt(taken_over)
+        self.outgoing_ready()
 
     def superseded(self, log: str, names: list[str], kept: bool) -> None:
         mine = [name for name in names if self._log_of.get(name) == log]
         self.relinquish(mine)
         now_ms = self._clock.wall_ms()
         for name in mine:
-            foreign = self._foreign(name)
+            foreign = self._other_origin(name)
             del self._log_of[name]
             until_ms = now_ms + int(self._fleet.remember_s * 1000)
-            self._let_go[name] = until_ms
+            self._relinquished[name] = until_ms
             if kept and not foreign:
                 self._inner.end(name, until_ms, now_ms)
-            self._promises.pop(name, None)
+            self._pending_hand_ins.pop(name, None)
             for _, never in self._callbacks.pop(name, ()):
                 if never is not None:
                     never()
@@ -409,59 +409,57 @@
     def tick(self) -> None:
         """Withdraw late hand-ins, advance the state machine and replicate local-only messages."""
         now_us, now_ms = self._clock.now_us(), self._clock.wall_ms()
-        for promise in list(self._promises.values()):
-            if promise.until_us <= now_us and not promise.withdrawn:
-                self._withdraw(promise, now_us, now_ms)
+        for pending in list(self._pending_hand_ins.values()):
+            if pending.deadline_us <= now_us and not pending.withdrawn:
+                self._withdraw(pending, now_us, now_ms)
         self.machine.tick(now_us)
-        if self._alone:
-            self._make_whole(now_us)
-        self.wake()
+        if self._local_only:
+            self._replicate_local_only(now_us)
+        self.outgoing_ready()
 
-    def _withdraw(self, promise: Promise, now_us: int, now_ms: int) -> None:
+    def _withdraw(self, pending: PendingHandIn, now_us: int, now_ms: int) -> None:
         """Withdraw a message whose client can't be told in time that it is stored."""
-        message = promise.message
+        message = pending.message
         owner = self.machine.owners.get(self._log_of.get(message.name, ""))
         if owner is None:
             return
-        promise.withdrawn = True
+        pending.withdrawn = True
         until_ms = now_ms + int(self._fleet.remember_s * 1000)
         self._inner.end(message.name, until_ms, now_ms)
         self._ended[message.name] = until_ms
-        promise.broken(False)  # it has ended here, whether or not the client can be told
+        pending.broken(False)  # it has ended here, whether or not the client can be told
         owner.withdraw(message.name, until_ms, now_us)
 
-    def _make_whole(self, now_us: int) -> None:
-        for name, copy in list(self._alone.items()):
+    def _replicate_local_only(self, now_us: int) -> None:
+        for name, copy in list(self._local_only.items()):
             if copy.taken is None:
                 continue
             owner = self.machine.log_for(self._fleet.copies_of(copy.taken[0]), now_us)
             if owner is not None and not owner.short:
-                del self._alone[name]
+                del self._local_only[name]
                 self._log_of[name] = owner.meta.log
                 owner.adopt(name, copy, now_us)
 
-    def tidy(self) -> None:
+    def run_maintenance(self) -> None:
         """Run maintenance; call once a second."""
         now_ms = self._clock.wall_ms()
-        for name in list(self._dirty):
+        for name in list(self._changed_watermarks):
             it = self.machine.peers[name]
             for own, watermark in it.watermark.items():
                 self._store.watermark_observed(name, own, watermark)
-        self._dirty.clear()
-        for names in (self._ended, self._followed_for, self._let_go):
+        self._changed_watermarks.clear()
+        for names in (self._ended, self._ended_for_others, self._relinquished):
             for name in [name for name, until_ms in names.items() if until_ms < now_ms]:
                 del names[name]
-        if self.taken_short != self._told_short:
-            self._told_short = self.taken_short
-            alone = len(self._alone)
-            log_line(
-                f"copies: {self.taken_short} messages accepted without replicas, {alone} on this disk only"
-            )
+        if self.accepted_unreplicated != self._logged_unreplicated:
+            self._logged_unreplicated = self.accepted_unreplicated
+            total, local_only = self.accepted_unreplicated, len(self._local_only)
+            log_line(f"copies: {total} messages accepted without replicas, {local_only} on this disk only")
         self.machine.retire()
         self._store.work()
 
 
-def held_of(name: str, copy: MessageState) -> Held:
+def to_held(name: str, copy: MessageState) -> Held:
     """Convert a replicated message for the core to resume."""
     assert copy.taken is not None
     message_class, tenant, destination, key, body, deadline_ms, taken_ms = copy.taken
@@ -480,15 +478,15 @@
     return held
 
 
-def _pair(watermark: tuple[int, int]) -> tuple[int, ...]:
+def _as_watermark(watermark: tuple[int, int]) -> tuple[int, ...]:
     """Combine segment number and size into one number: a later segment outweighs any size."""
     number, size = watermark
     return (number << 40 | size,)
 
 
-def _nothing() -> None:
+def _ignore() -> None:
     """Default callback."""
 
 
-def _nobody(_: object) -> None:
+def _ignore_argument(_: object) -> None:
     """Default callback."""
--- a/amberlug/copies/machine.py
+++ b/amberlug/copies/machine.py
@@ -36,7 +36,7 @@
     def wall_ms(self) -> int:
         """Wall-clock time."""
 
-    def draw(self) -> float:
+    def random_fraction(self) -> float:
         """A random number from 0 to 1."""
 
     def committed(self, log: str, name: str) -> None:
@@ -150,7 +150,7 @@
         if not names or (serves and not present.issuperset(names)):
             return owner if serves else None  # replacing a lost holder by an unreachable one gains nothing
         # Random: a directory restored from a copy must not reuse a number.
-        serial = int(self._host.draw() * (1 << 52))
+        serial = int(self._host.random_fraction() * (1 << 52))
         others = tuple((name, self.peers[name].incarnation) for name in names)
         ensemble = ((self.name, self.incarnation), *others)
         meta = LogMetadata(self.name, self.incarnation, serial, copies + 1, ensemble)
@@ -299,10 +299,10 @@
 
     def _on_fence(self, name: str, own: str, now_us: int, meta: Any, ballot: Any) -> None:
         log_meta, by = decode_metadata(meta), decode_ballot(ballot)
-        for part in self.holder.fence(log_meta, by, self.is_there(log_meta, now_us), now_us):
+        for part in self.holder.fence(log_meta, by, self.is_owner_active(log_meta, now_us), now_us):
             self._send(name, part)
 
-    def is_there(self, meta: LogMetadata, now_us: int) -> bool:
+    def is_owner_active(self, meta: LogMetadata, now_us: int) -> bool:
         """Whether a log's owner was heard from recently, or is this relay and owns it."""
         since = self._silent_since(meta, self.holder.logs.get(meta.log), now_us)
         return since is None or now_us - since < int(self.fleet.suspect_s * 1e6)
@@ -410,7 +410,7 @@
     }
 
     def _delay_takeover(self, log: str, now_us: int) -> None:
-        self._retry_us[log] = now_us + int((0.3 + self._host.draw()) * self.fleet.suspect_s * 5e5)
+        self._retry_us[log] = now_us + int((0.3 + self._host.random_fraction()) * self.fleet.suspect_s * 5e5)
 
     # Take-over.
 
--- a/amberlug/copies/owner.py
+++ b/amberlug/copies/owner.py
@@ -121,9 +121,8 @@
             name: HolderState(rank) for rank, (name, _) in enumerate(meta.ensemble) if name != kept
         }
         self.copies: dict[str, MessageState] = {}  # live messages, by their records so far
-        self.ended: dict[
-            str, int
-        ] = {}  # messages that ended here, with their expiry: a successor that reads this log needs them
+        # Messages that ended here, with their expiry: a successor that reads this log needs them.
+        self.ended: dict[str, int] = {}
         self.stored_at: dict[str, set[str]] = {}  # by live message: the holders that store its full state
         self._waiting: dict[str, list[PendingRecord]] = {}  # by message: records not committed yet
         self._unsent: list[PendingRecord] = []  # records sent to fewer holders than needed
--- a/amberlug/lab/copies.py
+++ b/amberlug/lab/copies.py
@@ -134,7 +134,7 @@
     def wall_ms(self) -> int:
         return START_MS + self.world.now_us // 1000
 
-    def draw(self) -> float:
+    def random_fraction(self) -> float:
         return self.world.chance.random()
 
     def until_ms(self, name: str) -> int:
