--- a/amberlug/copies/journal.py
+++ b/amberlug/copies/journal.py
@@ -47,8 +47,9 @@
     """The core's journal for a relay of a fleet. All methods run in the thread of the relay's node.
 
     Callbacks: `adopt` receives messages taken over from another relay; `relinquish` receives the names of
-    messages that another relay has taken over; `restart_required` is called when other relays have seen a newer
-    state of the directory (it was restored from a copy): the relay must restart under a new incarnation.
+    messages that another relay has taken over; `restart_required` is called when other relays have seen a
+    newer state of the directory (it was restored from a copy) and the relay must restart under a new
+    incarnation.
     """
 
     def __init__(
@@ -83,9 +84,9 @@
         self._startup_watermark = (*_as_watermark(inner.water), store.sequence)
         self.machine = Machine(fleet, incarnation, store, self, clock.now_us(), fresh)
         self.machine.holder.logs = store.logs
-        for name, (own, watermark) in store.peer_watermarks.items():
-            if (it := self.machine.peers.get(name)) is not None:
-                it.watermark, it.incarnation = {own: watermark}, own
+        for name, (incarnation_seen, watermark) in store.peer_watermarks.items():
+            if (peer := self.machine.peers.get(name)) is not None:
+                peer.watermark, peer.incarnation = {incarnation_seen: watermark}, incarnation_seen
         self._metas: dict[str, LogMetadata] = {}
         self._older_logs: dict[str, list[str]] = {}
         self._reopen()
@@ -109,8 +110,8 @@
         before = self.machine
         self.machine = Machine(self._fleet, incarnation, store, self, self._clock.now_us(), True)
         self.machine.holder.logs = store.logs
-        for name, it in before.peers.items():
-            self.machine.peers[name].watermark = it.watermark
+        for name, peer in before.peers.items():
+            self.machine.peers[name].watermark = peer.watermark
 
     # Recovery.
 
@@ -120,21 +121,21 @@
             stored = json.loads((self._folder / LOGS_FILE).read_text(encoding="utf-8"))
         except FileNotFoundError:
             return
-        metas = [decode_metadata(it) for it in stored["metas"]]
-        own = (self._fleet.name, self.machine.incarnation)
-        self._metas = {it.log: it for it in metas if (it.origin, it.incarnation) == own}
+        metas = [decode_metadata(meta) for meta in stored["metas"]]
+        own_identity = (self._fleet.name, self.machine.incarnation)
+        self._metas = {meta.log: meta for meta in metas if (meta.origin, meta.incarnation) == own_identity}
         self._older_logs = {log: list(names) for log, names in stored["older"].items() if log in self._metas}
         newest = {meta.write_quorum: log for log, meta in self._metas.items()}
         placed = {name: log for log, names in self._older_logs.items() for name in names}
         held: dict[str, dict[str, MessageState]] = defaultdict(dict)
-        for name, it in self._inner.held.items():
-            copies = self._fleet.copies_of(it.message.message_class)
+        for name, recovered in self._inner.held.items():
+            copies = self._fleet.copies_of(recovered.message.message_class)
             log = placed.get(name, newest.get(copies + 1, ""))
             if log in self._metas:
                 self._log_of[name] = log
-                held[log][name] = self._copy_of(it)
+                held[log][name] = self._copy_of(recovered)
             elif copies:
-                self._local_only[name] = self._copy_of(it)
+                self._local_only[name] = self._copy_of(recovered)
         for log, meta in list(self._metas.items()):
             # The log of an ended message is no longer known: reporting it as ended in every log is harmless.
             ended = dict(self._ended)
@@ -204,8 +205,9 @@
     def _held_for_other(self, name: str, live: bool) -> bool:
         """Whether a holding here for another relay has the message: live, or only as ended."""
         logs = self.machine.holder.logs.values()
-        found = [it for it in (held_log.copies.get(name) for held_log in logs) if it is not None]
-        return any(it.live for it in found) if live else bool(found) and not any(it.live for it in found)
+        found = [state for state in (held_log.copies.get(name) for held_log in logs) if state is not None]
+        any_live = any(state.live for state in found)
+        return any_live if live else bool(found) and not any_live
 
     def _too_few_holders(self, message: Message) -> bool:
         copies = self._fleet.copies_of(message.message_class)
@@ -349,7 +351,7 @@
             if log in owners or log in self.machine.newest.values() or log not in self._older_logs
         }
         stored = {
-            "metas": [it.encoded() for it in self._metas.values()],
+            "metas": [meta.encoded() for meta in self._metas.values()],
             "older": {log: names for log, names in self._older_logs.items() if log in self._metas},
         }
         path, new = self._folder / LOGS_FILE, self._folder / f"{LOGS_FILE}.new"
@@ -444,9 +446,9 @@
         """Run maintenance; call once a second."""
         now_ms = self._clock.wall_ms()
         for name in list(self._changed_watermarks):
-            it = self.machine.peers[name]
-            for own, watermark in it.watermark.items():
-                self._store.watermark_observed(name, own, watermark)
+            peer = self.machine.peers[name]
+            for incarnation, watermark in peer.watermark.items():
+                self._store.watermark_observed(name, incarnation, watermark)
         self._changed_watermarks.clear()
         for names in (self._ended, self._ended_for_others, self._relinquished):
             for name in [name for name, until_ms in names.items() if until_ms < now_ms]:
--- a/amberlug/copies/machine.py
+++ b/amberlug/copies/machine.py
@@ -80,7 +80,7 @@
     ) -> None:
         self.fleet, self.name, self.incarnation, self._host = fleet, fleet.name, incarnation, host
         self.holder = Holder(fleet.name, incarnation, store)
-        self.peers = {it.name: PeerStatus() for it in fleet.members if it.name != fleet.name}
+        self.peers = {member.name: PeerStatus() for member in fleet.members if member.name != fleet.name}
         self.owners: dict[str, Owner] = {}  # by log name
         self.takeovers: dict[str, Takeover] = {}
         self.newest: dict[int, str] = {}  # by write quorum: the log that accepts new messages
@@ -131,8 +131,8 @@
         self.owners[meta.log] = owner
         if kept is None and meta.incarnation_of(self.name) == self.incarnation:
             owner.linked(self.name)
-        for name, it in self.peers.items():
-            if name in owner.holders and it.linked and it.incarnation == meta.incarnation_of(name):
+        for name, peer in self.peers.items():
+            if name in owner.holders and peer.linked and peer.incarnation == meta.incarnation_of(name):
                 owner.linked(name)
         return owner
 
@@ -143,8 +143,8 @@
         owner = self.owners.get(self.newest.get(copies + 1, ""))
         if owner is not None and owner.state is not State.FENCED and not self._has_lost_holder(owner, now_us):
             return owner
-        present = {name for name, it in self.peers.items() if it.linked}
-        known = {name for name, it in self.peers.items() if it.incarnation}
+        present = {name for name, peer in self.peers.items() if peer.linked}
+        known = {name for name, peer in self.peers.items() if peer.incarnation}
         names = placement.ensemble(self.name, self.fleet.own, self.fleet.members, present, known, copies)
         serves = owner is not None and owner.state is not State.FENCED
         if not names or (serves and not present.issuperset(names)):
@@ -155,7 +155,9 @@
         ensemble = ((self.name, self.incarnation), *others)
         meta = LogMetadata(self.name, self.incarnation, serial, copies + 1, ensemble)
         older = {
-            log: list(it.copies) for log, it in self.owners.items() if it.ballot == it.meta.origin_ballot
+            log: list(owned.copies)
+            for log, owned in self.owners.items()
+            if owned.ballot == owned.meta.origin_ballot
         }
         try:
             self._host.opened(meta, older)
@@ -173,10 +175,10 @@
         replace_us = int(self.fleet.replace_s * 1e6)
         lost = set()
         for name, holder in owner.holders.items():
-            it = self.peers.get(name)
-            if it is None:
+            peer = self.peers.get(name)
+            if peer is None:
                 continue
-            other = it.linked and it.incarnation != owner.meta.incarnation_of(name)
+            other = peer.linked and peer.incarnation != owner.meta.incarnation_of(name)
             away = (
                 holder.away_since_us is not None
                 and now_us - max(holder.away_since_us, self._started_us) > replace_us
@@ -189,13 +191,13 @@
 
     def connected(self, name: str, incarnation: str, now_us: int) -> None:
         """A link to another relay is up; `incarnation` identifies its disk."""
-        it = self.peers.get(name)
-        if it is None:
+        peer = self.peers.get(name)
+        if peer is None:
             return
-        if it.incarnation and it.incarnation != incarnation:
+        if peer.incarnation and peer.incarnation != incarnation:
             log_line(f"copies: {name} has another directory than before")
             self.disconnected(name, now_us)
-        it.incarnation, it.linked = incarnation, True
+        peer.incarnation, peer.linked = incarnation, True
         self._send_watermark(name)
         for owner in self.owners.values():
             if owner.meta.incarnation_of(name) == incarnation:
@@ -206,15 +208,15 @@
 
     def _send_watermark(self, name: str) -> None:
         """Tell another relay the highest watermark observed of its disk."""
-        it = self.peers[name]
-        self._send(name, ["water", list(it.watermark.get(it.incarnation, ()))])
+        peer = self.peers[name]
+        self._send(name, ["water", list(peer.watermark.get(peer.incarnation, ()))])
 
     def disconnected(self, name: str, now_us: int) -> None:
         """The link to another relay is down."""
-        it = self.peers.get(name)
-        if it is None or not it.linked:
+        peer = self.peers.get(name)
+        if peer is None or not peer.linked:
             return
-        it.linked = False
+        peer.linked = False
         for owner in self.owners.values():
             if name in owner.holders:
                 owner.lost(name, now_us)
@@ -232,11 +234,11 @@
         """
         if self.outdated:
             return
-        it = self.peers.get(name)
-        if it is not None:
-            it.heard_us = now_us
-            if not it.linked:
-                it.incarnation = incarnation
+        peer = self.peers.get(name)
+        if peer is not None:
+            peer.heard_us = now_us
+            if not peer.linked:
+                peer.incarnation = incarnation
             # Sent with every message, not periodically: a record's holder has seen the disk it came from.
             self._note_watermark(name, incarnation, watermark)
         elif name != self.name:
@@ -254,9 +256,9 @@
 
     # Messages for the holder.
 
-    def _on_watermark(self, name: str, own: str, now_us: int, observed: list[int]) -> None:
+    def _on_watermark(self, name: str, peer_incarnation: str, now_us: int, observed: list[int]) -> None:
         """A relay reports the highest watermark that it has observed of this one's disk."""
-        if any(mine < most for mine, most in zip(self._host.watermark(), observed, strict=False)):
+        if any(mine < highest for mine, highest in zip(self._host.watermark(), observed, strict=False)):
             # Guards against a restored backup: what this relay accepted, did and promised since is missing.
             log_line(f"copies: this state directory is outdated: {name} has seen newer data of it")
             self.outdated = True
@@ -274,17 +276,17 @@
         if len(self._confirming) >= max(1, wanted):
             self.confirmed = True
 
-    def _note_watermark(self, name: str, own: str, watermark: Sequence[int]) -> None:
-        it = self.peers[name]
-        before = it.watermark.get(own, ())
-        most = tuple(
+    def _note_watermark(self, name: str, peer_incarnation: str, watermark: Sequence[int]) -> None:
+        peer = self.peers[name]
+        before = peer.watermark.get(peer_incarnation, ())
+        highest = tuple(
             max(pair) for pair in zip(map(int, watermark), before or map(int, watermark), strict=False)
         )
-        if most != before:
-            it.watermark = {own: most}
-            self._host.watermark_observed(name, own, most)
+        if highest != before:
+            peer.watermark = {peer_incarnation: highest}
+            self._host.watermark_observed(name, peer_incarnation, highest)
 
-    def _on_open(self, name: str, own: str, now_us: int, meta: Any, ballot: Any) -> None:
+    def _on_open(self, name: str, peer_incarnation: str, now_us: int, meta: Any, ballot: Any) -> None:
         log_meta, by = decode_metadata(meta), decode_ballot(ballot)
         answer = self.holder.open(log_meta, by)
         self._send(name, answer)
@@ -293,97 +295,125 @@
                 self._send(name, part)
 
     def _on_records(
-        self, name: str, own: str, now_us: int, log: str, ballot: Any, number: int, batch: list[Any]
+        self,
+        name: str,
+        peer_incarnation: str,
+        now_us: int,
+        log: str,
+        ballot: Any,
+        number: int,
+        batch: list[Any],
     ) -> None:
         self._send(name, self.holder.records(log, decode_ballot(ballot), int(number), batch))
 
-    def _on_fence(self, name: str, own: str, now_us: int, meta: Any, ballot: Any) -> None:
+    def _on_fence(self, name: str, peer_incarnation: str, now_us: int, meta: Any, ballot: Any) -> None:
         log_meta, by = decode_metadata(meta), decode_ballot(ballot)
         for part in self.holder.fence(log_meta, by, self.is_owner_active(log_meta, now_us), now_us):
             self._send(name, part)
 
     def is_owner_active(self, meta: LogMetadata, now_us: int) -> bool:
         """Whether a log's owner was heard from recently, or is this relay and owns it."""
-        since = self._silent_since(meta, self.holder.logs.get(meta.log), now_us)
+        since = self._inactive_since(meta, self.holder.logs.get(meta.log), now_us)
         return since is None or now_us - since < int(self.fleet.suspect_s * 1e6)
 
-    def _silent_since(self, meta: LogMetadata, held_log: HeldLog | None, now_us: int) -> int | None:
+    def _inactive_since(self, meta: LogMetadata, held_log: HeldLog | None, now_us: int) -> int | None:
         """Since when a log's owner has been inactive; None if it is active."""
         name, incarnation = held_log.owner if held_log is not None else (meta.origin, meta.incarnation)
         if name == self.name:
             return None if meta.log in self.owners else 0
-        it = self.peers.get(name)
-        if it is None or (it.incarnation and it.incarnation != incarnation):
+        peer = self.peers.get(name)
+        if peer is None or (peer.incarnation and peer.incarnation != incarnation):
             return 0  # its disk is gone
         # After a restart, silence counts from the start: no relay could be heard before.
-        heard = max(it.heard_us or 0, self._started_us)
+        heard = max(peer.heard_us or 0, self._started_us)
         if (
             held_log is not None and not held_log.opened_by_owner
         ):  # a successor that got the promise and gave up
             return max(min(heard, held_log.since_us), self._started_us)
         return None if now_us - heard < BEAT_US else heard
 
-    def _on_leave(self, name: str, own: str, now_us: int, log: str | None) -> None:
-        self.holder.leave(name, own, log)
+    def _on_leave(self, name: str, peer_incarnation: str, now_us: int, log: str | None) -> None:
+        self.holder.leave(name, peer_incarnation, log)
 
-    def _on_drop(self, name: str, own: str, now_us: int, log: str) -> None:
+    def _on_drop(self, name: str, peer_incarnation: str, now_us: int, log: str) -> None:
         held_log = self.holder.logs.get(log)
-        if held_log is not None and held_log.owner == (name, own) and log not in self.owners:
+        if held_log is not None and held_log.owner == (name, peer_incarnation) and log not in self.owners:
             self.holder.drop(log)
 
     # Messages for the owner and the successor.
 
     def _on_opened(
-        self, name: str, own: str, now_us: int, log: str, ballot: Any, why: str, more: Any
+        self, name: str, peer_incarnation: str, now_us: int, log: str, ballot: Any, why: str, more: Any
     ) -> None:
         owner = self.owners.get(log)
-        if owner is None or owner.ballot != decode_ballot(ballot) or owner.meta.incarnation_of(name) != own:
+        if (
+            owner is None
+            or owner.ballot != decode_ballot(ballot)
+            or owner.meta.incarnation_of(name) != peer_incarnation
+        ):
             return
         owner.opened(name, why, None if more is None else decode_ballot(more), now_us)
         owner.flush(now_us)
 
     def _on_live(
-        self, name: str, own: str, now_us: int, log: str, ballot: Any, names: list[str] | None
+        self, name: str, peer_incarnation: str, now_us: int, log: str, ballot: Any, names: list[str] | None
     ) -> None:
         owner = self.owners.get(log)
-        if owner is None or owner.ballot != decode_ballot(ballot) or owner.meta.incarnation_of(name) != own:
+        if (
+            owner is None
+            or owner.ballot != decode_ballot(ballot)
+            or owner.meta.incarnation_of(name) != peer_incarnation
+        ):
             return
         if names is None:
             owner.holders[name].settled = owner.holders[name].opened
         else:
-            owner.settle([str(it) for it in names], self._host.until_ms, now_us)
+            owner.settle([str(message) for message in names], self._host.until_ms, now_us)
 
-    def _on_ack(self, name: str, own: str, now_us: int, log: str, number: int) -> None:
+    def _on_ack(self, name: str, peer_incarnation: str, now_us: int, log: str, number: int) -> None:
         owner = self.owners.get(log)
-        if owner is not None and owner.meta.incarnation_of(name) == own:
+        if owner is not None and owner.meta.incarnation_of(name) == peer_incarnation:
             owner.acknowledged(name, int(number))
             owner.flush(now_us)
 
-    def _on_nack(self, name: str, own: str, now_us: int, log: str, number: int, why: str, more: Any) -> None:
+    def _on_nack(
+        self, name: str, peer_incarnation: str, now_us: int, log: str, number: int, why: str, more: Any
+    ) -> None:
         owner = self.owners.get(log)
-        if owner is not None and owner.meta.incarnation_of(name) == own:
+        if owner is not None and owner.meta.incarnation_of(name) == peer_incarnation:
             owner.refused(name, int(number), why, None if more is None else decode_ballot(more), now_us)
 
     def _on_state(
-        self, name: str, own: str, now_us: int, log: str, ballot: Any, part: int, states: list[Any]
+        self,
+        name: str,
+        peer_incarnation: str,
+        now_us: int,
+        log: str,
+        ballot: Any,
+        part: int,
+        states: list[Any],
     ) -> None:
-        if (takeover := self._takeover_for(log, ballot, name, own)) is not None:
+        if (takeover := self._takeover_for(log, ballot, name, peer_incarnation)) is not None:
             takeover.state(name, int(part), states)
             self._finish_takeover(takeover, now_us)
 
-    def _on_promise(self, name: str, own: str, now_us: int, log: str, ballot: Any, parts: int) -> None:
-        if (takeover := self._takeover_for(log, ballot, name, own)) is not None:
+    def _on_promise(
+        self, name: str, peer_incarnation: str, now_us: int, log: str, ballot: Any, parts: int
+    ) -> None:
+        if (takeover := self._takeover_for(log, ballot, name, peer_incarnation)) is not None:
             takeover.promise(name, int(parts))
             self._finish_takeover(takeover, now_us)
 
-    def _takeover_for(self, log: str, ballot: Any, name: str, own: str) -> Takeover | None:
+    def _takeover_for(self, log: str, ballot: Any, name: str, peer_incarnation: str) -> Takeover | None:
         """The take-over attempt that an answer belongs to, if its sender has the disk that the log names."""
         takeover = self.takeovers.get(log)
         if takeover is None or takeover.ballot != decode_ballot(ballot):
             return None
-        return takeover if takeover.meta.incarnation_of(name) == own else None
+        return takeover if takeover.meta.incarnation_of(name) == peer_incarnation else None
 
-    def _on_deny(self, name: str, own: str, now_us: int, log: str, ballot: Any, why: str, more: Any) -> None:
+    def _on_deny(
+        self, name: str, peer_incarnation: str, now_us: int, log: str, ballot: Any, why: str, more: Any
+    ) -> None:
         takeover = self.takeovers.get(log)
         if takeover is None or takeover.ballot != decode_ballot(ballot):
             return
@@ -426,8 +456,8 @@
         log_line(f"copies: attempting take-over from {owner} of log {meta.log}")
         takeover = self.takeovers[meta.log] = Takeover(meta, ballot, now_us, self._send)
         for name, incarnation in meta.ensemble:
-            it = self.peers.get(name)
-            if name == self.name or (it is not None and it.linked and it.incarnation == incarnation):
+            peer = self.peers.get(name)
+            if name == self.name or (peer is not None and peer.linked and peer.incarnation == incarnation):
                 takeover.ask(name)
 
     def _finish_takeover(self, takeover: Takeover, now_us: int) -> None:
@@ -475,8 +505,8 @@
         """Run timeouts, retries and take-overs; call several times a second."""
         if now_us - self._beat_us >= BEAT_US:
             self._beat_us = now_us
-            for name, it in self.peers.items():
-                if it.linked:
+            for name, peer in self.peers.items():
+                if peer.linked:
                     self._send_watermark(name)
             before_ms = self._host.wall_ms() - int(self.fleet.remember_s * 1000)
             self.holder.expire(before_ms)
@@ -495,14 +525,14 @@
 
     def _takeover_candidates(self, now_us: int) -> Iterator[HeldLog]:
         """Logs whose owner this relay may try to replace by now."""
-        present = {name for name, it in self.peers.items() if it.linked}
+        present = {name for name, peer in self.peers.items() if peer.linked}
         suspect_us, stagger_us = int(self.fleet.suspect_s * 1e6), int(self.fleet.stagger_s * 1e6)
         for log, held_log in list(self.holder.logs.items()):
             if log in self.takeovers or log in self.owners or now_us < self._retry_us.get(log, 0):
                 continue
             if not any(copy.live for copy in held_log.copies.values()):
                 continue
-            since = self._silent_since(held_log.meta, held_log, now_us)
+            since = self._inactive_since(held_log.meta, held_log, now_us)
             mine = held_log.owner[0] == self.name
             due = takeover_due_us(held_log, self.name, present, since, 0 if mine else suspect_us, stagger_us)
             if due is not None and due <= now_us:
@@ -510,8 +540,8 @@
 
     def leave(self) -> None:
         """Announce a clean shutdown, so that other relays may take over without waiting."""
-        for name, it in self.peers.items():
-            if it.linked:
+        for name, peer in self.peers.items():
+            if peer.linked:
                 self._send(name, ["leave", None])
 
     def retire(self) -> None:
--- a/amberlug/copies/owner.py
+++ b/amberlug/copies/owner.py
@@ -93,7 +93,7 @@
     @property
     def in_flight_bytes(self) -> int:
         """Bytes sent and not acknowledged."""
-        return sum(it.size for it in self.in_flight.values())
+        return sum(batch.size for batch in self.in_flight.values())
 
 
 class Owner:
@@ -195,7 +195,7 @@
             name: WINDOW_BYTES - self.holders[name].in_flight_bytes
             for name in self._reachable_holders(now_us)
         }
-        later = []
+        unassigned = []
         for entry in self._unsent:
             wanted = entry.missing(self.meta.write_quorum)
             for name in self._preferred(entry.name, room):
@@ -207,36 +207,36 @@
                     batches.setdefault(name, []).append(entry)
                     wanted -= 1
             if wanted > 0:
-                later.append(entry)
-        self._unsent = later
+                unassigned.append(entry)
+        self._unsent = unassigned
         for name, entries in batches.items():
             self._send_batch(name, entries, now_us)
 
-    def _preferred(self, name: str, able: Iterable[str]) -> list[str]:
+    def _preferred(self, name: str, reachable: Iterable[str]) -> list[str]:
         """Holders in order of preference for a message: those that store it, then by rank in the ensemble."""
-        has = self.stored_at.get(name, ())
-        return sorted(able, key=lambda it: (it not in has, self.holders[it].rank))
+        storing = self.stored_at.get(name, ())
+        return sorted(reachable, key=lambda holder: (holder not in storing, self.holders[holder].rank))
 
     def _reachable_holders(self, now_us: int) -> list[str]:
         """Holders that can be sent records, in order of rank."""
         return [
             name
-            for name, it in self.holders.items()
-            if it.opened and it.away_since_us is None and it.full_until_us <= now_us
+            for name, holder in self.holders.items()
+            if holder.opened and holder.away_since_us is None and holder.full_until_us <= now_us
         ]
 
     def _send_batch(self, name: str, entries: list[PendingRecord], now_us: int) -> None:
-        part: list[PendingRecord] = []
+        batch: list[PendingRecord] = []
         size = 0
         for entry in [*entries, None]:
-            if part and (entry is None or size + entry.size > MESSAGE_BYTES):
+            if batch and (entry is None or size + entry.size > MESSAGE_BYTES):
                 self._number += 1
-                self.holders[name].in_flight[self._number] = Batch(part, size, now_us)
-                records = [[it.name, it.kind.value, it.fields] for it in part]
+                self.holders[name].in_flight[self._number] = Batch(batch, size, now_us)
+                records = [[entry.name, entry.kind.value, entry.fields] for entry in batch]
                 self._send(name, ["recs", self.meta.log, list(self.ballot), self._number, records])
-                part, size = [], 0
+                batch, size = [], 0
             if entry is not None:
-                part.append(entry)
+                batch.append(entry)
                 size += entry.size
 
     # Replies from holders.
@@ -277,8 +277,8 @@
             holder.full_until_us = now_us + FULL_HOLDER_BACKOFF_US
         elif not why:
             holder.opened = True
-            able = sum(it.opened for it in self.holders.values()) + len(self._kept)
-            if self.state is State.OPENING and able >= self.meta.write_quorum:
+            reachable = sum(holder.opened for holder in self.holders.values()) + len(self._kept)
+            if self.state is State.OPENING and reachable >= self.meta.write_quorum:
                 self.state = State.OPEN
 
     def acknowledged(self, name: str, number: int) -> None:
@@ -344,20 +344,20 @@
             if holder.away_since_us is None and not holder.opened and holder.full_until_us <= now_us:
                 self._send_open(name)  # it had no room, or its reply was lost
             for number in [
-                number for number, it in holder.in_flight.items() if it.at_us + RESEND_US <= now_us
+                number for number, batch in holder.in_flight.items() if batch.at_us + RESEND_US <= now_us
             ]:
                 self._requeue(name, holder.in_flight.pop(number))
-        late = [
+        overdue = [
             entry
             for entries in self._waiting.values()
             for entry in entries
             if entry.at_us + HEDGE_US <= now_us and entry not in self._unsent
         ]
-        for entry in late:
+        for entry in overdue:
             spare = [
-                it
-                for it in self._preferred(entry.name, self._reachable_holders(now_us))
-                if entry.may_go_to(it)
+                holder
+                for holder in self._preferred(entry.name, self._reachable_holders(now_us))
+                if entry.may_go_to(holder)
             ]
             if spare and self.state is State.OPEN:
                 entry.sent_to.add(spare[0])
@@ -373,7 +373,7 @@
     @property
     def settled(self) -> bool:
         """Whether every other relay of the ensemble is reachable and has listed its live messages."""
-        return all(it.opened and it.settled for it in self.holders.values())
+        return all(holder.opened and holder.settled for holder in self.holders.values())
 
     def settle(self, names: list[str], until_ms: Callable[[str], int], now_us: int) -> None:
         """Handle a holder's list of live messages: those that ended here are reported to it as ended."""
--- a/amberlug/copies/placement.py
+++ b/amberlug/copies/placement.py
@@ -27,20 +27,22 @@
     Chooses `HOLDERS_PER_COPY * copies` of them: relays in `present` before those only in `known`, then zones
     in turn, `own`'s zone last.
     """
-    able = {it.name: it for it in members if it.machine != own.machine and it.name in known}
+    candidates = {
+        member.name: member for member in members if member.machine != own.machine and member.name in known
+    }
     chosen: list[Member] = []
-    left = [able[name] for name in ranked(key, able)]
-    while left and len(chosen) < HOLDERS_PER_COPY * copies:
-        zones = [it.zone for it in chosen]
+    remaining = [candidates[name] for name in ranked(key, candidates)]
+    while remaining and len(chosen) < HOLDERS_PER_COPY * copies:
+        zones = [member.zone for member in chosen]
         # Take the least used zone; the origin's own zone counts as used once more.
         best = min(
-            left,
-            key=lambda it: (
-                it.name not in present,
-                zones.count(it.zone) + (it.zone == own.zone),
-                left.index(it),
+            remaining,
+            key=lambda member: (
+                member.name not in present,
+                zones.count(member.zone) + (member.zone == own.zone),
+                remaining.index(member),
             ),
         )
         chosen.append(best)
-        left = [it for it in left if it.machine != best.machine]
-    return [it.name for it in chosen] if len(chosen) == HOLDERS_PER_COPY * copies else []
+        remaining = [member for member in remaining if member.machine != best.machine]
+    return [member.name for member in chosen] if len(chosen) == HOLDERS_PER_COPY * copies else []
--- a/amberlug/copies/states.py
+++ b/amberlug/copies/states.py
@@ -136,7 +136,14 @@
         return MessageState(
             decode_ballot(base),
             None if taken is None else list(taken),
-            {(int(it[0]), str(it[1]), int(it[2])): [str(it[3]), int(it[4]), str(it[5])] for it in tried},
+            {
+                (int(attempt[0]), str(attempt[1]), int(attempt[2])): [
+                    str(attempt[3]),
+                    int(attempt[4]),
+                    str(attempt[5]),
+                ]
+                for attempt in tried
+            },
             [int(reply[0]), bool(reply[1]), bytes(reply[2])],
             None if owed is None else (decode_ballot(owed[0]), [str(owed[1][0]), int(owed[1][1])]),
             None if ended is None else (decode_ballot(ended[0]), int(ended[1])),
@@ -192,7 +199,7 @@
             self.incarnation,
             self.serial,
             self.write_quorum,
-            [list(it) for it in self.ensemble],
+            [list(member) for member in self.ensemble],
         ]
 
 
--- a/amberlug/copies/takeover.py
+++ b/amberlug/copies/takeover.py
@@ -54,7 +54,9 @@
     def complete(self) -> bool:
         """Whether enough relays have promised and sent all parts."""
         whole = [
-            it for it in self._progress.values() if it.promised is not None and len(it.parts) >= it.promised
+            progress
+            for progress in self._progress.values()
+            if progress.promised is not None and len(progress.parts) >= progress.promised
         ]
         return len(whole) >= self.meta.read_quorum
 
@@ -84,7 +86,9 @@
     if held_log.meta.incarnation_of(name) is None or (silent_since_us is None and not held_log.owner_left):
         return None
     order = [
-        it for it, _ in held_log.meta.ensemble if it == name or (it in present and it != held_log.promised[1])
+        relay
+        for relay, _ in held_log.meta.ensemble
+        if relay == name or (relay in present and relay != held_log.promised[1])
     ]
     since_us = silent_since_us or 0
     return since_us + (0 if held_log.owner_left else suspect_us) + order.index(name) * stagger_us
