--- a/amberlug/peers/identity.py
+++ b/amberlug/peers/identity.py
@@ -26,5 +26,5 @@
             os.fsync(file.fileno())
         temporary.replace(path)
     if not _PATTERN.fullmatch(text):
-        raise ValueError(f"{path}: no incarnation: {text[:40]!r}")
+        raise ValueError(f"{path}: malformed incarnation: {text[:40]!r}")
     return text
--- a/tests/test_copies.py
+++ b/tests/test_copies.py
@@ -33,7 +33,7 @@
         assert len(rig.promises.promised) > relays
 
 
-async def held_calls(rig: Fleet, relay: Relay, *kinds: str) -> list[str]:
+async def hand_in_unanswered(rig: Fleet, relay: Relay, *kinds: str) -> list[str]:
     """Hand in messages whose calls partners leave unanswered; returns the names."""
     rig.holding = True
     names = [f"held-{number}" for number in range(len(kinds))]
@@ -43,7 +43,7 @@
     return names
 
 
-ALL = "payment", "entry", "result"
+ALL_KINDS = "payment", "entry", "result"
 
 
 def test_losing_a_machine_and_its_disk_loses_no_promised_message(tmp_path: Path) -> None:
@@ -69,7 +69,7 @@
 def test_after_take_over_only_safe_messages_are_attempted_again(tmp_path: Path) -> None:
     async def scenario() -> None:
         async with fleet(tmp_path) as rig:
-            names = await held_calls(rig, rig.relays[0], *ALL * 3)
+            names = await hand_in_unanswered(rig, rig.relays[0], *ALL_KINDS * 3)
             await rig.relays[0].kill(empty=True)
             rig.holding = False
             assert await rig.ended() == []
@@ -95,7 +95,7 @@
 def test_successor_lost_during_take_over(tmp_path: Path) -> None:
     async def scenario() -> None:
         async with fleet(tmp_path, 5, copies=2) as rig:
-            await held_calls(rig, rig.relays[0], *ALL * 2)
+            await hand_in_unanswered(rig, rig.relays[0], *ALL_KINDS * 2)
             await rig.relays[0].kill(empty=True)
             others, begun = rig.relays[1:], asyncio.Event()
 
@@ -115,13 +115,13 @@
     run(scenario())
 
 
-@pytest.mark.parametrize("both", [True, False], ids=["both ways", "one way"])
-def test_partitioned_owner_stops_and_a_successor_takes_over(tmp_path: Path, both: bool) -> None:
+@pytest.mark.parametrize("both_directions", [True, False], ids=["both ways", "one way"])
+def test_partitioned_owner_stops_and_a_successor_takes_over(tmp_path: Path, both_directions: bool) -> None:
     async def scenario() -> None:
         async with fleet(tmp_path) as rig:
             cut, *others = rig.relays
-            await held_calls(rig, cut, *ALL)
-            rig.sever([cut], others, both)
+            await hand_in_unanswered(rig, cut, *ALL_KINDS)
+            rig.sever([cut], others, both_directions)
             assert await rig.hand_in(cut) in (0, 503)  # never 202: no other relay could store it
             rig.holding = False
             assert await rig.ended() == []
@@ -136,7 +136,7 @@
 def test_three_way_partition_accepts_nothing_and_reports_no_end_twice(tmp_path: Path) -> None:
     async def scenario() -> None:
         async with fleet(tmp_path) as rig:
-            await held_calls(rig, rig.relays[0], *ALL)
+            await hand_in_unanswered(rig, rig.relays[0], *ALL_KINDS)
             rig.sever(rig.relays, rig.relays)
             for relay in rig.relays:
                 assert await rig.hand_in(relay) in (0, 503)
@@ -168,7 +168,7 @@
     async def scenario() -> None:
         async with fleet(tmp_path, suspect_s=8.0) as rig:
             relay = rig.relays[0]
-            await held_calls(rig, relay, *ALL)
+            await hand_in_unanswered(rig, relay, *ALL_KINDS)
             await relay.kill()
             rig.holding = False
             await relay.start()
@@ -181,7 +181,7 @@
 def test_clean_shutdown_is_taken_over_without_waiting(tmp_path: Path) -> None:
     async def scenario() -> None:
         async with fleet(tmp_path, suspect_s=30.0) as rig:
-            await held_calls(rig, rig.relays[0], *ALL)
+            await hand_in_unanswered(rig, rig.relays[0], *ALL_KINDS)
             assert await rig.relays[0].close() == 0
             rig.holding = False
             assert await rig.ended() == []
@@ -193,13 +193,13 @@
     async def scenario() -> None:
         async with fleet(tmp_path) as rig:
             relay = rig.relays[0]
-            await held_calls(rig, relay, *ALL)
-            kept = relay.keep_folder()
+            await hand_in_unanswered(rig, relay, *ALL_KINDS)
+            saved = relay.keep_folder()
             rig.release()
             assert await rig.ended() == []
             assert await rig.hand_in(relay) == 202  # other relays have now seen newer data of its folder
             await relay.kill()
-            relay.put_back(kept)
+            relay.put_back(saved)
             await relay.start()
             await relay.said("this state directory is outdated")
             await rig.linked()
@@ -223,18 +223,18 @@
     run(scenario())
 
 
-@pytest.mark.parametrize("what", ["reset", "flip", "delay", "throttle"])
-def test_faulty_links_lose_no_message(tmp_path: Path, what: str) -> None:
+@pytest.mark.parametrize("fault", ["reset", "flip", "delay", "throttle"])
+def test_faulty_links_lose_no_message(tmp_path: Path, fault: str) -> None:
     async def scenario() -> None:
         async with fleet(tmp_path) as rig:
             load = asyncio.ensure_future(rig.load(60, 2.0))
             for number, proxy in enumerate(list(rig.links.values()) * 3):
                 await asyncio.sleep(0.1)
-                if what == "reset":
+                if fault == "reset":
                     proxy.reset()
-                elif what == "flip":
+                elif fault == "flip":
                     proxy.flips = 1
-                elif what == "delay":
+                elif fault == "delay":
                     proxy.delay, proxy.spread = 0.02 * (number % 5), 0.05
                 else:
                     proxy.rate = 50_000.0
@@ -264,7 +264,7 @@
 def test_same_message_id_at_a_holder_during_take_over(tmp_path: Path) -> None:
     async def scenario() -> None:
         async with fleet(tmp_path) as rig:
-            (name,) = await held_calls(rig, rig.relays[0], "payment")
+            (name,) = await hand_in_unanswered(rig, rig.relays[0], "payment")
             await rig.relays[0].kill(empty=True)
             rig.holding = False
             asks = [asyncio.ensure_future(it.said("attempting take-over from n0")) for it in rig.relays[1:]]
@@ -300,7 +300,7 @@
 
     async def scenario() -> None:
         async with Fleet(tmp_path, 3, copies=0) as rig:
-            names = await held_calls(rig, rig.relays[0], *ALL)
+            names = await hand_in_unanswered(rig, rig.relays[0], *ALL_KINDS)
             await rig.relays[0].kill(empty=True)
             rig.holding = False
             broken = await rig.ended(1.0)
--- a/tests/test_copies_machine.py
+++ b/tests/test_copies_machine.py
@@ -31,9 +31,9 @@
 
 @pytest.mark.parametrize("troubles", [TROUBLES, ("cut",), ("lost", "dies")], ids=["all", "cut", "lost"])
 def test_all_schedules_of_a_small_model_up_to_a_depth(troubles: tuple[str, ...]) -> None:
-    found = explore(2500, troubles=troubles)
-    assert found.broken == []
-    assert found.depth >= (3 if troubles == TROUBLES else 5)
+    exploration = explore(2500, troubles=troubles)
+    assert exploration.broken == []
+    assert exploration.depth >= (3 if troubles == TROUBLES else 5)
 
 
 # Mutations: each replaces one safety check.
@@ -46,11 +46,11 @@
 def _without_fencing(
     self: holder.Holder, log: str, ballot: states.Ballot, number: int, batch: Any
 ) -> list[Any]:
-    of = self.logs.get(log)
-    if of is None:
+    held_log = self.logs.get(log)
+    if held_log is None:
         return ["nack", log, number, "unknown", None]
     for name, kind, fields in batch:
-        of.copies.setdefault(name, MessageState()).add(kind, ballot, fields)
+        held_log.copies.setdefault(name, MessageState()).add(kind, ballot, fields)
         self._store.record(log, name, kind, ballot, fields)
     return ["ack", log, number]
 
@@ -129,10 +129,10 @@
 
 @pytest.mark.parametrize("mutant", MUTANTS)
 def test_a_mutation_is_found(mutant: str, monkeypatch: pytest.MonkeyPatch) -> None:
-    of, name, instead = MUTANTS[mutant]
-    monkeypatch.setattr(of, name, instead)
+    target, name, replacement = MUTANTS[mutant]
+    monkeypatch.setattr(target, name, replacement)
     if mutant == "watermark not checked":
-        handlers = machine.Machine._handlers | {"water": instead}
+        handlers = machine.Machine._handlers | {"water": replacement}
         monkeypatch.setattr(machine.Machine, "_handlers", handlers)
     # Seeds near the first that finds the mutation, of about 1,500 searched: the full search takes minutes.
     assert any(play(seed, *WHERE[mutant][0])[1] for seed in WHERE[mutant][1])
@@ -140,8 +140,8 @@
 
 @pytest.mark.parametrize("mutant", ["attempt not replicated", "take-over without read quorum"])
 def test_a_mutation_is_found_within_a_few_steps(mutant: str, monkeypatch: pytest.MonkeyPatch) -> None:
-    of, name, instead = MUTANTS[mutant]
-    monkeypatch.setattr(of, name, instead)
-    found = explore(6000, settle_each=20)
-    assert found.broken != []
-    assert len(found.broken[0][1]) <= 6
+    target, name, replacement = MUTANTS[mutant]
+    monkeypatch.setattr(target, name, replacement)
+    exploration = explore(6000, settle_each=20)
+    assert exploration.broken != []
+    assert len(exploration.broken[0][1]) <= 6
--- a/tests/test_copies_store.py
+++ b/tests/test_copies_store.py
@@ -27,8 +27,8 @@
     holder = Holder("n1", "bb", store)
     holder.logs = store.logs
     holder.open(meta, meta.origin_ballot)
-    told = [name, Kind.TAKEN, ["payment", None, 1, None, b"x" * size, 9, 1]]
-    answer = holder.records(meta.log, meta.origin_ballot, 1, [told])
+    record = [name, Kind.TAKEN, ["payment", None, 1, None, b"x" * size, 9, 1]]
+    answer = holder.records(meta.log, meta.origin_ballot, 1, [record])
     if answer[0] != "ack":
         raise OSError(errno.ENOSPC, answer[3])
 
@@ -78,10 +78,10 @@
     store = open_in(tmp_path)
     for number in range(300):
         keep(store, f"m{number}", size=10)
-    again = open_in(tmp_path)
-    again.work()  # one step of several
+    reopened = open_in(tmp_path)
+    reopened.work()  # one step of several
     assert len(list(tmp_path.glob("copies-*.log"))) == 2
-    keep(again, "late")
+    keep(reopened, "late")
     assert names(open_in(tmp_path)) == {f"m{number}" for number in range(300)} | {"late"}
 
 
--- a/tests/test_fleet_file.py
+++ b/tests/test_fleet_file.py
@@ -71,9 +71,16 @@
 
 def test_duplicate_missing_and_malformed_members_are_reported(tmp_path: Path) -> None:
     one = {"name": "a", "address": "127.0.0.1:1"}
-    for told in ([], "x", [one, one], [{"name": "a b", "address": "127.0.0.1:1"}], [one, 3], [{"name": "a"}]):
-        read, problems = fleet.read({"name": "a", "copies": 0, "member": told}, tmp_path)
-        assert read is None, told
+    for members in (
+        [],
+        "x",
+        [one, one],
+        [{"name": "a b", "address": "127.0.0.1:1"}],
+        [one, 3],
+        [{"name": "a"}],
+    ):
+        read, problems = fleet.read({"name": "a", "copies": 0, "member": members}, tmp_path)
+        assert read is None, members
         assert problems
 
 
@@ -83,7 +90,7 @@
     other.mkdir()
     assert incarnation(one) == incarnation(one) != incarnation(other)
     (one / "incarnation").write_text("spoilt")
-    with pytest.raises(ValueError, match="no incarnation"):
+    with pytest.raises(ValueError, match="malformed incarnation"):
         incarnation(one)
 
 
@@ -187,19 +194,19 @@
 
 @given(st.lists(st.tuples(st.sampled_from(RECORDS), st.sampled_from(BALLOTS[:1])), max_size=9), st.randoms())
 def test_records_of_an_owner_merge_in_any_order_and_any_number_of_times(
-    told: list[tuple[tuple[Kind, list[object]], tuple[int, str, str]]], chance: object
+    records: list[tuple[tuple[Kind, list[object]], tuple[int, str, str]]], chance: object
 ) -> None:
     one, other = MessageState(), MessageState()
-    for (kind, record), ballot in told:
+    for (kind, record), ballot in records:
         one.add(kind, ballot, list(record))
-    for (kind, record), ballot in [*reversed(told), *told]:
+    for (kind, record), ballot in [*reversed(records), *records]:
         other.add(kind, ballot, list(record))
     assert one.encoded() == other.encoded() == decode_state(one.encoded()).encoded()
 
 
 @pytest.mark.parametrize(
-    "told", [None, [], [1, 2], ["x"] * 6, [[0, "a", "b"], [1], [], [0, True, b""], 3, None]]
+    "encoded", [None, [], [1, 2], ["x"] * 6, [[0, "a", "b"], [1], [], [0, True, b""], 3, None]]
 )
-def test_a_malformed_state_is_an_error(told: object) -> None:
+def test_a_malformed_state_is_an_error(encoded: object) -> None:
     with pytest.raises(ValueError):  # noqa: PT011 - the message depends on the input
-        decode_state(told)  # type: ignore[arg-type]
+        decode_state(encoded)  # type: ignore[arg-type]
