--- a/amberlug/copies/holder.py
+++ b/amberlug/copies/holder.py
@@ -115,9 +115,7 @@
             return ["nack", log, number, "unknown", None]
         if ballot < held_log.promised:
             return ["nack", log, number, "followed", list(held_log.promised)]
-        if (
-            ballot > held_log.promised
-        ):  # a quorum promised this ballot, but the request to this holder was lost
+        if ballot > held_log.promised:  # a quorum promised it, but the request to this holder was lost
             return ["nack", log, number, "unknown", None]
         try:
             for name, kind, fields in batch:
--- a/amberlug/copies/machine.py
+++ b/amberlug/copies/machine.py
@@ -326,9 +326,8 @@
             return 0  # its disk is gone
         # After a restart, silence counts from the start: no relay could be heard before.
         heard = max(peer.heard_us or 0, self._started_us)
-        if (
-            held_log is not None and not held_log.opened_by_owner
-        ):  # a successor that got the promise and gave up
+        # A successor that got the promise and gave up.
+        if held_log is not None and not held_log.opened_by_owner:
             return max(min(heard, held_log.since_us), self._started_us)
         return None if now_us - heard < BEAT_US else heard
 
