--- a/amberlug/copies/holder.py
+++ b/amberlug/copies/holder.py
@@ -1,8 +1,8 @@
-"""The holder's side: keeps what owners record, promises a log to a successor, and refuses who was followed.
+"""The replica holder: stores owners' records, promises logs to successors and rejects fenced owners.
 
-No I/O: what has to outlast the process goes through `Store` before it is answered for, and answers are what
-the methods return. A log is known by its `Meta`; a relay holds it with the disk that the log names, and no
-other: one that comes back with an empty folder is a stranger to it.
+No I/O: whatever must survive the process is written through `Store` before it is acknowledged, and replies
+are returned by the methods. A log is identified by its `LogMetadata`. A relay may hold a log only with the
+disk (incarnation) that the log's ensemble names: one that returns with an empty directory is not a holder.
 """
 
 from __future__ import annotations
@@ -11,191 +11,206 @@
 from dataclasses import dataclass, field
 from typing import Any, Protocol
 
-from amberlug.copies.states import Ballot, Copy, Kind, Meta, ballot_of
+from amberlug.copies.states import Ballot, Kind, LogMetadata, MessageState, decode_ballot
 
-Wire = list[Any]  # a message to another relay, as it goes into a frame
-SLICE = 200  # states, or names, in one message
+WireMessage = list[Any]  # a message to another relay, before framing
+ITEMS_PER_MESSAGE = 200  # states, or message names, per wire message
 
 
 class Store(Protocol):
-    """What outlasts the process. `OSError` where it is not kept; then nothing was."""
+    """Durable storage of a holder. Methods raise `OSError` when nothing was written."""
 
-    def promise(self, meta: Meta, ballot: Ballot) -> None:
-        """Keep whose a log is, before that is answered."""
+    def promise(self, meta: LogMetadata, ballot: Ballot) -> None:
+        """Persist the ballot to which a log is promised, before the promise is sent."""
 
-    def record(self, log: str, name: str, kind: str, ballot: Ballot, told: list[Any]) -> None:
-        """Keep one record."""
+    def record(self, log: str, name: str, kind: str, ballot: Ballot, fields: list[Any]) -> None:
+        """Persist one record."""
 
     def drop(self, log: str) -> None:
-        """Forget a log with all that it holds."""
+        """Delete a log and everything held for it."""
 
 
 @dataclass(slots=True)
-class Holding:
-    """One log as it is held here."""
+class HeldLog:
+    """One log as held by this relay."""
 
-    meta: Meta
+    meta: LogMetadata
     promised: Ballot
-    copies: dict[str, Copy] = field(default_factory=dict)
-    left: bool = False  # its owner said that it goes; whoever asks may follow it
-    serving: bool = False  # its owner has opened it here, under the newest ballot
-    since_us: int = 0  # when it was last promised; one that does not open it then is as good as silent
+    copies: dict[str, MessageState] = field(default_factory=dict)
+    owner_left: bool = False  # its owner shut down cleanly: a successor may take over without waiting
+    opened_by_owner: bool = False  # its owner has opened it here under the highest promised ballot
+    since_us: int = 0  # when last promised; a successor that does not open the log then counts as silent
 
     @property
     def owner(self) -> tuple[str, str]:
-        """Name and incarnation of the relay that it was promised to last."""
+        """Name and incarnation of the relay that the log was last promised to."""
         return self.promised[1], self.promised[2]
 
 
 class Holder:
-    """All logs that this relay holds for others."""
+    """All logs that this relay holds for other relays."""
 
     def __init__(self, name: str, incarnation: str, store: Store) -> None:
         self.name, self.incarnation, self._store = name, incarnation, store
-        self.logs: dict[str, Holding] = {}
-        self.strange: set[str] = set()  # logs of which it could not keep all that it should
+        self.logs: dict[str, HeldLog] = {}
+        self.incomplete: set[str] = set()  # logs of which this relay failed to persist everything
 
-    # What owners ask.
+    # Requests from owners.
 
-    def open(self, meta: Meta, ballot: Ballot) -> Wire:
-        """An owner begins, or goes on: whether its records are kept from now on."""
-        if not self._belongs(meta):
+    def open(self, meta: LogMetadata, ballot: Ballot) -> WireMessage:
+        """Let an owner start or resume: replies whether this relay accepts its records from now on."""
+        if not self._may_hold(meta):
             return ["opened", meta.log, list(ballot), "stranger", None]
-        of = self.logs.get(meta.log)
-        if of is not None and ballot < of.promised:
-            return ["opened", meta.log, list(ballot), "followed", list(of.promised)]
+        held_log = self.logs.get(meta.log)
+        if held_log is not None and ballot < held_log.promised:
+            return ["opened", meta.log, list(ballot), "followed", list(held_log.promised)]
         try:
-            of = self._promised(meta, ballot)
+            held_log = self._promised(meta, ballot)
         except OSError:
             return ["opened", meta.log, list(ballot), "no room", None]
-        of.left, of.serving = False, True
+        held_log.owner_left, held_log.opened_by_owner = False, True
         return ["opened", meta.log, list(ballot), "", None]
 
-    def _belongs(self, meta: Meta) -> bool:
-        """Whether this relay may hold a log, with the disk that it has."""
-        return meta.incarnation_of(self.name) == self.incarnation and meta.log not in self.strange
+    def _may_hold(self, meta: LogMetadata) -> bool:
+        """Whether this relay, with its current disk, may hold a log."""
+        return meta.incarnation_of(self.name) == self.incarnation and meta.log not in self.incomplete
 
-    def _promised(self, meta: Meta, ballot: Ballot) -> Holding:
-        of = self.logs.get(meta.log)
-        if of is None or ballot > of.promised:
+    def _promised(self, meta: LogMetadata, ballot: Ballot) -> HeldLog:
+        held_log = self.logs.get(meta.log)
+        if held_log is None or ballot > held_log.promised:
             self._store.promise(meta, ballot)
-        if of is None:
-            of = self.logs[meta.log] = Holding(meta, ballot)
-        of.serving = of.serving and ballot == of.promised
-        of.promised = max(of.promised, ballot)
-        return of
+        if held_log is None:
+            held_log = self.logs[meta.log] = HeldLog(meta, ballot)
+        held_log.opened_by_owner = held_log.opened_by_owner and ballot == held_log.promised
+        held_log.promised = max(held_log.promised, ballot)
+        return held_log
 
-    def keep(self, meta: Meta, ballot: Ballot, copies: dict[str, Copy]) -> None:
-        """Hold a log of this relay's own that another owns now, as far as it knows it; `OSError` as above.
+    def hold_superseded(self, meta: LogMetadata, ballot: Ballot, copies: dict[str, MessageState]) -> None:
+        """Hold a log of this relay's own that another relay has taken over, with all known state.
 
-        Guards against an origin that is read as if it held nothing, though others count on its disk.
+        Raises `OSError` as `Store` does. Guards against an origin being read as if it held nothing while the
+        quorum counts on its disk.
         """
         try:
-            of = self._promised(meta, ballot)
+            held_log = self._promised(meta, ballot)
             for name, copy in copies.items():
-                self._store.record(meta.log, name, Kind.STATE, meta.first, copy.packed())
-                of.copies.setdefault(name, Copy()).merge(copy)
+                self._store.record(meta.log, name, Kind.STATE, meta.origin_ballot, copy.encoded())
+                held_log.copies.setdefault(name, MessageState()).merge(copy)
         except OSError:
-            self.strange.add(meta.log)
+            self.incomplete.add(meta.log)
             raise
 
-    def live(self, log: str, ballot: Ballot) -> Iterator[Wire]:
-        """Tell the owner what is live here, some names a message: it says which of them have ended."""
-        of = self.logs[log]
-        names = [name for name, copy in of.copies.items() if copy.live]
-        for at in range(0, len(names), SLICE):
-            yield ["live", log, list(ballot), names[at : at + SLICE]]
+    def live(self, log: str, ballot: Ballot) -> Iterator[WireMessage]:
+        """Send the owner the names of live messages, in slices; the owner replies which of them ended."""
+        held_log = self.logs[log]
+        names = [name for name, copy in held_log.copies.items() if copy.live]
+        for at in range(0, len(names), ITEMS_PER_MESSAGE):
+            yield ["live", log, list(ballot), names[at : at + ITEMS_PER_MESSAGE]]
         yield ["live", log, list(ballot), None]
 
-    def records(self, log: str, ballot: Ballot, number: int, told: list[Any]) -> Wire:
-        """Keep records: all of them, or none is answered for."""
-        of = self.logs.get(log)
-        if of is None:
+    def records(self, log: str, ballot: Ballot, number: int, batch: list[Any]) -> WireMessage:
+        """Store a batch of records. The batch is acknowledged only as a whole."""
+        held_log = self.logs.get(log)
+        if held_log is None:
             return ["nack", log, number, "unknown", None]
-        if ballot < of.promised:
-            return ["nack", log, number, "followed", list(of.promised)]
-        if ballot > of.promised:  # it has the promises of enough others, and this one's went astray
+        if ballot < held_log.promised:
+            return ["nack", log, number, "followed", list(held_log.promised)]
+        if ballot > held_log.promised:  # a quorum promised it, but the request to this holder was lost
             return ["nack", log, number, "unknown", None]
         try:
-            for name, kind, rest in told:
-                copy = of.copies.get(name)
-                fresh = Copy() if copy is None else copy
-                fresh.add(kind, ballot, rest)  # what can't be read is kept nowhere
-                self._store.record(log, name, kind, ballot, rest)
-                of.copies[name] = fresh
+            for name, kind, fields in batch:
+                copy = held_log.copies.get(name)
+                fresh = MessageState() if copy is None else copy
+                fresh.add(kind, ballot, fields)  # raises on a malformed record, before anything is stored
+                self._store.record(log, name, kind, ballot, fields)
+                held_log.copies[name] = fresh
         except OSError:
             return ["nack", log, number, "no room", None]
         return ["ack", log, number]
 
     def leave(self, owner: str, incarnation: str, only: str | None) -> None:
-        """An owner goes in good order, from one log or from all: they may be followed at once."""
-        for log, of in self.logs.items():
-            if of.owner == (owner, incarnation) and only in (None, log):
-                of.left = True
+        """Note that an owner shuts down cleanly, for one log or for all: successors need not wait."""
+        for log, held_log in self.logs.items():
+            if held_log.owner == (owner, incarnation) and only in (None, log):
+                held_log.owner_left = True
 
-    # What successors ask.
+    # Requests from successors.
 
-    def fence(self, meta: Meta, ballot: Ballot, owner_is_there: bool, now_us: int) -> Iterator[Wire]:
-        """Promise a log to a successor and tell it all that is held, or say why not.
+    def fence(
+        self, meta: LogMetadata, ballot: Ballot, owner_active: bool, now_us: int
+    ) -> Iterator[WireMessage]:
+        """Promise a log to a successor and send it everything held, or reply why not.
 
-        `owner_is_there`: whether this relay has heard from the owner lately. Any may follow itself.
+        `owner_active`: whether this relay has recently heard from the owner. A relay may succeed itself.
         """
         log = meta.log
-        if not self._belongs(meta):
+        if not self._may_hold(meta):
             yield ["deny", log, list(ballot), "stranger", None]
             return
-        of = self.logs.get(log)
-        if of is not None and ballot <= of.promised:
-            if ballot == of.promised:  # asked once more: the answer went astray
-                yield from self._states(of, ballot)
+        held_log = self.logs.get(log)
+        if held_log is not None and ballot <= held_log.promised:
+            if ballot == held_log.promised:  # a repeated request: the first answer was lost
+                yield from self._state_parts(held_log, ballot)
             else:
-                yield ["deny", log, list(ballot), "followed", list(of.promised)]
+                yield ["deny", log, list(ballot), "followed", list(held_log.promised)]
             return
-        # Guards against a successor that alone hears nothing of an owner who serves.
-        owner, left = (of.owner, of.left) if of is not None else ((meta.origin, meta.incarnation), False)
-        if owner_is_there and owner[0] != ballot[1] and not left:
+        # Guards against a take-over by a successor that alone has lost contact with an active owner.
+        owner, owner_left = (
+            (held_log.owner, held_log.owner_left)
+            if held_log is not None
+            else ((meta.origin, meta.incarnation), False)
+        )
+        if owner_active and owner[0] != ballot[1] and not owner_left:
             yield ["deny", log, list(ballot), "owner is there", None]
             return
         try:
-            of = self._promised(meta, ballot)
+            held_log = self._promised(meta, ballot)
         except OSError:
             yield ["deny", log, list(ballot), "no room", None]
             return
-        of.left, of.since_us = False, now_us
-        yield from self._states(of, ballot)
+        held_log.owner_left, held_log.since_us = False, now_us
+        yield from self._state_parts(held_log, ballot)
 
-    def _states(self, of: Holding, ballot: Ballot) -> Iterator[Wire]:
-        names, parts = list(of.copies), 0
-        for at in range(0, len(names), SLICE):
+    def _state_parts(self, held_log: HeldLog, ballot: Ballot) -> Iterator[WireMessage]:
+        names, parts = list(held_log.copies), 0
+        for at in range(0, len(names), ITEMS_PER_MESSAGE):
             states = [
-                [name, of.copies[name].packed()] for name in names[at : at + SLICE] if name in of.copies
+                [name, held_log.copies[name].encoded()]
+                for name in names[at : at + ITEMS_PER_MESSAGE]
+                if name in held_log.copies
             ]
-            yield ["state", of.meta.log, list(ballot), parts, states]
+            yield ["state", held_log.meta.log, list(ballot), parts, states]
             parts += 1
-        yield ["promise", of.meta.log, list(ballot), parts]
+        yield ["promise", held_log.meta.log, list(ballot), parts]
 
     # Time.
 
-    def forget(self, before_ms: int) -> None:
-        """Forget names that ended long ago."""
-        for of in self.logs.values():
-            ended = ((name, copy.ended) for name, copy in of.copies.items())
+    def expire(self, before_ms: int) -> None:
+        """Remove messages that ended before a time."""
+        for held_log in self.logs.values():
+            ended = ((name, copy.ended) for name, copy in held_log.copies.items())
             for name in [name for name, end in ended if end is not None and end[1] < before_ms]:
-                del of.copies[name]
+                del held_log.copies[name]
 
     def drop(self, log: str) -> None:
-        """Forget a log that its owner has no use for any more."""
+        """Delete a log at its owner's request."""
         if self.logs.pop(log, None) is not None:
             self._store.drop(log)
 
 
-def read_back(
-    logs: dict[str, Holding], meta: Meta | None, log: str, name: str, kind: str, ballot: Any, told: Any
+def apply_stored(
+    logs: dict[str, HeldLog],
+    meta: LogMetadata | None,
+    log: str,
+    name: str,
+    kind: str,
+    ballot: Any,
+    fields: Any,
 ) -> None:
-    """Take in one entry of a store, in the order in which they were kept; `ValueError` where it is none."""
+    """Apply one stored entry, in the order written; `ValueError` if it is malformed."""
     if meta is not None:
-        of = logs.setdefault(meta.log, Holding(meta, ballot_of(ballot)))
-        of.promised = max(of.promised, ballot_of(ballot))
+        held_log = logs.setdefault(meta.log, HeldLog(meta, decode_ballot(ballot)))
+        held_log.promised = max(held_log.promised, decode_ballot(ballot))
         return
-    of = logs[log]
-    of.copies.setdefault(name, Copy()).add(Kind(kind), ballot_of(ballot), told)
+    held_log = logs[log]
+    held_log.copies.setdefault(name, MessageState()).add(Kind(kind), decode_ballot(ballot), fields)
--- a/amberlug/copies/journal.py
+++ b/amberlug/copies/journal.py
@@ -1,7 +1,8 @@
-"""The core's journal where "recorded" means recorded here and at others: the one place that the core asks.
+"""The journal of a replicated relay: a record is complete once it is on this disk and at enough holders.
 
-What this relay takes on goes to its own journal first, then to the log's holders. What it goes on with for
-another relay is in no journal of its own: the log's holders have it, of which it is one.
+Messages that this relay accepts are written to its own journal first and then to the log's holders. Messages
+taken over from another relay are not in its own journal: they are stored by the log's holders, of which this
+relay is one.
 """
 
 from __future__ import annotations
@@ -15,38 +16,40 @@
 from pathlib import Path
 from typing import Any
 
-from amberlug.copies.machine import Machine, Water
-from amberlug.copies.states import Copy, Kind, Meta, meta_of
+from amberlug.copies.machine import Machine, Watermark
+from amberlug.copies.states import Kind, LogMetadata, MessageState, decode_metadata
 from amberlug.copies.store import CopyStore
 from amberlug.core.journal import Journal
-from amberlug.core.log import log as say
+from amberlug.core.log import log as log_line
 from amberlug.core.messages import Attempt, End, Ending, Message, Outcome, Reason, Refusal
 from amberlug.core.ports import Clock, Earlier, Held, Tried
 from amberlug.peers.fleet import Fleet, WhenShort
 from amberlug.policy.interface import Effect, Result, Settings
 
-LOGS = "logs.json"  # which logs are this folder's own
-SHORT_RETRY_US = 1_000_000  # when a client may come again that too few relays are there for
-ELSEWHERE_RETRY_US = 500_000  # the same, of what another relay has
+LOGS_FILE = "logs.json"  # the metadata of the logs that originate in this directory
+TOO_FEW_HOLDERS_RETRY_US = 1_000_000  # retry delay for clients when too few holders are reachable
+ELSEWHERE_RETRY_US = 500_000  # retry delay for clients when another relay has the message
 Callback = Callable[[], object]
 
 
 @dataclass(slots=True)
-class Promise:
-    """A hand-in whose client waits for its answer."""
+class PendingHandIn:
+    """A hand-in whose client waits for the response."""
 
     message: Message
     kept: Callback
     broken: Callable[[bool], object]
-    until_us: int
+    deadline_us: int
     withdrawn: bool = False
 
 
-class CopiedJournal:
-    """The journal of a relay in a fleet; everything goes on in the thread of its node.
+class ReplicatedJournal:
+    """The core's journal for a relay of a fleet. All methods run in the thread of the relay's node.
 
-    `adopt` is told what another relay held, `relinquish` which messages it goes on with, `renew` that the
-    folder is older than what others have seen of it: it must begin anew under another incarnation.
+    Callbacks: `adopt` receives messages taken over from another relay; `relinquish` receives the names of
+    messages that another relay has taken over; `restart_required` is called when other relays have seen a
+    newer state of the directory (it was restored from a copy) and the relay must restart under a new
+    incarnation.
     """
 
     def __init__(
@@ -62,84 +65,85 @@
     ) -> None:
         self._inner, self._fleet, self._store, self._folder = inner, fleet, store, folder
         self._settings, self._clock = settings, clock
-        self._log_of: dict[str, str] = {}  # of messages that others hold, too
-        self._alone: dict[str, Copy] = {}  # of messages that were taken on short
-        self._followed_for: dict[
-            str, int
-        ] = {}  # names that ended here, of other relays' logs, and until when
-        self._let_go: dict[str, int] = {}  # names that another relay went on with, which may come back
+        self._log_of: dict[str, str] = {}  # of replicated messages
+        # Messages accepted while too few holders were reachable, not replicated yet.
+        self._local_only: dict[str, MessageState] = {}
+        # Messages of other origins' logs that ended here, with their expiry (wall clock, ms).
+        self._ended_for_others: dict[str, int] = {}
+        # Messages that another relay took over, with their expiry; they may be taken over from it again.
+        self._relinquished: dict[str, int] = {}
         self._callbacks: dict[str, list[tuple[Callback, Callback | None]]] = defaultdict(list)
-        self._promises: dict[str, Promise] = {}
+        self._pending_hand_ins: dict[str, PendingHandIn] = {}
         self._ended = inner.known()
-        self._dirty: set[str] = set()
-        self.taken_short = self._told_short = 0
-        self.adopt: Callable[[list[Held]], None] = _nobody
-        self.relinquish: Callable[[list[str]], None] = _nobody
-        self.renew: Callback = _nothing
-        self.wake: Callback = _nothing  # something is to be sent
-        self._first_water = (*_pair(inner.water), store.sequence)
+        self._changed_watermarks: set[str] = set()
+        self.accepted_unreplicated = self._logged_unreplicated = 0
+        self.adopt: Callable[[list[Held]], None] = _ignore_argument
+        self.relinquish: Callable[[list[str]], None] = _ignore_argument
+        self.restart_required: Callback = _ignore
+        self.outgoing_ready: Callback = _ignore  # called when messages are ready to be sent
+        self._startup_watermark = (*_as_watermark(inner.water), store.sequence)
         self.machine = Machine(fleet, incarnation, store, self, clock.now_us(), fresh)
         self.machine.holder.logs = store.logs
-        for name, (own, water) in store.seen.items():
-            if (it := self.machine.neighbours.get(name)) is not None:
-                it.water, it.incarnation = {own: water}, own
-        self._metas: dict[str, Meta] = {}
-        self._older: dict[str, list[str]] = {}
+        for name, (incarnation_seen, watermark) in store.peer_watermarks.items():
+            if (peer := self.machine.peers.get(name)) is not None:
+                peer.watermark, peer.incarnation = {incarnation_seen: watermark}, incarnation_seen
+        self._metas: dict[str, LogMetadata] = {}
+        self._older_logs: dict[str, list[str]] = {}
         self._reopen()
 
-    def begin_anew(self, incarnation: str, store: CopyStore) -> None:
-        """Go on as another incarnation, which holds nothing and owns nothing yet."""
+    def restart_as(self, incarnation: str, store: CopyStore) -> None:
+        """Continue as a new incarnation that holds and owns nothing yet."""
         now_ms = self._clock.wall_ms()
         names = list(self._log_of)
         self.relinquish(names)
         for name in names:
             until_ms = now_ms + int(self._fleet.remember_s * 1000)
-            if self._foreign(name):
-                self._followed_for[name] = until_ms
+            if self._other_origin(name):
+                self._ended_for_others[name] = until_ms
             else:
                 self._inner.end(name, until_ms, now_ms)
             for _, never in self._callbacks.pop(name, ()):
                 if never is not None:
                     never()
-        self._log_of, self._promises, self._metas, self._older = {}, {}, {}, {}
+        self._log_of, self._pending_hand_ins, self._metas, self._older_logs = {}, {}, {}, {}
         self._store = store
         before = self.machine
         self.machine = Machine(self._fleet, incarnation, store, self, self._clock.now_us(), True)
         self.machine.holder.logs = store.logs
-        for name, it in before.neighbours.items():
-            self.machine.neighbours[name].water = it.water
+        for name, peer in before.peers.items():
+            self.machine.peers[name].watermark = peer.watermark
 
-    # An earlier life.
+    # Recovery.
 
     def _reopen(self) -> None:
-        """Go on with the logs of this folder, and what its own journal holds of them."""
+        """Reopen the logs that originate in this directory with their messages in the own journal."""
         try:
-            told = json.loads((self._folder / LOGS).read_text(encoding="utf-8"))
+            stored = json.loads((self._folder / LOGS_FILE).read_text(encoding="utf-8"))
         except FileNotFoundError:
             return
-        metas = [meta_of(it) for it in told["metas"]]
-        own = (self._fleet.name, self.machine.incarnation)
-        self._metas = {it.log: it for it in metas if (it.origin, it.incarnation) == own}
-        self._older = {log: list(names) for log, names in told["older"].items() if log in self._metas}
-        newest = {meta.need: log for log, meta in self._metas.items()}
-        placed = {name: log for log, names in self._older.items() for name in names}
-        held: dict[str, dict[str, Copy]] = defaultdict(dict)
-        for name, it in self._inner.held.items():
-            copies = self._fleet.copies_of(it.message.message_class)
+        metas = [decode_metadata(meta) for meta in stored["metas"]]
+        own_identity = (self._fleet.name, self.machine.incarnation)
+        self._metas = {meta.log: meta for meta in metas if (meta.origin, meta.incarnation) == own_identity}
+        self._older_logs = {log: list(names) for log, names in stored["older"].items() if log in self._metas}
+        newest = {meta.write_quorum: log for log, meta in self._metas.items()}
+        placed = {name: log for log, names in self._older_logs.items() for name in names}
+        held: dict[str, dict[str, MessageState]] = defaultdict(dict)
+        for name, recovered in self._inner.held.items():
+            copies = self._fleet.copies_of(recovered.message.message_class)
             log = placed.get(name, newest.get(copies + 1, ""))
             if log in self._metas:
                 self._log_of[name] = log
-                held[log][name] = self._copy_of(it)
+                held[log][name] = self._copy_of(recovered)
             elif copies:
-                self._alone[name] = self._copy_of(it)
+                self._local_only[name] = self._copy_of(recovered)
         for log, meta in list(self._metas.items()):
-            # Which log a name was in that has ended is not known any more: said of each it does no harm.
+            # The log of an ended message is no longer known: reporting it as ended in every log is harmless.
             ended = dict(self._ended)
             self.machine.reopen(meta, held[log], ended, log in newest.values(), self._clock.now_us())
 
-    def _copy_of(self, held: Held) -> Copy:
+    def _copy_of(self, held: Held) -> MessageState:
         message = held.message
-        copy = Copy(base=(0, self._fleet.name, self.machine.incarnation))
+        copy = MessageState(base=(0, self._fleet.name, self.machine.incarnation))
         copy.add(Kind.TAKEN, copy.base, self._taken_record(message, held.taken_ms))
         for number, tried in held.tried.items():
             result = tried.result.value if tried.result is not None else ""
@@ -161,11 +165,11 @@
             now_ms,
         ]
 
-    # What the core asks and tells.
+    # Interface to the core.
 
     @property
     def held(self) -> dict[str, Held]:
-        """What the own journal holds, less what was followed before anything began."""
+        """What the own journal holds, except messages of logs taken over before recovery finished."""
         lost = [name for name, log in self._log_of.items() if log not in self.machine.owners]
         for name in lost:
             self._inner.held.pop(name, None)
@@ -173,13 +177,13 @@
 
     @property
     def earlier(self) -> Earlier:
-        """What an earlier release kept."""
+        """What an earlier release stored."""
         return self._inner.earlier
 
     def knows(self, name: str) -> bool:
-        known = name in self._log_of or name in self._followed_for or name in self._let_go
+        known = name in self._log_of or name in self._ended_for_others or name in self._relinquished
         known = known or self._inner.knows(name)
-        return known or self._elsewhere(name, live=False)
+        return known or self._held_for_other(name, live=False)
 
     def ended(self, name: str) -> End | None:
         return self._inner.ended(name)
@@ -191,20 +195,21 @@
         return self._inner.retry_us(size)
 
     def refuses(self, message: Message) -> Refusal | None:
-        """Refuse what too few can hold, and what another relay has taken on, or goes on with."""
-        if self._elsewhere(message.name, live=True):
+        """Refuse a message that too few holders can store, or that another relay has accepted."""
+        if self._held_for_other(message.name, live=True):
             return Refusal(Reason.FOLLOWED, ELSEWHERE_RETRY_US)
-        if self._fleet.when_short is WhenShort.REFUSE and self._short(message):
-            return Refusal(Reason.SHORT, SHORT_RETRY_US)
+        if self._fleet.when_short is WhenShort.REFUSE and self._too_few_holders(message):
+            return Refusal(Reason.SHORT, TOO_FEW_HOLDERS_RETRY_US)
         return None
 
-    def _elsewhere(self, name: str, live: bool) -> bool:
-        """Whether this relay holds a message for another one that is live, or one that has ended."""
+    def _held_for_other(self, name: str, live: bool) -> bool:
+        """Whether a holding here for another relay has the message: live, or only as ended."""
         logs = self.machine.holder.logs.values()
-        found = [it for it in (of.copies.get(name) for of in logs) if it is not None]
-        return any(it.live for it in found) if live else bool(found) and not any(it.live for it in found)
+        found = [state for state in (held_log.copies.get(name) for held_log in logs) if state is not None]
+        any_live = any(state.live for state in found)
+        return any_live if live else bool(found) and not any_live
 
-    def _short(self, message: Message) -> bool:
+    def _too_few_holders(self, message: Message) -> bool:
         copies = self._fleet.copies_of(message.message_class)
         if not copies:
             return False
@@ -213,79 +218,81 @@
 
     def take(self, message: Message, now_ms: int) -> None:
         copies = self._fleet.copies_of(message.message_class)
-        short = self._short(message)
+        short = self._too_few_holders(message)
         if short and self._fleet.when_short is WhenShort.REFUSE:
             raise OSError("too few relays can hold it")
         self._inner.take(message, now_ms)
         if not copies:
             return
-        told = self._taken_record(message, now_ms)
+        fields = self._taken_record(message, now_ms)
         owner = self.machine.log_for(copies, self._clock.now_us())
         if short or owner is None:
-            copy = self._alone[message.name] = Copy(base=(0, self._fleet.name, self.machine.incarnation))
-            copy.add(Kind.TAKEN, copy.base, told)
-            self.taken_short += 1
+            copy = self._local_only[message.name] = MessageState(
+                base=(0, self._fleet.name, self.machine.incarnation)
+            )
+            copy.add(Kind.TAKEN, copy.base, fields)
+            self.accepted_unreplicated += 1
             return
         self._log_of[message.name] = owner.meta.log
-        self._record(message.name, Kind.TAKEN, told)
+        self._record(message.name, Kind.TAKEN, fields)
 
     def promise(self, message: Message, kept: Callback, broken: Callable[[bool], object]) -> None:
         if not self._waits(message.name):
             self._inner.after(kept)
             return
-        until_us = self._clock.now_us() + self._fleet.bound_ms * 1000
-        self._promises[message.name] = Promise(message, kept, broken, until_us)
+        deadline_us = self._clock.now_us() + self._fleet.bound_ms * 1000
+        self._pending_hand_ins[message.name] = PendingHandIn(message, kept, broken, deadline_us)
 
     def reply(self, message: Message) -> None:
-        if not self._foreign(message.name):
+        if not self._other_origin(message.name):
             self._inner.reply(message)
         self._record(message.name, Kind.REPLY, [message.replies, message.noticed, message.reply])
 
     def attempt(self, attempt: Attempt, now_ms: int) -> None:
         message = attempt.message
-        if not self._foreign(message.name):
+        if not self._other_origin(message.name):
             self._inner.attempt(attempt, now_ms)
-        if not self._harmless(message):
+        if not self._repeat_harmless(message):
             self._record(message.name, Kind.ATTEMPT, [attempt.number, now_ms, attempt.endpoint])
 
     def outcome(self, attempt: Attempt, how: Ending) -> None:
         message = attempt.message
-        if not self._foreign(message.name):
+        if not self._other_origin(message.name):
             self._inner.outcome(attempt, how)
-        if not self._harmless(message):
+        if not self._repeat_harmless(message):
             self._record(message.name, Kind.OUTCOME, [attempt.number, how.result.value])
 
-    def _harmless(self, message: Message) -> bool:
-        """Whether a repeat does no harm, so that nobody else need know of an attempt."""
+    def _repeat_harmless(self, message: Message) -> bool:
+        """Whether a repeated attempt is harmless, so that attempts need not be replicated."""
         kind = self._settings.classes.get(message.message_class)
         return kind is not None and kind.effect is Effect.SAFE
 
     def owe(self, message: Message, end: End) -> None:
-        if not self._foreign(message.name):
+        if not self._other_origin(message.name):
             self._inner.owe(message, end)
         self._record(message.name, Kind.OWED, [end.outcome.value, end.retry_ms])
 
     def end(self, name: str, until_ms: int, now_ms: int, how: End | None = None) -> None:
-        if self._foreign(name):
-            self._followed_for[name] = until_ms
+        if self._other_origin(name):
+            self._ended_for_others[name] = until_ms
         else:
             self._inner.end(name, until_ms, now_ms, how)
         self._ended[name] = until_ms
         self._record(name, Kind.ENDED, [until_ms])
-        self._alone.pop(name, None)
+        self._local_only.pop(name, None)
 
-    def _foreign(self, name: str) -> bool:
-        """Whether a message is in a log of which this relay is not the origin."""
+    def _other_origin(self, name: str) -> bool:
+        """Whether a message is in a log that originates at another relay."""
         return self._log_of.get(name, "") not in ("", *self._metas)
 
-    def _record(self, name: str, kind: Kind, told: list[Any]) -> None:
-        if (copy := self._alone.get(name)) is not None:
-            copy.add(kind, copy.base, told)
+    def _record(self, name: str, kind: Kind, fields: list[Any]) -> None:
+        if (copy := self._local_only.get(name)) is not None:
+            copy.add(kind, copy.base, fields)
             return
         owner = self.machine.owners.get(self._log_of.get(name, ""))
         if owner is not None:
-            owner.record(name, kind, told, self._clock.now_us())
-            self.wake()
+            owner.record(name, kind, fields, self._clock.now_us())
+            self.outgoing_ready()
 
     @property
     def waits(self) -> bool:
@@ -307,91 +314,91 @@
     def work(self) -> int | None:
         return self._inner.work()
 
-    # What the machine asks and tells.
+    # Callbacks from the replication state machine.
 
-    def water(self) -> Water:
-        # Guards against a folder that was put back: what this life writes must not make up for the rest.
+    def watermark(self) -> Watermark:
+        # A restored directory: writes of this process must not make up for the difference that reveals it.
         if not self.machine.confirmed:
-            return self._first_water
-        return (*_pair(self._inner.water), self._store.sequence)
+            return self._startup_watermark
+        return (*_as_watermark(self._inner.water), self._store.sequence)
 
     def wall_ms(self) -> int:
         return self._clock.wall_ms()
 
-    def draw(self) -> float:
+    def random_fraction(self) -> float:
         return random.SystemRandom().random()
 
-    def saw(self, name: str, incarnation: str, water: Water) -> None:
-        self._dirty.add(name)
+    def watermark_observed(self, name: str, incarnation: str, watermark: Watermark) -> None:
+        self._changed_watermarks.add(name)
 
-    def old_folder(self) -> None:
-        self.renew()
+    def outdated_directory(self) -> None:
+        self.restart_required()
 
     def until_ms(self, name: str) -> int:
         return self._ended.get(name, self._clock.wall_ms() + int(self._fleet.remember_s * 1000))
 
-    def opened(self, meta: Meta, older: dict[str, list[str]]) -> None:
+    def opened(self, meta: LogMetadata, older: dict[str, list[str]]) -> None:
         self._metas[meta.log] = meta
-        self._older = older
+        self._older_logs = older
         self._save()
 
     def _save(self) -> None:
-        """Keep which logs there are; before anything is recorded in a new one."""
+        """Persist the list of logs, before anything is recorded in a new one."""
         owners = self.machine.owners
         self._metas = {
             log: it
             for log, it in self._metas.items()
-            if log in owners or log in self.machine.newest.values() or log not in self._older
+            if log in owners or log in self.machine.newest.values() or log not in self._older_logs
         }
-        told = {
-            "metas": [it.packed() for it in self._metas.values()],
-            "older": {log: names for log, names in self._older.items() if log in self._metas},
+        stored = {
+            "metas": [meta.encoded() for meta in self._metas.values()],
+            "older": {log: names for log, names in self._older_logs.items() if log in self._metas},
         }
-        path, new = self._folder / LOGS, self._folder / f"{LOGS}.new"
-        new.write_text(json.dumps(told), encoding="utf-8")
+        path, new = self._folder / LOGS_FILE, self._folder / f"{LOGS_FILE}.new"
+        new.write_text(json.dumps(stored), encoding="utf-8")
         os.replace(new, path)
 
-    def counted(self, log: str, name: str) -> None:
-        """Go on with all that waited for a message's records."""
+    def committed(self, log: str, name: str) -> None:
+        """Run everything that waited for a message's records to be committed."""
         if self._log_of.get(name) != log:
             return
-        if (promise := self._promises.pop(name, None)) is not None:
-            if promise.withdrawn:
-                promise.broken(True)
+        if (pending := self._pending_hand_ins.pop(name, None)) is not None:
+            if pending.withdrawn:
+                pending.broken(True)
             else:
-                self._inner.after(promise.kept)
+                self._inner.after(pending.kept)
         for callback, _ in self._callbacks.pop(name, ()):
             self._inner.after(callback)
         if name in self._ended and name in self._log_of:
             del self._log_of[name]
 
-    def adopted(self, log: str, copies: dict[str, Copy]) -> None:
-        ones: list[Held] = []
+    def adopted(self, log: str, copies: dict[str, MessageState]) -> None:
+        taken_over: list[Held] = []
         for name, copy in copies.items():
-            let_go = self._let_go.pop(name, None) is not None
-            own = self._inner.knows(name) and not let_go
-            if own or name in self._log_of or copy.taken is None:
-                # It is this relay's own already, or nothing more is known of it than its name.
+            relinquished = self._relinquished.pop(name, None) is not None
+            known_here = self._inner.knows(name) and not relinquished
+            if known_here or name in self._log_of or copy.taken is None:
+                # Either this relay already has the message, or nothing but its name is known.
                 owner = self.machine.owners[log]
                 owner.record(name, Kind.ENDED, [self.until_ms(name)], self._clock.now_us())
                 continue
             self._log_of[name] = log
-            ones.append(held_of(name, copy))
-        self.adopt(ones)
-        self.wake()
+            taken_over.append(to_held(name, copy))
+        self.adopt(taken_over)
+        self.outgoing_ready()
 
-    def followed(self, log: str, names: list[str], kept: bool) -> None:
+    def superseded(self, log: str, names: list[str], kept: bool) -> None:
         mine = [name for name in names if self._log_of.get(name) == log]
         self.relinquish(mine)
         now_ms = self._clock.wall_ms()
         for name in mine:
-            foreign = self._foreign(name)
+            foreign = self._other_origin(name)
             del self._log_of[name]
             until_ms = now_ms + int(self._fleet.remember_s * 1000)
-            self._let_go[name] = until_ms
+            self._relinquished[name] = until_ms
             if kept and not foreign:
                 self._inner.end(name, until_ms, now_ms)
-            self._promises.pop(name, None)
+            self._pending_hand_ins.pop(name, None)
             for _, never in self._callbacks.pop(name, ()):
                 if never is not None:
                     never()
@@ -402,59 +409,60 @@
     # Time.
 
     def tick(self) -> None:
-        """Do what time asks for: hand-ins that wait for too long, what was taken short, what is forgotten."""
+        """Withdraw late hand-ins, advance the state machine and replicate local-only messages."""
         now_us, now_ms = self._clock.now_us(), self._clock.wall_ms()
-        for promise in list(self._promises.values()):
-            if promise.until_us <= now_us and not promise.withdrawn:
-                self._withdraw(promise, now_us, now_ms)
+        for pending in list(self._pending_hand_ins.values()):
+            if pending.deadline_us <= now_us and not pending.withdrawn:
+                self._withdraw(pending, now_us, now_ms)
         self.machine.tick(now_us)
-        if self._alone:
-            self._make_whole(now_us)
-        self.wake()
+        if self._local_only:
+            self._replicate_local_only(now_us)
+        self.outgoing_ready()
 
-    def _withdraw(self, promise: Promise, now_us: int, now_ms: int) -> None:
-        """Have nobody hold a message whose client can't be told in time that it is held."""
-        message = promise.message
+    def _withdraw(self, pending: PendingHandIn, now_us: int, now_ms: int) -> None:
+        """Withdraw a message whose client can't be told in time that it is stored."""
+        message = pending.message
         owner = self.machine.owners.get(self._log_of.get(message.name, ""))
         if owner is None:
             return
-        promise.withdrawn = True
+        pending.withdrawn = True
         until_ms = now_ms + int(self._fleet.remember_s * 1000)
         self._inner.end(message.name, until_ms, now_ms)
         self._ended[message.name] = until_ms
-        promise.broken(False)  # it is over here, whatever its client can be told
+        pending.broken(False)  # it has ended here, whether or not the client can be told
         owner.withdraw(message.name, until_ms, now_us)
 
-    def _make_whole(self, now_us: int) -> None:
-        for name, copy in list(self._alone.items()):
+    def _replicate_local_only(self, now_us: int) -> None:
+        for name, copy in list(self._local_only.items()):
             if copy.taken is None:
                 continue
             owner = self.machine.log_for(self._fleet.copies_of(copy.taken[0]), now_us)
             if owner is not None and not owner.short:
-                del self._alone[name]
+                del self._local_only[name]
                 self._log_of[name] = owner.meta.log
                 owner.adopt(name, copy, now_us)
 
-    def tidy(self) -> None:
-        """Do what is due once a second."""
+    def run_maintenance(self) -> None:
+        """Run maintenance; call once a second."""
         now_ms = self._clock.wall_ms()
-        for name in list(self._dirty):
-            it = self.machine.neighbours[name]
-            for own, water in it.water.items():
-                self._store.saw(name, own, water)
-        self._dirty.clear()
-        for names in (self._ended, self._followed_for, self._let_go):
+        for name in list(self._changed_watermarks):
+            peer = self.machine.peers[name]
+            for incarnation, watermark in peer.watermark.items():
+                self._store.watermark_observed(name, incarnation, watermark)
+        self._changed_watermarks.clear()
+        for names in (self._ended, self._ended_for_others, self._relinquished):
             for name in [name for name, until_ms in names.items() if until_ms < now_ms]:
                 del names[name]
-        if self.taken_short != self._told_short:
-            self._told_short = self.taken_short
-            say(f"copies: {self.taken_short} taken on short so far, {len(self._alone)} on this disk alone")
+        if self.accepted_unreplicated != self._logged_unreplicated:
+            self._logged_unreplicated = self.accepted_unreplicated
+            total, local_only = self.accepted_unreplicated, len(self._local_only)
+            log_line(f"copies: {total} messages accepted without replicas, {local_only} on this disk only")
         self.machine.retire()
         self._store.work()
 
 
-def held_of(name: str, copy: Copy) -> Held:
-    """A message as the core goes on with it."""
+def to_held(name: str, copy: MessageState) -> Held:
+    """Convert a replicated message for the core to resume."""
     assert copy.taken is not None
     message_class, tenant, destination, key, body, deadline_ms, taken_ms = copy.taken
     message = Message(name, message_class, tenant, destination, key, body, deadline_ms, taken=True)
@@ -472,15 +480,15 @@
     return held
 
 
-def _pair(water: tuple[int, int]) -> tuple[int, ...]:
-    """One number of a segment and a size: a larger segment counts for more than any size."""
-    number, size = water
+def _as_watermark(watermark: tuple[int, int]) -> tuple[int, ...]:
+    """Combine segment number and size into one number: a later segment outweighs any size."""
+    number, size = watermark
     return (number << 40 | size,)
 
 
-def _nothing() -> None:
-    """Nobody has to be told."""
+def _ignore() -> None:
+    """Default callback."""
 
 
-def _nobody(_: object) -> None:
-    """Nobody has to be told."""
+def _ignore_argument(_: object) -> None:
+    """Default callback."""
--- a/amberlug/copies/machine.py
+++ b/amberlug/copies/machine.py
@@ -1,8 +1,8 @@
-"""All that one relay does about copies, as one machine: what comes in, what is to be sent. No I/O.
+"""The replication state machine of one relay: holder, owner and successor. No I/O.
 
-Messages to others pile up in `out` until the driver takes them; what must outlast the process goes through
-the store at once. The clock is given with each call, in microseconds; `wall_ms` is what deadlines count by.
-The machine tells its `Host` what came of it.
+Outgoing messages are queued in `out` until the driver sends them; whatever must survive the process is
+written through the store at once. Each call passes the monotonic time in microseconds; deadlines count in
+`wall_ms`. Results are reported to the `Host`.
 """
 
 from __future__ import annotations
@@ -12,84 +12,87 @@
 from functools import partial
 from typing import Any, Protocol
 
-from amberlug.copies import placing
-from amberlug.copies.holder import Holder, Holding, Store, Wire
+from amberlug.copies import placement
+from amberlug.copies.holder import HeldLog, Holder, Store, WireMessage
 from amberlug.copies.owner import Owner, State
-from amberlug.copies.states import Ballot, Copy, Kind, Meta, ballot_of, meta_of
-from amberlug.copies.successor import Following, due_us
-from amberlug.core.log import log as say
+from amberlug.copies.states import Ballot, Kind, LogMetadata, MessageState, decode_ballot, decode_metadata
+from amberlug.copies.takeover import Takeover, takeover_due_us
+from amberlug.core.log import log as log_line
 from amberlug.peers.fleet import Fleet
 
 BEAT_US = 250_000
-Water = tuple[int, ...]
+Watermark = tuple[int, ...]
 
 
 class Host(Protocol):
-    """Who the machine works for."""
+    """The environment of the state machine."""
 
-    def water(self) -> Water:
-        """How much this relay's disk has ever kept: each of these only grows on one folder."""
+    def watermark(self) -> Watermark:
+        """How much this relay's disk has ever stored, as counters that never decrease for one directory."""
 
-    def old_folder(self) -> None:
-        """The folder is older than what others have seen of it: nothing in it may be gone by."""
+    def outdated_directory(self) -> None:
+        """The directory is older than other relays have seen it: nothing in it may be relied on."""
 
     def wall_ms(self) -> int:
-        """The wall's clock."""
+        """Wall-clock time."""
 
-    def draw(self) -> float:
-        """A number from 0 to 1."""
+    def random_fraction(self) -> float:
+        """A random number from 0 to 1."""
 
-    def counted(self, log: str, name: str) -> None:
-        """All that was recorded of a message counts by now."""
+    def committed(self, log: str, name: str) -> None:
+        """All records of a message have been committed so far."""
 
-    def adopted(self, log: str, copies: dict[str, Copy]) -> None:
-        """Go on with a log's messages: the relay follows their owner."""
+    def adopted(self, log: str, copies: dict[str, MessageState]) -> None:
+        """Resume the messages of a log that this relay has taken over."""
 
-    def followed(self, log: str, names: list[str], kept: bool) -> None:
-        """Another relay owns a log; nothing may be done about its messages any more.
+    def superseded(self, log: str, names: list[str], kept: bool) -> None:
+        """Stop work on the messages of a log that another relay has taken over.
 
-        Whether they are kept as a holder keeps them: only then may the relay's own journal forget them.
+        `kept`: whether the messages are stored here as a holder stores them; only then may the relay's own
+        journal drop them.
         """
 
-    def saw(self, name: str, incarnation: str, water: Water) -> None:
-        """Keep how much another relay's disk has kept, where there is room for it."""
+    def watermark_observed(self, name: str, incarnation: str, watermark: Watermark) -> None:
+        """Persist another relay's watermark, if there is room."""
 
     def until_ms(self, name: str) -> int:
-        """Until when the name of a message counts that has ended here, or that this relay does not know."""
+        """Expiry of the name of a message that has ended here or is unknown here."""
 
-    def opened(self, meta: Meta, older: dict[str, list[str]]) -> None:
-        """Keep that a log is the newest, and what is in older ones; `OSError` where that can't be."""
+    def opened(self, meta: LogMetadata, older: dict[str, list[str]]) -> None:
+        """Persist that a log is the newest, and which messages are in older ones; `OSError` if that fails."""
 
 
 @dataclass(slots=True)
-class Neighbour:
-    """Another relay as it is seen from here; by this relay's clock."""
+class PeerStatus:
+    """Another relay as observed from here; times are of this relay's clock."""
 
     incarnation: str = ""
-    linked: bool = False  # messages to it have a way
+    linked: bool = False  # messages to it can be sent
     heard_us: int | None = None
-    water: dict[str, Water] = field(default_factory=dict)  # by its incarnation, the most that was heard
+    watermark: dict[str, Watermark] = field(default_factory=dict)  # highest observed, by its incarnation
 
 
 class Machine:
-    """One relay's part in holding, owning and following."""
+    """One relay's part as holder, owner and successor."""
 
     def __init__(
         self, fleet: Fleet, incarnation: str, store: Store, host: Host, now_us: int, fresh: bool
     ) -> None:
         self.fleet, self.name, self.incarnation, self._host = fleet, fleet.name, incarnation, host
         self.holder = Holder(fleet.name, incarnation, store)
-        self.neighbours = {it.name: Neighbour() for it in fleet.members if it.name != fleet.name}
-        self.owners: dict[str, Owner] = {}  # by log
-        self.followings: dict[str, Following] = {}
-        self.newest: dict[int, str] = {}  # by how many must hold it: the log for what is new
-        self.out: list[tuple[str, Wire]] = []
-        self.confirmed = fresh  # whether nobody has seen more of this folder than it holds
+        self.peers = {member.name: PeerStatus() for member in fleet.members if member.name != fleet.name}
+        self.owners: dict[str, Owner] = {}  # by log name
+        self.takeovers: dict[str, Takeover] = {}
+        self.newest: dict[int, str] = {}  # by write quorum: the log that accepts new messages
+        self.out: list[tuple[str, WireMessage]] = []
+        self.confirmed = fresh  # whether no other relay has seen more of this directory than it holds
         self._confirming: set[str] = set()
-        self._retry_us: dict[str, int] = {}  # when a log may be tried again
-        self._above: dict[str, int] = {}  # by log, the number of a ballot that stood against this relay's
+        self._retry_us: dict[str, int] = {}  # by log: earliest time of the next take-over attempt
+        self._lost_to_ballot: dict[
+            str, int
+        ] = {}  # by log: the highest ballot number that this relay's lost against
         self._started_us = self._beat_us = now_us
-        self.over = False  # its folder was older than it should be: it does nothing any more
+        self.outdated = False  # the directory was found to be outdated: all input is ignored
 
     @property
     def _most_copies(self) -> int:
@@ -97,77 +100,88 @@
 
     # The relay's own logs.
 
-    def own(self, meta: Meta) -> Owner:
-        """Own a log under the ballot of its origin."""
-        return self._owner(meta, meta.first, self.name)
+    def own(self, meta: LogMetadata) -> Owner:
+        """Own a log under its origin's ballot."""
+        return self._owner(meta, meta.origin_ballot, self.name)
 
     def reopen(
-        self, meta: Meta, copies: dict[str, Copy], ended: dict[str, int], newest: bool, now_us: int
+        self,
+        meta: LogMetadata,
+        copies: dict[str, MessageState],
+        ended: dict[str, int],
+        newest: bool,
+        now_us: int,
     ) -> None:
-        """Go on with a log of an earlier life, and what this relay's own journal holds and knows of it."""
+        """Reopen a log of an earlier process with what this relay's journal holds and knows of it."""
         owner = self.own(meta)
         owner.ended = ended
         if newest:
-            self.newest[meta.need] = meta.log
+            self.newest[meta.write_quorum] = meta.log
         for name, copy in copies.items():
             owner.adopt(name, copy, now_us)
-        of = self.holder.logs.get(meta.log)
-        if of is not None and of.promised > owner.ballot:  # it was followed in the earlier life already
-            owner.state = State.FOLLOWED
-            self._stopped(owner, of.promised)
-
-    def _owner(self, meta: Meta, ballot: Ballot, kept: str | None) -> Owner:
-        owner = Owner(meta, ballot, kept, self._send, partial(self._host.counted, meta.log), self._stopped)
+        held_log = self.holder.logs.get(meta.log)
+        if held_log is not None and held_log.promised > owner.ballot:  # taken over before the restart
+            owner.state = State.FENCED
+            self._superseded(owner, held_log.promised)
+
+    def _owner(self, meta: LogMetadata, ballot: Ballot, kept: str | None) -> Owner:
+        owner = Owner(
+            meta, ballot, kept, self._send, partial(self._host.committed, meta.log), self._superseded
+        )
         self.owners[meta.log] = owner
         if kept is None and meta.incarnation_of(self.name) == self.incarnation:
             owner.linked(self.name)
-        for name, it in self.neighbours.items():
-            if name in owner.peers and it.linked and it.incarnation == meta.incarnation_of(name):
+        for name, peer in self.peers.items():
+            if name in owner.holders and peer.linked and peer.incarnation == meta.incarnation_of(name):
                 owner.linked(name)
         return owner
 
-    def log_for(self, need: int, now_us: int) -> Owner | None:
-        """The log that takes on what `need` others are to hold; None where too few relays are there."""
+    def log_for(self, copies: int, now_us: int) -> Owner | None:
+        """The log for messages that `copies` other relays must hold; None if too few are reachable."""
         if not self.confirmed:
             return None
-        owner = self.owners.get(self.newest.get(need + 1, ""))
-        if owner is not None and owner.state is not State.FOLLOWED and not self._gone(owner, now_us):
+        owner = self.owners.get(self.newest.get(copies + 1, ""))
+        if owner is not None and owner.state is not State.FENCED and not self._has_lost_holder(owner, now_us):
             return owner
-        present = {name for name, it in self.neighbours.items() if it.linked}
-        known = {name for name, it in self.neighbours.items() if it.incarnation}
-        names = placing.ensemble(self.name, self.fleet.own, self.fleet.members, present, known, need)
-        serves = owner is not None and owner.state is not State.FOLLOWED
+        present = {name for name, peer in self.peers.items() if peer.linked}
+        known = {name for name, peer in self.peers.items() if peer.incarnation}
+        names = placement.ensemble(self.name, self.fleet.own, self.fleet.members, present, known, copies)
+        serves = owner is not None and owner.state is not State.FENCED
         if not names or (serves and not present.issuperset(names)):
-            return owner if serves else None  # one that is gone would be replaced by one that is not there
-        # Drawn: a folder that was put back must not give a number once more.
-        serial = int(self._host.draw() * (1 << 52))
-        others = tuple((name, self.neighbours[name].incarnation) for name in names)
+            return owner if serves else None  # replacing a lost holder by an unreachable one gains nothing
+        # Random: a directory restored from a copy must not reuse a number.
+        serial = int(self._host.random_fraction() * (1 << 52))
+        others = tuple((name, self.peers[name].incarnation) for name in names)
         ensemble = ((self.name, self.incarnation), *others)
-        meta = Meta(self.name, self.incarnation, serial, need + 1, ensemble)
-        older = {log: list(it.copies) for log, it in self.owners.items() if it.ballot == it.meta.first}
+        meta = LogMetadata(self.name, self.incarnation, serial, copies + 1, ensemble)
+        older = {
+            log: list(owned.copies)
+            for log, owned in self.owners.items()
+            if owned.ballot == owned.meta.origin_ballot
+        }
         try:
             self._host.opened(meta, older)
         except OSError as error:
-            say(f"copies: no new log: {error}")
+            log_line(f"copies: could not create a new log: {error}")
             return owner
-        self.newest[meta.need] = meta.log
+        self.newest[meta.write_quorum] = meta.log
         return self.own(meta)
 
-    def _gone(self, owner: Owner, now_us: int) -> bool:
-        """Whether one of a log's ensemble is gone for good, or for so long that another takes its place."""
-        return bool(self._lost_of(owner, now_us))
+    def _has_lost_holder(self, owner: Owner, now_us: int) -> bool:
+        """Whether a holder of the log is lost for good, or unreachable for long enough to be replaced."""
+        return bool(self._lost_holders(owner, now_us))
 
-    def _lost_of(self, owner: Owner, now_us: int) -> set[str]:
+    def _lost_holders(self, owner: Owner, now_us: int) -> set[str]:
         replace_us = int(self.fleet.replace_s * 1e6)
         lost = set()
-        for name, peer in owner.peers.items():
-            it = self.neighbours.get(name)
-            if it is None:
+        for name, holder in owner.holders.items():
+            peer = self.peers.get(name)
+            if peer is None:
                 continue
-            other = it.linked and it.incarnation != owner.meta.incarnation_of(name)
+            other = peer.linked and peer.incarnation != owner.meta.incarnation_of(name)
             away = (
-                peer.away_since_us is not None
-                and now_us - max(peer.away_since_us, self._started_us) > replace_us
+                holder.away_since_us is not None
+                and now_us - max(holder.away_since_us, self._started_us) > replace_us
             )
             if other or away:
                 lost.add(name)
@@ -176,206 +190,239 @@
     # Links.
 
     def connected(self, name: str, incarnation: str, now_us: int) -> None:
-        """There is a link to another relay, which has a disk with that word."""
-        it = self.neighbours.get(name)
-        if it is None:
+        """A link to another relay is up; `incarnation` identifies its disk."""
+        peer = self.peers.get(name)
+        if peer is None:
             return
-        if it.incarnation and it.incarnation != incarnation:
-            say(f"copies: {name} has another folder than before")
+        if peer.incarnation and peer.incarnation != incarnation:
+            log_line(f"copies: {name} has another directory than before")
             self.disconnected(name, now_us)
-        it.incarnation, it.linked = incarnation, True
-        self._tell_water(name)
+        peer.incarnation, peer.linked = incarnation, True
+        self._send_watermark(name)
         for owner in self.owners.values():
             if owner.meta.incarnation_of(name) == incarnation:
                 owner.linked(name)
-        for following in self.followings.values():
-            if following.meta.incarnation_of(name) == incarnation:
-                following.ask(name)
+        for takeover in self.takeovers.values():
+            if takeover.meta.incarnation_of(name) == incarnation:
+                takeover.ask(name)
 
-    def _tell_water(self, name: str) -> None:
-        """Tell another relay how much of its disk was seen here."""
-        it = self.neighbours[name]
-        self._send(name, ["water", list(it.water.get(it.incarnation, ()))])
+    def _send_watermark(self, name: str) -> None:
+        """Tell another relay the highest watermark observed of its disk."""
+        peer = self.peers[name]
+        self._send(name, ["water", list(peer.watermark.get(peer.incarnation, ()))])
 
     def disconnected(self, name: str, now_us: int) -> None:
-        """The link to another relay is gone."""
-        it = self.neighbours.get(name)
-        if it is None or not it.linked:
+        """The link to another relay is down."""
+        peer = self.peers.get(name)
+        if peer is None or not peer.linked:
             return
-        it.linked = False
+        peer.linked = False
         for owner in self.owners.values():
-            if name in owner.peers:
+            if name in owner.holders:
                 owner.lost(name, now_us)
                 owner.flush(now_us)
 
-    def _send(self, name: str, message: Wire) -> None:
+    def _send(self, name: str, message: WireMessage) -> None:
         self.out.append((name, message))
 
-    def receive(self, name: str, incarnation: str, water: Sequence[int], message: Any, now_us: int) -> None:
-        """Take a message in, which came with how much its sender's disk had kept when it was sent.
+    def receive(
+        self, name: str, incarnation: str, watermark: Sequence[int], message: Any, now_us: int
+    ) -> None:
+        """Handle a message, sent with its sender's watermark at the time of sending.
 
-        `ValueError` where it is none, and nothing of it counts but what came before.
+        Raises `ValueError` if it is malformed; messages before it stay applied.
         """
-        if self.over:
+        if self.outdated:
             return
-        it = self.neighbours.get(name)
-        if it is not None:
-            it.heard_us = now_us
-            if not it.linked:
-                it.incarnation = incarnation
-            # With each message, not now and then: who holds a record has seen the disk that it came from.
-            self._saw(name, incarnation, water)
+        peer = self.peers.get(name)
+        if peer is not None:
+            peer.heard_us = now_us
+            if not peer.linked:
+                peer.incarnation = incarnation
+            # Sent with every message, not periodically: a record's holder has seen the disk it came from.
+            self._note_watermark(name, incarnation, watermark)
         elif name != self.name:
-            raise ValueError(f"a stranger: {name!r}")
+            raise ValueError(f"unknown relay {name!r}")
         try:
             handler = self._handlers[message[0]]
         except (KeyError, TypeError, IndexError):
-            raise ValueError("a message of no kind") from None
+            raise ValueError("unknown message type") from None
         if not self.confirmed and message[0] != "water":
-            return  # it is asked for again
+            return  # the sender repeats it
         try:
             handler(self, name, incarnation, now_us, *message[1:])
         except TypeError as error:
-            raise ValueError(f"a message that can't be read: {error}") from None
+            raise ValueError(f"malformed message: {error}") from None
 
-    # What comes of the holder's side.
+    # Messages for the holder.
 
-    def _on_water(self, name: str, own: str, now_us: int, seen: list[int]) -> None:
-        """A relay tells how much it has ever seen that this one's disk had kept."""
-        if any(mine < most for mine, most in zip(self._host.water(), seen, strict=False)):
-            # Guards against a folder of an hour ago: what it took on, did and promised since would be undone.
-            say(f"copies: this folder is older than what {name} has seen of it")
-            self.over = True
-            self._host.old_folder()
+    def _on_watermark(self, name: str, peer_incarnation: str, now_us: int, observed: list[int]) -> None:
+        """A relay reports the highest watermark that it has observed of this one's disk."""
+        if any(mine < highest for mine, highest in zip(self._host.watermark(), observed, strict=False)):
+            # Guards against a restored backup: what this relay accepted, did and promised since is missing.
+            log_line(f"copies: this state directory is outdated: {name} has seen newer data of it")
+            self.outdated = True
+            self._host.outdated_directory()
             return
         self._confirming.add(name)
         self._confirm(now_us)
 
     def _confirm(self, now_us: int) -> None:
-        """Go by this relay's folder once enough others have not seen more of it than it holds."""
-        # One more than must hold a record: of those that may, any so many have one that saw the last record.
-        # Could harm where a machine is lost while this one restarts: it waits, for `confirm_s` at the most.
+        """Rely on this relay's directory once enough other relays have not seen more of it than it holds."""
+        # One more relay than must hold a record: any that many of the possible holders include one that saw
+        # the last record. If a machine is lost while this one restarts, this waits, at most `confirm_s`.
         patient = now_us - self._started_us < int(self.fleet.confirm_s * 1e6)
-        wanted = min(len(self.neighbours), self._most_copies + patient)
+        wanted = min(len(self.peers), self._most_copies + patient)
         if len(self._confirming) >= max(1, wanted):
             self.confirmed = True
 
-    def _saw(self, name: str, own: str, water: Sequence[int]) -> None:
-        it = self.neighbours[name]
-        before = it.water.get(own, ())
-        most = tuple(max(pair) for pair in zip(map(int, water), before or map(int, water), strict=False))
-        if most != before:
-            it.water = {own: most}
-            self._host.saw(name, own, most)
-
-    def _on_open(self, name: str, own: str, now_us: int, meta: Any, ballot: Any) -> None:
-        of, by = meta_of(meta), ballot_of(ballot)
-        answer = self.holder.open(of, by)
+    def _note_watermark(self, name: str, peer_incarnation: str, watermark: Sequence[int]) -> None:
+        peer = self.peers[name]
+        before = peer.watermark.get(peer_incarnation, ())
+        highest = tuple(
+            max(pair) for pair in zip(map(int, watermark), before or map(int, watermark), strict=False)
+        )
+        if highest != before:
+            peer.watermark = {peer_incarnation: highest}
+            self._host.watermark_observed(name, peer_incarnation, highest)
+
+    def _on_open(self, name: str, peer_incarnation: str, now_us: int, meta: Any, ballot: Any) -> None:
+        log_meta, by = decode_metadata(meta), decode_ballot(ballot)
+        answer = self.holder.open(log_meta, by)
         self._send(name, answer)
         if not answer[3]:
-            for part in self.holder.live(of.log, by):
+            for part in self.holder.live(log_meta.log, by):
                 self._send(name, part)
 
     def _on_records(
-        self, name: str, own: str, now_us: int, log: str, ballot: Any, number: int, told: list[Any]
+        self,
+        name: str,
+        peer_incarnation: str,
+        now_us: int,
+        log: str,
+        ballot: Any,
+        number: int,
+        batch: list[Any],
     ) -> None:
-        self._send(name, self.holder.records(log, ballot_of(ballot), int(number), told))
+        self._send(name, self.holder.records(log, decode_ballot(ballot), int(number), batch))
 
-    def _on_fence(self, name: str, own: str, now_us: int, meta: Any, ballot: Any) -> None:
-        of, by = meta_of(meta), ballot_of(ballot)
-        for part in self.holder.fence(of, by, self.is_there(of, now_us), now_us):
+    def _on_fence(self, name: str, peer_incarnation: str, now_us: int, meta: Any, ballot: Any) -> None:
+        log_meta, by = decode_metadata(meta), decode_ballot(ballot)
+        for part in self.holder.fence(log_meta, by, self.is_owner_active(log_meta, now_us), now_us):
             self._send(name, part)
 
-    def is_there(self, meta: Meta, now_us: int) -> bool:
-        """Whether a log's owner was heard from lately, or is this relay, which serves."""
-        since = self._silent_since(meta, self.holder.logs.get(meta.log), now_us)
+    def is_owner_active(self, meta: LogMetadata, now_us: int) -> bool:
+        """Whether a log's owner was heard from recently, or is this relay and owns it."""
+        since = self._inactive_since(meta, self.holder.logs.get(meta.log), now_us)
         return since is None or now_us - since < int(self.fleet.suspect_s * 1e6)
 
-    def _silent_since(self, meta: Meta, of: Holding | None, now_us: int) -> int | None:
-        """Since when a log's owner has done nothing for it; None where it has just now."""
-        name, incarnation = of.owner if of is not None else (meta.origin, meta.incarnation)
+    def _inactive_since(self, meta: LogMetadata, held_log: HeldLog | None, now_us: int) -> int | None:
+        """Since when a log's owner has been inactive; None if it is active."""
+        name, incarnation = held_log.owner if held_log is not None else (meta.origin, meta.incarnation)
         if name == self.name:
             return None if meta.log in self.owners else 0
-        it = self.neighbours.get(name)
-        if it is None or (it.incarnation and it.incarnation != incarnation):
-            return 0  # its disk is not there any more
-        # A relay that starts has had no time to hear anybody.
-        heard = max(it.heard_us or 0, self._started_us)
-        if of is not None and not of.serving:  # it asked for the log, and gave up
-            return max(min(heard, of.since_us), self._started_us)
+        peer = self.peers.get(name)
+        if peer is None or (peer.incarnation and peer.incarnation != incarnation):
+            return 0  # its disk is gone
+        # After a restart, silence counts from the start: no relay could be heard before.
+        heard = max(peer.heard_us or 0, self._started_us)
+        # A successor that got the promise and gave up.
+        if held_log is not None and not held_log.opened_by_owner:
+            return max(min(heard, held_log.since_us), self._started_us)
         return None if now_us - heard < BEAT_US else heard
 
-    def _on_leave(self, name: str, own: str, now_us: int, log: str | None) -> None:
-        self.holder.leave(name, own, log)
+    def _on_leave(self, name: str, peer_incarnation: str, now_us: int, log: str | None) -> None:
+        self.holder.leave(name, peer_incarnation, log)
 
-    def _on_drop(self, name: str, own: str, now_us: int, log: str) -> None:
-        of = self.holder.logs.get(log)
-        if of is not None and of.owner == (name, own) and log not in self.owners:
+    def _on_drop(self, name: str, peer_incarnation: str, now_us: int, log: str) -> None:
+        held_log = self.holder.logs.get(log)
+        if held_log is not None and held_log.owner == (name, peer_incarnation) and log not in self.owners:
             self.holder.drop(log)
 
-    # And of the owner's and the successor's.
+    # Messages for the owner and the successor.
 
     def _on_opened(
-        self, name: str, own: str, now_us: int, log: str, ballot: Any, why: str, more: Any
+        self, name: str, peer_incarnation: str, now_us: int, log: str, ballot: Any, why: str, more: Any
     ) -> None:
         owner = self.owners.get(log)
-        if owner is None or owner.ballot != ballot_of(ballot) or owner.meta.incarnation_of(name) != own:
+        if (
+            owner is None
+            or owner.ballot != decode_ballot(ballot)
+            or owner.meta.incarnation_of(name) != peer_incarnation
+        ):
             return
-        owner.opened(name, why, None if more is None else ballot_of(more), now_us)
+        owner.opened(name, why, None if more is None else decode_ballot(more), now_us)
         owner.flush(now_us)
 
     def _on_live(
-        self, name: str, own: str, now_us: int, log: str, ballot: Any, names: list[str] | None
+        self, name: str, peer_incarnation: str, now_us: int, log: str, ballot: Any, names: list[str] | None
     ) -> None:
         owner = self.owners.get(log)
-        if owner is None or owner.ballot != ballot_of(ballot) or owner.meta.incarnation_of(name) != own:
+        if (
+            owner is None
+            or owner.ballot != decode_ballot(ballot)
+            or owner.meta.incarnation_of(name) != peer_incarnation
+        ):
             return
         if names is None:
-            owner.peers[name].settled = owner.peers[name].opened
+            owner.holders[name].settled = owner.holders[name].opened
         else:
-            owner.settle([str(it) for it in names], self._host.until_ms, now_us)
+            owner.settle([str(message) for message in names], self._host.until_ms, now_us)
 
-    def _on_ack(self, name: str, own: str, now_us: int, log: str, number: int) -> None:
+    def _on_ack(self, name: str, peer_incarnation: str, now_us: int, log: str, number: int) -> None:
         owner = self.owners.get(log)
-        if owner is not None and owner.meta.incarnation_of(name) == own:
+        if owner is not None and owner.meta.incarnation_of(name) == peer_incarnation:
             owner.acknowledged(name, int(number))
             owner.flush(now_us)
 
-    def _on_nack(self, name: str, own: str, now_us: int, log: str, number: int, why: str, more: Any) -> None:
+    def _on_nack(
+        self, name: str, peer_incarnation: str, now_us: int, log: str, number: int, why: str, more: Any
+    ) -> None:
         owner = self.owners.get(log)
-        if owner is not None and owner.meta.incarnation_of(name) == own:
-            owner.refused(name, int(number), why, None if more is None else ballot_of(more), now_us)
+        if owner is not None and owner.meta.incarnation_of(name) == peer_incarnation:
+            owner.refused(name, int(number), why, None if more is None else decode_ballot(more), now_us)
 
     def _on_state(
-        self, name: str, own: str, now_us: int, log: str, ballot: Any, part: int, states: list[Any]
+        self,
+        name: str,
+        peer_incarnation: str,
+        now_us: int,
+        log: str,
+        ballot: Any,
+        part: int,
+        states: list[Any],
     ) -> None:
-        if (following := self._asked(log, ballot, name, own)) is not None:
-            following.state(name, int(part), states)
-            self._try(following, now_us)
-
-    def _on_promise(self, name: str, own: str, now_us: int, log: str, ballot: Any, parts: int) -> None:
-        if (following := self._asked(log, ballot, name, own)) is not None:
-            following.promise(name, int(parts))
-            self._try(following, now_us)
-
-    def _asked(self, log: str, ballot: Any, name: str, own: str) -> Following | None:
-        """The attempt that an answer is for, from one that has the disk which the log counts on."""
-        following = self.followings.get(log)
-        if following is None or following.ballot != ballot_of(ballot):
+        if (takeover := self._takeover_for(log, ballot, name, peer_incarnation)) is not None:
+            takeover.state(name, int(part), states)
+            self._finish_takeover(takeover, now_us)
+
+    def _on_promise(
+        self, name: str, peer_incarnation: str, now_us: int, log: str, ballot: Any, parts: int
+    ) -> None:
+        if (takeover := self._takeover_for(log, ballot, name, peer_incarnation)) is not None:
+            takeover.promise(name, int(parts))
+            self._finish_takeover(takeover, now_us)
+
+    def _takeover_for(self, log: str, ballot: Any, name: str, peer_incarnation: str) -> Takeover | None:
+        """The take-over attempt that an answer belongs to, if its sender has the disk that the log names."""
+        takeover = self.takeovers.get(log)
+        if takeover is None or takeover.ballot != decode_ballot(ballot):
             return None
-        return following if following.meta.incarnation_of(name) == own else None
+        return takeover if takeover.meta.incarnation_of(name) == peer_incarnation else None
 
-    def _on_deny(self, name: str, own: str, now_us: int, log: str, ballot: Any, why: str, more: Any) -> None:
-        following = self.followings.get(log)
-        if following is None or following.ballot != ballot_of(ballot):
+    def _on_deny(
+        self, name: str, peer_incarnation: str, now_us: int, log: str, ballot: Any, why: str, more: Any
+    ) -> None:
+        takeover = self.takeovers.get(log)
+        if takeover is None or takeover.ballot != decode_ballot(ballot):
             return
         if why == "followed":
-            del self.followings[log]
-            self._later(log, now_us)
+            del self.takeovers[log]
+            self._delay_takeover(log, now_us)
             if more is not None:
-                self._above[log] = max(self._above.get(log, 0), ballot_of(more)[0])
+                self._lost_to_ballot[log] = max(self._lost_to_ballot.get(log, 0), decode_ballot(more)[0])
 
-    _handlers: dict[str, Callable[..., None]] = {  # noqa: RUF012 - one table for all
+    _handlers: dict[str, Callable[..., None]] = {  # noqa: RUF012 - one constant table for all instances
         "open": _on_open,
         "recs": _on_records,
         "fence": _on_fence,
@@ -385,121 +432,125 @@
         "live": _on_live,
         "ack": _on_ack,
         "nack": _on_nack,
-        "water": _on_water,
+        "water": _on_watermark,
         "state": _on_state,
         "promise": _on_promise,
         "deny": _on_deny,
     }
 
-    def _later(self, log: str, now_us: int) -> None:
-        self._retry_us[log] = now_us + int((0.3 + self._host.draw()) * self.fleet.suspect_s * 5e5)
+    def _delay_takeover(self, log: str, now_us: int) -> None:
+        self._retry_us[log] = now_us + int((0.3 + self._host.random_fraction()) * self.fleet.suspect_s * 5e5)
 
-    # Following.
+    # Take-over.
 
-    def follow(self, meta: Meta, now_us: int) -> None:
-        """Ask for the promises that make this relay a log's owner."""
-        of = self.holder.logs.get(meta.log)
-        number = max(of.promised[0] if of is not None else 0, self._above.get(meta.log, 0)) + 1
+    def start_takeover(self, meta: LogMetadata, now_us: int) -> None:
+        """Ask the ensemble for the promises that make this relay a log's owner."""
+        held_log = self.holder.logs.get(meta.log)
+        number = (
+            max(held_log.promised[0] if held_log is not None else 0, self._lost_to_ballot.get(meta.log, 0))
+            + 1
+        )
         ballot = (number, self.name, self.incarnation)
-        say(f"copies: asks to follow {(of.promised if of is not None else meta.first)[1]} in {meta.log}")
-        following = self.followings[meta.log] = Following(meta, ballot, now_us, self._send)
+        owner = (held_log.promised if held_log is not None else meta.origin_ballot)[1]
+        log_line(f"copies: attempting take-over from {owner} of log {meta.log}")
+        takeover = self.takeovers[meta.log] = Takeover(meta, ballot, now_us, self._send)
         for name, incarnation in meta.ensemble:
-            it = self.neighbours.get(name)
-            if name == self.name or (it is not None and it.linked and it.incarnation == incarnation):
-                following.ask(name)
+            peer = self.peers.get(name)
+            if name == self.name or (peer is not None and peer.linked and peer.incarnation == incarnation):
+                takeover.ask(name)
 
-    def _try(self, following: Following, now_us: int) -> None:
-        if not following.complete:
+    def _finish_takeover(self, takeover: Takeover, now_us: int) -> None:
+        if not takeover.complete:
             return
-        log = following.meta.log
-        del self.followings[log]
-        if log in self.owners and self.owners[log].ballot >= following.ballot:
+        log = takeover.meta.log
+        del self.takeovers[log]
+        if log in self.owners and self.owners[log].ballot >= takeover.ballot:
             return
-        copies = following.read()
+        copies = takeover.read()
         forgotten_ms = self._host.wall_ms() - int(self.fleet.remember_s * 1000)
         live = {
             name: copy
             for name, copy in copies.items()
             if copy.live and (copy.taken is None or int(copy.taken[5]) > forgotten_ms)
         }
-        say(f"copies: follows in {log}, {len(live)} messages")
-        owner = self._owner(following.meta, following.ballot, None)
+        log_line(f"copies: took over log {log}, {len(live)} messages")
+        owner = self._owner(takeover.meta, takeover.ballot, None)
         for name, copy in live.items():
             owner.adopt(name, copy, now_us)
         self._host.adopted(log, live)
         owner.flush(now_us)
 
-    def _stopped(self, owner: Owner, by: Ballot) -> None:
-        """Another relay owns a log of this one's."""
+    def _superseded(self, owner: Owner, by: Ballot) -> None:
+        """Another relay has taken over a log of this one's."""
         log = owner.meta.log
         if self.owners.get(log) is owner:
             del self.owners[log]
-        for need, newest in list(self.newest.items()):
+        for write_quorum, newest in list(self.newest.items()):
             if newest == log:
-                del self.newest[need]
+                del self.newest[write_quorum]
         known, kept = owner.known(), True
-        say(f"copies: {by[1]} follows this relay in {log}, {len(known)} messages")
-        if owner.ballot == owner.meta.first:
+        log_line(f"copies: fenced: {by[1]} has taken over log {log}, {len(known)} messages")
+        if owner.ballot == owner.meta.origin_ballot:
             try:
-                self.holder.keep(owner.meta, by, known)
+                self.holder.hold_superseded(owner.meta, by, known)
             except OSError as error:
-                say(f"copies: what {log} held is not kept for others: {error}")
+                log_line(f"copies: the state of {log} could not be stored for its new owner: {error}")
                 kept = False
-        self._host.followed(log, list(known), kept)
+        self._host.superseded(log, list(known), kept)
 
     # Time.
 
     def tick(self, now_us: int) -> None:
-        """Do what time asks for; to be called some times a second."""
+        """Run timeouts, retries and take-overs; call several times a second."""
         if now_us - self._beat_us >= BEAT_US:
             self._beat_us = now_us
-            for name, it in self.neighbours.items():
-                if it.linked:
-                    self._tell_water(name)
+            for name, peer in self.peers.items():
+                if peer.linked:
+                    self._send_watermark(name)
             before_ms = self._host.wall_ms() - int(self.fleet.remember_s * 1000)
-            self.holder.forget(before_ms)
+            self.holder.expire(before_ms)
             for owner in self.owners.values():
-                owner.forget(before_ms)
+                owner.expire(before_ms)
         for owner in list(self.owners.values()):
             owner.tick(now_us)
-        for log, following in list(self.followings.items()):
-            if now_us > following.until_us:
-                del self.followings[log]
-                self._later(log, now_us)
+        for log, takeover in list(self.takeovers.items()):
+            if now_us > takeover.until_us:
+                del self.takeovers[log]
+                self._delay_takeover(log, now_us)
         if not self.confirmed:
             self._confirm(now_us)
-        for of in self._suspects(now_us) if self.confirmed else ():
-            self.follow(of.meta, now_us)
+        for held_log in self._takeover_candidates(now_us) if self.confirmed else ():
+            self.start_takeover(held_log.meta, now_us)
 
-    def _suspects(self, now_us: int) -> Iterator[Holding]:
-        """Logs whose owner may be followed by now."""
-        present = {name for name, it in self.neighbours.items() if it.linked}
+    def _takeover_candidates(self, now_us: int) -> Iterator[HeldLog]:
+        """Logs whose owner this relay may try to replace by now."""
+        present = {name for name, peer in self.peers.items() if peer.linked}
         suspect_us, stagger_us = int(self.fleet.suspect_s * 1e6), int(self.fleet.stagger_s * 1e6)
-        for log, of in list(self.holder.logs.items()):
-            if log in self.followings or log in self.owners or now_us < self._retry_us.get(log, 0):
+        for log, held_log in list(self.holder.logs.items()):
+            if log in self.takeovers or log in self.owners or now_us < self._retry_us.get(log, 0):
                 continue
-            if not any(copy.live for copy in of.copies.values()):
+            if not any(copy.live for copy in held_log.copies.values()):
                 continue
-            since = self._silent_since(of.meta, of, now_us)
-            mine = of.owner[0] == self.name
-            due = due_us(of, self.name, present, since, 0 if mine else suspect_us, stagger_us)
+            since = self._inactive_since(held_log.meta, held_log, now_us)
+            mine = held_log.owner[0] == self.name
+            due = takeover_due_us(held_log, self.name, present, since, 0 if mine else suspect_us, stagger_us)
             if due is not None and due <= now_us:
-                yield of
+                yield held_log
 
     def leave(self) -> None:
-        """Tell all others that this relay goes: they may follow it at once."""
-        for name, it in self.neighbours.items():
-            if it.linked:
+        """Announce a clean shutdown, so that other relays may take over without waiting."""
+        for name, peer in self.peers.items():
+            if peer.linked:
                 self._send(name, ["leave", None])
 
     def retire(self) -> None:
-        """Let go of older logs in which nothing is owed."""
+        """Delete older logs that have no live messages."""
         for log, owner in list(self.owners.items()):
-            # Guards against one that was away, and finds others that have forgotten what ended there.
+            # Guards against a holder that was away and still has as live what all others have forgotten.
             if owner.done and owner.settled and log not in self.newest.values() and owner.state is State.OPEN:
                 del self.owners[log]
-                for name in owner.peers:
+                for name in owner.holders:
                     self._send(name, ["drop", log])
 
 
-__all__ = ["Host", "Kind", "Machine", "Neighbour"]
+__all__ = ["Host", "Kind", "Machine", "PeerStatus"]
--- a/amberlug/copies/service.py
+++ b/amberlug/copies/service.py
@@ -1,4 +1,4 @@
-"""Copies as a part of the daemon: wires links, disk and machine by an operator's file."""
+"""Replication as a component of the daemon: connects links, storage and state machine by the fleet file."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from pathlib import Path
 from typing import Any
 
-from amberlug.copies.journal import CopiedJournal
+from amberlug.copies.journal import ReplicatedJournal
 from amberlug.copies.store import CopyStore, DamagedError
 from amberlug.core.journal import FolderDisk, Journal
 from amberlug.core.log import log
@@ -20,14 +20,14 @@
 from amberlug.peers.links import Links
 from amberlug.policy.interface import Settings
 
-FOLDER = "copies"  # within the state folder
-TICK = 0.05  # seconds: a holder that is slow is passed over after some of them
-TIDY = 1.0
-LEAVE = 0.05  # seconds for the last word to go out
+FOLDER = "copies"  # within the state directory
+TICK_S = 0.05  # seconds between timer calls; a slow holder is bypassed after some of them
+MAINTENANCE_S = 1.0
+LEAVE_S = 0.05  # seconds for the shutdown announcement to be sent
 
 
-class Copies:
-    """All of it, beside a node that others have made. Errors as `fleets.load` has them, and of the folder."""
+class ReplicationService:
+    """Replication for one node. Raises what `fleets.load` raises, and `OSError` for the state directory."""
 
     def __init__(self, path: Path, state: Path, settings: Settings, clock: Clock) -> None:
         self._fleet = fleets.load(path)
@@ -36,10 +36,10 @@
             raise ValueError(f"{path}: classes.{unknown[0]}: no such class")
         self._state, self._settings, self._clock = state, settings, clock
         self._tasks: list[asyncio.Task[None]] = []
-        self._woken = False
+        self._flush_scheduled = False
 
-    def journal(self, inner: Journal) -> CopiedJournal:
-        """Take the place of the journal."""
+    def journal(self, inner: Journal) -> ReplicatedJournal:
+        """Wrap the node's journal."""
         self._inner = inner
         self._open()
         return self._journal
@@ -51,11 +51,11 @@
         try:
             store = self._store(folder)
         except DamagedError as error:
-            # Guards against a holder that others count on and that has lost a part: it comes as another one.
-            log(f"copies: {error}: this folder begins anew")
-            self._begin_anew(folder)
+            # Guards against a holder that has lost data other relays count on: it gets a new incarnation.
+            log(f"copies: {error}: starting with an empty directory and a new incarnation")
+            self._clear_folder(folder)
             store, fresh = self._store(folder), True
-        self._journal = CopiedJournal(
+        self._journal = ReplicatedJournal(
             self._inner,
             self._fleet,
             identity.incarnation(folder),
@@ -71,96 +71,96 @@
         room = int(self._fleet.room_mb * 1e6)
         return CopyStore(FolderDisk(folder), room, len(self._fleet.members) - 1)
 
-    def _begin_anew(self, folder: Path) -> None:
-        """Forget all that was held, and be another incarnation."""
+    def _clear_folder(self, folder: Path) -> None:
+        """Delete everything held; the next incarnation is a new one."""
         shutil.rmtree(folder)
         folder.mkdir()
 
     async def start(self, node: Node) -> None:
-        """Make links and go on; `OSError` where the address can't be used."""
+        """Start the links and timers; `OSError` if the listen address can't be used."""
         self._node = node
         self._journal.adopt, self._journal.relinquish = node.adopt, node.relinquish
-        self._journal.renew, self._journal.wake = self._renew, self._wake
+        self._journal.restart_required, self._journal.outgoing_ready = self._restart, self._schedule_flush
         machine = self._journal.machine
         self._links = Links(
-            self._fleet, machine.incarnation, self._journal.water, self._receive, self._changed
+            self._fleet, machine.incarnation, self._journal.watermark, self._receive, self._link_changed
         )
         await self._links.start()
         self._tasks = [asyncio.get_running_loop().create_task(self._run())]
 
     async def _run(self) -> None:
         loop = asyncio.get_running_loop()
-        tidy_at = loop.time() + TIDY
+        maintenance_at = loop.time() + MAINTENANCE_S
         while True:
-            await asyncio.sleep(TICK)
-            self._links.look()
+            await asyncio.sleep(TICK_S)
+            self._links.check_links()
             self._journal.tick()
-            if loop.time() >= tidy_at:
-                tidy_at = loop.time() + TIDY
-                self._journal.tidy()
+            if loop.time() >= maintenance_at:
+                maintenance_at = loop.time() + MAINTENANCE_S
+                self._journal.run_maintenance()
             self._send()
 
-    def _wake(self) -> None:
-        """Have what was recorded sent at the end of this turn of the loop."""
-        if not self._woken:
-            self._woken = True
+    def _schedule_flush(self) -> None:
+        """Schedule sending at the end of this event loop iteration."""
+        if not self._flush_scheduled:
+            self._flush_scheduled = True
             asyncio.get_running_loop().call_soon(self._flush)
 
     def _flush(self) -> None:
-        self._woken = False
+        self._flush_scheduled = False
         now_us = self._clock.now_us()
         for owner in list(self._journal.machine.owners.values()):
             owner.flush(now_us)
         self._send()
 
     def _send(self) -> None:
-        """Put what the machine has to say on its way; what it tells itself arrives at once."""
+        """Hand queued messages to the links; messages to this relay itself are delivered at once."""
         machine = self._journal.machine
         while machine.out:
             out, machine.out = machine.out, []
             for name, message in out:
                 if name == machine.name:
                     machine.receive(
-                        name, machine.incarnation, self._journal.water(), message, self._clock.now_us()
+                        name, machine.incarnation, self._journal.watermark(), message, self._clock.now_us()
                     )
                 else:
                     self._links.send(name, message)
 
-    def _receive(self, name: str, incarnation: str, water: Sequence[int], message: Any) -> None:
-        self._journal.machine.receive(name, incarnation, water, message, self._clock.now_us())
-        self._wake()
+    def _receive(self, name: str, incarnation: str, watermark: Sequence[int], message: Any) -> None:
+        self._journal.machine.receive(name, incarnation, watermark, message, self._clock.now_us())
+        self._schedule_flush()
 
-    def _changed(self, name: str, incarnation: str | None) -> None:
+    def _link_changed(self, name: str, incarnation: str | None) -> None:
         machine, now_us = self._journal.machine, self._clock.now_us()
         if incarnation is None:
             machine.disconnected(name, now_us)
         else:
             machine.connected(name, incarnation, now_us)
-        self._wake()
+        self._schedule_flush()
 
-    def _renew(self) -> None:
-        """Begin anew: what the folder says is older than what others have seen of it."""
-        log("copies: this relay begins anew, under another incarnation; others go on with what it held")
+    def _restart(self) -> None:
+        """Restart as a new incarnation: other relays have seen a newer state of this directory."""
+        log("copies: restarting under a new incarnation; other relays take over what this one held")
         self._disk_store.close()
-        self._begin_anew(self._state / FOLDER)
-        self._tasks.append(asyncio.get_running_loop().create_task(self._again()))
+        self._clear_folder(self._state / FOLDER)
+        self._tasks.append(asyncio.get_running_loop().create_task(self._restart_as_new()))
 
-    async def _again(self) -> None:
+    async def _restart_as_new(self) -> None:
         self._tasks[0].cancel()
         await self._links.stop()
         folder = self._state / FOLDER
         self._disk_store = self._store(folder)
-        self._journal.begin_anew(identity.incarnation(folder), self._disk_store)
+        self._journal.restart_as(identity.incarnation(folder), self._disk_store)
         await self.start(self._node)
 
     async def stop(self) -> None:
-        """Tell the others that this relay goes, so that they go on at once; let go of everything."""
+        """Announce the shutdown, so that other relays take over at once, and release all resources."""
         self._journal.machine.leave()
         self._send()
-        await asyncio.sleep(LEAVE)
+        await asyncio.sleep(LEAVE_S)
         for task in self._tasks:
             task.cancel()
         await self._links.stop()
         with contextlib.suppress(OSError):
-            self._journal.tidy()
+            self._journal.run_maintenance()
         self._disk_store.close()
--- a/amberlug/lab/explore.py
+++ b/amberlug/lab/explore.py
@@ -137,17 +137,19 @@
         machine = relay.machine
         for log, owner in sorted(machine.owners.items()):
             waiting = [
-                (name, [(it.kind, it.told, sorted(it.sent), sorted(it.had)) for it in entries])
+                (name, [(it.kind, it.fields, sorted(it.sent_to), sorted(it.acked_by)) for it in entries])
                 for name, entries in sorted(owner._waiting.items())
             ]
-            peers = [(name, it.opened, it.away_since_us, len(it.out)) for name, it in owner.peers.items()]
-            copies = [(name, it.packed()) for name, it in sorted(owner.copies.items())]
-            told.append((log, owner.ballot, owner.state, waiting, peers, copies))
+            holders = [
+                (name, it.opened, it.away_since_us, len(it.in_flight)) for name, it in owner.holders.items()
+            ]
+            copies = [(name, it.encoded()) for name, it in sorted(owner.copies.items())]
+            told.append((log, owner.ballot, owner.state, waiting, holders, copies))
         for log, of in sorted(machine.holder.logs.items()):
-            copies = [(name, it.packed()) for name, it in sorted(of.copies.items())]
-            told.append((log, of.promised, of.left, of.serving, copies))
-        follows = [(log, it.ballot, sorted(it._answers)) for log, it in sorted(machine.followings.items())]
-        near = [(it.incarnation, it.linked, it.heard_us) for _, it in sorted(machine.neighbours.items())]
+            copies = [(name, it.encoded()) for name, it in sorted(of.copies.items())]
+            told.append((log, of.promised, of.owner_left, of.opened_by_owner, copies))
+        follows = [(log, it.ballot, sorted(it._progress)) for log, it in sorted(machine.takeovers.items())]
+        near = [(it.incarnation, it.linked, it.heard_us) for _, it in sorted(machine.peers.items())]
         told.append((name, sorted(relay.doing.items()), machine.confirmed, follows, near))
     told.append((sorted(world.flying.items()), sorted(world.cut), world.now_us))
     told.append((sorted(world.checker.promised), sorted(world.checker.calls.items())))
--- a/amberlug/peers/identity.py
+++ b/amberlug/peers/identity.py
@@ -1,4 +1,4 @@
-"""The identity of a folder: a relay that comes back with an empty one is another incarnation of its name."""
+"""The incarnation of a state directory: a relay that restarts with an empty one gets another incarnation."""
 
 from __future__ import annotations
 
@@ -8,22 +8,23 @@
 from pathlib import Path
 
 FILE = "incarnation"
-_FORM = re.compile(r"[0-9a-f]{16}")
+_PATTERN = re.compile(r"[0-9a-f]{16}")
 
 
 def incarnation(folder: Path) -> str:
-    """The folder's own word, drawn when first asked for; `OSError`, or `ValueError` where it is damaged."""
+    """The directory's incarnation, drawn on first use; `OSError`, or `ValueError` if its file is damaged."""
     path = folder / FILE
     try:
         text = path.read_text(encoding="ascii", errors="replace").strip()
     except FileNotFoundError:
         text = secrets.token_hex(8)
-        new = folder / f"{FILE}.new"
-        with new.open("w", encoding="ascii") as file:
+        temporary = folder / f"{FILE}.new"
+        with temporary.open("w", encoding="ascii") as file:
             file.write(text)
             file.flush()
-            os.fsync(file.fileno())  # what others promise to this word must not be promised to another one
-        new.replace(path)
-    if not _FORM.fullmatch(text):
-        raise ValueError(f"{path}: no incarnation: {text[:40]!r}")
+            # Synced before use: a crash must not change an incarnation that others already made promises to.
+            os.fsync(file.fileno())
+        temporary.replace(path)
+    if not _PATTERN.fullmatch(text):
+        raise ValueError(f"{path}: malformed incarnation: {text[:40]!r}")
     return text
