--- a/amberlug/cluster/dispatch/call_outcome.py
+++ b/amberlug/cluster/dispatch/call_outcome.py
@@ -1,4 +1,4 @@
-"""What the result of a call means for its message. No I/O."""
+"""Maps the result of an endpoint call to its effect on the message. No I/O."""
 
 from __future__ import annotations
 
@@ -7,10 +7,10 @@
 from amberlug.cluster.storage.outcomes import DEAD_OUTCOME, DONE_OUTCOME, MessageOutcome
 from amberlug.cluster.values import value
 
-MIN_RETRY_S = 0.02  # a usual call takes as long: an endpoint that restarts is found soon after
-MAX_RETRY_S = 0.5  # of the exponential backoff: below the time in which endpoints come back
+MIN_RETRY_S = 0.02  # the duration of a typical call, so that a restarted endpoint is found quickly
+MAX_RETRY_S = 0.5  # cap of the exponential backoff; shorter than a typical endpoint restart
 MAX_BACKOFF_EXPONENT = 8
-STILL_RUNNING_RETRY_S = 0.05  # the endpoint has an earlier call of the same attempt under way
+STILL_RUNNING_RETRY_S = 0.05  # the endpoint is still executing an earlier call of the same attempt
 
 NOT_EXECUTED_HEADER = "amberlug-not-executed"
 ATTEMPT_HEADER = "amberlug-attempt-id"
@@ -19,23 +19,23 @@
 
 @value
 class CallOutcome:
-    """What a call did to its message."""
+    """The effect of one call on its message."""
 
-    end: str = ""  # `done` or `dead`; empty where the message is called again
-    seal: str = ""  # the endpoint's seal of the success
+    end: str = ""  # `done` or `dead`; empty if the message is to be retried
+    seal: str = ""  # the receipt that the endpoint returned on success
     is_failure: bool = False  # the call counts as a failed attempt
     retry_delay_s: float = 0.0
 
     @property
     def message_outcome(self) -> MessageOutcome:
-        """How the message ended; open where it is called again."""
+        """The final outcome of the message, or open if it is to be retried."""
         return MessageOutcome(self.end, self.seal)
 
 
 def judge(message: Message, result: CallResult, max_attempts: int) -> CallOutcome:
-    """Read the response of an endpoint. Only one that names the message's attempt is trusted.
+    """Evaluate the result of a call. A response is trusted only if it echoes the message's attempt id.
 
-    :param max_attempts: failed attempts after which the message is dead.
+    :param max_attempts: number of failed attempts after which the message is dead.
     """
     if result.verdict is not CallVerdict.ANSWERED:
         return CallOutcome()
--- a/amberlug/cluster/dispatch/delivery_queue.py
+++ b/amberlug/cluster/dispatch/delivery_queue.py
@@ -1,4 +1,4 @@
-"""Messages that wait: for their time, and for the messages before them with the same sequence key. No I/O."""
+"""Queue of messages that wait for their due time or for earlier messages of their sequence key. No I/O."""
 
 from __future__ import annotations
 
@@ -12,25 +12,25 @@
 
 
 class DeliveryQueue:
-    """The open messages of owned shards.
+    """The open messages of the shards owned by this edge.
 
-    Invariant: of messages with the same sequence key only the first one is given to `on_ready`, and no call
-    of another one is in flight then.
+    Invariant: among messages with the same sequence key, only the first one is passed to `on_ready`, and only
+    while no call of another one is in flight.
 
-    :param on_ready: called with a message once it is due and the first of its key.
+    :param on_ready: called with each message once it is due and is the first of its key.
     """
 
     def __init__(self, runtime: Runtime, on_ready: Callable[[Message], None]) -> None:
         self._runtime, self._on_ready = runtime, on_ready
         self.messages: dict[str, Message] = {}  # by id
-        self._by_key: dict[str, list[Message]] = {}  # by sequence key: the open messages in their order
+        self._by_key: dict[str, list[Message]] = {}  # by sequence key: the open messages in order
         self._scheduled: list[tuple[float, int, Message]] = []  # a heap: due time, tie-breaker, message
         self._tie_breakers = itertools.count()
         self._timer: TimerHandle | None = None
 
     def add(self, message: Message) -> None:
-        """Add a message that is not in the queue."""
-        assert message.id not in self.messages, "a message is queued twice"
+        """Add a message that is not in the queue yet."""
+        assert message.id not in self.messages, "message is already queued"
         self.messages[message.id] = message
         if message.sequence_key:
             same_key = self._by_key.setdefault(message.sequence_key, [])
@@ -65,28 +65,28 @@
             self._set_timer(self._scheduled[0][0] - now)
 
     def _offer(self, message: Message) -> None:
-        """Give a due message to `on_ready`, unless it left the queue or is not the first of its key."""
+        """Pass a due message to `on_ready` unless it has left the queue or is not the first of its key."""
         if self.messages.get(message.id) is not message or message.ended or message.in_flight:
             return
         same_key = self._by_key.get(message.sequence_key, []) if message.sequence_key else []
         if same_key and (same_key[0] is not message or any(queued.in_flight for queued in same_key)):
-            return  # it is offered once those before it have ended
+            return  # offered again once the earlier messages of its key have ended
         self._on_ready(message)
 
     def requeue(self, message: Message) -> None:
-        """Offer a message once more whose call did not end it."""
+        """Offer a message again after a call that did not end it."""
         message.in_flight = False
         if self.messages.get(message.id) is message and not message.ended:
-            # One that was admitted before it may have been added meanwhile, and waited for this call to end.
+            # A message with an earlier position may have been added during the call and waits for its end.
             self._schedule(self._by_key[message.sequence_key][0] if message.sequence_key else message)
 
     def end(self, message: Message) -> None:
-        """Remove a message that has ended; the next one of its key may begin."""
+        """Remove a message that has ended, and offer the next one of its key."""
         message.ended = True
         self.drop(message)
 
     def drop(self, message: Message) -> None:
-        """Remove a message, if it is in the queue."""
+        """Remove a message if it is in the queue."""
         if self.messages.get(message.id) is not message:
             return
         del self.messages[message.id]
--- a/amberlug/cluster/dispatch/dispatcher.py
+++ b/amberlug/cluster/dispatch/dispatcher.py
@@ -1,7 +1,8 @@
-"""Sends the due messages of one service, within its rate and the slots of its endpoints. No I/O.
+"""Dispatches the due messages of one service within its rate limit and endpoint slots. No I/O.
 
-The rate is kept by `amberlug.policy.account`: c + r + u <= M, where M units fit into a sliding window, c are
-consumed in it, r reserved by calls in flight, and u of unknown fate.
+`amberlug.policy.account` enforces the rate limit as c + r + u <= M over a sliding window, where M is the
+number of units allowed, c those consumed, r those reserved by calls in flight, and u those of unknown
+outcome.
 """
 
 from __future__ import annotations
@@ -30,32 +31,32 @@
 from amberlug.policy.account import SECOND, WINDOW_US, Account
 from amberlug.policy.interface import Effect
 
-MAX_CALLS = 1024  # in flight for one service at one edge
-TIMEOUT_SLACK_S = 0.15  # beyond the time that an endpoint is given, for its response to arrive
-MIN_TIMER_S = 0.001  # also the least that the timer is late, so that what it waits for has come
+MAX_CALLS = 1024  # calls in flight for one service at one edge
+TIMEOUT_SLACK_S = 0.15  # added to the endpoint's own timeout, for its response to arrive
+MIN_TIMER_S = 0.001  # also added to a backoff's end, so that it has passed when the timer fires
 _MESSAGE = message_class("deferred", Effect.UNSAFE, deadline=2.0)
-_SETTINGS = settings([_MESSAGE], slots=MAX_CALLS)  # one relay: the use by other edges is accounted elsewhere
+_SETTINGS = settings([_MESSAGE], slots=MAX_CALLS)  # `quota_share` accounts for other edges
 
 
 @dataclass(slots=True, eq=False)
 class InFlightCall:
-    """A call that has not ended."""
+    """A call in progress."""
 
     message: Message
     endpoint: Endpoint
-    start_us: int  # by the steady clock
+    start_us: int  # monotonic clock
 
 
 @value
 class DispatchCallbacks:
-    """What a dispatcher is given by the owner of the messages."""
+    """Callbacks that the owner of the messages passes to a dispatcher."""
 
-    timeout_s: Callable[[Message], float]  # for an endpoint to respond
-    on_result: Callable[[Message, CallResult], None]  # a call ended
+    timeout_s: Callable[[Message], float]  # time that an endpoint has to respond
+    on_result: Callable[[Message, CallResult], None]  # called when a call has ended
 
 
 class Dispatcher:
-    """The due messages of one service, those of the highest precedence first, then those due first."""
+    """Dispatches the due messages of one service, ordered by precedence and then by due time."""
 
     def __init__(
         self,
@@ -68,30 +69,30 @@
         self.name, self._runtime, self._pool, self._endpoints = name, runtime, pool, endpoints
         self._callbacks = callbacks
         self._account = Account(_SETTINGS, None)
-        self._backlog: list[tuple[int, float, int, Message]] = []  # a heap: rank, due time, tie-breaker
-        self.calls: dict[InFlightCall, None] = {}  # ordered as a set by their start
-        self.has_fixed_address = False  # its one endpoint has no id of its own
+        self._backlog: list[tuple[int, float, int, Message]] = []  # a heap by rank and due time
+        self.calls: dict[InFlightCall, None] = {}  # an ordered set: calls by start time
+        self.has_fixed_address = False  # the service has a single endpoint without a published id
         self._tie_breakers = itertools.count()
         self._timer: TimerHandle | None = None
 
     def set_rate(self, rate: float, quota_share: float) -> None:
-        """Spend a share of the service's rate, so that all edges together keep it.
+        """Set the part of the service's rate limit that this edge may use.
 
-        :param rate: calls a second; 0 for no limit.
-        :param quota_share: this edge's share, above 0 and at most 1.
+        :param rate: calls per second over all edges; 0 for no limit.
+        :param quota_share: the fraction of it for this edge, above 0 and at most 1.
         """
         units = rate * quota_share if rate > 0 else float("inf")
         account = self._account
         account.window = WINDOW_US
         if 1.0 < units < float("inf"):
-            # Only whole units are spent: 1.6 in a window would be one, so the window has two of 1.25 s.
+            # Only whole units are consumed: 1.6 per window would round down to 1, so use 2 per 1.25 windows.
             account.window = int(WINDOW_US * math.ceil(units) / units)
             units = math.ceil(units)
         account.units = units
         account.stretched = int(account.window / min(1.0, units))
 
     def add(self, message: Message) -> None:
-        """Send a message, which is due and the first of its key, as soon as it may be sent."""
+        """Queue a message that is due and the first of its key, and send it as soon as possible."""
         heapq.heappush(self._backlog, (message.rank, message.due_at, next(self._tie_breakers), message))
         self.send_due()
 
@@ -99,7 +100,7 @@
         return int(self._runtime.now() * SECOND)
 
     def send_due(self) -> None:
-        """Send the messages that rate and endpoints allow now; the others follow as these change."""
+        """Send as many queued messages as the rate limit and the endpoints allow now."""
         while self._backlog:
             message = self._backlog[0][3]
             if message.ended or message.in_flight or message.service != self.name:
@@ -133,7 +134,7 @@
         self.send_due()
 
     def _call(self, message: Message, endpoint: Endpoint, now_us: int) -> None:
-        assert message.body is not None, "a call has a body"
+        assert message.body is not None, "body of the message is not loaded"
         timeout_s = self._callbacks.timeout_s(message)
         call = InFlightCall(message, endpoint, now_us)
         self._account.reserved[call] = None
@@ -166,7 +167,7 @@
         return tuple(headers)
 
     def _on_result(self, call: InFlightCall, result: CallResult) -> None:
-        """Turn the reservation of a call into a consumption, at the time of the call's start."""
+        """Convert a call's reserved unit to a consumed one, dated at the start of the call."""
         del self.calls[call]
         del self._account.reserved[call]
         call.endpoint.calls_in_flight -= 1
@@ -183,15 +184,15 @@
         self.send_due()
 
     def _learn(self, call: InFlightCall, result: CallResult) -> None:
-        """Learn from a response: of a restarted endpoint, of a full one, or how long calls take."""
+        """Update the state of endpoint and rate limit from a response."""
         now_us = self._now_us()
         if result.status == 421:
-            call.endpoint.condition = EndpointCondition.GONE  # another incarnation has its address
+            call.endpoint.condition = EndpointCondition.GONE  # another incarnation now uses its address
             self._endpoints.close_idle_connections(call.endpoint.address)
         elif result.status == 503:
-            # A full endpoint says something of its slots at that moment, and nothing of the service's rate.
-            # Guards against a limit of a few units learned in the burst after a start, which kept edges
-            # back for ten seconds.
+            # 503 tells about the endpoint's slots at that moment, not about the service's rate. If it also
+            # lowered the learned rate, the burst after a start would throttle edges to a few units for ten
+            # seconds.
             call.endpoint.on_full(self._runtime.now())
         elif result.status == 429:
             call.endpoint.on_full(self._runtime.now())
--- a/amberlug/cluster/dispatch/endpoint_client.py
+++ b/amberlug/cluster/dispatch/endpoint_client.py
@@ -1,4 +1,4 @@
-"""Calls of endpoints over pooled connections, on the HTTP client connection of `amberlug.http`."""
+"""Calls endpoints over pooled connections, using the HTTP client connection of `amberlug.http`."""
 
 from __future__ import annotations
 
@@ -13,9 +13,9 @@
 
 CONNECT_TIMEOUT_S = 0.7
 MAX_IDLE_PER_ENDPOINT = 8
-IDLE_TIMEOUT_S = 4.0  # of a connection whose endpoint does not say: below the five seconds of usual servers
-IDLE_MARGIN_S = 0.4  # before the endpoint closes it, so that no call meets the close
-MAX_OPEN_ATTEMPTS = 64  # answered on one connection without success; more of them would only use memory
+IDLE_TIMEOUT_S = 4.0  # if the endpoint names none; below the common server default of 5 s
+IDLE_MARGIN_S = 0.4  # closed this long before the endpoint does, to avoid racing with its close
+MAX_OPEN_ATTEMPTS = 64  # unsuccessful attempts remembered per connection; bounds the memory
 _KEEP_ALIVE_TIMEOUT = re.compile(r"timeout=(\d+)")
 
 
@@ -25,20 +25,20 @@
 
     link: Link
     usable_until: float = 0.0  # by the event loop's clock
-    # Attempts that were answered here without success. A duplicate of such a response may still come, and
-    # would pass for the response to the next call of the same attempt: that call takes another connection.
+    # Attempts that got an unsuccessful response on this connection. A duplicate of that response could still
+    # arrive and be mistaken for the response to a retry of the attempt, so retries use another connection.
     open_attempts: set[str] = field(default_factory=set)
 
 
 class EndpointClient:
-    """Calls of endpoints, with idle connections by address."""
+    """An HTTP client for endpoints, with a pool of idle connections per address."""
 
     def __init__(self) -> None:
-        self._idle: dict[str, list[_Connection]] = {}  # the newest last
-        self._tasks: set[asyncio.Task[None]] = set()  # an event loop refers only weakly to its tasks
+        self._idle: dict[str, list[_Connection]] = {}  # by address, the newest last
+        self._tasks: set[asyncio.Task[None]] = set()  # the event loop holds only weak references to its tasks
 
     def available_connections(self, address: str) -> int:
-        """How many idle connections there are to an address, each of which carries one call at a time."""
+        """The number of idle connections to an address; each carries one call at a time."""
         return len(self._idle.get(address, ()))
 
     def close_idle_connections(self, address: str) -> None:
@@ -47,7 +47,7 @@
             connection.link.close()
 
     def sweep(self) -> None:
-        """Close the connections that their endpoint is about to close."""
+        """Close idle connections that are closed or about to be closed by their endpoint."""
         now = asyncio.get_running_loop().time()
         for address, idle in list(self._idle.items()):
             usable = [
@@ -82,7 +82,8 @@
             connection.link.close()
             return CallResult(response)
         if not self.is_response_to(call, response):
-            # It belongs to another call, or to none. The one to this call may follow: no other may get it.
+            # The response belongs to another call or to none. This call's response may still arrive, so the
+            # connection must not be reused.
             connection.link.close()
             return CallResult(CallVerdict.CONNECTION_LOST)
         if not response.headers.get(SEAL_HEADER):
@@ -91,7 +92,7 @@
         return CallResult(CallVerdict.ANSWERED, response.status, tuple(response.headers.items()))
 
     def _pop_idle(self, address: str, attempt: str) -> _Connection | None:
-        """Remove and return the newest connection that may carry a call of this attempt."""
+        """Remove and return the newest idle connection that may carry a call of this attempt."""
         now = asyncio.get_running_loop().time()
         idle = self._idle.pop(address, [])
         passed_over: list[_Connection] = []
@@ -115,7 +116,7 @@
         return _Connection(link) if link is not None else None
 
     async def _exchange(self, link: Link, call: EndpointCall) -> Reply | CallVerdict:
-        """Send a call and read the response, or why there is none."""
+        """Send a call; return the response, or the verdict if there is none."""
         host = next((value for name, value in call.headers if name == "Host"), "")
         headers = [(name, value) for name, value in call.headers if name != "Host"]
         waiter = link.request(call.method, call.target, headers, call.body, host=host)
@@ -130,17 +131,17 @@
 
     @staticmethod
     def _completed_response(waiter: asyncio.Future[Reply]) -> Reply | None:
-        """The response that a stalled process read in the step of the event loop that ran the timeout."""
+        """The response if a stalled process read it in the same event loop iteration as the timeout."""
         is_complete = waiter.done() and not waiter.cancelled() and waiter.exception() is None
         return waiter.result() if is_complete else None
 
     @staticmethod
     def is_response_to(call: EndpointCall, response: Reply) -> bool:
-        """Whether a response is to this call, by the attempt that it names and not by its order."""
+        """Whether a response belongs to this call, judged by its attempt id rather than by its order."""
         return response.headers.get(ATTEMPT_HEADER) == call.attempt_id
 
     def _release(self, address: str, connection: _Connection, headers: dict[str, str]) -> None:
-        """Make a connection idle, or close it where it can carry no further call."""
+        """Return a connection to the pool, or close it if it can carry no further call."""
         if not connection.link.usable or len(connection.open_attempts) >= MAX_OPEN_ATTEMPTS:
             connection.link.close()
             return
--- a/amberlug/cluster/dispatch/endpoint_pool.py
+++ b/amberlug/cluster/dispatch/endpoint_pool.py
@@ -1,4 +1,4 @@
-"""The endpoints of a service as one edge knows them, and which of them gets the next call. No I/O."""
+"""The endpoints known to one edge, and the selection of one for the next call. No I/O."""
 
 from __future__ import annotations
 
@@ -9,21 +9,21 @@
 
 from amberlug.cluster.control.published_state import EndpointCondition, PublishedEndpoint
 
-MIN_BACKOFF_S = 0.25  # an unreachable endpoint gets no calls for so long, doubled each time
-MAX_BACKOFF_S = 4.0  # a restarted endpoint is found within this time also where nothing announces it
-FULL_BACKOFF_S = 0.15  # one that answered that it is full: a few usual calls end in that time
-FIXED_ENDPOINT_SLOTS = 1 << 10  # an endpoint at a fixed address announces none: its service's rate limits it
+MIN_BACKOFF_S = 0.25  # of an unreachable endpoint; doubled with each further failure
+MAX_BACKOFF_S = 4.0  # bounds the time to find a restarted endpoint that is not announced
+FULL_BACKOFF_S = 0.15  # of an endpoint that reported it is full: the duration of a few typical calls
+FIXED_ENDPOINT_SLOTS = 1 << 10  # fixed endpoints announce no slots; only the service's rate limits them
 
-# What an endpoint costs beside its load, which is 1 where all of its slots are used.
-OTHER_ZONE_COST = 0.35  # traffic between zones is expensive
+# Costs added to the load of an endpoint, which is 1.0 if all its slots are in use.
+OTHER_ZONE_COST = 0.35  # cross-zone traffic is expensive
 NEW_CONNECTION_COST = 0.2
 WARMING_UP_COST = 0.3
-SAME_ENDPOINT_COST = 5.0  # the endpoint of the last call: a retry goes to another one where there is any
+SAME_ENDPOINT_COST = 5.0  # the endpoint of the previous call: retries prefer another one
 
 
 @dataclass(slots=True, eq=False)
 class Endpoint:
-    """One incarnation of an endpoint. Times are seconds of the steady clock."""
+    """One incarnation of an endpoint. Times are monotonic, in seconds."""
 
     id: str
     service: str
@@ -31,13 +31,13 @@
     zone: str
     slots: int
     condition: str = EndpointCondition.READY
-    calls_in_flight: int = 0  # of this edge
+    calls_in_flight: int = 0  # from this edge only
     backoff_until: float = 0.0
-    failures: int = 0  # calls in succession that did not reach it
-    warm_at: float = 0.0  # it is slow until then, after its start
+    failures: int = 0  # consecutive calls that did not reach it
+    warm_at: float = 0.0  # end of its warm-up after a start
 
     def is_usable(self, now: float) -> bool:
-        """Whether it may get a call now."""
+        """Whether it can take a call now."""
         return (
             self.condition == EndpointCondition.READY
             and self.backoff_until <= now
@@ -45,25 +45,25 @@
         )
 
     def on_unreachable(self, now: float) -> None:
-        """Back off exponentially: it could not be reached, or did not respond in time."""
+        """Back off exponentially after a failed connection or a timeout."""
         self.backoff_until = now + min(MAX_BACKOFF_S, MIN_BACKOFF_S * 2**self.failures)
         self.failures += 1
 
     def on_full(self, now: float) -> None:
-        """Back off for a moment: it answered that it takes no call now."""
+        """Back off briefly after it reported that it accepts no call now."""
         self.backoff_until = now + FULL_BACKOFF_S
 
     def on_response(self) -> None:
-        """Note that it is reachable."""
+        """Reset the failure count after any response."""
         self.failures = 0
 
 
 class EndpointPool:
-    """All endpoints that are known.
+    """All known endpoints.
 
     :param zone: the zone of this edge.
-    :param rng: decides between endpoints of the same cost.
-    :param idle_connections: how many idle connections there are to an address.
+    :param rng: breaks ties between endpoints of equal cost.
+    :param idle_connections: returns the number of idle connections to an address.
     """
 
     def __init__(self, zone: str, rng: random.Random, idle_connections: Callable[[str], int]) -> None:
@@ -72,9 +72,9 @@
         self._by_service: dict[str, dict[str, Endpoint]] = {}
 
     def update(self, endpoint_id: str, published: PublishedEndpoint, now: float) -> Endpoint | None:
-        """Use what is published of an endpoint now.
+        """Apply the newest published state of an endpoint.
 
-        :returns: the endpoint where it gets no more calls, None where it does or was not known.
+        :returns: the endpoint if it must not be called any more; None if it may be called or was not known.
         """
         endpoint = self._by_id.get(endpoint_id)
         if endpoint is None:
@@ -118,9 +118,9 @@
         self._by_service.get(endpoint.service, {}).pop(endpoint.id, None)
 
     def set_fixed(self, service: str, address: str | None) -> None:
-        """Have a service be the single endpoint at an address, which nobody announces.
+        """Set or clear the single unannounced endpoint of a service.
 
-        :param address: None where the service's endpoints are announced.
+        :param address: its address; None if the service's endpoints are announced.
         """
         endpoint_id = f"fixed {service}"
         endpoint = self._by_id.get(endpoint_id)
@@ -131,15 +131,15 @@
             self._add(Endpoint(endpoint_id, service, address, self._zone, FIXED_ENDPOINT_SLOTS))
 
     def pick(self, service: str, now: float, last_endpoint_id: str = "") -> Endpoint | None:
-        """The usable endpoint of the least cost, as far as this edge knows; None where none is usable.
+        """Select the usable endpoint with the lowest cost; None if there is none.
 
-        :param last_endpoint_id: where the message was called last.
+        :param last_endpoint_id: the endpoint of the message's previous call.
         """
         best: Endpoint | None = None
         least = (math.inf, 0.0)
         for endpoint in self._by_service.get(service, {}).values():
-            # No slots are set aside for other edges: clients distribute unevenly over edges, and an endpoint
-            # that is full answers so at once.
+            # No slots are reserved for other edges: clients are unevenly distributed over the edges, and a
+            # full endpoint rejects calls immediately.
             if endpoint.is_usable(now):
                 score = self._cost(endpoint, now, last_endpoint_id), self._rng.random()
                 if score < least:
@@ -155,6 +155,6 @@
         return cost
 
     def next_available_at(self, service: str, now: float) -> float | None:
-        """When the backoff of the next endpoint of a service ends; None where none is backed off."""
+        """When the next backoff of an endpoint of a service ends; None if none is backing off."""
         ends = [endpoint.backoff_until for endpoint in self._by_service.get(service, {}).values()]
         return min((end for end in ends if end > now), default=None)
--- a/amberlug/cluster/dispatch/message.py
+++ b/amberlug/cluster/dispatch/message.py
@@ -1,4 +1,4 @@
-"""A message as the owner of its shard keeps it in memory, and the codec of its stored metadata."""
+"""The in-memory representation of a message at its shard's owner, and the codec of its stored metadata."""
 
 from __future__ import annotations
 
@@ -13,18 +13,18 @@
 
 
 class SequencePosition(NamedTuple):
-    """Where a message stands among the messages of its sequence key; positions compare in that order."""
+    """The position of a message in the order of its sequence key; positions are comparable."""
 
     epoch: int  # of the owner that admitted the message
-    number: int  # counts what that owner admitted in the shard during its epoch
+    number: int  # counts the messages that this owner admitted to the shard in its epoch
 
 
-FIRST_POSITION = SequencePosition(0, 0)  # of a message that no owner has admitted yet
+FIRST_POSITION = SequencePosition(0, 0)  # of a message that has not been admitted yet
 
 
 @dataclass(slots=True, eq=False)
 class Message:
-    """One message that was admitted, or is about to be. Times are seconds of the wall clock."""
+    """A message that is admitted or being admitted. Times are wall-clock, in seconds."""
 
     id: str
     shard: int
@@ -33,28 +33,28 @@
     method: str
     target: str
     route: str
-    sequence_key: str  # the sequence key; empty where no order is asked for
+    sequence_key: str  # empty if no ordering is requested
     accepted_at: float  # when it arrived at an edge
-    due_at: float  # no delivery before it
+    due_at: float  # it is not delivered earlier
     headers: Headers = ()
-    body: bytes | None = b""  # None while it has to be read from a replica
+    body: bytes | None = b""  # None until it is read from a replica
     body_bytes: int = 0
     position: SequencePosition = FIRST_POSITION
-    holders: set[str] = field(default_factory=set)  # disks that acknowledged their replica
-    possible_holders: set[str] = field(default_factory=set)  # disks that may have one
-    keep_until: float = 0.0  # its outcome is kept until then at least
-    failures: int = 0  # responses that count as failed attempts
+    holders: set[str] = field(default_factory=set)  # disks that acknowledged a replica
+    possible_holders: set[str] = field(default_factory=set)  # disks that may have a replica
+    keep_until: float = 0.0  # the earliest time at which its outcome may be deleted
+    failures: int = 0  # number of failed attempts
     call_count: int = 0
-    in_flight: bool = False  # a call of it is in flight, here or at the previous owner
+    in_flight: bool = False  # a call is in flight, here or at the previous owner
     ended: bool = False
     service: str = ""
     rank: int = 0  # the route's precedence
     outcome: MessageOutcome = OPEN
     config_index: int = 0  # log index of the newest configuration at the edge that admitted it
-    last_endpoint_id: str = ""  # where it was called last
+    last_endpoint_id: str = ""  # the endpoint of the latest call
 
     def encode_metadata(self) -> MessageMetadata:
-        """Encode what is stored beside the body; the keys are the format of the stored rows."""
+        """Encode the metadata stored with the body; the keys are part of the storage format."""
         return {
             "a": self.attempt_id,
             "h": self.host,
@@ -72,11 +72,11 @@
     def decode(
         cls, message_id: str, shard: int, metadata: MessageMetadata, body: bytes | None, body_bytes: int
     ) -> Self:
-        """Decode a message from what `encode_metadata` encoded.
+        """Decode a message from the result of `encode_metadata`.
 
-        :param body: the body, or None where it was not sent along.
-        :param body_bytes: bytes of the body, also where it was not sent along.
-        :raises KeyError: where a field is missing.
+        :param body: the body, or None if it was not included.
+        :param body_bytes: the size of the body, also if it was not included.
+        :raises KeyError: if a field is missing.
         """
         return cls(
             message_id,
@@ -97,17 +97,17 @@
 
 
 def shard_of(sequence_key: str, count: int) -> int:
-    """The shard of a sequence key, out of so many."""
+    """The shard that a sequence key belongs to, out of `count` shards."""
     return zlib.crc32(sequence_key.encode()) % count
 
 
 def name_of(shard: int, attempt_id: str) -> str:
-    """The id of a message. It carries the shard, so that any edge finds the owner without a lookup."""
+    """The id of a message. It contains the shard so that any edge finds the owner without a lookup."""
     return f"{shard:x}-{attempt_id}"
 
 
 def shard_in(message_id: str) -> int:
-    """The shard that a message id carries; -1 where the id is none that `name_of` made."""
+    """The shard number contained in a message id; -1 if the id is malformed."""
     digits, separator, _ = message_id.partition("-")
     try:
         return int(digits, 16) if separator and len(digits) <= MAX_SHARD_DIGITS else -1
--- a/amberlug/cluster/dispatch/messages.py
+++ b/amberlug/cluster/dispatch/messages.py
@@ -1,4 +1,4 @@
-"""The messages between edge nodes: submissions to a shard's owner, handover of shards, look-ups. No I/O."""
+"""The wire messages between edge nodes: submissions, shard handover and status lookups. No I/O."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class AdmissionOutcome(Enum):
-    """What a shard's owner did with a message that was submitted to it. The values stand in frames."""
+    """The result of submitting a message to a shard's owner. The values are part of the wire format."""
 
     ACCEPTED = "held"  # enough replicas are durable
     NOT_OWNER = "elsewhere"  # another edge owns the shard
@@ -25,13 +25,13 @@
 
 @value
 class OfferReply(Body):
-    """What the owner did with a submitted message."""
+    """The reply to an `Offer`."""
 
     outcome: AdmissionOutcome
-    is_unavailable: bool = False  # too few storage nodes respond: the owner did not try to write
+    is_unavailable: bool = False  # too few storage nodes respond, so the owner did not try to write
 
     def to_wire(self) -> Json:
-        """`taken`, with `dark` only where the owner is unavailable."""
+        """Encode `taken`, and `dark` only if the owner is unavailable."""
         body: Json = {"taken": self.outcome.value}
         if self.is_unavailable:
             body["dark"] = True
@@ -39,17 +39,17 @@
 
     @classmethod
     def from_wire(cls, body: Json, payload: bytes) -> OfferReply:
-        """Read the reply.
+        """Decode the reply.
 
-        :raises KeyError: without an outcome.
-        :raises ValueError: for an outcome that this version does not know.
+        :raises KeyError: if the outcome is missing.
+        :raises ValueError: if the outcome is unknown to this version.
         """
         return cls(AdmissionOutcome(body["taken"]), bool(body.get("dark")))
 
 
 @value
 class Offer(Request[OfferReply]):
-    """An edge submits a client's message to the owner of its shard."""
+    """Submits a client's message to the owner of its shard."""
 
     wire_tag: ClassVar[str] = "offer"
     reply_type: ClassVar[type[OfferReply]] = OfferReply
@@ -60,12 +60,12 @@
 
     @classmethod
     def of(cls, message: Message) -> Offer:
-        """The submission of a message whose body is here."""
-        assert message.body is not None, "a message that is submitted has its body"
+        """Create the submission of a message; its body must be in memory."""
+        assert message.body is not None, "body of the message is not loaded"
         return cls(message.id, message.shard, message.encode_metadata(), message.body)
 
     def to_message(self) -> Message:
-        """The message, as its owner is to admit it."""
+        """The message that the owner is to admit."""
         return Message.decode(self.message_id, self.shard, self.metadata, self.content, len(self.content))
 
     @property
@@ -74,29 +74,29 @@
         return self.content
 
     def to_wire(self) -> Json:
-        """The fields in their order."""
+        """Encode the fields in wire order."""
         return {"id": self.message_id, "shard": self.shard, "meta": self.metadata}
 
     @classmethod
     def from_wire(cls, body: Json, payload: bytes) -> Offer:
-        """Read the submission.
+        """Decode the submission.
 
-        :raises KeyError: where a field is missing.
+        :raises KeyError: if a field is missing.
         """
         return cls(body["id"], body["shard"], body["meta"], payload)
 
 
 @value
 class Handover(Notification):
-    """What the previous owner of shards reports to the new one: calls in flight, and recent outcomes."""
+    """Reports calls in flight and recent outcomes from the previous owner of shards to the new one."""
 
     wire_tag: ClassVar[str] = "handover"
     epochs: dict[int, int]  # by shard: the epoch of its new owner
     in_flight: tuple[str, ...]  # ids of messages with a call in flight at the previous owner
-    ended: tuple[Acknowledgement, ...]  # some storage node has not acknowledged these outcomes
+    ended: tuple[Acknowledgement, ...]  # outcomes that some storage node has not acknowledged
 
     def to_wire(self) -> Json:
-        """The shards' numbers are texts: they are keys of a JSON object."""
+        """Encode the fields; shard numbers become strings because they are JSON object keys."""
         return {
             "shards": {str(shard): epoch for shard, epoch in self.epochs.items()},
             "out": list(self.in_flight),
@@ -105,9 +105,9 @@
 
     @classmethod
     def from_wire(cls, body: Json, payload: bytes) -> Handover:
-        """Read the handover.
+        """Decode the handover.
 
-        :raises KeyError: where a field is missing.
+        :raises KeyError: if a field is missing.
         """
         return cls(
             {int(shard): epoch for shard, epoch in body["shards"].items()},
@@ -118,15 +118,15 @@
 
 @value
 class CallEnded(Notification):
-    """A call of a shard that was handed over has ended: the previous owner reports it to the new one."""
+    """Reports to the new owner of a shard that a call at the previous owner has ended."""
 
     wire_tag: ClassVar[str] = "outcome"
     message_id: str
-    outcome: MessageOutcome  # open where the message is to be called again
+    outcome: MessageOutcome  # open if the message is to be retried
     is_failure: bool  # the call counts as a failed attempt
 
     def to_wire(self) -> Json:
-        """The fields in their order."""
+        """Encode the fields in wire order."""
         return {
             "id": self.message_id,
             "end": self.outcome.status,
@@ -136,33 +136,33 @@
 
     @classmethod
     def from_wire(cls, body: Json, payload: bytes) -> CallEnded:
-        """Read the notification.
+        """Decode the notification.
 
-        :raises KeyError: where a field is missing.
+        :raises KeyError: if a field is missing.
         """
         return cls(body["id"], MessageOutcome(body["end"], body["seal"]), body["failed"])
 
 
 @value
 class StandingReply(Body):
-    """The status of a message at the edge that replies; None where that edge does not know of it."""
+    """The status of a message at the replying edge; None if that edge does not know it."""
 
     outcome: MessageOutcome | None
 
     def to_wire(self) -> Json:
-        """`known`: a pair, or null."""
+        """Encode `known` as a pair or null."""
         return {"known": self.outcome.to_pair() if self.outcome is not None else None}
 
     @classmethod
     def from_wire(cls, body: Json, payload: bytes) -> StandingReply:
-        """Read the reply; without the field nothing is known."""
+        """Decode the reply; a missing field means that the message is not known."""
         pair = body.get("known")
         return cls(MessageOutcome(*pair) if pair else None)
 
 
 @value
 class StandingRequest(MessageIdRequest[StandingReply]):
-    """A request to the owner of a shard for the status of a message."""
+    """Asks the owner of a shard for the status of a message."""
 
     wire_tag: ClassVar[str] = "standing"
     reply_type: ClassVar[type[StandingReply]] = StandingReply
--- a/amberlug/cluster/dispatch/outcome_delivery.py
+++ b/amberlug/cluster/dispatch/outcome_delivery.py
@@ -1,8 +1,7 @@
-"""Has storage nodes learn how messages ended, until each of them has acknowledged it. No I/O.
+"""Delivers message outcomes to storage nodes until each has acknowledged them. No I/O.
 
-Invariant: an outcome counts as durable only once disks that outlast the tolerated losses acknowledged it,
-by the roster of that moment. Until then further disks take the place of those that do not respond, or that
-have left the roster.
+Invariant: an outcome counts as durable only once a write quorum of the current roster has acknowledged it.
+Until then, disks that do not respond or have left the roster are replaced by further disks.
 """
 
 from __future__ import annotations
@@ -19,31 +18,31 @@
 from amberlug.cluster.rpc.messages import request
 from amberlug.cluster.storage.messages import Acknowledgement, AcknowledgeReply, AcknowledgeRequest
 
-BATCH_INTERVAL_S = 0.02  # outcomes are gathered for so long: one write at the storage node for all of them
+BATCH_INTERVAL_S = 0.02  # outcomes are batched for this time, to share one write at the storage node
 ACKNOWLEDGE_TIMEOUT_S = 0.5
-RETRY_INTERVAL_S = 0.3  # between tries at a storage node that does not respond
+RETRY_INTERVAL_S = 0.3  # between requests to a storage node that does not respond
 MAX_BATCH = 512  # outcomes in one request
 
 OnDurable = Callable[[], None]
 
 
 class OutcomePlacement(Protocol):
-    """What the delivery knows of the storage nodes."""
+    """The storage nodes as outcome delivery uses them."""
 
     @property
     def writable_disks(self) -> list[str]:
-        """The disks that take replicas, in the order of the roster."""
+        """The disks that accept replicas, in roster order."""
 
     def address_of(self, disk: str) -> str | None:
-        """The address of a disk on the roster, or None."""
+        """The address of a disk, or None if it is not on the roster."""
 
     def is_write_quorum(self, disks: Set[str]) -> bool:
-        """Whether what is on these disks outlasts the tolerated losses."""
+        """Whether data on these disks survives the tolerated losses."""
 
     def disks_to_add(self, disks: Set[str], turn: int) -> list[str]:
-        """Further disks which make a write quorum of these, where there are enough.
+        """The disks to add to these for a write quorum; fewer if there are not enough.
 
-        :param turn: messages with another number take other disks among equals.
+        :param turn: rotates the choice among equally ranked disks.
         """
 
 
@@ -52,20 +51,20 @@
     """An outcome that too few disks have acknowledged."""
 
     acknowledgement: Acknowledgement
-    disks: set[str] = field(default_factory=set)  # those that have
+    disks: set[str] = field(default_factory=set)  # those that have acknowledged it
     on_durable: list[OnDurable] = field(default_factory=list)
 
 
 class OutcomeDelivery:
-    """The outcomes that storage nodes have not acknowledged, by disk."""
+    """Tracks and sends the outcomes that storage nodes have not acknowledged."""
 
     def __init__(self, runtime: Runtime, health: StoreHealth, placement: OutcomePlacement) -> None:
         self._runtime, self._health, self._placement = runtime, health, placement
         self._pending: dict[str, dict[str, Acknowledgement]] = {}  # by disk, by message
-        self._in_flight: set[str] = set()  # disks with a request under way
+        self._in_flight: set[str] = set()  # disks with a request in flight
         self._unconfirmed: dict[str, _Unconfirmed] = {}  # by message
 
-    # -- what is to be delivered
+    # -- pending outcomes
 
     def deliver(
         self,
@@ -74,11 +73,11 @@
         holders: Iterable[str] = (),
         on_durable: OnDurable | None = None,
     ) -> None:
-        """Have disks learn an outcome, and others beside them where these are too few.
+        """Deliver an outcome to disks, and to further ones if these are no write quorum.
 
-        :param to_notify: the disks that have to learn it.
+        :param to_notify: the disks that must receive it.
         :param holders: the disks that have it already.
-        :param on_durable: called once, when enough disks have it; before this returns where they do already.
+        :param on_durable: called once a write quorum has it; before this method returns if it does already.
         """
         message_id = acknowledgement.message_id
         entry = self._unconfirmed.setdefault(message_id, _Unconfirmed(acknowledgement))
@@ -97,11 +96,11 @@
 
     @property
     def unconfirmed_count(self) -> int:
-        """How many outcomes are not on enough disks yet."""
+        """The number of outcomes that are not on enough disks yet."""
         return len(self._unconfirmed)
 
     def roster_changed(self, disks: Mapping[str, object]) -> None:
-        """Forget what is pending for all disks but these, and count acknowledgements by the new roster."""
+        """Drop pending outcomes for disks not in `disks`, and re-evaluate quorums by the new roster."""
         for disk in set(self._pending) - set(disks):
             del self._pending[disk]
         for message_id, entry in list(self._unconfirmed.items()):
@@ -109,7 +108,7 @@
                 self._extend(entry, self._pending)
 
     def pending(self) -> dict[str, Acknowledgement]:
-        """By message: the outcomes that some disk has not acknowledged."""
+        """The outcomes that some disk has not acknowledged, by message."""
         return {
             message_id: acknowledgement
             for by_message in self._pending.values()
@@ -117,7 +116,7 @@
         }
 
     def count_at_responsive(self) -> int:
-        """How many outcomes wait for disks that are not suspect."""
+        """The number of outcomes pending at disks that are not suspect."""
         return sum(
             len(by_message) for disk, by_message in self._pending.items() if not self._health.is_suspect(disk)
         )
@@ -125,7 +124,7 @@
     # -- quorums
 
     def _confirm_if_durable(self, message_id: str) -> bool:
-        """Report an outcome that enough disks have acknowledged by now.
+        """Report an outcome as durable if enough disks have acknowledged it.
 
         :returns: whether it is durable.
         """
@@ -140,9 +139,9 @@
         return True
 
     def _extend(self, entry: _Unconfirmed, notified: Iterable[str]) -> None:
-        """Have further disks learn an outcome, where those that are being notified are too few.
+        """Deliver an outcome to further disks if the expected acknowledgements are too few.
 
-        :param notified: the disks whose acknowledgement is expected.
+        :param notified: the disks that are expected to acknowledge.
         """
         message_id = entry.acknowledgement.message_id
         expected = entry.disks.union(disk for disk in notified if message_id in self._pending[disk])
@@ -150,7 +149,7 @@
             self._add(disk, entry.acknowledgement)
 
     def _replace_unresponsive(self, batch: tuple[Acknowledgement, ...]) -> None:
-        """Have further disks learn what one did not acknowledge."""
+        """Deliver a batch that one disk did not acknowledge to further disks."""
         responsive = [disk for disk in self._pending if not self._health.is_suspect(disk)]
         for acknowledgement in batch:
             entry = self._unconfirmed.get(acknowledgement.message_id)
@@ -160,7 +159,7 @@
     # -- requests
 
     def _add(self, disk: str, acknowledgement: Acknowledgement) -> None:
-        """Have a disk learn an outcome with the next batch."""
+        """Add an outcome to the next batch for a disk."""
         if not self._pending.get(disk) and disk not in self._in_flight:
             self._runtime.call_later(BATCH_INTERVAL_S, partial(self._send, disk))
         self._pending.setdefault(disk, {})[acknowledgement.message_id] = acknowledgement
--- a/amberlug/cluster/dispatch/outcome_repair.py
+++ b/amberlug/cluster/dispatch/outcome_repair.py
@@ -1,13 +1,14 @@
-"""Brings the outcomes of ended messages to enough storage nodes after one was lost or retires. No I/O.
+"""Re-replicates the outcomes of ended messages after a storage node is lost or retired. No I/O.
 
-An outcome is recorded on a write quorum of the disks of its moment. Once one of these leaves the roster, the
-others may be too few: a read quorum of the new roster could miss them, and a client would be told that there
-is no such message; and the next loss could take the last one, and an open replica elsewhere would run again.
-So the owner of a shard reads the outcomes that each disk has, and records those anew that are on too few. The
-disk is dropped only after all owners have done so.
+An outcome is recorded on a write quorum of the roster in force at that time. After one of these disks leaves
+the roster, the remaining ones may be too few. A read quorum of the new roster could then miss the outcome, so
+that a client would be told that there is no such message; and the next loss could remove the last copy, so
+that an open replica elsewhere would be executed again. Therefore the owner of a shard reads the outcomes from
+each disk and records those that are on too few disks on further ones. A disk is dropped only after all owners
+have done so.
 
-Invariant: a pass is complete only once so many disks were read to their ends that the others on the roster,
-lost ones included, can't be all that have an outcome, and each outcome that was found is on a write quorum.
+Invariant: a pass is complete only once enough disks were read completely that the unread ones on the roster,
+including lost ones, can't be the only holders of an outcome, and each outcome found is on a write quorum.
 """
 
 from __future__ import annotations
@@ -24,16 +25,16 @@
 from amberlug.cluster.storage.messages import Acknowledgement, EndedMessagesReply, EndedMessagesRequest
 
 READ_TIMEOUT_S = 1.0  # for one page
-READ_RETRY_S = 0.25  # until a storage node that did not respond is asked again
-START_DELAY_S = 0.2  # open messages come first: they are read and repaired at the same moments
-PATIENCE_S = 1.0  # for storage nodes that do not respond, where those that were read are enough
+READ_RETRY_S = 0.25  # before the next request to a storage node that did not respond
+START_DELAY_S = 0.2  # lets the recovery and repair of open messages, which start at the same time, go first
+PATIENCE_S = 1.0  # to wait for unresponsive storage nodes although enough others were read
 
 _Cursor = tuple[int, str]
 _START: _Cursor = (-1, "")
 
 
 class OutcomeRepairs:
-    """The passes of one edge node: over all its shards after a disk is lost, over those that it gains."""
+    """The repair passes of one edge node: over all shards after a disk is lost, and over gained shards."""
 
     def __init__(self, runtime: Runtime, replicator: Replicator) -> None:
         self._runtime, self._replicator = runtime, replicator
@@ -41,11 +42,11 @@
 
     @property
     def unfinished(self) -> int:
-        """Passes that are not complete: until then no disk may be dropped."""
+        """The number of incomplete passes; no disk may be dropped while there are any."""
         return len(self._passes)
 
     def repair(self, shards: Iterable[int]) -> None:
-        """Bring the outcomes of these shards to enough disks."""
+        """Start a pass over the outcomes of these shards."""
         shards = tuple(shards)
         if not shards:
             return
@@ -54,14 +55,14 @@
         self._runtime.call_later(START_DELAY_S, new_pass.begin)
 
     def repair_anew(self, shards: Iterable[int]) -> None:
-        """Do so for all owned shards by a roster with fewer disks that count, in place of earlier passes."""
+        """Replace all passes by one over all owned shards, after the roster has lost disks that count."""
         for earlier in self._passes:
             earlier.cancel()
         self._passes.clear()
         self.repair(shards)
 
     def roster_changed(self) -> None:
-        """Go on by a roster that has no fewer disks that count."""
+        """Continue all passes with a roster that has lost no disk that counts."""
         for each in list(self._passes):
             each.roster_changed()
 
@@ -72,8 +73,8 @@
 class OutcomeRepair:
     """One pass over the outcomes of some shards.
 
-    :param shards: their numbers.
-    :param on_complete: called once, unless the pass is cancelled.
+    :param shards: shard numbers.
+    :param on_complete: called once unless the pass is cancelled.
     """
 
     def __init__(
@@ -88,26 +89,26 @@
         self._on_complete = on_complete
         self._read_disks: set[str] = set()
         self._in_flight: set[str] = set()
-        self._outcomes: dict[str, Acknowledgement] = {}  # by message: the one that is retained longest
+        self._outcomes: dict[str, Acknowledgement] = {}  # by message: the one retained longest
         self._holders: dict[str, set[str]] = {}  # by message: the disks that have its outcome
-        self._restoring = 0  # outcomes that are being recorded on further disks
-        self._is_patient = True  # it waits for storage nodes that do not respond
+        self._restoring = 0  # number of outcomes being recorded on further disks
+        self._is_patient = True  # it still waits for unresponsive storage nodes
         self._has_begun = False
-        self._is_restoring = False  # enough disks were read
+        self._is_restoring = False  # reading is complete
         self.is_over = False
 
     def begin(self) -> None:
-        """Start to read the disks of the roster."""
+        """Start reading the disks of the roster."""
         self._has_begun = True
         self._runtime.call_later(PATIENCE_S, self._lose_patience)
         self._read_on()
 
     def cancel(self) -> None:
-        """End without a report: another pass takes its place."""
+        """End without calling `on_complete`; another pass replaces this one."""
         self.is_over = True
 
     def roster_changed(self) -> None:
-        """Go on without disks that are not on the roster any more, and read those that have joined."""
+        """Skip disks that have left the roster, and read those that have joined."""
         if self._has_begun:
             self._read_on()
 
@@ -118,7 +119,7 @@
     # -- reading
 
     def _read_on(self) -> None:
-        """Read the disks that were not read; once they were, restore what is on too few."""
+        """Read the unread disks; once done, restore the outcomes that are on too few disks."""
         if self.is_over or self._is_restoring:
             return
         unread = set(self._replicator.readable_disks) - self._read_disks
@@ -140,7 +141,7 @@
         if self.is_over or self._is_restoring:
             return
         if isinstance(reply, Err) or reply.ok_value.disk_id != disk:
-            # The storage node is down, or has another disk by now, and the roster is on its way.
+            # The storage node is down, or it has a new disk and the updated roster has not arrived yet.
             self._runtime.call_later(READ_RETRY_S, partial(self._request_page, disk, after))
             return
         page = reply.ok_value
@@ -164,7 +165,7 @@
     # -- restoring
 
     def _restore(self) -> None:
-        """Record on further disks what is on too few of them, and not about to be deleted."""
+        """Record the outcomes that are on too few disks and not expired on further disks."""
         self._is_restoring = True
         now = self._runtime.wall_clock()
         scarce = [
--- a/amberlug/cluster/dispatch/previous_owners.py
+++ b/amberlug/cluster/dispatch/previous_owners.py
@@ -1,4 +1,4 @@
-"""What previous owners of shards announce: calls that they have in flight, and how these ended. No I/O."""
+"""Tracks what previous owners of shards report: their calls in flight and how these ended. No I/O."""
 
 from __future__ import annotations
 
@@ -8,77 +8,77 @@
 from amberlug.cluster.dispatch.messages import CallEnded, Handover
 from amberlug.cluster.values import value
 
-MAX_ANNOUNCED = 10_000  # entries of each kind that wait for their shard to be read; the oldest are dropped
+MAX_ANNOUNCED = 10_000  # entries of each kind that wait for a shard to be read; the oldest are evicted
 
 KeyT = TypeVar("KeyT")
 ValueT = TypeVar("ValueT")
 
 
 def evict_oldest(entries: MutableMapping[KeyT, ValueT]) -> None:
-    """Drop the entries that came first until no more than `MAX_ANNOUNCED` are left."""
+    """Remove the oldest entries until at most `MAX_ANNOUNCED` remain."""
     while len(entries) > MAX_ANNOUNCED:
         del entries[next(iter(entries))]
 
 
 @value
 class ReceivedHandover:
-    """What one previous owner has in flight."""
+    """The calls that one previous owner has in flight, and its address."""
 
     in_flight: tuple[str, ...]
     address: str
 
 
 class PreviousOwners:
-    """Announcements of previous owners, until the shard that they belong to is read and after."""
+    """The reports of previous owners, kept until and after the recovery of their shards."""
 
     def __init__(self) -> None:
         self._handovers: dict[tuple[int, int], ReceivedHandover] = {}  # by shard and epoch of the new owner
-        self._early_ends: dict[str, CallEnded] = {}  # by message: it was not read yet
-        self._calls: dict[str, str] = {}  # by message that has a call in flight there: the owner's address
+        self._early_ends: dict[str, CallEnded] = {}  # by message that was not read yet
+        self._calls: dict[str, str] = {}  # by message: address of the previous owner that is calling it
 
     def add_handover(self, handover: Handover, address: str) -> None:
-        """Keep a handover until its shards are read."""
+        """Store a handover until its shards are read."""
         received = ReceivedHandover(handover.in_flight, address)
         for shard, epoch in handover.epochs.items():
             self._handovers[shard, epoch] = received
 
     def evict_handovers(self) -> None:
-        """Drop the oldest handovers where too many wait."""
+        """Remove the oldest handovers if there are too many."""
         evict_oldest(self._handovers)
 
     def has_handover(self, shard: int, epoch: int) -> bool:
-        """Whether a shard's handover for that epoch has come."""
+        """Whether the handover of a shard for that epoch was received."""
         return (shard, epoch) in self._handovers
 
     def pop_handover(self, shard: int, epoch: int) -> dict[str, str]:
-        """By message that its previous owner has in flight: that owner's address. It is given once."""
+        """Remove a handover; return the previous owner's address by each message that it has in flight."""
         received = self._handovers.pop((shard, epoch), None)
         return dict.fromkeys(received.in_flight, received.address) if received is not None else {}
 
     def add_early_end(self, ended: CallEnded) -> None:
-        """Keep the end of a call until its message is read."""
+        """Store the end of a call until its message is read."""
         self._early_ends[ended.message_id] = ended
         evict_oldest(self._early_ends)
 
     def pop_early_end(self, message_id: str) -> CallEnded | None:
-        """The end of a call that came before its message was read. It is given once."""
+        """Remove and return the end of a call that was reported before its message was read."""
         return self._early_ends.pop(message_id, None)
 
     def add_call(self, message_id: str, address: str) -> None:
-        """Wait for a call at a previous owner to end."""
+        """Note that a previous owner has a call of a message in flight."""
         self._calls[message_id] = address
 
     def has_call(self, message_id: str) -> bool:
-        """Whether a call is waited for."""
+        """Whether the end of a message's call is awaited."""
         return message_id in self._calls
 
     def remove_call(self, message_id: str) -> bool:
-        """Wait for a call no longer.
+        """Stop waiting for the end of a message's call.
 
-        :returns: whether it was waited for.
+        :returns: whether it was awaited.
         """
         return self._calls.pop(message_id, None) is not None
 
     def calls_at(self, address: str) -> list[str]:
-        """The messages whose calls at the owner with an address are waited for, the oldest first."""
+        """The messages whose calls at the owner with this address are awaited, the oldest first."""
         return [message_id for message_id, owner in self._calls.items() if owner == address]
--- a/amberlug/cluster/dispatch/replica_write.py
+++ b/amberlug/cluster/dispatch/replica_write.py
@@ -1,7 +1,7 @@
-"""One message on its way to enough replicas. No I/O.
+"""Writes the replicas of one message to a write quorum of storage nodes. No I/O.
 
-Storage nodes are asked in the order of their rank, no more of them than are needed. Further ones are asked as
-soon as one fails, and also while one is slow (a hedged request).
+Storage nodes are tried in the order of their rank, initially as many as a quorum needs. Further ones are
+tried as soon as one fails, and also while one is slow (hedged requests).
 """
 
 from __future__ import annotations
@@ -21,73 +21,73 @@
 from amberlug.cluster.storage.messages import ReplicaWriteReply, ReplicaWriteRequest, ReplicaWriteResult
 from amberlug.cluster.storage.outcomes import MessageOutcome
 
-HEDGE_INTERVAL_S = 0.03  # without a response until a further storage node is asked: three times a usual write
-WRITE_TIMEOUT_S = 1.2  # for enough replicas: clients wait for 1.5 s where they do not say
-MIN_REQUEST_TIMEOUT_S = 0.05  # of a request that is sent as the write is about to time out
-SUSPECT_TIMED_OUT_S = 1.0  # a storage node that did not respond in time is asked last for so long
-SUSPECT_FULL_S = 3.0  # and one without space
-SUSPECT_NOT_ENROLLED_S = 0.1  # and one that joined a moment ago
+HEDGE_INTERVAL_S = 0.03  # between hedged requests: three times the duration of a typical write
+WRITE_TIMEOUT_S = 1.2  # for a write quorum; below the default client timeout of 1.5 s
+MIN_REQUEST_TIMEOUT_S = 0.05  # of a request sent shortly before the write times out
+SUSPECT_TIMED_OUT_S = 1.0  # how long a storage node is tried last after a timeout
+SUSPECT_FULL_S = 3.0  # the same after it reported a full disk
+SUSPECT_NOT_ENROLLED_S = 0.1  # the same after it reported that it is not enrolled yet
 
 
 class ReplicationOutcome(Enum):
-    """What came of writing a message's replicas."""
+    """The result of writing a message's replicas."""
 
     REPLICATED = "held"
-    FENCED = "fenced"  # a later owner has the shard; it may find the replicas that were written
+    FENCED = "fenced"  # the shard has a later owner, which may find the replicas written so far
     OUTCOME_UNKNOWN = "unclear"  # some replica may exist
-    REJECTED = "refused"  # no storage node was reached: no replica exists
+    REJECTED = "refused"  # no replica exists: no storage node can have executed a request
 
 
 class ReplicaLocation(Protocol):
-    """Where a disk's storage node is."""
+    """The location of a disk's storage node."""
 
     @property
     def address(self) -> str:
-        """For peers, `host:port`."""
+        """The peer address, `host:port`."""
 
     @property
     def zone(self) -> str:
-        """Its failure domain below a region."""
+        """The failure domain within its region."""
 
 
 class ReplicaPlacement(Protocol):
-    """What a write knows of the storage nodes: who they are, and which disks are enough."""
+    """The storage nodes and quorum rules as a write uses them."""
 
     @property
     def runtime(self) -> Runtime:
-        """Clock, timers and peers."""
+        """The clock, timers and connections to peers."""
 
     @property
     def tolerance(self) -> Tolerance:
-        """What may be lost at once."""
+        """The simultaneous losses to be tolerated."""
 
     @property
     def health(self) -> StoreHealth:
-        """Which storage nodes respond."""
+        """The health of the storage nodes."""
 
     @property
     def stores(self) -> Mapping[str, ReplicaLocation]:
         """The roster by disk."""
 
     def is_write_quorum(self, disks: Set[str]) -> bool:
-        """Whether replicas on these disks outlast what may be lost at once."""
+        """Whether replicas on these disks survive the tolerated losses."""
 
     def record_outcome(
         self, message: Message, outcome: MessageOutcome, on_durable: Callable[[], None] | None = None
     ) -> None:
-        """Have the storage nodes learn how a message ended.
+        """Record on the storage nodes how a message ended.
 
-        :param on_durable: called once, when the outcome is on enough disks.
+        :param on_durable: called once the outcome is on enough disks.
         """
 
 
 class ReplicaWrite:
     """The write of one message.
 
-    Invariant: it ends once, and with `REJECTED` only if no request may have been acted on.
+    Invariant: it completes once, and with `REJECTED` only if no request can have been executed.
 
     :param epoch: the fencing token of the writer.
-    :param ranked: the disks that take replicas, the preferred ones first.
+    :param ranked: the disks that accept replicas, in order of preference.
     :param on_complete: called once with the outcome.
     """
 
@@ -99,15 +99,15 @@
         ranked: list[str],
         on_complete: Callable[[ReplicationOutcome], None],
     ) -> None:
-        assert message.body is not None, "a replica has the message's body"
+        assert message.body is not None, "body of the message is not loaded"
         self.replicator, self.message, self._on_complete = replicator, message, on_complete
-        # Disks that have a replica already are not asked again: a repair adds only those that are lacking.
+        # Disks that have a replica already are skipped, so that a repair writes only the missing replicas.
         self._chosen = {disk for disk in message.holders if disk in ranked}
         self._remaining = [disk for disk in ranked if disk not in self._chosen]
         self._in_flight: set[str] = set()
         self._is_over = False
-        self._may_exist = False  # a request failed that may have been acted on
-        self._has_ended = False  # a storage node knows that the message ended under an earlier owner
+        self._may_exist = False  # a failed request may have been executed
+        self._has_ended = False  # a storage node has reported that the message ended under an earlier owner
         self._timer: TimerHandle | None = None
         self._deadline = replicator.runtime.now() + WRITE_TIMEOUT_S
         accepted_epoch, sequence = message.position
@@ -122,18 +122,18 @@
         )
 
     def begin(self) -> None:
-        """Ask as many storage nodes as are needed."""
+        """Send requests to as many storage nodes as a write quorum needs."""
         if not self.replicator.is_write_quorum(self._chosen | set(self._remaining)):
             self.complete(ReplicationOutcome.REJECTED)
             return
         while not self._is_over and not self.replicator.is_write_quorum(self._chosen):
-            # A disk in a zone that has a replica is passed over until it is needed.
+            # Prefer disks in zones without a replica.
             useful = (disk for disk in self._remaining if not self._is_redundant(disk))
             self._send(next(useful, self._remaining[0]))
         self._schedule_hedge()
 
     def _is_redundant(self, disk: str) -> bool:
-        """Whether a replica there would add no zone, while zones or regions have to be outlived."""
+        """Whether losses of zones or regions are tolerated and a replica on this disk would add no zone."""
         tolerance = self.replicator.tolerance
         if tolerance.zones == 0 and tolerance.regions == 0:
             return False
@@ -145,7 +145,7 @@
             self._timer = self.replicator.runtime.call_later(HEDGE_INTERVAL_S, self._hedge)
 
     def _hedge(self) -> None:
-        """Ask a further storage node while some have not responded, until the write times out."""
+        """Send a request to a further storage node, or end the write at its deadline."""
         if self._is_over:
             return
         if self.replicator.runtime.now() >= self._deadline:
@@ -159,7 +159,7 @@
         self._schedule_hedge()
 
     def _drop_removed(self) -> None:
-        """Pass over disks that were dropped from the roster while the write was under way."""
+        """Skip disks that were dropped from the roster since the write began."""
         self._remaining = [disk for disk in self._remaining if disk in self.replicator.stores]
 
     def _send(self, disk: str) -> None:
@@ -179,7 +179,7 @@
         request(runtime, self.replicator.stores[disk].address, self._request, timeout_s, on_reply)
 
     def on_reply(self, disk: str, reply: Result[ReplicaWriteReply, RequestFailure]) -> None:
-        """Handle the end of one request, then go on or end the write."""
+        """Handle the end of one request, then continue or complete the write."""
         self._in_flight.discard(disk)
         if isinstance(reply, Err):
             self._on_failure(disk, reply.err_value)
@@ -201,15 +201,15 @@
         self.replicator.health.suspect(disk, SUSPECT_TIMED_OUT_S if is_timeout else SUSPECT_DISCONNECTED_S)
 
     def _on_stored(self, reply: ReplicaWriteReply) -> None:
-        if not reply.outcome.is_open:  # it was admitted by an earlier owner, and has ended
+        if not reply.outcome.is_open:  # the message was admitted by an earlier owner and has ended
             self._on_ended_earlier(reply)
             return
-        self.message.holders.add(reply.disk_id)  # not the disk that was meant, if the machine has a new one
+        self.message.holders.add(reply.disk_id)  # not `disk` if the machine has a new one
         if not self.message.outcome.is_open:
             self.replicator.record_outcome(self.message, self.message.outcome)
 
     def _on_ended_earlier(self, reply: ReplicaWriteReply) -> None:
-        """End once the outcome, which perhaps this one disk alone knows, is on enough disks."""
+        """Complete once the outcome, which may be on this disk only, is on enough disks."""
         self.message.possible_holders.add(reply.disk_id)
         self._may_exist = True
         if not self._has_ended:
@@ -218,9 +218,9 @@
             self.replicator.record_outcome(self.message, reply.outcome, on_durable)
 
     def _continue(self) -> None:
-        """End where enough replicas are durable, else ask a further storage node where it is needed."""
+        """Complete if enough replicas are durable, else try a further storage node if needed."""
         if self._has_ended:
-            return  # its outcome is being recorded: no further replica is needed
+            return  # no further replica is needed while its outcome is being recorded
         if self.replicator.is_write_quorum(self.message.holders):
             self.complete(ReplicationOutcome.REPLICATED)
             return
@@ -234,7 +234,7 @@
             self.complete(ReplicationOutcome.OUTCOME_UNKNOWN if may_exist else ReplicationOutcome.REJECTED)
 
     def complete(self, outcome: ReplicationOutcome) -> None:
-        """End the write with its first outcome; later ones are ignored."""
+        """Complete the write; only the first call has an effect."""
         if self._is_over:
             return
         self._is_over = True
--- a/amberlug/cluster/dispatch/replicator.py
+++ b/amberlug/cluster/dispatch/replicator.py
@@ -1,7 +1,7 @@
-"""The storage nodes as an owner of shards uses them: replicas of messages, and how messages ended. No I/O.
+"""Replicates messages and their outcomes to storage nodes on behalf of a shard owner. No I/O.
 
-What counts as enough replicas is a quorum over failure domains: replicas on full members of the roster, of
-which the loss of any tolerated number of machines, zones or regions leaves at least one.
+A write quorum is defined over failure domains: it is a set of full members of the roster of which at least
+one survives the loss of any tolerated number of machines, zones or regions.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 
 
 class _Distance(NamedTuple):
-    """How a disk ranks for a replica: in this order, those for which a field is False come first."""
+    """Sort key of a disk for replica placement; False sorts before True, in field order."""
 
     is_suspect: bool
     is_in_other_zone: bool
@@ -37,8 +37,8 @@
 class Replicator:
     """The storage nodes of the roster, each known by the id of its disk.
 
-    :param zone: where this edge is; storage nodes in it are preferred, then those in its region.
-    :param outcome_retention_s: seconds for which the outcome of a message is to be known.
+    :param zone: the zone of this edge; its storage nodes are preferred, then those of the region.
+    :param outcome_retention_s: seconds for which the outcome of a message is kept.
     """
 
     def __init__(
@@ -48,23 +48,23 @@
         self._zone, self._region = zone, region
         self._outcome_retention_s = outcome_retention_s
         self.stores: Mapping[str, StoreEntry] = {}  # the roster, by disk
-        self.roster_index = 0  # its log index; 0 where none is known
+        self.roster_index = 0  # log index of the roster; 0 if none is known
         self.health = StoreHealth(runtime)
         self._outcomes = OutcomeDelivery(runtime, self.health, self)
 
     def update_roster(self, roster: StorageRoster) -> None:
-        """Use a newer roster."""
+        """Apply a newer roster."""
         self.stores, self.roster_index = roster.stores, roster.index
         self.health.forget_except(self.stores)
         self._outcomes.roster_changed(self.stores)
 
     def address_of(self, disk: str) -> str | None:
-        """The address of a disk on the roster, or None."""
+        """The address of a disk, or None if it is not on the roster."""
         return self.stores[disk].address if disk in self.stores else None
 
     @property
     def writable_disks(self) -> list[str]:
-        """The disks that take replicas."""
+        """The disks that accept replicas."""
         return [disk for disk, store in self.stores.items() if store.state is StoreState.FULL]
 
     @property
@@ -75,31 +75,31 @@
     # -- quorums
 
     def is_quorum(self, disks: Set[str]) -> bool:
-        """Whether replicas on these disks of the roster, in whatever state, outlive the tolerated losses."""
+        """Whether replicas on these disks, in any state on the roster, survive the tolerated losses."""
         members = [self.stores[disk] for disk in disks if disk in self.stores]
-        # Two disks of one machine are lost together.
+        # Disks of the same machine fail together, so they count once.
         domains = {member.name: (member.zone, member.region) for member in members}
         return self.tolerance.holds(list(domains.values()))
 
     def is_write_quorum(self, disks: Set[str]) -> bool:
-        """Whether replicas on these disks outlive the tolerated losses; only full members count."""
+        """Whether replicas on these disks survive the tolerated losses; only full members count."""
         return self.is_quorum(
             {disk for disk in disks if disk in self.stores and self.stores[disk].state is StoreState.FULL}
         )
 
     def covers_all_messages(self, disks: Set[str]) -> bool:
-        """Whether these disks together know every message that has enough replicas.
+        """Whether these disks are a read quorum, which has every message with enough replicas.
 
-        Read and write quorums intersect: the disks that were not read are too few for a quorum of their own.
+        Read and write quorums intersect: the remaining disks are too few to form a quorum of their own.
         """
         return bool(disks & set(self.stores)) and not self.is_quorum(set(self.stores) - disks)
 
     # -- availability
 
     def is_unavailable(self) -> bool:
-        """Whether too few storage nodes respond and have space: a write now could only fail late.
+        """Whether too few storage nodes respond and have space, so that a write would only time out.
 
-        Unresponsive ones are probed until enough of them respond, also while no message arrives.
+        Unresponsive nodes are probed until enough of them respond, even while no message arrives.
         """
         writable = self.writable_disks
         unresponsive = {disk for disk in writable if self.health.is_unresponsive(disk)}
@@ -127,7 +127,7 @@
         self.is_unavailable()
 
     def connection_lost(self, address: str) -> None:
-        """Prefer other storage nodes than those at an address for a moment: its connection ended."""
+        """Suspect the storage nodes at an address for a short time after its connection was lost."""
         for disk, store in self.stores.items():
             if store.address == address:
                 self.health.suspect(disk, SUSPECT_DISCONNECTED_S)
@@ -135,10 +135,10 @@
     # -- replicas
 
     def preferred_disks(self, message: Message) -> list[str]:
-        """The disks that take replicas, the preferred ones for this message first.
+        """The disks that accept replicas, in order of preference for this message.
 
-        Those that are not suspect come first, then those in this zone, then those in this region. Messages
-        take turns among equals, by their shard and number.
+        Disks that are not suspect come first; among these, disks in this zone, then in this region. Equally
+        ranked disks are rotated by the message's shard and number.
         """
         return self._ranked_disks(message.shard + message.position[1])
 
@@ -148,14 +148,14 @@
         return sorted(disks[offset:] + disks[:offset], key=self._distance)
 
     def disks_to_add(self, disks: Set[str], turn: int) -> list[str]:
-        """Further disks which make a write quorum of these, where there are enough.
+        """The disks to add to these for a write quorum; fewer if there are not enough.
 
-        :param turn: messages with another number take other disks among equals.
+        :param turn: rotates the choice among equally ranked disks.
         """
         return self._first_for_quorum(disks, self._ranked_disks(turn))
 
     def _first_for_quorum(self, disks: Set[str], candidates: list[str]) -> list[str]:
-        """The first of the candidates which make a write quorum of some disks; all, if these are too few."""
+        """The leading candidates that complete a write quorum with `disks`; all if they are too few."""
         extended = set(disks)
         added: list[str] = []
         for disk in candidates:
@@ -173,11 +173,11 @@
     def replicate(
         self, message: Message, epoch: int, on_complete: Callable[[ReplicationOutcome], None]
     ) -> None:
-        """Write replicas of a message until enough are durable; those that it has count.
+        """Write replicas of a message until enough are durable, counting existing ones.
 
         :param epoch: the fencing token of the shard's owner.
-        :param on_complete: called once with the outcome. A message that turns out to have ended under an
-            earlier owner is `REPLICATED`, and has its outcome.
+        :param on_complete: called once with the outcome. For a message that ended under an earlier owner it
+            is `REPLICATED`, and the message's `outcome` is set.
         """
         ReplicaWrite(self, message, epoch, self.preferred_disks(message), on_complete).begin()
 
@@ -186,12 +186,12 @@
     def record_outcome(
         self, message: Message, outcome: MessageOutcome, on_durable: OnDurable | None = None
     ) -> None:
-        """Have the storage nodes know how a message ended.
+        """Record on the storage nodes how a message ended.
 
-        All that may have a replica are notified, so that none brings the message back as open; and enough
-        of them for the outcome to outlive the tolerated losses.
+        All disks that may have a replica are notified, so that none reports the message as open later, and
+        further ones if needed for the outcome to survive the tolerated losses.
 
-        :param on_durable: called once, when the outcome is on enough disks.
+        :param on_durable: called once the outcome is on enough disks.
         """
         message.outcome = outcome
         retain_until = max(self.default_retain_until(), message.keep_until)
@@ -210,17 +210,17 @@
         on_durable: OnDurable,
         responsive: Set[str] = frozenset(),
     ) -> None:
-        """Have an outcome that some disks know on enough of them.
+        """Record an outcome that too few disks have on further ones.
 
         :param holders: the disks on which it is durable.
-        :param on_durable: called once, when the outcome is on enough disks.
-        :param responsive: disks that have just answered: they are preferred.
+        :param on_durable: called once the outcome is on enough disks.
+        :param responsive: disks that have just responded and are therefore preferred.
         """
         to_notify = self._first_for_quorum(holders, sorted(responsive & set(self.writable_disks)))
         self._outcomes.deliver(acknowledgement, to_notify, holders, on_durable)
 
     def default_retain_until(self) -> float:
-        """Until when an outcome is to be known that is recorded now: wall-clock seconds."""
+        """The end of the retention time of an outcome recorded now, in wall-clock seconds."""
         return self.runtime.wall_clock() + self._outcome_retention_s
 
     def is_outcome_unconfirmed(self, message_id: str) -> bool:
@@ -228,10 +228,10 @@
         return self._outcomes.is_unconfirmed(message_id)
 
     def unacknowledged_outcomes(self) -> dict[str, Acknowledgement]:
-        """By message: the outcomes that some storage node has not acknowledged."""
+        """The outcomes that some storage node has not acknowledged, by message."""
         return self._outcomes.pending()
 
     @property
     def pending_outcomes(self) -> int:
-        """How many outcomes are on too few disks, or not acknowledged by storage nodes that respond."""
+        """The number of outcomes on too few disks, or not acknowledged by responsive storage nodes."""
         return max(self._outcomes.unconfirmed_count, self._outcomes.count_at_responsive())
--- a/amberlug/cluster/dispatch/shard_owner.py
+++ b/amberlug/cluster/dispatch/shard_owner.py
@@ -1,4 +1,4 @@
-"""The shards that this edge owns: taken over, handed to others, and messages admitted to them. No I/O."""
+"""Ownership of shards by this edge: recovery, handover, and admission of messages. No I/O."""
 
 from __future__ import annotations
 
@@ -21,8 +21,8 @@
 from amberlug.cluster.storage.outcomes import MessageOutcome
 from amberlug.cluster.values import value
 
-PREVIOUS_CALL_TIMEOUT_S = 4.0  # for a call at the previous owner to end, else the message is called again
-MAX_QUEUED_PER_SHARD = 4000  # messages that wait for a shard to be read
+PREVIOUS_CALL_TIMEOUT_S = 4.0  # after which a message in flight at the previous owner is called here
+MAX_QUEUED_PER_SHARD = 4000  # messages waiting for the recovery of a shard
 
 AdmissionCallback = Callable[[AdmissionOutcome], None]
 
@@ -35,7 +35,7 @@
 
 
 class QueuedAdmission(NamedTuple):
-    """A message that waits for its shard to be read."""
+    """A message that waits for the recovery of its shard."""
 
     message: Message
     on_complete: AdmissionCallback
@@ -46,21 +46,21 @@
     """A shard that this edge owns."""
 
     epoch: int
-    previous_owner: str  # its address, while it lives and may hand over; else empty
+    previous_owner: str  # its address while it is up and may hand over, else empty
     serving: bool = False
-    admitted: int = 0  # messages that were given a position in this epoch
+    admitted: int = 0  # number of messages that were assigned a position in this epoch
     queued: list[QueuedAdmission] = field(default_factory=list)
-    unread_disks: frozenset[str] = frozenset()  # they did not report what they have when it was taken over
+    unread_disks: frozenset[str] = frozenset()  # disks that were not read by the recovery
 
 
 @value
 class DeliveryCallbacks:
-    """What delivers the messages of owned shards.
+    """Callbacks to the component that delivers the messages of owned shards.
 
-    :param admit: delivers a message from now on.
-    :param release: delivers the messages of a shard no longer, and returns them.
-    :param call_ended: applies the end of a call at the previous owner, of a message that is admitted here.
-    :param is_admitted: whether a message is being delivered, or is known to have ended.
+    :param admit: starts delivering a message.
+    :param release: stops delivering the messages of a shard and returns them.
+    :param call_ended: applies the end of a previous owner's call to a message that is admitted here.
+    :param is_admitted: whether a message is being delivered or is known to have ended.
     :param is_safe: whether an admitted message, or its outcome, is on enough disks.
     """
 
@@ -72,12 +72,12 @@
 
 
 class ShardOwner:
-    """The shards of the table that one edge owns.
+    """The shards that one edge owns according to the shard table.
 
     Invariant: a message is acknowledged as admitted only after enough replicas of it are durable, written
-    with the epoch in which this edge owns the shard.
+    with this edge's epoch as the shard's owner.
 
-    :param node_id: this edge's id in the table of shards.
+    :param node_id: this edge's id in the shard table.
     """
 
     def __init__(
@@ -88,43 +88,43 @@
         self.owned: dict[int, Shard] = {}
         self.table = ShardTable()
         self.pending_writes: dict[str, list[AdmissionCallback]] = {}  # by message
-        self.write_started_at: dict[str, float] = {}  # by message, by the steady clock
-        # By message that was not admitted: disks that may have a replica of it.
+        self.write_started_at: dict[str, float] = {}  # by message; monotonic clock
+        # Disks that may have a replica of a message that was not admitted, by message.
         self._unadmitted_replicas: dict[str, set[str]] = {}
         self._previous_owners = PreviousOwners()
         self._recoveries: list[ShardRecovery] = []
 
     @property
     def owners(self) -> tuple[TableOwner, ...]:
-        """The edge nodes of the table."""
+        """The edge nodes in the shard table."""
         return self.table.owners
 
     @property
     def owner_count(self) -> int:
-        """How many edge nodes own shards, one at least."""
+        """The number of edge nodes that own shards, at least one."""
         return self.table.count_owners()
 
     @property
     def unfenced_recoveries(self) -> int:
-        """Take-overs that some storage node which takes replicas has not acknowledged.
+        """The number of recoveries whose fence some writable storage node has not acknowledged.
 
-        Until it has, an older owner may write there. Together with a disk that was dropped meanwhile, and
-        does not know it, this could be enough replicas, of which nobody learns: no disk may be dropped.
+        No disk may be dropped while there are any: an older owner may still write to an unfenced node, which
+        could form a quorum, unknown to the new owner, with a dropped disk that does not know it is dropped.
         """
         return sum(recovery.is_fencing for recovery in self._recoveries)
 
     def owner_of(self, shard: int) -> TableOwner | None:
-        """The owner of a shard; None for one without an owner and for one that does not exist."""
+        """The owner of a shard; None if it has no owner or does not exist."""
         return self.table.owner_of(shard)
 
-    # -- changes of the table
+    # -- roster and shard table updates
 
     def roster_changed(self) -> None:
-        """Go on with take-overs that wait for the roster which their table was agreed on."""
+        """Continue recoveries that wait for the roster their shard table requires."""
         self._continue_recoveries()
 
     def update_table(self, table: ShardTable) -> None:
-        """Use a newer table: hand over the shards that were lost, recover those that were gained."""
+        """Apply a newer shard table: hand over lost shards and recover gained ones."""
         self.table = table
         epochs = self.table.epochs_of(self._node_id)
         gained = {
@@ -150,7 +150,7 @@
     # -- handover to the next owner
 
     def _send_handovers(self, lost: list[int]) -> None:
-        """Release shards, and report to each new owner what is in flight in those that it has now."""
+        """Release shards, and report to each new owner the calls in flight in its shards."""
         logging.info("%d shards lost to other owners", len(lost))
         unacknowledged = self._replicator.unacknowledged_outcomes()
         in_flight = {shard: self._release(shard) for shard in lost}
@@ -161,16 +161,16 @@
             send(self._runtime, address, Handover(epochs, calls, ended))
 
     def _release(self, shard: int) -> list[str]:
-        """Own a shard no longer.
+        """Give up a shard.
 
-        :returns: ids of its messages that have a call in flight here.
+        :returns: the ids of its messages with a call in flight here.
         """
         for queued in self.owned.pop(shard).queued:
             queued.on_complete(AdmissionOutcome.NOT_OWNER)
         return [message.id for message in self._delivery.release(shard) if message.in_flight]
 
     def _by_owner_address(self, shards: list[int]) -> dict[str, list[int]]:
-        """Shards by the address of their owner, but for those without one."""
+        """Group shards by the address of their owner; shards without an owner are omitted."""
         by_address: dict[str, list[int]] = {}
         for shard in shards:
             owner = self.owner_of(shard)
@@ -179,7 +179,7 @@
         return by_address
 
     def report_to_new_owner(self, message: Message, outcome: MessageOutcome, is_failure: bool) -> None:
-        """Report to the new owner of a message's shard how a call ended that was in flight here."""
+        """Report the end of a call that was in flight here to the new owner of the message's shard."""
         owner = self.owner_of(message.shard)
         if owner is not None:
             send(self._runtime, owner.address, CallEnded(message.id, outcome, is_failure))
@@ -188,7 +188,7 @@
 
     @handles(Handover)
     def on_handover(self, message: Handover, origin: str, respond: Responder) -> None:
-        """Learn what the previous owner has in flight, and what ended there a moment ago."""
+        """Handle the previous owner's report of calls in flight and recent outcomes."""
         for acknowledgement in message.ended:
             self._call_ended(CallEnded(acknowledgement.message_id, acknowledgement.outcome, False))
         self._previous_owners.add_handover(message, origin)
@@ -197,7 +197,7 @@
 
     @handles(CallEnded)
     def on_outcome(self, message: CallEnded, origin: str, respond: Responder) -> None:
-        """Learn how a call at the previous owner ended."""
+        """Handle the previous owner's report of the end of a call."""
         self._call_ended(message)
 
     def _call_ended(self, ended: CallEnded) -> None:
@@ -205,8 +205,8 @@
         if not self._delivery.is_admitted(ended.message_id):
             self._previous_owners.add_early_end(ended)
         elif was_expected or not ended.outcome.is_open:
-            # Guards against a late end of a call that is not waited for any more: a call of the message may
-            # be in flight here by now.
+            # A late report that is no longer awaited must not make the message callable again: a call of it
+            # may be in flight here by now.
             self._delivery.call_ended(ended)
 
     def _previous_call_timed_out(self, message_id: str) -> None:
@@ -214,7 +214,7 @@
             self._call_ended(CallEnded(message_id, MessageOutcome(), False))
 
     def connection_lost(self, address: str) -> None:
-        """Wait no longer for the reports of a process, since it ended."""
+        """Stop waiting for reports from a process that has ended."""
         for shard in self.owned.values():
             if shard.previous_owner == address:
                 shard.previous_owner = ""
@@ -222,7 +222,7 @@
             self._call_ended(CallEnded(message_id, MessageOutcome(), False))
         self._continue_recoveries()
 
-    # -- take-over
+    # -- recovery
 
     def _recover(self, epochs: dict[int, int]) -> None:
         self._recoveries = [
@@ -238,11 +238,11 @@
             recovery.finish_if_read()
 
     def owns(self, shard: int, epoch: int) -> bool:
-        """Whether the shard is owned in that epoch still."""
+        """Whether the shard is still owned in that epoch."""
         return shard in self.owned and self.owned[shard].epoch == epoch
 
     def awaits_handover(self, shard: int, epoch: int) -> bool:
-        """Whether the shard is owned, and its previous owner is up and has not handed it over yet."""
+        """Whether the shard is owned and its previous owner, which is up, has not handed it over yet."""
         has_previous_owner = shard in self.owned and bool(self.owned[shard].previous_owner)
         return has_previous_owner and not self.has_handover(shard, epoch)
 
@@ -251,7 +251,7 @@
         return self._previous_owners.has_handover(shard, epoch)
 
     def recovered(self, recovery: ShardRecovery) -> None:
-        """Serve the shards that were read: first what is open in them, each key in its order."""
+        """Admit the recovered open messages in the order of their positions, then serve the shards."""
         if recovery.open_messages:
             logging.info(
                 "%d open messages recovered with %d shards", len(recovery.open_messages), len(recovery.epochs)
@@ -273,13 +273,13 @@
             self._serve(number, shard, unread_disks)
 
     def _admit_recovered(self, message: Message, caller: str | None) -> None:
-        """Deliver a message that was read, unless it has ended meanwhile.
+        """Deliver a recovered message unless it has ended meanwhile.
 
-        :param caller: address of the previous owner where that one has a call of it in flight.
+        :param caller: the address of the previous owner if it has a call of the message in flight.
         """
         ended = self._previous_owners.pop_early_end(message.id)
         if ended is not None and not ended.outcome.is_open:
-            # The previous owner may end before enough storage nodes have it from that one.
+            # The previous owner may stop before it has recorded the outcome on enough storage nodes.
             self._replicator.record_outcome(message, ended.outcome)
             self._delivery.call_ended(CallEnded(message.id, ended.outcome, False))
             return
@@ -304,8 +304,8 @@
     def accept(self, message: Message, on_complete: AdmissionCallback) -> None:
         """Admit a message: write enough replicas, then deliver it.
 
-        :param on_complete: called once with the outcome; `ACCEPTED` also for a message that was admitted
-            before.
+        :param on_complete: called once with the outcome, which is `ACCEPTED` also for a message that was
+            already admitted.
         """
         if self._joins_earlier(message, on_complete):
             return
@@ -320,10 +320,10 @@
             on_complete(AdmissionOutcome.REJECTED)
 
     def _joins_earlier(self, message: Message, on_complete: AdmissionCallback) -> bool:
-        """Whether an earlier submission of the same message answers this one.
+        """Whether this submission is completed by an earlier one of the same message.
 
-        One that was recovered from too few disks is not acknowledged before it is repaired: the client's next
-        try finds it so.
+        A message that was recovered from too few disks is not acknowledged until it is repaired; the client's
+        next retry is then accepted.
         """
         if self._delivery.is_admitted(message.id):
             is_safe = self._delivery.is_safe(message.id)
@@ -337,7 +337,8 @@
     def _write(self, number: int, shard: Shard, message: Message, on_complete: AdmissionCallback) -> None:
         shard.admitted += 1
         message.position = SequencePosition(shard.epoch, shard.admitted)
-        # Disks that may have a replica of an earlier try learn the outcome too, else it comes back as open.
+        # Disks that may have a replica of an earlier attempt must get the outcome too; otherwise the message
+        # would reappear as open.
         message.possible_holders |= shard.unread_disks | self._unadmitted_replicas.pop(message.id, set())
         self.pending_writes[message.id] = [on_complete]
         self.write_started_at[message.id] = self._runtime.now()
@@ -348,7 +349,7 @@
         if outcome is not ReplicationOutcome.REPLICATED:
             self._unadmitted_replicas[message.id] = set(message.possible_holders)
             evict_oldest(self._unadmitted_replicas)
-        elif not message.outcome.is_open:  # it was admitted by an earlier owner, and has ended
+        elif not message.outcome.is_open:  # it was admitted by an earlier owner and has ended
             self._delivery.call_ended(CallEnded(message.id, message.outcome, False))
         elif self.owns(number, epoch):
             self._delivery.admit(message)
--- a/amberlug/cluster/dispatch/shard_recovery.py
+++ b/amberlug/cluster/dispatch/shard_recovery.py
@@ -1,9 +1,11 @@
-"""Reads what is open in shards that an edge takes over, after older owners are fenced out. No I/O.
+"""Recovers the open messages of shards that an edge has gained, after fencing older owners. No I/O.
 
-The order of the steps keeps two invariants. No older owner can have a message acknowledged once the new one
-serves: each storage node that counts as read rejects older fencing tokens from then on, and what was not read
-is too little for a write quorum. And no message that has ended is taken up again: an outcome that any of the
-read storage nodes has is looked up before the shards are served.
+The order of the steps ensures two invariants:
+
+- No older owner can get a message acknowledged once the new one serves: each storage node that counts as read
+  rejects older fencing tokens from then on, and the unread ones are too few for a write quorum.
+- No message that has ended is delivered again: outcomes are looked up on all storage nodes that were read
+  before the shards are served.
 """
 
 from __future__ import annotations
@@ -26,34 +28,34 @@
 )
 from amberlug.cluster.storage.outcomes import MessageOutcome
 
-FENCE_TIMEOUT_S = 0.6  # a storage node reads its open messages, with their bodies, for the reply
-FENCE_RETRY_S = 0.25  # until storage nodes that did not reply are asked again
-HANDOVER_TIMEOUT_S = 0.6  # for the previous owner, where it is up, to report what it has in flight
-HANDOVER_CHECKS = 6  # looks for its handover in that time
+FENCE_TIMEOUT_S = 0.6  # the storage node reads its open messages with their bodies for the reply
+FENCE_RETRY_S = 0.25  # before the next request to storage nodes that did not reply
+HANDOVER_TIMEOUT_S = 0.6  # for a previous owner that is up to report its calls in flight
+HANDOVER_CHECKS = 6  # how often the handover is checked for in that time
 
 
 class RecoveryOwner(Protocol):
-    """The owner of shards, as a recovery sees it."""
+    """The shard owner as a recovery uses it."""
 
     def owns(self, shard: int, epoch: int) -> bool:
-        """Whether the shard is owned in that epoch still."""
+        """Whether the shard is still owned in that epoch."""
 
     def awaits_handover(self, shard: int, epoch: int) -> bool:
-        """Whether the shard is owned, and its previous owner is up and has not handed it over yet."""
+        """Whether the shard is owned and its previous owner, which is up, has not handed it over yet."""
 
     def has_handover(self, shard: int, epoch: int) -> bool:
         """Whether the previous owner has handed the shard over for that epoch."""
 
     def recovered(self, recovery: ShardRecovery) -> None:
-        """Serve what was read."""
+        """Serve the recovered shards."""
 
 
 class ShardRecovery:
-    """The take-over of shards that came with one table.
+    """The recovery of the shards gained with one shard table.
 
-    :param epochs: by shard: the epoch of its new owner, which is its fencing token.
-    :param required_roster: log index of the roster that the table was agreed on. Until that one is known
-        here, storage nodes may be missing that have acknowledged messages.
+    :param epochs: by shard: the epoch of its new owner, which is the fencing token.
+    :param required_roster: log index of the roster on which the table is based. Until that roster is known
+        here, storage nodes that have acknowledged messages may be missing.
     """
 
     def __init__(
@@ -68,27 +70,27 @@
         self.epochs = epochs
         self._required_roster = required_roster
         self._started_at = runtime.now()
-        self._in_flight: set[str] = set()  # disks with a fence request under way
+        self._in_flight: set[str] = set()  # disks with a fence request in flight
         self._fenced: set[str] = set()  # disks that reject older owners
         self.read_disks: set[str] = set()
         self.open_messages: dict[str, Message] = {}
-        self._open_at: dict[str, set[str]] = {}  # by disk: ids of the messages that it has as open
+        self._open_at: dict[str, set[str]] = {}  # by disk: ids of the messages that are open there
         self._lookups_in_flight = 0
         self.is_read = False
-        self.is_fencing = True  # some storage node that takes replicas may not reject older owners yet
+        self.is_fencing = True  # some writable storage node may not reject older owners yet
 
     @property
     def unread_disks(self) -> frozenset[str]:
-        """Disks of the roster that have not reported what they have."""
+        """Disks of the roster that were not read."""
         return frozenset(set(self._replicator.stores) - self.read_disks)
 
     # -- fencing
 
     def fence(self) -> None:
-        """Have all storage nodes reject older owners, again and again until those that take replicas do.
+        """Send fences to all storage nodes, and repeat until all writable ones have acknowledged them.
 
-        Guards against an owner of before that still writes where no fence has come: together with a disk that
-        is dropped meanwhile, and does not know it, these could be enough replicas, of which nobody learns.
+        Otherwise an older owner could still write to an unfenced node, which could form a quorum, unknown to
+        the new owner, with a disk that is dropped meanwhile and does not know it.
         """
         writable = self._replicator.writable_disks
         is_current = any(self._owner.owns(shard, epoch) for shard, epoch in self.epochs.items())
@@ -108,9 +110,9 @@
             return
         fence = reply.ok_value
         for shard in fence.rejected:
-            self.epochs.pop(shard, None)  # a later owner was there already: its table is on its way
+            self.epochs.pop(shard, None)  # fenced by a later owner, whose shard table has not arrived yet
         if fence.disk_id != disk:
-            return  # the machine has lost the disk that is meant: this reply says nothing of that one
+            return  # the machine has a new disk; the reply is not from the requested one
         self._fenced.add(disk)
         if self.is_read:
             return
@@ -122,7 +124,7 @@
         self.finish_if_read()
 
     def _add(self, disk: str, replica: OpenMessage) -> None:
-        """Merge one replica into what was read; the latest position that any replica has is the message's."""
+        """Merge one replica into the open messages; the latest position among its replicas wins."""
         self._open_at[disk].add(replica.message_id)
         message = self.open_messages.get(replica.message_id)
         if message is None:
@@ -134,10 +136,10 @@
         message.position = max(message.position, SequencePosition(replica.accepted_epoch, replica.sequence))
         message.holders.add(disk)
 
-    # -- the end of the reading
+    # -- completion
 
     def finish_if_read(self) -> None:
-        """Continue once enough storage nodes were read, and previous owners that are up have handed over."""
+        """Continue once enough storage nodes were read and previous owners that are up have handed over."""
         if self.is_read or self._replicator.roster_index < self._required_roster:
             return
         if not self._replicator.covers_all_messages(self.read_disks):
@@ -154,7 +156,7 @@
         return any(self._owner.awaits_handover(shard, epoch) for shard, epoch in self.epochs.items())
 
     def _look_up_outcomes(self) -> None:
-        """Ask each storage node for the outcomes of messages that only others have as open."""
+        """Ask each storage node for outcomes of messages that may have ended there."""
         for disk in sorted(self.read_disks):
             store = self._replicator.stores.get(disk)
             candidates = self._may_have_ended_at(disk)
@@ -166,8 +168,9 @@
             self._owner.recovered(self)
 
     def _may_have_ended_at(self, disk: str) -> tuple[str, ...]:
-        # The previous owner may have ended some after they were read, and had that acknowledged before it
-        # learned of its successor: then it hands over neither their calls nor their outcomes.
+        # A message that is open on this disk may have ended there since it was read: the previous owner may
+        # have had its outcome acknowledged before learning of its successor, in which case the handover
+        # contains neither the call nor the outcome.
         return tuple(
             message_id
             for message_id, message in self.open_messages.items()
@@ -190,6 +193,6 @@
     def _drop_ended(self, message_id: str, outcome: MessageOutcome) -> None:
         message = self.open_messages.pop(message_id, None)
         if message is not None:
-            # Guards against an open replica that outlasts all disks which know of its outcome.
+            # Otherwise an open replica could outlive all disks that have the outcome.
             message.possible_holders |= self.unread_disks
             self._replicator.record_outcome(message, outcome)
--- a/amberlug/cluster/edge/answer_history.py
+++ b/amberlug/cluster/edge/answer_history.py
@@ -1,12 +1,12 @@
-"""What this node has told clients of messages: later answers must not contradict it. No I/O.
+"""Checks the answers of one edge node to clients against its earlier ones. No I/O.
 
-Invariants, as clients see them at one node:
+Invariants that clients observe at one node:
 
-- A message that was accepted with 202 is known until its outcome may be forgotten.
-- A message that was told to have ended is never told to be pending again.
+- A message that was accepted with 202 is known until its outcome may be deleted.
+- A message that was reported as ended is never reported as pending again.
 
-An answer that would break one is counted, logged, and replaced by "it can't be known now". Any of these
-counters above 0 is a fault of the system, whatever else it may look like: keep the logs of all nodes.
+An answer that would violate one is counted, logged, and replaced by "it can't be known now". Any of these
+counters above 0 is a bug in the system, whatever the apparent cause: keep the logs of all nodes.
 """
 
 from __future__ import annotations
@@ -17,16 +17,16 @@
 from amberlug.cluster.edge.outcomes import NOT_FOUND
 from amberlug.cluster.storage.outcomes import MessageOutcome
 
-VIOLATION_PREFIX = "invariant violated: "  # of counters and log lines
+VIOLATION_PREFIX = "invariant violated: "  # in counter names and log messages
 ACCEPTED_IS_KNOWN = "accepted message unknown"
 ENDED_STAYS_ENDED = "ended message open"
-MAX_REMEMBERED = 8_000  # messages of each kind; the oldest are forgotten
-# Of the time for which an outcome is known: the clocks of nodes differ, and messages are deleted in sweeps.
+MAX_REMEMBERED = 8_000  # messages of each kind; the oldest are evicted
+# Fraction of the outcome retention time: clocks of nodes differ, and outcomes are deleted in sweeps.
 REMEMBERED_SHARE = 0.9
 
 
 class AnswerHistory:
-    """The newest answers of one edge node, by message; times are those of the monotonic clock."""
+    """The latest answers of one edge node by message; times are monotonic."""
 
     def __init__(self, context: EdgeContext) -> None:
         self._context = context
@@ -34,13 +34,13 @@
         self._reported_ended_at: dict[str, float] = {}
 
     def accepted(self, message_id: str) -> None:
-        """Note that a client was told that a message is accepted."""
+        """Record that a message was reported to a client as accepted."""
         self._remember(self._accepted_at, message_id)
 
     def checked(self, message_id: str, outcome: MessageOutcome | None) -> MessageOutcome | None:
-        """The answer to a look-up, or None where it contradicts an earlier one.
+        """Check the answer to a lookup; return it, or None if it contradicts an earlier one.
 
-        :param outcome: what the answer would be; None where it can't be known.
+        :param outcome: the answer to check; None if the status can't be determined.
         """
         if outcome is None:
             return None
@@ -54,7 +54,7 @@
         return outcome
 
     def _violated_by(self, message_id: str, outcome: MessageOutcome) -> str:
-        """The invariant that an answer would break; empty where there is none."""
+        """The invariant that an answer would violate; empty if none."""
         if outcome == NOT_FOUND and self._was_accepted(message_id):
             return ACCEPTED_IS_KNOWN
         if outcome.is_open and message_id in self._reported_ended_at:
--- a/amberlug/cluster/edge/context.py
+++ b/amberlug/cluster/edge/context.py
@@ -1,4 +1,4 @@
-"""What the parts of one edge node have in common."""
+"""The context shared by the components of one edge node."""
 
 from __future__ import annotations
 
@@ -14,9 +14,9 @@
 
 @dataclass(slots=True)
 class EdgeContext:
-    """Environment, settings and routing table of an edge node.
+    """The runtime, settings and routing table of an edge node.
 
-    Settings and routing table are immutable values, which are replaced while the node is in operation.
+    Settings and routing table are immutable values that are replaced while the node is running.
     """
 
     runtime: Runtime
@@ -29,9 +29,9 @@
 
     @property
     def has_routes(self) -> bool:
-        """Whether a configuration has arrived since the process began."""
+        """Whether a configuration was received since the process started."""
         return self.routes.index > 0
 
     def count(self, event: str) -> None:
-        """Count an event; the names of events are published on the counters page and stay as they are."""
+        """Count an event; event names are published on the counters page and must not change."""
         self.counters[event] = self.counters.get(event, 0) + 1
--- a/amberlug/cluster/edge/delivery.py
+++ b/amberlug/cluster/edge/delivery.py
@@ -1,4 +1,4 @@
-"""Messages of the shards that this edge node owns, from their acceptance until they have ended. No I/O."""
+"""Delivers the messages of the shards that this edge node owns, from acceptance to outcome. No I/O."""
 
 from __future__ import annotations
 
@@ -17,17 +17,17 @@
 from amberlug.cluster.interfaces import CallResult, Endpoints
 from amberlug.cluster.storage.outcomes import MessageOutcome
 
-SWEEP_INTERVAL_S = 1.0  # between searches for messages whose retention time is over: it is hours as a rule
-RETENTION_SLACK_S = 0.5  # by which a message may have been sent before it arrived, since that is not known
-BODY_READ_RETRY_S = 0.03  # until the body of a message that is due is read from another replica
-UNROUTED_MAX_ATTEMPTS = 1  # of a message whose route has been removed while its call was in flight
+SWEEP_INTERVAL_S = 1.0  # between searches for expired messages; retention times are typically hours
+RETENTION_SLACK_S = 0.5  # for the unknown time between sending and arrival of a message
+BODY_READ_RETRY_S = 0.03  # before the body of a due message is read from another replica
+UNROUTED_MAX_ATTEMPTS = 1  # for a message whose route was removed while its call was in flight
 
 
 class MessageDelivery:
-    """Has each message of the owned shards called until it has ended, and its end recorded at its replicas.
+    """Delivers each message of the owned shards until it has ended, and records its outcome at its replicas.
 
-    Invariant: a message that is stored is in `queue` of the owner of its shard, or in flight at the owner
-    before (which then reports the call's outcome), until it has ended; it ends once.
+    Invariant: until it ends, a stored message is in the `queue` of its shard's owner, or in flight at the
+    previous owner, which then reports the outcome of the call. A message ends once.
     """
 
     def __init__(self, context: EdgeContext, endpoints: Endpoints, reader: StorageReader) -> None:
@@ -42,7 +42,7 @@
         self.pending_bytes = 0  # of the bodies of the messages in `queue`
         self.under_replicated: dict[str, Message] = {}  # by id: messages with too few replicas
         self._in_flight_of_released_shards: set[Message] = set()
-        self._awaiting_routes: list[Message] = []  # due, of a configuration that has not arrived here yet
+        self._awaiting_routes: list[Message] = []  # due, but their configuration has not arrived yet
 
     def begin(self) -> None:
         """Start the periodic search for expired messages."""
@@ -50,7 +50,7 @@
 
     @property
     def is_idle(self) -> bool:
-        """Whether this node owns nothing, and no other node waits for anything of it."""
+        """Whether this node owns no shards and no other node waits for anything from it."""
         return not (
             self.dispatchers.has_calls
             or self.shard_owner.owned
@@ -62,17 +62,17 @@
         return message_id in self.queue.messages or message_id in self.outcomes
 
     def _is_safe(self, message_id: str) -> bool:
-        """Whether an admitted message, or its outcome, is on so many disks that it may be acknowledged."""
+        """Whether an admitted message, or its outcome, is on enough disks to be acknowledged."""
         replicator = self._context.replicator
         message = self.queue.messages.get(message_id)
         if message is not None:
             return replicator.is_write_quorum(message.holders)
         return not replicator.is_outcome_unconfirmed(message_id)
 
-    # Messages arrive: accepted from a client, or read from storage by a new owner.
+    # -- new messages: accepted from a client, or recovered from storage
 
     def add(self, message: Message) -> None:
-        """Deliver a message that is stored."""
+        """Start delivering a stored message."""
         routes = self._context.routes
         if message.route not in routes.by_name and message.config_index <= routes.index:
             message.ended = True
@@ -86,16 +86,16 @@
             self.under_replicated[message.id] = message
 
     def _assign_service(self, message: Message) -> bool:
-        """Give a message its service by the present routing table.
+        """Set a message's service by the current routing table.
 
-        :returns: False where its route is not configured. The message has ended then, unless a call of it is
-            in flight or it is of a configuration that has not arrived here yet.
+        :returns: False if its route is not configured. In that case the message has ended, unless a call is
+            in flight or the message's configuration has not arrived here yet.
         """
         routes = self._context.routes
         route = routes.by_name.get(message.route)
         if route is not None:
             message.service, message.rank = route.service, route.rank
-            # A replica that a lost storage node brings back later is too old to run.
+            # A replica that a lost storage node brings back after that has expired and is not executed.
             message.keep_until = message.accepted_at + route.retention_s + 2 * RETENTION_SLACK_S
             return True
         if message.config_index <= routes.index and not message.in_flight:
@@ -103,7 +103,7 @@
         return False
 
     def apply_routes(self) -> None:
-        """Deliver by a new routing table."""
+        """Apply a new routing table."""
         self.dispatchers.apply_routes()
         for message in list(self.queue.messages.values()):
             service_before = message.service
@@ -115,10 +115,10 @@
                 self._dispatch(message)
         self.dispatchers.apply_rate_limits()
 
-    # Messages are called.
+    # -- calls
 
     def _dispatch(self, message: Message) -> None:
-        """Send a message that is due and the first of its sequence key."""
+        """Dispatch a message that is due and the first of its sequence key."""
         routes = self._context.routes
         route = routes.by_name.get(message.route)
         if route is None:
@@ -182,10 +182,10 @@
             if self._assign_service(message):
                 self.queue.requeue(message)
 
-    # Messages end, or go to another owner.
+    # -- outcomes and release
 
     def _end(self, message: Message, outcome: MessageOutcome) -> None:
-        assert not message.ended, "a message ends twice"
+        assert not message.ended, "message has already ended"
         self.pending_bytes -= message.body_bytes
         self._count_end(message.id, outcome)
         self.queue.end(message)
@@ -199,7 +199,7 @@
         self.outcomes.record(message_id, outcome, self._context.runtime.now())
 
     def _on_call_ended(self, ended: CallEnded) -> None:
-        """Apply the end of a call that the previous owner had in flight."""
+        """Apply the result of a call that the previous owner had in flight."""
         message, outcome = self.queue.messages.get(ended.message_id), ended.outcome
         if message is None or message.ended:
             if message is None and not outcome.is_open:
@@ -213,13 +213,13 @@
             self._end(message, outcome)
 
     def settle_stored_outcome(self, message: Message) -> None:
-        """End a message of which a storage node knows an end that an earlier owner did not hand over."""
+        """End a message with the outcome a storage node reported and an earlier owner did not hand over."""
         self._on_call_ended(CallEnded(message.id, message.outcome, False))
 
     def release_shard(self, shard: int) -> list[Message]:
-        """Stop delivering the messages of a shard that has another owner now.
+        """Stop delivering the messages of a shard that now has another owner.
 
-        Calls in flight go on, and their outcome is reported to the new owner.
+        Calls in flight continue, and their results are reported to the new owner.
 
         :returns: the messages that were pending.
         """
@@ -231,11 +231,11 @@
                 self._in_flight_of_released_shards.add(message)
             else:
                 message.in_flight = False
-                message.ended = True  # for this node: whatever still refers to it here must not call it
+                message.ended = True  # on this node, so that remaining references do not cause a call
         return released
 
     def sweep(self) -> None:
-        """End the messages whose retention time is over, forget old outcomes, and do so again later."""
+        """Expire messages past their retention time, forget old outcomes, and reschedule the sweep."""
         runtime = self._context.runtime
         runtime.call_later(SWEEP_INTERVAL_S, self.sweep)
         self.outcomes.forget_before(runtime.now() - self._context.settings.seconds("statusTtlS"))
--- a/amberlug/cluster/edge/dispatchers.py
+++ b/amberlug/cluster/edge/dispatchers.py
@@ -1,4 +1,4 @@
-"""The dispatchers of an edge node, one a service, and its share of the services' rate limits. No I/O."""
+"""The per-service dispatchers of an edge node, and its share of the rate limits. No I/O."""
 
 from __future__ import annotations
 
@@ -12,15 +12,15 @@
 from amberlug.cluster.edge.context import EdgeContext
 from amberlug.cluster.interfaces import CallResult, Endpoints
 
-# Until a larger share is used: the other edge nodes use their smaller ones by then.
+# Delay before a larger share is used; by then the other edge nodes have reduced theirs.
 RATE_INCREASE_DELAY_S = 1.0
-FIRST_SHARE_DIVISOR = 4  # what a node that had no share may use of its new one in that time
-MIN_RATE_SHARE = 0.01  # of a node without shards, whose calls from before may still need a retry
-UNROUTED_CALL_TIMEOUT_S = 1.0  # of a message whose route has been removed since it became due
+FIRST_SHARE_DIVISOR = 4  # a node that had no share uses this part of its new one during the delay
+MIN_RATE_SHARE = 0.01  # for a node without shards, whose earlier calls may still need a retry
+UNROUTED_CALL_TIMEOUT_S = 1.0  # for a message whose route was removed since it became due
 
 
 class ServiceDispatchers:
-    """Dispatchers by service, over one pool of endpoints."""
+    """One dispatcher per service, sharing a pool of endpoints."""
 
     def __init__(
         self,
@@ -42,10 +42,10 @@
         return any(dispatcher.calls for dispatcher in self.by_service.values())
 
     def calls_of(self, message: Message) -> list[InFlightCall]:
-        """Calls of a message that are in flight.
+        """The calls of a message that are in flight.
 
-        They may be at another service than the message's present one: a new configuration may have moved its
-        route meanwhile.
+        They may belong to another service than the message does now, if a new configuration has moved its
+        route since.
         """
         return [
             call
@@ -55,11 +55,11 @@
         ]
 
     def dispatch(self, service: str, message: Message) -> None:
-        """Send a message that is due to an endpoint of a service, as soon as its rate and endpoints allow."""
+        """Queue a due message at the dispatcher of a service."""
         self._dispatcher(service).add(message)
 
     def update_endpoint(self, endpoint_id: str, published: PublishedEndpoint) -> None:
-        """Use what is published of an endpoint now, and send what waited for it."""
+        """Apply the published state of an endpoint, and dispatch messages that waited for it."""
         unusable = self._pool.update(endpoint_id, published, self._context.runtime.now())
         if unusable is not None and unusable.condition == EndpointCondition.GONE:
             self._endpoints.close_idle_connections(unusable.address)
@@ -68,23 +68,23 @@
             dispatcher.send_due()
 
     def apply_routes(self) -> None:
-        """Have a dispatcher for each service of the routing table, and know its fixed endpoint if any."""
+        """Create the dispatchers of all services in the routing table, and set their fixed endpoints."""
         for name, destination in self._context.routes.services.items():
             self._pool.set_fixed(name, destination.fixed)
             self._dispatcher(name)
 
     def apply_rate_limits(self) -> None:
-        """Use the rate limits of a new configuration, and send what they allow now."""
+        """Apply the rate limits of a new configuration, and dispatch what they allow."""
         self._rate_share = 0.0
         self.update_rate_share()
         for dispatcher in self.by_service.values():
             dispatcher.send_due()
 
     def update_rate_share(self) -> None:
-        """Adapt this node's share of the rate limits to the number of edge nodes that own shards.
+        """Adjust this node's share of the rate limits to the number of edge nodes that own shards.
 
-        Invariant: the shares that the edge nodes use sum up to one at most. A smaller share is used at once,
-        a larger one only after the others have learned of the new assignment and reduced theirs.
+        Invariant: the shares used by all edge nodes add up to at most one. A smaller share takes effect
+        immediately, a larger one only after the others have received the new assignment and reduced theirs.
         """
         share = self._assigned_share()
         if share > self._rate_share and not self._increase_scheduled:
--- a/amberlug/cluster/edge/forwarding.py
+++ b/amberlug/cluster/edge/forwarding.py
@@ -1,4 +1,4 @@
-"""Submission of messages to the owners of their shards, here or at another node, with retries. No I/O."""
+"""Submits messages to the owners of their shards, local or remote, with retries. No I/O."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 from amberlug.cluster.interfaces import RequestFailure
 from amberlug.cluster.rpc.messages import Responder, handles, request
 
-OFFER_TIMEOUT_S = 0.5  # for the owner at another node to answer: a replicated write takes a tenth of it
-RETRY_INTERVAL_S = 0.03  # until the next attempt: a shard's move to another owner takes a few of them
-NO_OWNER_TIMEOUT_S = 1.0  # for the shard to have an owner that answers, where the client would wait longer
+OFFER_TIMEOUT_S = 0.5  # for a remote owner to reply: ten times the duration of a replicated write
+RETRY_INTERVAL_S = 0.03  # between attempts; a change of a shard's owner takes a few intervals
+NO_OWNER_TIMEOUT_S = 1.0  # for the shard to get a responsive owner, if the client would wait longer
 
 
 class Forwarder:
-    """Submits messages of this node's clients, and accepts those that other edge nodes forward."""
+    """Submits messages of this node's clients, and accepts messages forwarded by other edge nodes."""
 
     def __init__(self, context: EdgeContext, shard_owner: ShardOwner) -> None:
         self.context, self.shard_owner = context, shard_owner
@@ -25,15 +25,15 @@
     def submit(self, message: Message, timeout_s: float, on_outcome: AdmissionCallback) -> None:
         """Have the owner of the message's shard accept it.
 
-        :param timeout_s: seconds until the client is answered at the latest.
-        :param on_outcome: called once. `REJECTED` means that the message is certainly stored nowhere;
+        :param timeout_s: seconds within which the client must be answered.
+        :param on_outcome: called once. `REJECTED` means that the message is definitely not stored,
             `OUTCOME_UNKNOWN` that it may be.
         """
         _Submission(self, message, timeout_s, on_outcome).attempt()
 
     @handles(Offer)
     def on_offer(self, offer: Offer, origin: str, respond: Responder) -> None:
-        """Accept a message that another edge node's client has submitted."""
+        """Accept a message submitted by a client of another edge node."""
         message = offer.to_message()
         self.context.count("forwarded by others")
         if message.config_index > self.context.routes.index:
@@ -45,12 +45,12 @@
 
 
 class _Submission:
-    """One client's message on its way to the owner of its shard.
+    """One submission of a client's message, with retries.
 
-    Invariant: the message is reported as rejected only while no owner and no storage node can have it. Once
-    an attempt has an unknown outcome, or is in flight as the time runs out, the outcome is unknown unless a
-    later attempt is accepted, since the next owner may find what an earlier one began to store. The id stays
-    the same on all attempts, so that a message that is accepted twice is stored once.
+    Invariant: the message is reported as rejected only if no owner and no storage node can have it. If an
+    attempt ends with an unknown outcome, or is in flight at the deadline, the submission's outcome is unknown
+    unless a later attempt is accepted, since the next owner may recover replicas written by an earlier one.
+    All attempts use the same id, so that a message that is accepted twice is stored once.
     """
 
     def __init__(
@@ -67,7 +67,7 @@
         self._timer = self._runtime.call_later(timeout_s, self._timed_out)
 
     def attempt(self) -> None:
-        """Offer the message to the present owner of its shard."""
+        """Offer the message to the current owner of its shard."""
         if self._finished:
             return
         now = self._runtime.now()
@@ -95,7 +95,7 @@
             self._retry_later()
             return
         if reply.ok_value.is_unavailable and not self._may_be_stored:
-            # The owner wrote nothing, and too few storage nodes answer it: a retry would fail as well.
+            # Too few storage nodes respond to the owner, and it wrote nothing: a retry would fail too.
             self._finish(AdmissionOutcome.REJECTED)
         else:
             self._owner_answered(reply.ok_value.outcome)
--- a/amberlug/cluster/edge/intake.py
+++ b/amberlug/cluster/edge/intake.py
@@ -1,4 +1,4 @@
-"""Requests of clients: which are answered at once, which become messages, and the responses. No I/O."""
+"""Handles client requests: validates submissions, creates messages and builds responses. No I/O."""
 
 from __future__ import annotations
 
@@ -19,14 +19,14 @@
 from amberlug.cluster.interfaces import Headers, Json
 from amberlug.cluster.values import value
 
-DEFAULT_CLIENT_TIMEOUT_S = 1.5  # where a client does not say for how long it waits
-MAX_BODIES_MEMORY_FRACTION = 0.35  # of the node's memory: the rest is for connections and the process itself
-MAX_ATTEMPT_ID_CHARACTERS = 58  # a message's id, which is the shard and the attempt id, has 64 at most
-MAX_NOT_BEFORE_DIGITS = 12  # in milliseconds: some thirty years
-RETRY_AFTER_S = 1  # that a client waits once it was rejected: a take-over of shards is done by then
+DEFAULT_CLIENT_TIMEOUT_S = 1.5  # if the client does not specify a timeout
+MAX_BODIES_MEMORY_FRACTION = 0.35  # of the node's memory; the rest is for connections and the process
+MAX_ATTEMPT_ID_CHARACTERS = 58  # a message id, made of shard and attempt id, is limited to 64
+MAX_NOT_BEFORE_DIGITS = 12  # milliseconds: about 30 years
+RETRY_AFTER_S = 1  # sent with rejections; a failover of shards is complete by then
 BYTES_PER_MB = 1e6
 
-# Of one connection only, or rewritten on each delivery: not kept with the message.
+# Hop-by-hop headers, and headers rewritten on each delivery; they are not stored with the message.
 HEADERS_NOT_FORWARDED = frozenset(
     (
         "host",
@@ -49,16 +49,16 @@
 
 
 class ClientRequest(HttpRequest, Protocol):
-    """A request of a client, with all its headers by lower-case name."""
+    """A client request; header names are lower-case."""
 
     @property
     def headers(self) -> Headers:
-        """Names and values in the order in which they came."""
+        """Names and values in the order received."""
 
 
 @value
 class ClientResponse:
-    """An answer to a client: a JSON body, or bytes where `body` is None."""
+    """A response to a client: a JSON body, or bytes if `body` is None."""
 
     status: int
     body: Json | None = None
@@ -71,22 +71,22 @@
 
 @value
 class SubmissionHeaders:
-    """What a client's headers say about a submission."""
+    """The parsed headers of a submission."""
 
     attempt_id: str
-    not_before_ms: int  # after the arrival
+    not_before_ms: int  # delay after arrival
     timeout_s: float
 
 
 def _is_number(text: str) -> bool:
-    """Whether it is digits that `int` reads; superscripts are digits for `isdigit` alone."""
+    """Whether `int` can parse the digits; `isdigit` alone also accepts superscripts."""
     return text.isascii() and text.isdigit()
 
 
 def parse_submission_headers(request: ClientRequest) -> Result[SubmissionHeaders, str]:
-    """Read the headers of a submission.
+    """Parse the headers of a submission.
 
-    :returns: the headers, or what is wrong with them.
+    :returns: the headers, or a description of what is wrong with them.
     """
     attempt_id = request.header("amberlug-attempt-id")
     if (
@@ -105,7 +105,7 @@
 
 
 class Intake:
-    """Answers the requests that come to an edge node's front."""
+    """Handles the client requests that arrive at an edge node."""
 
     def __init__(
         self,
@@ -119,12 +119,12 @@
         self._history = history
 
     def handle(self, request: ClientRequest, respond: RespondToClient) -> None:
-        """Answer a request: a declared call under `/-/`, or a submission to a configured route."""
+        """Handle a request: an API call under `/-/`, or a submission to a configured route."""
         if request.target.startswith("/-/"):
             self._api.handle(request, lambda response: respond(_client_response(response)))
             return
         if not (self._context.has_routes and self._context.session.is_confirmed):
-            # The routing table may be older than one that was acknowledged, or there is none at all.
+            # There is no routing table, or it may be older than an acknowledged one.
             self._reject(respond, 503, "no configuration that a majority has confirmed")
             return
         host = (request.header("host") or "").partition(":")[0]
@@ -163,7 +163,7 @@
         return self._delivery.pending_bytes > MAX_BODIES_MEMORY_FRACTION * memory_bytes
 
     def _choose_shard(self, key: str) -> int | None:
-        """The shard of a sequence key; without a key one that is served here, else any that has an owner."""
+        """The shard of a sequence key; without a key, one served here, or else any with an owner."""
         if key:
             return shard_of(key, SHARDS)
         shard_owner = self._delivery.shard_owner
@@ -212,7 +212,7 @@
             self._reject(respond, 503, "not enough stores can be reached")
 
     def _reject(self, respond: RespondToClient, status: int, cause: str) -> None:
-        """Answer that the message is stored nowhere, and when the client may submit it again."""
+        """Respond that the message is not stored, and when the client may retry."""
         self._context.count("rejected")
         respond(ClientResponse(status, {"cause": cause}, _retry_after(RETRY_AFTER_S)))
 
@@ -222,7 +222,7 @@
 
 
 def _client_response(response: HttpResponse) -> ClientResponse:
-    """The answer of a declared call, whose field `blob` holds bytes in place of a JSON body."""
+    """Convert the response of an API call; a field `blob` holds bytes that replace the JSON body."""
     payload = response.body.get("blob")
     headers = _retry_after(response.retry_after) if response.retry_after is not None else ()
     if isinstance(payload, bytes):
--- a/amberlug/cluster/edge/lookup.py
+++ b/amberlug/cluster/edge/lookup.py
@@ -1,4 +1,4 @@
-"""Look-ups of clients: a message's status, and its body. No I/O."""
+"""Client lookups of a message's status and body. No I/O."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
 from amberlug.cluster.rpc.messages import Responder, handles, request
 from amberlug.cluster.storage.outcomes import OPEN, MessageOutcome
 
-LOOKUP_TIMEOUT_S = 1.7  # for the answer to a client: clients wait two seconds
-RETRY_AFTER_S = 1  # that a client waits where the answer can't be known now
+LOOKUP_TIMEOUT_S = 1.7  # to answer a client; clients wait two seconds
+RETRY_AFTER_S = 1  # sent if the answer can't be determined now
 
 
 class MessageLookup:
-    """Finds the status of a message: in memory, at the owner of its shard, else at the storage nodes."""
+    """Finds the status of a message in memory, at the owner of its shard, or at the storage nodes."""
 
     def __init__(
         self, context: EdgeContext, delivery: MessageDelivery, reader: StorageReader, history: AnswerHistory
@@ -36,7 +36,7 @@
         def answer(outcome: MessageOutcome | None) -> None:
             if outcome == NOT_FOUND and not self._context.session.control_address:
                 outcome = (
-                    None  # the roster may have changed: only nodes in contact with a majority hear of it
+                    None  # the roster may have changed; only nodes in contact with a majority learn of it
                 )
             respond(_outcome_response(self._history.checked(name, outcome)))
 
@@ -44,7 +44,7 @@
 
     @api_call("GET", "/-/message-body/")
     def message_body(self, request: HttpRequest, name: str, respond: RespondHttp) -> None:
-        """Answer with the body of a message that is open or has failed."""
+        """Respond with the body of a message that is open or has failed."""
         pending = self._delivery.queue.messages.get(name)
         if pending is not None and pending.body is not None:
             respond(HttpResponse(200, {"blob": pending.body}))
@@ -53,14 +53,14 @@
 
     @handles(StandingRequest)
     def on_standing(self, question: StandingRequest, origin: str, respond: Responder) -> None:
-        """Reply to another edge node with the status of a message of a shard that is owned here."""
+        """Reply to another edge node with the status of a message in a shard owned here."""
         respond(StandingReply(self.local_outcome(question.message_id)))
 
     def local_outcome(self, message_id: str) -> MessageOutcome | None:
-        """The status of a message by this node's memory; None where it is not there.
+        """The status of a message in this node's memory; None if it is not known.
 
-        Invariant: a message is told to have ended only once its outcome outlasts the tolerated losses. Else a
-        client could see it as pending again.
+        Invariant: a message is reported as ended only once its outcome survives the tolerated losses.
+        Otherwise a client could later see it as pending again.
         """
         if (
             message_id in self._delivery.queue.messages
@@ -68,13 +68,13 @@
         ):
             return OPEN
         if self._context.replicator.is_outcome_unconfirmed(message_id):
-            return None  # the storage nodes are asked, and have learned it before it is told
+            return None  # fall back to the storage nodes, which report it only once it is on enough disks
         return self._delivery.outcomes.get(message_id)
 
     def find_outcome(self, message_id: str, on_outcome: OutcomeCallback) -> None:
         """Find the status of a message.
 
-        :param on_outcome: called once, with None where it can't be known now.
+        :param on_outcome: called once, with None if it can't be determined now.
         """
         local_outcome = self.local_outcome(message_id)
         if local_outcome is not None:
--- a/amberlug/cluster/edge/node.py
+++ b/amberlug/cluster/edge/node.py
@@ -1,4 +1,4 @@
-"""An edge node: its parts, and what they learn from the control plane and from the process. No I/O."""
+"""An edge node: wires its components to each other, the control plane and the process. No I/O."""
 
 from __future__ import annotations
 
@@ -44,7 +44,7 @@
 
 
 class EdgeNode:
-    """One edge node."""
+    """One edge node, made of the components in this package."""
 
     def __init__(self, runtime: Runtime, settings: Settings, address: str, endpoints: Endpoints) -> None:
         self.gossip = GossipStore(runtime, self._gossip_peers, self._on_published)
@@ -71,22 +71,22 @@
 
     @property
     def routes(self) -> RoutingTable:
-        """The routing table in force."""
+        """The current routing table."""
         return self._context.routes
 
     @property
     def counters(self) -> dict[str, int]:
-        """Counted events, as the counters page shows them."""
+        """Event counters, as shown on the counters page."""
         return self._context.counters
 
     @property
     def delivery_queue(self) -> DeliveryQueue:
-        """The messages of the shards that are owned here."""
+        """The open messages of the shards owned here."""
         return self.delivery.queue
 
     @property
     def shard_owner(self) -> ShardOwner:
-        """The shards that are owned here, and the table of all owners."""
+        """The shards owned here, and the shard table."""
         return self.delivery.shard_owner
 
     @property
@@ -96,33 +96,33 @@
 
     @property
     def pending_bytes(self) -> int:
-        """Bytes of the bodies of the messages that are pending here."""
+        """The total body size of the messages pending here, in bytes."""
         return self.delivery.pending_bytes
 
-    # What the process calls.
+    # -- called by the process
 
     def begin(self) -> None:
-        """Start: find a control-plane node, and set the periodic timers."""
+        """Start the session with the control plane and the periodic timers."""
         self.session.begin()
         self.gossip.begin()
         self.delivery.begin()
         self.repair.begin()
 
     def begin_shutdown(self) -> None:
-        """Begin a planned end: this node's shards go to others, to which it forwards late submissions."""
+        """Begin a graceful shutdown: shards move to other nodes, which late submissions are forwarded to."""
         self._is_leaving = True
         self.session.leave()
 
     @property
     def is_idle(self) -> bool:
-        """Whether the process can end, since no other node waits for anything of this one."""
+        """Whether the process can exit, since no other node waits for anything from this one."""
         return self.delivery.is_idle
 
     def _session_attributes(self) -> EdgeAttributes:
         return self.repair.progress()
 
     def status_report(self, live_disk_ids: Set[str]) -> EdgeStatusReport:
-        """Report this node's state to its operators.
+        """Build the status report for operators.
 
         :param live_disk_ids: the disks whose replicas count.
         """
@@ -142,7 +142,7 @@
 
     @property
     def ready(self) -> bool:
-        """Whether clients should be sent here."""
+        """Whether this node should receive client traffic."""
         ready = (
             not self._is_leaving
             and self.session.is_confirmed
@@ -156,29 +156,29 @@
         return ready
 
     def handle(self, request: ClientRequest, respond: RespondToClient) -> None:
-        """Answer a request of a client."""
+        """Handle a client request."""
         self._intake.handle(request, respond)
 
     def update_settings(self, settings: Settings) -> None:
-        """Use a settings file that has changed."""
+        """Apply a changed settings file."""
         self._context.settings = self.session.settings = settings
         self.session.add_seeds(seed_addresses(settings))
 
     def on_peer_disconnected(self, address: str) -> None:
-        """The connection with the process at an address was lost."""
+        """Handle the loss of the connection to the process at an address."""
         self.session.on_disconnect(address)
         self.replicator.connection_lost(address)
         self.shard_owner.connection_lost(address)
 
-    # What the control plane publishes.
+    # -- published by the control plane
 
     def _gossip_peers(self) -> list[str]:
-        """Addresses of the other edge nodes that own shards, and of the session's control-plane node."""
+        """The addresses of the other edge nodes that own shards and of the session's control-plane node."""
         peers = [owner.address for owner in self.shard_owner.owners if owner.node_id != self.session.id]
         return peers + ([self.session.control_address] if self.session.control_address else [])
 
     def _on_published(self, key: str, body: Payload) -> None:
-        """Apply a published value that is newer than what was known under its key."""
+        """Apply a published value that is newer than the known one of its key."""
         index = published_index(self.gossip.items, key)
         if key.startswith(ENDPOINT_KEY_PREFIX):
             endpoint_id = key.removeprefix(ENDPOINT_KEY_PREFIX)
@@ -195,11 +195,11 @@
             self.session.update_control_nodes(Members.from_wire(body))
 
     def apply_routes(self, routes: RoutingTable) -> None:
-        """Put a newer configuration in force.
+        """Apply a newer configuration.
 
-        Invariant: no configuration is replaced by an older one: acknowledged changes would be lost.
+        Invariant: a configuration is never replaced by an older one, which would lose acknowledged changes.
         """
-        assert routes.index > self.routes.index, "a configuration would be taken back"
+        assert routes.index > self.routes.index, "a configuration would be replaced by an older one"
         self._context.routes = routes
         logging.info("configuration %d is in force here", routes.edition)
         self.delivery.apply_routes()
--- a/amberlug/cluster/edge/outcomes.py
+++ b/amberlug/cluster/edge/outcomes.py
@@ -1,13 +1,13 @@
-"""The outcomes that an edge node itself gives messages, and those that it remembers."""
+"""Outcomes assigned by an edge node itself, and a memory of recent outcomes."""
 
 from __future__ import annotations
 
 from amberlug.cluster.storage.outcomes import MessageOutcome
 from amberlug.cluster.values import value
 
-DROPPED = MessageOutcome("dropped")  # its route is no longer configured
-EXPIRED = MessageOutcome("expired")  # its retention time is over
-NOT_FOUND = MessageOutcome("none")  # never stored: only in answers to lookups
+DROPPED = MessageOutcome("dropped")  # the message's route is no longer configured
+EXPIRED = MessageOutcome("expired")  # the retention time of the message has passed
+NOT_FOUND = MessageOutcome("none")  # never stored; used only in answers to lookups
 
 
 @value
@@ -17,7 +17,7 @@
 
 
 class RecentOutcomes:
-    """Outcomes of messages that ended of late, by message id, in the order of their first recording."""
+    """Outcomes of recently ended messages by message id, in the order in which they were first recorded."""
 
     def __init__(self) -> None:
         self._recorded: dict[str, _RecordedOutcome] = {}
@@ -26,19 +26,19 @@
         return message_id in self._recorded
 
     def get(self, message_id: str) -> MessageOutcome | None:
-        """The outcome of a message, where it is remembered."""
+        """The outcome of a message; None if it is not remembered."""
         recorded = self._recorded.get(message_id)
         return recorded.outcome if recorded is not None else None
 
     def record(self, message_id: str, outcome: MessageOutcome, now: float) -> None:
-        """Remember how a message ended.
+        """Remember the outcome of a message.
 
-        :param now: seconds of the monotonic clock.
+        :param now: monotonic time in seconds.
         """
         self._recorded[message_id] = _RecordedOutcome(outcome, now)
 
     def forget_before(self, cutoff: float) -> None:
-        """Forget what was recorded before that time of the monotonic clock, in seconds."""
+        """Forget the outcomes recorded before a monotonic time in seconds."""
         while self._recorded:
             oldest_id = next(iter(self._recorded))
             if self._recorded[oldest_id].recorded_at >= cutoff:
--- a/amberlug/cluster/edge/repair.py
+++ b/amberlug/cluster/edge/repair.py
@@ -1,4 +1,4 @@
-"""Restores replicas and outcomes of messages that too few storage nodes hold. No I/O."""
+"""Restores missing replicas and outcomes of messages on too few storage nodes. No I/O."""
 
 from __future__ import annotations
 
@@ -12,26 +12,26 @@
 from amberlug.cluster.edge.delivery import MessageDelivery
 from amberlug.cluster.edge.storage_reads import StorageReader
 
-REPAIR_INTERVAL_S = 0.1  # between searches for messages with too few replicas
-MAX_CONCURRENT_REPAIRS = 16  # so that repairs do not delay the writes of new messages
+REPAIR_INTERVAL_S = 0.1  # between searches for under-replicated messages
+MAX_CONCURRENT_REPAIRS = 16  # limits the delay that repairs cause for new messages
 
 
 class ReplicaRepair:
-    """Writes further replicas of messages after a change of the roster, some at a time."""
+    """Re-replicates messages after a roster change, with limited concurrency."""
 
     def __init__(self, context: EdgeContext, delivery: MessageDelivery, reader: StorageReader) -> None:
         self._context, self._delivery, self._reader = context, delivery, reader
         self._outcome_repairs = OutcomeRepairs(context.runtime, context.replicator)
         self._in_progress: set[str] = set()  # ids of messages
-        self._owned_epochs: dict[int, int] = {}  # of the shards that are owned by the newest table
+        self._owned_epochs: dict[int, int] = {}  # by shard, according to the newest shard table
         self._roster_changed_at = 0.0
 
     def begin(self) -> None:
-        """Start the periodic search for messages with too few replicas."""
+        """Start the periodic search for under-replicated messages."""
         self._context.runtime.call_later(REPAIR_INTERVAL_S, self._search)
 
     def apply_roster(self, roster: StorageRoster) -> None:
-        """Count replicas by a new roster of storage nodes."""
+        """Apply a new roster of storage nodes."""
         replicator = self._context.replicator
         counted_before = set(replicator.writable_disks)
         replicator.update_roster(roster)
@@ -48,16 +48,16 @@
         }
 
     def apply_shard_table(self) -> None:
-        """Repair the outcomes of shards that were gained: their previous owner may not have finished."""
+        """Repair the outcomes of gained shards, since their previous owner may not have finished doing so."""
         owned = {number: shard.epoch for number, shard in self._delivery.shard_owner.owned.items()}
         gained = [number for number, epoch in owned.items() if self._owned_epochs.get(number) != epoch]
         self._owned_epochs = owned
         self._outcome_repairs.repair(gained)
 
     def progress(self) -> EdgeAttributes:
-        """How far this node is with the newest roster that it knows."""
+        """The progress of this node in applying the newest roster that it knows."""
         shard_owner = self._delivery.shard_owner
-        # A write that began under the roster before may yet end with replicas that no longer count.
+        # A write that began under the previous roster may still end with replicas that no longer count.
         early_writes = sum(
             1 for began_at in shard_owner.write_started_at.values() if began_at <= self._roster_changed_at
         )
@@ -108,7 +108,7 @@
             self.repair_finished(message)
 
     def repair_finished(self, message: Message) -> None:
-        """Apply what came of a repair; where replicas are still too few, the next search tries again."""
+        """Apply the result of a repair; if replicas are still missing, the next search retries."""
         self._in_progress.discard(message.id)
         if not message.outcome.is_open and not message.ended:
             self._delivery.settle_stored_outcome(message)
--- a/amberlug/cluster/edge/status.py
+++ b/amberlug/cluster/edge/status.py
@@ -1,4 +1,4 @@
-"""What operators see of an edge node, through a control-plane node. No I/O."""
+"""The status of an edge node that operators query through a control-plane node. No I/O."""
 
 from __future__ import annotations
 
@@ -13,19 +13,19 @@
 
 @value
 class EdgeStatusReport(Body):
-    """An edge node as its operators see it; the reply to a `NodeStatusRequest`."""
+    """The status of an edge node; the reply to a `NodeStatusRequest`."""
 
     is_ready: bool
     config_version: int
     owned_shards: int
     queued_messages: int
     queued_bytes: int
-    active_calls: int  # calls of endpoints that have not ended
+    active_calls: int  # calls to endpoints in flight
     under_replicated_messages: int
     counters: dict[str, int]
 
     def to_wire(self) -> Json:
-        """The fields in the order in which operators read them; their names are historical."""
+        """Encode the fields in display order; the wire names are historical."""
         return {
             "ready": self.is_ready,
             "edition": self.config_version,
@@ -39,9 +39,9 @@
 
     @classmethod
     def from_wire(cls, body: Json, payload: bytes) -> EdgeStatusReport:
-        """Read the report.
+        """Decode the report.
 
-        :raises KeyError: where a field is missing.
+        :raises KeyError: if a field is missing.
         """
         return cls(
             body["ready"],
@@ -56,22 +56,22 @@
 
 
 class EdgeStatusSource(Protocol):
-    """An edge node as far as its status is concerned."""
+    """The part of an edge node that reports its status."""
 
     def status_report(self, live_disk_ids: Set[str]) -> EdgeStatusReport:
-        """Report the node's state.
+        """Build the status report.
 
         :param live_disk_ids: the disks whose replicas count.
         """
 
 
 class EdgeStatus:
-    """Answers the status request for an edge node."""
+    """Handles status requests for an edge node."""
 
     def __init__(self, edge: EdgeStatusSource) -> None:
         self._edge = edge
 
     @handles(NodeStatusRequest)
     def on_status(self, request: NodeStatusRequest, origin: str, respond: Responder) -> None:
-        """Report the node's state; only replicas on the disks of the request count."""
+        """Reply with the node's status; only replicas on the disks named in the request count."""
         respond(self._edge.status_report(frozenset(request.storage_disk_ids)))
--- a/amberlug/cluster/edge/storage_reads.py
+++ b/amberlug/cluster/edge/storage_reads.py
@@ -1,4 +1,4 @@
-"""Reads from storage nodes: bodies and status of messages. No I/O."""
+"""Reads bodies and outcomes of messages from storage nodes. No I/O."""
 
 from __future__ import annotations
 
@@ -18,18 +18,18 @@
 from amberlug.cluster.storage.outcomes import OPEN, MessageOutcome
 from amberlug.cluster.values import value
 
-READ_TIMEOUT_S = 0.5  # for a storage node, or an edge node that is asked, to answer
-READ_SLACK_S = 0.05  # beyond it, until a read of several nodes ends without those that have not answered
-LOG_INTERVAL_S = 1.0  # at least, between lines about look-ups
+READ_TIMEOUT_S = 0.5  # for a storage node or another edge node to reply
+READ_SLACK_S = 0.05  # added to it before a read from several nodes ends without the missing replies
+LOG_INTERVAL_S = 1.0  # minimum time between log messages about lookups
 
 OutcomeCallback = Callable[[MessageOutcome | None], None]
 
 
 @value
 class FoundBody:
-    """What storage nodes answered about a body.
+    """The result of reading a body from all storage nodes.
 
-    :param is_certain: whether those without it are so many that the others alone can't have it.
+    :param is_certain: whether the nodes that replied without it are a read quorum, so that none has it.
     """
 
     body: bytes | None
@@ -43,9 +43,9 @@
         self._context = context
 
     def read_body(self, message: Message, on_done: Callable[[bool], None]) -> None:
-        """Read the body of a message into it, from one of its replicas.
+        """Read the body of a message from one of its replicas into the message.
 
-        Where the storage node knows that the message has ended, its `outcome` is set.
+        If the storage node knows that the message has ended, the message's `outcome` is set.
 
         :param on_done: called once, with whether the body was read.
         """
@@ -69,7 +69,7 @@
     def find_body(self, message_id: str, on_body: Callable[[FoundBody], None]) -> None:
         """Read the body of a message from all storage nodes.
 
-        :param on_body: called once, with the first body that comes, or once no further answer can come.
+        :param on_body: called once, with the first body received, or when all requests have ended.
         """
         storage_nodes = self._context.replicator.stores
         without_body: set[str] = set()
@@ -98,7 +98,7 @@
     def find_outcome(self, message_id: str, deadline: float, on_outcome: OutcomeCallback) -> None:
         """Ask all storage nodes for the status of a message.
 
-        :param deadline: monotonic time in seconds at which None is reported at the latest.
+        :param deadline: monotonic time in seconds by which None is reported if there is no answer.
         :param on_outcome: called once, see `_OutcomeQuery`.
         """
         _OutcomeQuery(self._context, message_id, on_outcome).begin(deadline)
@@ -110,12 +110,12 @@
 
 
 class _OutcomeQuery:
-    """One request to all storage nodes for the status of a message.
+    """A query to all storage nodes for the status of a message.
 
-    Invariant: a message is reported as open or as not found only if the storage nodes that have answered are
-    so many that the others alone can't hold a message (a read quorum), and none of them knows a newer roster.
-    It is reported as ended only once its outcome is on a write quorum: one that is found on fewer disks is
-    written to others first, since these could answer the next client.
+    Invariant: a message is reported as open or as not found only if the storage nodes that have replied are a
+    read quorum, so that the others alone can't hold a message, and none of them knows a newer roster. It is
+    reported as ended only once its outcome is on a write quorum: an outcome found on fewer disks is first
+    written to others, since these could answer the next client.
     """
 
     def __init__(self, context: EdgeContext, message_id: str, on_outcome: OutcomeCallback) -> None:
@@ -126,12 +126,12 @@
         self._ended_disks: set[str] = set()
         self._ended: Acknowledgement | None = None  # the outcome of the first disk that had one
         self._is_open_somewhere = False
-        self._newest_roster = 0  # log index of the newest roster that a storage node has answered by
+        self._newest_roster = 0  # the largest roster index among the replies
         self._is_restoring = False
         self._finished = False
 
     def begin(self, deadline: float) -> None:
-        """Send the requests, and report None at the deadline (monotonic time in seconds)."""
+        """Send the requests; None is reported at the deadline (monotonic time in seconds)."""
         for disk, storage_node in self._replicator.stores.items():
             question = OutcomesRequest((self._message_id,))
             on_reply = partial(self._answered, disk)
@@ -140,7 +140,7 @@
         self._runtime.call_later(min(READ_TIMEOUT_S + READ_SLACK_S, timeout_s), self._timed_out)
 
     def _answered(self, disk: str, reply: Result[OutcomesReply, RequestFailure]) -> None:
-        # An answer in the name of another disk is none: the machine has lost the one that is meant.
+        # A reply from another disk does not count: the machine has lost the requested one.
         if self._finished or not isinstance(reply, Ok) or reply.ok_value.disk_id != disk:
             return
         self._answered_disks.add(disk)
@@ -164,13 +164,13 @@
             self._ended = Acknowledgement(self._message_id, shard_in(self._message_id), outcome, retain_until)
 
     def _is_certain(self) -> bool:
-        """Whether the disks that have answered know every message that has enough replicas."""
+        """Whether the disks that have replied are a read quorum of the newest roster."""
         return self._newest_roster <= self._replicator.roster_index and self._replicator.covers_all_messages(
             self._answered_disks
         )
 
     def _finish_if_ended(self, ended: Acknowledgement) -> None:
-        """Report the end once enough disks have it; where they do not, have others learn it."""
+        """Report the outcome once it is on enough disks; write it to others if it is not."""
         if self._replicator.is_write_quorum(self._ended_disks):
             self._finish(ended.outcome)
         elif self._is_certain() and not self._is_restoring:
@@ -180,7 +180,7 @@
             self._replicator.restore_outcome(ended, self._ended_disks, on_durable, self._answered_disks)
 
     def _log_details(self) -> tuple[object, ...]:
-        """For log lines: the message, who has and has not answered, the roster here and the newest known."""
+        """Arguments for log messages: message id, nodes with and without a reply, local and newest roster."""
         stores = self._replicator.stores
         return (
             self._message_id,
--- a/amberlug/cluster/storage/content_messages.py
+++ b/amberlug/cluster/storage/content_messages.py
@@ -1,4 +1,4 @@
-"""The request for a message's body, which edges and operators make of storage nodes. No I/O."""
+"""The wire messages with which edges and operators read a message's body. No I/O."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 
 @value
 class ContentReply(Body):
-    """A message's body, where it is here, and how the message ended where it has."""
+    """The body of a message if the storage node has it, and its outcome if it has ended."""
 
     content: bytes | None
     outcome: MessageOutcome = OPEN
-    disk_id: str = ""  # which disk answers; storage nodes of earlier versions do not say
+    disk_id: str = ""  # the replying disk; not sent by storage nodes of earlier versions
 
     @property
     def payload(self) -> bytes:
@@ -24,39 +24,39 @@
         return self.content or b""
 
     def to_wire(self) -> Json:
-        """Whether it is here, then `end` and `seal` where the message has ended."""
+        """Encode `found`, then `end` and `seal` if the message has ended."""
         body = {"found": self.content is not None, **self.outcome.to_fields()}
         return {**body, "disk": self.disk_id} if self.disk_id else body
 
     @classmethod
     def from_wire(cls, body: Json, payload: bytes) -> ContentReply:
-        """Read the reply; without its fields the body is not there and the message is open."""
+        """Decode the reply; missing fields mean no body and an open message."""
         content = payload if body.get("found") else None
         return cls(content, MessageOutcome.from_fields(body), body.get("disk", ""))
 
 
 @value
 class MessageIdRequest(Request[ReplyT]):
-    """The form of requests that only name a message."""
+    """Base class of requests whose only field is a message id."""
 
     message_id: str
 
     def to_wire(self) -> Json:
-        """The message's id."""
+        """Encode the message id."""
         return {"id": self.message_id}
 
     @classmethod
     def from_wire(cls, body: Json, payload: bytes) -> Self:
-        """Read the request.
+        """Decode the request.
 
-        :raises KeyError: without the id.
+        :raises KeyError: if the id is missing.
         """
         return cls(body["id"])
 
 
 @value
 class ContentRequest(MessageIdRequest[ContentReply]):
-    """Ask for the body of a message that is open or dead."""
+    """Requests the body of a message that is open or dead."""
 
     wire_tag: ClassVar[str] = "body"
     reply_type: ClassVar[type[ContentReply]] = ContentReply
--- a/amberlug/cluster/storage/enrollment.py
+++ b/amberlug/cluster/storage/enrollment.py
@@ -1,11 +1,11 @@
-"""Whether replicas may be written to this disk: its enrollment in the roster of storage nodes. No I/O.
-
-The control plane publishes two values that matter here: the roster of disks, and the shard table with
-the epoch of each shard's owner. An owner fences the disks of the roster on which its table was agreed. A disk
-that was enrolled later was never fenced by it, so an owner from before, which wakes up and learns of the new
-disks before it learns of the new table, might find enough of them that know no fencing token, and write
-replicas that no later owner reads. Hence a disk accepts no replica until it knows the table of the time at
-which it was enrolled, and rejects all owners from before that table.
+"""Enrollment of a disk in the roster of storage nodes, before which it accepts no replicas. No I/O.
+
+The control plane publishes two relevant values: the roster of disks, and the shard table with the epoch of
+each shard's owner. An owner fences the disks of the roster on which its table is based. A disk that is
+enrolled later was never fenced by it. So a previous owner that resumes and learns of the new disks before it
+learns of the new table could find enough disks without a fencing token, and write replicas that no later
+owner reads. Therefore a disk accepts no replica until it knows the shard table in force at its enrollment,
+and rejects all owners from before that table.
 """
 
 from __future__ import annotations
@@ -30,18 +30,18 @@
 )
 from amberlug.cluster.storage.replica_service import ignore_failure
 
-DISK_ID_BITS = 64  # random names of disks: a collision is out of the question
+DISK_ID_BITS = 64  # random, so that collisions are negligible
 
 
 def new_disk_id(runtime: Runtime) -> str:
-    """Draw a name for a disk that is empty."""
+    """Generate a random id for an empty disk."""
     return f"{runtime.rng.getrandbits(DISK_ID_BITS):x}"
 
 
 class Enrollment:
     """Follows the published roster and shard table, and keeps the enrollment of one disk up to date.
 
-    :param contents: the state of the disk, shared with the parts of the node that read it.
+    :param contents: the state of the disk, shared with the node's other components.
     """
 
     def __init__(
@@ -50,7 +50,7 @@
         self._runtime, self._contents, self._store, self._gossip = runtime, contents, store, gossip
 
     def on_published(self, key: str) -> None:
-        """Apply the roster after it or the shard table has changed."""
+        """Re-apply the roster after a change of the roster or the shard table."""
         items = self._gossip.items
         if key in (ROSTER_KEY, SHARD_TABLE_KEY) and ROSTER_KEY in items:
             index = published_index(items, ROSTER_KEY)
@@ -66,7 +66,7 @@
             self._begin_anew()
 
     def _enroll(self, roster: StorageRoster) -> None:
-        """Record the roster, the first one together with the fencing tokens of the time of enrollment."""
+        """Record the roster; at the first one, also the fencing tokens at the time of enrollment."""
         fences: list[FenceRow] | None = []
         if not self._contents.enrolled_index:
             fences = self._fence_earlier_owners(roster.stores[self._contents.disk_id].table_index or 0)
@@ -76,10 +76,10 @@
         self._store.write([*fences, EnrollmentRow(roster.index)], ignore_failure)
 
     def _fence_earlier_owners(self, table_index: int) -> list[FenceRow] | None:
-        """Reject the owners from before the shard table of the time of enrollment.
+        """Fence the owners from before the shard table in force at enrollment.
 
         :param table_index: the log index of that table.
-        :returns: the fencing tokens that are new; None while neither that table nor a later one is known.
+        :returns: the new fencing tokens; None while neither that table nor a later one is known.
         """
         table = self._shard_table()
         if table.index < table_index:
@@ -100,7 +100,7 @@
         return ShardTable.from_wire(published_index(items, SHARD_TABLE_KEY), items[SHARD_TABLE_KEY].value)
 
     def _begin_anew(self) -> None:
-        """Empty a disk that has been replaced: its open messages may have ended, and it was not notified."""
+        """Wipe a disk dropped from the roster, as its open messages may have ended without its knowledge."""
         logging.warning("this disk is no longer on the roster: it is emptied and becomes a new one")
         contents = self._contents
         contents.disk_id, contents.enrolled_index = new_disk_id(self._runtime), 0
--- a/amberlug/cluster/storage/group_commit.py
+++ b/amberlug/cluster/storage/group_commit.py
@@ -1,7 +1,7 @@
-"""Group commit: a sqlite file with a thread of its own, in which queued writes share one synced transaction.
+"""Group commit: an SQLite database with a dedicated thread, where queued writes share one transaction.
 
-A sync costs milliseconds whatever it writes. While one is under way further writes queue up, and the next
-transaction takes them together: throughput grows with load at the latency of two syncs.
+A sync takes milliseconds regardless of its size. Writes that arrive during a sync are queued and committed
+together in the next transaction, so that throughput grows with load at a latency of two syncs.
 """
 
 from __future__ import annotations
@@ -17,9 +17,9 @@
 from amberlug.cluster.interfaces import OnWritten, WriteFailure, WriteFailureReason
 from amberlug.cluster.values import value
 
-MAX_WRITES_PER_COMMIT = 256  # bounds how long the first write of a commit waits for the others
+MAX_WRITES_PER_COMMIT = 256  # bounds the time that the first write of a commit waits for the others
 THREAD_NAME = "group-commit"
-PRIMARY_RESULT_CODE = 0xFF  # mask: the upper bits of a result code of sqlite are its extension
+PRIMARY_RESULT_CODE = 0xFF  # mask that removes the extension bits of an SQLite result code
 FAILURE_REASONS = {
     sqlite3.SQLITE_FULL: WriteFailureReason.OUT_OF_SPACE,
     sqlite3.SQLITE_IOERR: WriteFailureReason.IO_ERROR,
@@ -31,15 +31,16 @@
 
 
 def open_file(path: Path, schema: str) -> sqlite3.Connection:
-    """Open a database file, or make it.
+    """Open or create a database file.
 
-    It is in WAL mode without shared memory: one process has it open. Each commit is synced before it returns.
+    It uses WAL mode without shared memory, since only one process opens it. Each commit is synced before it
+    returns.
 
-    :param schema: statements that create what is missing.
-    :raises sqlite3.Error: where the file can't be opened or is no database.
+    :param schema: statements that create missing tables.
+    :raises sqlite3.Error: if the file can't be opened or is not a database.
     """
     database = sqlite3.connect(path, isolation_level=None, check_same_thread=False)
-    # Before the first access, so that no shared-memory file is made.
+    # Set before the first access, so that no shared-memory file is created.
     database.execute("pragma locking_mode=exclusive")
     database.execute("pragma journal_mode=wal")
     database.execute("pragma synchronous=full")
@@ -49,7 +50,7 @@
 
 
 def write_failure(error: sqlite3.Error) -> WriteFailure:
-    """Classify an error of sqlite."""
+    """Classify an SQLite error."""
     code = getattr(error, "sqlite_errorcode", 0) & PRIMARY_RESULT_CODE
     reason = FAILURE_REASONS.get(code, WriteFailureReason.DATABASE_ERROR)
     return WriteFailure(reason, f"{type(error).__name__}: {error}")
@@ -62,9 +63,9 @@
 
 
 class _Batch(NamedTuple, Generic[RowT]):
-    """Writes for one transaction.
+    """The writes of one transaction.
 
-    :param last_item: the item that ended the batch: its last write, or a query or None that came next.
+    :param last_item: the item that ended the batch: its last write, or the query or None that followed it.
     """
 
     writes: list[_Write[RowT]]
@@ -77,17 +78,17 @@
 
 
 class GroupCommitWriter(Generic[RowT]):
-    """Writes and queries of one database, in the order of the calls.
+    """Executes writes and queries on one database, in call order.
 
-    Threading: `write`, `query` and `close` are called by one thread, that of the node. The database belongs
-    to the writer's own thread from the construction to the end of `close`. Callbacks are given to `post`,
-    which brings them back to the node's thread; they run in the order of the calls.
+    Threading: `write`, `query` and `close` must be called from one thread, that of the node. The database is
+    used by the writer's own thread from construction to the end of `close`. Callbacks are passed to `post`,
+    which runs them on the node's thread in call order.
 
     Durability: the rows of one `write` are in one transaction. Its callback gets None only after the
-    transaction was synced; with a failure none of its rows is there. After a crash the file contains a prefix
-    of the writes that had not failed.
+    transaction is synced; on failure none of its rows is stored. After a crash the file contains a prefix of
+    the writes that did not fail.
 
-    :param execute_rows: executes the statements of rows; it raises `sqlite3.Error` where one fails.
+    :param execute_rows: executes the statements for rows; raises `sqlite3.Error` if one fails.
     :param post: runs a callback on the node's thread.
     """
 
@@ -105,18 +106,18 @@
     def write(self, rows: Sequence[RowT], on_written: OnWritten) -> None:
         """Queue rows for the next transaction.
 
-        :param on_written: called once they are synced, or with the reason why none of them is there.
+        :param on_written: called once they are synced, or with the reason why none of them is stored.
         """
         self._queue.put(_Write(rows, on_written))
 
     def query(
         self, run_query: Callable[[sqlite3.Connection], ResultT], on_result: Callable[[ResultT], None]
     ) -> None:
-        """Queue a query; it sees all writes that were queued before it."""
+        """Queue a query; it sees all writes queued before it."""
         self._queue.put(partial(self._run_query, run_query, on_result))
 
     def close(self) -> None:
-        """Write what is queued, then end the thread and close the database."""
+        """Execute the queued items, then stop the thread and close the database."""
         self._queue.put(None)
         self._thread.join()
         self._database.close()
@@ -131,9 +132,9 @@
             pass
 
     def _serve_batch(self) -> bool:
-        """Serve the queue: consecutive writes as one transaction, then the query after them if any.
+        """Commit the next consecutive writes as one transaction, then run the query after them if any.
 
-        :returns: False once `close` was called, and all that was queued before is served.
+        :returns: False if `close` was called and all items queued before are processed.
         """
         writes, last_item = self._next_batch()
         if writes:
@@ -143,7 +144,7 @@
         return last_item is not None
 
     def _next_batch(self) -> _Batch[RowT]:
-        """Wait for an item, and take with it the writes that are queued after it, up to the limit."""
+        """Wait for an item, and collect the writes queued after it, up to the limit."""
         writes: list[_Write[RowT]] = []
         item = self._queue.get()
         while isinstance(item, _Write):
@@ -154,7 +155,7 @@
         return _Batch(writes, item)
 
     def _commit(self, batch: list[_Write[RowT]]) -> None:
-        """Commit writes together; where that fails, each on its own, so that one does not fail the others."""
+        """Commit writes together; on failure commit each separately, so that one does not fail the others."""
         failure = self._try_commit([row for write in batch for row in write.rows])
         if failure is not None and len(batch) > 1:
             for write in batch:
--- a/amberlug/cluster/storage/message_store.py
+++ b/amberlug/cluster/storage/message_store.py
@@ -1,7 +1,7 @@
-"""The file of a storage node: open messages with their bodies, outcomes of ended ones, fencing tokens.
+"""The database file of a storage node: open messages with bodies, outcomes of ended ones, fencing tokens.
 
-All SQL of a storage node is here. Each open message has a checksum over its body and its metadata: a row that
-is damaged is skipped, as if its replica were lost.
+This module contains all SQL of a storage node. Each open message has a checksum over its body and metadata; a
+corrupt row is skipped, as if the replica were lost.
 """
 
 from __future__ import annotations
@@ -28,9 +28,9 @@
     StoredMessage,
 )
 
-FILE_NAME = "chest.db"  # the name is historical: folders of earlier versions have it
+FILE_NAME = "chest.db"  # historical name, kept for folders of earlier versions
 FILE_SUFFIXES = ("", "-wal")
-FORMAT = 1  # a file of another format is replaced by an empty one
+FORMAT = 1  # a file with another format version is replaced by an empty one
 SCHEMA = """
 create table if not exists about (name text primary key, value text not null);
 create table if not exists fence (shard integer primary key, epoch integer not null);
@@ -47,9 +47,9 @@
 
 
 def execute_rows(database: sqlite3.Connection, rows: Sequence[StorageRow]) -> None:
-    """Execute the statements that write rows, in their order.
+    """Execute the statements that write rows, in order.
 
-    :raises sqlite3.Error: where one fails.
+    :raises sqlite3.Error: if one fails.
     """
     for row in rows:
         _execute_row(database, row)
@@ -105,7 +105,7 @@
 
 
 class _MessageColumns(NamedTuple):
-    """One row of the table `message`, in the order of its columns."""
+    """One row of the table `message`, in column order."""
 
     id: str
     shard: int
@@ -120,13 +120,13 @@
 
     @property
     def is_corrupt(self) -> bool:
-        """Whether an open message is not what was written; the body of an ended one is deleted."""
+        """Whether the checksum of an open message is wrong; ended messages have no body to check."""
         if self.end:
             return False
         return self.body is None or _checksum(self.id, self.shard, self.meta, self.body) != self.sum
 
     def to_message(self) -> StoredMessage:
-        """Decode the columns, but for the body."""
+        """Decode the columns except the body."""
         return StoredMessage(
             self.shard,
             self.epoch,
@@ -166,7 +166,7 @@
 
 
 class MessageStore:
-    """The writes and reads of one disk; see `GroupCommitWriter` for threads and durability.
+    """Writes to and reads from one disk; see `GroupCommitWriter` for threading and durability.
 
     :param post: runs a callback on the node's thread.
     """
@@ -177,21 +177,21 @@
     def write(self, rows: Sequence[StorageRow], on_written: OnWritten) -> None:
         """Write rows in one transaction.
 
-        :param on_written: called once they are synced, or with the reason why none of them is there.
+        :param on_written: called once they are synced, or with the reason why none of them is stored.
         """
         self._writer.write(rows, on_written)
 
     def read(self, message_ids: Sequence[str], on_read: Callable[[dict[str, bytes]], None]) -> None:
-        """Read bodies behind the writes before; those that are missing or damaged are left out."""
+        """Read bodies after all earlier writes; missing and corrupt ones are omitted."""
         self._writer.query(lambda database: _read_contents(database, message_ids), on_read)
 
     def close(self) -> None:
-        """Write what is queued, then close the file."""
+        """Execute queued writes, then close the file."""
         self._writer.close()
 
 
 class OpenedMessageStore(NamedTuple):
-    """A storage node's disk: what is on it, and where to write."""
+    """A storage node's disk: its contents and the store to write to."""
 
     contents: StoredContents
     store: MessageStore
@@ -200,12 +200,12 @@
 def open_message_store(
     folder: Path, new_disk_id: Callable[[], str], post: Callable[[Callable[[], None]], None]
 ) -> OpenedMessageStore:
-    """Open the file in a storage node's folder, or begin it.
+    """Open or create the database file in a storage node's folder.
 
-    A file that can't be read is replaced by an empty one. It counts as another disk then: the roster still
-    has the old one, whose replicas are lost.
+    A file that can't be read is replaced by an empty one, which counts as another disk: the roster still
+    contains the old one, whose replicas are lost.
 
-    :param new_disk_id: gives the name of a disk that is begun.
+    :param new_disk_id: generates the id of a new disk.
     :param post: runs a callback on the node's thread.
     """
     folder.mkdir(parents=True, exist_ok=True)
--- a/amberlug/cluster/storage/messages.py
+++ b/amberlug/cluster/storage/messages.py
@@ -1,8 +1,8 @@
-"""The messages that a storage node answers: replicas, acknowledged outcomes, fencing, look-ups. No I/O.
+"""The wire messages of storage nodes: replica writes, outcomes, fencing and lookups. No I/O.
 
-A shard's owner writes replicas and reads them after a failover, edges look messages up. The fencing token of
-a shard is the epoch of its ownership: it grows with each owner, and a storage node rejects replicas of owners
-with a smaller one.
+A shard's owner writes replicas and reads them after a failover; edges look up messages. The fencing token of
+a shard is the epoch of its ownership: it increases with each owner, and a storage node rejects replicas from
+owners with a smaller one.
 """
 
 from __future__ import annotations
@@ -18,25 +18,25 @@
 
 
 class ReplicaWriteResult(Enum):
-    """What a storage node did with a replica."""
+    """The result of a replica write."""
 
-    STORED = "ok"  # it is durable here, or the message had ended before
-    FENCED = "fenced"  # a later owner of the shard has been here
-    STORAGE_FULL = "full"  # the disk did not take it
-    NOT_ENROLLED = "early"  # this disk does not know yet which owners came before it
+    STORED = "ok"  # the replica is durable, or the message had already ended
+    FENCED = "fenced"  # a later owner has fenced the shard
+    STORAGE_FULL = "full"  # the disk could not store it
+    NOT_ENROLLED = "early"  # the disk does not know yet which owners to fence
 
 
 @value
 class ReplicaWriteReply(Body):
-    """The end of a `ReplicaWriteRequest`."""
+    """The reply to a `ReplicaWriteRequest`."""
 
     result: ReplicaWriteResult
-    disk_id: str = ""  # where it was stored
-    outcome: MessageOutcome = OPEN  # of a message that had ended under an earlier owner
-    fencing_token: int = 0  # the one that the replica was rejected for
+    disk_id: str = ""  # the disk that stored it
+    outcome: MessageOutcome = OPEN  # of a message that ended under an earlier owner
+    fencing_token: int = 0  # the larger token that fenced the write
 
     def to_wire(self) -> Json:
-        """`ok` and the disk, with `end` and `seal` where it has ended; else the one reason."""
+        """Encode `ok` and the disk, with `end` and `seal` if the message has ended; or else the reason."""
         if self.result is ReplicaWriteResult.FENCED:
             return {"fenced": self.fencing_token}
         if self.result is not ReplicaWriteResult.STORED:
@@ -45,7 +45,7 @@
 
     @classmethod
     def from_wire(cls, body: Json, payload: bytes) -> ReplicaWriteReply:
-        """Read the reply; one without a known reason counts as `NOT_ENROLLED`: it is tried again soon."""
+        """Decode the reply; an unknown reason counts as `NOT_ENROLLED`, which is retried soon."""
         if body.get("ok"):
             return cls(ReplicaWriteResult.STORED, body["disk"], MessageOutcome.from_fields(body))
         if body.get("fenced"):
@@ -55,16 +55,16 @@
 
 @value
 class ReplicaWriteRequest(Request[ReplicaWriteReply]):
-    """A shard's owner has a message stored durably."""
+    """Writes a durable replica of a message on behalf of its shard's owner."""
 
     wire_tag: ClassVar[str] = "put"
     reply_type: ClassVar[type[ReplicaWriteReply]] = ReplicaWriteReply
     message_id: str
     shard: int
     epoch: int  # the writer's fencing token
-    # The epoch in which the message was accepted; an earlier one in a replica that is repaired.
+    # The epoch in which the message was accepted, which for a repaired replica is an earlier one.
     accepted_epoch: int
-    sequence: int  # its number in that epoch: both together order the messages of a shard
+    sequence: int  # its number in that epoch; both together order the messages of a shard
     metadata: MessageMetadata
     content: bytes  # the message's body
 
@@ -74,7 +74,7 @@
         return self.content
 
     def to_wire(self) -> Json:
-        """The fields in their order."""
+        """Encode the fields in wire order."""
         return {
             "id": self.message_id,
             "shard": self.shard,
@@ -85,9 +85,9 @@
 
     @classmethod
     def from_wire(cls, body: Json, payload: bytes) -> ReplicaWriteRequest:
-        """Read the request.
+        """Decode the request.
 
-        :raises KeyError: where a field is missing.
+        :raises KeyError: if a field is missing.
         """
         accepted_epoch, sequence = body["order"]
         return cls(body["id"], body["shard"], body["epoch"], accepted_epoch, sequence, body["meta"], payload)
@@ -95,7 +95,7 @@
 
 @value
 class Acknowledgement:
-    """That a message ended, and until when its outcome is to be known; wall-clock seconds."""
+    """The outcome of an ended message, and how long to retain it, in wall-clock seconds."""
 
     message_id: str
     shard: int
@@ -103,14 +103,14 @@
     retain_until: float
 
     def to_wire(self) -> list[object]:
-        """One row of the request."""
+        """Encode as a row."""
         return [self.message_id, self.shard, *self.outcome.to_pair(), self.retain_until]
 
     @classmethod
     def from_wire(cls, row: list[Any]) -> Acknowledgement:
-        """Read one row of the request.
+        """Decode a row.
 
-        :raises ValueError: where it does not have five values.
+        :raises ValueError: if it does not have five values.
         """
         message_id, shard, status, receipt, retain_until = row
         return cls(message_id, shard, MessageOutcome(status, receipt), retain_until)
@@ -118,49 +118,49 @@
 
 @value
 class AcknowledgeReply(Body):
-    """Whether the acknowledgements are durable."""
+    """The reply to an `AcknowledgeRequest`: whether the outcomes are durable."""
 
     durable: bool
-    disk_id: str = ""  # where; storage nodes of earlier versions do not say
+    disk_id: str = ""  # the replying disk; not sent by storage nodes of earlier versions
 
     def is_durable_on(self, disk: str) -> bool:
-        """Whether they are durable on the disk that is meant, and not on one that has taken its place."""
+        """Whether they are durable on this disk, and not on one that has replaced it."""
         return self.durable and self.disk_id in ("", disk)
 
     def to_wire(self) -> Json:
-        """`ok`, and the disk where they are durable."""
+        """Encode `ok`, and the disk if they are durable."""
         return {"ok": self.durable, **({"disk": self.disk_id} if self.durable and self.disk_id else {})}
 
     @classmethod
     def from_wire(cls, body: Json, payload: bytes) -> AcknowledgeReply:
-        """Read the reply; without `ok` they are not durable."""
+        """Decode the reply; without `ok` they are not durable."""
         return cls(bool(body.get("ok")), body.get("disk", ""))
 
 
 @value
 class AcknowledgeRequest(Request[AcknowledgeReply]):
-    """Messages have ended. Without any it asks whether the node answers."""
+    """Records the outcomes of ended messages. An empty request is a probe."""
 
     wire_tag: ClassVar[str] = "marks"
     reply_type: ClassVar[type[AcknowledgeReply]] = AcknowledgeReply
     acknowledgements: tuple[Acknowledgement, ...] = ()
 
     def to_wire(self) -> Json:
-        """A row each."""
+        """Encode each outcome as a row."""
         return {"marks": [acknowledgement.to_wire() for acknowledgement in self.acknowledgements]}
 
     @classmethod
     def from_wire(cls, body: Json, payload: bytes) -> AcknowledgeRequest:
-        """Read the request.
+        """Decode the request.
 
-        :raises KeyError: without the list.
+        :raises KeyError: if the list is missing.
         """
         return cls(tuple(Acknowledgement.from_wire(row) for row in body["marks"]))
 
 
 @value
 class OpenMessage:
-    """A message that has not ended, as a storage node has it."""
+    """An open message as stored on a storage node."""
 
     message_id: str
     shard: int
@@ -168,10 +168,10 @@
     sequence: int
     metadata: MessageMetadata
     size_bytes: int
-    content: bytes | None  # None where the reply would have become too large: it is read on its own
+    content: bytes | None  # None if the reply would be too large; it is then read separately
 
     def to_wire(self) -> list[object]:
-        """One row of the reply; -1 for a body that is left out."""
+        """Encode as a row of the reply; the body size is -1 if the body is omitted."""
         return [
             self.message_id,
             self.shard,
@@ -185,20 +185,20 @@
 
 @value
 class FenceReply(Body):
-    """What is open in the shards, once the fencing tokens are durable."""
+    """The open messages of the fenced shards, sent once the fencing tokens are durable."""
 
     durable: bool
     disk_id: str = ""
-    rejected: dict[int, int] = field(default_factory=dict)  # by shard: the larger token that it has
+    rejected: dict[int, int] = field(default_factory=dict)  # by shard that was not fenced: its larger token
     open_messages: tuple[OpenMessage, ...] = ()
 
     @property
     def payload(self) -> bytes:
-        """The bodies that are included, one after the other in the order of the rows."""
+        """The included bodies, concatenated in row order."""
         return b"".join(message.content for message in self.open_messages if message.content is not None)
 
     def to_wire(self) -> Json:
-        """Only `ok` where the tokens are not durable."""
+        """Encode the fields; only `ok` if the tokens are not durable."""
         if not self.durable:
             return {"ok": False}
         return {
@@ -210,9 +210,9 @@
 
     @classmethod
     def from_wire(cls, body: Json, payload: bytes) -> FenceReply:
-        """Read the reply and take the bodies apart.
+        """Decode the reply and split the payload into bodies.
 
-        :raises KeyError: where a field of a durable fence is missing.
+        :raises KeyError: if a field of a durable fence is missing.
         """
         if not body.get("ok"):
             return cls(False)
@@ -229,43 +229,43 @@
 
 @value
 class FenceRequest(Request[FenceReply]):
-    """A new owner has older owners of its shards rejected, and asks for what is open in them."""
+    """Fences older owners of shards on behalf of a new owner, and requests their open messages."""
 
     wire_tag: ClassVar[str] = "fence"
     reply_type: ClassVar[type[FenceReply]] = FenceReply
     fencing_tokens: dict[int, int]  # by shard: the epoch of its new owner
 
     def to_wire(self) -> Json:
-        """The shards' numbers are texts: they are keys of a JSON object."""
+        """Encode the tokens; shard numbers become strings because they are JSON object keys."""
         return {"shards": {str(shard): epoch for shard, epoch in self.fencing_tokens.items()}}
 
     @classmethod
     def from_wire(cls, body: Json, payload: bytes) -> FenceRequest:
-        """Read the request.
+        """Decode the request.
 
-        :raises KeyError: without the shards.
+        :raises KeyError: if the shards are missing.
         """
         return cls({int(shard): epoch for shard, epoch in body["shards"].items()})
 
 
 @value
 class EndedMessagesReply(Body):
-    """One page of durable outcomes, in the order of shards and message ids."""
+    """One page of durable outcomes, ordered by shard and message id."""
 
     acknowledgements: tuple[Acknowledgement, ...]
     disk_id: str
     has_more: bool
 
     def to_wire(self) -> Json:
-        """A row each, and whether others follow."""
+        """Encode the rows, and whether more follow."""
         rows = [acknowledgement.to_wire() for acknowledgement in self.acknowledgements]
         return {"ended": rows, "disk": self.disk_id, "more": self.has_more}
 
     @classmethod
     def from_wire(cls, body: Json, payload: bytes) -> EndedMessagesReply:
-        """Read the reply.
+        """Decode the reply.
 
-        :raises KeyError: where a field is missing.
+        :raises KeyError: if a field is missing.
         """
         rows = tuple(Acknowledgement.from_wire(row) for row in body["ended"])
         return cls(rows, body["disk"], body["more"])
@@ -273,22 +273,22 @@
 
 @value
 class EndedMessagesRequest(Request[EndedMessagesReply]):
-    """A shard's owner reads how messages of its shards ended, as far as this disk knows."""
+    """Reads a page of the outcomes that a disk has for some shards."""
 
     wire_tag: ClassVar[str] = "ended"
     reply_type: ClassVar[type[EndedMessagesReply]] = EndedMessagesReply
     shards: tuple[int, ...]
-    after: tuple[int, str] = (-1, "")  # shard and message id of the last row of the page before
+    after: tuple[int, str] = (-1, "")  # shard and message id of the previous page's last row
 
     def to_wire(self) -> Json:
-        """The shards, and where the page begins."""
+        """Encode the shards and the start of the page."""
         return {"shards": list(self.shards), "after": list(self.after)}
 
     @classmethod
     def from_wire(cls, body: Json, payload: bytes) -> EndedMessagesRequest:
-        """Read the request.
+        """Decode the request.
 
-        :raises KeyError: where a field is missing.
+        :raises KeyError: if a field is missing.
         """
         shard, message_id = body["after"]
         return cls(tuple(body["shards"]), (shard, message_id))
@@ -296,15 +296,15 @@
 
 @value
 class OutcomesReply(Body):
-    """What is known of messages; those that are not here are unknown to this disk."""
+    """The status of messages; messages that are not included are unknown to this disk."""
 
     outcomes: dict[str, MessageOutcome]
     disk_id: str
-    retain_until: dict[str, float] = field(default_factory=dict)  # by message that has ended: wall-clock s
-    roster_index: int = 0  # the newest roster that this disk knows; 0 from an earlier version
+    retain_until: dict[str, float] = field(default_factory=dict)  # by ended message: wall-clock seconds
+    roster_index: int = 0  # newest roster known to this disk; 0 if the node has an earlier version
 
     def to_wire(self) -> Json:
-        """By message: its status and its receipt; `until` and `roster` only where they say something."""
+        """Encode status and receipt by message; `until` and `roster` are omitted if empty or 0."""
         pairs = {message_id: outcome.to_pair() for message_id, outcome in self.outcomes.items()}
         body: Json = {"found": pairs, "disk": self.disk_id}
         if self.retain_until:
@@ -315,9 +315,9 @@
 
     @classmethod
     def from_wire(cls, body: Json, payload: bytes) -> OutcomesReply:
-        """Read the reply; without a disk it comes from none that is meant.
+        """Decode the reply; one without a disk id is from an unknown disk.
 
-        :raises KeyError: without the outcomes.
+        :raises KeyError: if the outcomes are missing.
         """
         outcomes = {
             message_id: MessageOutcome(status, receipt)
@@ -328,20 +328,20 @@
 
 @value
 class OutcomesRequest(Request[OutcomesReply]):
-    """Ask how messages ended, or whether they are open."""
+    """Requests the status of messages."""
 
     wire_tag: ClassVar[str] = "find"
     reply_type: ClassVar[type[OutcomesReply]] = OutcomesReply
     message_ids: tuple[str, ...]
 
     def to_wire(self) -> Json:
-        """The list of them."""
+        """Encode the list of message ids."""
         return {"ids": list(self.message_ids)}
 
     @classmethod
     def from_wire(cls, body: Json, payload: bytes) -> OutcomesRequest:
-        """Read the request.
+        """Decode the request.
 
-        :raises KeyError: without the list.
+        :raises KeyError: if the list is missing.
         """
         return cls(tuple(body["ids"]))
--- a/amberlug/cluster/storage/node.py
+++ b/amberlug/cluster/storage/node.py
@@ -1,4 +1,4 @@
-"""A storage node: it stores messages durably for the owners of shards, and rejects former owners. No I/O."""
+"""A storage node: stores messages durably for shard owners, and fences former owners. No I/O."""
 
 from __future__ import annotations
 
@@ -21,11 +21,11 @@
 
 
 class StorageNode:
-    """Wires the parts of one storage node: its session, gossip, enrollment, replicas and status.
+    """Wires the components of a storage node: session, gossip, enrollment, replicas and status.
 
-    :param address: where peers reach it, `host:port`.
-    :param store: its disk.
-    :param contents: what was on the disk at the start; the node keeps it up to date.
+    :param address: the address for peers, `host:port`.
+    :param store: the disk.
+    :param contents: the contents of the disk at the start, which the node keeps up to date.
     """
 
     def __init__(
@@ -37,7 +37,7 @@
         contents: StoredContents,
     ) -> None:
         self.contents = contents
-        # A storage node passes nothing on: it only compares with the control-plane node of its session.
+        # A storage node forwards no gossip; it only reconciles with the control-plane node of its session.
         self.gossip = GossipStore(
             runtime, self._gossip_peers, self._on_published, DisseminationPolicy(fanout=0)
         )
@@ -65,33 +65,33 @@
             )
 
     def begin(self) -> None:
-        """Start the session, anti-entropy, and the deletion of what has expired."""
+        """Start the session, anti-entropy, and the deletion of expired outcomes."""
         self.session.begin()
         self.gossip.begin()
         self.replicas.begin()
 
     def begin_shutdown(self) -> None:
-        """Prepare an orderly shutdown: there is nothing to hand over, a restart finds all on the disk."""
+        """Do nothing: a storage node has nothing to hand over, since all its state is on the disk."""
 
     @property
     def is_idle(self) -> bool:
-        """Whether a process that is to shut down may exit: always."""
+        """Whether the process may exit on shutdown, which is always the case."""
         return True
 
     def update_settings(self, settings: Settings) -> None:
-        """Apply a settings file that has changed."""
+        """Apply a changed settings file."""
         self.session.settings = settings
         self.session.add_seeds(seed_addresses(settings))
 
     def on_peer_disconnected(self, address: str) -> None:
-        """Handle that the connection with a peer has ended."""
+        """Handle the loss of the connection to a peer."""
         self.session.on_disconnect(address)
 
     def _gossip_peers(self) -> list[str]:
         return [self.session.control_address] if self.session.control_address else []
 
     def _session_attributes(self) -> StorageAttributes:
-        """What the session reports of this disk to the control plane."""
+        """The attributes of this disk that the session reports to the control plane."""
         return StorageAttributes(self.contents.disk_id, self.contents.enrolled_index > 0)
 
     def _on_published(self, key: str, body: Payload) -> None:
