--- a/amberlug/cluster/storage/operator_messages.py
+++ b/amberlug/cluster/storage/operator_messages.py
@@ -1,4 +1,4 @@
-"""The messages by which operators, through a control-plane node, look at a storage node. No I/O."""
+"""The wire messages with which operators query a storage node through a control-plane node. No I/O."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 from amberlug.cluster.storage.outcomes import MessageMetadata
 from amberlug.cluster.values import value
 
-DEAD_MESSAGES_PER_PAGE = 200  # an answer of so many rows stays far below the largest frame
+DEAD_MESSAGES_PER_PAGE = 200  # keeps a reply far below the maximum frame size
 
 
 @value
 class DeadMessage:
-    """A message that ended without success; metadata is empty where only its outcome came here."""
+    """A message that ended without success; metadata is empty if only its outcome was stored."""
 
     message_id: str
     metadata: MessageMetadata
@@ -22,57 +22,57 @@
     retain_until: float  # wall-clock seconds
 
     def to_wire(self) -> list[object]:
-        """One row of the reply."""
+        """Encode as a row of the reply."""
         return [self.message_id, self.metadata, self.size_bytes, self.retain_until]
 
 
 @value
 class DeadMessagesReply(Body):
-    """One page, in the order of their names."""
+    """One page of dead messages, ordered by id."""
 
     messages: tuple[DeadMessage, ...]
     has_more: bool
 
     def to_wire(self) -> Json:
-        """The rows, and whether others follow."""
+        """Encode the rows, and whether more follow."""
         return {"rows": [message.to_wire() for message in self.messages], "more": self.has_more}
 
     @classmethod
     def from_wire(cls, body: Json, payload: bytes) -> DeadMessagesReply:
-        """Read the reply.
+        """Decode the reply.
 
-        :raises KeyError: where a field is missing.
+        :raises KeyError: if a field is missing.
         """
         return cls(tuple(DeadMessage(*row) for row in body["rows"]), body["more"])
 
 
 @value
 class DeadMessagesRequest(Request[DeadMessagesReply]):
-    """Ask for messages that ended without success: the one of `message_id`, or a page beyond `after`."""
+    """Requests dead messages: the one with `message_id`, or the page that follows `after`."""
 
     wire_tag: ClassVar[str] = "dead"
     reply_type: ClassVar[type[DeadMessagesReply]] = DeadMessagesReply
     message_id: str | None = None
     after: str = ""
-    limit: int = DEAD_MESSAGES_PER_PAGE  # messages on the page
+    limit: int = DEAD_MESSAGES_PER_PAGE  # maximum number of messages per page
 
     def includes(self, message_id: str) -> bool:
-        """Whether a message is one of those that are asked for."""
+        """Whether a message matches the request."""
         if self.message_id is not None:
             return message_id == self.message_id
         return message_id > self.after
 
     def to_wire(self) -> Json:
-        """Either the one name, or where the page begins and how long it may be."""
+        """Encode either the message id, or the start and maximum length of the page."""
         if self.message_id is not None:
             return {"id": self.message_id}
         return {"after": self.after, "most": self.limit}
 
     @classmethod
     def from_wire(cls, body: Json, payload: bytes) -> DeadMessagesRequest:
-        """Read the request; without a limit it is that of a page.
+        """Decode the request; the default limit is one page.
 
-        :raises KeyError: where it has neither `id` nor `after`.
+        :raises KeyError: if it has neither `id` nor `after`.
         """
         limit = int(body.get("most", DEAD_MESSAGES_PER_PAGE))
         if "id" in body:
@@ -82,18 +82,18 @@
 
 @value
 class StorageStatusReport(Body):
-    """A storage node as its operators see it; the reply to a `NodeStatusRequest`."""
+    """The status of a storage node; the reply to a `NodeStatusRequest`."""
 
     disk_id: str
     is_full: bool
     open_messages: int
     open_bytes: int
     dead_messages: int
-    ended_messages: int  # with the dead ones
+    ended_messages: int  # including dead ones
     counters: dict[str, int]
 
     def to_wire(self) -> Json:
-        """The fields in the order in which operators read them."""
+        """Encode the fields in display order."""
         return {
             "disk": self.disk_id,
             "full": self.is_full,
@@ -106,9 +106,9 @@
 
     @classmethod
     def from_wire(cls, body: Json, payload: bytes) -> StorageStatusReport:
-        """Read the report.
+        """Decode the report.
 
-        :raises KeyError: where a field is missing.
+        :raises KeyError: if a field is missing.
         """
         return cls(
             body["disk"],
--- a/amberlug/cluster/storage/outcomes.py
+++ b/amberlug/cluster/storage/outcomes.py
@@ -1,4 +1,4 @@
-"""How a message ended, and what is stored beside its body: types that its whole way shares. No I/O."""
+"""Message outcomes and metadata: types shared by edges and storage nodes. No I/O."""
 
 from __future__ import annotations
 
@@ -7,20 +7,20 @@
 from amberlug.cluster.interfaces import Json
 from amberlug.cluster.values import value
 
-DONE_OUTCOME = "done"  # the outcome of a message that an endpoint has run with success
-DEAD_OUTCOME = "dead"  # the outcome of a message that was given up on; its body stays readable
+DONE_OUTCOME = "done"  # an endpoint has executed the message successfully
+DEAD_OUTCOME = "dead"  # delivery was given up; the body stays readable
 
-# What a shard's owner stores beside a body. Storage nodes return it as it came, with fields that they do not
-# know: `amberlug.cluster.dispatch.message` is where it is read and written.
+# Metadata that a shard's owner stores with a body, encoded and decoded by
+# `amberlug.cluster.dispatch.message`. Storage nodes return it unchanged, including fields unknown to them.
 MessageMetadata = dict[str, Any]
 
 
 @value
 class MessageOutcome:
-    """How a message ended: an empty status while it is open, and the receipt of a success.
+    """The outcome of a message: its status, which is empty while it is open, and the receipt of a success.
 
-    The receipt is what the endpoint gave with its success, in the header `amberlug-server-seal`; on the wire
-    and on disk it is called `seal`.
+    The receipt is the value of the header `amberlug-server-seal` in the endpoint's successful response; on
+    the wire and on disk it is called `seal`.
     """
 
     status: str = ""
@@ -33,23 +33,23 @@
 
     @property
     def is_completed(self) -> bool:
-        """Whether an endpoint has run the message with success."""
+        """Whether an endpoint has executed the message successfully."""
         return self.status == DONE_OUTCOME
 
     def to_fields(self) -> Json:
-        """`end` and `seal` for a JSON object; nothing of a message that is open."""
+        """Encode as `end` and `seal` for a JSON object; empty for an open message."""
         return {} if self.is_open else {"end": self.status, "seal": self.receipt}
 
     @classmethod
     def from_fields(cls, body: Json) -> MessageOutcome:
-        """Read `end` and `seal`; without them the message is open.
+        """Decode `end` and `seal`; without them the message is open.
 
-        :raises KeyError: where there is an `end` without a `seal`.
+        :raises KeyError: if there is an `end` without a `seal`.
         """
         return cls(body["end"], body["seal"]) if body.get("end") else OPEN
 
     def to_pair(self) -> list[str]:
-        """Status and receipt, for a JSON array."""
+        """Encode as status and receipt for a JSON array."""
         return [self.status, self.receipt]
 
 
--- a/amberlug/cluster/storage/records.py
+++ b/amberlug/cluster/storage/records.py
@@ -1,4 +1,4 @@
-"""What a storage node keeps, in memory and row by row on its disk. No I/O."""
+"""The state of a storage node: its in-memory form and the rows on its disk. No I/O."""
 
 from __future__ import annotations
 
@@ -13,9 +13,9 @@
 
 @dataclass(slots=True)
 class StoredMessage:
-    """What a storage node knows of a message, without its body.
+    """A message on a storage node, without its body.
 
-    A message whose outcome came here without a replica has neither a position nor metadata.
+    A message of which only the outcome was stored has neither a position nor metadata.
     """
 
     shard: int
@@ -24,29 +24,29 @@
     metadata: MessageMetadata
     size_bytes: int
     outcome: MessageOutcome = OPEN
-    retain_until: float = 0.0  # wall-clock seconds: the outcome of an ended message is known until then
+    retain_until: float = 0.0  # end of the outcome's retention, in wall-clock seconds
     is_durable: bool = True  # False while its row is being written
-    is_outcome_durable: bool = True  # False until the row of its outcome is synced
+    is_outcome_durable: bool = True  # False while the row of its outcome is not synced
 
     @property
     def has_replica(self) -> bool:
-        """Whether the message itself came here, not only its outcome: epochs begin at 1."""
+        """Whether a replica was stored, and not only the outcome; epochs start at 1."""
         return self.accepted_epoch > 0
 
     @property
     def durable_outcome(self) -> MessageOutcome:
-        """The outcome as it would be after a restart: what others may be told."""
+        """The outcome as it would be after a restart; only this may be reported to others."""
         return self.outcome if self.is_outcome_durable else OPEN
 
 
 @dataclass(slots=True)
 class StoredContents:
-    """The state of one disk: what a storage node reads at its start, and then keeps up to date.
+    """The state of one disk, which a storage node reads at startup and then keeps up to date.
 
     :param fencing_tokens: by shard, the largest epoch of an owner that has fenced it.
-    :param enrolled_index: the index of the newest roster that this disk was seen in; 0 while replicas may not
-        be written to it.
-    :param corrupt_ids: messages whose checksum is wrong; they are not among `messages`.
+    :param enrolled_index: the index of the newest roster that contains this disk; 0 while it does not accept
+        replicas.
+    :param corrupt_ids: messages with a wrong checksum; they are not in `messages`.
     """
 
     disk_id: str
@@ -56,13 +56,13 @@
     corrupt_ids: list[str] = field(default_factory=list)
 
     def is_fenced(self, shard: int, epoch: int) -> bool:
-        """Whether a later owner of the shard has been here."""
+        """Whether a later owner has fenced the shard against this epoch."""
         return epoch < self.fencing_tokens.get(shard, 0)
 
 
 @value
 class ReplicaRow:
-    """A message that is open, in place of what the disk has of it."""
+    """Stores an open message, replacing any earlier row of it."""
 
     message_id: str
     shard: int
@@ -74,7 +74,7 @@
 
 @value
 class OutcomeRow:
-    """A message has ended; its body is deleted unless it is dead."""
+    """Stores the outcome of a message; its body is deleted unless the message is dead."""
 
     message_id: str
     shard: int
@@ -84,7 +84,7 @@
 
 @value
 class FenceRow:
-    """The fencing token of a shard."""
+    """Stores the fencing token of a shard."""
 
     shard: int
     epoch: int
@@ -92,21 +92,21 @@
 
 @value
 class EnrollmentRow:
-    """The newest roster that the disk was seen in."""
+    """Stores the newest roster that contains the disk."""
 
     roster_index: int
 
 
 @value
 class NewDiskRow:
-    """The disk is emptied and continues under another name. Fencing tokens stay: they can only grow."""
+    """Wipes the disk and assigns a new id. Fencing tokens are kept because they must never decrease."""
 
     disk_id: str
 
 
 @value
 class DeletionRow:
-    """An ended message is forgotten."""
+    """Deletes an ended message."""
 
     message_id: str
 
@@ -115,13 +115,13 @@
 
 
 class DurableStore(Protocol):
-    """A disk of messages as the decisions use it. Writes and reads take effect in the order of the calls."""
+    """The disk as the I/O-free code uses it. Writes and reads take effect in call order."""
 
     def write(self, rows: Sequence[StorageRow], on_written: OnWritten, /) -> None:
         """Write rows in one transaction.
 
-        :param on_written: called once they are synced, or with the reason why none of them is there.
+        :param on_written: called once they are synced, or with the reason why none of them is stored.
         """
 
     def read(self, message_ids: Sequence[str], on_read: Callable[[dict[str, bytes]], None], /) -> None:
-        """Read bodies; messages without an intact one are left out of what `on_read` is given."""
+        """Read bodies; messages without an intact body are omitted from the result."""
--- a/amberlug/cluster/storage/replica_service.py
+++ b/amberlug/cluster/storage/replica_service.py
@@ -1,4 +1,4 @@
-"""Replicas of messages on a storage node: written, acknowledged, fenced, looked up, and deleted. No I/O.
+"""Request handlers of a storage node: replica writes, outcomes, fencing, lookups, deletion. No I/O.
 
 Invariants:
 
@@ -6,8 +6,8 @@
 - Once a fence is confirmed, replicas from owners with a smaller epoch are rejected, and the reply to the
   fence lists every open replica that was confirmed before. So a new owner that has fenced enough storage
   nodes knows every open message that its predecessors have confirmed.
-- An outcome is a fact: no fence stands against it, and the first one stays. It is acknowledged and told to
-  others only once its row is synced.
+- An outcome is final: it is accepted regardless of fences, and the first one is kept. It is acknowledged and
+  reported to others only once its row is synced.
 """
 
 from __future__ import annotations
@@ -48,15 +48,15 @@
 )
 from amberlug.cluster.values import value
 
-EXPIRY_INTERVAL_S = 2.0  # between searches for outcomes that nobody needs any more
-# Of bodies in the reply to a fence: larger frames delay what comes after them on the connection.
+EXPIRY_INTERVAL_S = 2.0  # between searches for expired outcomes
+# Maximum total size of bodies in a fence reply; larger frames would delay later frames on the connection.
 INCLUDED_CONTENT_BYTES = 1 << 20
-ENDED_MESSAGES_PER_PAGE = 1024  # some 100 KiB
-RETAIN_UNTIL_DIGITS = 3  # of wall-clock seconds in frames
+ENDED_MESSAGES_PER_PAGE = 1024  # about 100 KiB
+RETAIN_UNTIL_DIGITS = 3  # decimal places of wall-clock seconds in frames
 
 
 def ignore_failure(failure: WriteFailure | None) -> None:
-    """Do nothing at the end of a write that is done again if it is lost."""
+    """Completion callback of writes that are repeated later if they fail."""
 
 
 @value
@@ -71,9 +71,9 @@
 
 @value
 class _PendingFence:
-    """A fence whose rows are being written, and the open messages that its reply will list."""
+    """A fence whose rows are being written, and the candidate open messages for its reply."""
 
-    rejected: dict[int, int]  # by shard: the larger token that it has
+    rejected: dict[int, int]  # by shard that was not fenced: its larger token
     candidates: dict[str, StoredMessage]
     respond: Responder
 
@@ -81,17 +81,17 @@
 class ReplicaService:
     """The replicas of one storage node.
 
-    :param contents: the state of the disk, shared with the parts of the node that read it.
+    :param contents: the state of the disk, shared with the node's other components.
     :param store: the disk.
     """
 
     def __init__(self, runtime: Runtime, contents: StoredContents, store: DurableStore) -> None:
         self.contents, self.counters = contents, dict[str, int]()
-        self.is_full = False  # whether the disk did not take the newest replica
+        self.is_full = False  # whether the disk could not store the newest replica
         self._runtime, self._store = runtime, store
 
     def begin(self) -> None:
-        """Start to delete outcomes whose time has passed."""
+        """Start the periodic deletion of expired outcomes."""
         self._runtime.call_later(EXPIRY_INTERVAL_S, self._delete_expired)
 
     def _count(self, name: str, increment: int = 1) -> None:
@@ -101,23 +101,23 @@
 
     @handles(ReplicaWriteRequest)
     def on_replica_write(self, request: ReplicaWriteRequest, origin: str, respond: Responder) -> None:
-        """Store a replica; the reply says that it is durable, or why it is not."""
+        """Store a replica; reply once it is durable, or with the reason why it is not."""
         reply = self._reply_without_write(request)
         if reply is not None:
             respond(reply)
             return
         message = self._message_of(request)
-        # Before it is durable, so that a new owner whose fence comes now finds it.
+        # Added before it is durable, so that a fence that arrives meanwhile lists it.
         self.contents.messages[request.message_id] = message
         pending = _PendingWrite(request.message_id, message, self.contents.disk_id, respond)
         self._store.write([_row_of(request)], partial(self._on_replica_written, pending))
 
     def _message_of(self, request: ReplicaWriteRequest) -> StoredMessage:
-        """The message that a replica is of, durable only if an earlier replica of it is."""
+        """The message of a replica, marked as durable only if an earlier replica of it is."""
         earlier = self.contents.messages.get(request.message_id)
         return StoredMessage(
             request.shard,
-            # A replica that a later owner repairs keeps the position at which the message was accepted.
+            # A repaired replica keeps the position at which the message was accepted.
             request.accepted_epoch,
             request.sequence,
             request.metadata,
@@ -126,7 +126,7 @@
         )
 
     def _reply_without_write(self, request: ReplicaWriteRequest) -> ReplicaWriteReply | None:
-        """Reply to a replica that is rejected, or whose message has ended; None where it is to be written."""
+        """The reply if the replica is rejected or its message has ended; None if it must be written."""
         contents = self.contents
         if contents.is_fenced(request.shard, request.epoch):
             self._count("writes fenced")
@@ -141,12 +141,12 @@
         return None
 
     def _on_replica_written(self, pending: _PendingWrite, failure: WriteFailure | None) -> None:
-        if pending.disk_id != self.contents.disk_id:  # the disk was emptied meanwhile, this replica with it
+        if pending.disk_id != self.contents.disk_id:  # the disk was wiped meanwhile, including this replica
             pending.respond(ReplicaWriteReply(ReplicaWriteResult.NOT_ENROLLED))
         elif failure is None:
             self.is_full = False
             self._count("replicas stored")
-            # A second write of the same message may have failed meanwhile, and removed what this one stored.
+            # Another write of the same message may have failed meanwhile and removed the entry.
             self.contents.messages.setdefault(pending.message_id, pending.message).is_durable = True
             pending.respond(ReplicaWriteReply(ReplicaWriteResult.STORED, pending.disk_id))
         else:
@@ -163,7 +163,7 @@
 
     @handles(AcknowledgeRequest)
     def on_acknowledge(self, request: AcknowledgeRequest, origin: str, respond: Responder) -> None:
-        """Store how messages ended; an empty request is a probe and waits for the disk as well."""
+        """Store the outcomes of messages; an empty request is a probe, which also waits for the disk."""
         written: list[StoredMessage] = []
         rows: list[StorageRow] = []
         for ended in request.acknowledgements:
@@ -175,7 +175,7 @@
         self._store.write(rows, partial(self._on_outcomes_written, written, respond))
 
     def _record_outcome(self, ended: Acknowledgement) -> StoredMessage:
-        """Note in memory how a message ended; the first outcome stays."""
+        """Record the outcome of a message in memory; the first outcome is kept."""
         stored = self.contents.messages.get(ended.message_id)
         if stored is None:
             stored = self.contents.messages[ended.message_id] = StoredMessage(ended.shard, 0, 0, {}, 0)
@@ -187,7 +187,7 @@
     def _on_outcomes_written(
         self, written: list[StoredMessage], respond: Responder, failure: WriteFailure | None
     ) -> None:
-        """Tell outcomes from now on, once they are synced; those that are not are written at the next try."""
+        """Mark outcomes as durable if they are synced; failed ones are written again on the next request."""
         if failure is None:
             for stored in written:
                 stored.is_outcome_durable = True
@@ -199,7 +199,7 @@
 
     @handles(FenceRequest)
     def on_fence(self, request: FenceRequest, origin: str, respond: Responder) -> None:
-        """Reject older owners of these shards from now on, and list what is open in them."""
+        """Fence older owners of these shards, and reply with the open messages."""
         tokens = self.contents.fencing_tokens
         rejected = {
             shard: tokens[shard]
@@ -240,8 +240,8 @@
                 contents.get(message_id),
             )
             for message_id, message in pending.candidates.items()
-            # A replica that was being written when the fence came may have failed since, or its outcome may
-            # have become durable: a new owner that read it as open would run it again.
+            # Since the fence arrived, the write of a replica may have failed, or its outcome may have become
+            # durable. A new owner that read it as open would execute it again.
             if message_id in self.contents.messages and message.durable_outcome.is_open
         )
         pending.respond(FenceReply(True, self.contents.disk_id, pending.rejected, open_messages))
@@ -250,7 +250,7 @@
 
     @handles(OutcomesRequest)
     def on_outcomes(self, request: OutcomesRequest, origin: str, respond: Responder) -> None:
-        """Reply with the outcomes of those messages that are known here."""
+        """Reply with the outcomes of the messages known here."""
         known = {
             message_id: stored
             for message_id in request.message_ids
@@ -268,7 +268,7 @@
 
     @handles(EndedMessagesRequest)
     def on_ended_messages(self, request: EndedMessagesRequest, origin: str, respond: Responder) -> None:
-        """Reply with the next page of outcomes that are durable here."""
+        """Reply with the next page of durable outcomes."""
         shards = frozenset(request.shards)
         messages = self.contents.messages
         following = sorted(
@@ -291,7 +291,7 @@
 
     @handles(ContentRequest)
     def on_content(self, request: ContentRequest, origin: str, respond: Responder) -> None:
-        """Read the body of a message that is open or dead; of others only the outcome is known."""
+        """Reply with the body of an open or dead message; for others only with the outcome."""
         message = self.contents.messages.get(request.message_id)
         outcome = message.durable_outcome if message is not None else OPEN
         if message is None or outcome.status not in (OPEN.status, DEAD_OUTCOME):
@@ -334,7 +334,7 @@
 
 
 def _first_that_fit(candidates: Mapping[str, StoredMessage]) -> list[str]:
-    """The messages up to the one with which the bodies would exceed `INCLUDED_CONTENT_BYTES`."""
+    """The leading messages whose bodies together fit into `INCLUDED_CONTENT_BYTES`."""
     total_bytes = 0
     included = []
     for message_id, message in candidates.items():
--- a/amberlug/cluster/storage/status.py
+++ b/amberlug/cluster/storage/status.py
@@ -1,4 +1,4 @@
-"""What operators see of a storage node, through a control-plane node. No I/O."""
+"""The status of a storage node that operators query through a control-plane node. No I/O."""
 
 from __future__ import annotations
 
@@ -14,18 +14,18 @@
 from amberlug.cluster.storage.outcomes import DEAD_OUTCOME
 from amberlug.cluster.storage.replica_service import ReplicaService
 
-RETAIN_UNTIL_DIGITS = 3  # operators read milliseconds
+RETAIN_UNTIL_DIGITS = 3  # millisecond precision
 
 
 class StorageStatus:
-    """Answers the status request and lists dead messages."""
+    """Handles status requests and requests for dead messages."""
 
     def __init__(self, replicas: ReplicaService) -> None:
         self._replicas = replicas
 
     @handles(NodeStatusRequest)
     def on_status(self, request: NodeStatusRequest, origin: str, respond: Responder) -> None:
-        """Report the state of the disk, and how many messages are on it."""
+        """Reply with the state of the disk and the number of its messages."""
         contents = self._replicas.contents
         open_messages = [message for message in contents.messages.values() if message.outcome.is_open]
         report = StorageStatusReport(
@@ -43,7 +43,7 @@
 
     @handles(DeadMessagesRequest)
     def on_dead_messages(self, request: DeadMessagesRequest, origin: str, respond: Responder) -> None:
-        """List messages that ended without success, in the order of their names."""
+        """Reply with a page of dead messages, ordered by id."""
         messages = self._replicas.contents.messages
         matching = sorted(
             message_id
