--- a/tests/cluster/test_delivery_queue.py
+++ b/tests/cluster/test_delivery_queue.py
@@ -1,4 +1,4 @@
-"""Messages in the queue of a shard's owner, one sequence key at a time."""
+"""The delivery queue delivers messages of one sequence key in order, one at a time."""
 
 import random
 
@@ -26,7 +26,7 @@
     later, earlier = new_message("later", 2), new_message("earlier", 1)
     delivery_queue.add(later)
     later.in_flight = True
-    delivery_queue.add(earlier)  # its replicas took longer
+    delivery_queue.add(earlier)  # admitted later, because its replica writes took longer
     assert ready == ["later"]
     delivery_queue.requeue(later)
     assert ready == ["later", "earlier"]
--- a/tests/cluster/test_dispatch_messages.py
+++ b/tests/cluster/test_dispatch_messages.py
@@ -1,4 +1,4 @@
-"""The messages between edges: recorded frames decode, and encode to the same bytes again."""
+"""Wire compatibility of the messages between edges with recorded frames."""
 
 import json
 from pathlib import Path
--- a/tests/cluster/test_edge_node.py
+++ b/tests/cluster/test_edge_node.py
@@ -1,4 +1,4 @@
-"""An edge node alone, and one whose storage nodes fail."""
+"""A single edge node, and one whose storage nodes fail."""
 
 from collections.abc import Callable
 from functools import partial
@@ -14,10 +14,10 @@
 from tests.cluster.fakes import Alone, settings
 
 
-class Nowhere:
-    """Endpoints that do not answer."""
+class UnresponsiveEndpoints:
+    """Endpoints that never respond."""
 
-    def call(self, delivery: EndpointCall, then: Callable[[CallResult], None]) -> None:
+    def call(self, call: EndpointCall, on_result: Callable[[CallResult], None]) -> None:
         pass
 
     def available_connections(self, address: str) -> int:
@@ -28,32 +28,33 @@
 
 
 def test_a_message_whose_outcome_is_stored_is_not_called_after_its_repair() -> None:
-    edge = EdgeNode(Alone(Clock()), settings("edge"), "10.0.0.1:7300", Nowhere())
+    edge = EdgeNode(Alone(Clock()), settings("edge"), "10.0.0.1:7300", UnresponsiveEndpoints())
     message = Message("0-x", 0, "x", "", "POST", "/", "r", "", 0.0, 100.0)
     edge.delivery_queue.add(message)
-    message.outcome = MessageOutcome("done", "seal")  # as the reply to a replica write sets it
+    message.outcome = MessageOutcome("done", "seal")  # set by the reply to a replica write
     edge.repair.repair_finished(message)
     assert edge.delivery_queue.messages == {}
     assert edge.delivery.outcomes.get("0-x") == MessageOutcome("done", "seal")
 
 
 def test_submissions_are_rejected_at_once_while_too_few_storage_nodes_answer() -> None:
+    # Without a check of availability, each submission would wait until its write times out.
     day = Day(2, "quiet")
     for machine in day.deployment.machines:
         machine.start()
     day.clock.call_later(0.6, day.operator.begin)
     day.clock.run(5.0)
     stores = day.deployment.stores
-    responses: list[tuple[float, int]] = []  # seconds, status
+    responses: list[tuple[float, int]] = []  # latency in seconds, status
 
     def post(number: int) -> None:
-        edge, sent = day.deployment.edges[0], day.clock.now
+        edge, sent_at = day.deployment.edges[0], day.clock.now
         headers = (("host", HOST), ("amberlug-attempt-id", f"m{number}"), ("amberlug-time-remaining", "1500"))
         day.deployment.front(
             edge,
             Request("POST", f"/plain/{number}", headers, b"x"),
             2.0,
-            lambda status, *rest: responses.append((day.clock.now - sent, status)),
+            lambda status, *rest: responses.append((day.clock.now - sent_at, status)),
         )
 
     for store in stores[1:]:
@@ -61,9 +62,9 @@
     for number in range(40):
         day.clock.call_later(0.02 * number, partial(post, number))
     day.clock.run(day.clock.now + 3.0)
-    late = sum(seconds > 0.05 for seconds, _ in responses)
+    late = sum(latency_s > 0.05 for latency_s, _ in responses)
     assert {status for _, status in responses} == {503, 504}
-    assert late <= 12, "only submissions from before the failure was detected wait"
+    assert late <= 12, "only submissions sent before the failure was detected may wait"
     for store in stores[1:]:
         store.start()
     day.clock.run(day.clock.now + 4.0)
--- a/tests/cluster/test_edge_parts.py
+++ b/tests/cluster/test_edge_parts.py
@@ -1,4 +1,4 @@
-"""The parts of an edge node that need no deployment: headers of submissions, outcomes, rate shares."""
+"""Unit tests of edge node components: submission headers, outcomes, rate shares."""
 
 from types import SimpleNamespace
 from typing import Any
@@ -25,7 +25,7 @@
 from amberlug.cluster.simulation.deployment import Request
 from amberlug.cluster.storage.outcomes import MessageOutcome
 from tests.cluster.fakes import Alone, settings
-from tests.cluster.test_edge_node import Nowhere
+from tests.cluster.test_edge_node import UnresponsiveEndpoints
 
 
 def request(**headers: str) -> Request:
@@ -109,7 +109,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     clock = Clock()
-    edge = EdgeNode(Alone(clock), settings("edge"), "10.0.0.1:7300", Nowhere())
+    edge = EdgeNode(Alone(clock), settings("edge"), "10.0.0.1:7300", UnresponsiveEndpoints())
     dispatchers, shares = edge.delivery.dispatchers, list[float]()
     set_rate_share = ServiceDispatchers._set_rate_share
 
@@ -125,15 +125,15 @@
         dispatchers.update_rate_share()
 
     assign(2, True)
-    assert shares == [0.5 / FIRST_SHARE_DIVISOR], "a node that had no share begins with a part of its new one"
+    assert shares == [0.5 / FIRST_SHARE_DIVISOR], "a node without a share starts with a part of its new one"
     clock.run(RATE_INCREASE_DELAY_S + 0.1)
     assert shares[-1] == 0.5
     assign(4, True)
-    assert shares[-1] == 0.25, "a smaller share counts at once"
+    assert shares[-1] == 0.25, "a smaller share takes effect immediately"
     assign(2, True)
     assert shares[-1] == 0.25
     clock.run(clock.now + RATE_INCREASE_DELAY_S + 0.1)
     assert shares[-1] == 0.5
     assign(1, False)
     assert shares[-1] == 0.0
-    assert MIN_RATE_SHARE > 0.0, "a node without shards may still retry the calls that it has in flight"
+    assert MIN_RATE_SHARE > 0.0, "a node without shards must still be able to retry its calls in flight"
--- a/tests/cluster/test_edge_status.py
+++ b/tests/cluster/test_edge_status.py
@@ -1,4 +1,4 @@
-"""The status of an edge node, as its operators read it."""
+"""The wire format of an edge node's status report."""
 
 import json
 from collections.abc import Set
@@ -7,7 +7,7 @@
 from amberlug.cluster.interfaces import Json
 from amberlug.cluster.rpc.messages import handlers_of
 
-# A frame of the version before the typed messages, on a simulated day.
+# A frame recorded in a simulation, from the version before typed messages.
 RECORDED = (
     '{"ready": true, "edition": 7, "shards": 51, "in hand": 2, "bytes": 24, "out": 0, "copies short": 0, '
     '"counts": {"taken": 35, "offered": 6, "called: done": 31, "ended: done": 31, "called: answered": 1, '
@@ -34,7 +34,7 @@
 
 
 class Source:
-    """An edge node with the recorded state."""
+    """An edge node that always returns the recorded status."""
 
     def __init__(self) -> None:
         self.requested: list[Set[str]] = []
--- a/tests/cluster/test_ended_messages.py
+++ b/tests/cluster/test_ended_messages.py
@@ -1,4 +1,8 @@
-"""What is known of messages that have ended, after storage nodes were lost or taken away."""
+"""Outcomes of ended messages survive the loss or retirement of a storage node.
+
+Without a repair, outcomes that were on the removed disk may remain on one disk only. A lookup that misses
+this disk would then report a message as unknown, and the next loss would remove the outcome.
+"""
 
 from collections.abc import Callable
 from functools import partial
@@ -12,13 +16,13 @@
 
 pytestmark = pytest.mark.usefixtures("suppressed_logs")
 
-ENDED_S = 12.0  # by then all that was sent has ended
-DROPPED_S = 5.0  # until a storage node that is gone is on the roster no more
-ANSWERED_S = 2.5  # clients wait two seconds for an answer
+ENDED_S = 12.0  # simulated time by which all messages have ended
+DROPPED_S = 5.0  # time for a removed storage node to be dropped from the roster
+ANSWERED_S = 2.5  # time to answer all lookups; clients wait two seconds
 
 
 class EndedMessages:
-    """A deployment whose messages have all ended."""
+    """A simulated deployment in which all messages have ended."""
 
     def __init__(self, seed: int) -> None:
         self.day = Day(seed, "quiet")
@@ -38,35 +42,35 @@
         self.names = [sent.name for sent in self.day.history.sent.values() if sent.name]
 
     def wait(self, seconds: float) -> None:
-        """Play on for some seconds."""
+        """Run the simulation for some seconds."""
         self.clock.run(self.clock.now + seconds)
 
-    def cut_all_power(self, also: Callable[[], None] = lambda: None) -> None:
-        """All processes end at once and start again: what only memory has is gone.
+    def restart_all(self, while_down: Callable[[], None] = lambda: None) -> None:
+        """Restart all machines at once, so that all in-memory state is lost.
 
-        :param also: done while nothing runs.
+        :param while_down: called while all machines are down.
         """
         for machine in self.deployment.machines:
             machine.power_off()
-        also()
+        while_down()
         self.wait(1.0)
         for machine in self.deployment.machines:
             machine.start()
         self.wait(DROPPED_S)
 
     def statuses(self) -> dict[str, Standing]:
-        """What any edge node answers about each message now."""
+        """The current answer of some edge node about each message."""
         found: dict[str, Standing] = {}
         for name in self.names:
             self.day.clients.ask(name, partial(found.__setitem__, name))
         self.wait(ANSWERED_S)
         return found
 
-    def not_ended_without(self, silent: Machine) -> list[str]:
-        """The messages that are not answered as ended while a storage node does not respond."""
-        silent.freeze()
+    def not_ended_without(self, unresponsive: Machine) -> list[str]:
+        """The messages that are not reported as ended while a storage node does not respond."""
+        unresponsive.freeze()
         found = self.statuses()
-        silent.thaw()
+        unresponsive.thaw()
         self.wait(1.0)
         return [
             f"{name}: {standing.status} {standing.condition}"
@@ -76,35 +80,36 @@
 
 
 def lose_disk(ended: EndedMessages) -> None:
-    """All lose power, and one storage node its disk."""
-    ended.cut_all_power(ended.deployment.stores[0].wipe)
+    """Restart all machines, one storage node with a wiped disk."""
+    ended.restart_all(ended.deployment.stores[0].wipe)
 
 
 def retire(ended: EndedMessages) -> None:
-    """A storage node is emptied by order and taken away with its disk; then all lose power."""
+    """Retire a storage node as an operator does, then restart all machines."""
     retired, zone = ended.deployment.stores[0], ended.deployment.stores[0].zone
     ended.deployment.add("store", zone).start()
     ended.wait(1.0)
     ended.day.storage_faults.empty(retired)
     ended.wait(DROPPED_S)
     assert retired not in ended.deployment.stores
-    ended.cut_all_power()
+    ended.restart_all()
 
 
-@pytest.mark.parametrize("is_gone", [lose_disk, retire])
+@pytest.mark.parametrize("remove_storage_node", [lose_disk, retire])
 @pytest.mark.parametrize("seed", [1, 2, 3])
 def test_ended_messages_are_known_without_any_one_storage_node(
-    seed: int, is_gone: Callable[[EndedMessages], None]
+    seed: int, remove_storage_node: Callable[[EndedMessages], None]
 ) -> None:
     ended = EndedMessages(seed)
-    is_gone(ended)
-    for silent in ended.deployment.stores:
-        assert ended.not_ended_without(silent) == []
+    remove_storage_node(ended)
+    for unresponsive in ended.deployment.stores:
+        assert ended.not_ended_without(unresponsive) == []
 
 
 def test_a_mutation_that_repairs_no_outcomes_is_detected() -> None:
     with mutated("outcomes-unrepaired"):
         ended = EndedMessages(2)
         lose_disk(ended)
-        # Look-ups repair what they find: one that alone has outcomes is silent first.
-        assert any(ended.not_ended_without(silent) for silent in reversed(ended.deployment.stores))
+        # Lookups repair the outcomes that they find, so the node that may be their only holder is made
+        # unresponsive first.
+        assert any(ended.not_ended_without(store) for store in reversed(ended.deployment.stores))
--- a/tests/cluster/test_endpoint_answers.py
+++ b/tests/cluster/test_endpoint_answers.py
@@ -1,13 +1,15 @@
-"""Whose an endpoint's answer is: late, doubled, cut and foreign ones on connections that are used again.
+"""Each call gets the response to its own request, despite faulty responses on reused connections.
 
-The calls go through the real `Service`, `Caller` and `Link`; the endpoints are scripts drawn from a seed.
+Endpoints send late, duplicated, truncated and foreign responses, which could complete the wrong call. The
+calls go through the real `Dispatcher`, `EndpointClient` and `Link`; the endpoints' behavior is drawn from a
+seed.
 """
 
 import asyncio
 import random
 from collections import defaultdict
+from collections.abc import Callable
 from dataclasses import dataclass, field
-from typing import Any
 
 import pytest
 
@@ -51,215 +53,227 @@
     "closes",
     "closes later",
     "garbage",
-    "informs",
+    "early hints",
     "large",
     "just in time",
 )
 
 
 @dataclass(eq=False)
-class Ask:
-    """One request that an endpoint has read whole."""
+class ReceivedRequest:
+    """A request that an endpoint has read completely."""
 
-    call: str  # the number of the call, which a header carries
+    call: str  # number of the call, from the header `X-Call`
     attempt: str
-    end: End  # of the endpoint
+    connection: End  # the endpoint's side
     status: int = 0
     seal: str = ""
-    answered: bool = False  # its whole answer has left
-    copy: bytes = b""
+    answered: bool = False  # the complete response was written
+    response: bytes = b""
 
 
 @dataclass
-class Site:
-    """All endpoints of a play, and what they saw."""
+class EndpointLog:
+    """What all endpoints of a run have received."""
 
     loop: Loop
     rng: random.Random
-    asks: list[Ask] = field(default_factory=list)
-    by_attempt: dict[str, list[Ask]] = field(default_factory=lambda: defaultdict(list))
-    known: set[str] = field(default_factory=set)  # attempts whose success their sender has read
+    requests: list[ReceivedRequest] = field(default_factory=list)
+    by_attempt: dict[str, list[ReceivedRequest]] = field(default_factory=lambda: defaultdict(list))
+    completed: set[str] = field(default_factory=set)  # attempts whose success was read by the sender
 
 
 class Endpoint(asyncio.Protocol):
-    """One connection at an endpoint."""
+    """The endpoint's side of one connection, which responds with faults."""
 
-    def __init__(self, site: Site) -> None:
-        self.site, self.read, self.response_text = site, b"", b""
-        self.before: Ask | None = None
+    def __init__(self, log: EndpointLog) -> None:
+        self.log, self.buffer, self.sent_responses = log, b"", b""
+        self.previous: ReceivedRequest | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         assert isinstance(transport, End)
-        self.end = transport
-        # Now and then not all of a request leaves, or not at once.
-        if self.site.rng.random() < 0.1:
-            transport.other.window = self.site.rng.randrange(0, 300)
-            self.site.loop.call_later(
-                self.site.rng.uniform(0.01, 0.2),
-                self.site.rng.choice((transport.other.open, transport.abort)),
+        self.connection = transport
+        # Some requests are sent only in part, or with a delay.
+        if self.log.rng.random() < 0.1:
+            transport.other.window = self.log.rng.randrange(0, 300)
+            self.log.loop.call_later(
+                self.log.rng.uniform(0.01, 0.2),
+                self.log.rng.choice((transport.other.open, transport.abort)),
             )
 
     def data_received(self, data: bytes) -> None:
-        self.read += data
-        head, found, rest = self.read.partition(b"\r\n\r\n")
+        self.buffer += data
+        head, found, rest = self.buffer.partition(b"\r\n\r\n")
         if not found:
             return
         fields = dict(header_text.split(": ", 1) for header_text in head.decode().split("\r\n")[1:])
         length = int(fields["Content-Length"])
-        assert len(rest) <= length, "a further request before the answer"
+        assert len(rest) <= length, "a further request was sent before the response"
         if len(rest) == length:
-            self.read = b""
-            self._take(Ask(fields["X-Call"], fields["Amberlug-Attempt-Id"], self.end))
+            self.buffer = b""
+            self._receive(ReceivedRequest(fields["X-Call"], fields["Amberlug-Attempt-Id"], self.connection))
 
-    def _take(self, ask: Ask) -> None:
-        site, here = self.site, ask.end.other
-        assert all(it.call != ask.call for it in site.asks), "one call is sent twice"
+    def _receive(self, request: ReceivedRequest) -> None:
+        log, client_end = self.log, request.connection.other
+        assert all(earlier.call != request.call for earlier in log.requests), "a call was sent twice"
         assert (
-            here.closing or here.had_come == self.response_text
-        ), "a connection is used again on which more has come"
-        if not here.closing:  # else it was given up while it was on its way
-            assert ask.attempt not in site.known, "a success that is known runs again"
-            for before in site.by_attempt[ask.attempt]:
-                out = not before.answered and not before.end.closing and not before.end.other.closing
-                assert not out, "a second call while the first is under way"
-        site.asks.append(ask)
-        site.by_attempt[ask.attempt].append(ask)
-        what = site.rng.choice(FAULT_KINDS)
-        ask.status = {"fails": 500, "full": 503, "dead": 422}.get(what, 200)
-        if what == "doubled later":
-            ask.status = site.rng.choice((200, 500, 500, 503))
-        ask.seal = f"seal-{ask.call}" if ask.status == 200 else ""
-        named = f"Amberlug-Attempt-Id: {ask.attempt}\r\n" if what != "nameless" else ""
-        body = b"x" * (300_000 if what == "large" else site.rng.choice((0, 2, 900)))
-        ask.copy = (
-            f"HTTP/1.1 {ask.status} Said\r\n{named}Amberlug-Server-Seal: {ask.seal}\r\n"
-            f"X-Call: {ask.call}\r\nContent-Length: {len(body)}\r\n\r\n"
+            client_end.closing or client_end.had_come == self.sent_responses
+        ), "a connection with surplus data was reused"
+        if not client_end.closing:  # otherwise the call timed out while the request was in transit
+            assert request.attempt not in log.completed, "a completed attempt was executed again"
+            for earlier in log.by_attempt[request.attempt]:
+                in_progress = (
+                    not earlier.answered
+                    and not earlier.connection.closing
+                    and not earlier.connection.other.closing
+                )
+                assert not in_progress, "a second call was sent while the first was in progress"
+        log.requests.append(request)
+        log.by_attempt[request.attempt].append(request)
+        fault = log.rng.choice(FAULT_KINDS)
+        request.status = {"fails": 500, "full": 503, "dead": 422}.get(fault, 200)
+        if fault == "doubled later":
+            request.status = log.rng.choice((200, 500, 500, 503))
+        request.seal = f"seal-{request.call}" if request.status == 200 else ""
+        attempt_header = f"Amberlug-Attempt-Id: {request.attempt}\r\n" if fault != "nameless" else ""
+        body = b"x" * (300_000 if fault == "large" else log.rng.choice((0, 2, 900)))
+        request.response = (
+            f"HTTP/1.1 {request.status} Said\r\n{attempt_header}Amberlug-Server-Seal: {request.seal}\r\n"
+            f"X-Call: {request.call}\r\nContent-Length: {len(body)}\r\n\r\n"
         ).encode() + body
-        seconds = site.rng.uniform(0.0, 0.1)
-        if what == "late":
-            seconds = EXPIRY_S + site.rng.uniform(0.1, 0.4)
-        elif what == "just in time":
-            seconds = EXPIRY_S + TIMEOUT_SLACK_S - 0.01
-            site.loop.call_later(seconds + 0.00005, site.loop.stall, 0.02)  # who waits for it is held up
-        site.loop.call_later(seconds, self._answer, what, ask)
-
-    def _answer(self, what: str, ask: Ask) -> None:
-        site, end, before = self.site, self.end, self.before
-        if end.closing:
+        delay_s = log.rng.uniform(0.0, 0.1)
+        if fault == "late":
+            delay_s = EXPIRY_S + log.rng.uniform(0.1, 0.4)
+        elif fault == "just in time":
+            delay_s = EXPIRY_S + TIMEOUT_SLACK_S - 0.01
+            # The client's event loop stalls before it can read the response.
+            log.loop.call_later(delay_s + 0.00005, log.loop.stall, 0.02)
+        log.loop.call_later(delay_s, self._respond, fault, request)
+
+    def _respond(self, fault: str, request: ReceivedRequest) -> None:
+        log, connection, previous = self.log, self.connection, self.previous
+        if connection.closing:
             return
-        if site.rng.random() < 0.1:
-            site.loop.stall(site.rng.uniform(0.01, 0.3))
-        copy, again = ask.copy, site.rng.uniform(0.0, 0.3)
-        if what == "reset":
-            return end.abort()
-        if what == "never":
+        if log.rng.random() < 0.1:
+            log.loop.stall(log.rng.uniform(0.01, 0.3))
+        response, delay_s = request.response, log.rng.uniform(0.0, 0.3)
+        if fault == "reset":
+            return connection.abort()
+        if fault == "never":
             return None
-        if what == "cut":
-            end.write(copy[: site.rng.randrange(len(copy))])
-            end_it = site.rng.choice((end.abort, end.close, lambda: None))
-            site.loop.call_later(site.rng.choice((0.0, 0.01, 0.6)), end_it)
+        if fault == "cut":
+            connection.write(response[: log.rng.randrange(len(response))])
+            end_connection = log.rng.choice((connection.abort, connection.close, lambda: None))
+            log.loop.call_later(log.rng.choice((0.0, 0.01, 0.6)), end_connection)
             return None
-        if what == "garbage":
-            end.write(site.rng.choice((b"\x00\xffnonsense\r\n\r\n", b"HTTP/1.1 20", copy[7:])))
+        if fault == "garbage":
+            garbage = log.rng.choice((b"\x00\xffnonsense\r\n\r\n", b"HTTP/1.1 20", response[7:]))
+            connection.write(garbage)
             return None
-        if what == "stale" and before is not None:
-            end.write(before.copy)
-            site.loop.call_later(again, end.write, copy)
-        elif what == "informs":
-            self.response_text += b"HTTP/1.1 103 Early Hints\r\n\r\n"
-            end.write(b"HTTP/1.1 103 Early Hints\r\n\r\n" + copy)
+        if fault == "stale" and previous is not None:
+            connection.write(previous.response)
+            log.loop.call_later(delay_s, connection.write, response)
+        elif fault == "early hints":
+            self.sent_responses += b"HTTP/1.1 103 Early Hints\r\n\r\n"
+            connection.write(b"HTTP/1.1 103 Early Hints\r\n\r\n" + response)
         else:
-            end.write(copy * (2 if what == "doubled" else 1))
-        self.response_text += copy
-        ask.answered = True
-        self.before = ask
-        if what == "doubled later":
-            site.loop.call_later(again, end.write, copy)
-        elif what.startswith("closes"):
-            site.loop.call_later(again if what == "closes later" else 0.0, end.close)
+            connection.write(response * (2 if fault == "doubled" else 1))
+        self.sent_responses += response
+        request.answered = True
+        self.previous = request
+        if fault == "doubled later":
+            log.loop.call_later(delay_s, connection.write, response)
+        elif fault.startswith("closes"):
+            log.loop.call_later(delay_s if fault == "closes later" else 0.0, connection.close)
         return None
 
 
-class Owner:
-    """Sends messages as an edge does, and looks at each answer that it is given."""
+class CheckingSender:
+    """Sends messages as an edge does, and checks each call result against the endpoints' log."""
 
-    def __init__(self, site: Site) -> None:
-        self.site, self.loop = site, site.loop
-        self.caller = EndpointClient()
+    def __init__(self, log: EndpointLog) -> None:
+        self.log, self.loop = log, log.loop
+        self.client = EndpointClient()
         self.calls = 0
         self.sent: dict[int, EndpointCall] = {}
         self.failures: dict[str, int] = defaultdict(int)
         self.ended: dict[str, str] = {}
         self.messages: dict[str, Message] = {}
-        world = AsyncioRuntime(PeerTransport(lambda *given: None, lambda address: None), site.rng)
-        pool = EndpointPool("z", site.rng, self.caller.available_connections)
+        runtime = AsyncioRuntime(PeerTransport(lambda *given: None, lambda address: None), log.rng)
+        pool = EndpointPool("z", log.rng, self.client.available_connections)
         for number in range(2):
-            at = f"10.0.0.{number}", 80
-            site.loop.doors[at] = lambda: Endpoint(site)
-            announcement = PublishedEndpoint("s", f"{at[0]}:80", "z", 3, "", 0, "ready")
+            address = f"10.0.0.{number}", 80
+            log.loop.doors[address] = lambda: Endpoint(log)
+            announcement = PublishedEndpoint("s", f"{address[0]}:80", "z", 3, "", 0, "ready")
             pool.update(f"i{number}", announcement, 0.0)
-        callbacks = DispatchCallbacks(lambda message: EXPIRY_S, self.finished)
-        self.service = Dispatcher("s", world, pool, self, callbacks)
+        callbacks = DispatchCallbacks(lambda message: EXPIRY_S, self.on_result)
+        self.dispatcher = Dispatcher("s", runtime, pool, self, callbacks)
         self.close_idle_connections, self.available_connections = (
-            self.caller.close_idle_connections,
-            self.caller.available_connections,
+            self.client.close_idle_connections,
+            self.client.available_connections,
         )
 
-    def call(self, delivery: EndpointCall, then: Any) -> None:
-        """Send a call with a number of its own, and see that what is said of it is true."""
+    def call(self, call: EndpointCall, on_result: Callable[[CallResult], None]) -> None:
+        """Send a call with a unique number, and check that its result is correct."""
         self.calls += 1
         number = str(self.calls)
         numbered = EndpointCall(
-            delivery.address,
-            delivery.instance,
-            delivery.attempt_id,
-            delivery.method,
-            delivery.target,
-            (*delivery.headers, ("X-Call", number)),
-            delivery.body,
-            delivery.timeout_s,
+            call.address,
+            call.instance,
+            call.attempt_id,
+            call.method,
+            call.target,
+            (*call.headers, ("X-Call", number)),
+            call.body,
+            call.timeout_s,
         )
 
-        until = self.loop.time() + delivery.timeout_s
-
-        def hear(called: CallResult) -> None:
-            ran = next((it for it in self.site.asks if it.call == number), None)
-            if called.verdict is CallVerdict.NOT_CONNECTED:
-                self.loop.call_later(1.0, self.never_ran, number)
-                assert ran is None, "a call that has run is said not to have"
-            elif called.verdict is CallVerdict.ANSWERED:
-                assert called.header("x-call") == number, "an answer to another call"
-                assert ran is not None, "an answer to a call that was never read"
-                assert (called.status, called.header("amberlug-server-seal")) == (ran.status, ran.seal)
-            elif called.verdict is CallVerdict.TIMED_OUT and ran is not None:
-                passed = ran.end.other.read_at > until or len(ran.copy) > BODY_MOST
+        deadline = self.loop.time() + call.timeout_s
+
+        def check(result: CallResult) -> None:
+            received = next((request for request in self.log.requests if request.call == number), None)
+            if result.verdict is CallVerdict.NOT_CONNECTED:
+                self.loop.call_later(1.0, self.check_not_received, number)
+                assert received is None, "a call that was executed was reported as not sent"
+            elif result.verdict is CallVerdict.ANSWERED:
+                assert result.header("x-call") == number, "the response belongs to another call"
+                assert received is not None, "a response to a call that was never received"
+                response = result.status, result.header("amberlug-server-seal")
+                assert response == (received.status, received.seal)
+            elif result.verdict is CallVerdict.TIMED_OUT and received is not None:
+                client_end = received.connection.other
+                is_excused = client_end.read_at > deadline or len(received.response) > BODY_MOST
                 assert (
-                    passed or ran.copy not in ran.end.other.received
-                ), "an answer that was read is called silence"
-            then(called)
+                    is_excused or received.response not in client_end.received
+                ), "a response that was read was reported as a timeout"
+            on_result(result)
 
-        self.caller.call(numbered, hear)
+        self.client.call(numbered, check)
 
-    def never_ran(self, number: str) -> None:
-        assert all(it.call != number for it in self.site.asks), "a call runs that was said not to have"
+    def check_not_received(self, number: str) -> None:
+        assert all(
+            request.call != number for request in self.log.requests
+        ), "a call that was reported as not sent was executed"
 
-    def finished(self, message: Message, called: CallResult) -> None:
-        outcome = judge(message, called, MAX_ATTEMPTS)
+    def on_result(self, message: Message, result: CallResult) -> None:
+        outcome = judge(message, result, MAX_ATTEMPTS)
         message.failures += outcome.is_failure
-        asks = self.site.by_attempt[message.attempt_id]
-        assert message.failures <= sum(it.status == 500 for it in asks), "a failure counts twice"
+        requests = self.log.by_attempt[message.attempt_id]
+        failed_requests = sum(request.status == 500 for request in requests)
+        assert message.failures <= failed_requests, "a failure was counted twice"
         if outcome.end:
             if outcome.end == "done":
-                assert outcome.seal in {it.seal for it in asks}, "a success of another message"
-                self.site.known.add(message.attempt_id)
+                seals = {request.seal for request in requests}
+                assert outcome.seal in seals, "a success of another message was accepted"
+                self.log.completed.add(message.attempt_id)
             message.ended = True
             self.ended[message.attempt_id] = outcome.end
         else:
-            self.loop.call_later(outcome.retry_delay_s, self.again, message)
+            self.loop.call_later(outcome.retry_delay_s, self.retry, message)
 
-    def again(self, message: Message) -> None:
+    def retry(self, message: Message) -> None:
         message.in_flight = False
-        self.service.add(message)
+        self.dispatcher.add(message)
 
     def send(self, number: int) -> None:
         message = Message(
@@ -267,31 +281,30 @@
         )
         message.service = "s"
         self.messages[message.attempt_id] = message
-        self.service.add(message)
+        self.dispatcher.add(message)
 
 
-async def scene(loop: Loop, rng: random.Random) -> None:
-    site = Site(loop, rng)
-    owner = Owner(site)
+async def deliver_messages(loop: Loop, rng: random.Random) -> None:
+    sender = CheckingSender(EndpointLog(loop, rng))
     for number in range(MESSAGES):
-        loop.call_later(rng.uniform(0.0, 3.0), owner.send, number)
+        loop.call_later(rng.uniform(0.0, 3.0), sender.send, number)
     for _ in range(400):
         await asyncio.sleep(0.1)
-        owner.caller.sweep()
-        if len(owner.ended) == MESSAGES:
+        sender.client.sweep()
+        if len(sender.ended) == MESSAGES:
             break
-    await asyncio.sleep(2.0)  # nothing runs again
-    assert len(owner.ended) == MESSAGES
-    assert not owner.service.calls
+    await asyncio.sleep(2.0)  # `EndpointLog` checks detect messages that are executed again
+    assert len(sender.ended) == MESSAGES
+    assert not sender.dispatcher.calls
 
 
-def play(seeds: range) -> None:
+def run_seeds(seeds: range) -> None:
     for seed in seeds:
-        run(seed, scene)
+        run(seed, deliver_messages)
 
 
 def test_each_call_gets_its_own_response_or_the_failure_that_happened() -> None:
-    play(range(40))
+    run_seeds(range(40))
 
 
 @pytest.mark.parametrize(
@@ -300,4 +313,4 @@
 )
 def test_a_mutation_is_detected(name: str) -> None:
     with FAULTS[name][0](), pytest.raises(AssertionError):
-        play(range(40))
+        run_seeds(range(40))
--- a/tests/cluster/test_handover.py
+++ b/tests/cluster/test_handover.py
@@ -1,4 +1,8 @@
-"""Handover of shards whose previous owner learns of its successor a moment late."""
+"""Handover of shards whose previous owner learns late of the new owner.
+
+The previous owner may end a message after the new owner has read it as open, and have the outcome
+acknowledged before it learns of the new owner. The new owner must not execute the message again.
+"""
 
 import pytest
 
@@ -12,6 +16,7 @@
 def test_a_message_that_ends_before_its_owner_learns_of_the_successor_is_not_run_again(
     seed: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # Other control-plane nodes have the table by the log alone: the previous owner learns of it late.
+    # Control-plane nodes other than the leader get the table through the log only, so that the previous
+    # owner learns of it late.
     monkeypatch.setattr(node, "REPLICATED_KEYS", ("config", "shards", "roster", "cores"))
     assert play(seed, "edges") == []
--- a/tests/cluster/test_message_store.py
+++ b/tests/cluster/test_message_store.py
@@ -1,4 +1,4 @@
-"""The file of a storage node: group commit, failed writes, damaged rows."""
+"""The database file of a storage node: group commit, failed writes, corrupt rows."""
 
 import queue
 import sqlite3
@@ -23,7 +23,7 @@
 
 
 class Opened:
-    """A storage node's folder that is open, and the callbacks that were posted."""
+    """An open storage folder, and the callbacks posted by its store."""
 
     def __init__(self, folder: Path, disk_id: str = "d") -> None:
         self.posted: queue.SimpleQueue[Callable[[], None]] = queue.SimpleQueue()
@@ -64,7 +64,10 @@
     opened = opened.reopened()
     contents = opened.contents
     assert (contents.disk_id, contents.fencing_tokens, contents.enrolled_index) == ("d", {1: 5}, 9)
-    assert {key: (it.outcome.status, it.retain_until) for key, it in contents.messages.items()} == {
+    assert {
+        message_id: (message.outcome.status, message.retain_until)
+        for message_id, message in contents.messages.items()
+    } == {
         "1-a": ("", 0.0),
         "1-b": ("dead", 50.0),
         "1-c": ("done", 60.0),
@@ -120,18 +123,17 @@
     posted: queue.SimpleQueue[Callable[[], None]] = queue.SimpleQueue()
     writer = GroupCommitWriter(database, insert, posted.put)
     failures: dict[int, WriteFailure | None] = {}
-    first_query_blocks: queue.SimpleQueue[None] = queue.SimpleQueue()
-    writer.query(lambda database: first_query_blocks.get(timeout=5.0), lambda result: None)
-    for number, value in enumerate(
-        (1, 2, 1, 3)
-    ):  # queued behind the query, so that one commit takes them all
+    query_may_end: queue.SimpleQueue[None] = queue.SimpleQueue()
+    writer.query(lambda database: query_may_end.get(timeout=5.0), lambda result: None)
+    # The writes are queued behind a blocked query, so that one commit takes all of them.
+    for number, value in enumerate((1, 2, 1, 3)):
         writer.write([value], lambda failure, number=number: failures.update({number: failure}))  # type: ignore[misc]
     found: list[list[int]] = []
     writer.query(
         lambda database: [row[0] for row in database.execute("select value from numbers order by 1")],
         found.append,
     )
-    first_query_blocks.put(None)
+    query_may_end.put(None)
     writer.close()
     while not posted.empty():
         posted.get()()
--- a/tests/cluster/test_outcomes.py
+++ b/tests/cluster/test_outcomes.py
@@ -1,4 +1,4 @@
-"""What an edge node may tell of a message's end, and on how many disks it has it recorded."""
+"""When an edge node may report a message's outcome, and on how many disks it records it."""
 
 import itertools
 from typing import Any
@@ -27,7 +27,7 @@
 from amberlug.cluster.storage.messages import Acknowledgement
 from amberlug.cluster.storage.outcomes import OPEN, MessageOutcome
 from tests.cluster.fakes import Alone, settings
-from tests.cluster.test_edge_node import Nowhere
+from tests.cluster.test_edge_node import UnresponsiveEndpoints
 from tests.cluster.test_shard_owner import DONE, OPEN_ROW, STORES, OwnerRig, new_message
 
 pytestmark = pytest.mark.usefixtures("suppressed_logs")
@@ -37,7 +37,7 @@
 
 
 def roster_of(**states: str) -> dict[str, Json]:
-    """Disks by name, each on a machine of its own."""
+    """A roster of disks, each on its own machine."""
     return {
         disk: {"name": disk, "addr": disk, "zone": "z", "region": "r", "state": state}
         for disk, state in states.items()
@@ -45,12 +45,12 @@
 
 
 class EdgeRig:
-    """An edge node with storage nodes that a test plays."""
+    """An edge node whose storage nodes are scripted by the test."""
 
     def __init__(self, **states: str) -> None:
         self.clock = Clock()
         self.runtime = Alone(self.clock)
-        self.edge = EdgeNode(self.runtime, settings("edge"), "10.0.0.1:7300", Nowhere())
+        self.edge = EdgeNode(self.runtime, settings("edge"), "10.0.0.1:7300", UnresponsiveEndpoints())
         self.replicator = self.edge.replicator
         self.set_roster(**(states or dict.fromkeys(STORES, "full")))
 
@@ -58,9 +58,9 @@
         self.edge.repair.apply_roster(StorageRoster.from_wire(ROSTER, roster_of(**states)))
 
     def answer(self, tag: str, bodies: dict[str, Json]) -> list[str]:
-        """Have storage nodes answer what was asked with a tag.
+        """Reply to the pending requests with a tag, and drop all other pending requests.
 
-        :returns: all that were asked.
+        :returns: the addresses of all storage nodes that had a request with the tag.
         """
         requests, self.runtime.requests = self.runtime.requests, []
         asked = [address for address, requested, _, _ in requests if requested == tag]
@@ -82,7 +82,7 @@
 
 
 def look_up(rig: EdgeRig, answers: dict[str, Json]) -> list[MessageOutcome | None]:
-    """What a look-up is answered at once, without further writes; empty where it waits."""
+    """The immediate answer of a lookup without further writes; empty if it waits."""
     found: list[MessageOutcome | None] = []
     rig.edge.lookup.find_outcome("0-x", found.append)
     rig.answer("find", answers)
@@ -91,13 +91,13 @@
 
 @pytest.mark.parametrize("name", ["", "any-answer", "single-end"])
 def test_a_lookup_answers_only_what_a_quorum_shows(name: str) -> None:
-    """All answers of three storage nodes, of which one may be lost: quorums are any two."""
+    """Tries all replies of three storage nodes, of which one may be lost: any two are a quorum."""
     wrong = 0
     with mutated(name):
         for answers in itertools.product(ANSWERS, repeat=len(STORES)):
-            given = {disk: it for disk, it in zip(STORES, answers, strict=True) if it is not None}
+            given = {disk: reply for disk, reply in zip(STORES, answers, strict=True) if reply is not None}
             found = look_up(EdgeRig(), given)
-            valid = [it for it in given.values() if it is not OTHER_DISK]
+            valid = [reply for reply in given.values() if reply is not OTHER_DISK]
             quorum = valid[:2] if len(valid) > 1 else []  # the first two, in the order of the disks
             expected: list[MessageOutcome | None] = []
             if valid.count(FOUND_ENDED) > 1 and (FOUND_ENDED in quorum or NEWER_ROSTER in quorum):
@@ -113,7 +113,7 @@
     found = look_up(rig, {"a": FOUND_ENDED, "b": FOUND_NONE})
     assert found == []
     rig.run(0.1)
-    assert rig.answer("marks", {"b": {"ok": True}}) == ["b"], "the one that has just answered"
+    assert rig.answer("marks", {"b": {"ok": True}}) == ["b"], "the disk that has just replied is preferred"
     assert found == [DONE]
 
 
@@ -124,21 +124,21 @@
     rig.edge.delivery_queue.add(message)
     rig.edge.delivery._end(message, DONE)
     rig.run(0.1)
-    told: list[MessageOutcome | None] = []
+    reported: list[MessageOutcome | None] = []
     with mutated(name):
         for address, _, _, on_reply in rig.runtime.requests:
-            told.append(rig.edge.lookup.local_outcome("0-x"))
+            reported.append(rig.edge.lookup.local_outcome("0-x"))
             on_reply(Ok(Reply({"ok": True, "disk": address})))
-        told.append(rig.edge.lookup.local_outcome("0-x"))
+        reported.append(rig.edge.lookup.local_outcome("0-x"))
     expected: list[MessageOutcome | None] = [DONE, DONE, DONE] if name else [None, None, DONE]
-    assert told == expected
+    assert reported == expected
 
 
 # -- OutcomeDelivery
 
 
 def restored(rig: EdgeRig, holders: set[str]) -> list[str]:
-    """Record an outcome; what is returned is filled once it is durable."""
+    """Restore an outcome; an entry is appended to the returned list once it is durable."""
     done: list[str] = []
     rig.replicator.restore_outcome(ENDED, holders, lambda: done.append("durable"))
     rig.run(0.1)
@@ -175,7 +175,7 @@
     others = {"b", "c", "d"} - set(asked)
     (added,) = rig.answer("marks", {disk: {"ok": True} for disk in others})
     assert added in others
-    assert done == [], "one of two that count"
+    assert done == [], "only one of the two disks that count has acknowledged"
 
 
 # -- OutcomeRepair
@@ -198,14 +198,14 @@
     assert rig.runtime.requests[-1][2]["after"] == [0, "0-x"]
     rig.answer("ended", {"a": ended_page("0-y")})
     rig.run(2 * PATIENCE_S)
-    assert done == [], "a disk that was not read and the lost one could be all that have an outcome"
+    assert done == [], "the unread disk and the lost one could be the only holders of an outcome"
     rig.edge.repair.apply_roster(StorageRoster.from_wire(ROSTER, roster_of(a="full", b="full", c="full")))
     done = repair(rig)
     rig.answer("ended", {"a": ended_page("0-x", "0-y"), "b": ended_page("0-y")})
-    assert done == [], "storage nodes that do not respond are waited for"
+    assert done == [], "the repair waits for unresponsive storage nodes"
     rig.runtime.requests.clear()
     rig.run(2 * PATIENCE_S)
-    (request,) = (it for it in rig.runtime.requests if it[1] == "marks")
+    (request,) = (pending for pending in rig.runtime.requests if pending[1] == "marks")
     assert [row[0] for row in request[2]["marks"]] == ["0-x"]
     request[3](Ok(Reply({"ok": True, "disk": request[0]})))
     assert done == ["complete"]
@@ -247,7 +247,7 @@
     rig.shard_owner.accept(new_message(), outcomes.append)
     asked = [address for address, tag, _, _ in rig.runtime.requests if tag == "put"]
     rig.reply("put", {disk: {"end": "done", "seal": "seal"} for disk in asked})
-    assert outcomes == [], "not rejected either: it has run"
+    assert outcomes == [], "not rejected either, since it was executed"
     rig.clock.run(0.1)
     rig.reply("marks", {disk: {} for disk in STORES})
     assert outcomes == [AdmissionOutcome.ACCEPTED]
@@ -315,7 +315,7 @@
         (["accepted", "long ago"], NOT_FOUND, ""),
         (["ended"], OPEN, ENDED_STAYS_ENDED),
         (["ended"], DONE, ""),
-        (["ended"], NOT_FOUND, ""),  # its outcome may have been forgotten meanwhile
+        (["ended"], NOT_FOUND, ""),  # its outcome may have expired meanwhile
     ],
 )
 def test_an_answer_that_contradicts_an_earlier_one_is_counted_and_not_given(
--- a/tests/cluster/test_rates.py
+++ b/tests/cluster/test_rates.py
@@ -1,4 +1,4 @@
-"""The rate of a service, of which each edge spends a share."""
+"""The rate limit of a service, of which each edge uses a share."""
 
 import random
 from collections.abc import Callable
@@ -14,7 +14,7 @@
 
 
 class OneEndpoint:
-    """An endpoint that responds at once."""
+    """An endpoint that responds to each call after 10 ms."""
 
     def __init__(self, clock: Clock) -> None:
         self.clock = clock
@@ -45,4 +45,4 @@
     for number in range(100):
         service.add(Message(f"m{number}", 0, f"{number}", "", "GET", "/", "r", "", 0.0, 0.0, service="s"))
     clock.run(20.0)
-    assert 30 <= endpoints.calls <= 34  # 1.6 a second
+    assert 30 <= endpoints.calls <= 34  # 1.6 per second for 20 s
--- a/tests/cluster/test_replication.py
+++ b/tests/cluster/test_replication.py
@@ -1,4 +1,4 @@
-"""Replication under large changes: members restarted, slow, lossy and wiped meanwhile."""
+"""Raft replication of large entries while members are restarted, slow, lossy or wiped."""
 
 import random
 from functools import partial
@@ -15,7 +15,7 @@
 
 
 def follower(group: RaftGroup) -> GroupMember:
-    return next(it for it in group.members.values() if it is not group.leader)
+    return next(member for member in group.members.values() if member is not group.leader)
 
 
 @pytest.mark.parametrize(("count", "size"), [(90, 198_000), (40, 1_000_000)])
@@ -40,7 +40,8 @@
     assert group.leader is leader
     assert max(group.latencies_s) < 1.0
     assert all(
-        sum(it.raft.log.sizes_bytes) < SNAPSHOT_BYTES + TAIL_BYTES + size for it in group.members.values()
+        sum(member.raft.log.sizes_bytes) < SNAPSHOT_BYTES + TAIL_BYTES + size
+        for member in group.members.values()
     )
 
 
@@ -75,7 +76,7 @@
     restarted.rate = SLOW
     restarted.start()
     group.admit(restarted)
-    for at in range(1, 20):  # 4 MB take 2.1 s; a snapshot from its beginning each time would never come whole
+    for at in range(1, 20):  # 4 MB take 2.1 s, so a transfer that restarts from the beginning never completes
         group.clock.call_later(0.4 * at, partial(group.net.reset, restarted))
     group.run(6.0)
     assert (group.lagging, group.failed_assertions, restarted.raft.log.snapshot_index) == ([], [], 3)
@@ -116,7 +117,7 @@
     for member in group.members.values():
         assert sum(member.raft.log.sizes_bytes) < SNAPSHOT_BYTES + TAIL_BYTES + 1_100_000
         assert member.state_machine.state == group.members["a"].state_machine.state
-    for name in ("a", "b", "c"):  # each leads, right after a restart of its own, with all that was committed
+    for name in ("a", "b", "c"):  # each one becomes leader right after a restart, with all committed entries
         member = group.members[name]
         member.stop()
         group.run(2.0)
@@ -150,13 +151,16 @@
     for number in range(6):
         group.submit(number, 1_000_000)
         group.run(0.3)
-    assert all(it.raft.log.snapshot_index > it.raft.membership.index - 1 > 0 for it in group.members.values())
+    assert all(
+        member.raft.log.snapshot_index > member.raft.membership.index - 1 > 0
+        for member in group.members.values()
+    )
     for member in group.members.values():
         member.stop()
     for member in group.members.values():
         member.start()
     group.run(3.0)
-    assert [it.raft.members for it in group.members.values()] == [members] * 3
+    assert [member.raft.members for member in group.members.values()] == [members] * 3
     assert group.leader is not None
 
 
@@ -176,34 +180,37 @@
 
 
 def inject_fault(group: RaftGroup, rng: random.Random) -> None:
-    """For a while one member is restarted, slow, wiped, cut off or reset, or its disk stalls or is full."""
+    """Inject a temporary fault into one member.
+
+    The member is restarted, wiped, slow, cut off or has its connections reset, or its disk stalls or is full.
+    """
     member = group.members[rng.choice("abc")]
     seconds = rng.uniform(0.3, 2.0)
-    what = rng.choice(("down", "slow", "wiped", "cut", "reset", "stalled", "full"))
+    fault = rng.choice(("down", "slow", "wiped", "cut", "reset", "stalled", "full"))
     later = partial(group.clock.call_later, seconds)
-    if what == "slow":
+    if fault == "slow":
         member.rate, member.loss = SLOW, 0.02
         later(lambda: vars(member).update(rate=0.0, loss=0.0))
-    elif what == "cut":
-        others = [it for it in "abc" if it != member.name]
-        pairs = {(it, member.name) for it in others} | {(member.name, it) for it in others}
-        pairs = {it for it in pairs if rng.random() < 0.8}
+    elif fault == "cut":
+        others = [name for name in "abc" if name != member.name]
+        pairs = {(name, member.name) for name in others} | {(member.name, name) for name in others}
+        pairs = {pair for pair in pairs if rng.random() < 0.8}
         group.net.cut(pairs)
         later(partial(group.net.join, pairs))
-    elif what == "reset":
+    elif fault == "reset":
         member.rate = SLOW
         for at in range(10):
             group.clock.call_later(at * 0.15, partial(group.net.reset, member))
         later(lambda: vars(member).update(rate=0.0))
-    elif what == "stalled":
+    elif fault == "stalled":
         member.disk.stalled_until = group.clock.now + seconds
-    elif what == "full":
+    elif fault == "full":
         member.disk.full = True
         later(lambda: vars(member.disk).update(full=False))
     else:
         member.stop()
-        if what == "wiped":
+        if fault == "wiped":
             member.wipe()
         later(member.start)
-        if what == "wiped":
+        if fault == "wiped":
             later(partial(group.admit, member))
--- a/tests/cluster/test_shard_owner.py
+++ b/tests/cluster/test_shard_owner.py
@@ -1,4 +1,4 @@
-"""An owner of shards alone, with storage nodes that a test plays."""
+"""A single shard owner whose storage nodes are scripted by the test."""
 
 from result import Err, Ok
 
@@ -20,7 +20,7 @@
 
 
 def table_of_one_shard(epoch: int, **fields: int) -> ShardTable:
-    """A table that assigns shard 0 to this owner; like those of early versions, with few fields."""
+    """A shard table that assigns shard 0 to this owner, with only the fields of early versions."""
     body = {"owners": [["me", {"addr": "me"}]], "shards": [[0, epoch, -1]], **fields}
     return ShardTable.from_wire(epoch, body)
 
@@ -30,7 +30,7 @@
 
 
 class OwnerRig:
-    """An owner to which shard 0 was just assigned."""
+    """An owner that shard 0 was just assigned to."""
 
     def __init__(self) -> None:
         self.clock = Clock()
@@ -52,7 +52,7 @@
         self.shard_owner.update_table(table_of_one_shard(epoch=7))
 
     def reply(self, wire_tag: str, bodies: dict[str, Json]) -> None:
-        """Have storage nodes reply to requests with a tag; all others stay without a reply."""
+        """Reply to the pending requests with a tag, and drop all other pending requests."""
         requests, self.runtime.requests = self.runtime.requests, []
         for address, tag, _, on_reply in requests:
             if tag == wire_tag and address in bodies:
@@ -61,7 +61,7 @@
                 on_reply(Ok(Reply({**common, **body}, body.get("blob", b""))))
 
     def notified_of_outcomes(self) -> list[str]:
-        """The storage nodes that outcomes are sent to from now on."""
+        """The storage nodes that are sent outcomes from now on."""
         self.runtime.requests.clear()
         self.clock.run(self.clock.now + 0.1)
         return sorted(address for address, tag, _, _ in self.runtime.requests if tag == "marks")
--- a/tests/cluster/test_storage_frames.py
+++ b/tests/cluster/test_storage_frames.py
@@ -1,4 +1,4 @@
-"""Frames of earlier versions that storage nodes answer, and their replies, decoded and encoded again."""
+"""Wire compatibility of storage node messages with recorded frames of earlier versions."""
 
 import json
 from pathlib import Path
--- a/tests/cluster/test_storage_node.py
+++ b/tests/cluster/test_storage_node.py
@@ -1,4 +1,4 @@
-"""A storage node alone: what it confirms is on its disk."""
+"""A single storage node confirms only what is on its disk."""
 
 from collections.abc import Callable, Sequence
 
@@ -15,7 +15,7 @@
 
 
 class ManualDisk:
-    """A disk whose writes are decided by the test, in their order."""
+    """A disk whose writes the test completes in order."""
 
     def __init__(self) -> None:
         self.pending: list[OnWritten] = []
@@ -33,11 +33,11 @@
 
 
 class Rig:
-    """A storage node and its replies."""
+    """A storage node with a scripted disk, and its replies."""
 
     def __init__(self) -> None:
         self.clock, self.disk, self.replies = Clock(), ManualDisk(), list[Json]()
-        contents = StoredContents("d", enrolled_index=1)  # one that may be written to
+        contents = StoredContents("d", enrolled_index=1)  # enrolled, so that it accepts replicas
         runtime = Alone(self.clock)
         self.node = StorageNode(runtime, settings("store"), "10.0.0.1:7300", self.disk, contents)
 
@@ -51,7 +51,7 @@
         self.request("marks", {"marks": [["1-a", 1, outcome, "", 1e9]]})
 
     def open_messages(self) -> list[str]:
-        """What the reply to a new owner's fence lists, once the disk is done."""
+        """The open messages in the reply to a fence, after all writes have succeeded."""
         self.request("fence", {"shards": {"1": 5}})
         while self.disk.pending:
             self.disk.finish_write(None)
--- a/tests/cluster/test_unknown_outcomes.py
+++ b/tests/cluster/test_unknown_outcomes.py
@@ -1,4 +1,4 @@
-"""Requests whose outcome is unknown: time-outs, lost connections, requests not sent, repeated replies."""
+"""Requests with an unknown outcome: timeouts, lost connections, unsent requests, repeated replies."""
 
 import itertools
 
@@ -17,86 +17,99 @@
 from amberlug.cluster.simulation.mutations_answers import FAULTS
 from tests.cluster.fakes import Alone, settings
 from tests.cluster.test_control_node import InstantDisk
-from tests.cluster.test_edge_node import Nowhere
+from tests.cluster.test_edge_node import UnresponsiveEndpoints
 
-AWAY = ShardTable.from_wire(
+TABLE_WITH_REMOTE_OWNER = ShardTable.from_wire(
     1, {"owners": [["edge/other", {"addr": "10.0.0.9:7300"}]], "shards": [[0, 1, -1]]}
 )
-FATES = [*RequestFailure, *AdmissionOutcome]
+OFFER_RESULTS = [*RequestFailure, *AdmissionOutcome]
 
 
 def offer(
-    fates: tuple[RequestFailure | AdmissionOutcome, ...],
+    results: tuple[RequestFailure | AdmissionOutcome, ...],
 ) -> tuple[list[AdmissionOutcome], list[Json], list[ReplyCallback]]:
-    """Offer a message to an owner elsewhere, whose answers come in this order, the last one ever again."""
+    """Offer a message to a remote owner that replies with these results in order, repeating the last one."""
     clock = Clock()
-    world = Alone(clock)
-    edge = EdgeNode(world, settings("edge"), "10.0.0.1:7300", Nowhere())
-    edge.shard_owner.update_table(AWAY)
+    runtime = Alone(clock)
+    edge = EdgeNode(runtime, settings("edge"), "10.0.0.1:7300", UnresponsiveEndpoints())
+    edge.shard_owner.update_table(TABLE_WITH_REMOTE_OWNER)
     outcomes: list[AdmissionOutcome] = []
     message = Message("0-x", 0, "x", "", "POST", "/", "r", "", 0.0, 0.0)
     edge.forwarder.submit(message, 1.5, outcomes.append)
     sent: list[Json] = []
-    thens: list[ReplyCallback] = []
-    while len(sent) < 30 and (new := [it for it in world.requests[len(sent) :] if it[1] == "offer"]):
-        for _, _, body, then in new:
-            fate = fates[min(len(sent), len(fates) - 1)]
+    callbacks: list[ReplyCallback] = []
+    while len(sent) < 30 and (
+        new := [request for request in runtime.requests[len(sent) :] if request[1] == "offer"]
+    ):
+        for _, _, body, on_reply in new:
+            result = results[min(len(sent), len(results) - 1)]
             sent.append(body)
-            thens.append(then)
-            then(Err(fate) if isinstance(fate, RequestFailure) else Ok(Reply({"taken": fate.value})))
+            callbacks.append(on_reply)
+            if isinstance(result, RequestFailure):
+                on_reply(Err(result))
+            else:
+                on_reply(Ok(Reply({"taken": result.value})))
         clock.run(clock.now + 0.1)
     clock.run(5.0)
-    return outcomes, sent, thens
+    return outcomes, sent, callbacks
 
 
-@pytest.mark.parametrize("fates", list(itertools.product(FATES, repeat=2)))
+@pytest.mark.parametrize("results", list(itertools.product(OFFER_RESULTS, repeat=2)))
 def test_a_submission_of_unknown_outcome_keeps_its_id_and_is_never_rejected(
-    fates: tuple[RequestFailure | AdmissionOutcome, ...],
+    results: tuple[RequestFailure | AdmissionOutcome, ...],
 ) -> None:
-    outcomes, sent, thens = offer(fates)
+    outcomes, sent, callbacks = offer(results)
     assert len(outcomes) == 1
-    assert {it["id"] for it in sent} == {"0-x"}
-    if AdmissionOutcome.ACCEPTED in fates:
+    assert {body["id"] for body in sent} == {"0-x"}
+    if AdmissionOutcome.ACCEPTED in results:
         assert outcomes == [AdmissionOutcome.ACCEPTED]
-        assert len(sent) == fates.index(AdmissionOutcome.ACCEPTED) + 1, "what is held is not offered again"
+        offers_needed = results.index(AdmissionOutcome.ACCEPTED) + 1
+        assert len(sent) == offers_needed, "an accepted message was offered again"
     else:
-        surely_not = all(it in (RequestFailure.NOT_SENT, AdmissionOutcome.REJECTED) for it in fates)
-        assert outcomes == [AdmissionOutcome.REJECTED if surely_not else AdmissionOutcome.OUTCOME_UNKNOWN]
-    for then in thens:  # replies that come once more
-        then(Ok(Reply({"taken": "held"})))
+        is_not_stored = all(
+            result in (RequestFailure.NOT_SENT, AdmissionOutcome.REJECTED) for result in results
+        )
+        assert outcomes == [AdmissionOutcome.REJECTED if is_not_stored else AdmissionOutcome.OUTCOME_UNKNOWN]
+    for on_reply in callbacks:  # duplicated replies
+        on_reply(Ok(Reply({"taken": "held"})))
     assert len(outcomes) == 1
 
 
-def order(fate: RequestFailure | Json) -> tuple[list[HttpResponse], int]:
-    """Have a follower pass a configuration on to its leader; what it answers, and how often it asked."""
+def forward_command(result: RequestFailure | Json) -> tuple[list[HttpResponse], int]:
+    """Have a follower forward a configuration command to its leader.
+
+    :returns: the responses to the operator, and the number of requests to the leader.
+    """
     clock = Clock()
-    world = Alone(clock)
-    of = settings("core")
-    core = ControlNode(world, of, "10.0.0.1:7300", InstantDisk(), blank(of, lambda bits: 1))
-    core.quorum.leader_address = lambda: "10.0.0.9:7300"  # type: ignore[method-assign]
-    outcomes: list[HttpResponse] = []
+    runtime = Alone(clock)
+    node_settings = settings("core")
+    blank_disk = blank(node_settings, lambda bits: 1)
+    node = ControlNode(runtime, node_settings, "10.0.0.1:7300", InstantDisk(), blank_disk)
+    node.quorum.leader_address = lambda: "10.0.0.9:7300"  # type: ignore[method-assign]
+    responses: list[HttpResponse] = []
     request = Request("POST", "/-/Configuration.Replace", (("amberlug-base-version", "0"),), b'{"edition":1}')
-    core.admin_api.handle(request, outcomes.append)
-    at = 0
-    while at < len(world.requests) and at < 5:
-        world.requests[at][3](Err(fate) if isinstance(fate, RequestFailure) else Ok(Reply(fate)))
-        at += 1
+    node.admin_api.handle(request, responses.append)
+    replied = 0
+    while replied < len(runtime.requests) and replied < 5:
+        on_reply = runtime.requests[replied][3]
+        on_reply(Err(result) if isinstance(result, RequestFailure) else Ok(Reply(result)))
+        replied += 1
     clock.run(3.0)
-    return outcomes, len([it for it in world.requests if it[1] == "core.order"])
+    return responses, len([pending for pending in runtime.requests if pending[1] == "core.order"])
 
 
-def look_at_orders() -> None:
-    for fate in (*RequestFailure, {}, {"said": {"status": 412, "cause": "x"}}, {"said": {"ok": True}}):
-        outcomes, requests = order(fate)
-        assert requests == 1, "an order is passed on once: whoever sent it sends it again"
-        expected = fate["said"].get("status", 200) if isinstance(fate, dict) and fate else 503
-        assert [it.status for it in outcomes] == [expected]
+def check_forwarded_commands() -> None:
+    for result in (*RequestFailure, {}, {"said": {"status": 412, "cause": "x"}}, {"said": {"ok": True}}):
+        responses, forwarded = forward_command(result)
+        assert forwarded == 1, "a command must be forwarded once: only its sender may retry it"
+        expected = result["said"].get("status", 200) if isinstance(result, dict) and result else 503
+        assert [response.status for response in responses] == [expected]
 
 
 def test_a_command_is_forwarded_once_and_rejected_only_by_the_leader() -> None:
-    look_at_orders()
+    check_forwarded_commands()
 
 
 def test_a_command_that_is_forwarded_twice_is_detected() -> None:
-    with FAULTS["order-again"][0](), pytest.raises(AssertionError, match="passed on once"):
-        look_at_orders()
+    with FAULTS["order-again"][0](), pytest.raises(AssertionError, match="forwarded once"):
+        check_forwarded_commands()
