--- a/amberlug/cluster/dispatch/call_outcome.py
+++ b/amberlug/cluster/dispatch/call_outcome.py
@@ -32,7 +32,7 @@
         return MessageOutcome(self.end, self.seal)
 
 
-def judge(message: Message, result: CallResult, max_attempts: int) -> CallOutcome:
+def evaluate_result(message: Message, result: CallResult, max_attempts: int) -> CallOutcome:
     """Evaluate the result of a call. A response is trusted only if it echoes the message's attempt id.
 
     :param max_attempts: number of failed attempts after which the message is dead.
--- a/amberlug/cluster/edge/delivery.py
+++ b/amberlug/cluster/edge/delivery.py
@@ -4,7 +4,7 @@
 
 from functools import partial
 
-from amberlug.cluster.dispatch.call_outcome import CallOutcome, judge
+from amberlug.cluster.dispatch.call_outcome import CallOutcome, evaluate_result
 from amberlug.cluster.dispatch.delivery_queue import DeliveryQueue
 from amberlug.cluster.dispatch.message import Message
 from amberlug.cluster.dispatch.messages import CallEnded
@@ -152,7 +152,7 @@
     def _call_finished(self, message: Message, result: CallResult) -> None:
         route = self._context.routes.by_name.get(message.route)
         max_attempts = route.max_attempts if route is not None else UNROUTED_MAX_ATTEMPTS
-        outcome = judge(message, result, max_attempts)
+        outcome = evaluate_result(message, result, max_attempts)
         self._context.count(f"calls: {outcome.end or result.verdict.description}")
         message.failures += outcome.is_failure
         if message in self._in_flight_of_released_shards:
--- a/amberlug/cluster/simulation/mutations_answers.py
+++ b/amberlug/cluster/simulation/mutations_answers.py
@@ -15,7 +15,7 @@
 from amberlug.cluster.control.command_results import CommandOutcome
 from amberlug.cluster.control.command_service import CommandService, OutcomeCallback
 from amberlug.cluster.control.submitted_commands import SubmittedCommand
-from amberlug.cluster.dispatch.call_outcome import CallOutcome, judge
+from amberlug.cluster.dispatch.call_outcome import CallOutcome, evaluate_result
 from amberlug.cluster.dispatch.endpoint_client import EndpointClient
 from amberlug.cluster.dispatch.message import Message
 from amberlug.cluster.dispatch.messages import Handover
@@ -165,9 +165,9 @@
     def believe(message: Message, called: CallResult, max_attempts: int) -> CallOutcome:
         rest = tuple(it for it in called.headers if it[0] != "amberlug-attempt-id")
         named = (("amberlug-attempt-id", message.attempt_id), *rest)
-        return judge(message, CallResult(called.verdict, called.status, named), max_attempts)
+        return evaluate_result(message, CallResult(called.verdict, called.status, named), max_attempts)
 
-    with _answer_by_order(), patch.object(delivery, "judge", believe):
+    with _answer_by_order(), patch.object(delivery, "evaluate_result", believe):
         yield
 
 
--- a/tests/cluster/test_endpoint_answers.py
+++ b/tests/cluster/test_endpoint_answers.py
@@ -15,7 +15,7 @@
 
 from amberlug.cluster.asyncio_runtime import AsyncioRuntime
 from amberlug.cluster.control.published_state import PublishedEndpoint
-from amberlug.cluster.dispatch.call_outcome import judge
+from amberlug.cluster.dispatch.call_outcome import evaluate_result
 from amberlug.cluster.dispatch.dispatcher import TIMEOUT_SLACK_S, DispatchCallbacks, Dispatcher
 from amberlug.cluster.dispatch.endpoint_client import EndpointClient
 from amberlug.cluster.dispatch.endpoint_pool import EndpointPool
@@ -256,7 +256,7 @@
         ), "a call that was reported as not sent was executed"
 
     def on_result(self, message: Message, result: CallResult) -> None:
-        outcome = judge(message, result, MAX_ATTEMPTS)
+        outcome = evaluate_result(message, result, MAX_ATTEMPTS)
         message.failures += outcome.is_failure
         requests = self.log.by_attempt[message.attempt_id]
         failed_requests = sum(request.status == 500 for request in requests)
