--- a/amberlug/cluster/dispatch/message.py
+++ b/amberlug/cluster/dispatch/message.py
@@ -101,12 +101,12 @@
     return zlib.crc32(sequence_key.encode()) % count
 
 
-def name_of(shard: int, attempt_id: str) -> str:
+def message_id_of(shard: int, attempt_id: str) -> str:
     """The id of a message. It contains the shard so that any edge finds the owner without a lookup."""
     return f"{shard:x}-{attempt_id}"
 
 
-def shard_in(message_id: str) -> int:
+def shard_of_message(message_id: str) -> int:
     """The shard number contained in a message id; -1 if the id is malformed."""
     digits, separator, _ = message_id.partition("-")
     try:
--- a/amberlug/cluster/edge/intake.py
+++ b/amberlug/cluster/edge/intake.py
@@ -8,7 +8,7 @@
 from result import Err, Ok, Result
 
 from amberlug.cluster.control.shard_assignment import SHARDS
-from amberlug.cluster.dispatch.message import Message, name_of, shard_of
+from amberlug.cluster.dispatch.message import Message, message_id_of, shard_of
 from amberlug.cluster.dispatch.messages import AdmissionOutcome
 from amberlug.cluster.edge.answer_history import AnswerHistory
 from amberlug.cluster.edge.context import EdgeContext
@@ -180,7 +180,7 @@
     ) -> Message:
         accepted_at = self._context.runtime.wall_clock()
         return Message(
-            id=name_of(shard, submission.attempt_id),
+            id=message_id_of(shard, submission.attempt_id),
             shard=shard,
             attempt_id=submission.attempt_id,
             host=request.header("host") or "",
--- a/amberlug/cluster/edge/lookup.py
+++ b/amberlug/cluster/edge/lookup.py
@@ -4,7 +4,7 @@
 
 from result import Ok, Result
 
-from amberlug.cluster.dispatch.message import shard_in
+from amberlug.cluster.dispatch.message import shard_of_message
 from amberlug.cluster.dispatch.messages import StandingReply, StandingRequest
 from amberlug.cluster.edge.answer_history import AnswerHistory
 from amberlug.cluster.edge.context import EdgeContext
@@ -81,7 +81,7 @@
             on_outcome(local_outcome)
             return
         runtime = self._context.runtime
-        owner = self._delivery.shard_owner.owner_of(shard_in(message_id))
+        owner = self._delivery.shard_owner.owner_of(shard_of_message(message_id))
         if owner is None or owner.node_id == self._context.session.id:
             self._reader.find_outcome(message_id, runtime.now() + LOOKUP_TIMEOUT_S, on_outcome)
             return
--- a/amberlug/cluster/edge/storage_reads.py
+++ b/amberlug/cluster/edge/storage_reads.py
@@ -8,7 +8,7 @@
 from absl import logging
 from result import Ok, Result
 
-from amberlug.cluster.dispatch.message import Message, shard_in
+from amberlug.cluster.dispatch.message import Message, shard_of_message
 from amberlug.cluster.edge.context import EdgeContext
 from amberlug.cluster.edge.outcomes import NOT_FOUND
 from amberlug.cluster.interfaces import RequestFailure
@@ -161,7 +161,9 @@
         self._ended_disks.add(disk)
         if self._ended is None:
             retain_until = reply.retain_until.get(self._message_id, self._replicator.default_retain_until())
-            self._ended = Acknowledgement(self._message_id, shard_in(self._message_id), outcome, retain_until)
+            self._ended = Acknowledgement(
+                self._message_id, shard_of_message(self._message_id), outcome, retain_until
+            )
 
     def _is_certain(self) -> bool:
         """Whether the disks that have replied are a read quorum of the newest roster."""
