--- a/amberlug/cluster/dispatch/outcome_repair.py
+++ b/amberlug/cluster/dispatch/outcome_repair.py
@@ -27,7 +27,7 @@
 READ_TIMEOUT_S = 1.0  # for one page
 READ_RETRY_S = 0.25  # before the next request to a storage node that did not respond
 START_DELAY_S = 0.2  # lets the recovery and repair of open messages, which start at the same time, go first
-PATIENCE_S = 1.0  # to wait for unresponsive storage nodes although enough others were read
+UNRESPONSIVE_WAIT_S = 1.0  # to wait for unresponsive storage nodes although enough others were read
 
 _Cursor = tuple[int, str]
 _START: _Cursor = (-1, "")
@@ -54,7 +54,7 @@
         self._passes.append(new_pass)
         self._runtime.call_later(START_DELAY_S, new_pass.begin)
 
-    def repair_anew(self, shards: Iterable[int]) -> None:
+    def restart(self, shards: Iterable[int]) -> None:
         """Replace all passes by one over all owned shards, after the roster has lost disks that count."""
         for earlier in self._passes:
             earlier.cancel()
@@ -63,11 +63,11 @@
 
     def roster_changed(self) -> None:
         """Continue all passes with a roster that has lost no disk that counts."""
-        for each in list(self._passes):
-            each.roster_changed()
+        for repair_pass in list(self._passes):
+            repair_pass.roster_changed()
 
     def _remove_finished(self) -> None:
-        self._passes = [each for each in self._passes if not each.is_over]
+        self._passes = [repair_pass for repair_pass in self._passes if not repair_pass.is_finished]
 
 
 class OutcomeRepair:
@@ -92,45 +92,47 @@
         self._outcomes: dict[str, Acknowledgement] = {}  # by message: the one retained longest
         self._holders: dict[str, set[str]] = {}  # by message: the disks that have its outcome
         self._restoring = 0  # number of outcomes being recorded on further disks
-        self._is_patient = True  # it still waits for unresponsive storage nodes
-        self._has_begun = False
+        self._awaits_unresponsive = True  # it still waits for unresponsive storage nodes
+        self._is_started = False
         self._is_restoring = False  # reading is complete
-        self.is_over = False
+        self.is_finished = False
 
     def begin(self) -> None:
         """Start reading the disks of the roster."""
-        self._has_begun = True
-        self._runtime.call_later(PATIENCE_S, self._lose_patience)
+        self._is_started = True
+        self._runtime.call_later(UNRESPONSIVE_WAIT_S, self._stop_waiting)
         self._read_on()
 
     def cancel(self) -> None:
         """End without calling `on_complete`; another pass replaces this one."""
-        self.is_over = True
+        self.is_finished = True
 
     def roster_changed(self) -> None:
         """Skip disks that have left the roster, and read those that have joined."""
-        if self._has_begun:
+        if self._is_started:
             self._read_on()
 
-    def _lose_patience(self) -> None:
-        self._is_patient = False
+    def _stop_waiting(self) -> None:
+        self._awaits_unresponsive = False
         self._read_on()
 
     # -- reading
 
     def _read_on(self) -> None:
         """Read the unread disks; once done, restore the outcomes that are on too few disks."""
-        if self.is_over or self._is_restoring:
+        if self.is_finished or self._is_restoring:
             return
         unread = set(self._replicator.readable_disks) - self._read_disks
         for disk in sorted(unread - self._in_flight):
             self._request_page(disk, _START)
-        if (not unread or not self._is_patient) and self._replicator.covers_all_messages(self._read_disks):
+        if (not unread or not self._awaits_unresponsive) and self._replicator.covers_all_messages(
+            self._read_disks
+        ):
             self._restore()
 
     def _request_page(self, disk: str, after: _Cursor) -> None:
         address = self._replicator.address_of(disk)
-        if self.is_over or address is None:
+        if self.is_finished or address is None:
             self._in_flight.discard(disk)
             return
         self._in_flight.add(disk)
@@ -138,7 +140,7 @@
         request(self._runtime, address, EndedMessagesRequest(self._shards, after), READ_TIMEOUT_S, on_reply)
 
     def _on_page(self, disk: str, after: _Cursor, reply: Result[EndedMessagesReply, RequestFailure]) -> None:
-        if self.is_over or self._is_restoring:
+        if self.is_finished or self._is_restoring:
             return
         if isinstance(reply, Err) or reply.ok_value.disk_id != disk:
             # The storage node is down, or it has a new disk and the updated roster has not arrived yet.
@@ -168,22 +170,22 @@
         """Record the outcomes that are on too few disks and not expired on further disks."""
         self._is_restoring = True
         now = self._runtime.wall_clock()
-        scarce = [
+        under_replicated = [
             acknowledgement
             for message_id, acknowledgement in self._outcomes.items()
             if acknowledgement.retain_until > now
             and not self._replicator.is_write_quorum(self._holders[message_id])
         ]
-        if scarce:
-            logging.info("%d outcomes are recorded on further storage nodes", len(scarce))
-        self._restoring = len(scarce) + 1
-        for acknowledgement in scarce:
+        if under_replicated:
+            logging.info("%d outcomes are recorded on further storage nodes", len(under_replicated))
+        self._restoring = len(under_replicated) + 1
+        for acknowledgement in under_replicated:
             holders = self._holders[acknowledgement.message_id]
             self._replicator.restore_outcome(acknowledgement, holders, self._on_restored)
         self._on_restored()
 
     def _on_restored(self) -> None:
         self._restoring -= 1
-        if self._restoring == 0 and not self.is_over:
-            self.is_over = True
+        if self._restoring == 0 and not self.is_finished:
+            self.is_finished = True
             self._on_complete()
--- a/amberlug/cluster/edge/repair.py
+++ b/amberlug/cluster/edge/repair.py
@@ -38,7 +38,7 @@
         if counted_before <= set(replicator.writable_disks):
             self._outcome_repairs.roster_changed()
         else:
-            self._outcome_repairs.repair_anew(self._delivery.shard_owner.owned)
+            self._outcome_repairs.restart(self._delivery.shard_owner.owned)
         self._roster_changed_at = self._context.runtime.now()
         self._delivery.shard_owner.roster_changed()
         self._delivery.under_replicated = {
--- a/tests/cluster/test_outcomes.py
+++ b/tests/cluster/test_outcomes.py
@@ -9,7 +9,7 @@
 from amberlug.cluster.control.published_state import StorageRoster
 from amberlug.cluster.dispatch.message import Message
 from amberlug.cluster.dispatch.messages import AdmissionOutcome, CallEnded
-from amberlug.cluster.dispatch.outcome_repair import PATIENCE_S, START_DELAY_S, OutcomeRepair
+from amberlug.cluster.dispatch.outcome_repair import START_DELAY_S, UNRESPONSIVE_WAIT_S, OutcomeRepair
 from amberlug.cluster.dispatch.shard_owner import Shard
 from amberlug.cluster.edge.answer_history import (
     ACCEPTED_IS_KNOWN,
@@ -197,14 +197,14 @@
     assert rig.answer("ended", {"a": ended_page("0-x", more=True), "b": ended_page("0-y")}) == ["a", "b", "c"]
     assert rig.runtime.requests[-1][2]["after"] == [0, "0-x"]
     rig.answer("ended", {"a": ended_page("0-y")})
-    rig.run(2 * PATIENCE_S)
+    rig.run(2 * UNRESPONSIVE_WAIT_S)
     assert done == [], "the unread disk and the lost one could be the only holders of an outcome"
     rig.edge.repair.apply_roster(StorageRoster.from_wire(ROSTER, roster_of(a="full", b="full", c="full")))
     done = repair(rig)
     rig.answer("ended", {"a": ended_page("0-x", "0-y"), "b": ended_page("0-y")})
     assert done == [], "the repair waits for unresponsive storage nodes"
     rig.runtime.requests.clear()
-    rig.run(2 * PATIENCE_S)
+    rig.run(2 * UNRESPONSIVE_WAIT_S)
     (request,) = (pending for pending in rig.runtime.requests if pending[1] == "marks")
     assert [row[0] for row in request[2]["marks"]] == ["0-x"]
     request[3](Ok(Reply({"ok": True, "disk": request[0]})))
