--- a/amberlug/cluster/dispatch/previous_owners.py
+++ b/amberlug/cluster/dispatch/previous_owners.py
@@ -8,15 +8,15 @@
 from amberlug.cluster.dispatch.messages import CallEnded, Handover
 from amberlug.cluster.values import value
 
-MAX_ANNOUNCED = 10_000  # entries of each kind that wait for a shard to be read; the oldest are evicted
+MAX_ENTRIES_PER_KIND = 10_000  # entries that wait for a shard to be read; the oldest are evicted
 
 KeyT = TypeVar("KeyT")
 ValueT = TypeVar("ValueT")
 
 
 def evict_oldest(entries: MutableMapping[KeyT, ValueT]) -> None:
-    """Remove the oldest entries until at most `MAX_ANNOUNCED` remain."""
-    while len(entries) > MAX_ANNOUNCED:
+    """Remove the oldest entries until at most `MAX_ENTRIES_PER_KIND` remain."""
+    while len(entries) > MAX_ENTRIES_PER_KIND:
         del entries[next(iter(entries))]
 
 
--- a/amberlug/cluster/dispatch/replica_write.py
+++ b/amberlug/cluster/dispatch/replica_write.py
@@ -105,8 +105,8 @@
         self._chosen = {disk for disk in message.holders if disk in ranked}
         self._remaining = [disk for disk in ranked if disk not in self._chosen]
         self._in_flight: set[str] = set()
-        self._is_over = False
-        self._may_exist = False  # a failed request may have been executed
+        self._is_finished = False
+        self._replica_may_exist = False  # a failed request may have been executed
         self._has_ended = False  # a storage node has reported that the message ended under an earlier owner
         self._timer: TimerHandle | None = None
         self._deadline = replicator.runtime.now() + WRITE_TIMEOUT_S
@@ -126,7 +126,7 @@
         if not self.replicator.is_write_quorum(self._chosen | set(self._remaining)):
             self.complete(ReplicationOutcome.REJECTED)
             return
-        while not self._is_over and not self.replicator.is_write_quorum(self._chosen):
+        while not self._is_finished and not self.replicator.is_write_quorum(self._chosen):
             # Prefer disks in zones without a replica.
             useful = (disk for disk in self._remaining if not self._is_redundant(disk))
             self._send(next(useful, self._remaining[0]))
@@ -141,12 +141,12 @@
         return self.replicator.stores[disk].zone in zones
 
     def _schedule_hedge(self) -> None:
-        if not self._is_over:
+        if not self._is_finished:
             self._timer = self.replicator.runtime.call_later(HEDGE_INTERVAL_S, self._hedge)
 
     def _hedge(self) -> None:
         """Send a request to a further storage node, or end the write at its deadline."""
-        if self._is_over:
+        if self._is_finished:
             return
         if self.replicator.runtime.now() >= self._deadline:
             self.complete(ReplicationOutcome.OUTCOME_UNKNOWN)
@@ -192,11 +192,11 @@
             self.replicator.health.mark_full(disk)
         else:
             self.replicator.health.suspect(disk, SUSPECT_NOT_ENROLLED_S)
-        if not self._is_over:
+        if not self._is_finished:
             self._continue()
 
     def _on_failure(self, disk: str, failure: RequestFailure) -> None:
-        self._may_exist |= failure is not RequestFailure.NOT_SENT
+        self._replica_may_exist |= failure is not RequestFailure.NOT_SENT
         is_timeout = failure is RequestFailure.TIMED_OUT
         self.replicator.health.suspect(disk, SUSPECT_TIMED_OUT_S if is_timeout else SUSPECT_DISCONNECTED_S)
 
@@ -211,7 +211,7 @@
     def _on_ended_earlier(self, reply: ReplicaWriteReply) -> None:
         """Complete once the outcome, which may be on this disk only, is on enough disks."""
         self.message.possible_holders.add(reply.disk_id)
-        self._may_exist = True
+        self._replica_may_exist = True
         if not self._has_ended:
             self._has_ended = True
             on_durable = partial(self.complete, ReplicationOutcome.REPLICATED)
@@ -230,14 +230,14 @@
         if self._remaining:
             self._send(self._remaining[0])
         elif not self._in_flight:
-            may_exist = self._may_exist or bool(self.message.holders)
+            may_exist = self._replica_may_exist or bool(self.message.holders)
             self.complete(ReplicationOutcome.OUTCOME_UNKNOWN if may_exist else ReplicationOutcome.REJECTED)
 
     def complete(self, outcome: ReplicationOutcome) -> None:
         """Complete the write; only the first call has an effect."""
-        if self._is_over:
+        if self._is_finished:
             return
-        self._is_over = True
+        self._is_finished = True
         if self._timer is not None:
             self._timer.cancel()
         self._on_complete(outcome)
--- a/amberlug/cluster/dispatch/shard_owner.py
+++ b/amberlug/cluster/dispatch/shard_owner.py
@@ -296,7 +296,7 @@
         shard.serving, shard.unread_disks = True, unread_disks
         queued, shard.queued = shard.queued, []
         for message, on_complete in queued:
-            if not self._joins_earlier(message, on_complete):
+            if not self._join_earlier_submission(message, on_complete):
                 self._write(number, shard, message, on_complete)
 
     # -- admission
@@ -307,7 +307,7 @@
         :param on_complete: called once with the outcome, which is `ACCEPTED` also for a message that was
             already admitted.
         """
-        if self._joins_earlier(message, on_complete):
+        if self._join_earlier_submission(message, on_complete):
             return
         shard = self.owned.get(message.shard)
         if shard is None:
@@ -319,11 +319,13 @@
         else:
             on_complete(AdmissionOutcome.REJECTED)
 
-    def _joins_earlier(self, message: Message, on_complete: AdmissionCallback) -> bool:
-        """Whether this submission is completed by an earlier one of the same message.
+    def _join_earlier_submission(self, message: Message, on_complete: AdmissionCallback) -> bool:
+        """Complete a submission with an earlier one of the same message, if there is one.
 
         A message that was recovered from too few disks is not acknowledged until it is repaired; the client's
         next retry is then accepted.
+
+        :returns: whether there is an earlier one.
         """
         if self._delivery.is_admitted(message.id):
             is_safe = self._delivery.is_safe(message.id)
--- a/amberlug/cluster/edge/delivery.py
+++ b/amberlug/cluster/edge/delivery.py
@@ -143,7 +143,7 @@
 
     def _on_body_read(self, message: Message, is_read: bool) -> None:
         if not message.outcome.is_open and not message.ended:
-            self.settle_stored_outcome(message)
+            self.apply_stored_outcome(message)
         elif is_read:
             self.queue.requeue(message)
         elif not message.ended:
@@ -212,7 +212,7 @@
         else:
             self._end(message, outcome)
 
-    def settle_stored_outcome(self, message: Message) -> None:
+    def apply_stored_outcome(self, message: Message) -> None:
         """End a message with the outcome a storage node reported and an earlier owner did not hand over."""
         self._on_call_ended(CallEnded(message.id, message.outcome, False))
 
--- a/amberlug/cluster/edge/repair.py
+++ b/amberlug/cluster/edge/repair.py
@@ -111,7 +111,7 @@
         """Apply the result of a repair; if replicas are still missing, the next search retries."""
         self._in_progress.discard(message.id)
         if not message.outcome.is_open and not message.ended:
-            self._delivery.settle_stored_outcome(message)
+            self._delivery.apply_stored_outcome(message)
         if self._context.replicator.is_write_quorum(message.holders):
             self._context.count("repaired")
             self._delivery.under_replicated.pop(message.id, None)
