--- a/amberlug/cluster/dispatch/dispatcher.py
+++ b/amberlug/cluster/dispatch/dispatcher.py
@@ -177,13 +177,13 @@
         self._account.buckets.add(call.start_us, 1 if was_reached else 0, was_executed)
         if is_answered:
             call.endpoint.on_response()
-            self._learn(call, result)
+            self._update_from_response(call, result)
         elif result.verdict is not CallVerdict.CONNECTION_LOST:
             call.endpoint.on_unreachable(self._runtime.now())
         self._callbacks.on_result(call.message, result)
         self.send_due()
 
-    def _learn(self, call: InFlightCall, result: CallResult) -> None:
+    def _update_from_response(self, call: InFlightCall, result: CallResult) -> None:
         """Update the state of endpoint and rate limit from a response."""
         now_us = self._now_us()
         if result.status == 421:
--- a/amberlug/cluster/dispatch/endpoint_client.py
+++ b/amberlug/cluster/dispatch/endpoint_client.py
@@ -15,7 +15,7 @@
 MAX_IDLE_PER_ENDPOINT = 8
 IDLE_TIMEOUT_S = 4.0  # if the endpoint names none; below the common server default of 5 s
 IDLE_MARGIN_S = 0.4  # closed this long before the endpoint does, to avoid racing with its close
-MAX_OPEN_ATTEMPTS = 64  # unsuccessful attempts remembered per connection; bounds the memory
+MAX_UNSUCCESSFUL_ATTEMPTS = 64  # unsuccessful attempts remembered per connection; bounds the memory
 _KEEP_ALIVE_TIMEOUT = re.compile(r"timeout=(\d+)")
 
 
@@ -27,7 +27,7 @@
     usable_until: float = 0.0  # by the event loop's clock
     # Attempts that got an unsuccessful response on this connection. A duplicate of that response could still
     # arrive and be mistaken for the response to a retry of the attempt, so retries use another connection.
-    open_attempts: set[str] = field(default_factory=set)
+    unsuccessful_attempts: set[str] = field(default_factory=set)
 
 
 class EndpointClient:
@@ -87,7 +87,7 @@
             connection.link.close()
             return CallResult(CallVerdict.CONNECTION_LOST)
         if not response.headers.get(SEAL_HEADER):
-            connection.open_attempts.add(call.attempt_id)
+            connection.unsuccessful_attempts.add(call.attempt_id)
         self._release(call.address, connection, response.headers)
         return CallResult(CallVerdict.ANSWERED, response.status, tuple(response.headers.items()))
 
@@ -101,7 +101,7 @@
             connection = idle.pop()
             if not (connection.usable_until > now and connection.link.usable):
                 connection.link.close()
-            elif attempt in connection.open_attempts:
+            elif attempt in connection.unsuccessful_attempts:
                 passed_over.insert(0, connection)
             else:
                 selected = connection
@@ -142,7 +142,7 @@
 
     def _release(self, address: str, connection: _Connection, headers: dict[str, str]) -> None:
         """Return a connection to the pool, or close it if it can carry no further call."""
-        if not connection.link.usable or len(connection.open_attempts) >= MAX_OPEN_ATTEMPTS:
+        if not connection.link.usable or len(connection.unsuccessful_attempts) >= MAX_UNSUCCESSFUL_ATTEMPTS:
             connection.link.close()
             return
         keep_alive = _KEEP_ALIVE_TIMEOUT.search(headers.get("keep-alive", ""))
--- a/amberlug/cluster/storage/enrollment.py
+++ b/amberlug/cluster/storage/enrollment.py
@@ -63,7 +63,7 @@
         if contents.disk_id in roster.stores:
             self._enroll(roster)
         elif contents.enrolled_index:
-            self._begin_anew()
+            self._reset_disk()
 
     def _enroll(self, roster: StorageRoster) -> None:
         """Record the roster; at the first one, also the fencing tokens at the time of enrollment."""
@@ -99,7 +99,7 @@
             return ShardTable()
         return ShardTable.from_wire(published_index(items, SHARD_TABLE_KEY), items[SHARD_TABLE_KEY].value)
 
-    def _begin_anew(self) -> None:
+    def _reset_disk(self) -> None:
         """Wipe a disk dropped from the roster, as its open messages may have ended without its knowledge."""
         logging.warning("this disk is no longer on the roster: it is emptied and becomes a new one")
         contents = self._contents
--- a/amberlug/cluster/storage/replica_service.py
+++ b/amberlug/cluster/storage/replica_service.py
@@ -222,7 +222,7 @@
         if failure is not None:
             pending.respond(FenceReply(False))
             return
-        included = _first_that_fit(pending.candidates)
+        included = _leading_messages_that_fit(pending.candidates)
         if included:
             self._store.read(included, partial(self._reply_to_fence, pending))
         else:
@@ -333,7 +333,7 @@
     )
 
 
-def _first_that_fit(candidates: Mapping[str, StoredMessage]) -> list[str]:
+def _leading_messages_that_fit(candidates: Mapping[str, StoredMessage]) -> list[str]:
     """The leading messages whose bodies together fit into `INCLUDED_CONTENT_BYTES`."""
     total_bytes = 0
     included = []
