--- a/amberlug/cluster/dispatch/dispatcher.py
+++ b/amberlug/cluster/dispatch/dispatcher.py
@@ -85,7 +85,7 @@
         account = self._account
         account.window = WINDOW_US
         if 1.0 < units < float("inf"):
-            # Only whole units are consumed: 1.6 per window would round down to 1, so use 2 per 1.25 windows.
+            # Only whole units are consumed: 1.6 per second would round down to 1, so use 2 per 1.25 s.
             account.window = int(WINDOW_US * math.ceil(units) / units)
             units = math.ceil(units)
         account.units = units
