--- a/amberlug/policy/__init__.py
+++ b/amberlug/policy/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions of a delivery service for messages to other firms' systems."""
+"""Delivery policy of the relay: when, where and whether each message is sent to a partner's system."""
