--- a/amberlug/policy/interface.py
+++ b/amberlug/policy/interface.py
@@ -1,7 +1,7 @@
-"""Settings, events and actions of the decision module, in the field's own terms.
+"""Settings, events and actions of the sender state machine.
 
-All times are integer microseconds. Clock times count from no particular moment and only grow.
-Nothing here decides anything.
+All times are integer microseconds. Clock times are monotonic with an arbitrary origin. This module defines
+data only and has no logic.
 """
 
 from collections.abc import Callable, Mapping
@@ -10,7 +10,7 @@
 
 
 class Effect(Enum):
-    """What a repeat of a message may do at its destination."""
+    """Whether a message may be sent again: always, while its idempotency key is remembered, or never."""
 
     SAFE = "safe"
     KEYED = "keyed"
@@ -18,7 +18,7 @@
 
 
 class Group(Enum):
-    """Which endpoints of a destination drop a repeat of a keyed message."""
+    """Which endpoints of a destination deduplicate a repeated keyed message."""
 
     ALL = "all"
     ZONE = "zone"
@@ -26,7 +26,7 @@
 
 
 class State(Enum):
-    """What the list says of an endpoint; it tells nothing of its health."""
+    """Listing state of an endpoint; independent of its health."""
 
     IN = "in"
     DRAINING = "draining"
@@ -34,7 +34,7 @@
 
 
 class ListKind(Enum):
-    """How a piece of news of the list is to be read."""
+    """Type of an endpoint list update."""
 
     PATCH = "patch"
     WHOLE = "whole"
@@ -51,14 +51,14 @@
     TIMED_OUT = "timed out"
     UNCONNECTED = "unconnected"
     RESET = "reset"
-    SPOILT = "spoilt"  # an answer that can't be read: it may have run, and tells nothing of the endpoint
+    SPOILT = "spoilt"  # unreadable answer: the message may have been executed; no health signal
     CALLED_OFF = "called off"
     UNSENT = "unsent"
 
 
 @dataclass(frozen=True, slots=True)
 class MessageClass:
-    """One class of message: its times, its worth and what its repeats may do."""
+    """One message class: its time limits, its value and whether it may be repeated."""
 
     name: str
     effect: Effect
@@ -73,7 +73,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Tenant:
-    """One tenant and the messages a second, over all relays, that are within its share."""
+    """One tenant and its quota in messages per second, over all relays."""
 
     name: str
     quota_per_s: float
@@ -81,7 +81,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Kind:
-    """One kind of destination."""
+    """One kind of destination: its batch size and whether its endpoints have separate limits."""
 
     name: str
     bundle_max: int
@@ -90,7 +90,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """All that a relay is told at its start."""
+    """Settings of a relay, fixed at its start."""
 
     relays: int
     ordinal: int
@@ -130,7 +130,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Entry:
-    """One endpoint in a list; `where` is its address, which decides nothing."""
+    """One listed endpoint; `where` is its address, which no decision uses."""
 
     endpoint: str
     zone: str
@@ -139,12 +139,12 @@
     state: State
     rate: float
     where: str = ""
-    up_since_ms: int = 0  # when it last started, Unix time; 0 for long ago
+    up_since_ms: int = 0  # last start as Unix time; 0 if long ago
 
 
 @dataclass(frozen=True, slots=True)
 class Listed:
-    """News of the list of endpoints."""
+    """An update of the endpoint list."""
 
     kind: ListKind
     entries: tuple[Entry, ...]
@@ -152,14 +152,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Current:
-    """The list is the newest that there is; calls may go by it for `for_us` from now, until it is again."""
+    """Confirmation that the endpoint list is up to date; it stays valid for `for_us` from now."""
 
     for_us: int
 
 
 @dataclass(frozen=True, slots=True)
 class Taken:
-    """A new message that this relay now answers for; it may have waited to be read for `waited_us`."""
+    """A new message that this relay is now responsible for; it was queued for `waited_us` before."""
 
     ref: int
     destination: int
@@ -172,7 +172,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Earlier:
-    """An attempt made before a restart; without a result where none was recorded."""
+    """An attempt made before a restart; `result` is None if none was recorded."""
 
     endpoint: str
     ago_us: int
@@ -181,7 +181,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Resumed:
-    """A message that this relay had taken before its restart and still answers for."""
+    """A message accepted before a restart that this relay is still responsible for."""
 
     taken: Taken
     attempts: int
@@ -190,40 +190,40 @@
 
 @dataclass(frozen=True, slots=True)
 class KnownEndpoint:
-    """What is known of an endpoint's health; times by the relay's clock. `entry` is what was listed of it."""
+    """Known health of an endpoint, with times on the relay's clock; `entry` is its last list entry."""
 
     entry: Entry
-    cold: bool  # in an outage, or back and not yet warm
+    cold: bool  # in an outage, or recovered and not yet warmed up
     since_us: int
     failed_us: int
     done_us: int
     back_us: int | None
     failure_rate: float
-    swallows: bool  # its last failure may have run
+    swallows: bool  # the call that failed last may have been executed
     spread: float
-    starts: tuple[int, ...]  # of late calls to a cold one, the oldest first
+    starts: tuple[int, ...]  # start times of recent calls to a cold endpoint, oldest first
 
 
 @dataclass(frozen=True, slots=True)
 class KnownRoute:
-    """What is known of a destination's limit, pace and told waits.
+    """Known rate limit, throughput and Retry-After waits of a destination or of one of its routes.
 
-    `route` names the endpoint where the destination's are routes apart, else it is empty.
+    `route` is the endpoint's name if the endpoints of the destination have separate limits, else it is empty.
     """
 
     route: str
     usual_us: int
     pace: float
     pace_us: int
-    learned: float  # infinite without a limit
+    learned: float  # infinite if no limit is known
     learned_us: int
     blocked_until_us: int = 0
-    told_us: int = 0  # the last told wait, however long ago: another may be as long
+    told_us: int = 0  # length of the last Retry-After wait, however old: the next may be as long
 
 
 @dataclass(frozen=True, slots=True)
 class Known:
-    """What is known of a destination from before, or to be kept for later; times by the relay's clock."""
+    """Known state of a destination, restored or to be persisted; times on the relay's clock."""
 
     destination: int
     routes: tuple[KnownRoute, ...] = ()
@@ -231,19 +231,19 @@
 
 
 Recall = Callable[[int, tuple[Entry, ...]], Known | None]
-"""Asked when a destination wakes of which nothing is kept: what is believed of it, as it is listed now."""
+"""Looks up persisted state for a destination that has none in memory, given its current list entries."""
 
 
 @dataclass(frozen=True, slots=True)
 class Closing:
-    """The relay is about to end and starts no more calls; it comes back with what it holds."""
+    """The relay is shutting down and starts no more calls; it keeps its messages over the restart."""
 
 
 @dataclass(frozen=True, slots=True)
 class Outcome:
-    """How one attempt ended; `report` holds the values named in the settings, if any came.
+    """Result of one attempt; `report` holds the load values named in the settings, if any were sent.
 
-    `reused` tells that its connection had carried another call before.
+    `reused` is set if its connection had carried another call before.
     """
 
     ref: int
@@ -259,7 +259,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Probed:
-    """How a probe ended."""
+    """Result of a probe."""
 
     endpoint: str
     result: Result
@@ -269,14 +269,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Withdrawn:
-    """Nobody wants this message any more."""
+    """The client has withdrawn this message."""
 
     ref: int
 
 
 @dataclass(frozen=True, slots=True)
 class Due:
-    """A timer came due."""
+    """A timer expired."""
 
     label: int
 
@@ -296,8 +296,8 @@
 class Send:
     """Call an endpoint with a message; the attempt is abandoned at `until_us`.
 
-    Sends of a round to one endpoint with the same `call` travel together, and have the same time. A `fresh`
-    one goes on a new connection, in place of one that idles.
+    Sends of one step to the same endpoint with the same `call` form one batch and share `until_us`. A `fresh`
+    send uses a new connection instead of an idle one.
     """
 
     ref: int
@@ -309,7 +309,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Refuse:
-    """End a message undelivered; its client may safely come again."""
+    """End a message undelivered; its client may safely retry."""
 
     ref: int
     advice_us: int
@@ -317,14 +317,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Fail:
-    """End a message without a promise; its client does not come again."""
+    """End a message whose outcome is unknown; its client must not retry."""
 
     ref: int
 
 
 @dataclass(frozen=True, slots=True)
 class CallOff:
-    """Stop waiting for one attempt."""
+    """Cancel one attempt."""
 
     ref: int
     attempt: int
@@ -332,7 +332,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Timer:
-    """Ask for a `Due` event after a while."""
+    """Request a `Due` event after `after_us`."""
 
     label: int
     after_us: int
@@ -340,7 +340,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Probe:
-    """Check an endpoint; it counts there as a call."""
+    """Probe an endpoint; the endpoint counts it as a call."""
 
     endpoint: str
 
@@ -354,7 +354,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Tell:
-    """Send a note to one relay, or to every one (`None`)."""
+    """Send a note to one relay, or to all relays (`None`)."""
 
     peer: int | None
     data: bytes
@@ -362,17 +362,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Subscribe:
-    """Ask for changes of the list from now on."""
+    """Subscribe to changes of the endpoint list."""
 
 
 @dataclass(frozen=True, slots=True)
 class Fetch:
-    """Ask once for the whole list."""
+    """Request the whole endpoint list once."""
 
 
 @dataclass(frozen=True, slots=True)
 class Log:
-    """A line for those on call."""
+    """A log line for operators."""
 
     text: str
 
