--- a/amberlug/policy/settings.py
+++ b/amberlug/policy/settings.py
@@ -1,7 +1,7 @@
-"""Read the settings object of a relay's first message into `interface.Settings`.
+"""Parse the settings object of a relay's first message into `interface.Settings`.
 
-Keys that are not known are ignored; one that is missing or out of range raises `ValueError` naming it.
-Nothing here decides anything: a key that may be absent stands for the rule or trait being absent.
+Unknown keys are ignored; a key that is missing or out of range raises a `ValueError` that names it. If an
+optional key is absent, the rule or feature it configures is off.
 """
 
 from collections.abc import Callable, Mapping
@@ -122,7 +122,7 @@
     return _number(table, "FamilyInfo.RefusalCost", 0) if told else 0.0
 
 
-# How each field is read, by itself: one that is bad hides no other.
+# Each field is parsed independently, so that one invalid field does not hide the errors of others.
 _READ: Mapping[str, Callable[[Mapping[str, Any]], Any]] = {
     "kinds": _kinds,
     "relays": lambda it: _whole(it, "Balancers", 1),
@@ -164,12 +164,12 @@
 
 
 def read_settings(table: Mapping[str, Any]) -> Settings:
-    """Translate a settings object, checking every key that is used; `ValueError` names the first bad one."""
+    """Parse and validate a settings object; the `ValueError` names the first invalid key."""
     return Settings(**{name: read(table) for name, read in _READ.items()})
 
 
 def problems(table: Mapping[str, Any]) -> list[str]:
-    """All that is wrong with a settings object: a line for each field that can't be read."""
+    """Return one error message for each field of a settings object that is invalid."""
     found: dict[str, None] = {}
     for read in _READ.values():
         try:
