--- a/amberlug/policy/tables.py
+++ b/amberlug/policy/tables.py
@@ -1,7 +1,8 @@
-"""Tables of connections that relays of a large fleet share: which were met full, how long to keep what idles.
+"""Connection limits of endpoints shared by a large fleet: full-table detection and idle connection lifetimes.
 
-Endpoints hold few connections, idle ones counted. A relay that keeps one is served at once and never learns
-that the others are turned away; so what idles is kept only as long as there was room of late.
+An endpoint accepts few connections, and idle ones count. A relay that holds one is served at once and never
+sees that other relays are refused. Idle connections are therefore kept only for as long as the endpoint
+recently had room for new ones.
 """
 
 import random
@@ -12,33 +13,33 @@
 from amberlug.policy.state import Endpoint
 from amberlug.policy.waking import Awake
 
-SPREAD = 0.7, 1.3  # drawn part of that window: relays that fail together must not come back together
-TABLE_PAUSE_US = SECOND // 10  # first pause after a full table, doubled with each in a row
+SPREAD = 0.7, 1.3  # jitter factor of retry delays: relays that fail together must not retry together
+TABLE_PAUSE_US = SECOND // 10  # initial backoff after a full table, doubled with each consecutive one
 TABLE_PAUSE_MOST_US = SECOND // 2
-SOON = 0.6  # part of the quickest answer that waited for a handshake: what comes sooner did not
-UNMET = 5  # full tables in a row, from which on each is judged as in a small fleet
-KEEP_MORE = 1.5  # growth of a keeping with each new connection that is served, until a full table is met
-KEEP_STEP_US = SECOND // 500  # the same after that: an idle connection is worth less than a place for a call
+SOON = 0.6  # share of the fastest answer that included a handshake; a faster answer did not include one
+UNMET = 5  # consecutive full tables after which each counts as an ordinary refusal, as in a small fleet
+KEEP_MORE = 1.5  # growth of the keep time with each new connection served, before the first full table
+KEEP_STEP_US = SECOND // 500  # growth after it: an idle connection is worth less than a slot for a call
 
 
 class Tables(Awake):
-    """The part of a relay's decisions that is about connections."""
+    """Connection handling of a relay: full tables and idle connections."""
 
     def __init__(self, settings: api.Settings, seed: int) -> None:
         super().__init__(settings)
         self.chance = random.Random(seed)
-        self.reused = False  # whether the outcome that is being taken in came on a connection used before
+        self.reused = False  # whether the outcome being processed came on a reused connection
 
     def close_idle(self) -> None:
-        """Keep an idle connection for no longer than the endpoint's table has had room for of late."""
-        # Guards against tables full of idle connections. Harms where bursts are far apart: a handshake each.
+        """Close connections that idle for longer than the endpoint's table recently had room for."""
+        # Prevents tables full of idle connections. Cost: a handshake per burst where bursts are far apart.
         for endpoint in self.rested if self.crowd > 1 else ():
             if endpoint.idle and not endpoint.closing:
                 self.close_stale(endpoint)
         self.rested = {}
 
     def close_stale(self, endpoint: Endpoint) -> None:
-        """Close what idles at an endpoint once it was kept for long enough, or look again then."""
+        """Close an endpoint's idle connections if their keep time is over, else set a timer for its end."""
         endpoint.closing = False
         if not endpoint.idle or self.endpoints.get(endpoint.entry.endpoint) is not endpoint:
             return
@@ -51,21 +52,21 @@
             self.timer(until_us, endpoint)
 
     def unmet(self, endpoint: Endpoint, result: Result) -> bool:
-        """Whether the call that was judged last got no further than a full table."""
+        """Whether the call judged last was refused by a full connection table."""
         return self.crowd > 1 and result is Result.REFUSED and endpoint.unmet > 0
 
     def table_full(self, endpoint: Endpoint, start_us: int, result: Result, wait_us: int) -> bool:
-        """Whether a call met the full table of an endpoint that many relays share; keep idle ones shorter."""
-        # Guards against idle connections of relays that call seldom, which keep the others out: a new one is
-        # then turned away at once, which tells nothing of the limit. Harms what is shut and tells no waits:
-        # it is called a few times more until that counts for its limit. A connection that does not come up is
-        # no table's: the protocol has a full one answer, and what is down would be called again in tenths of
-        # a second by each of hundreds, also as it is back and cold.
+        """Whether a call was refused by a full table shared by many relays; adapts the idle keep time."""
+        # Idle connections of relays that call rarely keep other relays out. A new connection is then refused
+        # at once, which says nothing about the rate limit. Cost: an endpoint that is closed and sends no
+        # Retry-After gets a few more calls before its refusals count for the limit. A failed connect is not a
+        # full table: by the protocol a full table answers, and an endpoint that is down would otherwise be
+        # retried every few tenths of a second by each of hundreds of relays, even while it is warming up.
         took_us, zone = self.now - start_us, endpoint.entry.zone
         if not self.reused and (result is Result.DONE or wait_us):
             self.past_us[zone] = min(took_us, self.past_us.get(zone, took_us))
         refused = result is Result.REFUSED and not wait_us and not self.reused
-        soon = took_us < SOON * self.past_us.get(zone, OPEN)  # no table's answer waits for a handshake
+        soon = took_us < SOON * self.past_us.get(zone, OPEN)  # a full table answers without a handshake
         if not (refused and soon):
             endpoint.unmet = 0
             if not self.reused and result is Result.DONE:
