--- a/amberlug/policy/account.py
+++ b/amberlug/policy/account.py
@@ -1,8 +1,8 @@
-"""How much each destination is sent, and what is learned of its limit: the design's account.
+"""Client-side rate limiting per destination: a sliding window whose limit adapts to refusals.
 
-An `Account` may spend M units in a window w that slides by steps s. A call is a unit: reserved while out (r),
-consumed in its start's bucket once answered (c). It goes only if c + r + 1 <= M, else at the computed
-opening.
+An `Account` allows M units in a window w that slides in steps of s. Each call takes one unit: it is reserved
+while the call is in flight (r) and consumed in the bucket of the call's start time once answered (c). A call
+may start if c + r + 1 <= M, else at the computed opening.
 """
 
 import itertools
@@ -14,30 +14,30 @@
 
 SECOND = 1_000_000
 OPEN = float("inf")
-WINDOW_US = SECOND  # shortest w: longer smooths bursts that a limit would take, shorter overruns it at edges
-STEPS = 50  # s = w / STEPS; fewer are cheaper and open later
-LEAST_UNITS = 2  # least M from a rate: of many relays few send at once, and refusals correct the rest
-ROOM = 2.5  # part of a listed rate over an even part: traffic is uneven, and refusals correct too much
-RISE = 1.25  # growth of a learned M in a window without refusal
-LIFT = 8  # so many such windows drop a learned M; fewer find a freed limit sooner, at more refusals
-KEPT = 128  # buckets, and starts for the cold bound, that are kept: bounds memory
-TRIES = 2  # w is stretched to no more than the longest life over this: fewer tries leave more to others
-FLOOR = 0.7  # part of an even part of a listed rate that a learned M keeps: less starves what the limit takes
-MANY = 5  # relays from which on one's own refusals tell of what all send, and the next rules hold
-EVEN_ROOM = 1.5  # ROOM there, but for small rates: what is over it at many relays at once is refused
-LEAST_PART = 0.5  # least M there: of hundreds few have anything to send, and less would hold a second one up
-FIRST = 0.6  # part of what would be learned from the first refusal there: all over the limit learn it at once
-PAUSE_US = SECOND  # longest first pause after a refusal there, doubled with each in a row
-PAUSES = 3  # so many different ones: longer ones leave a limit unused that has room again
-CROWD = 0.25  # power of the number of relays that divides it: more may stand in line unseen
-PATIENCE = 10  # usual answer times until an answer is overdue; fewer give up work that would be done
-LEAST_PATIENCE_US = 3 * SECOND  # shortest patience: a few quick answers must not make a slow one overdue
-FIRST_GUESS_US = SECOND // 2  # usual answer time before the first answer
-SLOT_SHARE = 0.5  # part of the slots that one account may hold: leaves room for the others
+WINDOW_US = SECOND  # minimum w: longer delays bursts that the limit allows, shorter overruns it at the edges
+STEPS = 50  # s = w / STEPS; fewer are cheaper but open later
+LEAST_UNITS = 2  # minimum M from a rate: of many relays few send at once, and refusals correct the rest
+ROOM = 2.5  # M relative to an even share of the rate: traffic is uneven, and refusals correct an excess
+RISE = 1.25  # growth of a learned M per window without a refusal
+LIFT = 8  # windows without refusal that discard a learned M; fewer find a lifted limit sooner, refused more
+KEPT = 128  # buckets, and call starts for the cold-start limit, that are kept: bounds memory
+TRIES = 2  # w is at most the longest message deadline over this; fewer attempts leave more to other relays
+FLOOR = 0.7  # minimum learned M relative to an even share of the rate: less leaves the limit underused
+MANY = 5  # from this many relays on, refusals reflect the load of all relays and the following rules apply
+EVEN_ROOM = 1.5  # replaces ROOM then, except for small rates: an excess at many relays at once is refused
+LEAST_PART = 0.5  # minimum M then: of hundreds few have messages, and less would delay a second message
+FIRST = 0.6  # factor of M learned from the first refusal then: all relays over the limit learn it at once
+PAUSE_US = SECOND  # maximum initial pause after a refusal then, doubled with each consecutive one
+PAUSES = 3  # distinct pause lengths: longer ones leave a limit unused that has capacity again
+CROWD = 0.25  # M is divided by the number of relays to this power: more of them may be waiting unseen
+PATIENCE = 10  # multiple of the usual answer time after which a call is overdue; less abandons useful work
+LEAST_PATIENCE_US = 3 * SECOND  # minimum: a few fast answers must not make a slow one overdue
+FIRST_GUESS_US = SECOND // 2  # usual answer time assumed before the first answer
+SLOT_SHARE = 0.5  # share of the slots that one account may hold, so that others can send
 
 
 class Started(Protocol):
-    """A call, of which only its start counts here; told apart by what it is, not by what it holds."""
+    """A call in flight, compared by identity; only its start time is used here."""
 
     @property
     def start_us(self) -> int: ...
@@ -45,7 +45,7 @@
 
 @dataclass(slots=True, eq=False)
 class Buckets:
-    """Units consumed, in buckets of size `slide`: all of them, and those of calls that were taken on."""
+    """Consumed units in buckets of `slide` microseconds: of all calls, and of those that were accepted."""
 
     slide: int
     kept: int
@@ -59,28 +59,28 @@
             del self.units[min(self.units)]
 
     def inside(self, at_us: int, window: int) -> Iterator[tuple[int, int, int]]:
-        """When each bucket leaves the window, the first to leave first, with its units."""
+        """Yield the time at which each bucket leaves the window, earliest first, with its units."""
         first = (at_us - window) // self.slide + 1
         for number in sorted(number for number in self.units if number >= first):
             yield (number * self.slide + window, *self.units[number])
 
 
 class Account:
-    """M, w, s, buckets, reservations and blocked-until of a destination, or of one route apart."""
+    """Rate limit state of a destination, or of one route if its routes have separate limits."""
 
     def __init__(self, settings: api.Settings, rate: float | None) -> None:
         self.settings, self.many = settings, settings.relays >= MANY
         self.reserved: dict[Started, None] = {}  # oldest first
         self.blocked_until, self.usual_us = 0, FIRST_GUESS_US
-        self.told_us = 0  # the last told wait of an earlier life
-        self.learned, self.learned_us = OPEN, 0  # M learned from the last refusal, and when
-        self.streak, self.paused_until = 0, 0  # refusals since a call was last taken on, and the pause after
-        self.pace, self.pace_us = 1.0, 0  # own calls done a second, and when that was last reckoned
-        self.listed = rate  # what the list says, whatever was reported since
+        self.told_us = 0  # the last Retry-After wait before a restart
+        self.learned, self.learned_us = OPEN, 0  # M learned from the last refusal, and its time
+        self.streak, self.paused_until = 0, 0  # refusals since a call was last accepted; end of the pause
+        self.pace, self.pace_us = 1.0, 0  # own successful calls per second, and its last update
+        self.listed = rate  # rate from the endpoint list, regardless of rates reported later
         self.set_rate(rate)
 
     def set_rate(self, rate: float | None) -> None:
-        """Take M and w from a listed or reported rate of all relays; without one the account is open."""
+        """Set M and w from a listed or reported rate for all relays; without a rate M is unlimited."""
         self.rate, self.units, self.window, self.even = rate, OPEN, WINDOW_US, 0.0
         if rate is not None:
             self.even = rate * self.window / SECOND / self.settings.relays
@@ -101,36 +101,37 @@
         return max(LEAST_PATIENCE_US, PATIENCE * self.usual_us)
 
     def overdue(self, at_us: int) -> int:
-        """Calls out beyond patience: they no longer count as reservations; `crowded` bounds them instead."""
+        """Count overdue calls: they no longer count as reservations; `crowded` limits them instead."""
         late = at_us - self.patience_us()
         return sum(1 for _ in itertools.takewhile(lambda call: call.start_us <= late, self.reserved))
 
     def crowded(self, now_us: int) -> bool:
-        """Whether a destination, silent or slow, holds as many slots as one may: it guards the others."""
+        """Whether a destination holds its maximum of slots; keeps a silent or slow one from taking all."""
         share = SLOT_SHARE / (5 if self.overdue(now_us) else 1)
         return len(self.reserved) >= max(1, self.settings.slots * share)
 
-    def inside(self, at_us: int) -> Iterator[tuple[int, int, int]]:  # w is stretched where M is below one
+    def inside(self, at_us: int) -> Iterator[tuple[int, int, int]]:  # w is longer if M is below one
         return self.buckets.inside(at_us, int(self.window / min(1.0, self.limit(at_us))))
 
     def excess(self, at_us: int) -> float:
-        """Admission: c + r + 1 <= M; what is over it."""
+        """Return by how much one more call exceeds the limit: c + r + 1 - M; not positive if it may start."""
         consumed = sum(units for _, units, _ in self.inside(at_us))
         return consumed + len(self.reserved) - self.overdue(at_us) + 1 - max(1.0, self.limit(at_us))
 
     def opening(self, now_us: int) -> int:
-        """When a unit fits, after any told wait; one window ahead at most, or when a learned M rises."""
+        """When the next unit is free, after any Retry-After wait; at most a window ahead or at the rise of M."""
         at = max(now_us, self.blocked_until, self.paused_until)
         if (excess := self.excess(at)) <= 0:
             return at
         for leaves_us, units, _ in self.inside(at):
             if (excess := excess - units) <= 0:
                 return min(leaves_us, at + self.stretched - (at - self.learned_us) % self.stretched)
-        return max(at, next(iter(self.reserved)).start_us + self.patience_us()) + 1  # an answer comes first
+        return max(at, next(iter(self.reserved)).start_us + self.patience_us()) + 1  # an answer comes before
 
     def refused(self, now_us: int, part: float) -> None:
-        """Learn M from a refusal: what the window holds of calls that were taken on, or less and less."""
-        # M below one: one unit in a longer w, against many relays that spend one each where refusals count.
+        """Learn M from a refusal: the accepted calls in the window, or less with each further refusal."""
+        # M below one allows one unit in a longer w: refused calls consume the limit too, so many relays with
+        # one unit each would exceed it.
         limit, least = self.limit(now_us), max(1.0, self.even)
         taken_on = sum(done for *_, done in self.buckets.inside(now_us, self.window))
         lowest = min(self.even or OPEN, max(FLOOR * self.even, self.window / self.longest))
@@ -139,7 +140,7 @@
         self.learned = first if limit > least else lower
         self.learned_us, self.stretched = now_us, int(self.window / min(1.0, self.learned))
         if self.many:
-            # Guards against a fleet that stays a little over a limit which refused calls use up: nothing is
-            # taken on any more. Harms what was refused once by chance: up to a second later.
+            # Prevents a fleet from staying slightly over a limit that refused calls consume too, so that no
+            # call is accepted any more. Cost: a delay of up to a second after a single chance refusal.
             self.paused_until = now_us + int(PAUSE_US * part * 2 ** min(self.streak, PAUSES - 1))
             self.streak += 1
