--- a/amberlug/policy/state.py
+++ b/amberlug/policy/state.py
@@ -1,4 +1,4 @@
-"""What a relay remembers of endpoints, calls and messages. Nothing here decides anything."""
+"""In-memory state of a relay: endpoints, calls, messages and destinations. Contains no decisions."""
 
 from __future__ import annotations
 
@@ -12,41 +12,41 @@
 from amberlug.policy.membership import Members
 
 NEVER = -(1 << 62)
-TURNS = 64  # of those that wait for a slot, so many are weighed against each other at once: a turn each
+TURNS = 64  # destinations waiting for a slot that compete for it at a time, in turn
 
 
 @dataclass(slots=True, eq=False)
 class Endpoint:
-    """One endpoint: connections at hand, health, and what the bound on a cold one needs."""
+    """One endpoint: its connections, its health and the state of its cold-start limit."""
 
     entry: Entry
     account: Account
-    starts: deque[int] = field(default_factory=deque)  # starts of late calls
+    starts: deque[int] = field(default_factory=deque)  # start times of recent calls
     out: int = 0
-    idle: deque[int] = field(default_factory=deque)  # when each idle connection was last used
-    table: int = 0  # connections it had when it would take no more, believed until `table_until`
+    idle: deque[int] = field(default_factory=deque)  # last use of each idle connection
+    table: int = 0  # connections it had when it accepted no more; assumed until `table_until`
     table_until: int = NEVER
-    unmet: int = 0  # full tables met in a row
-    keep_us: int = 0  # how long an idle connection is kept where many relays share a table
-    closing: bool = False  # whether a timer looks after what idles
+    unmet: int = 0  # consecutive refusals by a full connection table
+    keep_us: int = 0  # how long an idle connection is kept if many relays share the connection table
+    closing: bool = False  # whether a timer to close idle connections is set
     failed_us: int = NEVER
     done_us: int = NEVER
-    swallows: bool = False  # its last failure may have run
-    failure_rate: float = 0.0  # of late outcomes
-    cold: bool = False  # down, or back and not yet warm
-    since_us: int = NEVER  # when it came to look like an outage
-    spread: float = 1.0  # drawn at each failure
+    swallows: bool = False  # the call that failed last may have been executed
+    failure_rate: float = 0.0  # moving average over recent outcomes
+    cold: bool = False  # down, or recovered and not yet warmed up
+    since_us: int = NEVER  # when the outage was detected
+    spread: float = 1.0  # random jitter factor, drawn at each failure
     back_us: int | None = None  # first success since the last failure, while cold
 
     def forget_idle(self, until_us: int) -> None:
-        """Forget connections that have been closed for being idle since then."""
+        """Drop connections last used at that time or before: they were closed as idle."""
         while self.idle and self.idle[0] <= until_us:
             self.idle.popleft()
 
 
 @dataclass(slots=True, eq=False)
 class Call:
-    """One call out: one reservation, one slot (a probe needs none), `left` messages unanswered."""
+    """One call in flight: one reservation, one slot (none for a probe), `left` messages unanswered."""
 
     endpoint: Endpoint
     start_us: int
@@ -56,7 +56,7 @@
 
 @dataclass(slots=True, eq=False)
 class Message:
-    """A message this relay answers for; `worth` is what it brings within its aim."""
+    """A message this relay is responsible for; `worth` is its value if delivered within its target time."""
 
     ref: int
     kind: MessageClass
@@ -66,15 +66,15 @@
     worth: float
     attempts: int = 0
     out: dict[int, Call] = field(default_factory=dict)
-    ran: list[Call] = field(default_factory=list)  # attempts that may have run
+    ran: list[Call] = field(default_factory=list)  # attempts that may have been executed
 
     @property
     def aim_us(self) -> int:
-        """When the time in which it is worth most is over."""
+        """End of the target time, within which it has its full value."""
         return self.deadline_us - self.kind.deadline_us + self.kind.aim_us
 
     def worth_at(self, at_us: int, halving: bool) -> float:
-        """Worth still to be had by an answer at that time."""
+        """Value of the message if it is answered at that time."""
         if at_us >= self.deadline_us:
             return 0.0
         kind = self.kind
@@ -89,70 +89,70 @@
         return self.worth * (1 - (1 - kind.late_worth) * over / max(1, late_for))
 
     def exposed(self) -> list[Call]:
-        """Attempts that may have run, those still out among them."""
+        """Attempts that may have been executed, including those in flight."""
         return [*self.ran, *self.out.values()]
 
 
 @dataclass(slots=True, eq=False)
 class Destination:
-    """What waits for one destination, common to its routes' accounts, and its one timer."""
+    """State of one destination: endpoints, rate limit accounts, queued messages and its only timer."""
 
     number: int
     endpoints: dict[str, Endpoint] = field(default_factory=dict)
     accounts: dict[str, Account] = field(default_factory=dict)
     waiting: dict[int, Message] = field(default_factory=dict)
     timer_us: int = 0
-    held: int = 0  # messages held for it, and calls out to it
+    held: int = 0  # number of its messages and of its calls in flight
     used_us: int = NEVER  # when one of those last began or ended
-    look_us: int = NEVER  # when it is next looked at whether it sleeps
-    gone: bool = False  # no endpoint is listed there any more
-    awaited: set[str] = field(default_factory=set)  # endpoints of which something is believed, not yet listed
+    look_us: int = NEVER  # time of the next check whether it can be evicted
+    gone: bool = False  # whether no endpoint is listed for it any more
+    awaited: set[str] = field(default_factory=set)  # endpoints with restored state that are not listed yet
 
 
 @dataclass(slots=True, eq=False)
 class Records:
-    """All that a relay keeps of one round to the next."""
+    """State that a relay keeps from one step to the next."""
 
     now: int = 0
     slots_out: int = 0
     actions: list[Action] = field(default_factory=list)
     members: Members = field(default_factory=Members)
-    destinations: dict[int, Destination] = field(default_factory=dict)  # that are awake
-    endpoints: dict[str, Endpoint] = field(default_factory=dict)  # theirs
-    looks: deque[tuple[int, int]] = field(default_factory=deque)  # when each is looked at, and its number
-    folded: dict[int, tuple[int, bytes]] = field(default_factory=dict)  # what is kept of those asleep
+    destinations: dict[int, Destination] = field(default_factory=dict)  # those in use
+    endpoints: dict[str, Endpoint] = field(default_factory=dict)  # of the destinations in use
+    looks: deque[tuple[int, int]] = field(default_factory=deque)  # times of eviction checks, with the number
+    folded: dict[int, tuple[int, bytes]] = field(default_factory=dict)  # summaries of evicted destinations
     folded_looks: deque[tuple[int, int]] = field(default_factory=deque)
-    news: dict[int, None] = field(default_factory=dict)  # of which something was learned that is not kept yet
-    turns: dict[int, None] = field(default_factory=dict)  # of those, where it would be missed at once
+    news: dict[int, None] = field(default_factory=dict)  # destinations with unsaved state
+    turns: dict[int, None] = field(default_factory=dict)  # those of them to save soon, after a health change
     messages: dict[int, Message] = field(default_factory=dict)
     calls: dict[tuple[int, int], tuple[Message, Call]] = field(default_factory=dict)
     probes: dict[str, Call] = field(default_factory=dict)
-    touched: dict[Destination, None] = field(default_factory=dict)  # to be served in this round
-    past_us: dict[str, int] = field(default_factory=dict)  # quickest answer past a table, by zone
-    small_tables: set[str] = field(default_factory=set)  # kinds of which a table was met full
-    rested: dict[Endpoint, None] = field(default_factory=dict)  # had a connection come free in this round
-    starved: OrderedDict[Destination, None] = field(default_factory=OrderedDict)  # wait for a slot
-    overdue_us: int | None = None  # when the next call will be overdue, once this round has looked
+    touched: dict[Destination, None] = field(default_factory=dict)  # to be served in this step
+    past_us: dict[str, int] = field(default_factory=dict)  # fastest answer on a new connection, by zone
+    small_tables: set[str] = field(default_factory=set)  # kinds with a connection table found full
+    rested: dict[Endpoint, None] = field(default_factory=dict)  # endpoints whose connection became idle now
+    starved: OrderedDict[Destination, None] = field(default_factory=OrderedDict)  # waiting for a slot
+    overdue_us: int | None = None  # when the next call becomes overdue, once computed in this step
     timers: dict[int, Message | Endpoint | int | None] = field(default_factory=dict)
     labels: Iterator[int] = field(default_factory=itertools.count)
-    lanes: dict[str, list[Message]] = field(default_factory=dict)  # of each key, in the order taken
-    rests: dict[str, int] = field(default_factory=dict)  # until when a key rests, the earliest first
-    shares: dict[str, int] = field(default_factory=dict)  # until when each tenant's share is used up
+    lanes: dict[str, list[Message]] = field(default_factory=dict)  # messages of each ordering key, FIFO
+    rests: dict[str, int] = field(default_factory=dict)  # end of each key's quiet time, earliest first
+    shares: dict[str, int] = field(default_factory=dict)  # until when each tenant's quota is used up
 
     def timer(self, at_us: int, target: Message | Endpoint | int | None) -> None:
-        """Have a message, a destination by its number, or the list (None) dealt with at that time."""
+        """Set a timer for a message, an endpoint, a destination's number or the endpoint list (None)."""
         label = next(self.labels)
         self.timers[label] = target
         self.actions.append(Timer(label, max(1, at_us - self.now)))
 
     def wake(self, destination: Destination, at_us: int) -> None:
-        """Set a destination's one timer, unless it comes due before."""
+        """Set a destination's timer, unless it expires earlier already."""
         if not self.now < destination.timer_us <= at_us:
             destination.timer_us = max(at_us, self.now + 1)
             self.timer(destination.timer_us, destination.number)
 
     def start_call(self, endpoint: Endpoint, messages: int, slot: int) -> Call:
-        """Reserve for a call that goes out now, on an idle connection if there is one."""
+        """Register a call that starts now, on an idle connection if there is one."""
         call = Call(endpoint, self.now, messages, slot)
         endpoint.account.reserved[call] = None
         endpoint.starts.append(self.now)
@@ -165,7 +165,7 @@
         return call
 
     def end_call(self, call: Call, reusable: bool) -> None:
-        """Free what a call held; its connection idles if it is still good."""
+        """Release the resources of a call; its connection becomes idle if it is reusable."""
         call.endpoint.out -= 1
         to = self.destinations[call.endpoint.entry.destination]
         to.held, to.used_us = to.held - 1, self.now
@@ -177,14 +177,14 @@
             self.touched[self.starved.popitem(last=False)[0]] = None
 
     def leave(self, name: str) -> None:
-        """Forget what is known of an endpoint that wants nothing new."""
+        """Discard the state of an endpoint that accepts no new calls."""
         if (endpoint := self.endpoints.pop(name, None)) is not None:
             to = self.destinations[endpoint.entry.destination]
             del to.endpoints[name]
-            to.accounts.pop(name, None)  # a route's account goes with it, a shared one keeps what it learned
+            to.accounts.pop(name, None)  # a route's own account goes with it, a shared account stays
 
     def hold(self, message: Message) -> None:
-        """Keep a message that was taken; it waits at the end of its key's lane."""
+        """Register an accepted message and append it to the queue of its key."""
         to = message.destination
         self.messages[message.ref] = to.waiting[message.ref] = message
         to.held, to.used_us = to.held + 1, self.now
@@ -193,7 +193,7 @@
         self.touched[to] = None
 
     def drop(self, message: Message) -> None:
-        """Forget a message that has ended; its key passes on once none of its attempts is out."""
+        """Discard a finished message; the next one of its key may go once no attempt is in flight."""
         if self.messages.pop(message.ref, None) is not None:
             message.destination.held -= 1
             message.destination.used_us = self.now
@@ -202,13 +202,13 @@
             self.touched.update((other.destination, None) for other in self.leave_lane(message))
 
     def leave_lane(self, message: Message) -> list[Message]:
-        """Take a message out of its key's lane; what is left there."""
+        """Remove a message from the queue of its key; returns the messages left in it."""
         if message.key is None:
             return []
         self.lanes[message.key].remove(message)
         return self.lanes[message.key] or self.lanes.pop(message.key)
 
     def rest(self, key: str, until_us: int) -> None:
-        """Let a key rest; rests that are over are forgotten."""
+        """Start the quiet time of a key, and discard quiet times that have ended."""
         self.rests = {other: until for other, until in self.rests.items() if until > self.now}
         self.rests[key] = until_us
