--- a/amberlug/policy/account.py
+++ b/amberlug/policy/account.py
@@ -119,7 +119,7 @@
         return consumed + len(self.reserved) - self.overdue(at_us) + 1 - max(1.0, self.limit(at_us))
 
     def opening(self, now_us: int) -> int:
-        """When the next unit is free, after any Retry-After wait; at most a window ahead or at the rise of M."""
+        """When the next unit is free, after any Retry-After wait; at most a window ahead or when M rises."""
         at = max(now_us, self.blocked_until, self.paused_until)
         if (excess := self.excess(at)) <= 0:
             return at
