--- a/amberlug/policy/folding.py
+++ b/amberlug/policy/folding.py
@@ -1,9 +1,9 @@
-"""What is kept of a destination that sleeps, and for how long.
+"""Compact summaries of idle destinations: what is kept after eviction, and for how long.
 
-A destination is awake from its first message until it has been quiet for a while. Folded away, only numbers
-are left of it that a later decision would miss: told waits, limits and answer times learned, outages and the
-starts that bound a cold endpoint. They go too once they mean nothing any more. Whether a destination was
-folded away meanwhile never changes what is decided for it.
+A destination is held in memory from its first message until it has been idle for a while. Its eviction leaves
+only the numbers that later decisions need: Retry-After waits, learned limits and answer times, outages and
+the call starts that limit a cold endpoint. They are discarded once they are out of date. Whether a
+destination was evicted in the meantime never changes a decision about it.
 """
 
 from __future__ import annotations
@@ -15,30 +15,30 @@
 from amberlug.policy.interface import Known, KnownEndpoint, KnownRoute, Settings
 from amberlug.policy.state import NEVER, Destination, Endpoint
 
-QUIET_US = 10 * SECOND  # least time without a message or call until a destination is folded away
-FORGET_US = 600 * SECOND  # after so long answer times, pace and failures of what was not in an outage are old
-LEAST_TABLE = 4  # connections that a small table is taken to hold for relays that keep theirs
-LOOKS = 8  # destinations that each step looks at, at most: more fold sooner, and make a step dearer
+QUIET_US = 10 * SECOND  # minimum time without a message or call before a destination is evicted
+FORGET_US = 600 * SECOND  # age at which answer times, throughput and failures outside an outage are discarded
+LEAST_TABLE = 4  # assumed size of a small connection table that relays with idle connections share
+LOOKS = 8  # maximum destinations checked per step: more evict sooner but make a step more expensive
 
 
 def crowd(settings: Settings) -> float:
-    """Relays for each connection of a small table; where it is over 1, not every relay may keep one."""
+    """Relays per connection of a small table; if more than 1, not every relay may keep a connection."""
     return settings.relays / LEAST_TABLE
 
 
 def first_keep_us(settings: Settings) -> int:
-    """How long an idle connection is kept where nothing is known of an endpoint's table, in microseconds."""
+    """Idle keep time in microseconds while nothing is known about an endpoint's connection table."""
     return int(settings.idle_us / max(1.0, crowd(settings)))
 
 
 def quiet_us(settings: Settings) -> int:
-    """How long a destination must have been quiet: connections are closed, and all buckets out of w."""
-    longest = max(kind.deadline_us for kind in settings.classes.values()) // TRIES  # of a stretched w
+    """Idle time before eviction: by then connections are closed and no bucket is in the window."""
+    longest = max(kind.deadline_us for kind in settings.classes.values()) // TRIES  # maximum length of w
     return max(QUIET_US, settings.idle_us, longest) + SECOND
 
 
 def may_fold(to: Destination, now_us: int, settings: Settings) -> bool:
-    """Whether nothing is held for a destination or out to it, and no connection is kept."""
+    """Whether a destination can be evicted: no messages, no calls in flight and no connections."""
     if to.gone:
         return not (to.held or told_to_wait(to, now_us))
     if to.held or now_us - to.used_us < quiet_us(settings):
@@ -52,12 +52,12 @@
 
 
 def told_to_wait(to: Destination, now_us: int) -> bool:
-    """Whether a told wait runs; it holds for whoever serves the destination next."""
+    """Whether a Retry-After wait is running; it also binds endpoints listed for the destination later."""
     return any(account.blocked_until > now_us for account in to.accounts.values())
 
 
 def start_afresh(account: Account) -> None:
-    """Forget what was learned at endpoints that are gone, but for a told wait and calls that are out."""
+    """Reset what was learned from removed endpoints, except Retry-After waits and calls in flight."""
     account.usual_us, account.pace, account.pace_us = FIRST_GUESS_US, 1.0, 0
     account.learned, account.learned_us, account.listed = OPEN, 0, None
     account.streak, account.paused_until = 0, 0
@@ -65,9 +65,9 @@
 
 
 def forget(to: Destination, now_us: int) -> None:
-    """Forget what is too old to mean anything, of a destination that was not used for FORGET_US."""
-    # Guards against answer times and failures of weeks ago that decide today's first calls. Could do harm to
-    # what is slow as a rule: its first call is overdue sooner than need be, and held as a reservation less.
+    """Reset outdated state of a destination that was not used for FORGET_US."""
+    # Keeps answer times and failures of weeks ago from deciding today's first calls. Possible cost: at a slow
+    # destination the first call is overdue too early, and counts as a reservation for a shorter time.
     for account in to.accounts.values():
         account.usual_us, account.pace, account.pace_us = FIRST_GUESS_US, 1.0, 0
         if account.blocked_until <= now_us:
@@ -119,7 +119,7 @@
 
 
 def fold(to: Destination, now_us: int, settings: Settings) -> bytes:
-    """What must be kept of a destination; nothing where a new one would be the same."""
+    """Serialize the state to keep of a destination; empty if a new one would have the same state."""
     fresh_us = first_keep_us(settings)
     accounts = {
         where: _account_numbers(it)
@@ -137,10 +137,10 @@
 
 
 def unfold(to: Destination, kept: bytes, settings: Settings) -> None:
-    """Put back what was kept, into a destination just made from the list."""
+    """Restore serialized state into a destination just created from the endpoint list."""
     to.used_us, to.timer_us, accounts, endpoints = marshal.loads(kept)
     for where, numbers in accounts.items():
-        account = to.accounts.setdefault(where, Account(settings, None))  # all may drain by now
+        account = to.accounts.setdefault(where, Account(settings, None))  # all endpoints may be draining now
         rate, account.listed, *rest = numbers
         account.set_rate(rate)
         (
@@ -173,7 +173,7 @@
 
 
 def known(to: Destination) -> Known:
-    """What is to be kept of a destination beyond this life."""
+    """Return the state of a destination to persist over a restart."""
     routes = [
         KnownRoute(where, it.usual_us, it.pace, it.pace_us, it.learned, it.learned_us)
         for where, it in to.accounts.items()
@@ -197,11 +197,11 @@
 
 
 def believe(to: Destination, told: Known, settings: Settings) -> None:
-    """Go on with what is believed of a destination that was just made from the list."""
+    """Apply persisted state to a destination just created from the endpoint list."""
     for route in told.routes:
         if to.accounts and route.route not in to.accounts and not route.blocked_until_us:
             continue
-        it = to.accounts.setdefault(route.route, Account(settings, None))  # all may drain by now
+        it = to.accounts.setdefault(route.route, Account(settings, None))  # all endpoints may be draining now
         it.usual_us, it.pace, it.pace_us = route.usual_us, route.pace, route.pace_us
         it.learned, it.learned_us = route.learned, route.learned_us
         it.stretched = int(it.window / min(1.0, it.learned))
