--- a/amberlug/policy/decide.py
+++ b/amberlug/policy/decide.py
@@ -1,7 +1,7 @@
-"""When, where and whether each message is sent: every decision of a relay in one life.
+"""When, where and whether each message is sent: all decisions of a relay from its start to its end.
 
-Types, events, actions: `interface.py`; records: `state.py`. Ordinary path: a message goes when its
-destination's account has a unit to spend (`account.py`), else at a timer at its opening.
+Types, events and actions are in `interface.py`, state is in `state.py`. A message is sent when the account of
+its destination has a free unit (`account.py`), else a timer is set for the account's opening.
 """
 
 import itertools
@@ -14,46 +14,49 @@
 from amberlug.policy.state import TURNS, Call, Destination, Endpoint, Message
 from amberlug.policy.tables import SPREAD, Tables
 
-RATE_NOISE = 0.3  # a reported limit this far from the one in use replaces it; nearer is noise
-SHUT = 3  # windows of one told wait that look like a destination that is shut
-BACK_OFF = 0.55, 1.0  # what a refusal leaves of a learned M of one or less; drawn, so that relays part ways
-OUTAGE_RATE = 0.5  # failure rate that looks like an outage
-ANSWER_WEIGHT = 0.15  # weight of the newest answer in the failure rate, good or bad
-SILENCE_WEIGHT = 0.4  # weight of a silence in it: two in a row look like an outage
-AVOID_US = 3 * SECOND  # a failed endpoint gives way to its siblings for so long
-TABLE_US = 10 * SECOND  # a table of connections found full is believed for so long
-PACE_US = 20 * SECOND  # memory of a relay's own pace at an unlisted destination
-LONGEST = 3  # longest window of the cold bound, in OverloadForUs: it trades caution for messages' lives
-FEW = 4  # calls out at once to an endpoint that has delivered nothing lately; more may all be lost at once
+RATE_NOISE = 0.3  # a reported limit that differs by more replaces the current one; less is noise
+SHUT = 3  # a Retry-After wait of at least this many windows is treated as an outage
+BACK_OFF = 0.55, 1.0  # random factor of a learned M of at most one at a refusal; desynchronizes relays
+OUTAGE_RATE = 0.5  # failure rate that is treated as an outage
+ANSWER_WEIGHT = 0.15  # weight of the latest answer in the failure rate, success or failure
+SILENCE_WEIGHT = 0.4  # weight of a missing answer: two in a row are treated as an outage
+AVOID_US = 3 * SECOND  # how long other endpoints are preferred to one that failed
+TABLE_US = 10 * SECOND  # how long a full connection table is assumed to stay full
+PACE_US = 20 * SECOND  # averaging time of a relay's own throughput at a destination without a listed rate
+LONGEST = 3  # maximum window of the cold-start limit, in OverloadForUs: longer would let messages expire
+FEW = 4  # concurrent calls to an endpoint without a recent delivery; more might all be lost at once
 LATELY_US = 60 * SECOND
-FRESH_SHARE = 0.9  # part of the slots that calls to such endpoints may take: the rest is for what delivers
-HOLD, MAKE_ROOM = 0.95, 100  # above this share of MaxOpen it refuses the least, one in so many: ranking costs
-ASK_AGAIN_US = SECOND // 2  # first pause before asking the list again, doubled up to a quarter of AskWithin
+FRESH_SHARE = 0.9  # share of the slots for calls to such endpoints; the rest is for those that deliver
+HOLD, MAKE_ROOM = 0.95, 100  # above this share of MaxOpen refuses 1/100 of it at once: ranking is expensive
+ASK_AGAIN_US = SECOND // 2  # initial resubscribe delay, doubled up to a quarter of AskWithin
 MAY_HAVE_RUN = (Result.ERROR, Result.TIMED_OUT, Result.RESET, Result.CALLED_OFF, Result.SPOILT)
 
 
 def may_repeat(message: Message, now_us: int) -> bool:
-    """May-have-run: unsafe ones never again, keyed ones while their key is remembered."""
+    """Whether a message may be sent again: after an attempt that may have been executed, unsafe ones may not.
+
+    Keyed ones may as long as their key is remembered.
+    """
     effect, oldest = message.kind.effect, now_us - message.kind.key_life_us
     keyed = effect is Effect.KEYED and all(call.start_us > oldest for call in message.exposed())
     return keyed or effect is Effect.SAFE or not message.exposed()
 
 
 def may_refuse(message: Message) -> bool:
-    """Whether the client may safely come again."""
+    """Whether the client may safely retry the message."""
     keyed = message.kind.effect is Effect.KEYED and message.kind.group is Group.ALL
     return not (message.ran or message.out) or message.kind.effect is Effect.SAFE or keyed
 
 
 class Sender(Tables):
-    """All decisions of one relay."""
+    """The state machine that makes all decisions of one relay."""
 
     def __init__(self, settings: api.Settings, seed: int) -> None:
         super().__init__(settings, seed)
         self.asked, self.subscribed, self.pause_us = False, False, ASK_AGAIN_US
 
     def step(self, now_us: int, events: Sequence[api.Event]) -> list[api.Action]:
-        """Take in all events of a round, then serve what they touched, the dearest to delay first."""
+        """Process all events of a step, then serve the affected destinations, the most urgent first."""
         if now_us < self.now:
             raise ValueError(f"time runs backwards: {now_us} after {self.now}")
         self.now, self.actions, self.touched, self.overdue_us = now_us, [], {}, None
@@ -86,11 +89,11 @@
         elif isinstance(target, Endpoint):
             self.close_stale(target)
         elif isinstance(target, int):
-            if (to := self.destinations.get(target)) is not None:  # else it fell asleep, with nothing to do
+            if (to := self.destinations.get(target)) is not None:  # else it was evicted and has nothing to do
                 self.touched[to] = None
         elif target.ref in self.messages:
             grace = target.deadline_us + self.settings.answer_slack_us // 2
-            if self.now < target.deadline_us:  # an answer is late: a second copy may go, slots allowing
+            if self.now < target.deadline_us:  # the answer is late: a second copy may go if slots allow
                 if len(target.out) == 1 and self.slots_out <= self.settings.slots * SLOT_SHARE:
                     target.destination.waiting[target.ref] = target
                     self.touched[target.destination] = None
@@ -100,7 +103,7 @@
                 self.finish(target)
 
     def ask(self) -> None:
-        """Ask for changes until the list answers, never silent for all of AskWithin."""
+        """Subscribe to list changes, and again until the list answers, more often than AskWithin."""
         self.asked = True
         if not self.subscribed:
             self.actions.append(api.Subscribe())
@@ -129,14 +132,14 @@
         self.hold(message)
         self.timer(message.deadline_us, message)
         if len(self.messages) > self.settings.max_open * HOLD:
-            # Holding nears its limit: refuse what has least worth to be had, where that is harmless.
+            # Close to the limit of held messages: refuse those of lowest value that clients may safely retry.
             able = [other for other in self.messages.values() if not other.out and may_refuse(other)]
             able.sort(key=lambda other: other.worth_at(self.now, self.settings.halving))
             for least in able[: 1 + self.settings.max_open // MAKE_ROOM]:
                 self.finish(least)
 
     def share(self, tenant: str | None) -> float:
-        """Worth of a tenant's message: full in this relay's part of its quota, saved for a second at most."""
+        """Value factor of a tenant's message: 1 within this relay's share of the quota, with a 1 s burst."""
         if tenant is None or tenant not in self.shares:
             return 1.0
         quota = max(self.settings.tenants[tenant].quota_per_s / self.settings.relays, 1e-6)
@@ -145,7 +148,7 @@
         return 1.0 if until <= self.now else self.settings.over_share_worth
 
     def finish(self, message: Message) -> None:
-        """Give the final answer this relay owes: refused where a repeat is harmless, else failed."""
+        """End a message: refused if the client may safely retry it, else failed."""
         self.actions.append(api.Refuse(message.ref, 0) if may_refuse(message) else api.Fail(message.ref))
         self.drop(message)
 
@@ -169,29 +172,29 @@
                 self.finish(message)
 
     def answered(self, call: Call, result: Result, wait_us: int, report: tuple[float, ...]) -> None:
-        """Take an answer in: what the account learns of its limit, the endpoint's health, the free slot."""
+        """Process an answer: update the rate limit and the endpoint's health, and free the slot."""
         endpoint, account = call.endpoint, call.endpoint.account
         call.left -= 1
         account.blocked_until = max(account.blocked_until, self.now + wait_us)
         if call in account.reserved:
             del account.reserved[call]
-            if result in (Result.DONE, Result.TIMED_OUT):  # or repeats would bury what is slow
+            if result in (Result.DONE, Result.TIMED_OUT):  # else retries would overload a slow one
                 account.usual_us += (self.now - call.start_us - account.usual_us) // 8
             told = dict(zip(self.settings.report_names, report, strict=False)).get("x1", 0.0)
             if told > 0 and abs(told / (account.rate or OPEN) - 1) > RATE_NOISE:
                 account.set_rate(told)
-            if result not in (Result.UNSENT, Result.CALLED_OFF, Result.SPOILT):  # they tell nothing of health
+            if result not in (Result.UNSENT, Result.CALLED_OFF, Result.SPOILT):  # no health signal
                 self.judge(endpoint, call.start_us, result, wait_us)
-            # Guards against full tables that use a limit up here which they don't use up there.
+            # A refusal by a full connection table does not consume the endpoint's rate limit.
             counts = result is not Result.UNSENT and not self.unmet(endpoint, result)
             account.buckets.add(call.start_us, counts, result is Result.DONE)
         if call.left == 0:
-            kept = result is Result.REFUSED and not endpoint.unmet  # a full table's is closed over there
+            kept = result is Result.REFUSED and not endpoint.unmet  # a full table's peer closes it
             self.end_call(call, reusable=kept or result in (Result.DONE, Result.ERROR))
         self.touched[self.destinations[endpoint.entry.destination]] = None
 
     def judge(self, endpoint: Endpoint, start_us: int, result: Result, wait_us: int) -> None:
-        """Judge an endpoint: what looks like an outage starts the cold bound, a success the way back."""
+        """Update an endpoint's health: an outage starts its cold-start limit, a success its warm-up."""
         account = endpoint.account
         if self.crowd > 1 and self.table_full(endpoint, start_us, result, wait_us):
             return
@@ -206,22 +209,23 @@
                 endpoint.back_us = self.now
             return
         if result is Result.REFUSED:
-            # Guards against calls that were out together: refused one by one, each would cut M to less.
+            # Calls that were in flight together and are all refused must reduce M only once.
             if start_us > account.learned_us:
                 account.refused(self.now, self.chance.uniform(*BACK_OFF))
             if wait_us < SHUT * account.window:
-                return  # the limit spoke, not an outage
+                return  # refused by the rate limit, not an outage
         if result is Result.UNCONNECTED and self.crowd <= 1:
             endpoint.table = max(1, endpoint.out + len(endpoint.idle) - 1)
             endpoint.table_until = self.now + TABLE_US
         if result in (Result.UNCONNECTED, Result.TIMED_OUT) and endpoint.done_us > start_us:
-            return  # it answered others meanwhile: slow, or its table is full; a crash fails again
+            return  # it answered others meanwhile: slow or table full; after a crash the next call fails too
         endpoint.failed_us, endpoint.swallows = self.now, result in MAY_HAVE_RUN
         endpoint.spread = self.chance.uniform(*SPREAD)
         weight = ANSWER_WEIGHT if result in (Result.ERROR, Result.RESET) else SILENCE_WEIGHT
         endpoint.failure_rate += (1 - endpoint.failure_rate) * weight
-        # Guards what is back and cold against hundreds, each of which has met it once: a table that is full
-        # answers. Harms what could not be reached once: this relay's part of it alone for a while.
+        # Protects an endpoint that has recovered and is cold from hundreds of relays that each saw only one
+        # failure; a full table would answer. Cost: after a single failed connect this relay is limited to its
+        # share for a while.
         down = result is Result.REFUSED or (result is Result.UNCONNECTED and self.crowd > 1)
         if endpoint.cold or endpoint.failure_rate >= OUTAGE_RATE or down:
             if not endpoint.cold:
@@ -230,11 +234,11 @@
             endpoint.cold, endpoint.back_us = True, None
 
     def cold_opening(self, endpoint: Endpoint) -> int:
-        """When an endpoint may be called by this relay's part of what it takes while down or cold."""
-        # Guards against pushing over what returns unannounced, so it holds in the outage too; spares calls to
-        # what fails most of them. It harms a healthy endpoint that fails twice by chance: a lower pace.
+        """When a down or cold endpoint may next be called within this relay's share of its capacity."""
+        # Prevents overloading an endpoint that recovers unannounced, so it applies during the outage too;
+        # it also saves calls that would fail. Cost: fewer calls to a healthy one after two chance failures.
         rules, share = self.settings, self.settings.cold_share
-        if not endpoint.cold:  # of many relays each has one failure to go by: it waits before the next try
+        if not endpoint.cold:  # each of many relays saw one failure only: it waits before the next attempt
             if endpoint.done_us >= endpoint.failed_us:
                 return self.now
             shared_us = LONGEST * rules.overload_us if self.crowd > 1 else 0
@@ -247,14 +251,14 @@
             self.actions.append(api.Log(f"outage over at {endpoint.entry.endpoint}"))
             return self.now
         part = self.part(endpoint, share)
-        # Relays that saw it fail add up while it lasts, so each waits as long again, not all at once.
+        # More and more relays see it fail, so each waits as long again as the outage has lasted, with jitter.
         longest = max(LONGEST * rules.overload_us, self.now - endpoint.since_us) * endpoint.spread
         window = int(min(max(rules.overload_us, 1 / part), longest))
         units = max(1, int(part * window))
         return self.now if len(endpoint.starts) < units else max(self.now, endpoint.starts[-units] + window)
 
     def part(self, endpoint: Endpoint, share: float) -> float:
-        """Units a microsecond: this relay's part of what an endpoint that can do a share may be sent."""
+        """Calls per us that this relay may send to an endpoint that has this share of its capacity."""
         account, rules = endpoint.account, self.settings
         rate = account.pace if account.rate is None else account.rate / rules.relays
         siblings = self.destinations[endpoint.entry.destination].endpoints.values()
@@ -262,7 +266,7 @@
         return max(rules.overload_factor * share * rate / max(1, among) / SECOND, 1e-12)
 
     def usable(self, endpoint: Endpoint, message: Message) -> bool:
-        """Whether a message may go there: zone of its key, no copy there, nothing unsafe into an outage."""
+        """Whether a message may go there: in the zone of its key, not twice, nothing unsafe in an outage."""
         kind = message.kind
         if kind.effect is Effect.UNSAFE and endpoint.cold and endpoint.back_us is None and endpoint.swallows:
             return False
@@ -272,17 +276,17 @@
         return all(call.endpoint is not endpoint for call in message.out.values())
 
     def proven(self, endpoint: Endpoint) -> bool:
-        """Whether it has delivered lately."""
+        """Whether an endpoint has delivered recently."""
         return endpoint.done_us >= self.now - LATELY_US
 
     def no_slot(self, endpoint: Endpoint) -> bool:
-        """Whether slots are too short for a call there."""
-        # Guards the busy against many that wake at once and answer slowly or not at all. It harms what wakes
-        # where all others wake too: a tenth of the slots stays free until the first is delivered.
+        """Whether no slot is left for a call there."""
+        # Protects busy destinations from many idle ones that become active at once and answer slowly or not
+        # at all. Cost: if all become active at once, a tenth of the slots is unused until the first delivery.
         return self.slots_out >= self.settings.slots * (1 if self.proven(endpoint) else FRESH_SHARE)
 
     def rank(self, endpoint: Endpoint) -> tuple[bool, bool, float, int, int]:
-        """Choose an endpoint: a slot for it, not lately failed, low fee, few calls out for connections."""
+        """Sort key of endpoints: free slot, no recent failure, low fee, idle connection, few calls."""
         entry = endpoint.entry
         fee = self.settings.fees.get(entry.zone, 0.0) * self.settings.kinds[entry.kind].apart
         failed = endpoint.cold or self.now < endpoint.failed_us + AVOID_US or endpoint.unmet > 0
@@ -300,34 +304,34 @@
         return message.worth_at(soon, halving) - message.worth_at(soon + delay_us, halving)
 
     def urgency(self, destination: Destination) -> float:
-        """What is lost by not serving a destination next, for the time that it would hold a slot."""
-        # Guards the quick against the slow where slots are short: the rule of least cost, c times mu.
+        """Value lost by delaying a destination, per time that its call would hold a slot."""
+        # Keeps slow destinations from starving fast ones when slots are scarce: the c-mu scheduling rule.
         usual = min((it.usual_us for it in destination.accounts.values()), default=FIRST_GUESS_US)
         return self.loss(next(iter(destination.waiting.values()))) / max(usual, SECOND // 100)
 
     def order(self, destination: Destination) -> list[Message]:
-        """Order what waits by what each loses if it goes last instead of first, then by aims."""
+        """Sort queued messages by the value each loses if sent last instead of first, then by target time."""
         pace = sum(account.limit(self.now) / account.window for account in destination.accounts.values())
         drain = max(SECOND, int(min(len(destination.waiting) / max(pace, 1e-7), 60 * SECOND)))
         able = [message for message in destination.waiting.values() if self.eligible(message)]
         return sorted(able, key=lambda message: (-self.loss(message, drain), message.aim_us))
 
     def openings(self, destination: Destination) -> Iterator[tuple[Endpoint, int]]:
-        """Endpoints with a slot and a connection to be had, and when each may next be called."""
-        few = FEW if self.slots_out <= self.settings.slots * SLOT_SHARE else 1  # where slots are short
+        """Endpoints with a slot and a connection available, and when each may next be called."""
+        few = FEW if self.slots_out <= self.settings.slots * SLOT_SHARE else 1  # when slots are scarce
         for endpoint in destination.endpoints.values():
             endpoint.forget_idle(self.now - self.settings.idle_us)
             new = not endpoint.idle and self.now < endpoint.table_until
             full = new and self.crowd <= 1 and endpoint.out >= endpoint.table
-            # Guards against slots that many woken at once hold, of which some are slow, silent or dead. It
-            # harms one that is well and slow: its second message waits for the first one's answer.
+            # Keeps slots from being held by many endpoints that became active at once, some slow, silent or
+            # down. Cost: at a healthy but slow one the second message waits for the first answer.
             unsure = endpoint.out >= few and not self.proven(endpoint)
             if not (full or unsure or endpoint.account.crowded(self.now)):
                 opening = max(endpoint.account.opening(self.now), self.cold_opening(endpoint))
                 yield endpoint, max(opening, endpoint.table_until) if new and self.crowd > 1 else opening
 
     def serve(self, destination: Destination) -> None:
-        """Send what fits now, then wait: for the opening, a slot, or an answer."""
+        """Send what may go now, then wait for the next opening, a slot or an answer."""
         able: list[Message] | None = None
         while destination.waiting:
             openings = dict(self.openings(destination))
@@ -350,21 +354,21 @@
     def free_slots(self, destination: Destination) -> None:
         self.starved[destination] = None
         if len(self.starved) > TURNS:
-            return  # those before it see to it, and slots go round
+            return  # destinations queued before it handle this, and slots are given in turn
         if self.overdue_us is None:
             self.overdue_us = self.call_off_late()
         self.wake(destination, self.overdue_us)
 
     def call_off_late(self) -> int:
-        """With all slots taken, call off what is overdue, once a round; when the next call will be."""
-        # Guards against hung calls that keep the slots. Harms slow unsafe ones.
+        """With all slots taken, cancel overdue calls, once a step; returns when the next becomes overdue."""
+        # Keeps hung calls from holding the slots. Cost: slow calls with unsafe messages are cancelled too.
         due = {key: it.start_us + it.endpoint.account.patience_us() for key, (_, it) in self.calls.items()}
         late = [key for key, at_us in due.items() if at_us <= self.now and self.settings.may_cancel]
         self.actions += [api.CallOff(*key) for key in late]
         return min([at for at in due.values() if at > self.now], default=self.now + SECOND)
 
     def scout(self, destination: Destination, endpoint: Endpoint) -> None:
-        """Only unsafe messages wait for what swallows calls: a probe, or one of them, goes first."""
+        """Test an endpoint that drops calls and has only unsafe messages queued: by a probe, else by one."""
         retry = endpoint.failed_us + self.settings.overload_us
         if not self.settings.may_probe:
             endpoint.swallows = self.now < retry
@@ -374,12 +378,12 @@
             self.actions.append(api.Probe(endpoint.entry.endpoint))
 
     def send(self, endpoint: Endpoint, able: Iterator[Message]) -> None:
-        """Send one call. Unsafe attempts wait out their time: giving up gains a slot and loses the worth."""
+        """Send one call. Unsafe attempts get the full time: giving up frees a slot but loses the message."""
         bundle = list(itertools.islice(able, self.settings.kinds[endpoint.entry.kind].bundle_max))
         call, patience = self.start_call(endpoint, len(bundle), 1), endpoint.account.patience_us()
         for message in bundle:
             until, effect = message.deadline_us, message.kind.effect
-            if effect is Effect.KEYED:  # a repeat must still meet a remembered key
+            if effect is Effect.KEYED:  # the key must still be remembered at a repeat
                 patience = min(patience, max(SECOND, message.kind.key_life_us // 2))
             if effect is not Effect.UNSAFE and self.now + patience + endpoint.account.usual_us < until:
                 until = self.now + patience
