--- a/amberlug/policy/waking.py
+++ b/amberlug/policy/waking.py
@@ -1,7 +1,7 @@
-"""Who is listed and who is awake: the list's news, the first message after a sleep, and falling asleep again.
+"""Lifecycle of destinations: list updates, creation at the first message, and eviction when idle.
 
-Only the list's news and what is awake cost anything: what sleeps is a row of `membership.py`, and at most a
-few numbers of `folding.py`.
+Only list updates and destinations in use take time. An idle destination is a row of `membership.py` and at
+most a short summary made by `folding.py`.
 """
 
 from collections import deque
@@ -14,12 +14,12 @@
 
 
 def elsewhere(was: api.Entry, entry: api.Entry) -> bool:
-    """Whether an endpoint is listed for another destination or kind now: as good as another endpoint."""
+    """Whether an endpoint is now listed for another destination or kind: it is treated as a new endpoint."""
     return (was.destination, was.kind) != (entry.destination, entry.kind)
 
 
 class Awake(Records):
-    """The records of one relay, of which those of destinations come and go."""
+    """State of one relay, with destinations created on demand and evicted when idle."""
 
     def __init__(self, settings: api.Settings) -> None:
         super().__init__(shares=dict.fromkeys(settings.tenants, 0))
@@ -27,11 +27,11 @@
         self.crowd, self.first_keep_us = folding.crowd(settings), folding.first_keep_us(settings)
 
     def relist(self, event: api.Listed) -> list[Message]:
-        """Go by what the list says now; the messages that nobody is left for."""
-        for entry in event.entries:  # what was folded away meets the change as what is awake does
+        """Apply a list update; returns the messages whose destination has no endpoint any more."""
+        for entry in event.entries:  # evicted destinations are restored, to be updated as the others are
             if entry.destination in self.folded:
                 self.awaken(entry.destination)
-        left = self.unlist(event)  # drains: nothing new from the moment this relay is told
+        left = self.unlist(event)  # draining: no new calls from the moment this relay learns of it
         altered = [self.destinations[number] for number in left if number in self.destinations]
         for entry in (entry for entry in event.entries if entry.state is State.IN):
             self.members.put(entry)
@@ -47,7 +47,7 @@
         return ended
 
     def unlist(self, news: api.Listed) -> dict[int, None]:
-        """Take off the list what drains, is gone or serves elsewhere; the destinations that it served."""
+        """Remove endpoints that drain, are gone or have moved; returns the destinations they served."""
         told, left = {entry.endpoint: entry for entry in news.entries}, dict[int, None]()
         names = told if news.kind is ListKind.PATCH else [*self.members, *told]
         for name in dict.fromkeys(names):
@@ -65,9 +65,9 @@
         return left
 
     def enlist(self, to: Destination, entry: api.Entry) -> None:
-        """Go on with an endpoint as the list has it now, at a destination that is awake."""
+        """Add or update a listed endpoint at a destination in use."""
         name = entry.endpoint
-        for it in to.accounts.values() if to.gone else ():  # calls that were out told of what is gone
+        for it in to.accounts.values() if to.gone else ():  # calls in flight reported about removed ones
             folding.start_afresh(it)
         where = name if self.settings.kinds[entry.kind].apart else ""
         account = to.accounts.get(where) or Account(self.settings, self.listed_rate(entry))
@@ -87,7 +87,7 @@
         return entry.rate if self.settings.rates_listed and entry.rate > 0 else None
 
     def take_rates(self, to: Destination) -> None:
-        """Have each account go by what the list says now: by the first endpoint listed, where they differ."""
+        """Set each account's rate from the list; if its endpoints' rates differ, the first one applies."""
         told: dict[Account, float | None] = {}
         for it in to.endpoints.values():
             told.setdefault(it.account, self.listed_rate(it.entry))
@@ -97,7 +97,7 @@
                 account.set_rate(rate)
 
     def close(self, to: Destination) -> list[Message]:
-        """Keep nothing of a destination that no list names any more; what waits for it, and is to end now."""
+        """Schedule removal of a destination no longer listed; returns its queued messages, to be ended."""
         to.gone, to.look_us = True, self.now
         self.looks.appendleft((to.look_us, to.number))
         for account in to.accounts.values():
@@ -105,7 +105,7 @@
         return list(to.waiting.values())
 
     def awaken(self, number: int) -> Destination:
-        """The record of a destination, made anew from the list and what was kept if it slept."""
+        """Return a destination; if not in memory, create it from the list and its summary, if any."""
         if (to := self.destinations.get(number)) is None:
             to = self.destinations[number] = Destination(number, used_us=self.now)
             for entry in self.members.at(number):
@@ -122,7 +122,7 @@
         self.looks.append((to.look_us, to.number))
 
     def fold_some(self) -> None:
-        """Fold away what has been quiet, and forget what was folded and means nothing; a few a step."""
+        """Evict idle destinations and discard outdated summaries; a few in each step."""
         for _ in range(folding.LOOKS):
             if not self.looks or self.looks[0][0] > self.now:
                 break
@@ -144,7 +144,7 @@
             self.look_later(to)
 
     def put_away(self, to: Destination, kept: bytes) -> None:
-        """Let a destination sleep, with what is kept of it if anything is."""
+        """Remove a destination from memory and store its summary, if not empty."""
         del self.destinations[to.number]
         for name in to.endpoints:
             del self.endpoints[name]
@@ -153,7 +153,7 @@
             self.folded_looks.append((self.now + folding.FORGET_US, to.number))
 
     def forget_folded(self, number: int) -> None:
-        """Drop what was kept of a destination if a first message there would find it out of date."""
+        """Discard the summary of a destination if the next message would reset all of it as outdated."""
         kept, to = self.folded[number][1], self.awaken(number)
         folding.forget(to, self.now)
         self.put_away(to, kept if folding.fold(to, self.now, self.settings) else b"")
