--- a/amberlug/policy/membership.py
+++ b/amberlug/policy/membership.py
@@ -1,8 +1,8 @@
-"""Who is listed, where and in what phase: a table that costs little for each endpoint, awake or not.
+"""Compact table of all listed endpoints, with their destination and listing state.
 
-A row is one string of bytes, which the collector need not look at: of tens of thousands most are never asked
-for between two lists. Nothing here knows of calls, health or limits; what is known of those stands in
-`amberlug/policy/state.py` while a destination is awake, and in `amberlug/policy/folding.py` while it sleeps.
+A row is one bytes object, which the garbage collector does not track: of tens of thousands of rows most are
+never read between two list updates. Calls, health and limits are not stored here, but in
+`amberlug/policy/state.py` for destinations in use and in `amberlug/policy/folding.py` for evicted ones.
 """
 
 from __future__ import annotations
@@ -14,21 +14,21 @@
 
 from amberlug.policy.interface import Entry, State
 
-_ROW = struct.Struct("<qd?q")  # destination, rate, whether it drains, when it last started
+_ROW = struct.Struct("<qd?q")  # destination, rate, draining flag, last start
 _SEPARATOR = "\0"
-LOOKS = 4  # of what was listed, so many are looked at for each entry told
-BATCH = 100  # entries that a host reads, or applies in one round, at a time: a millisecond or two
+LOOKS = 4  # rows of the previous list that are compared per new entry
+BATCH = 100  # entries that a host reads, or applies in one step, at a time: one to two milliseconds
 
 
 def pack(entry: Entry) -> bytes:
-    """A row for what the list says of an endpoint, but its name."""
+    """Encode a list entry as a row, without the endpoint's name."""
     text = _SEPARATOR.join((entry.zone, entry.kind, entry.where))
     drains = entry.state is State.DRAINING
     return _ROW.pack(entry.destination, entry.rate, drains, entry.up_since_ms) + text.encode()
 
 
 def unpack(name: str, row: bytes) -> Entry:
-    """What the list says of the endpoint of that name, from its row."""
+    """Decode the list entry of an endpoint from its row."""
     destination, rate, drains, up_since_ms = _ROW.unpack_from(row)
     zone, kind, where = row[_ROW.size :].decode().split(_SEPARATOR, 2)
     state = State.DRAINING if drains else State.IN
@@ -36,7 +36,7 @@
 
 
 class Members:
-    """All endpoints that a list names, but those that are gone."""
+    """All listed endpoints that are not gone."""
 
     def __init__(self) -> None:
         self._rows: dict[str, bytes] = {}
@@ -52,36 +52,37 @@
         return iter(self._rows)
 
     def get(self, name: str) -> Entry | None:
-        """What the newest list says of an endpoint."""
+        """Return the current list entry of an endpoint."""
         row = self._rows.get(name)
         return unpack(name, row) if row is not None else None
 
     def serves(self, destination: int) -> bool:
-        """Whether an endpoint is listed there; one that drains counts until it is gone."""
+        """Whether an endpoint is listed for a destination; a draining one counts until it is gone."""
         return destination in self._of
 
     def at(self, destination: int) -> list[Entry]:
-        """Endpoints listed there, in the order listed."""
+        """Return the entries of a destination in the order listed."""
         return [unpack(name, self._rows[name]) for name in self._of.get(destination, ())]
 
     def row(self, name: str) -> bytes | None:
-        """What the table holds of an endpoint, to be compared with."""
+        """Return the encoded row of an endpoint, for comparison."""
         return self._rows.get(name)
 
     def put(self, entry: Entry) -> None:
-        """List an endpoint, or what has changed of it; one that is back in service is the last of its own."""
+        """Add or update an endpoint; one that returns to service becomes the last of its destination."""
         was = self.get(entry.endpoint)
         if was is not None and (was.state is not entry.state or was.destination != entry.destination):
             self.remove(entry.endpoint)
         name = entry.endpoint
         if name not in self._rows:
-            # A copy: what is kept must not hold pages of all that was made to read a long list.
+            # Copies the name, so that it does not keep memory pages alive that were allocated to parse a
+            # long list.
             name = name.encode().decode()
             self._of[entry.destination] = (*self._of.get(entry.destination, ()), name)
         self._rows[name] = pack(entry)
 
     def remove(self, name: str) -> Entry | None:
-        """Forget an endpoint; what the table said of it."""
+        """Remove an endpoint and return its entry."""
         if (row := self._rows.pop(name, None)) is None:
             return None
         entry = unpack(name, row)
@@ -94,23 +95,23 @@
 
 
 class Comparison:
-    """What a whole list or some news of it changes in the table; nothing is changed until all is read.
+    """Difference between the table and a whole list or a patch; the table is not changed while it is built.
 
-    It holds rows, not entries: of tens of thousands the collector would look at each, and hold all up.
+    It holds rows, not entries: garbage collection of tens of thousands of entries would block the event loop.
     """
 
     def __init__(self, members: Members) -> None:
         self._members = members
         self._listed = iter(members)
-        self._unseen: dict[str, None] = {}  # of those that were looked at: not told
-        self._early: set[str] = set()  # told before they were looked at
+        self._unseen: dict[str, None] = {}  # scanned old names that are not in the new list so far
+        self._early: set[str] = set()  # names in the new list that are not scanned yet
         self._gone: dict[str, None] = {}
         self._drained: dict[str, bytes] = {}
         self._altered: dict[str, bytes] = {}
         self._added: dict[str, bytes] = {}
 
     def add(self, entry: Entry) -> None:
-        """Take one entry in; of several for one endpoint the last counts."""
+        """Add one entry; of several for one endpoint the last one counts."""
         name = entry.endpoint
         for part in (self._gone, self._drained, self._altered, self._added):
             part.pop(name, None)
@@ -126,10 +127,10 @@
             del self._unseen[name]
         elif name in self._members:
             self._early.add(name)
-        self._look(LOOKS)  # so that neither a few changes nor a long list's end wait for a look at all
+        self._look(LOOKS)  # amortized: no full scan for a short patch or at the end of a long list
 
     def _look(self, count: int) -> bool:
-        """Look at some more of what was listed: whether there were any."""
+        """Scan up to `count` more names of the previous list; returns whether there were any."""
         more = False
         for name in islice(self._listed, count):
             more = True
@@ -140,12 +141,12 @@
         return more
 
     def batches(self, whole: bool) -> Iterator[tuple[Entry, ...]]:
-        """All that changes, in parts for one round each; what wants nothing new comes first."""
-        # What is gone drains at first, and goes last: a destination whose endpoint is replaced must not seem
-        # to have nobody between two parts, which would end all that it holds.
+        """Yield all changes in batches for one step each; endpoints that accept no new calls come first."""
+        # Removed endpoints are first marked as draining and removed last: a destination whose endpoint is
+        # replaced must not be without endpoints between two batches, which would end all its messages.
         while whole and self._look(LOOKS * BATCH):
             yield ()
-        gone = self._gone, self._unseen if whole else ()  # as they are: copies would hold the loop up
+        gone = self._gone, self._unseen if whole else ()  # not copied, since that would block the event loop
         yield from _cut(self._drained)
         for part in _parts(chain(*gone)):
             rows = ((name, self._members.row(name)) for name in part)
@@ -163,5 +164,5 @@
 
 
 def _cut(part: dict[str, bytes]) -> Iterator[tuple[Entry, ...]]:
-    for names in _parts(list(part)):  # used up as it goes: the table's rows take their place
+    for names in _parts(list(part)):  # emptied on the way: the rows move to the table
         yield tuple(unpack(name, part.pop(name)) for name in names)
