--- a/amberlug/policy/wirehost.py
+++ b/amberlug/policy/wirehost.py
@@ -1,6 +1,7 @@
-"""Host one `Sender` per relay on the simulator's text wire: parse, translate, write.
+"""Adapter that runs one sender per relay on the text protocol of the simulator.
 
-Run as `python -m amberlug.policy.wirehost`. Standard input carries batches, standard output the replies.
+Run as `python -m amberlug.policy.wirehost`. Reads batches of events from standard input and writes replies to
+standard output.
 """
 
 import json
@@ -37,7 +38,7 @@
 
 
 class WireError(ValueError):
-    """A line that the wire does not allow."""
+    """A line that violates the protocol."""
 
 
 def _fields(text: str) -> dict[str, str]:
@@ -150,7 +151,7 @@
     "PROBE_RESULT": _probed,
     "FROM_PEER": _note,
 }
-_IGNORED = ("HEAD_RECEIVED",)  # streamed classes only, which this kind of service has not
+_IGNORED = ("HEAD_RECEIVED",)  # for streamed message classes only, which this service does not have
 
 
 def _write(relay: int, action: api.Action) -> str:
@@ -182,14 +183,14 @@
 
 @dataclass(slots=True)
 class _Batch:
-    """The events of one batch, by relay in the order of their first event."""
+    """Events of one batch, grouped by relay in the order of the relays' first events."""
 
     now_us: int
     events: dict[int, list[api.Event]] = field(default_factory=dict)
 
 
 class Host:
-    """The relays of this process and the numbered lists that their events refer to."""
+    """The relays of this process and the numbered endpoint lists that their events refer to."""
 
     def __init__(self) -> None:
         self._senders: dict[int, LastingSender] = {}
@@ -198,7 +199,7 @@
         self._batch: _Batch | None = None
 
     def line(self, line: str) -> Iterable[str]:
-        """Take one line in; the line that closes a batch gives the lines of its reply."""
+        """Process one input line; the line that ends a batch returns the lines of its reply."""
         name, _, rest = line.partition(" ")
         if self._batch is None:
             if name != "MARK":
@@ -280,7 +281,7 @@
 
 
 def serve(source: IO[str], sink: IO[str]) -> None:
-    """Answer every batch of `source` on `sink` until input ends."""
+    """Answer every batch of `source` on `sink` until the end of input."""
     host = Host()
     for number, line in enumerate(source, 1):
         text = line.rstrip("\r\n")
@@ -294,7 +295,7 @@
 
 
 def main() -> int:
-    """Serve standard input; 0 at its end, 2 after one plain message on what is malformed."""
+    """Serve standard input; returns 0 at its end, or 2 after one error message for malformed input."""
     sys.stdin.reconfigure(encoding="utf-8")  # type: ignore[union-attr]
     sys.stdout.reconfigure(encoding="utf-8", newline="\n")  # type: ignore[union-attr]
     try:
