--- a/amberlug/policy/wirehost.py
+++ b/amberlug/policy/wirehost.py
@@ -25,13 +25,13 @@
     "skipped": api.Result.UNSENT,
 }
 _STATES = {"IN": api.State.IN, "LAME": api.State.DRAINING, "OUT": api.State.GONE}
-_LISTS = {
+_LIST_KINDS = {
     "patch": api.ListKind.PATCH,
     "whole": api.ListKind.WHOLE,
     "stale_copy": api.ListKind.STALE,
     "broken": api.ListKind.BROKEN,
 }
-_TO_THE_END = ("Setup", "What")
+_LAST_FIELDS = ("Setup", "What")  # their values extend to the end of the line
 
 Fields = Mapping[str, str]
 T = TypeVar("T")
@@ -41,27 +41,27 @@
     """A line that violates the protocol."""
 
 
-def _fields(text: str) -> dict[str, str]:
+def _parse_fields(text: str) -> dict[str, str]:
     found: dict[str, str] = {}
     while text:
         name, is_pair, rest = text.partition("=")
         if not is_pair or not name or " " in name:
             raise WireError(f"not a name=value pair: {text.split(' ', 1)[0]!r}")
-        if name in _TO_THE_END:
+        if name in _LAST_FIELDS:
             found[name] = rest
             break
         found[name], _, text = rest.partition(" ")
     return found
 
 
-def _text(fields: Fields, name: str) -> str:
+def _required(fields: Fields, name: str) -> str:
     if name not in fields:
         raise WireError(f"field {name} is missing")
     return fields[name]
 
 
-def _whole(fields: Fields, name: str, absent: int | None = None) -> int:
-    value = fields.get(name) if absent is not None else _text(fields, name)
+def _integer(fields: Fields, name: str, absent: int | None = None) -> int:
+    value = fields.get(name) if absent is not None else _required(fields, name)
     if value is None:
         return absent or 0
     try:
@@ -70,91 +70,93 @@
         raise WireError(f"field {name} is not a whole number: {value!r}") from None
 
 
-def _real(fields: Fields, name: str, absent: float) -> float:
+def _number(fields: Fields, name: str, absent: float) -> float:
     try:
         return float(fields.get(name, absent))
     except ValueError:
         raise WireError(f"field {name} is not a number: {fields[name]!r}") from None
 
 
-def _word(fields: Fields, name: str, words: Mapping[str, T]) -> T:
-    value = _text(fields, name)
+def _choice(fields: Fields, name: str, words: Mapping[str, T]) -> T:
+    value = _required(fields, name)
     if value not in words:
         raise WireError(f"field {name} is not known: {value!r}")
     return words[value]
 
 
-def _stats(fields: Fields) -> tuple[float, ...]:
+def _load_report(fields: Fields) -> tuple[float, ...]:
     text = fields.get("Stats", "")
     try:
         return tuple(float(part) for part in text.split(",") if part)
     except ValueError:
-        raise WireError(f"field Stats is not a row of numbers: {text!r}") from None
+        raise WireError(f"field Stats is not a list of numbers: {text!r}") from None
 
 
-def _taken(fields: Fields) -> api.Event:
+def _parse_message(fields: Fields) -> api.Event:
     tenant = fields.get("Party")
     return api.Taken(
-        ref=_whole(fields, "Ref"),
-        destination=_whole(fields, "Dest"),
-        message_class=_text(fields, "Profile"),
+        ref=_integer(fields, "Ref"),
+        destination=_integer(fields, "Dest"),
+        message_class=_required(fields, "Profile"),
         tenant=None if tenant in (None, "0", "") else tenant,
         key=fields.get("PathKey"),
-        left_us=_whole(fields, "LeftUs"),
+        left_us=_integer(fields, "LeftUs"),
     )
 
 
-def _outcome(fields: Fields) -> api.Event:
-    result = _word(fields, "StateCode", _RESULTS)
-    note = _whole(fields, "Note", 0)
+def _parse_outcome(fields: Fields) -> api.Event:
+    result = _choice(fields, "StateCode", _RESULTS)
+    note = _integer(fields, "Note", 0)
     return api.Outcome(
-        ref=_whole(fields, "Ref"),
-        attempt=_whole(fields, "RoundNo", 0),
-        endpoint=_text(fields, "Endpoint"),
+        ref=_integer(fields, "Ref"),
+        attempt=_integer(fields, "RoundNo", 0),
+        endpoint=_required(fields, "Endpoint"),
         result=result,
-        ended=_whole(fields, "Ended", 0) == 1,
-        took_us=_whole(fields, "TookUs", 0),
+        ended=_integer(fields, "Ended", 0) == 1,
+        took_us=_integer(fields, "TookUs", 0),
         wait_us=note * 1000 if result is api.Result.REFUSED else 0,
-        report=_stats(fields),
+        report=_load_report(fields),
     )
 
 
-def _probed(fields: Fields) -> api.Event:
-    result = _word(fields, "StateCode", _RESULTS)
-    return api.Probed(_text(fields, "Endpoint"), result, _whole(fields, "TookUs", 0), _stats(fields))
+def _parse_probe_result(fields: Fields) -> api.Event:
+    result = _choice(fields, "StateCode", _RESULTS)
+    return api.Probed(
+        _required(fields, "Endpoint"), result, _integer(fields, "TookUs", 0), _load_report(fields)
+    )
 
 
-def _note(fields: Fields) -> api.Event:
+def _parse_peer_note(fields: Fields) -> api.Event:
     text = fields.get("Data", "-")
     try:
-        return api.PeerNote(_whole(fields, "Neighbour"), b"" if text == "-" else bytes.fromhex(text))
+        return api.PeerNote(_integer(fields, "Neighbour"), b"" if text == "-" else bytes.fromhex(text))
     except ValueError as error:
         raise WireError(f"field Data is not hex digits: {error}") from None
 
 
-def _entry(fields: Fields) -> api.Entry:
+def _parse_entry(fields: Fields) -> api.Entry:
     return api.Entry(
-        endpoint=_text(fields, "Endpoint"),
-        zone=_text(fields, "Locality"),
-        kind=_text(fields, "Model"),
-        destination=_whole(fields, "Destination"),
-        state=_word(fields, "Availability", _STATES),
-        rate=_real(fields, "CapacityHint", 1.0),
+        endpoint=_required(fields, "Endpoint"),
+        zone=_required(fields, "Locality"),
+        kind=_required(fields, "Model"),
+        destination=_integer(fields, "Destination"),
+        state=_choice(fields, "Availability", _STATES),
+        rate=_number(fields, "CapacityHint", 1.0),
     )
 
 
-_EVENTS: dict[str, Callable[[Fields], api.Event]] = {
-    "NEW_REQUEST": _taken,
-    "REPORT_BACK": _outcome,
-    "EXPIRED": lambda fields: api.Withdrawn(_whole(fields, "Ref")),
-    "FIRED": lambda fields: api.Due(_whole(fields, "Label")),
-    "PROBE_RESULT": _probed,
-    "FROM_PEER": _note,
+_EVENT_PARSERS: dict[str, Callable[[Fields], api.Event]] = {
+    "NEW_REQUEST": _parse_message,
+    "REPORT_BACK": _parse_outcome,
+    "EXPIRED": lambda fields: api.Withdrawn(_integer(fields, "Ref")),
+    "FIRED": lambda fields: api.Due(_integer(fields, "Label")),
+    "PROBE_RESULT": _parse_probe_result,
+    "FROM_PEER": _parse_peer_note,
 }
-_IGNORED = ("HEAD_RECEIVED",)  # for streamed message classes only, which this service does not have
+_IGNORED_EVENTS = ("HEAD_RECEIVED",)  # for streamed message classes only, which this service does not have
 
 
-def _write(relay: int, action: api.Action) -> str:
+def _format_action(relay: int, action: api.Action) -> str:
     head = f"Relay={relay}"
     match action:
         case api.Send(ref=ref, endpoint=endpoint, until_us=until_us):
@@ -198,71 +200,71 @@
         self._open_list: tuple[list[api.Entry], int] | None = None
         self._batch: _Batch | None = None
 
-    def line(self, line: str) -> Iterable[str]:
+    def process_line(self, line: str) -> Iterable[str]:
         """Process one input line; the line that ends a batch returns the lines of its reply."""
         name, _, rest = line.partition(" ")
         if self._batch is None:
             if name != "MARK":
                 raise WireError("a batch must begin with MARK")
-            self._batch = _Batch(_whole(_fields(rest), "SimTimeUs"))
+            self._batch = _Batch(_integer(_parse_fields(rest), "SimTimeUs"))
             return ()
         if self._open_list is not None:
-            self._take_entry(name, rest)
+            self._add_entry(name, rest)
             return ()
         if name == "EOB":
             batch, self._batch = self._batch, None
             return self._reply(batch)
-        self._take_event(self._batch, name, _fields(rest))
+        self._add_event(self._batch, name, _parse_fields(rest))
         return ()
 
-    def _take_entry(self, name: str, rest: str) -> None:
+    def _add_entry(self, name: str, rest: str) -> None:
         if name != "ENDPOINT" or self._open_list is None:
-            raise WireError("an ENDPOINT of the list begun before is missing")
+            raise WireError("expected another ENDPOINT line of the open list")
         entries, left = self._open_list
-        entries.append(_entry(_fields(rest)))
+        entries.append(_parse_entry(_parse_fields(rest)))
         self._open_list = (entries, left - 1) if left > 1 else None
 
-    def _take_event(self, batch: _Batch, name: str, fields: Fields) -> None:
+    def _add_event(self, batch: _Batch, name: str, fields: Fields) -> None:
         if name == "LEDGER":
             entries: list[api.Entry] = []
-            count = _whole(fields, "Hosts")
-            self._lists[_whole(fields, "RosterId")] = entries
+            count = _integer(fields, "Hosts")
+            self._lists[_integer(fields, "RosterId")] = entries
             self._open_list = (entries, count) if count > 0 else None
             return
-        if name in _IGNORED:
-            self._known(fields)
+        if name in _IGNORED_EVENTS:
+            self._started_relay(fields)
             return
         if name == "ENLIST":
-            relay = _whole(fields, "Relay")
+            relay = _integer(fields, "Relay")
             try:
-                settings = read_settings(json.loads(_text(fields, "Setup")))
+                settings = read_settings(json.loads(_required(fields, "Setup")))
             except json.JSONDecodeError as error:
                 raise WireError(f"field Setup is not JSON: {error}") from None
-            self._senders[relay] = LastingSender(settings, _whole(fields, "RandomSeed"))
+            self._senders[relay] = LastingSender(settings, _integer(fields, "RandomSeed"))
             batch.events[relay] = []
             return
-        relay = self._known(fields)
+        relay = self._started_relay(fields)
         if name == "RETIRE":
             del self._senders[relay]
             batch.events.pop(relay, None)
         elif name == "ENDPOINTS":
-            batch.events.setdefault(relay, []).append(self._listed(fields))
-        elif name in _EVENTS:
-            batch.events.setdefault(relay, []).append(_EVENTS[name](fields))
+            batch.events.setdefault(relay, []).append(self._list_update(fields))
+        elif name in _EVENT_PARSERS:
+            batch.events.setdefault(relay, []).append(_EVENT_PARSERS[name](fields))
         else:
             raise WireError("the event is not known")
 
-    def _known(self, fields: Fields) -> int:
-        relay = _whole(fields, "Relay")
+    def _started_relay(self, fields: Fields) -> int:
+        relay = _integer(fields, "Relay")
         if relay not in self._senders:
             raise WireError(f"relay {relay} has not been started")
         return relay
 
-    def _listed(self, fields: Fields) -> api.Event:
-        kind = _word(fields, "Kind", _LISTS)
+    def _list_update(self, fields: Fields) -> api.Event:
+        kind = _choice(fields, "Kind", _LIST_KINDS)
         if kind is api.ListKind.BROKEN:
             return api.Listed(kind, ())
-        number = _whole(fields, "RosterId")
+        number = _integer(fields, "RosterId")
         if number not in self._lists:
             raise WireError(f"list {number} has not been sent")
         return api.Listed(kind, tuple(self._lists[number]))
@@ -276,7 +278,7 @@
                 yield f"PANIC Relay={relay} What={text}"
                 continue
             for action in actions:
-                yield _write(relay, action)
+                yield _format_action(relay, action)
         yield "END"
 
 
@@ -286,7 +288,7 @@
     for number, line in enumerate(source, 1):
         text = line.rstrip("\r\n")
         try:
-            reply = "".join(f"{part}\n" for part in host.line(text))
+            reply = "".join(f"{part}\n" for part in host.process_line(text))
         except ValueError as error:
             raise WireError(f"line {number}: {error} in {text[:80]!r}") from None
         if reply:
