--- a/amberlug/cli/learnings.py
+++ b/amberlug/cli/learnings.py
@@ -19,7 +19,7 @@
 from amberlug.learning.facts import Kept
 from amberlug.learning.learner import Learner
 from amberlug.learning.store import Store
-from amberlug.policy.account import OPEN
+from amberlug.policy.account import UNLIMITED
 from amberlug.policy.state import NEVER
 
 ROOM = 1 << 30  # bytes: a folder of any installation is read
@@ -139,7 +139,7 @@
             {
                 "route": it.route,
                 "answer_s": round(it.usual_us / SECOND, 3),
-                "limit": None if it.learned == OPEN else round(it.learned, 3),
+                "limit": None if it.learned == UNLIMITED else round(it.learned, 3),
                 "weights": {
                     "answer_s": round(ageing.weight(gap_us, ageing.ANSWERS_US), 3),
                     "limit": round(ageing.weight(gap_us, ageing.LIMIT_US), 3),
--- a/amberlug/learning/ageing.py
+++ b/amberlug/learning/ageing.py
@@ -9,7 +9,7 @@
 from dataclasses import replace
 
 from amberlug.policy import interface as api
-from amberlug.policy.account import FIRST_GUESS_US, OPEN, SECOND
+from amberlug.policy.account import INITIAL_ANSWER_US, SECOND, UNLIMITED
 from amberlug.policy.state import NEVER
 
 MINUTE = 60 * SECOND
@@ -43,7 +43,7 @@
 
     `usual_us` is the answer time that is usual for its kind, 0 where that is not known.
     """
-    prior_us = usual_us or FIRST_GUESS_US
+    prior_us = usual_us or INITIAL_ANSWER_US
     answers = weight(gap_us, ANSWERS_US)
     learned, learned_us = limit(it, now_us, gap_us)
     paces = weight(gap_us, PACE_US)
@@ -63,8 +63,8 @@
     counts for less than windows do, or each restart would begin with more than was ever taken.
     """
     grown = 1.0 / max(weight(gap_us, LIMIT_US), 1e-9)
-    if it.learned == OPEN or grown > LIFT_MOST:
-        return OPEN, 0
+    if it.learned == UNLIMITED or grown > LIFT_MOST:
+        return UNLIMITED, 0
     return it.learned * grown, min(now_us, it.learned_us + gap_us)
 
 
--- a/amberlug/learning/facts.py
+++ b/amberlug/learning/facts.py
@@ -14,7 +14,7 @@
 
 from amberlug.core.ports import Wait
 from amberlug.policy import interface as api
-from amberlug.policy.account import KEPT, OPEN
+from amberlug.policy.account import HISTORY_SIZE, UNLIMITED
 from amberlug.policy.state import NEVER
 
 DESTINATION, WAIT, KIND, TENANT = b"D", b"W", b"K", b"T"
@@ -93,7 +93,7 @@
             min(it.usual_us, WAIT_MOST_US),
             it.pace,
             it.pace_us,
-            it.learned if it.learned < OPEN else None,
+            it.learned if it.learned < UNLIMITED else None,
             it.learned_us,
         ]
         for it in known.routes
@@ -138,7 +138,7 @@
         tuple(
             [
                 api.KnownRoute(
-                    route, usual_us, pace, pace_us, OPEN if learned is None else learned, learned_us
+                    route, usual_us, pace, pace_us, UNLIMITED if learned is None else learned, learned_us
                 )
                 for route, usual_us, pace, pace_us, learned, learned_us in routes
             ]
@@ -200,7 +200,7 @@
                 and type(wide) in _REAL
                 and 0 <= wide <= 10
                 and type(starts) is list
-                and len(starts) <= KEPT
+                and len(starts) <= HISTORY_SIZE
             )
             for start in starts:
                 sound = sound and type(start) is int and NEVER <= start <= latest_us
--- a/amberlug/learning/learner.py
+++ b/amberlug/learning/learner.py
@@ -17,7 +17,7 @@
 from amberlug.learning.facts import Kept, Usual
 from amberlug.learning.store import Store
 from amberlug.policy import interface as api
-from amberlug.policy.account import FIRST_GUESS_US, OPEN
+from amberlug.policy.account import INITIAL_ANSWER_US, UNLIMITED
 from amberlug.policy.state import NEVER
 
 HOUR_MS = 3_600_000
@@ -126,7 +126,7 @@
             if (record := self._store.records.get(prefix + name.encode())) is not None:
                 wait = facts.unpack_wait(record, now_us + facts.WAIT_MOST_US)
                 until_us = now_us + wait.left_us(now_us, self._clock.boot)
-                route = route or api.KnownRoute(name, FIRST_GUESS_US, 1.0, 0, OPEN, 0)
+                route = route or api.KnownRoute(name, INITIAL_ANSWER_US, 1.0, 0, UNLIMITED, 0)
                 route = replace(route, blocked_until_us=until_us, told_us=wait.length_us)
             if route is not None:
                 yield route
@@ -346,7 +346,7 @@
             routes.append(ageing.route(route, now_us, gap_us, _prior(usual, kind).answer_us))
     if not known.routes:
         routes += [
-            api.KnownRoute(route, int(answer_us), 1.0, 0, OPEN, 0)
+            api.KnownRoute(route, int(answer_us), 1.0, 0, UNLIMITED, 0)
             for route, answer_us in _never_met(entries, usual)
         ]
     return api.Known(known.destination, tuple(routes), tuple(endpoints))
@@ -383,7 +383,7 @@
             for entry, it in ones
         ]
         limits = {
-            route: api.KnownRoute(route, FIRST_GUESS_US, 1.0, 0, it.learned, it.learned_us)
+            route: api.KnownRoute(route, INITIAL_ANSWER_US, 1.0, 0, it.learned, it.learned_us)
             for entry, it in ones
             for route in ("", entry.endpoint)  # which of both it is, the module knows
         }
--- a/amberlug/policy/account.py
+++ b/amberlug/policy/account.py
@@ -13,27 +13,41 @@
 from amberlug.policy import interface as api
 
 SECOND = 1_000_000
-OPEN = float("inf")
+UNLIMITED = float("inf")
 WINDOW_US = SECOND  # minimum w: longer delays bursts that the limit allows, shorter overruns it at the edges
-STEPS = 50  # s = w / STEPS; fewer are cheaper but open later
-LEAST_UNITS = 2  # minimum M from a rate: of many relays few send at once, and refusals correct the rest
-ROOM = 2.5  # M relative to an even share of the rate: traffic is uneven, and refusals correct an excess
-RISE = 1.25  # growth of a learned M per window without a refusal
-LIFT = 8  # windows without refusal that discard a learned M; fewer find a lifted limit sooner, refused more
-KEPT = 128  # buckets, and call starts for the cold-start limit, that are kept: bounds memory
-TRIES = 2  # w is at most the longest message deadline over this; fewer attempts leave more to other relays
-FLOOR = 0.7  # minimum learned M relative to an even share of the rate: less leaves the limit underused
-MANY = 5  # from this many relays on, refusals reflect the load of all relays and the following rules apply
-EVEN_ROOM = 1.5  # replaces ROOM then, except for small rates: an excess at many relays at once is refused
-LEAST_PART = 0.5  # minimum M then: of hundreds few have messages, and less would delay a second message
-FIRST = 0.6  # factor of M learned from the first refusal then: all relays over the limit learn it at once
-PAUSE_US = SECOND  # maximum initial pause after a refusal then, doubled with each consecutive one
-PAUSES = 3  # distinct pause lengths: longer ones leave a limit unused that has capacity again
-CROWD = 0.25  # M is divided by the number of relays to this power: more of them may be waiting unseen
-PATIENCE = 10  # multiple of the usual answer time after which a call is overdue; less abandons useful work
-LEAST_PATIENCE_US = 3 * SECOND  # minimum: a few fast answers must not make a slow one overdue
-FIRST_GUESS_US = SECOND // 2  # usual answer time assumed before the first answer
-SLOT_SHARE = 0.5  # share of the slots that one account may hold, so that others can send
+WINDOW_STEPS = 50  # s = w / WINDOW_STEPS; fewer are cheaper but open later
+MIN_UNITS = 2  # minimum M from a rate: of many relays few send at once, and refusals correct the rest
+# M relative to an even share of the rate: traffic is uneven, and refusals correct an excess.
+RATE_HEADROOM = 2.5
+LIMIT_GROWTH = 1.25  # growth of a learned M per window without a refusal
+# Windows without refusal after which a learned M is discarded; fewer find a lifted limit sooner but cause
+# more refusals.
+LIMIT_LIFETIME_WINDOWS = 8
+HISTORY_SIZE = 128  # buckets, and call starts for the cold-start limit, that are kept: bounds memory
+# w is at most the longest message deadline over this; fewer attempts leave more to other relays.
+MIN_ATTEMPTS = 2
+# Minimum learned M relative to an even share of the rate: less leaves the limit underused.
+MIN_LEARNED_SHARE = 0.7
+# From this many relays on, refusals reflect the load of all relays and the rules for large fleets apply.
+LARGE_FLEET_RELAYS = 5
+# Replaces RATE_HEADROOM in a large fleet, except for small rates: an excess at many relays is refused.
+LARGE_FLEET_HEADROOM = 1.5
+# Minimum M in a large fleet: of hundreds few have messages, and less would delay a second message.
+LARGE_FLEET_MIN_UNITS = 0.5
+# Factor of M learned from the first refusal in a large fleet: all relays over the limit learn it at once.
+FIRST_REFUSAL_FACTOR = 0.6
+# Maximum initial pause after a refusal in a large fleet, doubled with each consecutive one.
+MAX_FIRST_PAUSE_US = SECOND
+PAUSE_LENGTHS = 3  # distinct pause lengths: longer ones leave a limit unused that has capacity again
+# M is divided by the number of relays to this power: more of them may be waiting unseen.
+FLEET_SIZE_EXPONENT = 0.25
+# Multiple of the usual answer time after which a call is overdue; less abandons useful work.
+OVERDUE_FACTOR = 10
+MIN_PATIENCE_US = (
+    3 * SECOND
+)  # minimum time until a call is overdue: a few fast answers must not make a slow one overdue
+INITIAL_ANSWER_US = SECOND // 2  # usual answer time assumed before the first answer
+MAX_SLOT_SHARE = 0.5  # share of the slots that one account may hold, so that others can send
 
 
 class Started(Protocol):
@@ -69,11 +83,11 @@
     """Rate limit state of a destination, or of one route if its routes have separate limits."""
 
     def __init__(self, settings: api.Settings, rate: float | None) -> None:
-        self.settings, self.many = settings, settings.relays >= MANY
+        self.settings, self.many = settings, settings.relays >= LARGE_FLEET_RELAYS
         self.reserved: dict[Started, None] = {}  # oldest first
-        self.blocked_until, self.usual_us = 0, FIRST_GUESS_US
+        self.blocked_until, self.usual_us = 0, INITIAL_ANSWER_US
         self.told_us = 0  # the last Retry-After wait before a restart
-        self.learned, self.learned_us = OPEN, 0  # M learned from the last refusal, and its time
+        self.learned, self.learned_us = UNLIMITED, 0  # M learned from the last refusal, and its time
         self.streak, self.paused_until = 0, 0  # refusals since a call was last accepted; end of the pause
         self.pace, self.pace_us = 1.0, 0  # own successful calls per second, and its last update
         self.listed = rate  # rate from the endpoint list, regardless of rates reported later
@@ -81,24 +95,28 @@
 
     def set_rate(self, rate: float | None) -> None:
         """Set M and w from a listed or reported rate for all relays; without a rate M is unlimited."""
-        self.rate, self.units, self.window, self.even = rate, OPEN, WINDOW_US, 0.0
+        self.rate, self.units, self.window, self.even = rate, UNLIMITED, WINDOW_US, 0.0
         if rate is not None:
             self.even = rate * self.window / SECOND / self.settings.relays
-            room = self.even * min(self.settings.relays, ROOM)
-            self.units = max(LEAST_UNITS, room)
+            room = self.even * min(self.settings.relays, RATE_HEADROOM)
+            self.units = max(MIN_UNITS, room)
             if self.many:
-                few = max(LEAST_PART, room) if room <= 1 else round(min(room, LEAST_UNITS))
-                self.units = max(few, EVEN_ROOM * self.even)
+                few = max(LARGE_FLEET_MIN_UNITS, room) if room <= 1 else round(min(room, MIN_UNITS))
+                self.units = max(few, LARGE_FLEET_HEADROOM * self.even)
         self.stretched = self.window
-        self.longest = max(kind.deadline_us for kind in self.settings.classes.values()) // TRIES
-        self.buckets = Buckets(self.window // STEPS, KEPT)
+        self.longest = max(kind.deadline_us for kind in self.settings.classes.values()) // MIN_ATTEMPTS
+        self.buckets = Buckets(self.window // WINDOW_STEPS, HISTORY_SIZE)
 
     def limit(self, at_us: int) -> float:
         quiet = (at_us - self.learned_us) // self.stretched
-        return self.units if quiet >= LIFT else min(self.units, self.learned * RISE**quiet)
+        return (
+            self.units
+            if quiet >= LIMIT_LIFETIME_WINDOWS
+            else min(self.units, self.learned * LIMIT_GROWTH**quiet)
+        )
 
     def patience_us(self) -> int:
-        return max(LEAST_PATIENCE_US, PATIENCE * self.usual_us)
+        return max(MIN_PATIENCE_US, OVERDUE_FACTOR * self.usual_us)
 
     def overdue(self, at_us: int) -> int:
         """Count overdue calls: they no longer count as reservations; `crowded` limits them instead."""
@@ -107,7 +125,7 @@
 
     def crowded(self, now_us: int) -> bool:
         """Whether a destination holds its maximum of slots; keeps a silent or slow one from taking all."""
-        share = SLOT_SHARE / (5 if self.overdue(now_us) else 1)
+        share = MAX_SLOT_SHARE / (5 if self.overdue(now_us) else 1)
         return len(self.reserved) >= max(1, self.settings.slots * share)
 
     def inside(self, at_us: int) -> Iterator[tuple[int, int, int]]:  # w is longer if M is below one
@@ -134,13 +152,15 @@
         # one unit each would exceed it.
         limit, least = self.limit(now_us), max(1.0, self.even)
         taken_on = sum(done for *_, done in self.buckets.inside(now_us, self.window))
-        lowest = min(self.even or OPEN, max(FLOOR * self.even, self.window / self.longest))
-        lower = max(limit * part / self.settings.relays**CROWD, lowest)
-        first = max(least, taken_on) * (FIRST if self.many else 1.0)
+        lowest = min(self.even or UNLIMITED, max(MIN_LEARNED_SHARE * self.even, self.window / self.longest))
+        lower = max(limit * part / self.settings.relays**FLEET_SIZE_EXPONENT, lowest)
+        first = max(least, taken_on) * (FIRST_REFUSAL_FACTOR if self.many else 1.0)
         self.learned = first if limit > least else lower
         self.learned_us, self.stretched = now_us, int(self.window / min(1.0, self.learned))
         if self.many:
             # Prevents a fleet from staying slightly over a limit that refused calls consume too, so that no
             # call is accepted any more. Cost: a delay of up to a second after a single chance refusal.
-            self.paused_until = now_us + int(PAUSE_US * part * 2 ** min(self.streak, PAUSES - 1))
+            self.paused_until = now_us + int(
+                MAX_FIRST_PAUSE_US * part * 2 ** min(self.streak, PAUSE_LENGTHS - 1)
+            )
             self.streak += 1
--- a/amberlug/policy/decide.py
+++ b/amberlug/policy/decide.py
@@ -9,7 +9,7 @@
 
 from amberlug.policy import folding
 from amberlug.policy import interface as api
-from amberlug.policy.account import FIRST_GUESS_US, OPEN, SECOND, SLOT_SHARE
+from amberlug.policy.account import INITIAL_ANSWER_US, MAX_SLOT_SHARE, SECOND, UNLIMITED
 from amberlug.policy.interface import Effect, Group, ListKind, Result
 from amberlug.policy.state import TURNS, Call, Destination, Endpoint, Message
 from amberlug.policy.tables import SPREAD, Tables
@@ -94,7 +94,7 @@
         elif target.ref in self.messages:
             grace = target.deadline_us + self.settings.answer_slack_us // 2
             if self.now < target.deadline_us:  # the answer is late: a second copy may go if slots allow
-                if len(target.out) == 1 and self.slots_out <= self.settings.slots * SLOT_SHARE:
+                if len(target.out) == 1 and self.slots_out <= self.settings.slots * MAX_SLOT_SHARE:
                     target.destination.waiting[target.ref] = target
                     self.touched[target.destination] = None
             elif target.out and self.now < grace:  # the attempt's own time-out comes first
@@ -181,7 +181,7 @@
             if result in (Result.DONE, Result.TIMED_OUT):  # else retries would overload a slow one
                 account.usual_us += (self.now - call.start_us - account.usual_us) // 8
             told = dict(zip(self.settings.report_names, report, strict=False)).get("x1", 0.0)
-            if told > 0 and abs(told / (account.rate or OPEN) - 1) > RATE_NOISE:
+            if told > 0 and abs(told / (account.rate or UNLIMITED) - 1) > RATE_NOISE:
                 account.set_rate(told)
             if result not in (Result.UNSENT, Result.CALLED_OFF, Result.SPOILT):  # no health signal
                 self.judge(endpoint, call.start_us, result, wait_us)
@@ -300,13 +300,13 @@
         return first and may_repeat(message, self.now) and message.attempts < self.settings.most_attempts
 
     def loss(self, message: Message, delay_us: int = SECOND) -> float:
-        soon, halving = self.now + FIRST_GUESS_US, self.settings.halving
+        soon, halving = self.now + INITIAL_ANSWER_US, self.settings.halving
         return message.worth_at(soon, halving) - message.worth_at(soon + delay_us, halving)
 
     def urgency(self, destination: Destination) -> float:
         """Value lost by delaying a destination, per time that its call would hold a slot."""
         # Keeps slow destinations from starving fast ones when slots are scarce: the c-mu scheduling rule.
-        usual = min((it.usual_us for it in destination.accounts.values()), default=FIRST_GUESS_US)
+        usual = min((it.usual_us for it in destination.accounts.values()), default=INITIAL_ANSWER_US)
         return self.loss(next(iter(destination.waiting.values()))) / max(usual, SECOND // 100)
 
     def order(self, destination: Destination) -> list[Message]:
@@ -318,7 +318,7 @@
 
     def openings(self, destination: Destination) -> Iterator[tuple[Endpoint, int]]:
         """Endpoints with a slot and a connection available, and when each may next be called."""
-        few = FEW if self.slots_out <= self.settings.slots * SLOT_SHARE else 1  # when slots are scarce
+        few = FEW if self.slots_out <= self.settings.slots * MAX_SLOT_SHARE else 1  # when slots are scarce
         for endpoint in destination.endpoints.values():
             endpoint.forget_idle(self.now - self.settings.idle_us)
             new = not endpoint.idle and self.now < endpoint.table_until
--- a/amberlug/policy/folding.py
+++ b/amberlug/policy/folding.py
@@ -11,7 +11,7 @@
 import marshal
 from collections import deque
 
-from amberlug.policy.account import FIRST_GUESS_US, KEPT, OPEN, SECOND, TRIES, Account
+from amberlug.policy.account import HISTORY_SIZE, INITIAL_ANSWER_US, MIN_ATTEMPTS, SECOND, UNLIMITED, Account
 from amberlug.policy.interface import Known, KnownEndpoint, KnownRoute, Settings
 from amberlug.policy.state import NEVER, Destination, Endpoint
 
@@ -33,7 +33,9 @@
 
 def quiet_us(settings: Settings) -> int:
     """Idle time before eviction: by then connections are closed and no bucket is in the window."""
-    longest = max(kind.deadline_us for kind in settings.classes.values()) // TRIES  # maximum length of w
+    longest = (
+        max(kind.deadline_us for kind in settings.classes.values()) // MIN_ATTEMPTS
+    )  # maximum length of w
     return max(QUIET_US, settings.idle_us, longest) + SECOND
 
 
@@ -58,8 +60,8 @@
 
 def start_afresh(account: Account) -> None:
     """Reset what was learned from removed endpoints, except Retry-After waits and calls in flight."""
-    account.usual_us, account.pace, account.pace_us = FIRST_GUESS_US, 1.0, 0
-    account.learned, account.learned_us, account.listed = OPEN, 0, None
+    account.usual_us, account.pace, account.pace_us = INITIAL_ANSWER_US, 1.0, 0
+    account.learned, account.learned_us, account.listed = UNLIMITED, 0, None
     account.streak, account.paused_until = 0, 0
     account.set_rate(None)
 
@@ -69,11 +71,11 @@
     # Keeps answer times and failures of weeks ago from deciding today's first calls. Possible cost: at a slow
     # destination the first call is overdue too early, and counts as a reservation for a shorter time.
     for account in to.accounts.values():
-        account.usual_us, account.pace, account.pace_us = FIRST_GUESS_US, 1.0, 0
+        account.usual_us, account.pace, account.pace_us = INITIAL_ANSWER_US, 1.0, 0
         if account.blocked_until <= now_us:
             account.blocked_until = 0
         if account.limit(now_us) >= account.units:
-            account.learned, account.learned_us, account.stretched = OPEN, 0, account.window
+            account.learned, account.learned_us, account.stretched = UNLIMITED, 0, account.window
             account.streak, account.paused_until = 0, 0
         if account.listed != account.rate:
             account.set_rate(account.listed)
@@ -169,7 +171,7 @@
             it.unmet,
             starts,
         ) = numbers
-        it.starts = deque(starts, maxlen=KEPT)
+        it.starts = deque(starts, maxlen=HISTORY_SIZE)
 
 
 def known(to: Destination) -> Known:
--- a/amberlug/policy/lasting.py
+++ b/amberlug/policy/lasting.py
@@ -12,7 +12,7 @@
 
 from amberlug.policy import folding
 from amberlug.policy import interface as api
-from amberlug.policy.account import OPEN, Account
+from amberlug.policy.account import UNLIMITED, Account
 from amberlug.policy.decide import ANSWER_WEIGHT, MAY_HAVE_RUN, Sender, may_refuse, may_repeat
 from amberlug.policy.interface import Effect, Group, Result, State
 from amberlug.policy.state import NEVER, Call, Destination, Endpoint, Message
@@ -39,7 +39,7 @@
     waking = False  # whether a destination is being created from the list
     usual_worth = 0.0  # average value of recent messages
     stale_rate = 0.0  # share of recent calls on reused connections that were reset
-    list_good_until = OPEN  # after this time an endpoint may be draining without this relay knowing
+    list_good_until = UNLIMITED  # after this time an endpoint may be draining without this relay knowing
     list_told_old = False  # whether the log says that the list is too old
 
     def __init__(self, settings: api.Settings, seed: int, recall: api.Recall | None = None) -> None:
@@ -56,7 +56,7 @@
         super().step(now_us, events)
         if old and self.list_told_old:
             self.list_told_old = False
-            self.actions.append(api.Log("list: confirmed again; messages are taken on and sent as before"))
+            self.actions.append(api.Log("list: confirmed again; messages are accepted and sent as before"))
         own = [it for it in events if old or isinstance(it, api.Resumed | api.Closing)]
         for event in own:
             if isinstance(event, api.Resumed):
@@ -93,8 +93,8 @@
         if not self.list_told_old:
             self.list_told_old = True
             late_s = (self.now - self.list_good_until) / 1e6
-            text = f"list: too old for {late_s:.1f} s, since discovery does not confirm it: "
-            self.actions.append(api.Log(text + "nothing is taken on or sent until it does"))
+            text = f"list: too old for {late_s:.1f} s, not confirmed by discovery; "
+            self.actions.append(api.Log(text + "no messages are accepted or sent until it is confirmed"))
 
     def stale(self, label: int) -> bool:
         """Whether the message of a timer has ended; the timer is discarded then."""
--- a/amberlug/policy/tables.py
+++ b/amberlug/policy/tables.py
@@ -8,7 +8,7 @@
 import random
 
 from amberlug.policy import interface as api
-from amberlug.policy.account import OPEN, SECOND
+from amberlug.policy.account import SECOND, UNLIMITED
 from amberlug.policy.interface import Result
 from amberlug.policy.state import Endpoint
 from amberlug.policy.waking import Awake
@@ -66,7 +66,7 @@
         if not self.reused and (result is Result.DONE or wait_us):
             self.past_us[zone] = min(took_us, self.past_us.get(zone, took_us))
         refused = result is Result.REFUSED and not wait_us and not self.reused
-        soon = took_us < SOON * self.past_us.get(zone, OPEN)  # a full table answers without a handshake
+        soon = took_us < SOON * self.past_us.get(zone, UNLIMITED)  # a full table answers without a handshake
         if not (refused and soon):
             endpoint.unmet = 0
             if not self.reused and result is Result.DONE:
--- a/amberlug/policy/waking.py
+++ b/amberlug/policy/waking.py
@@ -8,7 +8,7 @@
 
 from amberlug.policy import folding
 from amberlug.policy import interface as api
-from amberlug.policy.account import KEPT, Account
+from amberlug.policy.account import HISTORY_SIZE, Account
 from amberlug.policy.interface import ListKind, State
 from amberlug.policy.state import Destination, Endpoint, Message, Records
 
@@ -76,7 +76,7 @@
             made = Endpoint(
                 entry,
                 account,
-                deque(maxlen=KEPT),
+                deque(maxlen=HISTORY_SIZE),
                 keep_us=0 if entry.kind in self.small_tables else self.first_keep_us,
             )
             to.endpoints[name] = self.endpoints[name] = made
--- a/benchmarks/learning.py
+++ b/benchmarks/learning.py
@@ -21,7 +21,7 @@
 from amberlug.learning.learner import Learner
 from amberlug.learning.store import Store
 from amberlug.policy import interface as api
-from amberlug.policy.account import OPEN, SECOND
+from amberlug.policy.account import SECOND, UNLIMITED
 from amberlug.policy.state import NEVER
 
 MINUTE, HOUR, WEEK = 60.0, 3600.0, 7 * 86400.0
@@ -59,7 +59,7 @@
     entry = api.Entry(f"endpoint-{number}", "a", "club", number, api.State.IN, 5.0)
     rate = rng.random()
     health = api.KnownEndpoint(entry, False, NEVER, now_us - SECOND, now_us, None, rate, False, 1.0, ())
-    route = api.KnownRoute("", int(rate * SECOND), 2.0, now_us, OPEN if rate < 0.8 else 5.0, now_us)
+    route = api.KnownRoute("", int(rate * SECOND), 2.0, now_us, UNLIMITED if rate < 0.8 else 5.0, now_us)
     return api.Known(number, (route,), (health,))
 
 
--- a/tests/test_account.py
+++ b/tests/test_account.py
@@ -3,7 +3,13 @@
 import pytest
 
 from amberlug.policy import interface as api
-from amberlug.policy.account import LIFT, OPEN, PAUSE_US, RISE, Account
+from amberlug.policy.account import (
+    LIMIT_GROWTH,
+    LIMIT_LIFETIME_WINDOWS,
+    MAX_FIRST_PAUSE_US,
+    UNLIMITED,
+    Account,
+)
 from amberlug.policy.interface import Entry, Result, State
 from amberlug.policy.settings import read_settings
 from amberlug.policy.state import Call, Endpoint
@@ -25,7 +31,7 @@
 def test_listed_rate_sets_units_and_window() -> None:
     one = account(4.0)
     assert (one.units, one.window) == (4.0, SECOND)
-    assert account(None).units == OPEN
+    assert account(None).units == UNLIMITED
 
 
 def test_admission_counts_consumptions_and_reservations() -> None:
@@ -72,8 +78,8 @@
     consumed(one, now, Result.REFUSED)
     one.refused(now, 0.5)
     assert one.limit(now) == 3
-    assert one.limit(now + SECOND) == pytest.approx(3 * RISE)
-    assert one.limit(now + LIFT * SECOND) == OPEN
+    assert one.limit(now + SECOND) == pytest.approx(3 * LIMIT_GROWTH)
+    assert one.limit(now + LIMIT_LIFETIME_WINDOWS * SECOND) == UNLIMITED
 
 
 def test_a_refusal_leaves_at_least_one_unit() -> None:
@@ -134,7 +140,7 @@
     one.buckets.add(now, True, False)
     assert one.opening(now) == now + 2 * SECOND
     assert one.limit(now + SECOND) == 0.5
-    assert one.limit(now + 2 * SECOND) == pytest.approx(0.5 * RISE)
+    assert one.limit(now + 2 * SECOND) == pytest.approx(0.5 * LIMIT_GROWTH)
 
 
 def test_many_relays_cut_further_and_no_further_than_the_even_part() -> None:
@@ -234,7 +240,14 @@
         return [*pauses, account.paused_until - relay.now]
 
     longest, drawn = refused(1.0), refused(0.6)
-    assert longest == [PAUSE_US, 2 * PAUSE_US, 4 * PAUSE_US, 4 * PAUSE_US, 4 * PAUSE_US, PAUSE_US]
+    assert longest == [
+        MAX_FIRST_PAUSE_US,
+        2 * MAX_FIRST_PAUSE_US,
+        4 * MAX_FIRST_PAUSE_US,
+        4 * MAX_FIRST_PAUSE_US,
+        4 * MAX_FIRST_PAUSE_US,
+        MAX_FIRST_PAUSE_US,
+    ]
     assert drawn == [pytest.approx(0.6 * it) for it in longest]  # so that relays part ways
 
 
--- a/tests/test_folding.py
+++ b/tests/test_folding.py
@@ -11,7 +11,7 @@
 
 from amberlug.policy import folding
 from amberlug.policy import interface as api
-from amberlug.policy.account import FIRST_GUESS_US
+from amberlug.policy.account import INITIAL_ANSWER_US
 from amberlug.policy.decide import FEW, FRESH_SHARE
 from amberlug.policy.interface import Result, State
 from amberlug.policy.lasting import LastingSender
@@ -220,12 +220,12 @@
     relay.now += 2 * SECOND
     relay.answer(1, 0)
     usual_us = relay.endpoint("a").account.usual_us
-    assert usual_us > FIRST_GUESS_US
+    assert usual_us > INITIAL_ANSWER_US
     asleep(relay)
     assert relay.endpoint("a").account.usual_us == usual_us
     asleep(relay, HOUR)
     relay.step(relay.take())
-    assert relay.endpoint("a").account.usual_us == FIRST_GUESS_US
+    assert relay.endpoint("a").account.usual_us == INITIAL_ANSWER_US
 
 
 def gone(state: State = State.GONE) -> api.Listed:
@@ -277,7 +277,7 @@
     back = relay.endpoint("a")
     assert back.failure_rate == 0
     assert not back.cold
-    assert back.account.usual_us == FIRST_GUESS_US
+    assert back.account.usual_us == INITIAL_ANSWER_US
 
 
 def test_a_whole_list_takes_off_what_sleeps() -> None:
--- a/tests/test_learning.py
+++ b/tests/test_learning.py
@@ -21,7 +21,7 @@
 from amberlug.learning.learner import Learner
 from amberlug.learning.store import RETRY_US, Store
 from amberlug.policy import interface as api
-from amberlug.policy.account import FIRST_GUESS_US, LIFT, OPEN, SECOND
+from amberlug.policy.account import INITIAL_ANSWER_US, LIMIT_LIFETIME_WINDOWS, SECOND, UNLIMITED
 from amberlug.policy.interface import Result, State
 from amberlug.policy.lasting import LastingSender
 from amberlug.policy.settings import read_settings
@@ -86,7 +86,7 @@
         "starts": (),
     }
     told = api.KnownEndpoint(of or entry(f"e{destination}", destination), **(usual | health))
-    limits: dict[str, Any] = {"usual_us": 250_000, "pace": 2.0, "pace_us": at, "learned": OPEN}
+    limits: dict[str, Any] = {"usual_us": 250_000, "pace": 2.0, "pace_us": at, "learned": UNLIMITED}
     limits |= {"learned_us": 0} | (route or {})
     return api.Known(destination, (api.KnownRoute("", **limits),), (told,))
 
@@ -458,9 +458,9 @@
         (entry(), True, 0.9, 3.0, True),
         (entry(zone="south"), True, 0.9, 3.0, True),
         (entry(up_since_ms=WALL), True, 0.0, 3.0, True),  # it started anew: back from its outage, and cold
-        (entry(kind="bundled"), None, None, OPEN, True),  # the id is another's by now
+        (entry(kind="bundled"), None, None, UNLIMITED, True),  # the id is another's by now
         (entry("other"), None, None, 3.0, True),  # replaced: what the destination told holds
-        (entry(destination=2), None, None, OPEN, False),  # moved: the wait binds where it was told
+        (entry(destination=2), None, None, UNLIMITED, False),  # moved: the wait binds where it was told
     ],
 )
 def test_each_fact_goes_on_only_for_whom_it_was_learned_of(
@@ -477,7 +477,7 @@
     assert (health and health.cold) == cold
     if health is not None:
         assert health.failure_rate == rate
-    route = next(iter(told.routes), api.KnownRoute("", 0, 0, 0, OPEN, 0))
+    route = next(iter(told.routes), api.KnownRoute("", 0, 0, 0, UNLIMITED, 0))
     assert route.learned == limit
     assert (route.blocked_until_us > time.us) is waits
 
@@ -488,8 +488,8 @@
         (0, True, 0.9, 3.0, 250_000),
         (ageing.FAILURES_US, True, 0.5, 3.0, 250_000),
         (ageing.LIMIT_US, False, 0.0, 6.0, 250_000),
-        (ageing.ANSWERS_US, False, 0.0, OPEN, (250_000 + FIRST_GUESS_US) // 2),
-        (60 * ageing.DAY, False, 0.0, OPEN, FIRST_GUESS_US),
+        (ageing.ANSWERS_US, False, 0.0, UNLIMITED, (250_000 + INITIAL_ANSWER_US) // 2),
+        (60 * ageing.DAY, False, 0.0, UNLIMITED, INITIAL_ANSWER_US),
     ],
 )
 def test_what_was_learned_weighs_less_with_time(
@@ -682,8 +682,8 @@
     life.run(4)
     assert life.sender.endpoints["e1"].account.limit(life.time.us) < 2
     life.restart()
-    life.run(LIFT * 2)
-    assert life.sender.endpoints["e1"].account.limit(life.time.us) == OPEN
+    life.run(LIMIT_LIFETIME_WINDOWS * 2)
+    assert life.sender.endpoints["e1"].account.limit(life.time.us) == UNLIMITED
 
 
 def test_what_was_learned_of_endpoints_that_are_listed_late_counts_from_then_on() -> None:
