--- a/amberlug/cluster/dispatch/dispatcher.py
+++ b/amberlug/cluster/dispatch/dispatcher.py
@@ -88,7 +88,7 @@
             account.window = int(WINDOW_US * math.ceil(units) / units)
             units = math.ceil(units)
         account.units = units
-        account.stretched = int(account.window / min(1.0, units))
+        account.stretched_window = int(account.window / min(1.0, units))
 
     def add(self, message: Message) -> None:
         """Send a message, which is due and the first of its key, as soon as it may be sent."""
--- a/amberlug/learning/ageing.py
+++ b/amberlug/learning/ageing.py
@@ -50,7 +50,7 @@
     return replace(
         it,
         usual_us=int(towards(it.usual_us, prior_us, answers)) if answers >= LEAST else int(prior_us),
-        pace=towards(it.pace, 1.0, paces),
+        throughput=towards(it.throughput, 1.0, paces),
         learned=learned,
         learned_us=learned_us,
     )
--- a/amberlug/learning/facts.py
+++ b/amberlug/learning/facts.py
@@ -91,8 +91,8 @@
         [
             it.route,
             min(it.usual_us, WAIT_MOST_US),
-            it.pace,
-            it.pace_us,
+            it.throughput,
+            it.throughput_us,
             it.learned if it.learned < UNLIMITED else None,
             it.learned_us,
         ]
--- a/amberlug/learning/learner.py
+++ b/amberlug/learning/learner.py
@@ -127,7 +127,7 @@
                 wait = facts.unpack_wait(record, now_us + facts.WAIT_MOST_US)
                 until_us = now_us + wait.left_us(now_us, self._clock.boot)
                 route = route or api.KnownRoute(name, INITIAL_ANSWER_US, 1.0, 0, UNLIMITED, 0)
-                route = replace(route, blocked_until_us=until_us, told_us=wait.length_us)
+                route = replace(route, blocked_until_us=until_us, last_retry_after_us=wait.length_us)
             if route is not None:
                 yield route
 
@@ -419,7 +419,8 @@
     return replace(
         known,
         routes=tuple(
-            replace(it, pace_us=moved(it.pace_us), learned_us=moved(it.learned_us)) for it in known.routes
+            replace(it, throughput_us=moved(it.throughput_us), learned_us=moved(it.learned_us))
+            for it in known.routes
         ),
         endpoints=tuple(
             replace(
--- a/amberlug/policy/account.py
+++ b/amberlug/policy/account.py
@@ -50,7 +50,7 @@
 MAX_SLOT_SHARE = 0.5  # share of the slots that one account may hold, so that others can send
 
 
-class Started(Protocol):
+class StartedCall(Protocol):
     """A call in flight, compared by identity; only its start time is used here."""
 
     @property
@@ -59,56 +59,59 @@
 
 @dataclass(slots=True, eq=False)
 class Buckets:
-    """Consumed units in buckets of `slide` microseconds: of all calls, and of those that were accepted."""
+    """Consumed units in buckets of size `bucket_us`: of all calls, and of those that were accepted."""
 
-    slide: int
+    bucket_us: int
     kept: int
     units: dict[int, tuple[int, int]] = field(default_factory=dict)
 
     def add(self, at_us: int, unit: int, taken_on: int) -> None:
-        number = at_us // self.slide
+        number = at_us // self.bucket_us
         had = self.units.get(number, (0, 0))
         self.units[number] = had[0] + unit, had[1] + taken_on
         if len(self.units) > self.kept:
             del self.units[min(self.units)]
 
-    def inside(self, at_us: int, window: int) -> Iterator[tuple[int, int, int]]:
+    def buckets_in_window(self, at_us: int, window: int) -> Iterator[tuple[int, int, int]]:
         """Yield the time at which each bucket leaves the window, earliest first, with its units."""
-        first = (at_us - window) // self.slide + 1
+        first = (at_us - window) // self.bucket_us + 1
         for number in sorted(number for number in self.units if number >= first):
-            yield (number * self.slide + window, *self.units[number])
+            yield (number * self.bucket_us + window, *self.units[number])
 
 
 class Account:
     """Rate limit state of a destination, or of one route if its routes have separate limits."""
 
     def __init__(self, settings: api.Settings, rate: float | None) -> None:
-        self.settings, self.many = settings, settings.relays >= LARGE_FLEET_RELAYS
-        self.reserved: dict[Started, None] = {}  # oldest first
+        self.settings, self.large_fleet = settings, settings.relays >= LARGE_FLEET_RELAYS
+        self.reserved: dict[StartedCall, None] = {}  # oldest first
         self.blocked_until, self.usual_us = 0, INITIAL_ANSWER_US
-        self.told_us = 0  # the last Retry-After wait before a restart
+        self.last_retry_after_us = 0  # the last Retry-After wait before a restart
         self.learned, self.learned_us = UNLIMITED, 0  # M learned from the last refusal, and its time
-        self.streak, self.paused_until = 0, 0  # refusals since a call was last accepted; end of the pause
-        self.pace, self.pace_us = 1.0, 0  # own successful calls per second, and its last update
+        self.consecutive_refusals, self.paused_until = (
+            0,
+            0,
+        )  # refusals since a call was last accepted; end of the pause
+        self.throughput, self.throughput_us = 1.0, 0  # own successful calls per second, and its last update
         self.listed = rate  # rate from the endpoint list, regardless of rates reported later
         self.set_rate(rate)
 
     def set_rate(self, rate: float | None) -> None:
         """Set M and w from a listed or reported rate for all relays; without a rate M is unlimited."""
-        self.rate, self.units, self.window, self.even = rate, UNLIMITED, WINDOW_US, 0.0
+        self.rate, self.units, self.window, self.even_share = rate, UNLIMITED, WINDOW_US, 0.0
         if rate is not None:
-            self.even = rate * self.window / SECOND / self.settings.relays
-            room = self.even * min(self.settings.relays, RATE_HEADROOM)
+            self.even_share = rate * self.window / SECOND / self.settings.relays
+            room = self.even_share * min(self.settings.relays, RATE_HEADROOM)
             self.units = max(MIN_UNITS, room)
-            if self.many:
+            if self.large_fleet:
                 few = max(LARGE_FLEET_MIN_UNITS, room) if room <= 1 else round(min(room, MIN_UNITS))
-                self.units = max(few, LARGE_FLEET_HEADROOM * self.even)
-        self.stretched = self.window
-        self.longest = max(kind.deadline_us for kind in self.settings.classes.values()) // MIN_ATTEMPTS
+                self.units = max(few, LARGE_FLEET_HEADROOM * self.even_share)
+        self.stretched_window = self.window
+        self.max_window_us = max(kind.deadline_us for kind in self.settings.classes.values()) // MIN_ATTEMPTS
         self.buckets = Buckets(self.window // WINDOW_STEPS, HISTORY_SIZE)
 
     def limit(self, at_us: int) -> float:
-        quiet = (at_us - self.learned_us) // self.stretched
+        quiet = (at_us - self.learned_us) // self.stretched_window
         return (
             self.units
             if quiet >= LIMIT_LIFETIME_WINDOWS
@@ -119,21 +122,23 @@
         return max(MIN_PATIENCE_US, OVERDUE_FACTOR * self.usual_us)
 
     def overdue(self, at_us: int) -> int:
-        """Count overdue calls: they no longer count as reservations; `crowded` limits them instead."""
+        """Count overdue calls: they no longer count as reservations; `at_slot_limit` limits them instead."""
         late = at_us - self.patience_us()
         return sum(1 for _ in itertools.takewhile(lambda call: call.start_us <= late, self.reserved))
 
-    def crowded(self, now_us: int) -> bool:
+    def at_slot_limit(self, now_us: int) -> bool:
         """Whether a destination holds its maximum of slots; keeps a silent or slow one from taking all."""
         share = MAX_SLOT_SHARE / (5 if self.overdue(now_us) else 1)
         return len(self.reserved) >= max(1, self.settings.slots * share)
 
-    def inside(self, at_us: int) -> Iterator[tuple[int, int, int]]:  # w is longer if M is below one
-        return self.buckets.inside(at_us, int(self.window / min(1.0, self.limit(at_us))))
+    def buckets_in_window(
+        self, at_us: int
+    ) -> Iterator[tuple[int, int, int]]:  # w is longer if M is below one
+        return self.buckets.buckets_in_window(at_us, int(self.window / min(1.0, self.limit(at_us))))
 
     def excess(self, at_us: int) -> float:
         """Return by how much one more call exceeds the limit: c + r + 1 - M; not positive if it may start."""
-        consumed = sum(units for _, units, _ in self.inside(at_us))
+        consumed = sum(units for _, units, _ in self.buckets_in_window(at_us))
         return consumed + len(self.reserved) - self.overdue(at_us) + 1 - max(1.0, self.limit(at_us))
 
     def opening(self, now_us: int) -> int:
@@ -141,26 +146,31 @@
         at = max(now_us, self.blocked_until, self.paused_until)
         if (excess := self.excess(at)) <= 0:
             return at
-        for leaves_us, units, _ in self.inside(at):
+        for leaves_us, units, _ in self.buckets_in_window(at):
             if (excess := excess - units) <= 0:
-                return min(leaves_us, at + self.stretched - (at - self.learned_us) % self.stretched)
+                return min(
+                    leaves_us, at + self.stretched_window - (at - self.learned_us) % self.stretched_window
+                )
         return max(at, next(iter(self.reserved)).start_us + self.patience_us()) + 1  # an answer comes before
 
     def refused(self, now_us: int, part: float) -> None:
         """Learn M from a refusal: the accepted calls in the window, or less with each further refusal."""
         # M below one allows one unit in a longer w: refused calls consume the limit too, so many relays with
         # one unit each would exceed it.
-        limit, least = self.limit(now_us), max(1.0, self.even)
-        taken_on = sum(done for *_, done in self.buckets.inside(now_us, self.window))
-        lowest = min(self.even or UNLIMITED, max(MIN_LEARNED_SHARE * self.even, self.window / self.longest))
+        limit, least = self.limit(now_us), max(1.0, self.even_share)
+        taken_on = sum(done for *_, done in self.buckets.buckets_in_window(now_us, self.window))
+        lowest = min(
+            self.even_share or UNLIMITED,
+            max(MIN_LEARNED_SHARE * self.even_share, self.window / self.max_window_us),
+        )
         lower = max(limit * part / self.settings.relays**FLEET_SIZE_EXPONENT, lowest)
-        first = max(least, taken_on) * (FIRST_REFUSAL_FACTOR if self.many else 1.0)
+        first = max(least, taken_on) * (FIRST_REFUSAL_FACTOR if self.large_fleet else 1.0)
         self.learned = first if limit > least else lower
-        self.learned_us, self.stretched = now_us, int(self.window / min(1.0, self.learned))
-        if self.many:
+        self.learned_us, self.stretched_window = now_us, int(self.window / min(1.0, self.learned))
+        if self.large_fleet:
             # Prevents a fleet from staying slightly over a limit that refused calls consume too, so that no
             # call is accepted any more. Cost: a delay of up to a second after a single chance refusal.
             self.paused_until = now_us + int(
-                MAX_FIRST_PAUSE_US * part * 2 ** min(self.streak, PAUSE_LENGTHS - 1)
+                MAX_FIRST_PAUSE_US * part * 2 ** min(self.consecutive_refusals, PAUSE_LENGTHS - 1)
             )
-            self.streak += 1
+            self.consecutive_refusals += 1
--- a/amberlug/policy/decide.py
+++ b/amberlug/policy/decide.py
@@ -22,7 +22,9 @@
 SILENCE_WEIGHT = 0.4  # weight of a missing answer: two in a row are treated as an outage
 AVOID_US = 3 * SECOND  # how long other endpoints are preferred to one that failed
 TABLE_US = 10 * SECOND  # how long a full connection table is assumed to stay full
-PACE_US = 20 * SECOND  # averaging time of a relay's own throughput at a destination without a listed rate
+THROUGHPUT_AVERAGING_US = (
+    20 * SECOND
+)  # averaging time of a relay's own throughput at a destination without a listed rate
 LONGEST = 3  # maximum window of the cold-start limit, in OverloadForUs: longer would let messages expire
 FEW = 4  # concurrent calls to an endpoint without a recent delivery; more might all be lost at once
 LATELY_US = 60 * SECOND
@@ -199,12 +201,15 @@
         if self.crowd > 1 and self.table_full(endpoint, start_us, result, wait_us):
             return
         if result is Result.DONE:
-            account.streak = 0
+            account.consecutive_refusals = 0
             endpoint.done_us = self.now
             endpoint.failure_rate *= 1 - ANSWER_WEIGHT
             if not endpoint.cold:
-                fade = max(0.5, 1 - (self.now - account.pace_us) / PACE_US)
-                account.pace, account.pace_us = account.pace * fade + SECOND / PACE_US, self.now
+                fade = max(0.5, 1 - (self.now - account.throughput_us) / THROUGHPUT_AVERAGING_US)
+                account.throughput, account.throughput_us = (
+                    account.throughput * fade + SECOND / THROUGHPUT_AVERAGING_US,
+                    self.now,
+                )
             elif endpoint.back_us is None:
                 endpoint.back_us = self.now
             return
@@ -260,7 +265,7 @@
     def part(self, endpoint: Endpoint, share: float) -> float:
         """Calls per us that this relay may send to an endpoint that has this share of its capacity."""
         account, rules = endpoint.account, self.settings
-        rate = account.pace if account.rate is None else account.rate / rules.relays
+        rate = account.throughput if account.rate is None else account.rate / rules.relays
         siblings = self.destinations[endpoint.entry.destination].endpoints.values()
         among = sum(other.account is account for other in siblings)
         return max(rules.overload_factor * share * rate / max(1, among) / SECOND, 1e-12)
@@ -311,8 +316,8 @@
 
     def order(self, destination: Destination) -> list[Message]:
         """Sort queued messages by the value each loses if sent last instead of first, then by target time."""
-        pace = sum(account.limit(self.now) / account.window for account in destination.accounts.values())
-        drain = max(SECOND, int(min(len(destination.waiting) / max(pace, 1e-7), 60 * SECOND)))
+        rate = sum(account.limit(self.now) / account.window for account in destination.accounts.values())
+        drain = max(SECOND, int(min(len(destination.waiting) / max(rate, 1e-7), 60 * SECOND)))
         able = [message for message in destination.waiting.values() if self.eligible(message)]
         return sorted(able, key=lambda message: (-self.loss(message, drain), message.aim_us))
 
@@ -326,7 +331,7 @@
             # Keeps slots from being held by many endpoints that became active at once, some slow, silent or
             # down. Cost: at a healthy but slow one the second message waits for the first answer.
             unsure = endpoint.out >= few and not self.proven(endpoint)
-            if not (full or unsure or endpoint.account.crowded(self.now)):
+            if not (full or unsure or endpoint.account.at_slot_limit(self.now)):
                 opening = max(endpoint.account.opening(self.now), self.cold_opening(endpoint))
                 yield endpoint, max(opening, endpoint.table_until) if new and self.crowd > 1 else opening
 
--- a/amberlug/policy/folding.py
+++ b/amberlug/policy/folding.py
@@ -50,7 +50,7 @@
         if endpoint.out or endpoint.idle or now_us < endpoint.table_until:
             return False
     accounts = to.accounts.values()
-    return not any(it.reserved or any(it.inside(now_us)) for it in accounts)
+    return not any(it.reserved or any(it.buckets_in_window(now_us)) for it in accounts)
 
 
 def told_to_wait(to: Destination, now_us: int) -> bool:
@@ -60,9 +60,9 @@
 
 def start_afresh(account: Account) -> None:
     """Reset what was learned from removed endpoints, except Retry-After waits and calls in flight."""
-    account.usual_us, account.pace, account.pace_us = INITIAL_ANSWER_US, 1.0, 0
+    account.usual_us, account.throughput, account.throughput_us = INITIAL_ANSWER_US, 1.0, 0
     account.learned, account.learned_us, account.listed = UNLIMITED, 0, None
-    account.streak, account.paused_until = 0, 0
+    account.consecutive_refusals, account.paused_until = 0, 0
     account.set_rate(None)
 
 
@@ -71,12 +71,12 @@
     # Keeps answer times and failures of weeks ago from deciding today's first calls. Possible cost: at a slow
     # destination the first call is overdue too early, and counts as a reservation for a shorter time.
     for account in to.accounts.values():
-        account.usual_us, account.pace, account.pace_us = INITIAL_ANSWER_US, 1.0, 0
+        account.usual_us, account.throughput, account.throughput_us = INITIAL_ANSWER_US, 1.0, 0
         if account.blocked_until <= now_us:
             account.blocked_until = 0
         if account.limit(now_us) >= account.units:
-            account.learned, account.learned_us, account.stretched = UNLIMITED, 0, account.window
-            account.streak, account.paused_until = 0, 0
+            account.learned, account.learned_us, account.stretched_window = UNLIMITED, 0, account.window
+            account.consecutive_refusals, account.paused_until = 0, 0
         if account.listed != account.rate:
             account.set_rate(account.listed)
     for endpoint in to.endpoints.values():
@@ -96,10 +96,10 @@
         it.usual_us,
         it.learned,
         it.learned_us,
-        it.stretched,
-        it.pace,
-        it.pace_us,
-        it.streak,
+        it.stretched_window,
+        it.throughput,
+        it.throughput_us,
+        it.consecutive_refusals,
         it.paused_until,
     )
 
@@ -150,10 +150,10 @@
             account.usual_us,
             account.learned,
             account.learned_us,
-            account.stretched,
-            account.pace,
-            account.pace_us,
-            account.streak,
+            account.stretched_window,
+            account.throughput,
+            account.throughput_us,
+            account.consecutive_refusals,
             account.paused_until,
         ) = rest
     for name, numbers in endpoints.items():
@@ -177,7 +177,7 @@
 def known(to: Destination) -> Known:
     """Return the state of a destination to persist over a restart."""
     routes = [
-        KnownRoute(where, it.usual_us, it.pace, it.pace_us, it.learned, it.learned_us)
+        KnownRoute(where, it.usual_us, it.throughput, it.throughput_us, it.learned, it.learned_us)
         for where, it in to.accounts.items()
     ]
     endpoints = [
@@ -204,10 +204,13 @@
         if to.accounts and route.route not in to.accounts and not route.blocked_until_us:
             continue
         it = to.accounts.setdefault(route.route, Account(settings, None))  # all endpoints may be draining now
-        it.usual_us, it.pace, it.pace_us = route.usual_us, route.pace, route.pace_us
+        it.usual_us, it.throughput, it.throughput_us = route.usual_us, route.throughput, route.throughput_us
         it.learned, it.learned_us = route.learned, route.learned_us
-        it.stretched = int(it.window / min(1.0, it.learned))
-        it.blocked_until, it.told_us = max(it.blocked_until, route.blocked_until_us), route.told_us
+        it.stretched_window = int(it.window / min(1.0, it.learned))
+        it.blocked_until, it.last_retry_after_us = (
+            max(it.blocked_until, route.blocked_until_us),
+            route.last_retry_after_us,
+        )
     for endpoint in told.endpoints:
         if (of := to.endpoints.get(endpoint.entry.endpoint)) is not None:
             of.cold, of.since_us, of.failed_us = endpoint.cold, endpoint.since_us, endpoint.failed_us
--- a/amberlug/policy/interface.py
+++ b/amberlug/policy/interface.py
@@ -213,12 +213,12 @@
 
     route: str
     usual_us: int
-    pace: float
-    pace_us: int
+    throughput: float
+    throughput_us: int
     learned: float  # infinite if no limit is known
     learned_us: int
     blocked_until_us: int = 0
-    told_us: int = 0  # length of the last Retry-After wait, however old: the next may be as long
+    last_retry_after_us: int = 0  # length of the last Retry-After wait, however old: the next may be as long
 
 
 @dataclass(frozen=True, slots=True)
--- a/tests/test_account.py
+++ b/tests/test_account.py
@@ -25,7 +25,7 @@
 
 
 def spent(owner: Account, at_us: int) -> int:
-    return sum(units for _, units, _ in owner.buckets.inside(at_us, owner.window))
+    return sum(units for _, units, _ in owner.buckets.buckets_in_window(at_us, owner.window))
 
 
 def test_listed_rate_sets_units_and_window() -> None:
@@ -52,15 +52,15 @@
     for _ in range(4):
         consumed(one, now)
     opening = one.opening(now)
-    assert now + SECOND - one.buckets.slide <= opening <= now + SECOND + one.buckets.slide
-    assert not one.excess(opening - one.buckets.slide) <= 0
+    assert now + SECOND - one.buckets.bucket_us <= opening <= now + SECOND + one.buckets.bucket_us
+    assert not one.excess(opening - one.buckets.bucket_us) <= 0
     assert one.excess(opening) <= 0
 
 
 def test_a_call_counts_at_its_start_whenever_it_is_answered() -> None:
     one = account(4.0)
     consumed(one, 10 * SECOND)
-    assert spent(one, 10 * SECOND + SECOND - one.buckets.slide) == 1
+    assert spent(one, 10 * SECOND + SECOND - one.buckets.bucket_us) == 1
     assert spent(one, 11 * SECOND) == 0
 
 
--- a/tests/test_folding.py
+++ b/tests/test_folding.py
@@ -418,11 +418,11 @@
     relay.listed("a")
     endpoint = relay.endpoint("a")
     account = endpoint.account
-    account.learned, account.learned_us, account.stretched = 0.25, relay.now, 4 * SECOND
+    account.learned, account.learned_us, account.stretched_window = 0.25, relay.now, 4 * SECOND
     endpoint.starts.extend((relay.now - 2, relay.now - 1))
     asleep(relay, 13 * SECOND)
     again = relay.endpoint("a")
     assert again is not endpoint
-    assert (again.account.learned, again.account.stretched) == (0.25, 4 * SECOND)
+    assert (again.account.learned, again.account.stretched_window) == (0.25, 4 * SECOND)
     assert again.account.limit(relay.now) < 1
     assert list(again.starts) == list(endpoint.starts)
--- a/tests/test_learning.py
+++ b/tests/test_learning.py
@@ -86,7 +86,12 @@
         "starts": (),
     }
     told = api.KnownEndpoint(of or entry(f"e{destination}", destination), **(usual | health))
-    limits: dict[str, Any] = {"usual_us": 250_000, "pace": 2.0, "pace_us": at, "learned": UNLIMITED}
+    limits: dict[str, Any] = {
+        "usual_us": 250_000,
+        "throughput": 2.0,
+        "throughput_us": at,
+        "learned": UNLIMITED,
+    }
     limits |= {"learned_us": 0} | (route or {})
     return api.Known(destination, (api.KnownRoute("", **limits),), (told,))
 
@@ -428,7 +433,7 @@
     (route,) = believed(opened(disk.after_death(), later)).routes
     assert max(0, route.blocked_until_us - clock_us) == left_us
     (again,) = believed(opened(disk.after_death().after_death(), later)).routes
-    assert again.told_us == 5 * SECOND
+    assert again.last_retry_after_us == 5 * SECOND
 
 
 COLD: dict[str, Any] = {
--- a/tests/test_tables.py
+++ b/tests/test_tables.py
@@ -23,7 +23,7 @@
     assert not of(actions, api.Send)
     assert of(relay.advance(relay.now + 2 * TABLE_PAUSE_US), api.Send)  # soon again, and not in seconds
     assert not relay.endpoint("a").cold
-    assert not any(units for _, units, _ in account.inside(relay.now))  # a table uses no limit up
+    assert not any(units for _, units, _ in account.buckets_in_window(relay.now))  # a table uses no limit up
     used = shared("a")
     used.step(used.take())
     used.answer(1, 0, Result.REFUSED, reused=True)
