--- a/amberlug/cli/learnings.py
+++ b/amberlug/cli/learnings.py
@@ -155,12 +155,12 @@
                     "endpoint": known.entry.endpoint,
                     "kind": known.entry.kind,
                     "zone": known.entry.zone,
-                    "state": _state(now.cold, now.back_us),
+                    "state": _state(now.cold, now.recovered_us),
                     "failure_rate": round(now.failure_rate, 3),
                     "learned_failure_rate": round(known.failure_rate, 3),
-                    "since_s": _age(known.since_us, now_us),
-                    "failed_s": _age(known.failed_us, now_us),
-                    "delivered_s": _age(known.done_us, now_us),
+                    "since_s": _age(known.outage_since_us, now_us),
+                    "failed_s": _age(known.last_failure_us, now_us),
+                    "delivered_s": _age(known.last_success_us, now_us),
                     "weight": round(ageing.weight(gap_us, ageing.FAILURES_US), 3),
                     "resets_by_idle_ms": {
                         f"< {1 << at}": f"{resets:.1f} of {used:.1f}"
--- a/amberlug/learning/ageing.py
+++ b/amberlug/learning/ageing.py
@@ -71,20 +71,20 @@
 def endpoint(it: api.KnownEndpoint, now_us: int, gap_us: int, usual_rate: float) -> api.KnownEndpoint:
     """What to believe of an endpoint: an outage goes on until it would be old, its cold bound until warm."""
     rate = towards(it.failure_rate, usual_rate, weight(gap_us, FAILURES_US))
-    if it.cold and (it.back_us is not None or now_us - it.failed_us < OUTAGE_US):
-        return replace(it, failure_rate=max(rate, OUTAGE_RATE) if it.back_us is None else rate)
+    if it.cold and (it.recovered_us is not None or now_us - it.last_failure_us < OUTAGE_US):
+        return replace(it, failure_rate=max(rate, OUTAGE_RATE) if it.recovered_us is None else rate)
     if gap_us > FAILURES_US:
         return replace(
             it,
             cold=False,
-            back_us=None,
-            swallows=False,
+            recovered_us=None,
+            may_have_run=False,
             failure_rate=rate,
-            failed_us=NEVER,
-            since_us=NEVER,
+            last_failure_us=NEVER,
+            outage_since_us=NEVER,
             starts=(),
         )
-    return replace(it, cold=False, back_us=None, failure_rate=rate, starts=())
+    return replace(it, cold=False, recovered_us=None, failure_rate=rate, starts=())
 
 
 def hour_weight(was: tuple[int, float] | None, week: int) -> float:
--- a/amberlug/learning/learner.py
+++ b/amberlug/learning/learner.py
@@ -403,10 +403,10 @@
     return replace(
         it,
         failure_rate=0.0,
-        swallows=False,
-        done_us=NEVER,
-        back_us=None,
-        failed_us=it.failed_us if it.cold else NEVER,
+        may_have_run=False,
+        last_success_us=NEVER,
+        recovered_us=None,
+        last_failure_us=it.last_failure_us if it.cold else NEVER,
     )
 
 
@@ -425,10 +425,10 @@
         endpoints=tuple(
             replace(
                 it,
-                since_us=moved(it.since_us),
-                failed_us=moved(it.failed_us),
-                done_us=moved(it.done_us),
-                back_us=None if it.back_us is None else moved(it.back_us),
+                outage_since_us=moved(it.outage_since_us),
+                last_failure_us=moved(it.last_failure_us),
+                last_success_us=moved(it.last_success_us),
+                recovered_us=None if it.recovered_us is None else moved(it.recovered_us),
                 starts=tuple(moved(at_us) for at_us in it.starts),
             )
             for it in known.endpoints
--- a/amberlug/policy/decide.py
+++ b/amberlug/policy/decide.py
@@ -188,10 +188,10 @@
             if result not in (Result.UNSENT, Result.CALLED_OFF, Result.SPOILT):  # no health signal
                 self.judge(endpoint, call.start_us, result, wait_us)
             # A refusal by a full connection table does not consume the endpoint's rate limit.
-            counts = result is not Result.UNSENT and not self.unmet(endpoint, result)
+            counts = result is not Result.UNSENT and not self.refused_by_full_table(endpoint, result)
             account.buckets.add(call.start_us, counts, result is Result.DONE)
         if call.left == 0:
-            kept = result is Result.REFUSED and not endpoint.unmet  # a full table's peer closes it
+            kept = result is Result.REFUSED and not endpoint.full_tables  # a full table's peer closes it
             self.end_call(call, reusable=kept or result in (Result.DONE, Result.ERROR))
         self.touched[self.destinations[endpoint.entry.destination]] = None
 
@@ -202,7 +202,7 @@
             return
         if result is Result.DONE:
             account.consecutive_refusals = 0
-            endpoint.done_us = self.now
+            endpoint.last_success_us = self.now
             endpoint.failure_rate *= 1 - ANSWER_WEIGHT
             if not endpoint.cold:
                 fade = max(0.5, 1 - (self.now - account.throughput_us) / THROUGHPUT_AVERAGING_US)
@@ -210,8 +210,8 @@
                     account.throughput * fade + SECOND / THROUGHPUT_AVERAGING_US,
                     self.now,
                 )
-            elif endpoint.back_us is None:
-                endpoint.back_us = self.now
+            elif endpoint.recovered_us is None:
+                endpoint.recovered_us = self.now
             return
         if result is Result.REFUSED:
             # Calls that were in flight together and are all refused must reduce M only once.
@@ -220,12 +220,12 @@
             if wait_us < SHUT * account.window:
                 return  # refused by the rate limit, not an outage
         if result is Result.UNCONNECTED and self.crowd <= 1:
-            endpoint.table = max(1, endpoint.out + len(endpoint.idle) - 1)
-            endpoint.table_until = self.now + TABLE_US
-        if result in (Result.UNCONNECTED, Result.TIMED_OUT) and endpoint.done_us > start_us:
+            endpoint.table_size = max(1, endpoint.out + len(endpoint.idle) - 1)
+            endpoint.table_full_until = self.now + TABLE_US
+        if result in (Result.UNCONNECTED, Result.TIMED_OUT) and endpoint.last_success_us > start_us:
             return  # it answered others meanwhile: slow or table full; after a crash the next call fails too
-        endpoint.failed_us, endpoint.swallows = self.now, result in MAY_HAVE_RUN
-        endpoint.spread = self.chance.uniform(*SPREAD)
+        endpoint.last_failure_us, endpoint.may_have_run = self.now, result in MAY_HAVE_RUN
+        endpoint.jitter = self.chance.uniform(*SPREAD)
         weight = ANSWER_WEIGHT if result in (Result.ERROR, Result.RESET) else SILENCE_WEIGHT
         endpoint.failure_rate += (1 - endpoint.failure_rate) * weight
         # Protects an endpoint that has recovered and is cold from hundreds of relays that each saw only one
@@ -235,8 +235,8 @@
         if endpoint.cold or endpoint.failure_rate >= OUTAGE_RATE or down:
             if not endpoint.cold:
                 self.actions.append(api.Log(f"outage at {endpoint.entry.endpoint}: {result.value}"))
-                endpoint.since_us = self.now
-            endpoint.cold, endpoint.back_us = True, None
+                endpoint.outage_since_us = self.now
+            endpoint.cold, endpoint.recovered_us = True, None
 
     def cold_opening(self, endpoint: Endpoint) -> int:
         """When a down or cold endpoint may next be called within this relay's share of its capacity."""
@@ -244,20 +244,20 @@
         # it also saves calls that would fail. Cost: fewer calls to a healthy one after two chance failures.
         rules, share = self.settings, self.settings.cold_share
         if not endpoint.cold:  # each of many relays saw one failure only: it waits before the next attempt
-            if endpoint.done_us >= endpoint.failed_us:
+            if endpoint.last_success_us >= endpoint.last_failure_us:
                 return self.now
             shared_us = LONGEST * rules.overload_us if self.crowd > 1 else 0
-            wait_us = max(AVOID_US, min(1 / self.part(endpoint, share), shared_us)) * endpoint.spread
-            return max(self.now, endpoint.failed_us + int(wait_us))
-        if endpoint.back_us is not None:
-            share += (1 - share) * (self.now - endpoint.back_us) / max(1, rules.warm_us)
+            wait_us = max(AVOID_US, min(1 / self.part(endpoint, share), shared_us)) * endpoint.jitter
+            return max(self.now, endpoint.last_failure_us + int(wait_us))
+        if endpoint.recovered_us is not None:
+            share += (1 - share) * (self.now - endpoint.recovered_us) / max(1, rules.warm_us)
         if share > 1:
             endpoint.cold = False
             self.actions.append(api.Log(f"outage over at {endpoint.entry.endpoint}"))
             return self.now
         part = self.part(endpoint, share)
         # More and more relays see it fail, so each waits as long again as the outage has lasted, with jitter.
-        longest = max(LONGEST * rules.overload_us, self.now - endpoint.since_us) * endpoint.spread
+        longest = max(LONGEST * rules.overload_us, self.now - endpoint.outage_since_us) * endpoint.jitter
         window = int(min(max(rules.overload_us, 1 / part), longest))
         units = max(1, int(part * window))
         return self.now if len(endpoint.starts) < units else max(self.now, endpoint.starts[-units] + window)
@@ -273,7 +273,12 @@
     def usable(self, endpoint: Endpoint, message: Message) -> bool:
         """Whether a message may go there: in the zone of its key, not twice, nothing unsafe in an outage."""
         kind = message.kind
-        if kind.effect is Effect.UNSAFE and endpoint.cold and endpoint.back_us is None and endpoint.swallows:
+        if (
+            kind.effect is Effect.UNSAFE
+            and endpoint.cold
+            and endpoint.recovered_us is None
+            and endpoint.may_have_run
+        ):
             return False
         zoned = kind.effect is Effect.KEYED and kind.group is Group.ZONE
         if zoned and any(call.endpoint.entry.zone != endpoint.entry.zone for call in message.exposed()):
@@ -282,7 +287,7 @@
 
     def proven(self, endpoint: Endpoint) -> bool:
         """Whether an endpoint has delivered recently."""
-        return endpoint.done_us >= self.now - LATELY_US
+        return endpoint.last_success_us >= self.now - LATELY_US
 
     def no_slot(self, endpoint: Endpoint) -> bool:
         """Whether no slot is left for a call there."""
@@ -294,7 +299,7 @@
         """Sort key of endpoints: free slot, no recent failure, low fee, idle connection, few calls."""
         entry = endpoint.entry
         fee = self.settings.fees.get(entry.zone, 0.0) * self.settings.kinds[entry.kind].apart
-        failed = endpoint.cold or self.now < endpoint.failed_us + AVOID_US or endpoint.unmet > 0
+        failed = endpoint.cold or self.now < endpoint.last_failure_us + AVOID_US or endpoint.full_tables > 0
         return self.no_slot(endpoint), failed, fee, endpoint.out - bool(endpoint.idle), endpoint.out
 
     def eligible(self, message: Message) -> bool:
@@ -326,14 +331,14 @@
         few = FEW if self.slots_out <= self.settings.slots * MAX_SLOT_SHARE else 1  # when slots are scarce
         for endpoint in destination.endpoints.values():
             endpoint.forget_idle(self.now - self.settings.idle_us)
-            new = not endpoint.idle and self.now < endpoint.table_until
-            full = new and self.crowd <= 1 and endpoint.out >= endpoint.table
+            new = not endpoint.idle and self.now < endpoint.table_full_until
+            full = new and self.crowd <= 1 and endpoint.out >= endpoint.table_size
             # Keeps slots from being held by many endpoints that became active at once, some slow, silent or
             # down. Cost: at a healthy but slow one the second message waits for the first answer.
             unsure = endpoint.out >= few and not self.proven(endpoint)
             if not (full or unsure or endpoint.account.at_slot_limit(self.now)):
                 opening = max(endpoint.account.opening(self.now), self.cold_opening(endpoint))
-                yield endpoint, max(opening, endpoint.table_until) if new and self.crowd > 1 else opening
+                yield endpoint, max(opening, endpoint.table_full_until) if new and self.crowd > 1 else opening
 
     def serve(self, destination: Destination) -> None:
         """Send what may go now, then wait for the next opening, a slot or an answer."""
@@ -347,7 +352,7 @@
             left = [it for it in able or () if it.ref in destination.waiting] if ready else []
             choice = next((to for message in left for to in ready if self.usable(to, message)), None)
             if choice is None:
-                for endpoint in [to for to in ready if left and to.cold and to.swallows][:1]:
+                for endpoint in [to for to in ready if left and to.cold and to.may_have_run][:1]:
                     self.scout(destination, endpoint)
                 if later := [opening for opening in openings.values() if opening > self.now]:
                     self.wake(destination, min(later))
@@ -374,9 +379,9 @@
 
     def scout(self, destination: Destination, endpoint: Endpoint) -> None:
         """Test an endpoint that drops calls and has only unsafe messages queued: by a probe, else by one."""
-        retry = endpoint.failed_us + self.settings.overload_us
+        retry = endpoint.last_failure_us + self.settings.overload_us
         if not self.settings.may_probe:
-            endpoint.swallows = self.now < retry
+            endpoint.may_have_run = self.now < retry
             self.wake(destination, retry)
         elif endpoint.entry.endpoint not in self.probes:
             self.probes[endpoint.entry.endpoint] = self.start_call(endpoint, 1, 0)
--- a/amberlug/policy/folding.py
+++ b/amberlug/policy/folding.py
@@ -26,7 +26,7 @@
     return settings.relays / LEAST_TABLE
 
 
-def first_keep_us(settings: Settings) -> int:
+def initial_idle_keep_us(settings: Settings) -> int:
     """Idle keep time in microseconds while nothing is known about an endpoint's connection table."""
     return int(settings.idle_us / max(1.0, crowd(settings)))
 
@@ -47,7 +47,7 @@
         return False
     for endpoint in to.endpoints.values():
         endpoint.forget_idle(now_us - settings.idle_us)
-        if endpoint.out or endpoint.idle or now_us < endpoint.table_until:
+        if endpoint.out or endpoint.idle or now_us < endpoint.table_full_until:
             return False
     accounts = to.accounts.values()
     return not any(it.reserved or any(it.buckets_in_window(now_us)) for it in accounts)
@@ -81,10 +81,10 @@
             account.set_rate(account.listed)
     for endpoint in to.endpoints.values():
         if not endpoint.cold:
-            endpoint.failed_us = endpoint.done_us = endpoint.since_us = NEVER
-            endpoint.failure_rate, endpoint.spread = 0.0, 1.0
-            endpoint.swallows, endpoint.back_us = False, None
-            endpoint.keep_us, endpoint.unmet = first_keep_us(endpoint.account.settings), 0
+            endpoint.last_failure_us = endpoint.last_success_us = endpoint.outage_since_us = NEVER
+            endpoint.failure_rate, endpoint.jitter = 0.0, 1.0
+            endpoint.may_have_run, endpoint.recovered_us = False, None
+            endpoint.idle_keep_us, endpoint.full_tables = initial_idle_keep_us(endpoint.account.settings), 0
             endpoint.starts.clear()
 
 
@@ -106,23 +106,23 @@
 
 def _endpoint_numbers(it: Endpoint) -> tuple[object, ...]:
     return (
-        it.failed_us,
-        it.done_us,
-        it.swallows,
+        it.last_failure_us,
+        it.last_success_us,
+        it.may_have_run,
         it.failure_rate,
         it.cold,
-        it.since_us,
-        it.spread,
-        it.back_us,
-        it.keep_us,
-        it.unmet,
+        it.outage_since_us,
+        it.jitter,
+        it.recovered_us,
+        it.idle_keep_us,
+        it.full_tables,
         tuple(it.starts),
     )
 
 
 def fold(to: Destination, now_us: int, settings: Settings) -> bytes:
     """Serialize the state to keep of a destination; empty if a new one would have the same state."""
-    fresh_us = first_keep_us(settings)
+    fresh_us = initial_idle_keep_us(settings)
     accounts = {
         where: _account_numbers(it)
         for where, it in to.accounts.items()
@@ -131,7 +131,7 @@
     endpoints = {
         name: _endpoint_numbers(it)
         for name, it in to.endpoints.items()
-        if _endpoint_numbers(it) != _endpoint_numbers(Endpoint(it.entry, it.account, keep_us=fresh_us))
+        if _endpoint_numbers(it) != _endpoint_numbers(Endpoint(it.entry, it.account, idle_keep_us=fresh_us))
     }
     if not accounts and not endpoints and to.timer_us <= now_us:
         return b""
@@ -159,16 +159,16 @@
     for name, numbers in endpoints.items():
         it = to.endpoints[name]
         (
-            it.failed_us,
-            it.done_us,
-            it.swallows,
+            it.last_failure_us,
+            it.last_success_us,
+            it.may_have_run,
             it.failure_rate,
             it.cold,
-            it.since_us,
-            it.spread,
-            it.back_us,
-            it.keep_us,
-            it.unmet,
+            it.outage_since_us,
+            it.jitter,
+            it.recovered_us,
+            it.idle_keep_us,
+            it.full_tables,
             starts,
         ) = numbers
         it.starts = deque(starts, maxlen=HISTORY_SIZE)
@@ -184,13 +184,13 @@
         KnownEndpoint(
             it.entry,
             it.cold,
-            it.since_us,
-            it.failed_us,
-            it.done_us,
-            it.back_us,
+            it.outage_since_us,
+            it.last_failure_us,
+            it.last_success_us,
+            it.recovered_us,
             it.failure_rate,
-            it.swallows,
-            it.spread,
+            it.may_have_run,
+            it.jitter,
             tuple(it.starts) if it.cold else (),
         )
         for it in to.endpoints.values()
@@ -213,9 +213,17 @@
         )
     for endpoint in told.endpoints:
         if (of := to.endpoints.get(endpoint.entry.endpoint)) is not None:
-            of.cold, of.since_us, of.failed_us = endpoint.cold, endpoint.since_us, endpoint.failed_us
-            of.done_us, of.back_us, of.swallows = endpoint.done_us, endpoint.back_us, endpoint.swallows
-            of.failure_rate, of.spread = endpoint.failure_rate, endpoint.spread
+            of.cold, of.outage_since_us, of.last_failure_us = (
+                endpoint.cold,
+                endpoint.outage_since_us,
+                endpoint.last_failure_us,
+            )
+            of.last_success_us, of.recovered_us, of.may_have_run = (
+                endpoint.last_success_us,
+                endpoint.recovered_us,
+                endpoint.may_have_run,
+            )
+            of.failure_rate, of.jitter = endpoint.failure_rate, endpoint.jitter
             of.starts.extend(endpoint.starts)
         else:
             to.awaited.add(endpoint.entry.endpoint)
--- a/amberlug/policy/interface.py
+++ b/amberlug/policy/interface.py
@@ -194,13 +194,13 @@
 
     entry: Entry
     cold: bool  # in an outage, or recovered and not yet warmed up
-    since_us: int
-    failed_us: int
-    done_us: int
-    back_us: int | None
+    outage_since_us: int
+    last_failure_us: int
+    last_success_us: int
+    recovered_us: int | None
     failure_rate: float
-    swallows: bool  # the call that failed last may have been executed
-    spread: float
+    may_have_run: bool  # the call that failed last may have been executed
+    jitter: float
     starts: tuple[int, ...]  # start times of recent calls to a cold endpoint, oldest first
 
 
--- a/amberlug/policy/lasting.py
+++ b/amberlug/policy/lasting.py
@@ -149,11 +149,11 @@
 
     def answered(self, call: Call, result: Result, wait_us: int, report: tuple[float, ...]) -> None:
         endpoint, number = call.endpoint, call.endpoint.entry.destination
-        before = endpoint.cold, endpoint.back_us is None, endpoint.account.learned_us
+        before = endpoint.cold, endpoint.recovered_us is None, endpoint.account.learned_us
         super().answered(call, result, wait_us, report)
         self.news[number] = None
         # If the process died before the next save, it would run into the outage or the limit again.
-        if before != (endpoint.cold, endpoint.back_us is None, endpoint.account.learned_us):
+        if before != (endpoint.cold, endpoint.recovered_us is None, endpoint.account.learned_us):
             self.turns[number] = None
 
     def route(self, name: str) -> str:
--- a/amberlug/policy/state.py
+++ b/amberlug/policy/state.py
@@ -24,19 +24,19 @@
     starts: deque[int] = field(default_factory=deque)  # start times of recent calls
     out: int = 0
     idle: deque[int] = field(default_factory=deque)  # last use of each idle connection
-    table: int = 0  # connections it had when it accepted no more; assumed until `table_until`
-    table_until: int = NEVER
-    unmet: int = 0  # consecutive refusals by a full connection table
-    keep_us: int = 0  # how long an idle connection is kept if many relays share the connection table
-    closing: bool = False  # whether a timer to close idle connections is set
-    failed_us: int = NEVER
-    done_us: int = NEVER
-    swallows: bool = False  # the call that failed last may have been executed
+    table_size: int = 0  # connections it had when it accepted no more; assumed until `table_full_until`
+    table_full_until: int = NEVER
+    full_tables: int = 0  # consecutive refusals by a full connection table
+    idle_keep_us: int = 0  # how long an idle connection is kept if many relays share the connection table
+    close_timer_set: bool = False  # whether a timer to close idle connections is set
+    last_failure_us: int = NEVER
+    last_success_us: int = NEVER
+    may_have_run: bool = False  # the call that failed last may have been executed
     failure_rate: float = 0.0  # moving average over recent outcomes
     cold: bool = False  # down, or recovered and not yet warmed up
-    since_us: int = NEVER  # when the outage was detected
-    spread: float = 1.0  # random jitter factor, drawn at each failure
-    back_us: int | None = None  # first success since the last failure, while cold
+    outage_since_us: int = NEVER  # when the outage was detected
+    jitter: float = 1.0  # random jitter factor, drawn at each failure
+    recovered_us: int | None = None  # first success since the last failure, while cold
 
     def forget_idle(self, until_us: int) -> None:
         """Drop connections last used at that time or before: they were closed as idle."""
@@ -128,8 +128,8 @@
     calls: dict[tuple[int, int], tuple[Message, Call]] = field(default_factory=dict)
     probes: dict[str, Call] = field(default_factory=dict)
     touched: dict[Destination, None] = field(default_factory=dict)  # to be served in this step
-    past_us: dict[str, int] = field(default_factory=dict)  # fastest answer on a new connection, by zone
-    small_tables: set[str] = field(default_factory=set)  # kinds with a connection table found full
+    fastest_new_us: dict[str, int] = field(default_factory=dict)  # fastest answer with a handshake, by zone
+    small_table_kinds: set[str] = field(default_factory=set)  # kinds with a connection table found full
     rested: dict[Endpoint, None] = field(default_factory=dict)  # endpoints whose connection became idle now
     starved: OrderedDict[Destination, None] = field(default_factory=OrderedDict)  # waiting for a slot
     overdue_us: int | None = None  # when the next call becomes overdue, once computed in this step
--- a/amberlug/policy/tables.py
+++ b/amberlug/policy/tables.py
@@ -34,26 +34,26 @@
         """Close connections that idle for longer than the endpoint's table recently had room for."""
         # Prevents tables full of idle connections. Cost: a handshake per burst where bursts are far apart.
         for endpoint in self.rested if self.crowd > 1 else ():
-            if endpoint.idle and not endpoint.closing:
+            if endpoint.idle and not endpoint.close_timer_set:
                 self.close_stale(endpoint)
         self.rested = {}
 
     def close_stale(self, endpoint: Endpoint) -> None:
         """Close an endpoint's idle connections if their keep time is over, else set a timer for its end."""
-        endpoint.closing = False
+        endpoint.close_timer_set = False
         if not endpoint.idle or self.endpoints.get(endpoint.entry.endpoint) is not endpoint:
             return
-        until_us = endpoint.idle[-1] + endpoint.keep_us
+        until_us = endpoint.idle[-1] + endpoint.idle_keep_us
         if until_us <= self.now:
             endpoint.idle.clear()
             self.actions.append(api.CloseIdle(endpoint.entry.endpoint))
         else:
-            endpoint.closing = True
+            endpoint.close_timer_set = True
             self.timer(until_us, endpoint)
 
-    def unmet(self, endpoint: Endpoint, result: Result) -> bool:
+    def refused_by_full_table(self, endpoint: Endpoint, result: Result) -> bool:
         """Whether the call judged last was refused by a full connection table."""
-        return self.crowd > 1 and result is Result.REFUSED and endpoint.unmet > 0
+        return self.crowd > 1 and result is Result.REFUSED and endpoint.full_tables > 0
 
     def table_full(self, endpoint: Endpoint, start_us: int, result: Result, wait_us: int) -> bool:
         """Whether a call was refused by a full table shared by many relays; adapts the idle keep time."""
@@ -64,24 +64,28 @@
         # retried every few tenths of a second by each of hundreds of relays, even while it is warming up.
         took_us, zone = self.now - start_us, endpoint.entry.zone
         if not self.reused and (result is Result.DONE or wait_us):
-            self.past_us[zone] = min(took_us, self.past_us.get(zone, took_us))
+            self.fastest_new_us[zone] = min(took_us, self.fastest_new_us.get(zone, took_us))
         refused = result is Result.REFUSED and not wait_us and not self.reused
-        soon = took_us < SOON * self.past_us.get(zone, UNLIMITED)  # a full table answers without a handshake
+        soon = took_us < SOON * self.fastest_new_us.get(
+            zone, UNLIMITED
+        )  # a full table answers without a handshake
         if not (refused and soon):
-            endpoint.unmet = 0
+            endpoint.full_tables = 0
             if not self.reused and result is Result.DONE:
-                small = endpoint.entry.kind in self.small_tables
-                kept_us = endpoint.keep_us + KEEP_STEP_US if small else int(endpoint.keep_us * KEEP_MORE)
-                endpoint.keep_us = min(self.settings.idle_us, kept_us)
+                small = endpoint.entry.kind in self.small_table_kinds
+                kept_us = (
+                    endpoint.idle_keep_us + KEEP_STEP_US if small else int(endpoint.idle_keep_us * KEEP_MORE)
+                )
+                endpoint.idle_keep_us = min(self.settings.idle_us, kept_us)
             return False
-        if endpoint.entry.kind not in self.small_tables:
-            self.small_tables.add(endpoint.entry.kind)
+        if endpoint.entry.kind not in self.small_table_kinds:
+            self.small_table_kinds.add(endpoint.entry.kind)
             for other in self.endpoints.values():
                 if other.entry.kind == endpoint.entry.kind:
-                    other.keep_us = 0
+                    other.idle_keep_us = 0
                     self.close_stale(other)
-        endpoint.unmet += 1
-        endpoint.keep_us = 0
-        pause_us = min(TABLE_PAUSE_MOST_US, TABLE_PAUSE_US << min(endpoint.unmet - 1, 8))
-        endpoint.table_until = self.now + int(pause_us * self.chance.uniform(*SPREAD))
-        return endpoint.unmet < UNMET
+        endpoint.full_tables += 1
+        endpoint.idle_keep_us = 0
+        pause_us = min(TABLE_PAUSE_MOST_US, TABLE_PAUSE_US << min(endpoint.full_tables - 1, 8))
+        endpoint.table_full_until = self.now + int(pause_us * self.chance.uniform(*SPREAD))
+        return endpoint.full_tables < UNMET
--- a/amberlug/policy/waking.py
+++ b/amberlug/policy/waking.py
@@ -24,7 +24,10 @@
     def __init__(self, settings: api.Settings) -> None:
         super().__init__(shares=dict.fromkeys(settings.tenants, 0))
         self.settings, self.quiet_us = settings, folding.quiet_us(settings)
-        self.crowd, self.first_keep_us = folding.crowd(settings), folding.first_keep_us(settings)
+        self.crowd, self.initial_idle_keep_us = (
+            folding.crowd(settings),
+            folding.initial_idle_keep_us(settings),
+        )
 
     def relist(self, event: api.Listed) -> list[Message]:
         """Apply a list update; returns the messages whose destination has no endpoint any more."""
@@ -77,7 +80,7 @@
                 entry,
                 account,
                 deque(maxlen=HISTORY_SIZE),
-                keep_us=0 if entry.kind in self.small_tables else self.first_keep_us,
+                idle_keep_us=0 if entry.kind in self.small_table_kinds else self.initial_idle_keep_us,
             )
             to.endpoints[name] = self.endpoints[name] = made
         self.endpoints[name].entry, to.gone = entry, False
--- a/tests/test_account.py
+++ b/tests/test_account.py
@@ -195,14 +195,14 @@
         relay.listed("a")
         relay.step(relay.take())
         relay.answer(1, 0, Result.REFUSED, wait_us=5 * SECOND)
-        spreads.add(relay.endpoint("a").spread)
+        spreads.add(relay.endpoint("a").jitter)
     assert len(spreads) == 5
 
 
 def test_refusals_of_calls_that_were_out_together_cut_a_learned_limit_once() -> None:
     relay = Relay(Weights="nominal", FamilyInfo__Slots=40)
     relay.listed("a", rate=20.0)
-    relay.endpoint("a").done_us = relay.now  # else few go until the first answer
+    relay.endpoint("a").last_success_us = relay.now  # else few go until the first answer
     for _ in range(8):
         relay.step(relay.take())
     assert len(relay.sent) == 8
--- a/tests/test_folding.py
+++ b/tests/test_folding.py
@@ -361,7 +361,7 @@
     assert out[3 : 3 + FEW] == [1] * FEW
     # The last tenth is for what delivers: one that has gets a slot there.
     assert sum(out) == int(4 * FEW * FRESH_SHARE) + 1 < 4 * FEW
-    relay.endpoint("a20").done_us = relay.now
+    relay.endpoint("a20").last_success_us = relay.now
     ref = next(relay.refs)
     assert of(relay.step(api.Taken(ref, 20, "safe", None, None, 10 * SECOND)), api.Send)
 
@@ -372,7 +372,7 @@
     relay.step(api.Listed(api.ListKind.PATCH, tuple(new)))
     for number, usual_us in enumerate((1, 2 * SECOND, SECOND // 10, SECOND, 1)):
         endpoint = relay.endpoint(f"a{number}")
-        endpoint.account.usual_us, endpoint.done_us = usual_us, relay.now
+        endpoint.account.usual_us, endpoint.last_success_us = usual_us, relay.now
     relay.step(*(api.Taken(1000 + n, n, "safe", None, None, 10 * SECOND) for n in (0, 4)))
     assert len(relay.sent) == 2
     relay.step(*(api.Taken(n, n, "safe", None, None, 10 * SECOND) for n in (1, 2, 3)))
--- a/tests/test_learning.py
+++ b/tests/test_learning.py
@@ -76,13 +76,13 @@
     """A destination as it was learned of at that time, well unless told otherwise."""
     usual: dict[str, Any] = {
         "cold": False,
-        "since_us": NEVER,
-        "failed_us": NEVER,
-        "done_us": at,
-        "back_us": None,
+        "outage_since_us": NEVER,
+        "last_failure_us": NEVER,
+        "last_success_us": at,
+        "recovered_us": None,
         "failure_rate": 0.0,
-        "swallows": False,
-        "spread": 1.0,
+        "may_have_run": False,
+        "jitter": 1.0,
         "starts": (),
     }
     told = api.KnownEndpoint(of or entry(f"e{destination}", destination), **(usual | health))
@@ -438,8 +438,8 @@
 
 COLD: dict[str, Any] = {
     "cold": True,
-    "since_us": START - 9 * SECOND,
-    "failed_us": START - SECOND,
+    "outage_since_us": START - 9 * SECOND,
+    "last_failure_us": START - SECOND,
     "failure_rate": 0.9,
 }
 
@@ -452,7 +452,7 @@
     (health,) = believed(opened(disk.after_death(), later)).endpoints
     if shift_ms < DAY_MS:
         assert health.cold
-        assert (health.failed_us, health.since_us) == (later.us - SECOND, later.us - 9 * SECOND)
+        assert (health.last_failure_us, health.outage_since_us) == (later.us - SECOND, later.us - 9 * SECOND)
     else:
         assert not health.cold  # nobody has seen it for a day
 
@@ -552,7 +552,7 @@
     time.past(SECOND)
     for life in (learner, opened(disk.after_death(), time)):
         told = believed(life)
-        assert (told.endpoints[0].cold, told.endpoints[0].failed_us) == (True, START - SECOND)
+        assert (told.endpoints[0].cold, told.endpoints[0].last_failure_us) == (True, START - SECOND)
         assert told.routes[0].learned == pytest.approx(2.0, rel=0.01)
         assert told.routes[0].blocked_until_us == START + 5 * SECOND
         life.take_over(replace(earlier, seen=(replace(row, cold=False),)), {"e1": entry()}.get)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -176,7 +176,7 @@
     ref, attempt = relay.sent[-1][:2]
     relay.answer(ref, attempt)
     assert endpoint.cold
-    assert endpoint.back_us == relay.now
+    assert endpoint.recovered_us == relay.now
     relay.now += 11 * SECOND
     relay.step(relay.take())
     assert not endpoint.cold
@@ -231,7 +231,7 @@
     relay.answer(2, 0, Result.UNCONNECTED)
     endpoint = relay.endpoint("a")
     assert not endpoint.cold
-    assert endpoint.table == 1
+    assert endpoint.table_size == 1
     relay.step(*(relay.take() for _ in range(4)))
     assert endpoint.out == 1
 
--- a/tests/test_tables.py
+++ b/tests/test_tables.py
@@ -38,14 +38,14 @@
     account = relay.endpoint("a").account
     for later_us, limit_spoke in ((50_000, False), (150_000, True)):
         relay.advance(relay.now + 2 * SECOND)
-        before, kept_us = account.limit(relay.now), relay.endpoint("a").keep_us
+        before, kept_us = account.limit(relay.now), relay.endpoint("a").idle_keep_us
         relay.step(relay.take())
         relay.now += later_us
         ref, attempt, _, _ = relay.sent[-1]
         relay.answer(ref, attempt, Result.REFUSED)
         assert (account.limit(relay.now) < before) is limit_spoke
-        assert (relay.endpoint("a").unmet == 0) is limit_spoke
-        assert (relay.endpoint("a").keep_us < kept_us) is not limit_spoke
+        assert (relay.endpoint("a").full_tables == 0) is limit_spoke
+        assert (relay.endpoint("a").idle_keep_us < kept_us) is not limit_spoke
         relay.advance(relay.now + 3 * SECOND)
         ref, attempt, _, _ = relay.sent[-1]
         relay.answer(ref, attempt)
@@ -62,12 +62,12 @@
     relay = shared("a", "b")
     for ref in range(1, 12):  # room for new ones again and again: kept for as long as endpoints keep them
         relay.step(relay.take())
-        kept_us = relay.endpoint(relay.sent[-1][2].endpoint).keep_us
+        kept_us = relay.endpoint(relay.sent[-1][2].endpoint).idle_keep_us
         relay.now += 150_000
         assert not of(relay.answer(ref, 0), api.CloseIdle)
-        assert relay.endpoint(relay.sent[-1][2].endpoint).keep_us >= kept_us
+        assert relay.endpoint(relay.sent[-1][2].endpoint).idle_keep_us >= kept_us
         closed = of(relay.advance(relay.now + 20 * SECOND), api.CloseIdle)
-    assert 10 * SECOND in (relay.endpoint("a").keep_us, relay.endpoint("b").keep_us)
+    assert 10 * SECOND in (relay.endpoint("a").idle_keep_us, relay.endpoint("b").idle_keep_us)
     assert closed
     relay.step(relay.take())
     relay.now += 120_000
@@ -77,11 +77,11 @@
     relay.now += 20_000
     actions = relay.answer(13, 0, Result.REFUSED)  # the first full table: nothing of its kind idles any more
     assert of(actions, api.CloseIdle)
-    assert relay.endpoint("a").keep_us == relay.endpoint("b").keep_us == 0
+    assert relay.endpoint("a").idle_keep_us == relay.endpoint("b").idle_keep_us == 0
     relay.advance(relay.now + SECOND)
     ref, attempt, send, _ = relay.sent[-1]
     relay.answer(ref, attempt)
-    assert relay.endpoint(send.endpoint).keep_us == KEEP_STEP_US
+    assert relay.endpoint(send.endpoint).idle_keep_us == KEEP_STEP_US
 
 
 def test_where_no_connection_is_to_be_had_it_comes_to_look_like_an_outage() -> None:
@@ -89,7 +89,7 @@
     relay = shared("a", relays=200, rate=40.0)
     relay.step(relay.take())
     relay.answer(1, 0, Result.UNCONNECTED)
-    assert relay.endpoint("a").unmet == 0
+    assert relay.endpoint("a").full_tables == 0
     assert relay.endpoint("a").cold
     relay.advance(relay.now + 3 * SECOND)
     assert len(relay.sent) == 1  # it rests for seconds, and not for tenths
@@ -104,7 +104,7 @@
         ref, number, _, _ = relay.sent[-1]
         relay.answer(ref, number, Result.REFUSED)
         relay.advance(relay.now + SECOND)
-    assert relay.endpoint("a").unmet == UNMET
+    assert relay.endpoint("a").full_tables == UNMET
     assert account.learned < account.units
 
 
