--- a/amberlug/policy/decide.py
+++ b/amberlug/policy/decide.py
@@ -82,7 +82,7 @@
         for destination in urgent:
             self.serve(destination)
         self.close_idle()
-        self.fold_some()
+        self.evict_idle()
         return self.actions
 
     def due(self, target: Message | Endpoint | int | None) -> None:
@@ -125,9 +125,9 @@
     def take(self, event: api.Taken) -> None:
         if event.ref in self.messages:
             raise ValueError(f"message {event.ref} was taken before")
-        destination = self.awaken(event.destination)
-        if self.now - destination.used_us > folding.FORGET_US:
-            folding.forget(destination, self.now)
+        destination = self.load_destination(event.destination)
+        if self.now - destination.used_us > folding.OUTDATED_US:
+            folding.reset_outdated(destination, self.now)
         kind = self.settings.classes[event.message_class]
         key, worth = event.key if kind.keep_order else None, kind.worth * self.share(event.tenant)
         message = Message(event.ref, kind, destination, key, self.now + event.left_us, worth)
@@ -198,7 +198,7 @@
     def judge(self, endpoint: Endpoint, start_us: int, result: Result, wait_us: int) -> None:
         """Update an endpoint's health: an outage starts its cold-start limit, a success its warm-up."""
         account = endpoint.account
-        if self.crowd > 1 and self.table_full(endpoint, start_us, result, wait_us):
+        if self.relays_per_connection > 1 and self.table_full(endpoint, start_us, result, wait_us):
             return
         if result is Result.DONE:
             account.consecutive_refusals = 0
@@ -219,7 +219,7 @@
                 account.refused(self.now, self.chance.uniform(*BACK_OFF))
             if wait_us < SHUT * account.window:
                 return  # refused by the rate limit, not an outage
-        if result is Result.UNCONNECTED and self.crowd <= 1:
+        if result is Result.UNCONNECTED and self.relays_per_connection <= 1:
             endpoint.table_size = max(1, endpoint.out + len(endpoint.idle) - 1)
             endpoint.table_full_until = self.now + TABLE_US
         if result in (Result.UNCONNECTED, Result.TIMED_OUT) and endpoint.last_success_us > start_us:
@@ -231,7 +231,7 @@
         # Protects an endpoint that has recovered and is cold from hundreds of relays that each saw only one
         # failure; a full table would answer. Cost: after a single failed connect this relay is limited to its
         # share for a while.
-        down = result is Result.REFUSED or (result is Result.UNCONNECTED and self.crowd > 1)
+        down = result is Result.REFUSED or (result is Result.UNCONNECTED and self.relays_per_connection > 1)
         if endpoint.cold or endpoint.failure_rate >= OUTAGE_RATE or down:
             if not endpoint.cold:
                 self.actions.append(api.Log(f"outage at {endpoint.entry.endpoint}: {result.value}"))
@@ -246,7 +246,7 @@
         if not endpoint.cold:  # each of many relays saw one failure only: it waits before the next attempt
             if endpoint.last_success_us >= endpoint.last_failure_us:
                 return self.now
-            shared_us = LONGEST * rules.overload_us if self.crowd > 1 else 0
+            shared_us = LONGEST * rules.overload_us if self.relays_per_connection > 1 else 0
             wait_us = max(AVOID_US, min(1 / self.part(endpoint, share), shared_us)) * endpoint.jitter
             return max(self.now, endpoint.last_failure_us + int(wait_us))
         if endpoint.recovered_us is not None:
@@ -332,13 +332,18 @@
         for endpoint in destination.endpoints.values():
             endpoint.forget_idle(self.now - self.settings.idle_us)
             new = not endpoint.idle and self.now < endpoint.table_full_until
-            full = new and self.crowd <= 1 and endpoint.out >= endpoint.table_size
+            full = new and self.relays_per_connection <= 1 and endpoint.out >= endpoint.table_size
             # Keeps slots from being held by many endpoints that became active at once, some slow, silent or
             # down. Cost: at a healthy but slow one the second message waits for the first answer.
             unsure = endpoint.out >= few and not self.proven(endpoint)
             if not (full or unsure or endpoint.account.at_slot_limit(self.now)):
                 opening = max(endpoint.account.opening(self.now), self.cold_opening(endpoint))
-                yield endpoint, max(opening, endpoint.table_full_until) if new and self.crowd > 1 else opening
+                yield (
+                    endpoint,
+                    max(opening, endpoint.table_full_until)
+                    if new and self.relays_per_connection > 1
+                    else opening,
+                )
 
     def serve(self, destination: Destination) -> None:
         """Send what may go now, then wait for the next opening, a slot or an answer."""
--- a/amberlug/policy/folding.py
+++ b/amberlug/policy/folding.py
@@ -15,35 +15,37 @@
 from amberlug.policy.interface import Known, KnownEndpoint, KnownRoute, Settings
 from amberlug.policy.state import NEVER, Destination, Endpoint
 
-QUIET_US = 10 * SECOND  # minimum time without a message or call before a destination is evicted
-FORGET_US = 600 * SECOND  # age at which answer times, throughput and failures outside an outage are discarded
-LEAST_TABLE = 4  # assumed size of a small connection table that relays with idle connections share
-LOOKS = 8  # maximum destinations checked per step: more evict sooner but make a step more expensive
+MIN_IDLE_US = 10 * SECOND  # minimum time without a message or call before a destination is evicted
+OUTDATED_US = (
+    600 * SECOND
+)  # age at which answer times, throughput and failures outside an outage are discarded
+SMALL_TABLE_SIZE = 4  # assumed size of a small connection table that relays with idle connections share
+CHECKS_PER_STEP = 8  # maximum destinations checked per step: more evict sooner but make a step more expensive
 
 
-def crowd(settings: Settings) -> float:
+def relays_per_connection(settings: Settings) -> float:
     """Relays per connection of a small table; if more than 1, not every relay may keep a connection."""
-    return settings.relays / LEAST_TABLE
+    return settings.relays / SMALL_TABLE_SIZE
 
 
 def initial_idle_keep_us(settings: Settings) -> int:
     """Idle keep time in microseconds while nothing is known about an endpoint's connection table."""
-    return int(settings.idle_us / max(1.0, crowd(settings)))
+    return int(settings.idle_us / max(1.0, relays_per_connection(settings)))
 
 
-def quiet_us(settings: Settings) -> int:
+def idle_before_eviction_us(settings: Settings) -> int:
     """Idle time before eviction: by then connections are closed and no bucket is in the window."""
     longest = (
         max(kind.deadline_us for kind in settings.classes.values()) // MIN_ATTEMPTS
     )  # maximum length of w
-    return max(QUIET_US, settings.idle_us, longest) + SECOND
+    return max(MIN_IDLE_US, settings.idle_us, longest) + SECOND
 
 
-def may_fold(to: Destination, now_us: int, settings: Settings) -> bool:
+def can_evict(to: Destination, now_us: int, settings: Settings) -> bool:
     """Whether a destination can be evicted: no messages, no calls in flight and no connections."""
     if to.gone:
-        return not (to.held or told_to_wait(to, now_us))
-    if to.held or now_us - to.used_us < quiet_us(settings):
+        return not (to.held or has_retry_after(to, now_us))
+    if to.held or now_us - to.used_us < idle_before_eviction_us(settings):
         return False
     for endpoint in to.endpoints.values():
         endpoint.forget_idle(now_us - settings.idle_us)
@@ -53,12 +55,12 @@
     return not any(it.reserved or any(it.buckets_in_window(now_us)) for it in accounts)
 
 
-def told_to_wait(to: Destination, now_us: int) -> bool:
+def has_retry_after(to: Destination, now_us: int) -> bool:
     """Whether a Retry-After wait is running; it also binds endpoints listed for the destination later."""
     return any(account.blocked_until > now_us for account in to.accounts.values())
 
 
-def start_afresh(account: Account) -> None:
+def reset_learned(account: Account) -> None:
     """Reset what was learned from removed endpoints, except Retry-After waits and calls in flight."""
     account.usual_us, account.throughput, account.throughput_us = INITIAL_ANSWER_US, 1.0, 0
     account.learned, account.learned_us, account.listed = UNLIMITED, 0, None
@@ -66,7 +68,7 @@
     account.set_rate(None)
 
 
-def forget(to: Destination, now_us: int) -> None:
+def reset_outdated(to: Destination, now_us: int) -> None:
     """Reset outdated state of a destination that was not used for FORGET_US."""
     # Keeps answer times and failures of weeks ago from deciding today's first calls. Possible cost: at a slow
     # destination the first call is overdue too early, and counts as a reservation for a shorter time.
@@ -120,7 +122,7 @@
     )
 
 
-def fold(to: Destination, now_us: int, settings: Settings) -> bytes:
+def serialize(to: Destination, now_us: int, settings: Settings) -> bytes:
     """Serialize the state to keep of a destination; empty if a new one would have the same state."""
     fresh_us = initial_idle_keep_us(settings)
     accounts = {
@@ -138,7 +140,7 @@
     return marshal.dumps((to.used_us, to.timer_us, accounts, endpoints))
 
 
-def unfold(to: Destination, kept: bytes, settings: Settings) -> None:
+def restore(to: Destination, kept: bytes, settings: Settings) -> None:
     """Restore serialized state into a destination just created from the endpoint list."""
     to.used_us, to.timer_us, accounts, endpoints = marshal.loads(kept)
     for where, numbers in accounts.items():
@@ -174,7 +176,7 @@
         it.starts = deque(starts, maxlen=HISTORY_SIZE)
 
 
-def known(to: Destination) -> Known:
+def known_state(to: Destination) -> Known:
     """Return the state of a destination to persist over a restart."""
     routes = [
         KnownRoute(where, it.usual_us, it.throughput, it.throughput_us, it.learned, it.learned_us)
@@ -198,7 +200,7 @@
     return Known(to.number, tuple(routes), tuple(endpoints))
 
 
-def believe(to: Destination, told: Known, settings: Settings) -> None:
+def apply_known(to: Destination, told: Known, settings: Settings) -> None:
     """Apply persisted state to a destination just created from the endpoint list."""
     for route in told.routes:
         if to.accounts and route.route not in to.accounts and not route.blocked_until_us:
--- a/amberlug/policy/lasting.py
+++ b/amberlug/policy/lasting.py
@@ -108,21 +108,21 @@
         """Whether a destination is listed; messages for others are not accepted."""
         return self.members.serves(number)
 
-    def awaken(self, number: int) -> Destination:
+    def load_destination(self, number: int) -> Destination:
         """Return a destination; if neither it nor a summary is in memory, restore its persisted state."""
-        asleep = number not in self.destinations and number not in self.folded
-        self.waking = True
-        to = super().awaken(number)
-        self.waking = False
+        asleep = number not in self.destinations and number not in self.summaries
+        self.loading = True
+        to = super().load_destination(number)
+        self.loading = False
         if asleep and self.recall is not None:
             told = self.recall(number, tuple(it.entry for it in to.endpoints.values()))
             if told is not None:
-                folding.believe(to, told, self.settings)
+                folding.apply_known(to, told, self.settings)
         return to
 
     def enlist(self, to: Destination, entry: api.Entry) -> None:
         """Add or update an endpoint; if new at a destination in use, its persisted state is looked up."""
-        came = entry.endpoint not in self.endpoints and not self.waking
+        came = entry.endpoint not in self.endpoints and not self.loading
         super().enlist(to, entry)
         told = self.recall(to.number, (entry,)) if came and self.recall is not None else None
         if told is None:
@@ -134,7 +134,7 @@
         if entry.endpoint in to.awaited:  # listed after the destination's first message
             to.awaited.discard(entry.endpoint)
             own = tuple(it for it in told.routes if it.route == entry.endpoint)
-            folding.believe(to, replace(told, routes=own), self.settings)
+            folding.apply_known(to, replace(told, routes=own), self.settings)
 
     def learned(self, most: int, turns: bool = False) -> list[api.Known]:
         """Return unsaved state of at most `most` destinations; with `turns` only of those to save soon."""
@@ -144,7 +144,7 @@
             self.news.pop(number, None)
             self.turns.pop(number, None)
             if (to := self.destinations.get(number)) is not None:
-                found.append(folding.known(to))
+                found.append(folding.known_state(to))
         return found
 
     def answered(self, call: Call, result: Result, wait_us: int, report: tuple[float, ...]) -> None:
--- a/amberlug/policy/membership.py
+++ b/amberlug/policy/membership.py
@@ -16,7 +16,7 @@
 
 _ROW = struct.Struct("<qd?q")  # destination, rate, draining flag, last start
 _SEPARATOR = "\0"
-LOOKS = 4  # rows of the previous list that are compared per new entry
+SCANNED_PER_ENTRY = 4  # rows of the previous list that are compared per new entry
 BATCH = 100  # entries that a host reads, or applies in one step, at a time: one to two milliseconds
 
 
@@ -127,7 +127,9 @@
             del self._unseen[name]
         elif name in self._members:
             self._early.add(name)
-        self._look(LOOKS)  # amortized: no full scan for a short patch or at the end of a long list
+        self._look(
+            SCANNED_PER_ENTRY
+        )  # amortized: no full scan for a short patch or at the end of a long list
 
     def _look(self, count: int) -> bool:
         """Scan up to `count` more names of the previous list; returns whether there were any."""
@@ -144,7 +146,7 @@
         """Yield all changes in batches for one step each; endpoints that accept no new calls come first."""
         # Removed endpoints are first marked as draining and removed last: a destination whose endpoint is
         # replaced must not be without endpoints between two batches, which would end all its messages.
-        while whole and self._look(LOOKS * BATCH):
+        while whole and self._look(SCANNED_PER_ENTRY * BATCH):
             yield ()
         gone = self._gone, self._unseen if whole else ()  # not copied, since that would block the event loop
         yield from _cut(self._drained)
--- a/amberlug/policy/state.py
+++ b/amberlug/policy/state.py
@@ -104,7 +104,7 @@
     timer_us: int = 0
     held: int = 0  # number of its messages and of its calls in flight
     used_us: int = NEVER  # when one of those last began or ended
-    look_us: int = NEVER  # time of the next check whether it can be evicted
+    eviction_check_us: int = NEVER  # time of the next check whether it can be evicted
     gone: bool = False  # whether no endpoint is listed for it any more
     awaited: set[str] = field(default_factory=set)  # endpoints with restored state that are not listed yet
 
@@ -119,9 +119,11 @@
     members: Members = field(default_factory=Members)
     destinations: dict[int, Destination] = field(default_factory=dict)  # those in use
     endpoints: dict[str, Endpoint] = field(default_factory=dict)  # of the destinations in use
-    looks: deque[tuple[int, int]] = field(default_factory=deque)  # times of eviction checks, with the number
-    folded: dict[int, tuple[int, bytes]] = field(default_factory=dict)  # summaries of evicted destinations
-    folded_looks: deque[tuple[int, int]] = field(default_factory=deque)
+    eviction_checks: deque[tuple[int, int]] = field(
+        default_factory=deque
+    )  # times of eviction checks, with the number
+    summaries: dict[int, tuple[int, bytes]] = field(default_factory=dict)  # summaries of evicted destinations
+    summary_expiries: deque[tuple[int, int]] = field(default_factory=deque)
     news: dict[int, None] = field(default_factory=dict)  # destinations with unsaved state
     turns: dict[int, None] = field(default_factory=dict)  # those of them to save soon, after a health change
     messages: dict[int, Message] = field(default_factory=dict)
--- a/amberlug/policy/tables.py
+++ b/amberlug/policy/tables.py
@@ -33,7 +33,7 @@
     def close_idle(self) -> None:
         """Close connections that idle for longer than the endpoint's table recently had room for."""
         # Prevents tables full of idle connections. Cost: a handshake per burst where bursts are far apart.
-        for endpoint in self.rested if self.crowd > 1 else ():
+        for endpoint in self.rested if self.relays_per_connection > 1 else ():
             if endpoint.idle and not endpoint.close_timer_set:
                 self.close_stale(endpoint)
         self.rested = {}
@@ -53,7 +53,7 @@
 
     def refused_by_full_table(self, endpoint: Endpoint, result: Result) -> bool:
         """Whether the call judged last was refused by a full connection table."""
-        return self.crowd > 1 and result is Result.REFUSED and endpoint.full_tables > 0
+        return self.relays_per_connection > 1 and result is Result.REFUSED and endpoint.full_tables > 0
 
     def table_full(self, endpoint: Endpoint, start_us: int, result: Result, wait_us: int) -> bool:
         """Whether a call was refused by a full table shared by many relays; adapts the idle keep time."""
--- a/amberlug/policy/waking.py
+++ b/amberlug/policy/waking.py
@@ -23,17 +23,17 @@
 
     def __init__(self, settings: api.Settings) -> None:
         super().__init__(shares=dict.fromkeys(settings.tenants, 0))
-        self.settings, self.quiet_us = settings, folding.quiet_us(settings)
-        self.crowd, self.initial_idle_keep_us = (
-            folding.crowd(settings),
+        self.settings, self.idle_before_eviction_us = settings, folding.idle_before_eviction_us(settings)
+        self.relays_per_connection, self.initial_idle_keep_us = (
+            folding.relays_per_connection(settings),
             folding.initial_idle_keep_us(settings),
         )
 
     def relist(self, event: api.Listed) -> list[Message]:
         """Apply a list update; returns the messages whose destination has no endpoint any more."""
         for entry in event.entries:  # evicted destinations are restored, to be updated as the others are
-            if entry.destination in self.folded:
-                self.awaken(entry.destination)
+            if entry.destination in self.summaries:
+                self.load_destination(entry.destination)
         left = self.unlist(event)  # draining: no new calls from the moment this relay learns of it
         altered = [self.destinations[number] for number in left if number in self.destinations]
         for entry in (entry for entry in event.entries if entry.state is State.IN):
@@ -56,8 +56,8 @@
         for name in dict.fromkeys(names):
             entry, was = told.get(name), self.members.get(name)
             if was is not None and (entry is None or entry.state is State.GONE or elsewhere(was, entry)):
-                if was.destination in self.folded:
-                    self.awaken(was.destination)
+                if was.destination in self.summaries:
+                    self.load_destination(was.destination)
                 self.members.remove(name)
                 self.leave(name)
                 left[was.destination] = None
@@ -71,7 +71,7 @@
         """Add or update a listed endpoint at a destination in use."""
         name = entry.endpoint
         for it in to.accounts.values() if to.gone else ():  # calls in flight reported about removed ones
-            folding.start_afresh(it)
+            folding.reset_learned(it)
         where = name if self.settings.kinds[entry.kind].apart else ""
         account = to.accounts.get(where) or Account(self.settings, self.listed_rate(entry))
         to.accounts[where] = account
@@ -101,13 +101,13 @@
 
     def close(self, to: Destination) -> list[Message]:
         """Schedule removal of a destination no longer listed; returns its queued messages, to be ended."""
-        to.gone, to.look_us = True, self.now
-        self.looks.appendleft((to.look_us, to.number))
+        to.gone, to.eviction_check_us = True, self.now
+        self.eviction_checks.appendleft((to.eviction_check_us, to.number))
         for account in to.accounts.values():
-            folding.start_afresh(account)
+            folding.reset_learned(account)
         return list(to.waiting.values())
 
-    def awaken(self, number: int) -> Destination:
+    def load_destination(self, number: int) -> Destination:
         """Return a destination; if not in memory, create it from the list and its summary, if any."""
         if (to := self.destinations.get(number)) is None:
             to = self.destinations[number] = Destination(number, used_us=self.now)
@@ -115,48 +115,48 @@
                 if entry.state is State.IN:
                     self.enlist(to, entry)
             self.take_rates(to)
-            if (kept := self.folded.pop(number, None)) is not None:
-                folding.unfold(to, kept[1], self.settings)
-            self.look_later(to)
+            if (kept := self.summaries.pop(number, None)) is not None:
+                folding.restore(to, kept[1], self.settings)
+            self.schedule_eviction_check(to)
         return to
 
-    def look_later(self, to: Destination) -> None:
-        to.look_us = self.now + self.quiet_us
-        self.looks.append((to.look_us, to.number))
+    def schedule_eviction_check(self, to: Destination) -> None:
+        to.eviction_check_us = self.now + self.idle_before_eviction_us
+        self.eviction_checks.append((to.eviction_check_us, to.number))
 
-    def fold_some(self) -> None:
+    def evict_idle(self) -> None:
         """Evict idle destinations and discard outdated summaries; a few in each step."""
-        for _ in range(folding.LOOKS):
-            if not self.looks or self.looks[0][0] > self.now:
+        for _ in range(folding.CHECKS_PER_STEP):
+            if not self.eviction_checks or self.eviction_checks[0][0] > self.now:
                 break
-            at_us, number = self.looks.popleft()
+            at_us, number = self.eviction_checks.popleft()
             to = self.destinations.get(number)
-            if to is not None and to.look_us == at_us:
-                self.fold(to)
-        for _ in range(folding.LOOKS):
-            if not self.folded_looks or self.folded_looks[0][0] > self.now:
+            if to is not None and to.eviction_check_us == at_us:
+                self.evict_if_idle(to)
+        for _ in range(folding.CHECKS_PER_STEP):
+            if not self.summary_expiries or self.summary_expiries[0][0] > self.now:
                 break
-            at_us, number = self.folded_looks.popleft()
-            if number in self.folded and self.folded[number][0] == at_us:
-                self.forget_folded(number)
+            at_us, number = self.summary_expiries.popleft()
+            if number in self.summaries and self.summaries[number][0] == at_us:
+                self.expire_summary(number)
 
-    def fold(self, to: Destination) -> None:
-        if folding.may_fold(to, self.now, self.settings):
-            self.put_away(to, b"" if to.gone else folding.fold(to, self.now, self.settings))
+    def evict_if_idle(self, to: Destination) -> None:
+        if folding.can_evict(to, self.now, self.settings):
+            self.evict(to, b"" if to.gone else folding.serialize(to, self.now, self.settings))
         else:
-            self.look_later(to)
+            self.schedule_eviction_check(to)
 
-    def put_away(self, to: Destination, kept: bytes) -> None:
+    def evict(self, to: Destination, kept: bytes) -> None:
         """Remove a destination from memory and store its summary, if not empty."""
         del self.destinations[to.number]
         for name in to.endpoints:
             del self.endpoints[name]
         if kept:
-            self.folded[to.number] = self.now + folding.FORGET_US, kept
-            self.folded_looks.append((self.now + folding.FORGET_US, to.number))
+            self.summaries[to.number] = self.now + folding.OUTDATED_US, kept
+            self.summary_expiries.append((self.now + folding.OUTDATED_US, to.number))
 
-    def forget_folded(self, number: int) -> None:
+    def expire_summary(self, number: int) -> None:
         """Discard the summary of a destination if the next message would reset all of it as outdated."""
-        kept, to = self.folded[number][1], self.awaken(number)
-        folding.forget(to, self.now)
-        self.put_away(to, kept if folding.fold(to, self.now, self.settings) else b"")
+        kept, to = self.summaries[number][1], self.load_destination(number)
+        folding.reset_outdated(to, self.now)
+        self.evict(to, kept if folding.serialize(to, self.now, self.settings) else b"")
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -136,7 +136,7 @@
         """The record of an endpoint; its destination is woken for it."""
         entry = self.sender.members.get(name)
         assert entry is not None
-        self.sender.awaken(entry.destination)
+        self.sender.load_destination(entry.destination)
         return self.sender.endpoints[name]
 
     def take(
--- a/tests/test_account.py
+++ b/tests/test_account.py
@@ -181,7 +181,7 @@
         sender.messages,
         sender.calls,
         sender.destinations,
-        sender.folded,
+        sender.summaries,
     ):
         assert kept == {}
     assert len(sender.members) == 0
--- a/tests/test_folding.py
+++ b/tests/test_folding.py
@@ -24,10 +24,10 @@
 ANSWERS = [*Result, Result.DONE, Result.DONE, Result.DONE, Result.REFUSED]
 
 
-class Wakeful(LastingSender):
+class NeverEvicting(LastingSender):
     """The model: the same decisions, and nothing is ever folded away."""
 
-    def fold_some(self) -> None:
+    def evict_idle(self) -> None:
         pass
 
 
@@ -36,7 +36,7 @@
 
     def __init__(self, **changes: Any) -> None:
         settings = read_settings(setup(**({"Weights": "nominal"} | changes)))
-        self.folding, self.wakeful = LastingSender(settings, 3), Wakeful(settings, 3)
+        self.evicting, self.never_evicting = LastingSender(settings, 3), NeverEvicting(settings, 3)
         self.now = 100 * SECOND
         self.timers: list[tuple[int, int]] = []
         self.out: dict[tuple[int, int], api.Send] = {}
@@ -44,8 +44,8 @@
         self.over: set[int] = set()
 
     def tell(self, *events: api.Event) -> list[api.Action]:
-        actions = self.folding.step(self.now, events)
-        assert actions == self.wakeful.step(self.now, events)
+        actions = self.evicting.step(self.now, events)
+        assert actions == self.never_evicting.step(self.now, events)
         for action in actions:
             if isinstance(action, api.Timer):
                 self.timers.append((self.now + action.after_us, action.label))
@@ -92,7 +92,7 @@
 def outages(sender: LastingSender) -> set[str]:
     """Endpoints that are known to be in an outage, or back and cold, awake or not."""
     cold = {name for name, it in sender.endpoints.items() if it.cold}
-    folded = (marshal.loads(kept) for _, kept in sender.folded.values())
+    folded = (marshal.loads(kept) for _, kept in sender.summaries.values())
     return cold | {name for *_, endpoints in folded for name, numbers in endpoints.items() if numbers[4]}
 
 
@@ -150,16 +150,16 @@
                     pair.answer(out, chance.choice(answers))
             pair.run(pair.now + rest_us)
             pair.tell()  # a step, in which what is quiet is folded away
-        slept = max(slept, len(pair.folding.folded))
-        assert outages(pair.wakeful) <= outages(pair.folding)
+        slept = max(slept, len(pair.evicting.summaries))
+        assert outages(pair.never_evicting) <= outages(pair.evicting)
     pair.run(pair.now + HOUR)
     pair.tell()
     pair.tell()
-    assert not pair.folding.messages
-    assert not pair.folding.endpoints
+    assert not pair.evicting.messages
+    assert not pair.evicting.endpoints
 
 
-def asleep(relay: Relay, rest_us: int = 60 * SECOND) -> None:
+def evict(relay: Relay, rest_us: int = 60 * SECOND) -> None:
     """Let a destination fall asleep: what is out comes to nothing, and what waits is withdrawn."""
     for ref in list(relay.sender.messages):
         relay.step(api.Withdrawn(ref))
@@ -175,11 +175,11 @@
     relay.listed("a")
     relay.step(relay.take())
     relay.answer(1, 0)
-    asleep(relay)
-    assert list(relay.sender.folded) == [1]
-    relay.advance(relay.now + folding.FORGET_US)
+    evict(relay)
+    assert list(relay.sender.summaries) == [1]
+    relay.advance(relay.now + folding.OUTDATED_US)
     relay.step()
-    assert not relay.sender.folded
+    assert not relay.sender.summaries
     assert not relay.sender.destinations
     assert "a" in relay.sender.members
 
@@ -191,9 +191,9 @@
     relay.answer(1, 0, Result.REFUSED, wait_us=900 * SECOND)
     until_us = relay.now + 900 * SECOND
     for rest_us in (60 * SECOND, 700 * SECOND):  # also past the time after which soft numbers are forgotten
-        asleep(relay, rest_us)
+        evict(relay, rest_us)
         assert not of(relay.step(relay.take()), api.Send)
-    asleep(relay, until_us - relay.now)
+    evict(relay, until_us - relay.now)
     assert of(relay.step(relay.take()), api.Send)
 
 
@@ -209,7 +209,7 @@
                 break
         relay.advance(relay.now + 4 * SECOND)
     assert relay.endpoint("a").cold
-    asleep(relay, HOUR)
+    evict(relay, HOUR)
     assert relay.endpoint("a").cold
 
 
@@ -221,9 +221,9 @@
     relay.answer(1, 0)
     usual_us = relay.endpoint("a").account.usual_us
     assert usual_us > INITIAL_ANSWER_US
-    asleep(relay)
+    evict(relay)
     assert relay.endpoint("a").account.usual_us == usual_us
-    asleep(relay, HOUR)
+    evict(relay, HOUR)
     relay.step(relay.take())
     assert relay.endpoint("a").account.usual_us == INITIAL_ANSWER_US
 
@@ -249,8 +249,8 @@
     assert not of(relay.step(gone()), api.Refuse)
     assert [it.ref for it in of(relay.answer(1, 0, Result.REFUSED), api.Refuse)] == [1]
     assert [it.ref for it in of(relay.answer(2, 0, Result.RESET), api.Fail)] == [2]
-    asleep(relay)
-    assert not relay.sender.folded
+    evict(relay)
+    assert not relay.sender.summaries
 
 
 def test_a_destination_that_drains_holds_its_messages_until_another_endpoint_comes() -> None:
@@ -270,9 +270,9 @@
     relay.now += 2 * SECOND
     relay.answer(1, 0, Result.TIMED_OUT)
     assert relay.endpoint("a").failure_rate > 0
-    asleep(relay)
+    evict(relay)
     relay.step(gone())
-    assert not relay.sender.folded
+    assert not relay.sender.summaries
     relay.listed("a")
     back = relay.endpoint("a")
     assert back.failure_rate == 0
@@ -285,11 +285,11 @@
     relay.listed("a", "b")
     relay.step(relay.take())
     relay.answer(1, 0, Result.RESET)
-    asleep(relay)
+    evict(relay)
     new = api.Entry("n", "north", "plain", 2, State.IN, 1.0)
     relay.step(api.Listed(api.ListKind.WHOLE, (new,)))
     assert list(relay.sender.members) == ["n"]
-    assert not relay.sender.folded
+    assert not relay.sender.summaries
     assert not relay.sender.members.serves(1)
 
 
@@ -323,9 +323,9 @@
     for kept in (
         sender.destinations,
         sender.endpoints,
-        sender.folded,
-        sender.looks,
-        sender.folded_looks,
+        sender.summaries,
+        sender.eviction_checks,
+        sender.summary_expiries,
         sender.timers,
         sender.touched,
     ):
@@ -340,7 +340,7 @@
     assert len(of(relay.answer(2, 0), api.Send)) == 20 - FEW  # all but the two that were answered are out
     for ref in range(3, 21):
         relay.answer(ref, 0)
-    asleep(relay, HOUR)
+    evict(relay, HOUR)
     assert len(of(relay.step(*(relay.take() for _ in range(20))), api.Send)) == FEW
 
 
@@ -420,7 +420,7 @@
     account = endpoint.account
     account.learned, account.learned_us, account.stretched_window = 0.25, relay.now, 4 * SECOND
     endpoint.starts.extend((relay.now - 2, relay.now - 1))
-    asleep(relay, 13 * SECOND)
+    evict(relay, 13 * SECOND)
     again = relay.endpoint("a")
     assert again is not endpoint
     assert (again.account.learned, again.account.stretched_window) == (0.25, 4 * SECOND)
