--- a/amberlug/policy/decide.py
+++ b/amberlug/policy/decide.py
@@ -119,7 +119,7 @@
                 self.timer(self.now + self.pause_us, None)
             return
         self.subscribed |= event.kind is not ListKind.STALE
-        for message in self.relist(event):
+        for message in self.apply_list(event):
             self.finish(message)
 
     def take(self, event: api.Taken) -> None:
--- a/amberlug/policy/folding.py
+++ b/amberlug/policy/folding.py
@@ -228,4 +228,4 @@
             of.failure_rate, of.jitter = endpoint.failure_rate, endpoint.jitter
             of.starts.extend(endpoint.starts)
         else:
-            to.awaited.add(endpoint.entry.endpoint)
+            to.restored_unlisted.add(endpoint.entry.endpoint)
--- a/amberlug/policy/lasting.py
+++ b/amberlug/policy/lasting.py
@@ -120,10 +120,10 @@
                 folding.apply_known(to, told, self.settings)
         return to
 
-    def enlist(self, to: Destination, entry: api.Entry) -> None:
+    def add_endpoint(self, to: Destination, entry: api.Entry) -> None:
         """Add or update an endpoint; if new at a destination in use, its persisted state is looked up."""
         came = entry.endpoint not in self.endpoints and not self.loading
-        super().enlist(to, entry)
+        super().add_endpoint(to, entry)
         told = self.recall(to.number, (entry,)) if came and self.recall is not None else None
         if told is None:
             return
@@ -131,8 +131,8 @@
         for route in told.routes:
             if (account := to.accounts.get(route.route)) is not None:
                 account.blocked_until = max(account.blocked_until, route.blocked_until_us)
-        if entry.endpoint in to.awaited:  # listed after the destination's first message
-            to.awaited.discard(entry.endpoint)
+        if entry.endpoint in to.restored_unlisted:  # listed after the destination's first message
+            to.restored_unlisted.discard(entry.endpoint)
             own = tuple(it for it in told.routes if it.route == entry.endpoint)
             folding.apply_known(to, replace(told, routes=own), self.settings)
 
--- a/amberlug/policy/state.py
+++ b/amberlug/policy/state.py
@@ -106,7 +106,9 @@
     used_us: int = NEVER  # when one of those last began or ended
     eviction_check_us: int = NEVER  # time of the next check whether it can be evicted
     gone: bool = False  # whether no endpoint is listed for it any more
-    awaited: set[str] = field(default_factory=set)  # endpoints with restored state that are not listed yet
+    restored_unlisted: set[str] = field(
+        default_factory=set
+    )  # endpoints with restored state that are not listed yet
 
 
 @dataclass(slots=True, eq=False)
--- a/amberlug/policy/waking.py
+++ b/amberlug/policy/waking.py
@@ -13,7 +13,7 @@
 from amberlug.policy.state import Destination, Endpoint, Message, Records
 
 
-def elsewhere(was: api.Entry, entry: api.Entry) -> bool:
+def is_moved(was: api.Entry, entry: api.Entry) -> bool:
     """Whether an endpoint is now listed for another destination or kind: it is treated as a new endpoint."""
     return (was.destination, was.kind) != (entry.destination, entry.kind)
 
@@ -29,33 +29,33 @@
             folding.initial_idle_keep_us(settings),
         )
 
-    def relist(self, event: api.Listed) -> list[Message]:
+    def apply_list(self, event: api.Listed) -> list[Message]:
         """Apply a list update; returns the messages whose destination has no endpoint any more."""
         for entry in event.entries:  # evicted destinations are restored, to be updated as the others are
             if entry.destination in self.summaries:
                 self.load_destination(entry.destination)
-        left = self.unlist(event)  # draining: no new calls from the moment this relay learns of it
+        left = self.remove_endpoints(event)  # draining: no new calls from the moment this relay learns of it
         altered = [self.destinations[number] for number in left if number in self.destinations]
         for entry in (entry for entry in event.entries if entry.state is State.IN):
             self.members.put(entry)
             if entry.destination in self.destinations:
                 altered.append(self.destinations[entry.destination])
-                self.enlist(altered[-1], entry)
+                self.add_endpoint(altered[-1], entry)
         for to in altered:
-            self.take_rates(to)
+            self.apply_listed_rates(to)
         ended: list[Message] = []
         for number in left:
             if number in self.destinations and not self.members.serves(number):
-                ended += self.close(self.destinations[number])
+                ended += self.mark_gone(self.destinations[number])
         return ended
 
-    def unlist(self, news: api.Listed) -> dict[int, None]:
+    def remove_endpoints(self, news: api.Listed) -> dict[int, None]:
         """Remove endpoints that drain, are gone or have moved; returns the destinations they served."""
         told, left = {entry.endpoint: entry for entry in news.entries}, dict[int, None]()
         names = told if news.kind is ListKind.PATCH else [*self.members, *told]
         for name in dict.fromkeys(names):
             entry, was = told.get(name), self.members.get(name)
-            if was is not None and (entry is None or entry.state is State.GONE or elsewhere(was, entry)):
+            if was is not None and (entry is None or entry.state is State.GONE or is_moved(was, entry)):
                 if was.destination in self.summaries:
                     self.load_destination(was.destination)
                 self.members.remove(name)
@@ -67,7 +67,7 @@
                 left[entry.destination] = None
         return left
 
-    def enlist(self, to: Destination, entry: api.Entry) -> None:
+    def add_endpoint(self, to: Destination, entry: api.Entry) -> None:
         """Add or update a listed endpoint at a destination in use."""
         name = entry.endpoint
         for it in to.accounts.values() if to.gone else ():  # calls in flight reported about removed ones
@@ -89,7 +89,7 @@
     def listed_rate(self, entry: api.Entry) -> float | None:
         return entry.rate if self.settings.rates_listed and entry.rate > 0 else None
 
-    def take_rates(self, to: Destination) -> None:
+    def apply_listed_rates(self, to: Destination) -> None:
         """Set each account's rate from the list; if its endpoints' rates differ, the first one applies."""
         told: dict[Account, float | None] = {}
         for it in to.endpoints.values():
@@ -99,7 +99,7 @@
                 account.listed = rate
                 account.set_rate(rate)
 
-    def close(self, to: Destination) -> list[Message]:
+    def mark_gone(self, to: Destination) -> list[Message]:
         """Schedule removal of a destination no longer listed; returns its queued messages, to be ended."""
         to.gone, to.eviction_check_us = True, self.now
         self.eviction_checks.appendleft((to.eviction_check_us, to.number))
@@ -113,8 +113,8 @@
             to = self.destinations[number] = Destination(number, used_us=self.now)
             for entry in self.members.at(number):
                 if entry.state is State.IN:
-                    self.enlist(to, entry)
-            self.take_rates(to)
+                    self.add_endpoint(to, entry)
+            self.apply_listed_rates(to)
             if (kept := self.summaries.pop(number, None)) is not None:
                 folding.restore(to, kept[1], self.settings)
             self.schedule_eviction_check(to)
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -71,7 +71,7 @@
 
 
 def test_a_send_into_a_drain_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(LastingSender, "unlist", lambda self, news: {})
+    monkeypatch.setattr(LastingSender, "remove_endpoints", lambda self, news: {})
     broken = Play(library("drains"), 3).run()["broken"]
     assert any("drain" in line for line in broken)
 
