--- a/amberlug/core/node.py
+++ b/amberlug/core/node.py
@@ -308,8 +308,8 @@
         for event in events:
             if isinstance(event, api.Taken) and event.ref in self._messages:
                 self._settle(self._messages[event.ref], ends.get(event.ref))
-        if self._sender.turns:  # before a call leaves that they count
-            self._learning.observe(self._sender.learned(KEEP_MOST, turns=True))
+        if self._sender.unsaved_urgent:  # before a call leaves that they count
+            self._learning.observe(self._sender.learned(KEEP_MOST, urgent=True))
         self._carry_out(actions)
         self._timers.wind()
         self._work()
@@ -327,14 +327,14 @@
 
     def keep(self) -> None:
         """Keep all that was learned and is not kept yet: nothing follows in this life."""
-        self._learning.observe(self._sender.learned(len(self._sender.news)))
+        self._learning.observe(self._sender.learned(len(self._sender.unsaved)))
 
     def _keep(self) -> None:
         """Keep what was learned, some destinations in each turn, once in a while where there are rounds."""
         self._keep_at = None
         self._places.forget_sleeping(self._sender.endpoints)
         self._learning.observe(self._sender.learned(KEEP_MOST))
-        if self._sender.news and not self._stopped:
+        if self._sender.unsaved and not self._stopped:
             self._keep_at = self._clock.at(self.now_us() + SECOND // 100, self._keep)
         self._work()
 
--- a/amberlug/policy/decide.py
+++ b/amberlug/policy/decide.py
@@ -11,7 +11,7 @@
 from amberlug.policy import interface as api
 from amberlug.policy.account import INITIAL_ANSWER_US, MAX_SLOT_SHARE, SECOND, UNLIMITED
 from amberlug.policy.interface import Effect, Group, ListKind, Result
-from amberlug.policy.state import TURNS, Call, Destination, Endpoint, Message
+from amberlug.policy.state import MAX_COMPETING, Call, Destination, Endpoint, Message
 from amberlug.policy.tables import SPREAD, Tables
 
 RATE_NOISE = 0.3  # a reported limit that differs by more replaces the current one; less is noise
@@ -368,7 +368,7 @@
 
     def free_slots(self, destination: Destination) -> None:
         self.starved[destination] = None
-        if len(self.starved) > TURNS:
+        if len(self.starved) > MAX_COMPETING:
             return  # destinations queued before it handle this, and slots are given in turn
         if self.overdue_us is None:
             self.overdue_us = self.call_off_late()
--- a/amberlug/policy/lasting.py
+++ b/amberlug/policy/lasting.py
@@ -136,13 +136,13 @@
             own = tuple(it for it in told.routes if it.route == entry.endpoint)
             folding.apply_known(to, replace(told, routes=own), self.settings)
 
-    def learned(self, most: int, turns: bool = False) -> list[api.Known]:
-        """Return unsaved state of at most `most` destinations; with `turns` only of those to save soon."""
-        part = self.turns if turns else self.news
+    def learned(self, most: int, urgent: bool = False) -> list[api.Known]:
+        """Return unsaved state of at most `most` destinations; with `urgent` only of those to save soon."""
+        part = self.unsaved_urgent if urgent else self.unsaved
         found = []
         for number in list(itertools.islice(part, most)):
-            self.news.pop(number, None)
-            self.turns.pop(number, None)
+            self.unsaved.pop(number, None)
+            self.unsaved_urgent.pop(number, None)
             if (to := self.destinations.get(number)) is not None:
                 found.append(folding.known_state(to))
         return found
@@ -151,10 +151,10 @@
         endpoint, number = call.endpoint, call.endpoint.entry.destination
         before = endpoint.cold, endpoint.recovered_us is None, endpoint.account.learned_us
         super().answered(call, result, wait_us, report)
-        self.news[number] = None
+        self.unsaved[number] = None
         # If the process died before the next save, it would run into the outage or the limit again.
         if before != (endpoint.cold, endpoint.recovered_us is None, endpoint.account.learned_us):
-            self.turns[number] = None
+            self.unsaved_urgent[number] = None
 
     def route(self, name: str) -> str:
         """Return the scope of an endpoint's Retry-After wait: its route, or the whole destination (empty)."""
@@ -258,7 +258,7 @@
         # where new connections are no more reliable or expensive.
         fresh = unsafe and self.stale_rate > STALE_RATE
         if endpoint.cold:  # an unsaved call start would not count for the cold-start limit after a restart
-            self.turns[endpoint.entry.destination] = None
+            self.unsaved_urgent[endpoint.entry.destination] = None
         self.actions[sent:] = [
             replace(it, until_us=until_us, fresh=fresh) if isinstance(it, api.Send) else it
             for it in self.actions[sent:]
--- a/amberlug/policy/state.py
+++ b/amberlug/policy/state.py
@@ -12,7 +12,7 @@
 from amberlug.policy.membership import Members
 
 NEVER = -(1 << 62)
-TURNS = 64  # destinations waiting for a slot that compete for it at a time, in turn
+MAX_COMPETING = 64  # destinations waiting for a slot that compete for it at a time, in turn
 
 
 @dataclass(slots=True, eq=False)
@@ -126,8 +126,10 @@
     )  # times of eviction checks, with the number
     summaries: dict[int, tuple[int, bytes]] = field(default_factory=dict)  # summaries of evicted destinations
     summary_expiries: deque[tuple[int, int]] = field(default_factory=deque)
-    news: dict[int, None] = field(default_factory=dict)  # destinations with unsaved state
-    turns: dict[int, None] = field(default_factory=dict)  # those of them to save soon, after a health change
+    unsaved: dict[int, None] = field(default_factory=dict)  # destinations with unsaved state
+    unsaved_urgent: dict[int, None] = field(
+        default_factory=dict
+    )  # those of them to save soon, after a health change
     messages: dict[int, Message] = field(default_factory=dict)
     calls: dict[tuple[int, int], tuple[Message, Call]] = field(default_factory=dict)
     probes: dict[str, Call] = field(default_factory=dict)
@@ -177,7 +179,7 @@
             call.endpoint.idle.append(self.now)
             self.rested[call.endpoint] = None
         self.slots_out -= call.slot
-        for _ in range(min(TURNS, len(self.starved))):
+        for _ in range(min(MAX_COMPETING, len(self.starved))):
             self.touched[self.starved.popitem(last=False)[0]] = None
 
     def leave(self, name: str) -> None:
--- a/tests/test_folding.py
+++ b/tests/test_folding.py
@@ -16,7 +16,7 @@
 from amberlug.policy.interface import Result, State
 from amberlug.policy.lasting import LastingSender
 from amberlug.policy.settings import read_settings
-from amberlug.policy.state import TURNS
+from amberlug.policy.state import MAX_COMPETING
 from tests.conftest import SECOND, Relay, of, setup
 
 HOUR = 3600 * SECOND
@@ -396,7 +396,7 @@
 
 def test_slots_go_round_among_many_that_wait_for_one() -> None:
     relay = Relay(FamilyInfo__Slots=4, Bounds__MaxOpen=5000)
-    many = 4 * TURNS
+    many = 4 * MAX_COMPETING
     new = (api.Entry(f"a{n}", "north", "plain", n, State.IN, 1.0) for n in range(many))
     relay.step(api.Listed(api.ListKind.PATCH, tuple(new)))
     refs = {n: [next(relay.refs) for _ in range(3)] for n in range(many)}
@@ -410,7 +410,7 @@
         relay.step(api.Outcome(ref, attempt, send.endpoint, Result.DONE, True, 1000, 0, ()))
     # One that has just woken does not wait until all messages of those before it are gone.
     assert len(set(called)) > many * 0.3
-    assert len(relay.sender.starved) > TURNS
+    assert len(relay.sender.starved) > MAX_COMPETING
 
 
 def test_a_limit_below_one_and_the_starts_of_an_outage_outlast_a_sleep() -> None:
--- a/tests/test_learning.py
+++ b/tests/test_learning.py
@@ -593,8 +593,8 @@
                     action.ref, number, action.endpoint, result, result is Result.DONE, 50_000, wait_us, ()
                 )
                 self.due.append((self.time.us + 50_000, told))
-        if self.sender.turns:
-            self.learner.observe(self.sender.learned(9, turns=True))
+        if self.sender.unsaved_urgent:
+            self.learner.observe(self.sender.learned(9, urgent=True))
 
     def run(self, seconds: float, per_second: float = 10.0) -> list[tuple[int, Result]]:
         """Hand messages in for a while; the sends meanwhile."""
