--- a/amberlug/policy/decide.py
+++ b/amberlug/policy/decide.py
@@ -61,7 +61,7 @@
         """Process all events of a step, then serve the affected destinations, the most urgent first."""
         if now_us < self.now:
             raise ValueError(f"time runs backwards: {now_us} after {self.now}")
-        self.now, self.actions, self.touched, self.overdue_us = now_us, [], {}, None
+        self.now, self.actions, self.affected, self.overdue_us = now_us, [], {}, None
         if self.settings.asks and not self.asked:
             self.ask()
         for event in events:
@@ -76,8 +76,8 @@
             elif isinstance(event, api.Probed) and event.endpoint in self.probes:
                 self.answered(self.probes.pop(event.endpoint), event.result, 0, event.report)
             elif isinstance(event, api.Withdrawn) and event.ref in self.messages:
-                self.drop(self.messages[event.ref])
-        urgent = [destination for destination in self.touched if destination.waiting]
+                self.discard_message(self.messages[event.ref])
+        urgent = [destination for destination in self.affected if destination.waiting]
         urgent.sort(key=self.urgency, reverse=True)
         for destination in urgent:
             self.serve(destination)
@@ -92,15 +92,15 @@
             self.close_stale(target)
         elif isinstance(target, int):
             if (to := self.destinations.get(target)) is not None:  # else it was evicted and has nothing to do
-                self.touched[to] = None
+                self.affected[to] = None
         elif target.ref in self.messages:
             grace = target.deadline_us + self.settings.answer_slack_us // 2
             if self.now < target.deadline_us:  # the answer is late: a second copy may go if slots allow
                 if len(target.out) == 1 and self.slots_out <= self.settings.slots * MAX_SLOT_SHARE:
                     target.destination.waiting[target.ref] = target
-                    self.touched[target.destination] = None
+                    self.affected[target.destination] = None
             elif target.out and self.now < grace:  # the attempt's own time-out comes first
-                self.timer(grace, target)
+                self.set_timer(grace, target)
             else:
                 self.finish(target)
 
@@ -109,14 +109,14 @@
         self.asked = True
         if not self.subscribed:
             self.actions.append(api.Subscribe())
-            self.timer(self.now + self.pause_us, None)
+            self.set_timer(self.now + self.pause_us, None)
             self.pause_us = min(2 * self.pause_us, self.settings.ask_within_us // 4)
 
     def listed(self, event: api.Listed) -> None:
         if event.kind is ListKind.BROKEN:
             if self.subscribed:
                 self.subscribed, self.pause_us = False, ASK_AGAIN_US
-                self.timer(self.now + self.pause_us, None)
+                self.set_timer(self.now + self.pause_us, None)
             return
         self.subscribed |= event.kind is not ListKind.STALE
         for message in self.apply_list(event):
@@ -131,8 +131,8 @@
         kind = self.settings.classes[event.message_class]
         key, worth = event.key if kind.keep_order else None, kind.worth * self.share(event.tenant)
         message = Message(event.ref, kind, destination, key, self.now + event.left_us, worth)
-        self.hold(message)
-        self.timer(message.deadline_us, message)
+        self.register_message(message)
+        self.set_timer(message.deadline_us, message)
         if len(self.messages) > self.settings.max_open * HOLD:
             # Close to the limit of held messages: refuse those of lowest value that clients may safely retry.
             able = [other for other in self.messages.values() if not other.out and may_refuse(other)]
@@ -142,17 +142,17 @@
 
     def share(self, tenant: str | None) -> float:
         """Value factor of a tenant's message: 1 within this relay's share of the quota, with a 1 s burst."""
-        if tenant is None or tenant not in self.shares:
+        if tenant is None or tenant not in self.quota_used_until:
             return 1.0
         quota = max(self.settings.tenants[tenant].quota_per_s / self.settings.relays, 1e-6)
-        until = max(self.shares[tenant], self.now - SECOND) + int(SECOND / quota)
-        self.shares[tenant] = until if until <= self.now else self.shares[tenant]
+        until = max(self.quota_used_until[tenant], self.now - SECOND) + int(SECOND / quota)
+        self.quota_used_until[tenant] = until if until <= self.now else self.quota_used_until[tenant]
         return 1.0 if until <= self.now else self.settings.over_share_worth
 
     def finish(self, message: Message) -> None:
         """End a message: refused if the client may safely retry it, else failed."""
         self.actions.append(api.Refuse(message.ref, 0) if may_refuse(message) else api.Fail(message.ref))
-        self.drop(message)
+        self.discard_message(message)
 
     def outcome(self, event: api.Outcome) -> None:
         if (found := self.calls.pop((event.ref, event.attempt), None)) is None:
@@ -164,9 +164,9 @@
         if event.result in MAY_HAVE_RUN:
             message.ran.append(call)
             if message.key is not None and event.result is not Result.ERROR:
-                self.rest(message.key, self.now + self.settings.key_quiet_us)
+                self.start_key_quiet_time(message.key, self.now + self.settings.key_quiet_us)
         if message.ref not in self.messages or event.ended:
-            self.drop(message)
+            self.discard_message(message)
         elif not message.out:
             message.destination.waiting[message.ref] = message
             spent = message.attempts >= self.settings.most_attempts or self.now >= message.deadline_us
@@ -193,7 +193,7 @@
         if call.left == 0:
             kept = result is Result.REFUSED and not endpoint.full_tables  # a full table's peer closes it
             self.end_call(call, reusable=kept or result in (Result.DONE, Result.ERROR))
-        self.touched[self.destinations[endpoint.entry.destination]] = None
+        self.affected[self.destinations[endpoint.entry.destination]] = None
 
     def judge(self, endpoint: Endpoint, start_us: int, result: Result, wait_us: int) -> None:
         """Update an endpoint's health: an outage starts its cold-start limit, a success its warm-up."""
@@ -303,10 +303,10 @@
         return self.no_slot(endpoint), failed, fee, endpoint.out - bool(endpoint.idle), endpoint.out
 
     def eligible(self, message: Message) -> bool:
-        rest = 0 if message.key is None or message.attempts else self.rests.get(message.key, 0)
+        rest = 0 if message.key is None or message.attempts else self.key_quiet_until.get(message.key, 0)
         if rest > self.now:
-            self.wake(message.destination, rest)
-        first = message.key is None or (self.lanes[message.key][0] is message and rest <= self.now)
+            self.set_destination_timer(message.destination, rest)
+        first = message.key is None or (self.key_queues[message.key][0] is message and rest <= self.now)
         return first and may_repeat(message, self.now) and message.attempts < self.settings.most_attempts
 
     def loss(self, message: Message, delay_us: int = SECOND) -> float:
@@ -360,19 +360,19 @@
                 for endpoint in [to for to in ready if left and to.cold and to.may_have_run][:1]:
                     self.scout(destination, endpoint)
                 if later := [opening for opening in openings.values() if opening > self.now]:
-                    self.wake(destination, min(later))
+                    self.set_destination_timer(destination, min(later))
                 return
             if self.no_slot(choice):
                 return self.free_slots(destination)
             self.send(choice, (message for message in left if self.usable(choice, message)))
 
     def free_slots(self, destination: Destination) -> None:
-        self.starved[destination] = None
-        if len(self.starved) > MAX_COMPETING:
+        self.waiting_for_slot[destination] = None
+        if len(self.waiting_for_slot) > MAX_COMPETING:
             return  # destinations queued before it handle this, and slots are given in turn
         if self.overdue_us is None:
             self.overdue_us = self.call_off_late()
-        self.wake(destination, self.overdue_us)
+        self.set_destination_timer(destination, self.overdue_us)
 
     def call_off_late(self) -> int:
         """With all slots taken, cancel overdue calls, once a step; returns when the next becomes overdue."""
@@ -387,7 +387,7 @@
         retry = endpoint.last_failure_us + self.settings.overload_us
         if not self.settings.may_probe:
             endpoint.may_have_run = self.now < retry
-            self.wake(destination, retry)
+            self.set_destination_timer(destination, retry)
         elif endpoint.entry.endpoint not in self.probes:
             self.probes[endpoint.entry.endpoint] = self.start_call(endpoint, 1, 0)
             self.actions.append(api.Probe(endpoint.entry.endpoint))
@@ -403,7 +403,7 @@
             if effect is not Effect.UNSAFE and self.now + patience + endpoint.account.usual_us < until:
                 until = self.now + patience
                 if self.settings.second_copies:
-                    self.timer(self.now + patience // 2, message)
+                    self.set_timer(self.now + patience // 2, message)
             del message.destination.waiting[message.ref]
             message.out[message.attempts] = call
             self.calls[message.ref, message.attempts] = message, call
--- a/amberlug/policy/lasting.py
+++ b/amberlug/policy/lasting.py
@@ -216,9 +216,9 @@
         if message is not None and (spent or not may_repeat(message, self.now)):
             self.finish(message)
 
-    def hold(self, message: Message) -> None:
+    def register_message(self, message: Message) -> None:
         """Register a message, with its attempts from before a restart if it was resumed."""
-        super().hold(message)
+        super().register_message(message)
         if self.resumed is not None:
             message.attempts = self.resumed.attempts
             message.ran = [
--- a/amberlug/policy/state.py
+++ b/amberlug/policy/state.py
@@ -106,9 +106,8 @@
     used_us: int = NEVER  # when one of those last began or ended
     eviction_check_us: int = NEVER  # time of the next check whether it can be evicted
     gone: bool = False  # whether no endpoint is listed for it any more
-    restored_unlisted: set[str] = field(
-        default_factory=set
-    )  # endpoints with restored state that are not listed yet
+    # endpoints with restored state that are not listed yet
+    restored_unlisted: set[str] = field(default_factory=set)
 
 
 @dataclass(slots=True, eq=False)
@@ -121,41 +120,42 @@
     members: Members = field(default_factory=Members)
     destinations: dict[int, Destination] = field(default_factory=dict)  # those in use
     endpoints: dict[str, Endpoint] = field(default_factory=dict)  # of the destinations in use
-    eviction_checks: deque[tuple[int, int]] = field(
-        default_factory=deque
-    )  # times of eviction checks, with the number
+    # times of eviction checks, with the number
+    eviction_checks: deque[tuple[int, int]] = field(default_factory=deque)
     summaries: dict[int, tuple[int, bytes]] = field(default_factory=dict)  # summaries of evicted destinations
     summary_expiries: deque[tuple[int, int]] = field(default_factory=deque)
     unsaved: dict[int, None] = field(default_factory=dict)  # destinations with unsaved state
-    unsaved_urgent: dict[int, None] = field(
-        default_factory=dict
-    )  # those of them to save soon, after a health change
+    # those of them to save soon, after a health change
+    unsaved_urgent: dict[int, None] = field(default_factory=dict)
     messages: dict[int, Message] = field(default_factory=dict)
     calls: dict[tuple[int, int], tuple[Message, Call]] = field(default_factory=dict)
     probes: dict[str, Call] = field(default_factory=dict)
-    touched: dict[Destination, None] = field(default_factory=dict)  # to be served in this step
+    affected: dict[Destination, None] = field(default_factory=dict)  # to be served in this step
     fastest_new_us: dict[str, int] = field(default_factory=dict)  # fastest answer with a handshake, by zone
     small_table_kinds: set[str] = field(default_factory=set)  # kinds with a connection table found full
-    rested: dict[Endpoint, None] = field(default_factory=dict)  # endpoints whose connection became idle now
-    starved: OrderedDict[Destination, None] = field(default_factory=OrderedDict)  # waiting for a slot
+    # endpoints whose connection became idle now
+    newly_idle: dict[Endpoint, None] = field(default_factory=dict)
+    waiting_for_slot: OrderedDict[Destination, None] = field(default_factory=OrderedDict)
     overdue_us: int | None = None  # when the next call becomes overdue, once computed in this step
     timers: dict[int, Message | Endpoint | int | None] = field(default_factory=dict)
     labels: Iterator[int] = field(default_factory=itertools.count)
-    lanes: dict[str, list[Message]] = field(default_factory=dict)  # messages of each ordering key, FIFO
-    rests: dict[str, int] = field(default_factory=dict)  # end of each key's quiet time, earliest first
-    shares: dict[str, int] = field(default_factory=dict)  # until when each tenant's quota is used up
+    key_queues: dict[str, list[Message]] = field(default_factory=dict)  # messages of each ordering key, FIFO
+    # end of each key's quiet time, earliest first
+    key_quiet_until: dict[str, int] = field(default_factory=dict)
+    # until when each tenant's quota is used up
+    quota_used_until: dict[str, int] = field(default_factory=dict)
 
-    def timer(self, at_us: int, target: Message | Endpoint | int | None) -> None:
+    def set_timer(self, at_us: int, target: Message | Endpoint | int | None) -> None:
         """Set a timer for a message, an endpoint, a destination's number or the endpoint list (None)."""
         label = next(self.labels)
         self.timers[label] = target
         self.actions.append(Timer(label, max(1, at_us - self.now)))
 
-    def wake(self, destination: Destination, at_us: int) -> None:
+    def set_destination_timer(self, destination: Destination, at_us: int) -> None:
         """Set a destination's timer, unless it expires earlier already."""
         if not self.now < destination.timer_us <= at_us:
             destination.timer_us = max(at_us, self.now + 1)
-            self.timer(destination.timer_us, destination.number)
+            self.set_timer(destination.timer_us, destination.number)
 
     def start_call(self, endpoint: Endpoint, messages: int, slot: int) -> Call:
         """Register a call that starts now, on an idle connection if there is one."""
@@ -177,44 +177,46 @@
         to.held, to.used_us = to.held - 1, self.now
         if reusable:
             call.endpoint.idle.append(self.now)
-            self.rested[call.endpoint] = None
+            self.newly_idle[call.endpoint] = None
         self.slots_out -= call.slot
-        for _ in range(min(MAX_COMPETING, len(self.starved))):
-            self.touched[self.starved.popitem(last=False)[0]] = None
+        for _ in range(min(MAX_COMPETING, len(self.waiting_for_slot))):
+            self.affected[self.waiting_for_slot.popitem(last=False)[0]] = None
 
-    def leave(self, name: str) -> None:
+    def discard_endpoint(self, name: str) -> None:
         """Discard the state of an endpoint that accepts no new calls."""
         if (endpoint := self.endpoints.pop(name, None)) is not None:
             to = self.destinations[endpoint.entry.destination]
             del to.endpoints[name]
             to.accounts.pop(name, None)  # a route's own account goes with it, a shared account stays
 
-    def hold(self, message: Message) -> None:
+    def register_message(self, message: Message) -> None:
         """Register an accepted message and append it to the queue of its key."""
         to = message.destination
         self.messages[message.ref] = to.waiting[message.ref] = message
         to.held, to.used_us = to.held + 1, self.now
         if message.key is not None:
-            self.lanes.setdefault(message.key, []).append(message)
-        self.touched[to] = None
+            self.key_queues.setdefault(message.key, []).append(message)
+        self.affected[to] = None
 
-    def drop(self, message: Message) -> None:
+    def discard_message(self, message: Message) -> None:
         """Discard a finished message; the next one of its key may go once no attempt is in flight."""
         if self.messages.pop(message.ref, None) is not None:
             message.destination.held -= 1
             message.destination.used_us = self.now
         message.destination.waiting.pop(message.ref, None)
         if not message.out:
-            self.touched.update((other.destination, None) for other in self.leave_lane(message))
+            self.affected.update((other.destination, None) for other in self.leave_key_queue(message))
 
-    def leave_lane(self, message: Message) -> list[Message]:
+    def leave_key_queue(self, message: Message) -> list[Message]:
         """Remove a message from the queue of its key; returns the messages left in it."""
         if message.key is None:
             return []
-        self.lanes[message.key].remove(message)
-        return self.lanes[message.key] or self.lanes.pop(message.key)
+        self.key_queues[message.key].remove(message)
+        return self.key_queues[message.key] or self.key_queues.pop(message.key)
 
-    def rest(self, key: str, until_us: int) -> None:
+    def start_key_quiet_time(self, key: str, until_us: int) -> None:
         """Start the quiet time of a key, and discard quiet times that have ended."""
-        self.rests = {other: until for other, until in self.rests.items() if until > self.now}
-        self.rests[key] = until_us
+        self.key_quiet_until = {
+            other: until for other, until in self.key_quiet_until.items() if until > self.now
+        }
+        self.key_quiet_until[key] = until_us
--- a/amberlug/policy/tables.py
+++ b/amberlug/policy/tables.py
@@ -33,10 +33,10 @@
     def close_idle(self) -> None:
         """Close connections that idle for longer than the endpoint's table recently had room for."""
         # Prevents tables full of idle connections. Cost: a handshake per burst where bursts are far apart.
-        for endpoint in self.rested if self.relays_per_connection > 1 else ():
+        for endpoint in self.newly_idle if self.relays_per_connection > 1 else ():
             if endpoint.idle and not endpoint.close_timer_set:
                 self.close_stale(endpoint)
-        self.rested = {}
+        self.newly_idle = {}
 
     def close_stale(self, endpoint: Endpoint) -> None:
         """Close an endpoint's idle connections if their keep time is over, else set a timer for its end."""
@@ -49,7 +49,7 @@
             self.actions.append(api.CloseIdle(endpoint.entry.endpoint))
         else:
             endpoint.close_timer_set = True
-            self.timer(until_us, endpoint)
+            self.set_timer(until_us, endpoint)
 
     def refused_by_full_table(self, endpoint: Endpoint, result: Result) -> bool:
         """Whether the call judged last was refused by a full connection table."""
--- a/amberlug/policy/waking.py
+++ b/amberlug/policy/waking.py
@@ -22,7 +22,7 @@
     """State of one relay, with destinations created on demand and evicted when idle."""
 
     def __init__(self, settings: api.Settings) -> None:
-        super().__init__(shares=dict.fromkeys(settings.tenants, 0))
+        super().__init__(quota_used_until=dict.fromkeys(settings.tenants, 0))
         self.settings, self.idle_before_eviction_us = settings, folding.idle_before_eviction_us(settings)
         self.relays_per_connection, self.initial_idle_keep_us = (
             folding.relays_per_connection(settings),
@@ -59,11 +59,11 @@
                 if was.destination in self.summaries:
                     self.load_destination(was.destination)
                 self.members.remove(name)
-                self.leave(name)
+                self.discard_endpoint(name)
                 left[was.destination] = None
             if entry is not None and entry.state is State.DRAINING:
                 self.members.put(entry)
-                self.leave(name)
+                self.discard_endpoint(name)
                 left[entry.destination] = None
         return left
 
@@ -84,7 +84,7 @@
             )
             to.endpoints[name] = self.endpoints[name] = made
         self.endpoints[name].entry, to.gone = entry, False
-        self.touched[to] = None
+        self.affected[to] = None
 
     def listed_rate(self, entry: api.Entry) -> float | None:
         return entry.rate if self.settings.rates_listed and entry.rate > 0 else None
--- a/tests/test_account.py
+++ b/tests/test_account.py
@@ -175,8 +175,8 @@
     sender = relay.sender
     for kept in (
         sender.timers,
-        sender.lanes,
-        sender.rests,
+        sender.key_queues,
+        sender.key_quiet_until,
         sender.endpoints,
         sender.messages,
         sender.calls,
--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -190,7 +190,10 @@
     """How much each container of a relay's core holds."""
     found = {}
     for of in (relay.node, relay.node._sender, relay.node._journal, relay.node._learning):
-        names = {*getattr(of, "__dict__", ()), *(it.name for it in fields(Records) if hasattr(of, it.name))}
+        names = {
+            *getattr(of, "__dict__", ()),
+            *(it.name for it in fields(Records) if hasattr(of, it.name)),
+        }
         for name in names:
             value = getattr(of, name)
             if isinstance(value, dict | set | list | deque):
--- a/tests/test_folding.py
+++ b/tests/test_folding.py
@@ -327,7 +327,7 @@
         sender.eviction_checks,
         sender.summary_expiries,
         sender.timers,
-        sender.touched,
+        sender.affected,
     ):
         assert len(kept) <= 40, kept
 
@@ -410,7 +410,7 @@
         relay.step(api.Outcome(ref, attempt, send.endpoint, Result.DONE, True, 1000, 0, ()))
     # One that has just woken does not wait until all messages of those before it are gone.
     assert len(set(called)) > many * 0.3
-    assert len(relay.sender.starved) > MAX_COMPETING
+    assert len(relay.sender.waiting_for_slot) > MAX_COMPETING
 
 
 def test_a_limit_below_one_and_the_starts_of_an_outage_outlast_a_sleep() -> None:
