--- a/amberlug/policy/decide.py
+++ b/amberlug/policy/decide.py
@@ -12,7 +12,7 @@
 from amberlug.policy.account import INITIAL_ANSWER_US, MAX_SLOT_SHARE, SECOND, UNLIMITED
 from amberlug.policy.interface import Effect, Group, ListKind, Result
 from amberlug.policy.state import MAX_COMPETING, Call, Destination, Endpoint, Message
-from amberlug.policy.tables import SPREAD, Tables
+from amberlug.policy.tables import SPREAD, ConnectionManager
 
 RATE_NOISE = 0.3  # a reported limit that differs by more replaces the current one; less is noise
 SHUT = 3  # a Retry-After wait of at least this many windows is treated as an outage
@@ -50,7 +50,7 @@
     return not (message.ran or message.out) or message.kind.effect is Effect.SAFE or keyed
 
 
-class Sender(Tables):
+class Sender(ConnectionManager):
     """The state machine that makes all decisions of one relay."""
 
     def __init__(self, settings: api.Settings, seed: int) -> None:
--- a/amberlug/policy/state.py
+++ b/amberlug/policy/state.py
@@ -111,7 +111,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Records:
+class RelayState:
     """State that a relay keeps from one step to the next."""
 
     now: int = 0
--- a/amberlug/policy/tables.py
+++ b/amberlug/policy/tables.py
@@ -11,7 +11,7 @@
 from amberlug.policy.account import SECOND, UNLIMITED
 from amberlug.policy.interface import Result
 from amberlug.policy.state import Endpoint
-from amberlug.policy.waking import Awake
+from amberlug.policy.waking import DestinationManager
 
 SPREAD = 0.7, 1.3  # jitter factor of retry delays: relays that fail together must not retry together
 TABLE_PAUSE_US = SECOND // 10  # initial backoff after a full table, doubled with each consecutive one
@@ -22,7 +22,7 @@
 KEEP_STEP_US = SECOND // 500  # growth after it: an idle connection is worth less than a slot for a call
 
 
-class Tables(Awake):
+class ConnectionManager(DestinationManager):
     """Connection handling of a relay: full tables and idle connections."""
 
     def __init__(self, settings: api.Settings, seed: int) -> None:
--- a/amberlug/policy/waking.py
+++ b/amberlug/policy/waking.py
@@ -10,7 +10,7 @@
 from amberlug.policy import interface as api
 from amberlug.policy.account import HISTORY_SIZE, Account
 from amberlug.policy.interface import ListKind, State
-from amberlug.policy.state import Destination, Endpoint, Message, Records
+from amberlug.policy.state import Destination, Endpoint, Message, RelayState
 
 
 def is_moved(was: api.Entry, entry: api.Entry) -> bool:
@@ -18,7 +18,7 @@
     return (was.destination, was.kind) != (entry.destination, entry.kind)
 
 
-class Awake(Records):
+class DestinationManager(RelayState):
     """State of one relay, with destinations created on demand and evicted when idle."""
 
     def __init__(self, settings: api.Settings) -> None:
--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -24,7 +24,7 @@
 from amberlug.learning.learner import Learner
 from amberlug.policy import decide, lasting
 from amberlug.policy.lasting import LastingSender
-from amberlug.policy.state import Records
+from amberlug.policy.state import RelayState
 
 RELAYS = 40  # `amberlug lab days` plays 200
 
@@ -192,7 +192,7 @@
     for of in (relay.node, relay.node._sender, relay.node._journal, relay.node._learning):
         names = {
             *getattr(of, "__dict__", ()),
-            *(it.name for it in fields(Records) if hasattr(of, it.name)),
+            *(it.name for it in fields(RelayState) if hasattr(of, it.name)),
         }
         for name in names:
             value = getattr(of, name)
