--- a/amberlug/policy/tables.py
+++ b/amberlug/policy/connections.py
@@ -9,9 +9,9 @@
 
 from amberlug.policy import interface as api
 from amberlug.policy.account import SECOND, UNLIMITED
+from amberlug.policy.destinations import DestinationManager
 from amberlug.policy.interface import Result
 from amberlug.policy.state import Endpoint
-from amberlug.policy.waking import DestinationManager
 
 SPREAD = 0.7, 1.3  # jitter factor of retry delays: relays that fail together must not retry together
 TABLE_PAUSE_US = SECOND // 10  # initial backoff after a full table, doubled with each consecutive one
--- a/amberlug/policy/decide.py
+++ b/amberlug/policy/decide.py
@@ -7,12 +7,12 @@
 import itertools
 from collections.abc import Iterator, Sequence
 
-from amberlug.policy import folding
+from amberlug.policy import eviction
 from amberlug.policy import interface as api
 from amberlug.policy.account import INITIAL_ANSWER_US, MAX_SLOT_SHARE, SECOND, UNLIMITED
+from amberlug.policy.connections import SPREAD, ConnectionManager
 from amberlug.policy.interface import Effect, Group, ListKind, Result
 from amberlug.policy.state import MAX_COMPETING, Call, Destination, Endpoint, Message
-from amberlug.policy.tables import SPREAD, ConnectionManager
 
 RATE_NOISE = 0.3  # a reported limit that differs by more replaces the current one; less is noise
 SHUT = 3  # a Retry-After wait of at least this many windows is treated as an outage
@@ -126,8 +126,8 @@
         if event.ref in self.messages:
             raise ValueError(f"message {event.ref} was taken before")
         destination = self.load_destination(event.destination)
-        if self.now - destination.used_us > folding.OUTDATED_US:
-            folding.reset_outdated(destination, self.now)
+        if self.now - destination.used_us > eviction.OUTDATED_US:
+            eviction.reset_outdated(destination, self.now)
         kind = self.settings.classes[event.message_class]
         key, worth = event.key if kind.keep_order else None, kind.worth * self.share(event.tenant)
         message = Message(event.ref, kind, destination, key, self.now + event.left_us, worth)
--- a/amberlug/policy/waking.py
+++ b/amberlug/policy/destinations.py
@@ -1,12 +1,12 @@
 """Lifecycle of destinations: list updates, creation at the first message, and eviction when idle.
 
 Only list updates and destinations in use take time. An idle destination is a row of `membership.py` and at
-most a short summary made by `folding.py`.
+most a short summary made by `eviction.py`.
 """
 
 from collections import deque
 
-from amberlug.policy import folding
+from amberlug.policy import eviction
 from amberlug.policy import interface as api
 from amberlug.policy.account import HISTORY_SIZE, Account
 from amberlug.policy.interface import ListKind, State
@@ -23,10 +23,10 @@
 
     def __init__(self, settings: api.Settings) -> None:
         super().__init__(quota_used_until=dict.fromkeys(settings.tenants, 0))
-        self.settings, self.idle_before_eviction_us = settings, folding.idle_before_eviction_us(settings)
+        self.settings, self.idle_before_eviction_us = settings, eviction.idle_before_eviction_us(settings)
         self.relays_per_connection, self.initial_idle_keep_us = (
-            folding.relays_per_connection(settings),
-            folding.initial_idle_keep_us(settings),
+            eviction.relays_per_connection(settings),
+            eviction.initial_idle_keep_us(settings),
         )
 
     def apply_list(self, event: api.Listed) -> list[Message]:
@@ -71,7 +71,7 @@
         """Add or update a listed endpoint at a destination in use."""
         name = entry.endpoint
         for it in to.accounts.values() if to.gone else ():  # calls in flight reported about removed ones
-            folding.reset_learned(it)
+            eviction.reset_learned(it)
         where = name if self.settings.kinds[entry.kind].apart else ""
         account = to.accounts.get(where) or Account(self.settings, self.listed_rate(entry))
         to.accounts[where] = account
@@ -104,7 +104,7 @@
         to.gone, to.eviction_check_us = True, self.now
         self.eviction_checks.appendleft((to.eviction_check_us, to.number))
         for account in to.accounts.values():
-            folding.reset_learned(account)
+            eviction.reset_learned(account)
         return list(to.waiting.values())
 
     def load_destination(self, number: int) -> Destination:
@@ -116,7 +116,7 @@
                     self.add_endpoint(to, entry)
             self.apply_listed_rates(to)
             if (kept := self.summaries.pop(number, None)) is not None:
-                folding.restore(to, kept[1], self.settings)
+                eviction.restore(to, kept[1], self.settings)
             self.schedule_eviction_check(to)
         return to
 
@@ -126,14 +126,14 @@
 
     def evict_idle(self) -> None:
         """Evict idle destinations and discard outdated summaries; a few in each step."""
-        for _ in range(folding.CHECKS_PER_STEP):
+        for _ in range(eviction.CHECKS_PER_STEP):
             if not self.eviction_checks or self.eviction_checks[0][0] > self.now:
                 break
             at_us, number = self.eviction_checks.popleft()
             to = self.destinations.get(number)
             if to is not None and to.eviction_check_us == at_us:
                 self.evict_if_idle(to)
-        for _ in range(folding.CHECKS_PER_STEP):
+        for _ in range(eviction.CHECKS_PER_STEP):
             if not self.summary_expiries or self.summary_expiries[0][0] > self.now:
                 break
             at_us, number = self.summary_expiries.popleft()
@@ -141,8 +141,8 @@
                 self.expire_summary(number)
 
     def evict_if_idle(self, to: Destination) -> None:
-        if folding.can_evict(to, self.now, self.settings):
-            self.evict(to, b"" if to.gone else folding.serialize(to, self.now, self.settings))
+        if eviction.can_evict(to, self.now, self.settings):
+            self.evict(to, b"" if to.gone else eviction.serialize(to, self.now, self.settings))
         else:
             self.schedule_eviction_check(to)
 
@@ -152,11 +152,11 @@
         for name in to.endpoints:
             del self.endpoints[name]
         if kept:
-            self.summaries[to.number] = self.now + folding.OUTDATED_US, kept
-            self.summary_expiries.append((self.now + folding.OUTDATED_US, to.number))
+            self.summaries[to.number] = self.now + eviction.OUTDATED_US, kept
+            self.summary_expiries.append((self.now + eviction.OUTDATED_US, to.number))
 
     def expire_summary(self, number: int) -> None:
         """Discard the summary of a destination if the next message would reset all of it as outdated."""
         kept, to = self.summaries[number][1], self.load_destination(number)
-        folding.reset_outdated(to, self.now)
-        self.evict(to, kept if folding.serialize(to, self.now, self.settings) else b"")
+        eviction.reset_outdated(to, self.now)
+        self.evict(to, kept if eviction.serialize(to, self.now, self.settings) else b"")
--- a/amberlug/policy/lasting.py
+++ b/amberlug/policy/lasting.py
@@ -10,7 +10,7 @@
 from dataclasses import replace
 from itertools import chain
 
-from amberlug.policy import folding
+from amberlug.policy import eviction
 from amberlug.policy import interface as api
 from amberlug.policy.account import UNLIMITED, Account
 from amberlug.policy.decide import ANSWER_WEIGHT, MAY_HAVE_RUN, Sender, may_refuse, may_repeat
@@ -36,7 +36,7 @@
 
     resumed: api.Resumed | None = None
     closing = False
-    waking = False  # whether a destination is being created from the list
+    loading = False  # whether a destination is being created from the list
     usual_worth = 0.0  # average value of recent messages
     stale_rate = 0.0  # share of recent calls on reused connections that were reset
     list_good_until = UNLIMITED  # after this time an endpoint may be draining without this relay knowing
@@ -117,7 +117,7 @@
         if asleep and self.recall is not None:
             told = self.recall(number, tuple(it.entry for it in to.endpoints.values()))
             if told is not None:
-                folding.apply_known(to, told, self.settings)
+                eviction.apply_known(to, told, self.settings)
         return to
 
     def add_endpoint(self, to: Destination, entry: api.Entry) -> None:
@@ -134,7 +134,7 @@
         if entry.endpoint in to.restored_unlisted:  # listed after the destination's first message
             to.restored_unlisted.discard(entry.endpoint)
             own = tuple(it for it in told.routes if it.route == entry.endpoint)
-            folding.apply_known(to, replace(told, routes=own), self.settings)
+            eviction.apply_known(to, replace(told, routes=own), self.settings)
 
     def learned(self, most: int, urgent: bool = False) -> list[api.Known]:
         """Return unsaved state of at most `most` destinations; with `urgent` only of those to save soon."""
@@ -144,7 +144,7 @@
             self.unsaved.pop(number, None)
             self.unsaved_urgent.pop(number, None)
             if (to := self.destinations.get(number)) is not None:
-                found.append(folding.known_state(to))
+                found.append(eviction.known_state(to))
         return found
 
     def answered(self, call: Call, result: Result, wait_us: int, report: tuple[float, ...]) -> None:
--- a/amberlug/policy/membership.py
+++ b/amberlug/policy/membership.py
@@ -2,7 +2,7 @@
 
 A row is one bytes object, which the garbage collector does not track: of tens of thousands of rows most are
 never read between two list updates. Calls, health and limits are not stored here, but in
-`amberlug/policy/state.py` for destinations in use and in `amberlug/policy/folding.py` for evicted ones.
+`amberlug/policy/state.py` for destinations in use and in `amberlug/policy/eviction.py` for evicted ones.
 """
 
 from __future__ import annotations
--- a/benchmarks/fleet_losses.py
+++ b/benchmarks/fleet_losses.py
@@ -21,7 +21,7 @@
 FRESH_US = (
     SECOND // 20
 )  # a message this much younger than its class's deadline is handed in for the first time
-SOON = 0.6  # part of the quickest answer past a table, as in amberlug/policy/tables.py
+SOON = 0.6  # part of the quickest answer past a table, as in amberlug/policy/connections.py
 
 
 @dataclass(slots=True)
--- a/tests/test_tables.py
+++ b/tests/test_connections.py
@@ -1,8 +1,8 @@
 """Endpoints that hold few connections, which the relays of a large fleet share."""
 
 from amberlug.policy import interface as api
+from amberlug.policy.connections import KEEP_STEP_US, TABLE_PAUSE_US, UNMET
 from amberlug.policy.interface import Result
-from amberlug.policy.tables import KEEP_STEP_US, TABLE_PAUSE_US, UNMET
 from tests.conftest import SECOND, Relay, of
 
 
--- a/tests/test_folding.py
+++ b/tests/test_eviction.py
@@ -9,7 +9,7 @@
 from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
 
-from amberlug.policy import folding
+from amberlug.policy import eviction
 from amberlug.policy import interface as api
 from amberlug.policy.account import INITIAL_ANSWER_US
 from amberlug.policy.decide import FEW, FRESH_SHARE
@@ -177,7 +177,7 @@
     relay.answer(1, 0)
     evict(relay)
     assert list(relay.sender.summaries) == [1]
-    relay.advance(relay.now + folding.OUTDATED_US)
+    relay.advance(relay.now + eviction.OUTDATED_US)
     relay.step()
     assert not relay.sender.summaries
     assert not relay.sender.destinations
