--- a/amberlug/policy/connections.py
+++ b/amberlug/policy/connections.py
@@ -13,12 +13,14 @@
 from amberlug.policy.interface import Result
 from amberlug.policy.state import Endpoint
 
-SPREAD = 0.7, 1.3  # jitter factor of retry delays: relays that fail together must not retry together
-TABLE_PAUSE_US = SECOND // 10  # initial backoff after a full table, doubled with each consecutive one
-TABLE_PAUSE_MOST_US = SECOND // 2
-SOON = 0.6  # share of the fastest answer that included a handshake; a faster answer did not include one
-UNMET = 5  # consecutive full tables after which each counts as an ordinary refusal, as in a small fleet
-KEEP_MORE = 1.5  # growth of the keep time with each new connection served, before the first full table
+JITTER = 0.7, 1.3  # jitter factor of retry delays: relays that fail together must not retry together
+FIRST_TABLE_PAUSE_US = SECOND // 10  # initial backoff after a full table, doubled with each consecutive one
+MAX_TABLE_PAUSE_US = SECOND // 2
+# Share of the fastest answer that included a handshake; a faster answer did not include one.
+HANDSHAKE_SHARE = 0.6
+# Consecutive full tables after which each counts as an ordinary refusal, as in a small fleet.
+MAX_FULL_TABLES = 5
+KEEP_GROWTH = 1.5  # growth of the keep time with each new connection served, before the first full table
 KEEP_STEP_US = SECOND // 500  # growth after it: an idle connection is worth less than a slot for a call
 
 
@@ -66,7 +68,7 @@
         if not self.reused and (result is Result.DONE or wait_us):
             self.fastest_new_us[zone] = min(took_us, self.fastest_new_us.get(zone, took_us))
         refused = result is Result.REFUSED and not wait_us and not self.reused
-        soon = took_us < SOON * self.fastest_new_us.get(
+        soon = took_us < HANDSHAKE_SHARE * self.fastest_new_us.get(
             zone, UNLIMITED
         )  # a full table answers without a handshake
         if not (refused and soon):
@@ -74,7 +76,9 @@
             if not self.reused and result is Result.DONE:
                 small = endpoint.entry.kind in self.small_table_kinds
                 kept_us = (
-                    endpoint.idle_keep_us + KEEP_STEP_US if small else int(endpoint.idle_keep_us * KEEP_MORE)
+                    endpoint.idle_keep_us + KEEP_STEP_US
+                    if small
+                    else int(endpoint.idle_keep_us * KEEP_GROWTH)
                 )
                 endpoint.idle_keep_us = min(self.settings.idle_us, kept_us)
             return False
@@ -86,6 +90,6 @@
                     self.close_stale(other)
         endpoint.full_tables += 1
         endpoint.idle_keep_us = 0
-        pause_us = min(TABLE_PAUSE_MOST_US, TABLE_PAUSE_US << min(endpoint.full_tables - 1, 8))
-        endpoint.table_full_until = self.now + int(pause_us * self.chance.uniform(*SPREAD))
-        return endpoint.full_tables < UNMET
+        pause_us = min(MAX_TABLE_PAUSE_US, FIRST_TABLE_PAUSE_US << min(endpoint.full_tables - 1, 8))
+        endpoint.table_full_until = self.now + int(pause_us * self.chance.uniform(*JITTER))
+        return endpoint.full_tables < MAX_FULL_TABLES
--- a/amberlug/policy/decide.py
+++ b/amberlug/policy/decide.py
@@ -10,27 +10,30 @@
 from amberlug.policy import eviction
 from amberlug.policy import interface as api
 from amberlug.policy.account import INITIAL_ANSWER_US, MAX_SLOT_SHARE, SECOND, UNLIMITED
-from amberlug.policy.connections import SPREAD, ConnectionManager
+from amberlug.policy.connections import JITTER, ConnectionManager
 from amberlug.policy.interface import Effect, Group, ListKind, Result
 from amberlug.policy.state import MAX_COMPETING, Call, Destination, Endpoint, Message
 
 RATE_NOISE = 0.3  # a reported limit that differs by more replaces the current one; less is noise
-SHUT = 3  # a Retry-After wait of at least this many windows is treated as an outage
+OUTAGE_WAIT_WINDOWS = 3  # a Retry-After wait of at least this many windows is treated as an outage
 BACK_OFF = 0.55, 1.0  # random factor of a learned M of at most one at a refusal; desynchronizes relays
 OUTAGE_RATE = 0.5  # failure rate that is treated as an outage
 ANSWER_WEIGHT = 0.15  # weight of the latest answer in the failure rate, success or failure
-SILENCE_WEIGHT = 0.4  # weight of a missing answer: two in a row are treated as an outage
+NO_ANSWER_WEIGHT = 0.4  # weight of a missing answer: two in a row are treated as an outage
 AVOID_US = 3 * SECOND  # how long other endpoints are preferred to one that failed
-TABLE_US = 10 * SECOND  # how long a full connection table is assumed to stay full
-THROUGHPUT_AVERAGING_US = (
-    20 * SECOND
-)  # averaging time of a relay's own throughput at a destination without a listed rate
-LONGEST = 3  # maximum window of the cold-start limit, in OverloadForUs: longer would let messages expire
-FEW = 4  # concurrent calls to an endpoint without a recent delivery; more might all be lost at once
-LATELY_US = 60 * SECOND
-FRESH_SHARE = 0.9  # share of the slots for calls to such endpoints; the rest is for those that deliver
-HOLD, MAKE_ROOM = 0.95, 100  # above this share of MaxOpen refuses 1/100 of it at once: ranking is expensive
-ASK_AGAIN_US = SECOND // 2  # initial resubscribe delay, doubled up to a quarter of AskWithin
+TABLE_FULL_US = 10 * SECOND  # how long a full connection table is assumed to stay full
+# Averaging time of a relay's own throughput at a destination without a listed rate.
+THROUGHPUT_AVERAGING_US = 20 * SECOND
+# Maximum window of the cold-start limit, in OverloadForUs: longer would let messages expire.
+MAX_WINDOW_FACTOR = 3
+# Concurrent calls to an endpoint without a recent delivery; more might all be lost at once.
+MAX_UNPROVEN_CALLS = 4
+RECENT_DELIVERY_US = 60 * SECOND
+# Share of the slots for calls to such endpoints; the rest is for those that deliver.
+UNPROVEN_SLOT_SHARE = 0.9
+# Above this share of MaxOpen, the least valuable 1/100 of it is refused at once: ranking is expensive.
+HELD_SHARE_LIMIT, REFUSAL_DIVISOR = 0.95, 100
+RESUBSCRIBE_US = SECOND // 2  # initial resubscribe delay, doubled up to a quarter of AskWithin
 MAY_HAVE_RUN = (Result.ERROR, Result.TIMED_OUT, Result.RESET, Result.CALLED_OFF, Result.SPOILT)
 
 
@@ -55,7 +58,7 @@
 
     def __init__(self, settings: api.Settings, seed: int) -> None:
         super().__init__(settings, seed)
-        self.asked, self.subscribed, self.pause_us = False, False, ASK_AGAIN_US
+        self.asked, self.subscribed, self.pause_us = False, False, RESUBSCRIBE_US
 
     def step(self, now_us: int, events: Sequence[api.Event]) -> list[api.Action]:
         """Process all events of a step, then serve the affected destinations, the most urgent first."""
@@ -115,7 +118,7 @@
     def listed(self, event: api.Listed) -> None:
         if event.kind is ListKind.BROKEN:
             if self.subscribed:
-                self.subscribed, self.pause_us = False, ASK_AGAIN_US
+                self.subscribed, self.pause_us = False, RESUBSCRIBE_US
                 self.set_timer(self.now + self.pause_us, None)
             return
         self.subscribed |= event.kind is not ListKind.STALE
@@ -133,11 +136,11 @@
         message = Message(event.ref, kind, destination, key, self.now + event.left_us, worth)
         self.register_message(message)
         self.set_timer(message.deadline_us, message)
-        if len(self.messages) > self.settings.max_open * HOLD:
+        if len(self.messages) > self.settings.max_open * HELD_SHARE_LIMIT:
             # Close to the limit of held messages: refuse those of lowest value that clients may safely retry.
             able = [other for other in self.messages.values() if not other.out and may_refuse(other)]
             able.sort(key=lambda other: other.worth_at(self.now, self.settings.halving))
-            for least in able[: 1 + self.settings.max_open // MAKE_ROOM]:
+            for least in able[: 1 + self.settings.max_open // REFUSAL_DIVISOR]:
                 self.finish(least)
 
     def share(self, tenant: str | None) -> float:
@@ -217,16 +220,16 @@
             # Calls that were in flight together and are all refused must reduce M only once.
             if start_us > account.learned_us:
                 account.refused(self.now, self.chance.uniform(*BACK_OFF))
-            if wait_us < SHUT * account.window:
+            if wait_us < OUTAGE_WAIT_WINDOWS * account.window:
                 return  # refused by the rate limit, not an outage
         if result is Result.UNCONNECTED and self.relays_per_connection <= 1:
             endpoint.table_size = max(1, endpoint.out + len(endpoint.idle) - 1)
-            endpoint.table_full_until = self.now + TABLE_US
+            endpoint.table_full_until = self.now + TABLE_FULL_US
         if result in (Result.UNCONNECTED, Result.TIMED_OUT) and endpoint.last_success_us > start_us:
             return  # it answered others meanwhile: slow or table full; after a crash the next call fails too
         endpoint.last_failure_us, endpoint.may_have_run = self.now, result in MAY_HAVE_RUN
-        endpoint.jitter = self.chance.uniform(*SPREAD)
-        weight = ANSWER_WEIGHT if result in (Result.ERROR, Result.RESET) else SILENCE_WEIGHT
+        endpoint.jitter = self.chance.uniform(*JITTER)
+        weight = ANSWER_WEIGHT if result in (Result.ERROR, Result.RESET) else NO_ANSWER_WEIGHT
         endpoint.failure_rate += (1 - endpoint.failure_rate) * weight
         # Protects an endpoint that has recovered and is cold from hundreds of relays that each saw only one
         # failure; a full table would answer. Cost: after a single failed connect this relay is limited to its
@@ -246,7 +249,7 @@
         if not endpoint.cold:  # each of many relays saw one failure only: it waits before the next attempt
             if endpoint.last_success_us >= endpoint.last_failure_us:
                 return self.now
-            shared_us = LONGEST * rules.overload_us if self.relays_per_connection > 1 else 0
+            shared_us = MAX_WINDOW_FACTOR * rules.overload_us if self.relays_per_connection > 1 else 0
             wait_us = max(AVOID_US, min(1 / self.part(endpoint, share), shared_us)) * endpoint.jitter
             return max(self.now, endpoint.last_failure_us + int(wait_us))
         if endpoint.recovered_us is not None:
@@ -257,7 +260,9 @@
             return self.now
         part = self.part(endpoint, share)
         # More and more relays see it fail, so each waits as long again as the outage has lasted, with jitter.
-        longest = max(LONGEST * rules.overload_us, self.now - endpoint.outage_since_us) * endpoint.jitter
+        longest = (
+            max(MAX_WINDOW_FACTOR * rules.overload_us, self.now - endpoint.outage_since_us) * endpoint.jitter
+        )
         window = int(min(max(rules.overload_us, 1 / part), longest))
         units = max(1, int(part * window))
         return self.now if len(endpoint.starts) < units else max(self.now, endpoint.starts[-units] + window)
@@ -287,13 +292,13 @@
 
     def proven(self, endpoint: Endpoint) -> bool:
         """Whether an endpoint has delivered recently."""
-        return endpoint.last_success_us >= self.now - LATELY_US
+        return endpoint.last_success_us >= self.now - RECENT_DELIVERY_US
 
     def no_slot(self, endpoint: Endpoint) -> bool:
         """Whether no slot is left for a call there."""
         # Protects busy destinations from many idle ones that become active at once and answer slowly or not
         # at all. Cost: if all become active at once, a tenth of the slots is unused until the first delivery.
-        return self.slots_out >= self.settings.slots * (1 if self.proven(endpoint) else FRESH_SHARE)
+        return self.slots_out >= self.settings.slots * (1 if self.proven(endpoint) else UNPROVEN_SLOT_SHARE)
 
     def rank(self, endpoint: Endpoint) -> tuple[bool, bool, float, int, int]:
         """Sort key of endpoints: free slot, no recent failure, low fee, idle connection, few calls."""
@@ -328,7 +333,9 @@
 
     def openings(self, destination: Destination) -> Iterator[tuple[Endpoint, int]]:
         """Endpoints with a slot and a connection available, and when each may next be called."""
-        few = FEW if self.slots_out <= self.settings.slots * MAX_SLOT_SHARE else 1  # when slots are scarce
+        few = (
+            MAX_UNPROVEN_CALLS if self.slots_out <= self.settings.slots * MAX_SLOT_SHARE else 1
+        )  # when slots are scarce
         for endpoint in destination.endpoints.values():
             endpoint.forget_idle(self.now - self.settings.idle_us)
             new = not endpoint.idle and self.now < endpoint.table_full_until
--- a/amberlug/policy/lasting.py
+++ b/amberlug/policy/lasting.py
@@ -17,18 +17,22 @@
 from amberlug.policy.interface import Effect, Group, Result, State
 from amberlug.policy.state import NEVER, Call, Destination, Endpoint, Message
 
-LEAST_ADVICE_US = 500_000  # minimum Retry-After for a refused client: a queue takes as long to drain
-AWAY_US = 5_000_000  # duration of a planned restart: shutdown, startup and the backlog that builds up
-EARLY_US = 150_000  # margin by which a message ends before its deadline: half of the tolerated lateness
-ON_ITS_WAY_US = 300_000  # maximum time from the start of a send until it reaches the endpoint
-BEHIND_US = 30_000  # usual queueing time of input under load; the answer takes several times as long
-BEHIND_ADVICE_US = 1_000_000  # Retry-After of a message refused because this relay was behind
-USUAL_WEIGHT = 0.02  # weight of the latest message in the average message value
-LONE_RATE, REUSED_RATE = 0.25, 0.45  # failure rates below which resets are isolated: two, or four, in a row
-STALE_WEIGHT = 0.02  # weight of the latest call on a reused connection in the reset rate
-STALE_RATE = 0.05  # reset rate above which unsafe messages use new connections, at a handshake each
-UNHEARD_US = 2_000_000  # maximum Retry-After assumed to have been lost in an answer when the process ended
-KEEP = 0.75  # a message that keeps less of its value over a planned restart is returned for another relay
+MIN_ADVICE_US = 500_000  # minimum Retry-After for a refused client: a queue takes as long to drain
+RESTART_US = 5_000_000  # duration of a planned restart: shutdown, startup and the backlog that builds up
+# Margin by which a message ends before its deadline: half of the tolerated lateness.
+DEADLINE_MARGIN_US = 150_000
+MAX_SEND_DELAY_US = 300_000  # maximum time from the start of a send until it reaches the endpoint
+USUAL_QUEUEING_US = 30_000  # usual queueing time of input under load; the answer takes several times as long
+OVERLOAD_ADVICE_US = 1_000_000  # Retry-After of a message refused because this relay was behind
+AVERAGE_WORTH_WEIGHT = 0.02  # weight of the latest message in the average message value
+# Failure rates below which resets count as isolated: two in a row, or four on reused connections.
+ISOLATED_RATE, REUSED_RATE = 0.25, 0.45
+RESET_WEIGHT = 0.02  # weight of the latest call on a reused connection in the reset rate
+MAX_RESET_RATE = 0.05  # reset rate above which unsafe messages use new connections, at a handshake each
+# Maximum Retry-After assumed to have been lost in an answer when the process ended.
+MAX_LOST_WAIT_US = 2_000_000
+# A message that keeps less of its value over a planned restart is returned for another relay.
+MIN_KEPT_WORTH = 0.75
 
 
 class LastingSender(Sender):
@@ -77,10 +81,10 @@
             elif destination.waiting:
                 self.tell_old()
             return
-        back_us, halving = self.now + AWAY_US, self.settings.halving
+        back_us, halving = self.now + RESTART_US, self.settings.halving
         for message in list(destination.waiting.values()):
             kept = message.worth_at(back_us, halving)
-            if may_refuse(message) and kept < KEEP * message.worth_at(self.now, halving):
+            if may_refuse(message) and kept < MIN_KEPT_WORTH * message.worth_at(self.now, halving):
                 self.finish(message)
 
     @property
@@ -164,12 +168,14 @@
     def take(self, event: api.Taken) -> None:
         """Accept a message with a slightly earlier deadline, or refuse it if this relay is too far behind."""
         if self.too_busy(event):
-            advice_us = min(BEHIND_ADVICE_US, self.settings.max_advice_us) if self.settings.may_advise else 0
+            advice_us = (
+                min(OVERLOAD_ADVICE_US, self.settings.max_advice_us) if self.settings.may_advise else 0
+            )
             self.actions.append(api.Refuse(event.ref, advice_us))
             return
         # The margin covers a delayed process: a message that ends after its deadline counts as lost.
         left_us = event.left_us - event.waited_us
-        super().take(replace(event, left_us=left_us - min(EARLY_US, max(0, left_us) // 10)))
+        super().take(replace(event, left_us=left_us - min(DEADLINE_MARGIN_US, max(0, left_us) // 10)))
 
     def too_busy(self, event: api.Taken) -> bool:
         """Whether to refuse a message because input is queueing up; the lower its value, the sooner."""
@@ -180,8 +186,8 @@
             return True  # another relay may have a current list
         worth = self.settings.classes[event.message_class].worth
         usual = self.usual_worth or worth
-        self.usual_worth = usual + (worth - usual) * USUAL_WEIGHT
-        return worth < self.usual_worth * (event.waited_us - BEHIND_US) / BEHIND_US
+        self.usual_worth = usual + (worth - usual) * AVERAGE_WORTH_WEIGHT
+        return worth < self.usual_worth * (event.waited_us - USUAL_QUEUEING_US) / USUAL_QUEUEING_US
 
     def judge(self, endpoint: Endpoint, start_us: int, result: Result, wait_us: int) -> None:
         """Update an endpoint's health; after a reset or time-out its idle connections are closed."""
@@ -198,12 +204,12 @@
         """Whether a reset concerns its connection only: a reused connection, or one of few resets."""
         # Prevents avoiding an endpoint for seconds because it or the network drops connections. Possible
         # cost: if an endpoint that crashed resets calls one by one, a few more calls fail first.
-        return not endpoint.cold and endpoint.failure_rate < (REUSED_RATE if self.reused else LONE_RATE)
+        return not endpoint.cold and endpoint.failure_rate < (REUSED_RATE if self.reused else ISOLATED_RATE)
 
     def outcome(self, event: api.Outcome) -> None:
         self.reused = event.reused
         if self.reused:
-            self.stale_rate += ((event.result is Result.RESET) - self.stale_rate) * STALE_WEIGHT
+            self.stale_rate += ((event.result is Result.RESET) - self.stale_rate) * RESET_WEIGHT
         super().outcome(event)
 
     def resume(self, event: api.Resumed) -> None:
@@ -235,7 +241,7 @@
             # there was none, messages for that destination wait as long as the last one, up to UNHEARD_US.
             account = self.endpoints[attempt.endpoint].account
             account.blocked_until = max(
-                account.blocked_until, self.now + min(account.last_retry_after_us, UNHEARD_US)
+                account.blocked_until, self.now + min(account.last_retry_after_us, MAX_LOST_WAIT_US)
             )
         if (endpoint := self.endpoints.get(attempt.endpoint)) is None:
             entry = api.Entry(attempt.endpoint, "", "", 0, State.GONE, 0.0)
@@ -256,7 +262,7 @@
         until_us = min(it.until_us for it in self.actions[sent:] if isinstance(it, api.Send))
         # A reset on a reused connection loses an unsafe message. Possible cost: a handshake for each, also
         # where new connections are no more reliable or expensive.
-        fresh = unsafe and self.stale_rate > STALE_RATE
+        fresh = unsafe and self.stale_rate > MAX_RESET_RATE
         if endpoint.cold:  # an unsaved call start would not count for the cold-start limit after a restart
             self.unsaved_urgent[endpoint.entry.destination] = None
         self.actions[sent:] = [
@@ -271,7 +277,7 @@
         if endpoint is None or message is None or endpoint.account.blocked_until > now_us or late:
             return False
         # The key of a keyed message may expire between the decision and the last byte.
-        oldest = now_us + ON_ITS_WAY_US - message.kind.key_life_us
+        oldest = now_us + MAX_SEND_DELAY_US - message.kind.key_life_us
         return message.kind.effect is not Effect.KEYED or all(call.start_us > oldest for call in message.ran)
 
     def finish(self, message: Message) -> None:
@@ -281,5 +287,5 @@
         end = self.actions[at]
         if isinstance(end, api.Refuse) and self.settings.may_advise:
             opens = [opening for _, opening in self.openings(message.destination)]
-            advice_us = max(LEAST_ADVICE_US, min(opens, default=self.now) - self.now)
+            advice_us = max(MIN_ADVICE_US, min(opens, default=self.now) - self.now)
             self.actions[at] = api.Refuse(end.ref, min(advice_us, self.settings.max_advice_us))
--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -1,7 +1,7 @@
 """Endpoints that hold few connections, which the relays of a large fleet share."""
 
 from amberlug.policy import interface as api
-from amberlug.policy.connections import KEEP_STEP_US, TABLE_PAUSE_US, UNMET
+from amberlug.policy.connections import FIRST_TABLE_PAUSE_US, KEEP_STEP_US, MAX_FULL_TABLES
 from amberlug.policy.interface import Result
 from tests.conftest import SECOND, Relay, of
 
@@ -21,7 +21,7 @@
     actions = relay.answer(1, 0, Result.REFUSED)
     assert account.limit(relay.now) == before
     assert not of(actions, api.Send)
-    assert of(relay.advance(relay.now + 2 * TABLE_PAUSE_US), api.Send)  # soon again, and not in seconds
+    assert of(relay.advance(relay.now + 2 * FIRST_TABLE_PAUSE_US), api.Send)  # soon again, and not in seconds
     assert not relay.endpoint("a").cold
     assert not any(units for _, units, _ in account.buckets_in_window(relay.now))  # a table uses no limit up
     used = shared("a")
@@ -99,12 +99,12 @@
     relay = shared("a")
     relay.step(relay.take())
     account = relay.endpoint("a").account
-    for _ in range(UNMET):
+    for _ in range(MAX_FULL_TABLES):
         assert account.limit(relay.now) == account.units
         ref, number, _, _ = relay.sent[-1]
         relay.answer(ref, number, Result.REFUSED)
         relay.advance(relay.now + SECOND)
-    assert relay.endpoint("a").full_tables == UNMET
+    assert relay.endpoint("a").full_tables == MAX_FULL_TABLES
     assert account.learned < account.units
 
 
--- a/tests/test_eviction.py
+++ b/tests/test_eviction.py
@@ -12,7 +12,7 @@
 from amberlug.policy import eviction
 from amberlug.policy import interface as api
 from amberlug.policy.account import INITIAL_ANSWER_US
-from amberlug.policy.decide import FEW, FRESH_SHARE
+from amberlug.policy.decide import MAX_UNPROVEN_CALLS, UNPROVEN_SLOT_SHARE
 from amberlug.policy.interface import Result, State
 from amberlug.policy.lasting import LastingSender
 from amberlug.policy.settings import read_settings
@@ -335,32 +335,34 @@
 def test_few_calls_go_to_what_woke_until_one_is_delivered() -> None:
     relay = Relay(FamilyInfo__Slots=100, Bounds__MaxOpen=200)
     relay.listed("a")
-    assert len(of(relay.step(*(relay.take() for _ in range(20))), api.Send)) == FEW
+    assert len(of(relay.step(*(relay.take() for _ in range(20))), api.Send)) == MAX_UNPROVEN_CALLS
     assert not of(relay.answer(1, 0, Result.UNSENT), api.Send)[1:]  # in its place one more
-    assert len(of(relay.answer(2, 0), api.Send)) == 20 - FEW  # all but the two that were answered are out
+    assert (
+        len(of(relay.answer(2, 0), api.Send)) == 20 - MAX_UNPROVEN_CALLS
+    )  # all but the two that were answered are out
     for ref in range(3, 21):
         relay.answer(ref, 0)
     evict(relay, HOUR)
-    assert len(of(relay.step(*(relay.take() for _ in range(20))), api.Send)) == FEW
+    assert len(of(relay.step(*(relay.take() for _ in range(20))), api.Send)) == MAX_UNPROVEN_CALLS
 
 
 def test_where_slots_are_short_what_woke_gets_one_call_until_one_is_delivered() -> None:
-    relay = Relay(FamilyInfo__Slots=4 * FEW, Bounds__MaxOpen=200)
-    numbers = range(4 * FEW)
+    relay = Relay(FamilyInfo__Slots=4 * MAX_UNPROVEN_CALLS, Bounds__MaxOpen=200)
+    numbers = range(4 * MAX_UNPROVEN_CALLS)
     new = (api.Entry(f"a{n}", "north", "plain", n, State.IN, 1.0) for n in (*numbers, 20))
     relay.step(api.Listed(api.ListKind.PATCH, tuple(new)))
     out: list[int] = []
     for number in numbers:
-        refs = [next(relay.refs) for _ in range(FEW)]
+        refs = [next(relay.refs) for _ in range(MAX_UNPROVEN_CALLS)]
         taken = (api.Taken(ref, number, "safe", None, None, 10 * SECOND) for ref in refs)
         out.append(len(of(relay.step(*taken), api.Send)))
         relay.now += 1000
     # Half of the slots go as many as one takes; the other half go one each, so that more are heard of.
-    assert out[:2] == [FEW, FEW]
+    assert out[:2] == [MAX_UNPROVEN_CALLS, MAX_UNPROVEN_CALLS]
     assert out[2] <= 2
-    assert out[3 : 3 + FEW] == [1] * FEW
+    assert out[3 : 3 + MAX_UNPROVEN_CALLS] == [1] * MAX_UNPROVEN_CALLS
     # The last tenth is for what delivers: one that has gets a slot there.
-    assert sum(out) == int(4 * FEW * FRESH_SHARE) + 1 < 4 * FEW
+    assert sum(out) == int(4 * MAX_UNPROVEN_CALLS * UNPROVEN_SLOT_SHARE) + 1 < 4 * MAX_UNPROVEN_CALLS
     relay.endpoint("a20").last_success_us = relay.now
     ref = next(relay.refs)
     assert of(relay.step(api.Taken(ref, 20, "safe", None, None, 10 * SECOND)), api.Send)
--- a/tests/test_lasting.py
+++ b/tests/test_lasting.py
@@ -9,7 +9,7 @@
 from amberlug.core.ports import Wait
 from amberlug.policy import interface as api
 from amberlug.policy.interface import Result, State
-from amberlug.policy.lasting import BEHIND_US, LastingSender
+from amberlug.policy.lasting import USUAL_QUEUEING_US, LastingSender
 from amberlug.policy.settings import read_settings
 from tests.conftest import SECOND, of, setup
 
@@ -137,9 +137,9 @@
 
     for _ in range(200):
         assert refused(waited_us=0) == []
-    assert refused(waited_us=BEHIND_US) == []
-    assert refused(waited_us=2 * BEHIND_US) == ["cheap"]
-    assert refused(waited_us=4 * BEHIND_US) == ["cheap", "dear"]
+    assert refused(waited_us=USUAL_QUEUEING_US) == []
+    assert refused(waited_us=2 * USUAL_QUEUEING_US) == ["cheap"]
+    assert refused(waited_us=4 * USUAL_QUEUEING_US) == ["cheap", "dear"]
 
 
 def test_nothing_is_sent_by_a_list_that_was_not_confirmed_for_too_long() -> None:
