--- a/amberlug/core/node.py
+++ b/amberlug/core/node.py
@@ -353,7 +353,7 @@
         if not message.taken:
             self._forget(message)
             advice_us = end.advice_us if isinstance(end, api.Refuse) else 0
-            reason = Reason.OLD_LIST if self._sender.list_old else Reason.REFUSED
+            reason = Reason.OLD_LIST if self._sender.list_expired else Reason.REFUSED
             refusal = Refusal(reason, advice_us or BUSY_RETRY_US)
         elif self._observer is not None:
             self._observer.taken(message)
--- a/amberlug/policy/connections.py
+++ b/amberlug/policy/connections.py
@@ -29,7 +29,7 @@
 
     def __init__(self, settings: api.Settings, seed: int) -> None:
         super().__init__(settings)
-        self.chance = random.Random(seed)
+        self.rng = random.Random(seed)
         self.reused = False  # whether the outcome being processed came on a reused connection
 
     def close_idle(self) -> None:
@@ -91,5 +91,5 @@
         endpoint.full_tables += 1
         endpoint.idle_keep_us = 0
         pause_us = min(MAX_TABLE_PAUSE_US, FIRST_TABLE_PAUSE_US << min(endpoint.full_tables - 1, 8))
-        endpoint.table_full_until = self.now + int(pause_us * self.chance.uniform(*JITTER))
+        endpoint.table_full_until = self.now + int(pause_us * self.rng.uniform(*JITTER))
         return endpoint.full_tables < MAX_FULL_TABLES
--- a/amberlug/policy/decide.py
+++ b/amberlug/policy/decide.py
@@ -43,8 +43,8 @@
     Keyed ones may as long as their key is remembered.
     """
     effect, oldest = message.kind.effect, now_us - message.kind.key_life_us
-    keyed = effect is Effect.KEYED and all(call.start_us > oldest for call in message.exposed())
-    return keyed or effect is Effect.SAFE or not message.exposed()
+    keyed = effect is Effect.KEYED and all(call.start_us > oldest for call in message.possibly_executed())
+    return keyed or effect is Effect.SAFE or not message.possibly_executed()
 
 
 def may_refuse(message: Message) -> bool:
@@ -58,22 +58,22 @@
 
     def __init__(self, settings: api.Settings, seed: int) -> None:
         super().__init__(settings, seed)
-        self.asked, self.subscribed, self.pause_us = False, False, RESUBSCRIBE_US
+        self.subscription_requested, self.subscribed, self.pause_us = False, False, RESUBSCRIBE_US
 
     def step(self, now_us: int, events: Sequence[api.Event]) -> list[api.Action]:
         """Process all events of a step, then serve the affected destinations, the most urgent first."""
         if now_us < self.now:
             raise ValueError(f"time runs backwards: {now_us} after {self.now}")
         self.now, self.actions, self.affected, self.overdue_us = now_us, [], {}, None
-        if self.settings.asks and not self.asked:
-            self.ask()
+        if self.settings.asks and not self.subscription_requested:
+            self.subscribe()
         for event in events:
             if isinstance(event, api.Taken):
                 self.take(event)
             elif isinstance(event, api.Outcome):
                 self.outcome(event)
             elif isinstance(event, api.Due) and event.label in self.timers:
-                self.due(self.timers.pop(event.label))
+                self.on_timer(self.timers.pop(event.label))
             elif isinstance(event, api.Listed):
                 self.listed(event)
             elif isinstance(event, api.Probed) and event.endpoint in self.probes:
@@ -88,9 +88,9 @@
         self.evict_idle()
         return self.actions
 
-    def due(self, target: Message | Endpoint | int | None) -> None:
+    def on_timer(self, target: Message | Endpoint | int | None) -> None:
         if target is None:
-            self.ask()
+            self.subscribe()
         elif isinstance(target, Endpoint):
             self.close_stale(target)
         elif isinstance(target, int):
@@ -107,9 +107,9 @@
             else:
                 self.finish(target)
 
-    def ask(self) -> None:
+    def subscribe(self) -> None:
         """Subscribe to list changes, and again until the list answers, more often than AskWithin."""
-        self.asked = True
+        self.subscription_requested = True
         if not self.subscribed:
             self.actions.append(api.Subscribe())
             self.set_timer(self.now + self.pause_us, None)
@@ -189,7 +189,7 @@
             if told > 0 and abs(told / (account.rate or UNLIMITED) - 1) > RATE_NOISE:
                 account.set_rate(told)
             if result not in (Result.UNSENT, Result.CALLED_OFF, Result.SPOILT):  # no health signal
-                self.judge(endpoint, call.start_us, result, wait_us)
+                self.update_health(endpoint, call.start_us, result, wait_us)
             # A refusal by a full connection table does not consume the endpoint's rate limit.
             counts = result is not Result.UNSENT and not self.refused_by_full_table(endpoint, result)
             account.buckets.add(call.start_us, counts, result is Result.DONE)
@@ -198,7 +198,7 @@
             self.end_call(call, reusable=kept or result in (Result.DONE, Result.ERROR))
         self.affected[self.destinations[endpoint.entry.destination]] = None
 
-    def judge(self, endpoint: Endpoint, start_us: int, result: Result, wait_us: int) -> None:
+    def update_health(self, endpoint: Endpoint, start_us: int, result: Result, wait_us: int) -> None:
         """Update an endpoint's health: an outage starts its cold-start limit, a success its warm-up."""
         account = endpoint.account
         if self.relays_per_connection > 1 and self.table_full(endpoint, start_us, result, wait_us):
@@ -219,7 +219,7 @@
         if result is Result.REFUSED:
             # Calls that were in flight together and are all refused must reduce M only once.
             if start_us > account.learned_us:
-                account.refused(self.now, self.chance.uniform(*BACK_OFF))
+                account.refused(self.now, self.rng.uniform(*BACK_OFF))
             if wait_us < OUTAGE_WAIT_WINDOWS * account.window:
                 return  # refused by the rate limit, not an outage
         if result is Result.UNCONNECTED and self.relays_per_connection <= 1:
@@ -228,7 +228,7 @@
         if result in (Result.UNCONNECTED, Result.TIMED_OUT) and endpoint.last_success_us > start_us:
             return  # it answered others meanwhile: slow or table full; after a crash the next call fails too
         endpoint.last_failure_us, endpoint.may_have_run = self.now, result in MAY_HAVE_RUN
-        endpoint.jitter = self.chance.uniform(*JITTER)
+        endpoint.jitter = self.rng.uniform(*JITTER)
         weight = ANSWER_WEIGHT if result in (Result.ERROR, Result.RESET) else NO_ANSWER_WEIGHT
         endpoint.failure_rate += (1 - endpoint.failure_rate) * weight
         # Protects an endpoint that has recovered and is cold from hundreds of relays that each saw only one
@@ -250,7 +250,7 @@
             if endpoint.last_success_us >= endpoint.last_failure_us:
                 return self.now
             shared_us = MAX_WINDOW_FACTOR * rules.overload_us if self.relays_per_connection > 1 else 0
-            wait_us = max(AVOID_US, min(1 / self.part(endpoint, share), shared_us)) * endpoint.jitter
+            wait_us = max(AVOID_US, min(1 / self.allowed_rate(endpoint, share), shared_us)) * endpoint.jitter
             return max(self.now, endpoint.last_failure_us + int(wait_us))
         if endpoint.recovered_us is not None:
             share += (1 - share) * (self.now - endpoint.recovered_us) / max(1, rules.warm_us)
@@ -258,7 +258,7 @@
             endpoint.cold = False
             self.actions.append(api.Log(f"outage over at {endpoint.entry.endpoint}"))
             return self.now
-        part = self.part(endpoint, share)
+        part = self.allowed_rate(endpoint, share)
         # More and more relays see it fail, so each waits as long again as the outage has lasted, with jitter.
         longest = (
             max(MAX_WINDOW_FACTOR * rules.overload_us, self.now - endpoint.outage_since_us) * endpoint.jitter
@@ -267,7 +267,7 @@
         units = max(1, int(part * window))
         return self.now if len(endpoint.starts) < units else max(self.now, endpoint.starts[-units] + window)
 
-    def part(self, endpoint: Endpoint, share: float) -> float:
+    def allowed_rate(self, endpoint: Endpoint, share: float) -> float:
         """Calls per us that this relay may send to an endpoint that has this share of its capacity."""
         account, rules = endpoint.account, self.settings
         rate = account.throughput if account.rate is None else account.rate / rules.relays
@@ -286,11 +286,13 @@
         ):
             return False
         zoned = kind.effect is Effect.KEYED and kind.group is Group.ZONE
-        if zoned and any(call.endpoint.entry.zone != endpoint.entry.zone for call in message.exposed()):
+        if zoned and any(
+            call.endpoint.entry.zone != endpoint.entry.zone for call in message.possibly_executed()
+        ):
             return False
         return all(call.endpoint is not endpoint for call in message.out.values())
 
-    def proven(self, endpoint: Endpoint) -> bool:
+    def delivered_recently(self, endpoint: Endpoint) -> bool:
         """Whether an endpoint has delivered recently."""
         return endpoint.last_success_us >= self.now - RECENT_DELIVERY_US
 
@@ -298,7 +300,9 @@
         """Whether no slot is left for a call there."""
         # Protects busy destinations from many idle ones that become active at once and answer slowly or not
         # at all. Cost: if all become active at once, a tenth of the slots is unused until the first delivery.
-        return self.slots_out >= self.settings.slots * (1 if self.proven(endpoint) else UNPROVEN_SLOT_SHARE)
+        return self.slots_out >= self.settings.slots * (
+            1 if self.delivered_recently(endpoint) else UNPROVEN_SLOT_SHARE
+        )
 
     def rank(self, endpoint: Endpoint) -> tuple[bool, bool, float, int, int]:
         """Sort key of endpoints: free slot, no recent failure, low fee, idle connection, few calls."""
@@ -314,7 +318,7 @@
         first = message.key is None or (self.key_queues[message.key][0] is message and rest <= self.now)
         return first and may_repeat(message, self.now) and message.attempts < self.settings.most_attempts
 
-    def loss(self, message: Message, delay_us: int = SECOND) -> float:
+    def value_loss(self, message: Message, delay_us: int = SECOND) -> float:
         soon, halving = self.now + INITIAL_ANSWER_US, self.settings.halving
         return message.worth_at(soon, halving) - message.worth_at(soon + delay_us, halving)
 
@@ -322,14 +326,14 @@
         """Value lost by delaying a destination, per time that its call would hold a slot."""
         # Keeps slow destinations from starving fast ones when slots are scarce: the c-mu scheduling rule.
         usual = min((it.usual_us for it in destination.accounts.values()), default=INITIAL_ANSWER_US)
-        return self.loss(next(iter(destination.waiting.values()))) / max(usual, SECOND // 100)
+        return self.value_loss(next(iter(destination.waiting.values()))) / max(usual, SECOND // 100)
 
     def order(self, destination: Destination) -> list[Message]:
         """Sort queued messages by the value each loses if sent last instead of first, then by target time."""
         rate = sum(account.limit(self.now) / account.window for account in destination.accounts.values())
         drain = max(SECOND, int(min(len(destination.waiting) / max(rate, 1e-7), 60 * SECOND)))
         able = [message for message in destination.waiting.values() if self.eligible(message)]
-        return sorted(able, key=lambda message: (-self.loss(message, drain), message.aim_us))
+        return sorted(able, key=lambda message: (-self.value_loss(message, drain), message.aim_us))
 
     def openings(self, destination: Destination) -> Iterator[tuple[Endpoint, int]]:
         """Endpoints with a slot and a connection available, and when each may next be called."""
@@ -342,7 +346,7 @@
             full = new and self.relays_per_connection <= 1 and endpoint.out >= endpoint.table_size
             # Keeps slots from being held by many endpoints that became active at once, some slow, silent or
             # down. Cost: at a healthy but slow one the second message waits for the first answer.
-            unsure = endpoint.out >= few and not self.proven(endpoint)
+            unsure = endpoint.out >= few and not self.delivered_recently(endpoint)
             if not (full or unsure or endpoint.account.at_slot_limit(self.now)):
                 opening = max(endpoint.account.opening(self.now), self.cold_opening(endpoint))
                 yield (
@@ -365,23 +369,23 @@
             choice = next((to for message in left for to in ready if self.usable(to, message)), None)
             if choice is None:
                 for endpoint in [to for to in ready if left and to.cold and to.may_have_run][:1]:
-                    self.scout(destination, endpoint)
+                    self.test_endpoint(destination, endpoint)
                 if later := [opening for opening in openings.values() if opening > self.now]:
                     self.set_destination_timer(destination, min(later))
                 return
             if self.no_slot(choice):
-                return self.free_slots(destination)
+                return self.wait_for_slot(destination)
             self.send(choice, (message for message in left if self.usable(choice, message)))
 
-    def free_slots(self, destination: Destination) -> None:
+    def wait_for_slot(self, destination: Destination) -> None:
         self.waiting_for_slot[destination] = None
         if len(self.waiting_for_slot) > MAX_COMPETING:
             return  # destinations queued before it handle this, and slots are given in turn
         if self.overdue_us is None:
-            self.overdue_us = self.call_off_late()
+            self.overdue_us = self.cancel_overdue()
         self.set_destination_timer(destination, self.overdue_us)
 
-    def call_off_late(self) -> int:
+    def cancel_overdue(self) -> int:
         """With all slots taken, cancel overdue calls, once a step; returns when the next becomes overdue."""
         # Keeps hung calls from holding the slots. Cost: slow calls with unsafe messages are cancelled too.
         due = {key: it.start_us + it.endpoint.account.patience_us() for key, (_, it) in self.calls.items()}
@@ -389,7 +393,7 @@
         self.actions += [api.CallOff(*key) for key in late]
         return min([at for at in due.values() if at > self.now], default=self.now + SECOND)
 
-    def scout(self, destination: Destination, endpoint: Endpoint) -> None:
+    def test_endpoint(self, destination: Destination, endpoint: Endpoint) -> None:
         """Test an endpoint that drops calls and has only unsafe messages queued: by a probe, else by one."""
         retry = endpoint.last_failure_us + self.settings.overload_us
         if not self.settings.may_probe:
--- a/amberlug/policy/lasting.py
+++ b/amberlug/policy/lasting.py
@@ -41,10 +41,10 @@
     resumed: api.Resumed | None = None
     closing = False
     loading = False  # whether a destination is being created from the list
-    usual_worth = 0.0  # average value of recent messages
-    stale_rate = 0.0  # share of recent calls on reused connections that were reset
-    list_good_until = UNLIMITED  # after this time an endpoint may be draining without this relay knowing
-    list_told_old = False  # whether the log says that the list is too old
+    average_worth = 0.0  # average value of recent messages
+    reset_rate = 0.0  # share of recent calls on reused connections that were reset
+    list_valid_until = UNLIMITED  # after this time an endpoint may be draining without this relay knowing
+    list_expiry_logged = False  # whether the log says that the list is too old
 
     def __init__(self, settings: api.Settings, seed: int, recall: api.Recall | None = None) -> None:
         super().__init__(settings, seed)
@@ -54,12 +54,12 @@
         """Process ordinary events, then those of a restart, and serve the affected destinations."""
         self.closing = self.closing or any(isinstance(event, api.Closing) for event in events)
         confirmed = [event for event in events if isinstance(event, api.Current)]
-        old = confirmed and now_us >= self.list_good_until
+        old = confirmed and now_us >= self.list_valid_until
         for current in confirmed:
-            self.list_good_until = now_us + current.for_us
+            self.list_valid_until = now_us + current.for_us
         super().step(now_us, events)
-        if old and self.list_told_old:
-            self.list_told_old = False
+        if old and self.list_expiry_logged:
+            self.list_expiry_logged = False
             self.actions.append(api.Log("list: confirmed again; messages are accepted and sent as before"))
         own = [it for it in events if old or isinstance(it, api.Resumed | api.Closing)]
         for event in own:
@@ -76,10 +76,10 @@
             # Prevents calls to endpoints that drain or are gone; a drain counts as known some seconds after
             # its announcement whether or not that arrived. Cost: nothing is sent while discovery is down for
             # long.
-            if not self.list_old:
+            if not self.list_expired:
                 super().serve(destination)
             elif destination.waiting:
-                self.tell_old()
+                self.log_list_expired()
             return
         back_us, halving = self.now + RESTART_US, self.settings.halving
         for message in list(destination.waiting.values()):
@@ -88,15 +88,15 @@
                 self.finish(message)
 
     @property
-    def list_old(self) -> bool:
+    def list_expired(self) -> bool:
         """Whether the list may miss a drain; then no message is accepted or sent."""
-        return self.now >= self.list_good_until
+        return self.now >= self.list_valid_until
 
-    def tell_old(self) -> None:
+    def log_list_expired(self) -> None:
         """Log once that delivery is paused because the endpoint list is too old."""
-        if not self.list_told_old:
-            self.list_told_old = True
-            late_s = (self.now - self.list_good_until) / 1e6
+        if not self.list_expiry_logged:
+            self.list_expiry_logged = True
+            late_s = (self.now - self.list_valid_until) / 1e6
             text = f"list: too old for {late_s:.1f} s, not confirmed by discovery; "
             self.actions.append(api.Log(text + "no messages are accepted or sent until it is confirmed"))
 
@@ -167,7 +167,7 @@
 
     def take(self, event: api.Taken) -> None:
         """Accept a message with a slightly earlier deadline, or refuse it if this relay is too far behind."""
-        if self.too_busy(event):
+        if self.overloaded(event):
             advice_us = (
                 min(OVERLOAD_ADVICE_US, self.settings.max_advice_us) if self.settings.may_advise else 0
             )
@@ -177,30 +177,30 @@
         left_us = event.left_us - event.waited_us
         super().take(replace(event, left_us=left_us - min(DEADLINE_MARGIN_US, max(0, left_us) // 10)))
 
-    def too_busy(self, event: api.Taken) -> bool:
+    def overloaded(self, event: api.Taken) -> bool:
         """Whether to refuse a message because input is queueing up; the lower its value, the sooner."""
         # Prevents answers so late that clients give up and retry, which doubles the load, whatever keeps the
         # process busy. Possible cost: refusals after a single long event loop iteration without overload.
-        if self.list_old and self.resumed is None:
-            self.tell_old()
+        if self.list_expired and self.resumed is None:
+            self.log_list_expired()
             return True  # another relay may have a current list
         worth = self.settings.classes[event.message_class].worth
-        usual = self.usual_worth or worth
-        self.usual_worth = usual + (worth - usual) * AVERAGE_WORTH_WEIGHT
-        return worth < self.usual_worth * (event.waited_us - USUAL_QUEUEING_US) / USUAL_QUEUEING_US
+        usual = self.average_worth or worth
+        self.average_worth = usual + (worth - usual) * AVERAGE_WORTH_WEIGHT
+        return worth < self.average_worth * (event.waited_us - USUAL_QUEUEING_US) / USUAL_QUEUEING_US
 
-    def judge(self, endpoint: Endpoint, start_us: int, result: Result, wait_us: int) -> None:
+    def update_health(self, endpoint: Endpoint, start_us: int, result: Result, wait_us: int) -> None:
         """Update an endpoint's health; after a reset or time-out its idle connections are closed."""
         # An endpoint that restarted no longer knows its old connections: each call on one ends in a reset.
-        if result is Result.RESET and self.lone(endpoint):
+        if result is Result.RESET and self.is_isolated_reset(endpoint):
             endpoint.failure_rate += (1 - endpoint.failure_rate) * ANSWER_WEIGHT
         else:
-            super().judge(endpoint, start_us, result, wait_us)
+            super().update_health(endpoint, start_us, result, wait_us)
         if result in (Result.TIMED_OUT, Result.RESET):
             endpoint.idle.clear()
             self.actions.append(api.CloseIdle(endpoint.entry.endpoint))
 
-    def lone(self, endpoint: Endpoint) -> bool:
+    def is_isolated_reset(self, endpoint: Endpoint) -> bool:
         """Whether a reset concerns its connection only: a reused connection, or one of few resets."""
         # Prevents avoiding an endpoint for seconds because it or the network drops connections. Possible
         # cost: if an endpoint that crashed resets calls one by one, a few more calls fail first.
@@ -209,7 +209,7 @@
     def outcome(self, event: api.Outcome) -> None:
         self.reused = event.reused
         if self.reused:
-            self.stale_rate += ((event.result is Result.RESET) - self.stale_rate) * RESET_WEIGHT
+            self.reset_rate += ((event.result is Result.RESET) - self.reset_rate) * RESET_WEIGHT
         super().outcome(event)
 
     def resume(self, event: api.Resumed) -> None:
@@ -262,7 +262,7 @@
         until_us = min(it.until_us for it in self.actions[sent:] if isinstance(it, api.Send))
         # A reset on a reused connection loses an unsafe message. Possible cost: a handshake for each, also
         # where new connections are no more reliable or expensive.
-        fresh = unsafe and self.stale_rate > MAX_RESET_RATE
+        fresh = unsafe and self.reset_rate > MAX_RESET_RATE
         if endpoint.cold:  # an unsaved call start would not count for the cold-start limit after a restart
             self.unsaved_urgent[endpoint.entry.destination] = None
         self.actions[sent:] = [
@@ -273,7 +273,7 @@
     def may_start(self, now_us: int, ref: int, name: str) -> bool:
         """Whether a decided send may still leave: no drain, Retry-After wait or end has come since."""
         endpoint, message = self.endpoints.get(name), self.messages.get(ref)
-        late = now_us >= self.list_good_until
+        late = now_us >= self.list_valid_until
         if endpoint is None or message is None or endpoint.account.blocked_until > now_us or late:
             return False
         # The key of a keyed message may expire between the decision and the last byte.
--- a/amberlug/policy/state.py
+++ b/amberlug/policy/state.py
@@ -88,7 +88,7 @@
             return float(self.worth * max(kind.late_worth, 0.5 ** (over / max(1, kind.aim_us))))
         return self.worth * (1 - (1 - kind.late_worth) * over / max(1, late_for))
 
-    def exposed(self) -> list[Call]:
+    def possibly_executed(self) -> list[Call]:
         """Attempts that may have been executed, including those in flight."""
         return [*self.ran, *self.out.values()]
 
--- a/tests/test_account.py
+++ b/tests/test_account.py
@@ -1,4 +1,4 @@
-"""The ordinary path: admission, buckets, openings, learning."""
+"""Rate limiting per destination: admission, buckets, openings and learned limits."""
 
 import pytest
 
@@ -191,7 +191,7 @@
     spreads = set()
     for seed in range(5):
         relay = Relay()
-        relay.sender.chance.seed(seed)
+        relay.sender.rng.seed(seed)
         relay.listed("a")
         relay.step(relay.take())
         relay.answer(1, 0, Result.REFUSED, wait_us=5 * SECOND)
@@ -202,7 +202,7 @@
 def test_refusals_of_calls_that_were_out_together_cut_a_learned_limit_once() -> None:
     relay = Relay(Weights="nominal", FamilyInfo__Slots=40)
     relay.listed("a", rate=20.0)
-    relay.endpoint("a").last_success_us = relay.now  # else few go until the first answer
+    relay.endpoint("a").last_success_us = relay.now  # otherwise only a few calls go before the first delivery
     for _ in range(8):
         relay.step(relay.take())
     assert len(relay.sent) == 8
@@ -210,7 +210,7 @@
     relay.now += 100_000
     relay.answer(1, 0, api.Result.REFUSED)
     learned = account.learned
-    for ref in range(2, 9):  # guards against a limit that falls to nothing in one round trip
+    for ref in range(2, 9):  # otherwise the limit drops to nothing within one round trip
         relay.now += 1000
         relay.answer(ref, 0, api.Result.REFUSED)
     assert account.learned == learned
@@ -221,7 +221,9 @@
     for second in range(10, 40):
         account.refused(second * SECOND // 2, 0.55)
     assert account.learned == pytest.approx(0.7 * 40 / 2)
-    assert account.opening(20 * SECOND) == 20 * SECOND  # of two relays each hears of half of all refusals
+    assert (
+        account.opening(20 * SECOND) == 20 * SECOND
+    )  # no pause: each of two relays sees half of all refusals
 
 
 def test_of_many_relays_each_pauses_after_a_refusal_and_longer_while_nothing_is_taken_on() -> None:
@@ -248,7 +250,7 @@
         4 * MAX_FIRST_PAUSE_US,
         MAX_FIRST_PAUSE_US,
     ]
-    assert drawn == [pytest.approx(0.6 * it) for it in longest]  # so that relays part ways
+    assert drawn == [pytest.approx(0.6 * it) for it in longest]  # jitter desynchronizes the relays
 
 
 @pytest.mark.parametrize(
@@ -263,7 +265,7 @@
     until = set()
     for seed in range(8):
         relay = Relay(Balancers=40, Weights="nominal")
-        relay.sender.chance.seed(seed)
+        relay.sender.rng.seed(seed)
         relay.listed("a", rate=400.0)
         relay.step(relay.take())
         relay.now += SECOND // 10
--- a/tests/test_learning.py
+++ b/tests/test_learning.py
@@ -678,7 +678,7 @@
     assert sends[0][0] < life.time.us - 8 * SECOND  # at once, by one call
     late = [it for it in sends if it[0] > life.time.us - 4 * SECOND]
     assert len(late) >= 0.95 * 40  # all that comes, from five seconds on
-    assert life.sender.stale_rate == 0
+    assert life.sender.reset_rate == 0
 
 
 def test_a_learned_limit_that_was_lifted_meanwhile_gives_way_in_a_few_windows() -> None:
