--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -1,4 +1,4 @@
-"""Endpoints that hold few connections, which the relays of a large fleet share."""
+"""Connection limits of endpoints shared by the relays of a large fleet."""
 
 from amberlug.policy import interface as api
 from amberlug.policy.connections import FIRST_TABLE_PAUSE_US, KEEP_STEP_US, MAX_FULL_TABLES
@@ -21,9 +21,13 @@
     actions = relay.answer(1, 0, Result.REFUSED)
     assert account.limit(relay.now) == before
     assert not of(actions, api.Send)
-    assert of(relay.advance(relay.now + 2 * FIRST_TABLE_PAUSE_US), api.Send)  # soon again, and not in seconds
+    assert of(
+        relay.advance(relay.now + 2 * FIRST_TABLE_PAUSE_US), api.Send
+    )  # retried soon, not after seconds
     assert not relay.endpoint("a").cold
-    assert not any(units for _, units, _ in account.buckets_in_window(relay.now))  # a table uses no limit up
+    assert not any(
+        units for _, units, _ in account.buckets_in_window(relay.now)
+    )  # a refusal by a full table does not consume the limit
     used = shared("a")
     used.step(used.take())
     used.answer(1, 0, Result.REFUSED, reused=True)
@@ -33,7 +37,7 @@
 def test_a_refusal_that_waited_for_a_handshake_is_the_limit_s_and_no_table_s() -> None:
     relay = shared("a")
     relay.step(relay.take())
-    relay.now += 150_000  # a new connection that is served: nothing past a table comes sooner
+    relay.now += 150_000  # time of an answer on a new connection: only a full table answers faster
     relay.answer(1, 0)
     account = relay.endpoint("a").account
     for later_us, limit_spoke in ((50_000, False), (150_000, True)):
@@ -60,7 +64,7 @@
 
 def test_an_idle_connection_is_kept_as_long_as_tables_of_its_kind_have_had_room_for() -> None:
     relay = shared("a", "b")
-    for ref in range(1, 12):  # room for new ones again and again: kept for as long as endpoints keep them
+    for ref in range(1, 12):  # always room for new ones: the keep time grows up to that of the endpoints
         relay.step(relay.take())
         kept_us = relay.endpoint(relay.sent[-1][2].endpoint).idle_keep_us
         relay.now += 150_000
@@ -75,7 +79,9 @@
     relay.now += 30_000
     relay.answer(12, 0)
     relay.now += 20_000
-    actions = relay.answer(13, 0, Result.REFUSED)  # the first full table: nothing of its kind idles any more
+    actions = relay.answer(
+        13, 0, Result.REFUSED
+    )  # the first full table: idle connections to endpoints of its kind are closed
     assert of(actions, api.CloseIdle)
     assert relay.endpoint("a").idle_keep_us == relay.endpoint("b").idle_keep_us == 0
     relay.advance(relay.now + SECOND)
@@ -85,14 +91,14 @@
 
 
 def test_where_no_connection_is_to_be_had_it_comes_to_look_like_an_outage() -> None:
-    """A full table answers; two hundred relays that take silence for one would call what is down at once."""
+    """A full table answers; if 200 relays took a failed connect for one, they would all retry at once."""
     relay = shared("a", relays=200, rate=40.0)
     relay.step(relay.take())
     relay.answer(1, 0, Result.UNCONNECTED)
     assert relay.endpoint("a").full_tables == 0
     assert relay.endpoint("a").cold
     relay.advance(relay.now + 3 * SECOND)
-    assert len(relay.sent) == 1  # it rests for seconds, and not for tenths
+    assert len(relay.sent) == 1  # the pause lasts seconds, not tenths of a second
 
 
 def test_a_table_that_stays_full_is_judged_as_in_a_small_fleet_in_the_end() -> None:
--- a/tests/test_eviction.py
+++ b/tests/test_eviction.py
@@ -1,4 +1,4 @@
-"""Destinations that sleep: folding one away changes no decision, and nothing of what is gone stays."""
+"""Eviction of idle destinations: it changes no decision, and nothing of removed endpoints is kept."""
 
 import itertools
 import marshal
@@ -25,14 +25,14 @@
 
 
 class NeverEvicting(LastingSender):
-    """The model: the same decisions, and nothing is ever folded away."""
+    """Reference model: the same decisions without any eviction."""
 
     def evict_idle(self) -> None:
         pass
 
 
 class Pair:
-    """A relay that folds and one that doesn't, told the same; every action must be equal."""
+    """Two senders with the same input, one of which never evicts; all actions must be equal."""
 
     def __init__(self, **changes: Any) -> None:
         settings = read_settings(setup(**({"Weights": "nominal"} | changes)))
@@ -90,13 +90,13 @@
 
 
 def outages(sender: LastingSender) -> set[str]:
-    """Endpoints that are known to be in an outage, or back and cold, awake or not."""
+    """Endpoints known to be in an outage or warming up, of destinations in memory or evicted."""
     cold = {name for name, it in sender.endpoints.items() if it.cold}
     folded = (marshal.loads(kept) for _, kept in sender.summaries.values())
     return cold | {name for *_, endpoints in folded for name, numbers in endpoints.items() if numbers[4]}
 
 
-# Rests end just before, at and after the moments at which something kept runs out.
+# Idle times that end just before, at and after the times at which kept state expires.
 RESTS = [
     SECOND // 4,
     SECOND,
@@ -145,11 +145,11 @@
             pair.answer(chance.choice(sorted(pair.out)), chance.choice(answers), wait_us)
         else:
             rest_us = chance.choice(RESTS)
-            if rest_us > 10 * SECOND:  # nothing is left out that would keep a destination awake
+            if rest_us > 10 * SECOND:  # ends all calls in flight, which would prevent eviction
                 for out in sorted(pair.out):
                     pair.answer(out, chance.choice(answers))
             pair.run(pair.now + rest_us)
-            pair.tell()  # a step, in which what is quiet is folded away
+            pair.tell()  # a step that evicts idle destinations
         slept = max(slept, len(pair.evicting.summaries))
         assert outages(pair.never_evicting) <= outages(pair.evicting)
     pair.run(pair.now + HOUR)
@@ -160,7 +160,7 @@
 
 
 def evict(relay: Relay, rest_us: int = 60 * SECOND) -> None:
-    """Let a destination fall asleep: what is out comes to nothing, and what waits is withdrawn."""
+    """Have a destination evicted: ends its calls in flight and withdraws its messages."""
     for ref in list(relay.sender.messages):
         relay.step(api.Withdrawn(ref))
     for ref, number in list(relay.sender.calls):
@@ -190,7 +190,7 @@
     relay.step(relay.take())
     relay.answer(1, 0, Result.REFUSED, wait_us=900 * SECOND)
     until_us = relay.now + 900 * SECOND
-    for rest_us in (60 * SECOND, 700 * SECOND):  # also past the time after which soft numbers are forgotten
+    for rest_us in (60 * SECOND, 700 * SECOND):  # also longer than OUTDATED_US
         evict(relay, rest_us)
         assert not of(relay.step(relay.take()), api.Send)
     evict(relay, until_us - relay.now)
@@ -336,10 +336,10 @@
     relay = Relay(FamilyInfo__Slots=100, Bounds__MaxOpen=200)
     relay.listed("a")
     assert len(of(relay.step(*(relay.take() for _ in range(20))), api.Send)) == MAX_UNPROVEN_CALLS
-    assert not of(relay.answer(1, 0, Result.UNSENT), api.Send)[1:]  # in its place one more
+    assert not of(relay.answer(1, 0, Result.UNSENT), api.Send)[1:]  # one more call replaces it
     assert (
         len(of(relay.answer(2, 0), api.Send)) == 20 - MAX_UNPROVEN_CALLS
-    )  # all but the two that were answered are out
+    )  # all but the two that were answered are in flight
     for ref in range(3, 21):
         relay.answer(ref, 0)
     evict(relay, HOUR)
@@ -357,11 +357,11 @@
         taken = (api.Taken(ref, number, "safe", None, None, 10 * SECOND) for ref in refs)
         out.append(len(of(relay.step(*taken), api.Send)))
         relay.now += 1000
-    # Half of the slots go as many as one takes; the other half go one each, so that more are heard of.
+    # Half of the slots go as usual, the other half one per destination, so that more destinations are tried.
     assert out[:2] == [MAX_UNPROVEN_CALLS, MAX_UNPROVEN_CALLS]
     assert out[2] <= 2
     assert out[3 : 3 + MAX_UNPROVEN_CALLS] == [1] * MAX_UNPROVEN_CALLS
-    # The last tenth is for what delivers: one that has gets a slot there.
+    # The last tenth is reserved for endpoints that deliver: one with a recent delivery gets a slot.
     assert sum(out) == int(4 * MAX_UNPROVEN_CALLS * UNPROVEN_SLOT_SHARE) + 1 < 4 * MAX_UNPROVEN_CALLS
     relay.endpoint("a20").last_success_us = relay.now
     ref = next(relay.refs)
@@ -410,7 +410,7 @@
         ref, attempt, send, _ = relay.sent[len(called)]
         called.append(number[ref])
         relay.step(api.Outcome(ref, attempt, send.endpoint, Result.DONE, True, 1000, 0, ()))
-    # One that has just woken does not wait until all messages of those before it are gone.
+    # A destination that becomes active does not wait until all messages of earlier ones are sent.
     assert len(set(called)) > many * 0.3
     assert len(relay.sender.waiting_for_slot) > MAX_COMPETING
 
--- a/tests/test_histories.py
+++ b/tests/test_histories.py
@@ -1,4 +1,4 @@
-"""Long legal event histories: the rules hold on every action, whatever comes back and when."""
+"""Property test: the delivery rules hold for every action in random valid event histories."""
 
 import random
 
@@ -97,7 +97,7 @@
         self.feed(api.Outcome(ref, key[1], send.endpoint, result, ended, took, wait_us, ()))
 
     def run(self, until_us: int) -> None:
-        """Let timers and attempt time-outs come due in their order."""
+        """Process timers and attempt time-outs in order of time."""
         while True:
             timers = [(at_us, 1, label) for at_us, label in self.timers]
             outs = [(send.until_us, 0, key) for key, send in self.out.items()]
--- a/tests/test_lasting.py
+++ b/tests/test_lasting.py
@@ -1,4 +1,4 @@
-"""What the module decides beyond one life, and just before a send leaves."""
+"""Decisions across restarts and just before a send leaves."""
 
 import itertools
 from dataclasses import replace
@@ -35,7 +35,7 @@
         ("unsafe", Result.REFUSED, SECOND, api.Send),
         ("keyed", None, SECOND, api.Send),
         ("keyed", None, 7 * SECOND, api.Refuse),
-        ("zoned", None, SECOND, api.Fail),  # its endpoint is not known any more, nor is its zone
+        ("zoned", None, SECOND, api.Fail),  # its endpoint is no longer known, so neither is its zone
         ("safe", None, SECOND, api.Send),
     ],
 )
@@ -72,7 +72,7 @@
 
 def test_closing_hands_back_only_what_would_lose_most() -> None:
     classes = setup()["Categories"]
-    classes[0]["LateWorth"] = 0.1  # keeps 60 % over the restart, the keyed one 78 %
+    classes[0]["LateWorth"] = 0.1  # its value drops to 60 % over the restart, that of the keyed one to 78 %
     sender = lasting(Categories=classes, FamilyInfo__Slots=1)
     sender.step(START + 1, [taken(1, "safe")])
     sender.step(START + 2, [taken(2, "safe"), taken(3, "keyed")])
@@ -99,7 +99,7 @@
     sender = lasting()
     sender.step(START + 1, [api.Resumed(taken(1, "keyed"), 1, (api.Earlier("a", SECOND, None),))])
     assert sender.may_start(START + 2, 1, "a")
-    assert not sender.may_start(START + 5 * SECOND - 200_000, 1, "a")  # it is remembered for 6 s
+    assert not sender.may_start(START + 5 * SECOND - 200_000, 1, "a")  # the key is remembered for 6 s
 
 
 def test_a_message_ends_a_little_before_its_time_is_up() -> None:
@@ -148,15 +148,15 @@
     now += 8 * SECOND - 1
     (send,) = of(sender.step(now, [taken(1, "safe"), taken(2, "unsafe")]), api.Send)[:1]
     assert sender.may_start(now, send.ref, "a")
-    now += 1  # an endpoint may drain, and that counts as told
+    now += 1  # from now on an endpoint may be draining, and the relay counts as informed
     assert not sender.may_start(now, send.ref, "a")
     unsent = api.Outcome(send.ref, 0, "a", Result.UNSENT, False, 0, 0, ())
     actions = sender.step(now, [unsent, taken(3, "safe")])
-    assert [it.ref for it in of(actions, api.Refuse)] == [3]  # another relay may know the list
+    assert [it.ref for it in of(actions, api.Refuse)] == [3]  # another relay may have a current list
     actions += sender.step(now + 1, [api.Resumed(taken(4, "unsafe"), 0, ())])
     assert not of(actions, api.Send | api.Fail)  # type: ignore[arg-type]
     told = [it.text for it in of(actions, api.Log)]
-    assert len(told) == 1, "once, not for each message"
+    assert len(told) == 1, "logged once, not for each message"
     assert told[0].startswith("list: too old for 0.0 s")
     actions = sender.step(now + SECOND, [api.Current(8 * SECOND)])
     assert [it.text[:21] for it in of(actions, api.Log)] == ["list: confirmed again"]
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -1,4 +1,4 @@
-"""The decision module keeps to a page a newcomer can read."""
+"""Size limits of the sender module, to keep it readable."""
 
 from pathlib import Path
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,4 +1,4 @@
-"""The six rules, each in the classes and settings where it binds."""
+"""The six delivery rules, each with the message classes and settings it applies to."""
 
 import itertools
 
@@ -108,7 +108,7 @@
 def test_an_asking_relay_subscribes_at_once_and_again_after_a_break() -> None:
     relay = Relay(RegistryMode="ask")
     assert of(relay.step(api.Listed(api.ListKind.STALE, ())), api.Subscribe)
-    assert of(relay.advance(relay.now + SECOND), api.Subscribe)  # the first went unanswered
+    assert of(relay.advance(relay.now + SECOND), api.Subscribe)  # the first was not answered
     relay.step(api.Listed(api.ListKind.WHOLE, ()))
     assert not of(relay.advance(relay.now + 60 * SECOND), api.Subscribe)
     relay.step(api.Listed(api.ListKind.BROKEN, ()))
@@ -279,7 +279,7 @@
     for _ in range(60):
         relay.step(relay.take("unsafe", tenant="t"))
     assert len(relay.sender.messages) <= 40
-    assert 1 in relay.sender.messages  # within its tenant's share
+    assert 1 in relay.sender.messages  # within its tenant's quota
 
 
 def test_slots_held_by_silence_are_called_off_when_others_starve() -> None:
--- a/tests/test_wirehost.py
+++ b/tests/test_wirehost.py
@@ -1,4 +1,4 @@
-"""The wire host as a process: one exchange, one or several processes, and what is malformed."""
+"""The simulator adapter as a process: exchanges, several processes, and malformed input."""
 
 import json
 import subprocess
@@ -52,7 +52,7 @@
     assert (done.returncode, done.stderr) == (0, "")
     replies = done.stdout.split("END\n")
     assert len(replies) == 4
-    # An attempt is abandoned 150 ms before its message's time is up.
+    # An attempt is abandoned 150 ms before its message's deadline.
     assert "HAND_OFF Relay=3 Ref=30 Endpoint=10.0.0.1:7001 TryUntilUs=8856000" in replies[1]
     assert "HAND_OFF" not in replies[2]
     assert "SLEEP Relay=3" in replies[2]
