--- a/amberlug/core/node.py
+++ b/amberlug/core/node.py
@@ -45,7 +45,7 @@
         self._clock, self.now_us = clock, clock.now_us
         self._sender = LastingSender(settings, seed, learning.recall)
         self._places = Places(transport, self._sender.members.get)
-        self._timers = Timers(clock, self._sender.stale, lambda label: self._tell(api.Due(label)))
+        self._timers = Timers(clock, self._sender.stale, lambda label: self._tell(api.TimerExpired(label)))
         transport.bind(self)
         ends.bind(self._acknowledged)
         self._messages: dict[int, Message] = {}
@@ -90,7 +90,7 @@
                 self._journal.after(partial(self._told, held.end), held.message.name)
             else:
                 self._resume(held, now_ms)
-        self._tell(api.Due(-1))  # no timer: it only has the round come
+        self._tell(api.TimerExpired(-1))  # no timer: it only has the round come
 
     def relinquish(self, names: Iterable[str]) -> None:
         """Do nothing more about messages that another relay goes on with; no end of theirs is told here."""
@@ -103,7 +103,7 @@
     def close(self) -> None:
         """Take nothing on and start no calls from now on; what is out is still collected."""
         self.closing = True
-        self._events.append(api.Closing())
+        self._events.append(api.ShutdownStarted())
         self._round()
 
     def stop(self) -> None:
@@ -237,7 +237,7 @@
 
     def current(self, seconds: float) -> None:
         """Learn that the list is the newest there is, and for how many seconds calls may go by it."""
-        self._tell(api.Current(int(seconds * SECOND)))
+        self._tell(api.ListConfirmed(int(seconds * SECOND)))
 
     def ended(self, attempt: Attempt, how: Ending) -> None:
         """Take an attempt's end in; what is delivered is over at once."""
@@ -377,7 +377,7 @@
             match action:
                 case api.Send():
                     sends.append(action)
-                case api.CallOff(ref, number):
+                case api.CancelAttempt(ref, number):
                     if (attempt := self._attempts.get((ref, number))) is not None:
                         self._transport.call_off(attempt)
                 case api.Timer(label, after_us):
@@ -388,7 +388,7 @@
                     self._transport.close_idle(endpoint)
                 case api.Log(text):
                     log(text)
-                case api.Refuse() | api.Fail() | api.Subscribe() | api.Fetch() | api.Tell():
+                case api.Refuse() | api.Fail() | api.Subscribe() | api.Fetch() | api.SendToPeer():
                     pass  # ended before; the watch is always on, and relays can't talk to each other
         self._send(sends)
 
@@ -464,7 +464,7 @@
         self._places.locate(endpoint)
 
         def ended(how: Ending) -> None:
-            self._tell(api.Probed(endpoint, how.result, self.now_us() - start, how.report))
+            self._tell(api.ProbeResult(endpoint, how.result, self.now_us() - start, how.report))
 
         self._transport.probe(endpoint, ended)
 
--- a/amberlug/core/ports.py
+++ b/amberlug/core/ports.py
@@ -199,13 +199,13 @@
 class Learning(Protocol):
     """What is kept of partners beyond a life. What it can't keep it keeps later; it raises nothing."""
 
-    def recall(self, destination: int, entries: tuple[api.Entry, ...]) -> api.Known | None:
+    def recall(self, destination: int, entries: tuple[api.Entry, ...]) -> api.KnownDestination | None:
         """What is believed of a destination, whose endpoints are listed like this now."""
 
     def take_over(self, earlier: Earlier, listed: Callable[[str], api.Entry | None]) -> None:
         """Go on with what an earlier release kept, unless something is known; by what is listed now."""
 
-    def observe(self, known: Sequence[api.Known]) -> None:
+    def observe(self, known: Sequence[api.KnownDestination]) -> None:
         """Keep what was learned of some destinations."""
 
     def answered(self, destination: int, took_us: int) -> None:
--- a/amberlug/lab/fleet.py
+++ b/amberlug/lab/fleet.py
@@ -202,11 +202,11 @@
     def _probed(self, sender: LastingSender, endpoint: str) -> None:
         if sender is self.sender:
             result, _, _ = self._of.arrive(True)
-            self.step(api.Probed(endpoint, result, NETWORK_US, ()))
+            self.step(api.ProbeResult(endpoint, result, NETWORK_US, ()))
 
     def _due(self, sender: LastingSender, label: int) -> None:
         if sender is self.sender:
-            self.step(api.Due(label))
+            self.step(api.TimerExpired(label))
 
     def _call(self, sends: list[api.Send]) -> None:
         reused = self.idle > 0
--- a/amberlug/learning/facts.py
+++ b/amberlug/learning/facts.py
@@ -35,7 +35,7 @@
 class Kept:
     """All that is kept of one destination."""
 
-    known: api.Known
+    known: api.KnownDestination
     seen_us: int  # when it was last learned of
     answers: dict[int, float] = field(default_factory=dict)  # weight of each bin of answer times
     # For each hour of the week in which it was awake: the last week in which it was, and how usual that is.
@@ -133,7 +133,7 @@
 def unpack(record: bytes, latest_us: int) -> Kept:
     """Read a destination's record, no time of which is later than that; `ValueError` where it is bad."""
     number, seen_us, routes, endpoints, answers, hours, idle = _sound(record, latest_us + AHEAD_US)
-    known = api.Known(
+    known = api.KnownDestination(
         number,
         tuple(
             [
--- a/amberlug/learning/learner.py
+++ b/amberlug/learning/learner.py
@@ -104,11 +104,11 @@
 
     # What the core asks and tells.
 
-    def recall(self, destination: int, entries: tuple[api.Entry, ...]) -> api.Known | None:
+    def recall(self, destination: int, entries: tuple[api.Entry, ...]) -> api.KnownDestination | None:
         """What is believed of a destination whose endpoints are listed like this now."""
         now_us = self._clock.now_us()
         record = self._store.records.get(facts.destination_key(destination))
-        kept = Kept(api.Known(destination), now_us) if record is None else self._unpack(record)
+        kept = Kept(api.KnownDestination(destination), now_us) if record is None else self._unpack(record)
         usual = {it.kind: self._usual(facts.KIND, it.kind) for it in entries}
         gap_us = max(0, now_us - kept.seen_us)
         known = believed(kept.known, entries, now_us, gap_us, usual)
@@ -116,7 +116,7 @@
         return known if known.routes or known.endpoints else None
 
     def _with_waits(
-        self, known: api.Known, entries: tuple[api.Entry, ...], now_us: int
+        self, known: api.KnownDestination, entries: tuple[api.Entry, ...], now_us: int
     ) -> Iterable[api.KnownRoute]:
         routes = {it.route: it for it in known.routes}
         prefix = facts.WAIT + f"{known.destination}/".encode()
@@ -138,7 +138,7 @@
         record = self._store.records.get(sort + name.encode())
         return Usual(NEVER) if record is None else facts.unpack_usual(record, self._clock.now_us())
 
-    def observe(self, known: Sequence[api.Known]) -> None:
+    def observe(self, known: Sequence[api.KnownDestination]) -> None:
         if not known and not self._sent:
             return
         now = self._stamp()
@@ -162,7 +162,7 @@
             sound.append(record)
         self._store.put(sound, now)
 
-    def _learn(self, known: api.Known, now: Stamp) -> tuple[bytes, bytes]:
+    def _learn(self, known: api.KnownDestination, now: Stamp) -> tuple[bytes, bytes]:
         key = facts.destination_key(known.destination)
         record = self._store.records.get(key)
         kept = Kept(known, now.clock_us) if record is None else self._unpack(record)
@@ -198,7 +198,7 @@
                 faded = {at: (used * fade, resets * fade) for at, (used, resets) in bins.items()}
                 kept.idle[name] = {at: it for at, it in faded.items() if it[0] >= ageing.LEAST}
 
-    def _kinds(self, known: Sequence[api.Known], now: Stamp) -> list[tuple[bytes, bytes]]:
+    def _kinds(self, known: Sequence[api.KnownDestination], now: Stamp) -> list[tuple[bytes, bytes]]:
         """Learn what is usual of kinds, a little from each destination that was heard of."""
         changed: dict[str, Usual] = {}
         for it in known:
@@ -279,7 +279,7 @@
                 one = self._unpack(record)
                 kept[one.known.destination] = one
         for number in sorted({*kept, *waits}):
-            yield kept.get(number) or Kept(api.Known(number), now_us), waits[number]
+            yield kept.get(number) or Kept(api.KnownDestination(number), now_us), waits[number]
 
     def usual(self) -> Iterator[tuple[str, str, Usual]]:
         """What is usual of kinds and tenants: which of both, its name, and the figures."""
@@ -314,12 +314,12 @@
 
 
 def believed(
-    known: api.Known,
+    known: api.KnownDestination,
     entries: tuple[api.Entry, ...],
     now_us: int,
     gap_us: int,
     usual: dict[str, Usual],
-) -> api.Known:
+) -> api.KnownDestination:
     """What still applies of a destination, of whose endpoints these are listed by now.
 
     A route's limit and answer times apply while an endpoint of the same kind serves it. An endpoint that
@@ -349,7 +349,7 @@
             api.KnownRoute(route, int(answer_us), 1.0, 0, UNLIMITED, 0)
             for route, answer_us in _never_met(entries, usual)
         ]
-    return api.Known(known.destination, tuple(routes), tuple(endpoints))
+    return api.KnownDestination(known.destination, tuple(routes), tuple(endpoints))
 
 
 def _never_met(entries: tuple[api.Entry, ...], usual: dict[str, Usual]) -> Iterable[tuple[str, float]]:
@@ -360,7 +360,7 @@
             yield it.endpoint, answer_us  # which of both it is, the module knows
 
 
-def _known(rows: Sequence[Seen], listed: Callable[[str], api.Entry | None]) -> Iterable[api.Known]:
+def _known(rows: Sequence[Seen], listed: Callable[[str], api.Entry | None]) -> Iterable[api.KnownDestination]:
     """What an earlier release kept, by destinations as they are listed now."""
     grouped: dict[int, list[tuple[api.Entry, Seen]]] = defaultdict(list)
     for row in rows:
@@ -387,7 +387,7 @@
             for entry, it in ones
             for route in ("", entry.endpoint)  # which of both it is, the module knows
         }
-        yield api.Known(number, tuple(limits.values()), tuple(endpoints))
+        yield api.KnownDestination(number, tuple(limits.values()), tuple(endpoints))
 
 
 def _prior(usual: dict[str, Usual], kind: str) -> Usual:
@@ -410,7 +410,7 @@
     )
 
 
-def shift(known: api.Known, by_us: int) -> api.Known:
+def shift(known: api.KnownDestination, by_us: int) -> api.KnownDestination:
     """The same by another clock."""
 
     def moved(at_us: int) -> int:
--- a/amberlug/policy/decide.py
+++ b/amberlug/policy/decide.py
@@ -72,11 +72,11 @@
                 self.take(event)
             elif isinstance(event, api.Outcome):
                 self.outcome(event)
-            elif isinstance(event, api.Due) and event.label in self.timers:
+            elif isinstance(event, api.TimerExpired) and event.label in self.timers:
                 self.on_timer(self.timers.pop(event.label))
             elif isinstance(event, api.Listed):
                 self.listed(event)
-            elif isinstance(event, api.Probed) and event.endpoint in self.probes:
+            elif isinstance(event, api.ProbeResult) and event.endpoint in self.probes:
                 self.answered(self.probes.pop(event.endpoint), event.result, 0, event.report)
             elif isinstance(event, api.Withdrawn) and event.ref in self.messages:
                 self.discard_message(self.messages[event.ref])
@@ -390,7 +390,7 @@
         # Keeps hung calls from holding the slots. Cost: slow calls with unsafe messages are cancelled too.
         due = {key: it.start_us + it.endpoint.account.patience_us() for key, (_, it) in self.calls.items()}
         late = [key for key, at_us in due.items() if at_us <= self.now and self.settings.may_cancel]
-        self.actions += [api.CallOff(*key) for key in late]
+        self.actions += [api.CancelAttempt(*key) for key in late]
         return min([at for at in due.values() if at > self.now], default=self.now + SECOND)
 
     def test_endpoint(self, destination: Destination, endpoint: Endpoint) -> None:
--- a/amberlug/policy/eviction.py
+++ b/amberlug/policy/eviction.py
@@ -12,7 +12,7 @@
 from collections import deque
 
 from amberlug.policy.account import HISTORY_SIZE, INITIAL_ANSWER_US, MIN_ATTEMPTS, SECOND, UNLIMITED, Account
-from amberlug.policy.interface import Known, KnownEndpoint, KnownRoute, Settings
+from amberlug.policy.interface import KnownDestination, KnownEndpoint, KnownRoute, Settings
 from amberlug.policy.state import NEVER, Destination, Endpoint
 
 MIN_IDLE_US = 10 * SECOND  # minimum time without a message or call before a destination is evicted
@@ -176,7 +176,7 @@
         it.starts = deque(starts, maxlen=HISTORY_SIZE)
 
 
-def known_state(to: Destination) -> Known:
+def known_state(to: Destination) -> KnownDestination:
     """Return the state of a destination to persist over a restart."""
     routes = [
         KnownRoute(where, it.usual_us, it.throughput, it.throughput_us, it.learned, it.learned_us)
@@ -197,10 +197,10 @@
         )
         for it in to.endpoints.values()
     ]
-    return Known(to.number, tuple(routes), tuple(endpoints))
+    return KnownDestination(to.number, tuple(routes), tuple(endpoints))
 
 
-def apply_known(to: Destination, told: Known, settings: Settings) -> None:
+def apply_known(to: Destination, told: KnownDestination, settings: Settings) -> None:
     """Apply persisted state to a destination just created from the endpoint list."""
     for route in told.routes:
         if to.accounts and route.route not in to.accounts and not route.blocked_until_us:
--- a/amberlug/policy/interface.py
+++ b/amberlug/policy/interface.py
@@ -151,7 +151,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Current:
+class ListConfirmed:
     """Confirmation that the endpoint list is up to date; it stays valid for `for_us` from now."""
 
     for_us: int
@@ -222,7 +222,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Known:
+class KnownDestination:
     """Known state of a destination, restored or to be persisted; times on the relay's clock."""
 
     destination: int
@@ -230,12 +230,12 @@
     endpoints: tuple[KnownEndpoint, ...] = ()
 
 
-Recall = Callable[[int, tuple[Entry, ...]], Known | None]
+KnownStateLookup = Callable[[int, tuple[Entry, ...]], KnownDestination | None]
 """Looks up persisted state for a destination that has none in memory, given its current list entries."""
 
 
 @dataclass(frozen=True, slots=True)
-class Closing:
+class ShutdownStarted:
     """The relay is shutting down and starts no more calls; it keeps its messages over the restart."""
 
 
@@ -258,7 +258,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Probed:
+class ProbeResult:
     """Result of a probe."""
 
     endpoint: str
@@ -275,7 +275,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Due:
+class TimerExpired:
     """A timer expired."""
 
     label: int
@@ -289,7 +289,18 @@
     data: bytes
 
 
-Event = Listed | Current | Taken | Resumed | Closing | Outcome | Probed | Withdrawn | Due | PeerNote
+Event = (
+    Listed
+    | ListConfirmed
+    | Taken
+    | Resumed
+    | ShutdownStarted
+    | Outcome
+    | ProbeResult
+    | Withdrawn
+    | TimerExpired
+    | PeerNote
+)
 
 
 @dataclass(frozen=True, slots=True)
@@ -323,7 +334,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class CallOff:
+class CancelAttempt:
     """Cancel one attempt."""
 
     ref: int
@@ -332,7 +343,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Timer:
-    """Request a `Due` event after `after_us`."""
+    """Request a `TimerExpired` event after `after_us`."""
 
     label: int
     after_us: int
@@ -353,7 +364,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Tell:
+class SendToPeer:
     """Send a note to one relay, or to all relays (`None`)."""
 
     peer: int | None
@@ -377,4 +388,6 @@
     text: str
 
 
-Action = Send | Refuse | Fail | CallOff | Timer | Probe | CloseIdle | Tell | Subscribe | Fetch | Log
+Action = (
+    Send | Refuse | Fail | CancelAttempt | Timer | Probe | CloseIdle | SendToPeer | Subscribe | Fetch | Log
+)
--- a/amberlug/policy/lasting.py
+++ b/amberlug/policy/lasting.py
@@ -46,14 +46,14 @@
     list_valid_until = UNLIMITED  # after this time an endpoint may be draining without this relay knowing
     list_expiry_logged = False  # whether the log says that the list is too old
 
-    def __init__(self, settings: api.Settings, seed: int, recall: api.Recall | None = None) -> None:
+    def __init__(self, settings: api.Settings, seed: int, recall: api.KnownStateLookup | None = None) -> None:
         super().__init__(settings, seed)
         self.recall = recall
 
     def step(self, now_us: int, events: Sequence[api.Event]) -> list[api.Action]:
         """Process ordinary events, then those of a restart, and serve the affected destinations."""
-        self.closing = self.closing or any(isinstance(event, api.Closing) for event in events)
-        confirmed = [event for event in events if isinstance(event, api.Current)]
+        self.closing = self.closing or any(isinstance(event, api.ShutdownStarted) for event in events)
+        confirmed = [event for event in events if isinstance(event, api.ListConfirmed)]
         old = confirmed and now_us >= self.list_valid_until
         for current in confirmed:
             self.list_valid_until = now_us + current.for_us
@@ -61,7 +61,7 @@
         if old and self.list_expiry_logged:
             self.list_expiry_logged = False
             self.actions.append(api.Log("list: confirmed again; messages are accepted and sent as before"))
-        own = [it for it in events if old or isinstance(it, api.Resumed | api.Closing)]
+        own = [it for it in events if old or isinstance(it, api.Resumed | api.ShutdownStarted)]
         for event in own:
             if isinstance(event, api.Resumed):
                 self.resume(event)
@@ -140,7 +140,7 @@
             own = tuple(it for it in told.routes if it.route == entry.endpoint)
             eviction.apply_known(to, replace(told, routes=own), self.settings)
 
-    def learned(self, most: int, urgent: bool = False) -> list[api.Known]:
+    def learned(self, most: int, urgent: bool = False) -> list[api.KnownDestination]:
         """Return unsaved state of at most `most` destinations; with `urgent` only of those to save soon."""
         part = self.unsaved_urgent if urgent else self.unsaved
         found = []
--- a/amberlug/policy/wirehost.py
+++ b/amberlug/policy/wirehost.py
@@ -121,7 +121,7 @@
 
 def _parse_probe_result(fields: Fields) -> api.Event:
     result = _choice(fields, "StateCode", _RESULTS)
-    return api.Probed(
+    return api.ProbeResult(
         _required(fields, "Endpoint"), result, _integer(fields, "TookUs", 0), _load_report(fields)
     )
 
@@ -149,7 +149,7 @@
     "NEW_REQUEST": _parse_message,
     "REPORT_BACK": _parse_outcome,
     "EXPIRED": lambda fields: api.Withdrawn(_integer(fields, "Ref")),
-    "FIRED": lambda fields: api.Due(_integer(fields, "Label")),
+    "FIRED": lambda fields: api.TimerExpired(_integer(fields, "Label")),
     "PROBE_RESULT": _parse_probe_result,
     "FROM_PEER": _parse_peer_note,
 }
@@ -165,7 +165,7 @@
             return f"DECLINE {head} Ref={ref} RetryInUs={advice_us}"
         case api.Fail(ref):
             return f"GIVE_UP {head} Ref={ref}"
-        case api.CallOff(ref, attempt):
+        case api.CancelAttempt(ref, attempt):
             return f"STOP_ATTEMPT {head} Ref={ref} RoundNo={attempt}"
         case api.Timer(label, after_us):
             return f"SLEEP {head} Label={label} SleepForUs={after_us}"
@@ -173,7 +173,7 @@
             return f"SOUND_OUT {head} Endpoint={endpoint}"
         case api.CloseIdle(endpoint):
             return f"DISCONNECT {head} Endpoint={endpoint}"
-        case api.Tell(peer, data):
+        case api.SendToPeer(peer, data):
             return f"ANNOUNCE {head} NeighbourId={-1 if peer is None else peer} Data={data.hex() or '-'}"
         case api.Subscribe():
             return f"TAIL {head} Active=1"
--- a/benchmarks/learning.py
+++ b/benchmarks/learning.py
@@ -55,12 +55,12 @@
         return super().append(name, data)
 
 
-def told(number: int, now_us: int, rng: random.Random) -> api.Known:
+def told(number: int, now_us: int, rng: random.Random) -> api.KnownDestination:
     entry = api.Entry(f"endpoint-{number}", "a", "club", number, api.State.IN, 5.0)
     rate = rng.random()
     health = api.KnownEndpoint(entry, False, NEVER, now_us - SECOND, now_us, None, rate, False, 1.0, ())
     route = api.KnownRoute("", int(rate * SECOND), 2.0, now_us, UNLIMITED if rate < 0.8 else 5.0, now_us)
-    return api.Known(number, (route,), (health,))
+    return api.KnownDestination(number, (route,), (health,))
 
 
 def cost(known: int, active: int) -> dict[str, float]:
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -164,7 +164,7 @@
             at_us, label = min(self.timers)
             self.timers.remove((at_us, label))
             self.now = max(self.now, at_us)
-            actions += self.step(api.Due(label))
+            actions += self.step(api.TimerExpired(label))
         self.now = until_us
         return actions
 
--- a/tests/test_eviction.py
+++ b/tests/test_eviction.py
@@ -75,7 +75,7 @@
             self.now = max(self.now, at_us)
             if kind:
                 self.timers.remove((at_us, what))
-                self.tell(api.Due(what))
+                self.tell(api.TimerExpired(what))
             else:
                 self.answer(what, Result.TIMED_OUT)  # type: ignore[arg-type]
         self.now = max(self.now, until_us)
@@ -392,7 +392,7 @@
     relay.step(*(api.Taken(ref, at, "safe", None, None, 30 * SECOND) for at, ref in enumerate(refs)))
     relay.now += 9 * SECOND
     more = [api.Taken(next(relay.refs), at, "safe", None, None, 30 * SECOND) for at in range(10, 20)]
-    off = of(relay.step(*more), api.CallOff)
+    off = of(relay.step(*more), api.CancelAttempt)
     assert sorted((it.ref, it.attempt) for it in off) == sorted((it[0], it[1]) for it in relay.sent)
 
 
--- a/tests/test_histories.py
+++ b/tests/test_histories.py
@@ -113,7 +113,7 @@
             else:
                 assert isinstance(what, int)
                 self.timers.remove((at_us, what))
-                self.feed(api.Due(what))
+                self.feed(api.TimerExpired(what))
 
 
 @pytest.mark.parametrize("rate", ["none", "nominal"])
--- a/tests/test_lasting.py
+++ b/tests/test_lasting.py
@@ -76,7 +76,7 @@
     sender = lasting(Categories=classes, FamilyInfo__Slots=1)
     sender.step(START + 1, [taken(1, "safe")])
     sender.step(START + 2, [taken(2, "safe"), taken(3, "keyed")])
-    ends = of(sender.step(START + 3, [api.Closing()]), api.Refuse)
+    ends = of(sender.step(START + 3, [api.ShutdownStarted()]), api.Refuse)
     assert [(end.ref, end.advice_us >= SECOND // 2) for end in ends] == [(2, True)]
     done = api.Outcome(1, 0, "a", Result.DONE, True, 10, 0, ())
     assert not of(sender.step(START + 4, [done]), api.Send)
@@ -108,7 +108,7 @@
     timers = of(sender.step(START + 2, [taken(1, "safe")]), api.Timer)
     due = min(timers, key=lambda it: it.after_us)
     assert 9 * SECOND < due.after_us < 10 * SECOND
-    assert of(sender.step(START + 2 + due.after_us, [api.Due(due.label)]), api.Refuse)
+    assert of(sender.step(START + 2 + due.after_us, [api.TimerExpired(due.label)]), api.Refuse)
 
 
 @pytest.mark.parametrize(("result", "closed"), [(Result.RESET, 1), (Result.TIMED_OUT, 1), (Result.ERROR, 0)])
@@ -144,7 +144,7 @@
 
 def test_nothing_is_sent_by_a_list_that_was_not_confirmed_for_too_long() -> None:
     sender, now = lasting(), START + SECOND
-    sender.step(now, [api.Current(8 * SECOND)])
+    sender.step(now, [api.ListConfirmed(8 * SECOND)])
     now += 8 * SECOND - 1
     (send,) = of(sender.step(now, [taken(1, "safe"), taken(2, "unsafe")]), api.Send)[:1]
     assert sender.may_start(now, send.ref, "a")
@@ -158,6 +158,6 @@
     told = [it.text for it in of(actions, api.Log)]
     assert len(told) == 1, "logged once, not for each message"
     assert told[0].startswith("list: too old for 0.0 s")
-    actions = sender.step(now + SECOND, [api.Current(8 * SECOND)])
+    actions = sender.step(now + SECOND, [api.ListConfirmed(8 * SECOND)])
     assert [it.text[:21] for it in of(actions, api.Log)] == ["list: confirmed again"]
     assert {send.ref, 4} <= {it.ref for it in of(actions, api.Send)}
--- a/tests/test_learning.py
+++ b/tests/test_learning.py
@@ -72,7 +72,7 @@
     route: dict[str, Any] | None = None,
     of: api.Entry | None = None,
     **health: Any,
-) -> api.Known:
+) -> api.KnownDestination:
     """A destination as it was learned of at that time, well unless told otherwise."""
     usual: dict[str, Any] = {
         "cold": False,
@@ -93,12 +93,12 @@
         "learned": UNLIMITED,
     }
     limits |= {"learned_us": 0} | (route or {})
-    return api.Known(destination, (api.KnownRoute("", **limits),), (told,))
+    return api.KnownDestination(destination, (api.KnownRoute("", **limits),), (told,))
 
 
-def believed(learner: Learner, *entries: api.Entry) -> api.Known:
+def believed(learner: Learner, *entries: api.Entry) -> api.KnownDestination:
     listed = entries or (entry(),)
-    return learner.recall(listed[0].destination, listed) or api.Known(listed[0].destination)
+    return learner.recall(listed[0].destination, listed) or api.KnownDestination(listed[0].destination)
 
 
 def wait_at(time: Time, destination: int = 1, length_us: int = 5 * SECOND) -> Wait:
@@ -582,7 +582,7 @@
     def step(self, *events: api.Event) -> None:
         for action in self.sender.step(self.time.us, events):
             if isinstance(action, api.Timer):
-                self.due.append((self.time.us + action.after_us, api.Due(action.label)))
+                self.due.append((self.time.us + action.after_us, api.TimerExpired(action.label)))
             elif isinstance(action, api.Send):
                 result, wait_us = self.answer(self.time.us)
                 self.sends.append((self.time.us, result))
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -242,7 +242,7 @@
     actions = relay.step(relay.take("unsafe")) + relay.advance(relay.now + 5 * SECOND)
     assert len(of(actions, api.Probe)) == 1
     assert relay.sent[-1][0] != 6
-    actions = relay.step(api.Probed("a", Result.DONE, 1000, ())) + relay.advance(relay.now + 3 * SECOND)
+    actions = relay.step(api.ProbeResult("a", Result.DONE, 1000, ())) + relay.advance(relay.now + 3 * SECOND)
     assert [send.ref for send in of(actions, api.Send)] == [6]
 
 
@@ -294,7 +294,7 @@
     third = api.Entry("y", "north", "plain", 3, api.State.IN, 1.0)
     relay.step(api.Listed(api.ListKind.PATCH, (third,)))
     actions = relay.advance(relay.now + 6 * SECOND)
-    assert {(action.ref, action.attempt) for action in of(actions, api.CallOff)} == {(1, 0), (900, 0)}
+    assert {(action.ref, action.attempt) for action in of(actions, api.CancelAttempt)} == {(1, 0), (900, 0)}
 
 
 def test_misuse_is_told_plainly() -> None:
