--- a/tests/test_account.py
+++ b/tests/test_account.py
@@ -162,7 +162,7 @@
     assert relay.endpoint("a").entry.rate == 9.0
 
 
-def test_nothing_grows_with_the_length_of_a_relays_life() -> None:
+def test_state_does_not_grow_over_a_relays_lifetime() -> None:
     relay = Relay()
     for ref in range(1, 60):
         relay.listed(f"e{ref}", kind="apart")
--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -12,7 +12,7 @@
     return relay
 
 
-def test_a_new_connection_turned_away_without_a_wait_tells_of_the_table_and_not_of_the_limit() -> None:
+def test_a_new_connection_refused_at_once_indicates_a_full_table_not_the_rate_limit() -> None:
     relay = shared("a")
     relay.step(relay.take())
     account = relay.endpoint("a").account
@@ -34,7 +34,7 @@
     assert used.endpoint("a").account.limit(used.now) < before
 
 
-def test_a_refusal_that_waited_for_a_handshake_is_the_limit_s_and_no_table_s() -> None:
+def test_a_refusal_after_a_handshake_comes_from_the_rate_limit() -> None:
     relay = shared("a")
     relay.step(relay.take())
     relay.now += 150_000  # time of an answer on a new connection: only a full table answers faster
@@ -90,7 +90,7 @@
     assert relay.endpoint(send.endpoint).idle_keep_us == KEEP_STEP_US
 
 
-def test_where_no_connection_is_to_be_had_it_comes_to_look_like_an_outage() -> None:
+def test_failed_connects_count_as_an_outage() -> None:
     """A full table answers; if 200 relays took a failed connect for one, they would all retry at once."""
     relay = shared("a", relays=200, rate=40.0)
     relay.step(relay.take())
--- a/tests/test_eviction.py
+++ b/tests/test_eviction.py
@@ -118,7 +118,7 @@
     weights=st.sampled_from(["none", "nominal"]),
 )
 @hypothesis_settings(max_examples=150)
-def test_folding_away_changes_no_decision(seed: int, mood: str, reports: bool, weights: str) -> None:
+def test_eviction_changes_no_decision(seed: int, mood: str, reports: bool, weights: str) -> None:
     chance, refs = random.Random(seed), itertools.count(1)
     told = {"LoadReport": {"Names": ["x0", "x1"], "Via": "answers"}} if reports else {}
     pair = Pair(Bounds__MaxOpen=25, Weights=weights, **told)
@@ -170,7 +170,7 @@
     assert not relay.sender.destinations
 
 
-def test_a_quiet_destination_leaves_numbers_and_later_nothing() -> None:
+def test_an_idle_destination_leaves_a_summary_and_later_nothing() -> None:
     relay = Relay()
     relay.listed("a")
     relay.step(relay.take())
@@ -184,7 +184,7 @@
     assert "a" in relay.sender.members
 
 
-def test_a_told_wait_is_heeded_by_a_destination_that_slept_through_it() -> None:
+def test_a_retry_after_wait_outlasts_eviction() -> None:
     relay = Relay()
     relay.listed("a")
     relay.step(relay.take())
@@ -197,7 +197,7 @@
     assert of(relay.step(relay.take()), api.Send)
 
 
-def test_an_outage_is_not_slept_through() -> None:
+def test_an_outage_outlasts_eviction() -> None:
     relay = Relay(Weights="nominal")
     relay.listed("a", rate=2.0)
     for ref in range(1, 4):
@@ -232,7 +232,7 @@
     return api.Listed(api.ListKind.PATCH, (api.Entry("a", "north", "plain", 1, state, 1.0),))
 
 
-def test_what_waits_for_a_destination_that_is_gone_ends_at_once() -> None:
+def test_queued_messages_end_when_their_destination_is_removed() -> None:
     relay = Relay()
     relay.listed("a")
     relay.step(relay.take())
@@ -241,7 +241,7 @@
     assert {it.ref for it in of(relay.step(gone()), api.Refuse)} == {1, 2}
 
 
-def test_a_call_that_was_out_as_its_destination_went_ends_with_it() -> None:
+def test_a_call_in_flight_at_a_removed_destination_ends_its_message() -> None:
     relay = Relay()
     relay.listed("a")
     relay.step(relay.take())
@@ -263,7 +263,7 @@
     assert of(relay.step(api.Listed(api.ListKind.PATCH, (new,))), api.Send)
 
 
-def test_nothing_learned_of_what_is_gone_is_believed_of_what_comes_back() -> None:
+def test_state_of_a_removed_endpoint_is_not_used_when_it_returns() -> None:
     relay = Relay()
     relay.listed("a")
     relay.step(relay.take("unsafe"))
@@ -280,7 +280,7 @@
     assert back.account.usual_us == INITIAL_ANSWER_US
 
 
-def test_a_whole_list_takes_off_what_sleeps() -> None:
+def test_a_whole_list_removes_evicted_destinations() -> None:
     relay = Relay()
     relay.listed("a", "b")
     relay.step(relay.take())
@@ -304,7 +304,7 @@
     assert relay.endpoint("a").entry.destination == 2
 
 
-def test_churn_of_ids_for_hours_grows_nothing() -> None:
+def test_state_does_not_grow_with_hours_of_endpoint_churn() -> None:
     relay = Relay()
     for minute in range(6 * 60):
         name, number = f"e{minute}", minute
@@ -332,7 +332,7 @@
         assert len(kept) <= 40, kept
 
 
-def test_few_calls_go_to_what_woke_until_one_is_delivered() -> None:
+def test_calls_to_a_newly_active_destination_are_limited_until_one_is_delivered() -> None:
     relay = Relay(FamilyInfo__Slots=100, Bounds__MaxOpen=200)
     relay.listed("a")
     assert len(of(relay.step(*(relay.take() for _ in range(20))), api.Send)) == MAX_UNPROVEN_CALLS
@@ -346,7 +346,7 @@
     assert len(of(relay.step(*(relay.take() for _ in range(20))), api.Send)) == MAX_UNPROVEN_CALLS
 
 
-def test_where_slots_are_short_what_woke_gets_one_call_until_one_is_delivered() -> None:
+def test_with_scarce_slots_a_newly_active_destination_gets_one_call() -> None:
     relay = Relay(FamilyInfo__Slots=4 * MAX_UNPROVEN_CALLS, Bounds__MaxOpen=200)
     numbers = range(4 * MAX_UNPROVEN_CALLS)
     new = (api.Entry(f"a{n}", "north", "plain", n, State.IN, 1.0) for n in (*numbers, 20))
@@ -368,7 +368,7 @@
     assert of(relay.step(api.Taken(ref, 20, "safe", None, None, 10 * SECOND)), api.Send)
 
 
-def test_where_slots_are_short_what_is_quick_goes_before_what_is_slow() -> None:
+def test_with_scarce_slots_fast_destinations_go_first() -> None:
     relay = Relay(FamilyInfo__Slots=2, Bounds__MaxOpen=200)
     new = (api.Entry(f"a{n}", "north", "plain", n, State.IN, 1.0) for n in range(5))
     relay.step(api.Listed(api.ListKind.PATCH, tuple(new)))
@@ -384,7 +384,7 @@
     assert [ref for ref, *_ in relay.sent[2:]] == [2, 3]
 
 
-def test_overdue_calls_are_called_off_once_a_round() -> None:
+def test_overdue_calls_are_cancelled_once_a_step() -> None:
     relay = Relay(FamilyInfo__Slots=4, Bounds__MaxOpen=200)
     new = (api.Entry(f"a{n}", "north", "plain", n, State.IN, 1.0) for n in range(20))
     relay.step(api.Listed(api.ListKind.PATCH, tuple(new)))
@@ -396,7 +396,7 @@
     assert sorted((it.ref, it.attempt) for it in off) == sorted((it[0], it[1]) for it in relay.sent)
 
 
-def test_slots_go_round_among_many_that_wait_for_one() -> None:
+def test_slots_are_shared_among_many_waiting_destinations() -> None:
     relay = Relay(FamilyInfo__Slots=4, Bounds__MaxOpen=5000)
     many = 4 * MAX_COMPETING
     new = (api.Entry(f"a{n}", "north", "plain", n, State.IN, 1.0) for n in range(many))
@@ -415,7 +415,7 @@
     assert len(relay.sender.waiting_for_slot) > MAX_COMPETING
 
 
-def test_a_limit_below_one_and_the_starts_of_an_outage_outlast_a_sleep() -> None:
+def test_a_limit_below_one_and_call_starts_outlast_eviction() -> None:
     relay = Relay()
     relay.listed("a")
     endpoint = relay.endpoint("a")
--- a/tests/test_lasting.py
+++ b/tests/test_lasting.py
@@ -66,7 +66,7 @@
         ("a", 0, 10_000),
     ],
 )
-def test_a_told_wait_is_neither_cut_short_nor_made_longer(boot: str, now_us: int, left_us: int) -> None:
+def test_a_retry_after_wait_is_neither_shortened_nor_extended(boot: str, now_us: int, left_us: int) -> None:
     assert Wait(1, "", 10_000, 10_000, "a").left_us(now_us, boot) == left_us
 
 
@@ -112,7 +112,7 @@
 
 
 @pytest.mark.parametrize(("result", "closed"), [(Result.RESET, 1), (Result.TIMED_OUT, 1), (Result.ERROR, 0)])
-def test_what_idles_where_a_call_broke_or_went_unanswered_is_closed(result: Result, closed: int) -> None:
+def test_idle_connections_are_closed_after_a_reset_or_time_out(result: Result, closed: int) -> None:
     sender = lasting()
     sender.step(START + 1, [taken(1, "safe"), taken(2, "safe")])
     sender.step(START + 2, [api.Outcome(1, 0, "a", Result.DONE, True, 1, 0, ())])
@@ -120,7 +120,7 @@
     assert of(actions, api.CloseIdle) == [api.CloseIdle("a")] * closed
 
 
-def test_far_behind_it_refuses_what_is_worth_least_first() -> None:
+def test_an_overloaded_relay_refuses_the_least_valuable_messages_first() -> None:
     sender = lasting()
     cheap, dear = (replace(sender.settings.classes["safe"], worth=worth) for worth in (1.0, 4.0))
     sender.settings = replace(sender.settings, classes={"cheap": cheap, "dear": dear})
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -115,7 +115,7 @@
     assert len(of(relay.advance(relay.now + 20 * SECOND), api.Subscribe)) >= 4
 
 
-def test_a_told_wait_blocks_the_destination_to_its_last_microsecond() -> None:
+def test_a_retry_after_wait_blocks_the_destination_to_its_last_microsecond() -> None:
     relay = sent("safe")
     relay.answer(1, 0, Result.REFUSED, wait_us=SECOND)
     wait_over = relay.now + SECOND
@@ -123,7 +123,7 @@
     assert of(relay.advance(wait_over + SECOND), api.Send)
 
 
-def test_a_wait_told_with_any_message_of_a_bundle_counts() -> None:
+def test_a_retry_after_with_any_message_of_a_batch_counts() -> None:
     relay = Relay()
     relay.listed("a", kind="bundled")
     relay.step(relay.take(), relay.take())
@@ -151,7 +151,7 @@
     assert not relay.sender.messages
 
 
-def test_what_failed_gets_this_relays_part_of_a_cold_start_only() -> None:
+def test_a_failed_endpoint_gets_only_this_relays_share_of_its_cold_start_limit() -> None:
     relay = Relay(Weights="nominal", Balancers=2)
     down(relay)
     relay.step(*(relay.take() for _ in range(12)))
@@ -182,7 +182,7 @@
     assert not endpoint.cold
 
 
-def test_a_long_told_wait_looks_like_a_shut_destination_and_refusals_alone_do_not() -> None:
+def test_a_long_retry_after_counts_as_an_outage_and_refusals_alone_do_not() -> None:
     relay = Relay()
     relay.listed("a")
     endpoint = relay.endpoint("a")
@@ -196,7 +196,7 @@
     assert any(each.cold for each in late.sender.endpoints.values())
 
 
-def test_refusals_that_go_on_are_asked_for_less_and_less() -> None:
+def test_retries_slow_down_while_refusals_continue() -> None:
     relay = Relay()
     relay.listed("a")
     relay.step(relay.take())
@@ -236,7 +236,7 @@
     assert endpoint.out == 1
 
 
-def test_unsafe_messages_wait_while_an_endpoint_swallows_calls_and_a_probe_goes_first() -> None:
+def test_unsafe_messages_wait_for_a_probe_while_an_endpoint_drops_calls() -> None:
     relay = Relay(Bounds__Probes=True)
     down(relay)
     actions = relay.step(relay.take("unsafe")) + relay.advance(relay.now + 5 * SECOND)
@@ -256,7 +256,7 @@
 
 
 @pytest.mark.parametrize("result", [Result.TIMED_OUT, Result.RESET, Result.CALLED_OFF])
-def test_a_key_rests_after_an_attempt_that_may_still_run(result: Result) -> None:
+def test_a_key_has_a_quiet_time_after_an_attempt_that_may_still_run(result: Result) -> None:
     relay = Relay(Bounds__MostTries=1)
     relay.listed("a", "b")
     relay.step(relay.take("ordered", "k"), relay.take("ordered", "k"))
@@ -274,7 +274,7 @@
     assert relay.step(api.Withdrawn(99)) == []
 
 
-def test_holding_stays_under_its_limit_by_refusing_what_is_worth_least() -> None:
+def test_held_messages_stay_under_their_limit_by_refusing_the_least_valuable() -> None:
     relay = Relay(Accounts=[{"Name": "t", "QuotaPerS": 1.0}])
     for _ in range(60):
         relay.step(relay.take("unsafe", tenant="t"))
@@ -282,7 +282,7 @@
     assert 1 in relay.sender.messages  # within its tenant's quota
 
 
-def test_slots_held_by_silence_are_called_off_when_others_starve() -> None:
+def test_hung_calls_are_cancelled_when_others_wait_for_slots() -> None:
     relay = Relay(FamilyInfo__Slots=2)
     relay.listed("a")
     entry = api.Entry("z", "north", "plain", 2, api.State.IN, 1.0)
@@ -297,7 +297,7 @@
     assert {(action.ref, action.attempt) for action in of(actions, api.CancelAttempt)} == {(1, 0), (900, 0)}
 
 
-def test_misuse_is_told_plainly() -> None:
+def test_invalid_input_raises_a_clear_error() -> None:
     relay = Relay()
     message = relay.take()
     relay.step(message)
