--- a/amberlug/policy/decide.py
+++ b/amberlug/policy/decide.py
@@ -185,9 +185,9 @@
             del account.reserved[call]
             if result in (Result.DONE, Result.TIMED_OUT):  # else retries would overload a slow one
                 account.usual_us += (self.now - call.start_us - account.usual_us) // 8
-            told = dict(zip(self.settings.report_names, report, strict=False)).get("x1", 0.0)
-            if told > 0 and abs(told / (account.rate or UNLIMITED) - 1) > RATE_NOISE:
-                account.set_rate(told)
+            reported = dict(zip(self.settings.report_names, report, strict=False)).get("x1", 0.0)
+            if reported > 0 and abs(reported / (account.rate or UNLIMITED) - 1) > RATE_NOISE:
+                account.set_rate(reported)
             if result not in (Result.UNSENT, Result.CALLED_OFF, Result.SPOILT):  # no health signal
                 self.update_health(endpoint, call.start_us, result, wait_us)
             # A refusal by a full connection table does not consume the endpoint's rate limit.
--- a/amberlug/policy/destinations.py
+++ b/amberlug/policy/destinations.py
@@ -51,10 +51,10 @@
 
     def remove_endpoints(self, news: api.Listed) -> dict[int, None]:
         """Remove endpoints that drain, are gone or have moved; returns the destinations they served."""
-        told, left = {entry.endpoint: entry for entry in news.entries}, dict[int, None]()
-        names = told if news.kind is ListKind.PATCH else [*self.members, *told]
+        new_entries, left = {entry.endpoint: entry for entry in news.entries}, dict[int, None]()
+        names = new_entries if news.kind is ListKind.PATCH else [*self.members, *new_entries]
         for name in dict.fromkeys(names):
-            entry, was = told.get(name), self.members.get(name)
+            entry, was = new_entries.get(name), self.members.get(name)
             if was is not None and (entry is None or entry.state is State.GONE or is_moved(was, entry)):
                 if was.destination in self.summaries:
                     self.load_destination(was.destination)
@@ -91,10 +91,10 @@
 
     def apply_listed_rates(self, to: Destination) -> None:
         """Set each account's rate from the list; if its endpoints' rates differ, the first one applies."""
-        told: dict[Account, float | None] = {}
+        rates: dict[Account, float | None] = {}
         for it in to.endpoints.values():
-            told.setdefault(it.account, self.listed_rate(it.entry))
-        for account, rate in told.items():
+            rates.setdefault(it.account, self.listed_rate(it.entry))
+        for account, rate in rates.items():
             if rate != account.listed:
                 account.listed = rate
                 account.set_rate(rate)
--- a/amberlug/policy/eviction.py
+++ b/amberlug/policy/eviction.py
@@ -200,9 +200,9 @@
     return KnownDestination(to.number, tuple(routes), tuple(endpoints))
 
 
-def apply_known(to: Destination, told: KnownDestination, settings: Settings) -> None:
+def apply_known(to: Destination, known: KnownDestination, settings: Settings) -> None:
     """Apply persisted state to a destination just created from the endpoint list."""
-    for route in told.routes:
+    for route in known.routes:
         if to.accounts and route.route not in to.accounts and not route.blocked_until_us:
             continue
         it = to.accounts.setdefault(route.route, Account(settings, None))  # all endpoints may be draining now
@@ -213,7 +213,7 @@
             max(it.blocked_until, route.blocked_until_us),
             route.last_retry_after_us,
         )
-    for endpoint in told.endpoints:
+    for endpoint in known.endpoints:
         if (of := to.endpoints.get(endpoint.entry.endpoint)) is not None:
             of.cold, of.outage_since_us, of.last_failure_us = (
                 endpoint.cold,
--- a/amberlug/policy/lasting.py
+++ b/amberlug/policy/lasting.py
@@ -114,31 +114,31 @@
 
     def load_destination(self, number: int) -> Destination:
         """Return a destination; if neither it nor a summary is in memory, restore its persisted state."""
-        asleep = number not in self.destinations and number not in self.summaries
+        not_in_memory = number not in self.destinations and number not in self.summaries
         self.loading = True
         to = super().load_destination(number)
         self.loading = False
-        if asleep and self.recall is not None:
-            told = self.recall(number, tuple(it.entry for it in to.endpoints.values()))
-            if told is not None:
-                eviction.apply_known(to, told, self.settings)
+        if not_in_memory and self.recall is not None:
+            known = self.recall(number, tuple(it.entry for it in to.endpoints.values()))
+            if known is not None:
+                eviction.apply_known(to, known, self.settings)
         return to
 
     def add_endpoint(self, to: Destination, entry: api.Entry) -> None:
         """Add or update an endpoint; if new at a destination in use, its persisted state is looked up."""
         came = entry.endpoint not in self.endpoints and not self.loading
         super().add_endpoint(to, entry)
-        told = self.recall(to.number, (entry,)) if came and self.recall is not None else None
-        if told is None:
+        known = self.recall(to.number, (entry,)) if came and self.recall is not None else None
+        if known is None:
             return
         # A Retry-After wait still applies if its route was not listed for a while.
-        for route in told.routes:
+        for route in known.routes:
             if (account := to.accounts.get(route.route)) is not None:
                 account.blocked_until = max(account.blocked_until, route.blocked_until_us)
         if entry.endpoint in to.restored_unlisted:  # listed after the destination's first message
             to.restored_unlisted.discard(entry.endpoint)
-            own = tuple(it for it in told.routes if it.route == entry.endpoint)
-            eviction.apply_known(to, replace(told, routes=own), self.settings)
+            own = tuple(it for it in known.routes if it.route == entry.endpoint)
+            eviction.apply_known(to, replace(known, routes=own), self.settings)
 
     def learned(self, most: int, urgent: bool = False) -> list[api.KnownDestination]:
         """Return unsaved state of at most `most` destinations; with `urgent` only of those to save soon."""
--- a/amberlug/policy/settings.py
+++ b/amberlug/policy/settings.py
@@ -118,8 +118,8 @@
 
 
 def _refusal_cost(table: Mapping[str, Any]) -> float:
-    told = "RefusalCost" in _lookup(table, "FamilyInfo")
-    return _number(table, "FamilyInfo.RefusalCost", 0) if told else 0.0
+    has_cost = "RefusalCost" in _lookup(table, "FamilyInfo")
+    return _number(table, "FamilyInfo.RefusalCost", 0) if has_cost else 0.0
 
 
 # Each field is parsed independently, so that one invalid field does not hide the errors of others.
