--- a/amberlug/policy/account.py
+++ b/amberlug/policy/account.py
@@ -26,8 +26,7 @@
 HISTORY_SIZE = 128  # buckets, and call starts for the cold-start limit, that are kept: bounds memory
 # w is at most the longest message deadline over this; fewer attempts leave more to other relays.
 MIN_ATTEMPTS = 2
-# Minimum learned M relative to an even share of the rate: less leaves the limit underused.
-MIN_LEARNED_SHARE = 0.7
+MIN_LEARNED_SHARE = 0.7  # of an even share of the rate, for a learned M: less leaves the limit underused
 # From this many relays on, refusals reflect the load of all relays and the rules for large fleets apply.
 LARGE_FLEET_RELAYS = 5
 # Replaces RATE_HEADROOM in a large fleet, except for small rates: an excess at many relays is refused.
@@ -41,11 +40,8 @@
 PAUSE_LENGTHS = 3  # distinct pause lengths: longer ones leave a limit unused that has capacity again
 # M is divided by the number of relays to this power: more of them may be waiting unseen.
 FLEET_SIZE_EXPONENT = 0.25
-# Multiple of the usual answer time after which a call is overdue; less abandons useful work.
-OVERDUE_FACTOR = 10
-MIN_PATIENCE_US = (
-    3 * SECOND
-)  # minimum time until a call is overdue: a few fast answers must not make a slow one overdue
+OVERDUE_FACTOR = 10  # usual answer times after which a call is overdue; less abandons useful work
+MIN_PATIENCE_US = 3 * SECOND  # a few fast answers must not make a slow one overdue
 INITIAL_ANSWER_US = SECOND // 2  # usual answer time assumed before the first answer
 MAX_SLOT_SHARE = 0.5  # share of the slots that one account may hold, so that others can send
 
@@ -91,7 +87,7 @@
         self.consecutive_refusals, self.paused_until = (
             0,
             0,
-        )  # refusals since a call was last accepted; end of the pause
+        )  # since a call was last accepted; end of the pause
         self.throughput, self.throughput_us = 1.0, 0  # own successful calls per second, and its last update
         self.listed = rate  # rate from the endpoint list, regardless of rates reported later
         self.set_rate(rate)
@@ -112,11 +108,8 @@
 
     def limit(self, at_us: int) -> float:
         quiet = (at_us - self.learned_us) // self.stretched_window
-        return (
-            self.units
-            if quiet >= LIMIT_LIFETIME_WINDOWS
-            else min(self.units, self.learned * LIMIT_GROWTH**quiet)
-        )
+        learned = self.learned * LIMIT_GROWTH**quiet if quiet < LIMIT_LIFETIME_WINDOWS else UNLIMITED
+        return min(self.units, learned)
 
     def patience_us(self) -> int:
         return max(MIN_PATIENCE_US, OVERDUE_FACTOR * self.usual_us)
@@ -131,9 +124,8 @@
         share = MAX_SLOT_SHARE / (5 if self.overdue(now_us) else 1)
         return len(self.reserved) >= max(1, self.settings.slots * share)
 
-    def buckets_in_window(
-        self, at_us: int
-    ) -> Iterator[tuple[int, int, int]]:  # w is longer if M is below one
+    def buckets_in_window(self, at_us: int) -> Iterator[tuple[int, int, int]]:
+        # w is longer if M is below one
         return self.buckets.buckets_in_window(at_us, int(self.window / min(1.0, self.limit(at_us))))
 
     def excess(self, at_us: int) -> float:
@@ -148,9 +140,8 @@
             return at
         for leaves_us, units, _ in self.buckets_in_window(at):
             if (excess := excess - units) <= 0:
-                return min(
-                    leaves_us, at + self.stretched_window - (at - self.learned_us) % self.stretched_window
-                )
+                window = self.stretched_window
+                return min(leaves_us, at + window - (at - self.learned_us) % window)
         return max(at, next(iter(self.reserved)).start_us + self.patience_us()) + 1  # an answer comes before
 
     def refused(self, now_us: int, part: float) -> None:
@@ -159,10 +150,8 @@
         # one unit each would exceed it.
         limit, least = self.limit(now_us), max(1.0, self.even_share)
         taken_on = sum(done for *_, done in self.buckets.buckets_in_window(now_us, self.window))
-        lowest = min(
-            self.even_share or UNLIMITED,
-            max(MIN_LEARNED_SHARE * self.even_share, self.window / self.max_window_us),
-        )
+        floor = max(MIN_LEARNED_SHARE * self.even_share, self.window / self.max_window_us)
+        lowest = min(self.even_share or UNLIMITED, floor)
         lower = max(limit * part / self.settings.relays**FLEET_SIZE_EXPONENT, lowest)
         first = max(least, taken_on) * (FIRST_REFUSAL_FACTOR if self.large_fleet else 1.0)
         self.learned = first if limit > least else lower
@@ -170,7 +159,6 @@
         if self.large_fleet:
             # Prevents a fleet from staying slightly over a limit that refused calls consume too, so that no
             # call is accepted any more. Cost: a delay of up to a second after a single chance refusal.
-            self.paused_until = now_us + int(
-                MAX_FIRST_PAUSE_US * part * 2 ** min(self.consecutive_refusals, PAUSE_LENGTHS - 1)
-            )
+            doublings = min(self.consecutive_refusals, PAUSE_LENGTHS - 1)
+            self.paused_until = now_us + int(MAX_FIRST_PAUSE_US * part * 2**doublings)
             self.consecutive_refusals += 1
--- a/amberlug/policy/connections.py
+++ b/amberlug/policy/connections.py
@@ -68,18 +68,14 @@
         if not self.reused and (result is Result.DONE or wait_us):
             self.fastest_new_us[zone] = min(took_us, self.fastest_new_us.get(zone, took_us))
         refused = result is Result.REFUSED and not wait_us and not self.reused
-        soon = took_us < HANDSHAKE_SHARE * self.fastest_new_us.get(
-            zone, UNLIMITED
-        )  # a full table answers without a handshake
+        # A full table answers without a handshake.
+        soon = took_us < HANDSHAKE_SHARE * self.fastest_new_us.get(zone, UNLIMITED)
         if not (refused and soon):
             endpoint.full_tables = 0
             if not self.reused and result is Result.DONE:
                 small = endpoint.entry.kind in self.small_table_kinds
-                kept_us = (
-                    endpoint.idle_keep_us + KEEP_STEP_US
-                    if small
-                    else int(endpoint.idle_keep_us * KEEP_GROWTH)
-                )
+                kept_us = endpoint.idle_keep_us
+                kept_us = kept_us + KEEP_STEP_US if small else int(kept_us * KEEP_GROWTH)
                 endpoint.idle_keep_us = min(self.settings.idle_us, kept_us)
             return False
         if endpoint.entry.kind not in self.small_table_kinds:
--- a/amberlug/policy/decide.py
+++ b/amberlug/policy/decide.py
@@ -209,10 +209,8 @@
             endpoint.failure_rate *= 1 - ANSWER_WEIGHT
             if not endpoint.cold:
                 fade = max(0.5, 1 - (self.now - account.throughput_us) / THROUGHPUT_AVERAGING_US)
-                account.throughput, account.throughput_us = (
-                    account.throughput * fade + SECOND / THROUGHPUT_AVERAGING_US,
-                    self.now,
-                )
+                account.throughput = account.throughput * fade + SECOND / THROUGHPUT_AVERAGING_US
+                account.throughput_us = self.now
             elif endpoint.recovered_us is None:
                 endpoint.recovered_us = self.now
             return
@@ -260,9 +258,8 @@
             return self.now
         part = self.allowed_rate(endpoint, share)
         # More and more relays see it fail, so each waits as long again as the outage has lasted, with jitter.
-        longest = (
-            max(MAX_WINDOW_FACTOR * rules.overload_us, self.now - endpoint.outage_since_us) * endpoint.jitter
-        )
+        outage_us = self.now - endpoint.outage_since_us
+        longest = max(MAX_WINDOW_FACTOR * rules.overload_us, outage_us) * endpoint.jitter
         window = int(min(max(rules.overload_us, 1 / part), longest))
         units = max(1, int(part * window))
         return self.now if len(endpoint.starts) < units else max(self.now, endpoint.starts[-units] + window)
@@ -278,17 +275,12 @@
     def usable(self, endpoint: Endpoint, message: Message) -> bool:
         """Whether a message may go there: in the zone of its key, not twice, nothing unsafe in an outage."""
         kind = message.kind
-        if (
-            kind.effect is Effect.UNSAFE
-            and endpoint.cold
-            and endpoint.recovered_us is None
-            and endpoint.may_have_run
-        ):
+        in_outage = endpoint.cold and endpoint.recovered_us is None
+        if kind.effect is Effect.UNSAFE and in_outage and endpoint.may_have_run:
             return False
         zoned = kind.effect is Effect.KEYED and kind.group is Group.ZONE
-        if zoned and any(
-            call.endpoint.entry.zone != endpoint.entry.zone for call in message.possibly_executed()
-        ):
+        zone = endpoint.entry.zone
+        if zoned and any(call.endpoint.entry.zone != zone for call in message.possibly_executed()):
             return False
         return all(call.endpoint is not endpoint for call in message.out.values())
 
@@ -300,9 +292,8 @@
         """Whether no slot is left for a call there."""
         # Protects busy destinations from many idle ones that become active at once and answer slowly or not
         # at all. Cost: if all become active at once, a tenth of the slots is unused until the first delivery.
-        return self.slots_out >= self.settings.slots * (
-            1 if self.delivered_recently(endpoint) else UNPROVEN_SLOT_SHARE
-        )
+        share = 1 if self.delivered_recently(endpoint) else UNPROVEN_SLOT_SHARE
+        return self.slots_out >= self.settings.slots * share
 
     def rank(self, endpoint: Endpoint) -> tuple[bool, bool, float, int, int]:
         """Sort key of endpoints: free slot, no recent failure, low fee, idle connection, few calls."""
@@ -337,9 +328,8 @@
 
     def openings(self, destination: Destination) -> Iterator[tuple[Endpoint, int]]:
         """Endpoints with a slot and a connection available, and when each may next be called."""
-        few = (
-            MAX_UNPROVEN_CALLS if self.slots_out <= self.settings.slots * MAX_SLOT_SHARE else 1
-        )  # when slots are scarce
+        scarce = self.slots_out > self.settings.slots * MAX_SLOT_SHARE
+        few = 1 if scarce else MAX_UNPROVEN_CALLS
         for endpoint in destination.endpoints.values():
             endpoint.forget_idle(self.now - self.settings.idle_us)
             new = not endpoint.idle and self.now < endpoint.table_full_until
@@ -349,12 +339,8 @@
             unsure = endpoint.out >= few and not self.delivered_recently(endpoint)
             if not (full or unsure or endpoint.account.at_slot_limit(self.now)):
                 opening = max(endpoint.account.opening(self.now), self.cold_opening(endpoint))
-                yield (
-                    endpoint,
-                    max(opening, endpoint.table_full_until)
-                    if new and self.relays_per_connection > 1
-                    else opening,
-                )
+                waits = new and self.relays_per_connection > 1
+                yield endpoint, max(opening, endpoint.table_full_until) if waits else opening
 
     def serve(self, destination: Destination) -> None:
         """Send what may go now, then wait for the next opening, a slot or an answer."""
--- a/amberlug/policy/destinations.py
+++ b/amberlug/policy/destinations.py
@@ -24,10 +24,8 @@
     def __init__(self, settings: api.Settings) -> None:
         super().__init__(quota_used_until=dict.fromkeys(settings.tenants, 0))
         self.settings, self.idle_before_eviction_us = settings, eviction.idle_before_eviction_us(settings)
-        self.relays_per_connection, self.initial_idle_keep_us = (
-            eviction.relays_per_connection(settings),
-            eviction.initial_idle_keep_us(settings),
-        )
+        self.relays_per_connection = eviction.relays_per_connection(settings)
+        self.initial_idle_keep_us = eviction.initial_idle_keep_us(settings)
 
     def apply_list(self, event: api.Listed) -> list[Message]:
         """Apply a list update; returns the messages whose destination has no endpoint any more."""
--- a/amberlug/policy/lasting.py
+++ b/amberlug/policy/lasting.py
@@ -240,9 +240,8 @@
             # The process may have ended before it could read a Retry-After in the answer. Possible cost: if
             # there was none, messages for that destination wait as long as the last one, up to UNHEARD_US.
             account = self.endpoints[attempt.endpoint].account
-            account.blocked_until = max(
-                account.blocked_until, self.now + min(account.last_retry_after_us, MAX_LOST_WAIT_US)
-            )
+            until_us = self.now + min(account.last_retry_after_us, MAX_LOST_WAIT_US)
+            account.blocked_until = max(account.blocked_until, until_us)
         if (endpoint := self.endpoints.get(attempt.endpoint)) is None:
             entry = api.Entry(attempt.endpoint, "", "", 0, State.GONE, 0.0)
             endpoint = Endpoint(entry, Account(self.settings, None), deque(maxlen=1))
