--- a/amberlug/learning/ageing.py
+++ b/amberlug/learning/ageing.py
@@ -9,7 +9,7 @@
 from dataclasses import replace
 
 from amberlug.policy import interface as api
-from amberlug.policy.account import FIRST_GUESS_US, OPEN, SECOND
+from amberlug.policy.account import INITIAL_ANSWER_US, SECOND, UNLIMITED
 from amberlug.policy.state import NEVER
 
 MINUTE = 60 * SECOND
@@ -43,14 +43,14 @@
 
     `usual_us` is the answer time that is usual for its kind, 0 where that is not known.
     """
-    prior_us = usual_us or FIRST_GUESS_US
+    prior_us = usual_us or INITIAL_ANSWER_US
     answers = weight(gap_us, ANSWERS_US)
     learned, learned_us = limit(it, now_us, gap_us)
     paces = weight(gap_us, PACE_US)
     return replace(
         it,
         usual_us=int(towards(it.usual_us, prior_us, answers)) if answers >= LEAST else int(prior_us),
-        pace=towards(it.pace, 1.0, paces),
+        throughput=towards(it.throughput, 1.0, paces),
         learned=learned,
         learned_us=learned_us,
     )
@@ -63,28 +63,28 @@
     counts for less than windows do, or each restart would begin with more than was ever taken.
     """
     grown = 1.0 / max(weight(gap_us, LIMIT_US), 1e-9)
-    if it.learned == OPEN or grown > LIFT_MOST:
-        return OPEN, 0
+    if it.learned == UNLIMITED or grown > LIFT_MOST:
+        return UNLIMITED, 0
     return it.learned * grown, min(now_us, it.learned_us + gap_us)
 
 
 def endpoint(it: api.KnownEndpoint, now_us: int, gap_us: int, usual_rate: float) -> api.KnownEndpoint:
     """What to believe of an endpoint: an outage goes on until it would be old, its cold bound until warm."""
     rate = towards(it.failure_rate, usual_rate, weight(gap_us, FAILURES_US))
-    if it.cold and (it.back_us is not None or now_us - it.failed_us < OUTAGE_US):
-        return replace(it, failure_rate=max(rate, OUTAGE_RATE) if it.back_us is None else rate)
+    if it.cold and (it.recovered_us is not None or now_us - it.last_failure_us < OUTAGE_US):
+        return replace(it, failure_rate=max(rate, OUTAGE_RATE) if it.recovered_us is None else rate)
     if gap_us > FAILURES_US:
         return replace(
             it,
             cold=False,
-            back_us=None,
-            swallows=False,
+            recovered_us=None,
+            may_have_run=False,
             failure_rate=rate,
-            failed_us=NEVER,
-            since_us=NEVER,
+            last_failure_us=NEVER,
+            outage_since_us=NEVER,
             starts=(),
         )
-    return replace(it, cold=False, back_us=None, failure_rate=rate, starts=())
+    return replace(it, cold=False, recovered_us=None, failure_rate=rate, starts=())
 
 
 def hour_weight(was: tuple[int, float] | None, week: int) -> float:
--- a/amberlug/learning/facts.py
+++ b/amberlug/learning/facts.py
@@ -14,7 +14,7 @@
 
 from amberlug.core.ports import Wait
 from amberlug.policy import interface as api
-from amberlug.policy.account import KEPT, OPEN
+from amberlug.policy.account import HISTORY_SIZE, UNLIMITED
 from amberlug.policy.state import NEVER
 
 DESTINATION, WAIT, KIND, TENANT = b"D", b"W", b"K", b"T"
@@ -35,7 +35,7 @@
 class Kept:
     """All that is kept of one destination."""
 
-    known: api.Known
+    known: api.KnownDestination
     seen_us: int  # when it was last learned of
     answers: dict[int, float] = field(default_factory=dict)  # weight of each bin of answer times
     # For each hour of the week in which it was awake: the last week in which it was, and how usual that is.
@@ -91,9 +91,9 @@
         [
             it.route,
             min(it.usual_us, WAIT_MOST_US),
-            it.pace,
-            it.pace_us,
-            it.learned if it.learned < OPEN else None,
+            it.throughput,
+            it.throughput_us,
+            it.learned if it.learned < UNLIMITED else None,
             it.learned_us,
         ]
         for it in known.routes
@@ -105,13 +105,13 @@
             it.entry.zone,
             it.entry.up_since_ms,
             it.cold,
-            it.since_us,
-            it.failed_us,
-            it.done_us,
-            it.back_us,
+            it.outage_since_us,
+            it.last_failure_us,
+            it.last_success_us,
+            it.recovered_us,
             it.failure_rate,
-            it.swallows,
-            it.spread,
+            it.may_have_run,
+            it.jitter,
             it.starts,
         ]
         for it in known.endpoints
@@ -133,12 +133,12 @@
 def unpack(record: bytes, latest_us: int) -> Kept:
     """Read a destination's record, no time of which is later than that; `ValueError` where it is bad."""
     number, seen_us, routes, endpoints, answers, hours, idle = _sound(record, latest_us + AHEAD_US)
-    known = api.Known(
+    known = api.KnownDestination(
         number,
         tuple(
             [
                 api.KnownRoute(
-                    route, usual_us, pace, pace_us, OPEN if learned is None else learned, learned_us
+                    route, usual_us, pace, pace_us, UNLIMITED if learned is None else learned, learned_us
                 )
                 for route, usual_us, pace, pace_us, learned, learned_us in routes
             ]
@@ -200,7 +200,7 @@
                 and type(wide) in _REAL
                 and 0 <= wide <= 10
                 and type(starts) is list
-                and len(starts) <= KEPT
+                and len(starts) <= HISTORY_SIZE
             )
             for start in starts:
                 sound = sound and type(start) is int and NEVER <= start <= latest_us
--- a/amberlug/policy/decide.py
+++ b/amberlug/policy/decide.py
@@ -1,153 +1,161 @@
-"""When, where and whether each message is sent: every decision of a relay in one life.
+"""When, where and whether each message is sent: all decisions of a relay from its start to its end.
 
-Types, events, actions: `interface.py`; records: `state.py`. Ordinary path: a message goes when its
-destination's account has a unit to spend (`account.py`), else at a timer at its opening.
+Types, events and actions are in `interface.py`, state is in `state.py`. A message is sent when the account of
+its destination has a free unit (`account.py`), else a timer is set for the account's opening.
 """
 
 import itertools
 from collections.abc import Iterator, Sequence
 
-from amberlug.policy import folding
+from amberlug.policy import eviction
 from amberlug.policy import interface as api
-from amberlug.policy.account import FIRST_GUESS_US, OPEN, SECOND, SLOT_SHARE
+from amberlug.policy.account import INITIAL_ANSWER_US, MAX_SLOT_SHARE, SECOND, UNLIMITED
+from amberlug.policy.connections import JITTER, ConnectionManager
 from amberlug.policy.interface import Effect, Group, ListKind, Result
-from amberlug.policy.state import TURNS, Call, Destination, Endpoint, Message
-from amberlug.policy.tables import SPREAD, Tables
-
-RATE_NOISE = 0.3  # a reported limit this far from the one in use replaces it; nearer is noise
-SHUT = 3  # windows of one told wait that look like a destination that is shut
-BACK_OFF = 0.55, 1.0  # what a refusal leaves of a learned M of one or less; drawn, so that relays part ways
-OUTAGE_RATE = 0.5  # failure rate that looks like an outage
-ANSWER_WEIGHT = 0.15  # weight of the newest answer in the failure rate, good or bad
-SILENCE_WEIGHT = 0.4  # weight of a silence in it: two in a row look like an outage
-AVOID_US = 3 * SECOND  # a failed endpoint gives way to its siblings for so long
-TABLE_US = 10 * SECOND  # a table of connections found full is believed for so long
-PACE_US = 20 * SECOND  # memory of a relay's own pace at an unlisted destination
-LONGEST = 3  # longest window of the cold bound, in OverloadForUs: it trades caution for messages' lives
-FEW = 4  # calls out at once to an endpoint that has delivered nothing lately; more may all be lost at once
-LATELY_US = 60 * SECOND
-FRESH_SHARE = 0.9  # part of the slots that calls to such endpoints may take: the rest is for what delivers
-HOLD, MAKE_ROOM = 0.95, 100  # above this share of MaxOpen it refuses the least, one in so many: ranking costs
-ASK_AGAIN_US = SECOND // 2  # first pause before asking the list again, doubled up to a quarter of AskWithin
+from amberlug.policy.state import MAX_COMPETING, Call, Destination, Endpoint, Message
+
+RATE_NOISE = 0.3  # a reported limit that differs by more replaces the current one; less is noise
+OUTAGE_WAIT_WINDOWS = 3  # a Retry-After wait of at least this many windows is treated as an outage
+BACK_OFF = 0.55, 1.0  # random factor of a learned M of at most one at a refusal; desynchronizes relays
+OUTAGE_RATE = 0.5  # failure rate that is treated as an outage
+ANSWER_WEIGHT = 0.15  # weight of the latest answer in the failure rate, success or failure
+NO_ANSWER_WEIGHT = 0.4  # weight of a missing answer: two in a row are treated as an outage
+AVOID_US = 3 * SECOND  # how long other endpoints are preferred to one that failed
+TABLE_FULL_US = 10 * SECOND  # how long a full connection table is assumed to stay full
+# Averaging time of a relay's own throughput at a destination without a listed rate.
+THROUGHPUT_AVERAGING_US = 20 * SECOND
+# Maximum window of the cold-start limit, in OverloadForUs: longer would let messages expire.
+MAX_WINDOW_FACTOR = 3
+# Concurrent calls to an endpoint without a recent delivery; more might all be lost at once.
+MAX_UNPROVEN_CALLS = 4
+RECENT_DELIVERY_US = 60 * SECOND
+# Share of the slots for calls to such endpoints; the rest is for those that deliver.
+UNPROVEN_SLOT_SHARE = 0.9
+# Above this share of MaxOpen, the least valuable 1/100 of it is refused at once: ranking is expensive.
+HELD_SHARE_LIMIT, REFUSAL_DIVISOR = 0.95, 100
+RESUBSCRIBE_US = SECOND // 2  # initial resubscribe delay, doubled up to a quarter of AskWithin
 MAY_HAVE_RUN = (Result.ERROR, Result.TIMED_OUT, Result.RESET, Result.CALLED_OFF, Result.SPOILT)
 
 
 def may_repeat(message: Message, now_us: int) -> bool:
-    """May-have-run: unsafe ones never again, keyed ones while their key is remembered."""
+    """Whether a message may be sent again: after an attempt that may have been executed, unsafe ones may not.
+
+    Keyed ones may as long as their key is remembered.
+    """
     effect, oldest = message.kind.effect, now_us - message.kind.key_life_us
-    keyed = effect is Effect.KEYED and all(call.start_us > oldest for call in message.exposed())
-    return keyed or effect is Effect.SAFE or not message.exposed()
+    keyed = effect is Effect.KEYED and all(call.start_us > oldest for call in message.possibly_executed())
+    return keyed or effect is Effect.SAFE or not message.possibly_executed()
 
 
 def may_refuse(message: Message) -> bool:
-    """Whether the client may safely come again."""
+    """Whether the client may safely retry the message."""
     keyed = message.kind.effect is Effect.KEYED and message.kind.group is Group.ALL
     return not (message.ran or message.out) or message.kind.effect is Effect.SAFE or keyed
 
 
-class Sender(Tables):
-    """All decisions of one relay."""
+class Sender(ConnectionManager):
+    """The state machine that makes all decisions of one relay."""
 
     def __init__(self, settings: api.Settings, seed: int) -> None:
         super().__init__(settings, seed)
-        self.asked, self.subscribed, self.pause_us = False, False, ASK_AGAIN_US
+        self.subscription_requested, self.subscribed, self.pause_us = False, False, RESUBSCRIBE_US
 
     def step(self, now_us: int, events: Sequence[api.Event]) -> list[api.Action]:
-        """Take in all events of a round, then serve what they touched, the dearest to delay first."""
+        """Process all events of a step, then serve the affected destinations, the most urgent first."""
         if now_us < self.now:
             raise ValueError(f"time runs backwards: {now_us} after {self.now}")
-        self.now, self.actions, self.touched, self.overdue_us = now_us, [], {}, None
-        if self.settings.asks and not self.asked:
-            self.ask()
+        self.now, self.actions, self.affected, self.overdue_us = now_us, [], {}, None
+        if self.settings.asks and not self.subscription_requested:
+            self.subscribe()
         for event in events:
             if isinstance(event, api.Taken):
                 self.take(event)
             elif isinstance(event, api.Outcome):
                 self.outcome(event)
-            elif isinstance(event, api.Due) and event.label in self.timers:
-                self.due(self.timers.pop(event.label))
+            elif isinstance(event, api.TimerExpired) and event.label in self.timers:
+                self.on_timer(self.timers.pop(event.label))
             elif isinstance(event, api.Listed):
                 self.listed(event)
-            elif isinstance(event, api.Probed) and event.endpoint in self.probes:
+            elif isinstance(event, api.ProbeResult) and event.endpoint in self.probes:
                 self.answered(self.probes.pop(event.endpoint), event.result, 0, event.report)
             elif isinstance(event, api.Withdrawn) and event.ref in self.messages:
-                self.drop(self.messages[event.ref])
-        urgent = [destination for destination in self.touched if destination.waiting]
+                self.discard_message(self.messages[event.ref])
+        urgent = [destination for destination in self.affected if destination.waiting]
         urgent.sort(key=self.urgency, reverse=True)
         for destination in urgent:
             self.serve(destination)
         self.close_idle()
-        self.fold_some()
+        self.evict_idle()
         return self.actions
 
-    def due(self, target: Message | Endpoint | int | None) -> None:
+    def on_timer(self, target: Message | Endpoint | int | None) -> None:
         if target is None:
-            self.ask()
+            self.subscribe()
         elif isinstance(target, Endpoint):
             self.close_stale(target)
         elif isinstance(target, int):
-            if (to := self.destinations.get(target)) is not None:  # else it fell asleep, with nothing to do
-                self.touched[to] = None
+            if (to := self.destinations.get(target)) is not None:  # else it was evicted and has nothing to do
+                self.affected[to] = None
         elif target.ref in self.messages:
             grace = target.deadline_us + self.settings.answer_slack_us // 2
-            if self.now < target.deadline_us:  # an answer is late: a second copy may go, slots allowing
-                if len(target.out) == 1 and self.slots_out <= self.settings.slots * SLOT_SHARE:
+            if self.now < target.deadline_us:  # the answer is late: a second copy may go if slots allow
+                if len(target.out) == 1 and self.slots_out <= self.settings.slots * MAX_SLOT_SHARE:
                     target.destination.waiting[target.ref] = target
-                    self.touched[target.destination] = None
+                    self.affected[target.destination] = None
             elif target.out and self.now < grace:  # the attempt's own time-out comes first
-                self.timer(grace, target)
+                self.set_timer(grace, target)
             else:
                 self.finish(target)
 
-    def ask(self) -> None:
-        """Ask for changes until the list answers, never silent for all of AskWithin."""
-        self.asked = True
+    def subscribe(self) -> None:
+        """Subscribe to list changes, and again until the list answers, more often than AskWithin."""
+        self.subscription_requested = True
         if not self.subscribed:
             self.actions.append(api.Subscribe())
-            self.timer(self.now + self.pause_us, None)
+            self.set_timer(self.now + self.pause_us, None)
             self.pause_us = min(2 * self.pause_us, self.settings.ask_within_us // 4)
 
     def listed(self, event: api.Listed) -> None:
         if event.kind is ListKind.BROKEN:
             if self.subscribed:
-                self.subscribed, self.pause_us = False, ASK_AGAIN_US
-                self.timer(self.now + self.pause_us, None)
+                self.subscribed, self.pause_us = False, RESUBSCRIBE_US
+                self.set_timer(self.now + self.pause_us, None)
             return
         self.subscribed |= event.kind is not ListKind.STALE
-        for message in self.relist(event):
+        for message in self.apply_list(event):
             self.finish(message)
 
     def take(self, event: api.Taken) -> None:
         if event.ref in self.messages:
             raise ValueError(f"message {event.ref} was taken before")
-        destination = self.awaken(event.destination)
-        if self.now - destination.used_us > folding.FORGET_US:
-            folding.forget(destination, self.now)
+        destination = self.load_destination(event.destination)
+        if self.now - destination.used_us > eviction.OUTDATED_US:
+            eviction.reset_outdated(destination, self.now)
         kind = self.settings.classes[event.message_class]
         key, worth = event.key if kind.keep_order else None, kind.worth * self.share(event.tenant)
         message = Message(event.ref, kind, destination, key, self.now + event.left_us, worth)
-        self.hold(message)
-        self.timer(message.deadline_us, message)
-        if len(self.messages) > self.settings.max_open * HOLD:
-            # Holding nears its limit: refuse what has least worth to be had, where that is harmless.
+        self.register_message(message)
+        self.set_timer(message.deadline_us, message)
+        if len(self.messages) > self.settings.max_open * HELD_SHARE_LIMIT:
+            # Close to the limit of held messages: refuse those of lowest value that clients may safely retry.
             able = [other for other in self.messages.values() if not other.out and may_refuse(other)]
             able.sort(key=lambda other: other.worth_at(self.now, self.settings.halving))
-            for least in able[: 1 + self.settings.max_open // MAKE_ROOM]:
+            for least in able[: 1 + self.settings.max_open // REFUSAL_DIVISOR]:
                 self.finish(least)
 
     def share(self, tenant: str | None) -> float:
-        """Worth of a tenant's message: full in this relay's part of its quota, saved for a second at most."""
-        if tenant is None or tenant not in self.shares:
+        """Value factor of a tenant's message: 1 within this relay's share of the quota, with a 1 s burst."""
+        if tenant is None or tenant not in self.quota_used_until:
             return 1.0
         quota = max(self.settings.tenants[tenant].quota_per_s / self.settings.relays, 1e-6)
-        until = max(self.shares[tenant], self.now - SECOND) + int(SECOND / quota)
-        self.shares[tenant] = until if until <= self.now else self.shares[tenant]
+        until = max(self.quota_used_until[tenant], self.now - SECOND) + int(SECOND / quota)
+        self.quota_used_until[tenant] = until if until <= self.now else self.quota_used_until[tenant]
         return 1.0 if until <= self.now else self.settings.over_share_worth
 
     def finish(self, message: Message) -> None:
-        """Give the final answer this relay owes: refused where a repeat is harmless, else failed."""
+        """End a message: refused if the client may safely retry it, else failed."""
         self.actions.append(api.Refuse(message.ref, 0) if may_refuse(message) else api.Fail(message.ref))
-        self.drop(message)
+        self.discard_message(message)
 
     def outcome(self, event: api.Outcome) -> None:
         if (found := self.calls.pop((event.ref, event.attempt), None)) is None:
@@ -159,9 +167,9 @@
         if event.result in MAY_HAVE_RUN:
             message.ran.append(call)
             if message.key is not None and event.result is not Result.ERROR:
-                self.rest(message.key, self.now + self.settings.key_quiet_us)
+                self.start_key_quiet_time(message.key, self.now + self.settings.key_quiet_us)
         if message.ref not in self.messages or event.ended:
-            self.drop(message)
+            self.discard_message(message)
         elif not message.out:
             message.destination.waiting[message.ref] = message
             spent = message.attempts >= self.settings.most_attempts or self.now >= message.deadline_us
@@ -169,165 +177,173 @@
                 self.finish(message)
 
     def answered(self, call: Call, result: Result, wait_us: int, report: tuple[float, ...]) -> None:
-        """Take an answer in: what the account learns of its limit, the endpoint's health, the free slot."""
+        """Process an answer: update the rate limit and the endpoint's health, and free the slot."""
         endpoint, account = call.endpoint, call.endpoint.account
         call.left -= 1
         account.blocked_until = max(account.blocked_until, self.now + wait_us)
         if call in account.reserved:
             del account.reserved[call]
-            if result in (Result.DONE, Result.TIMED_OUT):  # or repeats would bury what is slow
+            if result in (Result.DONE, Result.TIMED_OUT):  # else retries would overload a slow one
                 account.usual_us += (self.now - call.start_us - account.usual_us) // 8
-            told = dict(zip(self.settings.report_names, report, strict=False)).get("x1", 0.0)
-            if told > 0 and abs(told / (account.rate or OPEN) - 1) > RATE_NOISE:
-                account.set_rate(told)
-            if result not in (Result.UNSENT, Result.CALLED_OFF, Result.SPOILT):  # they tell nothing of health
-                self.judge(endpoint, call.start_us, result, wait_us)
-            # Guards against full tables that use a limit up here which they don't use up there.
-            counts = result is not Result.UNSENT and not self.unmet(endpoint, result)
+            reported = dict(zip(self.settings.report_names, report, strict=False)).get("x1", 0.0)
+            if reported > 0 and abs(reported / (account.rate or UNLIMITED) - 1) > RATE_NOISE:
+                account.set_rate(reported)
+            if result not in (Result.UNSENT, Result.CALLED_OFF, Result.SPOILT):  # no health signal
+                self.update_health(endpoint, call.start_us, result, wait_us)
+            # A refusal by a full connection table does not consume the endpoint's rate limit.
+            counts = result is not Result.UNSENT and not self.refused_by_full_table(endpoint, result)
             account.buckets.add(call.start_us, counts, result is Result.DONE)
         if call.left == 0:
-            kept = result is Result.REFUSED and not endpoint.unmet  # a full table's is closed over there
+            kept = result is Result.REFUSED and not endpoint.full_tables  # a full table's peer closes it
             self.end_call(call, reusable=kept or result in (Result.DONE, Result.ERROR))
-        self.touched[self.destinations[endpoint.entry.destination]] = None
+        self.affected[self.destinations[endpoint.entry.destination]] = None
 
-    def judge(self, endpoint: Endpoint, start_us: int, result: Result, wait_us: int) -> None:
-        """Judge an endpoint: what looks like an outage starts the cold bound, a success the way back."""
+    def update_health(self, endpoint: Endpoint, start_us: int, result: Result, wait_us: int) -> None:
+        """Update an endpoint's health: an outage starts its cold-start limit, a success its warm-up."""
         account = endpoint.account
-        if self.crowd > 1 and self.table_full(endpoint, start_us, result, wait_us):
+        if self.relays_per_connection > 1 and self.table_full(endpoint, start_us, result, wait_us):
             return
         if result is Result.DONE:
-            account.streak = 0
-            endpoint.done_us = self.now
+            account.consecutive_refusals = 0
+            endpoint.last_success_us = self.now
             endpoint.failure_rate *= 1 - ANSWER_WEIGHT
             if not endpoint.cold:
-                fade = max(0.5, 1 - (self.now - account.pace_us) / PACE_US)
-                account.pace, account.pace_us = account.pace * fade + SECOND / PACE_US, self.now
-            elif endpoint.back_us is None:
-                endpoint.back_us = self.now
+                fade = max(0.5, 1 - (self.now - account.throughput_us) / THROUGHPUT_AVERAGING_US)
+                account.throughput = account.throughput * fade + SECOND / THROUGHPUT_AVERAGING_US
+                account.throughput_us = self.now
+            elif endpoint.recovered_us is None:
+                endpoint.recovered_us = self.now
             return
         if result is Result.REFUSED:
-            # Guards against calls that were out together: refused one by one, each would cut M to less.
+            # Calls that were in flight together and are all refused must reduce M only once.
             if start_us > account.learned_us:
-                account.refused(self.now, self.chance.uniform(*BACK_OFF))
-            if wait_us < SHUT * account.window:
-                return  # the limit spoke, not an outage
-        if result is Result.UNCONNECTED and self.crowd <= 1:
-            endpoint.table = max(1, endpoint.out + len(endpoint.idle) - 1)
-            endpoint.table_until = self.now + TABLE_US
-        if result in (Result.UNCONNECTED, Result.TIMED_OUT) and endpoint.done_us > start_us:
-            return  # it answered others meanwhile: slow, or its table is full; a crash fails again
-        endpoint.failed_us, endpoint.swallows = self.now, result in MAY_HAVE_RUN
-        endpoint.spread = self.chance.uniform(*SPREAD)
-        weight = ANSWER_WEIGHT if result in (Result.ERROR, Result.RESET) else SILENCE_WEIGHT
+                account.refused(self.now, self.rng.uniform(*BACK_OFF))
+            if wait_us < OUTAGE_WAIT_WINDOWS * account.window:
+                return  # refused by the rate limit, not an outage
+        if result is Result.UNCONNECTED and self.relays_per_connection <= 1:
+            endpoint.table_size = max(1, endpoint.out + len(endpoint.idle) - 1)
+            endpoint.table_full_until = self.now + TABLE_FULL_US
+        if result in (Result.UNCONNECTED, Result.TIMED_OUT) and endpoint.last_success_us > start_us:
+            return  # it answered others meanwhile: slow or table full; after a crash the next call fails too
+        endpoint.last_failure_us, endpoint.may_have_run = self.now, result in MAY_HAVE_RUN
+        endpoint.jitter = self.rng.uniform(*JITTER)
+        weight = ANSWER_WEIGHT if result in (Result.ERROR, Result.RESET) else NO_ANSWER_WEIGHT
         endpoint.failure_rate += (1 - endpoint.failure_rate) * weight
-        # Guards what is back and cold against hundreds, each of which has met it once: a table that is full
-        # answers. Harms what could not be reached once: this relay's part of it alone for a while.
-        down = result is Result.REFUSED or (result is Result.UNCONNECTED and self.crowd > 1)
+        # Protects an endpoint that has recovered and is cold from hundreds of relays that each saw only one
+        # failure; a full table would answer. Cost: after a single failed connect this relay is limited to its
+        # share for a while.
+        down = result is Result.REFUSED or (result is Result.UNCONNECTED and self.relays_per_connection > 1)
         if endpoint.cold or endpoint.failure_rate >= OUTAGE_RATE or down:
             if not endpoint.cold:
                 self.actions.append(api.Log(f"outage at {endpoint.entry.endpoint}: {result.value}"))
-                endpoint.since_us = self.now
-            endpoint.cold, endpoint.back_us = True, None
+                endpoint.outage_since_us = self.now
+            endpoint.cold, endpoint.recovered_us = True, None
 
     def cold_opening(self, endpoint: Endpoint) -> int:
-        """When an endpoint may be called by this relay's part of what it takes while down or cold."""
-        # Guards against pushing over what returns unannounced, so it holds in the outage too; spares calls to
-        # what fails most of them. It harms a healthy endpoint that fails twice by chance: a lower pace.
+        """When a down or cold endpoint may next be called within this relay's share of its capacity."""
+        # Prevents overloading an endpoint that recovers unannounced, so it applies during the outage too;
+        # it also saves calls that would fail. Cost: fewer calls to a healthy one after two chance failures.
         rules, share = self.settings, self.settings.cold_share
-        if not endpoint.cold:  # of many relays each has one failure to go by: it waits before the next try
-            if endpoint.done_us >= endpoint.failed_us:
+        if not endpoint.cold:  # each of many relays saw one failure only: it waits before the next attempt
+            if endpoint.last_success_us >= endpoint.last_failure_us:
                 return self.now
-            shared_us = LONGEST * rules.overload_us if self.crowd > 1 else 0
-            wait_us = max(AVOID_US, min(1 / self.part(endpoint, share), shared_us)) * endpoint.spread
-            return max(self.now, endpoint.failed_us + int(wait_us))
-        if endpoint.back_us is not None:
-            share += (1 - share) * (self.now - endpoint.back_us) / max(1, rules.warm_us)
+            shared_us = MAX_WINDOW_FACTOR * rules.overload_us if self.relays_per_connection > 1 else 0
+            wait_us = max(AVOID_US, min(1 / self.allowed_rate(endpoint, share), shared_us)) * endpoint.jitter
+            return max(self.now, endpoint.last_failure_us + int(wait_us))
+        if endpoint.recovered_us is not None:
+            share += (1 - share) * (self.now - endpoint.recovered_us) / max(1, rules.warm_us)
         if share > 1:
             endpoint.cold = False
             self.actions.append(api.Log(f"outage over at {endpoint.entry.endpoint}"))
             return self.now
-        part = self.part(endpoint, share)
-        # Relays that saw it fail add up while it lasts, so each waits as long again, not all at once.
-        longest = max(LONGEST * rules.overload_us, self.now - endpoint.since_us) * endpoint.spread
+        part = self.allowed_rate(endpoint, share)
+        # More and more relays see it fail, so each waits as long again as the outage has lasted, with jitter.
+        outage_us = self.now - endpoint.outage_since_us
+        longest = max(MAX_WINDOW_FACTOR * rules.overload_us, outage_us) * endpoint.jitter
         window = int(min(max(rules.overload_us, 1 / part), longest))
         units = max(1, int(part * window))
         return self.now if len(endpoint.starts) < units else max(self.now, endpoint.starts[-units] + window)
 
-    def part(self, endpoint: Endpoint, share: float) -> float:
-        """Units a microsecond: this relay's part of what an endpoint that can do a share may be sent."""
+    def allowed_rate(self, endpoint: Endpoint, share: float) -> float:
+        """Calls per us that this relay may send to an endpoint that has this share of its capacity."""
         account, rules = endpoint.account, self.settings
-        rate = account.pace if account.rate is None else account.rate / rules.relays
+        rate = account.throughput if account.rate is None else account.rate / rules.relays
         siblings = self.destinations[endpoint.entry.destination].endpoints.values()
         among = sum(other.account is account for other in siblings)
         return max(rules.overload_factor * share * rate / max(1, among) / SECOND, 1e-12)
 
     def usable(self, endpoint: Endpoint, message: Message) -> bool:
-        """Whether a message may go there: zone of its key, no copy there, nothing unsafe into an outage."""
+        """Whether a message may go there: in the zone of its key, not twice, nothing unsafe in an outage."""
         kind = message.kind
-        if kind.effect is Effect.UNSAFE and endpoint.cold and endpoint.back_us is None and endpoint.swallows:
+        in_outage = endpoint.cold and endpoint.recovered_us is None
+        if kind.effect is Effect.UNSAFE and in_outage and endpoint.may_have_run:
             return False
         zoned = kind.effect is Effect.KEYED and kind.group is Group.ZONE
-        if zoned and any(call.endpoint.entry.zone != endpoint.entry.zone for call in message.exposed()):
+        zone = endpoint.entry.zone
+        if zoned and any(call.endpoint.entry.zone != zone for call in message.possibly_executed()):
             return False
         return all(call.endpoint is not endpoint for call in message.out.values())
 
-    def proven(self, endpoint: Endpoint) -> bool:
-        """Whether it has delivered lately."""
-        return endpoint.done_us >= self.now - LATELY_US
+    def delivered_recently(self, endpoint: Endpoint) -> bool:
+        """Whether an endpoint has delivered recently."""
+        return endpoint.last_success_us >= self.now - RECENT_DELIVERY_US
 
     def no_slot(self, endpoint: Endpoint) -> bool:
-        """Whether slots are too short for a call there."""
-        # Guards the busy against many that wake at once and answer slowly or not at all. It harms what wakes
-        # where all others wake too: a tenth of the slots stays free until the first is delivered.
-        return self.slots_out >= self.settings.slots * (1 if self.proven(endpoint) else FRESH_SHARE)
+        """Whether no slot is left for a call there."""
+        # Protects busy destinations from many idle ones that become active at once and answer slowly or not
+        # at all. Cost: if all become active at once, a tenth of the slots is unused until the first delivery.
+        share = 1 if self.delivered_recently(endpoint) else UNPROVEN_SLOT_SHARE
+        return self.slots_out >= self.settings.slots * share
 
     def rank(self, endpoint: Endpoint) -> tuple[bool, bool, float, int, int]:
-        """Choose an endpoint: a slot for it, not lately failed, low fee, few calls out for connections."""
+        """Sort key of endpoints: free slot, no recent failure, low fee, idle connection, few calls."""
         entry = endpoint.entry
         fee = self.settings.fees.get(entry.zone, 0.0) * self.settings.kinds[entry.kind].apart
-        failed = endpoint.cold or self.now < endpoint.failed_us + AVOID_US or endpoint.unmet > 0
+        failed = endpoint.cold or self.now < endpoint.last_failure_us + AVOID_US or endpoint.full_tables > 0
         return self.no_slot(endpoint), failed, fee, endpoint.out - bool(endpoint.idle), endpoint.out
 
     def eligible(self, message: Message) -> bool:
-        rest = 0 if message.key is None or message.attempts else self.rests.get(message.key, 0)
+        rest = 0 if message.key is None or message.attempts else self.key_quiet_until.get(message.key, 0)
         if rest > self.now:
-            self.wake(message.destination, rest)
-        first = message.key is None or (self.lanes[message.key][0] is message and rest <= self.now)
+            self.set_destination_timer(message.destination, rest)
+        first = message.key is None or (self.key_queues[message.key][0] is message and rest <= self.now)
         return first and may_repeat(message, self.now) and message.attempts < self.settings.most_attempts
 
-    def loss(self, message: Message, delay_us: int = SECOND) -> float:
-        soon, halving = self.now + FIRST_GUESS_US, self.settings.halving
+    def value_loss(self, message: Message, delay_us: int = SECOND) -> float:
+        soon, halving = self.now + INITIAL_ANSWER_US, self.settings.halving
         return message.worth_at(soon, halving) - message.worth_at(soon + delay_us, halving)
 
     def urgency(self, destination: Destination) -> float:
-        """What is lost by not serving a destination next, for the time that it would hold a slot."""
-        # Guards the quick against the slow where slots are short: the rule of least cost, c times mu.
-        usual = min((it.usual_us for it in destination.accounts.values()), default=FIRST_GUESS_US)
-        return self.loss(next(iter(destination.waiting.values()))) / max(usual, SECOND // 100)
+        """Value lost by delaying a destination, per time that its call would hold a slot."""
+        # Keeps slow destinations from starving fast ones when slots are scarce: the c-mu scheduling rule.
+        usual = min((it.usual_us for it in destination.accounts.values()), default=INITIAL_ANSWER_US)
+        return self.value_loss(next(iter(destination.waiting.values()))) / max(usual, SECOND // 100)
 
     def order(self, destination: Destination) -> list[Message]:
-        """Order what waits by what each loses if it goes last instead of first, then by aims."""
-        pace = sum(account.limit(self.now) / account.window for account in destination.accounts.values())
-        drain = max(SECOND, int(min(len(destination.waiting) / max(pace, 1e-7), 60 * SECOND)))
+        """Sort queued messages by the value each loses if sent last instead of first, then by target time."""
+        rate = sum(account.limit(self.now) / account.window for account in destination.accounts.values())
+        drain = max(SECOND, int(min(len(destination.waiting) / max(rate, 1e-7), 60 * SECOND)))
         able = [message for message in destination.waiting.values() if self.eligible(message)]
-        return sorted(able, key=lambda message: (-self.loss(message, drain), message.aim_us))
+        return sorted(able, key=lambda message: (-self.value_loss(message, drain), message.aim_us))
 
     def openings(self, destination: Destination) -> Iterator[tuple[Endpoint, int]]:
-        """Endpoints with a slot and a connection to be had, and when each may next be called."""
-        few = FEW if self.slots_out <= self.settings.slots * SLOT_SHARE else 1  # where slots are short
+        """Endpoints with a slot and a connection available, and when each may next be called."""
+        scarce = self.slots_out > self.settings.slots * MAX_SLOT_SHARE
+        few = 1 if scarce else MAX_UNPROVEN_CALLS
         for endpoint in destination.endpoints.values():
             endpoint.forget_idle(self.now - self.settings.idle_us)
-            new = not endpoint.idle and self.now < endpoint.table_until
-            full = new and self.crowd <= 1 and endpoint.out >= endpoint.table
-            # Guards against slots that many woken at once hold, of which some are slow, silent or dead. It
-            # harms one that is well and slow: its second message waits for the first one's answer.
-            unsure = endpoint.out >= few and not self.proven(endpoint)
-            if not (full or unsure or endpoint.account.crowded(self.now)):
+            new = not endpoint.idle and self.now < endpoint.table_full_until
+            full = new and self.relays_per_connection <= 1 and endpoint.out >= endpoint.table_size
+            # Keeps slots from being held by many endpoints that became active at once, some slow, silent or
+            # down. Cost: at a healthy but slow one the second message waits for the first answer.
+            unsure = endpoint.out >= few and not self.delivered_recently(endpoint)
+            if not (full or unsure or endpoint.account.at_slot_limit(self.now)):
                 opening = max(endpoint.account.opening(self.now), self.cold_opening(endpoint))
-                yield endpoint, max(opening, endpoint.table_until) if new and self.crowd > 1 else opening
+                waits = new and self.relays_per_connection > 1
+                yield endpoint, max(opening, endpoint.table_full_until) if waits else opening
 
     def serve(self, destination: Destination) -> None:
-        """Send what fits now, then wait: for the opening, a slot, or an answer."""
+        """Send what may go now, then wait for the next opening, a slot or an answer."""
         able: list[Message] | None = None
         while destination.waiting:
             openings = dict(self.openings(destination))
@@ -338,53 +354,53 @@
             left = [it for it in able or () if it.ref in destination.waiting] if ready else []
             choice = next((to for message in left for to in ready if self.usable(to, message)), None)
             if choice is None:
-                for endpoint in [to for to in ready if left and to.cold and to.swallows][:1]:
-                    self.scout(destination, endpoint)
+                for endpoint in [to for to in ready if left and to.cold and to.may_have_run][:1]:
+                    self.test_endpoint(destination, endpoint)
                 if later := [opening for opening in openings.values() if opening > self.now]:
-                    self.wake(destination, min(later))
+                    self.set_destination_timer(destination, min(later))
                 return
             if self.no_slot(choice):
-                return self.free_slots(destination)
+                return self.wait_for_slot(destination)
             self.send(choice, (message for message in left if self.usable(choice, message)))
 
-    def free_slots(self, destination: Destination) -> None:
-        self.starved[destination] = None
-        if len(self.starved) > TURNS:
-            return  # those before it see to it, and slots go round
+    def wait_for_slot(self, destination: Destination) -> None:
+        self.waiting_for_slot[destination] = None
+        if len(self.waiting_for_slot) > MAX_COMPETING:
+            return  # destinations queued before it handle this, and slots are given in turn
         if self.overdue_us is None:
-            self.overdue_us = self.call_off_late()
-        self.wake(destination, self.overdue_us)
+            self.overdue_us = self.cancel_overdue()
+        self.set_destination_timer(destination, self.overdue_us)
 
-    def call_off_late(self) -> int:
-        """With all slots taken, call off what is overdue, once a round; when the next call will be."""
-        # Guards against hung calls that keep the slots. Harms slow unsafe ones.
+    def cancel_overdue(self) -> int:
+        """With all slots taken, cancel overdue calls, once a step; returns when the next becomes overdue."""
+        # Keeps hung calls from holding the slots. Cost: slow calls with unsafe messages are cancelled too.
         due = {key: it.start_us + it.endpoint.account.patience_us() for key, (_, it) in self.calls.items()}
         late = [key for key, at_us in due.items() if at_us <= self.now and self.settings.may_cancel]
-        self.actions += [api.CallOff(*key) for key in late]
+        self.actions += [api.CancelAttempt(*key) for key in late]
         return min([at for at in due.values() if at > self.now], default=self.now + SECOND)
 
-    def scout(self, destination: Destination, endpoint: Endpoint) -> None:
-        """Only unsafe messages wait for what swallows calls: a probe, or one of them, goes first."""
-        retry = endpoint.failed_us + self.settings.overload_us
+    def test_endpoint(self, destination: Destination, endpoint: Endpoint) -> None:
+        """Test an endpoint that drops calls and has only unsafe messages queued: by a probe, else by one."""
+        retry = endpoint.last_failure_us + self.settings.overload_us
         if not self.settings.may_probe:
-            endpoint.swallows = self.now < retry
-            self.wake(destination, retry)
+            endpoint.may_have_run = self.now < retry
+            self.set_destination_timer(destination, retry)
         elif endpoint.entry.endpoint not in self.probes:
             self.probes[endpoint.entry.endpoint] = self.start_call(endpoint, 1, 0)
             self.actions.append(api.Probe(endpoint.entry.endpoint))
 
     def send(self, endpoint: Endpoint, able: Iterator[Message]) -> None:
-        """Send one call. Unsafe attempts wait out their time: giving up gains a slot and loses the worth."""
+        """Send one call. Unsafe attempts get the full time: giving up frees a slot but loses the message."""
         bundle = list(itertools.islice(able, self.settings.kinds[endpoint.entry.kind].bundle_max))
         call, patience = self.start_call(endpoint, len(bundle), 1), endpoint.account.patience_us()
         for message in bundle:
             until, effect = message.deadline_us, message.kind.effect
-            if effect is Effect.KEYED:  # a repeat must still meet a remembered key
+            if effect is Effect.KEYED:  # the key must still be remembered at a repeat
                 patience = min(patience, max(SECOND, message.kind.key_life_us // 2))
             if effect is not Effect.UNSAFE and self.now + patience + endpoint.account.usual_us < until:
                 until = self.now + patience
                 if self.settings.second_copies:
-                    self.timer(self.now + patience // 2, message)
+                    self.set_timer(self.now + patience // 2, message)
             del message.destination.waiting[message.ref]
             message.out[message.attempts] = call
             self.calls[message.ref, message.attempts] = message, call
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -136,7 +136,7 @@
         """The record of an endpoint; its destination is woken for it."""
         entry = self.sender.members.get(name)
         assert entry is not None
-        self.sender.awaken(entry.destination)
+        self.sender.load_destination(entry.destination)
         return self.sender.endpoints[name]
 
     def take(
@@ -164,7 +164,7 @@
             at_us, label = min(self.timers)
             self.timers.remove((at_us, label))
             self.now = max(self.now, at_us)
-            actions += self.step(api.Due(label))
+            actions += self.step(api.TimerExpired(label))
         self.now = until_us
         return actions
 
--- a/tests/test_account.py
+++ b/tests/test_account.py
@@ -1,9 +1,15 @@
-"""The ordinary path: admission, buckets, openings, learning."""
+"""Rate limiting per destination: admission, buckets, openings and learned limits."""
 
 import pytest
 
 from amberlug.policy import interface as api
-from amberlug.policy.account import LIFT, OPEN, PAUSE_US, RISE, Account
+from amberlug.policy.account import (
+    LIMIT_GROWTH,
+    LIMIT_LIFETIME_WINDOWS,
+    MAX_FIRST_PAUSE_US,
+    UNLIMITED,
+    Account,
+)
 from amberlug.policy.interface import Entry, Result, State
 from amberlug.policy.settings import read_settings
 from amberlug.policy.state import Call, Endpoint
@@ -19,13 +25,13 @@
 
 
 def spent(owner: Account, at_us: int) -> int:
-    return sum(units for _, units, _ in owner.buckets.inside(at_us, owner.window))
+    return sum(units for _, units, _ in owner.buckets.buckets_in_window(at_us, owner.window))
 
 
 def test_listed_rate_sets_units_and_window() -> None:
     one = account(4.0)
     assert (one.units, one.window) == (4.0, SECOND)
-    assert account(None).units == OPEN
+    assert account(None).units == UNLIMITED
 
 
 def test_admission_counts_consumptions_and_reservations() -> None:
@@ -46,15 +52,15 @@
     for _ in range(4):
         consumed(one, now)
     opening = one.opening(now)
-    assert now + SECOND - one.buckets.slide <= opening <= now + SECOND + one.buckets.slide
-    assert not one.excess(opening - one.buckets.slide) <= 0
+    assert now + SECOND - one.buckets.bucket_us <= opening <= now + SECOND + one.buckets.bucket_us
+    assert not one.excess(opening - one.buckets.bucket_us) <= 0
     assert one.excess(opening) <= 0
 
 
 def test_a_call_counts_at_its_start_whenever_it_is_answered() -> None:
     one = account(4.0)
     consumed(one, 10 * SECOND)
-    assert spent(one, 10 * SECOND + SECOND - one.buckets.slide) == 1
+    assert spent(one, 10 * SECOND + SECOND - one.buckets.bucket_us) == 1
     assert spent(one, 11 * SECOND) == 0
 
 
@@ -72,8 +78,8 @@
     consumed(one, now, Result.REFUSED)
     one.refused(now, 0.5)
     assert one.limit(now) == 3
-    assert one.limit(now + SECOND) == pytest.approx(3 * RISE)
-    assert one.limit(now + LIFT * SECOND) == OPEN
+    assert one.limit(now + SECOND) == pytest.approx(3 * LIMIT_GROWTH)
+    assert one.limit(now + LIMIT_LIFETIME_WINDOWS * SECOND) == UNLIMITED
 
 
 def test_a_refusal_leaves_at_least_one_unit() -> None:
@@ -134,7 +140,7 @@
     one.buckets.add(now, True, False)
     assert one.opening(now) == now + 2 * SECOND
     assert one.limit(now + SECOND) == 0.5
-    assert one.limit(now + 2 * SECOND) == pytest.approx(0.5 * RISE)
+    assert one.limit(now + 2 * SECOND) == pytest.approx(0.5 * LIMIT_GROWTH)
 
 
 def test_many_relays_cut_further_and_no_further_than_the_even_part() -> None:
@@ -156,7 +162,7 @@
     assert relay.endpoint("a").entry.rate == 9.0
 
 
-def test_nothing_grows_with_the_length_of_a_relays_life() -> None:
+def test_state_does_not_grow_over_a_relays_lifetime() -> None:
     relay = Relay()
     for ref in range(1, 60):
         relay.listed(f"e{ref}", kind="apart")
@@ -169,13 +175,13 @@
     sender = relay.sender
     for kept in (
         sender.timers,
-        sender.lanes,
-        sender.rests,
+        sender.key_queues,
+        sender.key_quiet_until,
         sender.endpoints,
         sender.messages,
         sender.calls,
         sender.destinations,
-        sender.folded,
+        sender.summaries,
     ):
         assert kept == {}
     assert len(sender.members) == 0
@@ -185,18 +191,18 @@
     spreads = set()
     for seed in range(5):
         relay = Relay()
-        relay.sender.chance.seed(seed)
+        relay.sender.rng.seed(seed)
         relay.listed("a")
         relay.step(relay.take())
         relay.answer(1, 0, Result.REFUSED, wait_us=5 * SECOND)
-        spreads.add(relay.endpoint("a").spread)
+        spreads.add(relay.endpoint("a").jitter)
     assert len(spreads) == 5
 
 
 def test_refusals_of_calls_that_were_out_together_cut_a_learned_limit_once() -> None:
     relay = Relay(Weights="nominal", FamilyInfo__Slots=40)
     relay.listed("a", rate=20.0)
-    relay.endpoint("a").done_us = relay.now  # else few go until the first answer
+    relay.endpoint("a").last_success_us = relay.now  # otherwise only a few calls go before the first delivery
     for _ in range(8):
         relay.step(relay.take())
     assert len(relay.sent) == 8
@@ -204,7 +210,7 @@
     relay.now += 100_000
     relay.answer(1, 0, api.Result.REFUSED)
     learned = account.learned
-    for ref in range(2, 9):  # guards against a limit that falls to nothing in one round trip
+    for ref in range(2, 9):  # otherwise the limit drops to nothing within one round trip
         relay.now += 1000
         relay.answer(ref, 0, api.Result.REFUSED)
     assert account.learned == learned
@@ -215,7 +221,9 @@
     for second in range(10, 40):
         account.refused(second * SECOND // 2, 0.55)
     assert account.learned == pytest.approx(0.7 * 40 / 2)
-    assert account.opening(20 * SECOND) == 20 * SECOND  # of two relays each hears of half of all refusals
+    assert (
+        account.opening(20 * SECOND) == 20 * SECOND
+    )  # no pause: each of two relays sees half of all refusals
 
 
 def test_of_many_relays_each_pauses_after_a_refusal_and_longer_while_nothing_is_taken_on() -> None:
@@ -234,8 +242,15 @@
         return [*pauses, account.paused_until - relay.now]
 
     longest, drawn = refused(1.0), refused(0.6)
-    assert longest == [PAUSE_US, 2 * PAUSE_US, 4 * PAUSE_US, 4 * PAUSE_US, 4 * PAUSE_US, PAUSE_US]
-    assert drawn == [pytest.approx(0.6 * it) for it in longest]  # so that relays part ways
+    assert longest == [
+        MAX_FIRST_PAUSE_US,
+        2 * MAX_FIRST_PAUSE_US,
+        4 * MAX_FIRST_PAUSE_US,
+        4 * MAX_FIRST_PAUSE_US,
+        4 * MAX_FIRST_PAUSE_US,
+        MAX_FIRST_PAUSE_US,
+    ]
+    assert drawn == [pytest.approx(0.6 * it) for it in longest]  # jitter desynchronizes the relays
 
 
 @pytest.mark.parametrize(
@@ -250,7 +265,7 @@
     until = set()
     for seed in range(8):
         relay = Relay(Balancers=40, Weights="nominal")
-        relay.sender.chance.seed(seed)
+        relay.sender.rng.seed(seed)
         relay.listed("a", rate=400.0)
         relay.step(relay.take())
         relay.now += SECOND // 10
--- a/tests/test_folding.py
+++ b/tests/test_eviction.py
@@ -1,4 +1,4 @@
-"""Destinations that sleep: folding one away changes no decision, and nothing of what is gone stays."""
+"""Eviction of idle destinations: it changes no decision, and nothing of removed endpoints is kept."""
 
 import itertools
 import marshal
@@ -9,14 +9,14 @@
 from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
 
-from amberlug.policy import folding
+from amberlug.policy import eviction
 from amberlug.policy import interface as api
-from amberlug.policy.account import FIRST_GUESS_US
-from amberlug.policy.decide import FEW, FRESH_SHARE
+from amberlug.policy.account import INITIAL_ANSWER_US
+from amberlug.policy.decide import MAX_UNPROVEN_CALLS, UNPROVEN_SLOT_SHARE
 from amberlug.policy.interface import Result, State
 from amberlug.policy.lasting import LastingSender
 from amberlug.policy.settings import read_settings
-from amberlug.policy.state import TURNS
+from amberlug.policy.state import MAX_COMPETING
 from tests.conftest import SECOND, Relay, of, setup
 
 HOUR = 3600 * SECOND
@@ -24,19 +24,19 @@
 ANSWERS = [*Result, Result.DONE, Result.DONE, Result.DONE, Result.REFUSED]
 
 
-class Wakeful(LastingSender):
-    """The model: the same decisions, and nothing is ever folded away."""
+class NeverEvicting(LastingSender):
+    """Reference model: the same decisions without any eviction."""
 
-    def fold_some(self) -> None:
+    def evict_idle(self) -> None:
         pass
 
 
 class Pair:
-    """A relay that folds and one that doesn't, told the same; every action must be equal."""
+    """Two senders with the same input, one of which never evicts; all actions must be equal."""
 
     def __init__(self, **changes: Any) -> None:
         settings = read_settings(setup(**({"Weights": "nominal"} | changes)))
-        self.folding, self.wakeful = LastingSender(settings, 3), Wakeful(settings, 3)
+        self.evicting, self.never_evicting = LastingSender(settings, 3), NeverEvicting(settings, 3)
         self.now = 100 * SECOND
         self.timers: list[tuple[int, int]] = []
         self.out: dict[tuple[int, int], api.Send] = {}
@@ -44,8 +44,8 @@
         self.over: set[int] = set()
 
     def tell(self, *events: api.Event) -> list[api.Action]:
-        actions = self.folding.step(self.now, events)
-        assert actions == self.wakeful.step(self.now, events)
+        actions = self.evicting.step(self.now, events)
+        assert actions == self.never_evicting.step(self.now, events)
         for action in actions:
             if isinstance(action, api.Timer):
                 self.timers.append((self.now + action.after_us, action.label))
@@ -75,7 +75,7 @@
             self.now = max(self.now, at_us)
             if kind:
                 self.timers.remove((at_us, what))
-                self.tell(api.Due(what))
+                self.tell(api.TimerExpired(what))
             else:
                 self.answer(what, Result.TIMED_OUT)  # type: ignore[arg-type]
         self.now = max(self.now, until_us)
@@ -90,13 +90,13 @@
 
 
 def outages(sender: LastingSender) -> set[str]:
-    """Endpoints that are known to be in an outage, or back and cold, awake or not."""
+    """Endpoints known to be in an outage or warming up, of destinations in memory or evicted."""
     cold = {name for name, it in sender.endpoints.items() if it.cold}
-    folded = (marshal.loads(kept) for _, kept in sender.folded.values())
+    folded = (marshal.loads(kept) for _, kept in sender.summaries.values())
     return cold | {name for *_, endpoints in folded for name, numbers in endpoints.items() if numbers[4]}
 
 
-# Rests end just before, at and after the moments at which something kept runs out.
+# Idle times that end just before, at and after the times at which kept state expires.
 RESTS = [
     SECOND // 4,
     SECOND,
@@ -118,7 +118,7 @@
     weights=st.sampled_from(["none", "nominal"]),
 )
 @hypothesis_settings(max_examples=150)
-def test_folding_away_changes_no_decision(seed: int, mood: str, reports: bool, weights: str) -> None:
+def test_eviction_changes_no_decision(seed: int, mood: str, reports: bool, weights: str) -> None:
     chance, refs = random.Random(seed), itertools.count(1)
     told = {"LoadReport": {"Names": ["x0", "x1"], "Via": "answers"}} if reports else {}
     pair = Pair(Bounds__MaxOpen=25, Weights=weights, **told)
@@ -145,22 +145,22 @@
             pair.answer(chance.choice(sorted(pair.out)), chance.choice(answers), wait_us)
         else:
             rest_us = chance.choice(RESTS)
-            if rest_us > 10 * SECOND:  # nothing is left out that would keep a destination awake
+            if rest_us > 10 * SECOND:  # ends all calls in flight, which would prevent eviction
                 for out in sorted(pair.out):
                     pair.answer(out, chance.choice(answers))
             pair.run(pair.now + rest_us)
-            pair.tell()  # a step, in which what is quiet is folded away
-        slept = max(slept, len(pair.folding.folded))
-        assert outages(pair.wakeful) <= outages(pair.folding)
+            pair.tell()  # a step that evicts idle destinations
+        slept = max(slept, len(pair.evicting.summaries))
+        assert outages(pair.never_evicting) <= outages(pair.evicting)
     pair.run(pair.now + HOUR)
     pair.tell()
     pair.tell()
-    assert not pair.folding.messages
-    assert not pair.folding.endpoints
+    assert not pair.evicting.messages
+    assert not pair.evicting.endpoints
 
 
-def asleep(relay: Relay, rest_us: int = 60 * SECOND) -> None:
-    """Let a destination fall asleep: what is out comes to nothing, and what waits is withdrawn."""
+def evict(relay: Relay, rest_us: int = 60 * SECOND) -> None:
+    """Have a destination evicted: ends its calls in flight and withdraws its messages."""
     for ref in list(relay.sender.messages):
         relay.step(api.Withdrawn(ref))
     for ref, number in list(relay.sender.calls):
@@ -170,34 +170,34 @@
     assert not relay.sender.destinations
 
 
-def test_a_quiet_destination_leaves_numbers_and_later_nothing() -> None:
+def test_an_idle_destination_leaves_a_summary_and_later_nothing() -> None:
     relay = Relay()
     relay.listed("a")
     relay.step(relay.take())
     relay.answer(1, 0)
-    asleep(relay)
-    assert list(relay.sender.folded) == [1]
-    relay.advance(relay.now + folding.FORGET_US)
+    evict(relay)
+    assert list(relay.sender.summaries) == [1]
+    relay.advance(relay.now + eviction.OUTDATED_US)
     relay.step()
-    assert not relay.sender.folded
+    assert not relay.sender.summaries
     assert not relay.sender.destinations
     assert "a" in relay.sender.members
 
 
-def test_a_told_wait_is_heeded_by_a_destination_that_slept_through_it() -> None:
+def test_a_retry_after_wait_outlasts_eviction() -> None:
     relay = Relay()
     relay.listed("a")
     relay.step(relay.take())
     relay.answer(1, 0, Result.REFUSED, wait_us=900 * SECOND)
     until_us = relay.now + 900 * SECOND
-    for rest_us in (60 * SECOND, 700 * SECOND):  # also past the time after which soft numbers are forgotten
-        asleep(relay, rest_us)
+    for rest_us in (60 * SECOND, 700 * SECOND):  # also longer than OUTDATED_US
+        evict(relay, rest_us)
         assert not of(relay.step(relay.take()), api.Send)
-    asleep(relay, until_us - relay.now)
+    evict(relay, until_us - relay.now)
     assert of(relay.step(relay.take()), api.Send)
 
 
-def test_an_outage_is_not_slept_through() -> None:
+def test_an_outage_outlasts_eviction() -> None:
     relay = Relay(Weights="nominal")
     relay.listed("a", rate=2.0)
     for ref in range(1, 4):
@@ -209,7 +209,7 @@
                 break
         relay.advance(relay.now + 4 * SECOND)
     assert relay.endpoint("a").cold
-    asleep(relay, HOUR)
+    evict(relay, HOUR)
     assert relay.endpoint("a").cold
 
 
@@ -220,19 +220,19 @@
     relay.now += 2 * SECOND
     relay.answer(1, 0)
     usual_us = relay.endpoint("a").account.usual_us
-    assert usual_us > FIRST_GUESS_US
-    asleep(relay)
+    assert usual_us > INITIAL_ANSWER_US
+    evict(relay)
     assert relay.endpoint("a").account.usual_us == usual_us
-    asleep(relay, HOUR)
+    evict(relay, HOUR)
     relay.step(relay.take())
-    assert relay.endpoint("a").account.usual_us == FIRST_GUESS_US
+    assert relay.endpoint("a").account.usual_us == INITIAL_ANSWER_US
 
 
 def gone(state: State = State.GONE) -> api.Listed:
     return api.Listed(api.ListKind.PATCH, (api.Entry("a", "north", "plain", 1, state, 1.0),))
 
 
-def test_what_waits_for_a_destination_that_is_gone_ends_at_once() -> None:
+def test_queued_messages_end_when_their_destination_is_removed() -> None:
     relay = Relay()
     relay.listed("a")
     relay.step(relay.take())
@@ -241,7 +241,7 @@
     assert {it.ref for it in of(relay.step(gone()), api.Refuse)} == {1, 2}
 
 
-def test_a_call_that_was_out_as_its_destination_went_ends_with_it() -> None:
+def test_a_call_in_flight_at_a_removed_destination_ends_its_message() -> None:
     relay = Relay()
     relay.listed("a")
     relay.step(relay.take())
@@ -249,8 +249,8 @@
     assert not of(relay.step(gone()), api.Refuse)
     assert [it.ref for it in of(relay.answer(1, 0, Result.REFUSED), api.Refuse)] == [1]
     assert [it.ref for it in of(relay.answer(2, 0, Result.RESET), api.Fail)] == [2]
-    asleep(relay)
-    assert not relay.sender.folded
+    evict(relay)
+    assert not relay.sender.summaries
 
 
 def test_a_destination_that_drains_holds_its_messages_until_another_endpoint_comes() -> None:
@@ -263,33 +263,33 @@
     assert of(relay.step(api.Listed(api.ListKind.PATCH, (new,))), api.Send)
 
 
-def test_nothing_learned_of_what_is_gone_is_believed_of_what_comes_back() -> None:
+def test_state_of_a_removed_endpoint_is_not_used_when_it_returns() -> None:
     relay = Relay()
     relay.listed("a")
     relay.step(relay.take("unsafe"))
     relay.now += 2 * SECOND
     relay.answer(1, 0, Result.TIMED_OUT)
     assert relay.endpoint("a").failure_rate > 0
-    asleep(relay)
+    evict(relay)
     relay.step(gone())
-    assert not relay.sender.folded
+    assert not relay.sender.summaries
     relay.listed("a")
     back = relay.endpoint("a")
     assert back.failure_rate == 0
     assert not back.cold
-    assert back.account.usual_us == FIRST_GUESS_US
+    assert back.account.usual_us == INITIAL_ANSWER_US
 
 
-def test_a_whole_list_takes_off_what_sleeps() -> None:
+def test_a_whole_list_removes_evicted_destinations() -> None:
     relay = Relay()
     relay.listed("a", "b")
     relay.step(relay.take())
     relay.answer(1, 0, Result.RESET)
-    asleep(relay)
+    evict(relay)
     new = api.Entry("n", "north", "plain", 2, State.IN, 1.0)
     relay.step(api.Listed(api.ListKind.WHOLE, (new,)))
     assert list(relay.sender.members) == ["n"]
-    assert not relay.sender.folded
+    assert not relay.sender.summaries
     assert not relay.sender.members.serves(1)
 
 
@@ -304,7 +304,7 @@
     assert relay.endpoint("a").entry.destination == 2
 
 
-def test_churn_of_ids_for_hours_grows_nothing() -> None:
+def test_state_does_not_grow_with_hours_of_endpoint_churn() -> None:
     relay = Relay()
     for minute in range(6 * 60):
         name, number = f"e{minute}", minute
@@ -323,56 +323,58 @@
     for kept in (
         sender.destinations,
         sender.endpoints,
-        sender.folded,
-        sender.looks,
-        sender.folded_looks,
+        sender.summaries,
+        sender.eviction_checks,
+        sender.summary_expiries,
         sender.timers,
-        sender.touched,
+        sender.affected,
     ):
         assert len(kept) <= 40, kept
 
 
-def test_few_calls_go_to_what_woke_until_one_is_delivered() -> None:
+def test_calls_to_a_newly_active_destination_are_limited_until_one_is_delivered() -> None:
     relay = Relay(FamilyInfo__Slots=100, Bounds__MaxOpen=200)
     relay.listed("a")
-    assert len(of(relay.step(*(relay.take() for _ in range(20))), api.Send)) == FEW
-    assert not of(relay.answer(1, 0, Result.UNSENT), api.Send)[1:]  # in its place one more
-    assert len(of(relay.answer(2, 0), api.Send)) == 20 - FEW  # all but the two that were answered are out
+    assert len(of(relay.step(*(relay.take() for _ in range(20))), api.Send)) == MAX_UNPROVEN_CALLS
+    assert not of(relay.answer(1, 0, Result.UNSENT), api.Send)[1:]  # one more call replaces it
+    assert (
+        len(of(relay.answer(2, 0), api.Send)) == 20 - MAX_UNPROVEN_CALLS
+    )  # all but the two that were answered are in flight
     for ref in range(3, 21):
         relay.answer(ref, 0)
-    asleep(relay, HOUR)
-    assert len(of(relay.step(*(relay.take() for _ in range(20))), api.Send)) == FEW
+    evict(relay, HOUR)
+    assert len(of(relay.step(*(relay.take() for _ in range(20))), api.Send)) == MAX_UNPROVEN_CALLS
 
 
-def test_where_slots_are_short_what_woke_gets_one_call_until_one_is_delivered() -> None:
-    relay = Relay(FamilyInfo__Slots=4 * FEW, Bounds__MaxOpen=200)
-    numbers = range(4 * FEW)
+def test_with_scarce_slots_a_newly_active_destination_gets_one_call() -> None:
+    relay = Relay(FamilyInfo__Slots=4 * MAX_UNPROVEN_CALLS, Bounds__MaxOpen=200)
+    numbers = range(4 * MAX_UNPROVEN_CALLS)
     new = (api.Entry(f"a{n}", "north", "plain", n, State.IN, 1.0) for n in (*numbers, 20))
     relay.step(api.Listed(api.ListKind.PATCH, tuple(new)))
     out: list[int] = []
     for number in numbers:
-        refs = [next(relay.refs) for _ in range(FEW)]
+        refs = [next(relay.refs) for _ in range(MAX_UNPROVEN_CALLS)]
         taken = (api.Taken(ref, number, "safe", None, None, 10 * SECOND) for ref in refs)
         out.append(len(of(relay.step(*taken), api.Send)))
         relay.now += 1000
-    # Half of the slots go as many as one takes; the other half go one each, so that more are heard of.
-    assert out[:2] == [FEW, FEW]
+    # Half of the slots go as usual, the other half one per destination, so that more destinations are tried.
+    assert out[:2] == [MAX_UNPROVEN_CALLS, MAX_UNPROVEN_CALLS]
     assert out[2] <= 2
-    assert out[3 : 3 + FEW] == [1] * FEW
-    # The last tenth is for what delivers: one that has gets a slot there.
-    assert sum(out) == int(4 * FEW * FRESH_SHARE) + 1 < 4 * FEW
-    relay.endpoint("a20").done_us = relay.now
+    assert out[3 : 3 + MAX_UNPROVEN_CALLS] == [1] * MAX_UNPROVEN_CALLS
+    # The last tenth is reserved for endpoints that deliver: one with a recent delivery gets a slot.
+    assert sum(out) == int(4 * MAX_UNPROVEN_CALLS * UNPROVEN_SLOT_SHARE) + 1 < 4 * MAX_UNPROVEN_CALLS
+    relay.endpoint("a20").last_success_us = relay.now
     ref = next(relay.refs)
     assert of(relay.step(api.Taken(ref, 20, "safe", None, None, 10 * SECOND)), api.Send)
 
 
-def test_where_slots_are_short_what_is_quick_goes_before_what_is_slow() -> None:
+def test_with_scarce_slots_fast_destinations_go_first() -> None:
     relay = Relay(FamilyInfo__Slots=2, Bounds__MaxOpen=200)
     new = (api.Entry(f"a{n}", "north", "plain", n, State.IN, 1.0) for n in range(5))
     relay.step(api.Listed(api.ListKind.PATCH, tuple(new)))
     for number, usual_us in enumerate((1, 2 * SECOND, SECOND // 10, SECOND, 1)):
         endpoint = relay.endpoint(f"a{number}")
-        endpoint.account.usual_us, endpoint.done_us = usual_us, relay.now
+        endpoint.account.usual_us, endpoint.last_success_us = usual_us, relay.now
     relay.step(*(api.Taken(1000 + n, n, "safe", None, None, 10 * SECOND) for n in (0, 4)))
     assert len(relay.sent) == 2
     relay.step(*(api.Taken(n, n, "safe", None, None, 10 * SECOND) for n in (1, 2, 3)))
@@ -382,7 +384,7 @@
     assert [ref for ref, *_ in relay.sent[2:]] == [2, 3]
 
 
-def test_overdue_calls_are_called_off_once_a_round() -> None:
+def test_overdue_calls_are_cancelled_once_a_step() -> None:
     relay = Relay(FamilyInfo__Slots=4, Bounds__MaxOpen=200)
     new = (api.Entry(f"a{n}", "north", "plain", n, State.IN, 1.0) for n in range(20))
     relay.step(api.Listed(api.ListKind.PATCH, tuple(new)))
@@ -390,13 +392,13 @@
     relay.step(*(api.Taken(ref, at, "safe", None, None, 30 * SECOND) for at, ref in enumerate(refs)))
     relay.now += 9 * SECOND
     more = [api.Taken(next(relay.refs), at, "safe", None, None, 30 * SECOND) for at in range(10, 20)]
-    off = of(relay.step(*more), api.CallOff)
+    off = of(relay.step(*more), api.CancelAttempt)
     assert sorted((it.ref, it.attempt) for it in off) == sorted((it[0], it[1]) for it in relay.sent)
 
 
-def test_slots_go_round_among_many_that_wait_for_one() -> None:
+def test_slots_are_shared_among_many_waiting_destinations() -> None:
     relay = Relay(FamilyInfo__Slots=4, Bounds__MaxOpen=5000)
-    many = 4 * TURNS
+    many = 4 * MAX_COMPETING
     new = (api.Entry(f"a{n}", "north", "plain", n, State.IN, 1.0) for n in range(many))
     relay.step(api.Listed(api.ListKind.PATCH, tuple(new)))
     refs = {n: [next(relay.refs) for _ in range(3)] for n in range(many)}
@@ -408,21 +410,21 @@
         ref, attempt, send, _ = relay.sent[len(called)]
         called.append(number[ref])
         relay.step(api.Outcome(ref, attempt, send.endpoint, Result.DONE, True, 1000, 0, ()))
-    # One that has just woken does not wait until all messages of those before it are gone.
+    # A destination that becomes active does not wait until all messages of earlier ones are sent.
     assert len(set(called)) > many * 0.3
-    assert len(relay.sender.starved) > TURNS
+    assert len(relay.sender.waiting_for_slot) > MAX_COMPETING
 
 
-def test_a_limit_below_one_and_the_starts_of_an_outage_outlast_a_sleep() -> None:
+def test_a_limit_below_one_and_call_starts_outlast_eviction() -> None:
     relay = Relay()
     relay.listed("a")
     endpoint = relay.endpoint("a")
     account = endpoint.account
-    account.learned, account.learned_us, account.stretched = 0.25, relay.now, 4 * SECOND
+    account.learned, account.learned_us, account.stretched_window = 0.25, relay.now, 4 * SECOND
     endpoint.starts.extend((relay.now - 2, relay.now - 1))
-    asleep(relay, 13 * SECOND)
+    evict(relay, 13 * SECOND)
     again = relay.endpoint("a")
     assert again is not endpoint
-    assert (again.account.learned, again.account.stretched) == (0.25, 4 * SECOND)
+    assert (again.account.learned, again.account.stretched_window) == (0.25, 4 * SECOND)
     assert again.account.limit(relay.now) < 1
     assert list(again.starts) == list(endpoint.starts)
--- a/tests/test_learning.py
+++ b/tests/test_learning.py
@@ -21,7 +21,7 @@
 from amberlug.learning.learner import Learner
 from amberlug.learning.store import RETRY_US, Store
 from amberlug.policy import interface as api
-from amberlug.policy.account import FIRST_GUESS_US, LIFT, OPEN, SECOND
+from amberlug.policy.account import INITIAL_ANSWER_US, LIMIT_LIFETIME_WINDOWS, SECOND, UNLIMITED
 from amberlug.policy.interface import Result, State
 from amberlug.policy.lasting import LastingSender
 from amberlug.policy.settings import read_settings
@@ -72,28 +72,33 @@
     route: dict[str, Any] | None = None,
     of: api.Entry | None = None,
     **health: Any,
-) -> api.Known:
+) -> api.KnownDestination:
     """A destination as it was learned of at that time, well unless told otherwise."""
     usual: dict[str, Any] = {
         "cold": False,
-        "since_us": NEVER,
-        "failed_us": NEVER,
-        "done_us": at,
-        "back_us": None,
+        "outage_since_us": NEVER,
+        "last_failure_us": NEVER,
+        "last_success_us": at,
+        "recovered_us": None,
         "failure_rate": 0.0,
-        "swallows": False,
-        "spread": 1.0,
+        "may_have_run": False,
+        "jitter": 1.0,
         "starts": (),
     }
     told = api.KnownEndpoint(of or entry(f"e{destination}", destination), **(usual | health))
-    limits: dict[str, Any] = {"usual_us": 250_000, "pace": 2.0, "pace_us": at, "learned": OPEN}
+    limits: dict[str, Any] = {
+        "usual_us": 250_000,
+        "throughput": 2.0,
+        "throughput_us": at,
+        "learned": UNLIMITED,
+    }
     limits |= {"learned_us": 0} | (route or {})
-    return api.Known(destination, (api.KnownRoute("", **limits),), (told,))
+    return api.KnownDestination(destination, (api.KnownRoute("", **limits),), (told,))
 
 
-def believed(learner: Learner, *entries: api.Entry) -> api.Known:
+def believed(learner: Learner, *entries: api.Entry) -> api.KnownDestination:
     listed = entries or (entry(),)
-    return learner.recall(listed[0].destination, listed) or api.Known(listed[0].destination)
+    return learner.recall(listed[0].destination, listed) or api.KnownDestination(listed[0].destination)
 
 
 def wait_at(time: Time, destination: int = 1, length_us: int = 5 * SECOND) -> Wait:
@@ -428,13 +433,13 @@
     (route,) = believed(opened(disk.after_death(), later)).routes
     assert max(0, route.blocked_until_us - clock_us) == left_us
     (again,) = believed(opened(disk.after_death().after_death(), later)).routes
-    assert again.told_us == 5 * SECOND
+    assert again.last_retry_after_us == 5 * SECOND
 
 
 COLD: dict[str, Any] = {
     "cold": True,
-    "since_us": START - 9 * SECOND,
-    "failed_us": START - SECOND,
+    "outage_since_us": START - 9 * SECOND,
+    "last_failure_us": START - SECOND,
     "failure_rate": 0.9,
 }
 
@@ -447,7 +452,7 @@
     (health,) = believed(opened(disk.after_death(), later)).endpoints
     if shift_ms < DAY_MS:
         assert health.cold
-        assert (health.failed_us, health.since_us) == (later.us - SECOND, later.us - 9 * SECOND)
+        assert (health.last_failure_us, health.outage_since_us) == (later.us - SECOND, later.us - 9 * SECOND)
     else:
         assert not health.cold  # nobody has seen it for a day
 
@@ -458,9 +463,9 @@
         (entry(), True, 0.9, 3.0, True),
         (entry(zone="south"), True, 0.9, 3.0, True),
         (entry(up_since_ms=WALL), True, 0.0, 3.0, True),  # it started anew: back from its outage, and cold
-        (entry(kind="bundled"), None, None, OPEN, True),  # the id is another's by now
+        (entry(kind="bundled"), None, None, UNLIMITED, True),  # the id is another's by now
         (entry("other"), None, None, 3.0, True),  # replaced: what the destination told holds
-        (entry(destination=2), None, None, OPEN, False),  # moved: the wait binds where it was told
+        (entry(destination=2), None, None, UNLIMITED, False),  # moved: the wait binds where it was told
     ],
 )
 def test_each_fact_goes_on_only_for_whom_it_was_learned_of(
@@ -477,7 +482,7 @@
     assert (health and health.cold) == cold
     if health is not None:
         assert health.failure_rate == rate
-    route = next(iter(told.routes), api.KnownRoute("", 0, 0, 0, OPEN, 0))
+    route = next(iter(told.routes), api.KnownRoute("", 0, 0, 0, UNLIMITED, 0))
     assert route.learned == limit
     assert (route.blocked_until_us > time.us) is waits
 
@@ -488,8 +493,8 @@
         (0, True, 0.9, 3.0, 250_000),
         (ageing.FAILURES_US, True, 0.5, 3.0, 250_000),
         (ageing.LIMIT_US, False, 0.0, 6.0, 250_000),
-        (ageing.ANSWERS_US, False, 0.0, OPEN, (250_000 + FIRST_GUESS_US) // 2),
-        (60 * ageing.DAY, False, 0.0, OPEN, FIRST_GUESS_US),
+        (ageing.ANSWERS_US, False, 0.0, UNLIMITED, (250_000 + INITIAL_ANSWER_US) // 2),
+        (60 * ageing.DAY, False, 0.0, UNLIMITED, INITIAL_ANSWER_US),
     ],
 )
 def test_what_was_learned_weighs_less_with_time(
@@ -547,7 +552,7 @@
     time.past(SECOND)
     for life in (learner, opened(disk.after_death(), time)):
         told = believed(life)
-        assert (told.endpoints[0].cold, told.endpoints[0].failed_us) == (True, START - SECOND)
+        assert (told.endpoints[0].cold, told.endpoints[0].last_failure_us) == (True, START - SECOND)
         assert told.routes[0].learned == pytest.approx(2.0, rel=0.01)
         assert told.routes[0].blocked_until_us == START + 5 * SECOND
         life.take_over(replace(earlier, seen=(replace(row, cold=False),)), {"e1": entry()}.get)
@@ -577,7 +582,7 @@
     def step(self, *events: api.Event) -> None:
         for action in self.sender.step(self.time.us, events):
             if isinstance(action, api.Timer):
-                self.due.append((self.time.us + action.after_us, api.Due(action.label)))
+                self.due.append((self.time.us + action.after_us, api.TimerExpired(action.label)))
             elif isinstance(action, api.Send):
                 result, wait_us = self.answer(self.time.us)
                 self.sends.append((self.time.us, result))
@@ -588,8 +593,8 @@
                     action.ref, number, action.endpoint, result, result is Result.DONE, 50_000, wait_us, ()
                 )
                 self.due.append((self.time.us + 50_000, told))
-        if self.sender.turns:
-            self.learner.observe(self.sender.learned(9, turns=True))
+        if self.sender.unsaved_urgent:
+            self.learner.observe(self.sender.learned(9, urgent=True))
 
     def run(self, seconds: float, per_second: float = 10.0) -> list[tuple[int, Result]]:
         """Hand messages in for a while; the sends meanwhile."""
@@ -673,7 +678,7 @@
     assert sends[0][0] < life.time.us - 8 * SECOND  # at once, by one call
     late = [it for it in sends if it[0] > life.time.us - 4 * SECOND]
     assert len(late) >= 0.95 * 40  # all that comes, from five seconds on
-    assert life.sender.stale_rate == 0
+    assert life.sender.reset_rate == 0
 
 
 def test_a_learned_limit_that_was_lifted_meanwhile_gives_way_in_a_few_windows() -> None:
@@ -682,8 +687,8 @@
     life.run(4)
     assert life.sender.endpoints["e1"].account.limit(life.time.us) < 2
     life.restart()
-    life.run(LIFT * 2)
-    assert life.sender.endpoints["e1"].account.limit(life.time.us) == OPEN
+    life.run(LIMIT_LIFETIME_WINDOWS * 2)
+    assert life.sender.endpoints["e1"].account.limit(life.time.us) == UNLIMITED
 
 
 def test_what_was_learned_of_endpoints_that_are_listed_late_counts_from_then_on() -> None:
