--- a/amberlug/core/__init__.py
+++ b/amberlug/core/__init__.py
@@ -1,1 +1,1 @@
-"""The relay itself: messages, attempts, their ends and the durable log; it knows no sockets."""
+"""The relay core: messages, delivery attempts, final outcomes and the durable journal. No network I/O."""
--- a/amberlug/core/clock.py
+++ b/amberlug/core/clock.py
@@ -1,4 +1,4 @@
-"""The clock of a relay that runs in an asyncio loop."""
+"""The clock of a relay running in an asyncio event loop."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 
 SECOND = 1_000_000
 _BOOT_ID = Path("/proc/sys/kernel/random/boot_id")
-_SAME_US = 100_000  # between two readings of the same clock
+_SAME_US = 100_000  # largest difference between two readings of the same clock
 
 
 def boot_of(now_us: int) -> str:
-    """Which run of the machine a clock counts in; empty where it is not the machine's own, or not known."""
-    # Guards against a loop whose clock counts from another moment than the processes' common one.
+    """Return the kernel boot ID if a clock counts from boot; empty if it does not or the ID is unknown."""
+    # An event loop's clock may have another epoch than the monotonic clock that all processes share.
     if abs(now_us - time.monotonic_ns() // 1000) > _SAME_US:
         return ""
     try:
@@ -24,7 +24,7 @@
 
 
 class LoopClock:
-    """Reads and sets timers by the running loop; one for the life of a relay."""
+    """Clock and timers of the running event loop; one instance per relay."""
 
     def __init__(self) -> None:
         self._loop = asyncio.get_running_loop()
@@ -32,7 +32,7 @@
         self.boot = boot_of(self.now_us())
 
     def now_us(self) -> int:
-        """Read the loop's clock, which never goes back."""
+        """Return the loop's time in microseconds; it never decreases."""
         self._last_us = max(self._last_us, int(self._loop.time() * SECOND))
         return self._last_us
 
@@ -40,5 +40,5 @@
         return int(time.time() * 1000)
 
     def at(self, when_us: int, callback: Callable[..., object], *args: object) -> asyncio.TimerHandle:
-        # Guards against a float that falls short of its microsecond, and a timer that is due before its time.
+        # Add one microsecond: the division may round down, and the timer must never fire early.
         return self._loop.call_at(when_us / SECOND + 1e-6, callback, *args)
--- a/amberlug/core/departure.py
+++ b/amberlug/core/departure.py
@@ -1,4 +1,4 @@
-"""The last step before an attempt leaves, which all transports share."""
+"""The last step before an attempt is sent, shared by all transports."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 async def departing(calls: Calls, attempts: Sequence[Attempt]) -> list[Attempt]:
-    """Have attempts recorded, and wait until that outlasts what it should: those that may leave now."""
+    """Record attempts, wait until the records are durable, and return those that may still be sent."""
     cleared = calls.clear(attempts)
     if not cleared or not calls.waits:
         return cleared
@@ -21,6 +21,8 @@
             recorded.set_result(None)
 
     calls.after(wake, cleared)
-    # Guards against a call that waits for ever for others to have its record; what was recorded may have run.
+    # Bounded wait: a call must not wait forever for other relays to store its record. After the timeout
+    # nothing is sent, although the recorded attempts count as possibly executed.
     done, _ = await asyncio.wait({recorded}, timeout=calls.left_s(cleared))
-    return calls.still(cleared) if done else []  # that took time: a drain, a wait or an end may have come
+    # Check again: a drain, a requested pause or an outcome may have arrived meanwhile.
+    return calls.still(cleared) if done else []
--- a/amberlug/core/journal/__init__.py
+++ b/amberlug/core/journal/__init__.py
@@ -1,4 +1,4 @@
-"""The durable log: segments of records, compacted in slices while traffic flows."""
+"""The durable journal: segments of records, compacted incrementally during operation."""
 
 from __future__ import annotations
 
@@ -12,19 +12,19 @@
 
 __all__ = ["Disk", "Durability", "FolderDisk", "Journal", "open_journal"]
 
-INTERVAL_US = 1_000_000  # between two syncs
+INTERVAL_US = 1_000_000  # interval between syncs
 
 
 class Durability(Enum):
-    """What an answer that a message was taken on outlasts."""
+    """The kind of failure that a confirmed message survives."""
 
-    PROCESS = "process"  # the process, also SIGKILL; a power cut may take the last writes
-    INTERVAL = "interval"  # a power cut, but for the last second
-    GROUP = "group"  # a power cut: the answer waits for a sync, which many share
+    PROCESS = "process"  # process exit, also by SIGKILL; a power failure may lose the last writes
+    INTERVAL = "interval"  # a power failure, except for the last second
+    GROUP = "group"  # a power failure: the response waits for a sync, shared by many (group commit)
 
 
 def open_journal(folder: Path, room_bytes: int, clock: Clock, durability: Durability) -> Journal:
-    """Open a folder's journal in a running loop; errors as `Journal` raises."""
+    """Open the journal in a folder; needs a running event loop. Raises the same errors as `Journal`."""
     syncer = None if durability is Durability.PROCESS else ThreadSyncer()
     interval_us = INTERVAL_US if durability is Durability.INTERVAL else None
     return Journal(FolderDisk(folder), room_bytes, clock.wall_ms(), clock.now_us, syncer, interval_us)
--- a/amberlug/core/journal/disk.py
+++ b/amberlug/core/journal/disk.py
@@ -1,4 +1,4 @@
-"""The files of a journal, behind an interface small enough that tests can have each operation fail."""
+"""File access of the journal, behind an interface small enough for tests to inject faults."""
 
 from __future__ import annotations
 
@@ -9,35 +9,35 @@
 
 
 class Disk(Protocol):
-    """One folder of files that only grow at their end. Every method may raise `OSError`."""
+    """A folder of append-only files. Every method may raise `OSError`."""
 
     def files(self) -> dict[str, int]:
-        """All files' sizes in bytes, by name."""
+        """Return the sizes of all files in bytes, by name."""
 
     def create(self, name: str) -> None:
-        """Make an empty file; an error where there is one."""
+        """Create an empty file; fails if it exists."""
 
     def append(self, name: str, data: bytes) -> int:
-        """Write at a file's end; how many bytes were, which may be fewer than there are."""
+        """Append to a file; return the number of bytes written, which may be smaller than requested."""
 
     def read(self, name: str, offset: int, size: int) -> bytes:
-        """Read bytes, fewer at the end of the file."""
+        """Read up to `size` bytes; fewer at the end of the file."""
 
     def truncate(self, name: str, size: int) -> None:
-        """Cut a file off."""
+        """Truncate a file to `size` bytes."""
 
     def remove(self, name: str) -> None:
-        """Take a file away."""
+        """Delete a file."""
 
     def syncs(self, names: list[str], folder: bool) -> Callable[[], None]:
-        """A job for another thread: make files outlast a power cut, and new names of the folder."""
+        """Return a job for another thread that syncs files and, if `folder`, the folder's entries."""
 
     def close(self) -> None:
-        """Let go of all files."""
+        """Close all open files."""
 
 
 class FolderDisk:
-    """A folder of the file system; `write()` outlasts SIGKILL with no sync."""
+    """A folder of the file system; completed writes survive SIGKILL without a sync."""
 
     def __init__(self, folder: Path, writable: bool = True) -> None:
         self._folder = folder
@@ -67,7 +67,7 @@
         os.unlink(self._folder / name)
 
     def syncs(self, names: list[str], folder: bool) -> Callable[[], None]:
-        # Copies, so that a file may be closed here meanwhile.
+        # Duplicated descriptors, so that a file may be closed here during the sync.
         files = [os.dup(self._file(name)) for name in names]
         if folder:
             files.append(os.open(self._folder, os.O_RDONLY))
@@ -88,9 +88,9 @@
         self._open.clear()
 
     def _file(self, name: str) -> int:
-        """Open a file once; only the last ones are kept, of which one is written and one compacted."""
+        """Return a cached descriptor. Only a few are kept: one segment is written, one compacted."""
         if (file := self._open.get(name)) is None:
-            while len(self._open) > 2:  # guards against a descriptor for each segment at the start
+            while len(self._open) > 2:  # recovery reads all segments: don't keep a descriptor for each
                 os.close(self._open.pop(next(iter(self._open))))
             file = self._open[name] = os.open(self._folder / name, self._flags)
         return file
--- a/amberlug/core/journal/legacy.py
+++ b/amberlug/core/journal/legacy.py
@@ -1,7 +1,7 @@
-"""Reads the one file in which releases up to 0.1 kept their journal.
+"""Reads the single-file journal of releases up to 0.1.
 
-A record there is a head (mark, kind, length, checksum) and its payload: JSON, and for a message taken a line
-end and its body.
+A record is a header (magic, kind, length, checksum) and a payload: JSON, and for an accepted message a
+newline and the message body.
 """
 
 from __future__ import annotations
@@ -19,14 +19,14 @@
 from amberlug.core.ports import Earlier, Held, Seen, Tried
 from amberlug.policy.interface import Result
 
-FILE, ASIDE = "journal.log", "journal.new"  # the second one was never needed after the process
+FILE, ASIDE = "journal.log", "journal.new"  # the second one is a temporary file that no restart needs
 _HEAD = struct.Struct(">2scII")
 _MARK = b"\xa7\x1e"
 
 
 @dataclass(slots=True)
 class Old:
-    """What such a file holds."""
+    """The contents of a legacy journal."""
 
     held: dict[str, Held] = field(default_factory=dict)
     ended: dict[str, int] = field(default_factory=dict)
@@ -35,7 +35,7 @@
 
 
 def read(disk: Disk) -> Old | None:
-    """Read it; None where there is none."""
+    """Read the legacy journal; None if there is none."""
     sizes = disk.files()
     if FILE not in sizes:
         return None
@@ -45,12 +45,12 @@
         try:
             _apply(old, kind, json.loads(head), body)
         except (ValueError, KeyError, TypeError) as error:
-            log(f"journal: a record can't be understood: {error!r}: skipped")
+            log(f"journal: skipping a record of the old format that can't be parsed: {error!r}")
     return old
 
 
 def merged(old: Old, held: dict[str, Held], over: Container[str]) -> dict[str, Held]:
-    """What an old file and segments hold together, where carrying it over was broken off."""
+    """Merge an old file with the segments, after a migration that was interrupted."""
     both = {name: one for name, one in old.held.items() if name not in over and name not in held}
     for name, one in held.items():
         before = old.held.get(name)
@@ -81,11 +81,11 @@
     elif kind == b"O":
         old.held[name].tried[fields["n"]].result = Result(fields["how"])
     else:
-        raise ValueError(f"kind {kind!r}")
+        raise ValueError(f"unknown record kind {kind!r}")
 
 
 def _records(data: bytes) -> Iterator[tuple[bytes, bytes]]:
-    """Read records; a torn last one is dropped, anything else that is corrupt is skipped and logged."""
+    """Yield the records; a torn last one is dropped, other corrupt data is skipped; both are logged."""
     at = 0
     while at < len(data):
         if len(data) - at >= _HEAD.size:
@@ -97,7 +97,7 @@
                 continue
         following = data.find(_MARK, at + 1)
         if following < 0:
-            log(f"journal: {len(data) - at} bytes at the end can't be read: dropped")
+            log(f"journal: {len(data) - at} unreadable bytes at the end dropped")
             return
-        log(f"journal: {following - at} bytes at {at} can't be read: skipped")
+        log(f"journal: {following - at} unreadable bytes at offset {at} skipped")
         at = following
--- a/amberlug/core/journal/log.py
+++ b/amberlug/core/journal/log.py
@@ -1,4 +1,4 @@
-"""The journal: appends records to the newest segment, and empties the oldest a slice at a time."""
+"""The journal: appends records to the newest segment and compacts the oldest in time slices."""
 
 from __future__ import annotations
 
@@ -41,26 +41,26 @@
 from amberlug.core.messages import Attempt, End, Ending, Message, Refusal
 from amberlug.core.ports import Earlier, Held
 
-_encode = json.JSONEncoder(separators=(",", ":")).encode  # dumps() would make an encoder for each record
-NAMES = 2  # ended names that each record looks at, to forget those whose time is up
-MAY_FORGET_US = 3_600_000_000  # longest that a name of an earlier life is known, whatever the clocks say
+_encode = json.JSONEncoder(separators=(",", ":")).encode  # dumps() would create an encoder for each record
+NAMES = 2  # names of ended messages checked for expiry with each ENDED record
+MAY_FORGET_US = 3_600_000_000  # longest time a recovered name is remembered, whatever the clocks say
 
 
 class _Ended(NamedTuple):
-    """Until when the name of an ended message counts, by this life's clock and the wall's; when it ended."""
+    """An ended message: when its name expires, by the monotonic and by the wall clock, and when it ended."""
 
     until_us: int
     until_ms: int
     ended_ms: int
-    end: End | None = None  # how, where that is known
+    end: End | None = None  # its outcome, if known
 
 
 class Journal:
-    """The log, and what is known of its records.
+    """The segments of the journal and an index of their records.
 
-    `clock_us` never goes back; `now_ms` is the wall's clock at the start. Raises `OSError` where the folder
-    can't be read, `ValueError` where a newer release wrote it. A folder that can't be written is opened all
-    the same: nothing is taken on until it can.
+    `clock_us` is a monotonic clock; `now_ms` is the wall clock at startup. Raises `OSError` if the folder
+    can't be read and `ValueError` if a newer release wrote it. A folder that can't be written is opened
+    nevertheless; no messages are accepted until it is writable.
     """
 
     def __init__(
@@ -77,7 +77,7 @@
             if syncer is not None
             else None
         )
-        self._emptied = False  # whether the oldest segment only waits for a sync
+        self._emptied = False  # whether the oldest segment is compacted and waits for a sync to be deleted
         self._disk, self._room, self._clock_us = disk, Room(room_bytes), clock_us
         found = read_folder(disk)
         old = legacy.read(disk)
@@ -91,13 +91,13 @@
         self._adopt(found, now_ms)
         if old is not None:
             self._carry_over(old, now_ms)
-        if self._syncing is not None:  # what an earlier life left may not be synced yet
+        if self._syncing is not None:  # records of the previous process may not be synced yet
             for segment in self._segments:
                 self._syncing.wrote(segment.name, (segment.number, segment.size), None)
             self._syncing.safe = self._syncing.end
 
     def _adopt(self, found: Found, now_ms: int) -> None:
-        """Go on with what was found, on a new segment."""
+        """Initialize the index from the recovered state; writing starts in a new segment."""
         self._folder = found.folder or secrets.randbits(63)
         self._segments = deque(found.segments)
         self._number = found.last
@@ -109,19 +109,20 @@
             for number in {parts_of(place)[0] for place in places} & segments.keys():
                 segments[number].names[name] = None
         now_us = self._clock_us()
-        # Ordered by hand: a plain dict passes over all that was taken from its front, again and again.
+        # Not a plain dict, whose iteration skips all entries deleted at its front again and again.
         self._ended: OrderedDict[str, _Ended] = OrderedDict()
         for name, (until_ms, ended_ms, number, end) in found.ended.items():
-            # In this clock: the wall's may be set meanwhile. None counts longer than its message had left.
+            # Expiry uses the monotonic clock because the wall clock may be changed. No name outlives the
+            # time that its message had left when it ended.
             left_ms = max(0, min(until_ms - now_ms, until_ms - ended_ms))
             until_us = now_us + min(left_ms * 1000, MAY_FORGET_US)
             self._ended[name] = _Ended(until_us, until_ms, ended_ms, end)
             if number in segments:
                 segments[number].ends.append(name)
         self._active: Segment | None = None
-        # Names whose records in the oldest segment are still to be copied, and whether that is their end.
+        # Names whose records in the oldest segment must still be copied; True for an ENDED record.
         self._todo: deque[tuple[str, bool]] | None = None
-        self._late: deque[Entry] = deque()  # of what has happened, and could not be written
+        self._late: deque[Entry] = deque()  # records of past events that could not be written yet
         live = sum(raw.size for raw in found.messages.values())
         self._use = Use(used=blocks(found.left), live=live, held=len(self._live))
         for segment in self._segments:
@@ -136,17 +137,17 @@
                 log(f"journal: {name}: {error}")
 
     def _carry_over(self, old: legacy.Old, now_ms: int) -> None:
-        """Write what a folder of an earlier release holds into segments, then take its file away."""
+        """Migrate the journal of an earlier release to segments, then delete its files."""
         both = [one for name, one in self.held.items() if name in old.held]
         try:
             self.carry_over(both, old.ended, now_ms)
         except OSError as error:
-            log(f"journal: the folder of the earlier release stays as it is: {error}")
+            log(f"journal: the journal of the earlier release was not migrated: {error}")
             return
         self._strays(old.files)
 
     def carry_over(self, ones: Iterable[Held], ended: Mapping[str, int], now_ms: int) -> None:
-        """Write what was read elsewhere; `OSError` where it can't all be."""
+        """Write messages and names from another source; `OSError` if not all could be written."""
         for one in ones:
             self._carry(one)
         for name, until_ms in ended.items():
@@ -167,72 +168,72 @@
                 self._write(it.OUTCOME, message.name, OUTCOME.pack(number) + result)
 
     def close(self) -> None:
-        """Let go of the files; nothing is written from now on."""
+        """Close the files; nothing is written afterwards."""
         if self._syncing is not None:
             self._syncing.close()
         self._disk.close()
 
-    # What the core asks and tells.
+    # The interface for the core.
 
     @property
     def waits(self) -> bool:
-        """Whether what is recorded outlasts what it should only later."""
+        """Whether records become durable only some time after they were written."""
         return self._syncing is not None and self._syncing.waits
 
     def refuses(self, message: Message) -> Refusal | None:
-        """Why a message can't be held as it should: nothing but room is needed here."""
+        """Return None: the local journal needs nothing but space, which `fits` checks."""
         return None
 
     def promise(self, message: Message, kept: Callable[[], object], broken: Callable[[bool], object]) -> None:
-        """Call back once a message that was taken outlasts what it should."""
+        """Run `kept` once an accepted message is durable."""
         self.after(kept)
 
     @property
     def water(self) -> tuple[int, int]:
-        """How much this folder has ever kept: segments, and bytes of the newest one. It only grows."""
+        """The newest segment's number and size, a measure of all data ever written; it only grows."""
         newest = self._segments[-1] if self._segments else None
         return (newest.number, newest.size) if newest is not None else (0, 0)
 
     def known(self) -> dict[str, int]:
-        """Until when the names count of messages that have ended (wall, ms)."""
+        """Return the expiry time of each ended message's name (Unix time, ms)."""
         return {name: ended.until_ms for name, ended in self._ended.items()}
 
     def after(
         self, callback: Callable[[], object], name: str = "", never: Callable[[], object] | None = None
     ) -> None:
-        """Call back once all that was recorded so far outlasts what it should; at once where it does."""
+        """Run a callback once everything recorded so far is durable; synchronously if it already is."""
         if self._syncing is not None and self._syncing.waits:
             self._syncing.after(callback)
         else:
             callback()
 
     def knows(self, name: str) -> bool:
-        """Whether a message with that name was taken on, and its time may not be up."""
+        """Whether a message with that name was accepted and may not have reached its deadline."""
         return name in self._live or self._counts(name)
 
     def _counts(self, name: str) -> bool:
-        """Whether the name of a message that has ended must still be known."""
+        """Whether the name of an ended message must still be remembered."""
         ended = self._ended.get(name)
         return ended is not None and ended.until_us > self._clock_us()
 
     def ended(self, name: str) -> End | None:
-        """How a message ended whose name still counts, where that is known."""
+        """Return the outcome of an ended message whose name is still remembered, if known."""
         return self._ended[name].end if self._counts(name) else None
 
     def fits(self, size: int) -> bool:
-        """Whether a message with a body of that size can be held, and all that is to be written of it."""
+        """Whether there is space for a message with a body of that size and all its later records."""
         failed = self._syncing is not None and self._syncing.failed
         return not (self._late or failed) and self._room.takes(self._use, size)
 
     def retry_us(self, size: int) -> int:
-        """When one that does not fit may come again."""
+        """Microseconds after which a message that does not fit may be retried."""
         return self._room.retry_us(self._use, size)
 
     def take(self, message: Message, now_ms: int) -> None:
         self._write(it.TAKEN, message.name, self._take_record(message, now_ms))
 
     def reply(self, message: Message) -> None:
-        if not self.fits(len(message.reply)):  # what is kept for messages that are held is not for this
+        if not self.fits(len(message.reply)):  # must not use the space reserved for held messages
             raise OSError(errno.ENOSPC, "no room in the journal")
         self._write(it.REPLY, message.name, _reply_record(message))
 
@@ -279,11 +280,11 @@
         self._forget_names(now_us)
 
     def _forget_names(self, now_us: int) -> None:
-        """Forget the oldest names whose time is up, a few at a time."""
+        """Remove expired names, checking the oldest few on each call."""
         for _ in range(min(NAMES, len(self._ended))):
             name, ended = self._ended.popitem(last=False)
             if ended.until_us > now_us:
-                self._ended[name] = ended  # looked at again after all others
+                self._ended[name] = ended  # checked again after all others
 
     def _forget(self, name: str) -> None:
         places = self._live.pop(name, None)
@@ -295,7 +296,7 @@
     # Writing.
 
     def _note(self, kind: bytes, name: str, rest: bytes) -> None:
-        """Record what has happened anyway; the relay goes on where that fails, and it is written later."""
+        """Record something that has already happened; if that fails it is written later."""
         try:
             if self._late:
                 self._catch_up()
@@ -305,18 +306,18 @@
 
     def _too_late(self, error: OSError, kind: bytes, name: str, rest: bytes) -> None:
         if not self._late:
-            log(f"journal: {error}; nothing is taken on until there is room again")
+            log(f"journal: {error}; refusing messages until writes succeed again")
         self._late.append((kind, name, rest))
 
     def _catch_up(self) -> None:
-        """Write what could not be written before."""
+        """Write the records that could not be written before."""
         while self._late:
             kind, name, rest = self._late[0]
             if kind == it.ENDED or name in self._live:
                 self._append(kind, name, rest)
             self._late.popleft()
             if not self._late:
-                log("journal: there is room again")
+                log("journal: writes succeed again")
 
     def _write(self, kind: bytes, name: str, rest: bytes) -> None:
         if self._late:
@@ -324,7 +325,7 @@
         self._append(kind, name, rest)
 
     def _append(self, kind: bytes, name: str, rest: bytes) -> None:
-        """Write one record whole, or nothing."""
+        """Write one record, completely or not at all."""
         size = it.RECORD_SIZE + len(name) + len(rest)
         segment = self._active
         if segment is None or (segment.size > it.HEAD_SIZE and self._room.rolls(segment.size, size)):
@@ -334,7 +335,7 @@
         try:
             self._place(segment, kind, name, rest)
         except OSError as error:
-            # Guards against a limit on the size of a file below that of a segment: the next one has room.
+            # The file size limit may be below the segment size: continue in a new segment.
             if error.errno != errno.EFBIG or segment.size == it.HEAD_SIZE:
                 raise
             self._active = None
@@ -344,7 +345,7 @@
             self._syncing.wrote(segment.name, (segment.number, segment.size), (kind, name, rest))
 
     def _place(self, segment: Segment, kind: bytes, name: str, rest: bytes) -> None:
-        """Write a record at a segment's end, and note where that is as far as it must be found again."""
+        """Append a record to a segment and index its position if it will be needed."""
         offset = segment.size
         data = it.encode(kind, name.encode("latin-1"), rest, self._folder, segment.number, offset)
         self._put(segment, data)
@@ -361,7 +362,7 @@
             self._use.live += size
 
     def _put(self, segment: Segment, data: bytes) -> None:
-        """Write at a segment's end. Half a record is cut off again, or its segment is left behind."""
+        """Append data to a segment. A partial write is truncated; if that fails, the segment is abandoned."""
         size = len(data)
         if (written := self._disk.append(segment.name, data)) < size:
             self._put_rest(segment, data, written)
@@ -374,7 +375,7 @@
             while written < len(data):
                 count = self._disk.append(segment.name, data[written:])
                 if count == 0:
-                    raise OSError(errno.ENOSPC, "nothing could be written")
+                    raise OSError(errno.ENOSPC, "write returned 0 bytes")
                 written += count
         except OSError:
             if written:
@@ -385,11 +386,11 @@
         try:
             self._disk.truncate(segment.name, segment.size)
         except OSError as error:
-            log(f"journal: {segment.name} is left at {segment.size} bytes: {error}")
-            self._active = None  # the next one's head tells how much of this one holds
+            log(f"journal: {segment.name} can't be truncated to {segment.size} bytes: {error}")
+            self._active = None  # the next segment's header records the valid size of this one
 
     def _roll(self) -> Segment:
-        """Begin a new segment."""
+        """Start a new segment."""
         if not self._room.fits(self._use, it.HEAD_SIZE):
             raise OSError(errno.ENOSPC, "no room in the journal")
         number = self._number + 1
@@ -412,7 +413,7 @@
         return segment
 
     def _write_anew(self, entries: list[Entry]) -> None:
-        """Write what a failed sync may have dropped to a new segment, in place of what can't be trusted."""
+        """Rewrite records that a failed sync may have lost to a new segment and delete the untrusted ones."""
         doubtful = self._distrust()
         self._active = None
         self._roll()
@@ -422,7 +423,7 @@
         self._strays([segment.name for segment in doubtful])
 
     def _distrust(self) -> list[Segment]:
-        """Take all that was not synced out of the log; segments of which nothing was."""
+        """Remove all unsynced data from the log; return the segments that were not synced at all."""
         assert self._syncing is not None
         number, offset = self._syncing.safe
         doubtful = []
@@ -438,13 +439,13 @@
         elif self._segments[-1].number == number and self._segments[-1].size > offset:
             segment = self._segments[-1]
             self._use.used -= blocks(segment.size) - blocks(offset)
-            segment.size = offset  # the next one's head tells that no more of it holds
+            segment.size = offset  # the next segment's header records that no more of it is valid
             with contextlib.suppress(OSError):
                 self._disk.truncate(segment.name, offset)
         return doubtful
 
     def _keep_trusted(self, name: str, safe: tuple[int, int]) -> None:
-        """Forget where records of a message stood that are not safe."""
+        """Drop the positions of a message's records that are not synced."""
         places = self._live.get(name)
         if places is not None:
             kept = tuple(place for place in places if _ends_at(place) <= safe)
@@ -452,16 +453,16 @@
             self._live[name] = kept
 
     def _mark(self, end: tuple[int, int]) -> None:
-        """Note for the next life how far all is synced; the note itself may be lost."""
+        """Record the synced position for recovery; losing this record does no harm."""
         with contextlib.suppress(OSError):
             self._append(it.SYNCED, "", SYNCED.pack(*end))
 
     # Compaction.
 
     def work(self) -> int | None:
-        """Do one slice of what is due: in how many microseconds to be called again, if at all.
+        """Run one slice of background work, which takes about a millisecond at most.
 
-        It takes about a millisecond at most.
+        Return the microseconds until the next call, or None.
         """
         again_us = self._syncing.work() if self._syncing is not None else None
         if not self._late and not self._compacting():
@@ -474,14 +475,14 @@
                 if self._clock_us() >= until_us:
                     return SLICE_US
         except OSError:
-            return again_us  # tried again after the next round; whoever takes on is told
+            return again_us  # retried after the next round; new messages are refused meanwhile
         return again_us
 
     def _compacting(self) -> bool:
         return not self._emptied and len(self._segments) > 1 and self._room.compacts(self._use)
 
     def _empty_some(self, until_us: int) -> None:
-        """Copy what is live of the oldest segment forward, as far as the time goes; what is dead is free."""
+        """Copy live records of the oldest segment forward until the time is up; dead ones cost no time."""
         oldest = self._segments[0]
         if self._todo is None:
             self._todo = deque([(name, False) for name in oldest.names if name in self._live])
@@ -502,7 +503,7 @@
             self._append(it.ENDED, name, _ended_record(self._ended[name]))
 
     def _copy(self, name: str, oldest: Segment) -> None:
-        """Write forward what the oldest segment has of one message, if that has not ended."""
+        """Copy one message's records from the oldest segment, unless the message has ended."""
         for place in self._live.get(name, ()):
             segment, offset, size = parts_of(place)
             if segment != oldest.number:
@@ -510,14 +511,14 @@
             data = self._disk.read(oldest.name, offset, size)
             record = it.record_at(data, 0, self._folder, segment, offset)
             if record is None:
-                log(f"journal: segment {segment} offset {offset}: damaged since it was written")
+                log(f"journal: segment {segment} offset {offset}: record damaged after it was written")
             else:
                 self._append(record.kind, record.name, record.rest)
             self._live[name] = tuple(other for other in self._live[name] if other != place)
             self._use.live -= size
 
     def _says(self, kind: bytes, name: str) -> bool:
-        """Whether records of that kind still matter for that message."""
+        """Whether records of that kind are still needed for that message."""
         if kind == it.ENDED:
             return self._counts(name)
         if kind == it.OWED:
@@ -525,7 +526,7 @@
         return kind in it.OF_MESSAGE and name in self._live and name not in self._owed
 
     def _free(self, oldest: Segment) -> None:
-        """Take an emptied segment away, once its copies and the word that it is not needed are safe."""
+        """Delete a compacted segment once its copies and its DROPPED record are synced."""
         self._emptied = True
         if self._syncing is None:
             self._drop(oldest)
@@ -535,11 +536,11 @@
 
     def _drop(self, oldest: Segment) -> None:
         if not self._segments or self._segments[0] is not oldest:
-            return  # it went with what a failed sync made doubtful
+            return  # it was removed after a failed sync
         try:
             self._append(it.DROPPED, "", DROPPED.pack(oldest.number))
         except OSError:
-            self._emptied = False  # emptied again, at no more cost than its reading
+            self._emptied = False  # compacted again, which only costs reading it
             if self._syncing is None:
                 raise
             return
@@ -558,7 +559,7 @@
 
 
 def _text(value: str | None) -> str:
-    """A text in JSON; an encoder that can do more takes as long as the record's bytes."""
+    """Encode a string as JSON; a general encoder takes as long as building the rest of the record."""
     return "null" if value is None else encode_basestring_ascii(value)
 
 
--- a/amberlug/core/journal/records.py
+++ b/amberlug/core/journal/records.py
@@ -1,10 +1,11 @@
-"""The bytes of segments and records.
-
-A segment is a file with a head (magic, version, the folder's own number, its number, the first one still
-needed when it was made, how long the one before it had become, a checksum) and records behind it. A record is
-a mark, a kind, the length of a name, the size of its payload and a checksum over all that, the payload, and
-the record's place: an old block that comes back, or a record at another place, is known by that. The payload
-begins with a message's name.
+"""The binary format of segments and records.
+
+A segment is a file with a header followed by records. The header holds a magic number, the format version,
+flags, the folder's ID, the segment's number, the number of the oldest segment needed when it was created, the
+number and final size of the previous segment, and a checksum. A record consists of a mark, its kind, the
+length of the message name, the payload size, a checksum, and the payload, which begins with the name. The
+checksum also covers the record's position (folder, segment and offset), so that a stale block or a record
+copied to another position is detected.
 """
 
 from __future__ import annotations
@@ -22,34 +23,36 @@
 HEAD_SIZE = _HEAD.size + _CHECK.size
 _RECORD = struct.Struct(">2scBI")
 _PLACE = struct.Struct(">QQQ")
-_PLACED = struct.Struct(">QQQ2scBI")  # both, as one is made
+_PLACED = struct.Struct(">QQQ2scBI")  # position and record header together, for encoding
 RECORD_SIZE = _RECORD.size + _CHECK.size
 MARK = b"\xa7\x1f"
 _NAME = re.compile(r"segment-([0-9]{12})\.log")
 
 TAKEN, ATTEMPT, OUTCOME, REPLY, OWED, ENDED, MEMORY = b"T", b"A", b"O", b"R", b"N", b"E", b"S"
-WAIT = b"W"  # told by an endpoint; like MEMORY only read: that is kept in `amberlug/learning/` now
-OF_MESSAGE = frozenset((TAKEN, ATTEMPT, OUTCOME, REPLY, OWED))  # found again while a message is held
-DROPPED, SYNCED = b"D", b"Y"  # segments up to that number are not needed; all is synced up to that place
+# A pause that an endpoint asked for. Like MEMORY it is only read: `amberlug.learning` keeps both now.
+WAIT = b"W"
+OF_MESSAGE = frozenset((TAKEN, ATTEMPT, OUTCOME, REPLY, OWED))  # indexed while a message is held
+# Segments up to a number are obsolete; everything up to a position is synced.
+DROPPED, SYNCED = b"D", b"Y"
 
 
 class NewerVersionError(ValueError):
-    """A folder that a newer release has written; it is left untouched."""
+    """The folder was written by a newer release; it is not modified."""
 
 
 @dataclass(frozen=True, slots=True)
 class Head:
-    """What a segment says of itself and of its neighbours."""
+    """A segment's header."""
 
     folder: int
     number: int
-    first: int  # the oldest segment that was needed when this one was made
-    previous: int  # the number of the one before it; 0 for the first of all
-    before: int  # how many bytes of that one hold
-    synced: bool = False  # whether its writer made it outlast a power cut, and marked how far
+    first: int  # the oldest segment needed when this one was created
+    previous: int  # the number of the previous segment; 0 for the very first
+    before: int  # the valid size of the previous segment in bytes
+    synced: bool = False  # whether its writer synced the journal and recorded the synced positions
 
     def encode(self) -> bytes:
-        """The head as it is written."""
+        """Serialize the header."""
         body = _HEAD.pack(
             MAGIC, VERSION, self.synced, self.folder, self.number, self.first, self.previous, self.before
         )
@@ -57,7 +60,7 @@
 
 
 def read_head(data: bytes) -> Head | None:
-    """Read a head; None where it is damaged, `NewerVersionError` where a newer release wrote it."""
+    """Parse a header; None if it is damaged, `NewerVersionError` if a newer release wrote it."""
     if len(data) < HEAD_SIZE:
         return None
     magic, version, flags, folder, number, first, previous, before = _HEAD.unpack_from(data)
@@ -69,18 +72,18 @@
 
 
 def file_name(number: int) -> str:
-    """A segment's file."""
+    """Return a segment's file name."""
     return f"segment-{number:012d}.log"
 
 
 def number_of(name: str) -> int | None:
-    """The number in a file's name; None for other files."""
+    """Return the segment number in a file name; None for other files."""
     match = _NAME.fullmatch(name)
     return int(match[1]) if match else None
 
 
 def encode(kind: bytes, name: bytes, rest: bytes, folder: int, segment: int, offset: int) -> bytes:
-    """A record for one place."""
+    """Serialize a record for one position."""
     payload = name + rest
     placed = _PLACED.pack(folder, segment, offset, MARK, kind, len(name), len(payload))
     check = _CHECK.pack(zlib.crc32(payload, zlib.crc32(placed)))
@@ -89,7 +92,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Record:
-    """One record that holds."""
+    """A valid record."""
 
     offset: int
     size: int
@@ -100,21 +103,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Hole:
-    """Bytes that can't be read."""
+    """A range of bytes that can't be read."""
 
     offset: int
     size: int
 
 
 def size_at(data: bytes, at: int) -> int:
-    """The whole size that a record at this offset claims; 0 where there is none, or its head is cut off."""
+    """Return the total size stated by the record at an offset; 0 without a complete header."""
     if len(data) - at < RECORD_SIZE or data[at : at + 2] != MARK:
         return 0
     return RECORD_SIZE + int(_RECORD.unpack_from(data, at)[3])
 
 
 def is_torn(data: bytes, hole: Hole) -> bool:
-    """Whether a hole is a record that was not written to its end: it claims more than there is."""
+    """Whether a hole is a torn last record, which states a size beyond the end of the data."""
     left = len(data) - hole.offset
     if hole.size != left:
         return False
@@ -123,7 +126,7 @@
 
 
 def record_at(data: bytes, at: int, folder: int, segment: int, base: int = 0) -> Record | None:
-    """Read the record at an offset of `data`, which begins at `base` in its segment; None without one."""
+    """Read the record at an offset of `data`, which starts at `base` in its segment; None if invalid."""
     size = size_at(data, at)
     if not size or len(data) - at < size:
         return None
@@ -137,7 +140,7 @@
 
 
 def records(data: bytes, folder: int, segment: int, end: int) -> Iterator[Record | Hole]:
-    """Read a segment's records; what can't be read up to `end` is a hole, and reading goes on behind it."""
+    """Yield a segment's records up to `end`, and a `Hole` for each unreadable range between them."""
     at = HEAD_SIZE
     while at < end:
         if (record := record_at(data, at, folder, segment)) is not None:
--- a/amberlug/core/journal/recovery.py
+++ b/amberlug/core/journal/recovery.py
@@ -1,4 +1,4 @@
-"""Reads a folder of segments into what is held, owed and known, and tells what is damaged; writes nothing."""
+"""Recovers the journal's state from a folder of segments and reports damage; read-only."""
 
 from __future__ import annotations
 
@@ -14,23 +14,23 @@
 from amberlug.core.ports import Earlier, Held, Seen, Tried, Wait
 from amberlug.policy import interface as api
 
-TAKE = struct.Struct(">QQQI")  # order, wall clock when taken and when its time is up, destination
+TAKE = struct.Struct(">QQQI")  # sequence number, acceptance time and deadline (Unix time), destination
 ATTEMPT = struct.Struct(">HQ")
 OUTCOME = struct.Struct(">H")
 OWED = struct.Struct(">BIQ")
 ENDED = struct.Struct(">QQ")
-HOW = struct.Struct(">BI")  # behind that, where it is known: how it ended, and when to come again
-REPLY = struct.Struct(">H?")  # how often it was changed, whether the platform is told; the address follows
-WAIT = struct.Struct(">qQQ")  # destination, length and until when by the boot's clock; boot and route follow
+HOW = struct.Struct(">BI")  # follows ENDED if known: the outcome and its retry delay
+REPLY = struct.Struct(">H?")  # number of changes, whether the platform is notified; the address follows
+WAIT = struct.Struct(">qQQ")  # destination, length and end by the boot's clock; boot and route follow
 DROPPED = struct.Struct(">Q")
 SYNCED = struct.Struct(">QQ")
-OUTCOMES = (Outcome.DELIVERED, Outcome.HANDED_BACK, Outcome.GIVEN_UP)  # by their number in a record
-UNKNOWN = ""  # the endpoint of an attempt that may have been made and is not known
+OUTCOMES = (Outcome.DELIVERED, Outcome.HANDED_BACK, Outcome.GIVEN_UP)  # indexed by their number in a record
+UNKNOWN = ""  # endpoint of an attempt that may have been made but whose record was lost
 
 
 @dataclass(frozen=True, slots=True)
 class Damage:
-    """What can't be read: where, how many bytes, and what it is."""
+    """A damaged range: where it is, how many bytes, and a description."""
 
     segment: int
     offset: int
@@ -41,82 +41,83 @@
         return f"segment {self.segment} offset {self.offset}: {self.size} bytes {self.what}"
 
 
-Place = int  # a record's segment, offset and size in one number: of 100,000, the collector need look at none
+Place = int  # segment, offset and size in one int: the garbage collector need not visit 100,000 tuples
 _SIZE = (1 << 32) - 1
 
 
 def place_of(segment: int, offset: int, size: int) -> Place:
-    """Where a record stands."""
+    """Pack a record's position."""
     return segment << 72 | offset << 32 | size
 
 
 def parts_of(place: Place) -> tuple[int, int, int]:
-    """Its segment, offset and size."""
+    """Unpack a position into segment, offset and size."""
     return place >> 72, place >> 32 & (1 << 40) - 1, place & _SIZE
 
 
 def sizes(places: Iterable[Place]) -> int:
-    """How many bytes some records have together."""
+    """Return the total size of some records in bytes."""
     total = 0
-    for place in places:  # a sum() over a generator takes thrice as long for the few that a message has
+    for place in places:  # sum() of a generator takes three times as long for the few records of a message
         total += place & _SIZE
     return total
 
 
 @dataclass(slots=True)
 class Raw:
-    """One message as its records tell it, in whatever order copies of them come."""
+    """A message assembled from its records, which compaction may have reordered."""
 
     take: bytes | None = None
     tried: dict[int, Tried] = field(default_factory=dict)
     end: End | None = None
     until_ms: int = 0
     reply: tuple[int, bool, bytes] = (0, True, b"")
-    places: tuple[Place, ...] = ()  # of its records
+    places: tuple[Place, ...] = ()  # positions of its records
 
     @property
     def size(self) -> int:
-        """Bytes of its records."""
+        """Total size of its records in bytes."""
         return sizes(self.places)
 
     @property
     def order(self) -> int:
-        """Its place in the order of hand-ins."""
+        """Its sequence number in the order of acceptance."""
         return int(TAKE.unpack_from(self.take)[0]) if self.take is not None else 0
 
 
 @dataclass(slots=True)
 class Segment:
-    """One file that holds, and how many of its bytes do."""
+    """A valid segment file and its valid size in bytes."""
 
     number: int
     name: str
     size: int
-    names: dict[str, None] = field(default_factory=dict)  # of messages with records in it
-    ends: list[str] = field(default_factory=list)  # of messages whose end stands in it
+    names: dict[str, None] = field(default_factory=dict)  # messages with records in this segment
+    ends: list[str] = field(default_factory=list)  # messages whose ENDED record is in this segment
 
 
 @dataclass(slots=True)
 class Found:
-    """All that a folder holds."""
+    """Everything recovered from a folder."""
 
     folder: int = 0
     segments: list[Segment] = field(default_factory=list)
-    stray: list[str] = field(default_factory=list)  # files that are not needed
+    stray: list[str] = field(default_factory=list)  # files that can be deleted
     messages: dict[str, Raw] = field(default_factory=dict)
-    # Until when the name of an ended message counts, when it ended, in which segment that stands, and how.
+    # Per ended message: when its name expires, when it ended, the segment of its ENDED record, its outcome.
     ended: dict[str, tuple[int, int, int, End | None]] = field(default_factory=dict)
-    earlier: Earlier = field(default_factory=Earlier)  # what earlier releases kept here of partners
+    earlier: Earlier = field(default_factory=Earlier)  # state of partners from earlier releases
     damage: list[Damage] = field(default_factory=list)
-    unread: list[tuple[int, str, int]] = field(default_factory=list)  # number, name and size: no head
-    left: int = 0  # bytes in files that are of no use, and are left for an operator to look at
-    last: int = 0  # the highest number of a segment that was ever there
+    # Number, name and size of each segment without a valid header.
+    unread: list[tuple[int, str, int]] = field(default_factory=list)
+    left: int = 0  # bytes in unusable files, which are kept for an operator to inspect
+    last: int = 0  # the highest segment number seen
     order: int = 0
-    doubt: int = 0  # messages up to this order may have had attempts that were lost
+    doubt: int = 0  # messages up to this sequence number may have lost attempt records
 
 
 def read_folder(disk: Disk) -> Found:
-    """Read all segments, the oldest first; `NewerVersionError` before anything else is done."""
+    """Read all segments, oldest first. Raises `NewerVersionError` before it reads any records."""
     found = Found()
     heads = _heads(disk, found)
     first = _first(disk, found, heads)
@@ -130,34 +131,37 @@
             found.stray += [heads[later][1] for later in numbers[at:]]
             break
         if lost:
-            what = f"missing, with what may have stood up to segment {head.previous}"
+            what = f"missing, up to segment {head.previous}"
             _broken(found, Damage(before + 1, 0, 0, what))
         after = heads[numbers[at + 1]][0] if at + 1 < len(numbers) else None
         sealed = after.before if after is not None and after.previous == number else None
         if not _read_segment(disk, found, heads, head, name, size, sealed):
             found.stray += [heads[later][1] for later in numbers[at + 1 :]]
             break
-        if lost:  # copies in it may be of messages whose attempts stood in what is missing
+        if lost:  # it may hold copies of messages whose attempts were recorded in the missing segments
             found.doubt = max(found.doubt, found.order)
     _unread(found, any(head.synced for head, *_ in heads.values()))
     return found
 
 
 def _unread(found: Found, synced: bool) -> None:
-    """Tell segments without a head; a last one that no sync had reached was never promised to anybody."""
+    """Report segments without a valid header.
+
+    A newest segment that was never synced is discarded instead: nothing in it has been confirmed to anybody.
+    """
     newest = found.segments[-1].number if found.segments else 0
     for number, name, size in found.unread:
         if synced and number > newest:
             found.stray.append(name)
         else:
-            found.damage.append(Damage(number, 0, size, "unreadable: its head is damaged"))
+            found.damage.append(Damage(number, 0, size, "unreadable: its header is damaged"))
             found.left += size
 
 
 def _synced_beyond(disk: Disk, heads: Heads, head: it.Head, place: tuple[int, int]) -> bool:
-    """Whether what can't be read there had been synced: it is damage, and no tail that a power cut took."""
+    """Whether an unreadable range was synced: then it is damage, not a tail lost to a power failure."""
     if not head.synced:
-        return True  # only the end of a process was to be outlasted, and that takes nothing back
+        return True  # without syncs only process exits are covered, and those lose no completed write
     for number, (other, name, size) in heads.items():
         if number >= place[0]:
             for record in it.records(disk.read(name, 0, size), other.folder, number, size):
@@ -172,7 +176,7 @@
 
 
 def _heads(disk: Disk, found: Found) -> Heads:
-    """All segments whose head holds, of the folder that most of them belong to; others are told."""
+    """Return the segments with a valid header and the most common folder ID; report all others."""
     read: list[tuple[it.Head | None, int, str, int]] = []
     for name, size in sorted(disk.files().items()):
         if (number := it.number_of(name)) is not None:
@@ -183,11 +187,11 @@
     for head, number, name, size in read:
         found.last = max(found.last, number)
         if head is None and size < it.HEAD_SIZE:
-            found.stray.append(name)  # the process ended while it was made: nothing was written to it
+            found.stray.append(name)  # the process exited while creating it, before any record was written
         elif head is None:
             found.unread.append((number, name, size))
         elif head.number != number or head.folder != found.folder:
-            found.damage.append(Damage(number, 0, size, f"a copy of segment {head.number}: passed over"))
+            found.damage.append(Damage(number, 0, size, f"a copy of segment {head.number}: ignored"))
             found.left += size
         else:
             heads[number] = head, name, size
@@ -195,7 +199,7 @@
 
 
 def _first(disk: Disk, found: Found, heads: Heads) -> int:
-    """The oldest segment that is needed: the newest one's head tells, or what it tells of later drops."""
+    """Return the oldest segment needed, from the newest segment's header and its DROPPED records."""
     if not heads:
         return 1
     head, name, size = heads[max(heads)]
@@ -214,9 +218,9 @@
 def _read_segment(
     disk: Disk, found: Found, heads: Heads, head: it.Head, name: str, size: int, sealed: int | None
 ) -> bool:
-    """Read one segment up to where it was sealed; the last one may end in a record that was torn.
+    """Read one segment up to its sealed size; the last segment may end with a torn record.
 
-    Whether the log goes on behind it: it ends where a power cut took what had not been synced.
+    Return whether the log continues after it: it ends where a power failure lost data that was not synced.
     """
     data = disk.read(name, 0, size)
     end = min(size, sealed) if sealed is not None else size
@@ -224,7 +228,7 @@
     for record in it.records(data, head.folder, head.number, end):
         if isinstance(record, it.Hole):
             if sealed is None and it.is_torn(data, record):
-                break  # by the end of the process
+                break  # torn when the process exited
             if not _synced_beyond(disk, heads, head, (head.number, record.offset)):
                 found.segments.append(Segment(head.number, name, holds))
                 return False
@@ -234,7 +238,7 @@
         try:
             _apply(found, record, head.number)
         except (ValueError, KeyError, TypeError, IndexError, struct.error) as error:
-            _broken(found, Damage(head.number, record.offset, record.size, f"not understood: {error!r}"))
+            _broken(found, Damage(head.number, record.offset, record.size, f"can't be parsed: {error!r}"))
     if sealed is not None and size < sealed:
         if not _synced_beyond(disk, heads, head, (head.number, size)):
             found.segments.append(Segment(head.number, name, holds))
@@ -255,7 +259,7 @@
     elif kind == it.WAIT:
         found.earlier = replace(found.earlier, waits=(*found.earlier.waits, _wait(rest)))
     elif kind in (it.DROPPED, it.SYNCED):
-        pass  # seen before
+        pass  # evaluated before
     elif name not in found.ended:
         raw = found.messages.setdefault(name, Raw())
         _apply_to(found, raw, record)
@@ -282,9 +286,9 @@
         raw.end = End(record.name, OUTCOMES[outcome], retry_ms, reply=reply, noticed=noticed)
         raw.take, raw.tried, raw.places = None, {}, ()
     elif kind == it.REPLY:
-        raw.reply = max(raw.reply, reply_of(rest))  # copies of records may come in another order
+        raw.reply = max(raw.reply, reply_of(rest))  # compaction may have reordered the records
     else:
-        raise ValueError(f"kind {kind!r}")
+        raise ValueError(f"unknown record kind {kind!r}")
 
 
 def _how(name: str, rest: bytes) -> End | None:
@@ -295,7 +299,7 @@
 
 
 def reply_of(rest: bytes) -> tuple[int, bool, bytes]:
-    """How often the address was changed, whether the platform is told, and the address."""
+    """Parse a reply address: number of changes, whether the platform is notified, and the address."""
     count, noticed = REPLY.unpack_from(rest)
     return count, noticed, rest[REPLY.size :]
 
@@ -312,14 +316,14 @@
 
 
 def held(found: Found, now_ms: int) -> dict[str, Held]:
-    """What is to go on: messages in the order in which they were taken, after ends that are owed."""
+    """Return what must be resumed: unacknowledged outcomes, then messages in the order of acceptance."""
     owed: dict[str, Held] = {}
     going: list[tuple[int, Held]] = []
     for name, raw in found.messages.items():
         if raw.take is not None:
             going.append((raw.order, _going(found, name, raw, raw.take)))
             continue
-        # One whose body was lost can't go on: whoever waits for it is told so.
+        # A message whose body was lost can't be delivered: its sender is told that it was given up.
         replies, noticed, reply = raw.reply
         end = raw.end or End(name, Outcome.GIVEN_UP, reply=reply, noticed=noticed)
         until_ms = raw.until_ms or now_ms
@@ -340,6 +344,7 @@
     message.replies, message.noticed, message.reply = raw.reply
     one = Held(message, raw.tried, taken_ms=taken_ms)
     if order <= found.doubt:
-        # Guards against a second effect: an attempt whose record was lost may have run, at any time since.
+        # An attempt whose record was lost may have been executed at any time since acceptance; assume
+        # that it was, so that an unsafe message does not take effect twice.
         one.tried[max(one.tried, default=-1) + 1] = Tried(UNKNOWN, taken_ms)
     return one
--- a/amberlug/core/journal/syncing.py
+++ b/amberlug/core/journal/syncing.py
@@ -1,8 +1,8 @@
-"""When what was written is made to outlast a power cut, and what a failed sync means. No I/O.
+"""Schedules syncs and handles failed ones. No I/O.
 
-A sync that failed may have dropped what it should have written, and a second one of the same file may then
-succeed for nothing. So it is never tried again on the same bytes: what was not yet synced is written anew, to
-a new segment.
+A failed fsync may have discarded dirty pages, and a second fsync of the same file may then succeed without
+having written them. It is therefore never retried on the same data: all records that were not synced are
+rewritten to a new segment.
 """
 
 from __future__ import annotations
@@ -14,28 +14,27 @@
 from amberlug.core.journal.records import SYNCED
 from amberlug.core.log import log
 
-RETRY_US = 1_000_000  # from a failed sync until what it may have lost is written anew
+RETRY_US = 1_000_000  # delay between a failed sync and rewriting the records that it may have lost
 
-Entry = tuple[bytes, str, bytes]  # kind, name and rest of a record
+Entry = tuple[bytes, str, bytes]  # kind, name and remaining payload of a record
 Callback = Callable[[], object]
 
 
 class Syncer(Protocol):
-    """Runs one blocking job at a time off the loop."""
+    """Runs one blocking job at a time outside the event loop."""
 
     def start(self, job: Callable[[], None], done: Callable[[OSError | None], None]) -> None:
-        """Run a job, then tell in the loop how it ended."""
+        """Run a job, then call `done` in the event loop with its error, if any."""
 
     def close(self) -> None:
-        """Wait for the job that runs."""
+        """Wait for the running job."""
 
 
 class Syncing:
-    """Gathers what waits into one sync at a time.
+    """Combines pending requests into one sync at a time (group commit).
 
-    With `interval_us` a sync follows each write within that time, and nobody waits; without it, whoever must
-    know waits for the next one. `rewrite` writes records to a new segment; `marked` notes how far all is
-    synced.
+    With `interval_us`, a sync follows each write within that time and no caller waits; without it, callers
+    wait for the next sync. `rewrite` writes records to a new segment; `marked` records the synced position.
     """
 
     def __init__(
@@ -51,42 +50,42 @@
         self._rewrite, self._marked = rewrite, marked
         self.waits = interval_us is None
         self.failed = False
-        self.end = (0, 0)  # segment and offset behind the newest record
-        self.safe = (0, 0)  # and behind the newest one that is synced
+        self.end = (0, 0)  # segment and offset of the end of the newest record
+        self.safe = (0, 0)  # the same for the newest synced record
         self._dirty: dict[str, None] = {}
         self._created = False
-        self._since: list[Entry] = []  # written since the last sync began
-        self._lost: list[Entry] = []  # that a failed one may have dropped
+        self._since: list[Entry] = []  # written since the last sync started
+        self._lost: list[Entry] = []  # possibly lost in a failed sync
         self._waiting: list[Callback] = []
         self._under_way: tuple[list[Callback], list[Entry], tuple[int, int]] | None = None
         self._due_us: int | None = None
         self._closed = False
 
     def close(self) -> None:
-        """Wait for the sync that runs; nothing follows it."""
-        # Guards against a mark that is written once the folder may be another relay's.
+        """Wait for the running sync; nothing is written after it."""
+        # The completion of that sync must not write a mark: the folder may belong to another relay by then.
         self._closed = True
         self._syncer.close()
 
     def wrote(self, name: str, end: tuple[int, int], entry: Entry | None) -> None:
-        """Note a record, or the head of a new segment."""
+        """Register a written record, or the header of a new segment if `entry` is None."""
         self._dirty[name] = None
         self._created |= entry is None
         self.end = end
         if entry is not None:
             self._since.append(entry)
-        # Guards against syncs without end: each is followed by a mark, which may wait for the next one.
+        # The mark written after each sync does not trigger another sync, which would go on forever.
         if self._due_us is None and (entry is None or entry[0] != SYNCED):
             self._due_us = self._clock_us() + (self._interval_us or 0)
 
     def after(self, callback: Callback) -> None:
-        """Call back once all that was written so far is synced."""
+        """Run a callback once everything written so far is synced."""
         self._waiting.append(callback)
         if self.waits:
             self._start()
 
     def work(self) -> int | None:
-        """Do what is due; in how many microseconds to be called again, if at all."""
+        """Do what is due; return the microseconds until the next call, or None."""
         now_us = self._clock_us()
         if self._under_way is not None or self._due_us is None:
             return None
@@ -129,7 +128,7 @@
             return
         if self.failed:
             self.failed = False
-            log("journal: syncs succeed again, on a new segment")
+            log("journal: syncs succeed again, in a new segment")
         self.safe = end
         self._marked(end)
         for callback in waiting:
@@ -139,7 +138,7 @@
 
     def _fail(self, error: OSError, lost: list[Entry]) -> None:
         if not self.failed:
-            log(f"journal: a sync failed: {error}; nothing is taken on until all is written anew")
+            log(f"journal: a sync failed: {error}; refusing messages until unsynced records are rewritten")
         self.failed = True
         self._lost = lost + self._lost
         self._due_us = self._clock_us() + RETRY_US
--- a/amberlug/core/journal/threads.py
+++ b/amberlug/core/journal/threads.py
@@ -1,4 +1,4 @@
-"""Runs syncs in a thread of their own, for a relay in an asyncio loop."""
+"""Runs syncs in a worker thread, for a relay running in an asyncio event loop."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class ThreadSyncer:
-    """One thread, started with the first sync."""
+    """A single worker thread, started with the first sync."""
 
     def __init__(self) -> None:
         self._loop = asyncio.get_running_loop()
--- a/amberlug/core/listing.py
+++ b/amberlug/core/listing.py
@@ -1,4 +1,4 @@
-"""Reads the list of endpoints in discovery's form; whoever follows it shares this."""
+"""Parses endpoint lists in the discovery service's JSON format; shared by all its consumers."""
 
 from __future__ import annotations
 
@@ -22,13 +22,13 @@
 _SPACE = re.compile(r"[ \t\n\r]*")
 _OCTET = r"(?:25[0-5]|2[0-4]\d|1\d\d|[1-9]?\d)"
 _PORT = r"(?:[1-9]\d{0,3}|[1-5]\d{4}|6[0-4]\d{3}|65[0-4]\d\d|655[0-2]\d|6553[0-5])"
-_USUAL = re.compile(rf"{_OCTET}(?:\.{_OCTET}){{3}}:{_PORT}", re.ASCII)  # ipaddress takes 10 us for one
+_USUAL = re.compile(rf"{_OCTET}(?:\.{_OCTET}){{3}}:{_PORT}", re.ASCII)  # ipaddress takes 10 us for each
 _LENGTH = struct.Struct("<I")
 _decode = json.JSONDecoder().raw_decode
 
 
 def address(text: str) -> Address:
-    """Split an IP address and its port; there is no DNS to look a name up in."""
+    """Parse `ip:port`. Host names are rejected because there is no DNS to resolve them."""
     host, _, port = text.rpartition(":")
     if not 0 < int(port) < 65536:
         raise ValueError(f"not an address: {text!r}")
@@ -36,13 +36,13 @@
 
 
 def entry_of(item: Any) -> Entry:
-    """Read one member of the list; `ValueError` where it is malformed."""
+    """Parse one member of the list; `ValueError` if it is malformed."""
     try:
         where = item["host_port"]
         if _USUAL.fullmatch(where) is None:
             address(where)
         if not -CELL_MOST <= int(item["cell"]) <= CELL_MOST or "\0" in str(item["locality"]):
-            raise ValueError("malformed list: a cell or locality that can't be")
+            raise ValueError("malformed list: cell or locality out of range")
         return Entry(
             endpoint=str(item["id"]),
             zone=str(item["locality"]),
@@ -63,10 +63,10 @@
 
 
 class _Packed:
-    """Entries read and not yet used, packed in one piece of memory.
+    """Parsed entries that have not been consumed yet, packed into one buffer.
 
-    Guards against a process that stays as large as all that it once read: between objects for tens of
-    thousands of entries, what is kept of each would hold every page of them.
+    This avoids heap fragmentation. With tens of thousands of entries as temporary objects, the few objects
+    that are kept of each would pin every memory page, and the process would stay at its peak size.
     """
 
     def __init__(self) -> None:
@@ -75,12 +75,12 @@
 
     def add(self, entry: Entry) -> None:
         self.kinds[entry.kind] = None
-        row = b"" if entry.state is State.GONE else pack(entry)  # of what is gone only the name counts
+        row = b"" if entry.state is State.GONE else pack(entry)  # of a removed endpoint only the name matters
         for part in (entry.endpoint.encode(), row):
             self._data += _LENGTH.pack(len(part)) + part
 
     def __iter__(self) -> Iterator[Entry]:
-        """The entries, once: what is made of them takes their place."""
+        """Yield the entries once; the buffer is released as the caller's objects replace it."""
         at, data, self._data = 0, self._data, bytearray()
         while at < len(data):
             name, at = _part(data, at)
@@ -96,7 +96,7 @@
 
 
 def read_news(data: Any, kinds: Collection[str]) -> News:
-    """Read an object of discovery's, or what `read_beside` left of one; `ValueError` if malformed."""
+    """Read a decoded list object, or the result of `read_beside` for one; `ValueError` if malformed."""
     try:
         packed = data["members"]
         if not isinstance(packed, _Packed):
@@ -111,9 +111,9 @@
 
 
 def read_beside(pieces: Iterator[bytes], name: str) -> dict[str, Any]:
-    """Read a JSON object of which the part called `name` is an object of discovery's, maybe a long one.
+    """Read a JSON object whose value for `name` is an endpoint list object, which may be large.
 
-    `ValueError` where it can't be read, or a member of the list is malformed.
+    Raises `ValueError` if it can't be parsed or a member of the list is malformed.
     """
     told, text = dict[str, Any](), _Text(pieces)
     more = text.begins("{", "}")
@@ -134,9 +134,9 @@
 def read_line(
     line: bytes | bytearray, kinds: Collection[str], given: Mapping[str, Any] | None = None
 ) -> News:
-    """Read a line of discovery's, one member each time that one is asked for; a `bytearray` is used up.
+    """Parse a line of the discovery service lazily, member by member; a `bytearray` is consumed.
 
-    What is `given` counts in place of what the line tells beside its members, or leaves out.
+    Values in `given` override or supplement the line's fields other than its members.
     """
     news = News(())
     news.entries = _scan(_pieces(line), kinds, news, given or {})
@@ -144,7 +144,7 @@
 
 
 def _pieces(line: bytes | bytearray) -> Iterator[bytes]:
-    """Cut a line, and let go of what was read: what is made of it takes its place."""
+    """Split a line into pieces, and delete the pieces already read from a `bytearray` to save memory."""
     if isinstance(line, bytes):
         for start in range(0, len(line), PIECE):
             yield line[start : start + PIECE]
@@ -157,7 +157,7 @@
 def _scan(
     pieces: Iterator[bytes], kinds: Collection[str], news: News, given: Mapping[str, Any]
 ) -> Iterator[Entry]:
-    """Read an object whose list of members may be long."""
+    """Parse an object whose list of members may be long."""
     text = _Text(pieces)
     whole = _Object(text)
     for item in whole:
@@ -178,9 +178,9 @@
 
 
 class _Object:
-    """An object whose list of members may be long; the rest of it is short.
+    """A list object: a possibly long list of members and a few short fields.
 
-    Yields the members, each read as it is asked for. After the last, `told` holds the rest.
+    Yields the members, parsed lazily. After the last one `told` holds the other fields.
     """
 
     def __init__(self, text: _Text) -> None:
@@ -205,9 +205,9 @@
 
 
 class _Text:
-    """JSON read one value at a time, of which only what is being read is decoded.
+    """An incremental JSON parser that decodes only the part being read.
 
-    JSON's own reader makes all of it at once: for 50,000 members a third of a second and 40 MB.
+    `json.loads` builds everything at once, which takes a third of a second and 40 MB for 50,000 members.
     """
 
     def __init__(self, pieces: Iterator[bytes]) -> None:
@@ -216,7 +216,7 @@
         self._text, self._at = "", 0
 
     def _more(self) -> bool:
-        """Decode a further piece, if there is one."""
+        """Decode the next piece, if any."""
         if self._ended:
             return False
         piece = next(self._pieces, b"")
@@ -225,7 +225,7 @@
         return True
 
     def sign(self) -> str:
-        """The next sign that is not blank, left to be read; none at the end."""
+        """Peek at the next character that is not white space; empty at the end."""
         while True:
             match = _SPACE.match(self._text, self._at)
             self._at = match.end() if match is not None else self._at
@@ -235,51 +235,51 @@
                 return ""
 
     def expect(self, sign: str) -> None:
-        """Read past a sign."""
+        """Consume the given character."""
         if self.sign() != sign:
             raise ValueError(f"malformed: {sign!r} missing before {self._text[self._at :][:20]!r}")
         self._at += 1
 
     def begins(self, sign: str, end: str) -> bool:
-        """Read past the sign that begins an object or array: whether it holds anything."""
+        """Consume the start of an object or array; return whether it has any items."""
         self.expect(sign)
         empty = self.sign() == end
         self._at += empty
         return not empty
 
     def value(self) -> Any:
-        """Read a value of any kind, of 256 KiB at most."""
+        """Parse any value, of 256 KiB at most."""
         while True:
             self.sign()
             try:
                 value, end = _decode(self._text, self._at)
             except RecursionError:
-                raise ValueError("nested too deep") from None
+                raise ValueError("nested too deeply") from None
             except json.JSONDecodeError as error:
-                # It may go on in the next piece. Guards against reading what is broken again and again.
+                # The value may continue in the next piece; the limit bounds repeated parsing of bad input.
                 if len(self._text) - self._at < VALUE_MOST and self._more():
                     continue
                 raise ValueError(f"malformed: {error.msg} at {self._text[self._at :][:20]!r}") from None
             if end == len(self._text) and self._more():
-                continue  # a number may go on
+                continue  # a number may continue in the next piece
             self._at = end
             return value
 
     def key(self) -> str:
-        """Read a key of an object, with its colon."""
+        """Parse an object key and its colon."""
         key = self.value()
         if not isinstance(key, str):
-            raise ValueError(f"malformed: {key!r} is no key")
+            raise ValueError(f"malformed: object key {key!r} is not a string")
         self.expect(":")
         return key
 
     def goes_on(self, end: str) -> bool:
-        """Read past what follows an item: whether it is a further one."""
+        """Consume the comma or end character after an item; return whether another item follows."""
         more = self.sign() == ","
         self.expect("," if more else end)
         return more
 
     def finish(self) -> None:
-        """See that nothing follows."""
+        """Raise `ValueError` unless the input ends here."""
         if self.sign():
-            raise ValueError(f"malformed: more than one object, before {self._text[self._at :][:20]!r}")
+            raise ValueError(f"malformed: extra data {self._text[self._at :][:20]!r}")
--- a/amberlug/core/lock.py
+++ b/amberlug/core/lock.py
@@ -1,4 +1,4 @@
-"""One process, and one relay in it, to a state folder."""
+"""Exclusive lock on a state folder: one process, and one relay within it."""
 
 from __future__ import annotations
 
@@ -9,21 +9,21 @@
 
 
 class FolderInUseError(OSError):
-    """Another relay has the folder open, in this process or in another."""
+    """The folder is in use by another relay, in this process or in another one."""
 
 
 class ForkedError(RuntimeError):
-    """The relay was opened by a parent process; its child must open one of its own."""
+    """The relay was opened by the parent process; a forked child must open its own."""
 
 
 class FolderLock:
-    """Holds a folder for its relay's life; the kernel frees it with the process.
+    """Locks a folder for the lifetime of its relay; the kernel releases the lock when the process exits.
 
-    `alive` tells whether its relay can still act: one whose event loop was closed under it can't, and gives
-    way to the next relay of the same process. `inode` names the folder, for the life of the process.
+    `alive` reports whether the owning relay can still act. A relay whose event loop was closed cannot, so the
+    next relay of the same process takes over its lock. `inode` identifies the folder within the process.
     """
 
-    _held: dict[tuple[int, int], FolderLock] = {}  # noqa: RUF012 - one record for the process
+    _held: dict[tuple[int, int], FolderLock] = {}  # noqa: RUF012 - shared by all locks of the process
 
     def __init__(self, folder: Path, alive: Callable[[], bool]) -> None:
         self._alive, self._pid = alive, os.getpid()
@@ -49,7 +49,7 @@
             raise ForkedError("this relay belongs to the parent process; open one on another folder")
 
     def release(self) -> None:
-        """Give the folder up; no harm if it was given up before."""
+        """Release the lock; does nothing if it was released before."""
         if self._file >= 0:
             os.close(self._file)
             self._file = -1
@@ -57,7 +57,10 @@
 
     @classmethod
     def let_go(cls) -> None:
-        """Close, in a child of a fork, what the parent holds: else it would outlive the parent there."""
+        """Close the parent's lock files in a forked child.
+
+        Otherwise the child would keep the lock after the parent has exited.
+        """
         for lock in list(cls._held.values()):
             lock.release()
 
--- a/amberlug/core/log.py
+++ b/amberlug/core/log.py
@@ -1,4 +1,4 @@
-"""The relay's log: plain lines through `logging`, so that a host of the library decides where they go."""
+"""The relay's log, written through `logging` so that the host application decides where it goes."""
 
 import logging
 
@@ -6,5 +6,5 @@
 
 
 def log(text: str) -> None:
-    """Write a line to the relay's log."""
+    """Write one line to the relay's log."""
     LOGGER.info(text)
--- a/amberlug/core/messages.py
+++ b/amberlug/core/messages.py
@@ -1,4 +1,4 @@
-"""The relay's own record of a message, of its attempts and of its end."""
+"""The relay's in-memory representation of messages, delivery attempts and final outcomes."""
 
 from __future__ import annotations
 
@@ -8,19 +8,19 @@
 
 from amberlug.policy.interface import Result
 
-NAME_MOST = 128  # longest id, key or name of a tenant
-BODY_MOST = 1 << 16  # longest body, in bytes
+NAME_MOST = 128  # longest message ID, idempotency key or tenant name
+BODY_MOST = 1 << 16  # largest body, in bytes
 
 
 def is_word(text: str) -> bool:
-    """Whether a text may stand for an id, a key or a name on every wire that it can pass."""
+    """Return whether a text is valid as an ID, key or name in every supported protocol."""
     return 0 < len(text) <= NAME_MOST and text.isascii() and text.isprintable() and " " not in text
 
 
 class Reason(Enum):
-    """Why a message was not taken on."""
+    """Why a message was not accepted."""
 
-    REFUSED = "refused"  # by the decision module
+    REFUSED = "refused"  # by the delivery policy
     OLD_LIST = "the list of endpoints is too old: discovery does not confirm it"
     NO_ROOM = "no room"
     CLOSING = "closing"
@@ -31,22 +31,22 @@
 
 @dataclass(frozen=True, slots=True)
 class Refusal:
-    """A message that was not taken on; its client may safely come again after so many microseconds."""
+    """A message that was not accepted; the client may safely retry after `retry_us` microseconds."""
 
     reason: Reason
     retry_us: int
 
 
 class Exchange(Protocol):
-    """A client's hand-in that waits for its answer."""
+    """A client's request to accept a message, waiting for the response."""
 
     def settle(self, refusal: Refusal | None) -> None:
-        """Tell it that the message was taken on (None) or refused; one that has left is passed over."""
+        """Report acceptance (None) or refusal; ignored if the client has disconnected."""
 
 
 @dataclass(slots=True, eq=False)
 class Message:
-    """A message from a client, as it goes on to an endpoint."""
+    """A message from a client, to be delivered to an endpoint."""
 
     name: str
     message_class: str
@@ -54,14 +54,14 @@
     destination: int
     key: str | None
     body: bytes
-    deadline_ms: int  # wall clock
+    deadline_ms: int  # Unix time in milliseconds
     ref: int = 0
     taken: bool = False
     over: bool = False
     attempts: int = 0
     exchanges: list[Exchange] = field(default_factory=list)
-    # Where its front tells its end, if anywhere: only that front reads it. Whether the platform is told, too;
-    # and how often that was changed.
+    # Reply address, interpreted only by the front end that received the message; whether the platform is
+    # notified of the outcome as well; and how often these two were changed.
     reply: bytes = b""
     noticed: bool = True
     replies: int = 0
@@ -69,7 +69,7 @@
 
 @dataclass(slots=True, eq=False)
 class Attempt:
-    """One send of one message, on its way."""
+    """One delivery attempt for one message."""
 
     message: Message
     number: int
@@ -78,13 +78,13 @@
     until_us: int
     called_off: bool = False
     ended: bool = False
-    reused: bool = False  # it leaves on a connection that has carried another call
-    idle_us: int = 0  # which had idled for so long
+    reused: bool = False  # sent on a connection that has carried an earlier call
+    idle_us: int = 0  # how long that connection had been idle
 
 
 @dataclass(frozen=True, slots=True)
 class Ending:
-    """How an attempt or a probe ended; `over` where nothing more is owed for the message."""
+    """How an attempt or a probe ended; `over` if the message needs no further attempt."""
 
     result: Result
     wait_us: int = 0
@@ -93,25 +93,25 @@
 
 
 class Outcome(Enum):
-    """The three ways in which a message that was taken on can end."""
+    """The final outcome of an accepted message."""
 
     DELIVERED = "delivered"
-    HANDED_BACK = "handed_back"  # it never took effect, or may be repeated: trying again does no harm
-    GIVEN_UP = "given_up"  # it may have taken effect, or its time is up: no promise
+    HANDED_BACK = "handed_back"  # it took no effect or may be repeated: the client can safely retry
+    GIVEN_UP = "given_up"  # it may have taken effect, or its deadline has passed
 
 
 @dataclass(frozen=True, slots=True)
 class End:
-    """The one end of a message; after a hand-back its client may come again in `retry_ms` milliseconds."""
+    """The final outcome of a message; if handed back, the client may retry after `retry_ms` milliseconds."""
 
     message: str
     outcome: Outcome
     retry_ms: int = 0
-    known: bool = False  # whoever handed it in knows it already: an endpoint said that it is over
-    reply: bytes = b""  # of its message
+    known: bool = False  # the sender knows it already: an endpoint reported it as over
+    reply: bytes = b""  # reply address of the message
     noticed: bool = True
 
     @property
     def retry_after(self) -> float:
-        """Seconds until the client may come again."""
+        """Seconds until the client may retry."""
         return self.retry_ms / 1000
--- a/amberlug/core/node.py
+++ b/amberlug/core/node.py
@@ -1,4 +1,4 @@
-"""The round: what happened outside goes to the decision module, its actions become calls and ends."""
+"""The event loop of the core: feeds events to the delivery policy and carries out its actions."""
 
 from __future__ import annotations
 
@@ -18,16 +18,16 @@
 from amberlug.policy.lasting import LastingSender
 from amberlug.policy.membership import BATCH, Comparison
 
-BUSY_RETRY_US = SECOND  # when a client may come again that this relay has no room for
-REPLIES_MOST = 100  # how often a message's end may be asked for at another place: each is a record
-CROWDED = 0.8  # part of what can be held that fronts may fill whose senders need not hear of a hand-back
-KEEP_US = 5 * SECOND  # between two keepings of what was learned, but for what would be missed at once
-KEEP_MOST = 32  # destinations kept in one turn of the loop: a millisecond or two
-CLOSED_RETRY_US = SECOND // 2  # the same from one that closes: other relays are there, and known by then
+BUSY_RETRY_US = SECOND  # retry delay for clients refused because the relay is full
+REPLIES_MOST = 100  # limit on changes of a message's reply address: each writes a record
+CROWDED = 0.8  # fraction of the message limit open to front ends whose senders can't be told of a hand-back
+KEEP_US = 5 * SECOND  # interval between saves of learned state, except for urgent changes
+KEEP_MOST = 32  # destinations saved per loop iteration; takes a millisecond or two
+CLOSED_RETRY_US = SECOND // 2  # retry delay while closing: by then clients know of other relays
 
 
 class Node:
-    """Owns the module, its timers, and the record of every message held; one thread's alone."""
+    """Owns the delivery policy, its timers and the state of every held message; not thread-safe."""
 
     def __init__(
         self,
@@ -51,7 +51,7 @@
         self._messages: dict[int, Message] = {}
         self._names: dict[str, Message] = {}
         self._attempts: dict[tuple[int, int], Attempt] = {}
-        # Until when the name of each that ended counts as taken, and its end, which is to be acknowledged.
+        # For each unacknowledged outcome: how long its message's name counts as used, and the outcome.
         self._owed: dict[str, tuple[int, End]] = {}
         self._events: list[api.Event] = []
         self._round_at: Handle | None = None
@@ -62,13 +62,13 @@
 
     @property
     def busy(self) -> bool:
-        """Whether a call is out or an end is to be acknowledged."""
+        """Whether a call is in progress or an acknowledgement is outstanding."""
         return self._transport.busy or self._ends.waiting
 
-    # What happens outside.
+    # External events.
 
     def restore(self) -> None:
-        """Go on with what the journal holds, the oldest first."""
+        """Resume the messages recovered from the journal, oldest first."""
         now_ms = self._clock.wall_ms()
         self._learning.take_over(self._journal.earlier, self._sender.members.get)
         for held in self._journal.held.values():
@@ -82,7 +82,7 @@
         self.ready = True
 
     def adopt(self, ones: Iterable[Held]) -> None:
-        """Go on with what another relay held, which the journal knows by now."""
+        """Resume messages taken over from another relay, which are already in the journal."""
         now_ms = self._clock.wall_ms()
         for held in ones:
             if held.end is not None:
@@ -90,10 +90,10 @@
                 self._journal.after(partial(self._told, held.end), held.message.name)
             else:
                 self._resume(held, now_ms)
-        self._tell(api.Due(-1))  # no timer: it only has the round come
+        self._tell(api.Due(-1))  # matches no timer; only triggers a round
 
     def relinquish(self, names: Iterable[str]) -> None:
-        """Do nothing more about messages that another relay goes on with; no end of theirs is told here."""
+        """Drop messages that another relay has taken over; this relay reports no outcome for them."""
         for name in names:
             self._owed.pop(name, None)
             if (message := self._names.get(name)) is not None:
@@ -101,13 +101,13 @@
                 self._tell(api.Withdrawn(message.ref))
 
     def close(self) -> None:
-        """Take nothing on and start no calls from now on; what is out is still collected."""
+        """Stop accepting messages and starting calls; calls in progress still finish."""
         self.closing = True
         self._events.append(api.Closing())
         self._round()
 
     def stop(self) -> None:
-        """Decide about what has come in, then do nothing any more: what is held is the next life's."""
+        """Process pending events, then stop; held messages are resumed after the next start."""
         if self._round_at is not None:
             self._round()
         self._stopped = True
@@ -120,7 +120,7 @@
     def _resume(self, held: Held, now_ms: int) -> None:
         message = held.message
         if message.message_class not in self._settings.classes:
-            log(f"journal: message {message.name} has no class here: given up")
+            log(f"journal: message {message.name} has a class that is not configured; giving it up")
             self._finish(message, End(message.name, Outcome.GIVEN_UP))
             return
         self._enlist(message)
@@ -149,28 +149,29 @@
 
     @property
     def crowded(self) -> bool:
-        """Whether so much is held that the module will soon have to hand something back."""
+        """Whether so many messages are held that the policy will soon have to hand some back."""
         return len(self._messages) + 1 > self._settings.max_open * CROWDED
 
     def serves(self, destination: int) -> bool:
-        """Whether a list has named that destination."""
+        """Whether the endpoint list contains that destination."""
         return self._sender.serves(destination)
 
     def hand_in(self, message: Message, left_us: int, waited_us: int, exchange: Exchange) -> None:
-        """Settle a hand-in at once where the module need not be asked, else in the next round.
+        """Process a submitted message: synchronously if the policy need not decide, else in the next round.
 
-        It has `left_us` microseconds left, and may have waited for `waited_us` until it was read.
+        `left_us` is the time until its deadline, `waited_us` the time it may have waited before it was read.
         """
         if (known := self._names.get(message.name)) is not None and not known.taken:
             known.exchanges.append(exchange)
             _reply_too(known, message)
         elif known is not None or self._journal.knows(message.name):
-            self._again(message, exchange)  # taken on before: never taken twice
+            self._again(message, exchange)  # already accepted: never accept it twice
         elif self.closing:
             exchange.settle(Refusal(Reason.CLOSING, CLOSED_RETRY_US))
         elif len(self._messages) >= self._settings.max_open:
             exchange.settle(Refusal(Reason.NO_ROOM, BUSY_RETRY_US))
-        elif not self._journal.fits(size := len(message.body) + 2 * len(message.reply)):  # its end has it too
+        # The reply address counts twice because the outcome record repeats it.
+        elif not self._journal.fits(size := len(message.body) + 2 * len(message.reply)):
             exchange.settle(Refusal(Reason.NO_ROOM, self._journal.retry_us(size)))
             self._learning.give_way()
             self._work()
@@ -183,13 +184,13 @@
             self._tell(self._taken(message, left_us, waited_us))
 
     def _again(self, message: Message, exchange: Exchange) -> None:
-        """Answer for what was taken on before, and have its one end told also where it comes from now."""
+        """Confirm a message that was accepted before and send its outcome to the new reply address too."""
         known = self._names.get(message.name)
         before = (known.reply, known.noticed, known.replies) if known is not None else (b"", True, 0)
         if known is not None and _reply_too(known, message):
             try:
                 if known.replies > REPLIES_MOST:
-                    raise OSError(f"message {message.name} is handed in from everywhere")
+                    raise OSError(f"message {message.name} was submitted with too many reply addresses")
                 self._journal.reply(known)
             except OSError as error:
                 log(f"journal: {error}")
@@ -203,7 +204,7 @@
                 self._journal.after(partial(self._told, replace(end, reply=message.reply)), message.name)
 
     def hung_up(self, exchange: Exchange) -> None:
-        """Withdraw a message whose every client left before it was settled."""
+        """Withdraw a message if all its clients disconnected before it was accepted or refused."""
         for message in [it for it in self._messages.values() if exchange in it.exchanges]:
             message.exchanges.remove(exchange)
             if not message.exchanges and not message.taken:
@@ -211,15 +212,15 @@
                 self._tell(api.Withdrawn(message.ref))
 
     def listed(self, news: News) -> None:
-        """Pass the list's news on at once; `ValueError` where they are bad, and nothing of them counts."""
+        """Apply an endpoint list update at once; `ValueError` if it is malformed, with nothing applied."""
         for _ in self.listing(news):
             pass
 
     def listing(self, news: News) -> Iterator[None]:
-        """Pass the list's news on, some of them with each step, which takes a millisecond or two.
+        """Apply an endpoint list update in steps of a millisecond or two.
 
-        All is read and compared with what was listed before any of it counts; drains and what is gone come
-        first.
+        The whole update is read and compared with the current list before anything is applied; drained
+        endpoints come first.
         """
         comparison = Comparison(self._sender.members)
         yield
@@ -229,22 +230,22 @@
                 yield
         yield
         batches = comparison.batches(news.whole)
-        for entries in chain([next(batches, ())], batches):  # also news that change nothing are told
+        for entries in chain([next(batches, ())], batches):  # report an update without changes as well
             self._places.relocate(entries)
             self._events.append(api.Listed(api.ListKind.PATCH, entries))
             self._round()
             yield
 
     def current(self, seconds: float) -> None:
-        """Learn that the list is the newest there is, and for how many seconds calls may go by it."""
+        """Note that the endpoint list is up to date, and for how many seconds calls may rely on it."""
         self._tell(api.Current(int(seconds * SECOND)))
 
     def ended(self, attempt: Attempt, how: Ending) -> None:
-        """Take an attempt's end in; what is delivered is over at once."""
+        """Process the end of an attempt; a delivered message is complete at once."""
         message = attempt.message
         del self._attempts[message.ref, attempt.number]
         now = self.now_us()
-        if how.wait_us > 0:  # before all else: it binds from now on, also a next life
+        if how.wait_us > 0:  # first of all: the pause applies from now on, also after a restart
             self._told_to_wait(attempt, now, how.wait_us)
         delivered = how.result is Result.DONE or how.over
         if how.result is Result.DONE:
@@ -281,14 +282,14 @@
         self._learning.told(wait)
 
     def _acknowledged(self, name: str) -> None:
-        if (owed := self._owed.pop(name, None)) is not None:  # else it was told once more
+        if (owed := self._owed.pop(name, None)) is not None:  # else acknowledged before
             until_ms, end = owed
             self._journal.end(name, until_ms, self._clock.wall_ms(), end)
 
-    # The round.
+    # Rounds.
 
     def _tell(self, event: api.Event) -> None:
-        """Have an event dealt with, with all others of the same tick."""
+        """Queue an event for the next round, together with all others of the same tick."""
         self._events.append(event)
         if self._round_at is None and not self._stopped:
             due_us = max(self.now_us(), self._last_round_us + self._settings.granularity_us)
@@ -308,7 +309,7 @@
         for event in events:
             if isinstance(event, api.Taken) and event.ref in self._messages:
                 self._settle(self._messages[event.ref], ends.get(event.ref))
-        if self._sender.turns:  # before a call leaves that they count
+        if self._sender.turns:  # saved before a call that it counts is sent
             self._learning.observe(self._sender.learned(KEEP_MOST, turns=True))
         self._carry_out(actions)
         self._timers.wind()
@@ -317,7 +318,7 @@
             self._keep_at = self._clock.at(self._last_round_us + KEEP_US, self._keep)
 
     def _work(self) -> None:
-        """Give the journal its slice, and another one soon where it has more to do."""
+        """Run a slice of the journal's and the learned state's background work and schedule the next one."""
         if self._work_at is not None:
             self._work_at.cancel()
             self._work_at = None
@@ -326,11 +327,11 @@
             self._work_at = self._clock.at(self.now_us() + min(due), self._work)
 
     def keep(self) -> None:
-        """Keep all that was learned and is not kept yet: nothing follows in this life."""
+        """Save all unsaved learned state; used at shutdown."""
         self._learning.observe(self._sender.learned(len(self._sender.news)))
 
     def _keep(self) -> None:
-        """Keep what was learned, some destinations in each turn, once in a while where there are rounds."""
+        """Save learned state periodically while there are rounds, a few destinations per loop iteration."""
         self._keep_at = None
         self._places.forget_sleeping(self._sender.endpoints)
         self._learning.observe(self._sender.learned(KEEP_MOST))
@@ -339,13 +340,13 @@
         self._work()
 
     def _settle(self, message: Message, end: api.Refuse | api.Fail | None) -> None:
-        """Tell whoever handed it in: taken on once the journal has it, or refused."""
+        """Confirm a message once it is in the journal, or refuse it."""
         exchanges, message.exchanges = message.exchanges, []
         if end is None:
             try:
                 self._journal.take(message, self._clock.wall_ms())
                 message.taken = True
-            except OSError as error:  # what it can't hold is refused, and its sends are not made
+            except OSError as error:  # a message that can't be recorded is refused and not sent
                 log(f"journal: {error}")
                 self._learning.give_way()
                 self._tell(api.Withdrawn(message.ref))
@@ -364,7 +365,7 @@
             told()
 
     def _renounce(self, message: Message, exchanges: Sequence[Exchange], may_tell: bool) -> None:
-        """Forget a message that does not outlast what it should; its client may be left without a word."""
+        """Drop a message that could not be made durable; its client gets no response unless `may_tell`."""
         if not message.over:
             self._forget(message)
             self._tell(api.Withdrawn(message.ref))
@@ -389,13 +390,15 @@
                 case api.Log(text):
                     log(text)
                 case api.Refuse() | api.Fail() | api.Subscribe() | api.Fetch() | api.Tell():
-                    pass  # ended before; the watch is always on, and relays can't talk to each other
+                    # Outcomes were handled before, the list is always watched, and relays can't message
+                    # each other.
+                    pass
         self._send(sends)
 
     def _send(self, sends: list[api.Send]) -> None:
-        """Send together what the module bundles in one call."""
+        """Send the messages that the policy bundled into one call together."""
         for (endpoint, _), group in groupby(sends, lambda it: (it.endpoint, it.call)):
-            # Guards against a send of what the journal could not take in this very round: its call is over.
+            # Skip messages that the journal failed to record in this same round: they are no longer held.
             bundle = [send for send in group if send.ref in self._messages or self._unsent(send)]
             if not bundle:
                 continue
@@ -403,7 +406,7 @@
             self._transport.call(endpoint, [self._attempt(send) for send in bundle], bundle[0].fresh)
 
     def _unsent(self, send: api.Send) -> bool:
-        """Tell the module that a first call was not made, so that its slot is free again."""
+        """Report to the policy that a first call was not made, which frees its slot."""
         self._tell(api.Outcome(send.ref, 0, send.endpoint, Result.UNSENT, True, 0, 0, ()))
         return False
 
@@ -415,12 +418,12 @@
         return attempt
 
     def clear(self, attempts: Sequence[Attempt]) -> list[Attempt]:
-        """Tell which attempts may still leave, and record them before their first byte does."""
+        """Record and return the attempts that may still be sent, before their first byte is sent."""
         cleared = []
         for attempt in self.still(attempts):
             try:
                 self._journal.attempt(attempt, self._clock.wall_ms())
-            except OSError as error:  # an attempt that is not recorded could be made twice
+            except OSError as error:  # an unrecorded attempt could be made twice
                 log(f"journal: {error}")
                 continue
             cleared.append(attempt)
@@ -429,7 +432,7 @@
         return cleared
 
     def still(self, attempts: Sequence[Attempt]) -> list[Attempt]:
-        """Tell which attempts no drain, wait or end forbids by now."""
+        """Return the attempts that no drain, pause or outcome forbids by now."""
         now = self.now_us()
         return [
             it
@@ -440,11 +443,11 @@
 
     @property
     def waits(self) -> bool:
-        """Whether records outlast what they should only some time after they were made."""
+        """Whether records become durable only some time after they were written."""
         return self._journal.waits
 
     def after(self, callback: Callable[[], object], attempts: Sequence[Attempt]) -> None:
-        """Call back once all records of these do, or never will."""
+        """Run a callback once all records of these attempts are durable or can't become so."""
         left = {it.message.name for it in attempts}
 
         def done(name: str) -> None:
@@ -456,7 +459,7 @@
             self._journal.after(partial(done, name), name, partial(done, name))
 
     def left_s(self, attempts: Sequence[Attempt]) -> float:
-        """Seconds until the first of these is out of time."""
+        """Seconds until the earliest deadline among these attempts."""
         return max(0.0, (min(it.until_us for it in attempts) - self.now_us()) / SECOND)
 
     def _probe(self, endpoint: str) -> None:
@@ -469,8 +472,8 @@
         self._transport.probe(endpoint, ended)
 
     def _end(self, ends: Iterable[api.Refuse | api.Fail]) -> None:
-        """Tell the ends of messages that were taken on; one that was not is answered."""
-        # Guards against ends that come late because of what else a round brings: they go out first.
+        """Report the outcomes of accepted messages; other messages are refused in `_settle`."""
+        # Outcomes go out first so that a round's other work does not delay them.
         for end in ends:
             if (message := self._messages.get(end.ref)) is not None and message.taken:
                 if isinstance(end, api.Refuse):
@@ -481,7 +484,7 @@
         self._ends.send()
 
     def _finish(self, message: Message, end: End) -> None:
-        """Record a message's one end, then have it told."""
+        """Record a message's final outcome, then report it."""
         self._forget(message)
         if message.replies:
             end = replace(end, reply=message.reply, noticed=message.noticed)
@@ -495,7 +498,7 @@
         self._journal.after(partial(self._told, end), message.name)
 
     def _told(self, end: End) -> None:
-        """Tell an end that no crash takes back; with others of its round, unless it had to wait."""
+        """Report a durable outcome: with the others of its round, or now if it had to wait for a sync."""
         self._ends.tell(end)
         if self._journal.waits:
             self._ends.send()
@@ -507,7 +510,7 @@
 
 
 def _reply_too(known: Message, again: Message) -> bool:
-    """Have an end told where a message came from once more: whether that changes anything."""
+    """Add the reply address of a repeated submission; return whether that changed anything."""
     reply, noticed = again.reply or known.reply, known.noticed or again.noticed
     if (reply, noticed) == (known.reply, known.noticed):
         return False
--- a/amberlug/core/places.py
+++ b/amberlug/core/places.py
@@ -1,4 +1,4 @@
-"""Where endpoints are: what the transport was told of it, by the newest list."""
+"""Keeps the transport's endpoint addresses in line with the current endpoint list."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 
 
 class Places:
-    """Tells the transport of an endpoint before the first call, and of what drains, is gone or has moved."""
+    """Sets an endpoint's address in the transport before its first call and removes outdated addresses."""
 
     def __init__(self, transport: Transport, listed: Callable[[str], api.Entry | None]) -> None:
         self._transport, self._listed = transport, listed
-        self._told: dict[str, str] = {}  # addresses that the transport was told
+        self._told: dict[str, str] = {}  # addresses known to the transport
 
     def relocate(self, entries: Sequence[api.Entry]) -> None:
-        """Have connections closed to what drains, is gone or has moved; calls that are out keep theirs."""
+        """Close connections to endpoints that drain, are gone or have moved; calls in progress go on."""
         for entry in entries:
             where = self._told.get(entry.endpoint)
             if where is not None and (entry.state is not api.State.IN or where != entry.where):
@@ -25,7 +25,7 @@
                 self._transport.locate(entry.endpoint, None)
 
     def locate(self, endpoint: str) -> None:
-        """Tell the transport where an endpoint is by the newest list, before a call goes there."""
+        """Set an endpoint's address in the transport from the current list, before a call."""
         entry = self._listed(endpoint)
         if entry is not None and self._told.get(endpoint) != entry.where:
             self._told[endpoint] = entry.where
@@ -33,7 +33,7 @@
             self._transport.locate(endpoint, where, entry.kind)
 
     def forget_sleeping(self, awake: Collection[str]) -> None:
-        """Forget where endpoints are whose destinations sleep."""
+        """Remove the addresses of endpoints whose destinations are inactive."""
         for endpoint in [it for it in self._told if it not in awake]:
             del self._told[endpoint]
             self._transport.locate(endpoint, None)
--- a/amberlug/core/ports.py
+++ b/amberlug/core/ports.py
@@ -1,6 +1,6 @@
-"""What the core wants of the world around it: time, calls, somebody to tell ends to, a durable log.
+"""Interfaces between the core and its environment: clock, transport, outcome delivery and durable journal.
 
-Each port has one owner, the `Node`, and is used from its one thread. None of these methods may block.
+Each of them belongs to one `Node` and is used from that node's thread only. No method may block.
 """
 
 from __future__ import annotations
@@ -16,120 +16,123 @@
 
 
 class Handle(Protocol):
-    """Something that is to happen later."""
+    """A scheduled callback."""
 
     def cancel(self) -> None:
-        """Have it not happen; no harm once it has."""
+        """Cancel the callback; does nothing if it has already run."""
 
 
 class Clock(Protocol):
-    """The one clock: it never goes back."""
+    """The monotonic clock and timers."""
 
     def now_us(self) -> int:
-        """Microseconds from no particular moment."""
+        """Monotonic time in microseconds, from an arbitrary epoch."""
 
     def wall_ms(self) -> int:
-        """Unix time in milliseconds: only what must hold across restarts counts by it."""
+        """Unix time in milliseconds, used only for times that must remain valid across restarts."""
 
     @property
     def boot(self) -> str:
-        """Which run of the machine `now_us` counts from the start of; empty where that is not known."""
+        """ID of the machine boot that `now_us` counts from; empty if unknown."""
 
     def at(self, when_us: int, callback: Callable[..., object], *args: object) -> Handle:
-        """Call back at that time or soon after, never before and never at once."""
+        """Run a callback at or shortly after that time, never earlier and never synchronously."""
 
 
 class Calls(Protocol):
-    """What a transport tells the core."""
+    """Callbacks from a transport to the core."""
 
     def clear(self, attempts: Sequence[Attempt]) -> list[Attempt]:
-        """Which of these may still leave; they are recorded, and count as made from now on."""
+        """Record and return the attempts that may still be sent; from now on they count as made."""
 
     @property
     def waits(self) -> bool:
-        """Whether records outlast what they should only some time after they were made."""
+        """Whether records become durable only some time after they were written."""
 
     def after(self, callback: Callable[[], object], attempts: Sequence[Attempt]) -> None:
-        """Call back once all records of these do, or never will: then none of them may leave."""
+        """Run a callback once all records of these are durable or can't become so.
+
+        In the second case none of the attempts may be sent.
+        """
 
     def left_s(self, attempts: Sequence[Attempt]) -> float:
-        """Seconds until the first of these is out of time."""
+        """Seconds until the earliest deadline among these attempts."""
 
     def still(self, attempts: Sequence[Attempt]) -> list[Attempt]:
-        """Which of these, that were recorded, may leave now."""
+        """Return which of these recorded attempts may be sent now."""
 
     def ended(self, attempt: Attempt, how: Ending) -> None:
-        """Report an attempt's one end."""
+        """Report how an attempt ended, exactly once."""
 
 
 class Transport(Protocol):
-    """Makes calls to endpoints: each attempt gets one end, whatever happens."""
+    """Makes calls to endpoints and reports exactly one result for each attempt."""
 
     @property
     def busy(self) -> bool:
-        """Whether a call is out."""
+        """Whether a call is in progress."""
 
     def bind(self, calls: Calls) -> None:
-        """Learn whom to ask and to tell, before anything else."""
+        """Set the callbacks; called before any other method."""
 
     def call(self, endpoint: str, attempts: list[Attempt], fresh: bool) -> None:
-        """Make one call with one or more messages; a fresh one on a new connection."""
+        """Make one call with one or more messages, on a new connection if `fresh`."""
 
     def call_off(self, attempt: Attempt) -> None:
-        """Stop waiting for an attempt; its end is reported as any other."""
+        """Stop waiting for an attempt; its result is reported like any other."""
 
     def probe(self, endpoint: str, ended: Callable[[Ending], None]) -> None:
-        """Ask an endpoint whether it is well."""
+        """Check an endpoint's health."""
 
     def locate(self, endpoint: str, address: Address | None, kind: str = "") -> None:
-        """Learn where an endpoint is and of which kind, or that it wants nothing new."""
+        """Set an endpoint's address and kind; None if it accepts no new calls."""
 
     def close_idle(self, endpoint: str) -> None:
-        """Close the connections to an endpoint that carry no call."""
+        """Close idle connections to an endpoint."""
 
 
 class Ends(Protocol):
-    """Whom the ends of messages are told to."""
+    """Delivers final outcomes to the senders of messages."""
 
     @property
     def waiting(self) -> bool:
-        """Whether an end is still to be acknowledged, and may be soon."""
+        """Whether an acknowledgement is outstanding and may arrive soon."""
 
     def bind(self, acknowledged: Callable[[str], None]) -> None:
-        """Learn whom to tell, by the message's name, that an end has arrived."""
+        """Set the callback for acknowledged outcomes; its argument is the message's name."""
 
     def owed(self, end: End) -> bool:
-        """Whether this end must be acknowledged, and be told again until it is."""
+        """Whether this outcome must be repeated until it is acknowledged."""
 
     def tell(self, end: End) -> None:
-        """Take an end that is in the journal, to be told with others of its round."""
+        """Queue an outcome that is in the journal, to be sent with the others of its round."""
 
     def send(self) -> None:
-        """Tell now what this round has brought."""
+        """Send the queued outcomes now."""
 
 
 class Observer(Protocol):
-    """Sees each event and decision. It must neither raise nor change what it is shown."""
+    """Observes events and decisions. It must neither raise nor modify its arguments."""
 
     def round(self, now_us: int, events: Sequence[api.Event], actions: Sequence[api.Action]) -> None:
-        """See what the module was told, and what it decided."""
+        """Called with the delivery policy's input events and the resulting actions."""
 
     def taken(self, message: Message) -> None:
-        """See a message that is in the journal from now on, and owed an end."""
+        """Called when a message has been written to the journal; it will get an outcome."""
 
     def attempt(self, attempt: Attempt) -> None:
-        """See an attempt that is recorded and about to leave."""
+        """Called when an attempt has been recorded and is about to be sent."""
 
     def outcome(self, attempt: Attempt, how: Ending) -> None:
-        """See how an attempt ended."""
+        """Called when an attempt has ended."""
 
     def ended(self, message: Message, end: End) -> None:
-        """See the one end of a message."""
+        """Called once for each message, with its final outcome."""
 
 
 @dataclass(slots=True)
 class Tried:
-    """An attempt before the restart, with its result if that was recorded."""
+    """An attempt made before the restart, with its result if that was recorded."""
 
     endpoint: str
     at_ms: int
@@ -138,33 +141,33 @@
 
 @dataclass(slots=True)
 class Held:
-    """A message that the journal holds: to be sent on, or with its end still to be acknowledged."""
+    """A message recovered from the journal: undelivered, or with an unacknowledged outcome."""
 
     message: Message
     tried: dict[int, Tried] = field(default_factory=dict)
     end: End | None = None
-    taken_ms: int = 0  # wall clock when it was taken on; 0 where that is not known
+    taken_ms: int = 0  # Unix time of acceptance; 0 if unknown
 
     def left_ms(self, now_ms: int) -> int:
-        """How long it has left: never longer than it had, also where the clock was set back meanwhile."""
+        """Milliseconds until the deadline, at most the original time limit even if the clock was set back."""
         left = self.message.deadline_ms - now_ms
         return min(left, self.message.deadline_ms - self.taken_ms) if self.taken_ms else left
 
 
 @dataclass(frozen=True, slots=True)
 class Wait:
-    """A wait that an endpoint told: whom it binds, how long it was, and until when by the clock of a boot."""
+    """A pause that an endpoint asked for: its scope, length, and end by the monotonic clock of a boot."""
 
     destination: int
-    route: str  # the endpoint where its destination's are routes apart; else empty
+    route: str  # the endpoint if the destination's endpoints are separate routes; otherwise empty
     length_us: int
     until_us: int
     boot: str
 
     def left_us(self, now_us: int, boot: str) -> int:
-        """How long it still runs; the whole of it where this clock does not go on with that one."""
-        # Guards against a wall clock that was set: by it a wait could be cut short, or last for a week.
-        # Could do harm after the machine itself started again: a wait that is over by then runs once more.
+        """Remaining length; the full length if `now_us` does not continue the clock of that boot."""
+        # The wall clock is not used: a change to it could cut a pause short or extend it to a week. The
+        # cost is that after a reboot of the machine a pause that had already passed is observed once more.
         if not boot or boot != self.boot:
             return self.length_us
         return min(self.length_us, max(0, self.until_us - now_us))
@@ -172,7 +175,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Seen:
-    """What an earlier release kept of an endpoint in an outage or of a limit; times by its clock."""
+    """State of an endpoint outage or limit, as saved by an earlier release; times by that release's clock."""
 
     endpoint: str
     cold: bool
@@ -188,7 +191,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Earlier:
-    """What a journal of an earlier release tells of outages, limits and told waits, and when that was."""
+    """Outages, limits and requested pauses in a journal of an earlier release, and when they were saved."""
 
     wall_ms: int = 0
     clock_us: int = 0
@@ -197,96 +200,97 @@
 
 
 class Learning(Protocol):
-    """What is kept of partners beyond a life. What it can't keep it keeps later; it raises nothing."""
+    """Persists what was learned about partners. Failed writes are retried later; no method raises."""
 
     def recall(self, destination: int, entries: tuple[api.Entry, ...]) -> api.Known | None:
-        """What is believed of a destination, whose endpoints are listed like this now."""
+        """Return what is known about a destination, given its current endpoint list."""
 
     def take_over(self, earlier: Earlier, listed: Callable[[str], api.Entry | None]) -> None:
-        """Go on with what an earlier release kept, unless something is known; by what is listed now."""
+        """Import the state of an earlier release, unless newer state exists."""
 
     def observe(self, known: Sequence[api.Known]) -> None:
-        """Keep what was learned of some destinations."""
+        """Save what was learned about some destinations."""
 
     def answered(self, destination: int, took_us: int) -> None:
-        """Count an answer time, which is kept with what is next observed there."""
+        """Count a response time; it is saved with the destination's next observation."""
 
     def reused(self, destination: int, endpoint: str, idle_us: int, reset: bool) -> None:
-        """Count a call on a connection that had idled for so long, and whether it was reset."""
+        """Count a call on a reused connection, its idle time, and whether it was reset."""
 
     def sent(self, tenant: str | None) -> None:
-        """Count a message that a tenant handed in."""
+        """Count a message submitted by a tenant."""
 
     def told(self, wait: Wait) -> None:
-        """Keep a told wait, at once: it binds the next life too."""
+        """Save a requested pause immediately: it also applies after a restart."""
 
     def give_way(self) -> None:
-        """Leave the disk to the journal, which has no room."""
+        """Free disk space for the journal, which has run out of it."""
 
     def work(self) -> int | None:
         """Do a millisecond of what is due: in how many microseconds to be called again, if at all."""
 
 
 class Journal(Protocol):
-    """The durable log. What it can't record raises `OSError` where that must stop what follows."""
+    """The durable log. A failed write raises `OSError` where the operation must not go ahead without it."""
 
     @property
     def held(self) -> dict[str, Held]:
-        """What an earlier life left, until the core has gone on with it."""
+        """Messages recovered at startup, until the core has resumed them."""
 
     @property
     def earlier(self) -> Earlier:
-        """What an earlier release kept here of partners."""
+        """State of partners that an earlier release kept in the journal."""
 
     def knows(self, name: str) -> bool:
-        """Whether a message with that name was taken on, and its time may not be up."""
+        """Whether a message with that name was accepted and may not have reached its deadline."""
 
     def fits(self, size: int) -> bool:
-        """Whether a message with a body of that size can be held."""
+        """Whether there is space for a message with a body of that size."""
 
     def retry_us(self, size: int) -> int:
-        """When a message that does not fit may come again."""
+        """Microseconds after which a message that did not fit may be retried."""
 
     def take(self, message: Message, now_ms: int) -> None:
-        """Record a message before it is answered for; `OSError` where it is not recorded."""
+        """Record a message before its acceptance is confirmed; `OSError` if it was not recorded."""
 
     def reply(self, message: Message) -> None:
-        """Record where a message's end is to be told; `OSError` where it is not recorded."""
+        """Record a message's reply address; `OSError` if it was not recorded."""
 
     def attempt(self, attempt: Attempt, now_ms: int) -> None:
-        """Record an attempt before its first byte goes out; `OSError` where it is not recorded."""
+        """Record an attempt before its first byte is sent; `OSError` if it was not recorded."""
 
     def outcome(self, attempt: Attempt, how: Ending) -> None:
         """Record how an attempt ended."""
 
     def owe(self, message: Message, end: End) -> None:
-        """Record an end that is still to be acknowledged."""
+        """Record an outcome that has yet to be acknowledged."""
 
     def end(self, name: str, until_ms: int, now_ms: int, how: End | None = None) -> None:
-        """Record that nothing more is owed for a message, and how it ended."""
+        """Record that a message is complete, and its outcome."""
 
     def ended(self, name: str) -> End | None:
-        """How a message ended whose name still counts, where that is known."""
+        """The outcome of a completed message whose name is still remembered, if known."""
 
     @property
     def waits(self) -> bool:
-        """Whether what is recorded outlasts what it should only later."""
+        """Whether records become durable only some time after they were written."""
 
     def after(
         self, callback: Callable[[], object], name: str, never: Callable[[], object] | None = None
     ) -> None:
-        """Call back once all that was recorded of a message does; at once where it does already.
+        """Run a callback once all records of a message are durable; synchronously if they already are.
 
-        Where it never will, since another relay goes on with that message, `never` is called if it is given.
+        If they can't become durable because another relay has taken the message over, `never` runs instead.
         """
 
     def refuses(self, message: Message) -> Refusal | None:
-        """Why a message can't be held as it should; None where it can."""
+        """Why a message can't be stored with the configured durability; None if it can."""
 
     def promise(self, message: Message, kept: Callable[[], object], broken: Callable[[bool], object]) -> None:
-        """Call `kept` once a message that was taken outlasts what it should: its client may be told so.
+        """Run `kept` once an accepted message is durable, so that the client can be told.
 
-        Else `broken`, with whether its client may be told that it was not taken on; it is forgotten here.
+        Otherwise run `broken`, with whether the client may be told that the message was not accepted; the
+        journal no longer holds the message then.
         """
 
     def work(self) -> int | None:
@@ -295,10 +299,10 @@
 
 @dataclass(slots=True)
 class News:
-    """Entries of the list, which may be read as they are asked for; each has its address.
+    """An update of the endpoint list, whose entries may be parsed lazily; each has its address.
 
-    `revision`, and whether the list is whole, are known once all entries have been read. Reading them may
-    raise `ValueError`: then nothing of the news counts.
+    `revision` and `whole` (a full list instead of changes) are set once all entries have been read. Reading
+    them may raise `ValueError`; the whole update is then invalid.
     """
 
     entries: Iterable[api.Entry]
--- a/amberlug/core/slices.py
+++ b/amberlug/core/slices.py
@@ -1,4 +1,4 @@
-"""Long work on the event loop, a slice at a time, in the order in which it came."""
+"""Runs long jobs on the event loop in short time slices, first in, first out."""
 
 from __future__ import annotations
 
@@ -6,14 +6,14 @@
 from collections import deque
 from collections.abc import Callable, Iterator
 
-SLICE = 0.003  # seconds that one turn of the loop may take: others wait as long
+SLICE = 0.003  # seconds that one iteration of the loop may take, delaying all other callbacks
 Job = Iterator[None]
 
 
 class Slices:
-    """Runs jobs, each an iterator of short steps; `failed` is told the `ValueError` of one, which ends it.
+    """Runs jobs, each an iterator of short steps; a `ValueError` ends its job and is passed to `failed`.
 
-    What fits into one slice is done before `add` returns, if nothing is waiting.
+    If the queue is empty, `add` runs as much of the job as fits into one slice before it returns.
     """
 
     def __init__(self, failed: Callable[[ValueError], None]) -> None:
@@ -23,13 +23,13 @@
         self._running = False
 
     def add(self, job: Job) -> None:
-        """Run a job after all that came before."""
+        """Enqueue a job."""
         self._jobs.append(job)
         if self._handle is None and not self._running:
             self._work()
 
     def clear(self) -> None:
-        """Drop what has not been done."""
+        """Discard all remaining work."""
         self._jobs.clear()
         if self._handle is not None:
             self._handle.cancel()
--- a/amberlug/core/timers.py
+++ b/amberlug/core/timers.py
@@ -1,4 +1,4 @@
-"""The module's timers: one wake-up of the loop for the first of them that has something to tell."""
+"""Timers of the delivery policy, multiplexed onto one event loop timer."""
 
 from __future__ import annotations
 
@@ -9,21 +9,21 @@
 
 
 class Timers:
-    """A heap of labels; `stale` tells of one that it has nothing left to tell, `due` is told the others."""
+    """A heap of labelled timers; `due` is called for expired labels that `stale` does not report obsolete."""
 
     def __init__(self, clock: Clock, stale: Callable[[int], bool], due: Callable[[int], None]) -> None:
         self._clock, self._stale, self._tell = clock, stale, due
-        self._heap: list[tuple[int, int]] = []  # when each is due, and its label
+        self._heap: list[tuple[int, int]] = []  # due time and label
         self._handle: Handle | None = None
-        self._at_us = 0  # when that one is due
+        self._at_us = 0  # due time of `_handle`
 
     def set(self, at_us: int, label: int) -> None:
-        """Have a label told at a time; `wind` has to follow."""
+        """Add a timer; the caller must call `wind` afterwards."""
         heapq.heappush(self._heap, (at_us, label))
 
     def wind(self) -> None:
-        """Have the loop wake for the first timer that has something to tell."""
-        # Guards against a wake-up and a round for each message that has ended before its time, as most do.
+        """Schedule the event loop timer for the earliest timer that is not obsolete."""
+        # Most messages end before their timers expire; skipping those saves a wake-up and a round for each.
         while self._heap and self._stale(self._heap[0][1]):
             heapq.heappop(self._heap)
         due_us = self._heap[0][0] if self._heap else 0
@@ -34,7 +34,7 @@
             self._handle, self._at_us = self._clock.at(due_us, self._due), due_us
 
     def stop(self) -> None:
-        """Wake the loop no more."""
+        """Cancel the event loop timer."""
         if self._handle is not None:
             self._handle.cancel()
 
--- a/amberlug/core/usual.py
+++ b/amberlug/core/usual.py
@@ -1,4 +1,4 @@
-"""Settings with usual values, for whoever has no platform to be told them by."""
+"""Default settings, for use without a platform that provides them."""
 
 from __future__ import annotations
 
@@ -20,19 +20,19 @@
     key_life: float = 0.0,
     keep_order: bool = False,
 ) -> MessageClass:
-    """Describe a class of message; times in seconds.
+    """Describe a message class; times in seconds.
 
-    It is worth `worth` when delivered within `wanted`, then less and less, down to `late_worth` of that at
-    the `deadline`. A keyed class tells for how long destinations remember a key. `ValueError` where it is
-    senseless.
+    A message is worth `worth` if delivered within `wanted`; its worth then falls to the fraction `late_worth`
+    of that at the `deadline`. `key_life` is how long destinations remember the idempotency key of a keyed
+    class. Raises `ValueError` for inconsistent arguments.
     """
     wanted = deadline if wanted is None else wanted
     if not 0 <= wanted <= deadline or deadline <= 0:
-        raise ValueError(f"class {name!r}: wanted within {wanted} s and deadline {deadline} s don't fit")
+        raise ValueError(f"class {name!r}: wanted {wanted} s is not between 0 and the deadline {deadline} s")
     if effect is Effect.KEYED and key_life <= 0:
-        raise ValueError(f"class {name!r}: a keyed class needs the life of a key")
+        raise ValueError(f"class {name!r}: a keyed class needs a positive key_life")
     if worth < 0 or not 0 <= late_worth <= 1:
-        raise ValueError(f"class {name!r}: worth is out of range")
+        raise ValueError(f"class {name!r}: worth or late_worth is out of range")
     return MessageClass(
         name,
         effect,
@@ -58,10 +58,11 @@
     idle: float = 10.0,
     rates_listed: bool = True,
 ) -> Settings:
-    """Make settings with usual values; `slots` calls are out at once, `max_open` messages held at most.
+    """Create settings with default values.
 
-    `relays` is how many relays share the destinations, `dial` how many seconds a connection may take to come
-    up, `idle` after how many seconds an endpoint may close one that idles.
+    `slots` is the number of concurrent calls, `max_open` the maximum number of held messages, `relays` the
+    number of relays that share the destinations, `dial` the connect timeout in seconds, and `idle` the
+    seconds after which an endpoint may close an idle connection.
     """
     if not classes or min(relays, slots, max_open, most_attempts) < 1 or min(dial, idle) <= 0:
         raise ValueError("settings are out of range")
@@ -99,5 +100,5 @@
         overload_factor=2.5,
         overload_us=2 * SECOND,
         key_quiet_us=0,
-        granularity_us=0,  # a round comes with the loop's next turn: each wait for one is a wake-up
+        granularity_us=0,  # run a round in the loop's next iteration: waiting for one costs an extra wake-up
     )
