--- a/amberlug/core/node.py
+++ b/amberlug/core/node.py
@@ -219,8 +219,8 @@
     def listing(self, news: News) -> Iterator[None]:
         """Apply an endpoint list update in steps of a millisecond or two.
 
-        The whole update is read and compared with the current list before anything is applied; drained
-        endpoints come first.
+        The whole update is read and compared with the current list before anything is applied. Drains are
+        applied first and removals last.
         """
         comparison = Comparison(self._sender.members)
         yield
--- a/tests/faulty.py
+++ b/tests/faulty.py
@@ -1,4 +1,4 @@
-"""A disk in memory that counts its operations, and dies or fails at a chosen one."""
+"""An in-memory disk for fault injection: it crashes or fails at a chosen operation."""
 
 from __future__ import annotations
 
@@ -10,28 +10,28 @@
 
 
 class DiedError(BaseException):
-    """The process has ended here; nothing may catch it."""
+    """A simulated process crash. Derived from BaseException so that tested code doesn't catch it."""
 
 
 class FaultyDisk:
-    """Files as bytes. `dies_at` ends the process at that operation, of which half may have been done."""
+    """Files in memory. The process crashes at writing operation `dies_at`, before or halfway through it."""
 
     def __init__(self, files: dict[str, bytes] | None = None) -> None:
         self.contents = {name: bytearray(data) for name, data in (files or {}).items()}
         self.operations = 0
         self.dies_at = 0
-        self.torn = False  # the operation at which it dies is half done
-        self.fails: OSError | None = None  # what each writing operation raises
-        self.short = False  # a write that fails has written half
+        self.torn = False  # the operation that crashes is half done
+        self.fails: OSError | None = None  # error raised by each writing operation
+        self.short = False  # the next failing write writes half of its data
         self.synced: dict[str, int] = {name: len(data) for name, data in self.contents.items()}
-        self.lasting = set(self.contents)  # names that a power cut leaves
-        self.gone: dict[str, bytearray] = {}  # removed, and a power cut may bring them back
-        self.dropped: dict[str, int] = {}  # files of which a failed sync dropped what was not synced
+        self.lasting = set(self.contents)  # directory entries that survive a power failure
+        self.gone: dict[str, bytearray] = {}  # removed files that a power failure may restore
+        self.dropped: dict[str, int] = {}  # files whose unsynced data a failed sync discarded
         self.sync_fails: OSError | None = None
-        self.most = 0  # the most room that was ever taken, in whole blocks
+        self.most = 0  # peak disk usage, in whole blocks
 
     def _counts(self) -> bool:
-        """Count a writing operation; whether the process dies in it."""
+        """Count a writing operation; return whether the process crashes in it."""
         self.operations += 1
         return self.operations == self.dies_at
 
@@ -92,7 +92,7 @@
             if self._counts():
                 raise DiedError
             if self.sync_fails is not None:
-                for name in names:  # what was written since the last good one may be dropped
+                for name in names:  # data written since the last successful sync may be lost
                     self.dropped[name] = self.synced.get(name, 0)
                 raise self.sync_fails
             for name in names:
@@ -108,11 +108,11 @@
         pass
 
     def after_death(self) -> FaultyDisk:
-        """What the next process finds."""
+        """Return the disk as the next process finds it."""
         return FaultyDisk({name: bytes(data) for name, data in self.contents.items()})
 
     def after_power_cut(self, chance: random.Random | None) -> FaultyDisk:
-        """What is left: what was synced, and with `chance` some blocks of the rest, in no order."""
+        """Return what survives: synced data and, with `chance`, some random blocks of the unsynced data."""
         left: dict[str, bytes] = {}
         for name, data in {**self.gone, **self.contents}.items():
             lasts = name in self.lasting or (chance is not None and chance.random() < 0.5)
--- a/tests/test_journal.py
+++ b/tests/test_journal.py
@@ -1,4 +1,4 @@
-"""The journal: crashes at every step, disks that fill or fail, damage, compaction in slices, old folders."""
+"""The journal: crashes at every step, power failures, disk faults, damage, compaction, migration."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 NOW = 1_000_000_000_000
 LONG = NOW + 3_600_000
 ROOM = 200_000
-EVENING_BODY = 1500  # bytes of a body in `evening`
+EVENING_BODY = 1500  # body size in `evening`, in bytes
 
 
 def opened(disk: FaultyDisk, most: int = ROOM, now_ms: int = NOW) -> Journal:
@@ -43,12 +43,12 @@
     return Attempt(of, number, "e", 0, 1)
 
 
-# What every reading must find.
+# Invariants checked after every recovery.
 
 
 @dataclass
 class Truth:
-    """What was promised of one message, as whoever was told remembers it."""
+    """The expected state of one message: what the journal's callers were promised."""
 
     message: Message
     attempts: dict[int, Result | None] = field(default_factory=dict)
@@ -58,11 +58,11 @@
 
 @dataclass
 class World:
-    """A journal in use, with what it has promised so far. Each step is one call of the core's."""
+    """A journal under test with the promises it has made. Each method makes one call that the core makes."""
 
     journal: Journal
     truths: dict[str, Truth] = field(default_factory=dict)
-    now: str = ""  # the message whose step is under way: it may be found before or after it
+    now: str = ""  # the message of the current step, which may be recovered in the state before or after it
 
     def take(self, name: str, size: int = 5) -> None:
         self.now, one = name, message(name, size)
@@ -76,7 +76,7 @@
         number = len(truth.attempts)
         try:
             self.journal.attempt(attempt(truth.message, number), NOW)
-        except OSError as error:  # then it is not made
+        except OSError as error:  # the attempt is not made then
             if error.errno != errno.ENOSPC:
                 raise
             return
@@ -99,7 +99,7 @@
         self.journal.end(name, truth.message.deadline_ms, NOW, truth.owed or End(name, Outcome.DELIVERED))
 
     def reply(self, name: str, reply: bytes) -> None:
-        """Have the end told at another place from now on."""
+        """Change the reply address."""
         self.now, one = name, self.truths[name].message
         if not self.journal.fits(len(reply)):
             return
@@ -111,7 +111,7 @@
         self.journal.work()
 
     def check(self, found: Journal) -> None:
-        """Nothing that was promised is forgotten, and nothing was made up."""
+        """Check that everything promised was recovered and nothing else."""
         for name, truth in self.truths.items():
             self._check_one(name, truth, found)
         assert set(found.held) <= {*self.truths, self.now}
@@ -119,7 +119,7 @@
 
     def _check_one(self, name: str, truth: Truth, found: Journal) -> None:
         one, known, crossing = found.held.get(name), found.knows(name), name == self.now
-        assert known  # never taken twice
+        assert known  # otherwise it could be accepted twice
         if truth.over:
             assert one is None or crossing
             if one is None:
@@ -137,7 +137,7 @@
             promised = truth.message.replies, truth.message.noticed, truth.message.reply
             assert told == promised or crossing
             tried = {number: it.result for number, it in one.tried.items()}
-            # An attempt that was told to leave is there; one that was under way may be, with no outcome.
+            # A confirmed attempt is recovered; one being recorded at the crash may be, without a result.
             for number, result in truth.attempts.items():
                 assert number in tried
                 assert tried[number] is result or crossing
@@ -146,7 +146,7 @@
 
 
 def evening(world: World) -> None:
-    """All classes of records while segments are compacted."""
+    """Write all kinds of records while segments are compacted."""
     world.take("held", EVENING_BODY)
     world.attempt("held")
     for count in range(14):
@@ -185,7 +185,7 @@
 
 @pytest.fixture
 def tight(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Segments of a few records, compacted early."""
+    """Use small segments of a few records that are compacted early."""
     monkeypatch.setattr(room, "SMALL", 8_000)
     monkeypatch.setattr(room, "LEAST_SEGMENT", 4_000)
 
@@ -194,7 +194,7 @@
 
 
 def play(disk: FaultyDisk, steps: Callable[[World], None], world: World | None = None) -> World | None:
-    """Play a workload until the process dies; None where it did not."""
+    """Run a workload until the process crashes; None if it did not."""
     try:
         if world is None:
             world = World(opened(disk, SMALL_ROOM))
@@ -218,10 +218,10 @@
         compacted += rec.file_name(1) not in disk.contents
         next_life = disk.after_death()
         world.check(opened(next_life, SMALL_ROOM))
-        # And again over what that life wrote at its start.
+        # And once more, with what that recovery itself wrote.
         world.check(opened(next_life.after_death(), SMALL_ROOM))
     assert at > 100
-    assert compacted > 20  # many of the deaths came while segments went
+    assert compacted > 20  # many crashes came during compaction
 
 
 def test_a_crash_in_the_recovery_forgets_nothing(tight: None) -> None:
@@ -275,7 +275,7 @@
         disk = disk.after_death()
         found = opened(disk.after_death(), SMALL_ROOM)
         world.check(found)
-        # What was under way at the death is as it was found, from now on.
+        # The recovered state of the interrupted step is expected from now on.
         settle(world, found)
 
 
@@ -292,11 +292,11 @@
     world.now = ""
 
 
-# Power cuts: what was told must outlast what was not synced.
+# Power failures: whatever was confirmed must survive the loss of all unsynced data.
 
 
 class HandSyncer:
-    """Runs syncs when the test says so."""
+    """A syncer whose jobs the test runs explicitly."""
 
     def __init__(self) -> None:
         self.jobs: list[tuple[Callable[[], None], Callable[[OSError | None], None]]] = []
@@ -319,7 +319,7 @@
 
 
 class Told:
-    """A journal whose syncs come late, and what has been told to anybody so far."""
+    """A journal with delayed syncs, and everything that it has confirmed so far."""
 
     def __init__(self, disk: FaultyDisk) -> None:
         self.now = [NOW * 1000]
@@ -461,7 +461,7 @@
 
 
 def test_a_sync_that_ends_after_the_close_writes_nothing() -> None:
-    """The folder may be another relay's by then."""
+    """The folder may belong to another relay by then."""
     disk = FaultyDisk()
     told = Told(disk)
     told.take("a")
@@ -483,7 +483,7 @@
     now[0] = 1_000_000
     assert journal.work() is None
     syncer.run()
-    assert journal.work() is None  # and none follows without a write
+    assert journal.work() is None  # no further sync without a write
     assert list(opened(disk.after_power_cut(None)).held) == ["a"]
 
 
@@ -503,7 +503,7 @@
         world.journal.take(message("refused"), NOW)
     with pytest.raises(OSError, match="no"):
         world.journal.attempt(attempt(world.truths["a"].message, 1), NOW)
-    world.outcome("a", Result.ERROR)  # what has happened anyway is kept, and written later
+    world.outcome("a", Result.ERROR)  # records of past events are kept and written later
     world.owe("b", Outcome.GIVEN_UP)
     world.end("c")
     world.journal.work()
@@ -523,7 +523,7 @@
     held = len(world.truths)
     assert 5 < held < 30
     assert disk.most <= SMALL_ROOM
-    for name in list(world.truths):  # ends and outcomes fit all the same
+    for name in list(world.truths):  # there is still space for results and outcomes
         world.attempt(name)
         world.outcome(name, Result.ERROR)
     world.check(opened(disk.after_death(), SMALL_ROOM))
@@ -559,7 +559,7 @@
         world.take(name, 300)
     world.attempt("b")
     change(disk.contents[disk.segments()[0]])
-    world.take("e")  # the segment goes on behind the damage
+    world.take("e")  # the segment continues after the damage
     return opened(disk.after_death()), world
 
 
@@ -577,7 +577,7 @@
     (damage,) = found.damage
     assert damage.segment == 1
     assert f"segment 1 offset {damage.offset}: {damage.size} bytes unreadable: skipped" in caplog.text
-    # The one whose body is lost is given up; an older one may have had an attempt that was lost.
+    # The message whose body is lost is given up; an attempt of an older one may have been lost.
     assert found.held["b"].end == End("b", Outcome.GIVEN_UP)
     assert [it.result for it in found.held["a"].tried.values()] == [None]
     assert {"c", "d", "e"} <= set(found.held)
@@ -592,7 +592,7 @@
     data = disk.contents[disk.segments()[0]]
     first = rec.HEAD_SIZE
     size = rec.size_at(bytes(data), first)
-    data[first + size : first + 2 * size] = data[first : first + size]  # the first record, at a second place
+    data[first + size : first + 2 * size] = data[first : first + size]  # the first record again
     found = opened(disk.after_death())
     assert list(found.held) == ["a"]
     assert found.damage != []
@@ -614,7 +614,7 @@
     found = opened(disk.after_death(), 10**6)
     assert "missing" in str(found.damage[0])
     assert found.held["m0"].tried[max(found.held["m0"].tried)].result is None
-    assert len(found.held["m0"].tried) == 2  # the one that is known, and the one that can't be
+    assert len(found.held["m0"].tried) == 2  # the recorded one, and one assumed lost
 
 
 def test_a_doubled_segment_is_told_and_passed_over() -> None:
@@ -661,7 +661,7 @@
 
 
 def test_a_slice_stops_when_its_time_is_up() -> None:
-    disk, ticks = FaultyDisk(), itertools.count(0, 100)  # each look at the clock takes 100 us
+    disk, ticks = FaultyDisk(), itertools.count(0, 100)  # each reading of the clock advances it by 100 us
     journal = Journal(disk, 16_000_000, NOW, lambda: next(ticks))
     for count in range(2000):
         one = message(f"m{count}", 3000, until_ms=NOW)
@@ -672,7 +672,7 @@
     assert journal.work() == room.SLICE_US
     assert next(ticks) - before < 2 * room.SLICE_US
     looks = room.SLICE_US // 100
-    assert disk.operations - operations < 2 * looks + 4  # a read and a write for each look
+    assert disk.operations - operations < 2 * looks + 4  # a read and a write for each clock reading
     slices = sum(1 for _ in iter(journal.work, None))
     assert slices > 4
 
@@ -701,7 +701,7 @@
     journal.take(message("b", until_ms=NOW + 8000), NOW)
     journal.end("a", NOW + 8000, NOW)
     now[0] = 7_000_000
-    assert journal.knows("a")  # whatever the wall's clock says by now
+    assert journal.knows("a")  # whatever the wall clock says by now
     there = NOW + hours * 3_600_000
     found = Journal(disk.after_death(), ROOM, there, lambda: now[0])
     assert found.held["b"].left_ms(there) <= 8000
@@ -709,14 +709,14 @@
     assert not found.knows("a")
 
 
-# Old folders.
+# Journals of earlier releases.
 
 
 def test_a_folder_of_the_last_release_is_read_and_carried_over(tmp_path: Path) -> None:
-    """The file was written by 0.1.0."""
+    """The file was written by release 0.1.0."""
     old = Path(__file__).parent / "data" / "journal-0.1.0.log"
     (tmp_path / "journal.log").write_bytes(old.read_bytes())
-    for _ in range(2):  # as it was, and as it was carried over
+    for _ in range(2):  # the original file, then the migrated one
         journal = Journal(FolderDisk(tmp_path), ROOM, 0, lambda: 1)
         held = journal.held
         assert set(held) == {"never-sent", "may-have-run", "refused-before", "given-up"}
@@ -745,13 +745,13 @@
     disk, now = FaultyDisk(), [0]
 
     def slow() -> int:
-        now[0] += room.SLICE_US  # each slice is over after its first look
+        now[0] += room.SLICE_US  # each slice ends at its first clock reading
         return now[0]
 
     journal = Journal(disk, SMALL_ROOM, NOW, slow)
     names = itertools.count()
     refused = 0
-    for _ in range(300):  # several a slice
+    for _ in range(300):  # several messages per slice
         for _ in range(4):
             if not journal.fits(1500):
                 refused += 1
@@ -783,7 +783,7 @@
 
 def test_power_cuts_in_the_recovery_from_one_take_back_nothing(tight: None) -> None:
     whole = FaultyDisk()
-    whole.dies_at = 160  # in the midst, with syncs under way and segments going
+    whole.dies_at = 160  # in the middle, during syncs and compaction
     told = Told(whole)
     with contextlib.suppress(DiedError):
         friday(told)
--- a/tests/test_journal_process.py
+++ b/tests/test_journal_process.py
@@ -1,4 +1,4 @@
-"""The real program and its journal: killed while it compacts, short of room, under a limit on file sizes."""
+"""The journal in a real process: kills during compaction, a full folder, a file size limit."""
 
 import asyncio
 import contextlib
@@ -31,13 +31,13 @@
 def used(folder: Path) -> int:
     total = 0
     for path in folder.iterdir():
-        with contextlib.suppress(FileNotFoundError):  # compacted away meanwhile
+        with contextlib.suppress(FileNotFoundError):  # deleted by compaction meanwhile
             total += -(-path.stat().st_size // 512) * 512
     return total
 
 
 async def all_ended(names: set[str], endpoint: StandIn, platform: Platform) -> None:
-    """Wait until each message was delivered or told to be over."""
+    """Wait until each message was delivered or its outcome was reported."""
     async with asyncio.timeout(PATIENCE):
         while not names <= {it["message"] for it in platform.notices} | {seen.name for seen in endpoint.seen}:
             await asyncio.sleep(0.01)
@@ -58,7 +58,7 @@
                 if await give(relay, name, "unsafe") == 202:
                     taken.add(name)
                 assert used(tmp_path / "state") <= 300_000
-            await relay.kill()  # at whatever it is doing
+            await relay.kill()  # at an arbitrary moment
             await relay.start()
         assert not (tmp_path / "state" / "segment-000000000001.log").exists()
         assert len(taken) > 60
@@ -76,16 +76,16 @@
         endpoint, platform = await StandIn(OK).start(), Platform()
         await platform.start()
         relay = started(tmp_path, platform, endpoint, 3.0)
-        relay.blocks = 32  # 16 KiB, where a segment would have 168
+        relay.blocks = 32  # 16 KiB; a segment would have 168 KiB
         await relay.start()
         for count in range(20):
             assert await give(relay, f"m{count}", "unsafe") == 202
-        called = [seen.name for seen in await endpoint.requests(20)]  # in no order: a dial may take longer
+        called = [seen.name for seen in await endpoint.requests(20)]  # in any order: dialling times vary
         assert sorted(called) == sorted(f"m{count}" for count in range(20))
-        assert await give(relay, "large", "unsafe", b"x" * 30_000) == 429  # it fits into no file
+        assert await give(relay, "large", "unsafe", b"x" * 30_000) == 429  # larger than any file may be
         await relay.kill()
         await relay.start()
-        assert await give(relay, "m3", "unsafe") == 202  # known, and not taken twice
+        assert await give(relay, "m3", "unsafe") == 202  # a duplicate, not accepted twice
         assert await give(relay, "next", "unsafe") == 202
         await endpoint.requests(21)
         assert len(endpoint.seen) == 21
--- a/tests/test_listing.py
+++ b/tests/test_listing.py
@@ -1,4 +1,4 @@
-"""Lists of endpoints: read a member at a time, compared, and applied in slices with drains first."""
+"""Endpoint lists: incremental parsing, comparison, and application in slices with drains first."""
 
 import asyncio
 import json
@@ -59,7 +59,7 @@
         data, news = json.loads(text), read_line(text.encode(), KINDS)
         for one, other in zip(news.entries, read_news(data, KINDS).entries, strict=True):
             assert (one.endpoint, one.state) == (other.endpoint, other.state)
-            assert one == other or one.state is State.GONE  # of which only the name counts
+            assert one == other or one.state is State.GONE  # only the name matters then
         assert (news.revision, news.whole) == (data["revision"], data["complete"])
 
 
@@ -123,7 +123,7 @@
     news = read_news(data["known"], KINDS)
     assert list(news.entries) == list(read_line(text.encode(), KINDS).entries)
     assert (news.revision, news.whole) == (9, True)
-    assert list(news.entries) == []  # let go of as it was read
+    assert list(news.entries) == []  # released while it was read
     assert read_beside(iter([b" {", b" } "]), "known") == {}
     assert read_beside(iter([b'{"known": 3}']), "known") == {"known": 3}
 
@@ -138,7 +138,7 @@
     news = read_line(text, KINDS)
     assert list(news.entries) == expected
     assert (news.revision, news.whole) == (whole.revision, whole.whole) == (1234, True)
-    for broken in (it for it in BROKEN[:-1] if "ud800" not in it):  # such an id is found out as it is kept
+    for broken in (it for it in BROKEN[:-1] if "ud800" not in it):  # such an ID fails only when it is stored
         with pytest.raises(ValueError, match="."):
             list(read_line(broken.encode(), KINDS).entries)
 
@@ -231,7 +231,7 @@
     assert set(members) == wanted
     assert all(members.get(name) == entry for name, entry in told.items() if name in wanted)
     rank = {State.DRAINING: 0, State.IN: 1, State.GONE: 2}
-    assert order == sorted(order, key=rank.__getitem__)  # what takes away comes first
+    assert order == sorted(order, key=rank.__getitem__)  # drains first, removals last
 
 
 def test_members_forget_destinations_that_nobody_serves() -> None:
@@ -256,7 +256,7 @@
         assert sum(1 for _ in node.listing(read_line(line(*many).encode(), KINDS))) >= 40
         assert sum(1 for _ in node.listing(read_line(line(item(3), complete=False).encode(), KINDS))) == 3
         again = list(node.listing(read_line(line(*many).encode(), KINDS)))
-        assert len(again) == 23  # all is compared, nothing applied
+        assert len(again) == 23  # everything is compared, nothing applied
 
     asyncio.run(scenario())
 
@@ -317,7 +317,7 @@
 
         loop = asyncio.get_running_loop()
         slices.add(job(0, 0))
-        assert done == [0]  # what is short is done at once
+        assert done == [0]  # a short job is completed synchronously
         loop.call_soon(turn)
         slices.add(job(1, 30))
         slices.add(bad())
@@ -331,11 +331,11 @@
 
 
 class _Reading:
-    """A watch that is fed by hand."""
+    """A discovery watch whose input the test supplies."""
 
     def __init__(self) -> None:
         self.told: list[list[api.Entry]] = []
-        self.confirmed: list[int] = []  # how much was told, each time that the list was called the newest
+        self.confirmed: list[int] = []  # number of updates so far, at each confirmation of the list
         self.watch = Watch(("127.0.0.1", 1), KINDS, 0, self._listing, Pauses(1, 2.0), self._current)
 
     def _listing(self, news: News) -> Any:
@@ -346,7 +346,7 @@
         self.confirmed.append(len(self.told))
 
     async def take(self, data: bytes) -> None:
-        """Read a part to its end: on a busy machine more than a slice's time may pass in one."""
+        """Feed data and wait until it is processed, which can take several slices on a busy machine."""
         self.watch._data(data)
         while self.watch._slices._jobs:
             await asyncio.sleep(0)
@@ -382,7 +382,7 @@
         it = _Reading()
         loop = asyncio.get_running_loop()
         it.watch._asked = loop.time()
-        await it.take(b"\n")  # what has changed may stand behind it
+        await it.take(b"\n")  # changes may still follow
         assert it.confirmed == []
         it.watch._asked = loop.time() - SETTLED
         await it.take(b"\n")
--- a/tests/test_restart.py
+++ b/tests/test_restart.py
@@ -1,4 +1,4 @@
-"""What outlasts the relay's process: kill -9 and replay, SIGTERM, the journal's file."""
+"""Restarts of the relay process: recovery after SIGKILL, graceful shutdown on SIGTERM."""
 
 import asyncio
 import os
@@ -73,7 +73,7 @@
 
 
 async def heard(folder: Path, name: str) -> None:
-    """Wait until the journal tells how a message's first attempt ended."""
+    """Wait until the journal holds the result of a message's first attempt."""
     async with asyncio.timeout(PATIENCE):
         while True:
             found = read_folder(FolderDisk(folder, writable=False))
@@ -97,7 +97,7 @@
             await relay.hand_in("m2")
             first, second, *_ = await endpoint.requests(2)
             assert second.at > max(began, first.at) + 1.5
-            assert second.at < began + 1.5 + PATIENCE / 4  # soon after
+            assert second.at < began + 1.5 + PATIENCE / 4  # not much later
 
     run(scenario())
 
@@ -107,7 +107,7 @@
         endpoint = StandIn(OK, (429, [("Wait-Ms", "900")], b""), None)
         async with world(tmp_path, endpoint) as (relay, _):
             await relay.hand_in("m1")
-            await endpoint.requests(2)  # the second call is out
+            await endpoint.requests(2)  # the second call is in progress
             await relay.kill()
             killed = time.monotonic()
             await relay.start()
@@ -118,7 +118,7 @@
 
 def test_a_kill_while_generations_change_leaves_one_that_is_believed(tmp_path: Path) -> None:
     async def scenario() -> None:
-        endpoint = StandIn((200, [("Wait-Ms", "1")], b""))  # each is a record
+        endpoint = StandIn((200, [("Wait-Ms", "1")], b""))  # each one writes a record
         state = tmp_path / "state"
         async with world(tmp_path, endpoint, limits={"disk_mb": 0.1}) as (relay, _):
             numbers = set()
@@ -131,7 +131,7 @@
                 learner = Learner(Store(ReadOnlyDisk(state), 10**6, now.now_us), now)
                 assert learner.refused == []
                 await relay.start()
-            assert len(numbers) >= 5  # many generations were made
+            assert len(numbers) >= 5  # many generations were written
 
     run(scenario())
 
@@ -161,7 +161,7 @@
             (out,) = await endpoint.requests(1)
             await relay.hand_in("m2", "unsafe")
             relay.signal(signal.SIGTERM)
-            # What loses most of its worth in a restart is handed back when the relay closes.
+            # Messages that would lose most of their worth during a restart are handed back at shutdown.
             assert [it["outcome"] for it in await platform.noticed()] == ["handed_back"]
             late = await link.request(
                 "POST",
