--- a/amberlug/copies/store.py
+++ b/amberlug/copies/store.py
@@ -71,15 +71,15 @@
     def _read(self, number: int, name: str) -> None:
         size = self._disk.files()[name]
         data = self._disk.read(name, 0, size)
-        head = it.read_head(data)
+        head = it.read_segment_header(data)
         self._number = max(self._number, number)
         if head is None:
-            if size >= it.HEAD_SIZE:
+            if size >= it.HEADER_SIZE:
                 raise DamagedError(f"{name}: its head can't be read")
             return
-        for record in it.records(data, head.folder, number, size):
-            if isinstance(record, it.Hole):
-                if it.is_torn(data, record):
+        for record in it.read_records(data, head.folder, number, size):
+            if isinstance(record, it.UnreadableRange):
+                if it.is_torn_record(data, record):
                     return
                 raise DamagedError(f"{name}: {record.size} bytes at {record.offset} can't be read")
             try:
@@ -171,7 +171,7 @@
         self._number += 1
         self._size = 0
         self._disk.create(self._file)
-        head = it.Head(0, self._number, self._number, 0, 0).encode()
+        head = it.SegmentHeader(0, self._number, self._number, 0, 0).encode()
         self._disk.append(self._file, head)
         self._size = len(head)
         self._scrubbed = 0
@@ -227,14 +227,14 @@
         """Read some of the file again: whether it still says what was written."""
         # Guards against a bit that has flipped since: memory still has it, and it is written once more.
         size = self._size
-        data = self._disk.read(self._file, 0, it.HEAD_SIZE)
-        if it.read_head(data) is None:
+        data = self._disk.read(self._file, 0, it.HEADER_SIZE)
+        if it.read_segment_header(data) is None:
             return False
-        at = max(self._scrubbed, it.HEAD_SIZE)
+        at = max(self._scrubbed, it.HEADER_SIZE)
         data = self._disk.read(self._file, at, min(size - at, 2 * SCRUB))
         seen = 0
         while seen < len(data):
-            claimed = it.size_at(data, seen)
+            claimed = it.stated_record_size(data, seen)
             if claimed and seen + claimed > len(data) and at + len(data) < size:
                 break
             if it.record_at(data, seen, 0, self._number, at) is None:
--- a/amberlug/core/journal/log.py
+++ b/amberlug/core/journal/log.py
@@ -12,8 +12,7 @@
 from json.encoder import encode_basestring_ascii
 from typing import NamedTuple
 
-from amberlug.core.journal import legacy
-from amberlug.core.journal import records as it
+from amberlug.core.journal import legacy, records
 from amberlug.core.journal.disk import Disk
 from amberlug.core.journal.recovery import (
     ATTEMPT,
@@ -153,19 +152,21 @@
         for name, until_ms in ended.items():
             until_us = self._clock_us() + max(0, until_ms - now_ms) * 1000
             self._ended[name] = _Ended(until_us, until_ms, now_ms)
-            self._write(it.ENDED, name, ENDED.pack(until_ms, now_ms))
+            self._write(records.ENDED, name, ENDED.pack(until_ms, now_ms))
 
     def _carry(self, one: Held) -> None:
         message = one.message
         if one.end is not None:
             self._owe(message, one.end)
             return
-        self._write(it.TAKEN, message.name, self._take_record(message, one.taken_ms))
+        self._write(records.TAKEN, message.name, self._take_record(message, one.taken_ms))
         for number, tried in one.tried.items():
-            self._write(it.ATTEMPT, message.name, ATTEMPT.pack(number, tried.at_ms) + tried.endpoint.encode())
+            self._write(
+                records.ATTEMPT, message.name, ATTEMPT.pack(number, tried.at_ms) + tried.endpoint.encode()
+            )
             if tried.result is not None:
                 result = tried.result.value.encode()
-                self._write(it.OUTCOME, message.name, OUTCOME.pack(number) + result)
+                self._write(records.OUTCOME, message.name, OUTCOME.pack(number) + result)
 
     def close(self) -> None:
         """Close the files; nothing is written afterwards."""
@@ -230,42 +231,42 @@
         return self._room.retry_us(self._use, size)
 
     def take(self, message: Message, now_ms: int) -> None:
-        self._write(it.TAKEN, message.name, self._take_record(message, now_ms))
+        self._write(records.TAKEN, message.name, self._take_record(message, now_ms))
 
     def reply(self, message: Message) -> None:
         if not self.fits(len(message.reply)):  # must not use the space reserved for held messages
             raise OSError(errno.ENOSPC, "no room in the journal")
-        self._write(it.REPLY, message.name, _reply_record(message))
+        self._write(records.REPLY, message.name, _reply_record(message))
 
     def _take_record(self, message: Message, now_ms: int) -> bytes:
         self._order += 1
-        head = TAKE.pack(self._order, now_ms, max(0, message.deadline_ms), message.destination)
+        header = TAKE.pack(self._order, now_ms, max(0, message.deadline_ms), message.destination)
         fields = f"[{_text(message.message_class)},{_text(message.tenant)},{_text(message.key)}"
         if message.replies:
             told = message.replies, message.noticed, message.reply.decode("latin-1")
             fields += f",{_encode(told)}"
-        return head + fields.encode() + b"]\n" + message.body
+        return header + fields.encode() + b"]\n" + message.body
 
     def attempt(self, attempt: Attempt, now_ms: int) -> None:
         rest = ATTEMPT.pack(attempt.number, now_ms) + attempt.endpoint.encode()
-        self._write(it.ATTEMPT, attempt.message.name, rest)
+        self._write(records.ATTEMPT, attempt.message.name, rest)
 
     def outcome(self, attempt: Attempt, how: Ending) -> None:
         rest = OUTCOME.pack(attempt.number) + how.result.value.encode()
-        self._note(it.OUTCOME, attempt.message.name, rest)
+        self._note(records.OUTCOME, attempt.message.name, rest)
 
     def owe(self, message: Message, end: End) -> None:
         try:
             self._owe(message, end)
         except OSError as error:
-            self._too_late(error, it.OWED, message.name, self._owed_record(message, end))
+            self._too_late(error, records.OWED, message.name, self._owed_record(message, end))
 
     def _owe(self, message: Message, end: End) -> None:
         self._forget(message.name)
         self._owed.add(message.name)
         self._live[message.name] = ()
         self._use.held += 1
-        self._write(it.OWED, message.name, self._owed_record(message, end))
+        self._write(records.OWED, message.name, self._owed_record(message, end))
 
     def _owed_record(self, message: Message, end: End) -> bytes:
         record = OWED.pack(OUTCOMES.index(end.outcome), end.retry_ms, max(0, message.deadline_ms))
@@ -276,7 +277,7 @@
         now_us, until_ms = self._clock_us(), max(0, until_ms)
         ended = _Ended(now_us + max(0, until_ms - now_ms) * 1000, until_ms, now_ms, how)
         self._ended[name] = ended
-        self._note(it.ENDED, name, _ended_record(ended))
+        self._note(records.ENDED, name, _ended_record(ended))
         self._forget_names(now_us)
 
     def _forget_names(self, now_us: int) -> None:
@@ -313,7 +314,7 @@
         """Write the records that could not be written before."""
         while self._late:
             kind, name, rest = self._late[0]
-            if kind == it.ENDED or name in self._live:
+            if kind == records.ENDED or name in self._live:
                 self._append(kind, name, rest)
             self._late.popleft()
             if not self._late:
@@ -326,9 +327,9 @@
 
     def _append(self, kind: bytes, name: str, rest: bytes) -> None:
         """Write one record, completely or not at all."""
-        size = it.RECORD_SIZE + len(name) + len(rest)
+        size = records.RECORD_HEADER_SIZE + len(name) + len(rest)
         segment = self._active
-        if segment is None or (segment.size > it.HEAD_SIZE and self._room.rolls(segment.size, size)):
+        if segment is None or (segment.size > records.HEADER_SIZE and self._room.rolls(segment.size, size)):
             segment = self._roll()
         if not self._room.fits(self._use, size):
             raise OSError(errno.ENOSPC, "no room in the journal")
@@ -336,7 +337,7 @@
             self._place(segment, kind, name, rest)
         except OSError as error:
             # The file size limit may be below the segment size: continue in a new segment.
-            if error.errno != errno.EFBIG or segment.size == it.HEAD_SIZE:
+            if error.errno != errno.EFBIG or segment.size == records.HEADER_SIZE:
                 raise
             self._active = None
             segment = self._roll()
@@ -347,11 +348,11 @@
     def _place(self, segment: Segment, kind: bytes, name: str, rest: bytes) -> None:
         """Append a record to a segment and index its position if it will be needed."""
         offset = segment.size
-        data = it.encode(kind, name.encode("latin-1"), rest, self._folder, segment.number, offset)
+        data = records.encode(kind, name.encode("latin-1"), rest, self._folder, segment.number, offset)
         self._put(segment, data)
-        if kind == it.ENDED:
+        if kind == records.ENDED:
             segment.ends.append(name)
-        elif kind in it.OF_MESSAGE:
+        elif kind in records.MESSAGE_KINDS:
             places = self._live.get(name)
             if places is None:
                 self._use.held += 1
@@ -391,16 +392,18 @@
 
     def _roll(self) -> Segment:
         """Start a new segment."""
-        if not self._room.fits(self._use, it.HEAD_SIZE):
+        if not self._room.fits(self._use, records.HEADER_SIZE):
             raise OSError(errno.ENOSPC, "no room in the journal")
         number = self._number + 1
-        segment = Segment(number, it.file_name(number), 0)
+        segment = Segment(number, records.segment_file_name(number), 0)
         first = self._segments[0].number if self._segments else number
         tail = self._segments[-1] if self._segments else Segment(0, "", 0)
-        head = it.Head(self._folder, number, first, tail.number, tail.size, self._syncing is not None)
+        header = records.SegmentHeader(
+            self._folder, number, first, tail.number, tail.size, self._syncing is not None
+        )
         self._disk.create(segment.name)
         try:
-            self._put(segment, head.encode())
+            self._put(segment, header.encode())
         except OSError:
             self._strays([segment.name])
             raise
@@ -455,7 +458,7 @@
     def _mark(self, end: tuple[int, int]) -> None:
         """Record the synced position for recovery; losing this record does no harm."""
         with contextlib.suppress(OSError):
-            self._append(it.SYNCED, "", SYNCED.pack(*end))
+            self._append(records.SYNCED, "", SYNCED.pack(*end))
 
     # Compaction.
 
@@ -500,7 +503,7 @@
 
     def _copy_end(self, name: str) -> None:
         if self._counts(name):
-            self._append(it.ENDED, name, _ended_record(self._ended[name]))
+            self._append(records.ENDED, name, _ended_record(self._ended[name]))
 
     def _copy(self, name: str, oldest: Segment) -> None:
         """Copy one message's records from the oldest segment, unless the message has ended."""
@@ -509,7 +512,7 @@
             if segment != oldest.number:
                 continue
             data = self._disk.read(oldest.name, offset, size)
-            record = it.record_at(data, 0, self._folder, segment, offset)
+            record = records.record_at(data, 0, self._folder, segment, offset)
             if record is None:
                 log(f"journal: segment {segment} offset {offset}: record damaged after it was written")
             else:
@@ -519,11 +522,11 @@
 
     def _says(self, kind: bytes, name: str) -> bool:
         """Whether records of that kind are still needed for that message."""
-        if kind == it.ENDED:
+        if kind == records.ENDED:
             return self._counts(name)
-        if kind == it.OWED:
+        if kind == records.OWED:
             return name in self._owed
-        return kind in it.OF_MESSAGE and name in self._live and name not in self._owed
+        return kind in records.MESSAGE_KINDS and name in self._live and name not in self._owed
 
     def _free(self, oldest: Segment) -> None:
         """Delete a compacted segment once its copies and its DROPPED record are synced."""
@@ -538,7 +541,7 @@
         if not self._segments or self._segments[0] is not oldest:
             return  # it was removed after a failed sync
         try:
-            self._append(it.DROPPED, "", DROPPED.pack(oldest.number))
+            self._append(records.DROPPED, "", DROPPED.pack(oldest.number))
         except OSError:
             self._emptied = False  # compacted again, which only costs reading it
             if self._syncing is None:
--- a/amberlug/core/journal/recovery.py
+++ b/amberlug/core/journal/recovery.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass, field, replace
 from typing import Any
 
-from amberlug.core.journal import records as it
+from amberlug.core.journal import records
 from amberlug.core.journal.disk import Disk
 from amberlug.core.messages import End, Message, Outcome
 from amberlug.core.ports import Earlier, Held, Seen, Tried, Wait
@@ -119,28 +119,28 @@
 def read_folder(disk: Disk) -> Found:
     """Read all segments, oldest first. Raises `NewerVersionError` before it reads any records."""
     found = Found()
-    heads = _heads(disk, found)
-    first = _first(disk, found, heads)
-    found.stray += [heads.pop(number)[1] for number in sorted(heads) if number < first]
-    numbers = sorted(heads)
+    headers = _read_headers(disk, found)
+    first = _first(disk, found, headers)
+    found.stray += [headers.pop(number)[1] for number in sorted(headers) if number < first]
+    numbers = sorted(headers)
     for at, number in enumerate(numbers):
-        head, name, size = heads[number]
+        header, name, size = headers[number]
         before = found.segments[-1].number if found.segments else first - 1
-        lost = head.previous > before
-        if lost and not _synced_beyond(disk, heads, head, (before + 1, 0)):
-            found.stray += [heads[later][1] for later in numbers[at:]]
+        lost = header.previous > before
+        if lost and not _synced_beyond(disk, headers, header, (before + 1, 0)):
+            found.stray += [headers[later][1] for later in numbers[at:]]
             break
         if lost:
-            what = f"missing, up to segment {head.previous}"
+            what = f"missing, up to segment {header.previous}"
             _broken(found, Damage(before + 1, 0, 0, what))
-        after = heads[numbers[at + 1]][0] if at + 1 < len(numbers) else None
+        after = headers[numbers[at + 1]][0] if at + 1 < len(numbers) else None
         sealed = after.before if after is not None and after.previous == number else None
-        if not _read_segment(disk, found, heads, head, name, size, sealed):
-            found.stray += [heads[later][1] for later in numbers[at + 1 :]]
+        if not _read_segment(disk, found, headers, header, name, size, sealed):
+            found.stray += [headers[later][1] for later in numbers[at + 1 :]]
             break
         if lost:  # it may hold copies of messages whose attempts were recorded in the missing segments
             found.doubt = max(found.doubt, found.order)
-    _unread(found, any(head.synced for head, *_ in heads.values()))
+    _unread(found, any(header.synced for header, *_ in headers.values()))
     return found
 
 
@@ -158,54 +158,58 @@
             found.left += size
 
 
-def _synced_beyond(disk: Disk, heads: Heads, head: it.Head, place: tuple[int, int]) -> bool:
+def _synced_beyond(
+    disk: Disk, headers: SegmentHeaders, header: records.SegmentHeader, place: tuple[int, int]
+) -> bool:
     """Whether an unreadable range was synced: then it is damage, not a tail lost to a power failure."""
-    if not head.synced:
+    if not header.synced:
         return True  # without syncs only process exits are covered, and those lose no completed write
-    for number, (other, name, size) in heads.items():
+    for number, (other, name, size) in headers.items():
         if number >= place[0]:
-            for record in it.records(disk.read(name, 0, size), other.folder, number, size):
-                if isinstance(record, it.Hole) or record.kind != it.SYNCED:
+            for record in records.read_records(disk.read(name, 0, size), other.folder, number, size):
+                if isinstance(record, records.UnreadableRange) or record.kind != records.SYNCED:
                     continue
                 if SYNCED.unpack(record.rest) > place:
                     return True
     return False
 
 
-Heads = dict[int, tuple[it.Head, str, int]]
+SegmentHeaders = dict[int, tuple[records.SegmentHeader, str, int]]
 
 
-def _heads(disk: Disk, found: Found) -> Heads:
+def _read_headers(disk: Disk, found: Found) -> SegmentHeaders:
     """Return the segments with a valid header and the most common folder ID; report all others."""
-    read: list[tuple[it.Head | None, int, str, int]] = []
+    read: list[tuple[records.SegmentHeader | None, int, str, int]] = []
     for name, size in sorted(disk.files().items()):
-        if (number := it.number_of(name)) is not None:
-            read.append((it.read_head(disk.read(name, 0, it.HEAD_SIZE)), number, name, size))
-    own = [head.folder for head, *_ in read if head is not None]
+        if (number := records.segment_number(name)) is not None:
+            read.append(
+                (records.read_segment_header(disk.read(name, 0, records.HEADER_SIZE)), number, name, size)
+            )
+    own = [header.folder for header, *_ in read if header is not None]
     found.folder = max(own, key=own.count, default=0)
-    heads: Heads = {}
-    for head, number, name, size in read:
+    headers: SegmentHeaders = {}
+    for header, number, name, size in read:
         found.last = max(found.last, number)
-        if head is None and size < it.HEAD_SIZE:
+        if header is None and size < records.HEADER_SIZE:
             found.stray.append(name)  # the process exited while creating it, before any record was written
-        elif head is None:
+        elif header is None:
             found.unread.append((number, name, size))
-        elif head.number != number or head.folder != found.folder:
-            found.damage.append(Damage(number, 0, size, f"a copy of segment {head.number}: ignored"))
+        elif header.number != number or header.folder != found.folder:
+            found.damage.append(Damage(number, 0, size, f"a copy of segment {header.number}: ignored"))
             found.left += size
         else:
-            heads[number] = head, name, size
-    return heads
+            headers[number] = header, name, size
+    return headers
 
 
-def _first(disk: Disk, found: Found, heads: Heads) -> int:
+def _first(disk: Disk, found: Found, headers: SegmentHeaders) -> int:
     """Return the oldest segment needed, from the newest segment's header and its DROPPED records."""
-    if not heads:
+    if not headers:
         return 1
-    head, name, size = heads[max(heads)]
-    first = head.first
-    for record in it.records(disk.read(name, 0, size), head.folder, head.number, size):
-        if isinstance(record, it.Record) and record.kind == it.DROPPED:
+    header, name, size = headers[max(headers)]
+    first = header.first
+    for record in records.read_records(disk.read(name, 0, size), header.folder, header.number, size):
+        if isinstance(record, records.Record) and record.kind == records.DROPPED:
             first = max(first, DROPPED.unpack(record.rest)[0] + 1)
     return first
 
@@ -216,7 +220,13 @@
 
 
 def _read_segment(
-    disk: Disk, found: Found, heads: Heads, head: it.Head, name: str, size: int, sealed: int | None
+    disk: Disk,
+    found: Found,
+    headers: SegmentHeaders,
+    header: records.SegmentHeader,
+    name: str,
+    size: int,
+    sealed: int | None,
 ) -> bool:
     """Read one segment up to its sealed size; the last segment may end with a torn record.
 
@@ -224,41 +234,41 @@
     """
     data = disk.read(name, 0, size)
     end = min(size, sealed) if sealed is not None else size
-    holds = it.HEAD_SIZE
-    for record in it.records(data, head.folder, head.number, end):
-        if isinstance(record, it.Hole):
-            if sealed is None and it.is_torn(data, record):
+    holds = records.HEADER_SIZE
+    for record in records.read_records(data, header.folder, header.number, end):
+        if isinstance(record, records.UnreadableRange):
+            if sealed is None and records.is_torn_record(data, record):
                 break  # torn when the process exited
-            if not _synced_beyond(disk, heads, head, (head.number, record.offset)):
-                found.segments.append(Segment(head.number, name, holds))
+            if not _synced_beyond(disk, headers, header, (header.number, record.offset)):
+                found.segments.append(Segment(header.number, name, holds))
                 return False
-            _broken(found, Damage(head.number, record.offset, record.size, "unreadable: skipped"))
+            _broken(found, Damage(header.number, record.offset, record.size, "unreadable: skipped"))
             continue
         holds = record.offset + record.size
         try:
-            _apply(found, record, head.number)
+            _apply(found, record, header.number)
         except (ValueError, KeyError, TypeError, IndexError, struct.error) as error:
-            _broken(found, Damage(head.number, record.offset, record.size, f"can't be parsed: {error!r}"))
+            _broken(found, Damage(header.number, record.offset, record.size, f"can't be parsed: {error!r}"))
     if sealed is not None and size < sealed:
-        if not _synced_beyond(disk, heads, head, (head.number, size)):
-            found.segments.append(Segment(head.number, name, holds))
+        if not _synced_beyond(disk, headers, header, (header.number, size)):
+            found.segments.append(Segment(header.number, name, holds))
             return False
-        _broken(found, Damage(head.number, size, sealed - size, "cut off"))
-    found.segments.append(Segment(head.number, name, end if sealed is not None else holds))
+        _broken(found, Damage(header.number, size, sealed - size, "cut off"))
+    found.segments.append(Segment(header.number, name, end if sealed is not None else holds))
     return True
 
 
-def _apply(found: Found, record: it.Record, segment: int) -> None:
+def _apply(found: Found, record: records.Record, segment: int) -> None:
     kind, name, rest = record.kind, record.name, record.rest
-    if kind == it.ENDED:
+    if kind == records.ENDED:
         found.messages.pop(name, None)
         until_ms, ended_ms = ENDED.unpack_from(rest)
         found.ended[name] = until_ms, ended_ms, segment, _how(name, rest[ENDED.size :])
-    elif kind == it.MEMORY:
+    elif kind == records.MEMORY:
         found.earlier = _earlier(rest, found.earlier.waits)
-    elif kind == it.WAIT:
+    elif kind == records.WAIT:
         found.earlier = replace(found.earlier, waits=(*found.earlier.waits, _wait(rest)))
-    elif kind in (it.DROPPED, it.SYNCED):
+    elif kind in (records.DROPPED, records.SYNCED):
         pass  # evaluated before
     elif name not in found.ended:
         raw = found.messages.setdefault(name, Raw())
@@ -266,26 +276,26 @@
         raw.places += (place_of(segment, record.offset, record.size),)
 
 
-def _apply_to(found: Found, raw: Raw, record: it.Record) -> None:
+def _apply_to(found: Found, raw: Raw, record: records.Record) -> None:
     kind, rest = record.kind, record.rest
-    if kind == it.TAKEN:
+    if kind == records.TAKEN:
         raw.take = rest
         found.order = max(found.order, raw.order)
-    elif kind == it.ATTEMPT:
+    elif kind == records.ATTEMPT:
         number, at_ms = ATTEMPT.unpack_from(rest)
         tried = raw.tried.setdefault(number, Tried(UNKNOWN, 0))
         tried.endpoint, tried.at_ms = rest[ATTEMPT.size :].decode(), at_ms
-    elif kind == it.OUTCOME:
+    elif kind == records.OUTCOME:
         (number,) = OUTCOME.unpack_from(rest)
         raw.tried.setdefault(number, Tried(UNKNOWN, 0)).result = api.Result(rest[OUTCOME.size :].decode())
-    elif kind == it.OWED:
+    elif kind == records.OWED:
         outcome, retry_ms, raw.until_ms = OWED.unpack_from(rest)
         if told := rest[OWED.size :]:
             raw.reply = reply_of(told)
         _, noticed, reply = raw.reply
         raw.end = End(record.name, OUTCOMES[outcome], retry_ms, reply=reply, noticed=noticed)
         raw.take, raw.tried, raw.places = None, {}, ()
-    elif kind == it.REPLY:
+    elif kind == records.REPLY:
         raw.reply = max(raw.reply, reply_of(rest))  # compaction may have reordered the records
     else:
         raise ValueError(f"unknown record kind {kind!r}")
@@ -336,8 +346,8 @@
 
 def _going(found: Found, name: str, raw: Raw, take: bytes) -> Held:
     order, taken_ms, until_ms, destination = TAKE.unpack_from(take)
-    head, _, body = take[TAKE.size :].partition(b"\n")
-    message_class, tenant, key, *told = json.loads(head)
+    header, _, body = take[TAKE.size :].partition(b"\n")
+    message_class, tenant, key, *told = json.loads(header)
     for count, noticed, reply in told:
         raw.reply = max(raw.reply, (count, noticed, reply.encode("latin-1")))
     message = Message(name, message_class, tenant, destination, key, body, until_ms, taken=True)
--- a/tests/faulty.py
+++ b/tests/faulty.py
@@ -6,7 +6,7 @@
 import random
 from collections.abc import Callable
 
-from amberlug.core.journal.records import number_of
+from amberlug.core.journal.records import segment_number
 
 
 class DiedError(BaseException):
@@ -129,4 +129,4 @@
         return FaultyDisk(left)
 
     def segments(self) -> list[str]:
-        return sorted(name for name in self.contents if number_of(name) is not None)
+        return sorted(name for name in self.contents if segment_number(name) is not None)
--- a/tests/test_copies_store.py
+++ b/tests/test_copies_store.py
@@ -10,7 +10,7 @@
 from amberlug.copies.states import Kind, Meta
 from amberlug.copies.store import CopyStore, DamagedError
 from amberlug.core.journal import FolderDisk
-from amberlug.core.journal.records import HEAD_SIZE
+from amberlug.core.journal.records import HEADER_SIZE
 
 META = Meta("n0", "aa", 7, 2, (("n0", "aa"), ("n1", "bb"), ("n2", "cc")))
 OTHER = Meta("n2", "cc", 8, 2, (("n2", "cc"), ("n1", "bb"), ("n0", "aa")))
@@ -91,7 +91,7 @@
         keep(store, f"m{number}")
     path = newest(tmp_path)
     data = bytearray(path.read_bytes())
-    data[HEAD_SIZE + 300] ^= 4
+    data[HEADER_SIZE + 300] ^= 4
     path.write_bytes(data)
     with pytest.raises(DamagedError):
         open_in(tmp_path)
@@ -107,7 +107,7 @@
     store.work()  # what it began with is copied
     path = newest(tmp_path)
     data = bytearray(path.read_bytes())
-    data[HEAD_SIZE + 900] ^= 4
+    data[HEADER_SIZE + 900] ^= 4
     path.write_bytes(data)
     for _ in range(20):
         store.work()
--- a/tests/test_journal.py
+++ b/tests/test_journal.py
@@ -215,7 +215,7 @@
         world = play(disk, evening)
         if world is None:
             break
-        compacted += rec.file_name(1) not in disk.contents
+        compacted += rec.segment_file_name(1) not in disk.contents
         next_life = disk.after_death()
         world.check(opened(next_life, SMALL_ROOM))
         # And once more, with what that recovery itself wrote.
@@ -416,7 +416,7 @@
             pass
         else:
             break
-        compacted += rec.file_name(1) in disk.gone
+        compacted += rec.segment_file_name(1) in disk.gone
         for seed in range(1 if model != "torn" else 6):
             chance = random.Random(at * 100 + seed) if model == "torn" else None
             left = disk.after_death() if model == "kept" else disk.after_power_cut(chance)
@@ -590,8 +590,8 @@
     for name in ("a", "b"):
         world.take(name, 300)
     data = disk.contents[disk.segments()[0]]
-    first = rec.HEAD_SIZE
-    size = rec.size_at(bytes(data), first)
+    first = rec.HEADER_SIZE
+    size = rec.stated_record_size(bytes(data), first)
     data[first + size : first + 2 * size] = data[first : first + size]  # the first record again
     found = opened(disk.after_death())
     assert list(found.held) == ["a"]
@@ -620,7 +620,7 @@
 def test_a_doubled_segment_is_told_and_passed_over() -> None:
     disk, world = many_segments()
     names = disk.segments()
-    disk.contents[rec.file_name(77)] = bytearray(disk.contents[names[0]])
+    disk.contents[rec.segment_file_name(77)] = bytearray(disk.contents[names[0]])
     found = opened(disk.after_death(), 10**6)
     assert "a copy of segment 1" in str(found.damage[0])
     assert set(found.held) == set(world.truths)
@@ -726,7 +726,7 @@
         assert held["given-up"].end == End("given-up", Outcome.GIVEN_UP)
         assert journal.knows("delivered")
         journal.close()
-    assert [path.name for path in tmp_path.iterdir()] == [rec.file_name(1)]
+    assert [path.name for path in tmp_path.iterdir()] == [rec.segment_file_name(1)]
 
 
 def test_a_death_while_an_old_folder_is_carried_over_loses_nothing() -> None:
