--- a/amberlug/cli/journals.py
+++ b/amberlug/cli/journals.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 from amberlug.core.journal import FolderDisk, Journal, legacy
-from amberlug.core.journal.recovery import Found, held, read_folder
+from amberlug.core.journal.recovery import RecoveredJournal, recover_folder, resumable_messages
 from amberlug.core.ports import Held
 
 ROOM = 1 << 40  # bytes: a salvaged journal takes what it needs
@@ -24,8 +24,8 @@
         return 2
     disk = FolderDisk(folder, writable=False)
     try:
-        found, now_ms = read_folder(disk), int(time.time() * 1000)
-        old, ones = legacy.read(disk), held(found, now_ms)
+        found, now_ms = recover_folder(disk), int(time.time() * 1000)
+        old, ones = legacy.read(disk), resumable_messages(found, now_ms)
         if old is not None:
             ones = legacy.merged(old, ones, found.ended)
         if to is not None:
@@ -44,7 +44,7 @@
     return 1 if damage else 0
 
 
-def look(found: Found, ones: Mapping[str, Held]) -> dict[str, Any]:
+def look(found: RecoveredJournal, ones: Mapping[str, Held]) -> dict[str, Any]:
     """What a folder holds, in figures."""
     going = [one for one in ones.values() if one.end is None]
     return {
@@ -76,7 +76,7 @@
         print("no damage")
 
 
-def salvage(found: Found, ones: Mapping[str, Held], to: Path, now_ms: int) -> None:
+def salvage(found: RecoveredJournal, ones: Mapping[str, Held], to: Path, now_ms: int) -> None:
     """Write what could be read to a new folder; `OSError` where it is not empty."""
     to.mkdir(parents=True, exist_ok=True)
     if any(to.iterdir()):
--- a/amberlug/core/journal/log.py
+++ b/amberlug/core/journal/log.py
@@ -25,14 +25,14 @@
     REPLY,
     SYNCED,
     TAKE,
-    Found,
-    Place,
+    RecordPosition,
+    RecoveredJournal,
     Segment,
-    held,
-    parts_of,
-    place_of,
-    read_folder,
-    sizes,
+    pack_position,
+    recover_folder,
+    resumable_messages,
+    total_size,
+    unpack_position,
 )
 from amberlug.core.journal.room import SLICE_US, Room, Use, blocks
 from amberlug.core.journal.syncing import Entry, Syncer, Syncing
@@ -78,12 +78,12 @@
         )
         self._emptied = False  # whether the oldest segment is compacted and waits for a sync to be deleted
         self._disk, self._room, self._clock_us = disk, Room(room_bytes), clock_us
-        found = read_folder(disk)
+        found = recover_folder(disk)
         old = legacy.read(disk)
         self.damage = found.damage
         for damage in found.damage:
             log(f"journal: {damage}")
-        self.held = held(found, now_ms)
+        self.held = resumable_messages(found, now_ms)
         if old is not None:
             self.held = legacy.merged(old, self.held, found.ended)
         self.earlier: Earlier = found.earlier if found.earlier != Earlier() or old is None else old.earlier
@@ -95,17 +95,17 @@
                 self._syncing.wrote(segment.name, (segment.number, segment.size), None)
             self._syncing.safe = self._syncing.end
 
-    def _adopt(self, found: Found, now_ms: int) -> None:
+    def _adopt(self, found: RecoveredJournal, now_ms: int) -> None:
         """Initialize the index from the recovered state; writing starts in a new segment."""
         self._folder = found.folder or secrets.randbits(63)
         self._segments = deque(found.segments)
         self._number = found.last
         self._order = found.order
-        self._live = {name: raw.places for name, raw in found.messages.items()}
+        self._live = {name: recovered.positions for name, recovered in found.messages.items()}
         self._owed = {name for name, one in self.held.items() if one.end is not None}
         segments = {segment.number: segment for segment in self._segments}
-        for name, places in self._live.items():
-            for number in {parts_of(place)[0] for place in places} & segments.keys():
+        for name, positions in self._live.items():
+            for number in {unpack_position(position)[0] for position in positions} & segments.keys():
                 segments[number].names[name] = None
         now_us = self._clock_us()
         # Not a plain dict, whose iteration skips all entries deleted at its front again and again.
@@ -122,11 +122,11 @@
         # Names whose records in the oldest segment must still be copied; True for an ENDED record.
         self._todo: deque[tuple[str, bool]] | None = None
         self._late: deque[Entry] = deque()  # records of past events that could not be written yet
-        live = sum(raw.size for raw in found.messages.values())
+        live = sum(recovered.size for recovered in found.messages.values())
         self._use = Use(used=blocks(found.left), live=live, held=len(self._live))
         for segment in self._segments:
             self._use.opened(segment.size)
-        self._strays(found.stray)
+        self._strays(found.obsolete_files)
 
     def _strays(self, names: list[str]) -> None:
         for name in names:
@@ -288,9 +288,9 @@
                 self._ended[name] = ended  # checked again after all others
 
     def _forget(self, name: str) -> None:
-        places = self._live.pop(name, None)
-        if places is not None:
-            self._use.live -= sizes(places)
+        positions = self._live.pop(name, None)
+        if positions is not None:
+            self._use.live -= total_size(positions)
             self._use.held -= 1
         self._owed.discard(name)
 
@@ -353,12 +353,12 @@
         if kind == records.ENDED:
             segment.ends.append(name)
         elif kind in records.MESSAGE_KINDS:
-            places = self._live.get(name)
-            if places is None:
+            positions = self._live.get(name)
+            if positions is None:
                 self._use.held += 1
-                places = ()
+                positions = ()
             size = len(data)
-            self._live[name] = (*places, place_of(segment.number, offset, size))
+            self._live[name] = (*positions, pack_position(segment.number, offset, size))
             segment.names[name] = None
             self._use.live += size
 
@@ -449,10 +449,10 @@
 
     def _keep_trusted(self, name: str, safe: tuple[int, int]) -> None:
         """Drop the positions of a message's records that are not synced."""
-        places = self._live.get(name)
-        if places is not None:
-            kept = tuple(place for place in places if _ends_at(place) <= safe)
-            self._use.live -= sizes(places) - sizes(kept)
+        positions = self._live.get(name)
+        if positions is not None:
+            kept = tuple(position for position in positions if _end_of(position) <= safe)
+            self._use.live -= total_size(positions) - total_size(kept)
             self._live[name] = kept
 
     def _mark(self, end: tuple[int, int]) -> None:
@@ -507,8 +507,8 @@
 
     def _copy(self, name: str, oldest: Segment) -> None:
         """Copy one message's records from the oldest segment, unless the message has ended."""
-        for place in self._live.get(name, ()):
-            segment, offset, size = parts_of(place)
+        for position in self._live.get(name, ()):
+            segment, offset, size = unpack_position(position)
             if segment != oldest.number:
                 continue
             data = self._disk.read(oldest.name, offset, size)
@@ -517,7 +517,7 @@
                 log(f"journal: segment {segment} offset {offset}: record damaged after it was written")
             else:
                 self._append(record.kind, record.name, record.rest)
-            self._live[name] = tuple(other for other in self._live[name] if other != place)
+            self._live[name] = tuple(other for other in self._live[name] if other != position)
             self._use.live -= size
 
     def _says(self, kind: bytes, name: str) -> bool:
@@ -575,6 +575,6 @@
     return REPLY.pack(message.replies, message.noticed) + message.reply
 
 
-def _ends_at(place: Place) -> tuple[int, int]:
-    segment, offset, size = parts_of(place)
+def _end_of(position: RecordPosition) -> tuple[int, int]:
+    segment, offset, size = unpack_position(position)
     return segment, offset + size
--- a/tests/test_restart.py
+++ b/tests/test_restart.py
@@ -11,7 +11,7 @@
 
 from amberlug.cli.learnings import Now, ReadOnlyDisk
 from amberlug.core.journal import FolderDisk
-from amberlug.core.journal.recovery import read_folder
+from amberlug.core.journal.recovery import recover_folder
 from amberlug.learning.blocks import number_of
 from amberlug.learning.learner import Learner
 from amberlug.learning.store import Store
@@ -76,7 +76,7 @@
     """Wait until the journal holds the result of a message's first attempt."""
     async with asyncio.timeout(PATIENCE):
         while True:
-            found = read_folder(FolderDisk(folder, writable=False))
+            found = recover_folder(FolderDisk(folder, writable=False))
             one = found.messages.get(name)
             if name in found.ended or (one is not None and 0 in one.tried and one.tried[0].result):
                 return
