--- a/amberlug/cli/journals.py
+++ b/amberlug/cli/journals.py
@@ -83,5 +83,5 @@
         raise OSError(f"{to} is not empty")
     journal = Journal(FolderDisk(to), ROOM, now_ms, time.monotonic_ns)
     names = {name: until for name, (until, *_) in found.ended.items()}
-    journal.carry_over(list(ones.values()), names, now_ms)
+    journal.import_messages(list(ones.values()), names, now_ms)
     journal.close()
--- a/amberlug/core/journal/log.py
+++ b/amberlug/core/journal/log.py
@@ -40,12 +40,14 @@
 from amberlug.core.messages import Attempt, End, Ending, Message, Refusal
 from amberlug.core.ports import Earlier, Held
 
-_encode = json.JSONEncoder(separators=(",", ":")).encode  # dumps() would create an encoder for each record
-NAMES = 2  # names of ended messages checked for expiry with each ENDED record
-MAY_FORGET_US = 3_600_000_000  # longest time a recovered name is remembered, whatever the clocks say
+_encode_json = json.JSONEncoder(
+    separators=(",", ":")
+).encode  # dumps() would create an encoder for each record
+EXPIRY_CHECKS = 2  # names of ended messages checked for expiry with each ENDED record
+MAX_NAME_AGE_US = 3_600_000_000  # longest time a recovered name is remembered, whatever the clocks say
 
 
-class _Ended(NamedTuple):
+class _EndedMessage(NamedTuple):
     """An ended message: when its name expires, by the monotonic and by the wall clock, and when it ended."""
 
     until_us: int
@@ -72,11 +74,13 @@
         interval_us: int | None = None,
     ) -> None:
         self._syncing = (
-            Syncing(syncer, disk, clock_us, interval_us, self._write_anew, self._mark)
+            Syncing(syncer, disk, clock_us, interval_us, self._rewrite, self._record_synced_position)
             if syncer is not None
             else None
         )
-        self._emptied = False  # whether the oldest segment is compacted and waits for a sync to be deleted
+        self._awaiting_deletion = (
+            False  # whether the oldest segment is compacted and waits for a sync to be deleted
+        )
         self._disk, self._room, self._clock_us = disk, Room(room_bytes), clock_us
         found = recover_folder(disk)
         old = legacy.read(disk)
@@ -87,74 +91,74 @@
         if old is not None:
             self.held = legacy.merged(old, self.held, found.ended)
         self.earlier: Earlier = found.earlier if found.earlier != Earlier() or old is None else old.earlier
-        self._adopt(found, now_ms)
+        self._load(found, now_ms)
         if old is not None:
-            self._carry_over(old, now_ms)
+            self._migrate_legacy(old, now_ms)
         if self._syncing is not None:  # records of the previous process may not be synced yet
             for segment in self._segments:
                 self._syncing.wrote(segment.name, (segment.number, segment.size), None)
             self._syncing.safe = self._syncing.end
 
-    def _adopt(self, found: RecoveredJournal, now_ms: int) -> None:
+    def _load(self, found: RecoveredJournal, now_ms: int) -> None:
         """Initialize the index from the recovered state; writing starts in a new segment."""
-        self._folder = found.folder or secrets.randbits(63)
+        self._folder_id = found.folder or secrets.randbits(63)
         self._segments = deque(found.segments)
-        self._number = found.last
+        self._last_number = found.last
         self._order = found.order
-        self._live = {name: recovered.positions for name, recovered in found.messages.items()}
+        self._positions = {name: recovered.positions for name, recovered in found.messages.items()}
         self._owed = {name for name, one in self.held.items() if one.end is not None}
         segments = {segment.number: segment for segment in self._segments}
-        for name, positions in self._live.items():
+        for name, positions in self._positions.items():
             for number in {unpack_position(position)[0] for position in positions} & segments.keys():
                 segments[number].names[name] = None
         now_us = self._clock_us()
         # Not a plain dict, whose iteration skips all entries deleted at its front again and again.
-        self._ended: OrderedDict[str, _Ended] = OrderedDict()
+        self._ended: OrderedDict[str, _EndedMessage] = OrderedDict()
         for name, (until_ms, ended_ms, number, end) in found.ended.items():
             # Expiry uses the monotonic clock because the wall clock may be changed. No name outlives the
             # time that its message had left when it ended.
             left_ms = max(0, min(until_ms - now_ms, until_ms - ended_ms))
-            until_us = now_us + min(left_ms * 1000, MAY_FORGET_US)
-            self._ended[name] = _Ended(until_us, until_ms, ended_ms, end)
+            until_us = now_us + min(left_ms * 1000, MAX_NAME_AGE_US)
+            self._ended[name] = _EndedMessage(until_us, until_ms, ended_ms, end)
             if number in segments:
                 segments[number].ends.append(name)
         self._active: Segment | None = None
         # Names whose records in the oldest segment must still be copied; True for an ENDED record.
-        self._todo: deque[tuple[str, bool]] | None = None
-        self._late: deque[Entry] = deque()  # records of past events that could not be written yet
+        self._to_copy: deque[tuple[str, bool]] | None = None
+        self._deferred: deque[Entry] = deque()  # records of past events that could not be written yet
         live = sum(recovered.size for recovered in found.messages.values())
-        self._use = Use(used=blocks(found.left), live=live, held=len(self._live))
+        self._use = Use(used=blocks(found.left), live=live, held=len(self._positions))
         for segment in self._segments:
             self._use.opened(segment.size)
-        self._strays(found.obsolete_files)
+        self._delete_files(found.obsolete_files)
 
-    def _strays(self, names: list[str]) -> None:
+    def _delete_files(self, names: list[str]) -> None:
         for name in names:
             try:
                 self._disk.remove(name)
             except OSError as error:
                 log(f"journal: {name}: {error}")
 
-    def _carry_over(self, old: legacy.Old, now_ms: int) -> None:
+    def _migrate_legacy(self, old: legacy.Old, now_ms: int) -> None:
         """Migrate the journal of an earlier release to segments, then delete its files."""
         both = [one for name, one in self.held.items() if name in old.held]
         try:
-            self.carry_over(both, old.ended, now_ms)
+            self.import_messages(both, old.ended, now_ms)
         except OSError as error:
             log(f"journal: the journal of the earlier release was not migrated: {error}")
             return
-        self._strays(old.files)
+        self._delete_files(old.files)
 
-    def carry_over(self, ones: Iterable[Held], ended: Mapping[str, int], now_ms: int) -> None:
+    def import_messages(self, ones: Iterable[Held], ended: Mapping[str, int], now_ms: int) -> None:
         """Write messages and names from another source; `OSError` if not all could be written."""
         for one in ones:
-            self._carry(one)
+            self._import_message(one)
         for name, until_ms in ended.items():
             until_us = self._clock_us() + max(0, until_ms - now_ms) * 1000
-            self._ended[name] = _Ended(until_us, until_ms, now_ms)
+            self._ended[name] = _EndedMessage(until_us, until_ms, now_ms)
             self._write(records.ENDED, name, ENDED.pack(until_ms, now_ms))
 
-    def _carry(self, one: Held) -> None:
+    def _import_message(self, one: Held) -> None:
         message = one.message
         if one.end is not None:
             self._owe(message, one.end)
@@ -210,21 +214,21 @@
 
     def knows(self, name: str) -> bool:
         """Whether a message with that name was accepted and may not have reached its deadline."""
-        return name in self._live or self._counts(name)
+        return name in self._positions or self._is_remembered(name)
 
-    def _counts(self, name: str) -> bool:
+    def _is_remembered(self, name: str) -> bool:
         """Whether the name of an ended message must still be remembered."""
         ended = self._ended.get(name)
         return ended is not None and ended.until_us > self._clock_us()
 
     def ended(self, name: str) -> End | None:
         """Return the outcome of an ended message whose name is still remembered, if known."""
-        return self._ended[name].end if self._counts(name) else None
+        return self._ended[name].end if self._is_remembered(name) else None
 
     def fits(self, size: int) -> bool:
         """Whether there is space for a message with a body of that size and all its later records."""
         failed = self._syncing is not None and self._syncing.failed
-        return not (self._late or failed) and self._room.takes(self._use, size)
+        return not (self._deferred or failed) and self._room.takes(self._use, size)
 
     def retry_us(self, size: int) -> int:
         """Microseconds after which a message that does not fit may be retried."""
@@ -241,10 +245,12 @@
     def _take_record(self, message: Message, now_ms: int) -> bytes:
         self._order += 1
         header = TAKE.pack(self._order, now_ms, max(0, message.deadline_ms), message.destination)
-        fields = f"[{_text(message.message_class)},{_text(message.tenant)},{_text(message.key)}"
+        fields = (
+            f"[{_json_text(message.message_class)},{_json_text(message.tenant)},{_json_text(message.key)}"
+        )
         if message.replies:
             told = message.replies, message.noticed, message.reply.decode("latin-1")
-            fields += f",{_encode(told)}"
+            fields += f",{_encode_json(told)}"
         return header + fields.encode() + b"]\n" + message.body
 
     def attempt(self, attempt: Attempt, now_ms: int) -> None:
@@ -253,18 +259,18 @@
 
     def outcome(self, attempt: Attempt, how: Ending) -> None:
         rest = OUTCOME.pack(attempt.number) + how.result.value.encode()
-        self._note(records.OUTCOME, attempt.message.name, rest)
+        self._record_event(records.OUTCOME, attempt.message.name, rest)
 
     def owe(self, message: Message, end: End) -> None:
         try:
             self._owe(message, end)
         except OSError as error:
-            self._too_late(error, records.OWED, message.name, self._owed_record(message, end))
+            self._defer(error, records.OWED, message.name, self._owed_record(message, end))
 
     def _owe(self, message: Message, end: End) -> None:
-        self._forget(message.name)
+        self._remove_message(message.name)
         self._owed.add(message.name)
-        self._live[message.name] = ()
+        self._positions[message.name] = ()
         self._use.held += 1
         self._write(records.OWED, message.name, self._owed_record(message, end))
 
@@ -273,22 +279,22 @@
         return record + (_reply_record(message) if message.replies else b"")
 
     def end(self, name: str, until_ms: int, now_ms: int, how: End | None = None) -> None:
-        self._forget(name)
+        self._remove_message(name)
         now_us, until_ms = self._clock_us(), max(0, until_ms)
-        ended = _Ended(now_us + max(0, until_ms - now_ms) * 1000, until_ms, now_ms, how)
+        ended = _EndedMessage(now_us + max(0, until_ms - now_ms) * 1000, until_ms, now_ms, how)
         self._ended[name] = ended
-        self._note(records.ENDED, name, _ended_record(ended))
-        self._forget_names(now_us)
+        self._record_event(records.ENDED, name, _ended_record(ended))
+        self._forget_expired_names(now_us)
 
-    def _forget_names(self, now_us: int) -> None:
+    def _forget_expired_names(self, now_us: int) -> None:
         """Remove expired names, checking the oldest few on each call."""
-        for _ in range(min(NAMES, len(self._ended))):
+        for _ in range(min(EXPIRY_CHECKS, len(self._ended))):
             name, ended = self._ended.popitem(last=False)
             if ended.until_us > now_us:
                 self._ended[name] = ended  # checked again after all others
 
-    def _forget(self, name: str) -> None:
-        positions = self._live.pop(name, None)
+    def _remove_message(self, name: str) -> None:
+        positions = self._positions.pop(name, None)
         if positions is not None:
             self._use.live -= total_size(positions)
             self._use.held -= 1
@@ -296,33 +302,33 @@
 
     # Writing.
 
-    def _note(self, kind: bytes, name: str, rest: bytes) -> None:
+    def _record_event(self, kind: bytes, name: str, rest: bytes) -> None:
         """Record something that has already happened; if that fails it is written later."""
         try:
-            if self._late:
-                self._catch_up()
+            if self._deferred:
+                self._write_deferred()
             self._append(kind, name, rest)
         except OSError as error:
-            self._too_late(error, kind, name, rest)
+            self._defer(error, kind, name, rest)
 
-    def _too_late(self, error: OSError, kind: bytes, name: str, rest: bytes) -> None:
-        if not self._late:
+    def _defer(self, error: OSError, kind: bytes, name: str, rest: bytes) -> None:
+        if not self._deferred:
             log(f"journal: {error}; refusing messages until writes succeed again")
-        self._late.append((kind, name, rest))
+        self._deferred.append((kind, name, rest))
 
-    def _catch_up(self) -> None:
+    def _write_deferred(self) -> None:
         """Write the records that could not be written before."""
-        while self._late:
-            kind, name, rest = self._late[0]
-            if kind == records.ENDED or name in self._live:
+        while self._deferred:
+            kind, name, rest = self._deferred[0]
+            if kind == records.ENDED or name in self._positions:
                 self._append(kind, name, rest)
-            self._late.popleft()
-            if not self._late:
+            self._deferred.popleft()
+            if not self._deferred:
                 log("journal: writes succeed again")
 
     def _write(self, kind: bytes, name: str, rest: bytes) -> None:
-        if self._late:
-            self._catch_up()
+        if self._deferred:
+            self._write_deferred()
         self._append(kind, name, rest)
 
     def _append(self, kind: bytes, name: str, rest: bytes) -> None:
@@ -330,48 +336,48 @@
         size = records.RECORD_HEADER_SIZE + len(name) + len(rest)
         segment = self._active
         if segment is None or (segment.size > records.HEADER_SIZE and self._room.rolls(segment.size, size)):
-            segment = self._roll()
+            segment = self._start_segment()
         if not self._room.fits(self._use, size):
             raise OSError(errno.ENOSPC, "no room in the journal")
         try:
-            self._place(segment, kind, name, rest)
+            self._append_to_segment(segment, kind, name, rest)
         except OSError as error:
             # The file size limit may be below the segment size: continue in a new segment.
             if error.errno != errno.EFBIG or segment.size == records.HEADER_SIZE:
                 raise
             self._active = None
-            segment = self._roll()
-            self._place(segment, kind, name, rest)
+            segment = self._start_segment()
+            self._append_to_segment(segment, kind, name, rest)
         if self._syncing is not None:
             self._syncing.wrote(segment.name, (segment.number, segment.size), (kind, name, rest))
 
-    def _place(self, segment: Segment, kind: bytes, name: str, rest: bytes) -> None:
+    def _append_to_segment(self, segment: Segment, kind: bytes, name: str, rest: bytes) -> None:
         """Append a record to a segment and index its position if it will be needed."""
         offset = segment.size
-        data = records.encode(kind, name.encode("latin-1"), rest, self._folder, segment.number, offset)
-        self._put(segment, data)
+        data = records.encode(kind, name.encode("latin-1"), rest, self._folder_id, segment.number, offset)
+        self._write_data(segment, data)
         if kind == records.ENDED:
             segment.ends.append(name)
         elif kind in records.MESSAGE_KINDS:
-            positions = self._live.get(name)
+            positions = self._positions.get(name)
             if positions is None:
                 self._use.held += 1
                 positions = ()
             size = len(data)
-            self._live[name] = (*positions, pack_position(segment.number, offset, size))
+            self._positions[name] = (*positions, pack_position(segment.number, offset, size))
             segment.names[name] = None
             self._use.live += size
 
-    def _put(self, segment: Segment, data: bytes) -> None:
+    def _write_data(self, segment: Segment, data: bytes) -> None:
         """Append data to a segment. A partial write is truncated; if that fails, the segment is abandoned."""
         size = len(data)
         if (written := self._disk.append(segment.name, data)) < size:
-            self._put_rest(segment, data, written)
+            self._write_remaining(segment, data, written)
         before, after = segment.size, segment.size + size
         self._use.used += blocks(after) - blocks(before)
         segment.size = after
 
-    def _put_rest(self, segment: Segment, data: bytes, written: int) -> None:
+    def _write_remaining(self, segment: Segment, data: bytes, written: int) -> None:
         try:
             while written < len(data):
                 count = self._disk.append(segment.name, data[written:])
@@ -380,34 +386,34 @@
                 written += count
         except OSError:
             if written:
-                self._cut(segment)
+                self._truncate(segment)
             raise
 
-    def _cut(self, segment: Segment) -> None:
+    def _truncate(self, segment: Segment) -> None:
         try:
             self._disk.truncate(segment.name, segment.size)
         except OSError as error:
             log(f"journal: {segment.name} can't be truncated to {segment.size} bytes: {error}")
             self._active = None  # the next segment's header records the valid size of this one
 
-    def _roll(self) -> Segment:
+    def _start_segment(self) -> Segment:
         """Start a new segment."""
         if not self._room.fits(self._use, records.HEADER_SIZE):
             raise OSError(errno.ENOSPC, "no room in the journal")
-        number = self._number + 1
+        number = self._last_number + 1
         segment = Segment(number, records.segment_file_name(number), 0)
         first = self._segments[0].number if self._segments else number
         tail = self._segments[-1] if self._segments else Segment(0, "", 0)
         header = records.SegmentHeader(
-            self._folder, number, first, tail.number, tail.size, self._syncing is not None
+            self._folder_id, number, first, tail.number, tail.size, self._syncing is not None
         )
         self._disk.create(segment.name)
         try:
-            self._put(segment, header.encode())
+            self._write_data(segment, header.encode())
         except OSError:
-            self._strays([segment.name])
+            self._delete_files([segment.name])
             raise
-        self._number = number
+        self._last_number = number
         self._segments.append(segment)
         self._use.files += 1
         self._active = segment
@@ -415,47 +421,47 @@
             self._syncing.wrote(segment.name, (number, segment.size), None)
         return segment
 
-    def _write_anew(self, entries: list[Entry]) -> None:
+    def _rewrite(self, entries: list[Entry]) -> None:
         """Rewrite records that a failed sync may have lost to a new segment and delete the untrusted ones."""
-        doubtful = self._distrust()
+        unsynced = self._discard_unsynced()
         self._active = None
-        self._roll()
+        self._start_segment()
         for kind, name, rest in entries:
-            if self._says(kind, name):
+            if self._is_needed(kind, name):
                 self._append(kind, name, rest)
-        self._strays([segment.name for segment in doubtful])
+        self._delete_files([segment.name for segment in unsynced])
 
-    def _distrust(self) -> list[Segment]:
+    def _discard_unsynced(self) -> list[Segment]:
         """Remove all unsynced data from the log; return the segments that were not synced at all."""
         assert self._syncing is not None
         number, offset = self._syncing.safe
-        doubtful = []
+        unsynced = []
         while self._segments and self._segments[-1].number > number:
             segment = self._segments.pop()
             self._use.closed(segment.size)
-            doubtful.append(segment)
-        for doubted in [*doubtful, *islice(reversed(self._segments), 1)]:
-            for name in doubted.names:
-                self._keep_trusted(name, (number, offset))
+            unsynced.append(segment)
+        for affected in [*unsynced, *islice(reversed(self._segments), 1)]:
+            for name in affected.names:
+                self._keep_synced_positions(name, (number, offset))
         if not self._segments:
-            self._todo, self._emptied = None, False
+            self._to_copy, self._awaiting_deletion = None, False
         elif self._segments[-1].number == number and self._segments[-1].size > offset:
             segment = self._segments[-1]
             self._use.used -= blocks(segment.size) - blocks(offset)
             segment.size = offset  # the next segment's header records that no more of it is valid
             with contextlib.suppress(OSError):
                 self._disk.truncate(segment.name, offset)
-        return doubtful
+        return unsynced
 
-    def _keep_trusted(self, name: str, safe: tuple[int, int]) -> None:
+    def _keep_synced_positions(self, name: str, safe: tuple[int, int]) -> None:
         """Drop the positions of a message's records that are not synced."""
-        positions = self._live.get(name)
+        positions = self._positions.get(name)
         if positions is not None:
             kept = tuple(position for position in positions if _end_of(position) <= safe)
             self._use.live -= total_size(positions) - total_size(kept)
-            self._live[name] = kept
+            self._positions[name] = kept
 
-    def _mark(self, end: tuple[int, int]) -> None:
+    def _record_synced_position(self, end: tuple[int, int]) -> None:
         """Record the synced position for recovery; losing this record does no harm."""
         with contextlib.suppress(OSError):
             self._append(records.SYNCED, "", SYNCED.pack(*end))
@@ -468,105 +474,105 @@
         Return the microseconds until the next call, or None.
         """
         again_us = self._syncing.work() if self._syncing is not None else None
-        if not self._late and not self._compacting():
+        if not self._deferred and not self._needs_compaction():
             return again_us
         until_us = self._clock_us() + SLICE_US
         try:
-            self._catch_up()
-            while self._compacting():
-                self._empty_some(until_us)
+            self._write_deferred()
+            while self._needs_compaction():
+                self._compact_slice(until_us)
                 if self._clock_us() >= until_us:
                     return SLICE_US
         except OSError:
             return again_us  # retried after the next round; new messages are refused meanwhile
         return again_us
 
-    def _compacting(self) -> bool:
-        return not self._emptied and len(self._segments) > 1 and self._room.compacts(self._use)
+    def _needs_compaction(self) -> bool:
+        return not self._awaiting_deletion and len(self._segments) > 1 and self._room.compacts(self._use)
 
-    def _empty_some(self, until_us: int) -> None:
+    def _compact_slice(self, until_us: int) -> None:
         """Copy live records of the oldest segment forward until the time is up; dead ones cost no time."""
         oldest = self._segments[0]
-        if self._todo is None:
-            self._todo = deque([(name, False) for name in oldest.names if name in self._live])
-            self._todo.extend([(name, True) for name in oldest.ends if name in self._ended])
-        while self._todo:
-            name, ended = self._todo[0]
+        if self._to_copy is None:
+            self._to_copy = deque([(name, False) for name in oldest.names if name in self._positions])
+            self._to_copy.extend([(name, True) for name in oldest.ends if name in self._ended])
+        while self._to_copy:
+            name, ended = self._to_copy[0]
             if ended:
-                self._copy_end(name)
+                self._copy_ended_record(name)
             else:
-                self._copy(name, oldest)
-            self._todo.popleft()
+                self._copy_records(name, oldest)
+            self._to_copy.popleft()
             if self._clock_us() >= until_us:
                 return
-        self._free(oldest)
+        self._retire_segment(oldest)
 
-    def _copy_end(self, name: str) -> None:
-        if self._counts(name):
+    def _copy_ended_record(self, name: str) -> None:
+        if self._is_remembered(name):
             self._append(records.ENDED, name, _ended_record(self._ended[name]))
 
-    def _copy(self, name: str, oldest: Segment) -> None:
+    def _copy_records(self, name: str, oldest: Segment) -> None:
         """Copy one message's records from the oldest segment, unless the message has ended."""
-        for position in self._live.get(name, ()):
+        for position in self._positions.get(name, ()):
             segment, offset, size = unpack_position(position)
             if segment != oldest.number:
                 continue
             data = self._disk.read(oldest.name, offset, size)
-            record = records.record_at(data, 0, self._folder, segment, offset)
+            record = records.record_at(data, 0, self._folder_id, segment, offset)
             if record is None:
                 log(f"journal: segment {segment} offset {offset}: record damaged after it was written")
             else:
                 self._append(record.kind, record.name, record.rest)
-            self._live[name] = tuple(other for other in self._live[name] if other != position)
+            self._positions[name] = tuple(other for other in self._positions[name] if other != position)
             self._use.live -= size
 
-    def _says(self, kind: bytes, name: str) -> bool:
+    def _is_needed(self, kind: bytes, name: str) -> bool:
         """Whether records of that kind are still needed for that message."""
         if kind == records.ENDED:
-            return self._counts(name)
+            return self._is_remembered(name)
         if kind == records.OWED:
             return name in self._owed
-        return kind in records.MESSAGE_KINDS and name in self._live and name not in self._owed
+        return kind in records.MESSAGE_KINDS and name in self._positions and name not in self._owed
 
-    def _free(self, oldest: Segment) -> None:
+    def _retire_segment(self, oldest: Segment) -> None:
         """Delete a compacted segment once its copies and its DROPPED record are synced."""
-        self._emptied = True
+        self._awaiting_deletion = True
         if self._syncing is None:
-            self._drop(oldest)
-            self._remove(oldest)
+            self._record_dropped(oldest)
+            self._delete_segment(oldest)
         else:
-            self._syncing.after(lambda: self._drop(oldest))
+            self._syncing.after(lambda: self._record_dropped(oldest))
 
-    def _drop(self, oldest: Segment) -> None:
+    def _record_dropped(self, oldest: Segment) -> None:
         if not self._segments or self._segments[0] is not oldest:
             return  # it was removed after a failed sync
         try:
             self._append(records.DROPPED, "", DROPPED.pack(oldest.number))
         except OSError:
-            self._emptied = False  # compacted again, which only costs reading it
+            self._awaiting_deletion = False  # compacted again, which only costs reading it
             if self._syncing is None:
                 raise
             return
         if self._syncing is not None:
-            self._syncing.after(lambda: self._remove(oldest))
+            self._syncing.after(lambda: self._delete_segment(oldest))
 
-    def _remove(self, oldest: Segment) -> None:
+    def _delete_segment(self, oldest: Segment) -> None:
         if not self._segments or self._segments[0] is not oldest:
             return
-        self._emptied = False
-        self._strays([oldest.name])
+        self._awaiting_deletion = False
+        self._delete_files([oldest.name])
         self._segments.popleft()
-        self._todo = None
+        self._to_copy = None
         self._use.closed(oldest.size)
         self._room.freed(blocks(oldest.size), self._clock_us())
 
 
-def _text(value: str | None) -> str:
+def _json_text(value: str | None) -> str:
     """Encode a string as JSON; a general encoder takes as long as building the rest of the record."""
     return "null" if value is None else encode_basestring_ascii(value)
 
 
-def _ended_record(ended: _Ended) -> bytes:
+def _ended_record(ended: _EndedMessage) -> bytes:
     record, end = ENDED.pack(ended.until_ms, ended.ended_ms), ended.end
     return record if end is None else record + HOW.pack(OUTCOMES.index(end.outcome), end.retry_ms)
 
