--- a/amberlug/core/journal/__init__.py
+++ b/amberlug/core/journal/__init__.py
@@ -23,8 +23,8 @@
     GROUP = "group"  # a power failure: the response waits for a sync, shared by many (group commit)
 
 
-def open_journal(folder: Path, room_bytes: int, clock: Clock, durability: Durability) -> Journal:
+def open_journal(folder: Path, max_bytes: int, clock: Clock, durability: Durability) -> Journal:
     """Open the journal in a folder; needs a running event loop. Raises the same errors as `Journal`."""
     syncer = None if durability is Durability.PROCESS else ThreadSyncer()
     interval_us = INTERVAL_US if durability is Durability.INTERVAL else None
-    return Journal(FolderDisk(folder), room_bytes, clock.wall_ms(), clock.now_us, syncer, interval_us)
+    return Journal(FolderDisk(folder), max_bytes, clock.wall_ms(), clock.now_us, syncer, interval_us)
--- a/amberlug/core/journal/log.py
+++ b/amberlug/core/journal/log.py
@@ -34,15 +34,13 @@
     total_size,
     unpack_position,
 )
-from amberlug.core.journal.room import SLICE_US, Room, Use, blocks
+from amberlug.core.journal.space import SLICE_US, DiskUsage, SpacePolicy, round_up_to_blocks
 from amberlug.core.journal.syncing import Entry, Syncer, Syncing
 from amberlug.core.log import log
 from amberlug.core.messages import Attempt, End, Ending, Message, Refusal
 from amberlug.core.ports import Earlier, Held
 
-_encode_json = json.JSONEncoder(
-    separators=(",", ":")
-).encode  # dumps() would create an encoder for each record
+_encode_json = json.JSONEncoder(separators=(",", ":")).encode  # dumps() creates an encoder for each call
 EXPIRY_CHECKS = 2  # names of ended messages checked for expiry with each ENDED record
 MAX_NAME_AGE_US = 3_600_000_000  # longest time a recovered name is remembered, whatever the clocks say
 
@@ -67,7 +65,7 @@
     def __init__(
         self,
         disk: Disk,
-        room_bytes: int,
+        max_bytes: int,
         now_ms: int,
         clock_us: Callable[[], int],
         syncer: Syncer | None = None,
@@ -81,7 +79,7 @@
         self._awaiting_deletion = (
             False  # whether the oldest segment is compacted and waits for a sync to be deleted
         )
-        self._disk, self._room, self._clock_us = disk, Room(room_bytes), clock_us
+        self._disk, self._space, self._clock_us = disk, SpacePolicy(max_bytes), clock_us
         found = recover_folder(disk)
         old = legacy.read(disk)
         self.damage = found.damage
@@ -127,9 +125,11 @@
         self._to_copy: deque[tuple[str, bool]] | None = None
         self._deferred: deque[Entry] = deque()  # records of past events that could not be written yet
         live = sum(recovered.size for recovered in found.messages.values())
-        self._use = Use(used=blocks(found.left), live=live, held=len(self._positions))
+        self._usage = DiskUsage(
+            used=round_up_to_blocks(found.left), live=live, held_messages=len(self._positions)
+        )
         for segment in self._segments:
-            self._use.opened(segment.size)
+            self._usage.add_file(segment.size)
         self._delete_files(found.obsolete_files)
 
     def _delete_files(self, names: list[str]) -> None:
@@ -228,11 +228,11 @@
     def fits(self, size: int) -> bool:
         """Whether there is space for a message with a body of that size and all its later records."""
         failed = self._syncing is not None and self._syncing.failed
-        return not (self._deferred or failed) and self._room.takes(self._use, size)
+        return not (self._deferred or failed) and self._space.accepts_message(self._usage, size)
 
     def retry_us(self, size: int) -> int:
         """Microseconds after which a message that does not fit may be retried."""
-        return self._room.retry_us(self._use, size)
+        return self._space.retry_us(self._usage, size)
 
     def take(self, message: Message, now_ms: int) -> None:
         self._write(records.TAKEN, message.name, self._take_record(message, now_ms))
@@ -271,7 +271,7 @@
         self._remove_message(message.name)
         self._owed.add(message.name)
         self._positions[message.name] = ()
-        self._use.held += 1
+        self._usage.held_messages += 1
         self._write(records.OWED, message.name, self._owed_record(message, end))
 
     def _owed_record(self, message: Message, end: End) -> bytes:
@@ -296,8 +296,8 @@
     def _remove_message(self, name: str) -> None:
         positions = self._positions.pop(name, None)
         if positions is not None:
-            self._use.live -= total_size(positions)
-            self._use.held -= 1
+            self._usage.live -= total_size(positions)
+            self._usage.held_messages -= 1
         self._owed.discard(name)
 
     # Writing.
@@ -335,9 +335,11 @@
         """Write one record, completely or not at all."""
         size = records.RECORD_HEADER_SIZE + len(name) + len(rest)
         segment = self._active
-        if segment is None or (segment.size > records.HEADER_SIZE and self._room.rolls(segment.size, size)):
+        if segment is None or (
+            segment.size > records.HEADER_SIZE and self._space.needs_new_segment(segment.size, size)
+        ):
             segment = self._start_segment()
-        if not self._room.fits(self._use, size):
+        if not self._space.fits_record(self._usage, size):
             raise OSError(errno.ENOSPC, "no room in the journal")
         try:
             self._append_to_segment(segment, kind, name, rest)
@@ -361,12 +363,12 @@
         elif kind in records.MESSAGE_KINDS:
             positions = self._positions.get(name)
             if positions is None:
-                self._use.held += 1
+                self._usage.held_messages += 1
                 positions = ()
             size = len(data)
             self._positions[name] = (*positions, pack_position(segment.number, offset, size))
             segment.names[name] = None
-            self._use.live += size
+            self._usage.live += size
 
     def _write_data(self, segment: Segment, data: bytes) -> None:
         """Append data to a segment. A partial write is truncated; if that fails, the segment is abandoned."""
@@ -374,7 +376,7 @@
         if (written := self._disk.append(segment.name, data)) < size:
             self._write_remaining(segment, data, written)
         before, after = segment.size, segment.size + size
-        self._use.used += blocks(after) - blocks(before)
+        self._usage.used += round_up_to_blocks(after) - round_up_to_blocks(before)
         segment.size = after
 
     def _write_remaining(self, segment: Segment, data: bytes, written: int) -> None:
@@ -398,7 +400,7 @@
 
     def _start_segment(self) -> Segment:
         """Start a new segment."""
-        if not self._room.fits(self._use, records.HEADER_SIZE):
+        if not self._space.fits_record(self._usage, records.HEADER_SIZE):
             raise OSError(errno.ENOSPC, "no room in the journal")
         number = self._last_number + 1
         segment = Segment(number, records.segment_file_name(number), 0)
@@ -415,7 +417,7 @@
             raise
         self._last_number = number
         self._segments.append(segment)
-        self._use.files += 1
+        self._usage.files += 1
         self._active = segment
         if self._syncing is not None:
             self._syncing.wrote(segment.name, (number, segment.size), None)
@@ -438,7 +440,7 @@
         unsynced = []
         while self._segments and self._segments[-1].number > number:
             segment = self._segments.pop()
-            self._use.closed(segment.size)
+            self._usage.remove_file(segment.size)
             unsynced.append(segment)
         for affected in [*unsynced, *islice(reversed(self._segments), 1)]:
             for name in affected.names:
@@ -447,7 +449,7 @@
             self._to_copy, self._awaiting_deletion = None, False
         elif self._segments[-1].number == number and self._segments[-1].size > offset:
             segment = self._segments[-1]
-            self._use.used -= blocks(segment.size) - blocks(offset)
+            self._usage.used -= round_up_to_blocks(segment.size) - round_up_to_blocks(offset)
             segment.size = offset  # the next segment's header records that no more of it is valid
             with contextlib.suppress(OSError):
                 self._disk.truncate(segment.name, offset)
@@ -458,7 +460,7 @@
         positions = self._positions.get(name)
         if positions is not None:
             kept = tuple(position for position in positions if _end_of(position) <= safe)
-            self._use.live -= total_size(positions) - total_size(kept)
+            self._usage.live -= total_size(positions) - total_size(kept)
             self._positions[name] = kept
 
     def _record_synced_position(self, end: tuple[int, int]) -> None:
@@ -488,7 +490,11 @@
         return again_us
 
     def _needs_compaction(self) -> bool:
-        return not self._awaiting_deletion and len(self._segments) > 1 and self._room.compacts(self._use)
+        return (
+            not self._awaiting_deletion
+            and len(self._segments) > 1
+            and self._space.should_compact(self._usage)
+        )
 
     def _compact_slice(self, until_us: int) -> None:
         """Copy live records of the oldest segment forward until the time is up; dead ones cost no time."""
@@ -524,7 +530,7 @@
             else:
                 self._append(record.kind, record.name, record.rest)
             self._positions[name] = tuple(other for other in self._positions[name] if other != position)
-            self._use.live -= size
+            self._usage.live -= size
 
     def _is_needed(self, kind: bytes, name: str) -> bool:
         """Whether records of that kind are still needed for that message."""
@@ -563,8 +569,8 @@
         self._delete_files([oldest.name])
         self._segments.popleft()
         self._to_copy = None
-        self._use.closed(oldest.size)
-        self._room.freed(blocks(oldest.size), self._clock_us())
+        self._usage.remove_file(oldest.size)
+        self._space.record_freed_segment(round_up_to_blocks(oldest.size), self._clock_us())
 
 
 def _json_text(value: str | None) -> str:
--- a/tests/test_journal.py
+++ b/tests/test_journal.py
@@ -17,7 +17,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from amberlug.core.journal import FolderDisk, Journal, room
+from amberlug.core.journal import FolderDisk, Journal, space
 from amberlug.core.journal import records as rec
 from amberlug.core.messages import Attempt, End, Ending, Message, Outcome
 from amberlug.core.ports import Earlier, Seen, Wait
@@ -185,9 +185,9 @@
 
 @pytest.fixture
 def tight(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Use small segments of a few records that are compacted early."""
-    monkeypatch.setattr(room, "SMALL", 8_000)
-    monkeypatch.setattr(room, "LEAST_SEGMENT", 4_000)
+    """DiskUsage small segments of a few records that are compacted early."""
+    monkeypatch.setattr(space, "MIN_COMPACTION_BYTES", 8_000)
+    monkeypatch.setattr(space, "MIN_SEGMENT_BYTES", 4_000)
 
 
 SMALL_ROOM = 64_000
@@ -533,7 +533,7 @@
     for _ in range(50):
         world.work()
     assert world.journal.fits(2000)
-    assert room.LEAST_RETRY_US <= world.journal.retry_us(2000) <= room.MOST_RETRY_US
+    assert space.MIN_RETRY_US <= world.journal.retry_us(2000) <= space.MAX_RETRY_US
     assert disk.most <= SMALL_ROOM
 
 
@@ -669,9 +669,9 @@
         if count % 4:
             journal.end(one.name, NOW, NOW)
     before, operations = next(ticks), disk.operations
-    assert journal.work() == room.SLICE_US
-    assert next(ticks) - before < 2 * room.SLICE_US
-    looks = room.SLICE_US // 100
+    assert journal.work() == space.SLICE_US
+    assert next(ticks) - before < 2 * space.SLICE_US
+    looks = space.SLICE_US // 100
     assert disk.operations - operations < 2 * looks + 4  # a read and a write for each clock reading
     slices = sum(1 for _ in iter(journal.work, None))
     assert slices > 4
@@ -745,7 +745,7 @@
     disk, now = FaultyDisk(), [0]
 
     def slow() -> int:
-        now[0] += room.SLICE_US  # each slice ends at its first clock reading
+        now[0] += space.SLICE_US  # each slice ends at its first clock reading
         return now[0]
 
     journal = Journal(disk, SMALL_ROOM, NOW, slow)
