--- a/amberlug/core/journal/log.py
+++ b/amberlug/core/journal/log.py
@@ -35,7 +35,7 @@
     unpack_position,
 )
 from amberlug.core.journal.space import SLICE_US, DiskUsage, SpacePolicy, round_up_to_blocks
-from amberlug.core.journal.syncing import Entry, Syncer, Syncing
+from amberlug.core.journal.sync_scheduler import RecordEntry, Syncer, SyncScheduler
 from amberlug.core.log import log
 from amberlug.core.messages import Attempt, End, Ending, Message, Refusal
 from amberlug.core.ports import Earlier, Held
@@ -71,8 +71,8 @@
         syncer: Syncer | None = None,
         interval_us: int | None = None,
     ) -> None:
-        self._syncing = (
-            Syncing(syncer, disk, clock_us, interval_us, self._rewrite, self._record_synced_position)
+        self._sync_scheduler = (
+            SyncScheduler(syncer, disk, clock_us, interval_us, self._rewrite, self._record_synced_position)
             if syncer is not None
             else None
         )
@@ -92,10 +92,10 @@
         self._load(found, now_ms)
         if old is not None:
             self._migrate_legacy(old, now_ms)
-        if self._syncing is not None:  # records of the previous process may not be synced yet
+        if self._sync_scheduler is not None:  # records of the previous process may not be synced yet
             for segment in self._segments:
-                self._syncing.wrote(segment.name, (segment.number, segment.size), None)
-            self._syncing.safe = self._syncing.end
+                self._sync_scheduler.record_written(segment.name, (segment.number, segment.size), None)
+            self._sync_scheduler.synced_end = self._sync_scheduler.end
 
     def _load(self, found: RecoveredJournal, now_ms: int) -> None:
         """Initialize the index from the recovered state; writing starts in a new segment."""
@@ -123,7 +123,7 @@
         self._active: Segment | None = None
         # Names whose records in the oldest segment must still be copied; True for an ENDED record.
         self._to_copy: deque[tuple[str, bool]] | None = None
-        self._deferred: deque[Entry] = deque()  # records of past events that could not be written yet
+        self._deferred: deque[RecordEntry] = deque()  # records of past events that could not be written yet
         live = sum(recovered.size for recovered in found.messages.values())
         self._usage = DiskUsage(
             used=round_up_to_blocks(found.left), live=live, held_messages=len(self._positions)
@@ -174,8 +174,8 @@
 
     def close(self) -> None:
         """Close the files; nothing is written afterwards."""
-        if self._syncing is not None:
-            self._syncing.close()
+        if self._sync_scheduler is not None:
+            self._sync_scheduler.close()
         self._disk.close()
 
     # The interface for the core.
@@ -183,7 +183,7 @@
     @property
     def waits(self) -> bool:
         """Whether records become durable only some time after they were written."""
-        return self._syncing is not None and self._syncing.waits
+        return self._sync_scheduler is not None and self._sync_scheduler.waits
 
     def refuses(self, message: Message) -> Refusal | None:
         """Return None: the local journal needs nothing but space, which `fits` checks."""
@@ -207,8 +207,8 @@
         self, callback: Callable[[], object], name: str = "", never: Callable[[], object] | None = None
     ) -> None:
         """Run a callback once everything recorded so far is durable; synchronously if it already is."""
-        if self._syncing is not None and self._syncing.waits:
-            self._syncing.after(callback)
+        if self._sync_scheduler is not None and self._sync_scheduler.waits:
+            self._sync_scheduler.after(callback)
         else:
             callback()
 
@@ -227,7 +227,7 @@
 
     def fits(self, size: int) -> bool:
         """Whether there is space for a message with a body of that size and all its later records."""
-        failed = self._syncing is not None and self._syncing.failed
+        failed = self._sync_scheduler is not None and self._sync_scheduler.failed
         return not (self._deferred or failed) and self._space.accepts_message(self._usage, size)
 
     def retry_us(self, size: int) -> int:
@@ -350,8 +350,10 @@
             self._active = None
             segment = self._start_segment()
             self._append_to_segment(segment, kind, name, rest)
-        if self._syncing is not None:
-            self._syncing.wrote(segment.name, (segment.number, segment.size), (kind, name, rest))
+        if self._sync_scheduler is not None:
+            self._sync_scheduler.record_written(
+                segment.name, (segment.number, segment.size), (kind, name, rest)
+            )
 
     def _append_to_segment(self, segment: Segment, kind: bytes, name: str, rest: bytes) -> None:
         """Append a record to a segment and index its position if it will be needed."""
@@ -407,7 +409,7 @@
         first = self._segments[0].number if self._segments else number
         tail = self._segments[-1] if self._segments else Segment(0, "", 0)
         header = records.SegmentHeader(
-            self._folder_id, number, first, tail.number, tail.size, self._syncing is not None
+            self._folder_id, number, first, tail.number, tail.size, self._sync_scheduler is not None
         )
         self._disk.create(segment.name)
         try:
@@ -419,11 +421,11 @@
         self._segments.append(segment)
         self._usage.files += 1
         self._active = segment
-        if self._syncing is not None:
-            self._syncing.wrote(segment.name, (number, segment.size), None)
+        if self._sync_scheduler is not None:
+            self._sync_scheduler.record_written(segment.name, (number, segment.size), None)
         return segment
 
-    def _rewrite(self, entries: list[Entry]) -> None:
+    def _rewrite(self, entries: list[RecordEntry]) -> None:
         """Rewrite records that a failed sync may have lost to a new segment and delete the untrusted ones."""
         unsynced = self._discard_unsynced()
         self._active = None
@@ -435,8 +437,8 @@
 
     def _discard_unsynced(self) -> list[Segment]:
         """Remove all unsynced data from the log; return the segments that were not synced at all."""
-        assert self._syncing is not None
-        number, offset = self._syncing.safe
+        assert self._sync_scheduler is not None
+        number, offset = self._sync_scheduler.synced_end
         unsynced = []
         while self._segments and self._segments[-1].number > number:
             segment = self._segments.pop()
@@ -455,11 +457,11 @@
                 self._disk.truncate(segment.name, offset)
         return unsynced
 
-    def _keep_synced_positions(self, name: str, safe: tuple[int, int]) -> None:
+    def _keep_synced_positions(self, name: str, synced_end: tuple[int, int]) -> None:
         """Drop the positions of a message's records that are not synced."""
         positions = self._positions.get(name)
         if positions is not None:
-            kept = tuple(position for position in positions if _end_of(position) <= safe)
+            kept = tuple(position for position in positions if _end_of(position) <= synced_end)
             self._usage.live -= total_size(positions) - total_size(kept)
             self._positions[name] = kept
 
@@ -475,9 +477,9 @@
 
         Return the microseconds until the next call, or None.
         """
-        again_us = self._syncing.work() if self._syncing is not None else None
+        next_call_us = self._sync_scheduler.work() if self._sync_scheduler is not None else None
         if not self._deferred and not self._needs_compaction():
-            return again_us
+            return next_call_us
         until_us = self._clock_us() + SLICE_US
         try:
             self._write_deferred()
@@ -486,8 +488,8 @@
                 if self._clock_us() >= until_us:
                     return SLICE_US
         except OSError:
-            return again_us  # retried after the next round; new messages are refused meanwhile
-        return again_us
+            return next_call_us  # retried after the next round; new messages are refused meanwhile
+        return next_call_us
 
     def _needs_compaction(self) -> bool:
         return (
@@ -543,11 +545,11 @@
     def _retire_segment(self, oldest: Segment) -> None:
         """Delete a compacted segment once its copies and its DROPPED record are synced."""
         self._awaiting_deletion = True
-        if self._syncing is None:
+        if self._sync_scheduler is None:
             self._record_dropped(oldest)
             self._delete_segment(oldest)
         else:
-            self._syncing.after(lambda: self._record_dropped(oldest))
+            self._sync_scheduler.after(lambda: self._record_dropped(oldest))
 
     def _record_dropped(self, oldest: Segment) -> None:
         if not self._segments or self._segments[0] is not oldest:
@@ -556,11 +558,11 @@
             self._append(records.DROPPED, "", DROPPED.pack(oldest.number))
         except OSError:
             self._awaiting_deletion = False  # compacted again, which only costs reading it
-            if self._syncing is None:
+            if self._sync_scheduler is None:
                 raise
             return
-        if self._syncing is not None:
-            self._syncing.after(lambda: self._delete_segment(oldest))
+        if self._sync_scheduler is not None:
+            self._sync_scheduler.after(lambda: self._delete_segment(oldest))
 
     def _delete_segment(self, oldest: Segment) -> None:
         if not self._segments or self._segments[0] is not oldest:
--- a/amberlug/core/journal/syncing.py
+++ b/amberlug/core/journal/sync_scheduler.py
@@ -16,7 +16,7 @@
 
 RETRY_US = 1_000_000  # delay between a failed sync and rewriting the records that it may have lost
 
-Entry = tuple[bytes, str, bytes]  # kind, name and remaining payload of a record
+RecordEntry = tuple[bytes, str, bytes]  # kind, name and remaining payload of a record
 Callback = Callable[[], object]
 
 
@@ -30,11 +30,12 @@
         """Wait for the running job."""
 
 
-class Syncing:
+class SyncScheduler:
     """Combines pending requests into one sync at a time (group commit).
 
     With `interval_us`, a sync follows each write within that time and no caller waits; without it, callers
-    wait for the next sync. `rewrite` writes records to a new segment; `marked` records the synced position.
+    wait for the next sync. `rewrite` writes records to a new segment; `record_synced` stores the synced
+    position.
     """
 
     def __init__(
@@ -43,21 +44,21 @@
         disk: Disk,
         clock_us: Callable[[], int],
         interval_us: int | None,
-        rewrite: Callable[[list[Entry]], None],
-        marked: Callable[[tuple[int, int]], None],
+        rewrite: Callable[[list[RecordEntry]], None],
+        record_synced: Callable[[tuple[int, int]], None],
     ) -> None:
         self._syncer, self._disk, self._clock_us, self._interval_us = syncer, disk, clock_us, interval_us
-        self._rewrite, self._marked = rewrite, marked
+        self._rewrite, self._record_synced = rewrite, record_synced
         self.waits = interval_us is None
         self.failed = False
         self.end = (0, 0)  # segment and offset of the end of the newest record
-        self.safe = (0, 0)  # the same for the newest synced record
+        self.synced_end = (0, 0)  # the same for the newest synced record
         self._dirty: dict[str, None] = {}
         self._created = False
-        self._since: list[Entry] = []  # written since the last sync started
-        self._lost: list[Entry] = []  # possibly lost in a failed sync
+        self._written_since: list[RecordEntry] = []  # written since the last sync started
+        self._lost: list[RecordEntry] = []  # possibly lost in a failed sync
         self._waiting: list[Callback] = []
-        self._under_way: tuple[list[Callback], list[Entry], tuple[int, int]] | None = None
+        self._running: tuple[list[Callback], list[RecordEntry], tuple[int, int]] | None = None
         self._due_us: int | None = None
         self._closed = False
 
@@ -67,13 +68,13 @@
         self._closed = True
         self._syncer.close()
 
-    def wrote(self, name: str, end: tuple[int, int], entry: Entry | None) -> None:
+    def record_written(self, name: str, end: tuple[int, int], entry: RecordEntry | None) -> None:
         """Register a written record, or the header of a new segment if `entry` is None."""
         self._dirty[name] = None
         self._created |= entry is None
         self.end = end
         if entry is not None:
-            self._since.append(entry)
+            self._written_since.append(entry)
         # The mark written after each sync does not trigger another sync, which would go on forever.
         if self._due_us is None and (entry is None or entry[0] != SYNCED):
             self._due_us = self._clock_us() + (self._interval_us or 0)
@@ -87,56 +88,56 @@
     def work(self) -> int | None:
         """Do what is due; return the microseconds until the next call, or None."""
         now_us = self._clock_us()
-        if self._under_way is not None or self._due_us is None:
+        if self._running is not None or self._due_us is None:
             return None
         if self._due_us > now_us:
             return self._due_us - now_us
         if self.failed and self._lost:
             try:
-                lost, self._lost, self._since = self._lost + self._since, [], []
+                lost, self._lost, self._written_since = self._lost + self._written_since, [], []
                 self._rewrite(lost)
             except OSError as error:
-                self._since = []
-                self._fail(error, lost)
+                self._written_since = []
+                self._on_failure(error, lost)
                 return RETRY_US
-        self._start(again=True)
+        self._start(retrying=True)
         return None
 
-    def _start(self, again: bool = False) -> None:
-        if self._closed or self._under_way is not None or (self.failed and not again):
+    def _start(self, retrying: bool = False) -> None:
+        if self._closed or self._running is not None or (self.failed and not retrying):
             return
         names, created = list(self._dirty), self._created
-        self._under_way = self._waiting, self._since, self.end
-        self._waiting, self._since, self._dirty, self._created, self._due_us = [], [], {}, False, None
+        self._running = self._waiting, self._written_since, self.end
+        self._waiting, self._written_since, self._dirty, self._created, self._due_us = [], [], {}, False, None
         try:
             job = self._disk.syncs(names, created)
         except OSError as error:
-            self._done(error)
+            self._on_done(error)
         else:
-            self._syncer.start(job, self._done)
+            self._syncer.start(job, self._on_done)
 
-    def _done(self, error: OSError | None) -> None:
+    def _on_done(self, error: OSError | None) -> None:
         if self._closed:
             return
-        assert self._under_way is not None
-        waiting, entries, end = self._under_way
-        self._under_way = None
+        assert self._running is not None
+        waiting, entries, end = self._running
+        self._running = None
         if error is not None:
             self._waiting = waiting + self._waiting
-            lost, self._since = entries + self._since, []
-            self._fail(error, lost)
+            lost, self._written_since = entries + self._written_since, []
+            self._on_failure(error, lost)
             return
         if self.failed:
             self.failed = False
             log("journal: syncs succeed again, in a new segment")
-        self.safe = end
-        self._marked(end)
+        self.synced_end = end
+        self._record_synced(end)
         for callback in waiting:
             callback()
         if self._waiting and self.waits:
             self._start()
 
-    def _fail(self, error: OSError, lost: list[Entry]) -> None:
+    def _on_failure(self, error: OSError, lost: list[RecordEntry]) -> None:
         if not self.failed:
             log(f"journal: a sync failed: {error}; refusing messages until unsynced records are rewritten")
         self.failed = True
--- a/amberlug/learning/store.py
+++ b/amberlug/learning/store.py
@@ -12,7 +12,7 @@
 from itertools import islice
 
 from amberlug.core.journal.disk import Disk
-from amberlug.core.journal.syncing import Syncer
+from amberlug.core.journal.sync_scheduler import Syncer
 from amberlug.core.log import log
 from amberlug.learning import blocks as it
 from amberlug.learning.blocks import Generation, Records, RefusedError, Stamp, Type
