--- a/amberlug/cli/journals.py
+++ b/amberlug/cli/journals.py
@@ -27,7 +27,7 @@
         found, now_ms = recover_folder(disk), int(time.time() * 1000)
         old, ones = legacy.read(disk), resumable_messages(found, now_ms)
         if old is not None:
-            ones = legacy.merged(old, ones, found.ended)
+            ones = legacy.merge(old, ones, found.ended)
         if to is not None:
             salvage(found, ones, to, now_ms)
     except (OSError, ValueError) as error:
--- a/amberlug/core/journal/legacy.py
+++ b/amberlug/core/journal/legacy.py
@@ -19,13 +19,16 @@
 from amberlug.core.ports import Earlier, Held, Seen, Tried
 from amberlug.policy.interface import Result
 
-FILE, ASIDE = "journal.log", "journal.new"  # the second one is a temporary file that no restart needs
-_HEAD = struct.Struct(">2scII")
-_MARK = b"\xa7\x1e"
+FILE, TEMPORARY_FILE = (
+    "journal.log",
+    "journal.new",
+)  # the second one is a temporary file that no restart needs
+_HEADER = struct.Struct(">2scII")
+_MAGIC = b"\xa7\x1e"
 
 
 @dataclass(slots=True)
-class Old:
+class LegacyJournal:
     """The contents of a legacy journal."""
 
     held: dict[str, Held] = field(default_factory=dict)
@@ -34,33 +37,37 @@
     files: list[str] = field(default_factory=list)
 
 
-def read(disk: Disk) -> Old | None:
+def read(disk: Disk) -> LegacyJournal | None:
     """Read the legacy journal; None if there is none."""
     sizes = disk.files()
     if FILE not in sizes:
         return None
-    old = Old(files=[name for name in (FILE, ASIDE) if name in sizes])
+    old = LegacyJournal(files=[name for name in (FILE, TEMPORARY_FILE) if name in sizes])
     for kind, payload in _records(disk.read(FILE, 0, sizes[FILE])):
-        head, _, body = payload.partition(b"\n")
+        header, _, body = payload.partition(b"\n")
         try:
-            _apply(old, kind, json.loads(head), body)
+            _apply(old, kind, json.loads(header), body)
         except (ValueError, KeyError, TypeError) as error:
             log(f"journal: skipping a record of the old format that can't be parsed: {error!r}")
     return old
 
 
-def merged(old: Old, held: dict[str, Held], over: Container[str]) -> dict[str, Held]:
+def merge(old: LegacyJournal, held: dict[str, Held], ended_names: Container[str]) -> dict[str, Held]:
     """Merge an old file with the segments, after a migration that was interrupted."""
-    both = {name: one for name, one in old.held.items() if name not in over and name not in held}
-    for name, one in held.items():
+    combined = {
+        name: message_state
+        for name, message_state in old.held.items()
+        if name not in ended_names and name not in held
+    }
+    for name, message_state in held.items():
         before = old.held.get(name)
-        if before is not None and one.end is None:
-            one.tried = before.tried | one.tried
-        both[name] = one
-    return both
+        if before is not None and message_state.end is None:
+            message_state.tried = before.tried | message_state.tried
+        combined[name] = message_state
+    return combined
 
 
-def _apply(old: Old, kind: bytes, fields: dict[str, Any], body: bytes) -> None:
+def _apply(old: LegacyJournal, kind: bytes, fields: dict[str, Any], body: bytes) -> None:
     name = fields["id"]
     if kind == b"S":
         old.earlier = Earlier(fields["wall"], fields["clock"], tuple(Seen(*row) for row in fields["seen"]))
@@ -88,14 +95,14 @@
     """Yield the records; a torn last one is dropped, other corrupt data is skipped; both are logged."""
     at = 0
     while at < len(data):
-        if len(data) - at >= _HEAD.size:
-            mark, kind, size, check = _HEAD.unpack_from(data, at)
-            payload = data[at + _HEAD.size : at + _HEAD.size + size]
-            if mark == _MARK and len(payload) == size and zlib.crc32(kind + payload) == check:
+        if len(data) - at >= _HEADER.size:
+            mark, kind, size, check = _HEADER.unpack_from(data, at)
+            payload = data[at + _HEADER.size : at + _HEADER.size + size]
+            if mark == _MAGIC and len(payload) == size and zlib.crc32(kind + payload) == check:
                 yield kind, payload
-                at += _HEAD.size + size
+                at += _HEADER.size + size
                 continue
-        following = data.find(_MARK, at + 1)
+        following = data.find(_MAGIC, at + 1)
         if following < 0:
             log(f"journal: {len(data) - at} unreadable bytes at the end dropped")
             return
--- a/amberlug/core/journal/log.py
+++ b/amberlug/core/journal/log.py
@@ -87,7 +87,7 @@
             log(f"journal: {damage}")
         self.held = resumable_messages(found, now_ms)
         if old is not None:
-            self.held = legacy.merged(old, self.held, found.ended)
+            self.held = legacy.merge(old, self.held, found.ended)
         self.earlier: Earlier = found.earlier if found.earlier != Earlier() or old is None else old.earlier
         self._load(found, now_ms)
         if old is not None:
@@ -139,7 +139,7 @@
             except OSError as error:
                 log(f"journal: {name}: {error}")
 
-    def _migrate_legacy(self, old: legacy.Old, now_ms: int) -> None:
+    def _migrate_legacy(self, old: legacy.LegacyJournal, now_ms: int) -> None:
         """Migrate the journal of an earlier release to segments, then delete its files."""
         both = [one for name, one in self.held.items() if name in old.held]
         try:
--- a/amberlug/core/journal/threads.py
+++ b/amberlug/core/journal/threads.py
@@ -15,14 +15,14 @@
         self._executor = ThreadPoolExecutor(1, "amberlug-sync")
 
     def start(self, job: Callable[[], None], done: Callable[[OSError | None], None]) -> None:
-        future = self._loop.run_in_executor(self._executor, _tried, job)
+        future = self._loop.run_in_executor(self._executor, _run_job, job)
         future.add_done_callback(lambda it: None if it.cancelled() else done(it.result()))
 
     def close(self) -> None:
         self._executor.shutdown(wait=True)
 
 
-def _tried(job: Callable[[], None]) -> OSError | None:
+def _run_job(job: Callable[[], None]) -> OSError | None:
     try:
         job()
     except OSError as error:
