--- a/amberlug/core/slices.py
+++ b/amberlug/core/sliced_queue.py
@@ -6,18 +6,18 @@
 from collections import deque
 from collections.abc import Callable, Iterator
 
-SLICE = 0.003  # seconds that one iteration of the loop may take, delaying all other callbacks
+SLICE_SECONDS = 0.003  # seconds that one iteration of the loop may take, delaying all other callbacks
 Job = Iterator[None]
 
 
-class Slices:
-    """Runs jobs, each an iterator of short steps; a `ValueError` ends its job and is passed to `failed`.
+class SlicedQueue:
+    """Runs jobs, each an iterator of short steps; a `ValueError` ends its job and is passed to `on_error`.
 
     If the queue is empty, `add` runs as much of the job as fits into one slice before it returns.
     """
 
-    def __init__(self, failed: Callable[[ValueError], None]) -> None:
-        self._failed = failed
+    def __init__(self, on_error: Callable[[ValueError], None]) -> None:
+        self._on_error = on_error
         self._jobs: deque[Job] = deque()
         self._handle: asyncio.Handle | None = None
         self._running = False
@@ -26,7 +26,7 @@
         """Enqueue a job."""
         self._jobs.append(job)
         if self._handle is None and not self._running:
-            self._work()
+            self._run_slice()
 
     def clear(self) -> None:
         """Discard all remaining work."""
@@ -35,17 +35,17 @@
             self._handle.cancel()
             self._handle = None
 
-    def _work(self) -> None:
+    def _run_slice(self) -> None:
         self._handle, self._running = None, True
         loop = asyncio.get_running_loop()
-        until = loop.time() + SLICE
+        until = loop.time() + SLICE_SECONDS
         try:
             while self._jobs and loop.time() < until:
                 self._step(self._jobs[0])
         finally:
             self._running = False
         if self._jobs:
-            self._handle = loop.call_soon(self._work)
+            self._handle = loop.call_soon(self._run_slice)
 
     def _step(self, job: Job) -> None:
         try:
@@ -54,6 +54,6 @@
         except StopIteration:
             pass
         except ValueError as error:
-            self._failed(error)
-        if self._jobs and self._jobs[0] is job:  # `failed` may have cleared them
+            self._on_error(error)
+        if self._jobs and self._jobs[0] is job:  # `on_error` may have cleared them
             self._jobs.popleft()
--- a/amberlug/library/endpoints.py
+++ b/amberlug/library/endpoints.py
@@ -11,7 +11,7 @@
 from amberlug.core.listing import address, read_line
 from amberlug.core.log import log
 from amberlug.core.ports import News
-from amberlug.core.slices import Slices
+from amberlug.core.sliced_queue import SlicedQueue
 from amberlug.platform.discovery import Watch
 from amberlug.platform.heard import Heard
 from amberlug.platform.pauses import Pauses
@@ -55,7 +55,7 @@
     def __init__(self, *endpoints: Endpoint) -> None:
         self._endpoints = endpoints
         self._listed: Listed | None = None
-        self._slices = Slices(_unheard)
+        self._slices = SlicedQueue(_unheard)
         self._kinds: frozenset[str] = frozenset()
 
     def start(self, settings: Settings, listed: Listed) -> None:
@@ -98,7 +98,7 @@
         self._path, self._every = Path(path), every
         self._stamp: tuple[int, ...] = ()
         self._timer: asyncio.TimerHandle | None = None
-        self._slices = Slices(self._bad)
+        self._slices = SlicedQueue(self._bad)
 
     def start(self, settings: Settings, listed: Listed) -> None:
         self._stamp = self._stamp_now()
--- a/amberlug/platform/discovery.py
+++ b/amberlug/platform/discovery.py
@@ -9,7 +9,7 @@
 from amberlug.core.listing import read_line
 from amberlug.core.log import log
 from amberlug.core.ports import Address, News
-from amberlug.core.slices import Slices
+from amberlug.core.sliced_queue import SlicedQueue
 from amberlug.http.link import Link, dial
 from amberlug.platform.pauses import Pauses
 
@@ -38,7 +38,7 @@
     ) -> None:
         self._where, self._kinds, self._told, self._pauses = where, kinds, told, pauses
         self._current, self._tried = current, asyncio.Event()
-        self._slices = Slices(self._broken)
+        self._slices = SlicedQueue(self._broken)
         self._link: Link | None = None
         self._task: asyncio.Task[None] | None = None
         self._revision = revision
--- a/tests/test_listing.py
+++ b/tests/test_listing.py
@@ -14,7 +14,7 @@
 from amberlug.core import listing
 from amberlug.core.listing import read_beside, read_line, read_news
 from amberlug.core.ports import News
-from amberlug.core.slices import Slices
+from amberlug.core.sliced_queue import SlicedQueue
 from amberlug.platform.discovery import LINE_MOST, SETTLED, Watch
 from amberlug.platform.pauses import Pauses
 from amberlug.policy import interface as api
@@ -294,7 +294,7 @@
 def test_slices_run_in_order_and_leave_the_loop_to_others() -> None:
     async def scenario() -> None:
         done, turns, finished = list[int](), 0, asyncio.Event()
-        slices = Slices(lambda error: done.append(-1))
+        slices = SlicedQueue(lambda error: done.append(-1))
 
         def job(number: int, steps: int) -> Any:
             for _ in range(steps):
