--- a/amberlug/core/departure.py
+++ b/amberlug/core/attempt_clearance.py
@@ -9,7 +9,7 @@
 from amberlug.core.ports import Calls
 
 
-async def departing(calls: Calls, attempts: Sequence[Attempt]) -> list[Attempt]:
+async def clear_attempts(calls: Calls, attempts: Sequence[Attempt]) -> list[Attempt]:
     """Record attempts, wait until the records are durable, and return those that may still be sent."""
     cleared = calls.clear(attempts)
     if not cleared or not calls.waits:
--- a/amberlug/http/calls.py
+++ b/amberlug/http/calls.py
@@ -8,7 +8,7 @@
 from functools import partial
 from typing import Any
 
-from amberlug.core.departure import departing
+from amberlug.core.attempt_clearance import clear_attempts
 from amberlug.core.messages import Attempt, Ending, Message
 from amberlug.core.ports import Address, Calls, Clock
 from amberlug.http.link import Link, LinkLostError, Reply, dial
@@ -258,7 +258,7 @@
 
     async def _use(self, link: Link, attempts: list[Attempt]) -> None:
         # A dial takes time: what a drain, a wait or an end forbids by now is not sent.
-        cleared = await departing(self._calls, attempts)
+        cleared = await clear_attempts(self._calls, attempts)
         self._end_all([attempt for attempt in attempts if attempt not in cleared], Ending(Result.UNSENT))
         for attempt in cleared:
             attempt.reused, attempt.idle_us = link.reused, link.idled_us
--- a/amberlug/library/transport.py
+++ b/amberlug/library/transport.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from amberlug.core.departure import departing
+from amberlug.core.attempt_clearance import clear_attempts
 from amberlug.core.log import log
 from amberlug.core.messages import Attempt, Ending
 from amberlug.core.ports import Address, Calls, Clock
@@ -111,7 +111,7 @@
 
     async def _call(self, endpoint: str, attempts: list[Attempt]) -> None:
         # Only now: an attempt that is recorded and then does not leave may have run, for the next life.
-        cleared = await departing(self._calls, attempts)
+        cleared = await clear_attempts(self._calls, attempts)
         for attempt in attempts:
             if attempt not in cleared:
                 self._end(attempt, Ending(Result.UNSENT))
--- a/amberlug/mqtt/publisher.py
+++ b/amberlug/mqtt/publisher.py
@@ -6,7 +6,7 @@
 from collections import Counter
 from collections.abc import Callable, Mapping
 
-from amberlug.core.departure import departing
+from amberlug.core.attempt_clearance import clear_attempts
 from amberlug.core.messages import Attempt, Ending
 from amberlug.core.ports import Address, Calls, Clock, Transport
 from amberlug.mqtt.link import Link
@@ -147,7 +147,7 @@
         left = False
         try:
             # A connection takes time: what a drain, a wait or an end forbids by now is not sent.
-            if called_off.done() or not await departing(self._calls, [attempt]):
+            if called_off.done() or not await clear_attempts(self._calls, [attempt]):
                 return Ending(Result.CALLED_OFF if called_off.done() else Result.UNSENT)
             left = True
         finally:
