--- a/amberlug/core/node.py
+++ b/amberlug/core/node.py
@@ -8,9 +8,9 @@
 from itertools import chain, groupby
 
 from amberlug.core.clock import SECOND
+from amberlug.core.endpoint_addresses import EndpointAddresses
 from amberlug.core.log import log
 from amberlug.core.messages import Attempt, End, Ending, Exchange, Message, Outcome, Reason, Refusal
-from amberlug.core.places import Places
 from amberlug.core.ports import Clock, Ends, Handle, Held, Journal, Learning, News, Observer, Transport, Wait
 from amberlug.core.timers import Timers
 from amberlug.policy import interface as api
@@ -44,7 +44,7 @@
         self._observer, self._learning = observer, learning
         self._clock, self.now_us = clock, clock.now_us
         self._sender = LastingSender(settings, seed, learning.recall)
-        self._places = Places(transport, self._sender.members.get)
+        self._addresses = EndpointAddresses(transport, self._sender.members.get)
         self._timers = Timers(clock, self._sender.stale, lambda label: self._tell(api.Due(label)))
         transport.bind(self)
         ends.bind(self._acknowledged)
@@ -231,7 +231,7 @@
         yield
         batches = comparison.batches(news.whole)
         for entries in chain([next(batches, ())], batches):  # report an update without changes as well
-            self._places.relocate(entries)
+            self._addresses.remove_outdated(entries)
             self._events.append(api.Listed(api.ListKind.PATCH, entries))
             self._round()
             yield
@@ -333,7 +333,7 @@
     def _keep(self) -> None:
         """Save learned state periodically while there are rounds, a few destinations per loop iteration."""
         self._keep_at = None
-        self._places.forget_sleeping(self._sender.endpoints)
+        self._addresses.remove_inactive(self._sender.endpoints)
         self._learning.observe(self._sender.learned(KEEP_MOST))
         if self._sender.news and not self._stopped:
             self._keep_at = self._clock.at(self.now_us() + SECOND // 100, self._keep)
@@ -402,7 +402,7 @@
             bundle = [send for send in group if send.ref in self._messages or self._unsent(send)]
             if not bundle:
                 continue
-            self._places.locate(endpoint)
+            self._addresses.locate(endpoint)
             self._transport.call(endpoint, [self._attempt(send) for send in bundle], bundle[0].fresh)
 
     def _unsent(self, send: api.Send) -> bool:
@@ -464,7 +464,7 @@
 
     def _probe(self, endpoint: str) -> None:
         start = self.now_us()
-        self._places.locate(endpoint)
+        self._addresses.locate(endpoint)
 
         def ended(how: Ending) -> None:
             self._tell(api.Probed(endpoint, how.result, self.now_us() - start, how.report))
