--- a/amberlug/core/endpoint_addresses.py
+++ b/amberlug/core/endpoint_addresses.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Callable, Collection, Sequence
 
-from amberlug.core.listing import address
+from amberlug.core.endpoint_list import parse_address
 from amberlug.core.ports import Transport
 from amberlug.policy import interface as api
 
@@ -29,7 +29,7 @@
         entry = self._find_entry(endpoint)
         if entry is not None and self._known_addresses.get(endpoint) != entry.where:
             self._known_addresses[endpoint] = entry.where
-            parsed = address(entry.where) if entry.where else None
+            parsed = parse_address(entry.where) if entry.where else None
             self._transport.locate(endpoint, parsed, entry.kind)
 
     def remove_inactive(self, awake: Collection[str]) -> None:
--- a/amberlug/library/endpoints.py
+++ b/amberlug/library/endpoints.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 from typing import Protocol
 
-from amberlug.core.listing import address, read_line
+from amberlug.core.endpoint_list import parse_address, read_list_line
 from amberlug.core.log import log
 from amberlug.core.ports import News
 from amberlug.core.sliced_queue import SlicedQueue
@@ -81,7 +81,7 @@
         entries = []
         for it in endpoints:
             if it.address:
-                address(it.address)
+                parse_address(it.address)
             state = State.DRAINING if it.draining else State.IN
             entries.append(Entry(it.id, it.zone, it.kind, it.destination, state, it.rate, it.address))
         return News(entries, 0, True)
@@ -142,7 +142,7 @@
             text = file.read(FILE_MOST + 1)
         if len(text) > FILE_MOST:
             raise ValueError("the list is too long")
-        return read_line(text, settings.kinds, {"revision": 0, "complete": True})
+        return read_list_line(text, settings.kinds, {"revision": 0, "complete": True})
 
 
 def apply(work: Iterator[None]) -> None:
@@ -163,7 +163,7 @@
     """The platform's discovery, followed as the daemon does; `known` is a list to begin with."""
 
     def __init__(self, where: str, known: News | None = None) -> None:
-        self._where, self._known = address(where), known
+        self._where, self._known = parse_address(where), known
         self._watch: Watch | None = None
         self._current: Callable[[float], None] = _unheeded
         self._heard: Heard | None = None
--- a/amberlug/mqtt/mapping.py
+++ b/amberlug/mqtt/mapping.py
@@ -15,7 +15,7 @@
 from typing import Any
 from uuid import uuid4
 
-from amberlug.core.listing import address
+from amberlug.core.endpoint_list import parse_address
 from amberlug.core.messages import BODY_MOST, Message, is_word
 from amberlug.core.ports import Address
 from amberlug.mqtt.packets import TOO_LARGE, V3, V5, Publish
@@ -302,7 +302,7 @@
     def address(self, key: str) -> Address:
         value = self.get(key, str, "", wanted=True)
         try:
-            return address(value)
+            return parse_address(value)
         except ValueError:
             if value:
                 self.wrong(key, f"not an IP address and port: {value!r}")
--- a/amberlug/peers/fleet.py
+++ b/amberlug/peers/fleet.py
@@ -13,7 +13,7 @@
 from pathlib import Path
 from typing import Any
 
-from amberlug.core.listing import address
+from amberlug.core.endpoint_list import parse_address
 from amberlug.core.messages import is_word
 from amberlug.core.ports import Address
 from amberlug.platform.checking import Problem
@@ -144,7 +144,7 @@
 
 def _address(value: Any, where: str, wrong: list[Problem]) -> Address | None:
     try:
-        return address(value)
+        return parse_address(value)
     except (ValueError, AttributeError, TypeError):
         wrong.append(Problem(where, f"not an IP address and port: {value!r}"))
         return None
--- a/amberlug/platform/checking.py
+++ b/amberlug/platform/checking.py
@@ -7,8 +7,8 @@
 from dataclasses import dataclass
 from typing import Any
 
+from amberlug.core.endpoint_list import parse_address, read_list_update
 from amberlug.core.journal import Durability
-from amberlug.core.listing import address, read_news
 from amberlug.platform.config import read_durability, read_learning_key, read_limits
 from amberlug.policy import settings
 
@@ -43,7 +43,7 @@
         if name not in data:
             continue
         try:
-            address(data[name])
+            parse_address(data[name])
         except (ValueError, AttributeError):
             yield Problem(name, f"not an IP address and port: {data[name]!r}")
 
@@ -113,7 +113,7 @@
         own = [str(item.get("flavor"))] if isinstance(item, Mapping) else []
         kinds: list[str] = named if isinstance(named, list) else own
         try:
-            (entry,) = read_news({"revision": 0, "complete": True, "members": [item]}, kinds).entries
+            (entry,) = read_list_update({"revision": 0, "complete": True, "members": [item]}, kinds).entries
         except ValueError as error:
             yield Problem(where, str(error))
             continue
--- a/amberlug/platform/config.py
+++ b/amberlug/platform/config.py
@@ -8,8 +8,8 @@
 from pathlib import Path
 from typing import Any
 
+from amberlug.core.endpoint_list import CHUNK_BYTES, parse_address, read_list_update, read_object_with_list
 from amberlug.core.journal import Durability
-from amberlug.core.listing import PIECE, address, read_beside, read_news
 from amberlug.core.messages import BODY_MOST
 from amberlug.core.ports import Address, News
 from amberlug.learning import read_key
@@ -75,16 +75,16 @@
         raise ValueError("ROUTER_CONFIG is not set")
     try:
         with Path(path).open("rb") as file:
-            data = read_beside(iter(partial(file.read, PIECE), b""), "known")
+            data = read_object_with_list(iter(partial(file.read, CHUNK_BYTES), b""), "known")
         limits, settings = read_limits(data["limits"]), read_settings(data["settings"])
         # Guards against calls that the module starts and no connection can carry.
         settings = replace(settings, slots=min(settings.slots, limits.links))
-        known = read_news(data["known"], settings.kinds)
+        known = read_list_update(data["known"], settings.kinds)
         state = environ.get("ROUTER_STATE")
         if not state or not Path(state).is_dir():
             raise ValueError("ROUTER_STATE is not a folder")
         return Config(
-            listen=address(environ.get("ROUTER_LISTEN") or data["listen"]),
+            listen=parse_address(environ.get("ROUTER_LISTEN") or data["listen"]),
             discovery=_discovery(environ, data),
             state=Path(state),
             seed=int(str(data["seed"]), 16),
@@ -100,4 +100,4 @@
 
 def _discovery(environ: Mapping[str, str], data: Any) -> Address:
     """Tell where discovery is: by the file, which may be newer than the environment of the start."""
-    return address(data["discovery"] if "discovery" in data else environ.get("ROUTER_DISCOVERY", ""))
+    return parse_address(data["discovery"] if "discovery" in data else environ.get("ROUTER_DISCOVERY", ""))
--- a/amberlug/platform/discovery.py
+++ b/amberlug/platform/discovery.py
@@ -6,7 +6,7 @@
 import contextlib
 from collections.abc import Callable, Collection, Iterator
 
-from amberlug.core.listing import read_line
+from amberlug.core.endpoint_list import read_list_line
 from amberlug.core.log import log
 from amberlug.core.ports import Address, News
 from amberlug.core.sliced_queue import SlicedQueue
@@ -123,7 +123,7 @@
 
     def _read(self, line: bytearray) -> Iterator[None]:
         """Read a line, a slice at a time."""
-        size, news = len(line), read_line(line, self._kinds)
+        size, news = len(line), read_list_line(line, self._kinds)
         yield from self._told(news)
         self._revision = news.revision
         self._unread -= size
--- a/tests/parity_host.py
+++ b/tests/parity_host.py
@@ -9,7 +9,7 @@
 from pathlib import Path
 from typing import Any
 
-from amberlug.core.listing import read_news
+from amberlug.core.endpoint_list import read_list_update
 from amberlug.library import AcknowledgedError, Discovery, Message, RefusedError, Relay
 from amberlug.library.taken import Taken
 from amberlug.policy.settings import read_settings
@@ -41,7 +41,7 @@
 async def main(path: str, state: str) -> None:
     config = json.loads(Path(path).read_text(encoding="utf-8"))
     settings = read_settings(config["settings"])
-    endpoints = Discovery(config["discovery"], read_news(config["known"], settings.kinds))
+    endpoints = Discovery(config["discovery"], read_list_update(config["known"], settings.kinds))
     stop = asyncio.Event()
     loop = asyncio.get_running_loop()
     loop.add_signal_handler(signal.SIGTERM, stop.set)
--- a/tests/test_library.py
+++ b/tests/test_library.py
@@ -12,8 +12,8 @@
 
 import pytest
 
+from amberlug.core.endpoint_list import read_list_line
 from amberlug.core.journal.threads import ThreadSyncer
-from amberlug.core.listing import read_line
 from amberlug.core.messages import Refusal
 from amberlug.library import (
     AcknowledgedError,
@@ -84,7 +84,7 @@
     async def scenario() -> None:
         endpoint, platform = await StandIn().start(), Platform()
         await platform.start()
-        known = read_line(news(member(endpoint.port, "e0"), complete=True), SETTINGS.kinds)
+        known = read_list_line(news(member(endpoint.port, "e0"), complete=True), SETTINGS.kinds)
         where = Discovery(f"127.0.0.1:{platform.port}", known)
         async with Relay(SETTINGS, tmp_path, where, seed=1) as relay:
             await platform.watched(1)
@@ -113,7 +113,7 @@
         # What loses little by waiting is not handed back as its relay closes.
         patient = settings([message_class("slow", Effect.SAFE, deadline=60.0, wanted=50.0)])
         for phase in ("terminating", "in_service"):
-            known = read_line(news(member(first.port, "e0", phase), complete=True), patient.kinds)
+            known = read_list_line(news(member(first.port, "e0", phase), complete=True), patient.kinds)
             relay = Relay(patient, tmp_path, Discovery(f"127.0.0.1:{platform.port}", known), seed=1)
             await relay.open()
             if phase == "terminating":
--- a/tests/test_listing.py
+++ b/tests/test_listing.py
@@ -11,8 +11,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from amberlug.core import listing
-from amberlug.core.listing import read_beside, read_line, read_news
+from amberlug.core import endpoint_list
+from amberlug.core.endpoint_list import read_list_line, read_list_update, read_object_with_list
 from amberlug.core.ports import News
 from amberlug.core.sliced_queue import SlicedQueue
 from amberlug.platform.discovery import LINE_MOST, SETTLED, Watch
@@ -56,8 +56,8 @@
         json.dumps({"members": items, "more": {"x": [1]}, "complete": False, "revision": 7}, indent=2),
         line(),
     ):
-        data, news = json.loads(text), read_line(text.encode(), KINDS)
-        for one, other in zip(news.entries, read_news(data, KINDS).entries, strict=True):
+        data, news = json.loads(text), read_list_line(text.encode(), KINDS)
+        for one, other in zip(news.entries, read_list_update(data, KINDS).entries, strict=True):
             assert (one.endpoint, one.state) == (other.endpoint, other.state)
             assert one == other or one.state is State.GONE  # only the name matters then
         assert (news.revision, news.whole) == (data["revision"], data["complete"])
@@ -94,7 +94,7 @@
     async def scenario() -> None:
         node = node_in(tmp_path, read_settings(setup()))
         with pytest.raises(ValueError, match="."):
-            node.listed(read_line(BROKEN[number].encode(), KINDS))
+            node.listed(read_list_line(BROKEN[number].encode(), KINDS))
         assert not node.serves(1)
 
     asyncio.run(scenario())
@@ -106,9 +106,9 @@
 def test_addresses_are_read_as_they_stand(where: str) -> None:
     if where.startswith("["):
         with pytest.raises(ValueError, match="."):
-            list(read_line(line(item(1, host_port=where)).encode(), KINDS).entries)
+            list(read_list_line(line(item(1, host_port=where)).encode(), KINDS).entries)
     else:
-        (entry,) = read_line(line(item(1, host_port=where)).encode(), KINDS).entries
+        (entry,) = read_list_line(line(item(1, host_port=where)).encode(), KINDS).entries
         assert entry.where == where
 
 
@@ -118,29 +118,29 @@
 
 def test_a_list_inside_a_file_is_read_packed_and_once() -> None:
     text = line(item(1), item(2, phase="terminating"), revision=9)
-    data = read_beside(iter([beside(text).encode()]), "known")
+    data = read_object_with_list(iter([beside(text).encode()]), "known")
     assert (data["before"], data["after"]) == ([1, {}], {"known": 1})
-    news = read_news(data["known"], KINDS)
-    assert list(news.entries) == list(read_line(text.encode(), KINDS).entries)
+    news = read_list_update(data["known"], KINDS)
+    assert list(news.entries) == list(read_list_line(text.encode(), KINDS).entries)
     assert (news.revision, news.whole) == (9, True)
     assert list(news.entries) == []  # released while it was read
-    assert read_beside(iter([b" {", b" } "]), "known") == {}
-    assert read_beside(iter([b'{"known": 3}']), "known") == {"known": 3}
+    assert read_object_with_list(iter([b" {", b" } "]), "known") == {}
+    assert read_object_with_list(iter([b'{"known": 3}']), "known") == {"known": 3}
 
 
 @pytest.mark.parametrize("piece", [1, 2, 3, 7, 64])
 def test_a_line_says_the_same_in_pieces_of_any_size(monkeypatch: pytest.MonkeyPatch, piece: int) -> None:
     items = [item(n, id=f"\u00e9\U0001f600{n}") for n in range(3)]
     text = json.dumps({"revision": 1234, "members": items, "complete": True}, ensure_ascii=False).encode()
-    whole = read_line(text, KINDS)
+    whole = read_list_line(text, KINDS)
     expected = list(whole.entries)
-    monkeypatch.setattr(listing, "PIECE", piece)
-    news = read_line(text, KINDS)
+    monkeypatch.setattr(endpoint_list, "CHUNK_BYTES", piece)
+    news = read_list_line(text, KINDS)
     assert list(news.entries) == expected
     assert (news.revision, news.whole) == (whole.revision, whole.whole) == (1234, True)
     for broken in (it for it in BROKEN[:-1] if "ud800" not in it):  # such an ID fails only when it is stored
         with pytest.raises(ValueError, match="."):
-            list(read_line(broken.encode(), KINDS).entries)
+            list(read_list_line(broken.encode(), KINDS).entries)
 
 
 def test_what_is_broken_is_not_read_to_its_end_again_and_again(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -151,17 +151,17 @@
         decoded += 1
         return json.JSONDecoder().raw_decode(text, at)
 
-    monkeypatch.setattr(listing, "_decode", decode)
+    monkeypatch.setattr(endpoint_list, "_decode", decode)
     with pytest.raises(ValueError, match="Unterminated"):
-        list(read_line(b'{"members": ["' + b"x" * (1 << 24), KINDS).entries)
+        list(read_list_line(b'{"members": ["' + b"x" * (1 << 24), KINDS).entries)
     assert decoded < 10
 
 
 @pytest.mark.parametrize("number", range(len(BROKEN)))
 def test_a_broken_list_inside_a_file_is_an_error(number: int) -> None:
     with pytest.raises(ValueError, match="."):  # noqa: PT012
-        data = read_beside(iter([beside(BROKEN[number]).encode()]), "known")
-        read_news(data["known"], KINDS)
+        data = read_object_with_list(iter([beside(BROKEN[number]).encode()]), "known")
+        read_list_update(data["known"], KINDS)
 
 
 @pytest.mark.parametrize(
@@ -169,7 +169,7 @@
 )
 def test_a_file_that_is_no_object_is_an_error(text: str) -> None:
     with pytest.raises(ValueError, match="."):
-        read_beside(iter([text.encode()]), "known")
+        read_object_with_list(iter([text.encode()]), "known")
 
 
 def test_a_few_changes_do_not_look_at_all_that_is_listed(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -253,9 +253,11 @@
     async def scenario() -> None:
         node = node_in(tmp_path, read_settings(setup()))
         many = [item(n % 9000, id=f"e{n}", cell=n) for n in range(20 * BATCH)]
-        assert sum(1 for _ in node.listing(read_line(line(*many).encode(), KINDS))) >= 40
-        assert sum(1 for _ in node.listing(read_line(line(item(3), complete=False).encode(), KINDS))) == 3
-        again = list(node.listing(read_line(line(*many).encode(), KINDS)))
+        assert sum(1 for _ in node.listing(read_list_line(line(*many).encode(), KINDS))) >= 40
+        assert (
+            sum(1 for _ in node.listing(read_list_line(line(item(3), complete=False).encode(), KINDS))) == 3
+        )
+        again = list(node.listing(read_list_line(line(*many).encode(), KINDS)))
         assert len(again) == 23  # everything is compared, nothing applied
 
     asyncio.run(scenario())
@@ -264,11 +266,11 @@
 def test_drains_in_a_long_list_count_before_what_it_adds(tmp_path: Path) -> None:
     async def scenario() -> None:
         node = node_in(tmp_path, read_settings(setup()))
-        node.listed(read_line(line(item(1)).encode(), KINDS))
+        node.listed(read_list_line(line(item(1)).encode(), KINDS))
         many = [item(n, cell=n, host_port="127.0.0.1:9") for n in range(2, 20 * BATCH)]
         members, drained_at, added_at = node._sender.members, 0, 0
         for step, _ in enumerate(
-            node.listing(read_line(line(*many, item(1, phase="terminating")).encode(), KINDS))
+            node.listing(read_list_line(line(*many, item(1, phase="terminating")).encode(), KINDS))
         ):
             entry = members.get("e1")
             drained_at = drained_at or (step if entry is not None and entry.state is State.DRAINING else 0)
@@ -282,9 +284,9 @@
 def test_a_replaced_endpoint_leaves_its_destination_listed_throughout(tmp_path: Path, whole: bool) -> None:
     async def scenario() -> None:
         node = node_in(tmp_path, read_settings(setup()))
-        node.listed(read_line(line(item(1)).encode(), KINDS))
+        node.listed(read_list_line(line(item(1)).encode(), KINDS))
         told = [item(1, id="new")] if whole else [item(1, phase="terminated"), item(1, id="new")]
-        for _ in node.listing(read_line(line(*told, complete=whole).encode(), KINDS)):
+        for _ in node.listing(read_list_line(line(*told, complete=whole).encode(), KINDS)):
             assert node.serves(1)
         assert list(node._sender.members) == ["new"]
 
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from amberlug.core.listing import read_news
+from amberlug.core.endpoint_list import read_list_update
 from amberlug.core.messages import Message, Refusal
 from amberlug.http.calls import batch_endings
 from amberlug.http.link import Reply
@@ -320,7 +320,7 @@
         settings = read_settings(setup(Weights="nominal"))
         node = node_in(tmp_path, settings)
         kinds = list(settings.kinds)
-        node.listed(read_news(json.loads(news(member(endpoint.port))), kinds))
+        node.listed(read_list_update(json.loads(news(member(endpoint.port))), kinds))
         node.restore()
         held = Message("m1", "unsafe", None, 1, None, b"x", 10**15)
         node.hand_in(held, 5 * SECOND, 0, exchange := Told())
@@ -328,7 +328,7 @@
         while not caller_of(node).pool.dialing:
             await asyncio.sleep(0)
         if stop == "drain":
-            node.listed(read_news(json.loads(news(member(endpoint.port, phase="terminating"))), kinds))
+            node.listed(read_list_update(json.loads(news(member(endpoint.port, phase="terminating"))), kinds))
         elif stop == "wait":
             account = node._sender.endpoints["e"].account
             account.blocked_until = node.now_us() + 300_000
--- a/tests/test_turns.py
+++ b/tests/test_turns.py
@@ -9,7 +9,7 @@
 import pytest
 
 from amberlug.core.clock import LoopClock
-from amberlug.core.listing import read_news
+from amberlug.core.endpoint_list import read_list_update
 from amberlug.http.server import Server
 from amberlug.platform.turns import Turns
 from amberlug.policy.settings import read_settings
@@ -38,7 +38,7 @@
         endpoint = await StandIn().start()
         settings = read_settings(setup(Weights="nominal"))
         node = node_in(tmp_path, settings)
-        node.listed(read_news(json.loads(news(member(endpoint.port))), list(settings.kinds)))
+        node.listed(read_list_update(json.loads(news(member(endpoint.port))), list(settings.kinds)))
         node.restore()
         loop = asyncio.get_running_loop()
         server = Server(settings, node, LoopClock().wall_ms, turns.waited_us, 9)
