--- a/amberlug/cli/journals.py
+++ b/amberlug/cli/journals.py
@@ -12,7 +12,7 @@
 
 from amberlug.core.journal import FolderDisk, Journal, legacy
 from amberlug.core.journal.recovery import RecoveredJournal, recover_folder, resumable_messages
-from amberlug.core.ports import Held
+from amberlug.core.ports import PendingMessage
 
 ROOM = 1 << 40  # bytes: a salvaged journal takes what it needs
 
@@ -44,7 +44,7 @@
     return 1 if damage else 0
 
 
-def look(found: RecoveredJournal, ones: Mapping[str, Held]) -> dict[str, Any]:
+def look(found: RecoveredJournal, ones: Mapping[str, PendingMessage]) -> dict[str, Any]:
     """What a folder holds, in figures."""
     going = [one for one in ones.values() if one.end is None]
     return {
@@ -76,7 +76,7 @@
         print("no damage")
 
 
-def salvage(found: RecoveredJournal, ones: Mapping[str, Held], to: Path, now_ms: int) -> None:
+def salvage(found: RecoveredJournal, ones: Mapping[str, PendingMessage], to: Path, now_ms: int) -> None:
     """Write what could be read to a new folder; `OSError` where it is not empty."""
     to.mkdir(parents=True, exist_ok=True)
     if any(to.iterdir()):
--- a/amberlug/copies/journal.py
+++ b/amberlug/copies/journal.py
@@ -21,7 +21,7 @@
 from amberlug.core.journal import Journal
 from amberlug.core.log import log as say
 from amberlug.core.messages import Attempt, End, Ending, Message, Outcome, Reason, Refusal
-from amberlug.core.ports import Clock, Earlier, Held, Tried
+from amberlug.core.ports import Clock, LegacyState, PendingMessage, PreviousAttempt
 from amberlug.peers.fleet import Fleet, WhenShort
 from amberlug.policy.interface import Effect, Result, Settings
 
@@ -73,7 +73,7 @@
         self._ended = inner.known()
         self._dirty: set[str] = set()
         self.taken_short = self._told_short = 0
-        self.adopt: Callable[[list[Held]], None] = _nobody
+        self.adopt: Callable[[list[PendingMessage]], None] = _nobody
         self.relinquish: Callable[[list[str]], None] = _nobody
         self.renew: Callback = _nothing
         self.wake: Callback = _nothing  # something is to be sent
@@ -137,7 +137,7 @@
             ended = dict(self._ended)
             self.machine.reopen(meta, held[log], ended, log in newest.values(), self._clock.now_us())
 
-    def _copy_of(self, held: Held) -> Copy:
+    def _copy_of(self, held: PendingMessage) -> Copy:
         message = held.message
         copy = Copy(base=(0, self._fleet.name, self.machine.incarnation))
         copy.add(Kind.TAKEN, copy.base, self._taken_record(message, held.taken_ms))
@@ -164,7 +164,7 @@
     # What the core asks and tells.
 
     @property
-    def held(self) -> dict[str, Held]:
+    def held(self) -> dict[str, PendingMessage]:
         """What the own journal holds, less what was followed before anything began."""
         lost = [name for name, log in self._log_of.items() if log not in self.machine.owners]
         for name in lost:
@@ -172,7 +172,7 @@
         return self._inner.held
 
     @property
-    def earlier(self) -> Earlier:
+    def earlier(self) -> LegacyState:
         """What an earlier release kept."""
         return self._inner.earlier
 
@@ -366,7 +366,7 @@
             del self._log_of[name]
 
     def adopted(self, log: str, copies: dict[str, Copy]) -> None:
-        ones: list[Held] = []
+        ones: list[PendingMessage] = []
         for name, copy in copies.items():
             let_go = self._let_go.pop(name, None) is not None
             own = self._inner.knows(name) and not let_go
@@ -453,17 +453,17 @@
         self._store.work()
 
 
-def held_of(name: str, copy: Copy) -> Held:
+def held_of(name: str, copy: Copy) -> PendingMessage:
     """A message as the core goes on with it."""
     assert copy.taken is not None
     message_class, tenant, destination, key, body, deadline_ms, taken_ms = copy.taken
     message = Message(name, message_class, tenant, destination, key, body, deadline_ms, taken=True)
     message.replies, message.noticed, message.reply = copy.reply
     tried = {
-        number: Tried(str(endpoint), int(at_ms), Result(result) if result else None)
+        number: PreviousAttempt(str(endpoint), int(at_ms), Result(result) if result else None)
         for number, (_, (endpoint, at_ms, result)) in enumerate(sorted(copy.tried.items()))
     }
-    held = Held(message, tried, taken_ms=taken_ms)
+    held = PendingMessage(message, tried, taken_ms=taken_ms)
     if copy.owed is not None:
         outcome, retry_ms = copy.owed[1]
         _, noticed, reply = copy.reply
--- a/amberlug/core/endpoint_list.py
+++ b/amberlug/core/endpoint_list.py
@@ -10,7 +10,7 @@
 from ipaddress import ip_address
 from typing import Any
 
-from amberlug.core.ports import Address, News
+from amberlug.core.ports import Address, EndpointListUpdate
 from amberlug.policy.interface import Entry, State
 from amberlug.policy.membership import pack, unpack
 
@@ -95,7 +95,7 @@
     return bytes(data[at : at + length]), at + length
 
 
-def read_list_update(data: Any, kinds: Collection[str]) -> News:
+def read_list_update(data: Any, kinds: Collection[str]) -> EndpointListUpdate:
     """Read a decoded list object or the result of `read_object_with_list`; `ValueError` if malformed."""
     try:
         packed = data["members"]
@@ -105,7 +105,7 @@
                 packed.add(parse_entry(item))
         for kind in packed.kinds:
             _check_kind(kind, kinds)
-        return News(packed, int(data["revision"]), bool(data["complete"]))
+        return EndpointListUpdate(packed, int(data["revision"]), bool(data["complete"]))
     except _MALFORMED as error:
         raise ValueError(f"malformed list: {error!r}") from None
 
@@ -133,12 +133,12 @@
 
 def read_list_line(
     line: bytes | bytearray, kinds: Collection[str], overrides: Mapping[str, Any] | None = None
-) -> News:
+) -> EndpointListUpdate:
     """Parse a line of the discovery service lazily, member by member; a `bytearray` is consumed.
 
     Values in `overrides` replace or supplement the line's fields other than its members.
     """
-    news = News(())
+    news = EndpointListUpdate(())
     news.entries = _parse_members(_split_chunks(line), kinds, news, overrides or {})
     return news
 
@@ -155,7 +155,7 @@
 
 
 def _parse_members(
-    chunks: Iterator[bytes], kinds: Collection[str], news: News, overrides: Mapping[str, Any]
+    chunks: Iterator[bytes], kinds: Collection[str], news: EndpointListUpdate, overrides: Mapping[str, Any]
 ) -> Iterator[Entry]:
     """Parse an object whose list of members may be long."""
     text = _JsonReader(chunks)
@@ -170,7 +170,7 @@
     _set_update_fields(news, {**whole.fields, **overrides})
 
 
-def _set_update_fields(news: News, fields: Mapping[str, Any]) -> None:
+def _set_update_fields(news: EndpointListUpdate, fields: Mapping[str, Any]) -> None:
     try:
         news.revision, news.whole = int(fields["revision"]), bool(fields["complete"])
     except _MALFORMED as error:
--- a/amberlug/core/journal/legacy.py
+++ b/amberlug/core/journal/legacy.py
@@ -16,7 +16,7 @@
 from amberlug.core.journal.disk import Disk
 from amberlug.core.log import log
 from amberlug.core.messages import End, Message, Outcome
-from amberlug.core.ports import Earlier, Held, Seen, Tried
+from amberlug.core.ports import LegacyEndpointState, LegacyState, PendingMessage, PreviousAttempt
 from amberlug.policy.interface import Result
 
 FILE, TEMPORARY_FILE = (
@@ -31,9 +31,9 @@
 class LegacyJournal:
     """The contents of a legacy journal."""
 
-    held: dict[str, Held] = field(default_factory=dict)
+    held: dict[str, PendingMessage] = field(default_factory=dict)
     ended: dict[str, int] = field(default_factory=dict)
-    earlier: Earlier = field(default_factory=Earlier)
+    earlier: LegacyState = field(default_factory=LegacyState)
     files: list[str] = field(default_factory=list)
 
 
@@ -52,7 +52,9 @@
     return old
 
 
-def merge(old: LegacyJournal, held: dict[str, Held], ended_names: Container[str]) -> dict[str, Held]:
+def merge(
+    old: LegacyJournal, held: dict[str, PendingMessage], ended_names: Container[str]
+) -> dict[str, PendingMessage]:
     """Merge an old file with the segments, after a migration that was interrupted."""
     combined = {
         name: message_state
@@ -70,7 +72,9 @@
 def _apply(old: LegacyJournal, kind: bytes, fields: dict[str, Any], body: bytes) -> None:
     name = fields["id"]
     if kind == b"S":
-        old.earlier = Earlier(fields["wall"], fields["clock"], tuple(Seen(*row) for row in fields["seen"]))
+        old.earlier = LegacyState(
+            fields["wall"], fields["clock"], tuple(LegacyEndpointState(*row) for row in fields["seen"])
+        )
     elif kind == b"F":
         old.ended.update(fields["ended"])
     elif kind == b"E":
@@ -79,12 +83,12 @@
     elif kind == b"T":
         tenant, key, dest = fields["tenant"], fields["key"], fields["dest"]
         message = Message(name, fields["class"], tenant, dest, key, body, fields["until"], taken=True)
-        old.held[name] = Held(message)
+        old.held[name] = PendingMessage(message)
     elif kind == b"N":
         message = Message(name, "", None, 0, None, b"", fields["until"], taken=True, over=True)
-        old.held[name] = Held(message, end=End(name, Outcome(fields["end"]), fields["retry"]))
+        old.held[name] = PendingMessage(message, end=End(name, Outcome(fields["end"]), fields["retry"]))
     elif kind == b"A":
-        old.held[name].tried[fields["n"]] = Tried(fields["to"], fields["at"])
+        old.held[name].tried[fields["n"]] = PreviousAttempt(fields["to"], fields["at"])
     elif kind == b"O":
         old.held[name].tried[fields["n"]].result = Result(fields["how"])
     else:
--- a/amberlug/core/journal/log.py
+++ b/amberlug/core/journal/log.py
@@ -38,7 +38,7 @@
 from amberlug.core.journal.sync_scheduler import RecordEntry, Syncer, SyncScheduler
 from amberlug.core.log import log
 from amberlug.core.messages import Attempt, End, Ending, Message, Refusal
-from amberlug.core.ports import Earlier, Held
+from amberlug.core.ports import LegacyState, PendingMessage
 
 _encode_json = json.JSONEncoder(separators=(",", ":")).encode  # dumps() creates an encoder for each call
 EXPIRY_CHECKS = 2  # names of ended messages checked for expiry with each ENDED record
@@ -88,7 +88,9 @@
         self.held = resumable_messages(found, now_ms)
         if old is not None:
             self.held = legacy.merge(old, self.held, found.ended)
-        self.earlier: Earlier = found.earlier if found.earlier != Earlier() or old is None else old.earlier
+        self.earlier: LegacyState = (
+            found.earlier if found.earlier != LegacyState() or old is None else old.earlier
+        )
         self._load(found, now_ms)
         if old is not None:
             self._migrate_legacy(old, now_ms)
@@ -149,7 +151,7 @@
             return
         self._delete_files(old.files)
 
-    def import_messages(self, ones: Iterable[Held], ended: Mapping[str, int], now_ms: int) -> None:
+    def import_messages(self, ones: Iterable[PendingMessage], ended: Mapping[str, int], now_ms: int) -> None:
         """Write messages and names from another source; `OSError` if not all could be written."""
         for one in ones:
             self._import_message(one)
@@ -158,7 +160,7 @@
             self._ended[name] = _EndedMessage(until_us, until_ms, now_ms)
             self._write(records.ENDED, name, ENDED.pack(until_ms, now_ms))
 
-    def _import_message(self, one: Held) -> None:
+    def _import_message(self, one: PendingMessage) -> None:
         message = one.message
         if one.end is not None:
             self._owe(message, one.end)
--- a/amberlug/core/journal/recovery.py
+++ b/amberlug/core/journal/recovery.py
@@ -11,7 +11,13 @@
 from amberlug.core.journal import records
 from amberlug.core.journal.disk import Disk
 from amberlug.core.messages import End, Message, Outcome
-from amberlug.core.ports import Earlier, Held, Seen, Tried, Wait
+from amberlug.core.ports import (
+    LegacyEndpointState,
+    LegacyState,
+    PendingMessage,
+    PreviousAttempt,
+    RequestedPause,
+)
 from amberlug.policy import interface as api
 
 TAKE = struct.Struct(">QQQI")  # sequence number, acceptance time and deadline (Unix time), destination
@@ -72,7 +78,7 @@
     """A message assembled from its records, which compaction may have reordered."""
 
     take: bytes | None = None
-    tried: dict[int, Tried] = field(default_factory=dict)
+    tried: dict[int, PreviousAttempt] = field(default_factory=dict)
     end: End | None = None
     until_ms: int = 0
     reply: tuple[int, bool, bytes] = (0, True, b"")
@@ -110,7 +116,7 @@
     messages: dict[str, RecoveredMessage] = field(default_factory=dict)
     # Per ended message: when its name expires, when it ended, the segment of its ENDED record, its outcome.
     ended: dict[str, tuple[int, int, int, End | None]] = field(default_factory=dict)
-    earlier: Earlier = field(default_factory=Earlier)  # state of partners from earlier releases
+    earlier: LegacyState = field(default_factory=LegacyState)  # state of partners from earlier releases
     damage: list[Damage] = field(default_factory=list)
     # Number, name and size of each segment without a valid header.
     headerless: list[tuple[int, str, int]] = field(default_factory=list)
@@ -291,11 +297,11 @@
         found.order = max(found.order, recovered.order)
     elif kind == records.ATTEMPT:
         number, at_ms = ATTEMPT.unpack_from(rest)
-        tried = recovered.tried.setdefault(number, Tried(UNKNOWN_ENDPOINT, 0))
+        tried = recovered.tried.setdefault(number, PreviousAttempt(UNKNOWN_ENDPOINT, 0))
         tried.endpoint, tried.at_ms = rest[ATTEMPT.size :].decode(), at_ms
     elif kind == records.OUTCOME:
         (number,) = OUTCOME.unpack_from(rest)
-        recovered.tried.setdefault(number, Tried(UNKNOWN_ENDPOINT, 0)).result = api.Result(
+        recovered.tried.setdefault(number, PreviousAttempt(UNKNOWN_ENDPOINT, 0)).result = api.Result(
             rest[OUTCOME.size :].decode()
         )
     elif kind == records.OWED:
@@ -324,21 +330,23 @@
     return count, noticed, rest[REPLY.size :]
 
 
-def _parse_legacy_state(rest: bytes, waits: tuple[Wait, ...]) -> Earlier:
+def _parse_legacy_state(rest: bytes, waits: tuple[RequestedPause, ...]) -> LegacyState:
     fields: dict[str, Any] = json.loads(rest)
-    return Earlier(fields["wall"], fields["clock"], tuple(Seen(*row) for row in fields["seen"]), waits)
+    return LegacyState(
+        fields["wall"], fields["clock"], tuple(LegacyEndpointState(*row) for row in fields["seen"]), waits
+    )
 
 
-def _parse_pause(rest: bytes) -> Wait:
+def _parse_pause(rest: bytes) -> RequestedPause:
     boot, _, route = rest[WAIT.size :].decode().partition("\0")
     destination, length_us, until_us = WAIT.unpack_from(rest)
-    return Wait(destination, route, length_us, until_us, boot)
+    return RequestedPause(destination, route, length_us, until_us, boot)
 
 
-def resumable_messages(found: RecoveredJournal, now_ms: int) -> dict[str, Held]:
+def resumable_messages(found: RecoveredJournal, now_ms: int) -> dict[str, PendingMessage]:
     """Return what must be resumed: unacknowledged outcomes, then messages in the order of acceptance."""
-    owed: dict[str, Held] = {}
-    resumable: list[tuple[int, Held]] = []
+    owed: dict[str, PendingMessage] = {}
+    resumable: list[tuple[int, PendingMessage]] = []
     for name, recovered in found.messages.items():
         if recovered.take is not None:
             resumable.append((recovered.order, _resumable_message(found, name, recovered, recovered.take)))
@@ -349,12 +357,14 @@
         until_ms = recovered.until_ms or now_ms
         message = Message(name, "", None, 0, None, b"", until_ms, taken=True, over=True)
         message.replies, message.noticed, message.reply = replies, noticed, reply
-        owed[name] = Held(message, end=end)
+        owed[name] = PendingMessage(message, end=end)
     resumable.sort(key=lambda pair: pair[0])
     return owed | {one.message.name: one for _, one in resumable}
 
 
-def _resumable_message(found: RecoveredJournal, name: str, recovered: RecoveredMessage, take: bytes) -> Held:
+def _resumable_message(
+    found: RecoveredJournal, name: str, recovered: RecoveredMessage, take: bytes
+) -> PendingMessage:
     order, taken_ms, until_ms, destination = TAKE.unpack_from(take)
     header, _, body = take[TAKE.size :].partition(b"\n")
     message_class, tenant, key, *told = json.loads(header)
@@ -362,9 +372,9 @@
         recovered.reply = max(recovered.reply, (count, noticed, reply.encode("latin-1")))
     message = Message(name, message_class, tenant, destination, key, body, until_ms, taken=True)
     message.replies, message.noticed, message.reply = recovered.reply
-    one = Held(message, recovered.tried, taken_ms=taken_ms)
+    one = PendingMessage(message, recovered.tried, taken_ms=taken_ms)
     if order <= found.uncertain_up_to:
         # An attempt whose record was lost may have been executed at any time since acceptance; assume
         # that it was, so that an unsafe message does not take effect twice.
-        one.tried[max(one.tried, default=-1) + 1] = Tried(UNKNOWN_ENDPOINT, taken_ms)
+        one.tried[max(one.tried, default=-1) + 1] = PreviousAttempt(UNKNOWN_ENDPOINT, taken_ms)
     return one
--- a/amberlug/core/node.py
+++ b/amberlug/core/node.py
@@ -11,7 +11,18 @@
 from amberlug.core.endpoint_addresses import EndpointAddresses
 from amberlug.core.log import log
 from amberlug.core.messages import Attempt, End, Ending, Exchange, Message, Outcome, Reason, Refusal
-from amberlug.core.ports import Clock, Ends, Handle, Held, Journal, Learning, News, Observer, Transport, Wait
+from amberlug.core.ports import (
+    Clock,
+    EndpointListUpdate,
+    Handle,
+    Journal,
+    LearningStore,
+    Observer,
+    OutcomeNotifier,
+    PendingMessage,
+    RequestedPause,
+    Transport,
+)
 from amberlug.core.timers import Timers
 from amberlug.policy import interface as api
 from amberlug.policy.interface import Result
@@ -34,9 +45,9 @@
         settings: api.Settings,
         seed: int,
         journal: Journal,
-        learning: Learning,
+        learning: LearningStore,
         transport: Transport,
-        ends: Ends,
+        ends: OutcomeNotifier,
         clock: Clock,
         observer: Observer | None = None,
     ) -> None:
@@ -81,7 +92,7 @@
         self._round()
         self.ready = True
 
-    def adopt(self, ones: Iterable[Held]) -> None:
+    def adopt(self, ones: Iterable[PendingMessage]) -> None:
         """Resume messages taken over from another relay, which are already in the journal."""
         now_ms = self._clock.wall_ms()
         for held in ones:
@@ -117,7 +128,7 @@
             if handle is not None:
                 handle.cancel()
 
-    def _resume(self, held: Held, now_ms: int) -> None:
+    def _resume(self, held: PendingMessage, now_ms: int) -> None:
         message = held.message
         if message.message_class not in self._settings.classes:
             log(f"journal: message {message.name} has a class that is not configured; giving it up")
@@ -211,12 +222,12 @@
                 self._forget(message)
                 self._tell(api.Withdrawn(message.ref))
 
-    def listed(self, news: News) -> None:
+    def listed(self, news: EndpointListUpdate) -> None:
         """Apply an endpoint list update at once; `ValueError` if it is malformed, with nothing applied."""
         for _ in self.listing(news):
             pass
 
-    def listing(self, news: News) -> Iterator[None]:
+    def listing(self, news: EndpointListUpdate) -> Iterator[None]:
         """Apply an endpoint list update in steps of a millisecond or two.
 
         The whole update is read and compared with the current list before anything is applied. Drains are
@@ -278,7 +289,7 @@
 
     def _told_to_wait(self, attempt: Attempt, now_us: int, wait_us: int) -> None:
         route = self._sender.route(attempt.endpoint)
-        wait = Wait(attempt.message.destination, route, wait_us, now_us + wait_us, self._clock.boot)
+        wait = RequestedPause(attempt.message.destination, route, wait_us, now_us + wait_us, self._clock.boot)
         self._learning.told(wait)
 
     def _acknowledged(self, name: str) -> None:
--- a/amberlug/core/ports.py
+++ b/amberlug/core/ports.py
@@ -91,7 +91,7 @@
         """Close idle connections to an endpoint."""
 
 
-class Ends(Protocol):
+class OutcomeNotifier(Protocol):
     """Delivers final outcomes to the senders of messages."""
 
     @property
@@ -131,7 +131,7 @@
 
 
 @dataclass(slots=True)
-class Tried:
+class PreviousAttempt:
     """An attempt made before the restart, with its result if that was recorded."""
 
     endpoint: str
@@ -140,11 +140,11 @@
 
 
 @dataclass(slots=True)
-class Held:
+class PendingMessage:
     """A message recovered from the journal: undelivered, or with an unacknowledged outcome."""
 
     message: Message
-    tried: dict[int, Tried] = field(default_factory=dict)
+    tried: dict[int, PreviousAttempt] = field(default_factory=dict)
     end: End | None = None
     taken_ms: int = 0  # Unix time of acceptance; 0 if unknown
 
@@ -155,7 +155,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Wait:
+class RequestedPause:
     """A pause that an endpoint asked for: its scope, length, and end by the monotonic clock of a boot."""
 
     destination: int
@@ -174,7 +174,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Seen:
+class LegacyEndpointState:
     """State of an endpoint outage or limit, as saved by an earlier release; times by that release's clock."""
 
     endpoint: str
@@ -190,22 +190,22 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Earlier:
+class LegacyState:
     """Outages, limits and requested pauses in a journal of an earlier release, and when they were saved."""
 
     wall_ms: int = 0
     clock_us: int = 0
-    seen: tuple[Seen, ...] = ()
-    waits: tuple[Wait, ...] = ()
+    seen: tuple[LegacyEndpointState, ...] = ()
+    waits: tuple[RequestedPause, ...] = ()
 
 
-class Learning(Protocol):
+class LearningStore(Protocol):
     """Persists what was learned about partners. Failed writes are retried later; no method raises."""
 
     def recall(self, destination: int, entries: tuple[api.Entry, ...]) -> api.Known | None:
         """Return what is known about a destination, given its current endpoint list."""
 
-    def take_over(self, earlier: Earlier, listed: Callable[[str], api.Entry | None]) -> None:
+    def take_over(self, earlier: LegacyState, listed: Callable[[str], api.Entry | None]) -> None:
         """Import the state of an earlier release, unless newer state exists."""
 
     def observe(self, known: Sequence[api.Known]) -> None:
@@ -220,7 +220,7 @@
     def sent(self, tenant: str | None) -> None:
         """Count a message submitted by a tenant."""
 
-    def told(self, wait: Wait) -> None:
+    def told(self, wait: RequestedPause) -> None:
         """Save a requested pause immediately: it also applies after a restart."""
 
     def give_way(self) -> None:
@@ -234,11 +234,11 @@
     """The durable log. A failed write raises `OSError` where the operation must not go ahead without it."""
 
     @property
-    def held(self) -> dict[str, Held]:
+    def held(self) -> dict[str, PendingMessage]:
         """Messages recovered at startup, until the core has resumed them."""
 
     @property
-    def earlier(self) -> Earlier:
+    def earlier(self) -> LegacyState:
         """State of partners that an earlier release kept in the journal."""
 
     def knows(self, name: str) -> bool:
@@ -298,7 +298,7 @@
 
 
 @dataclass(slots=True)
-class News:
+class EndpointListUpdate:
     """An update of the endpoint list, whose entries may be parsed lazily; each has its address.
 
     `revision` and `whole` (a full list instead of changes) are set once all entries have been read. Reading
--- a/amberlug/lab/relay.py
+++ b/amberlug/lab/relay.py
@@ -7,7 +7,7 @@
 from amberlug.core.journal import Journal
 from amberlug.core.messages import End, Exchange, Message, Outcome, Reason, Refusal
 from amberlug.core.node import CLOSED_RETRY_US, Node
-from amberlug.core.ports import News
+from amberlug.core.ports import EndpointListUpdate
 from amberlug.lab.clock import SECOND, LifeClock, Time
 from amberlug.lab.disk import MemoryDisk
 from amberlug.lab.partners import Endpoint
@@ -129,7 +129,7 @@
         ends = ModelEnds(clock, self._network_us, self._told)
         self.node = Node(self._settings, self._seed, journal, learner, self._transport, ends, clock)
         self._learner = learner
-        self.node.listed(News(self._known, 1, True))
+        self.node.listed(EndpointListUpdate(self._known, 1, True))
         age_s = None if self._heard_us is None else (self._time.us - self._heard_us) / SECOND
         self.node.current(self._pauses.good_at_first(self.lives > 1, age_s))
         if self._time.us >= self.deaf_until_us:
@@ -179,7 +179,7 @@
 
     def _confirm(self) -> None:
         self._known, self._heard_us = self._listed(), self._time.us
-        self.node.listed(News(self._known, 2, True))
+        self.node.listed(EndpointListUpdate(self._known, 2, True))
         self.node.current(self._pauses.good_for())
 
     def _confirm_later(self, clock: LifeClock) -> None:
--- a/amberlug/learning/facts.py
+++ b/amberlug/learning/facts.py
@@ -12,7 +12,7 @@
 
 import msgpack
 
-from amberlug.core.ports import Wait
+from amberlug.core.ports import RequestedPause
 from amberlug.policy import interface as api
 from amberlug.policy.account import KEPT, OPEN
 from amberlug.policy.state import NEVER
@@ -79,7 +79,7 @@
     return DESTINATION + str(number).encode()
 
 
-def wait_key(wait: Wait) -> bytes:
+def wait_key(wait: RequestedPause) -> bytes:
     """The key of a told wait's record."""
     return WAIT + f"{wait.destination}/{wait.route}".encode()
 
@@ -222,17 +222,17 @@
     return fields
 
 
-def pack_wait(wait: Wait) -> bytes:
+def pack_wait(wait: RequestedPause) -> bytes:
     """A told wait's record."""
     return bytes(msgpack.packb([wait.destination, wait.route, wait.length_us, wait.until_us, wait.boot]))
 
 
-def unpack_wait(record: bytes, latest_us: int) -> Wait:
+def unpack_wait(record: bytes, latest_us: int) -> RequestedPause:
     """Read a told wait; `ValueError` where it is bad."""
     try:
         destination, route, length_us, until_us, boot = _load(record)
         length_us = _whole(length_us, 0, WAIT_MOST_US)
-        return Wait(
+        return RequestedPause(
             _whole(destination, -(1 << 63), (1 << 63) - 1),
             _name(route, 0),
             length_us,
--- a/amberlug/learning/learner.py
+++ b/amberlug/learning/learner.py
@@ -11,7 +11,7 @@
 from itertools import islice
 
 from amberlug.core.log import log
-from amberlug.core.ports import Clock, Earlier, Seen, Wait
+from amberlug.core.ports import Clock, LegacyEndpointState, LegacyState, RequestedPause
 from amberlug.learning import ageing, facts
 from amberlug.learning.blocks import Stamp
 from amberlug.learning.facts import Kept, Usual
@@ -85,8 +85,8 @@
                 shifted[key] = facts.pack_usual(usual)
         return shifted
 
-    def take_over(self, earlier: Earlier, listed: Callable[[str], api.Entry | None]) -> None:
-        if self._store.found or earlier == Earlier():
+    def take_over(self, earlier: LegacyState, listed: Callable[[str], api.Entry | None]) -> None:
+        if self._store.found or earlier == LegacyState():
             return
         now = self._stamp()
         pause_ms = min(PAUSE_MOST_MS, max(0, now.wall_ms - earlier.wall_ms))
@@ -254,7 +254,7 @@
         if tenant is not None:
             self._sent[tenant] += 1
 
-    def told(self, wait: Wait) -> None:
+    def told(self, wait: RequestedPause) -> None:
         now = self._stamp()
         key = facts.wait_key(wait)
         if (record := self._store.records.get(key)) is not None:
@@ -360,9 +360,11 @@
             yield it.endpoint, answer_us  # which of both it is, the module knows
 
 
-def _known(rows: Sequence[Seen], listed: Callable[[str], api.Entry | None]) -> Iterable[api.Known]:
+def _known(
+    rows: Sequence[LegacyEndpointState], listed: Callable[[str], api.Entry | None]
+) -> Iterable[api.Known]:
     """What an earlier release kept, by destinations as they are listed now."""
-    grouped: dict[int, list[tuple[api.Entry, Seen]]] = defaultdict(list)
+    grouped: dict[int, list[tuple[api.Entry, LegacyEndpointState]]] = defaultdict(list)
     for row in rows:
         if (entry := listed(row.endpoint)) is not None and entry.state is api.State.IN:
             grouped[entry.destination].append((entry, row))
--- a/amberlug/library/endpoints.py
+++ b/amberlug/library/endpoints.py
@@ -10,7 +10,7 @@
 
 from amberlug.core.endpoint_list import parse_address, read_list_line
 from amberlug.core.log import log
-from amberlug.core.ports import News
+from amberlug.core.ports import EndpointListUpdate
 from amberlug.core.sliced_queue import SlicedQueue
 from amberlug.platform.discovery import Watch
 from amberlug.platform.heard import Heard
@@ -18,7 +18,9 @@
 from amberlug.policy.account import SECOND
 from amberlug.policy.interface import Entry, Settings, State
 
-Listed = Callable[[News], Iterator[None]]  # makes the work of news, to be done at once or in slices
+Listed = Callable[
+    [EndpointListUpdate], Iterator[None]
+]  # makes the work of news, to be done at once or in slices
 FILE_MOST = 1 << 26  # bytes of a list's file
 
 
@@ -75,7 +77,7 @@
         if self._listed is not None and news is not None:
             self._slices.add(self._listed(news))
 
-    def _news(self, endpoints: tuple[Endpoint, ...]) -> News:
+    def _news(self, endpoints: tuple[Endpoint, ...]) -> EndpointListUpdate:
         if unknown := {it.kind for it in endpoints} - self._kinds:
             raise ValueError(f"unknown kinds of endpoint: {', '.join(sorted(unknown))}")
         entries = []
@@ -84,7 +86,7 @@
                 parse_address(it.address)
             state = State.DRAINING if it.draining else State.IN
             entries.append(Entry(it.id, it.zone, it.kind, it.destination, state, it.rate, it.address))
-        return News(entries, 0, True)
+        return EndpointListUpdate(entries, 0, True)
 
 
 class EndpointFile:
@@ -137,7 +139,7 @@
             return ()
         return it.st_mtime_ns, it.st_size, it.st_ino
 
-    def _read(self, settings: Settings) -> News:
+    def _read(self, settings: Settings) -> EndpointListUpdate:
         with self._path.open("rb") as file:
             text = file.read(FILE_MOST + 1)
         if len(text) > FILE_MOST:
@@ -162,7 +164,7 @@
 class Discovery:
     """The platform's discovery, followed as the daemon does; `known` is a list to begin with."""
 
-    def __init__(self, where: str, known: News | None = None) -> None:
+    def __init__(self, where: str, known: EndpointListUpdate | None = None) -> None:
         self._where, self._known = parse_address(where), known
         self._watch: Watch | None = None
         self._current: Callable[[float], None] = _unheeded
--- a/amberlug/library/relay.py
+++ b/amberlug/library/relay.py
@@ -19,7 +19,7 @@
 from amberlug.core.log import log
 from amberlug.core.messages import End, Outcome, Reason, Refusal
 from amberlug.core.node import CLOSED_RETRY_US, Node
-from amberlug.core.ports import Held, Observer
+from amberlug.core.ports import Observer, PendingMessage
 from amberlug.http.calls import Caller
 from amberlug.learning import SHARE, open_learning
 from amberlug.library.claims import CLAIMS, Claim
@@ -319,7 +319,7 @@
             return taken
         raise AcknowledgedError(f"message {message.name!r} was taken on before, and its end acknowledged")
 
-    def _claim_held(self, held: Held) -> None:
+    def _claim_held(self, held: PendingMessage) -> None:
         """Claim what an earlier life took on; what another relay has meanwhile is given up untried."""
         message = held.message
         taken = self.opened(message)
--- a/amberlug/mqtt/ends.py
+++ b/amberlug/mqtt/ends.py
@@ -9,7 +9,7 @@
 
 from amberlug.core.log import log
 from amberlug.core.messages import End
-from amberlug.core.ports import Ends
+from amberlug.core.ports import OutcomeNotifier
 from amberlug.mqtt import replies
 from amberlug.mqtt.packets import Publish
 from amberlug.mqtt.replies import Reply
@@ -31,9 +31,9 @@
 
 
 class MqttEnds:
-    """The core's `Ends`: each goes where its message came from, and to the platform where that is told."""
+    """The core's `OutcomeNotifier`: each goes where its message came from, and to the platform where that is told."""
 
-    def __init__(self, notices: Ends, keep_s: int) -> None:
+    def __init__(self, notices: OutcomeNotifier, keep_s: int) -> None:
         self._notices, self._keep = notices, keep_s
         self.fronts: dict[str, Front] = {}
         self._pending: dict[str, tuple[End, float]] = {}  # by message, and since when
--- a/amberlug/mqtt/front.py
+++ b/amberlug/mqtt/front.py
@@ -5,7 +5,7 @@
 import tomllib
 from pathlib import Path
 
-from amberlug.core.ports import Clock, Ends, Transport
+from amberlug.core.ports import Clock, OutcomeNotifier, Transport
 from amberlug.mqtt import mapping
 from amberlug.mqtt.ends import MqttEnds
 from amberlug.mqtt.intake import Intake, Node
@@ -38,7 +38,7 @@
         self._publisher = Publisher(others, self._mapped.targets, self._clock)
         return self._publisher
 
-    def ends(self, notices: Ends) -> Ends:
+    def ends(self, notices: OutcomeNotifier) -> OutcomeNotifier:
         """Ends that go where their messages came from."""
         self._ends = MqttEnds(notices, self._mapped.keep_ends_s)
         self._subscribers = [
--- a/amberlug/platform/config.py
+++ b/amberlug/platform/config.py
@@ -11,7 +11,7 @@
 from amberlug.core.endpoint_list import CHUNK_BYTES, parse_address, read_list_update, read_object_with_list
 from amberlug.core.journal import Durability
 from amberlug.core.messages import BODY_MOST
-from amberlug.core.ports import Address, News
+from amberlug.core.ports import Address, EndpointListUpdate
 from amberlug.learning import read_key
 from amberlug.policy.interface import Settings
 from amberlug.policy.settings import read_settings
@@ -51,7 +51,7 @@
     state: Path
     seed: int
     limits: Limits
-    known: News
+    known: EndpointListUpdate
     settings: Settings
     durability: Durability
     learning_key: bytes  # empty where none is set
--- a/amberlug/platform/daemon.py
+++ b/amberlug/platform/daemon.py
@@ -19,7 +19,7 @@
 from amberlug.core.lock import FolderLock
 from amberlug.core.log import LOGGER, log
 from amberlug.core.node import Node
-from amberlug.core.ports import Clock, Ends, Transport
+from amberlug.core.ports import Clock, OutcomeNotifier, Transport
 from amberlug.http.calls import Caller
 from amberlug.http.server import Server
 from amberlug.learning import SHARE, open_learning
@@ -48,7 +48,7 @@
     def transport(self, others: Transport) -> Transport:
         """Take the place of the transport; what is not for this front is passed on."""
 
-    def ends(self, notices: Ends) -> Ends:
+    def ends(self, notices: OutcomeNotifier) -> OutcomeNotifier:
         """Take the place of the notices; what is not for this front is passed on."""
 
     async def start(self, node: Node) -> None:
--- a/amberlug/platform/discovery.py
+++ b/amberlug/platform/discovery.py
@@ -8,7 +8,7 @@
 
 from amberlug.core.endpoint_list import read_list_line
 from amberlug.core.log import log
-from amberlug.core.ports import Address, News
+from amberlug.core.ports import Address, EndpointListUpdate
 from amberlug.core.sliced_queue import SlicedQueue
 from amberlug.http.link import Link, dial
 from amberlug.platform.pauses import Pauses
@@ -32,7 +32,7 @@
         where: Address,
         kinds: Collection[str],
         revision: int,
-        told: Callable[[News], Iterator[None]],
+        told: Callable[[EndpointListUpdate], Iterator[None]],
         pauses: Pauses,
         current: Callable[[], None],
     ) -> None:
--- a/benchmarks/learning.py
+++ b/benchmarks/learning.py
@@ -16,7 +16,7 @@
 from pathlib import Path
 
 from amberlug.core.journal import FolderDisk
-from amberlug.core.ports import Handle, Wait
+from amberlug.core.ports import Handle, RequestedPause
 from amberlug.learning import ageing
 from amberlug.learning.learner import Learner
 from amberlug.learning.store import Store
@@ -86,7 +86,7 @@
         for second in range(60):
             now.us += SECOND
             number = rng.randrange(active)
-            wait = Wait(number, "", SECOND, now.us + SECOND, now.boot)
+            wait = RequestedPause(number, "", SECOND, now.us + SECOND, now.boot)
             timed(lambda wait=wait: learner.told(wait))  # type: ignore[misc]
             if second % KEEP_S == 0:
                 for start in range(0, active, PART):
--- a/tests/test_commands.py
+++ b/tests/test_commands.py
@@ -14,7 +14,7 @@
 from amberlug.core.journal import FolderDisk
 from amberlug.core.lock import FolderLock
 from amberlug.core.messages import Attempt, End, Message, Outcome
-from amberlug.core.ports import Wait
+from amberlug.core.ports import RequestedPause
 from amberlug.learning.learner import Learner
 from amberlug.learning.store import Store
 from amberlug.platform.checking import check
@@ -86,7 +86,7 @@
     now = learnings.Now()
     learner = Learner(Store(FolderDisk(folder), 10**5, now.now_us, key), now)
     learner.observe([known(now.now_us(), route={"learned": 3.0, "learned_us": now.now_us()}, **health)])
-    learner.told(Wait(1, "", 60_000_000, now.now_us() + 60_000_000, now.boot))
+    learner.told(RequestedPause(1, "", 60_000_000, now.now_us() + 60_000_000, now.boot))
     learner.close()
 
 
--- a/tests/test_journal.py
+++ b/tests/test_journal.py
@@ -20,7 +20,7 @@
 from amberlug.core.journal import FolderDisk, Journal, space
 from amberlug.core.journal import records as rec
 from amberlug.core.messages import Attempt, End, Ending, Message, Outcome
-from amberlug.core.ports import Earlier, Seen, Wait
+from amberlug.core.ports import LegacyEndpointState, LegacyState, RequestedPause
 from amberlug.policy.interface import Result
 from tests.faulty import DiedError, FaultyDisk
 
@@ -179,7 +179,9 @@
     journal._append(rec.MEMORY, "", json.dumps({"wall": NOW, "clock": 1, "seen": [row]}).encode())
     journal._append(rec.WAIT, "", struct.pack(">qQQ", 7, 900, 1000) + b"boot\0e")
     found = opened(disk.after_death())
-    assert found.earlier == Earlier(NOW, 1, (Seen(*row),), (Wait(7, "e", 900, 1000, "boot"),))
+    assert found.earlier == LegacyState(
+        NOW, 1, (LegacyEndpointState(*row),), (RequestedPause(7, "e", 900, 1000, "boot"),)
+    )
     assert found.damage == []
 
 
--- a/tests/test_lasting.py
+++ b/tests/test_lasting.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from amberlug.core.ports import Wait
+from amberlug.core.ports import RequestedPause
 from amberlug.policy import interface as api
 from amberlug.policy.interface import Result, State
 from amberlug.policy.lasting import BEHIND_US, LastingSender
@@ -67,7 +67,7 @@
     ],
 )
 def test_a_told_wait_is_neither_cut_short_nor_made_longer(boot: str, now_us: int, left_us: int) -> None:
-    assert Wait(1, "", 10_000, 10_000, "a").left_us(now_us, boot) == left_us
+    assert RequestedPause(1, "", 10_000, 10_000, "a").left_us(now_us, boot) == left_us
 
 
 def test_closing_hands_back_only_what_would_lose_most() -> None:
--- a/tests/test_learning.py
+++ b/tests/test_learning.py
@@ -13,7 +13,7 @@
 import msgpack
 import pytest
 
-from amberlug.core.ports import Earlier, Handle, Seen, Wait
+from amberlug.core.ports import Handle, LegacyEndpointState, LegacyState, RequestedPause
 from amberlug.learning import ageing, blocks, facts
 from amberlug.learning import store as stores
 from amberlug.learning.blocks import RefusedError, Stamp, Type
@@ -96,8 +96,8 @@
     return learner.recall(listed[0].destination, listed) or api.Known(listed[0].destination)
 
 
-def wait_at(time: Time, destination: int = 1, length_us: int = 5 * SECOND) -> Wait:
-    return Wait(destination, "", length_us, time.us + length_us, time.boot)
+def wait_at(time: Time, destination: int = 1, length_us: int = 5 * SECOND) -> RequestedPause:
+    return RequestedPause(destination, "", length_us, time.us + length_us, time.boot)
 
 
 # Deaths.
@@ -334,7 +334,7 @@
     time, disk = Time(), FaultyDisk()
     learner = opened(disk, time)
     learner.observe([known(time.us, 2, of=entry("e" * 5000, 2)), known(time.us, route={"usual_us": 10**11})])
-    learner.told(Wait(3, "e" * 5000, SECOND, time.us + SECOND, time.boot))
+    learner.told(RequestedPause(3, "e" * 5000, SECOND, time.us + SECOND, time.boot))
     again = opened(disk.after_death(), time)
     assert again.refused == []
     assert believed(again).endpoints
@@ -540,8 +540,10 @@
 
 def test_what_an_earlier_release_kept_is_taken_over_once() -> None:
     time, disk = Time(), FaultyDisk()
-    row = Seen("e1", True, START - 9 * SECOND, START - SECOND, NEVER, None, 0.9, True, 2.0, START - SECOND)
-    earlier = Earlier(WALL, START, (row, replace(row, endpoint="gone")), (wait_at(time),))
+    row = LegacyEndpointState(
+        "e1", True, START - 9 * SECOND, START - SECOND, NEVER, None, 0.9, True, 2.0, START - SECOND
+    )
+    earlier = LegacyState(WALL, START, (row, replace(row, endpoint="gone")), (wait_at(time),))
     learner = opened(disk, time)
     learner.take_over(earlier, {"e1": entry()}.get)
     time.past(SECOND)
@@ -582,7 +584,9 @@
                 result, wait_us = self.answer(self.time.us)
                 self.sends.append((self.time.us, result))
                 if wait_us:
-                    self.learner.told(Wait(1, "", wait_us, self.time.us + 50_000 + wait_us, self.time.boot))
+                    self.learner.told(
+                        RequestedPause(1, "", wait_us, self.time.us + 50_000 + wait_us, self.time.boot)
+                    )
                 number = self.sender.messages[action.ref].attempts - 1
                 told = api.Outcome(
                     action.ref, number, action.endpoint, result, result is Result.DONE, 50_000, wait_us, ()
@@ -711,7 +715,7 @@
     name = next(it for it in sender.endpoints if sender.endpoints[it].out)
     route = sender.route(name)
     assert route == name
-    learner.told(Wait(1, route, 5 * SECOND, time.us + 5 * SECOND, time.boot))
+    learner.told(RequestedPause(1, route, 5 * SECOND, time.us + 5 * SECOND, time.boot))
     told = api.Outcome(1, 0, name, Result.REFUSED, False, 1, 5 * SECOND, ())
     sender.step(time.us, [told, api.Withdrawn(1)])
     gone, left = (first, other) if name == "c1" else (other, first)
--- a/tests/test_listing.py
+++ b/tests/test_listing.py
@@ -13,7 +13,7 @@
 
 from amberlug.core import endpoint_list
 from amberlug.core.endpoint_list import read_list_line, read_list_update, read_object_with_list
-from amberlug.core.ports import News
+from amberlug.core.ports import EndpointListUpdate
 from amberlug.core.sliced_queue import SlicedQueue
 from amberlug.platform.discovery import LINE_MOST, SETTLED, Watch
 from amberlug.platform.pauses import Pauses
@@ -340,7 +340,7 @@
         self.confirmed: list[int] = []  # number of updates so far, at each confirmation of the list
         self.watch = Watch(("127.0.0.1", 1), KINDS, 0, self._listing, Pauses(1, 2.0), self._current)
 
-    def _listing(self, news: News) -> Any:
+    def _listing(self, news: EndpointListUpdate) -> Any:
         self.told.append(list(news.entries))
         yield
 
--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -10,7 +10,7 @@
 from amberlug.core.journal import Journal
 from amberlug.core.messages import Attempt, End, Ending, Message, Outcome, Refusal
 from amberlug.core.node import Node
-from amberlug.core.ports import Address, Calls, News
+from amberlug.core.ports import Address, Calls, EndpointListUpdate
 from amberlug.lab.clock import SECOND, START_US, LifeClock, Time
 from amberlug.lab.disk import MemoryDisk
 from amberlug.lab.play import KINDS, settings_of
@@ -105,7 +105,7 @@
         for number in range(5)
         for part in "ab"
     ]
-    node.listed(News(entries, 1, True))
+    node.listed(EndpointListUpdate(entries, 1, True))
     node.restore()
 
     def hand_in(number: int) -> None:
