--- a/amberlug/asgi.py
+++ b/amberlug/asgi.py
@@ -15,7 +15,7 @@
 from typing import Any
 
 from amberlug.core.log import log
-from amberlug.core.messages import BODY_MOST, Refusal
+from amberlug.core.messages import MAX_BODY_BYTES, Refusal
 from amberlug.http.handin import (
     TOO_LONG,
     Answer,
@@ -163,7 +163,7 @@
                 if event["type"] == "http.disconnect":
                     raise _GoneError
                 body += event.get("body", b"")
-                if len(body) > BODY_MOST:
+                if len(body) > MAX_BODY_BYTES:
                     raise BadRequestError(413, TOO_LONG)
                 if not event.get("more_body", False):
                     return bytes(body)
--- a/amberlug/copies/journal.py
+++ b/amberlug/copies/journal.py
@@ -20,7 +20,7 @@
 from amberlug.copies.store import CopyStore
 from amberlug.core.journal import Journal
 from amberlug.core.log import log as say
-from amberlug.core.messages import Attempt, End, Ending, Message, Outcome, Reason, Refusal
+from amberlug.core.messages import Attempt, AttemptResult, End, Message, Outcome, Reason, Refusal
 from amberlug.core.ports import Clock, LegacyState, PendingMessage, PreviousAttempt
 from amberlug.peers.fleet import Fleet, WhenShort
 from amberlug.policy.interface import Effect, Result, Settings
@@ -248,7 +248,7 @@
         if not self._harmless(message):
             self._record(message.name, Kind.ATTEMPT, [attempt.number, now_ms, attempt.endpoint])
 
-    def outcome(self, attempt: Attempt, how: Ending) -> None:
+    def outcome(self, attempt: Attempt, how: AttemptResult) -> None:
         message = attempt.message
         if not self._foreign(message.name):
             self._inner.outcome(attempt, how)
--- a/amberlug/core/journal/log.py
+++ b/amberlug/core/journal/log.py
@@ -37,7 +37,7 @@
 from amberlug.core.journal.space import SLICE_US, DiskUsage, SpacePolicy, round_up_to_blocks
 from amberlug.core.journal.sync_scheduler import RecordEntry, Syncer, SyncScheduler
 from amberlug.core.log import log
-from amberlug.core.messages import Attempt, End, Ending, Message, Refusal
+from amberlug.core.messages import Attempt, AttemptResult, End, Message, Refusal
 from amberlug.core.ports import LegacyState, PendingMessage
 
 _encode_json = json.JSONEncoder(separators=(",", ":")).encode  # dumps() creates an encoder for each call
@@ -259,7 +259,7 @@
         rest = ATTEMPT.pack(attempt.number, now_ms) + attempt.endpoint.encode()
         self._write(records.ATTEMPT, attempt.message.name, rest)
 
-    def outcome(self, attempt: Attempt, how: Ending) -> None:
+    def outcome(self, attempt: Attempt, how: AttemptResult) -> None:
         rest = OUTCOME.pack(attempt.number) + how.result.value.encode()
         self._record_event(records.OUTCOME, attempt.message.name, rest)
 
--- a/amberlug/core/messages.py
+++ b/amberlug/core/messages.py
@@ -8,13 +8,13 @@
 
 from amberlug.policy.interface import Result
 
-NAME_MOST = 128  # longest message ID, idempotency key or tenant name
-BODY_MOST = 1 << 16  # largest body, in bytes
+MAX_NAME_LENGTH = 128  # longest message ID, idempotency key or tenant name
+MAX_BODY_BYTES = 1 << 16  # largest body, in bytes
 
 
-def is_word(text: str) -> bool:
+def is_valid_name(text: str) -> bool:
     """Return whether a text is valid as an ID, key or name in every supported protocol."""
-    return 0 < len(text) <= NAME_MOST and text.isascii() and text.isprintable() and " " not in text
+    return 0 < len(text) <= MAX_NAME_LENGTH and text.isascii() and text.isprintable() and " " not in text
 
 
 class Reason(Enum):
@@ -37,7 +37,7 @@
     retry_us: int
 
 
-class Exchange(Protocol):
+class PendingRequest(Protocol):
     """A client's request to accept a message, waiting for the response."""
 
     def settle(self, refusal: Refusal | None) -> None:
@@ -59,7 +59,7 @@
     taken: bool = False
     over: bool = False
     attempts: int = 0
-    exchanges: list[Exchange] = field(default_factory=list)
+    exchanges: list[PendingRequest] = field(default_factory=list)
     # Reply address, interpreted only by the front end that received the message; whether the platform is
     # notified of the outcome as well; and how often these two were changed.
     reply: bytes = b""
@@ -83,7 +83,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Ending:
+class AttemptResult:
     """How an attempt or a probe ended; `over` if the message needs no further attempt."""
 
     result: Result
--- a/amberlug/core/node.py
+++ b/amberlug/core/node.py
@@ -10,7 +10,16 @@
 from amberlug.core.clock import SECOND
 from amberlug.core.endpoint_addresses import EndpointAddresses
 from amberlug.core.log import log
-from amberlug.core.messages import Attempt, End, Ending, Exchange, Message, Outcome, Reason, Refusal
+from amberlug.core.messages import (
+    Attempt,
+    AttemptResult,
+    End,
+    Message,
+    Outcome,
+    PendingRequest,
+    Reason,
+    Refusal,
+)
 from amberlug.core.ports import (
     Clock,
     EndpointListUpdate,
@@ -167,7 +176,7 @@
         """Whether the endpoint list contains that destination."""
         return self._sender.serves(destination)
 
-    def hand_in(self, message: Message, left_us: int, waited_us: int, exchange: Exchange) -> None:
+    def hand_in(self, message: Message, left_us: int, waited_us: int, exchange: PendingRequest) -> None:
         """Process a submitted message: synchronously if the policy need not decide, else in the next round.
 
         `left_us` is the time until its deadline, `waited_us` the time it may have waited before it was read.
@@ -194,7 +203,7 @@
             self._learning.sent(message.tenant)
             self._tell(self._taken(message, left_us, waited_us))
 
-    def _again(self, message: Message, exchange: Exchange) -> None:
+    def _again(self, message: Message, exchange: PendingRequest) -> None:
         """Confirm a message that was accepted before and send its outcome to the new reply address too."""
         known = self._names.get(message.name)
         before = (known.reply, known.noticed, known.replies) if known is not None else (b"", True, 0)
@@ -214,7 +223,7 @@
             if (end := owed[1] if owed is not None else self._journal.ended(message.name)) is not None:
                 self._journal.after(partial(self._told, replace(end, reply=message.reply)), message.name)
 
-    def hung_up(self, exchange: Exchange) -> None:
+    def hung_up(self, exchange: PendingRequest) -> None:
         """Withdraw a message if all its clients disconnected before it was accepted or refused."""
         for message in [it for it in self._messages.values() if exchange in it.exchanges]:
             message.exchanges.remove(exchange)
@@ -251,7 +260,7 @@
         """Note that the endpoint list is up to date, and for how many seconds calls may rely on it."""
         self._tell(api.Current(int(seconds * SECOND)))
 
-    def ended(self, attempt: Attempt, how: Ending) -> None:
+    def ended(self, attempt: Attempt, how: AttemptResult) -> None:
         """Process the end of an attempt; a delivered message is complete at once."""
         message = attempt.message
         del self._attempts[message.ref, attempt.number]
@@ -375,7 +384,7 @@
         else:
             told()
 
-    def _renounce(self, message: Message, exchanges: Sequence[Exchange], may_tell: bool) -> None:
+    def _renounce(self, message: Message, exchanges: Sequence[PendingRequest], may_tell: bool) -> None:
         """Drop a message that could not be made durable; its client gets no response unless `may_tell`."""
         if not message.over:
             self._forget(message)
@@ -477,7 +486,7 @@
         start = self.now_us()
         self._addresses.locate(endpoint)
 
-        def ended(how: Ending) -> None:
+        def ended(how: AttemptResult) -> None:
             self._tell(api.Probed(endpoint, how.result, self.now_us() - start, how.report))
 
         self._transport.probe(endpoint, ended)
@@ -529,6 +538,6 @@
     return True
 
 
-def _settled(exchanges: Sequence[Exchange], refusal: Refusal | None) -> None:
+def _settled(exchanges: Sequence[PendingRequest], refusal: Refusal | None) -> None:
     for exchange in exchanges:
         exchange.settle(refusal)
--- a/amberlug/core/ports.py
+++ b/amberlug/core/ports.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass, field
 from typing import Protocol
 
-from amberlug.core.messages import Attempt, End, Ending, Message, Refusal
+from amberlug.core.messages import Attempt, AttemptResult, End, Message, Refusal
 from amberlug.policy import interface as api
 
 Address = tuple[str, int]
@@ -61,7 +61,7 @@
     def still(self, attempts: Sequence[Attempt]) -> list[Attempt]:
         """Return which of these recorded attempts may be sent now."""
 
-    def ended(self, attempt: Attempt, how: Ending) -> None:
+    def ended(self, attempt: Attempt, how: AttemptResult) -> None:
         """Report how an attempt ended, exactly once."""
 
 
@@ -81,7 +81,7 @@
     def call_off(self, attempt: Attempt) -> None:
         """Stop waiting for an attempt; its result is reported like any other."""
 
-    def probe(self, endpoint: str, ended: Callable[[Ending], None]) -> None:
+    def probe(self, endpoint: str, ended: Callable[[AttemptResult], None]) -> None:
         """Check an endpoint's health."""
 
     def locate(self, endpoint: str, address: Address | None, kind: str = "") -> None:
@@ -123,7 +123,7 @@
     def attempt(self, attempt: Attempt) -> None:
         """Called when an attempt has been recorded and is about to be sent."""
 
-    def outcome(self, attempt: Attempt, how: Ending) -> None:
+    def outcome(self, attempt: Attempt, how: AttemptResult) -> None:
         """Called when an attempt has ended."""
 
     def ended(self, message: Message, end: End) -> None:
@@ -259,7 +259,7 @@
     def attempt(self, attempt: Attempt, now_ms: int) -> None:
         """Record an attempt before its first byte is sent; `OSError` if it was not recorded."""
 
-    def outcome(self, attempt: Attempt, how: Ending) -> None:
+    def outcome(self, attempt: Attempt, how: AttemptResult) -> None:
         """Record how an attempt ended."""
 
     def owe(self, message: Message, end: End) -> None:
--- a/amberlug/http/calls.py
+++ b/amberlug/http/calls.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 from amberlug.core.attempt_clearance import clear_attempts
-from amberlug.core.messages import Attempt, Ending, Message
+from amberlug.core.messages import Attempt, AttemptResult, Message
 from amberlug.core.ports import Address, Calls, Clock
 from amberlug.http.link import Link, LinkLostError, Reply, dial
 from amberlug.policy.interface import Result, Settings
@@ -17,11 +17,11 @@
 IDLE_MARGIN = 0.5  # seconds that an idle connection is closed before the endpoint may close it
 WAIT_MOST_MS = 3_600_000  # longest told wait that is kept
 BATCH_ENDS = {
-    "ok": Ending(Result.DONE),
-    "error": Ending(Result.ERROR),
-    "later": Ending(Result.REFUSED),
-    "gone": Ending(Result.UNSENT, over=True),
-    "exhausted": Ending(Result.UNSENT),
+    "ok": AttemptResult(Result.DONE),
+    "error": AttemptResult(Result.ERROR),
+    "later": AttemptResult(Result.REFUSED),
+    "gone": AttemptResult(Result.UNSENT, over=True),
+    "exhausted": AttemptResult(Result.UNSENT),
 }
 
 
@@ -49,40 +49,40 @@
     return min(int(text[:18]), WAIT_MOST_MS) * 1000
 
 
-def ending(reply: Reply, names: Sequence[str]) -> Ending:
+def ending(reply: Reply, names: Sequence[str]) -> AttemptResult:
     """Tell what an answer to a call with one fate means."""
     told = report(reply.headers.get("srv-load", ""), names)
     if reply.status == 200:
-        return Ending(Result.DONE, wait_us(reply), report=told)
+        return AttemptResult(Result.DONE, wait_us(reply), report=told)
     if reply.status in (429, 503):
         if reply.headers.get("slots-taken") == "1":
-            return Ending(Result.UNSENT, report=told)
-        return Ending(Result.REFUSED, wait_us(reply), report=told)
+            return AttemptResult(Result.UNSENT, report=told)
+        return AttemptResult(Result.REFUSED, wait_us(reply), report=told)
     if reply.status in (400, 413, 504):  # never ran
-        return Ending(Result.UNSENT, report=told)
+        return AttemptResult(Result.UNSENT, report=told)
     if reply.status == 410:
-        return Ending(Result.UNSENT, over=True, report=told)
-    return Ending(Result.ERROR, wait_us(reply), report=told)
+        return AttemptResult(Result.UNSENT, over=True, report=told)
+    return AttemptResult(Result.ERROR, wait_us(reply), report=told)
 
 
-def batch_endings(reply: Reply, names: Sequence[str]) -> Mapping[str, Ending]:
+def batch_endings(reply: Reply, names: Sequence[str]) -> Mapping[str, AttemptResult]:
     """Tell each message's end from the answer to a batch; one that is not named may have run."""
     told, wait = report(reply.headers.get("srv-load", ""), names), wait_us(reply)
-    ends: dict[str, Ending] = {}
+    ends: dict[str, AttemptResult] = {}
     for line in reply.body.decode("latin-1").splitlines():
         name, _, word = line.strip().partition(" ")
         if word in BATCH_ENDS:
             known = BATCH_ENDS[word]
-            ends[name] = Ending(known.result, wait, known.over, told)
+            ends[name] = AttemptResult(known.result, wait, known.over, told)
     return ends
 
 
-def lost(error: LinkLostError) -> Ending:
+def lost(error: LinkLostError) -> AttemptResult:
     """Tell what a lost connection means: what was written or had an answer may have run."""
     # Guards against trusting a spoilt head: a 429 there does not tell that the call never ran.
     if error.answered:
-        return Ending(Result.SPOILT)
-    return Ending(Result.RESET if error.written else Result.UNCONNECTED)
+        return AttemptResult(Result.SPOILT)
+    return AttemptResult(Result.RESET if error.written else Result.UNCONNECTED)
 
 
 class Pool:
@@ -222,7 +222,7 @@
         if (nudge := self._nudges.get(attempt)) is not None:
             _wake(nudge)
 
-    def probe(self, endpoint: str, ended: Callable[[Ending], None]) -> None:
+    def probe(self, endpoint: str, ended: Callable[[AttemptResult], None]) -> None:
         """Ask an endpoint whether it is well."""
         self._start(self._probe(endpoint, ended))
 
@@ -231,13 +231,13 @@
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    def _end(self, attempt: Attempt, how: Ending) -> None:
+    def _end(self, attempt: Attempt, how: AttemptResult) -> None:
         if not attempt.ended:
             attempt.ended = True
             del self._nudges[attempt]
             self._ended(attempt, how)
 
-    def _end_all(self, attempts: Sequence[Attempt], how: Ending) -> None:
+    def _end_all(self, attempts: Sequence[Attempt], how: AttemptResult) -> None:
         for attempt in attempts:
             self._end(attempt, how)
 
@@ -246,7 +246,7 @@
             until = max(attempt.until_us for attempt in attempts)
             link = await self.pool.take(endpoint, max(0.0, (until - self._clock()) / 1e6), fresh)
             if link is None:
-                self._end_all(attempts, Ending(Result.UNCONNECTED))
+                self._end_all(attempts, AttemptResult(Result.UNCONNECTED))
                 return
             try:
                 await self._use(link, attempts)
@@ -254,12 +254,14 @@
                 self.pool.give(endpoint, link)
         finally:
             # Guards against an error that leaves an attempt without an outcome, and its slot taken for good.
-            self._end_all(attempts, Ending(Result.RESET))
+            self._end_all(attempts, AttemptResult(Result.RESET))
 
     async def _use(self, link: Link, attempts: list[Attempt]) -> None:
         # A dial takes time: what a drain, a wait or an end forbids by now is not sent.
         cleared = await clear_attempts(self._calls, attempts)
-        self._end_all([attempt for attempt in attempts if attempt not in cleared], Ending(Result.UNSENT))
+        self._end_all(
+            [attempt for attempt in attempts if attempt not in cleared], AttemptResult(Result.UNSENT)
+        )
         for attempt in cleared:
             attempt.reused, attempt.idle_us = link.reused, link.idled_us
         if cleared:
@@ -281,7 +283,7 @@
             self._read(reply.result(), attempts)
         except LinkLostError as error:
             done = error.ok and len(attempts) == 1  # of several, only the whole answer tells each one's end
-            self._end_all(attempts, Ending(Result.DONE) if done else lost(error))
+            self._end_all(attempts, AttemptResult(Result.DONE) if done else lost(error))
 
     def _write(self, link: Link, attempts: list[Attempt]) -> asyncio.Future[Reply]:
         left_ms = max(1, (max(it.until_us for it in attempts) - self._clock()) // 1000)
@@ -302,11 +304,11 @@
         if min(attempt.until_us for attempt in attempts) <= self._clock():
             # Guards against a late answer to several that a loop held up reads before it gives the call up:
             # what it says of each may count for nobody. It could do harm to one that came just in time.
-            self._end_all(attempts, Ending(Result.SPOILT, wait_us(reply)))
+            self._end_all(attempts, AttemptResult(Result.SPOILT, wait_us(reply)))
             return
         ends = batch_endings(reply, names)
         for attempt in attempts:
-            self._end(attempt, ends.get(attempt.message.name, Ending(Result.ERROR, wait_us(reply))))
+            self._end(attempt, ends.get(attempt.message.name, AttemptResult(Result.ERROR, wait_us(reply))))
 
     def _give_up(self, attempts: list[Attempt]) -> int:
         """End what is out of time; how long the next one has.
@@ -320,36 +322,36 @@
         for attempt in left:
             if attempt not in alive and (not alive or attempt.message.over):
                 result = Result.CALLED_OFF if attempt.called_off else Result.TIMED_OUT
-                self._end(attempt, Ending(result))
+                self._end(attempt, AttemptResult(result))
         return min((attempt.until_us for attempt in alive), default=now) - now
 
-    async def _probe(self, endpoint: str, ended: Callable[[Ending], None]) -> None:
-        how = Ending(Result.RESET)
+    async def _probe(self, endpoint: str, ended: Callable[[AttemptResult], None]) -> None:
+        how = AttemptResult(Result.RESET)
         try:
             how = await self._sound_out(endpoint)
         finally:
             ended(how)
 
-    async def _sound_out(self, endpoint: str) -> Ending:
+    async def _sound_out(self, endpoint: str) -> AttemptResult:
         seconds, names = self._settings.dial_us / 1e6, self._settings.report_names
         link = await self.pool.take(endpoint, seconds)
         if link is None:
-            return Ending(Result.UNCONNECTED)
+            return AttemptResult(Result.UNCONNECTED)
         try:
             async with asyncio.timeout(seconds):
                 reply = await link.request("GET", "/metrics/load" if names else "/alive", [])
         except TimeoutError:
             link.close()
-            return Ending(Result.TIMED_OUT)
+            return AttemptResult(Result.TIMED_OUT)
         except LinkLostError as error:
             return lost(error)
         self.pool.give(endpoint, link)
         how = ending(reply, names)
         told = how.report or report(reply.body.decode("latin-1"), names)
-        return Ending(how.result, how.wait_us, report=told)
+        return AttemptResult(how.result, how.wait_us, report=told)
 
 
-def _unheard(attempt: Attempt, how: Ending) -> None:
+def _unheard(attempt: Attempt, how: AttemptResult) -> None:
     """Guard against ends of calls that the closing relay gave up: nothing was learned of them."""
 
 
--- a/amberlug/http/handin.py
+++ b/amberlug/http/handin.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Callable, Mapping, Sequence
 
-from amberlug.core.messages import BODY_MOST, Message, Reason, Refusal, is_word
+from amberlug.core.messages import MAX_BODY_BYTES, Message, Reason, Refusal, is_valid_name
 from amberlug.policy.interface import Effect, Settings
 
 TOO_LONG = "the body is over 64 KiB"
@@ -30,7 +30,7 @@
 
 def _word(headers: Mapping[str, str], name: str) -> str:
     value = headers.get(name.lower(), "")
-    if not is_word(value):
+    if not is_valid_name(value):
         raise BadRequestError(400, f"{name} is missing or malformed")
     return value
 
@@ -52,7 +52,7 @@
     lengths = [value for name, value in headers if name == b"content-length"]
     if lengths and not lengths[0].isdigit():
         return 400, "Content-Length is malformed"
-    return (413, TOO_LONG) if lengths and int(lengths[0][:18]) > BODY_MOST else None
+    return (413, TOO_LONG) if lengths and int(lengths[0][:18]) > MAX_BODY_BYTES else None
 
 
 def check_route(settings: Settings, method: str, path: str) -> None:
--- a/amberlug/http/server.py
+++ b/amberlug/http/server.py
@@ -11,7 +11,7 @@
 
 import h11
 
-from amberlug.core.messages import BODY_MOST, Exchange, Message, Refusal
+from amberlug.core.messages import MAX_BODY_BYTES, Message, PendingRequest, Refusal
 from amberlug.http.handin import TOO_LONG, BadRequestError, answer, check_route, read_message, refusal_of
 from amberlug.policy.interface import Settings
 
@@ -42,8 +42,8 @@
     ready: bool
 
     def serves(self, destination: int) -> bool: ...
-    def hand_in(self, message: Message, left_us: int, waited_us: int, exchange: Exchange) -> None: ...
-    def hung_up(self, exchange: Exchange) -> None: ...
+    def hand_in(self, message: Message, left_us: int, waited_us: int, exchange: PendingRequest) -> None: ...
+    def hung_up(self, exchange: PendingRequest) -> None: ...
 
 
 class Connection(asyncio.Protocol):
@@ -189,7 +189,7 @@
                 self._transport.write(self._http.send(go_on) or b"")
         elif isinstance(event, h11.Data):
             self._body += event.data
-            if len(self._body) > BODY_MOST:
+            if len(self._body) > MAX_BODY_BYTES:
                 self.answer(413, TOO_LONG)
                 return False
         elif isinstance(event, h11.EndOfMessage):
--- a/amberlug/lab/relay.py
+++ b/amberlug/lab/relay.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable, Mapping
 
 from amberlug.core.journal import Journal
-from amberlug.core.messages import End, Exchange, Message, Outcome, Reason, Refusal
+from amberlug.core.messages import End, Message, Outcome, PendingRequest, Reason, Refusal
 from amberlug.core.node import CLOSED_RETRY_US, Node
 from amberlug.core.ports import EndpointListUpdate
 from amberlug.lab.clock import SECOND, LifeClock, Time
@@ -149,7 +149,7 @@
     def _cut_off(self, endpoint: str) -> bool:
         return self.cut.get(self._endpoints[endpoint].of.number, 0) > self._time.us
 
-    def hand_in(self, message: Message, deadline_us: int, exchange: Exchange) -> None:
+    def hand_in(self, message: Message, deadline_us: int, exchange: PendingRequest) -> None:
         """Take a request off the wire."""
         if not self.up:
             exchange.settle(Refusal(Reason.CLOSING, CLOSED_RETRY_US))
@@ -167,7 +167,7 @@
         if self.up:
             self.work(_nothing)
 
-    def hung_up(self, exchange: Exchange) -> None:
+    def hung_up(self, exchange: PendingRequest) -> None:
         """See a client close its connection before it was answered."""
         if self.up:
             self.node.hung_up(exchange)
--- a/amberlug/lab/transport.py
+++ b/amberlug/lab/transport.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable, Mapping
 from dataclasses import dataclass
 
-from amberlug.core.messages import Attempt, Ending
+from amberlug.core.messages import Attempt, AttemptResult
 from amberlug.core.ports import Address, Calls
 from amberlug.lab.clock import LifeClock, Timer
 from amberlug.lab.partners import Answer, Endpoint, Pending
@@ -73,7 +73,7 @@
         cleared = self._calls.clear(out.attempts)
         for attempt in out.attempts:
             if attempt not in cleared:
-                self._ended(attempt, Ending(Result.UNSENT))
+                self._ended(attempt, AttemptResult(Result.UNSENT))
         if not cleared:
             return
         out.attempts = cleared
@@ -108,26 +108,26 @@
             return
         if answer.result is not Result.RESET and answer.result is not Result.UNCONNECTED:
             self._idle.setdefault(out.endpoint, deque()).append(self._clock.now_us())
-        self._finish(out, Ending(answer.result, answer.wait_us))
+        self._finish(out, AttemptResult(answer.result, answer.wait_us))
 
     def _late(self, out: Out) -> None:
         if not out.over:
-            self._give_up(out, Ending(Result.TIMED_OUT))
+            self._give_up(out, AttemptResult(Result.TIMED_OUT))
 
-    def _give_up(self, out: Out, how: Ending) -> None:
+    def _give_up(self, out: Out, how: AttemptResult) -> None:
         if out.pending is not None:
             endpoint = self._endpoints[out.endpoint]
             (endpoint.forsake if self._cut_off(out.endpoint) else endpoint.hang_up)(out.pending)
         self._finish(out, how)
 
-    def _finish(self, out: Out, how: Ending) -> None:
+    def _finish(self, out: Out, how: AttemptResult) -> None:
         out.over = True
         if out.timer is not None:
             out.timer.cancel()
         for attempt in out.attempts:
             self._ended(attempt, how)
 
-    def _ended(self, attempt: Attempt, how: Ending) -> None:
+    def _ended(self, attempt: Attempt, how: AttemptResult) -> None:
         if not attempt.ended:
             attempt.ended = True
             del self._out[attempt]
@@ -136,7 +136,7 @@
     def call_off(self, attempt: Attempt) -> None:
         attempt.called_off = True
         if (out := self._out.get(attempt)) is not None and all(it.called_off for it in out.attempts):
-            self._give_up(out, Ending(Result.CALLED_OFF))
+            self._give_up(out, AttemptResult(Result.CALLED_OFF))
 
     def abandon(self) -> None:
         """The process is gone: its connections end, and nobody hears of it."""
@@ -145,10 +145,12 @@
             if out.pending is not None:
                 self._endpoints[out.endpoint].hang_up(out.pending)
 
-    def probe(self, endpoint: str, ended: Callable[[Ending], None]) -> None:
+    def probe(self, endpoint: str, ended: Callable[[AttemptResult], None]) -> None:
         well = not self._cut_off(endpoint) and self._endpoints[endpoint].probed(self._checker)
         self._clock.at(
-            self._clock.now_us() + 2 * self._network_us, ended, Ending(Result.DONE if well else Result.RESET)
+            self._clock.now_us() + 2 * self._network_us,
+            ended,
+            AttemptResult(Result.DONE if well else Result.RESET),
         )
 
     def locate(self, endpoint: str, address: Address | None, kind: str = "") -> None:
--- a/amberlug/library/messages.py
+++ b/amberlug/library/messages.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 
 from amberlug.core import messages as core
-from amberlug.core.messages import BODY_MOST, Reason, is_word
+from amberlug.core.messages import MAX_BODY_BYTES, Reason, is_valid_name
 from amberlug.policy.interface import Effect, Settings
 
 DEADLINE_MOST = 1_000_000.0  # seconds
@@ -63,14 +63,14 @@
             raise BadMessageError(f"message_class {self.message_class!r} is unknown")
         words = {"id": self.id, "key": self.key, "tenant": self.tenant}
         for what, word in words.items():
-            if word is not None and not (isinstance(word, str) and is_word(word)):
+            if word is not None and not (isinstance(word, str) and is_valid_name(word)):
                 raise BadMessageError(f"{what} is malformed: {word!r:.200}")
         if settings.tenants and self.tenant not in settings.tenants:
             raise BadMessageError(f"tenant {self.tenant!r} is unknown")
         if kind.effect is Effect.KEYED and self.key is None:
             raise BadMessageError(f"a message of class {self.message_class!r} needs a key")
-        if not isinstance(self.body, bytes) or len(self.body) > BODY_MOST:
-            raise BadMessageError(f"the body is no bytes, or over {BODY_MOST} of them")
+        if not isinstance(self.body, bytes) or len(self.body) > MAX_BODY_BYTES:
+            raise BadMessageError(f"the body is no bytes, or over {MAX_BODY_BYTES} of them")
         seconds = kind.deadline_us / 1e6 if self.deadline is None else self.deadline
         if not 0 <= seconds <= DEADLINE_MOST:
             raise BadMessageError(f"deadline is out of range: {seconds!r}")
--- a/amberlug/library/observers.py
+++ b/amberlug/library/observers.py
@@ -5,7 +5,7 @@
 import asyncio
 from collections.abc import Sequence
 
-from amberlug.core.messages import Attempt, End, Ending, Message
+from amberlug.core.messages import Attempt, AttemptResult, End, Message
 from amberlug.core.ports import Observer
 from amberlug.policy import interface as api
 
@@ -29,7 +29,7 @@
     def attempt(self, attempt: Attempt) -> None:
         self._soon(self._observer.attempt, attempt)
 
-    def outcome(self, attempt: Attempt, how: Ending) -> None:
+    def outcome(self, attempt: Attempt, how: AttemptResult) -> None:
         self._soon(self._observer.outcome, attempt, how)
 
     def ended(self, message: Message, end: End) -> None:
--- a/amberlug/library/transport.py
+++ b/amberlug/library/transport.py
@@ -9,7 +9,7 @@
 
 from amberlug.core.attempt_clearance import clear_attempts
 from amberlug.core.log import log
-from amberlug.core.messages import Attempt, Ending
+from amberlug.core.messages import Attempt, AttemptResult
 from amberlug.core.ports import Address, Calls, Clock
 from amberlug.policy.interface import Result
 
@@ -88,9 +88,9 @@
         if (task := self._out.get(attempt)) is not None:
             task.cancel()
 
-    def probe(self, endpoint: str, ended: Callable[[Ending], None]) -> None:
+    def probe(self, endpoint: str, ended: Callable[[AttemptResult], None]) -> None:
         """Say that nothing was asked: a host's coroutine only delivers."""
-        asyncio.get_running_loop().call_soon(ended, Ending(Result.UNSENT))
+        asyncio.get_running_loop().call_soon(ended, AttemptResult(Result.UNSENT))
 
     def locate(self, endpoint: str, address: Address | None, kind: str = "") -> None:
         """Leave addresses to the host."""
@@ -104,7 +104,7 @@
         for task in [*self._out.values(), *self._tasks]:
             task.cancel()
 
-    def _end(self, attempt: Attempt, how: Ending) -> None:
+    def _end(self, attempt: Attempt, how: AttemptResult) -> None:
         if not attempt.ended and not self._closed:
             attempt.ended = True
             self._calls.ended(attempt, how)
@@ -114,7 +114,7 @@
         cleared = await clear_attempts(self._calls, attempts)
         for attempt in attempts:
             if attempt not in cleared:
-                self._end(attempt, Ending(Result.UNSENT))
+                self._end(attempt, AttemptResult(Result.UNSENT))
         if cleared:
             await self._make(endpoint, cleared)
 
@@ -135,9 +135,11 @@
             await asyncio.wait({out})  # it counts as out until it has ended
         for attempt in attempts:
             del self._out[attempt]
-        how = Ending(Result.TIMED_OUT) if late and out.cancelled() else ending(out)
+        how = AttemptResult(Result.TIMED_OUT) if late and out.cancelled() else ending(out)
         for attempt in attempts:
-            self._end(attempt, Ending(Result.CALLED_OFF) if attempt.called_off and out.cancelled() else how)
+            self._end(
+                attempt, AttemptResult(Result.CALLED_OFF) if attempt.called_off and out.cancelled() else how
+            )
 
 
 async def _made(deliver: Deliver, call: Call) -> None:
@@ -145,16 +147,16 @@
     await deliver(call)
 
 
-def ending(out: asyncio.Task[None]) -> Ending:
+def ending(out: asyncio.Task[None]) -> AttemptResult:
     """Tell what became of a call that is over."""
     if out.cancelled():
-        return Ending(Result.RESET)
+        return AttemptResult(Result.RESET)
     error = out.exception()
     if error is None:
-        return Ending(Result.DONE)
+        return AttemptResult(Result.DONE)
     if isinstance(error, TurnedAwayError):
-        return Ending(Result.REFUSED, int(max(0.0, min(error.wait, 3600.0)) * 1e6))
+        return AttemptResult(Result.REFUSED, int(max(0.0, min(error.wait, 3600.0)) * 1e6))
     if isinstance(error, NotSentError):
-        return Ending(Result.UNCONNECTED)
+        return AttemptResult(Result.UNCONNECTED)
     log(f"a call raised {error!r}: it may have run")
-    return Ending(Result.ERROR)
+    return AttemptResult(Result.ERROR)
--- a/amberlug/mqtt/intake.py
+++ b/amberlug/mqtt/intake.py
@@ -7,7 +7,7 @@
 from typing import Protocol
 
 from amberlug.core.log import log
-from amberlug.core.messages import Exchange, Message, Refusal
+from amberlug.core.messages import Message, PendingRequest, Refusal
 from amberlug.core.ports import Clock
 from amberlug.mqtt.mapping import QUOTA, BadPublishError, Heard, Mapped
 from amberlug.mqtt.packets import INVALID_TOPIC, Publish
@@ -26,8 +26,8 @@
     @property
     def crowded(self) -> bool: ...
     def serves(self, destination: int) -> bool: ...
-    def hand_in(self, message: Message, left_us: int, waited_us: int, exchange: Exchange) -> None: ...
-    def hung_up(self, exchange: Exchange) -> None: ...
+    def hand_in(self, message: Message, left_us: int, waited_us: int, exchange: PendingRequest) -> None: ...
+    def hung_up(self, exchange: PendingRequest) -> None: ...
 
 
 @dataclass(frozen=True, slots=True)
--- a/amberlug/mqtt/mapping.py
+++ b/amberlug/mqtt/mapping.py
@@ -16,7 +16,7 @@
 from uuid import uuid4
 
 from amberlug.core.endpoint_list import parse_address
-from amberlug.core.messages import BODY_MOST, Message, is_word
+from amberlug.core.messages import MAX_BODY_BYTES, Message, is_valid_name
 from amberlug.core.ports import Address
 from amberlug.mqtt.packets import TOO_LARGE, V3, V5, Publish
 from amberlug.mqtt.properties import P, user
@@ -177,7 +177,7 @@
     def read(self, heard: Heard, settings: Settings, now_ms: int) -> tuple[Message, int]:
         """The message, and how long it has left, in microseconds; `BadPublishError` where it is none."""
         body = heard.packet.payload
-        if len(body) > BODY_MOST:
+        if len(body) > MAX_BODY_BYTES:
             raise BadPublishError(TOO_LARGE, "the payload is over 64 KiB")
         destination = _number(self.destination(heard), "destination", DESTINATION_MOST)
         left_ms = self.deadline_ms
@@ -254,7 +254,7 @@
 def _word(text: str | None, what: str, wanted: bool) -> str | None:
     if not wanted:
         return None
-    if text is None or not is_word(text):
+    if text is None or not is_valid_name(text):
         raise BadPublishError(NOT_VALID, f"the {what} is missing or malformed")
     return text
 
@@ -500,7 +500,7 @@
 
 def _tenant(table: _Table, levels: int, settings: Settings | None) -> Source | None:
     value = table.raw("tenant")
-    if isinstance(value, str) and is_word(value) and ":" not in value and value != "topic":
+    if isinstance(value, str) and is_valid_name(value) and ":" not in value and value != "topic":
         if settings is not None and settings.tenants and value not in settings.tenants:
             table.wrong("tenant", f"unknown: {value!r}")
         return partial(_constant, value)
--- a/amberlug/mqtt/publisher.py
+++ b/amberlug/mqtt/publisher.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable, Mapping
 
 from amberlug.core.attempt_clearance import clear_attempts
-from amberlug.core.messages import Attempt, Ending
+from amberlug.core.messages import Attempt, AttemptResult
 from amberlug.core.ports import Address, Calls, Clock, Transport
 from amberlug.mqtt.link import Link
 from amberlug.mqtt.mapping import Target
@@ -23,17 +23,17 @@
 Place = tuple[str, Address]  # a kind, and the broker's address
 
 
-def ending(fate: Fate, code: int, told: Properties) -> Ending:
+def ending(fate: Fate, code: int, told: Properties) -> AttemptResult:
     """What became of an attempt, by what became of its publish."""
     if fate is Fate.ACKNOWLEDGED:
-        return Ending(Result.DONE)
+        return AttemptResult(Result.DONE)
     if fate is Fate.DROPPED:
-        return Ending(Result.UNCONNECTED)
+        return AttemptResult(Result.UNCONNECTED)
     if fate is Fate.LOST:
-        return Ending(Result.RESET)
+        return AttemptResult(Result.RESET)
     if code == QUOTA:
-        return Ending(Result.REFUSED, wait_us(told))
-    return Ending(Result.UNSENT if code in NEVER_RAN else Result.ERROR)
+        return AttemptResult(Result.REFUSED, wait_us(told))
+    return AttemptResult(Result.UNSENT if code in NEVER_RAN else Result.ERROR)
 
 
 def wait_us(told: Properties) -> int:
@@ -52,7 +52,7 @@
         self._places: dict[str, Place] = {}  # of endpoints that are topics
         self._links: dict[Place, Link] = {}
         self._used: Counter[Place] = Counter()  # by endpoints that are there, and by calls that are out
-        self._out: dict[Attempt, asyncio.Future[Ending]] = {}
+        self._out: dict[Attempt, asyncio.Future[AttemptResult]] = {}
         self._tasks: set[asyncio.Task[None]] = set()
 
     @property
@@ -107,14 +107,14 @@
             self._others.call_off(attempt)
             return
         attempt.called_off = True
-        _set(waits, Ending(Result.CALLED_OFF))
+        _set(waits, AttemptResult(Result.CALLED_OFF))
 
-    def probe(self, endpoint: str, ended: Callable[[Ending], None]) -> None:
+    def probe(self, endpoint: str, ended: Callable[[AttemptResult], None]) -> None:
         if endpoint not in self._places:
             self._others.probe(endpoint, ended)
             return
         # There is nothing to ask of a topic: only a publish tells.
-        asyncio.get_running_loop().call_soon(ended, Ending(Result.UNSENT))
+        asyncio.get_running_loop().call_soon(ended, AttemptResult(Result.UNSENT))
 
     def stop(self) -> None:
         """Let go of the connections to brokers."""
@@ -125,7 +125,7 @@
         return max(0.0, (attempt.until_us - self._clock.now_us()) / 1e6)
 
     async def _call(self, place: Place, link: Link, attempt: Attempt) -> None:
-        how = Ending(Result.RESET)
+        how = AttemptResult(Result.RESET)
         try:
             how = await self._attempt(self._targets[place[0]], link, attempt)
         finally:
@@ -135,20 +135,20 @@
             self._leave(place)
             self._calls.ended(attempt, how)
 
-    async def _attempt(self, target: Target, link: Link, attempt: Attempt) -> Ending:
+    async def _attempt(self, target: Target, link: Link, attempt: Attempt) -> AttemptResult:
         called_off = self._out[attempt]
         try:
             async with asyncio.timeout(self._left(attempt)):
                 room = await link.room()
         except TimeoutError:
-            return Ending(Result.UNCONNECTED)  # it never left
+            return AttemptResult(Result.UNCONNECTED)  # it never left
         if not room:
-            return Ending(Result.UNCONNECTED)
+            return AttemptResult(Result.UNCONNECTED)
         left = False
         try:
             # A connection takes time: what a drain, a wait or an end forbids by now is not sent.
             if called_off.done() or not await clear_attempts(self._calls, [attempt]):
-                return Ending(Result.CALLED_OFF if called_off.done() else Result.UNSENT)
+                return AttemptResult(Result.CALLED_OFF if called_off.done() else Result.UNSENT)
             left = True
         finally:
             if not left:
@@ -160,7 +160,7 @@
             return called_off.result()
         if link.last_heard < written:
             link.abort("silent")  # nothing has come since: it would hold its places for good
-        return Ending(Result.TIMED_OUT)
+        return AttemptResult(Result.TIMED_OUT)
 
     def _packet(self, target: Target, attempt: Attempt) -> Publish:
         message = attempt.message
@@ -173,6 +173,6 @@
         return Publish(topic, message.body, target.qos.get(message.message_class, 1), properties=properties)
 
 
-def _set(future: asyncio.Future[Ending], how: Ending) -> None:
+def _set(future: asyncio.Future[AttemptResult], how: AttemptResult) -> None:
     if not future.done():
         future.set_result(how)
--- a/amberlug/mqtt/wire.py
+++ b/amberlug/mqtt/wire.py
@@ -5,11 +5,11 @@
 import asyncio
 from collections.abc import Callable
 
-from amberlug.core.messages import BODY_MOST
+from amberlug.core.messages import MAX_BODY_BYTES
 from amberlug.mqtt.fields import MqttError
 from amberlug.mqtt.packets import V5, Decoder, Disconnect, Packet, encode
 
-PACKET_MOST = BODY_MOST + 8192  # the longest payload, its topic and properties
+PACKET_MOST = MAX_BODY_BYTES + 8192  # the longest payload, its topic and properties
 UNSENT_MOST = 1 << 18  # bytes that the other side may leave unread
 
 
--- a/amberlug/peers/fleet.py
+++ b/amberlug/peers/fleet.py
@@ -14,7 +14,7 @@
 from typing import Any
 
 from amberlug.core.endpoint_list import parse_address
-from amberlug.core.messages import is_word
+from amberlug.core.messages import is_valid_name
 from amberlug.core.ports import Address
 from amberlug.platform.checking import Problem
 
@@ -177,7 +177,7 @@
 
 
 def _is_name(value: Any) -> bool:
-    return isinstance(value, str) and is_word(value)
+    return isinstance(value, str) and is_valid_name(value)
 
 
 def _classes(told: Any, wrong: list[Problem]) -> dict[str, int]:
--- a/amberlug/platform/config.py
+++ b/amberlug/platform/config.py
@@ -10,7 +10,7 @@
 
 from amberlug.core.endpoint_list import CHUNK_BYTES, parse_address, read_list_update, read_object_with_list
 from amberlug.core.journal import Durability
-from amberlug.core.messages import BODY_MOST
+from amberlug.core.messages import MAX_BODY_BYTES
 from amberlug.core.ports import Address, EndpointListUpdate
 from amberlug.learning import read_key
 from amberlug.policy.interface import Settings
@@ -35,7 +35,7 @@
 def read_limits(data: Any) -> Limits:
     """Share out the limits; `ValueError` where they are too tight to serve."""
     sockets = int(float(data["sockets"])) - SPARE
-    clients = min(int(sockets * CLIENTS), int(float(data["memory_mb"]) * 1_000_000 * BODIES / BODY_MOST))
+    clients = min(int(sockets * CLIENTS), int(float(data["memory_mb"]) * 1_000_000 * BODIES / MAX_BODY_BYTES))
     links = sockets - int(sockets * CLIENTS)
     if clients < 1 or links < 1:
         raise ValueError("the limits leave no room to serve")
--- a/amberlug/platform/trace.py
+++ b/amberlug/platform/trace.py
@@ -22,7 +22,7 @@
 from collections.abc import Sequence
 
 from amberlug.core.log import log
-from amberlug.core.messages import Attempt, End, Ending, Message
+from amberlug.core.messages import Attempt, AttemptResult, End, Message
 from amberlug.policy import interface as api
 
 _APART = re.compile(r"[\s:]")
@@ -87,7 +87,7 @@
     def attempt(self, attempt: Attempt) -> None:
         """Pass over what the round has told."""
 
-    def outcome(self, attempt: Attempt, how: Ending) -> None:
+    def outcome(self, attempt: Attempt, how: AttemptResult) -> None:
         """Pass over what the round will tell."""
 
     def ended(self, message: Message, end: End) -> None:
--- a/tests/test_asgi.py
+++ b/tests/test_asgi.py
@@ -19,7 +19,7 @@
 from starlette.routing import Route
 
 from amberlug.asgi import Application, Event, Receive, RelayMiddleware, Scope, Send
-from amberlug.core.messages import BODY_MOST
+from amberlug.core.messages import MAX_BODY_BYTES
 from amberlug.http.link import Reply, dial
 from amberlug.library import Endpoint, Message, Outcome, Relay, StaticEndpoints
 from amberlug.standin.wire import PATIENCE, StandIn
@@ -156,7 +156,7 @@
         ("POST", "/relay/safe", {**hand_in("m1"), "Req-Deadline-Ms": "soon"}, b"", 400),
         ("POST", "/relay/safe", {**hand_in("m1"), "Envelope": "dest=9"}, b"", 404),
         ("POST", "/relay/safe", {**hand_in("m1"), "req-id": "m2"}, b"", 400),
-        ("POST", "/relay/safe", hand_in("m1"), b"x" * (BODY_MOST + 1), 413),
+        ("POST", "/relay/safe", hand_in("m1"), b"x" * (MAX_BODY_BYTES + 1), 413),
     ],
 )
 def test_bad_input_is_a_clear_error_and_nothing_is_taken(
--- a/tests/test_journal.py
+++ b/tests/test_journal.py
@@ -19,7 +19,7 @@
 
 from amberlug.core.journal import FolderDisk, Journal, space
 from amberlug.core.journal import records as rec
-from amberlug.core.messages import Attempt, End, Ending, Message, Outcome
+from amberlug.core.messages import Attempt, AttemptResult, End, Message, Outcome
 from amberlug.core.ports import LegacyEndpointState, LegacyState, RequestedPause
 from amberlug.policy.interface import Result
 from tests.faulty import DiedError, FaultyDisk
@@ -85,7 +85,7 @@
     def outcome(self, name: str, result: Result) -> None:
         self.now, truth = name, self.truths[name]
         number = len(truth.attempts) - 1
-        self.journal.outcome(attempt(truth.message, number), Ending(result))
+        self.journal.outcome(attempt(truth.message, number), AttemptResult(result))
         truth.attempts[number] = result
 
     def owe(self, name: str, outcome: Outcome) -> None:
--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 
 from amberlug.core.journal import Journal
-from amberlug.core.messages import Attempt, End, Ending, Message, Outcome, Refusal
+from amberlug.core.messages import Attempt, AttemptResult, End, Message, Outcome, Refusal
 from amberlug.core.node import Node
 from amberlug.core.ports import Address, Calls, EndpointListUpdate
 from amberlug.lab.clock import SECOND, START_US, LifeClock, Time
@@ -52,7 +52,7 @@
         cleared = self._node.clear(attempts)
         for attempt in attempts:
             result = RESULTS[self.calls * 7919 % len(RESULTS)] if attempt in cleared else Result.UNSENT
-            self._node.ended(attempt, Ending(result))
+            self._node.ended(attempt, AttemptResult(result))
 
     def call_off(self, attempt: Attempt) -> None:
         raise AssertionError("nothing takes that long")
