--- a/amberlug/core/lock.py
+++ b/amberlug/core/lock.py
@@ -23,14 +23,14 @@
     next relay of the same process takes over its lock. `inode` identifies the folder within the process.
     """
 
-    _held: dict[tuple[int, int], FolderLock] = {}  # noqa: RUF012 - shared by all locks of the process
+    _locks: dict[tuple[int, int], FolderLock] = {}  # noqa: RUF012 - shared by all locks of the process
 
     def __init__(self, folder: Path, alive: Callable[[], bool]) -> None:
         self._alive, self._pid = alive, os.getpid()
         self._file = os.open(folder / "lock", os.O_RDWR | os.O_CREAT, 0o600)
         status = os.fstat(self._file)
         self.inode = status.st_dev, status.st_ino
-        before = self._held.get(self.inode)
+        before = self._locks.get(self.inode)
         if before is not None and not before._alive():
             before.release()
         try:
@@ -41,7 +41,7 @@
             if isinstance(error, BlockingIOError):
                 raise FolderInUseError(error.errno, f"another relay has {folder} open") from None
             raise
-        self._held[self.inode] = self
+        self._locks[self.inode] = self
 
     def check(self) -> None:
         """Raise `ForkedError` in a child of the process that opened the folder."""
@@ -53,16 +53,16 @@
         if self._file >= 0:
             os.close(self._file)
             self._file = -1
-            self._held.pop(self.inode, None)
+            self._locks.pop(self.inode, None)
 
     @classmethod
-    def let_go(cls) -> None:
+    def release_in_child(cls) -> None:
         """Close the parent's lock files in a forked child.
 
         Otherwise the child would keep the lock after the parent has exited.
         """
-        for lock in list(cls._held.values()):
+        for lock in list(cls._locks.values()):
             lock.release()
 
 
-os.register_at_fork(after_in_child=FolderLock.let_go)
+os.register_at_fork(after_in_child=FolderLock.release_in_child)
--- a/amberlug/core/node.py
+++ b/amberlug/core/node.py
@@ -193,7 +193,7 @@
         # The reply address counts twice because the outcome record repeats it.
         elif not self._journal.fits(size := len(message.body) + 2 * len(message.reply)):
             exchange.settle(Refusal(Reason.NO_ROOM, self._journal.retry_us(size)))
-            self._learning.give_way()
+            self._learning.free_disk_space()
             self._work()
         elif (refusal := self._journal.refuses(message)) is not None:
             exchange.settle(refusal)
@@ -223,7 +223,7 @@
             if (end := owed[1] if owed is not None else self._journal.ended(message.name)) is not None:
                 self._journal.after(partial(self._told, replace(end, reply=message.reply)), message.name)
 
-    def hung_up(self, exchange: PendingRequest) -> None:
+    def client_disconnected(self, exchange: PendingRequest) -> None:
         """Withdraw a message if all its clients disconnected before it was accepted or refused."""
         for message in [it for it in self._messages.values() if exchange in it.exchanges]:
             message.exchanges.remove(exchange)
@@ -332,7 +332,7 @@
         if self._sender.turns:  # saved before a call that it counts is sent
             self._learning.observe(self._sender.learned(KEEP_MOST, turns=True))
         self._carry_out(actions)
-        self._timers.wind()
+        self._timers.reschedule()
         self._work()
         if self._keep_at is None and not self._stopped:
             self._keep_at = self._clock.at(self._last_round_us + KEEP_US, self._keep)
@@ -368,7 +368,7 @@
                 message.taken = True
             except OSError as error:  # a message that can't be recorded is refused and not sent
                 log(f"journal: {error}")
-                self._learning.give_way()
+                self._learning.free_disk_space()
                 self._tell(api.Withdrawn(message.ref))
         refusal = None
         if not message.taken:
--- a/amberlug/core/ports.py
+++ b/amberlug/core/ports.py
@@ -223,7 +223,7 @@
     def told(self, wait: RequestedPause) -> None:
         """Save a requested pause immediately: it also applies after a restart."""
 
-    def give_way(self) -> None:
+    def free_disk_space(self) -> None:
         """Free disk space for the journal, which has run out of it."""
 
     def work(self) -> int | None:
--- a/amberlug/core/timers.py
+++ b/amberlug/core/timers.py
@@ -18,10 +18,10 @@
         self._at_us = 0  # due time of `_handle`
 
     def set(self, at_us: int, label: int) -> None:
-        """Add a timer; the caller must call `wind` afterwards."""
+        """Add a timer; the caller must call `reschedule` afterwards."""
         heapq.heappush(self._heap, (at_us, label))
 
-    def wind(self) -> None:
+    def reschedule(self) -> None:
         """Schedule the event loop timer for the earliest timer that is not obsolete."""
         # Most messages end before their timers expire; skipping those saves a wake-up and a round for each.
         while self._heap and self._stale(self._heap[0][1]):
@@ -45,4 +45,4 @@
             _, label = heapq.heappop(self._heap)
             if not self._stale(label):
                 self._tell(label)
-        self.wind()
+        self.reschedule()
--- a/amberlug/http/server.py
+++ b/amberlug/http/server.py
@@ -43,7 +43,7 @@
 
     def serves(self, destination: int) -> bool: ...
     def hand_in(self, message: Message, left_us: int, waited_us: int, exchange: PendingRequest) -> None: ...
-    def hung_up(self, exchange: PendingRequest) -> None: ...
+    def client_disconnected(self, exchange: PendingRequest) -> None: ...
 
 
 class Connection(asyncio.Protocol):
@@ -84,7 +84,7 @@
         asked = self.phase is Phase.ASKED
         self._server.closed(self)
         if asked:
-            self._server.node.hung_up(self)
+            self._server.node.client_disconnected(self)
 
     def pause_writing(self) -> None:
         """Guard against answers that pile up for a client that sends and does not read."""
--- a/amberlug/lab/play.py
+++ b/amberlug/lab/play.py
@@ -100,7 +100,7 @@
         """The client waits no longer; what the relay does with the message from now on counts for nothing."""
         if not self.over:
             self.over = True
-            self.relay.hung_up(self)
+            self.relay.client_disconnected(self)
             self._play.left(self)
 
 
--- a/amberlug/lab/relay.py
+++ b/amberlug/lab/relay.py
@@ -167,10 +167,10 @@
         if self.up:
             self.work(_nothing)
 
-    def hung_up(self, exchange: PendingRequest) -> None:
+    def client_disconnected(self, exchange: PendingRequest) -> None:
         """See a client close its connection before it was answered."""
         if self.up:
-            self.node.hung_up(exchange)
+            self.node.client_disconnected(exchange)
 
     def hear(self) -> None:
         """Hear the list as it is, unless discovery is out of reach."""
--- a/amberlug/learning/learner.py
+++ b/amberlug/learning/learner.py
@@ -302,8 +302,8 @@
         self._store.put([(key, b"" if endpoint is None else facts.pack(kept))], self._stamp())
         return True
 
-    def give_way(self) -> None:
-        self._store.give_way()
+    def free_disk_space(self) -> None:
+        self._store.free_disk_space()
 
     def work(self) -> int | None:
         return self._store.work()
--- a/amberlug/learning/store.py
+++ b/amberlug/learning/store.py
@@ -155,7 +155,7 @@
             self._remove(self._next.number)
             self._next = self._left = None
 
-    def give_way(self) -> None:
+    def free_disk_space(self) -> None:
         """Leave the disk to the journal: nothing is written for a while, and the generation before goes."""
         self._paused_us = self._clock_us() + RETRY_US
         self._abandon()
--- a/amberlug/library/relay.py
+++ b/amberlug/library/relay.py
@@ -285,7 +285,7 @@
         if self._node.knows(hand_in.message.name):  # in the journal already, and only waiting for its sync
             self.opened(hand_in.message)
             return
-        self._node.hung_up(hand_in)
+        self._node.client_disconnected(hand_in)
         hand_in.withdraw()
 
     def opened(self, message: core.Message) -> Taken:
--- a/amberlug/mqtt/intake.py
+++ b/amberlug/mqtt/intake.py
@@ -27,7 +27,7 @@
     def crowded(self) -> bool: ...
     def serves(self, destination: int) -> bool: ...
     def hand_in(self, message: Message, left_us: int, waited_us: int, exchange: PendingRequest) -> None: ...
-    def hung_up(self, exchange: PendingRequest) -> None: ...
+    def client_disconnected(self, exchange: PendingRequest) -> None: ...
 
 
 @dataclass(frozen=True, slots=True)
@@ -97,7 +97,7 @@
         """Its sender has gone: what was not taken on by now is not."""
         offer.withdraw()
         assert self.node is not None
-        self.node.hung_up(offer)
+        self.node.client_disconnected(offer)
 
     def reply(self, front: str, packet: Publish, default_topic: str) -> Reply | None:
         """Where the end of a message is told; None where nobody asked for it."""
--- a/tests/test_learning.py
+++ b/tests/test_learning.py
@@ -396,7 +396,7 @@
         learner.observe([known(time.us, count % 3)])
         learner.work()
     assert len(disk.files()) == 2
-    learner.give_way()
+    learner.free_disk_space()
     assert len(disk.files()) == 1
     size = disk.used()
     learner.observe([known(time.us, 5)])
--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -115,7 +115,7 @@
         message = Message(name, kind.name, None, number % 5, f"key-{name}", b"x" * 100, deadline_ms)
         node.hand_in(message, int(kind.deadline_s * SECOND), 0, client)
         if number % 9 == 0:
-            node.hung_up(client)
+            node.client_disconnected(client)
 
     looks: dict[range, list[int]] = {EARLY: [], LATE: []}
     for number in range(MESSAGES):
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -293,7 +293,7 @@
         node.restore()
         exchange = Told()
         node.hand_in(Message("m1", "safe", None, 1, None, b"", 10**15), SECOND, 0, exchange)
-        node.hung_up(exchange)
+        node.client_disconnected(exchange)
         again = Told()
         node.hand_in(Message("m2", "safe", None, 1, None, b"", 10**15), SECOND, 0, again)
         assert await again.status == 202
