--- a/amberlug/mqtt/ends.py
+++ b/amberlug/mqtt/ends.py
@@ -31,8 +31,10 @@
 
 
 class MqttEnds:
-    """The core's `OutcomeNotifier`: each goes where its message came from, and to the platform
-    where that is told."""
+    """The core's `OutcomeNotifier`.
+
+    Each goes where its message came from, and to the platform where that is told.
+    """
 
     def __init__(self, notices: OutcomeNotifier, keep_s: int) -> None:
         self._notices, self._keep = notices, keep_s
