--- a/amberlug/core/node.py
+++ b/amberlug/core/node.py
@@ -39,10 +39,11 @@
 from amberlug.policy.membership import BATCH, Comparison
 
 BUSY_RETRY_US = SECOND  # retry delay for clients refused because the relay is full
-REPLIES_MOST = 100  # limit on changes of a message's reply address: each writes a record
-CROWDED = 0.8  # fraction of the message limit open to front ends whose senders can't be told of a hand-back
-KEEP_US = 5 * SECOND  # interval between saves of learned state, except for urgent changes
-KEEP_MOST = 32  # destinations saved per loop iteration; takes a millisecond or two
+MAX_REPLY_CHANGES = 100  # limit on changes of a message's reply address: each writes a record
+# Fraction of the message limit open to front ends whose senders can't be told of a hand-back.
+CROWDED_FRACTION = 0.8
+SAVE_INTERVAL_US = 5 * SECOND  # interval between saves of learned state, except for urgent changes
+SAVE_BATCH_SIZE = 32  # destinations saved per loop iteration; takes a millisecond or two
 CLOSED_RETRY_US = SECOND // 2  # retry delay while closing: by then clients know of other relays
 
 
@@ -65,7 +66,7 @@
         self._clock, self.now_us = clock, clock.now_us
         self._sender = LastingSender(settings, seed, learning.recall)
         self._addresses = EndpointAddresses(transport, self._sender.members.get)
-        self._timers = Timers(clock, self._sender.stale, lambda label: self._tell(api.Due(label)))
+        self._timers = Timers(clock, self._sender.stale, lambda label: self._post_event(api.Due(label)))
         transport.bind(self)
         ends.bind(self._acknowledged)
         self._messages: dict[int, Message] = {}
@@ -75,7 +76,7 @@
         self._owed: dict[str, tuple[int, End]] = {}
         self._events: list[api.Event] = []
         self._round_at: Handle | None = None
-        self._keep_at: Handle | None = None
+        self._save_at: Handle | None = None
         self._work_at: Handle | None = None
         self._last_round_us = self._refs = 0
         self.ready = self.closing = self._stopped = False
@@ -94,7 +95,7 @@
         for held in self._journal.held.values():
             if held.end is not None:
                 self._owed[held.message.name] = held.message.deadline_ms, held.end
-                self._journal.after(partial(self._told, held.end), held.message.name)
+                self._journal.after(partial(self._report_outcome, held.end), held.message.name)
             else:
                 self._resume(held, now_ms)
         self._journal.held.clear()
@@ -107,18 +108,18 @@
         for held in ones:
             if held.end is not None:
                 self._owed[held.message.name] = held.message.deadline_ms, held.end
-                self._journal.after(partial(self._told, held.end), held.message.name)
+                self._journal.after(partial(self._report_outcome, held.end), held.message.name)
             else:
                 self._resume(held, now_ms)
-        self._tell(api.Due(-1))  # matches no timer; only triggers a round
+        self._post_event(api.Due(-1))  # matches no timer; only triggers a round
 
     def relinquish(self, names: Iterable[str]) -> None:
         """Drop messages that another relay has taken over; this relay reports no outcome for them."""
         for name in names:
             self._owed.pop(name, None)
             if (message := self._names.get(name)) is not None:
-                self._forget(message)
-                self._tell(api.Withdrawn(message.ref))
+                self._remove_message(message)
+                self._post_event(api.Withdrawn(message.ref))
 
     def close(self) -> None:
         """Stop accepting messages and starting calls; calls in progress still finish."""
@@ -131,9 +132,9 @@
         if self._round_at is not None:
             self._round()
         self._stopped = True
-        self.keep()
+        self.save_learned()
         self._timers.stop()
-        for handle in (self._round_at, self._keep_at, self._work_at):
+        for handle in (self._round_at, self._save_at, self._work_at):
             if handle is not None:
                 handle.cancel()
 
@@ -143,21 +144,21 @@
             log(f"journal: message {message.name} has a class that is not configured; giving it up")
             self._finish(message, End(message.name, Outcome.GIVEN_UP))
             return
-        self._enlist(message)
+        self._register(message)
         message.attempts = max(held.tried, default=-1) + 1
         earlier = tuple(
             api.Earlier(it.endpoint, max(0, now_ms - it.at_ms) * 1000, it.result)
             for it in held.tried.values()
         )
-        taken = self._taken(message, held.left_ms(now_ms) * 1000, 0)
+        taken = self._taken_event(message, held.left_ms(now_ms) * 1000, 0)
         self._events.append(api.Resumed(taken, message.attempts, earlier))
 
-    def _enlist(self, message: Message) -> None:
+    def _register(self, message: Message) -> None:
         self._refs += 1
         message.ref = self._refs
         self._messages[message.ref] = self._names[message.name] = message
 
-    def _taken(self, message: Message, left_us: int, waited_us: int) -> api.Taken:
+    def _taken_event(self, message: Message, left_us: int, waited_us: int) -> api.Taken:
         return api.Taken(
             message.ref, message.destination, message.message_class, message.tenant, None, left_us, waited_us
         )
@@ -170,7 +171,7 @@
     @property
     def crowded(self) -> bool:
         """Whether so many messages are held that the policy will soon have to hand some back."""
-        return len(self._messages) + 1 > self._settings.max_open * CROWDED
+        return len(self._messages) + 1 > self._settings.max_open * CROWDED_FRACTION
 
     def serves(self, destination: int) -> bool:
         """Whether the endpoint list contains that destination."""
@@ -183,9 +184,9 @@
         """
         if (known := self._names.get(message.name)) is not None and not known.taken:
             known.exchanges.append(exchange)
-            _reply_too(known, message)
+            _add_reply_address(known, message)
         elif known is not None or self._journal.knows(message.name):
-            self._again(message, exchange)  # already accepted: never accept it twice
+            self._handle_duplicate(message, exchange)  # already accepted: never accept it twice
         elif self.closing:
             exchange.settle(Refusal(Reason.CLOSING, CLOSED_RETRY_US))
         elif len(self._messages) >= self._settings.max_open:
@@ -199,17 +200,17 @@
             exchange.settle(refusal)
         else:
             message.exchanges.append(exchange)
-            self._enlist(message)
+            self._register(message)
             self._learning.sent(message.tenant)
-            self._tell(self._taken(message, left_us, waited_us))
+            self._post_event(self._taken_event(message, left_us, waited_us))
 
-    def _again(self, message: Message, exchange: PendingRequest) -> None:
+    def _handle_duplicate(self, message: Message, exchange: PendingRequest) -> None:
         """Confirm a message that was accepted before and send its outcome to the new reply address too."""
         known = self._names.get(message.name)
         before = (known.reply, known.noticed, known.replies) if known is not None else (b"", True, 0)
-        if known is not None and _reply_too(known, message):
+        if known is not None and _add_reply_address(known, message):
             try:
-                if known.replies > REPLIES_MOST:
+                if known.replies > MAX_REPLY_CHANGES:
                     raise OSError(f"message {message.name} was submitted with too many reply addresses")
                 self._journal.reply(known)
             except OSError as error:
@@ -221,15 +222,17 @@
         if known is None and message.reply:
             owed = self._owed.get(message.name)
             if (end := owed[1] if owed is not None else self._journal.ended(message.name)) is not None:
-                self._journal.after(partial(self._told, replace(end, reply=message.reply)), message.name)
+                self._journal.after(
+                    partial(self._report_outcome, replace(end, reply=message.reply)), message.name
+                )
 
     def client_disconnected(self, exchange: PendingRequest) -> None:
         """Withdraw a message if all its clients disconnected before it was accepted or refused."""
         for message in [it for it in self._messages.values() if exchange in it.exchanges]:
             message.exchanges.remove(exchange)
             if not message.exchanges and not message.taken:
-                self._forget(message)
-                self._tell(api.Withdrawn(message.ref))
+                self._remove_message(message)
+                self._post_event(api.Withdrawn(message.ref))
 
     def listed(self, news: EndpointListUpdate) -> None:
         """Apply an endpoint list update at once; `ValueError` if it is malformed, with nothing applied."""
@@ -258,7 +261,7 @@
 
     def current(self, seconds: float) -> None:
         """Note that the endpoint list is up to date, and for how many seconds calls may rely on it."""
-        self._tell(api.Current(int(seconds * SECOND)))
+        self._post_event(api.Current(int(seconds * SECOND)))
 
     def ended(self, attempt: Attempt, how: AttemptResult) -> None:
         """Process the end of an attempt; a delivered message is complete at once."""
@@ -266,7 +269,7 @@
         del self._attempts[message.ref, attempt.number]
         now = self.now_us()
         if how.wait_us > 0:  # first of all: the pause applies from now on, also after a restart
-            self._told_to_wait(attempt, now, how.wait_us)
+            self._record_requested_pause(attempt, now, how.wait_us)
         delivered = how.result is Result.DONE or how.over
         if how.result is Result.DONE:
             self._learning.answered(message.destination, now - attempt.start_us)
@@ -282,7 +285,7 @@
                 self._finish(message, End(message.name, Outcome.GIVEN_UP, known=True))
             else:
                 self._journal.outcome(attempt, how)
-        self._tell(
+        self._post_event(
             api.Outcome(
                 ref=message.ref,
                 attempt=attempt.number,
@@ -296,7 +299,7 @@
             )
         )
 
-    def _told_to_wait(self, attempt: Attempt, now_us: int, wait_us: int) -> None:
+    def _record_requested_pause(self, attempt: Attempt, now_us: int, wait_us: int) -> None:
         route = self._sender.route(attempt.endpoint)
         wait = RequestedPause(attempt.message.destination, route, wait_us, now_us + wait_us, self._clock.boot)
         self._learning.told(wait)
@@ -308,7 +311,7 @@
 
     # Rounds.
 
-    def _tell(self, event: api.Event) -> None:
+    def _post_event(self, event: api.Event) -> None:
         """Queue an event for the next round, together with all others of the same tick."""
         self._events.append(event)
         if self._round_at is None and not self._stopped:
@@ -325,17 +328,17 @@
         if self._observer is not None:
             self._observer.round(self._last_round_us, events, actions)
         ends = {it.ref: it for it in actions if isinstance(it, api.Refuse | api.Fail)}
-        self._end(ends.values())
+        self._report_final_outcomes(ends.values())
         for event in events:
             if isinstance(event, api.Taken) and event.ref in self._messages:
-                self._settle(self._messages[event.ref], ends.get(event.ref))
+                self._settle_request(self._messages[event.ref], ends.get(event.ref))
         if self._sender.turns:  # saved before a call that it counts is sent
-            self._learning.observe(self._sender.learned(KEEP_MOST, turns=True))
-        self._carry_out(actions)
+            self._learning.observe(self._sender.learned(SAVE_BATCH_SIZE, turns=True))
+        self._execute_actions(actions)
         self._timers.reschedule()
         self._work()
-        if self._keep_at is None and not self._stopped:
-            self._keep_at = self._clock.at(self._last_round_us + KEEP_US, self._keep)
+        if self._save_at is None and not self._stopped:
+            self._save_at = self._clock.at(self._last_round_us + SAVE_INTERVAL_US, self._save_batch)
 
     def _work(self) -> None:
         """Run a slice of the journal's and the learned state's background work and schedule the next one."""
@@ -346,20 +349,20 @@
         if due and not self._stopped:
             self._work_at = self._clock.at(self.now_us() + min(due), self._work)
 
-    def keep(self) -> None:
+    def save_learned(self) -> None:
         """Save all unsaved learned state; used at shutdown."""
         self._learning.observe(self._sender.learned(len(self._sender.news)))
 
-    def _keep(self) -> None:
+    def _save_batch(self) -> None:
         """Save learned state periodically while there are rounds, a few destinations per loop iteration."""
-        self._keep_at = None
+        self._save_at = None
         self._addresses.remove_inactive(self._sender.endpoints)
-        self._learning.observe(self._sender.learned(KEEP_MOST))
+        self._learning.observe(self._sender.learned(SAVE_BATCH_SIZE))
         if self._sender.news and not self._stopped:
-            self._keep_at = self._clock.at(self.now_us() + SECOND // 100, self._keep)
+            self._save_at = self._clock.at(self.now_us() + SECOND // 100, self._save_batch)
         self._work()
 
-    def _settle(self, message: Message, end: api.Refuse | api.Fail | None) -> None:
+    def _settle_request(self, message: Message, end: api.Refuse | api.Fail | None) -> None:
         """Confirm a message once it is in the journal, or refuse it."""
         exchanges, message.exchanges = message.exchanges, []
         if end is None:
@@ -369,30 +372,30 @@
             except OSError as error:  # a message that can't be recorded is refused and not sent
                 log(f"journal: {error}")
                 self._learning.free_disk_space()
-                self._tell(api.Withdrawn(message.ref))
+                self._post_event(api.Withdrawn(message.ref))
         refusal = None
         if not message.taken:
-            self._forget(message)
+            self._remove_message(message)
             advice_us = end.advice_us if isinstance(end, api.Refuse) else 0
             reason = Reason.OLD_LIST if self._sender.list_old else Reason.REFUSED
             refusal = Refusal(reason, advice_us or BUSY_RETRY_US)
         elif self._observer is not None:
             self._observer.taken(message)
-        told = partial(_settled, exchanges, refusal)
+        told = partial(_settle_all, exchanges, refusal)
         if refusal is None:
-            self._journal.promise(message, told, partial(self._renounce, message, exchanges))
+            self._journal.promise(message, told, partial(self._drop_undurable, message, exchanges))
         else:
             told()
 
-    def _renounce(self, message: Message, exchanges: Sequence[PendingRequest], may_tell: bool) -> None:
+    def _drop_undurable(self, message: Message, exchanges: Sequence[PendingRequest], may_tell: bool) -> None:
         """Drop a message that could not be made durable; its client gets no response unless `may_tell`."""
         if not message.over:
-            self._forget(message)
-            self._tell(api.Withdrawn(message.ref))
+            self._remove_message(message)
+            self._post_event(api.Withdrawn(message.ref))
         if may_tell:
-            _settled(exchanges, Refusal(Reason.SHORT, BUSY_RETRY_US))
+            _settle_all(exchanges, Refusal(Reason.SHORT, BUSY_RETRY_US))
 
-    def _carry_out(self, actions: Sequence[api.Action]) -> None:
+    def _execute_actions(self, actions: Sequence[api.Action]) -> None:
         sends: list[api.Send] = []
         for action in actions:
             match action:
@@ -419,15 +422,15 @@
         """Send the messages that the policy bundled into one call together."""
         for (endpoint, _), group in groupby(sends, lambda it: (it.endpoint, it.call)):
             # Skip messages that the journal failed to record in this same round: they are no longer held.
-            bundle = [send for send in group if send.ref in self._messages or self._unsent(send)]
+            bundle = [send for send in group if send.ref in self._messages or self._report_unsent(send)]
             if not bundle:
                 continue
             self._addresses.locate(endpoint)
             self._transport.call(endpoint, [self._attempt(send) for send in bundle], bundle[0].fresh)
 
-    def _unsent(self, send: api.Send) -> bool:
+    def _report_unsent(self, send: api.Send) -> bool:
         """Report to the policy that a first call was not made, which frees its slot."""
-        self._tell(api.Outcome(send.ref, 0, send.endpoint, Result.UNSENT, True, 0, 0, ()))
+        self._post_event(api.Outcome(send.ref, 0, send.endpoint, Result.UNSENT, True, 0, 0, ()))
         return False
 
     def _attempt(self, send: api.Send) -> Attempt:
@@ -487,12 +490,12 @@
         self._addresses.locate(endpoint)
 
         def ended(how: AttemptResult) -> None:
-            self._tell(api.Probed(endpoint, how.result, self.now_us() - start, how.report))
+            self._post_event(api.Probed(endpoint, how.result, self.now_us() - start, how.report))
 
         self._transport.probe(endpoint, ended)
 
-    def _end(self, ends: Iterable[api.Refuse | api.Fail]) -> None:
-        """Report the outcomes of accepted messages; other messages are refused in `_settle`."""
+    def _report_final_outcomes(self, ends: Iterable[api.Refuse | api.Fail]) -> None:
+        """Report the outcomes of accepted messages; other messages are refused in `_settle_request`."""
         # Outcomes go out first so that a round's other work does not delay them.
         for end in ends:
             if (message := self._messages.get(end.ref)) is not None and message.taken:
@@ -505,7 +508,7 @@
 
     def _finish(self, message: Message, end: End) -> None:
         """Record a message's final outcome, then report it."""
-        self._forget(message)
+        self._remove_message(message)
         if message.replies:
             end = replace(end, reply=message.reply, noticed=message.noticed)
         if self._ends.owed(end):
@@ -515,21 +518,21 @@
             self._journal.end(message.name, message.deadline_ms, self._clock.wall_ms(), end)
         if self._observer is not None:
             self._observer.ended(message, end)
-        self._journal.after(partial(self._told, end), message.name)
+        self._journal.after(partial(self._report_outcome, end), message.name)
 
-    def _told(self, end: End) -> None:
+    def _report_outcome(self, end: End) -> None:
         """Report a durable outcome: with the others of its round, or now if it had to wait for a sync."""
         self._ends.tell(end)
         if self._journal.waits:
             self._ends.send()
 
-    def _forget(self, message: Message) -> None:
+    def _remove_message(self, message: Message) -> None:
         message.over = True
         self._messages.pop(message.ref, None)
         self._names.pop(message.name, None)
 
 
-def _reply_too(known: Message, again: Message) -> bool:
+def _add_reply_address(known: Message, again: Message) -> bool:
     """Add the reply address of a repeated submission; return whether that changed anything."""
     reply, noticed = again.reply or known.reply, known.noticed or again.noticed
     if (reply, noticed) == (known.reply, known.noticed):
@@ -538,6 +541,6 @@
     return True
 
 
-def _settled(exchanges: Sequence[PendingRequest], refusal: Refusal | None) -> None:
+def _settle_all(exchanges: Sequence[PendingRequest], refusal: Refusal | None) -> None:
     for exchange in exchanges:
         exchange.settle(refusal)
--- a/amberlug/lab/relay.py
+++ b/amberlug/lab/relay.py
@@ -206,7 +206,7 @@
         if self._time.us < until_us and self.node.busy:
             self._time.after(LOOK_US, self._collect, clock, until_us)
             return
-        self.node.keep()
+        self.node.save_learned()
         self._learner.close()
         self._end()
 
--- a/amberlug/platform/daemon.py
+++ b/amberlug/platform/daemon.py
@@ -155,7 +155,7 @@
         front.stop()
     if guard is not None:
         await guard.stop()
-    node.keep()
+    node.save_learned()
     learning.close()
     lock.release()
 
