--- a/tests/test_journal_process.py
+++ b/tests/test_journal_process.py
@@ -12,7 +12,7 @@
 from tests.conftest import setup
 from tests.faulty import FaultyDisk
 from tests.rig import Relay, hand_in, member, run
-from tests.test_journal import NOW, Told, message, opened
+from tests.test_journal import NOW, ConfirmingJournal, message, opened
 
 BODY = b"x" * 5000
 
@@ -44,7 +44,7 @@
 
 
 @pytest.mark.parametrize("durability", ["process", "group"])
-def test_kills_while_it_compacts_forget_nothing_and_repeat_nothing(tmp_path: Path, durability: str) -> None:
+def test_kills_during_compaction_lose_and_repeat_no_message(tmp_path: Path, durability: str) -> None:
     async def scenario() -> None:
         endpoint, platform = await StandIn(OK).start(), Platform()
         await platform.start()
@@ -71,7 +71,7 @@
     run(scenario())
 
 
-def test_a_limit_on_the_size_of_files_is_lived_with(tmp_path: Path) -> None:
+def test_a_file_size_limit_below_the_segment_size_is_handled(tmp_path: Path) -> None:
     async def scenario() -> None:
         endpoint, platform = await StandIn(OK).start(), Platform()
         await platform.start()
@@ -130,19 +130,19 @@
     run(scenario())
 
 
-def test_syncs_that_fail_now_and_then_take_back_nothing_that_was_told() -> None:
+def test_intermittent_sync_failures_lose_nothing_confirmed() -> None:
     for failing in range(1, 12):
         disk = FaultyDisk()
-        told = Told(disk)
+        told = ConfirmingJournal(disk)
         for count in range(12):
-            disk.sync_fails = OSError(errno.EIO, "lost") if count == failing else None
+            disk.sync_error = OSError(errno.EIO, "lost") if count == failing else None
             told.take(f"m{count}")
             told.attempt(f"m{count}")
             told.work(sync=True)
             if count % 2:
                 told.end(f"m{count}")
-            told.check(opened(disk.after_power_cut(None)))
-        disk.sync_fails = None
+            told.check(opened(disk.after_power_failure(None)))
+        disk.sync_error = None
         told.work(sync=True)
         assert told.taken == set(told.asked)
         assert told.journal.fits(5)
--- a/tests/test_learning.py
+++ b/tests/test_learning.py
@@ -27,7 +27,7 @@
 from amberlug.policy.settings import read_settings
 from amberlug.policy.state import NEVER
 from tests.conftest import of, setup
-from tests.faulty import DiedError, FaultyDisk
+from tests.faulty import FaultyDisk, SimulatedCrashError
 
 ROOM = 200_000
 START = 1000 * SECOND
@@ -136,7 +136,7 @@
         store = Store(disk, 40_000, self.time.now_us)
         for key, record in store.records.items():
             assert record in self.ever[key]
-        learner = opened(disk.after_death(), self.time, room=40_000)
+        learner = opened(disk.after_crash(), self.time, room=40_000)
         for number, until_us in self.waits.items() if waits_last else ():
             (route,) = believed(learner, entry(f"e{number}", number)).routes
             assert route.blocked_until_us >= until_us
@@ -154,10 +154,10 @@
     """An evening that ends at each of its operations on the disk."""
     for at in itertools.count(1):
         disk, evening = FaultyDisk(), Evening()
-        disk.dies_at, disk.torn = at, torn
+        disk.crash_at, disk.torn = at, torn
         try:
             evening.play(disk)
-        except DiedError:
+        except SimulatedCrashError:
             yield evening, disk
         else:
             assert at > 60
@@ -169,15 +169,15 @@
     changed = 0
     for evening, disk in deaths(torn):
         changed += len(disk.files()) > 2
-        evening.check(disk.after_death())
+        evening.check(disk.after_crash())
         # And a death at each operation of the start that follows.
         for at in range(1, 8):
-            again = disk.after_death()
-            again.dies_at, again.torn = at, torn
+            again = disk.after_crash()
+            again.crash_at, again.torn = at, torn
             try:
                 opened(again, replace(evening.time), room=40_000)
-            except DiedError:
-                evening.check(again.after_death())
+            except SimulatedCrashError:
+                evening.check(again.after_crash())
     assert changed > 20  # many died while a generation was made
 
 
@@ -185,7 +185,7 @@
 def test_a_power_cut_that_loses_tears_and_reorders_writes_makes_nothing_up(small: None, seed: int) -> None:
     chance = random.Random(seed)
     for evening, disk in deaths(torn=False):
-        evening.check(disk.after_power_cut(chance), waits_last=False)
+        evening.check(disk.after_power_failure(chance), waits_last=False)
 
 
 def test_ten_restarts_in_a_minute_change_no_fact_and_grow_nothing() -> None:
@@ -195,7 +195,7 @@
     before, size = dict(learner._store.records), disk.used()
     for _ in range(10):
         time.past(6 * SECOND)
-        learner = opened(disk := disk.after_death(), time)
+        learner = opened(disk := disk.after_crash(), time)
     assert learner._store.records == before
     assert disk.used() == size
 
@@ -301,7 +301,7 @@
     assert why in learner.refused[0]
     assert not learner._store.records
     learner.observe([known(time.us)])  # and it goes on
-    assert believed(opened(disk.after_death(), time)).endpoints
+    assert believed(opened(disk.after_crash(), time)).endpoints
 
 
 @pytest.mark.parametrize(
@@ -335,7 +335,7 @@
     learner = opened(disk, time)
     learner.observe([known(time.us, 2, of=entry("e" * 5000, 2)), known(time.us, route={"usual_us": 10**11})])
     learner.told(RequestedPause(3, "e" * 5000, SECOND, time.us + SECOND, time.boot))
-    again = opened(disk.after_death(), time)
+    again = opened(disk.after_crash(), time)
     assert again.refused == []
     assert believed(again).endpoints
     assert not believed(again, entry("e" * 5000, 2)).endpoints
@@ -344,9 +344,9 @@
 def test_only_the_key_that_wrote_a_folder_reads_it() -> None:
     time, disk = Time(), FaultyDisk()
     opened(disk, time, key=b"k" * 32).observe([known(time.us)])
-    assert believed(opened(disk.after_death(), time, key=b"k" * 32)).endpoints
+    assert believed(opened(disk.after_crash(), time, key=b"k" * 32)).endpoints
     for key in (b"", b"l" * 32):
-        learner = opened(disk.after_death(), time, key=key)
+        learner = opened(disk.after_crash(), time, key=key)
         assert "another key" in learner.refused[0]
         assert not believed(learner).endpoints
 
@@ -357,17 +357,17 @@
 def test_a_failing_disk_stops_nothing_and_what_was_told_is_written_once_it_works(small: None) -> None:
     time, disk = Time(), FaultyDisk()
     learner = opened(disk, time)
-    disk.fails, disk.short = OSError(errno.ENOSPC, "full"), True
+    disk.write_error, disk.short_write = OSError(errno.ENOSPC, "full"), True
     wait = wait_at(time, length_us=60 * SECOND)
     learner.told(wait)
     learner.observe([known(time.us, number) for number in range(30)])
     assert learner.work() is not None
     assert believed(learner).routes[0].blocked_until_us == wait.until_us  # in this life it is known
-    disk.fails = None
+    disk.write_error = None
     time.past(RETRY_US)
     while learner.work() is not None:
         pass
-    again = opened(disk.after_death(), time)
+    again = opened(disk.after_crash(), time)
     assert believed(again).routes[0].blocked_until_us == wait.until_us
     assert len(again._store.records) > 30
 
@@ -383,7 +383,7 @@
         while learner.work() is not None and learner.work() != RETRY_US:
             time.past(RETRY_US)
         assert disk.used() <= 12_000
-    again = opened(disk.after_death(), time, room=12_000)
+    again = opened(disk.after_crash(), time, room=12_000)
     assert believed(again, entry("e399", 399)).endpoints
     assert not believed(again, entry("e7", 7)).endpoints
     assert believed(again, entry("e0", 0)).routes[0].blocked_until_us == wait.until_us
@@ -425,9 +425,9 @@
     time, disk = Time(), FaultyDisk()
     opened(disk, time).told(wait_at(time))
     later = Time(clock_us, wall_ms, boot)
-    (route,) = believed(opened(disk.after_death(), later)).routes
+    (route,) = believed(opened(disk.after_crash(), later)).routes
     assert max(0, route.blocked_until_us - clock_us) == left_us
-    (again,) = believed(opened(disk.after_death().after_death(), later)).routes
+    (again,) = believed(opened(disk.after_crash().after_crash(), later)).routes
     assert again.told_us == 5 * SECOND
 
 
@@ -444,7 +444,7 @@
     time, disk = Time(), FaultyDisk()
     opened(disk, time).observe([known(time.us, **COLD)])
     later = Time(50 * SECOND, WALL + shift_ms, "second")
-    (health,) = believed(opened(disk.after_death(), later)).endpoints
+    (health,) = believed(opened(disk.after_crash(), later)).endpoints
     if shift_ms < DAY_MS:
         assert health.cold
         assert (health.failed_us, health.since_us) == (later.us - SECOND, later.us - 9 * SECOND)
@@ -472,7 +472,7 @@
     was = known(time.us, route=limit_of, of=entry(up_since_ms=WALL - 5), **COLD)
     learner.observe([was])
     learner.told(wait_at(time))
-    told = believed(opened(disk.after_death(), time), listed)
+    told = believed(opened(disk.after_crash(), time), listed)
     health = {it.entry.endpoint: it for it in told.endpoints}.get(listed.endpoint)
     assert (health and health.cold) == cold
     if health is not None:
@@ -499,7 +499,7 @@
     told = known(time.us, route={"learned": 3.0, "learned_us": time.us}, **COLD)
     opened(disk, time).observe([told])
     time.past(pause_us)
-    store = Store(disk.after_death(), ROOM, time.now_us)
+    store = Store(disk.after_crash(), ROOM, time.now_us)
     store.records.pop(facts.KIND + b"plain")  # without a prior of its kind
     found = believed(Learner(store, time))
     assert found.endpoints[0].cold is cold
@@ -547,7 +547,7 @@
     learner = opened(disk, time)
     learner.take_over(earlier, {"e1": entry()}.get)
     time.past(SECOND)
-    for life in (learner, opened(disk.after_death(), time)):
+    for life in (learner, opened(disk.after_crash(), time)):
         told = believed(life)
         assert (told.endpoints[0].cold, told.endpoints[0].failed_us) == (True, START - SECOND)
         assert told.routes[0].learned == pytest.approx(2.0, rel=0.01)
@@ -569,7 +569,7 @@
         self.begin()
 
     def begin(self) -> None:
-        self.disk = self.disk.after_death()
+        self.disk = self.disk.after_crash()
         self.learner = opened(self.disk, self.time)
         settings = read_settings(setup(Weights="nominal", FamilyInfo__Slots=50, Bounds__MaxOpen=2000))
         self.sender = LastingSender(settings, 7, self.learner.recall)
@@ -693,7 +693,7 @@
 def test_what_was_learned_of_endpoints_that_are_listed_late_counts_from_then_on() -> None:
     life = Life(failing_until(START + 60 * SECOND))
     life.run(6)
-    life.disk = life.disk.after_death()
+    life.disk = life.disk.after_crash()
     learner = opened(life.disk, life.time)
     settings = read_settings(setup(Weights="nominal"))
     sender = LastingSender(settings, 7, learner.recall)
@@ -720,7 +720,7 @@
     sender.step(time.us, [told, api.Withdrawn(1)])
     gone, left = (first, other) if name == "c1" else (other, first)
     if restarts:
-        sender = LastingSender(settings, 8, opened(disk.after_death(), time).recall)
+        sender = LastingSender(settings, 8, opened(disk.after_crash(), time).recall)
         sender.step(time.us, [api.Listed(api.ListKind.WHOLE, (left,))])
     else:
         sender.step(time.us, [api.Listed(api.ListKind.PATCH, (replace(gone, state=State.GONE),))])
