--- a/amberlug/cluster/dispatch/dispatcher.py
+++ b/amberlug/cluster/dispatch/dispatcher.py
@@ -26,7 +26,7 @@
     TimerHandle,
 )
 from amberlug.cluster.values import value
-from amberlug.core.usual import message_class, settings
+from amberlug.core.default_settings import message_class, settings
 from amberlug.policy.account import SECOND, WINDOW_US, Account
 from amberlug.policy.interface import Effect
 
--- a/amberlug/core/node.py
+++ b/amberlug/core/node.py
@@ -242,8 +242,8 @@
     def listing(self, news: EndpointListUpdate) -> Iterator[None]:
         """Apply an endpoint list update in steps of a millisecond or two.
 
-        The whole update is read and compared with the current list before anything is applied. Drains are
-        applied first and removals last.
+        The whole update is read and compared with the current list before anything is applied. Drains come
+        first, including those of removed endpoints; the removals themselves come last.
         """
         comparison = Comparison(self._sender.members)
         yield
--- a/amberlug/core/ports.py
+++ b/amberlug/core/ports.py
@@ -206,7 +206,7 @@
         """Return what is known about a destination, given its current endpoint list."""
 
     def take_over(self, earlier: LegacyState, listed: Callable[[str], api.Entry | None]) -> None:
-        """Import the state of an earlier release, unless newer state exists."""
+        """Import the state of an earlier release, unless newer state exists; `listed` finds endpoints."""
 
     def observe(self, known: Sequence[api.Known]) -> None:
         """Save what was learned about some destinations."""
