--- a/amberlug/core/endpoint_list.py
+++ b/amberlug/core/endpoint_list.py
@@ -138,9 +138,9 @@
 
     Values in `overrides` replace or supplement the line's fields other than its members.
     """
-    news = EndpointListUpdate(())
-    news.entries = _parse_members(_split_chunks(line), kinds, news, overrides or {})
-    return news
+    update = EndpointListUpdate(())
+    update.entries = _parse_members(_split_chunks(line), kinds, update, overrides or {})
+    return update
 
 
 def _split_chunks(line: bytes | bytearray) -> Iterator[bytes]:
@@ -155,7 +155,7 @@
 
 
 def _parse_members(
-    chunks: Iterator[bytes], kinds: Collection[str], news: EndpointListUpdate, overrides: Mapping[str, Any]
+    chunks: Iterator[bytes], kinds: Collection[str], update: EndpointListUpdate, overrides: Mapping[str, Any]
 ) -> Iterator[Entry]:
     """Parse an object whose list of members may be long."""
     text = _JsonReader(chunks)
@@ -167,12 +167,12 @@
     text.expect_end()
     if "members" not in whole.fields:
         raise ValueError("malformed list: no members")
-    _set_update_fields(news, {**whole.fields, **overrides})
+    _set_update_fields(update, {**whole.fields, **overrides})
 
 
-def _set_update_fields(news: EndpointListUpdate, fields: Mapping[str, Any]) -> None:
+def _set_update_fields(update: EndpointListUpdate, fields: Mapping[str, Any]) -> None:
     try:
-        news.revision, news.whole = int(fields["revision"]), bool(fields["complete"])
+        update.revision, update.whole = int(fields["revision"]), bool(fields["complete"])
     except _MALFORMED as error:
         raise ValueError(f"malformed list: {error!r}") from None
 
--- a/amberlug/core/node.py
+++ b/amberlug/core/node.py
@@ -234,12 +234,12 @@
                 self._remove_message(message)
                 self._post_event(api.Withdrawn(message.ref))
 
-    def listed(self, news: EndpointListUpdate) -> None:
+    def listed(self, update: EndpointListUpdate) -> None:
         """Apply an endpoint list update at once; `ValueError` if it is malformed, with nothing applied."""
-        for _ in self.listing(news):
+        for _ in self.listing(update):
             pass
 
-    def listing(self, news: EndpointListUpdate) -> Iterator[None]:
+    def listing(self, update: EndpointListUpdate) -> Iterator[None]:
         """Apply an endpoint list update in steps of a millisecond or two.
 
         The whole update is read and compared with the current list before anything is applied. Drains come
@@ -247,12 +247,12 @@
         """
         comparison = Comparison(self._sender.members)
         yield
-        for count, entry in enumerate(news.entries, 1):
+        for count, entry in enumerate(update.entries, 1):
             comparison.add(entry)
             if count % BATCH == 0:
                 yield
         yield
-        batches = comparison.batches(news.whole)
+        batches = comparison.batches(update.whole)
         for entries in chain([next(batches, ())], batches):  # report an update without changes as well
             self._addresses.remove_outdated(entries)
             self._events.append(api.Listed(api.ListKind.PATCH, entries))
