--- a/tests/test_listing.py
+++ b/tests/test_listing.py
@@ -49,7 +49,7 @@
     return [api.Entry(it, "north", "plain", int(it[1:]), state, 1.0, "127.0.0.1:1") for it in names]
 
 
-def test_a_line_says_the_same_whole_or_read_as_asked_for() -> None:
+def test_a_line_parses_the_same_at_once_and_incrementally() -> None:
     items = [item(n, phase=p) for n, p in enumerate(["in_service", "terminating", "terminated"])]
     for text in (
         line(*items),
@@ -112,13 +112,13 @@
         assert entry.where == where
 
 
-def beside(known: str) -> str:
+def embed_list(known: str) -> str:
     return f'{{"before": [1, {{}}], "known": {known}, "after": {{"known": 1}}}}'
 
 
 def test_a_list_inside_a_file_is_read_packed_and_once() -> None:
     text = line(item(1), item(2, phase="terminating"), revision=9)
-    data = read_object_with_list(iter([beside(text).encode()]), "known")
+    data = read_object_with_list(iter([embed_list(text).encode()]), "known")
     assert (data["before"], data["after"]) == ([1, {}], {"known": 1})
     news = read_list_update(data["known"], KINDS)
     assert list(news.entries) == list(read_list_line(text.encode(), KINDS).entries)
@@ -128,13 +128,13 @@
     assert read_object_with_list(iter([b'{"known": 3}']), "known") == {"known": 3}
 
 
-@pytest.mark.parametrize("piece", [1, 2, 3, 7, 64])
-def test_a_line_says_the_same_in_pieces_of_any_size(monkeypatch: pytest.MonkeyPatch, piece: int) -> None:
+@pytest.mark.parametrize("chunk", [1, 2, 3, 7, 64])
+def test_a_line_parses_the_same_in_chunks_of_any_size(monkeypatch: pytest.MonkeyPatch, chunk: int) -> None:
     items = [item(n, id=f"\u00e9\U0001f600{n}") for n in range(3)]
     text = json.dumps({"revision": 1234, "members": items, "complete": True}, ensure_ascii=False).encode()
     whole = read_list_line(text, KINDS)
     expected = list(whole.entries)
-    monkeypatch.setattr(endpoint_list, "CHUNK_BYTES", piece)
+    monkeypatch.setattr(endpoint_list, "CHUNK_BYTES", chunk)
     news = read_list_line(text, KINDS)
     assert list(news.entries) == expected
     assert (news.revision, news.whole) == (whole.revision, whole.whole) == (1234, True)
@@ -143,7 +143,7 @@
             list(read_list_line(broken.encode(), KINDS).entries)
 
 
-def test_what_is_broken_is_not_read_to_its_end_again_and_again(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_malformed_input_is_not_parsed_repeatedly_to_its_end(monkeypatch: pytest.MonkeyPatch) -> None:
     decoded = 0
 
     def decode(text: str, at: int) -> Any:
@@ -160,7 +160,7 @@
 @pytest.mark.parametrize("number", range(len(BROKEN)))
 def test_a_broken_list_inside_a_file_is_an_error(number: int) -> None:
     with pytest.raises(ValueError, match="."):  # noqa: PT012
-        data = read_object_with_list(iter([beside(BROKEN[number]).encode()]), "known")
+        data = read_object_with_list(iter([embed_list(BROKEN[number]).encode()]), "known")
         read_list_update(data["known"], KINDS)
 
 
@@ -172,7 +172,7 @@
         read_object_with_list(iter([text.encode()]), "known")
 
 
-def test_a_few_changes_do_not_look_at_all_that_is_listed(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_few_changes_do_not_scan_the_whole_list(monkeypatch: pytest.MonkeyPatch) -> None:
     members, looked = Members(), 0
     for entry in entries(*(f"e{n}" for n in range(1000))):
         members.put(entry)
@@ -193,7 +193,7 @@
 
 
 @pytest.mark.parametrize("told", [0, 1, 30, 299, 300])
-def test_a_whole_list_of_any_length_takes_off_what_it_does_not_name(told: int) -> None:
+def test_a_full_list_removes_endpoints_it_does_not_contain(told: int) -> None:
     members = Members()
     for entry in entries(*(f"e{n}" for n in range(300))):
         members.put(entry)
@@ -293,7 +293,7 @@
     asyncio.run(scenario())
 
 
-def test_slices_run_in_order_and_leave_the_loop_to_others() -> None:
+def test_the_sliced_queue_runs_in_order_and_yields_to_the_loop() -> None:
     async def scenario() -> None:
         done, turns, finished = list[int](), 0, asyncio.Event()
         slices = SlicedQueue(lambda error: done.append(-1))
@@ -332,7 +332,7 @@
     asyncio.run(scenario())
 
 
-class _Reading:
+class _FedWatch:
     """A discovery watch whose input the test supplies."""
 
     def __init__(self) -> None:
@@ -354,11 +354,11 @@
             await asyncio.sleep(0)
 
 
-def test_lines_come_in_any_parts() -> None:
+def test_lines_may_arrive_in_parts_of_any_size() -> None:
     async def scenario() -> None:
         data = (line(item(1)) + "\n\n" + line(item(2), revision=9) + "\n").encode()
         for size in (1, 7, 1000):
-            it = _Reading()
+            it = _FedWatch()
             for start in range(0, len(data), size):
                 await it.take(data[start : start + size])
             assert [[entry.endpoint for entry in told] for told in it.told] == [["e1"], ["e2"]]
@@ -370,7 +370,7 @@
 
 def test_a_list_is_the_newest_only_from_the_first_news_of_a_connection_on() -> None:
     async def scenario() -> None:
-        it = _Reading()
+        it = _FedWatch()
         it.watch._asked = asyncio.get_running_loop().time() + 60.0  # never settled
         for data, times in ((b"\n", 0), (line(item(1)).encode(), 0), (b"\n", 1), (b"\n", 2)):
             await it.take(data)
@@ -381,7 +381,7 @@
 
 def test_an_agent_that_sends_empty_lines_alone_confirms_the_list_once_it_would_have_told_changes() -> None:
     async def scenario() -> None:
-        it = _Reading()
+        it = _FedWatch()
         loop = asyncio.get_running_loop()
         it.watch._asked = loop.time()
         await it.take(b"\n")  # changes may still follow
@@ -395,7 +395,7 @@
 
 def test_a_line_without_end_is_not_kept() -> None:
     async def scenario() -> None:
-        it = _Reading()
+        it = _FedWatch()
         for _ in range(LINE_MOST // 65536 + 1):
             it.watch._data(b"x" * 65536)
         assert len(it.watch._rest) <= 65536
--- a/tests/test_restart.py
+++ b/tests/test_restart.py
@@ -23,8 +23,8 @@
     return sum(-(-path.stat().st_size // 512) * 512 for path in folder.iterdir())
 
 
-@pytest.mark.parametrize(("kind", "again"), [("safe", True), ("keyed", True), ("unsafe", False)])
-def test_a_call_out_at_a_kill_may_have_run(tmp_path: Path, kind: str, again: bool) -> None:
+@pytest.mark.parametrize(("kind", "repeated"), [("safe", True), ("keyed", True), ("unsafe", False)])
+def test_a_call_in_progress_at_a_kill_may_have_run(tmp_path: Path, kind: str, repeated: bool) -> None:
     async def scenario() -> None:
         endpoint = StandIn(OK, None)
         async with world(tmp_path, endpoint) as (relay, platform):
@@ -33,7 +33,7 @@
             await relay.kill()
             await relay.start()
             assert (await relay.hand_in("m1", kind)).status == 202
-            if again:
+            if repeated:
                 assert [seen.name for seen in await endpoint.requests(2)] == ["m1", "m1"]
                 assert endpoint.seen[1].body == b"hello"
             else:
@@ -72,7 +72,7 @@
     run(scenario())
 
 
-async def heard(folder: Path, name: str) -> None:
+async def wait_for_result(folder: Path, name: str) -> None:
     """Wait until the journal holds the result of a message's first attempt."""
     async with asyncio.timeout(PATIENCE):
         while True:
@@ -84,14 +84,14 @@
 
 
 @pytest.mark.parametrize("status", [429, 503, 500, 200])
-def test_a_told_wait_is_heeded_after_a_kill(tmp_path: Path, status: int) -> None:
+def test_a_requested_pause_is_observed_after_a_kill(tmp_path: Path, status: int) -> None:
     async def scenario() -> None:
         told: Answer = (status, [("Wait-Ms", "1500")], b"")
         endpoint = StandIn(OK, told)
         async with world(tmp_path, endpoint) as (relay, _):
             began = time.monotonic()
             await relay.hand_in("m1")
-            await heard(tmp_path / "state", "m1")
+            await wait_for_result(tmp_path / "state", "m1")
             await relay.kill()
             await relay.start()
             await relay.hand_in("m2")
@@ -102,7 +102,7 @@
     run(scenario())
 
 
-def test_a_wait_that_may_have_been_told_as_the_process_ended_is_presumed(tmp_path: Path) -> None:
+def test_a_pause_possibly_requested_at_the_kill_is_assumed(tmp_path: Path) -> None:
     async def scenario() -> None:
         endpoint = StandIn(OK, (429, [("Wait-Ms", "900")], b""), None)
         async with world(tmp_path, endpoint) as (relay, _):
@@ -116,7 +116,7 @@
     run(scenario())
 
 
-def test_a_kill_while_generations_change_leaves_one_that_is_believed(tmp_path: Path) -> None:
+def test_a_kill_during_a_change_of_generation_leaves_a_valid_one(tmp_path: Path) -> None:
     async def scenario() -> None:
         endpoint = StandIn((200, [("Wait-Ms", "1")], b""))  # each one writes a record
         state = tmp_path / "state"
@@ -136,7 +136,7 @@
     run(scenario())
 
 
-def test_an_unanswered_notice_is_sent_by_the_next_life(tmp_path: Path) -> None:
+def test_an_unanswered_notice_is_sent_after_the_restart(tmp_path: Path) -> None:
     async def scenario() -> None:
         endpoint = StandIn((500, [], b""))
         async with world(tmp_path, endpoint) as (relay, platform):
@@ -152,7 +152,7 @@
     run(scenario())
 
 
-def test_sigterm_answers_what_comes_collects_what_is_out_and_starts_nothing(tmp_path: Path) -> None:
+def test_sigterm_answers_new_requests_finishes_open_calls_and_starts_none(tmp_path: Path) -> None:
     async def scenario() -> None:
         endpoint = StandIn(OK, None)
         async with world(tmp_path, endpoint, FamilyInfo__Slots=1) as (relay, platform):
