--- a/amberlug/copies/journal.py
+++ b/amberlug/copies/journal.py
@@ -21,8 +21,8 @@
 from amberlug.copies.store import CopyStore
 from amberlug.core.journal import Journal
 from amberlug.core.log import log as log_line
-from amberlug.core.messages import Attempt, End, Ending, Message, Outcome, Reason, Refusal
-from amberlug.core.ports import Clock, Earlier, Held, Tried
+from amberlug.core.messages import Attempt, AttemptResult, End, Message, Outcome, Reason, Refusal
+from amberlug.core.ports import Clock, LegacyState, PendingMessage, PreviousAttempt
 from amberlug.peers.fleet import Fleet, WhenShort
 from amberlug.policy.interface import Effect, Result, Settings
 
@@ -77,7 +77,7 @@
         self._ended = inner.known()
         self._changed_watermarks: set[str] = set()
         self.accepted_unreplicated = self._logged_unreplicated = 0
-        self.adopt: Callable[[list[Held]], None] = _ignore_argument
+        self.adopt: Callable[[list[PendingMessage]], None] = _ignore_argument
         self.relinquish: Callable[[list[str]], None] = _ignore_argument
         self.restart_required: Callback = _ignore
         self.outgoing_ready: Callback = _ignore  # called when messages are ready to be sent
@@ -141,7 +141,7 @@
             ended = dict(self._ended)
             self.machine.reopen(meta, held[log], ended, log in newest.values(), self._clock.now_us())
 
-    def _copy_of(self, held: Held) -> MessageState:
+    def _copy_of(self, held: PendingMessage) -> MessageState:
         message = held.message
         copy = MessageState(base=(0, self._fleet.name, self.machine.incarnation))
         copy.add(Kind.TAKEN, copy.base, self._taken_record(message, held.taken_ms))
@@ -168,7 +168,7 @@
     # Interface to the core.
 
     @property
-    def held(self) -> dict[str, Held]:
+    def held(self) -> dict[str, PendingMessage]:
         """What the own journal holds, except messages of logs taken over before recovery finished."""
         lost = [name for name, log in self._log_of.items() if log not in self.machine.owners]
         for name in lost:
@@ -176,7 +176,7 @@
         return self._inner.held
 
     @property
-    def earlier(self) -> Earlier:
+    def earlier(self) -> LegacyState:
         """What an earlier release stored."""
         return self._inner.earlier
 
@@ -255,7 +255,7 @@
         if not self._repeat_harmless(message):
             self._record(message.name, Kind.ATTEMPT, [attempt.number, now_ms, attempt.endpoint])
 
-    def outcome(self, attempt: Attempt, how: Ending) -> None:
+    def outcome(self, attempt: Attempt, how: AttemptResult) -> None:
         message = attempt.message
         if not self._other_origin(message.name):
             self._inner.outcome(attempt, how)
@@ -373,7 +373,7 @@
             del self._log_of[name]
 
     def adopted(self, log: str, copies: dict[str, MessageState]) -> None:
-        taken_over: list[Held] = []
+        taken_over: list[PendingMessage] = []
         for name, copy in copies.items():
             relinquished = self._relinquished.pop(name, None) is not None
             known_here = self._inner.knows(name) and not relinquished
@@ -461,17 +461,17 @@
         self._store.work()
 
 
-def to_held(name: str, copy: MessageState) -> Held:
+def to_held(name: str, copy: MessageState) -> PendingMessage:
     """Convert a replicated message for the core to resume."""
     assert copy.taken is not None
     message_class, tenant, destination, key, body, deadline_ms, taken_ms = copy.taken
     message = Message(name, message_class, tenant, destination, key, body, deadline_ms, taken=True)
     message.replies, message.noticed, message.reply = copy.reply
     tried = {
-        number: Tried(str(endpoint), int(at_ms), Result(result) if result else None)
+        number: PreviousAttempt(str(endpoint), int(at_ms), Result(result) if result else None)
         for number, (_, (endpoint, at_ms, result)) in enumerate(sorted(copy.tried.items()))
     }
-    held = Held(message, tried, taken_ms=taken_ms)
+    held = PendingMessage(message, tried, taken_ms=taken_ms)
     if copy.owed is not None:
         outcome, retry_ms = copy.owed[1]
         _, noticed, reply = copy.reply
--- a/amberlug/copies/store.py
+++ b/amberlug/copies/store.py
@@ -75,15 +75,15 @@
     def _read(self, number: int, name: str) -> None:
         size = self._disk.files()[name]
         data = self._disk.read(name, 0, size)
-        head = journal_records.read_head(data)
+        head = journal_records.read_segment_header(data)
         self._number = max(self._number, number)
         if head is None:
-            if size >= journal_records.HEAD_SIZE:
+            if size >= journal_records.HEADER_SIZE:
                 raise DamagedError(f"{name}: unreadable header")
             return
-        for record in journal_records.records(data, head.folder, number, size):
-            if isinstance(record, journal_records.Hole):
-                if journal_records.is_torn(data, record):
+        for record in journal_records.read_records(data, head.folder, number, size):
+            if isinstance(record, journal_records.UnreadableRange):
+                if journal_records.is_torn_record(data, record):
                     return
                 raise DamagedError(f"{name}: {record.size} unreadable bytes at offset {record.offset}")
             try:
@@ -179,7 +179,7 @@
         self._number += 1
         self._size = 0
         self._disk.create(self._file)
-        head = journal_records.Head(0, self._number, self._number, 0, 0).encode()
+        head = journal_records.SegmentHeader(0, self._number, self._number, 0, 0).encode()
         self._disk.append(self._file, head)
         self._size = len(head)
         self._verified_until = 0
@@ -235,14 +235,14 @@
         """Read back a part of the file; False if it does not match what was written."""
         # Guards against bits that flipped on disk: the data is still in memory and is written again.
         size = self._size
-        data = self._disk.read(self._file, 0, journal_records.HEAD_SIZE)
-        if journal_records.read_head(data) is None:
+        data = self._disk.read(self._file, 0, journal_records.HEADER_SIZE)
+        if journal_records.read_segment_header(data) is None:
             return False
-        at = max(self._verified_until, journal_records.HEAD_SIZE)
+        at = max(self._verified_until, journal_records.HEADER_SIZE)
         data = self._disk.read(self._file, at, min(size - at, 2 * SCRUB_BYTES))
         offset = 0
         while offset < len(data):
-            claimed = journal_records.size_at(data, offset)
+            claimed = journal_records.stated_record_size(data, offset)
             if claimed and offset + claimed > len(data) and at + len(data) < size:
                 break
             if journal_records.record_at(data, offset, 0, self._number, at) is None:
--- a/amberlug/core/journal/legacy.py
+++ b/amberlug/core/journal/legacy.py
@@ -1,7 +1,7 @@
-"""Reads the one file in which releases up to 0.1 kept their journal.
+"""Reads the single-file journal of releases up to 0.1.
 
-A record there is a head (mark, kind, length, checksum) and its payload: JSON, and for a message taken a line
-end and its body.
+A record is a header (magic, kind, length, checksum) and a payload: JSON, and for an accepted message a
+newline and the message body.
 """
 
 from __future__ import annotations
@@ -16,54 +16,65 @@
 from amberlug.core.journal.disk import Disk
 from amberlug.core.log import log
 from amberlug.core.messages import End, Message, Outcome
-from amberlug.core.ports import Earlier, Held, Seen, Tried
+from amberlug.core.ports import LegacyEndpointState, LegacyState, PendingMessage, PreviousAttempt
 from amberlug.policy.interface import Result
 
-FILE, ASIDE = "journal.log", "journal.new"  # the second one was never needed after the process
-_HEAD = struct.Struct(">2scII")
-_MARK = b"\xa7\x1e"
+FILE, TEMPORARY_FILE = (
+    "journal.log",
+    "journal.new",
+)  # the second one is a temporary file that no restart needs
+_HEADER = struct.Struct(">2scII")
+_MAGIC = b"\xa7\x1e"
 
 
 @dataclass(slots=True)
-class Old:
-    """What such a file holds."""
+class LegacyJournal:
+    """The contents of a legacy journal."""
 
-    held: dict[str, Held] = field(default_factory=dict)
+    held: dict[str, PendingMessage] = field(default_factory=dict)
     ended: dict[str, int] = field(default_factory=dict)
-    earlier: Earlier = field(default_factory=Earlier)
+    earlier: LegacyState = field(default_factory=LegacyState)
     files: list[str] = field(default_factory=list)
 
 
-def read(disk: Disk) -> Old | None:
-    """Read it; None where there is none."""
+def read(disk: Disk) -> LegacyJournal | None:
+    """Read the legacy journal; None if there is none."""
     sizes = disk.files()
     if FILE not in sizes:
         return None
-    old = Old(files=[name for name in (FILE, ASIDE) if name in sizes])
+    old = LegacyJournal(files=[name for name in (FILE, TEMPORARY_FILE) if name in sizes])
     for kind, payload in _records(disk.read(FILE, 0, sizes[FILE])):
-        head, _, body = payload.partition(b"\n")
+        header, _, body = payload.partition(b"\n")
         try:
-            _apply(old, kind, json.loads(head), body)
+            _apply(old, kind, json.loads(header), body)
         except (ValueError, KeyError, TypeError) as error:
-            log(f"journal: a record can't be understood: {error!r}: skipped")
+            log(f"journal: skipping a record of the old format that can't be parsed: {error!r}")
     return old
 
 
-def merged(old: Old, held: dict[str, Held], over: Container[str]) -> dict[str, Held]:
-    """What an old file and segments hold together, where carrying it over was broken off."""
-    both = {name: one for name, one in old.held.items() if name not in over and name not in held}
-    for name, one in held.items():
+def merge(
+    old: LegacyJournal, held: dict[str, PendingMessage], ended_names: Container[str]
+) -> dict[str, PendingMessage]:
+    """Merge an old file with the segments, after a migration that was interrupted."""
+    combined = {
+        name: message_state
+        for name, message_state in old.held.items()
+        if name not in ended_names and name not in held
+    }
+    for name, message_state in held.items():
         before = old.held.get(name)
-        if before is not None and one.end is None:
-            one.tried = before.tried | one.tried
-        both[name] = one
-    return both
+        if before is not None and message_state.end is None:
+            message_state.tried = before.tried | message_state.tried
+        combined[name] = message_state
+    return combined
 
 
-def _apply(old: Old, kind: bytes, fields: dict[str, Any], body: bytes) -> None:
+def _apply(old: LegacyJournal, kind: bytes, fields: dict[str, Any], body: bytes) -> None:
     name = fields["id"]
     if kind == b"S":
-        old.earlier = Earlier(fields["wall"], fields["clock"], tuple(Seen(*row) for row in fields["seen"]))
+        old.earlier = LegacyState(
+            fields["wall"], fields["clock"], tuple(LegacyEndpointState(*row) for row in fields["seen"])
+        )
     elif kind == b"F":
         old.ended.update(fields["ended"])
     elif kind == b"E":
@@ -72,32 +83,32 @@
     elif kind == b"T":
         tenant, key, dest = fields["tenant"], fields["key"], fields["dest"]
         message = Message(name, fields["class"], tenant, dest, key, body, fields["until"], taken=True)
-        old.held[name] = Held(message)
+        old.held[name] = PendingMessage(message)
     elif kind == b"N":
         message = Message(name, "", None, 0, None, b"", fields["until"], taken=True, over=True)
-        old.held[name] = Held(message, end=End(name, Outcome(fields["end"]), fields["retry"]))
+        old.held[name] = PendingMessage(message, end=End(name, Outcome(fields["end"]), fields["retry"]))
     elif kind == b"A":
-        old.held[name].tried[fields["n"]] = Tried(fields["to"], fields["at"])
+        old.held[name].tried[fields["n"]] = PreviousAttempt(fields["to"], fields["at"])
     elif kind == b"O":
         old.held[name].tried[fields["n"]].result = Result(fields["how"])
     else:
-        raise ValueError(f"kind {kind!r}")
+        raise ValueError(f"unknown record kind {kind!r}")
 
 
 def _records(data: bytes) -> Iterator[tuple[bytes, bytes]]:
-    """Read records; a torn last one is dropped, anything else that is corrupt is skipped and logged."""
+    """Yield the records; a torn last one is dropped, other corrupt data is skipped; both are logged."""
     at = 0
     while at < len(data):
-        if len(data) - at >= _HEAD.size:
-            mark, kind, size, check = _HEAD.unpack_from(data, at)
-            payload = data[at + _HEAD.size : at + _HEAD.size + size]
-            if mark == _MARK and len(payload) == size and zlib.crc32(kind + payload) == check:
+        if len(data) - at >= _HEADER.size:
+            mark, kind, size, check = _HEADER.unpack_from(data, at)
+            payload = data[at + _HEADER.size : at + _HEADER.size + size]
+            if mark == _MAGIC and len(payload) == size and zlib.crc32(kind + payload) == check:
                 yield kind, payload
-                at += _HEAD.size + size
+                at += _HEADER.size + size
                 continue
-        following = data.find(_MARK, at + 1)
+        following = data.find(_MAGIC, at + 1)
         if following < 0:
-            log(f"journal: {len(data) - at} bytes at the end can't be read: dropped")
+            log(f"journal: {len(data) - at} unreadable bytes at the end dropped")
             return
-        log(f"journal: {following - at} bytes at {at} can't be read: skipped")
+        log(f"journal: {following - at} unreadable bytes at offset {at} skipped")
         at = following
--- a/amberlug/core/lock.py
+++ b/amberlug/core/lock.py
@@ -1,4 +1,4 @@
-"""One process, and one relay in it, to a state folder."""
+"""Exclusive lock on a state folder: one process, and one relay within it."""
 
 from __future__ import annotations
 
@@ -9,28 +9,28 @@
 
 
 class FolderInUseError(OSError):
-    """Another relay has the folder open, in this process or in another."""
+    """The folder is in use by another relay, in this process or in another one."""
 
 
 class ForkedError(RuntimeError):
-    """The relay was opened by a parent process; its child must open one of its own."""
+    """The relay was opened by the parent process; a forked child must open its own."""
 
 
 class FolderLock:
-    """Holds a folder for its relay's life; the kernel frees it with the process.
+    """Locks a folder for the lifetime of its relay; the kernel releases the lock when the process exits.
 
-    `alive` tells whether its relay can still act: one whose event loop was closed under it can't, and gives
-    way to the next relay of the same process. `inode` names the folder, for the life of the process.
+    `alive` reports whether the owning relay can still act. A relay whose event loop was closed cannot, so the
+    next relay of the same process takes over its lock. `inode` identifies the folder within the process.
     """
 
-    _held: dict[tuple[int, int], FolderLock] = {}  # noqa: RUF012 - one record for the process
+    _locks: dict[tuple[int, int], FolderLock] = {}  # noqa: RUF012 - shared by all locks of the process
 
     def __init__(self, folder: Path, alive: Callable[[], bool]) -> None:
         self._alive, self._pid = alive, os.getpid()
         self._file = os.open(folder / "lock", os.O_RDWR | os.O_CREAT, 0o600)
         status = os.fstat(self._file)
         self.inode = status.st_dev, status.st_ino
-        before = self._held.get(self.inode)
+        before = self._locks.get(self.inode)
         if before is not None and not before._alive():
             before.release()
         try:
@@ -41,7 +41,7 @@
             if isinstance(error, BlockingIOError):
                 raise FolderInUseError(error.errno, f"another relay has {folder} open") from None
             raise
-        self._held[self.inode] = self
+        self._locks[self.inode] = self
 
     def check(self) -> None:
         """Raise `ForkedError` in a child of the process that opened the folder."""
@@ -49,17 +49,20 @@
             raise ForkedError("this relay belongs to the parent process; open one on another folder")
 
     def release(self) -> None:
-        """Give the folder up; no harm if it was given up before."""
+        """Release the lock; does nothing if it was released before."""
         if self._file >= 0:
             os.close(self._file)
             self._file = -1
-            self._held.pop(self.inode, None)
+            self._locks.pop(self.inode, None)
 
     @classmethod
-    def let_go(cls) -> None:
-        """Close, in a child of a fork, what the parent holds: else it would outlive the parent there."""
-        for lock in list(cls._held.values()):
+    def release_in_child(cls) -> None:
+        """Close the parent's lock files in a forked child.
+
+        Otherwise the child would keep the lock after the parent has exited.
+        """
+        for lock in list(cls._locks.values()):
             lock.release()
 
 
-os.register_at_fork(after_in_child=FolderLock.let_go)
+os.register_at_fork(after_in_child=FolderLock.release_in_child)
--- a/amberlug/core/node.py
+++ b/amberlug/core/node.py
@@ -1,4 +1,4 @@
-"""The round: what happened outside goes to the decision module, its actions become calls and ends."""
+"""The event loop of the core: feeds events to the delivery policy and carries out its actions."""
 
 from __future__ import annotations
 
@@ -8,35 +8,56 @@
 from itertools import chain, groupby
 
 from amberlug.core.clock import SECOND
+from amberlug.core.endpoint_addresses import EndpointAddresses
 from amberlug.core.log import log
-from amberlug.core.messages import Attempt, End, Ending, Exchange, Message, Outcome, Reason, Refusal
-from amberlug.core.places import Places
-from amberlug.core.ports import Clock, Ends, Handle, Held, Journal, Learning, News, Observer, Transport, Wait
+from amberlug.core.messages import (
+    Attempt,
+    AttemptResult,
+    End,
+    Message,
+    Outcome,
+    PendingRequest,
+    Reason,
+    Refusal,
+)
+from amberlug.core.ports import (
+    Clock,
+    EndpointListUpdate,
+    Handle,
+    Journal,
+    LearningStore,
+    Observer,
+    OutcomeNotifier,
+    PendingMessage,
+    RequestedPause,
+    Transport,
+)
 from amberlug.core.timers import Timers
 from amberlug.policy import interface as api
 from amberlug.policy.interface import Result
 from amberlug.policy.lasting import LastingSender
 from amberlug.policy.membership import BATCH, Comparison
 
-BUSY_RETRY_US = SECOND  # when a client may come again that this relay has no room for
-REPLIES_MOST = 100  # how often a message's end may be asked for at another place: each is a record
-CROWDED = 0.8  # part of what can be held that fronts may fill whose senders need not hear of a hand-back
-KEEP_US = 5 * SECOND  # between two keepings of what was learned, but for what would be missed at once
-KEEP_MOST = 32  # destinations kept in one turn of the loop: a millisecond or two
-CLOSED_RETRY_US = SECOND // 2  # the same from one that closes: other relays are there, and known by then
+BUSY_RETRY_US = SECOND  # retry delay for clients refused because the relay is full
+MAX_REPLY_CHANGES = 100  # limit on changes of a message's reply address: each writes a record
+# Fraction of the message limit open to front ends whose senders can't be told of a hand-back.
+CROWDED_FRACTION = 0.8
+SAVE_INTERVAL_US = 5 * SECOND  # interval between saves of learned state, except for urgent changes
+SAVE_BATCH_SIZE = 32  # destinations saved per loop iteration; takes a millisecond or two
+CLOSED_RETRY_US = SECOND // 2  # retry delay while closing: by then clients know of other relays
 
 
 class Node:
-    """Owns the module, its timers, and the record of every message held; one thread's alone."""
+    """Owns the delivery policy, its timers and the state of every held message; not thread-safe."""
 
     def __init__(
         self,
         settings: api.Settings,
         seed: int,
         journal: Journal,
-        learning: Learning,
+        learning: LearningStore,
         transport: Transport,
-        ends: Ends,
+        ends: OutcomeNotifier,
         clock: Clock,
         observer: Observer | None = None,
     ) -> None:
@@ -44,100 +65,102 @@
         self._observer, self._learning = observer, learning
         self._clock, self.now_us = clock, clock.now_us
         self._sender = LastingSender(settings, seed, learning.recall)
-        self._places = Places(transport, self._sender.members.get)
-        self._timers = Timers(clock, self._sender.stale, lambda label: self._tell(api.TimerExpired(label)))
+        self._addresses = EndpointAddresses(transport, self._sender.members.get)
+        self._timers = Timers(
+            clock, self._sender.stale, lambda label: self._post_event(api.TimerExpired(label))
+        )
         transport.bind(self)
         ends.bind(self._acknowledged)
         self._messages: dict[int, Message] = {}
         self._names: dict[str, Message] = {}
         self._attempts: dict[tuple[int, int], Attempt] = {}
-        # Until when the name of each that ended counts as taken, and its end, which is to be acknowledged.
+        # For each unacknowledged outcome: how long its message's name counts as used, and the outcome.
         self._owed: dict[str, tuple[int, End]] = {}
         self._events: list[api.Event] = []
         self._round_at: Handle | None = None
-        self._keep_at: Handle | None = None
+        self._save_at: Handle | None = None
         self._work_at: Handle | None = None
         self._last_round_us = self._refs = 0
         self.ready = self.closing = self._stopped = False
 
     @property
     def busy(self) -> bool:
-        """Whether a call is out or an end is to be acknowledged."""
+        """Whether a call is in progress or an acknowledgement is outstanding."""
         return self._transport.busy or self._ends.waiting
 
-    # What happens outside.
+    # External events.
 
     def restore(self) -> None:
-        """Go on with what the journal holds, the oldest first."""
+        """Resume the messages recovered from the journal, oldest first."""
         now_ms = self._clock.wall_ms()
         self._learning.take_over(self._journal.earlier, self._sender.members.get)
         for held in self._journal.held.values():
             if held.end is not None:
                 self._owed[held.message.name] = held.message.deadline_ms, held.end
-                self._journal.after(partial(self._told, held.end), held.message.name)
+                self._journal.after(partial(self._report_outcome, held.end), held.message.name)
             else:
                 self._resume(held, now_ms)
         self._journal.held.clear()
         self._round()
         self.ready = True
 
-    def adopt(self, ones: Iterable[Held]) -> None:
-        """Go on with what another relay held, which the journal knows by now."""
+    def adopt(self, ones: Iterable[PendingMessage]) -> None:
+        """Resume messages taken over from another relay, which are already in the journal."""
         now_ms = self._clock.wall_ms()
         for held in ones:
             if held.end is not None:
                 self._owed[held.message.name] = held.message.deadline_ms, held.end
-                self._journal.after(partial(self._told, held.end), held.message.name)
+                self._journal.after(partial(self._report_outcome, held.end), held.message.name)
             else:
                 self._resume(held, now_ms)
-        self._tell(api.TimerExpired(-1))  # no timer: it only has the round come
+        self._post_event(api.TimerExpired(-1))  # matches no timer; only triggers a round
 
     def relinquish(self, names: Iterable[str]) -> None:
-        """Do nothing more about messages that another relay goes on with; no end of theirs is told here."""
+        """Drop messages that another relay has taken over; this relay reports no outcome for them."""
         for name in names:
             self._owed.pop(name, None)
             if (message := self._names.get(name)) is not None:
-                self._forget(message)
-                self._tell(api.Withdrawn(message.ref))
+                self._remove_message(message)
+                self._post_event(api.Withdrawn(message.ref))
 
     def close(self) -> None:
-        """Take nothing on and start no calls from now on; what is out is still collected."""
+        """Stop accepting messages and starting calls; calls in progress still finish."""
         self.closing = True
         self._events.append(api.ShutdownStarted())
         self._round()
 
     def stop(self) -> None:
-        """Decide about what has come in, then do nothing any more: what is held is the next life's."""
+        """Process pending events, then stop; held messages are resumed after the next start."""
         if self._round_at is not None:
             self._round()
         self._stopped = True
-        self.keep()
+        self.save_learned()
         self._timers.stop()
-        for handle in (self._round_at, self._keep_at, self._work_at):
+        for handle in (self._round_at, self._save_at, self._work_at):
             if handle is not None:
                 handle.cancel()
 
-    def _resume(self, held: Held, now_ms: int) -> None:
+    def _resume(self, held: PendingMessage, now_ms: int) -> None:
         message = held.message
         if message.message_class not in self._settings.classes:
-            log(f"journal: message {message.name} has no class here: given up")
+            log(f"journal: message {message.name} has a class that is not configured; giving it up")
             self._finish(message, End(message.name, Outcome.GIVEN_UP))
             return
-        self._enlist(message)
+        self._register(message)
         message.attempts = max(held.tried, default=-1) + 1
         earlier = tuple(
             api.Earlier(it.endpoint, max(0, now_ms - it.at_ms) * 1000, it.result)
             for it in held.tried.values()
         )
-        taken = self._taken(message, held.left_ms(now_ms) * 1000, 0)
+        taken = self._taken_event(message, held.left_ms(now_ms) * 1000, 0)
         self._events.append(api.Resumed(taken, message.attempts, earlier))
 
-    def _enlist(self, message: Message) -> None:
+    def _register(self, message: Message) -> None:
         self._refs += 1
         message.ref = self._refs
         self._messages[message.ref] = self._names[message.name] = message
 
-    def _taken(self, message: Message, left_us: int, waited_us: int) -> api.Taken:
+    def _taken_event(self, message: Message, left_us: int, waited_us: int) -> api.Taken:
         return api.Taken(
             message.ref, message.destination, message.message_class, message.tenant, None, left_us, waited_us
         )
@@ -149,47 +172,48 @@
 
     @property
     def crowded(self) -> bool:
-        """Whether so much is held that the module will soon have to hand something back."""
-        return len(self._messages) + 1 > self._settings.max_open * CROWDED
+        """Whether so many messages are held that the policy will soon have to hand some back."""
+        return len(self._messages) + 1 > self._settings.max_open * CROWDED_FRACTION
 
     def serves(self, destination: int) -> bool:
-        """Whether a list has named that destination."""
+        """Whether the endpoint list contains that destination."""
         return self._sender.serves(destination)
 
-    def hand_in(self, message: Message, left_us: int, waited_us: int, exchange: Exchange) -> None:
-        """Settle a hand-in at once where the module need not be asked, else in the next round.
+    def hand_in(self, message: Message, left_us: int, waited_us: int, exchange: PendingRequest) -> None:
+        """Process a submitted message: synchronously if the policy need not decide, else in the next round.
 
-        It has `left_us` microseconds left, and may have waited for `waited_us` until it was read.
+        `left_us` is the time until its deadline, `waited_us` the time it may have waited before it was read.
         """
         if (known := self._names.get(message.name)) is not None and not known.taken:
             known.exchanges.append(exchange)
-            _reply_too(known, message)
+            _add_reply_address(known, message)
         elif known is not None or self._journal.knows(message.name):
-            self._again(message, exchange)  # taken on before: never taken twice
+            self._handle_duplicate(message, exchange)  # already accepted: never accept it twice
         elif self.closing:
             exchange.settle(Refusal(Reason.CLOSING, CLOSED_RETRY_US))
         elif len(self._messages) >= self._settings.max_open:
             exchange.settle(Refusal(Reason.NO_ROOM, BUSY_RETRY_US))
-        elif not self._journal.fits(size := len(message.body) + 2 * len(message.reply)):  # its end has it too
+        # The reply address counts twice because the outcome record repeats it.
+        elif not self._journal.fits(size := len(message.body) + 2 * len(message.reply)):
             exchange.settle(Refusal(Reason.NO_ROOM, self._journal.retry_us(size)))
-            self._learning.give_way()
+            self._learning.free_disk_space()
             self._work()
         elif (refusal := self._journal.refuses(message)) is not None:
             exchange.settle(refusal)
         else:
             message.exchanges.append(exchange)
-            self._enlist(message)
+            self._register(message)
             self._learning.sent(message.tenant)
-            self._tell(self._taken(message, left_us, waited_us))
+            self._post_event(self._taken_event(message, left_us, waited_us))
 
-    def _again(self, message: Message, exchange: Exchange) -> None:
-        """Answer for what was taken on before, and have its one end told also where it comes from now."""
+    def _handle_duplicate(self, message: Message, exchange: PendingRequest) -> None:
+        """Confirm a message that was accepted before and send its outcome to the new reply address too."""
         known = self._names.get(message.name)
         before = (known.reply, known.noticed, known.replies) if known is not None else (b"", True, 0)
-        if known is not None and _reply_too(known, message):
+        if known is not None and _add_reply_address(known, message):
             try:
-                if known.replies > REPLIES_MOST:
-                    raise OSError(f"message {message.name} is handed in from everywhere")
+                if known.replies > MAX_REPLY_CHANGES:
+                    raise OSError(f"message {message.name} was submitted with too many reply addresses")
                 self._journal.reply(known)
             except OSError as error:
                 log(f"journal: {error}")
@@ -200,52 +224,54 @@
         if known is None and message.reply:
             owed = self._owed.get(message.name)
             if (end := owed[1] if owed is not None else self._journal.ended(message.name)) is not None:
-                self._journal.after(partial(self._told, replace(end, reply=message.reply)), message.name)
+                self._journal.after(
+                    partial(self._report_outcome, replace(end, reply=message.reply)), message.name
+                )
 
-    def hung_up(self, exchange: Exchange) -> None:
-        """Withdraw a message whose every client left before it was settled."""
+    def client_disconnected(self, exchange: PendingRequest) -> None:
+        """Withdraw a message if all its clients disconnected before it was accepted or refused."""
         for message in [it for it in self._messages.values() if exchange in it.exchanges]:
             message.exchanges.remove(exchange)
             if not message.exchanges and not message.taken:
-                self._forget(message)
-                self._tell(api.Withdrawn(message.ref))
+                self._remove_message(message)
+                self._post_event(api.Withdrawn(message.ref))
 
-    def listed(self, news: News) -> None:
-        """Pass the list's news on at once; `ValueError` where they are bad, and nothing of them counts."""
-        for _ in self.listing(news):
+    def listed(self, update: EndpointListUpdate) -> None:
+        """Apply an endpoint list update at once; `ValueError` if it is malformed, with nothing applied."""
+        for _ in self.listing(update):
             pass
 
-    def listing(self, news: News) -> Iterator[None]:
-        """Pass the list's news on, some of them with each step, which takes a millisecond or two.
+    def listing(self, update: EndpointListUpdate) -> Iterator[None]:
+        """Apply an endpoint list update in steps of a millisecond or two.
 
-        All is read and compared with what was listed before any of it counts; drains and what is gone come
-        first.
+        The whole update is read and compared with the current list before anything is applied. Drains come
+        first, including those of removed endpoints; the removals themselves come last.
         """
         comparison = Comparison(self._sender.members)
         yield
-        for count, entry in enumerate(news.entries, 1):
+        for count, entry in enumerate(update.entries, 1):
             comparison.add(entry)
             if count % BATCH == 0:
                 yield
         yield
-        batches = comparison.batches(news.whole)
-        for entries in chain([next(batches, ())], batches):  # also news that change nothing are told
-            self._places.relocate(entries)
+        batches = comparison.batches(update.whole)
+        for entries in chain([next(batches, ())], batches):  # report an update without changes as well
+            self._addresses.remove_outdated(entries)
             self._events.append(api.Listed(api.ListKind.PATCH, entries))
             self._round()
             yield
 
     def current(self, seconds: float) -> None:
-        """Learn that the list is the newest there is, and for how many seconds calls may go by it."""
-        self._tell(api.ListConfirmed(int(seconds * SECOND)))
+        """Note that the endpoint list is up to date, and for how many seconds calls may rely on it."""
+        self._post_event(api.ListConfirmed(int(seconds * SECOND)))
 
-    def ended(self, attempt: Attempt, how: Ending) -> None:
-        """Take an attempt's end in; what is delivered is over at once."""
+    def ended(self, attempt: Attempt, how: AttemptResult) -> None:
+        """Process the end of an attempt; a delivered message is complete at once."""
         message = attempt.message
         del self._attempts[message.ref, attempt.number]
         now = self.now_us()
-        if how.wait_us > 0:  # before all else: it binds from now on, also a next life
-            self._told_to_wait(attempt, now, how.wait_us)
+        if how.wait_us > 0:  # first of all: the pause applies from now on, also after a restart
+            self._record_requested_pause(attempt, now, how.wait_us)
         delivered = how.result is Result.DONE or how.over
         if how.result is Result.DONE:
             self._learning.answered(message.destination, now - attempt.start_us)
@@ -261,7 +287,7 @@
                 self._finish(message, End(message.name, Outcome.GIVEN_UP, known=True))
             else:
                 self._journal.outcome(attempt, how)
-        self._tell(
+        self._post_event(
             api.Outcome(
                 ref=message.ref,
                 attempt=attempt.number,
@@ -275,20 +301,20 @@
             )
         )
 
-    def _told_to_wait(self, attempt: Attempt, now_us: int, wait_us: int) -> None:
+    def _record_requested_pause(self, attempt: Attempt, now_us: int, wait_us: int) -> None:
         route = self._sender.route(attempt.endpoint)
-        wait = Wait(attempt.message.destination, route, wait_us, now_us + wait_us, self._clock.boot)
+        wait = RequestedPause(attempt.message.destination, route, wait_us, now_us + wait_us, self._clock.boot)
         self._learning.told(wait)
 
     def _acknowledged(self, name: str) -> None:
-        if (owed := self._owed.pop(name, None)) is not None:  # else it was told once more
+        if (owed := self._owed.pop(name, None)) is not None:  # else acknowledged before
             until_ms, end = owed
             self._journal.end(name, until_ms, self._clock.wall_ms(), end)
 
-    # The round.
+    # Rounds.
 
-    def _tell(self, event: api.Event) -> None:
-        """Have an event dealt with, with all others of the same tick."""
+    def _post_event(self, event: api.Event) -> None:
+        """Queue an event for the next round, together with all others of the same tick."""
         self._events.append(event)
         if self._round_at is None and not self._stopped:
             due_us = max(self.now_us(), self._last_round_us + self._settings.granularity_us)
@@ -304,20 +330,20 @@
         if self._observer is not None:
             self._observer.round(self._last_round_us, events, actions)
         ends = {it.ref: it for it in actions if isinstance(it, api.Refuse | api.Fail)}
-        self._end(ends.values())
+        self._report_final_outcomes(ends.values())
         for event in events:
             if isinstance(event, api.Taken) and event.ref in self._messages:
-                self._settle(self._messages[event.ref], ends.get(event.ref))
-        if self._sender.unsaved_urgent:  # before a call leaves that they count
-            self._learning.observe(self._sender.learned(KEEP_MOST, urgent=True))
-        self._carry_out(actions)
-        self._timers.wind()
+                self._settle_request(self._messages[event.ref], ends.get(event.ref))
+        if self._sender.unsaved_urgent:  # saved before a call that it counts is sent
+            self._learning.observe(self._sender.learned(SAVE_BATCH_SIZE, urgent=True))
+        self._execute_actions(actions)
+        self._timers.reschedule()
         self._work()
-        if self._keep_at is None and not self._stopped:
-            self._keep_at = self._clock.at(self._last_round_us + KEEP_US, self._keep)
+        if self._save_at is None and not self._stopped:
+            self._save_at = self._clock.at(self._last_round_us + SAVE_INTERVAL_US, self._save_batch)
 
     def _work(self) -> None:
-        """Give the journal its slice, and another one soon where it has more to do."""
+        """Run a slice of the journal's and the learned state's background work and schedule the next one."""
         if self._work_at is not None:
             self._work_at.cancel()
             self._work_at = None
@@ -325,53 +351,53 @@
         if due and not self._stopped:
             self._work_at = self._clock.at(self.now_us() + min(due), self._work)
 
-    def keep(self) -> None:
-        """Keep all that was learned and is not kept yet: nothing follows in this life."""
+    def save_learned(self) -> None:
+        """Save all unsaved learned state; used at shutdown."""
         self._learning.observe(self._sender.learned(len(self._sender.unsaved)))
 
-    def _keep(self) -> None:
-        """Keep what was learned, some destinations in each turn, once in a while where there are rounds."""
-        self._keep_at = None
-        self._places.forget_sleeping(self._sender.endpoints)
-        self._learning.observe(self._sender.learned(KEEP_MOST))
+    def _save_batch(self) -> None:
+        """Save learned state periodically while there are rounds, a few destinations per loop iteration."""
+        self._save_at = None
+        self._addresses.remove_inactive(self._sender.endpoints)
+        self._learning.observe(self._sender.learned(SAVE_BATCH_SIZE))
         if self._sender.unsaved and not self._stopped:
-            self._keep_at = self._clock.at(self.now_us() + SECOND // 100, self._keep)
+            self._save_at = self._clock.at(self.now_us() + SECOND // 100, self._save_batch)
         self._work()
 
-    def _settle(self, message: Message, end: api.Refuse | api.Fail | None) -> None:
-        """Tell whoever handed it in: taken on once the journal has it, or refused."""
+    def _settle_request(self, message: Message, end: api.Refuse | api.Fail | None) -> None:
+        """Confirm a message once it is in the journal, or refuse it."""
         exchanges, message.exchanges = message.exchanges, []
         if end is None:
             try:
                 self._journal.take(message, self._clock.wall_ms())
                 message.taken = True
-            except OSError as error:  # what it can't hold is refused, and its sends are not made
+            except OSError as error:  # a message that can't be recorded is refused and not sent
                 log(f"journal: {error}")
-                self._learning.give_way()
-                self._tell(api.Withdrawn(message.ref))
+                self._learning.free_disk_space()
+                self._post_event(api.Withdrawn(message.ref))
         refusal = None
         if not message.taken:
-            self._forget(message)
+            self._remove_message(message)
             advice_us = end.advice_us if isinstance(end, api.Refuse) else 0
             reason = Reason.OLD_LIST if self._sender.list_expired else Reason.REFUSED
             refusal = Refusal(reason, advice_us or BUSY_RETRY_US)
         elif self._observer is not None:
             self._observer.taken(message)
-        told = partial(_settled, exchanges, refusal)
+        told = partial(_settle_all, exchanges, refusal)
         if refusal is None:
-            self._journal.promise(message, told, partial(self._renounce, message, exchanges))
+            self._journal.promise(message, told, partial(self._drop_undurable, message, exchanges))
         else:
             told()
 
-    def _renounce(self, message: Message, exchanges: Sequence[Exchange], may_tell: bool) -> None:
-        """Forget a message that does not outlast what it should; its client may be left without a word."""
+    def _drop_undurable(self, message: Message, exchanges: Sequence[PendingRequest], may_tell: bool) -> None:
+        """Drop a message that could not be made durable; its client gets no response unless `may_tell`."""
         if not message.over:
-            self._forget(message)
-            self._tell(api.Withdrawn(message.ref))
+            self._remove_message(message)
+            self._post_event(api.Withdrawn(message.ref))
         if may_tell:
-            _settled(exchanges, Refusal(Reason.SHORT, BUSY_RETRY_US))
+            _settle_all(exchanges, Refusal(Reason.SHORT, BUSY_RETRY_US))
 
-    def _carry_out(self, actions: Sequence[api.Action]) -> None:
+    def _execute_actions(self, actions: Sequence[api.Action]) -> None:
         sends: list[api.Send] = []
         for action in actions:
             match action:
@@ -389,22 +415,24 @@
                 case api.Log(text):
                     log(text)
                 case api.Refuse() | api.Fail() | api.Subscribe() | api.Fetch() | api.SendToPeer():
-                    pass  # ended before; the watch is always on, and relays can't talk to each other
+                    # Outcomes were handled before, the list is always watched, and relays can't message
+                    # each other.
+                    pass
         self._send(sends)
 
     def _send(self, sends: list[api.Send]) -> None:
-        """Send together what the module bundles in one call."""
+        """Send the messages that the policy bundled into one call together."""
         for (endpoint, _), group in groupby(sends, lambda it: (it.endpoint, it.call)):
-            # Guards against a send of what the journal could not take in this very round: its call is over.
-            bundle = [send for send in group if send.ref in self._messages or self._unsent(send)]
+            # Skip messages that the journal failed to record in this same round: they are no longer held.
+            bundle = [send for send in group if send.ref in self._messages or self._report_unsent(send)]
             if not bundle:
                 continue
-            self._places.locate(endpoint)
+            self._addresses.locate(endpoint)
             self._transport.call(endpoint, [self._attempt(send) for send in bundle], bundle[0].fresh)
 
-    def _unsent(self, send: api.Send) -> bool:
-        """Tell the module that a first call was not made, so that its slot is free again."""
-        self._tell(api.Outcome(send.ref, 0, send.endpoint, Result.UNSENT, True, 0, 0, ()))
+    def _report_unsent(self, send: api.Send) -> bool:
+        """Report to the policy that a first call was not made, which frees its slot."""
+        self._post_event(api.Outcome(send.ref, 0, send.endpoint, Result.UNSENT, True, 0, 0, ()))
         return False
 
     def _attempt(self, send: api.Send) -> Attempt:
@@ -415,12 +443,12 @@
         return attempt
 
     def clear(self, attempts: Sequence[Attempt]) -> list[Attempt]:
-        """Tell which attempts may still leave, and record them before their first byte does."""
+        """Record and return the attempts that may still be sent, before their first byte is sent."""
         cleared = []
         for attempt in self.still(attempts):
             try:
                 self._journal.attempt(attempt, self._clock.wall_ms())
-            except OSError as error:  # an attempt that is not recorded could be made twice
+            except OSError as error:  # an unrecorded attempt could be made twice
                 log(f"journal: {error}")
                 continue
             cleared.append(attempt)
@@ -429,7 +457,7 @@
         return cleared
 
     def still(self, attempts: Sequence[Attempt]) -> list[Attempt]:
-        """Tell which attempts no drain, wait or end forbids by now."""
+        """Return the attempts that no drain, pause or outcome forbids by now."""
         now = self.now_us()
         return [
             it
@@ -440,11 +468,11 @@
 
     @property
     def waits(self) -> bool:
-        """Whether records outlast what they should only some time after they were made."""
+        """Whether records become durable only some time after they were written."""
         return self._journal.waits
 
     def after(self, callback: Callable[[], object], attempts: Sequence[Attempt]) -> None:
-        """Call back once all records of these do, or never will."""
+        """Run a callback once all records of these attempts are durable or can't become so."""
         left = {it.message.name for it in attempts}
 
         def done(name: str) -> None:
@@ -456,21 +484,21 @@
             self._journal.after(partial(done, name), name, partial(done, name))
 
     def left_s(self, attempts: Sequence[Attempt]) -> float:
-        """Seconds until the first of these is out of time."""
+        """Seconds until the earliest deadline among these attempts."""
         return max(0.0, (min(it.until_us for it in attempts) - self.now_us()) / SECOND)
 
     def _probe(self, endpoint: str) -> None:
         start = self.now_us()
-        self._places.locate(endpoint)
+        self._addresses.locate(endpoint)
 
-        def ended(how: Ending) -> None:
-            self._tell(api.ProbeResult(endpoint, how.result, self.now_us() - start, how.report))
+        def ended(how: AttemptResult) -> None:
+            self._post_event(api.ProbeResult(endpoint, how.result, self.now_us() - start, how.report))
 
         self._transport.probe(endpoint, ended)
 
-    def _end(self, ends: Iterable[api.Refuse | api.Fail]) -> None:
-        """Tell the ends of messages that were taken on; one that was not is answered."""
-        # Guards against ends that come late because of what else a round brings: they go out first.
+    def _report_final_outcomes(self, ends: Iterable[api.Refuse | api.Fail]) -> None:
+        """Report the outcomes of accepted messages; other messages are refused in `_settle_request`."""
+        # Outcomes go out first so that a round's other work does not delay them.
         for end in ends:
             if (message := self._messages.get(end.ref)) is not None and message.taken:
                 if isinstance(end, api.Refuse):
@@ -481,8 +509,8 @@
         self._ends.send()
 
     def _finish(self, message: Message, end: End) -> None:
-        """Record a message's one end, then have it told."""
-        self._forget(message)
+        """Record a message's final outcome, then report it."""
+        self._remove_message(message)
         if message.replies:
             end = replace(end, reply=message.reply, noticed=message.noticed)
         if self._ends.owed(end):
@@ -492,22 +520,22 @@
             self._journal.end(message.name, message.deadline_ms, self._clock.wall_ms(), end)
         if self._observer is not None:
             self._observer.ended(message, end)
-        self._journal.after(partial(self._told, end), message.name)
+        self._journal.after(partial(self._report_outcome, end), message.name)
 
-    def _told(self, end: End) -> None:
-        """Tell an end that no crash takes back; with others of its round, unless it had to wait."""
+    def _report_outcome(self, end: End) -> None:
+        """Report a durable outcome: with the others of its round, or now if it had to wait for a sync."""
         self._ends.tell(end)
         if self._journal.waits:
             self._ends.send()
 
-    def _forget(self, message: Message) -> None:
+    def _remove_message(self, message: Message) -> None:
         message.over = True
         self._messages.pop(message.ref, None)
         self._names.pop(message.name, None)
 
 
-def _reply_too(known: Message, again: Message) -> bool:
-    """Have an end told where a message came from once more: whether that changes anything."""
+def _add_reply_address(known: Message, again: Message) -> bool:
+    """Add the reply address of a repeated submission; return whether that changed anything."""
     reply, noticed = again.reply or known.reply, known.noticed or again.noticed
     if (reply, noticed) == (known.reply, known.noticed):
         return False
@@ -515,6 +543,6 @@
     return True
 
 
-def _settled(exchanges: Sequence[Exchange], refusal: Refusal | None) -> None:
+def _settle_all(exchanges: Sequence[PendingRequest], refusal: Refusal | None) -> None:
     for exchange in exchanges:
         exchange.settle(refusal)
--- a/amberlug/lab/relay.py
+++ b/amberlug/lab/relay.py
@@ -5,9 +5,9 @@
 from collections.abc import Callable, Mapping
 
 from amberlug.core.journal import Journal
-from amberlug.core.messages import End, Exchange, Message, Outcome, Reason, Refusal
+from amberlug.core.messages import End, Message, Outcome, PendingRequest, Reason, Refusal
 from amberlug.core.node import CLOSED_RETRY_US, Node
-from amberlug.core.ports import News
+from amberlug.core.ports import EndpointListUpdate
 from amberlug.lab.clock import SECOND, LifeClock, Time
 from amberlug.lab.disk import MemoryDisk
 from amberlug.lab.partners import Endpoint
@@ -129,7 +129,7 @@
         ends = ModelEnds(clock, self._network_us, self._told)
         self.node = Node(self._settings, self._seed, journal, learner, self._transport, ends, clock)
         self._learner = learner
-        self.node.listed(News(self._known, 1, True))
+        self.node.listed(EndpointListUpdate(self._known, 1, True))
         age_s = None if self._heard_us is None else (self._time.us - self._heard_us) / SECOND
         self.node.current(self._pauses.good_at_first(self.lives > 1, age_s))
         if self._time.us >= self.deaf_until_us:
@@ -149,7 +149,7 @@
     def _cut_off(self, endpoint: str) -> bool:
         return self.cut.get(self._endpoints[endpoint].of.number, 0) > self._time.us
 
-    def hand_in(self, message: Message, deadline_us: int, exchange: Exchange) -> None:
+    def hand_in(self, message: Message, deadline_us: int, exchange: PendingRequest) -> None:
         """Take a request off the wire."""
         if not self.up:
             exchange.settle(Refusal(Reason.CLOSING, CLOSED_RETRY_US))
@@ -167,10 +167,10 @@
         if self.up:
             self.work(_nothing)
 
-    def hung_up(self, exchange: Exchange) -> None:
+    def client_disconnected(self, exchange: PendingRequest) -> None:
         """See a client close its connection before it was answered."""
         if self.up:
-            self.node.hung_up(exchange)
+            self.node.client_disconnected(exchange)
 
     def hear(self) -> None:
         """Hear the list as it is, unless discovery is out of reach."""
@@ -179,7 +179,7 @@
 
     def _confirm(self) -> None:
         self._known, self._heard_us = self._listed(), self._time.us
-        self.node.listed(News(self._known, 2, True))
+        self.node.listed(EndpointListUpdate(self._known, 2, True))
         self.node.current(self._pauses.good_for())
 
     def _confirm_later(self, clock: LifeClock) -> None:
@@ -206,7 +206,7 @@
         if self._time.us < until_us and self.node.busy:
             self._time.after(LOOK_US, self._collect, clock, until_us)
             return
-        self.node.keep()
+        self.node.save_learned()
         self._learner.close()
         self._end()
 
--- a/amberlug/learning/store.py
+++ b/amberlug/learning/store.py
@@ -12,7 +12,7 @@
 from itertools import islice
 
 from amberlug.core.journal.disk import Disk
-from amberlug.core.journal.syncing import Syncer
+from amberlug.core.journal.sync_scheduler import Syncer
 from amberlug.core.log import log
 from amberlug.learning import blocks as it
 from amberlug.learning.blocks import Generation, Records, RefusedError, Stamp, Type
@@ -155,7 +155,7 @@
             self._remove(self._next.number)
             self._next = self._left = None
 
-    def give_way(self) -> None:
+    def free_disk_space(self) -> None:
         """Leave the disk to the journal: nothing is written for a while, and the generation before goes."""
         self._paused_us = self._clock_us() + RETRY_US
         self._abandon()
--- a/amberlug/peers/fleet.py
+++ b/amberlug/peers/fleet.py
@@ -13,8 +13,8 @@
 from pathlib import Path
 from typing import Any
 
-from amberlug.core.listing import address
-from amberlug.core.messages import is_word
+from amberlug.core.endpoint_list import parse_address
+from amberlug.core.messages import is_valid_name
 from amberlug.core.ports import Address
 from amberlug.platform.checking import Problem
 
@@ -145,7 +145,7 @@
 
 def _address(value: Any, where: str, problems: list[Problem]) -> Address | None:
     try:
-        return address(value)
+        return parse_address(value)
     except (ValueError, AttributeError, TypeError):
         problems.append(Problem(where, f"must be an IP address and port: {value!r}"))
         return None
@@ -186,7 +186,7 @@
 
 
 def _is_name(value: Any) -> bool:
-    return isinstance(value, str) and is_word(value)
+    return isinstance(value, str) and is_valid_name(value)
 
 
 def _classes(table: Any, problems: list[Problem]) -> dict[str, int]:
--- a/amberlug/platform/config.py
+++ b/amberlug/platform/config.py
@@ -8,10 +8,10 @@
 from pathlib import Path
 from typing import Any
 
+from amberlug.core.endpoint_list import CHUNK_BYTES, parse_address, read_list_update, read_object_with_list
 from amberlug.core.journal import Durability
-from amberlug.core.listing import PIECE, address, read_beside, read_news
-from amberlug.core.messages import BODY_MOST
-from amberlug.core.ports import Address, News
+from amberlug.core.messages import MAX_BODY_BYTES
+from amberlug.core.ports import Address, EndpointListUpdate
 from amberlug.learning import read_key
 from amberlug.policy.interface import Settings
 from amberlug.policy.settings import read_settings
@@ -35,7 +35,7 @@
 def read_limits(data: Any) -> Limits:
     """Share out the limits; `ValueError` where they are too tight to serve."""
     sockets = int(float(data["sockets"])) - SPARE
-    clients = min(int(sockets * CLIENTS), int(float(data["memory_mb"]) * 1_000_000 * BODIES / BODY_MOST))
+    clients = min(int(sockets * CLIENTS), int(float(data["memory_mb"]) * 1_000_000 * BODIES / MAX_BODY_BYTES))
     links = sockets - int(sockets * CLIENTS)
     if clients < 1 or links < 1:
         raise ValueError("the limits leave no room to serve")
@@ -51,7 +51,7 @@
     state: Path
     seed: int
     limits: Limits
-    known: News
+    known: EndpointListUpdate
     settings: Settings
     durability: Durability
     learning_key: bytes  # empty where none is set
@@ -75,16 +75,16 @@
         raise ValueError("ROUTER_CONFIG is not set")
     try:
         with Path(path).open("rb") as file:
-            data = read_beside(iter(partial(file.read, PIECE), b""), "known")
+            data = read_object_with_list(iter(partial(file.read, CHUNK_BYTES), b""), "known")
         limits, settings = read_limits(data["limits"]), read_settings(data["settings"])
         # Guards against calls that the module starts and no connection can carry.
         settings = replace(settings, slots=min(settings.slots, limits.links))
-        known = read_news(data["known"], settings.kinds)
+        known = read_list_update(data["known"], settings.kinds)
         state = environ.get("ROUTER_STATE")
         if not state or not Path(state).is_dir():
             raise ValueError("ROUTER_STATE is not a folder")
         return Config(
-            listen=address(environ.get("ROUTER_LISTEN") or data["listen"]),
+            listen=parse_address(environ.get("ROUTER_LISTEN") or data["listen"]),
             discovery=_discovery(environ, data),
             state=Path(state),
             seed=int(str(data["seed"]), 16),
@@ -100,4 +100,4 @@
 
 def _discovery(environ: Mapping[str, str], data: Any) -> Address:
     """Tell where discovery is: by the file, which may be newer than the environment of the start."""
-    return address(data["discovery"] if "discovery" in data else environ.get("ROUTER_DISCOVERY", ""))
+    return parse_address(data["discovery"] if "discovery" in data else environ.get("ROUTER_DISCOVERY", ""))
--- a/amberlug/platform/discovery.py
+++ b/amberlug/platform/discovery.py
@@ -6,10 +6,10 @@
 import contextlib
 from collections.abc import Callable, Collection, Iterator
 
-from amberlug.core.listing import read_line
+from amberlug.core.endpoint_list import read_list_line
 from amberlug.core.log import log
-from amberlug.core.ports import Address, News
-from amberlug.core.slices import Slices
+from amberlug.core.ports import Address, EndpointListUpdate
+from amberlug.core.sliced_queue import SlicedQueue
 from amberlug.http.link import Link, dial
 from amberlug.platform.pauses import Pauses
 
@@ -32,13 +32,13 @@
         where: Address,
         kinds: Collection[str],
         revision: int,
-        told: Callable[[News], Iterator[None]],
+        told: Callable[[EndpointListUpdate], Iterator[None]],
         pauses: Pauses,
         current: Callable[[], None],
     ) -> None:
         self._where, self._kinds, self._told, self._pauses = where, kinds, told, pauses
         self._current, self._tried = current, asyncio.Event()
-        self._slices = Slices(self._broken)
+        self._slices = SlicedQueue(self._broken)
         self._link: Link | None = None
         self._task: asyncio.Task[None] | None = None
         self._revision = revision
@@ -123,7 +123,7 @@
 
     def _read(self, line: bytearray) -> Iterator[None]:
         """Read a line, a slice at a time."""
-        size, news = len(line), read_line(line, self._kinds)
+        size, news = len(line), read_list_line(line, self._kinds)
         yield from self._told(news)
         self._revision = news.revision
         self._unread -= size
--- a/tests/test_copies_store.py
+++ b/tests/test_copies_store.py
@@ -10,7 +10,7 @@
 from amberlug.copies.states import Kind, LogMetadata
 from amberlug.copies.store import CopyStore, DamagedError
 from amberlug.core.journal import FolderDisk
-from amberlug.core.journal.records import HEAD_SIZE
+from amberlug.core.journal.records import HEADER_SIZE
 
 META = LogMetadata("n0", "aa", 7, 2, (("n0", "aa"), ("n1", "bb"), ("n2", "cc")))
 OTHER = LogMetadata("n2", "cc", 8, 2, (("n2", "cc"), ("n1", "bb"), ("n0", "aa")))
@@ -91,7 +91,7 @@
         keep(store, f"m{number}")
     path = newest(tmp_path)
     data = bytearray(path.read_bytes())
-    data[HEAD_SIZE + 300] ^= 4
+    data[HEADER_SIZE + 300] ^= 4
     path.write_bytes(data)
     with pytest.raises(DamagedError):
         open_in(tmp_path)
@@ -107,7 +107,7 @@
     store.work()  # finishes the compaction begun at the start
     path = newest(tmp_path)
     data = bytearray(path.read_bytes())
-    data[HEAD_SIZE + 900] ^= 4
+    data[HEADER_SIZE + 900] ^= 4
     path.write_bytes(data)
     for _ in range(20):
         store.work()
--- a/tests/test_listing.py
+++ b/tests/test_listing.py
@@ -1,4 +1,4 @@
-"""Lists of endpoints: read a member at a time, compared, and applied in slices with drains first."""
+"""Endpoint lists: incremental parsing, comparison, and application in slices with drains first."""
 
 import asyncio
 import json
@@ -11,10 +11,10 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from amberlug.core import listing
-from amberlug.core.listing import read_beside, read_line, read_news
-from amberlug.core.ports import News
-from amberlug.core.slices import Slices
+from amberlug.core import endpoint_list
+from amberlug.core.endpoint_list import read_list_line, read_list_update, read_object_with_list
+from amberlug.core.ports import EndpointListUpdate
+from amberlug.core.sliced_queue import SlicedQueue
 from amberlug.platform.discovery import LINE_MOST, SETTLED, Watch
 from amberlug.platform.pauses import Pauses
 from amberlug.policy import interface as api
@@ -49,17 +49,17 @@
     return [api.Entry(it, "north", "plain", int(it[1:]), state, 1.0, "127.0.0.1:1") for it in names]
 
 
-def test_a_line_says_the_same_whole_or_read_as_asked_for() -> None:
+def test_a_line_parses_the_same_at_once_and_incrementally() -> None:
     items = [item(n, phase=p) for n, p in enumerate(["in_service", "terminating", "terminated"])]
     for text in (
         line(*items),
         json.dumps({"members": items, "more": {"x": [1]}, "complete": False, "revision": 7}, indent=2),
         line(),
     ):
-        data, news = json.loads(text), read_line(text.encode(), KINDS)
-        for one, other in zip(news.entries, read_news(data, KINDS).entries, strict=True):
+        data, news = json.loads(text), read_list_line(text.encode(), KINDS)
+        for one, other in zip(news.entries, read_list_update(data, KINDS).entries, strict=True):
             assert (one.endpoint, one.state) == (other.endpoint, other.state)
-            assert one == other or one.state is State.GONE  # of which only the name counts
+            assert one == other or one.state is State.GONE  # only the name matters then
         assert (news.revision, news.whole) == (data["revision"], data["complete"])
 
 
@@ -94,7 +94,7 @@
     async def scenario() -> None:
         node = node_in(tmp_path, read_settings(setup()))
         with pytest.raises(ValueError, match="."):
-            node.listed(read_line(BROKEN[number].encode(), KINDS))
+            node.listed(read_list_line(BROKEN[number].encode(), KINDS))
         assert not node.serves(1)
 
     asyncio.run(scenario())
@@ -106,44 +106,44 @@
 def test_addresses_are_read_as_they_stand(where: str) -> None:
     if where.startswith("["):
         with pytest.raises(ValueError, match="."):
-            list(read_line(line(item(1, host_port=where)).encode(), KINDS).entries)
+            list(read_list_line(line(item(1, host_port=where)).encode(), KINDS).entries)
     else:
-        (entry,) = read_line(line(item(1, host_port=where)).encode(), KINDS).entries
+        (entry,) = read_list_line(line(item(1, host_port=where)).encode(), KINDS).entries
         assert entry.where == where
 
 
-def beside(known: str) -> str:
+def embed_list(known: str) -> str:
     return f'{{"before": [1, {{}}], "known": {known}, "after": {{"known": 1}}}}'
 
 
 def test_a_list_inside_a_file_is_read_packed_and_once() -> None:
     text = line(item(1), item(2, phase="terminating"), revision=9)
-    data = read_beside(iter([beside(text).encode()]), "known")
+    data = read_object_with_list(iter([embed_list(text).encode()]), "known")
     assert (data["before"], data["after"]) == ([1, {}], {"known": 1})
-    news = read_news(data["known"], KINDS)
-    assert list(news.entries) == list(read_line(text.encode(), KINDS).entries)
+    news = read_list_update(data["known"], KINDS)
+    assert list(news.entries) == list(read_list_line(text.encode(), KINDS).entries)
     assert (news.revision, news.whole) == (9, True)
-    assert list(news.entries) == []  # let go of as it was read
-    assert read_beside(iter([b" {", b" } "]), "known") == {}
-    assert read_beside(iter([b'{"known": 3}']), "known") == {"known": 3}
+    assert list(news.entries) == []  # released while it was read
+    assert read_object_with_list(iter([b" {", b" } "]), "known") == {}
+    assert read_object_with_list(iter([b'{"known": 3}']), "known") == {"known": 3}
 
 
-@pytest.mark.parametrize("piece", [1, 2, 3, 7, 64])
-def test_a_line_says_the_same_in_pieces_of_any_size(monkeypatch: pytest.MonkeyPatch, piece: int) -> None:
+@pytest.mark.parametrize("chunk", [1, 2, 3, 7, 64])
+def test_a_line_parses_the_same_in_chunks_of_any_size(monkeypatch: pytest.MonkeyPatch, chunk: int) -> None:
     items = [item(n, id=f"\u00e9\U0001f600{n}") for n in range(3)]
     text = json.dumps({"revision": 1234, "members": items, "complete": True}, ensure_ascii=False).encode()
-    whole = read_line(text, KINDS)
+    whole = read_list_line(text, KINDS)
     expected = list(whole.entries)
-    monkeypatch.setattr(listing, "PIECE", piece)
-    news = read_line(text, KINDS)
+    monkeypatch.setattr(endpoint_list, "CHUNK_BYTES", chunk)
+    news = read_list_line(text, KINDS)
     assert list(news.entries) == expected
     assert (news.revision, news.whole) == (whole.revision, whole.whole) == (1234, True)
-    for broken in (it for it in BROKEN[:-1] if "ud800" not in it):  # such an id is found out as it is kept
+    for broken in (it for it in BROKEN[:-1] if "ud800" not in it):  # such an ID fails only when it is stored
         with pytest.raises(ValueError, match="."):
-            list(read_line(broken.encode(), KINDS).entries)
+            list(read_list_line(broken.encode(), KINDS).entries)
 
 
-def test_what_is_broken_is_not_read_to_its_end_again_and_again(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_malformed_input_is_not_parsed_repeatedly_to_its_end(monkeypatch: pytest.MonkeyPatch) -> None:
     decoded = 0
 
     def decode(text: str, at: int) -> Any:
@@ -151,17 +151,17 @@
         decoded += 1
         return json.JSONDecoder().raw_decode(text, at)
 
-    monkeypatch.setattr(listing, "_decode", decode)
+    monkeypatch.setattr(endpoint_list, "_decode", decode)
     with pytest.raises(ValueError, match="Unterminated"):
-        list(read_line(b'{"members": ["' + b"x" * (1 << 24), KINDS).entries)
+        list(read_list_line(b'{"members": ["' + b"x" * (1 << 24), KINDS).entries)
     assert decoded < 10
 
 
 @pytest.mark.parametrize("number", range(len(BROKEN)))
 def test_a_broken_list_inside_a_file_is_an_error(number: int) -> None:
     with pytest.raises(ValueError, match="."):  # noqa: PT012
-        data = read_beside(iter([beside(BROKEN[number]).encode()]), "known")
-        read_news(data["known"], KINDS)
+        data = read_object_with_list(iter([embed_list(BROKEN[number]).encode()]), "known")
+        read_list_update(data["known"], KINDS)
 
 
 @pytest.mark.parametrize(
@@ -169,10 +169,10 @@
 )
 def test_a_file_that_is_no_object_is_an_error(text: str) -> None:
     with pytest.raises(ValueError, match="."):
-        read_beside(iter([text.encode()]), "known")
+        read_object_with_list(iter([text.encode()]), "known")
 
 
-def test_a_few_changes_do_not_look_at_all_that_is_listed(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_few_changes_do_not_scan_the_whole_list(monkeypatch: pytest.MonkeyPatch) -> None:
     members, looked = Members(), 0
     for entry in entries(*(f"e{n}" for n in range(1000))):
         members.put(entry)
@@ -193,7 +193,7 @@
 
 
 @pytest.mark.parametrize("told", [0, 1, 30, 299, 300])
-def test_a_whole_list_of_any_length_takes_off_what_it_does_not_name(told: int) -> None:
+def test_a_full_list_removes_endpoints_it_does_not_contain(told: int) -> None:
     members = Members()
     for entry in entries(*(f"e{n}" for n in range(300))):
         members.put(entry)
@@ -231,7 +231,7 @@
     assert set(members) == wanted
     assert all(members.get(name) == entry for name, entry in told.items() if name in wanted)
     rank = {State.DRAINING: 0, State.IN: 1, State.GONE: 2}
-    assert order == sorted(order, key=rank.__getitem__)  # what takes away comes first
+    assert order == sorted(order, key=rank.__getitem__)  # drains first, removals last
 
 
 def test_members_forget_destinations_that_nobody_serves() -> None:
@@ -253,10 +253,12 @@
     async def scenario() -> None:
         node = node_in(tmp_path, read_settings(setup()))
         many = [item(n % 9000, id=f"e{n}", cell=n) for n in range(20 * BATCH)]
-        assert sum(1 for _ in node.listing(read_line(line(*many).encode(), KINDS))) >= 40
-        assert sum(1 for _ in node.listing(read_line(line(item(3), complete=False).encode(), KINDS))) == 3
-        again = list(node.listing(read_line(line(*many).encode(), KINDS)))
-        assert len(again) == 23  # all is compared, nothing applied
+        assert sum(1 for _ in node.listing(read_list_line(line(*many).encode(), KINDS))) >= 40
+        assert (
+            sum(1 for _ in node.listing(read_list_line(line(item(3), complete=False).encode(), KINDS))) == 3
+        )
+        again = list(node.listing(read_list_line(line(*many).encode(), KINDS)))
+        assert len(again) == 23  # everything is compared, nothing applied
 
     asyncio.run(scenario())
 
@@ -264,11 +266,11 @@
 def test_drains_in_a_long_list_count_before_what_it_adds(tmp_path: Path) -> None:
     async def scenario() -> None:
         node = node_in(tmp_path, read_settings(setup()))
-        node.listed(read_line(line(item(1)).encode(), KINDS))
+        node.listed(read_list_line(line(item(1)).encode(), KINDS))
         many = [item(n, cell=n, host_port="127.0.0.1:9") for n in range(2, 20 * BATCH)]
         members, drained_at, added_at = node._sender.members, 0, 0
         for step, _ in enumerate(
-            node.listing(read_line(line(*many, item(1, phase="terminating")).encode(), KINDS))
+            node.listing(read_list_line(line(*many, item(1, phase="terminating")).encode(), KINDS))
         ):
             entry = members.get("e1")
             drained_at = drained_at or (step if entry is not None and entry.state is State.DRAINING else 0)
@@ -282,19 +284,19 @@
 def test_a_replaced_endpoint_leaves_its_destination_listed_throughout(tmp_path: Path, whole: bool) -> None:
     async def scenario() -> None:
         node = node_in(tmp_path, read_settings(setup()))
-        node.listed(read_line(line(item(1)).encode(), KINDS))
+        node.listed(read_list_line(line(item(1)).encode(), KINDS))
         told = [item(1, id="new")] if whole else [item(1, phase="terminated"), item(1, id="new")]
-        for _ in node.listing(read_line(line(*told, complete=whole).encode(), KINDS)):
+        for _ in node.listing(read_list_line(line(*told, complete=whole).encode(), KINDS)):
             assert node.serves(1)
         assert list(node._sender.members) == ["new"]
 
     asyncio.run(scenario())
 
 
-def test_slices_run_in_order_and_leave_the_loop_to_others() -> None:
+def test_the_sliced_queue_runs_in_order_and_yields_to_the_loop() -> None:
     async def scenario() -> None:
         done, turns, finished = list[int](), 0, asyncio.Event()
-        slices = Slices(lambda error: done.append(-1))
+        slices = SlicedQueue(lambda error: done.append(-1))
 
         def job(number: int, steps: int) -> Any:
             for _ in range(steps):
@@ -317,7 +319,7 @@
 
         loop = asyncio.get_running_loop()
         slices.add(job(0, 0))
-        assert done == [0]  # what is short is done at once
+        assert done == [0]  # a short job is completed synchronously
         loop.call_soon(turn)
         slices.add(job(1, 30))
         slices.add(bad())
@@ -330,15 +332,15 @@
     asyncio.run(scenario())
 
 
-class _Reading:
-    """A watch that is fed by hand."""
+class _FedWatch:
+    """A discovery watch whose input the test supplies."""
 
     def __init__(self) -> None:
         self.told: list[list[api.Entry]] = []
-        self.confirmed: list[int] = []  # how much was told, each time that the list was called the newest
+        self.confirmed: list[int] = []  # number of updates so far, at each confirmation of the list
         self.watch = Watch(("127.0.0.1", 1), KINDS, 0, self._listing, Pauses(1, 2.0), self._current)
 
-    def _listing(self, news: News) -> Any:
+    def _listing(self, news: EndpointListUpdate) -> Any:
         self.told.append(list(news.entries))
         yield
 
@@ -346,17 +348,17 @@
         self.confirmed.append(len(self.told))
 
     async def take(self, data: bytes) -> None:
-        """Read a part to its end: on a busy machine more than a slice's time may pass in one."""
+        """Feed data and wait until it is processed, which can take several slices on a busy machine."""
         self.watch._data(data)
         while self.watch._slices._jobs:
             await asyncio.sleep(0)
 
 
-def test_lines_come_in_any_parts() -> None:
+def test_lines_may_arrive_in_parts_of_any_size() -> None:
     async def scenario() -> None:
         data = (line(item(1)) + "\n\n" + line(item(2), revision=9) + "\n").encode()
         for size in (1, 7, 1000):
-            it = _Reading()
+            it = _FedWatch()
             for start in range(0, len(data), size):
                 await it.take(data[start : start + size])
             assert [[entry.endpoint for entry in told] for told in it.told] == [["e1"], ["e2"]]
@@ -368,7 +370,7 @@
 
 def test_a_list_is_the_newest_only_from_the_first_news_of_a_connection_on() -> None:
     async def scenario() -> None:
-        it = _Reading()
+        it = _FedWatch()
         it.watch._asked = asyncio.get_running_loop().time() + 60.0  # never settled
         for data, times in ((b"\n", 0), (line(item(1)).encode(), 0), (b"\n", 1), (b"\n", 2)):
             await it.take(data)
@@ -379,10 +381,10 @@
 
 def test_an_agent_that_sends_empty_lines_alone_confirms_the_list_once_it_would_have_told_changes() -> None:
     async def scenario() -> None:
-        it = _Reading()
+        it = _FedWatch()
         loop = asyncio.get_running_loop()
         it.watch._asked = loop.time()
-        await it.take(b"\n")  # what has changed may stand behind it
+        await it.take(b"\n")  # changes may still follow
         assert it.confirmed == []
         it.watch._asked = loop.time() - SETTLED
         await it.take(b"\n")
@@ -393,7 +395,7 @@
 
 def test_a_line_without_end_is_not_kept() -> None:
     async def scenario() -> None:
-        it = _Reading()
+        it = _FedWatch()
         for _ in range(LINE_MOST // 65536 + 1):
             it.watch._data(b"x" * 65536)
         assert len(it.watch._rest) <= 65536
--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -8,9 +8,9 @@
 from pathlib import Path
 
 from amberlug.core.journal import Journal
-from amberlug.core.messages import Attempt, End, Ending, Message, Outcome, Refusal
+from amberlug.core.messages import Attempt, AttemptResult, End, Message, Outcome, Refusal
 from amberlug.core.node import Node
-from amberlug.core.ports import Address, Calls, News
+from amberlug.core.ports import Address, Calls, EndpointListUpdate
 from amberlug.lab.clock import SECOND, START_US, LifeClock, Time
 from amberlug.lab.disk import MemoryDisk
 from amberlug.lab.play import KINDS, settings_of
@@ -52,7 +52,7 @@
         cleared = self._node.clear(attempts)
         for attempt in attempts:
             result = RESULTS[self.calls * 7919 % len(RESULTS)] if attempt in cleared else Result.UNSENT
-            self._node.ended(attempt, Ending(result))
+            self._node.ended(attempt, AttemptResult(result))
 
     def call_off(self, attempt: Attempt) -> None:
         raise AssertionError("nothing takes that long")
@@ -105,7 +105,7 @@
         for number in range(5)
         for part in "ab"
     ]
-    node.listed(News(entries, 1, True))
+    node.listed(EndpointListUpdate(entries, 1, True))
     node.restore()
 
     def hand_in(number: int) -> None:
@@ -115,7 +115,7 @@
         message = Message(name, kind.name, None, number % 5, f"key-{name}", b"x" * 100, deadline_ms)
         node.hand_in(message, int(kind.deadline_s * SECOND), 0, client)
         if number % 9 == 0:
-            node.hung_up(client)
+            node.client_disconnected(client)
 
     looks: dict[range, list[int]] = {EARLY: [], LATE: []}
     for number in range(MESSAGES):
--- a/tests/test_restart.py
+++ b/tests/test_restart.py
@@ -1,4 +1,4 @@
-"""What outlasts the relay's process: kill -9 and replay, SIGTERM, the journal's file."""
+"""Restarts of the relay process: recovery after SIGKILL, graceful shutdown on SIGTERM."""
 
 import asyncio
 import os
@@ -11,7 +11,7 @@
 
 from amberlug.cli.learnings import Now, ReadOnlyDisk
 from amberlug.core.journal import FolderDisk
-from amberlug.core.journal.recovery import read_folder
+from amberlug.core.journal.recovery import recover_folder
 from amberlug.learning.blocks import number_of
 from amberlug.learning.learner import Learner
 from amberlug.learning.store import Store
@@ -23,8 +23,8 @@
     return sum(-(-path.stat().st_size // 512) * 512 for path in folder.iterdir())
 
 
-@pytest.mark.parametrize(("kind", "again"), [("safe", True), ("keyed", True), ("unsafe", False)])
-def test_a_call_out_at_a_kill_may_have_run(tmp_path: Path, kind: str, again: bool) -> None:
+@pytest.mark.parametrize(("kind", "repeated"), [("safe", True), ("keyed", True), ("unsafe", False)])
+def test_a_call_in_progress_at_a_kill_may_have_run(tmp_path: Path, kind: str, repeated: bool) -> None:
     async def scenario() -> None:
         endpoint = StandIn(OK, None)
         async with world(tmp_path, endpoint) as (relay, platform):
@@ -33,7 +33,7 @@
             await relay.kill()
             await relay.start()
             assert (await relay.hand_in("m1", kind)).status == 202
-            if again:
+            if repeated:
                 assert [seen.name for seen in await endpoint.requests(2)] == ["m1", "m1"]
                 assert endpoint.seen[1].body == b"hello"
             else:
@@ -72,11 +72,11 @@
     run(scenario())
 
 
-async def heard(folder: Path, name: str) -> None:
-    """Wait until the journal tells how a message's first attempt ended."""
+async def wait_for_result(folder: Path, name: str) -> None:
+    """Wait until the journal holds the result of a message's first attempt."""
     async with asyncio.timeout(PATIENCE):
         while True:
-            found = read_folder(FolderDisk(folder, writable=False))
+            found = recover_folder(FolderDisk(folder, writable=False))
             one = found.messages.get(name)
             if name in found.ended or (one is not None and 0 in one.tried and one.tried[0].result):
                 return
@@ -84,30 +84,30 @@
 
 
 @pytest.mark.parametrize("status", [429, 503, 500, 200])
-def test_a_told_wait_is_heeded_after_a_kill(tmp_path: Path, status: int) -> None:
+def test_a_requested_pause_is_observed_after_a_kill(tmp_path: Path, status: int) -> None:
     async def scenario() -> None:
         told: Answer = (status, [("Wait-Ms", "1500")], b"")
         endpoint = StandIn(OK, told)
         async with world(tmp_path, endpoint) as (relay, _):
             began = time.monotonic()
             await relay.hand_in("m1")
-            await heard(tmp_path / "state", "m1")
+            await wait_for_result(tmp_path / "state", "m1")
             await relay.kill()
             await relay.start()
             await relay.hand_in("m2")
             first, second, *_ = await endpoint.requests(2)
             assert second.at > max(began, first.at) + 1.5
-            assert second.at < began + 1.5 + PATIENCE / 4  # soon after
+            assert second.at < began + 1.5 + PATIENCE / 4  # not much later
 
     run(scenario())
 
 
-def test_a_wait_that_may_have_been_told_as_the_process_ended_is_presumed(tmp_path: Path) -> None:
+def test_a_pause_possibly_requested_at_the_kill_is_assumed(tmp_path: Path) -> None:
     async def scenario() -> None:
         endpoint = StandIn(OK, (429, [("Wait-Ms", "900")], b""), None)
         async with world(tmp_path, endpoint) as (relay, _):
             await relay.hand_in("m1")
-            await endpoint.requests(2)  # the second call is out
+            await endpoint.requests(2)  # the second call is in progress
             await relay.kill()
             killed = time.monotonic()
             await relay.start()
@@ -116,9 +116,9 @@
     run(scenario())
 
 
-def test_a_kill_while_generations_change_leaves_one_that_is_believed(tmp_path: Path) -> None:
+def test_a_kill_during_a_change_of_generation_leaves_a_valid_one(tmp_path: Path) -> None:
     async def scenario() -> None:
-        endpoint = StandIn((200, [("Wait-Ms", "1")], b""))  # each is a record
+        endpoint = StandIn((200, [("Wait-Ms", "1")], b""))  # each one writes a record
         state = tmp_path / "state"
         async with world(tmp_path, endpoint, limits={"disk_mb": 0.1}) as (relay, _):
             numbers = set()
@@ -131,12 +131,12 @@
                 learner = Learner(Store(ReadOnlyDisk(state), 10**6, now.now_us), now)
                 assert learner.refused == []
                 await relay.start()
-            assert len(numbers) >= 5  # many generations were made
+            assert len(numbers) >= 5  # many generations were written
 
     run(scenario())
 
 
-def test_an_unanswered_notice_is_sent_by_the_next_life(tmp_path: Path) -> None:
+def test_an_unanswered_notice_is_sent_after_the_restart(tmp_path: Path) -> None:
     async def scenario() -> None:
         endpoint = StandIn((500, [], b""))
         async with world(tmp_path, endpoint) as (relay, platform):
@@ -152,7 +152,7 @@
     run(scenario())
 
 
-def test_sigterm_answers_what_comes_collects_what_is_out_and_starts_nothing(tmp_path: Path) -> None:
+def test_sigterm_answers_new_requests_finishes_open_calls_and_starts_none(tmp_path: Path) -> None:
     async def scenario() -> None:
         endpoint = StandIn(OK, None)
         async with world(tmp_path, endpoint, FamilyInfo__Slots=1) as (relay, platform):
@@ -161,7 +161,7 @@
             (out,) = await endpoint.requests(1)
             await relay.hand_in("m2", "unsafe")
             relay.signal(signal.SIGTERM)
-            # What loses most of its worth in a restart is handed back when the relay closes.
+            # Messages that would lose most of their worth during a restart are handed back at shutdown.
             assert [it["outcome"] for it in await platform.noticed()] == ["handed_back"]
             late = await link.request(
                 "POST",
