--- a/amberlug/platform/__init__.py
+++ b/amberlug/platform/__init__.py
@@ -1,1 +1,1 @@
-"""The relay as a daemon on its platform: configuration, discovery, notices, signals."""
+"""The relay as a daemon: configuration, service discovery, outcome notices and signal handling."""
--- a/amberlug/platform/checking.py
+++ b/amberlug/platform/checking.py
@@ -1,4 +1,4 @@
-"""Checks a relay's configuration whole: every error with its place, where a start would tell the first."""
+"""Validates a relay's configuration and reports every error; a start stops at the first one."""
 
 from __future__ import annotations
 
@@ -17,28 +17,28 @@
 
 @dataclass(frozen=True, slots=True)
 class Problem:
-    """One thing that is wrong: its place in the file, and what it is."""
+    """A validation error: its location in the file, and a message."""
 
     where: str
     what: str
 
 
 def check(text: str) -> list[Problem]:
-    """All that is wrong with a configuration, in the order of its parts."""
+    """Return all validation errors of a configuration, in the order of its sections."""
     try:
         data = json.loads(text)
     except json.JSONDecodeError as error:
         return [Problem(f"line {error.lineno} column {error.colno}", error.msg)]
     except RecursionError:
-        return [Problem("the whole", "it is nested too deep")]
+        return [Problem("the whole", "nested too deeply")]
     if not isinstance(data, Mapping):
-        return [Problem("the whole", "it is no object")]
+        return [Problem("the whole", "not a JSON object")]
     parts = (_addresses, _seed, _durability, _learning_key, _limits, _settings, _known)
     return [problem for part in parts for problem in part(data)]
 
 
 def _addresses(data: Mapping[str, Any]) -> Iterator[Problem]:
-    """Both may also come from the environment: only what stands here is checked."""
+    """Check both addresses if present: each may come from the environment instead."""
     for name in ("listen", "discovery"):
         if name not in data:
             continue
@@ -67,20 +67,20 @@
         read_durability(data)
     except ValueError:
         words = ", ".join(it.value for it in Durability)
-        yield Problem("durability", f"none of {words}: {data['durability']!r}")
+        yield Problem("durability", f"not one of {words}: {data['durability']!r}")
 
 
 def _limits(data: Mapping[str, Any]) -> Iterator[Problem]:
     limits = data.get("limits")
     if not isinstance(limits, Mapping):
-        yield Problem("limits", "missing, or no object")
+        yield Problem("limits", "missing, or not an object")
         return
     bad = False
     for name in LIMITS:
         value = limits.get(name)
         if isinstance(value, bool) or not isinstance(value, int | float) or not 0 < value < 1e12:
             bad = True
-            yield Problem(f"limits.{name}", f"not a number above 0: {value!r}")
+            yield Problem(f"limits.{name}", f"not a positive number below 1e12: {value!r}")
     if not bad:
         try:
             read_limits(limits)
@@ -91,7 +91,7 @@
 def _settings(data: Mapping[str, Any]) -> Iterator[Problem]:
     table = data.get("settings")
     if not isinstance(table, Mapping):
-        yield Problem("settings", "missing, or no object")
+        yield Problem("settings", "missing, or not an object")
         return
     for line in settings.problems(table):
         place, _, what = line.removeprefix("setting ").partition(" ")
@@ -99,13 +99,13 @@
 
 
 def _known(data: Mapping[str, Any]) -> Iterator[Problem]:
-    """The list of endpoints; kinds are looked at where the settings name them."""
+    """Check the initial list of endpoints; their kinds are checked if the settings define any."""
     known, table = data.get("known"), data.get("settings")
     if not isinstance(known, Mapping) or not isinstance(known.get("members"), list):
-        yield Problem("known.members", "missing, or no list")
+        yield Problem("known.members", "missing, or not an array")
         return
     if not isinstance(known.get("revision"), int):
-        yield Problem("known.revision", f"not a whole number: {known.get('revision')!r}")
+        yield Problem("known.revision", f"not an integer: {known.get('revision')!r}")
     named = table.get("Kinds") if isinstance(table, Mapping) else None
     seen: set[str] = set()
     for number, item in enumerate(known["members"]):
@@ -118,5 +118,5 @@
             yield Problem(where, str(error))
             continue
         if entry.endpoint in seen:
-            yield Problem(where, f"the id {entry.endpoint!r} is listed twice")
+            yield Problem(where, f"endpoint id {entry.endpoint!r} is listed twice")
         seen.add(entry.endpoint)
--- a/amberlug/platform/config.py
+++ b/amberlug/platform/config.py
@@ -1,4 +1,4 @@
-"""What a relay is told at its start, and again on SIGHUP: reads it, and shares out the limits in it."""
+"""Reads a relay's configuration, at startup and on SIGHUP, and divides up the resource limits in it."""
 
 from __future__ import annotations
 
@@ -16,35 +16,37 @@
 from amberlug.policy.interface import Settings
 from amberlug.policy.settings import read_settings
 
-SPARE = 48  # descriptors for watch, notices, files and signals, and for what is accepted or dialed meanwhile
-CLIENTS = (
-    0.6  # part of the others for clients, who hold a third of all at most for requests; the rest for calls
+SPARE = (
+    48  # file descriptors for the watch, notices, files, signals, and connections being accepted or dialed
 )
-BODIES = 0.25  # part of the memory that the bodies being read may take
+# Fraction of the other descriptors for client connections, which use at most a third of all of them for
+# requests; the rest is for calls to endpoints.
+CLIENTS = 0.6
+BODIES = 0.25  # fraction of the memory limit for request bodies that are being read
 
 
 @dataclass(frozen=True, slots=True)
 class Limits:
-    """How much each side of the relay may hold at once, out of what the deployment allows."""
+    """What each side of the relay may use at once, within the deployment's limits."""
 
-    clients: int  # connections of clients
+    clients: int  # client connections
     links: int  # connections to endpoints
     disk_bytes: int
 
 
 def read_limits(data: Any) -> Limits:
-    """Share out the limits; `ValueError` where they are too tight to serve."""
+    """Divide up the limits; raises `ValueError` if they are too low to serve with."""
     sockets = int(float(data["sockets"])) - SPARE
     clients = min(int(sockets * CLIENTS), int(float(data["memory_mb"]) * 1_000_000 * BODIES / BODY_MOST))
     links = sockets - int(sockets * CLIENTS)
     if clients < 1 or links < 1:
-        raise ValueError("the limits leave no room to serve")
+        raise ValueError("limits are too low: no client or no endpoint connection is left")
     return Limits(clients, links, int(float(data["disk_mb"]) * 1_000_000))
 
 
 @dataclass(frozen=True, slots=True)
 class Config:
-    """What a relay is told at its start."""
+    """A relay's configuration."""
 
     listen: Address
     discovery: Address
@@ -54,22 +56,22 @@
     known: News
     settings: Settings
     durability: Durability
-    learning_key: bytes  # empty where none is set
+    learning_key: bytes  # empty if none is set
 
 
 def read_learning_key(data: Mapping[str, Any]) -> bytes:
-    """Read the key that vouches for what was learned: an operator's file, which the platform leaves out."""
+    """Read the key that authenticates learned data: set by operators only, never by the platform."""
     path = data.get("learning_key_file")
     return b"" if path is None else read_key(Path(path))
 
 
 def read_durability(data: Mapping[str, Any]) -> Durability:
-    """Read what a message that was taken on outlasts: an operator's choice, which the platform leaves out."""
+    """Read what accepted messages must survive: set by operators only, never by the platform."""
     return Durability(data.get("durability", Durability.PROCESS.value))
 
 
 def read_config(environ: Mapping[str, str]) -> Config:
-    """Read the configuration; `ValueError` or `OSError` where it is bad or missing."""
+    """Read the configuration; raises `ValueError` or `OSError` if it is invalid or missing."""
     path = environ.get("ROUTER_CONFIG")
     if not path:
         raise ValueError("ROUTER_CONFIG is not set")
@@ -77,12 +79,12 @@
         with Path(path).open("rb") as file:
             data = read_beside(iter(partial(file.read, PIECE), b""), "known")
         limits, settings = read_limits(data["limits"]), read_settings(data["settings"])
-        # Guards against calls that the module starts and no connection can carry.
+        # Keeps the decision module from starting calls for which there is no connection.
         settings = replace(settings, slots=min(settings.slots, limits.links))
         known = read_news(data["known"], settings.kinds)
         state = environ.get("ROUTER_STATE")
         if not state or not Path(state).is_dir():
-            raise ValueError("ROUTER_STATE is not a folder")
+            raise ValueError("ROUTER_STATE is not a directory")
         return Config(
             listen=address(environ.get("ROUTER_LISTEN") or data["listen"]),
             discovery=_discovery(environ, data),
@@ -95,9 +97,9 @@
             learning_key=read_learning_key(data),
         )
     except (KeyError, TypeError, AttributeError, OverflowError, RecursionError) as error:
-        raise ValueError(f"the configuration is malformed: {error!r}") from None
+        raise ValueError(f"malformed configuration: {error!r}") from None
 
 
 def _discovery(environ: Mapping[str, str], data: Any) -> Address:
-    """Tell where discovery is: by the file, which may be newer than the environment of the start."""
+    """Return discovery's address; the file takes precedence, as it may be newer than the environment."""
     return address(data["discovery"] if "discovery" in data else environ.get("ROUTER_DISCOVERY", ""))
--- a/amberlug/platform/daemon.py
+++ b/amberlug/platform/daemon.py
@@ -1,4 +1,4 @@
-"""Run one relay: wire its parts, reread the configuration on SIGHUP, end well on SIGTERM."""
+"""Runs one relay: wires its components, reloads the configuration on SIGHUP, stops gracefully on SIGTERM."""
 
 from __future__ import annotations
 
@@ -33,45 +33,45 @@
 from amberlug.platform.turns import Turns
 from amberlug.policy.interface import Settings
 
-OPEN_FOR = 0.6  # seconds after SIGTERM that connections are still taken: they go on coming for 0.4 s
-COLLECT_FOR = 3.0  # seconds after SIGTERM for calls that are out: SIGKILL comes at 3.7 s
-LOOK_AGAIN = 0.02
+OPEN_FOR = 0.6  # seconds after SIGTERM to keep accepting connections: new ones arrive for 0.4 s
+COLLECT_FOR = 3.0  # seconds after SIGTERM for calls in flight to end: SIGKILL follows at 3.7 s
+LOOK_AGAIN = 0.02  # seconds between checks while stopping
 BACKLOG = 512
-DISK_SHARE = 0.9  # of the folder's room for the journal; over it the relay is ended
-YOUNG = 10_000  # new objects between looks for garbage in cycles, of which a message leaves few
-ACCEPTS = 16  # connections accepted in one turn of the loop
+DISK_SHARE = 0.9  # of the disk limit, to be used; the deployment ends a relay that exceeds the limit
+YOUNG = 10_000  # threshold of the youngest generation for the cycle collector; messages create few cycles
+ACCEPTS = 16  # connections accepted in one iteration of the event loop
 
 
 class Front(Protocol):
-    """A further way in and out, beside HTTP."""
+    """A further protocol for messages in and out, beside HTTP."""
 
     def transport(self, others: Transport) -> Transport:
-        """Take the place of the transport; what is not for this front is passed on."""
+        """Wrap the transport; calls that are not for this protocol are passed to `others`."""
 
     def ends(self, notices: Ends) -> Ends:
-        """Take the place of the notices; what is not for this front is passed on."""
+        """Wrap the notices; those that are not for this protocol are passed on."""
 
     async def start(self, node: Node) -> None:
-        """Begin to take messages on; `OSError` where that can't be."""
+        """Start accepting messages; raises `OSError` if that fails."""
 
     def close(self) -> None:
-        """Take nothing on any more."""
+        """Stop accepting messages."""
 
     def stop(self) -> None:
-        """Let go of everything."""
+        """Close all connections and release all resources."""
 
 
 class Guard(Protocol):
-    """What has others hold what is taken on here."""
+    """Replicates accepted messages to other relays."""
 
     def journal(self, inner: Journal) -> ports.Journal:
-        """Take the place of the journal."""
+        """Wrap the journal."""
 
     async def start(self, node: Node) -> None:
-        """Begin to talk to others; `OSError` where that can't be."""
+        """Start communicating with the other relays; raises `OSError` if that fails."""
 
     async def stop(self) -> None:
-        """Tell them that this relay goes, and let go of everything."""
+        """Announce to the others that this relay leaves, and release all resources."""
 
 
 MakeFront = Callable[[Settings, Clock], Front]
@@ -81,14 +81,14 @@
 async def serve(
     config: Config, turns: Turns, make_front: MakeFront | None = None, make_guard: MakeGuard | None = None
 ) -> None:
-    """Serve until SIGTERM."""
+    """Serve until SIGTERM or SIGINT."""
     loop = asyncio.get_running_loop()
     stop, moved = asyncio.Event(), asyncio.Event()
-    # Guards against a signal that comes before there is a watch to move, which would end the process.
+    # A SIGHUP that arrives before the watch exists would otherwise end the process.
     loop.add_signal_handler(signal.SIGHUP, moved.set)
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, stop.set)
-    away = any(config.state.iterdir())  # an earlier process was here
+    away = any(config.state.iterdir())  # an earlier process used this directory
     lock = FolderLock(config.state, lambda: not loop.is_closed())
     clock = LoopClock()
     room = int(config.limits.disk_bytes * DISK_SHARE)
@@ -115,7 +115,7 @@
         config.discovery, config.settings.kinds, config.known.revision, node.listing, pauses, confirmed
     )
     watch.start()
-    # Guards against first calls to what began to drain while no process was here.
+    # Avoids first calls to endpoints that began to drain while no process was running.
     await watch.tried(ASK_FOR)
     if guard is not None:
         await guard.start(node)
@@ -124,14 +124,14 @@
     sock = socket.create_server(
         config.listen, family=socket.AF_INET6 if ":" in config.listen[0] else socket.AF_INET
     )
-    # asyncio accepts as many in one turn as its backlog tells, before one of them can be given up again.
+    # In one iteration asyncio accepts up to `backlog` connections, before any of them can be closed again.
     listener = await loop.create_server(server, sock=sock, backlog=ACCEPTS)
     sock.listen(BACKLOG)
     loop.add_signal_handler(signal.SIGHUP, reread, watch, notices)
     notices.start()
     if moved.is_set():
         reread(watch, notices)
-    # Guards against collections that look through all modules again and again, and hold up the loop.
+    # Keeps the collector from repeatedly scanning all loaded modules, which blocks the event loop.
     gc.collect()
     gc.freeze()
     gc.set_threshold(YOUNG)
@@ -148,7 +148,7 @@
         await asyncio.sleep(LOOK_AGAIN)
     listener.close()
     server.close_idle()
-    await asyncio.sleep(LOOK_AGAIN)  # a request that is being read is answered first
+    await asyncio.sleep(LOOK_AGAIN)  # lets a request that is being read be answered first
     watch.stop()
     notices.stop()
     if front is not None:
@@ -161,24 +161,24 @@
 
 
 def reread(watch: Watch, notices: Notices) -> None:
-    """Go on at the address that the file names now, with all that is held; limits wait for the next start."""
+    """Switch to discovery's address in the file and keep all state; new limits apply from the next start."""
     try:
         config = read_config(os.environ)
     except (ValueError, OSError) as error:
-        # Guards against ending on a file that is bad or half written: the old configuration serves.
-        log(f"configuration not reread: {plain(error)}")
+        # An invalid or partially written file must not end the process: the old configuration stays in use.
+        log(f"configuration not reloaded, the previous one stays in use: {plain(error)}")
         return
     watch.move(config.discovery)
     notices.move(config.discovery)
 
 
 def plain(error: Exception) -> str:
-    """Say an error in one line."""
+    """Format an error as a single line."""
     return str(error).replace("\n", " ")
 
 
 def main(make_front: MakeFront | None = None, make_guard: MakeGuard | None = None) -> int:
-    """Run the relay; 0 after SIGTERM, 2 after one plain line on what it can't be started with."""
+    """Run the relay; returns 0 after SIGTERM, 2 after a one-line message if it can't be started."""
     logging.basicConfig(stream=sys.stderr, format="%(message)s")
     LOGGER.setLevel(logging.INFO)
     give_back()
--- a/amberlug/platform/discovery.py
+++ b/amberlug/platform/discovery.py
@@ -1,4 +1,4 @@
-"""Follows the list of endpoints at the platform's discovery."""
+"""Follows the list of endpoints that the platform's discovery service streams."""
 
 from __future__ import annotations
 
@@ -13,18 +13,18 @@
 from amberlug.http.link import Link, dial
 from amberlug.platform.pauses import Pauses
 
-SETTLED = 1.0  # seconds after which an agent that answers at once has told what it had to tell
-SILENCE = 5.0  # seconds without a line, which come every 2 s, after which the watch is renewed
-ASK_FOR = 0.25  # seconds that a start waits for discovery, which answers at once
-DIAL = 1.0  # seconds for a connection
-LINE_MOST = 1 << 24  # longest line that is read, 100,000 members: bounds memory against a broken peer
+SETTLED = 1.0  # seconds within which an agent that answers immediately has sent all pending changes
+SILENCE = 5.0  # seconds without data after which the watch reconnects; a line arrives every 2 s
+ASK_FOR = 0.25  # seconds that a start waits for discovery, which answers immediately
+DIAL = 1.0  # seconds to establish a connection
+LINE_MOST = 1 << 24  # longest line accepted, some 100,000 members: bounds memory if the peer is faulty
 
 
 class Watch:
-    """Follows the list; a connection that breaks, goes silent or sends what can't be read is renewed.
+    """Follows the list; reconnects after a connection fails, times out or sends malformed data.
 
-    `told` makes the work of news, which is done in slices; `revision` is that of the list told before.
-    `current` is called when all that discovery had to tell has been told, each time that it says so.
+    `told` returns the job that applies an update, which is run in slices. `revision` is that of the list
+    known so far. `current` is called each time discovery has confirmed that no change is outstanding.
     """
 
     def __init__(
@@ -43,16 +43,20 @@
         self._task: asyncio.Task[None] | None = None
         self._revision = revision
         self._rest = bytearray()
-        self._searched = self._unread = 0  # bytes of the rest without a line's end; of lines still to be read
+        self._searched = self._unread = (
+            0  # bytes of `_rest` searched for a newline; bytes of complete lines not yet processed
+        )
         self._heard = self._asked = 0.0
-        self._confirmed = False  # whether this connection has brought its first object: what has changed
+        self._confirmed = (
+            False  # whether this connection has delivered its first object, the changes since `revision`
+        )
 
     def start(self) -> None:
-        """Begin to ask."""
+        """Start following the list."""
         self._begin(0.0)
 
     async def tried(self, seconds: float) -> None:
-        """Wait until discovery has answered once, or refused, for so long at the most."""
+        """Wait until discovery has answered or a first attempt has failed, up to a timeout."""
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(seconds):
                 await self._tried.wait()
@@ -61,7 +65,7 @@
         self._task = asyncio.get_running_loop().create_task(self._run(after))
 
     def stop(self) -> None:
-        """End it with its connection."""
+        """Stop following the list and close the connection."""
         if self._task is not None:
             self._task.cancel()
         self._slices.clear()
@@ -69,7 +73,7 @@
             self._link.close()
 
     def move(self, where: Address) -> None:
-        """Go on at another address at once: what is told there counts, whatever the old one still says."""
+        """Reconnect to another address immediately; data still in flight from the old one is ignored."""
         if where != self._where:
             log(f"discovery: now at {where[0]}:{where[1]}")
             self.stop()
@@ -86,8 +90,8 @@
             await asyncio.sleep(self._pauses.after(self._heard > started, refused))
 
     async def _follow(self, link: Link) -> bool:
-        """Follow the list on a connection until it ends: whether it ended by a refusal."""
-        self._slices.clear()  # what an earlier connection brought comes again
+        """Follow the list until the connection ends; returns whether discovery ended it, a refusal."""
+        self._slices.clear()  # whatever an earlier connection left unprocessed is sent again
         self._rest.clear()
         self._searched = self._unread = 0
         self._confirmed = False
@@ -98,7 +102,7 @@
         while not reply.done() and (left := self._heard + SILENCE - loop.time()) > 0:
             await asyncio.wait({reply}, timeout=left)
         if not reply.done():
-            log("discovery: silent, connection renewed")
+            log("discovery: no data received, reconnecting")
         link.close()
         return reply.done()
 
@@ -106,37 +110,38 @@
         self._heard = asyncio.get_running_loop().time()
         self._rest += data
         while (end := self._rest.find(b"\n", self._searched)) >= 0:
-            line, self._rest = self._rest, self._rest[end + 1 :]  # without a copy of what may be long
+            line, self._rest = self._rest, self._rest[end + 1 :]  # avoids copying a long line
             del line[end:]
             self._searched = 0
-            if line and not line.isspace():  # strip() would copy what may be long
+            if line and not line.isspace():  # strip() would copy a long line
                 self._unread += len(line)
                 self._confirmed = True
                 self._slices.add(self._read(line))
-            # An agent may send no first object where nothing has changed. An empty line proves that only once
-            # one that answers at once would have told it: as the first byte it may stand before the object.
+            # If nothing has changed, an agent may send no first object. An empty line proves this only after
+            # the time in which an agent that answers immediately would have sent it: an empty line may also
+            # precede the object.
             if self._confirmed or self._heard - self._asked >= SETTLED:
                 self._slices.add(self._confirm())
         self._searched = len(self._rest)
         if len(self._rest) + self._unread > LINE_MOST:
-            self._broken(ValueError("line too long"))
+            self._broken(ValueError(f"line exceeds {LINE_MOST} bytes"))
 
     def _read(self, line: bytearray) -> Iterator[None]:
-        """Read a line, a slice at a time."""
+        """Parse a line and apply it, a slice at a time."""
         size, news = len(line), read_line(line, self._kinds)
         yield from self._told(news)
         self._revision = news.revision
         self._unread -= size
 
     def _confirm(self) -> Iterator[None]:
-        """Say that the list is the newest, once all that came before has been told."""
+        """Report the list as current, once all earlier updates have been applied."""
         self._current()
         self._tried.set()
         yield
 
     def _broken(self, error: ValueError) -> None:
-        # A broken line must not stop the relay; what it held comes again on the next connection.
-        log(f"discovery: {error}, connection renewed")
+        # A malformed line must not stop the relay; its content is sent again on the next connection.
+        log(f"discovery: {error}, reconnecting")
         self._slices.clear()
         self._rest.clear()
         self._searched = self._unread = 0
--- a/amberlug/platform/heard.py
+++ b/amberlug/platform/heard.py
@@ -1,4 +1,4 @@
-"""When discovery last confirmed the list: kept beyond the process, since the next begins with that list."""
+"""Stores when discovery last confirmed the list: the next process starts with the same list."""
 
 from __future__ import annotations
 
@@ -11,19 +11,22 @@
 from amberlug.core.ports import Clock
 
 FILE = "heard"
-EVERY_US = SECOND // 2  # between two notes: the next life takes the list for so much older at the most
+EVERY_US = SECOND // 2  # between two writes: the next process takes the list to be older by at most this
 _FORM = struct.Struct(">Q40sI")
 
 
 class Heard:
-    """The moment, by the machine's own clock; a note that can't be made only has the list seem older."""
+    """The time of the last confirmation, by the machine's monotonic clock.
+
+    If it can't be written, the list only appears to be older than it is.
+    """
 
     def __init__(self, folder: Path, clock: Clock) -> None:
         self._path, self._clock = folder / FILE, clock
         self._noted_us: int | None = None
 
     def age_s(self) -> float | None:
-        """Seconds since then; None where that is not known, as after a start of the machine itself."""
+        """Return the seconds since then; None if that is unknown, as after a reboot."""
         try:
             data = self._path.read_bytes()
         except OSError:
@@ -37,7 +40,7 @@
         return max(0, self._clock.now_us() - int(at_us)) / SECOND
 
     def note(self) -> None:
-        """It was confirmed just now."""
+        """Store that the list has just been confirmed."""
         now_us, boot = self._clock.now_us(), self._clock.boot.encode()
         if not boot or (self._noted_us is not None and now_us - self._noted_us < EVERY_US):
             return
--- a/amberlug/platform/memory.py
+++ b/amberlug/platform/memory.py
@@ -1,17 +1,17 @@
-"""What the process holds of memory that it no longer uses."""
+"""Returns freed memory from the C allocator to the operating system."""
 
 import ctypes
 import sys
 
 _TRIM_THRESHOLD, _MMAP_THRESHOLD = -1, -3  # mallopt(3) of the GNU C library
-LARGE = 128 * 1024  # bytes: what is larger is mapped on its own, and given back when it is let go of
+LARGE = 128 * 1024  # bytes: larger allocations get their own mapping, which is unmapped when they are freed
 
 
 def give_back() -> None:
-    """Have large pieces given back to the system when they are let go of; of effect with glibc alone."""
-    # Guards against a process that stays as large as the longest list it has read: the library raises its
-    # threshold with the first large piece that is freed, and keeps what is below it. Costs a system call for
-    # each large piece, of which messages make none.
+    """Have large allocations returned to the system when they are freed; only glibc supports this."""
+    # Otherwise the process stays as large as the longest list it has read: glibc raises its threshold when
+    # the first large allocation is freed, and keeps freed memory below the threshold. Costs a system call for
+    # each large allocation; messages need none.
     if sys.platform == "linux" and hasattr(library := ctypes.CDLL(None), "mallopt"):
         library.mallopt(_MMAP_THRESHOLD, LARGE)
         library.mallopt(_TRIM_THRESHOLD, LARGE)
--- a/amberlug/platform/notices.py
+++ b/amberlug/platform/notices.py
@@ -1,4 +1,4 @@
-"""The notices of messages that ended undelivered: each goes to the platform until it is answered."""
+"""Notifies the platform of messages that ended undelivered, and resends each notice until it is answered."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 from amberlug.http.link import Link, LinkLostError, Reply, dial
 from amberlug.platform.pauses import FIRST, MOST
 
-ANSWER = 1.0  # seconds for a notice's answer, which comes at once
-AGAIN = 0.15  # seconds without an answer after which a notice goes again, on another connection
-POSTS_MOST = 12  # requests with notices that are out at once: each may take turns of a loop that is behind
-NOTICES_MOST = 100  # notices in one request: keeps it under 64 KiB
+ANSWER = 1.0  # seconds to wait for a response, which normally comes immediately
+AGAIN = 0.15  # seconds without a response after which a notice is sent again, on another connection
+POSTS_MOST = 12  # concurrent requests with notices: each may take iterations of an event loop that is behind
+NOTICES_MOST = 100  # notices in one request: keeps its body under 64 KiB
 
 
 def line(end: End) -> bytes:
-    """Write a notice as the platform reads it."""
+    """Encode a notice as a line of JSON, the platform's format."""
     fields: dict[str, str | int] = {"message": end.message, "outcome": end.outcome.value}
     if end.retry_ms > 0:
         fields["retry_in_ms"] = end.retry_ms
@@ -27,14 +27,14 @@
 
 
 class Notices:
-    """Sends each notice at once, and again until it is answered 204."""
+    """Sends each notice immediately, and again until it is answered with 204."""
 
     def __init__(self, where: tuple[str, int]) -> None:
         self._where = where
         self._waiting: dict[str, End] = {}
         self._unsent: dict[str, End] = {}
         self._posts: set[asyncio.Task[None]] = set()
-        self._links: list[Link] = []  # that carry no notice
+        self._links: list[Link] = []  # idle connections
         self._pause, self._most = FIRST, NOTICES_MOST
         self._running = False
 
@@ -46,11 +46,11 @@
         self._done = acknowledged
 
     def owed(self, end: End) -> bool:
-        """Tell the platform of all but deliveries, and of what it has called over itself."""
+        """Return whether the platform must be notified: not of deliveries or of ends it reported itself."""
         return end.outcome is not Outcome.DELIVERED and not end.known
 
     def tell(self, end: End) -> None:
-        """Take an end, to be sent with others of its round."""
+        """Queue an end, to be sent with the others of its round."""
         if self.owed(end):
             self._waiting[end.message] = self._unsent[end.message] = end
 
@@ -60,7 +60,7 @@
         self.send()
 
     def stop(self) -> None:
-        """End it with its connections; what is out on those is given up."""
+        """Stop sending, cancel requests in flight and close the connections."""
         self._running = False
         for task in self._posts:
             task.cancel()
@@ -69,15 +69,15 @@
         self._links, self._posts = [], set()
 
     def move(self, where: tuple[str, int]) -> None:
-        """Go on at another address at once, with all that was not answered at the old one."""
+        """Switch to another address immediately, and resend there all unanswered notices."""
         if where != self._where:
-            log(f"discovery: notices now go to {where[0]}:{where[1]}")
+            log(f"notices: now sent to {where[0]}:{where[1]}")
             self.stop()
             self._where = where
             self.start()
 
     def send(self) -> None:
-        """Write what is to be sent now, before the loop does anything else."""
+        """Send unsent notices now: writes on an idle connection happen before this returns."""
         while self._running and self._unsent and len(self._posts) < POSTS_MOST:
             sent = list(islice(self._unsent.values(), self._most))
             for notice in sent:
@@ -93,9 +93,9 @@
         return link.request("POST", "/v1/notices", [], b"".join(line(it) for it in notices))
 
     async def _post(self, sent: list[End], link: Link | None, written: asyncio.Future[Reply] | None) -> None:
-        """See notices to their answer, or have them sent again."""
-        # Guards against an answer or a dial that is held up: a notice that waits behind it is late, and so a
-        # message lost. It goes again on another connection meanwhile, which does no harm, but adds to load.
+        """Wait for the response to a batch, and have it sent again if there is none."""
+        # A notice that waits for a delayed response or dial would be late, and a late notice means a lost
+        # message. It is sent again on another connection meanwhile; a duplicate is harmless, but adds load.
         again = asyncio.get_running_loop().call_later(AGAIN, self._again, sent)
         status = 0
         try:
@@ -119,13 +119,13 @@
         if status == 204 or (status == 400 and len(sent) == 1):
             self._pause, self._most = FIRST, NOTICES_MOST
             self._ended(sent, status)
-        elif status == 400:  # one that can't be read must not hold back the others
+        elif status == 400:  # a notice that the platform rejects must not block the others
             self._most = 1
             self._again(sent)
         else:
             loop.call_later(self._pause, self._again, sent)
             self._pause = min(2 * self._pause, MOST)
-        loop.call_soon(self.send)  # this one's place is free by then
+        loop.call_soon(self.send)  # by then this request no longer counts against the limit
 
     def _again(self, sent: list[End]) -> None:
         self._unsent.update((it.message, it) for it in sent if self._waiting.get(it.message) is it)
@@ -135,7 +135,7 @@
         for notice in sent:
             if self._waiting.get(notice.message) is notice:
                 if status != 204:
-                    log(f"notice for {notice.message} can't be read there: dropped")
+                    log(f"notices: platform rejected the notice for {notice.message} as malformed, dropped")
                 del self._waiting[notice.message]
                 self._unsent.pop(notice.message, None)
                 self._done(notice.message)
--- a/amberlug/platform/trace.py
+++ b/amberlug/platform/trace.py
@@ -1,18 +1,18 @@
-"""Every event and decision of a relay as lines of its log, for counts over a whole fleet.
+"""Logs every event and decision of a relay, for statistics over a whole fleet.
 
-A line for each round: `~`, the relay's clock in microseconds, then words of fields that are set apart by `:`.
-All times are microseconds. A space or a colon in a name is written as `_`.
+Each round is one line: `~`, the relay's clock in microseconds, then words whose fields are separated by `:`.
+All times are in microseconds. A space or a colon in a name is written as `_`.
 
 | word | fields |
 | --- | --- |
-| `K` | a class, as this process begins: name, worth, aim, deadline, part of its worth that is left then |
-| `T` | a message: its number in this life, destination, class, microseconds left |
-| `B` | the same, held from before a restart, with attempts made |
-| `S` | a send: message, endpoint, the first message of its call, 1 where it wants a new connection |
-| `O` | an outcome: message, attempt, endpoint, result, told wait, 1 on a used connection, time it took |
-| `R` | handed back or refused: message, microseconds until its client may come again |
-| `F` | given up: message |
-| `L` | listed: endpoint, destination, kind, phase, rate |
+| `K` | a message class, at startup: name, worth, aim, deadline, fraction of the worth left at the deadline |
+| `T` | message accepted: its number in this process, destination, class, time left |
+| `B` | message resumed after a restart: the same fields, and the number of attempts made |
+| `S` | send: message, endpoint, the first message of its call, 1 if a new connection is required |
+| `O` | outcome: message, attempt, endpoint, result, requested wait, 1 on a reused connection, duration |
+| `R` | handed back or refused: message, time until its client may retry |
+| `F` | failed: message |
+| `L` | list entry received: endpoint, destination, kind, phase, rate |
 | `C` | idle connections closed: endpoint |
 """
 
@@ -72,7 +72,7 @@
         log(f"~ 0 {' '.join(kinds)}")
 
     def round(self, now_us: int, events: Sequence[api.Event], actions: Sequence[api.Action]) -> None:
-        """Write what the module was told and what it decided."""
+        """Log the events given to the decision module, and its actions."""
         words: list[str] = []
         for event in events:
             if isinstance(event, api.Listed):
@@ -82,13 +82,13 @@
             log(f"~ {now_us} {' '.join(words)}")
 
     def taken(self, message: Message) -> None:
-        """Pass over what the round has told."""
+        """Do nothing: the round has logged this."""
 
     def attempt(self, attempt: Attempt) -> None:
-        """Pass over what the round has told."""
+        """Do nothing: the round has logged this."""
 
     def outcome(self, attempt: Attempt, how: Ending) -> None:
-        """Pass over what the round will tell."""
+        """Do nothing: the round will log this."""
 
     def ended(self, message: Message, end: End) -> None:
-        """Pass over what the round or an outcome tells."""
+        """Do nothing: the round or an outcome logs this."""
--- a/amberlug/platform/turns.py
+++ b/amberlug/platform/turns.py
@@ -1,11 +1,11 @@
-"""How long the event loop's turns take, and so how long what comes may have waited to be read."""
+"""Measures event loop iterations, and so how long received data may have waited to be read."""
 
 import selectors
 import time
 
 
 class Turns(selectors.DefaultSelector):
-    """The loop's selector; the time between two looks at the sockets is a turn's work."""
+    """A selector that measures how long the event loop works between two polls of the sockets."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -19,5 +19,5 @@
         return found
 
     def waited_us(self) -> int:
-        """Tell how long at most what is read now has waited: it may have come just after the last look."""
+        """Return how long data read now may have waited: it may have arrived right after the last poll."""
         return int((self._worked + time.monotonic() - self._looked) * 1e6)
--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -1,4 +1,4 @@
-"""What a relay's process holds stays flat however many messages pass, each with new ids, keys and clients."""
+"""Resident memory stays flat over many messages, each with a new id, key and client."""
 
 from __future__ import annotations
 
@@ -23,14 +23,14 @@
 from tests.rig import ROOT
 
 MESSAGES, EVERY_US = 200_000, 2_500
-# Two periods of the same length, 150,000 messages apart, in which the process is looked at.
+# Two periods of the same length, 150,000 messages apart, in which resident memory is sampled.
 EARLY = range(MESSAGES // 8, MESSAGES // 4, 500)
 LATE = range(MESSAGES * 7 // 8, MESSAGES, 500)
 RESULTS = [Result.DONE] * 597 + [Result.ERROR, Result.RESET, Result.REFUSED]
 
 
 class Answers:
-    """A transport that answers each call after 40 ms, now and then with something else than a delivery."""
+    """A transport that answers each call after 40 ms, occasionally with a failure."""
 
     def __init__(self, clock: LifeClock) -> None:
         self._clock, self.out, self.calls = clock, 0, 0
@@ -55,10 +55,10 @@
             self._node.ended(attempt, Ending(result))
 
     def call_off(self, attempt: Attempt) -> None:
-        raise AssertionError("nothing takes that long")
+        raise AssertionError("no call lasts long enough to be cancelled")
 
     def probe(self, endpoint: str, ended: object) -> None:
-        raise AssertionError("these settings allow none")
+        raise AssertionError("probes are disabled in these settings")
 
     def locate(self, endpoint: str, address: Address | None, kind: str = "") -> None:
         pass
@@ -68,7 +68,7 @@
 
 
 class Client:
-    """A client that hands in once and is never seen again."""
+    """A client that submits one message and never returns."""
 
     def settle(self, refusal: Refusal | None) -> None:
         pass
@@ -79,9 +79,10 @@
 
 
 def play() -> None:
-    """Print how much the process holds at its least early and late: the least of many looks for each.
+    """Print the smallest resident size of each period.
 
-    One look says little: the journal's compaction and the allocator's arenas move it by 0.9 MB either way.
+    A single sample is not enough: the journal's compaction and the allocator's arenas move it by 0.9 MB
+    either way.
     """
     time, ends = Time(), dict.fromkeys(Outcome, 0)
     clock = LifeClock(time)
@@ -134,5 +135,5 @@
     out = subprocess.run(run, cwd=ROOT, capture_output=True, text=True, check=False)
     assert out.returncode == 0, out.stderr
     early, late = map(int, out.stdout.split())
-    # A word of 8 bytes kept of each message would be 1.2 MB between the ends of the two periods.
-    assert late - early < 600, f"{late - early} kB more late than early, of {late}"
+    # A leak of 8 bytes per message would be 1.2 MB between the ends of the two periods.
+    assert late - early < 600, f"grew by {late - early} kB to {late} kB"
--- a/tests/test_pauses.py
+++ b/tests/test_pauses.py
@@ -1,4 +1,4 @@
-"""A fleet that asks discovery at once."""
+"""Reconnect delays of a fleet whose watches end together, and how long an unconfirmed list is valid."""
 
 import heapq
 import random
@@ -9,12 +9,12 @@
 from amberlug.platform.heard import Heard
 from amberlug.platform.pauses import AWAY, MOST, Pauses
 
-PER_CALL = 0.15  # seconds that discovery needs for a call: forty take six
-PATIENCE = 2.0  # seconds after which nobody waits for an answer any more; its work is done all the same
+PER_CALL = 0.15  # seconds that discovery needs per call: forty calls take six
+PATIENCE = 2.0  # seconds until a relay gives up on a response; discovery does the work all the same
 
 
 def ask(relays: int, seed: int, per_call: float = PER_CALL) -> tuple[list[float], int]:
-    """When each relay has its list, of a fleet whose watches all ended at 0; and all its calls."""
+    """Simulate a fleet whose watches all end at 0: when each relay has its list, and the number of calls."""
     chance = random.Random(seed).random
     pauses = [Pauses(relays, 2.0, chance) for _ in range(relays)]
     due = [(it.after(True), number) for number, it in enumerate(pauses)]
@@ -24,7 +24,7 @@
         at, number = heapq.heappop(due)
         calls, start = calls + 1, max(free, at)
         if start - at > 2 * PATIENCE:
-            heapq.heappush(due, (at + pauses[number].after(False, True), number))  # turned away
+            heapq.heappush(due, (at + pauses[number].after(False, True), number))  # refused
             continue
         free = start + per_call
         if free <= at + PATIENCE:
@@ -45,10 +45,10 @@
 
 def test_two_hundred_renew_their_watch_within_the_grace_for_drains() -> None:
     for seed in range(20):
-        had, calls = ask(200, seed, per_call=0.0)  # an agent on each machine answers at once
+        had, calls = ask(200, seed, per_call=0.0)  # an agent on each machine answers immediately
         assert (len(had), calls) == (200, 200)
         assert max(had) <= 1.0
-        for per_call, most_s in ((0.03, 30), (PER_CALL, 160)):  # and where it serves one after the other
+        for per_call, most_s in ((0.03, 30), (PER_CALL, 160)):  # one that serves calls sequentially
             had, calls = ask(200, seed, per_call)
             assert len(had) == 200
             assert calls <= 5 * 200
@@ -74,7 +74,7 @@
     slowest = Pauses(relays, 2.0, lambda: 1.0)
     assert slowest.after(True) <= 1.0
     for _ in range(30):
-        assert slowest.after(False, refused=False) <= 1.0  # silent, down: it may be back any moment
+        assert slowest.after(False, refused=False) <= 1.0  # unreachable: it may be back any moment
     assert slowest.good_at_first(away=True) < slowest.good_for() < 8.0
 
 
@@ -83,12 +83,12 @@
     fresh = pauses.good_for()
     assert pauses.good_at_first(False) == fresh
     assert pauses.good_at_first(True) == pauses.good_at_first(True, 1.0) == fresh - AWAY
-    assert pauses.good_at_first(True, 6.5) == fresh - 6.5  # it had heard nothing for a while before it ended
+    assert pauses.good_at_first(True, 6.5) == fresh - 6.5  # no updates for a while before the restart
     assert pauses.good_at_first(True, 600.0) == 0.0
 
 
 class _Clock:
-    """A machine's clock that is set by hand."""
+    """A monotonic clock with a boot id, set by the test."""
 
     def __init__(self, now_us: int, boot: str) -> None:
         self._now_us, self.boot = now_us, boot
@@ -110,7 +110,7 @@
     assert at(12.5, "").age_s() is None
     heard = at(20)
     heard.note()
-    heard.note()  # not written twice in half a second
+    heard.note()  # written at most once in half a second
     assert at(21).age_s() == 1.0
     for spoilt in (b"", b"x" * 52, (tmp_path / "heard").read_bytes()[:-1] + b"!"):
         (tmp_path / "heard").write_bytes(spoilt)
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -1,4 +1,4 @@
-"""SIGHUP: the configuration is read again under load, and the relay goes on with all it holds."""
+"""SIGHUP reloads the configuration under load, and the relay keeps all its state."""
 
 import asyncio
 import signal
@@ -16,7 +16,7 @@
             new = Platform()
             await new.start()
             await old.watched(1)
-            old.usual = None  # the notice is sent there, and never answered
+            old.usual = None  # the notice is sent there but never answered
             await relay.hand_in("m1", "unsafe")
             await old.noticed()
             relay.platform = new
@@ -24,7 +24,7 @@
             relay.signal(signal.SIGHUP)
             await new.watched(1)
             assert (await new.noticed())[0] == {"message": "m1", "outcome": "given_up"}
-            await old.until(lambda: old.closed == old.dials)  # nothing is left at the old address
+            await old.until(lambda: old.closed == old.dials)  # no connection to the old address remains
             new.tell(news(member(endpoint.port, "e0", "terminating"), member(other.port, "e9")))
             await relay.hand_in("m2")
             assert [seen.name for seen in await other.requests(1)] == ["m2"]
@@ -43,7 +43,7 @@
             await first.requests(1)
             await relay.kill()
             platform.first = news(member(first.port, "e0", "terminating"), member(other.port, "e9"))
-            await relay.start()  # its configuration lists e0 as in service
+            await relay.start()  # the configuration file lists e0 as in service
             assert [seen.name for seen in await other.requests(1)] == ["m1"]
             await relay.hand_in("m2")
             assert [seen.name for seen in await other.requests(2)] == ["m1", "m2"]
@@ -57,7 +57,7 @@
     async def scenario() -> None:
         async with world(tmp_path, StandIn()) as (relay, platform):
             await relay.kill()
-            platform.on_request = platform.silent  # so that the start waits for it
+            platform.on_request = platform.silent  # so the start waits for a response
             new = Platform()
             await new.start()
 
@@ -105,7 +105,7 @@
             for text in ("", "{", "[" * 100_000, '{"settings": 3}'):
                 relay.config.write_text(text)
                 relay.signal(signal.SIGHUP)
-                await relay.said("configuration not reread")
+                await relay.said("configuration not reloaded")
             await relay.hand_in("m1")
             assert [seen.name for seen in await endpoint.requests(1)] == ["m1"]
             assert (len(platform.watches), platform.closed) == (1, 0)
--- a/tests/test_turns.py
+++ b/tests/test_turns.py
@@ -1,4 +1,4 @@
-"""A relay whose loop is held up: what comes meanwhile is refused, with a time to come again."""
+"""A blocked event loop: requests that arrive meanwhile are refused with a Retry-After."""
 
 import asyncio
 import json
@@ -31,7 +31,7 @@
 def test_what_waits_while_the_loop_is_held_up_is_refused(
     tmp_path: Path, held_up: float, status: bytes
 ) -> None:
-    """Guards against clients that leave, unanswered for too long, and come again while the first is sent."""
+    """Clients that wait too long disconnect and retry, while their first request is still being sent."""
     turns = Turns()
 
     async def scenario() -> None:
@@ -44,7 +44,7 @@
         server = Server(settings, node, LoopClock().wall_ms, turns.waited_us, 9)
         listener = await loop.create_server(server, "127.0.0.1", 0)
         with socket.create_connection(listener.sockets[0].getsockname()[:2]) as client:
-            await asyncio.sleep(0.05)  # the connection is taken in
+            await asyncio.sleep(0.05)  # the connection is accepted
             head = "".join(f"{name}: {value}\r\n" for name, value in hand_in("m1").items())
             client.sendall(f"POST /safe HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\n{head}\r\n".encode())
             time.sleep(held_up)
