--- a/amberlug/learning/__init__.py
+++ b/amberlug/learning/__init__.py
@@ -1,4 +1,4 @@
-"""What a relay has learned of its partners, kept beyond its process: facts, how they age, and their store."""
+"""Persistent statistics on a relay's partners: the records, how they decay, and their storage."""
 
 from __future__ import annotations
 
@@ -12,15 +12,15 @@
 
 __all__ = ["Learner", "open_learning"]
 
-SHARE = 16  # a part in so many of the folder's room is for what was learned, the rest for the journal
-KEY_LEAST, KEY_MOST = 16, 4096  # bytes in a key's file
+SHARE = 16  # one part in so many of the disk limit is for learned data, the rest for the journal
+KEY_LEAST, KEY_MOST = 16, 4096  # bytes in a key file
 
 
 def read_key(path: Path) -> bytes:
-    """Read a key from a file; `ValueError` where it is too short to be one, or too long."""
+    """Read a key from a file; raises `ValueError` if it is too short or too long."""
     key = path.read_bytes().strip()
     if not KEY_LEAST <= len(key) <= KEY_MOST:
-        raise ValueError(f"{path}: a key has {KEY_LEAST} to {KEY_MOST} bytes")
+        raise ValueError(f"{path}: a key must have {KEY_LEAST} to {KEY_MOST} bytes")
     return key
 
 
@@ -31,6 +31,6 @@
     durability: Durability = Durability.PROCESS,
     key: bytes = b"",
 ) -> Learner:
-    """Open what a folder holds of it, in a running loop; what can't be believed is told and left out."""
+    """Open the learned data in a directory, within a running loop; invalid data is logged and ignored."""
     syncer = None if durability is Durability.PROCESS else ThreadSyncer()
     return Learner(Store(FolderDisk(folder), room_bytes, clock.now_us, key, syncer), clock)
--- a/amberlug/learning/ageing.py
+++ b/amberlug/learning/ageing.py
@@ -1,7 +1,7 @@
-"""How what was learned weighs less with time: a half-life and a rule for each sort of fact. No I/O.
+"""Decay of learned data over time: a half-life and a rule for each kind of value. No I/O.
 
-The half-lives were chosen by the error of prediction after pauses (`benchmarks/learning.py`, what was weighed
-stands in `docs/measurements/learning.md`). A told wait does not age: it is heeded to its end.
+The half-lives were chosen by the prediction error after pauses (`benchmarks/learning.py`; results are in
+`docs/measurements/learning.md`). A wait that an endpoint requested does not decay: it is honored to its end.
 """
 
 from __future__ import annotations
@@ -16,32 +16,32 @@
 HOUR = 60 * MINUTE
 DAY = 24 * HOUR
 
-FAILURES_US = 15 * SECOND  # failure rate of an endpoint, down to what is usual for its kind
-OUTAGE_US = 30 * MINUTE  # an outage that nobody saw end: later it is no longer presumed to go on
-LIMIT_US = 30 * MINUTE  # a learned limit: it grows twofold each, until it says less than the list
-ANSWERS_US = 7 * DAY  # answer times, towards what is usual for the kind
-PACE_US = 30 * MINUTE  # own calls done a second
-USUAL_US = 7 * DAY  # what is usual of a kind, a tenant or an hour of the week
-FORGET_US = 60 * DAY  # a destination of which nothing was learned for so long is forgotten
-LEAST = 0.05  # weight below which a fact counts as forgotten
-LIFT_MOST = 16.0  # a limit that has grown so many times is none any more
-OUTAGE_RATE = 0.5  # failure rate from which an endpoint is presumed to be in an outage
+FAILURES_US = 15 * SECOND  # failure rate of an endpoint, towards the baseline of its kind
+OUTAGE_US = 30 * MINUTE  # an outage whose end was not observed is assumed to last this long
+LIMIT_US = 30 * MINUTE  # a learned limit doubles in each, until it is less strict than the listed rate
+ANSWERS_US = 7 * DAY  # response times, towards the baseline of the kind
+PACE_US = 30 * MINUTE  # this relay's own completed calls per second
+USUAL_US = 7 * DAY  # baselines of kinds and tenants, and activity by hour of the week
+FORGET_US = 60 * DAY  # records not updated for so long are deleted
+LEAST = 0.05  # weight below which a value is ignored
+LIFT_MOST = 16.0  # a limit that has grown by this factor is dropped
+OUTAGE_RATE = 0.5  # lowest failure rate assumed of an endpoint in an outage
 
 
 def weight(age_us: int, half_us: int) -> float:
-    """What a fact of that age still weighs, from 1 down to 0."""
+    """Return the weight of a value of that age, from 1 down to 0."""
     return float(0.5 ** (max(0, age_us) / half_us)) if age_us < 64 * half_us else 0.0
 
 
 def towards(value: float, prior: float, part: float) -> float:
-    """A fact of that weight, beside its prior."""
+    """Interpolate from a prior to a value, by the weight of the value."""
     return prior + (value - prior) * part
 
 
 def route(it: api.KnownRoute, now_us: int, gap_us: int, usual_us: float) -> api.KnownRoute:
-    """What to believe of a route or destination that was last learned of `gap_us` ago.
+    """Return the decayed state of a route or destination that was last observed `gap_us` ago.
 
-    `usual_us` is the answer time that is usual for its kind, 0 where that is not known.
+    `usual_us` is the baseline response time of its kind, 0 if unknown.
     """
     prior_us = usual_us or FIRST_GUESS_US
     answers = weight(gap_us, ANSWERS_US)
@@ -57,10 +57,10 @@
 
 
 def limit(it: api.KnownRoute, now_us: int, gap_us: int) -> tuple[float, int]:
-    """A learned limit, and from when on it may rise.
+    """Return a decayed limit, and the time from which it may rise.
 
-    A limit rises in each window without a refusal. While nobody called there was none to be had: the pause
-    counts for less than windows do, or each restart would begin with more than was ever taken.
+    A limit rises in each window without a refusal. While nothing was sent, no refusal was possible: a pause
+    must count for less than such windows, or each restart would begin with more than was ever accepted.
     """
     grown = 1.0 / max(weight(gap_us, LIMIT_US), 1e-9)
     if it.learned == OPEN or grown > LIFT_MOST:
@@ -69,7 +69,7 @@
 
 
 def endpoint(it: api.KnownEndpoint, now_us: int, gap_us: int, usual_rate: float) -> api.KnownEndpoint:
-    """What to believe of an endpoint: an outage goes on until it would be old, its cold bound until warm."""
+    """Return an endpoint's decayed state: an outage lasts until it expires, a cold-start limit until warm."""
     rate = towards(it.failure_rate, usual_rate, weight(gap_us, FAILURES_US))
     if it.cold and (it.back_us is not None or now_us - it.failed_us < OUTAGE_US):
         return replace(it, failure_rate=max(rate, OUTAGE_RATE) if it.back_us is None else rate)
@@ -88,7 +88,7 @@
 
 
 def hour_weight(was: tuple[int, float] | None, week: int) -> float:
-    """How usual it is that a destination is awake in an hour of the week, after weeks without."""
+    """Return how regularly a destination is active in an hour of the week; decays by weeks without any."""
     if was is None:
         return 0.0
     return was[1] * weight((week - was[0]) * 7 * DAY, 2 * USUAL_US)
--- a/amberlug/learning/facts.py
+++ b/amberlug/learning/facts.py
@@ -1,6 +1,7 @@
-"""What is kept of destinations, kinds, tenants and told waits: as records, and within which bounds. No I/O.
+"""Records of destinations, kinds, tenants and requested waits: their encoding and validation. No I/O.
 
-Times in a record count by the clock of the boot in which it was written (microseconds).
+A requested wait is one that an endpoint asked for in a response. Times in a record are in microseconds, by
+the monotonic clock of the boot in which it was written.
 """
 
 from __future__ import annotations
@@ -18,54 +19,54 @@
 from amberlug.policy.state import NEVER
 
 DESTINATION, WAIT, KIND, TENANT = b"D", b"W", b"K", b"T"
-NAME_MOST = 1024  # characters of an endpoint's, kind's or zone's name
+NAME_MOST = 1024  # characters of the name of an endpoint, kind or zone
 MANY = 4096  # endpoints or routes of one destination
-RATE_MOST = 1e9  # calls a second, or in a window
+RATE_MOST = 1e9  # calls per second, or per window
 WAIT_MOST_US = 3_600_000_000
-AHEAD_US = 1_000_000  # that a record may be ahead of the stamp it is read by
-GROWTH = 1.15  # from one bin of answer times to the next: a quantile is 7% off at most
+AHEAD_US = 1_000_000  # by which a record may be later than the timestamp it is validated against
+GROWTH = 1.15  # ratio of adjacent response time bins: quantiles are at most 7% off
 BINS = 256
 IDLE_BINS = 24
 WEEK_HOURS = 168
 _REAL = (int, float)
-_OUT_OF_BOUNDS = "a figure out of its bounds"
+_OUT_OF_BOUNDS = "value out of bounds"
 
 
 @dataclass(slots=True)
 class Kept:
-    """All that is kept of one destination."""
+    """All that is stored about one destination."""
 
     known: api.Known
-    seen_us: int  # when it was last learned of
-    answers: dict[int, float] = field(default_factory=dict)  # weight of each bin of answer times
-    # For each hour of the week in which it was awake: the last week in which it was, and how usual that is.
+    seen_us: int  # time of the last update
+    answers: dict[int, float] = field(default_factory=dict)  # weight of each response time bin
+    # By hour of the week: the last week in which the destination was active then, and how regular that is.
     hours: dict[int, tuple[int, float]] = field(default_factory=dict)
-    # Of each endpoint: calls on connections by how long these had idled, and those of them that were reset.
+    # By endpoint and idle time bin: calls on reused connections, and how many of them were reset.
     idle: dict[str, dict[int, tuple[float, float]]] = field(default_factory=dict)
 
 
 @dataclass(slots=True)
 class Usual:
-    """What is usual of a kind of endpoint, or of what a tenant sends."""
+    """Baseline of a kind of endpoint, or of a tenant's traffic."""
 
     seen_us: int
-    answer_us: float = 0.0  # median answer time; 0 where none is known
+    answer_us: float = 0.0  # median response time; 0 if unknown
     failure_rate: float = 0.0
-    rate: float = 0.0  # messages a second
+    rate: float = 0.0  # messages per second
 
 
 def bin_of(took_us: int) -> int:
-    """The bin of an answer time."""
+    """Return the bin of a response time."""
     return min(BINS - 1, int(math.log(max(1, took_us)) / math.log(GROWTH)))
 
 
 def idle_bin(idle_us: int) -> int:
-    """The bin of an idle age: from one to the next it doubles, from 1 ms on."""
+    """Return the bin of an idle time; bins double in width, from 1 ms on."""
     return min(IDLE_BINS - 1, max(0, idle_us // 1000).bit_length())
 
 
 def quantile(answers: dict[int, float], part: float) -> float:
-    """The answer time (microseconds) that this part of the weight stays below; 0 without any."""
+    """Return a quantile of the response times, in microseconds; 0 if there are none."""
     left = sum(answers.values()) * part
     for number in sorted(answers):
         left -= answers[number]
@@ -75,17 +76,17 @@
 
 
 def destination_key(number: int) -> bytes:
-    """The key of a destination's record."""
+    """Return the key of a destination's record."""
     return DESTINATION + str(number).encode()
 
 
 def wait_key(wait: Wait) -> bytes:
-    """The key of a told wait's record."""
+    """Return the key of a requested wait's record."""
     return WAIT + f"{wait.destination}/{wait.route}".encode()
 
 
 def pack(kept: Kept) -> bytes:
-    """A destination's record."""
+    """Encode a destination's record."""
     known = kept.known
     routes = [
         [
@@ -124,14 +125,14 @@
 
 
 def _known_endpoint(destination: int, row: list[Any]) -> api.KnownEndpoint:
-    """What is known of one endpoint, from its row in a destination's record."""
+    """Decode the row of one endpoint in a destination's record."""
     name, kind, zone, up_since_ms, cold, since, failed, done, back, rate, swallows, spread, starts = row
     entry = api.Entry(name, zone, kind, destination, api.State.IN, 0.0, up_since_ms=up_since_ms)
     return api.KnownEndpoint(entry, cold, since, failed, done, back, rate, swallows, spread, tuple(starts))
 
 
 def unpack(record: bytes, latest_us: int) -> Kept:
-    """Read a destination's record, no time of which is later than that; `ValueError` where it is bad."""
+    """Decode a destination's record; raises `ValueError` if it is invalid or has a time after `latest_us`."""
     number, seen_us, routes, endpoints, answers, hours, idle = _sound(record, latest_us + AHEAD_US)
     known = api.Known(
         number,
@@ -150,9 +151,10 @@
 
 
 def _sound(record: bytes, latest_us: int) -> list[Any]:
-    """A destination's record whose every figure is of its type and within its bounds.
+    """Return the fields of a destination's record, after checking the type and bounds of every value.
 
-    In plain comparisons, as one for all of 50,000 is made before a relay starts; NaN is within no bounds.
+    Inlined comparisons for speed: up to 50,000 records are checked before a relay starts. NaN fails every
+    bounds check.
     """
     try:
         fields: list[Any] = _load(record)
@@ -223,12 +225,12 @@
 
 
 def pack_wait(wait: Wait) -> bytes:
-    """A told wait's record."""
+    """Encode a requested wait's record."""
     return bytes(msgpack.packb([wait.destination, wait.route, wait.length_us, wait.until_us, wait.boot]))
 
 
 def unpack_wait(record: bytes, latest_us: int) -> Wait:
-    """Read a told wait; `ValueError` where it is bad."""
+    """Decode a requested wait; raises `ValueError` if it is invalid."""
     try:
         destination, route, length_us, until_us, boot = _load(record)
         length_us = _whole(length_us, 0, WAIT_MOST_US)
@@ -244,12 +246,12 @@
 
 
 def pack_usual(usual: Usual) -> bytes:
-    """A kind's or a tenant's record."""
+    """Encode the record of a kind or a tenant."""
     return bytes(msgpack.packb([usual.seen_us, usual.answer_us, usual.failure_rate, usual.rate]))
 
 
 def unpack_usual(record: bytes, latest_us: int) -> Usual:
-    """Read a kind's or a tenant's record; `ValueError` where it is bad."""
+    """Decode the record of a kind or a tenant; raises `ValueError` if it is invalid."""
     try:
         seen_us, answer_us, failure_rate, rate = _load(record)
         return Usual(
@@ -263,19 +265,19 @@
 
 
 def check(records: Iterable[tuple[bytes, bytes]], latest_us: int) -> None:
-    """See that each record can be read, and stands under its own key; `ValueError` where one does not."""
+    """Check that each record is valid and matches its key; raises `ValueError` otherwise."""
     for key, record in records:
         kind = key[:1]
         if kind == DESTINATION:
             if destination_key(_sound(record, latest_us + AHEAD_US)[0]) != key:
-                raise ValueError("a record under another's key")
+                raise ValueError("record does not match its key")
         elif kind == WAIT:
             if wait_key(unpack_wait(record, latest_us)) != key:
-                raise ValueError("a record under another's key")
+                raise ValueError("record does not match its key")
         elif kind in (KIND, TENANT):
             unpack_usual(record, latest_us)
         else:
-            raise ValueError(f"a record of an unknown sort: {key[:20]!r}")
+            raise ValueError(f"unknown type of record: {key[:20]!r}")
 
 
 def _load(record: bytes) -> Any:
@@ -299,6 +301,6 @@
 
 
 def _real(figure: Any, least: float, most: float) -> float:
-    if type(figure) not in (int, float) or not least <= figure <= most:  # nor is NaN within any bounds
+    if type(figure) not in (int, float) or not least <= figure <= most:  # NaN fails this, too
         raise ValueError(_OUT_OF_BOUNDS)
     return float(figure)
--- a/amberlug/learning/learner.py
+++ b/amberlug/learning/learner.py
@@ -1,6 +1,6 @@
-"""Owns what is known of partners over many lives: takes in what was learned, and tells what to believe.
+"""Maintains statistics on partners across restarts: records observations, and returns their decayed state.
 
-It reads and writes through its store alone.
+All I/O goes through the store.
 """
 
 from __future__ import annotations
@@ -21,17 +21,17 @@
 from amberlug.policy.state import NEVER
 
 HOUR_MS = 3_600_000
-TOLD_US = 600_000_000  # for so long beyond its end a told wait is known: another one may be as long
-PAUSE_MOST_MS = 400 * 24 * HOUR_MS  # longest pause that a wall's clock is believed to tell
-ANSWERS_MOST = 256  # answer times that wait to be counted, for each destination
-IDLE_MOST = 64  # calls of one idle age that are counted in full: more halve those before
-KIND_WEIGHT = 0.02  # weight of one destination's newest answer times in what is usual of its kind
-TENANT_US = 10 * 60_000_000  # the rate of a tenant is that of about so long
-FORGETS = 4  # records that each keeping looks at, to forget those that are old
+TOLD_US = 600_000_000  # retention of a requested wait beyond its end: the next one may be as long
+PAUSE_MOST_MS = 400 * 24 * HOUR_MS  # longest pause accepted from the wall clock
+ANSWERS_MOST = 256  # buffered response times per destination
+IDLE_MOST = 64  # calls per idle time bin before its counts are halved
+KIND_WEIGHT = 0.02  # weight of a destination's latest response time in the baseline of its kind
+TENANT_US = 10 * 60_000_000  # time constant of a tenant's rate
+FORGETS = 4  # records checked for expiry at each update
 
 
 class Learner:
-    """What is kept, by a clock that it goes on with; refuses what can't be believed as a whole."""
+    """Maintains the stored records by the clock of this boot; rejects all of them if one is invalid."""
 
     def __init__(self, store: Store, clock: Clock) -> None:
         self._store, self._clock = store, clock
@@ -46,18 +46,18 @@
     def _stamp(self) -> Stamp:
         return Stamp(self._clock.wall_ms(), self._clock.now_us(), self._clock.boot)
 
-    # At the start.
+    # Startup.
 
     def _go_on(self) -> None:
-        """See that all that is known can be, and put it into this boot's clock where it is by another's."""
+        """Validate all records, and convert their times if they are by the clock of another boot."""
         was, now = self._store.stamp, self._stamp()
         try:
             facts.check(self._store.records.items(), was.clock_us)
             if was.boot and was.boot == now.boot and was.clock_us > now.clock_us:
-                raise ValueError("it was written later than now")
+                raise ValueError("its timestamp is in the future")
         except ValueError as error:
-            # Guards against half a belief: one figure out of its bounds, and none is to be trusted.
-            self.refused.append(f"what was learned is not believed: {error}")
+            # If one value is out of bounds, none is trusted: partial data is not used.
+            self.refused.append(f"learned data rejected: {error}")
             log(f"learning: {self.refused[-1]}")
             self._store.restamp(now, {})
             return
@@ -75,7 +75,7 @@
                 kept.known, kept.seen_us = shift(kept.known, shift_us), kept.seen_us + shift_us
                 shifted[key] = facts.pack(kept)
             elif key[:1] == facts.WAIT:
-                # Guards against the wall's clock: by another boot's all of the wait runs once more.
+                # The wall clock is not trusted here: after a reboot the whole wait starts over.
                 wait = facts.unpack_wait(record, was.clock_us)
                 until_us = now.clock_us + wait.left_us(now.clock_us, now.boot)
                 shifted[key] = facts.pack_wait(replace(wait, until_us=until_us, boot=now.boot))
@@ -102,10 +102,10 @@
             records.append((facts.wait_key(wait), facts.pack_wait(kept_wait)))
         self._put(records, now)
 
-    # What the core asks and tells.
+    # Interface to the core.
 
     def recall(self, destination: int, entries: tuple[api.Entry, ...]) -> api.Known | None:
-        """What is believed of a destination whose endpoints are listed like this now."""
+        """Return the decayed state of a destination with these listed endpoints; None if unknown."""
         now_us = self._clock.now_us()
         record = self._store.records.get(facts.destination_key(destination))
         kept = Kept(api.Known(destination), now_us) if record is None else self._unpack(record)
@@ -143,7 +143,7 @@
             return
         now = self._stamp()
         records = [self._learn(it, now) for it in known]
-        if len(self._answers) + len(self._reused) > facts.MANY:  # of destinations that are gone by now
+        if len(self._answers) + len(self._reused) > facts.MANY:  # of destinations that no longer exist
             self._answers.clear()
             self._reused.clear()
         records += self._kinds(known, now)
@@ -152,12 +152,12 @@
         self._put(records, now)
 
     def _put(self, records: Sequence[tuple[bytes, bytes]], now: Stamp) -> None:
-        """Keep records, but none that the next start would not believe: it would refuse all for that one."""
+        """Store valid records only: the next start rejects all records if one is invalid."""
         sound = []
         for record in records:
             try:
                 facts.check([record] if record[1] else [], now.clock_us)
-            except ValueError:  # an endless name, say: there is no other way to tell this partner's facts
+            except ValueError:  # for instance a name that is too long: this partner's data can't be stored
                 continue
             sound.append(record)
         self._store.put(sound, now)
@@ -183,7 +183,7 @@
         return key, facts.pack(kept)
 
     def _count_idle(self, kept: Kept, fade: float) -> None:
-        """Count calls on connections that had idled; what is counted gives way to what is new."""
+        """Count calls on idle connections; older counts decay."""
         names = {it.entry.endpoint for it in kept.known.endpoints}
         kept.idle = {name: bins for name, bins in kept.idle.items() if name in names}
         for name, idle_us, reset in self._reused.pop(kept.known.destination, ()):
@@ -199,7 +199,7 @@
                 kept.idle[name] = {at: it for at, it in faded.items() if it[0] >= ageing.LEAST}
 
     def _kinds(self, known: Sequence[api.Known], now: Stamp) -> list[tuple[bytes, bytes]]:
-        """Learn what is usual of kinds, a little from each destination that was heard of."""
+        """Update the baselines of kinds by an exponential moving average over the observed destinations."""
         changed: dict[str, Usual] = {}
         for it in known:
             for endpoint in it.endpoints[:1]:
@@ -227,7 +227,7 @@
         return records
 
     def _old(self, now_us: int) -> list[tuple[bytes, bytes]]:
-        """What is too old to be kept, of a few records that were written longest ago."""
+        """Return deletions for expired records among the few that were written longest ago."""
         old = []
         for name, value in islice(self._store.records.items(), FORGETS):
             if name[:1] == facts.WAIT:
@@ -260,13 +260,13 @@
         if (record := self._store.records.get(key)) is not None:
             known = facts.unpack_wait(record, now.clock_us + facts.WAIT_MOST_US)
             if known.left_us(now.clock_us, wait.boot) >= wait.length_us:
-                return  # it waits for longer already
+                return  # a longer wait is already stored
         self._put([(key, facts.pack_wait(wait))], now)
 
-    # For operators.
+    # Operator commands.
 
     def destinations(self) -> Iterator[tuple[Kept, list[tuple[str, int]]]]:
-        """All that is kept of each destination, with the routes that still wait and for how long (us)."""
+        """Yield each destination's data, with its routes that still wait and the microseconds left."""
         now_us = self._clock.now_us()
         waits: dict[int, list[tuple[str, int]]] = defaultdict(list)
         kept: dict[int, Kept] = {}
@@ -282,7 +282,7 @@
             yield kept.get(number) or Kept(api.Known(number), now_us), waits[number]
 
     def usual(self) -> Iterator[tuple[str, str, Usual]]:
-        """What is usual of kinds and tenants: which of both, its name, and the figures."""
+        """Yield the baselines of kinds and tenants: "kind" or "tenant", the name, and the values."""
         now_us = self._clock.now_us()
         for key, record in sorted(self._store.records.items()):
             if key[:1] in (facts.KIND, facts.TENANT):
@@ -290,7 +290,10 @@
                 yield sort, key[1:].decode(), facts.unpack_usual(record, now_us)
 
     def forget(self, destination: int, endpoint: str | None = None) -> bool:
-        """Forget all of a destination but told waits, or only one endpoint's health; whether anything was."""
+        """Delete a destination's data except its requested waits, or one endpoint's health.
+
+        Returns whether anything was deleted.
+        """
         key = facts.destination_key(destination)
         if (record := self._store.records.get(key)) is None:
             return False
@@ -309,7 +312,7 @@
         return self._store.work()
 
     def close(self) -> None:
-        """Keep what is left to be kept, and let go of the folder."""
+        """Write pending records and close the store."""
         self._store.close()
 
 
@@ -320,10 +323,10 @@
     gap_us: int,
     usual: dict[str, Usual],
 ) -> api.Known:
-    """What still applies of a destination, of whose endpoints these are listed by now.
+    """Return what still applies to a destination, given its currently listed endpoints.
 
-    A route's limit and answer times apply while an endpoint of the same kind serves it. An endpoint that
-    started anew under its id keeps nothing but the bound on what comes back cold from an outage.
+    A route's limit and response times apply while an endpoint of the same kind serves it. An endpoint that
+    was restarted under the same id keeps only the cold-start limit that follows an outage.
     """
     listed = {it.endpoint: it for it in entries}
     kinds = {it.entry.endpoint: it.entry.kind for it in known.endpoints}
@@ -331,7 +334,7 @@
     for it in known.endpoints:
         entry = listed.get(it.entry.endpoint)
         if entry is None:
-            endpoints.append(it)  # it may be listed later, and is asked for then
+            endpoints.append(it)  # it may be listed later, and its state is needed then
         elif entry.kind == it.entry.kind:
             told = ageing.endpoint(it, now_us, gap_us, _prior(usual, entry.kind).failure_rate)
             endpoints.append(told if _same(it.entry, entry) else _anew(told))
@@ -340,7 +343,7 @@
     for route in known.routes:
         entry = listed.get(route.route)
         if route.route and (entry is None or entry.kind != kinds.get(route.route)):
-            continue  # a route apart that is not listed, or is another's by now
+            continue  # a separate route whose endpoint is not listed, or was replaced by one of another kind
         if same_kinds:
             kind = entry.kind if entry is not None else next(iter(listed.values())).kind if listed else ""
             routes.append(ageing.route(route, now_us, gap_us, _prior(usual, kind).answer_us))
@@ -353,15 +356,15 @@
 
 
 def _never_met(entries: tuple[api.Entry, ...], usual: dict[str, Usual]) -> Iterable[tuple[str, float]]:
-    """For a destination of which nothing is known: the answer time that is usual of its kind."""
+    """Yield the baseline response time of its kind, for a destination without data."""
     for it in entries:
         if (answer_us := _prior(usual, it.kind).answer_us) > 0:
             yield "", answer_us
-            yield it.endpoint, answer_us  # which of both it is, the module knows
+            yield it.endpoint, answer_us  # the decision module uses the one that applies
 
 
 def _known(rows: Sequence[Seen], listed: Callable[[str], api.Entry | None]) -> Iterable[api.Known]:
-    """What an earlier release kept, by destinations as they are listed now."""
+    """Group what an earlier release stored by the currently listed destinations."""
     grouped: dict[int, list[tuple[api.Entry, Seen]]] = defaultdict(list)
     for row in rows:
         if (entry := listed(row.endpoint)) is not None and entry.state is api.State.IN:
@@ -385,7 +388,7 @@
         limits = {
             route: api.KnownRoute(route, FIRST_GUESS_US, 1.0, 0, it.learned, it.learned_us)
             for entry, it in ones
-            for route in ("", entry.endpoint)  # which of both it is, the module knows
+            for route in ("", entry.endpoint)  # the decision module uses the one that applies
         }
         yield api.Known(number, tuple(limits.values()), tuple(endpoints))
 
@@ -399,7 +402,7 @@
 
 
 def _anew(it: api.KnownEndpoint) -> api.KnownEndpoint:
-    """What applies of an endpoint that started anew: after an outage it is back, and cold."""
+    """Return the state of an endpoint that was restarted: after an outage it is back, and cold."""
     return replace(
         it,
         failure_rate=0.0,
@@ -411,7 +414,7 @@
 
 
 def shift(known: api.Known, by_us: int) -> api.Known:
-    """The same by another clock."""
+    """Shift all times, to convert them to another clock."""
 
     def moved(at_us: int) -> int:
         return at_us if at_us == NEVER else max(NEVER + 1, at_us + by_us)
--- a/amberlug/learning/store.py
+++ b/amberlug/learning/store.py
@@ -1,8 +1,8 @@
-"""Keeps what was learned on a disk: generations of all of it, and what changed since in the newest one.
+"""Stores learned data on disk: snapshot files, called generations, to which changes are appended.
 
-A new generation is written beside the current one a slice at a time, and counts from its seal on, one
-append: until then a start finds the one before. What changes meanwhile is written to both. The one before is
-kept until the next has its seal, in case the newest can't be believed.
+A new generation is written next to the current one, a slice at a time, and becomes valid with its seal, a
+single append; until then a start uses the one before. Changes meanwhile are written to both. The previous
+generation is kept until the next one is sealed, in case the newest is invalid.
 """
 
 from __future__ import annotations
@@ -17,16 +17,16 @@
 from amberlug.learning import blocks as it
 from amberlug.learning.blocks import Generation, Records, RefusedError, Stamp, Type
 
-SLICE_US = 1_000  # that one slice of a new generation may take
-BATCH = 16  # records of one block in it: some 0.1 ms
-LOOSE, LEAST = 4, 1 << 15  # a generation grows to so many times its live bytes, and by so many at least
-RETRY_US = 10_000_000  # from a write that failed until the next one is tried
-BLOCK_SIZE = 512  # files count in whole blocks
-RULE = b"W"  # how the keys of records begin that a rule needs
+SLICE_US = 1_000  # time limit of one slice of writing a new generation
+BATCH = 16  # records per block of a new generation: some 0.1 ms of work
+LOOSE, LEAST = 4, 1 << 15  # a generation is compacted above LOOSE times its live bytes plus LEAST bytes
+RETRY_US = 10_000_000  # from a failed write until the next attempt
+BLOCK_SIZE = 512  # file sizes are rounded up to whole blocks
+RULE = b"W"  # key prefix of records that are required for correctness, and never evicted
 
 
 class File:
-    """One generation that is written."""
+    """A generation that is being written."""
 
     def __init__(self, number: int, digest: bytes, size: int) -> None:
         self.number, self.digest, self.size = number, digest, size
@@ -34,9 +34,9 @@
 
 
 class Store:
-    """The newest generation, what is known by key, and what was not written yet.
+    """The newest generation, all records by key, and changes not yet written.
 
-    Raises nothing but for a folder that can't be read: what fails is told once, and tried again.
+    Raises only if the directory can't be read: a failing write is logged once, and retried.
     """
 
     def __init__(
@@ -49,23 +49,23 @@
     ) -> None:
         self._disk, self._room, self._clock_us = disk, room_bytes, clock_us
         self._key, self._syncer = key, syncer
-        self.records: dict[bytes, bytes] = {}  # the one written longest ago first
+        self.records: dict[bytes, bytes] = {}  # least recently written first
         self.stamp = Stamp(0, 0, "")
         self.refused: list[str] = []
-        self.found = False  # whether the folder held any generation, believed or not
-        self._live = 0  # bytes of the records
-        self._pending: dict[bytes, bytes] = {}  # not written yet
+        self.found = False  # whether the directory had any generation, valid or not
+        self._live = 0  # bytes of all records
+        self._pending: dict[bytes, bytes] = {}  # not yet written
         self._current: File | None = None
-        self._next: File | None = None  # not sealed yet
-        self._left: Iterator[bytes] | None = None  # keys that the next one still wants
+        self._next: File | None = None  # not yet sealed
+        self._left: Iterator[bytes] | None = None  # keys not yet written to the next generation
         self._syncing = self._failed = self._closed = False
-        self._paused_us = 0  # no writing before that
-        self._files: dict[int, int] = {}  # sizes of all generations there are, by number
+        self._paused_us = 0  # no writes before this time
+        self._files: dict[int, int] = {}  # sizes of all generations on disk, by number
         self._read()
 
     @property
     def most_live(self) -> int:
-        """Bytes of records of which two generations fit, beside what changes."""
+        """Limit on the bytes of records, so that two generations and later changes fit on the disk."""
         return self._room // 4
 
     def _read(self) -> None:
@@ -76,7 +76,7 @@
             try:
                 self._adopt(self._believed(number))
             except (RefusedError, OSError) as error:
-                self.refused.append(f"generation {number} is not believed: {error}")
+                self.refused.append(f"generation {number} rejected: {error}")
                 log(f"learning: {self.refused[-1]}")
                 continue
             break
@@ -84,7 +84,7 @@
     def _believed(self, number: int) -> Generation:
         size = self._files[number]
         if size > self._room:
-            raise RefusedError(f"its {size} bytes are more than the {self._room} allowed")
+            raise RefusedError(f"its size of {size} bytes exceeds the limit of {self._room}")
         return it.read(self._disk.read(it.file_name(number), 0, size), number, self._key)
 
     def _adopt(self, found: Generation) -> None:
@@ -92,9 +92,9 @@
         self._live = sum(len(key) + len(value) for key, value in self.records.items())
         newest, size = max(self._files), self._files[found.number]
         if found.number != newest:
-            return  # the next one is written at once, above what was refused
+            return  # a new one is written immediately, with a number above the rejected ones
         try:
-            if found.holds < size:  # guards against blocks behind one that was cut off
+            if found.holds < size:  # nothing may be appended after a truncated block
                 self._disk.truncate(it.file_name(found.number), found.holds)
         except OSError as error:
             log(f"learning: {error}")
@@ -103,17 +103,17 @@
         self._current = File(found.number, found.digest, found.holds)
 
     def restamp(self, stamp: Stamp, records: Mapping[bytes, bytes]) -> None:
-        """Go on by another boot's clock, with all records as they are by it, in a generation of their own."""
+        """Replace all records, converted to the clock of this boot, and start a new generation for them."""
         self.stamp, self.records, self._current = stamp, dict(records), None
         self._live = sum(len(key) + len(value) for key, value in self.records.items())
 
     def ready(self) -> None:
-        """Have a generation that can be written to, where the folder lets it."""
+        """Create a writable generation if there is none, as far as the disk allows."""
         while self._current is None and self.work() == SLICE_US:
             pass
 
     def put(self, records: Records, stamp: Stamp) -> None:
-        """Write records now; those that can't be are written later, with what they say by then."""
+        """Write records now; those that can't be are written later, with their values at that time."""
         for key, value in records:
             had = self.records.pop(key, None)
             self._live -= len(key) + len(had) if had is not None else 0
@@ -140,39 +140,39 @@
         self._pending.clear()
         if self._failed:
             self._failed = False
-            log("learning: it is kept again")
+            log("learning: writes succeed again")
 
     def _fail(self, error: OSError) -> None:
         if not self._failed:
-            log(f"learning: {error}; what is learned is kept once that is over")
+            log(f"learning: write failed: {error}; retrying until it succeeds")
         self._failed = True
         self._paused_us = self._clock_us() + RETRY_US
         self._abandon()
 
     def _abandon(self) -> None:
-        """Give a new generation up that is not sealed."""
+        """Discard a new generation that is not yet sealed."""
         if self._next is not None:
             self._remove(self._next.number)
             self._next = self._left = None
 
     def give_way(self) -> None:
-        """Leave the disk to the journal: nothing is written for a while, and the generation before goes."""
+        """Free disk space for the journal: pause writes, and remove all but the current generation."""
         self._paused_us = self._clock_us() + RETRY_US
         self._abandon()
         if self._current is not None:
             self._remove_all_but(self._current.number)
 
     def _append(self, file: File, kind: Type, payload: bytes) -> None:
-        """Write one block whole, or nothing; `OSError` where it can't be."""
+        """Append one block, completely or not at all; raises `OSError` if that fails."""
         data, digest = it.block(kind, payload, file.digest, self._key)
         if self._used(len(data)) > self._room:
-            raise OSError(errno.ENOSPC, "no room for what was learned")
+            raise OSError(errno.ENOSPC, "disk limit for learned data reached")
         written = 0
         try:
             while written < len(data):
                 count = self._disk.append(file.name, data[written:])
                 if count == 0:
-                    raise OSError(errno.ENOSPC, "nothing could be written")
+                    raise OSError(errno.ENOSPC, "write returned 0 bytes")
                 written += count
         except OSError:
             if written:
@@ -186,15 +186,17 @@
             self._disk.truncate(file.name, file.size)
         except OSError:
             if file is self._current:
-                self._current = None  # its last block is cut off for good: the next generation follows
+                self._current = (
+                    None  # it ends in a truncated block that can't be removed: a new generation is written
+                )
 
     def _used(self, more: int = 0) -> int:
         return more + sum(-(-size // BLOCK_SIZE) * BLOCK_SIZE for size in self._files.values())
 
-    # Generations.
+    # New generations.
 
     def work(self) -> int | None:
-        """Do a slice of what is due: in how many microseconds to be called again, if at all."""
+        """Do a slice of pending work; returns the microseconds until the next call, or None."""
         now_us = self._clock_us()
         if self._closed or self._syncing:
             return None
@@ -218,8 +220,8 @@
         return self._current.size > most or self._live > self.most_live
 
     def _begin(self) -> None:
-        """Begin a new generation; where room is short the one before the current one goes first."""
-        if self._live > self.most_live:  # what was learned longest ago goes, but no told wait
+        """Create a new generation; if space is short, older ones than the current are removed first."""
+        if self._live > self.most_live:  # evicts the least recently updated records, but no requested wait
             for key in [key for key in self.records if key[:1] != RULE]:
                 self._live -= len(key) + len(self.records.pop(key))
                 if self._live <= self.most_live:
@@ -233,7 +235,7 @@
         self._files[number] = 0
         self._next, self._left = file, iter(list(self.records))
         if self._disk.append(file.name, it.prefix()) < it.PREFIX_SIZE:
-            raise OSError(errno.ENOSPC, "no room for what was learned")
+            raise OSError(errno.ENOSPC, "disk limit for learned data reached")
         file.size = it.PREFIX_SIZE
         self._append(file, Type.WHOSE, it.pack_whose(number, self.stamp))
 
@@ -252,8 +254,9 @@
         return None
 
     def _sync(self, then: Callable[[], None]) -> None:
-        """Make the new generation outlast a power cut, if anything must; go on then."""
-        # The first one of a life waits for none: without it nothing can be kept, and the one before stays.
+        """Sync the new generation if durability requires it, then call `then`."""
+        # The first generation of a process is not synced: nothing can be stored without it, and the previous
+        # one is kept.
         assert self._next is not None
         if self._syncer is None or self._current is None:
             then()
@@ -303,7 +306,7 @@
         self._files.pop(number, None)
 
     def close(self) -> None:
-        """Write what was not written, and let go of the files."""
+        """Write pending records and close all files."""
         self._paused_us = 0
         self._flush()
         self._closed = True
--- a/tests/test_learning.py
+++ b/tests/test_learning.py
@@ -1,4 +1,4 @@
-"""What is learned outlasts the process: its store on a disk that dies and fails, its ageing, its identity."""
+"""Learned data across restarts: its store under crashes and disk failures, its decay, its validation."""
 
 from __future__ import annotations
 
@@ -37,12 +37,12 @@
 
 @dataclass
 class Time:
-    """A clock that a test sets; `boot` names the run of the machine."""
+    """A clock set by the test; `boot` is the boot id."""
 
     us: int = START
     wall: int = WALL
     boot: str = "first"
-    tick: int = 0  # that each look takes
+    tick: int = 0  # advance per reading
 
     def now_us(self) -> int:
         self.us += self.tick
@@ -73,7 +73,7 @@
     of: api.Entry | None = None,
     **health: Any,
 ) -> api.Known:
-    """A destination as it was learned of at that time, well unless told otherwise."""
+    """A destination as observed at that time; healthy unless specified otherwise."""
     usual: dict[str, Any] = {
         "cold": False,
         "since_us": NEVER,
@@ -100,16 +100,16 @@
     return Wait(destination, "", length_us, time.us + length_us, time.boot)
 
 
-# Deaths.
+# Crashes.
 
 
 @dataclass
 class Evening:
-    """Learns of a few destinations, with waits between, and knows what was promised."""
+    """Records observations and requested waits of a few destinations, and what must survive."""
 
     time: Time = field(default_factory=lambda: Time(tick=40))
-    waits: dict[int, int] = field(default_factory=dict)  # until when, of those that were told and written
-    ever: dict[bytes, set[bytes]] = field(default_factory=dict)  # records that were ever right
+    waits: dict[int, int] = field(default_factory=dict)  # end of each stored wait, by destination
+    ever: dict[bytes, set[bytes]] = field(default_factory=dict)  # all values that a record has had
 
     def play(self, disk: FaultyDisk, rounds: int = 24) -> None:
         learner = opened(disk, self.time, room=40_000)
@@ -132,7 +132,7 @@
             self.ever.setdefault(key, set()).add(record)
 
     def check(self, disk: FaultyDisk, waits_last: bool = True) -> None:
-        """Nothing is made up; and after the end of a process no told wait is forgotten."""
+        """Check that each stored record is one that was written; after a process crash no wait is lost."""
         store = Store(disk, 40_000, self.time.now_us)
         for key, record in store.records.items():
             assert record in self.ever[key]
@@ -144,14 +144,14 @@
 
 @pytest.fixture
 def small(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Generations of some blocks, written a record at a time."""
+    """Use small generations that are written two records at a time."""
     monkeypatch.setattr(stores, "LEAST", 600)
     monkeypatch.setattr(stores, "LOOSE", 1)
     monkeypatch.setattr(stores, "BATCH", 2)
 
 
 def deaths(torn: bool) -> Iterator[tuple[Evening, FaultyDisk]]:
-    """An evening that ends at each of its operations on the disk."""
+    """Crash the workload at each of its disk operations in turn."""
     for at in itertools.count(1):
         disk, evening = FaultyDisk(), Evening()
         disk.dies_at, disk.torn = at, torn
@@ -170,7 +170,7 @@
     for evening, disk in deaths(torn):
         changed += len(disk.files()) > 2
         evening.check(disk.after_death())
-        # And a death at each operation of the start that follows.
+        # Also crash at each operation of the following start.
         for at in range(1, 8):
             again = disk.after_death()
             again.dies_at, again.torn = at, torn
@@ -178,7 +178,7 @@
                 opened(again, replace(evening.time), room=40_000)
             except DiedError:
                 evening.check(again.after_death())
-    assert changed > 20  # many died while a generation was made
+    assert changed > 20  # many crashes happened while a generation was written
 
 
 @pytest.mark.parametrize("seed", range(4))
@@ -200,7 +200,7 @@
     assert disk.used() == size
 
 
-# Files that are not what was written.
+# Corrupted files.
 
 
 def evening_files() -> tuple[Time, bytes]:
@@ -210,7 +210,7 @@
 
 
 def prefixes(data: bytes, number: int) -> list[dict[bytes, bytes]]:
-    """The facts that the file told after each of its blocks."""
+    """The records that the file contained after each of its blocks."""
     told: list[dict[bytes, bytes]] = []
     for end in range(len(data) + 1):
         try:
@@ -238,7 +238,7 @@
             del changed[at:]
         elif sort == 2:
             changed[at : at + 8] = changed[other : other + 8]
-        elif sort == 3:  # a block once more, at another place
+        elif sort == 3:  # duplicates a block at another position
             changed[two:two] = data[one : starts[starts.index(one) + 1]]
         else:
             del changed[one:two]
@@ -265,7 +265,7 @@
 
 
 def altered(at: int, column: int, value: Any) -> bytes:
-    """A destination's record with one figure of its endpoint changed."""
+    """A destination's record with one value changed."""
     fields = msgpack.unpackb(facts.pack(Kept(known(START), START)), strict_map_key=False)
     row = fields[at][0] if isinstance(fields[at], list) else fields
     row[column] = value
@@ -280,7 +280,7 @@
     [
         (altered(3, 9, math.nan), "bounds"),
         (altered(3, 9, -0.1), "bounds"),
-        (altered(3, 7, START + 10 * SECOND), "bounds"),  # it delivered in the future
+        (altered(3, 7, START + 10 * SECOND), "bounds"),  # delivery in the future
         (altered(3, 4, 1), "bounds"),
         (altered(3, 0, ""), "bounds"),
         (altered(2, 4, math.inf), "bounds"),
@@ -300,18 +300,18 @@
     assert len(learner.refused) == 1
     assert why in learner.refused[0]
     assert not learner._store.records
-    learner.observe([known(time.us)])  # and it goes on
+    learner.observe([known(time.us)])  # later writes work
     assert believed(opened(disk.after_death(), time)).endpoints
 
 
 @pytest.mark.parametrize(
     ("change", "why"),
     [
-        (lambda data: data[:9] + b"\x07" + data[10:], "version is 7"),
-        (lambda data: b"AMBERLUG" + data[8:], "no file of what was learned"),
-        (lambda data: data[:-1], "not finished"),
-        (lambda data: data + b"x" * ROOM, "more than"),
-        (lambda data: put_file([(ONE, b"")], Time(), number=2), "copy of generation 2"),
+        (lambda data: data[:9] + b"\x07" + data[10:], "format version is 7"),
+        (lambda data: b"AMBERLUG" + data[8:], "not a file of learned data"),
+        (lambda data: data[:-1], "incomplete: it has no seal"),
+        (lambda data: data + b"x" * ROOM, "exceeds the limit"),
+        (lambda data: put_file([(ONE, b"")], Time(), number=2), "it contains generation 2"),
         (lambda data: put_file([], Time(), key=b"of another relay"), "another key"),
     ],
 )
@@ -321,7 +321,7 @@
     time = Time()
     before = put_file([(ONE, facts.pack(Kept(known(START), START)))], time)
     newest = put_file([(ONE, facts.pack(Kept(known(START, failure_rate=0.4), START)))], time, number=3)
-    if "copy" not in why:
+    if "contains" not in why:
         newest = put_file([(ONE, b"")], time, number=3)
     files = {blocks.file_name(1): before, blocks.file_name(3): change(newest)}
     learner = opened(FaultyDisk(files), time)
@@ -351,7 +351,7 @@
         assert not believed(learner).endpoints
 
 
-# Disks that are full or fail.
+# Full and failing disks.
 
 
 def test_a_failing_disk_stops_nothing_and_what_was_told_is_written_once_it_works(small: None) -> None:
@@ -362,7 +362,7 @@
     learner.told(wait)
     learner.observe([known(time.us, number) for number in range(30)])
     assert learner.work() is not None
-    assert believed(learner).routes[0].blocked_until_us == wait.until_us  # in this life it is known
+    assert believed(learner).routes[0].blocked_until_us == wait.until_us  # known, though not stored
     disk.fails = None
     time.past(RETRY_US)
     while learner.work() is not None:
@@ -403,18 +403,18 @@
     assert disk.used() == size
 
 
-# Clocks, identity, and what is believed after a while.
+# Clocks, identity and decay.
 
 
 @pytest.mark.parametrize(
     ("boot", "clock_us", "wall_ms", "left_us"),
     [
         ("first", START + 2 * SECOND, WALL + 2_000, 3 * SECOND),
-        ("first", START + 2 * SECOND, WALL - 3_600_000, 3 * SECOND),  # the wall's clock went back by an hour
-        ("first", START + 2 * SECOND, WALL + DAY_MS, 3 * SECOND),  # and forward by a day
+        ("first", START + 2 * SECOND, WALL - 3_600_000, 3 * SECOND),  # wall clock set back by an hour
+        ("first", START + 2 * SECOND, WALL + DAY_MS, 3 * SECOND),  # and set forward by a day
         ("first", START + 9 * SECOND, WALL + 9_000, 0),
-        ("second", 7 * SECOND, WALL + 60_000, 5 * SECOND),  # another boot: all of it once more
-        ("second", 7 * SECOND, 0, 5 * SECOND),  # not synchronised: 1970
+        ("second", 7 * SECOND, WALL + 60_000, 5 * SECOND),  # another boot: the whole wait again
+        ("second", 7 * SECOND, 0, 5 * SECOND),  # unsynchronized wall clock: 1970
         ("second", 7 * SECOND, WALL + 7 * DAY_MS, 5 * SECOND),
         ("", START + 2 * SECOND, WALL + 2_000, 5 * SECOND),
     ],
@@ -449,7 +449,7 @@
         assert health.cold
         assert (health.failed_us, health.since_us) == (later.us - SECOND, later.us - 9 * SECOND)
     else:
-        assert not health.cold  # nobody has seen it for a day
+        assert not health.cold  # not observed for a day
 
 
 @pytest.mark.parametrize(
@@ -457,10 +457,10 @@
     [
         (entry(), True, 0.9, 3.0, True),
         (entry(zone="south"), True, 0.9, 3.0, True),
-        (entry(up_since_ms=WALL), True, 0.0, 3.0, True),  # it started anew: back from its outage, and cold
-        (entry(kind="bundled"), None, None, OPEN, True),  # the id is another's by now
-        (entry("other"), None, None, 3.0, True),  # replaced: what the destination told holds
-        (entry(destination=2), None, None, OPEN, False),  # moved: the wait binds where it was told
+        (entry(up_since_ms=WALL), True, 0.0, 3.0, True),  # restarted: back from its outage, and cold
+        (entry(kind="bundled"), None, None, OPEN, True),  # the id is reused for another kind
+        (entry("other"), None, None, 3.0, True),  # replaced: limit and wait of the destination still apply
+        (entry(destination=2), None, None, OPEN, False),  # moved: the wait stays with the old destination
     ],
 )
 def test_each_fact_goes_on_only_for_whom_it_was_learned_of(
@@ -500,7 +500,7 @@
     opened(disk, time).observe([told])
     time.past(pause_us)
     store = Store(disk.after_death(), ROOM, time.now_us)
-    store.records.pop(facts.KIND + b"plain")  # without a prior of its kind
+    store.records.pop(facts.KIND + b"plain")  # without a baseline of its kind
     found = believed(Learner(store, time))
     assert found.endpoints[0].cold is cold
     assert found.endpoints[0].failure_rate == pytest.approx(rate, abs=0.02)
@@ -553,11 +553,11 @@
         life.take_over(replace(earlier, seen=(replace(row, cold=False),)), {"e1": entry()}.get)
 
 
-# The module, over a restart.
+# The decision module across restarts.
 
 
 class Life:
-    """The module with what it has learned, over several lives on one disk; answers come after 50 ms."""
+    """The decision module with learned data, across restarts on one disk; responses take 50 ms."""
 
     def __init__(self, answer: Callable[[int], tuple[Result, int]], rate: float = 20.0) -> None:
         self.time, self.disk, self.answer = Time(), FaultyDisk(), answer
@@ -592,7 +592,7 @@
             self.learner.observe(self.sender.learned(9, turns=True))
 
     def run(self, seconds: float, per_second: float = 10.0) -> list[tuple[int, Result]]:
-        """Hand messages in for a while; the sends meanwhile."""
+        """Submit messages for a while; returns the sends in that time."""
         until, before = self.time.us + int(seconds * SECOND), len(self.sends)
         arrivals = [self.time.us + int(at * SECOND / per_second) for at in range(int(seconds * per_second))]
         while True:
@@ -628,7 +628,7 @@
 
 @pytest.mark.parametrize("outage", [15, 7])
 def test_a_restart_does_not_pass_the_bound_on_what_is_cold(outage: int) -> None:
-    """In the outage, or in the cold return (it is back three seconds before the restart)."""
+    """During the outage, or in the cold start after it, which began three seconds before the restart."""
     apart = Life(failing_until(START + outage * SECOND), rate=4.0)
     whole = Life(failing_until(START + outage * SECOND), rate=4.0)
     assert len(apart.run(10)) == len(whole.run(10))
@@ -670,9 +670,9 @@
     assert life.sender.endpoints["e1"].cold
     life.restart(2 * SECOND)
     sends = life.run(9)
-    assert sends[0][0] < life.time.us - 8 * SECOND  # at once, by one call
+    assert sends[0][0] < life.time.us - 8 * SECOND  # immediately, by a single call
     late = [it for it in sends if it[0] > life.time.us - 4 * SECOND]
-    assert len(late) >= 0.95 * 40  # all that comes, from five seconds on
+    assert len(late) >= 0.95 * 40  # from five seconds on, nearly all messages
     assert life.sender.stale_rate == 0
 
 
