--- a/amberlug/lab/relay.py
+++ b/amberlug/lab/relay.py
@@ -17,7 +17,7 @@
 from amberlug.learning.blocks import number_of
 from amberlug.learning.learner import Learner
 from amberlug.learning.store import Store
-from amberlug.platform.pauses import Pauses
+from amberlug.platform.backoff import DiscoveryBackoff
 from amberlug.policy import interface as api
 from amberlug.standin.checker import Checker
 
@@ -92,7 +92,7 @@
         self._free_us = 0  # when its core has done what waits for it
         self.up, self.lives = False, 0
         self._closing_us = 0  # when its end began
-        self._pauses = Pauses(settings.relays, settings.drain_grace_us / SECOND)
+        self._pauses = DiscoveryBackoff(settings.relays, settings.drain_grace_us / SECOND)
         self._known = listed()  # what this relay was last told
         self._heard_us: int | None = None  # when that was last confirmed
         self.deaf_until_us = 0  # it hears nothing of the list until then
@@ -131,7 +131,7 @@
         self._learner = learner
         self.node.listed(News(self._known, 1, True))
         age_s = None if self._heard_us is None else (self._time.us - self._heard_us) / SECOND
-        self.node.current(self._pauses.good_at_first(self.lives > 1, age_s))
+        self.node.current(self._pauses.initial_list_validity_s(self.lives > 1, age_s))
         if self._time.us >= self.deaf_until_us:
             self._confirm()
         self.node.restore()
@@ -180,7 +180,7 @@
     def _confirm(self) -> None:
         self._known, self._heard_us = self._listed(), self._time.us
         self.node.listed(News(self._known, 2, True))
-        self.node.current(self._pauses.good_for())
+        self.node.current(self._pauses.list_validity_s())
 
     def _confirm_later(self, clock: LifeClock) -> None:
         if self._time.us >= self.deaf_until_us:
--- a/amberlug/library/endpoints.py
+++ b/amberlug/library/endpoints.py
@@ -12,9 +12,9 @@
 from amberlug.core.log import log
 from amberlug.core.ports import News
 from amberlug.core.slices import Slices
+from amberlug.platform.backoff import DiscoveryBackoff
 from amberlug.platform.discovery import Watch
 from amberlug.platform.heard import Heard
-from amberlug.platform.pauses import Pauses
 from amberlug.policy.account import SECOND
 from amberlug.policy.interface import Entry, Settings, State
 
@@ -181,12 +181,12 @@
         if self._known is not None:
             apply(listed(self._known))
         revision = self._known.revision if self._known is not None else 0
-        pauses = Pauses(settings.relays, settings.drain_grace_us / SECOND)
+        pauses = DiscoveryBackoff(settings.relays, settings.drain_grace_us / SECOND)
         age_s = None if self._heard is None else self._heard.age_s()
-        self._current(pauses.good_at_first(True, age_s))
+        self._current(pauses.initial_list_validity_s(True, age_s))
 
         def confirmed() -> None:
-            self._current(pauses.good_for())
+            self._current(pauses.list_validity_s())
             if self._heard is not None:
                 self._heard.note()
 
--- a/amberlug/platform/daemon.py
+++ b/amberlug/platform/daemon.py
@@ -23,12 +23,12 @@
 from amberlug.http.calls import Caller
 from amberlug.http.server import Server
 from amberlug.learning import SHARE, open_learning
+from amberlug.platform.backoff import DiscoveryBackoff
 from amberlug.platform.config import Config, read_config
 from amberlug.platform.discovery import ASK_FOR, Watch
 from amberlug.platform.heard import Heard
 from amberlug.platform.memory import give_back
 from amberlug.platform.notices import Notices
-from amberlug.platform.pauses import Pauses
 from amberlug.platform.trace import Trace
 from amberlug.platform.turns import Turns
 from amberlug.policy.interface import Settings
@@ -96,7 +96,7 @@
     guard = None if make_guard is None else make_guard(config.state, config.settings, clock)
     journal = own if guard is None else guard.journal(own)
     learning = open_learning(config.state, room // SHARE, clock, config.durability, config.learning_key)
-    pauses = Pauses(config.settings.relays, config.settings.drain_grace_us / SECOND)
+    backoff = DiscoveryBackoff(config.settings.relays, config.settings.drain_grace_us / SECOND)
     caller, notices = Caller(config.settings, config.limits.links, clock), Notices(config.discovery)
     front = None if make_front is None else make_front(config.settings, clock)
     transport = caller if front is None else front.transport(caller)
@@ -105,14 +105,14 @@
     node = Node(config.settings, config.seed, journal, learning, transport, ends, clock, observer)
     node.listed(config.known)
     heard = Heard(config.state, clock)
-    node.current(pauses.good_at_first(away, heard.age_s()))
+    node.current(backoff.initial_list_validity_s(away, heard.age_s()))
 
     def confirmed() -> None:
-        node.current(pauses.good_for())
+        node.current(backoff.list_validity_s())
         heard.note()
 
     watch = Watch(
-        config.discovery, config.settings.kinds, config.known.revision, node.listing, pauses, confirmed
+        config.discovery, config.settings.kinds, config.known.revision, node.listing, backoff, confirmed
     )
     watch.start()
     # Avoids first calls to endpoints that began to drain while no process was running.
--- a/amberlug/platform/discovery.py
+++ b/amberlug/platform/discovery.py
@@ -11,7 +11,7 @@
 from amberlug.core.ports import Address, News
 from amberlug.core.slices import Slices
 from amberlug.http.link import Link, dial
-from amberlug.platform.pauses import Pauses
+from amberlug.platform.backoff import DiscoveryBackoff
 
 SETTLED = 1.0  # seconds within which an agent that answers immediately has sent all pending changes
 SILENCE = 5.0  # seconds without data after which the watch reconnects; a line arrives every 2 s
@@ -33,10 +33,10 @@
         kinds: Collection[str],
         revision: int,
         told: Callable[[News], Iterator[None]],
-        pauses: Pauses,
+        backoff: DiscoveryBackoff,
         current: Callable[[], None],
     ) -> None:
-        self._where, self._kinds, self._told, self._pauses = where, kinds, told, pauses
+        self._where, self._kinds, self._told, self._backoff = where, kinds, told, backoff
         self._current, self._tried = current, asyncio.Event()
         self._slices = Slices(self._broken)
         self._link: Link | None = None
@@ -87,7 +87,7 @@
             self._link = await dial(*self._where, DIAL)
             refused = self._link is not None and await self._follow(self._link)
             self._tried.set()
-            await asyncio.sleep(self._pauses.after(self._heard > started, refused))
+            await asyncio.sleep(self._backoff.next_delay_s(self._heard > started, refused))
 
     async def _follow(self, link: Link) -> bool:
         """Follow the list until the connection ends; returns whether discovery ended it, a refusal."""
--- a/amberlug/platform/notices.py
+++ b/amberlug/platform/notices.py
@@ -10,7 +10,7 @@
 from amberlug.core.log import log
 from amberlug.core.messages import End, Outcome
 from amberlug.http.link import Link, LinkLostError, Reply, dial
-from amberlug.platform.pauses import FIRST, MOST
+from amberlug.platform.backoff import FIRST_DELAY_S, MAX_DELAY_S
 
 ANSWER = 1.0  # seconds to wait for a response, which normally comes immediately
 AGAIN = 0.15  # seconds without a response after which a notice is sent again, on another connection
@@ -35,7 +35,7 @@
         self._unsent: dict[str, End] = {}
         self._posts: set[asyncio.Task[None]] = set()
         self._links: list[Link] = []  # idle connections
-        self._pause, self._most = FIRST, NOTICES_MOST
+        self._pause, self._most = FIRST_DELAY_S, NOTICES_MOST
         self._running = False
 
     @property
@@ -117,14 +117,14 @@
     def _answered(self, sent: list[End], status: int) -> None:
         loop = asyncio.get_running_loop()
         if status == 204 or (status == 400 and len(sent) == 1):
-            self._pause, self._most = FIRST, NOTICES_MOST
+            self._pause, self._most = FIRST_DELAY_S, NOTICES_MOST
             self._ended(sent, status)
         elif status == 400:  # a notice that the platform rejects must not block the others
             self._most = 1
             self._again(sent)
         else:
             loop.call_later(self._pause, self._again, sent)
-            self._pause = min(2 * self._pause, MOST)
+            self._pause = min(2 * self._pause, MAX_DELAY_S)
         loop.call_soon(self.send)  # by then this request no longer counts against the limit
 
     def _again(self, sent: list[End]) -> None:
--- a/tests/test_library.py
+++ b/tests/test_library.py
@@ -41,7 +41,7 @@
     settings,
 )
 from amberlug.library.claims import CLAIMS
-from amberlug.platform.pauses import Pauses
+from amberlug.platform.backoff import DiscoveryBackoff
 from amberlug.standin.wire import PATIENCE, Platform, Seen, StandIn
 from tests.hosts import ONE, SETTINGS, Partner, forever, host, lines, message, relay_on
 from tests.rig import member, news, run
@@ -78,8 +78,8 @@
 def test_a_list_that_discovery_has_not_confirmed_for_too_long_is_not_gone_by(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    for name in ("good_for", "good_at_first"):
-        monkeypatch.setattr(Pauses, name, lambda *_, **__: 0.0)
+    for name in ("list_validity_s", "initial_list_validity_s"):
+        monkeypatch.setattr(DiscoveryBackoff, name, lambda *_, **__: 0.0)
 
     async def scenario() -> None:
         endpoint, platform = await StandIn().start(), Platform()
--- a/tests/test_listing.py
+++ b/tests/test_listing.py
@@ -15,8 +15,8 @@
 from amberlug.core.listing import read_beside, read_line, read_news
 from amberlug.core.ports import News
 from amberlug.core.slices import Slices
+from amberlug.platform.backoff import DiscoveryBackoff
 from amberlug.platform.discovery import LINE_MOST, SETTLED, Watch
-from amberlug.platform.pauses import Pauses
 from amberlug.policy import interface as api
 from amberlug.policy.interface import State
 from amberlug.policy.membership import BATCH, Comparison, Members
@@ -336,7 +336,7 @@
     def __init__(self) -> None:
         self.told: list[list[api.Entry]] = []
         self.confirmed: list[int] = []  # how much was told, each time that the list was called the newest
-        self.watch = Watch(("127.0.0.1", 1), KINDS, 0, self._listing, Pauses(1, 2.0), self._current)
+        self.watch = Watch(("127.0.0.1", 1), KINDS, 0, self._listing, DiscoveryBackoff(1, 2.0), self._current)
 
     def _listing(self, news: News) -> Any:
         self.told.append(list(news.entries))
--- a/tests/test_pauses.py
+++ b/tests/test_pauses.py
@@ -6,8 +6,8 @@
 
 import pytest
 
+from amberlug.platform.backoff import MAX_DELAY_S, RESTART_S, DiscoveryBackoff
 from amberlug.platform.heard import Heard
-from amberlug.platform.pauses import AWAY, MOST, Pauses
 
 PER_CALL = 0.15  # seconds that discovery needs per call: forty calls take six
 PATIENCE = 2.0  # seconds until a relay gives up on a response; discovery does the work all the same
@@ -16,21 +16,21 @@
 def ask(relays: int, seed: int, per_call: float = PER_CALL) -> tuple[list[float], int]:
     """Simulate a fleet whose watches all end at 0: when each relay has its list, and the number of calls."""
     chance = random.Random(seed).random
-    pauses = [Pauses(relays, 2.0, chance) for _ in range(relays)]
-    due = [(it.after(True), number) for number, it in enumerate(pauses)]
+    backoffs = [DiscoveryBackoff(relays, 2.0, chance) for _ in range(relays)]
+    due = [(it.next_delay_s(True), number) for number, it in enumerate(backoffs)]
     heapq.heapify(due)
     had, calls, free = [], 0, 0.0
     while due and calls < 100 * relays:
         at, number = heapq.heappop(due)
         calls, start = calls + 1, max(free, at)
         if start - at > 2 * PATIENCE:
-            heapq.heappush(due, (at + pauses[number].after(False, True), number))  # refused
+            heapq.heappush(due, (at + backoffs[number].next_delay_s(False, True), number))  # refused
             continue
         free = start + per_call
         if free <= at + PATIENCE:
             had.append(free)
         else:
-            heapq.heappush(due, (at + PATIENCE + pauses[number].after(False, True), number))
+            heapq.heappush(due, (at + PATIENCE + backoffs[number].next_delay_s(False, True), number))
     return had, calls
 
 
@@ -60,31 +60,36 @@
         had, calls = ask(3, seed)
         assert max(had) < 1.0
         assert calls == 3
-    lone = Pauses(1, 2.0, lambda: 1.0)
-    assert [round(lone.after(heard), 3) for heard in (True, False, False, True)] == [0.1, 0.2, 0.4, 0.1]
-    assert max(lone.after(False) for _ in range(50)) <= MOST
+    lone = DiscoveryBackoff(1, 2.0, lambda: 1.0)
+    assert [round(lone.next_delay_s(heard), 3) for heard in (True, False, False, True)] == [
+        0.1,
+        0.2,
+        0.4,
+        0.1,
+    ]
+    assert max(lone.next_delay_s(False) for _ in range(50)) <= MAX_DELAY_S
 
 
 def test_two_relays_that_lose_their_watch_at_once_draw_apart() -> None:
-    assert len({Pauses(40, 2.0).after(True) for _ in range(40)}) == 40
+    assert len({DiscoveryBackoff(40, 2.0).next_delay_s(True) for _ in range(40)}) == 40
 
 
 @pytest.mark.parametrize("relays", [1, 3, 40, 200, 1000])
 def test_a_lost_watch_is_asked_for_within_the_grace_for_drains_whatever_the_fleet(relays: int) -> None:
-    slowest = Pauses(relays, 2.0, lambda: 1.0)
-    assert slowest.after(True) <= 1.0
+    slowest = DiscoveryBackoff(relays, 2.0, lambda: 1.0)
+    assert slowest.next_delay_s(True) <= 1.0
     for _ in range(30):
-        assert slowest.after(False, refused=False) <= 1.0  # unreachable: it may be back any moment
-    assert slowest.good_at_first(away=True) < slowest.good_for() < 8.0
+        assert slowest.next_delay_s(False, refused=False) <= 1.0  # unreachable: it may be back any moment
+    assert slowest.initial_list_validity_s(restarted=True) < slowest.list_validity_s() < 8.0
 
 
 def test_a_list_is_gone_by_for_what_is_left_of_its_time_whatever_restarts_in_between() -> None:
-    pauses = Pauses(200, 2.0)
-    fresh = pauses.good_for()
-    assert pauses.good_at_first(False) == fresh
-    assert pauses.good_at_first(True) == pauses.good_at_first(True, 1.0) == fresh - AWAY
-    assert pauses.good_at_first(True, 6.5) == fresh - 6.5  # no updates for a while before the restart
-    assert pauses.good_at_first(True, 600.0) == 0.0
+    backoff = DiscoveryBackoff(200, 2.0)
+    fresh, initial = backoff.list_validity_s(), backoff.initial_list_validity_s
+    assert initial(False) == fresh
+    assert initial(True) == initial(True, 1.0) == fresh - RESTART_S
+    assert initial(True, 6.5) == fresh - 6.5  # no updates for a while before the restart
+    assert initial(True, 600.0) == 0.0
 
 
 class _Clock:
