--- a/amberlug/library/endpoints.py
+++ b/amberlug/library/endpoints.py
@@ -13,8 +13,8 @@
 from amberlug.core.ports import News
 from amberlug.core.slices import Slices
 from amberlug.platform.backoff import DiscoveryBackoff
+from amberlug.platform.confirmation import ListConfirmation
 from amberlug.platform.discovery import Watch
-from amberlug.platform.heard import Heard
 from amberlug.policy.account import SECOND
 from amberlug.policy.interface import Entry, Settings, State
 
@@ -166,9 +166,9 @@
         self._where, self._known = address(where), known
         self._watch: Watch | None = None
         self._current: Callable[[float], None] = _unheeded
-        self._heard: Heard | None = None
+        self._heard: ListConfirmation | None = None
 
-    def confirms(self, current: Callable[[float], None], heard: Heard) -> None:
+    def confirms(self, current: Callable[[float], None], heard: ListConfirmation) -> None:
         """Have told that the list is the newest, with the seconds for which calls may go by it."""
         self._current, self._heard = current, heard
 
@@ -188,7 +188,7 @@
         def confirmed() -> None:
             self._current(pauses.list_validity_s())
             if self._heard is not None:
-                self._heard.note()
+                self._heard.record()
 
         self._watch = Watch(self._where, settings.kinds, revision, listed, pauses, confirmed)
         self._watch.start()
--- a/amberlug/library/relay.py
+++ b/amberlug/library/relay.py
@@ -36,8 +36,8 @@
 from amberlug.library.observers import Shielded
 from amberlug.library.taken import Taken
 from amberlug.library.transport import Deliver, HostTransport
+from amberlug.platform.confirmation import ListConfirmation
 from amberlug.platform.discovery import ASK_FOR
-from amberlug.platform.heard import Heard
 from amberlug.policy.interface import Settings
 
 GRACE = 3.0  # seconds that `close` waits for calls that are out
@@ -152,7 +152,7 @@
                 observer,
             )
             if isinstance(self._endpoints, Discovery):
-                self._endpoints.confirms(self._node.current, Heard(self._folder, self._clock))
+                self._endpoints.confirms(self._node.current, ListConfirmation(self._folder, self._clock))
             self._endpoints.start(self.settings, self._node.listing)
             stack.callback(self._endpoints.stop)
             if isinstance(self._endpoints, Discovery):
--- a/amberlug/platform/daemon.py
+++ b/amberlug/platform/daemon.py
@@ -25,8 +25,8 @@
 from amberlug.learning import SHARE, open_learning
 from amberlug.platform.backoff import DiscoveryBackoff
 from amberlug.platform.config import Config, read_config
+from amberlug.platform.confirmation import ListConfirmation
 from amberlug.platform.discovery import ASK_FOR, Watch
-from amberlug.platform.heard import Heard
 from amberlug.platform.memory import give_back
 from amberlug.platform.notices import Notices
 from amberlug.platform.trace import Trace
@@ -104,12 +104,12 @@
     observer = Trace(config.settings) if os.environ.get("AMBERLUG_TRACE") == "log" else None
     node = Node(config.settings, config.seed, journal, learning, transport, ends, clock, observer)
     node.listed(config.known)
-    heard = Heard(config.state, clock)
-    node.current(backoff.initial_list_validity_s(away, heard.age_s()))
+    confirmation = ListConfirmation(config.state, clock)
+    node.current(backoff.initial_list_validity_s(away, confirmation.age_s()))
 
     def confirmed() -> None:
         node.current(backoff.list_validity_s())
-        heard.note()
+        confirmation.record()
 
     watch = Watch(
         config.discovery, config.settings.kinds, config.known.revision, node.listing, backoff, confirmed
--- a/tests/test_pauses.py
+++ b/tests/test_pauses.py
@@ -7,7 +7,7 @@
 import pytest
 
 from amberlug.platform.backoff import MAX_DELAY_S, RESTART_S, DiscoveryBackoff
-from amberlug.platform.heard import Heard
+from amberlug.platform.confirmation import ListConfirmation
 
 PER_CALL = 0.15  # seconds that discovery needs per call: forty calls take six
 PATIENCE = 2.0  # seconds until a relay gives up on a response; discovery does the work all the same
@@ -61,12 +61,8 @@
         assert max(had) < 1.0
         assert calls == 3
     lone = DiscoveryBackoff(1, 2.0, lambda: 1.0)
-    assert [round(lone.next_delay_s(heard), 3) for heard in (True, False, False, True)] == [
-        0.1,
-        0.2,
-        0.4,
-        0.1,
-    ]
+    delays = [round(lone.next_delay_s(received_data), 3) for received_data in (True, False, False, True)]
+    assert delays == [0.1, 0.2, 0.4, 0.1]
     assert max(lone.next_delay_s(False) for _ in range(50)) <= MAX_DELAY_S
 
 
@@ -105,17 +101,17 @@
 def test_when_the_list_was_confirmed_outlasts_the_process_and_no_other_start_of_the_machine(
     tmp_path: Path,
 ) -> None:
-    def at(seconds: float, boot: str = "b1") -> Heard:
-        return Heard(tmp_path, _Clock(int(seconds * 1e6), boot))  # type: ignore[arg-type]
+    def at(seconds: float, boot: str = "b1") -> ListConfirmation:
+        return ListConfirmation(tmp_path, _Clock(int(seconds * 1e6), boot))  # type: ignore[arg-type]
 
     assert at(5).age_s() is None
-    at(5).note()
+    at(5).record()
     assert at(12.5).age_s() == 7.5
     assert at(12.5, "b2").age_s() is None
     assert at(12.5, "").age_s() is None
-    heard = at(20)
-    heard.note()
-    heard.note()  # written at most once in half a second
+    confirmation = at(20)
+    confirmation.record()
+    confirmation.record()  # written at most once in half a second
     assert at(21).age_s() == 1.0
     for spoilt in (b"", b"x" * 52, (tmp_path / "heard").read_bytes()[:-1] + b"!"):
         (tmp_path / "heard").write_bytes(spoilt)
