--- a/amberlug/platform/daemon.py
+++ b/amberlug/platform/daemon.py
@@ -27,10 +27,10 @@
 from amberlug.platform.config import Config, read_config
 from amberlug.platform.confirmation import ListConfirmation
 from amberlug.platform.discovery import ASK_FOR, Watch
+from amberlug.platform.loop_lag import LoopLagSelector
 from amberlug.platform.memory import give_back
 from amberlug.platform.notices import Notices
 from amberlug.platform.trace import Trace
-from amberlug.platform.turns import Turns
 from amberlug.policy.interface import Settings
 
 OPEN_FOR = 0.6  # seconds after SIGTERM to keep accepting connections: new ones arrive for 0.4 s
@@ -79,7 +79,10 @@
 
 
 async def serve(
-    config: Config, turns: Turns, make_front: MakeFront | None = None, make_guard: MakeGuard | None = None
+    config: Config,
+    selector: LoopLagSelector,
+    make_front: MakeFront | None = None,
+    make_guard: MakeGuard | None = None,
 ) -> None:
     """Serve until SIGTERM or SIGINT."""
     loop = asyncio.get_running_loop()
@@ -120,7 +123,7 @@
     if guard is not None:
         await guard.start(node)
     node.restore()
-    server = Server(config.settings, node, clock.wall_ms, turns.waited_us, config.limits.clients)
+    server = Server(config.settings, node, clock.wall_ms, selector.waited_us, config.limits.clients)
     sock = socket.create_server(
         config.listen, family=socket.AF_INET6 if ":" in config.listen[0] else socket.AF_INET
     )
@@ -183,9 +186,9 @@
     LOGGER.setLevel(logging.INFO)
     give_back()
     try:
-        config, turns = read_config(os.environ), Turns()
-        with asyncio.Runner(loop_factory=lambda: asyncio.SelectorEventLoop(turns)) as runner:
-            runner.run(serve(config, turns, make_front, make_guard))
+        config, selector = read_config(os.environ), LoopLagSelector()
+        with asyncio.Runner(loop_factory=lambda: asyncio.SelectorEventLoop(selector)) as runner:
+            runner.run(serve(config, selector, make_front, make_guard))
     except (ValueError, OSError) as error:
         print(f"amberlug: {plain(error)}", file=sys.stderr)
         return 2
--- a/amberlug/platform/turns.py
+++ b/amberlug/platform/loop_lag.py
@@ -4,20 +4,20 @@
 import time
 
 
-class Turns(selectors.DefaultSelector):
+class LoopLagSelector(selectors.DefaultSelector):
     """A selector that measures how long the event loop works between two polls of the sockets."""
 
     def __init__(self) -> None:
         super().__init__()
-        self._looked = time.monotonic()
-        self._worked = 0.0
+        self._last_poll = time.monotonic()
+        self._work_s = 0.0
 
     def select(self, timeout: float | None = None) -> list[tuple[selectors.SelectorKey, int]]:
-        self._worked = time.monotonic() - self._looked
-        found = super().select(timeout)
-        self._looked = time.monotonic()
-        return found
+        self._work_s = time.monotonic() - self._last_poll
+        ready = super().select(timeout)
+        self._last_poll = time.monotonic()
+        return ready
 
     def waited_us(self) -> int:
         """Return how long data read now may have waited: it may have arrived right after the last poll."""
-        return int((self._worked + time.monotonic() - self._looked) * 1e6)
+        return int((self._work_s + time.monotonic() - self._last_poll) * 1e6)
