--- a/amberlug/platform/daemon.py
+++ b/amberlug/platform/daemon.py
@@ -28,7 +28,7 @@
 from amberlug.platform.confirmation import ListConfirmation
 from amberlug.platform.discovery import ASK_FOR, Watch
 from amberlug.platform.loop_lag import LoopLagSelector
-from amberlug.platform.memory import give_back
+from amberlug.platform.memory import return_freed_memory
 from amberlug.platform.notices import Notices
 from amberlug.platform.trace import Trace
 from amberlug.policy.interface import Settings
@@ -184,7 +184,7 @@
     """Run the relay; returns 0 after SIGTERM, 2 after a one-line message if it can't be started."""
     logging.basicConfig(stream=sys.stderr, format="%(message)s")
     LOGGER.setLevel(logging.INFO)
-    give_back()
+    return_freed_memory()
     try:
         config, selector = read_config(os.environ), LoopLagSelector()
         with asyncio.Runner(loop_factory=lambda: asyncio.SelectorEventLoop(selector)) as runner:
