--- a/amberlug/platform/daemon.py
+++ b/amberlug/platform/daemon.py
@@ -29,7 +29,7 @@
 from amberlug.platform.discovery import ASK_FOR, Watch
 from amberlug.platform.loop_lag import LoopLagSelector
 from amberlug.platform.memory import return_freed_memory
-from amberlug.platform.notices import Notices
+from amberlug.platform.notices import NoticeSender
 from amberlug.platform.trace import Trace
 from amberlug.policy.interface import Settings
 
@@ -100,7 +100,7 @@
     journal = own if guard is None else guard.journal(own)
     learning = open_learning(config.state, room // SHARE, clock, config.durability, config.learning_key)
     backoff = DiscoveryBackoff(config.settings.relays, config.settings.drain_grace_us / SECOND)
-    caller, notices = Caller(config.settings, config.limits.links, clock), Notices(config.discovery)
+    caller, notices = Caller(config.settings, config.limits.links, clock), NoticeSender(config.discovery)
     front = None if make_front is None else make_front(config.settings, clock)
     transport = caller if front is None else front.transport(caller)
     ends = notices if front is None else front.ends(notices)
@@ -163,7 +163,7 @@
     lock.release()
 
 
-def reread(watch: Watch, notices: Notices) -> None:
+def reread(watch: Watch, notices: NoticeSender) -> None:
     """Switch to discovery's address in the file and keep all state; new limits apply from the next start."""
     try:
         config = read_config(os.environ)
@@ -172,7 +172,7 @@
         log(f"configuration not reloaded, the previous one stays in use: {plain(error)}")
         return
     watch.move(config.discovery)
-    notices.move(config.discovery)
+    notices.change_address(config.discovery)
 
 
 def plain(error: Exception) -> str:
--- a/benchmarks/sleeping.py
+++ b/benchmarks/sleeping.py
@@ -23,7 +23,7 @@
 from amberlug.learning import open_learning
 from amberlug.platform.backoff import DiscoveryBackoff
 from amberlug.platform.discovery import Watch
-from amberlug.platform.notices import Notices
+from amberlug.platform.notices import NoticeSender
 from amberlug.policy.settings import read_settings
 from amberlug.standin.crowd import Client, Crowd, Directory, Mood, Told, ends
 from amberlug.standin.deployment import settings
@@ -206,7 +206,7 @@
     clock = LoopClock()
     with tempfile.TemporaryDirectory() as folder:
         journal = open_journal(Path(folder), 10**7, clock, Durability.PROCESS)
-        read, notices = read_settings(settings()), Notices(("127.0.0.1", 1))
+        read, notices = read_settings(settings()), NoticeSender(("127.0.0.1", 1))
         learning = open_learning(Path(folder), 10**7, clock)
         node = Node(read, 1, journal, learning, Caller(read, 9, clock), notices, clock)
         watch = Watch(("127.0.0.1", 1), read.kinds, 0, node.listing, DiscoveryBackoff(1, 2.0), lambda: None)
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -23,7 +23,7 @@
 from amberlug.http.link import Link, Reply, dial
 from amberlug.learning import Learner
 from amberlug.learning.store import Store
-from amberlug.platform.notices import Notices
+from amberlug.platform.notices import NoticeSender
 from amberlug.policy.interface import Settings
 from amberlug.standin.wire import PATIENCE, Platform, StandIn
 from tests.conftest import setup
@@ -189,7 +189,7 @@
 def node_in(folder: Path, settings: Settings) -> Node:
     """The daemon's core with its real connections, and nobody to tell its ends to."""
     clock = LoopClock()
-    caller, notices = Caller(settings, 9, clock), Notices(("127.0.0.1", 1))
+    caller, notices = Caller(settings, 9, clock), NoticeSender(("127.0.0.1", 1))
     learning = Learner(Store(FolderDisk(folder), 10**5, clock.now_us), clock)
     return Node(settings, 1, journal_in(folder), learning, caller, notices, clock)
 
