--- a/amberlug/library/endpoints.py
+++ b/amberlug/library/endpoints.py
@@ -175,7 +175,7 @@
     async def tried(self, seconds: float) -> None:
         """Wait until discovery has answered once, or refused, for so long at the most."""
         if self._watch is not None:
-            await self._watch.tried(seconds)
+            await self._watch.wait_attempted(seconds)
 
     def start(self, settings: Settings, listed: Listed) -> None:
         if self._known is not None:
--- a/amberlug/library/relay.py
+++ b/amberlug/library/relay.py
@@ -37,7 +37,7 @@
 from amberlug.library.taken import Taken
 from amberlug.library.transport import Deliver, HostTransport
 from amberlug.platform.confirmation import ListConfirmation
-from amberlug.platform.discovery import ASK_FOR
+from amberlug.platform.discovery import STARTUP_WAIT_S
 from amberlug.policy.interface import Settings
 
 GRACE = 3.0  # seconds that `close` waits for calls that are out
@@ -157,7 +157,7 @@
             stack.callback(self._endpoints.stop)
             if isinstance(self._endpoints, Discovery):
                 # Guards against first calls to what began to drain while no process was here.
-                await self._endpoints.tried(ASK_FOR)
+                await self._endpoints.tried(STARTUP_WAIT_S)
             for held in list(self._journal.held.values()):
                 self._claim_held(held)
             self._lag = Lag()
--- a/amberlug/platform/daemon.py
+++ b/amberlug/platform/daemon.py
@@ -26,7 +26,7 @@
 from amberlug.platform.backoff import DiscoveryBackoff
 from amberlug.platform.config import Config, read_config
 from amberlug.platform.confirmation import ListConfirmation
-from amberlug.platform.discovery import ASK_FOR, Watch
+from amberlug.platform.discovery import STARTUP_WAIT_S, Watch
 from amberlug.platform.loop_lag import LoopLagSelector
 from amberlug.platform.memory import return_freed_memory
 from amberlug.platform.notices import NoticeSender
@@ -119,7 +119,7 @@
     )
     watch.start()
     # Avoids first calls to endpoints that began to drain while no process was running.
-    await watch.tried(ASK_FOR)
+    await watch.wait_attempted(STARTUP_WAIT_S)
     if guard is not None:
         await guard.start(node)
     node.restore()
@@ -171,7 +171,7 @@
         # An invalid or partially written file must not end the process: the old configuration stays in use.
         log(f"configuration not reloaded, the previous one stays in use: {plain(error)}")
         return
-    watch.move(config.discovery)
+    watch.change_address(config.discovery)
     notices.change_address(config.discovery)
 
 
--- a/benchmarks/sleeping.py
+++ b/benchmarks/sleeping.py
@@ -224,7 +224,7 @@
             turns, last = [0.0], loop.time()
             start = last
             for at in range(0, len(data), 65536):
-                watch._data(data[at : at + 65536])
+                watch._on_data(data[at : at + 65536])
                 await asyncio.sleep(0)
                 turns.append(loop.time() - last)
                 last = loop.time()
--- a/tests/test_listing.py
+++ b/tests/test_listing.py
@@ -16,7 +16,7 @@
 from amberlug.core.ports import News
 from amberlug.core.slices import Slices
 from amberlug.platform.backoff import DiscoveryBackoff
-from amberlug.platform.discovery import LINE_MOST, SETTLED, Watch
+from amberlug.platform.discovery import MAX_LINE_BYTES, SETTLE_S, Watch
 from amberlug.policy import interface as api
 from amberlug.policy.interface import State
 from amberlug.policy.membership import BATCH, Comparison, Members
@@ -347,7 +347,7 @@
 
     async def take(self, data: bytes) -> None:
         """Read a part to its end: on a busy machine more than a slice's time may pass in one."""
-        self.watch._data(data)
+        self.watch._on_data(data)
         while self.watch._slices._jobs:
             await asyncio.sleep(0)
 
@@ -369,7 +369,7 @@
 def test_a_list_is_the_newest_only_from_the_first_news_of_a_connection_on() -> None:
     async def scenario() -> None:
         it = _Reading()
-        it.watch._asked = asyncio.get_running_loop().time() + 60.0  # never settled
+        it.watch._requested_s = asyncio.get_running_loop().time() + 60.0  # never settled
         for data, times in ((b"\n", 0), (line(item(1)).encode(), 0), (b"\n", 1), (b"\n", 2)):
             await it.take(data)
             assert len(it.confirmed) == times
@@ -381,10 +381,10 @@
     async def scenario() -> None:
         it = _Reading()
         loop = asyncio.get_running_loop()
-        it.watch._asked = loop.time()
+        it.watch._requested_s = loop.time()
         await it.take(b"\n")  # what has changed may stand behind it
         assert it.confirmed == []
-        it.watch._asked = loop.time() - SETTLED
+        it.watch._requested_s = loop.time() - SETTLE_S
         await it.take(b"\n")
         assert it.confirmed == [0]
 
@@ -394,9 +394,9 @@
 def test_a_line_without_end_is_not_kept() -> None:
     async def scenario() -> None:
         it = _Reading()
-        for _ in range(LINE_MOST // 65536 + 1):
-            it.watch._data(b"x" * 65536)
-        assert len(it.watch._rest) <= 65536
+        for _ in range(MAX_LINE_BYTES // 65536 + 1):
+            it.watch._on_data(b"x" * 65536)
+        assert len(it.watch._buffer) <= 65536
         await it.take(b"\n" + line(item(1)).encode() + b"\n")
         assert len(it.told) == 1
 
