--- a/amberlug/platform/config.py
+++ b/amberlug/platform/config.py
@@ -16,32 +16,33 @@
 from amberlug.policy.interface import Settings
 from amberlug.policy.settings import read_settings
 
-SPARE = (
-    48  # file descriptors for the watch, notices, files, signals, and connections being accepted or dialed
-)
+# File descriptors for the watch, notices, files, signals, and connections being accepted or dialed.
+RESERVED_DESCRIPTORS = 48
 # Fraction of the other descriptors for client connections, which use at most a third of all of them for
 # requests; the rest is for calls to endpoints.
-CLIENTS = 0.6
-BODIES = 0.25  # fraction of the memory limit for request bodies that are being read
+CLIENT_FRACTION = 0.6
+BODY_MEMORY_FRACTION = 0.25  # of the memory limit, for request bodies that are being read
 
 
 @dataclass(frozen=True, slots=True)
 class Limits:
     """What each side of the relay may use at once, within the deployment's limits."""
 
-    clients: int  # client connections
-    links: int  # connections to endpoints
+    client_connections: int
+    endpoint_connections: int
     disk_bytes: int
 
 
 def read_limits(data: Any) -> Limits:
     """Divide up the limits; raises `ValueError` if they are too low to serve with."""
-    sockets = int(float(data["sockets"])) - SPARE
-    clients = min(int(sockets * CLIENTS), int(float(data["memory_mb"]) * 1_000_000 * BODIES / BODY_MOST))
-    links = sockets - int(sockets * CLIENTS)
-    if clients < 1 or links < 1:
+    descriptors = int(float(data["sockets"])) - RESERVED_DESCRIPTORS
+    for_clients = int(descriptors * CLIENT_FRACTION)
+    body_bytes = float(data["memory_mb"]) * 1_000_000 * BODY_MEMORY_FRACTION
+    client_connections = min(for_clients, int(body_bytes / BODY_MOST))
+    endpoint_connections = descriptors - for_clients
+    if client_connections < 1 or endpoint_connections < 1:
         raise ValueError("limits are too low: no client or no endpoint connection is left")
-    return Limits(clients, links, int(float(data["disk_mb"]) * 1_000_000))
+    return Limits(client_connections, endpoint_connections, int(float(data["disk_mb"]) * 1_000_000))
 
 
 @dataclass(frozen=True, slots=True)
@@ -80,7 +81,7 @@
             data = read_beside(iter(partial(file.read, PIECE), b""), "known")
         limits, settings = read_limits(data["limits"]), read_settings(data["settings"])
         # Keeps the decision module from starting calls for which there is no connection.
-        settings = replace(settings, slots=min(settings.slots, limits.links))
+        settings = replace(settings, slots=min(settings.slots, limits.endpoint_connections))
         known = read_news(data["known"], settings.kinds)
         state = environ.get("ROUTER_STATE")
         if not state or not Path(state).is_dir():
--- a/amberlug/platform/daemon.py
+++ b/amberlug/platform/daemon.py
@@ -100,7 +100,10 @@
     journal = own if guard is None else guard.journal(own)
     learning = open_learning(config.state, room // SHARE, clock, config.durability, config.learning_key)
     backoff = DiscoveryBackoff(config.settings.relays, config.settings.drain_grace_us / SECOND)
-    caller, notices = Caller(config.settings, config.limits.links, clock), NoticeSender(config.discovery)
+    caller, notices = (
+        Caller(config.settings, config.limits.endpoint_connections, clock),
+        NoticeSender(config.discovery),
+    )
     front = None if make_front is None else make_front(config.settings, clock)
     transport = caller if front is None else front.transport(caller)
     ends = notices if front is None else front.ends(notices)
@@ -123,7 +126,9 @@
     if guard is not None:
         await guard.start(node)
     node.restore()
-    server = Server(config.settings, node, clock.wall_ms, selector.waited_us, config.limits.clients)
+    server = Server(
+        config.settings, node, clock.wall_ms, selector.waited_us, config.limits.client_connections
+    )
     sock = socket.create_server(
         config.listen, family=socket.AF_INET6 if ":" in config.listen[0] else socket.AF_INET
     )
