--- a/amberlug/platform/checking.py
+++ b/amberlug/platform/checking.py
@@ -12,7 +12,7 @@
 from amberlug.platform.config import read_durability, read_learning_key, read_limits
 from amberlug.policy import settings
 
-LIMITS = ("sockets", "memory_mb", "disk_mb")
+LIMIT_NAMES = ("sockets", "memory_mb", "disk_mb")
 
 
 @dataclass(frozen=True, slots=True)
@@ -33,8 +33,8 @@
         return [Problem("the whole", "nested too deeply")]
     if not isinstance(data, Mapping):
         return [Problem("the whole", "not a JSON object")]
-    parts = (_addresses, _seed, _durability, _learning_key, _limits, _settings, _known)
-    return [problem for part in parts for problem in part(data)]
+    sections = (_addresses, _seed, _durability, _learning_key, _limits, _settings, _initial_list)
+    return [problem for section in sections for problem in section(data)]
 
 
 def _addresses(data: Mapping[str, Any]) -> Iterator[Problem]:
@@ -75,13 +75,13 @@
     if not isinstance(limits, Mapping):
         yield Problem("limits", "missing, or not an object")
         return
-    bad = False
-    for name in LIMITS:
+    found_error = False
+    for name in LIMIT_NAMES:
         value = limits.get(name)
         if isinstance(value, bool) or not isinstance(value, int | float) or not 0 < value < 1e12:
-            bad = True
+            found_error = True
             yield Problem(f"limits.{name}", f"not a positive number below 1e12: {value!r}")
-    if not bad:
+    if not found_error:
         try:
             read_limits(limits)
         except ValueError as error:
@@ -98,7 +98,7 @@
         yield Problem(f"settings.{place}", what)
 
 
-def _known(data: Mapping[str, Any]) -> Iterator[Problem]:
+def _initial_list(data: Mapping[str, Any]) -> Iterator[Problem]:
     """Check the initial list of endpoints; their kinds are checked if the settings define any."""
     known, table = data.get("known"), data.get("settings")
     if not isinstance(known, Mapping) or not isinstance(known.get("members"), list):
@@ -106,12 +106,12 @@
         return
     if not isinstance(known.get("revision"), int):
         yield Problem("known.revision", f"not an integer: {known.get('revision')!r}")
-    named = table.get("Kinds") if isinstance(table, Mapping) else None
+    defined_kinds = table.get("Kinds") if isinstance(table, Mapping) else None
     seen: set[str] = set()
-    for number, item in enumerate(known["members"]):
-        where = f"known.members[{number}]"
-        own = [str(item.get("flavor"))] if isinstance(item, Mapping) else []
-        kinds: list[str] = named if isinstance(named, list) else own
+    for index, item in enumerate(known["members"]):
+        where = f"known.members[{index}]"
+        listed_kind = [str(item.get("flavor"))] if isinstance(item, Mapping) else []
+        kinds: list[str] = defined_kinds if isinstance(defined_kinds, list) else listed_kind
         try:
             (entry,) = read_news({"revision": 0, "complete": True, "members": [item]}, kinds).entries
         except ValueError as error:
--- a/amberlug/platform/trace.py
+++ b/amberlug/platform/trace.py
@@ -25,39 +25,39 @@
 from amberlug.core.messages import Attempt, End, Ending, Message
 from amberlug.policy import interface as api
 
-_APART = re.compile(r"[\s:]")
+_SEPARATORS = re.compile(r"[\s:]")
 
 
-def _plain(text: str) -> str:
-    return _APART.sub("_", text)
+def _escape(text: str) -> str:
+    return _SEPARATORS.sub("_", text)
 
 
-def _word(it: api.Event | api.Action) -> str | None:
-    match it:
+def _format(item: api.Event | api.Action) -> str | None:
+    match item:
         case api.Taken():
-            return f"T:{it.ref}:{it.destination}:{_plain(it.message_class)}:{it.left_us}"
+            return f"T:{item.ref}:{item.destination}:{_escape(item.message_class)}:{item.left_us}"
         case api.Resumed(taken, attempts):
-            held = f"{taken.ref}:{taken.destination}:{_plain(taken.message_class)}"
+            held = f"{taken.ref}:{taken.destination}:{_escape(taken.message_class)}"
             return f"B:{held}:{taken.left_us}:{attempts}"
         case api.Send():
-            return f"S:{it.ref}:{_plain(it.endpoint)}:{it.call}:{it.fresh:d}"
+            return f"S:{item.ref}:{_escape(item.endpoint)}:{item.call}:{item.fresh:d}"
         case api.Outcome():
-            result = it.result.value.replace(" ", "_")
-            ended = f"{it.ref}:{it.attempt}:{_plain(it.endpoint)}:{result}"
-            return f"O:{ended}:{it.wait_us}:{it.reused:d}:{it.took_us}"
+            result = item.result.value.replace(" ", "_")
+            ended = f"{item.ref}:{item.attempt}:{_escape(item.endpoint)}:{result}"
+            return f"O:{ended}:{item.wait_us}:{item.reused:d}:{item.took_us}"
         case api.Refuse():
-            return f"R:{it.ref}:{it.advice_us}"
+            return f"R:{item.ref}:{item.advice_us}"
         case api.Fail():
-            return f"F:{it.ref}"
+            return f"F:{item.ref}"
         case api.CloseIdle():
-            return f"C:{_plain(it.endpoint)}"
+            return f"C:{_escape(item.endpoint)}"
     return None
 
 
-def _entries(news: api.Listed) -> list[str]:
+def _format_entries(news: api.Listed) -> list[str]:
     return [
-        f"L:{_plain(it.endpoint)}:{it.destination}:{_plain(it.kind)}:{it.state.value}:{it.rate:g}"
-        for it in news.entries
+        f"L:{_escape(item.endpoint)}:{item.destination}:{_escape(item.kind)}:{item.state.value}:{item.rate:g}"
+        for item in news.entries
     ]
 
 
@@ -65,21 +65,23 @@
     """Writes each round to the log; an `Observer`."""
 
     def __init__(self, settings: api.Settings) -> None:
-        kinds = (
-            f"K:{_plain(it.name)}:{it.worth:g}:{it.aim_us}:{it.deadline_us}:{it.late_worth:g}"
-            for it in settings.classes.values()
+        classes = (
+            f"K:{_escape(item.name)}:{item.worth:g}:{item.aim_us}:{item.deadline_us}:{item.late_worth:g}"
+            for item in settings.classes.values()
         )
-        log(f"~ 0 {' '.join(kinds)}")
+        log(f"~ 0 {' '.join(classes)}")
 
     def round(self, now_us: int, events: Sequence[api.Event], actions: Sequence[api.Action]) -> None:
         """Log the events given to the decision module, and its actions."""
-        words: list[str] = []
+        formatted: list[str] = []
         for event in events:
             if isinstance(event, api.Listed):
-                words += _entries(event)
-        words += [word for it in (*events, *actions) if (word := _word(it)) is not None]
-        if words:
-            log(f"~ {now_us} {' '.join(words)}")
+                formatted += _format_entries(event)
+        formatted += [
+            formatted_item for item in (*events, *actions) if (formatted_item := _format(item)) is not None
+        ]
+        if formatted:
+            log(f"~ {now_us} {' '.join(formatted)}")
 
     def taken(self, message: Message) -> None:
         """Do nothing: the round has logged this."""
