--- a/amberlug/lab/relay.py
+++ b/amberlug/lab/relay.py
@@ -14,7 +14,7 @@
 from amberlug.lab.scenario import World
 from amberlug.lab.transport import ModelTransport
 from amberlug.learning import SHARE
-from amberlug.learning.blocks import number_of
+from amberlug.learning.blocks import generation_number
 from amberlug.learning.learner import Learner
 from amberlug.learning.store import Store
 from amberlug.platform.backoff import DiscoveryBackoff
@@ -111,7 +111,7 @@
         self._clock = clock = LifeClock(self._time)
         room = int(self._world.disk_mb * 1e6 * DISK_SHARE)
         if not self._world.remembers:
-            for name in [name for name in self._disk.files() if number_of(name) is not None]:
+            for name in [name for name in self._disk.files() if generation_number(name) is not None]:
                 self._disk.remove(name)
         journal = Journal(self._disk, room - room // SHARE, clock.wall_ms(), clock.now_us)
         learner = Learner(Store(self._disk, room // SHARE, clock.now_us), clock)
--- a/amberlug/learning/blocks.py
+++ b/amberlug/learning/blocks.py
@@ -21,33 +21,33 @@
 import msgpack
 
 MAGIC, VERSION = b"AMBLEARN", 1
-_PREFIX = struct.Struct(">8sH")
-_HEAD = struct.Struct(">2sBI")
-_CHECK = struct.Struct(">I")
-DIGEST = 16
-HEAD_SIZE = _HEAD.size + _CHECK.size + DIGEST
-PREFIX_SIZE = _PREFIX.size
-MARK = b"\xa7\x2e"
-BLOCK_MOST = 1 << 20  # bytes of payload
-_NAME = re.compile(r"learning-([0-9]{12})\.gen")
+_FILE_HEADER = struct.Struct(">8sH")
+_HEADER = struct.Struct(">2sBI")
+_CHECKSUM = struct.Struct(">I")
+DIGEST_BYTES = 16
+HEADER_SIZE = _HEADER.size + _CHECKSUM.size + DIGEST_BYTES
+FILE_HEADER_SIZE = _FILE_HEADER.size
+MARKER = b"\xa7\x2e"
+MAX_PAYLOAD_BYTES = 1 << 20
+_FILE_NAME = re.compile(r"learning-([0-9]{12})\.gen")
 
 Records = list[tuple[bytes, bytes]]  # keys and values; an empty value deletes the key
 
 
-class Type(IntEnum):
+class BlockType(IntEnum):
     """The content of a block."""
 
-    WHOSE = 1
+    IDENTITY = 1
     RECORDS = 2
     SEAL = 3
 
 
-class RefusedError(ValueError):
+class InvalidGenerationError(ValueError):
     """A generation is invalid, for the reason in the message."""
 
 
 @dataclass(frozen=True, slots=True)
-class Stamp:
+class Timestamp:
     """The time of a write: by the wall clock, and by the monotonic clock of a boot."""
 
     wall_ms: int
@@ -61,9 +61,9 @@
 
     number: int = 0
     records: dict[bytes, bytes] = field(default_factory=dict)
-    stamp: Stamp = field(default_factory=lambda: Stamp(0, 0, ""))  # of the last block of records
+    stamp: Timestamp = field(default_factory=lambda: Timestamp(0, 0, ""))  # of the last block of records
     digest: bytes = b""  # of the last block
-    holds: int = 0  # bytes up to the end of the last block
+    valid_bytes: int = 0  # bytes up to the end of the last block
 
 
 def file_name(number: int) -> str:
@@ -71,109 +71,117 @@
     return f"learning-{number:012d}.gen"
 
 
-def number_of(name: str) -> int | None:
+def generation_number(name: str) -> int | None:
     """Return the generation number in a file name; None for other files."""
-    match = _NAME.fullmatch(name)
+    match = _FILE_NAME.fullmatch(name)
     return int(match[1]) if match else None
 
 
-def prefix() -> bytes:
+def file_header() -> bytes:
     """Return the file header, which the first digest covers."""
-    return _PREFIX.pack(MAGIC, VERSION)
+    return _FILE_HEADER.pack(MAGIC, VERSION)
 
 
-def block(kind: Type, payload: bytes, before: bytes, key: bytes) -> tuple[bytes, bytes]:
-    """Return a block that follows the one with the digest `before`, and its own digest."""
-    head = _HEAD.pack(MARK, kind, len(payload))
-    digest = _digest(before, head, payload, key)
-    return head + _CHECK.pack(zlib.crc32(head)) + digest + payload, digest
+def encode_block(
+    block_type: BlockType, payload: bytes, previous_digest: bytes, key: bytes
+) -> tuple[bytes, bytes]:
+    """Return an encoded block and its digest; it follows the block with `previous_digest`."""
+    header = _HEADER.pack(MARKER, block_type, len(payload))
+    digest = _digest(previous_digest, header, payload, key)
+    return header + _CHECKSUM.pack(zlib.crc32(header)) + digest + payload, digest
 
 
-def _digest(before: bytes, head: bytes, payload: bytes, key: bytes) -> bytes:
-    one = hashlib.blake2b(before, digest_size=DIGEST, key=hashlib.sha512(key).digest() if key else b"")
-    one.update(head)
-    one.update(payload)
-    return one.digest()
+def _digest(previous_digest: bytes, header: bytes, payload: bytes, key: bytes) -> bytes:
+    hash_key = hashlib.sha512(key).digest() if key else b""
+    state = hashlib.blake2b(previous_digest, digest_size=DIGEST_BYTES, key=hash_key)
+    state.update(header)
+    state.update(payload)
+    return state.digest()
 
 
-def pack_whose(number: int, stamp: Stamp) -> bytes:
+def pack_identity(number: int, stamp: Timestamp) -> bytes:
     """Encode the payload of the first block."""
     return bytes(msgpack.packb([number, stamp.wall_ms, stamp.clock_us, stamp.boot]))
 
 
-def pack_records(records: Records, stamp: Stamp) -> bytes:
+def pack_records(records: Records, stamp: Timestamp) -> bytes:
     """Encode the payload of a block of records."""
     return bytes(msgpack.packb([stamp.wall_ms, stamp.clock_us, records]))
 
 
-def read(data: bytes, number: int, key: bytes) -> Generation:
-    """Read a generation; raises `RefusedError` unless all of it is valid."""
-    if len(data) < PREFIX_SIZE:
-        raise RefusedError("incomplete")
-    magic, version = _PREFIX.unpack_from(data)
+def read_generation(data: bytes, number: int, key: bytes) -> Generation:
+    """Read a generation; raises `InvalidGenerationError` unless all of it is valid."""
+    if len(data) < FILE_HEADER_SIZE:
+        raise InvalidGenerationError("incomplete")
+    magic, version = _FILE_HEADER.unpack_from(data)
     if magic != MAGIC:
-        raise RefusedError("not a file of learned data")
+        raise InvalidGenerationError("not a file of learned data")
     if version != VERSION:
-        raise RefusedError(f"format version is {version}, this release reads {VERSION}")
-    found, sealed, at = Generation(digest=data[:PREFIX_SIZE], holds=PREFIX_SIZE), False, PREFIX_SIZE
-    while (one := _block(data, at, found.digest, key)) is not None:
-        kind, payload, found.digest, at = one
+        raise InvalidGenerationError(f"format version is {version}, this release reads {VERSION}")
+    generation = Generation(digest=data[:FILE_HEADER_SIZE], valid_bytes=FILE_HEADER_SIZE)
+    sealed, offset = False, FILE_HEADER_SIZE
+    while (block_read := _next_block(data, offset, generation.digest, key)) is not None:
+        block_type, payload, generation.digest, offset = block_read
         try:
-            if (kind is Type.WHOSE) is not (found.holds == PREFIX_SIZE):
+            if (block_type is BlockType.IDENTITY) is not (generation.valid_bytes == FILE_HEADER_SIZE):
                 raise ValueError("block out of order")
-            if kind is Type.SEAL:
+            if block_type is BlockType.SEAL:
                 if sealed or payload:
                     raise ValueError("second seal, or a seal with a payload")
                 sealed = True
-            elif kind is Type.WHOSE:
-                _whose(found, payload)
+            elif block_type is BlockType.IDENTITY:
+                _apply_identity(generation, payload)
             else:
-                _apply(found, payload)
+                _apply_records(generation, payload)
         except (ValueError, TypeError, msgpack.UnpackException) as error:
-            raise RefusedError(f"malformed block at offset {found.holds}: {error}") from None
-        found.holds = at
+            raise InvalidGenerationError(
+                f"malformed block at offset {generation.valid_bytes}: {error}"
+            ) from None
+        generation.valid_bytes = offset
     if not sealed:
-        raise RefusedError("incomplete: it has no seal")
-    if found.number != number:
-        raise RefusedError(f"it contains generation {found.number}")
-    return found
+        raise InvalidGenerationError("incomplete: it has no seal")
+    if generation.number != number:
+        raise InvalidGenerationError(f"it contains generation {generation.number}")
+    return generation
 
 
-def _block(data: bytes, at: int, before: bytes, key: bytes) -> tuple[Type, bytes, bytes, int] | None:
+def _next_block(
+    data: bytes, offset: int, previous_digest: bytes, key: bytes
+) -> tuple[BlockType, bytes, bytes, int] | None:
     """Return the block at an offset, its digest and its end; None if the file ends before that."""
-    if len(data) - at < HEAD_SIZE:
+    if len(data) - offset < HEADER_SIZE:
         return None
-    head = data[at : at + _HEAD.size]
-    mark, kind, size = _HEAD.unpack(head)
-    sound = _CHECK.unpack_from(data, at + _HEAD.size)[0] == zlib.crc32(head)
-    if not sound or mark != MARK or size > BLOCK_MOST or kind not in (1, 2, 3):
-        raise RefusedError(f"no valid block header at offset {at}")
-    start, end = at + HEAD_SIZE, at + HEAD_SIZE + size
+    header = data[offset : offset + _HEADER.size]
+    marker, block_type, size = _HEADER.unpack(header)
+    valid_header = _CHECKSUM.unpack_from(data, offset + _HEADER.size)[0] == zlib.crc32(header)
+    if not valid_header or marker != MARKER or size > MAX_PAYLOAD_BYTES or block_type not in (1, 2, 3):
+        raise InvalidGenerationError(f"no valid block header at offset {offset}")
+    start, end = offset + HEADER_SIZE, offset + HEADER_SIZE + size
     if end > len(data):
         return None
-    payload, digest = data[start:end], data[start - DIGEST : start]
-    if digest != _digest(before, head, payload, key):
-        raise RefusedError(
-            f"digest mismatch at offset {at}: the block was modified, moved or written with another key"
+    payload, digest = data[start:end], data[start - DIGEST_BYTES : start]
+    if digest != _digest(previous_digest, header, payload, key):
+        raise InvalidGenerationError(
+            f"digest mismatch at offset {offset}: the block was modified, moved or written with another key"
         )
-    return Type(kind), payload, digest, end
+    return BlockType(block_type), payload, digest, end
 
 
-def _whose(found: Generation, payload: bytes) -> None:
-    found.number, wall_ms, clock_us, boot = _fields(payload, int, int, int, str)
-    found.stamp = Stamp(wall_ms, clock_us, boot)
+def _apply_identity(generation: Generation, payload: bytes) -> None:
+    generation.number, wall_ms, clock_us, boot = _fields(payload, int, int, int, str)
+    generation.stamp = Timestamp(wall_ms, clock_us, boot)
 
 
-def _apply(found: Generation, payload: bytes) -> None:
+def _apply_records(generation: Generation, payload: bytes) -> None:
     wall_ms, clock_us, records = _fields(payload, int, int, list)
-    found.stamp = Stamp(wall_ms, clock_us, found.stamp.boot)
+    generation.stamp = Timestamp(wall_ms, clock_us, generation.stamp.boot)
     for key, value in records:
         if not isinstance(key, bytes) or not isinstance(value, bytes):
             raise TypeError("key or value of a record is not bytes")
         if value:
-            found.records[key] = value
+            generation.records[key] = value
         else:
-            found.records.pop(key, None)
+            generation.records.pop(key, None)
 
 
 def _fields(payload: bytes, *types: type) -> list[Any]:
--- a/amberlug/learning/learner.py
+++ b/amberlug/learning/learner.py
@@ -13,7 +13,7 @@
 from amberlug.core.log import log
 from amberlug.core.ports import Clock, Earlier, Seen, Wait
 from amberlug.learning import ageing, facts
-from amberlug.learning.blocks import Stamp
+from amberlug.learning.blocks import Timestamp
 from amberlug.learning.facts import Kept, Usual
 from amberlug.learning.store import Store
 from amberlug.policy import interface as api
@@ -43,8 +43,8 @@
         self._go_on()
         store.ready()
 
-    def _stamp(self) -> Stamp:
-        return Stamp(self._clock.wall_ms(), self._clock.now_us(), self._clock.boot)
+    def _stamp(self) -> Timestamp:
+        return Timestamp(self._clock.wall_ms(), self._clock.now_us(), self._clock.boot)
 
     # Startup.
 
@@ -67,7 +67,7 @@
             pause_ms = min(PAUSE_MOST_MS, max(0, now.wall_ms - was.wall_ms))
             self._store.restamp(now, self._shifted(now, now.clock_us - was.clock_us - pause_ms * 1000, was))
 
-    def _shifted(self, now: Stamp, shift_us: int, was: Stamp) -> dict[bytes, bytes]:
+    def _shifted(self, now: Timestamp, shift_us: int, was: Timestamp) -> dict[bytes, bytes]:
         shifted = {}
         for key, record in self._store.records.items():
             if key[:1] == facts.DESTINATION:
@@ -151,7 +151,7 @@
         records += self._old(now.clock_us)
         self._put(records, now)
 
-    def _put(self, records: Sequence[tuple[bytes, bytes]], now: Stamp) -> None:
+    def _put(self, records: Sequence[tuple[bytes, bytes]], now: Timestamp) -> None:
         """Store valid records only: the next start rejects all records if one is invalid."""
         sound = []
         for record in records:
@@ -162,7 +162,7 @@
             sound.append(record)
         self._store.put(sound, now)
 
-    def _learn(self, known: api.Known, now: Stamp) -> tuple[bytes, bytes]:
+    def _learn(self, known: api.Known, now: Timestamp) -> tuple[bytes, bytes]:
         key = facts.destination_key(known.destination)
         record = self._store.records.get(key)
         kept = Kept(known, now.clock_us) if record is None else self._unpack(record)
@@ -198,7 +198,7 @@
                 faded = {at: (used * fade, resets * fade) for at, (used, resets) in bins.items()}
                 kept.idle[name] = {at: it for at, it in faded.items() if it[0] >= ageing.LEAST}
 
-    def _kinds(self, known: Sequence[api.Known], now: Stamp) -> list[tuple[bytes, bytes]]:
+    def _kinds(self, known: Sequence[api.Known], now: Timestamp) -> list[tuple[bytes, bytes]]:
         """Update the baselines of kinds by an exponential moving average over the observed destinations."""
         changed: dict[str, Usual] = {}
         for it in known:
@@ -212,7 +212,7 @@
                 usual.seen_us = now.clock_us
         return [(facts.KIND + kind.encode(), facts.pack_usual(usual)) for kind, usual in changed.items()]
 
-    def _tenants(self, now: Stamp) -> list[tuple[bytes, bytes]]:
+    def _tenants(self, now: Timestamp) -> list[tuple[bytes, bytes]]:
         past_us = now.clock_us - self._sent_us
         if not self._sent or past_us < TENANT_US // 60:
             return []
--- a/amberlug/learning/store.py
+++ b/amberlug/learning/store.py
@@ -14,8 +14,8 @@
 from amberlug.core.journal.disk import Disk
 from amberlug.core.journal.syncing import Syncer
 from amberlug.core.log import log
-from amberlug.learning import blocks as it
-from amberlug.learning.blocks import Generation, Records, RefusedError, Stamp, Type
+from amberlug.learning import blocks
+from amberlug.learning.blocks import BlockType, Generation, InvalidGenerationError, Records, Timestamp
 
 SLICE_US = 1_000  # time limit of one slice of writing a new generation
 BATCH = 16  # records per block of a new generation: some 0.1 ms of work
@@ -30,7 +30,7 @@
 
     def __init__(self, number: int, digest: bytes, size: int) -> None:
         self.number, self.digest, self.size = number, digest, size
-        self.name = it.file_name(number)
+        self.name = blocks.file_name(number)
 
 
 class Store:
@@ -50,7 +50,7 @@
         self._disk, self._room, self._clock_us = disk, room_bytes, clock_us
         self._key, self._syncer = key, syncer
         self.records: dict[bytes, bytes] = {}  # least recently written first
-        self.stamp = Stamp(0, 0, "")
+        self.stamp = Timestamp(0, 0, "")
         self.refused: list[str] = []
         self.found = False  # whether the directory had any generation, valid or not
         self._live = 0  # bytes of all records
@@ -69,13 +69,13 @@
         return self._room // 4
 
     def _read(self) -> None:
-        files = {it.number_of(name): size for name, size in self._disk.files().items()}
+        files = {blocks.generation_number(name): size for name, size in self._disk.files().items()}
         self._files = {number: size for number, size in files.items() if number is not None}
         self.found = bool(self._files)
         for number in sorted(self._files, reverse=True):
             try:
                 self._adopt(self._believed(number))
-            except (RefusedError, OSError) as error:
+            except (InvalidGenerationError, OSError) as error:
                 self.refused.append(f"generation {number} rejected: {error}")
                 log(f"learning: {self.refused[-1]}")
                 continue
@@ -84,8 +84,8 @@
     def _believed(self, number: int) -> Generation:
         size = self._files[number]
         if size > self._room:
-            raise RefusedError(f"its size of {size} bytes exceeds the limit of {self._room}")
-        return it.read(self._disk.read(it.file_name(number), 0, size), number, self._key)
+            raise InvalidGenerationError(f"its size of {size} bytes exceeds the limit of {self._room}")
+        return blocks.read_generation(self._disk.read(blocks.file_name(number), 0, size), number, self._key)
 
     def _adopt(self, found: Generation) -> None:
         self.records, self.stamp = found.records, found.stamp
@@ -94,15 +94,15 @@
         if found.number != newest:
             return  # a new one is written immediately, with a number above the rejected ones
         try:
-            if found.holds < size:  # nothing may be appended after a truncated block
-                self._disk.truncate(it.file_name(found.number), found.holds)
+            if found.valid_bytes < size:  # nothing may be appended after a truncated block
+                self._disk.truncate(blocks.file_name(found.number), found.valid_bytes)
         except OSError as error:
             log(f"learning: {error}")
             return
-        self._files[found.number] = found.holds
-        self._current = File(found.number, found.digest, found.holds)
+        self._files[found.number] = found.valid_bytes
+        self._current = File(found.number, found.digest, found.valid_bytes)
 
-    def restamp(self, stamp: Stamp, records: Mapping[bytes, bytes]) -> None:
+    def restamp(self, stamp: Timestamp, records: Mapping[bytes, bytes]) -> None:
         """Replace all records, converted to the clock of this boot, and start a new generation for them."""
         self.stamp, self.records, self._current = stamp, dict(records), None
         self._live = sum(len(key) + len(value) for key, value in self.records.items())
@@ -112,7 +112,7 @@
         while self._current is None and self.work() == SLICE_US:
             pass
 
-    def put(self, records: Records, stamp: Stamp) -> None:
+    def put(self, records: Records, stamp: Timestamp) -> None:
         """Write records now; those that can't be are written later, with their values at that time."""
         for key, value in records:
             had = self.records.pop(key, None)
@@ -129,11 +129,11 @@
     def _flush(self) -> None:
         if not self._pending or self._clock_us() < self._paused_us or self._closed or self._current is None:
             return
-        payload = it.pack_records(list(self._pending.items()), self.stamp)
+        payload = blocks.pack_records(list(self._pending.items()), self.stamp)
         try:
             for file in (self._current, self._next):
                 if file is not None:
-                    self._append(file, Type.RECORDS, payload)
+                    self._append(file, BlockType.RECORDS, payload)
         except OSError as error:
             self._fail(error)
             return
@@ -162,9 +162,9 @@
         if self._current is not None:
             self._remove_all_but(self._current.number)
 
-    def _append(self, file: File, kind: Type, payload: bytes) -> None:
+    def _append(self, file: File, kind: BlockType, payload: bytes) -> None:
         """Append one block, completely or not at all; raises `OSError` if that fails."""
-        data, digest = it.block(kind, payload, file.digest, self._key)
+        data, digest = blocks.encode_block(kind, payload, file.digest, self._key)
         if self._used(len(data)) > self._room:
             raise OSError(errno.ENOSPC, "disk limit for learned data reached")
         written = 0
@@ -230,14 +230,14 @@
             kept = max(self._files, default=0) if self._current is None else self._current.number
             self._remove_all_but(kept)
         number = max(self._files, default=0) + 1
-        file = File(number, it.prefix(), 0)
+        file = File(number, blocks.file_header(), 0)
         self._disk.create(file.name)
         self._files[number] = 0
         self._next, self._left = file, iter(list(self.records))
-        if self._disk.append(file.name, it.prefix()) < it.PREFIX_SIZE:
+        if self._disk.append(file.name, blocks.file_header()) < blocks.FILE_HEADER_SIZE:
             raise OSError(errno.ENOSPC, "disk limit for learned data reached")
-        file.size = it.PREFIX_SIZE
-        self._append(file, Type.WHOSE, it.pack_whose(number, self.stamp))
+        file.size = blocks.FILE_HEADER_SIZE
+        self._append(file, BlockType.IDENTITY, blocks.pack_identity(number, self.stamp))
 
     def _go_on(self, until_us: int) -> int | None:
         assert self._next is not None
@@ -247,7 +247,7 @@
             if not keys:
                 break
             batch = [(key, self.records[key]) for key in keys if key in self.records]
-            self._append(self._next, Type.RECORDS, it.pack_records(batch, self.stamp))
+            self._append(self._next, BlockType.RECORDS, blocks.pack_records(batch, self.stamp))
             if self._clock_us() >= until_us:
                 return SLICE_US
         self._sync(self._seal)
@@ -279,7 +279,7 @@
 
     def _seal(self) -> None:
         assert self._next is not None
-        self._append(self._next, Type.SEAL, b"")
+        self._append(self._next, BlockType.SEAL, b"")
         self._sync(self._sealed)
 
     def _sealed(self) -> None:
@@ -297,7 +297,7 @@
 
     def _remove(self, number: int) -> None:
         try:
-            self._disk.remove(it.file_name(number))
+            self._disk.remove(blocks.file_name(number))
         except FileNotFoundError:
             pass
         except OSError as error:
--- a/tests/test_learning.py
+++ b/tests/test_learning.py
@@ -16,7 +16,7 @@
 from amberlug.core.ports import Earlier, Handle, Seen, Wait
 from amberlug.learning import ageing, blocks, facts
 from amberlug.learning import store as stores
-from amberlug.learning.blocks import RefusedError, Stamp, Type
+from amberlug.learning.blocks import BlockType, InvalidGenerationError, Timestamp
 from amberlug.learning.facts import Kept
 from amberlug.learning.learner import Learner
 from amberlug.learning.store import RETRY_US, Store
@@ -214,8 +214,8 @@
     told: list[dict[bytes, bytes]] = []
     for end in range(len(data) + 1):
         try:
-            found = blocks.read(data[:end], number, b"")
-        except RefusedError:
+            found = blocks.read_generation(data[:end], number, b"")
+        except InvalidGenerationError:
             continue
         if not told or told[-1] != found.records:
             told.append(found.records)
@@ -226,7 +226,7 @@
     chance, (_, data) = random.Random(5), evening_files()
     number = 1
     true = prefixes(data, number)
-    starts = [at for at in range(len(data)) if data[at : at + 2] == blocks.MARK]
+    starts = [at for at in range(len(data)) if data[at : at + 2] == blocks.MARKER]
     refused = 0
     for _ in range(20_000):
         changed, sort = bytearray(data), chance.randrange(5)
@@ -243,7 +243,7 @@
         else:
             del changed[one:two]
         try:
-            found = blocks.read(bytes(changed), number, b"")
+            found = blocks.read_generation(bytes(changed), number, b"")
             facts.check(found.records.items(), found.stamp.clock_us)
         except ValueError:
             refused += 1
@@ -253,13 +253,13 @@
 
 
 def put_file(records: blocks.Records, time: Time, key: bytes = b"", number: int = 1) -> bytes:
-    stamp, data, digest = Stamp(time.wall, time.us, time.boot), blocks.prefix(), blocks.prefix()
+    stamp, data, digest = Timestamp(time.wall, time.us, time.boot), blocks.file_header(), blocks.file_header()
     for kind, payload in (
-        (Type.WHOSE, blocks.pack_whose(number, stamp)),
-        (Type.RECORDS, blocks.pack_records(records, stamp)),
-        (Type.SEAL, b""),
+        (BlockType.IDENTITY, blocks.pack_identity(number, stamp)),
+        (BlockType.RECORDS, blocks.pack_records(records, stamp)),
+        (BlockType.SEAL, b""),
     ):
-        one, digest = blocks.block(kind, payload, digest, key)
+        one, digest = blocks.encode_block(kind, payload, digest, key)
         data += one
     return data
 
--- a/tests/test_restart.py
+++ b/tests/test_restart.py
@@ -12,7 +12,7 @@
 from amberlug.cli.learnings import Now, ReadOnlyDisk
 from amberlug.core.journal import FolderDisk
 from amberlug.core.journal.recovery import read_folder
-from amberlug.learning.blocks import number_of
+from amberlug.learning.blocks import generation_number
 from amberlug.learning.learner import Learner
 from amberlug.learning.store import Store
 from amberlug.standin.wire import OK, PATIENCE, Answer, StandIn
@@ -126,7 +126,7 @@
                 for count in range(60 + 7 * life):
                     await relay.hand_in(f"m{life}-{count}")
                 await relay.kill()
-                numbers |= {number_of(it.name) for it in state.iterdir()}
+                numbers |= {generation_number(it.name) for it in state.iterdir()}
                 now = Now()
                 learner = Learner(Store(ReadOnlyDisk(state), 10**6, now.now_us), now)
                 assert learner.refused == []
