--- a/amberlug/cli/learnings.py
+++ b/amberlug/cli/learnings.py
@@ -15,7 +15,7 @@
 from amberlug.core.journal import FolderDisk
 from amberlug.core.lock import FolderLock
 from amberlug.core.ports import Handle
-from amberlug.learning import ageing, facts, read_key
+from amberlug.learning import decay, facts, read_key
 from amberlug.learning.facts import Kept
 from amberlug.learning.learner import Learner
 from amberlug.learning.store import Store
@@ -123,7 +123,7 @@
             "answer_s": round(it.answer_us / SECOND, 3),
             "failure_rate": round(it.failure_rate, 3),
             "per_second": round(it.rate, 3),
-            "weight": round(ageing.weight(now_us - it.seen_us, ageing.USUAL_US), 3),
+            "weight": round(decay.weight(now_us - it.seen_us, decay.BASELINE_HALF_LIFE_US), 3),
         }
         for sort, name, it in learner.usual()
     ]
@@ -134,22 +134,22 @@
     gap_us = max(0, now_us - kept.seen_us)
     routes = []
     for told in kept.known.routes:
-        it = ageing.route(told, now_us, gap_us, 0.0)
+        it = decay.decayed_route(told, now_us, gap_us, 0.0)
         routes.append(
             {
                 "route": it.route,
                 "answer_s": round(it.usual_us / SECOND, 3),
                 "limit": None if it.learned == OPEN else round(it.learned, 3),
                 "weights": {
-                    "answer_s": round(ageing.weight(gap_us, ageing.ANSWERS_US), 3),
-                    "limit": round(ageing.weight(gap_us, ageing.LIMIT_US), 3),
+                    "answer_s": round(decay.weight(gap_us, decay.RESPONSE_TIME_HALF_LIFE_US), 3),
+                    "limit": round(decay.weight(gap_us, decay.LIMIT_HALF_LIFE_US), 3),
                 },
             }
         )
     endpoints = []
     for known in kept.known.endpoints:
         if only in (None, known.entry.endpoint):
-            now = ageing.endpoint(known, now_us, gap_us, 0.0)
+            now = decay.decayed_endpoint(known, now_us, gap_us, 0.0)
             endpoints.append(
                 {
                     "endpoint": known.entry.endpoint,
@@ -161,7 +161,7 @@
                     "since_s": _age(known.since_us, now_us),
                     "failed_s": _age(known.failed_us, now_us),
                     "delivered_s": _age(known.done_us, now_us),
-                    "weight": round(ageing.weight(gap_us, ageing.FAILURES_US), 3),
+                    "weight": round(decay.weight(gap_us, decay.FAILURE_RATE_HALF_LIFE_US), 3),
                     "resets_by_idle_ms": {
                         f"< {1 << at}": f"{resets:.1f} of {used:.1f}"
                         for at, (used, resets) in sorted(kept.idle.get(known.entry.endpoint, {}).items())
@@ -169,7 +169,7 @@
                 }
             )
     week = Now().wall_ms() // 3_600_000 // facts.WEEK_HOURS
-    hours = {hour: round(ageing.hour_weight(was, week), 2) for hour, was in sorted(kept.hours.items())}
+    hours = {hour: round(decay.hour_weight(was, week), 2) for hour, was in sorted(kept.hours.items())}
     return {
         "destination": kept.known.destination,
         "learned_s": round(gap_us / SECOND, 1),
--- /dev/null
+++ b/amberlug/learning/decay.py
@@ -0,0 +1,96 @@
+"""Decay of learned data over time: a half-life and a rule for each kind of value. No I/O.
+
+The half-lives were chosen by the prediction error after pauses (`benchmarks/learning.py`; results are in
+`docs/measurements/learning.md`). A wait that an endpoint requested does not decay: it is honored to its end.
+"""
+
+from __future__ import annotations
+
+from dataclasses import replace
+
+from amberlug.policy import interface as api
+from amberlug.policy.account import FIRST_GUESS_US, OPEN, SECOND
+from amberlug.policy.state import NEVER
+
+MINUTE = 60 * SECOND
+HOUR = 60 * MINUTE
+DAY = 24 * HOUR
+
+FAILURE_RATE_HALF_LIFE_US = 15 * SECOND  # failure rate of an endpoint, towards the baseline of its kind
+OUTAGE_MAX_US = 30 * MINUTE  # an outage whose end was not observed is assumed to last this long
+LIMIT_HALF_LIFE_US = 30 * MINUTE  # a learned limit doubles in each, until the listed rate is stricter
+RESPONSE_TIME_HALF_LIFE_US = 7 * DAY  # response times, towards the baseline of the kind
+PACE_HALF_LIFE_US = 30 * MINUTE  # this relay's own completed calls per second
+BASELINE_HALF_LIFE_US = 7 * DAY  # baselines of kinds and tenants, and activity by hour of the week
+RETENTION_US = 60 * DAY  # records not updated for so long are deleted
+MIN_WEIGHT = 0.05  # weight below which a value is ignored
+LIMIT_MAX_GROWTH = 16.0  # a limit that has grown by this factor is dropped
+OUTAGE_MIN_FAILURE_RATE = 0.5  # lowest failure rate assumed of an endpoint in an outage
+
+
+def weight(age_us: int, half_life_us: int) -> float:
+    """Return the weight of a value of that age, from 1 down to 0."""
+    return float(0.5 ** (max(0, age_us) / half_life_us)) if age_us < 64 * half_life_us else 0.0
+
+
+def interpolate(value: float, prior: float, weight_of_value: float) -> float:
+    """Interpolate from a prior to a value, by the weight of the value."""
+    return prior + (value - prior) * weight_of_value
+
+
+def decayed_route(it: api.KnownRoute, now_us: int, gap_us: int, usual_us: float) -> api.KnownRoute:
+    """Return the decayed state of a route or destination that was last observed `gap_us` ago.
+
+    `usual_us` is the baseline response time of its kind, 0 if unknown.
+    """
+    prior_us = usual_us or FIRST_GUESS_US
+    response_weight = weight(gap_us, RESPONSE_TIME_HALF_LIFE_US)
+    learned, learned_us = decayed_limit(it, now_us, gap_us)
+    pace_weight = weight(gap_us, PACE_HALF_LIFE_US)
+    return replace(
+        it,
+        usual_us=int(interpolate(it.usual_us, prior_us, response_weight))
+        if response_weight >= MIN_WEIGHT
+        else int(prior_us),
+        pace=interpolate(it.pace, 1.0, pace_weight),
+        learned=learned,
+        learned_us=learned_us,
+    )
+
+
+def decayed_limit(it: api.KnownRoute, now_us: int, gap_us: int) -> tuple[float, int]:
+    """Return a decayed limit, and the time from which it may rise.
+
+    A limit rises in each window without a refusal. While nothing was sent, no refusal was possible: a pause
+    must count for less than such windows, or each restart would begin with more than was ever accepted.
+    """
+    growth = 1.0 / max(weight(gap_us, LIMIT_HALF_LIFE_US), 1e-9)
+    if it.learned == OPEN or growth > LIMIT_MAX_GROWTH:
+        return OPEN, 0
+    return it.learned * growth, min(now_us, it.learned_us + gap_us)
+
+
+def decayed_endpoint(it: api.KnownEndpoint, now_us: int, gap_us: int, usual_rate: float) -> api.KnownEndpoint:
+    """Return an endpoint's decayed state: an outage lasts until it expires, a cold-start limit until warm."""
+    rate = interpolate(it.failure_rate, usual_rate, weight(gap_us, FAILURE_RATE_HALF_LIFE_US))
+    if it.cold and (it.back_us is not None or now_us - it.failed_us < OUTAGE_MAX_US):
+        return replace(it, failure_rate=max(rate, OUTAGE_MIN_FAILURE_RATE) if it.back_us is None else rate)
+    if gap_us > FAILURE_RATE_HALF_LIFE_US:
+        return replace(
+            it,
+            cold=False,
+            back_us=None,
+            swallows=False,
+            failure_rate=rate,
+            failed_us=NEVER,
+            since_us=NEVER,
+            starts=(),
+        )
+    return replace(it, cold=False, back_us=None, failure_rate=rate, starts=())
+
+
+def hour_weight(last_active: tuple[int, float] | None, week: int) -> float:
+    """Return how regularly a destination is active in an hour of the week; decays by weeks without any."""
+    if last_active is None:
+        return 0.0
+    return last_active[1] * weight((week - last_active[0]) * 7 * DAY, 2 * BASELINE_HALF_LIFE_US)
--- a/amberlug/learning/learner.py
+++ b/amberlug/learning/learner.py
@@ -12,7 +12,7 @@
 
 from amberlug.core.log import log
 from amberlug.core.ports import Clock, Earlier, Seen, Wait
-from amberlug.learning import ageing, facts
+from amberlug.learning import decay, facts
 from amberlug.learning.blocks import Timestamp
 from amberlug.learning.facts import Kept, Usual
 from amberlug.learning.store import Store
@@ -166,19 +166,19 @@
         key = facts.destination_key(known.destination)
         record = self._store.records.get(key)
         kept = Kept(known, now.clock_us) if record is None else self._unpack(record)
-        fade = ageing.weight(now.clock_us - kept.seen_us, ageing.USUAL_US)
+        fade = decay.weight(now.clock_us - kept.seen_us, decay.BASELINE_HALF_LIFE_US)
         kept.known, kept.seen_us = known, now.clock_us
         for took_us in self._answers.pop(known.destination, ()):
             number = facts.bin_of(took_us)
             kept.answers[number] = kept.answers.get(number, 0.0) + 1.0
         if fade < 0.99 or sum(kept.answers.values()) > ANSWERS_MOST:
             part = min(fade, 0.5 if sum(kept.answers.values()) > ANSWERS_MOST else 1.0)
-            kept.answers = {at: w * part for at, w in kept.answers.items() if w * part >= ageing.LEAST}
+            kept.answers = {at: w * part for at, w in kept.answers.items() if w * part >= decay.MIN_WEIGHT}
         self._count_idle(kept, fade)
         hour, week = now.wall_ms // HOUR_MS % facts.WEEK_HOURS, now.wall_ms // HOUR_MS // facts.WEEK_HOURS
         was = kept.hours.get(hour)
         if week >= 0 and (was is None or was[0] != week):
-            usual = ageing.hour_weight(was, week)
+            usual = decay.hour_weight(was, week)
             kept.hours[hour] = week, usual + (1 - usual) * 0.5
         return key, facts.pack(kept)
 
@@ -196,7 +196,7 @@
         if fade < 0.99:
             for name, bins in kept.idle.items():
                 faded = {at: (used * fade, resets * fade) for at, (used, resets) in bins.items()}
-                kept.idle[name] = {at: it for at, it in faded.items() if it[0] >= ageing.LEAST}
+                kept.idle[name] = {at: it for at, it in faded.items() if it[0] >= decay.MIN_WEIGHT}
 
     def _kinds(self, known: Sequence[api.Known], now: Timestamp) -> list[tuple[bytes, bytes]]:
         """Update the baselines of kinds by an exponential moving average over the observed destinations."""
@@ -217,7 +217,7 @@
         if not self._sent or past_us < TENANT_US // 60:
             return []
         sent, self._sent, self._sent_us = self._sent, defaultdict(int), now.clock_us
-        part = 1 - ageing.weight(past_us, TENANT_US)
+        part = 1 - decay.weight(past_us, TENANT_US)
         records = []
         for tenant, count in sent.items():
             usual = self._usual(facts.TENANT, tenant)
@@ -233,9 +233,9 @@
             if name[:1] == facts.WAIT:
                 gone = facts.unpack_wait(value, now_us + facts.WAIT_MOST_US).until_us + TOLD_US < now_us
             elif name[:1] == facts.DESTINATION:
-                gone = self._unpack(value).seen_us + ageing.FORGET_US < now_us
+                gone = self._unpack(value).seen_us + decay.RETENTION_US < now_us
             else:
-                gone = facts.unpack_usual(value, now_us).seen_us + ageing.FORGET_US < now_us
+                gone = facts.unpack_usual(value, now_us).seen_us + decay.RETENTION_US < now_us
             if gone:
                 old.append((name, b""))
         return old
@@ -336,7 +336,7 @@
         if entry is None:
             endpoints.append(it)  # it may be listed later, and its state is needed then
         elif entry.kind == it.entry.kind:
-            told = ageing.endpoint(it, now_us, gap_us, _prior(usual, entry.kind).failure_rate)
+            told = decay.decayed_endpoint(it, now_us, gap_us, _prior(usual, entry.kind).failure_rate)
             endpoints.append(told if _same(it.entry, entry) else _anew(told))
     same_kinds = not kinds or not listed or set(kinds.values()) & {it.kind for it in entries}
     routes = []
@@ -346,7 +346,7 @@
             continue  # a separate route whose endpoint is not listed, or was replaced by one of another kind
         if same_kinds:
             kind = entry.kind if entry is not None else next(iter(listed.values())).kind if listed else ""
-            routes.append(ageing.route(route, now_us, gap_us, _prior(usual, kind).answer_us))
+            routes.append(decay.decayed_route(route, now_us, gap_us, _prior(usual, kind).answer_us))
     if not known.routes:
         routes += [
             api.KnownRoute(route, int(answer_us), 1.0, 0, OPEN, 0)
--- a/benchmarks/learning.py
+++ b/benchmarks/learning.py
@@ -1,7 +1,7 @@
 """What keeping costs, and how well what was learned predicts after a pause, by half-lives.
 
 Costs are of the real store on a folder, over a minute by its clock. Predictions are of a model of partners,
-whose assumptions stand beside each. The half-lives in `amberlug/learning/ageing.py` are those of least error.
+whose assumptions stand beside each. The half-lives in `amberlug/learning/decay.py` are those of least error.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 from amberlug.core.journal import FolderDisk
 from amberlug.core.ports import Handle, Wait
-from amberlug.learning import ageing
+from amberlug.learning import decay
 from amberlug.learning.learner import Learner
 from amberlug.learning.store import Store
 from amberlug.policy import interface as api
@@ -166,10 +166,10 @@
 
 
 WORLDS: dict[str, tuple[World, int]] = {
-    "failure rate": (failures, ageing.FAILURES_US),
-    "answer time": (answers, ageing.ANSWERS_US),
-    "pace": (paces, ageing.PACE_US),
-    "limit": (limits, ageing.LIMIT_US),
+    "failure rate": (failures, decay.FAILURE_RATE_HALF_LIFE_US),
+    "answer time": (answers, decay.RESPONSE_TIME_HALF_LIFE_US),
+    "pace": (paces, decay.PACE_HALF_LIFE_US),
+    "limit": (limits, decay.LIMIT_HALF_LIFE_US),
 }
 PAUSES = {"1 s": 1.0, "1 minute": MINUTE, "1 hour": HOUR, "1 week": WEEK}
 HALVES = [15, 30, 60, 120, 300, 600, 1800, 2 * 3600, 6 * 3600, 86400, 7 * 86400]
@@ -177,13 +177,13 @@
 
 def error(world: World, pause: float, half_us: int) -> float:
     """Root of the mean square error of what is believed after a pause."""
-    part = ageing.weight(int(pause * SECOND), half_us)
-    part = part if part >= ageing.LEAST else 0.0
+    part = decay.weight(int(pause * SECOND), half_us)
+    part = part if part >= decay.MIN_WEIGHT else 0.0
 
     def believed(was: float, prior: float) -> float:
         if world is limits:  # it grows twofold each half-life
             return max(0.0, was - pause * SECOND / half_us)
-        return ageing.towards(was, prior, part)
+        return decay.interpolate(was, prior, part)
 
     drawn = world(random.Random(4), pause)
     return math.sqrt(statistics.fmean((believed(was, prior) - true) ** 2 for was, prior, true in drawn))
--- a/tests/test_learning.py
+++ b/tests/test_learning.py
@@ -14,7 +14,7 @@
 import pytest
 
 from amberlug.core.ports import Earlier, Handle, Seen, Wait
-from amberlug.learning import ageing, blocks, facts
+from amberlug.learning import blocks, decay, facts
 from amberlug.learning import store as stores
 from amberlug.learning.blocks import BlockType, InvalidGenerationError, Timestamp
 from amberlug.learning.facts import Kept
@@ -486,10 +486,10 @@
     ("pause_us", "cold", "rate", "limit", "usual_us"),
     [
         (0, True, 0.9, 3.0, 250_000),
-        (ageing.FAILURES_US, True, 0.5, 3.0, 250_000),
-        (ageing.LIMIT_US, False, 0.0, 6.0, 250_000),
-        (ageing.ANSWERS_US, False, 0.0, OPEN, (250_000 + FIRST_GUESS_US) // 2),
-        (60 * ageing.DAY, False, 0.0, OPEN, FIRST_GUESS_US),
+        (decay.FAILURE_RATE_HALF_LIFE_US, True, 0.5, 3.0, 250_000),
+        (decay.LIMIT_HALF_LIFE_US, False, 0.0, 6.0, 250_000),
+        (decay.RESPONSE_TIME_HALF_LIFE_US, False, 0.0, OPEN, (250_000 + FIRST_GUESS_US) // 2),
+        (60 * decay.DAY, False, 0.0, OPEN, FIRST_GUESS_US),
     ],
 )
 def test_what_was_learned_weighs_less_with_time(
