--- a/amberlug/cli/learnings.py
+++ b/amberlug/cli/learnings.py
@@ -15,8 +15,8 @@
 from amberlug.core.journal import FolderDisk
 from amberlug.core.lock import FolderLock
 from amberlug.core.ports import Handle
-from amberlug.learning import decay, facts, read_key
-from amberlug.learning.facts import Kept
+from amberlug.learning import codec, decay, read_key
+from amberlug.learning.codec import DestinationRecord
 from amberlug.learning.learner import Learner
 from amberlug.learning.store import Store
 from amberlug.policy.account import OPEN
@@ -120,18 +120,20 @@
         {
             "of": sort,
             "name": name,
-            "answer_s": round(it.answer_us / SECOND, 3),
+            "answer_s": round(it.response_us / SECOND, 3),
             "failure_rate": round(it.failure_rate, 3),
             "per_second": round(it.rate, 3),
-            "weight": round(decay.weight(now_us - it.seen_us, decay.BASELINE_HALF_LIFE_US), 3),
+            "weight": round(decay.weight(now_us - it.updated_us, decay.BASELINE_HALF_LIFE_US), 3),
         }
         for sort, name, it in learner.usual()
     ]
     return {"destinations": partners, "usual": usual if destination is None and endpoint is None else []}
 
 
-def _partner(kept: Kept, waits: list[tuple[str, int]], only: str | None, now_us: int) -> dict[str, Any]:
-    gap_us = max(0, now_us - kept.seen_us)
+def _partner(
+    kept: DestinationRecord, waits: list[tuple[str, int]], only: str | None, now_us: int
+) -> dict[str, Any]:
+    gap_us = max(0, now_us - kept.updated_us)
     routes = []
     for told in kept.known.routes:
         it = decay.decayed_route(told, now_us, gap_us, 0.0)
@@ -164,18 +166,21 @@
                     "weight": round(decay.weight(gap_us, decay.FAILURE_RATE_HALF_LIFE_US), 3),
                     "resets_by_idle_ms": {
                         f"< {1 << at}": f"{resets:.1f} of {used:.1f}"
-                        for at, (used, resets) in sorted(kept.idle.get(known.entry.endpoint, {}).items())
+                        for at, (used, resets) in sorted(
+                            kept.reuse_counts.get(known.entry.endpoint, {}).items()
+                        )
                     },
                 }
             )
-    week = Now().wall_ms() // 3_600_000 // facts.WEEK_HOURS
-    hours = {hour: round(decay.hour_weight(was, week), 2) for hour, was in sorted(kept.hours.items())}
+    week = Now().wall_ms() // 3_600_000 // codec.WEEK_HOURS
+    hours = {hour: round(decay.hour_weight(was, week), 2) for hour, was in sorted(kept.active_hours.items())}
     return {
         "destination": kept.known.destination,
         "learned_s": round(gap_us / SECOND, 1),
         "waits": [{"route": route, "left_s": round(left_us / SECOND, 3)} for route, left_us in waits],
         "answers_s": {
-            f"p{part}": round(facts.quantile(kept.answers, part / 100) / SECOND, 3) for part in (50, 95, 99)
+            f"p{part}": round(codec.quantile(kept.response_times, part / 100) / SECOND, 3)
+            for part in (50, 95, 99)
         },
         "routes": routes,
         "endpoints": endpoints,
--- a/amberlug/learning/facts.py
+++ b/amberlug/learning/codec.py
@@ -19,45 +19,45 @@
 from amberlug.policy.state import NEVER
 
 DESTINATION, WAIT, KIND, TENANT = b"D", b"W", b"K", b"T"
-NAME_MOST = 1024  # characters of the name of an endpoint, kind or zone
-MANY = 4096  # endpoints or routes of one destination
-RATE_MOST = 1e9  # calls per second, or per window
-WAIT_MOST_US = 3_600_000_000
-AHEAD_US = 1_000_000  # by which a record may be later than the timestamp it is validated against
-GROWTH = 1.15  # ratio of adjacent response time bins: quantiles are at most 7% off
-BINS = 256
+MAX_NAME_CHARS = 1024  # characters of the name of an endpoint, kind or zone
+MAX_ITEMS = 4096  # endpoints or routes of one destination
+MAX_RATE = 1e9  # calls per second, or per window
+MAX_WAIT_US = 3_600_000_000
+CLOCK_TOLERANCE_US = 1_000_000  # by which a record may be later than the timestamp it is validated against
+RESPONSE_BIN_RATIO = 1.15  # ratio of adjacent response time bins: quantiles are at most 7% off
+RESPONSE_BINS = 256
 IDLE_BINS = 24
 WEEK_HOURS = 168
-_REAL = (int, float)
+_NUMBER = (int, float)
 _OUT_OF_BOUNDS = "value out of bounds"
 
 
 @dataclass(slots=True)
-class Kept:
+class DestinationRecord:
     """All that is stored about one destination."""
 
     known: api.Known
-    seen_us: int  # time of the last update
-    answers: dict[int, float] = field(default_factory=dict)  # weight of each response time bin
+    updated_us: int  # time of the last update
+    response_times: dict[int, float] = field(default_factory=dict)  # weight of each response time bin
     # By hour of the week: the last week in which the destination was active then, and how regular that is.
-    hours: dict[int, tuple[int, float]] = field(default_factory=dict)
+    active_hours: dict[int, tuple[int, float]] = field(default_factory=dict)
     # By endpoint and idle time bin: calls on reused connections, and how many of them were reset.
-    idle: dict[str, dict[int, tuple[float, float]]] = field(default_factory=dict)
+    reuse_counts: dict[str, dict[int, tuple[float, float]]] = field(default_factory=dict)
 
 
 @dataclass(slots=True)
-class Usual:
+class Baseline:
     """Baseline of a kind of endpoint, or of a tenant's traffic."""
 
-    seen_us: int
-    answer_us: float = 0.0  # median response time; 0 if unknown
+    updated_us: int
+    response_us: float = 0.0  # median response time; 0 if unknown
     failure_rate: float = 0.0
     rate: float = 0.0  # messages per second
 
 
-def bin_of(took_us: int) -> int:
+def response_bin(took_us: int) -> int:
     """Return the bin of a response time."""
-    return min(BINS - 1, int(math.log(max(1, took_us)) / math.log(GROWTH)))
+    return min(RESPONSE_BINS - 1, int(math.log(max(1, took_us)) / math.log(RESPONSE_BIN_RATIO)))
 
 
 def idle_bin(idle_us: int) -> int:
@@ -65,13 +65,13 @@
     return min(IDLE_BINS - 1, max(0, idle_us // 1000).bit_length())
 
 
-def quantile(answers: dict[int, float], part: float) -> float:
+def quantile(response_times: dict[int, float], fraction: float) -> float:
     """Return a quantile of the response times, in microseconds; 0 if there are none."""
-    left = sum(answers.values()) * part
-    for number in sorted(answers):
-        left -= answers[number]
-        if left <= 0:
-            return float(GROWTH ** (number + 0.5))
+    remaining = sum(response_times.values()) * fraction
+    for number in sorted(response_times):
+        remaining -= response_times[number]
+        if remaining <= 0:
+            return float(RESPONSE_BIN_RATIO ** (number + 0.5))
     return 0.0
 
 
@@ -85,13 +85,13 @@
     return WAIT + f"{wait.destination}/{wait.route}".encode()
 
 
-def pack(kept: Kept) -> bytes:
+def pack_destination(destination: DestinationRecord) -> bytes:
     """Encode a destination's record."""
-    known = kept.known
+    known = destination.known
     routes = [
         [
             it.route,
-            min(it.usual_us, WAIT_MOST_US),
+            min(it.usual_us, MAX_WAIT_US),
             it.pace,
             it.pace_us,
             it.learned if it.learned < OPEN else None,
@@ -119,7 +119,15 @@
     ]
     return bytes(
         msgpack.packb(
-            [known.destination, kept.seen_us, routes, endpoints, kept.answers, kept.hours, kept.idle]
+            [
+                known.destination,
+                destination.updated_us,
+                routes,
+                endpoints,
+                destination.response_times,
+                destination.active_hours,
+                destination.reuse_counts,
+            ]
         )
     )
 
@@ -131,9 +139,10 @@
     return api.KnownEndpoint(entry, cold, since, failed, done, back, rate, swallows, spread, tuple(starts))
 
 
-def unpack(record: bytes, latest_us: int) -> Kept:
+def unpack_destination(record: bytes, latest_us: int) -> DestinationRecord:
     """Decode a destination's record; raises `ValueError` if it is invalid or has a time after `latest_us`."""
-    number, seen_us, routes, endpoints, answers, hours, idle = _sound(record, latest_us + AHEAD_US)
+    fields = _checked_fields(record, latest_us + CLOCK_TOLERANCE_US)
+    number, updated_us, routes, endpoints, response_times, active_hours, reuse_counts = fields
     known = api.Known(
         number,
         tuple(
@@ -146,11 +155,17 @@
         ),
         tuple([_known_endpoint(number, row) for row in endpoints]),
     )
-    idled = {name: {at: (it[0], it[1]) for at, it in bins.items()} for name, bins in idle.items()}
-    return Kept(known, seen_us, answers, {hour: (was[0], was[1]) for hour, was in hours.items()}, idled)
+    reused = {name: {at: (it[0], it[1]) for at, it in bins.items()} for name, bins in reuse_counts.items()}
+    return DestinationRecord(
+        known,
+        updated_us,
+        response_times,
+        {hour: (was[0], was[1]) for hour, was in active_hours.items()},
+        reused,
+    )
 
 
-def _sound(record: bytes, latest_us: int) -> list[Any]:
+def _checked_fields(record: bytes, latest_us: int) -> list[Any]:
     """Return the fields of a destination's record, after checking the type and bounds of every value.
 
     Inlined comparisons for speed: up to 50,000 records are checked before a relay starts. NaN fails every
@@ -158,34 +173,48 @@
     """
     try:
         fields: list[Any] = _load(record)
-        number, seen_us, routes, endpoints, answers, hours, idle = fields
-        sound = type(number) is int and type(seen_us) is int and NEVER <= seen_us <= latest_us
-        sound = sound and type(routes) is list and type(endpoints) is list
-        sound = sound and len(routes) <= MANY and len(endpoints) <= MANY
+        number, updated_us, routes, endpoints, response_times, active_hours, reuse_counts = fields
+        valid = type(number) is int and type(updated_us) is int and NEVER <= updated_us <= latest_us
+        valid = valid and type(routes) is list and type(endpoints) is list
+        valid = valid and len(routes) <= MAX_ITEMS and len(endpoints) <= MAX_ITEMS
         for route, usual_us, pace, pace_us, learned, learned_us in routes:
-            sound = (
-                sound
+            valid = (
+                valid
                 and type(route) is str
-                and len(route) <= NAME_MOST
+                and len(route) <= MAX_NAME_CHARS
                 and type(usual_us) is int
-                and 0 <= usual_us <= WAIT_MOST_US
-                and type(pace) in _REAL
-                and 0 <= pace <= RATE_MOST
+                and 0 <= usual_us <= MAX_WAIT_US
+                and type(pace) in _NUMBER
+                and 0 <= pace <= MAX_RATE
                 and type(pace_us) is int
                 and NEVER <= pace_us <= latest_us
-                and (learned is None or (type(learned) in _REAL and 1e-9 <= learned <= RATE_MOST))
+                and (learned is None or (type(learned) in _NUMBER and 1e-9 <= learned <= MAX_RATE))
                 and type(learned_us) is int
                 and NEVER <= learned_us <= latest_us
             )
-        for name, kind, zone, up, cold, since, failed, done, back, rate, swallows, wide, starts in endpoints:
-            sound = (
-                sound
+        for (
+            name,
+            kind,
+            zone,
+            up,
+            cold,
+            since,
+            failed,
+            done,
+            back,
+            rate,
+            swallows,
+            spread,
+            starts,
+        ) in endpoints:
+            valid = (
+                valid
                 and type(name) is str
-                and 0 < len(name) <= NAME_MOST
+                and 0 < len(name) <= MAX_NAME_CHARS
                 and type(kind) is str
-                and len(kind) <= NAME_MOST
+                and len(kind) <= MAX_NAME_CHARS
                 and type(zone) is str
-                and len(zone) <= NAME_MOST
+                and len(zone) <= MAX_NAME_CHARS
                 and type(up) is int
                 and 0 <= up < 1 << 63
                 and type(cold) is bool
@@ -197,29 +226,31 @@
                 and type(done) is int
                 and NEVER <= done <= latest_us
                 and (back is None or (type(back) is int and NEVER <= back <= latest_us))
-                and type(rate) in _REAL
+                and type(rate) in _NUMBER
                 and 0 <= rate <= 1
-                and type(wide) in _REAL
-                and 0 <= wide <= 10
+                and type(spread) in _NUMBER
+                and 0 <= spread <= 10
                 and type(starts) is list
                 and len(starts) <= KEPT
             )
             for start in starts:
-                sound = sound and type(start) is int and NEVER <= start <= latest_us
-        for at, weight in answers.items():
-            sound = sound and type(at) is int and 0 <= at < BINS
-            sound = sound and type(weight) in _REAL and 0 <= weight <= 1e12
-        for hour, (week, weight) in hours.items():
-            sound = sound and type(hour) is int and 0 <= hour < WEEK_HOURS and type(week) is int
-            sound = sound and 0 <= week <= 1 << 20 and type(weight) in _REAL and 0 <= weight <= 1
-        for name, bins in idle.items():
-            sound = sound and type(name) is str and 0 < len(name) <= NAME_MOST
+                valid = valid and type(start) is int and NEVER <= start <= latest_us
+        for at, weight in response_times.items():
+            valid = valid and type(at) is int and 0 <= at < RESPONSE_BINS
+            valid = valid and type(weight) in _NUMBER and 0 <= weight <= 1e12
+        for hour, (week, weight) in active_hours.items():
+            valid = valid and type(hour) is int and 0 <= hour < WEEK_HOURS and type(week) is int
+            valid = valid and 0 <= week <= 1 << 20 and type(weight) in _NUMBER and 0 <= weight <= 1
+        for name, bins in reuse_counts.items():
+            valid = valid and type(name) is str and 0 < len(name) <= MAX_NAME_CHARS
             for at, (used, reset) in bins.items():
-                sound = sound and type(at) is int and 0 <= at < IDLE_BINS
-                sound = sound and type(used) in _REAL and type(reset) in _REAL and 0 <= reset <= used <= 1e12
+                valid = valid and type(at) is int and 0 <= at < IDLE_BINS
+                valid = (
+                    valid and type(used) in _NUMBER and type(reset) in _NUMBER and 0 <= reset <= used <= 1e12
+                )
     except (TypeError, ValueError, AttributeError, msgpack.UnpackException) as error:
         raise ValueError(f"malformed record: {error}") from None
-    if not sound:
+    if not valid:
         raise ValueError(_OUT_OF_BOUNDS)
     return fields
 
@@ -233,32 +264,34 @@
     """Decode a requested wait; raises `ValueError` if it is invalid."""
     try:
         destination, route, length_us, until_us, boot = _load(record)
-        length_us = _whole(length_us, 0, WAIT_MOST_US)
+        length_us = _checked_int(length_us, 0, MAX_WAIT_US)
         return Wait(
-            _whole(destination, -(1 << 63), (1 << 63) - 1),
-            _name(route, 0),
+            _checked_int(destination, -(1 << 63), (1 << 63) - 1),
+            _checked_name(route, 0),
             length_us,
-            _time(until_us, latest_us + length_us),
-            _name(boot, 0),
+            _checked_time(until_us, latest_us + length_us),
+            _checked_name(boot, 0),
         )
     except (TypeError, msgpack.UnpackException) as error:
         raise ValueError(f"malformed record: {error}") from None
 
 
-def pack_usual(usual: Usual) -> bytes:
+def pack_baseline(baseline: Baseline) -> bytes:
     """Encode the record of a kind or a tenant."""
-    return bytes(msgpack.packb([usual.seen_us, usual.answer_us, usual.failure_rate, usual.rate]))
+    return bytes(
+        msgpack.packb([baseline.updated_us, baseline.response_us, baseline.failure_rate, baseline.rate])
+    )
 
 
-def unpack_usual(record: bytes, latest_us: int) -> Usual:
+def unpack_baseline(record: bytes, latest_us: int) -> Baseline:
     """Decode the record of a kind or a tenant; raises `ValueError` if it is invalid."""
     try:
-        seen_us, answer_us, failure_rate, rate = _load(record)
-        return Usual(
-            _time(seen_us, latest_us),
-            _real(answer_us, 0, WAIT_MOST_US),
-            _real(failure_rate, 0, 1),
-            _real(rate, 0, RATE_MOST),
+        updated_us, response_us, failure_rate, rate = _load(record)
+        return Baseline(
+            _checked_time(updated_us, latest_us),
+            _checked_float(response_us, 0, MAX_WAIT_US),
+            _checked_float(failure_rate, 0, 1),
+            _checked_float(rate, 0, MAX_RATE),
         )
     except (TypeError, msgpack.UnpackException) as error:
         raise ValueError(f"malformed record: {error}") from None
@@ -269,13 +302,13 @@
     for key, record in records:
         kind = key[:1]
         if kind == DESTINATION:
-            if destination_key(_sound(record, latest_us + AHEAD_US)[0]) != key:
+            if destination_key(_checked_fields(record, latest_us + CLOCK_TOLERANCE_US)[0]) != key:
                 raise ValueError("record does not match its key")
         elif kind == WAIT:
             if wait_key(unpack_wait(record, latest_us)) != key:
                 raise ValueError("record does not match its key")
         elif kind in (KIND, TENANT):
-            unpack_usual(record, latest_us)
+            unpack_baseline(record, latest_us)
         else:
             raise ValueError(f"unknown type of record: {key[:20]!r}")
 
@@ -284,23 +317,23 @@
     return msgpack.unpackb(record, strict_map_key=False)
 
 
-def _name(text: Any, least: int = 1) -> str:
-    if not isinstance(text, str) or not least <= len(text) <= NAME_MOST:
+def _checked_name(text: Any, minimum: int = 1) -> str:
+    if not isinstance(text, str) or not minimum <= len(text) <= MAX_NAME_CHARS:
         raise ValueError(_OUT_OF_BOUNDS)
     return text
 
 
-def _whole(figure: Any, least: int, most: int) -> int:
-    if type(figure) is not int or not least <= figure <= most:
+def _checked_int(value: Any, minimum: int, maximum: int) -> int:
+    if type(value) is not int or not minimum <= value <= maximum:
         raise ValueError(_OUT_OF_BOUNDS)
-    return figure
+    return value
 
 
-def _time(figure: Any, latest_us: int) -> int:
-    return _whole(figure, NEVER, latest_us + AHEAD_US)
+def _checked_time(value: Any, latest_us: int) -> int:
+    return _checked_int(value, NEVER, latest_us + CLOCK_TOLERANCE_US)
 
 
-def _real(figure: Any, least: float, most: float) -> float:
-    if type(figure) not in (int, float) or not least <= figure <= most:  # NaN fails this, too
+def _checked_float(value: Any, minimum: float, maximum: float) -> float:
+    if type(value) not in (int, float) or not minimum <= value <= maximum:  # NaN fails this, too
         raise ValueError(_OUT_OF_BOUNDS)
-    return float(figure)
+    return float(value)
--- a/amberlug/learning/learner.py
+++ b/amberlug/learning/learner.py
@@ -12,9 +12,9 @@
 
 from amberlug.core.log import log
 from amberlug.core.ports import Clock, Earlier, Seen, Wait
-from amberlug.learning import decay, facts
+from amberlug.learning import codec, decay
 from amberlug.learning.blocks import Timestamp
-from amberlug.learning.facts import Kept, Usual
+from amberlug.learning.codec import Baseline, DestinationRecord
 from amberlug.learning.store import Store
 from amberlug.policy import interface as api
 from amberlug.policy.account import FIRST_GUESS_US, OPEN
@@ -52,7 +52,7 @@
         """Validate all records, and convert their times if they are by the clock of another boot."""
         was, now = self._store.stamp, self._stamp()
         try:
-            facts.check(self._store.records.items(), was.clock_us)
+            codec.check(self._store.records.items(), was.clock_us)
             if was.boot and was.boot == now.boot and was.clock_us > now.clock_us:
                 raise ValueError("its timestamp is in the future")
         except ValueError as error:
@@ -70,19 +70,19 @@
     def _shifted(self, now: Timestamp, shift_us: int, was: Timestamp) -> dict[bytes, bytes]:
         shifted = {}
         for key, record in self._store.records.items():
-            if key[:1] == facts.DESTINATION:
-                kept = facts.unpack(record, was.clock_us)
-                kept.known, kept.seen_us = shift(kept.known, shift_us), kept.seen_us + shift_us
-                shifted[key] = facts.pack(kept)
-            elif key[:1] == facts.WAIT:
+            if key[:1] == codec.DESTINATION:
+                kept = codec.unpack_destination(record, was.clock_us)
+                kept.known, kept.updated_us = shift(kept.known, shift_us), kept.updated_us + shift_us
+                shifted[key] = codec.pack_destination(kept)
+            elif key[:1] == codec.WAIT:
                 # The wall clock is not trusted here: after a reboot the whole wait starts over.
-                wait = facts.unpack_wait(record, was.clock_us)
+                wait = codec.unpack_wait(record, was.clock_us)
                 until_us = now.clock_us + wait.left_us(now.clock_us, now.boot)
-                shifted[key] = facts.pack_wait(replace(wait, until_us=until_us, boot=now.boot))
+                shifted[key] = codec.pack_wait(replace(wait, until_us=until_us, boot=now.boot))
             else:
-                usual = facts.unpack_usual(record, was.clock_us)
-                usual.seen_us += shift_us
-                shifted[key] = facts.pack_usual(usual)
+                usual = codec.unpack_baseline(record, was.clock_us)
+                usual.updated_us += shift_us
+                shifted[key] = codec.pack_baseline(usual)
         return shifted
 
     def take_over(self, earlier: Earlier, listed: Callable[[str], api.Entry | None]) -> None:
@@ -93,13 +93,16 @@
         shift_us = now.clock_us - earlier.clock_us - pause_ms * 1000
         seen_us = min(now.clock_us, earlier.clock_us + shift_us)
         records = [
-            (facts.destination_key(known.destination), facts.pack(Kept(shift(known, shift_us), seen_us)))
+            (
+                codec.destination_key(known.destination),
+                codec.pack_destination(DestinationRecord(shift(known, shift_us), seen_us)),
+            )
             for known in _known(earlier.seen, listed)
         ]
         for wait in earlier.waits:
             until_us = now.clock_us + wait.left_us(now.clock_us, now.boot)
             kept_wait = replace(wait, until_us=until_us, boot=now.boot)
-            records.append((facts.wait_key(wait), facts.pack_wait(kept_wait)))
+            records.append((codec.wait_key(wait), codec.pack_wait(kept_wait)))
         self._put(records, now)
 
     # Interface to the core.
@@ -107,10 +110,10 @@
     def recall(self, destination: int, entries: tuple[api.Entry, ...]) -> api.Known | None:
         """Return the decayed state of a destination with these listed endpoints; None if unknown."""
         now_us = self._clock.now_us()
-        record = self._store.records.get(facts.destination_key(destination))
-        kept = Kept(api.Known(destination), now_us) if record is None else self._unpack(record)
-        usual = {it.kind: self._usual(facts.KIND, it.kind) for it in entries}
-        gap_us = max(0, now_us - kept.seen_us)
+        record = self._store.records.get(codec.destination_key(destination))
+        kept = DestinationRecord(api.Known(destination), now_us) if record is None else self._unpack(record)
+        usual = {it.kind: self._usual(codec.KIND, it.kind) for it in entries}
+        gap_us = max(0, now_us - kept.updated_us)
         known = believed(kept.known, entries, now_us, gap_us, usual)
         known = replace(known, routes=tuple(self._with_waits(known, entries, now_us)))
         return known if known.routes or known.endpoints else None
@@ -119,31 +122,31 @@
         self, known: api.Known, entries: tuple[api.Entry, ...], now_us: int
     ) -> Iterable[api.KnownRoute]:
         routes = {it.route: it for it in known.routes}
-        prefix = facts.WAIT + f"{known.destination}/".encode()
+        prefix = codec.WAIT + f"{known.destination}/".encode()
         names = {"", *routes, *(it.endpoint for it in entries)}
         for name in sorted(names):
             route = routes.get(name)
             if (record := self._store.records.get(prefix + name.encode())) is not None:
-                wait = facts.unpack_wait(record, now_us + facts.WAIT_MOST_US)
+                wait = codec.unpack_wait(record, now_us + codec.MAX_WAIT_US)
                 until_us = now_us + wait.left_us(now_us, self._clock.boot)
                 route = route or api.KnownRoute(name, FIRST_GUESS_US, 1.0, 0, OPEN, 0)
                 route = replace(route, blocked_until_us=until_us, told_us=wait.length_us)
             if route is not None:
                 yield route
 
-    def _unpack(self, record: bytes) -> Kept:
-        return facts.unpack(record, self._clock.now_us())
+    def _unpack(self, record: bytes) -> DestinationRecord:
+        return codec.unpack_destination(record, self._clock.now_us())
 
-    def _usual(self, sort: bytes, name: str) -> Usual:
+    def _usual(self, sort: bytes, name: str) -> Baseline:
         record = self._store.records.get(sort + name.encode())
-        return Usual(NEVER) if record is None else facts.unpack_usual(record, self._clock.now_us())
+        return Baseline(NEVER) if record is None else codec.unpack_baseline(record, self._clock.now_us())
 
     def observe(self, known: Sequence[api.Known]) -> None:
         if not known and not self._sent:
             return
         now = self._stamp()
         records = [self._learn(it, now) for it in known]
-        if len(self._answers) + len(self._reused) > facts.MANY:  # of destinations that no longer exist
+        if len(self._answers) + len(self._reused) > codec.MAX_ITEMS:  # of destinations that no longer exist
             self._answers.clear()
             self._reused.clear()
         records += self._kinds(known, now)
@@ -156,61 +159,63 @@
         sound = []
         for record in records:
             try:
-                facts.check([record] if record[1] else [], now.clock_us)
+                codec.check([record] if record[1] else [], now.clock_us)
             except ValueError:  # for instance a name that is too long: this partner's data can't be stored
                 continue
             sound.append(record)
         self._store.put(sound, now)
 
     def _learn(self, known: api.Known, now: Timestamp) -> tuple[bytes, bytes]:
-        key = facts.destination_key(known.destination)
+        key = codec.destination_key(known.destination)
         record = self._store.records.get(key)
-        kept = Kept(known, now.clock_us) if record is None else self._unpack(record)
-        fade = decay.weight(now.clock_us - kept.seen_us, decay.BASELINE_HALF_LIFE_US)
-        kept.known, kept.seen_us = known, now.clock_us
+        kept = DestinationRecord(known, now.clock_us) if record is None else self._unpack(record)
+        fade = decay.weight(now.clock_us - kept.updated_us, decay.BASELINE_HALF_LIFE_US)
+        kept.known, kept.updated_us = known, now.clock_us
         for took_us in self._answers.pop(known.destination, ()):
-            number = facts.bin_of(took_us)
-            kept.answers[number] = kept.answers.get(number, 0.0) + 1.0
-        if fade < 0.99 or sum(kept.answers.values()) > ANSWERS_MOST:
-            part = min(fade, 0.5 if sum(kept.answers.values()) > ANSWERS_MOST else 1.0)
-            kept.answers = {at: w * part for at, w in kept.answers.items() if w * part >= decay.MIN_WEIGHT}
+            number = codec.response_bin(took_us)
+            kept.response_times[number] = kept.response_times.get(number, 0.0) + 1.0
+        if fade < 0.99 or sum(kept.response_times.values()) > ANSWERS_MOST:
+            part = min(fade, 0.5 if sum(kept.response_times.values()) > ANSWERS_MOST else 1.0)
+            kept.response_times = {
+                at: w * part for at, w in kept.response_times.items() if w * part >= decay.MIN_WEIGHT
+            }
         self._count_idle(kept, fade)
-        hour, week = now.wall_ms // HOUR_MS % facts.WEEK_HOURS, now.wall_ms // HOUR_MS // facts.WEEK_HOURS
-        was = kept.hours.get(hour)
+        week, hour = divmod(now.wall_ms // HOUR_MS, codec.WEEK_HOURS)
+        was = kept.active_hours.get(hour)
         if week >= 0 and (was is None or was[0] != week):
             usual = decay.hour_weight(was, week)
-            kept.hours[hour] = week, usual + (1 - usual) * 0.5
-        return key, facts.pack(kept)
+            kept.active_hours[hour] = week, usual + (1 - usual) * 0.5
+        return key, codec.pack_destination(kept)
 
-    def _count_idle(self, kept: Kept, fade: float) -> None:
+    def _count_idle(self, kept: DestinationRecord, fade: float) -> None:
         """Count calls on idle connections; older counts decay."""
         names = {it.entry.endpoint for it in kept.known.endpoints}
-        kept.idle = {name: bins for name, bins in kept.idle.items() if name in names}
+        kept.reuse_counts = {name: bins for name, bins in kept.reuse_counts.items() if name in names}
         for name, idle_us, reset in self._reused.pop(kept.known.destination, ()):
             if name in names:
-                bins = kept.idle.setdefault(name, {})
-                at = facts.idle_bin(idle_us)
+                bins = kept.reuse_counts.setdefault(name, {})
+                at = codec.idle_bin(idle_us)
                 used, resets = bins.get(at, (0.0, 0.0))
                 part = 0.5 if used >= IDLE_MOST else 1.0
                 bins[at] = used * part + 1.0, resets * part + reset
         if fade < 0.99:
-            for name, bins in kept.idle.items():
+            for name, bins in kept.reuse_counts.items():
                 faded = {at: (used * fade, resets * fade) for at, (used, resets) in bins.items()}
-                kept.idle[name] = {at: it for at, it in faded.items() if it[0] >= decay.MIN_WEIGHT}
+                kept.reuse_counts[name] = {at: it for at, it in faded.items() if it[0] >= decay.MIN_WEIGHT}
 
     def _kinds(self, known: Sequence[api.Known], now: Timestamp) -> list[tuple[bytes, bytes]]:
         """Update the baselines of kinds by an exponential moving average over the observed destinations."""
-        changed: dict[str, Usual] = {}
+        changed: dict[str, Baseline] = {}
         for it in known:
             for endpoint in it.endpoints[:1]:
                 kind = endpoint.entry.kind
-                usual = changed.setdefault(kind, self._usual(facts.KIND, kind))
+                usual = changed.setdefault(kind, self._usual(codec.KIND, kind))
                 answer_us = float(it.routes[0].usual_us) if it.routes else 0.0
-                part = KIND_WEIGHT if usual.answer_us else 1.0
-                usual.answer_us += (answer_us - usual.answer_us) * part
+                part = KIND_WEIGHT if usual.response_us else 1.0
+                usual.response_us += (answer_us - usual.response_us) * part
                 usual.failure_rate += (endpoint.failure_rate - usual.failure_rate) * KIND_WEIGHT
-                usual.seen_us = now.clock_us
-        return [(facts.KIND + kind.encode(), facts.pack_usual(usual)) for kind, usual in changed.items()]
+                usual.updated_us = now.clock_us
+        return [(codec.KIND + kind.encode(), codec.pack_baseline(usual)) for kind, usual in changed.items()]
 
     def _tenants(self, now: Timestamp) -> list[tuple[bytes, bytes]]:
         past_us = now.clock_us - self._sent_us
@@ -220,22 +225,22 @@
         part = 1 - decay.weight(past_us, TENANT_US)
         records = []
         for tenant, count in sent.items():
-            usual = self._usual(facts.TENANT, tenant)
+            usual = self._usual(codec.TENANT, tenant)
             usual.rate += (count * 1e6 / past_us - usual.rate) * part
-            usual.seen_us = now.clock_us
-            records.append((facts.TENANT + tenant.encode(), facts.pack_usual(usual)))
+            usual.updated_us = now.clock_us
+            records.append((codec.TENANT + tenant.encode(), codec.pack_baseline(usual)))
         return records
 
     def _old(self, now_us: int) -> list[tuple[bytes, bytes]]:
         """Return deletions for expired records among the few that were written longest ago."""
         old = []
         for name, value in islice(self._store.records.items(), FORGETS):
-            if name[:1] == facts.WAIT:
-                gone = facts.unpack_wait(value, now_us + facts.WAIT_MOST_US).until_us + TOLD_US < now_us
-            elif name[:1] == facts.DESTINATION:
-                gone = self._unpack(value).seen_us + decay.RETENTION_US < now_us
+            if name[:1] == codec.WAIT:
+                gone = codec.unpack_wait(value, now_us + codec.MAX_WAIT_US).until_us + TOLD_US < now_us
+            elif name[:1] == codec.DESTINATION:
+                gone = self._unpack(value).updated_us + decay.RETENTION_US < now_us
             else:
-                gone = facts.unpack_usual(value, now_us).seen_us + decay.RETENTION_US < now_us
+                gone = codec.unpack_baseline(value, now_us).updated_us + decay.RETENTION_US < now_us
             if gone:
                 old.append((name, b""))
         return old
@@ -256,45 +261,45 @@
 
     def told(self, wait: Wait) -> None:
         now = self._stamp()
-        key = facts.wait_key(wait)
+        key = codec.wait_key(wait)
         if (record := self._store.records.get(key)) is not None:
-            known = facts.unpack_wait(record, now.clock_us + facts.WAIT_MOST_US)
+            known = codec.unpack_wait(record, now.clock_us + codec.MAX_WAIT_US)
             if known.left_us(now.clock_us, wait.boot) >= wait.length_us:
                 return  # a longer wait is already stored
-        self._put([(key, facts.pack_wait(wait))], now)
+        self._put([(key, codec.pack_wait(wait))], now)
 
     # Operator commands.
 
-    def destinations(self) -> Iterator[tuple[Kept, list[tuple[str, int]]]]:
+    def destinations(self) -> Iterator[tuple[DestinationRecord, list[tuple[str, int]]]]:
         """Yield each destination's data, with its routes that still wait and the microseconds left."""
         now_us = self._clock.now_us()
         waits: dict[int, list[tuple[str, int]]] = defaultdict(list)
-        kept: dict[int, Kept] = {}
+        kept: dict[int, DestinationRecord] = {}
         for key, record in self._store.records.items():
-            if key[:1] == facts.WAIT:
-                wait = facts.unpack_wait(record, now_us + facts.WAIT_MOST_US)
+            if key[:1] == codec.WAIT:
+                wait = codec.unpack_wait(record, now_us + codec.MAX_WAIT_US)
                 if (left_us := wait.left_us(now_us, self._clock.boot)) > 0:
                     waits[wait.destination].append((wait.route, left_us))
-            elif key[:1] == facts.DESTINATION:
+            elif key[:1] == codec.DESTINATION:
                 one = self._unpack(record)
                 kept[one.known.destination] = one
         for number in sorted({*kept, *waits}):
-            yield kept.get(number) or Kept(api.Known(number), now_us), waits[number]
+            yield kept.get(number) or DestinationRecord(api.Known(number), now_us), waits[number]
 
-    def usual(self) -> Iterator[tuple[str, str, Usual]]:
+    def usual(self) -> Iterator[tuple[str, str, Baseline]]:
         """Yield the baselines of kinds and tenants: "kind" or "tenant", the name, and the values."""
         now_us = self._clock.now_us()
         for key, record in sorted(self._store.records.items()):
-            if key[:1] in (facts.KIND, facts.TENANT):
-                sort = "kind" if key[:1] == facts.KIND else "tenant"
-                yield sort, key[1:].decode(), facts.unpack_usual(record, now_us)
+            if key[:1] in (codec.KIND, codec.TENANT):
+                sort = "kind" if key[:1] == codec.KIND else "tenant"
+                yield sort, key[1:].decode(), codec.unpack_baseline(record, now_us)
 
     def forget(self, destination: int, endpoint: str | None = None) -> bool:
         """Delete a destination's data except its requested waits, or one endpoint's health.
 
         Returns whether anything was deleted.
         """
-        key = facts.destination_key(destination)
+        key = codec.destination_key(destination)
         if (record := self._store.records.get(key)) is None:
             return False
         kept = self._unpack(record)
@@ -302,7 +307,7 @@
         if endpoint is not None and len(left) == len(kept.known.endpoints):
             return False
         kept.known = replace(kept.known, endpoints=left)
-        self._store.put([(key, b"" if endpoint is None else facts.pack(kept))], self._stamp())
+        self._store.put([(key, b"" if endpoint is None else codec.pack_destination(kept))], self._stamp())
         return True
 
     def give_way(self) -> None:
@@ -321,7 +326,7 @@
     entries: tuple[api.Entry, ...],
     now_us: int,
     gap_us: int,
-    usual: dict[str, Usual],
+    usual: dict[str, Baseline],
 ) -> api.Known:
     """Return what still applies to a destination, given its currently listed endpoints.
 
@@ -346,7 +351,7 @@
             continue  # a separate route whose endpoint is not listed, or was replaced by one of another kind
         if same_kinds:
             kind = entry.kind if entry is not None else next(iter(listed.values())).kind if listed else ""
-            routes.append(decay.decayed_route(route, now_us, gap_us, _prior(usual, kind).answer_us))
+            routes.append(decay.decayed_route(route, now_us, gap_us, _prior(usual, kind).response_us))
     if not known.routes:
         routes += [
             api.KnownRoute(route, int(answer_us), 1.0, 0, OPEN, 0)
@@ -355,10 +360,10 @@
     return api.Known(known.destination, tuple(routes), tuple(endpoints))
 
 
-def _never_met(entries: tuple[api.Entry, ...], usual: dict[str, Usual]) -> Iterable[tuple[str, float]]:
+def _never_met(entries: tuple[api.Entry, ...], usual: dict[str, Baseline]) -> Iterable[tuple[str, float]]:
     """Yield the baseline response time of its kind, for a destination without data."""
     for it in entries:
-        if (answer_us := _prior(usual, it.kind).answer_us) > 0:
+        if (answer_us := _prior(usual, it.kind).response_us) > 0:
             yield "", answer_us
             yield it.endpoint, answer_us  # the decision module uses the one that applies
 
@@ -393,8 +398,8 @@
         yield api.Known(number, tuple(limits.values()), tuple(endpoints))
 
 
-def _prior(usual: dict[str, Usual], kind: str) -> Usual:
-    return usual.get(kind) or Usual(NEVER)
+def _prior(usual: dict[str, Baseline], kind: str) -> Baseline:
+    return usual.get(kind) or Baseline(NEVER)
 
 
 def _same(was: api.Entry, entry: api.Entry) -> bool:
--- a/tests/test_learning.py
+++ b/tests/test_learning.py
@@ -14,10 +14,10 @@
 import pytest
 
 from amberlug.core.ports import Earlier, Handle, Seen, Wait
-from amberlug.learning import blocks, decay, facts
+from amberlug.learning import blocks, codec, decay
 from amberlug.learning import store as stores
 from amberlug.learning.blocks import BlockType, InvalidGenerationError, Timestamp
-from amberlug.learning.facts import Kept
+from amberlug.learning.codec import DestinationRecord
 from amberlug.learning.learner import Learner
 from amberlug.learning.store import RETRY_US, Store
 from amberlug.policy import interface as api
@@ -120,7 +120,7 @@
             self.note(learner)
             if count % 3 == 0:
                 wait = wait_at(self.time, number, 60 * SECOND + count)
-                self.ever.setdefault(facts.wait_key(wait), set()).add(facts.pack_wait(wait))
+                self.ever.setdefault(codec.wait_key(wait), set()).add(codec.pack_wait(wait))
                 learner.told(wait)
                 self.waits[number] = wait.until_us
             for _ in range(3):
@@ -244,7 +244,7 @@
             del changed[one:two]
         try:
             found = blocks.read_generation(bytes(changed), number, b"")
-            facts.check(found.records.items(), found.stamp.clock_us)
+            codec.check(found.records.items(), found.stamp.clock_us)
         except ValueError:
             refused += 1
             continue
@@ -266,13 +266,15 @@
 
 def altered(at: int, column: int, value: Any) -> bytes:
     """A destination's record with one value changed."""
-    fields = msgpack.unpackb(facts.pack(Kept(known(START), START)), strict_map_key=False)
+    fields = msgpack.unpackb(
+        codec.pack_destination(DestinationRecord(known(START), START)), strict_map_key=False
+    )
     row = fields[at][0] if isinstance(fields[at], list) else fields
     row[column] = value
     return bytes(msgpack.packb(fields))
 
 
-ONE = facts.destination_key(1)
+ONE = codec.destination_key(1)
 
 
 @pytest.mark.parametrize(
@@ -293,8 +295,8 @@
 )
 def test_one_figure_out_of_its_bounds_and_nothing_is_believed(record: bytes, why: str) -> None:
     time = Time()
-    good = facts.pack(Kept(known(START, 2), START))
-    records = [(ONE, record), (facts.destination_key(2), good)]
+    good = codec.pack_destination(DestinationRecord(known(START, 2), START))
+    records = [(ONE, record), (codec.destination_key(2), good)]
     disk = FaultyDisk({blocks.file_name(1): put_file(records, time)})
     learner = opened(disk, time)
     assert len(learner.refused) == 1
@@ -319,8 +321,12 @@
     change: Callable[[bytes], bytes], why: str
 ) -> None:
     time = Time()
-    before = put_file([(ONE, facts.pack(Kept(known(START), START)))], time)
-    newest = put_file([(ONE, facts.pack(Kept(known(START, failure_rate=0.4), START)))], time, number=3)
+    before = put_file([(ONE, codec.pack_destination(DestinationRecord(known(START), START)))], time)
+    newest = put_file(
+        [(ONE, codec.pack_destination(DestinationRecord(known(START, failure_rate=0.4), START)))],
+        time,
+        number=3,
+    )
     if "contains" not in why:
         newest = put_file([(ONE, b"")], time, number=3)
     files = {blocks.file_name(1): before, blocks.file_name(3): change(newest)}
@@ -500,7 +506,7 @@
     opened(disk, time).observe([told])
     time.past(pause_us)
     store = Store(disk.after_death(), ROOM, time.now_us)
-    store.records.pop(facts.KIND + b"plain")  # without a baseline of its kind
+    store.records.pop(codec.KIND + b"plain")  # without a baseline of its kind
     found = believed(Learner(store, time))
     assert found.endpoints[0].cold is cold
     assert found.endpoints[0].failure_rate == pytest.approx(rate, abs=0.02)
@@ -529,12 +535,12 @@
         time.past(60 * SECOND)
         learner.observe([known(time.us)])
         assert minute >= 0
-    kept = facts.unpack(learner._store.records[ONE], time.us)
-    assert facts.quantile(kept.answers, 0.5) == pytest.approx(100_000, rel=0.08)
-    assert facts.quantile(kept.answers, 0.95) == pytest.approx(2_000_000, rel=0.08)
-    assert kept.idle == {"e1": {facts.idle_bin(300_000): (20.0, 5.0)}}
-    assert set(kept.hours) == {time.wall // 3_600_000 % 168}
-    tenant = facts.unpack_usual(learner._store.records[facts.TENANT + b"club"], time.us)
+    kept = codec.unpack_destination(learner._store.records[ONE], time.us)
+    assert codec.quantile(kept.response_times, 0.5) == pytest.approx(100_000, rel=0.08)
+    assert codec.quantile(kept.response_times, 0.95) == pytest.approx(2_000_000, rel=0.08)
+    assert kept.reuse_counts == {"e1": {codec.idle_bin(300_000): (20.0, 5.0)}}
+    assert set(kept.active_hours) == {time.wall // 3_600_000 % 168}
+    tenant = codec.unpack_baseline(learner._store.records[codec.TENANT + b"club"], time.us)
     assert 0 < tenant.rate < 4 / 60
 
 
