--- a/amberlug/cli/learnings.py
+++ b/amberlug/cli/learnings.py
@@ -75,7 +75,7 @@
     except (OSError, ValueError) as error:
         print(f"amberlug: {error}", file=sys.stderr)
         return 2
-    refused = [line for learner in learners for line in learner.refused]
+    refused = [line for learner in learners for line in learner.rejected]
     if options.action == "diff":
         found: dict[str, Any] = {"differs": differences(*(look(it) for it in learners))}
     elif options.action == "show":
@@ -125,7 +125,7 @@
             "per_second": round(it.rate, 3),
             "weight": round(decay.weight(now_us - it.updated_us, decay.BASELINE_HALF_LIFE_US), 3),
         }
-        for sort, name, it in learner.usual()
+        for sort, name, it in learner.baselines()
     ]
     return {"destinations": partners, "usual": usual if destination is None and endpoint is None else []}
 
--- a/amberlug/learning/learner.py
+++ b/amberlug/learning/learner.py
@@ -21,13 +21,13 @@
 from amberlug.policy.state import NEVER
 
 HOUR_MS = 3_600_000
-TOLD_US = 600_000_000  # retention of a requested wait beyond its end: the next one may be as long
-PAUSE_MOST_MS = 400 * 24 * HOUR_MS  # longest pause accepted from the wall clock
-ANSWERS_MOST = 256  # buffered response times per destination
-IDLE_MOST = 64  # calls per idle time bin before its counts are halved
-KIND_WEIGHT = 0.02  # weight of a destination's latest response time in the baseline of its kind
-TENANT_US = 10 * 60_000_000  # time constant of a tenant's rate
-FORGETS = 4  # records checked for expiry at each update
+WAIT_RETENTION_US = 600_000_000  # retention of a requested wait beyond its end: the next one may be as long
+MAX_PAUSE_MS = 400 * 24 * HOUR_MS  # longest pause accepted from the wall clock
+MAX_RESPONSE_TIMES = 256  # per destination: buffered ones, and the total weight above which it is halved
+MAX_REUSE_COUNT = 64  # calls per idle time bin before its counts are halved
+KIND_SMOOTHING = 0.02  # weight of a destination's latest response time in the baseline of its kind
+TENANT_RATE_HALF_LIFE_US = 10 * 60_000_000
+EXPIRY_CHECKS = 4  # records checked for expiry at each update
 
 
 class Learner:
@@ -36,11 +36,11 @@
     def __init__(self, store: Store, clock: Clock) -> None:
         self._store, self._clock = store, clock
         self._answers: dict[int, list[int]] = defaultdict(list)
-        self._reused: dict[int, list[tuple[str, int, bool]]] = defaultdict(list)
+        self._reuses: dict[int, list[tuple[str, int, bool]]] = defaultdict(list)
         self._sent: dict[str, int] = defaultdict(int)
         self._sent_us = clock.now_us()
-        self.refused = store.refused
-        self._go_on()
+        self.rejected = store.rejected
+        self._load_records()
         store.ready()
 
     def _stamp(self) -> Timestamp:
@@ -48,7 +48,7 @@
 
     # Startup.
 
-    def _go_on(self) -> None:
+    def _load_records(self) -> None:
         """Validate all records, and convert their times if they are by the clock of another boot."""
         was, now = self._store.stamp, self._stamp()
         try:
@@ -57,22 +57,24 @@
                 raise ValueError("its timestamp is in the future")
         except ValueError as error:
             # If one value is out of bounds, none is trusted: partial data is not used.
-            self.refused.append(f"learned data rejected: {error}")
-            log(f"learning: {self.refused[-1]}")
+            self.rejected.append(f"learned data rejected: {error}")
+            log(f"learning: {self.rejected[-1]}")
             self._store.restamp(now, {})
             return
         if not self._store.records:
             self._store.stamp = now
         elif not now.boot or was.boot != now.boot:
-            pause_ms = min(PAUSE_MOST_MS, max(0, now.wall_ms - was.wall_ms))
-            self._store.restamp(now, self._shifted(now, now.clock_us - was.clock_us - pause_ms * 1000, was))
+            pause_ms = min(MAX_PAUSE_MS, max(0, now.wall_ms - was.wall_ms))
+            self._store.restamp(
+                now, self._converted_records(now, now.clock_us - was.clock_us - pause_ms * 1000, was)
+            )
 
-    def _shifted(self, now: Timestamp, shift_us: int, was: Timestamp) -> dict[bytes, bytes]:
+    def _converted_records(self, now: Timestamp, shift_us: int, was: Timestamp) -> dict[bytes, bytes]:
         shifted = {}
         for key, record in self._store.records.items():
             if key[:1] == codec.DESTINATION:
                 kept = codec.unpack_destination(record, was.clock_us)
-                kept.known, kept.updated_us = shift(kept.known, shift_us), kept.updated_us + shift_us
+                kept.known, kept.updated_us = shift_times(kept.known, shift_us), kept.updated_us + shift_us
                 shifted[key] = codec.pack_destination(kept)
             elif key[:1] == codec.WAIT:
                 # The wall clock is not trusted here: after a reboot the whole wait starts over.
@@ -89,21 +91,21 @@
         if self._store.found or earlier == Earlier():
             return
         now = self._stamp()
-        pause_ms = min(PAUSE_MOST_MS, max(0, now.wall_ms - earlier.wall_ms))
+        pause_ms = min(MAX_PAUSE_MS, max(0, now.wall_ms - earlier.wall_ms))
         shift_us = now.clock_us - earlier.clock_us - pause_ms * 1000
         seen_us = min(now.clock_us, earlier.clock_us + shift_us)
         records = [
             (
                 codec.destination_key(known.destination),
-                codec.pack_destination(DestinationRecord(shift(known, shift_us), seen_us)),
+                codec.pack_destination(DestinationRecord(shift_times(known, shift_us), seen_us)),
             )
-            for known in _known(earlier.seen, listed)
+            for known in _group_by_destination(earlier.seen, listed)
         ]
         for wait in earlier.waits:
             until_us = now.clock_us + wait.left_us(now.clock_us, now.boot)
             kept_wait = replace(wait, until_us=until_us, boot=now.boot)
             records.append((codec.wait_key(wait), codec.pack_wait(kept_wait)))
-        self._put(records, now)
+        self._store_valid(records, now)
 
     # Interface to the core.
 
@@ -112,9 +114,9 @@
         now_us = self._clock.now_us()
         record = self._store.records.get(codec.destination_key(destination))
         kept = DestinationRecord(api.Known(destination), now_us) if record is None else self._unpack(record)
-        usual = {it.kind: self._usual(codec.KIND, it.kind) for it in entries}
+        usual = {it.kind: self._baseline(codec.KIND, it.kind) for it in entries}
         gap_us = max(0, now_us - kept.updated_us)
-        known = believed(kept.known, entries, now_us, gap_us, usual)
+        known = applicable_state(kept.known, entries, now_us, gap_us, usual)
         known = replace(known, routes=tuple(self._with_waits(known, entries, now_us)))
         return known if known.routes or known.endpoints else None
 
@@ -137,7 +139,7 @@
     def _unpack(self, record: bytes) -> DestinationRecord:
         return codec.unpack_destination(record, self._clock.now_us())
 
-    def _usual(self, sort: bytes, name: str) -> Baseline:
+    def _baseline(self, sort: bytes, name: str) -> Baseline:
         record = self._store.records.get(sort + name.encode())
         return Baseline(NEVER) if record is None else codec.unpack_baseline(record, self._clock.now_us())
 
@@ -145,16 +147,16 @@
         if not known and not self._sent:
             return
         now = self._stamp()
-        records = [self._learn(it, now) for it in known]
-        if len(self._answers) + len(self._reused) > codec.MAX_ITEMS:  # of destinations that no longer exist
+        records = [self._update_destination(it, now) for it in known]
+        if len(self._answers) + len(self._reuses) > codec.MAX_ITEMS:  # of destinations that no longer exist
             self._answers.clear()
-            self._reused.clear()
-        records += self._kinds(known, now)
-        records += self._tenants(now)
-        records += self._old(now.clock_us)
-        self._put(records, now)
+            self._reuses.clear()
+        records += self._update_kinds(known, now)
+        records += self._update_tenants(now)
+        records += self._expired_records(now.clock_us)
+        self._store_valid(records, now)
 
-    def _put(self, records: Sequence[tuple[bytes, bytes]], now: Timestamp) -> None:
+    def _store_valid(self, records: Sequence[tuple[bytes, bytes]], now: Timestamp) -> None:
         """Store valid records only: the next start rejects all records if one is invalid."""
         sound = []
         for record in records:
@@ -165,21 +167,21 @@
             sound.append(record)
         self._store.put(sound, now)
 
-    def _learn(self, known: api.Known, now: Timestamp) -> tuple[bytes, bytes]:
+    def _update_destination(self, known: api.Known, now: Timestamp) -> tuple[bytes, bytes]:
         key = codec.destination_key(known.destination)
         record = self._store.records.get(key)
         kept = DestinationRecord(known, now.clock_us) if record is None else self._unpack(record)
-        fade = decay.weight(now.clock_us - kept.updated_us, decay.BASELINE_HALF_LIFE_US)
+        decay_weight = decay.weight(now.clock_us - kept.updated_us, decay.BASELINE_HALF_LIFE_US)
         kept.known, kept.updated_us = known, now.clock_us
         for took_us in self._answers.pop(known.destination, ()):
             number = codec.response_bin(took_us)
             kept.response_times[number] = kept.response_times.get(number, 0.0) + 1.0
-        if fade < 0.99 or sum(kept.response_times.values()) > ANSWERS_MOST:
-            part = min(fade, 0.5 if sum(kept.response_times.values()) > ANSWERS_MOST else 1.0)
+        if decay_weight < 0.99 or sum(kept.response_times.values()) > MAX_RESPONSE_TIMES:
+            part = min(decay_weight, 0.5 if sum(kept.response_times.values()) > MAX_RESPONSE_TIMES else 1.0)
             kept.response_times = {
                 at: w * part for at, w in kept.response_times.items() if w * part >= decay.MIN_WEIGHT
             }
-        self._count_idle(kept, fade)
+        self._update_reuse_counts(kept, decay_weight)
         week, hour = divmod(now.wall_ms // HOUR_MS, codec.WEEK_HOURS)
         was = kept.active_hours.get(hour)
         if week >= 0 and (was is None or was[0] != week):
@@ -187,72 +189,76 @@
             kept.active_hours[hour] = week, usual + (1 - usual) * 0.5
         return key, codec.pack_destination(kept)
 
-    def _count_idle(self, kept: DestinationRecord, fade: float) -> None:
+    def _update_reuse_counts(self, kept: DestinationRecord, decay_weight: float) -> None:
         """Count calls on idle connections; older counts decay."""
         names = {it.entry.endpoint for it in kept.known.endpoints}
         kept.reuse_counts = {name: bins for name, bins in kept.reuse_counts.items() if name in names}
-        for name, idle_us, reset in self._reused.pop(kept.known.destination, ()):
+        for name, idle_us, reset in self._reuses.pop(kept.known.destination, ()):
             if name in names:
                 bins = kept.reuse_counts.setdefault(name, {})
                 at = codec.idle_bin(idle_us)
                 used, resets = bins.get(at, (0.0, 0.0))
-                part = 0.5 if used >= IDLE_MOST else 1.0
+                part = 0.5 if used >= MAX_REUSE_COUNT else 1.0
                 bins[at] = used * part + 1.0, resets * part + reset
-        if fade < 0.99:
+        if decay_weight < 0.99:
             for name, bins in kept.reuse_counts.items():
-                faded = {at: (used * fade, resets * fade) for at, (used, resets) in bins.items()}
+                faded = {
+                    at: (used * decay_weight, resets * decay_weight) for at, (used, resets) in bins.items()
+                }
                 kept.reuse_counts[name] = {at: it for at, it in faded.items() if it[0] >= decay.MIN_WEIGHT}
 
-    def _kinds(self, known: Sequence[api.Known], now: Timestamp) -> list[tuple[bytes, bytes]]:
+    def _update_kinds(self, known: Sequence[api.Known], now: Timestamp) -> list[tuple[bytes, bytes]]:
         """Update the baselines of kinds by an exponential moving average over the observed destinations."""
         changed: dict[str, Baseline] = {}
         for it in known:
             for endpoint in it.endpoints[:1]:
                 kind = endpoint.entry.kind
-                usual = changed.setdefault(kind, self._usual(codec.KIND, kind))
+                usual = changed.setdefault(kind, self._baseline(codec.KIND, kind))
                 answer_us = float(it.routes[0].usual_us) if it.routes else 0.0
-                part = KIND_WEIGHT if usual.response_us else 1.0
+                part = KIND_SMOOTHING if usual.response_us else 1.0
                 usual.response_us += (answer_us - usual.response_us) * part
-                usual.failure_rate += (endpoint.failure_rate - usual.failure_rate) * KIND_WEIGHT
+                usual.failure_rate += (endpoint.failure_rate - usual.failure_rate) * KIND_SMOOTHING
                 usual.updated_us = now.clock_us
         return [(codec.KIND + kind.encode(), codec.pack_baseline(usual)) for kind, usual in changed.items()]
 
-    def _tenants(self, now: Timestamp) -> list[tuple[bytes, bytes]]:
+    def _update_tenants(self, now: Timestamp) -> list[tuple[bytes, bytes]]:
         past_us = now.clock_us - self._sent_us
-        if not self._sent or past_us < TENANT_US // 60:
+        if not self._sent or past_us < TENANT_RATE_HALF_LIFE_US // 60:
             return []
         sent, self._sent, self._sent_us = self._sent, defaultdict(int), now.clock_us
-        part = 1 - decay.weight(past_us, TENANT_US)
+        part = 1 - decay.weight(past_us, TENANT_RATE_HALF_LIFE_US)
         records = []
         for tenant, count in sent.items():
-            usual = self._usual(codec.TENANT, tenant)
+            usual = self._baseline(codec.TENANT, tenant)
             usual.rate += (count * 1e6 / past_us - usual.rate) * part
             usual.updated_us = now.clock_us
             records.append((codec.TENANT + tenant.encode(), codec.pack_baseline(usual)))
         return records
 
-    def _old(self, now_us: int) -> list[tuple[bytes, bytes]]:
+    def _expired_records(self, now_us: int) -> list[tuple[bytes, bytes]]:
         """Return deletions for expired records among the few that were written longest ago."""
-        old = []
-        for name, value in islice(self._store.records.items(), FORGETS):
+        deletions = []
+        for name, value in islice(self._store.records.items(), EXPIRY_CHECKS):
             if name[:1] == codec.WAIT:
-                gone = codec.unpack_wait(value, now_us + codec.MAX_WAIT_US).until_us + TOLD_US < now_us
+                expired = (
+                    codec.unpack_wait(value, now_us + codec.MAX_WAIT_US).until_us + WAIT_RETENTION_US < now_us
+                )
             elif name[:1] == codec.DESTINATION:
-                gone = self._unpack(value).updated_us + decay.RETENTION_US < now_us
+                expired = self._unpack(value).updated_us + decay.RETENTION_US < now_us
             else:
-                gone = codec.unpack_baseline(value, now_us).updated_us + decay.RETENTION_US < now_us
-            if gone:
-                old.append((name, b""))
-        return old
+                expired = codec.unpack_baseline(value, now_us).updated_us + decay.RETENTION_US < now_us
+            if expired:
+                deletions.append((name, b""))
+        return deletions
 
     def answered(self, destination: int, took_us: int) -> None:
         waiting = self._answers[destination]
-        if len(waiting) < ANSWERS_MOST:
+        if len(waiting) < MAX_RESPONSE_TIMES:
             waiting.append(took_us)
 
     def reused(self, destination: int, endpoint: str, idle_us: int, reset: bool) -> None:
-        waiting = self._reused[destination]
-        if len(waiting) < ANSWERS_MOST:
+        waiting = self._reuses[destination]
+        if len(waiting) < MAX_RESPONSE_TIMES:
             waiting.append((endpoint, idle_us, reset))
 
     def sent(self, tenant: str | None) -> None:
@@ -266,7 +272,7 @@
             known = codec.unpack_wait(record, now.clock_us + codec.MAX_WAIT_US)
             if known.left_us(now.clock_us, wait.boot) >= wait.length_us:
                 return  # a longer wait is already stored
-        self._put([(key, codec.pack_wait(wait))], now)
+        self._store_valid([(key, codec.pack_wait(wait))], now)
 
     # Operator commands.
 
@@ -286,7 +292,7 @@
         for number in sorted({*kept, *waits}):
             yield kept.get(number) or DestinationRecord(api.Known(number), now_us), waits[number]
 
-    def usual(self) -> Iterator[tuple[str, str, Baseline]]:
+    def baselines(self) -> Iterator[tuple[str, str, Baseline]]:
         """Yield the baselines of kinds and tenants: "kind" or "tenant", the name, and the values."""
         now_us = self._clock.now_us()
         for key, record in sorted(self._store.records.items()):
@@ -321,7 +327,7 @@
         self._store.close()
 
 
-def believed(
+def applicable_state(
     known: api.Known,
     entries: tuple[api.Entry, ...],
     now_us: int,
@@ -341,8 +347,8 @@
         if entry is None:
             endpoints.append(it)  # it may be listed later, and its state is needed then
         elif entry.kind == it.entry.kind:
-            told = decay.decayed_endpoint(it, now_us, gap_us, _prior(usual, entry.kind).failure_rate)
-            endpoints.append(told if _same(it.entry, entry) else _anew(told))
+            told = decay.decayed_endpoint(it, now_us, gap_us, _kind_baseline(usual, entry.kind).failure_rate)
+            endpoints.append(told if _same_start(it.entry, entry) else _state_after_restart(told))
     same_kinds = not kinds or not listed or set(kinds.values()) & {it.kind for it in entries}
     routes = []
     for route in known.routes:
@@ -351,30 +357,34 @@
             continue  # a separate route whose endpoint is not listed, or was replaced by one of another kind
         if same_kinds:
             kind = entry.kind if entry is not None else next(iter(listed.values())).kind if listed else ""
-            routes.append(decay.decayed_route(route, now_us, gap_us, _prior(usual, kind).response_us))
+            routes.append(decay.decayed_route(route, now_us, gap_us, _kind_baseline(usual, kind).response_us))
     if not known.routes:
         routes += [
             api.KnownRoute(route, int(answer_us), 1.0, 0, OPEN, 0)
-            for route, answer_us in _never_met(entries, usual)
+            for route, answer_us in _baseline_response_times(entries, usual)
         ]
     return api.Known(known.destination, tuple(routes), tuple(endpoints))
 
 
-def _never_met(entries: tuple[api.Entry, ...], usual: dict[str, Baseline]) -> Iterable[tuple[str, float]]:
+def _baseline_response_times(
+    entries: tuple[api.Entry, ...], usual: dict[str, Baseline]
+) -> Iterable[tuple[str, float]]:
     """Yield the baseline response time of its kind, for a destination without data."""
     for it in entries:
-        if (answer_us := _prior(usual, it.kind).response_us) > 0:
+        if (answer_us := _kind_baseline(usual, it.kind).response_us) > 0:
             yield "", answer_us
             yield it.endpoint, answer_us  # the decision module uses the one that applies
 
 
-def _known(rows: Sequence[Seen], listed: Callable[[str], api.Entry | None]) -> Iterable[api.Known]:
+def _group_by_destination(
+    rows: Sequence[Seen], listed: Callable[[str], api.Entry | None]
+) -> Iterable[api.Known]:
     """Group what an earlier release stored by the currently listed destinations."""
     grouped: dict[int, list[tuple[api.Entry, Seen]]] = defaultdict(list)
     for row in rows:
         if (entry := listed(row.endpoint)) is not None and entry.state is api.State.IN:
             grouped[entry.destination].append((entry, row))
-    for number, ones in grouped.items():
+    for number, group in grouped.items():
         endpoints = [
             api.KnownEndpoint(
                 entry,
@@ -388,25 +398,25 @@
                 1.0,
                 (),
             )
-            for entry, it in ones
+            for entry, it in group
         ]
         limits = {
             route: api.KnownRoute(route, FIRST_GUESS_US, 1.0, 0, it.learned, it.learned_us)
-            for entry, it in ones
+            for entry, it in group
             for route in ("", entry.endpoint)  # the decision module uses the one that applies
         }
         yield api.Known(number, tuple(limits.values()), tuple(endpoints))
 
 
-def _prior(usual: dict[str, Baseline], kind: str) -> Baseline:
+def _kind_baseline(usual: dict[str, Baseline], kind: str) -> Baseline:
     return usual.get(kind) or Baseline(NEVER)
 
 
-def _same(was: api.Entry, entry: api.Entry) -> bool:
+def _same_start(was: api.Entry, entry: api.Entry) -> bool:
     return not (was.up_since_ms and entry.up_since_ms) or was.up_since_ms == entry.up_since_ms
 
 
-def _anew(it: api.KnownEndpoint) -> api.KnownEndpoint:
+def _state_after_restart(it: api.KnownEndpoint) -> api.KnownEndpoint:
     """Return the state of an endpoint that was restarted: after an outage it is back, and cold."""
     return replace(
         it,
@@ -418,25 +428,26 @@
     )
 
 
-def shift(known: api.Known, by_us: int) -> api.Known:
+def shift_times(known: api.Known, by_us: int) -> api.Known:
     """Shift all times, to convert them to another clock."""
 
-    def moved(at_us: int) -> int:
+    def shifted_time(at_us: int) -> int:
         return at_us if at_us == NEVER else max(NEVER + 1, at_us + by_us)
 
     return replace(
         known,
         routes=tuple(
-            replace(it, pace_us=moved(it.pace_us), learned_us=moved(it.learned_us)) for it in known.routes
+            replace(it, pace_us=shifted_time(it.pace_us), learned_us=shifted_time(it.learned_us))
+            for it in known.routes
         ),
         endpoints=tuple(
             replace(
                 it,
-                since_us=moved(it.since_us),
-                failed_us=moved(it.failed_us),
-                done_us=moved(it.done_us),
-                back_us=None if it.back_us is None else moved(it.back_us),
-                starts=tuple(moved(at_us) for at_us in it.starts),
+                since_us=shifted_time(it.since_us),
+                failed_us=shifted_time(it.failed_us),
+                done_us=shifted_time(it.done_us),
+                back_us=None if it.back_us is None else shifted_time(it.back_us),
+                starts=tuple(shifted_time(at_us) for at_us in it.starts),
             )
             for it in known.endpoints
         ),
--- a/amberlug/learning/store.py
+++ b/amberlug/learning/store.py
@@ -51,7 +51,7 @@
         self._key, self._syncer = key, syncer
         self.records: dict[bytes, bytes] = {}  # least recently written first
         self.stamp = Timestamp(0, 0, "")
-        self.refused: list[str] = []
+        self.rejected: list[str] = []
         self.found = False  # whether the directory had any generation, valid or not
         self._live = 0  # bytes of all records
         self._pending: dict[bytes, bytes] = {}  # not yet written
@@ -76,8 +76,8 @@
             try:
                 self._adopt(self._believed(number))
             except (InvalidGenerationError, OSError) as error:
-                self.refused.append(f"generation {number} rejected: {error}")
-                log(f"learning: {self.refused[-1]}")
+                self.rejected.append(f"generation {number} rejected: {error}")
+                log(f"learning: {self.rejected[-1]}")
                 continue
             break
 
--- a/tests/test_learning.py
+++ b/tests/test_learning.py
@@ -299,8 +299,8 @@
     records = [(ONE, record), (codec.destination_key(2), good)]
     disk = FaultyDisk({blocks.file_name(1): put_file(records, time)})
     learner = opened(disk, time)
-    assert len(learner.refused) == 1
-    assert why in learner.refused[0]
+    assert len(learner.rejected) == 1
+    assert why in learner.rejected[0]
     assert not learner._store.records
     learner.observe([known(time.us)])  # later writes work
     assert believed(opened(disk.after_death(), time)).endpoints
@@ -331,7 +331,7 @@
         newest = put_file([(ONE, b"")], time, number=3)
     files = {blocks.file_name(1): before, blocks.file_name(3): change(newest)}
     learner = opened(FaultyDisk(files), time)
-    assert why in learner.refused[0]
+    assert why in learner.rejected[0]
     assert believed(learner).endpoints[0].failure_rate == 0.0
     assert not opened(FaultyDisk({blocks.file_name(3): files[blocks.file_name(3)]}), time)._store.records
 
@@ -342,7 +342,7 @@
     learner.observe([known(time.us, 2, of=entry("e" * 5000, 2)), known(time.us, route={"usual_us": 10**11})])
     learner.told(Wait(3, "e" * 5000, SECOND, time.us + SECOND, time.boot))
     again = opened(disk.after_death(), time)
-    assert again.refused == []
+    assert again.rejected == []
     assert believed(again).endpoints
     assert not believed(again, entry("e" * 5000, 2)).endpoints
 
@@ -353,7 +353,7 @@
     assert believed(opened(disk.after_death(), time, key=b"k" * 32)).endpoints
     for key in (b"", b"l" * 32):
         learner = opened(disk.after_death(), time, key=key)
-        assert "another key" in learner.refused[0]
+        assert "another key" in learner.rejected[0]
         assert not believed(learner).endpoints
 
 
--- a/tests/test_restart.py
+++ b/tests/test_restart.py
@@ -129,7 +129,7 @@
                 numbers |= {generation_number(it.name) for it in state.iterdir()}
                 now = Now()
                 learner = Learner(Store(ReadOnlyDisk(state), 10**6, now.now_us), now)
-                assert learner.refused == []
+                assert learner.rejected == []
                 await relay.start()
             assert len(numbers) >= 5  # many generations were made
 
