--- a/amberlug/learning/learner.py
+++ b/amberlug/learning/learner.py
@@ -41,7 +41,7 @@
         self._sent_us = clock.now_us()
         self.rejected = store.rejected
         self._load_records()
-        store.ready()
+        store.ensure_writable()
 
     def _stamp(self) -> Timestamp:
         return Timestamp(self._clock.wall_ms(), self._clock.now_us(), self._clock.boot)
@@ -59,13 +59,13 @@
             # If one value is out of bounds, none is trusted: partial data is not used.
             self.rejected.append(f"learned data rejected: {error}")
             log(f"learning: {self.rejected[-1]}")
-            self._store.restamp(now, {})
+            self._store.replace_records(now, {})
             return
         if not self._store.records:
             self._store.stamp = now
         elif not now.boot or was.boot != now.boot:
             pause_ms = min(MAX_PAUSE_MS, max(0, now.wall_ms - was.wall_ms))
-            self._store.restamp(
+            self._store.replace_records(
                 now, self._converted_records(now, now.clock_us - was.clock_us - pause_ms * 1000, was)
             )
 
@@ -88,7 +88,7 @@
         return shifted
 
     def take_over(self, earlier: Earlier, listed: Callable[[str], api.Entry | None]) -> None:
-        if self._store.found or earlier == Earlier():
+        if self._store.had_generation or earlier == Earlier():
             return
         now = self._stamp()
         pause_ms = min(MAX_PAUSE_MS, max(0, now.wall_ms - earlier.wall_ms))
--- a/amberlug/learning/store.py
+++ b/amberlug/learning/store.py
@@ -18,14 +18,15 @@
 from amberlug.learning.blocks import BlockType, Generation, InvalidGenerationError, Records, Timestamp
 
 SLICE_US = 1_000  # time limit of one slice of writing a new generation
-BATCH = 16  # records per block of a new generation: some 0.1 ms of work
-LOOSE, LEAST = 4, 1 << 15  # a generation is compacted above LOOSE times its live bytes plus LEAST bytes
+RECORDS_PER_BLOCK = 16  # records per block of a new generation: some 0.1 ms of work
+# A generation is replaced when its size exceeds FACTOR times the bytes of all records, plus MIN_BYTES.
+COMPACTION_FACTOR, COMPACTION_MIN_BYTES = 4, 1 << 15
 RETRY_US = 10_000_000  # from a failed write until the next attempt
 BLOCK_SIZE = 512  # file sizes are rounded up to whole blocks
-RULE = b"W"  # key prefix of records that are required for correctness, and never evicted
+PROTECTED_PREFIX = b"W"  # key prefix of records that are required for correctness, and never evicted
 
 
-class File:
+class GenerationFile:
     """A generation that is being written."""
 
     def __init__(self, number: int, digest: bytes, size: int) -> None:
@@ -47,67 +48,67 @@
         key: bytes = b"",
         syncer: Syncer | None = None,
     ) -> None:
-        self._disk, self._room, self._clock_us = disk, room_bytes, clock_us
+        self._disk, self._max_bytes, self._clock_us = disk, room_bytes, clock_us
         self._key, self._syncer = key, syncer
         self.records: dict[bytes, bytes] = {}  # least recently written first
         self.stamp = Timestamp(0, 0, "")
         self.rejected: list[str] = []
-        self.found = False  # whether the directory had any generation, valid or not
-        self._live = 0  # bytes of all records
+        self.had_generation = False  # whether the directory had any generation, valid or not
+        self._record_bytes = 0  # bytes of all records
         self._pending: dict[bytes, bytes] = {}  # not yet written
-        self._current: File | None = None
-        self._next: File | None = None  # not yet sealed
-        self._left: Iterator[bytes] | None = None  # keys not yet written to the next generation
+        self._current: GenerationFile | None = None
+        self._next: GenerationFile | None = None  # not yet sealed
+        self._unwritten_keys: Iterator[bytes] | None = None  # keys not yet written to the next generation
         self._syncing = self._failed = self._closed = False
-        self._paused_us = 0  # no writes before this time
+        self._resume_us = 0  # no writes before this time
         self._files: dict[int, int] = {}  # sizes of all generations on disk, by number
         self._read()
 
     @property
-    def most_live(self) -> int:
+    def max_record_bytes(self) -> int:
         """Limit on the bytes of records, so that two generations and later changes fit on the disk."""
-        return self._room // 4
+        return self._max_bytes // 4
 
     def _read(self) -> None:
         files = {blocks.generation_number(name): size for name, size in self._disk.files().items()}
         self._files = {number: size for number, size in files.items() if number is not None}
-        self.found = bool(self._files)
+        self.had_generation = bool(self._files)
         for number in sorted(self._files, reverse=True):
             try:
-                self._adopt(self._believed(number))
+                self._use_generation(self._load_generation(number))
             except (InvalidGenerationError, OSError) as error:
                 self.rejected.append(f"generation {number} rejected: {error}")
                 log(f"learning: {self.rejected[-1]}")
                 continue
             break
 
-    def _believed(self, number: int) -> Generation:
+    def _load_generation(self, number: int) -> Generation:
         size = self._files[number]
-        if size > self._room:
-            raise InvalidGenerationError(f"its size of {size} bytes exceeds the limit of {self._room}")
+        if size > self._max_bytes:
+            raise InvalidGenerationError(f"its size of {size} bytes exceeds the limit of {self._max_bytes}")
         return blocks.read_generation(self._disk.read(blocks.file_name(number), 0, size), number, self._key)
 
-    def _adopt(self, found: Generation) -> None:
-        self.records, self.stamp = found.records, found.stamp
-        self._live = sum(len(key) + len(value) for key, value in self.records.items())
-        newest, size = max(self._files), self._files[found.number]
-        if found.number != newest:
+    def _use_generation(self, generation: Generation) -> None:
+        self.records, self.stamp = generation.records, generation.stamp
+        self._record_bytes = sum(len(key) + len(value) for key, value in self.records.items())
+        newest, size = max(self._files), self._files[generation.number]
+        if generation.number != newest:
             return  # a new one is written immediately, with a number above the rejected ones
         try:
-            if found.valid_bytes < size:  # nothing may be appended after a truncated block
-                self._disk.truncate(blocks.file_name(found.number), found.valid_bytes)
+            if generation.valid_bytes < size:  # nothing may be appended after a truncated block
+                self._disk.truncate(blocks.file_name(generation.number), generation.valid_bytes)
         except OSError as error:
             log(f"learning: {error}")
             return
-        self._files[found.number] = found.valid_bytes
-        self._current = File(found.number, found.digest, found.valid_bytes)
+        self._files[generation.number] = generation.valid_bytes
+        self._current = GenerationFile(generation.number, generation.digest, generation.valid_bytes)
 
-    def restamp(self, stamp: Timestamp, records: Mapping[bytes, bytes]) -> None:
+    def replace_records(self, stamp: Timestamp, records: Mapping[bytes, bytes]) -> None:
         """Replace all records, converted to the clock of this boot, and start a new generation for them."""
         self.stamp, self.records, self._current = stamp, dict(records), None
-        self._live = sum(len(key) + len(value) for key, value in self.records.items())
+        self._record_bytes = sum(len(key) + len(value) for key, value in self.records.items())
 
-    def ready(self) -> None:
+    def ensure_writable(self) -> None:
         """Create a writable generation if there is none, as far as the disk allows."""
         while self._current is None and self.work() == SLICE_US:
             pass
@@ -116,10 +117,10 @@
         """Write records now; those that can't be are written later, with their values at that time."""
         for key, value in records:
             had = self.records.pop(key, None)
-            self._live -= len(key) + len(had) if had is not None else 0
+            self._record_bytes -= len(key) + len(had) if had is not None else 0
             if value:
                 self.records[key] = value
-                self._live += len(key) + len(value)
+                self._record_bytes += len(key) + len(value)
             elif had is None:
                 continue
             self._pending[key] = value
@@ -127,7 +128,7 @@
         self._flush()
 
     def _flush(self) -> None:
-        if not self._pending or self._clock_us() < self._paused_us or self._closed or self._current is None:
+        if not self._pending or self._clock_us() < self._resume_us or self._closed or self._current is None:
             return
         payload = blocks.pack_records(list(self._pending.items()), self.stamp)
         try:
@@ -146,26 +147,26 @@
         if not self._failed:
             log(f"learning: write failed: {error}; retrying until it succeeds")
         self._failed = True
-        self._paused_us = self._clock_us() + RETRY_US
-        self._abandon()
+        self._resume_us = self._clock_us() + RETRY_US
+        self._discard_next()
 
-    def _abandon(self) -> None:
+    def _discard_next(self) -> None:
         """Discard a new generation that is not yet sealed."""
         if self._next is not None:
             self._remove(self._next.number)
-            self._next = self._left = None
+            self._next = self._unwritten_keys = None
 
     def give_way(self) -> None:
         """Free disk space for the journal: pause writes, and remove all but the current generation."""
-        self._paused_us = self._clock_us() + RETRY_US
-        self._abandon()
+        self._resume_us = self._clock_us() + RETRY_US
+        self._discard_next()
         if self._current is not None:
             self._remove_all_but(self._current.number)
 
-    def _append(self, file: File, kind: BlockType, payload: bytes) -> None:
+    def _append(self, file: GenerationFile, kind: BlockType, payload: bytes) -> None:
         """Append one block, completely or not at all; raises `OSError` if that fails."""
         data, digest = blocks.encode_block(kind, payload, file.digest, self._key)
-        if self._used(len(data)) > self._room:
+        if self._disk_usage(len(data)) > self._max_bytes:
             raise OSError(errno.ENOSPC, "disk limit for learned data reached")
         written = 0
         try:
@@ -176,12 +177,12 @@
                 written += count
         except OSError:
             if written:
-                self._cut(file)
+                self._truncate(file)
             raise
         file.size, file.digest = file.size + len(data), digest
         self._files[file.number] = file.size
 
-    def _cut(self, file: File) -> None:
+    def _truncate(self, file: GenerationFile) -> None:
         try:
             self._disk.truncate(file.name, file.size)
         except OSError:
@@ -190,7 +191,7 @@
                     None  # it ends in a truncated block that can't be removed: a new generation is written
                 )
 
-    def _used(self, more: int = 0) -> int:
+    def _disk_usage(self, more: int = 0) -> int:
         return more + sum(-(-size // BLOCK_SIZE) * BLOCK_SIZE for size in self._files.values())
 
     # New generations.
@@ -200,50 +201,51 @@
         now_us = self._clock_us()
         if self._closed or self._syncing:
             return None
-        if now_us < self._paused_us:
-            return self._paused_us - now_us
+        if now_us < self._resume_us:
+            return self._resume_us - now_us
         self._flush()
         try:
             if self._next is None:
-                if not self._wants_next():
+                if not self._needs_new_generation():
                     return None
-                self._begin()
-            return self._go_on(now_us + SLICE_US)
+                self._begin_generation()
+            return self._write_slice(now_us + SLICE_US)
         except OSError as error:
             self._fail(error)
             return RETRY_US
 
-    def _wants_next(self) -> bool:
+    def _needs_new_generation(self) -> bool:
         if self._current is None:
             return True
-        most = min(LOOSE * self._live + LEAST, self._room // 3)
-        return self._current.size > most or self._live > self.most_live
+        most = min(COMPACTION_FACTOR * self._record_bytes + COMPACTION_MIN_BYTES, self._max_bytes // 3)
+        return self._current.size > most or self._record_bytes > self.max_record_bytes
 
-    def _begin(self) -> None:
+    def _begin_generation(self) -> None:
         """Create a new generation; if space is short, older ones than the current are removed first."""
-        if self._live > self.most_live:  # evicts the least recently updated records, but no requested wait
-            for key in [key for key in self.records if key[:1] != RULE]:
-                self._live -= len(key) + len(self.records.pop(key))
-                if self._live <= self.most_live:
+        # Evicts the least recently updated records, but no requested wait.
+        if self._record_bytes > self.max_record_bytes:
+            for key in [key for key in self.records if key[:1] != PROTECTED_PREFIX]:
+                self._record_bytes -= len(key) + len(self.records.pop(key))
+                if self._record_bytes <= self.max_record_bytes:
                     break
-        if self._used(2 * self._live + LEAST) > self._room:
-            kept = max(self._files, default=0) if self._current is None else self._current.number
-            self._remove_all_but(kept)
+        if self._disk_usage(2 * self._record_bytes + COMPACTION_MIN_BYTES) > self._max_bytes:
+            kept_number = max(self._files, default=0) if self._current is None else self._current.number
+            self._remove_all_but(kept_number)
         number = max(self._files, default=0) + 1
-        file = File(number, blocks.file_header(), 0)
+        file = GenerationFile(number, blocks.file_header(), 0)
         self._disk.create(file.name)
         self._files[number] = 0
-        self._next, self._left = file, iter(list(self.records))
+        self._next, self._unwritten_keys = file, iter(list(self.records))
         if self._disk.append(file.name, blocks.file_header()) < blocks.FILE_HEADER_SIZE:
             raise OSError(errno.ENOSPC, "disk limit for learned data reached")
         file.size = blocks.FILE_HEADER_SIZE
         self._append(file, BlockType.IDENTITY, blocks.pack_identity(number, self.stamp))
 
-    def _go_on(self, until_us: int) -> int | None:
+    def _write_slice(self, until_us: int) -> int | None:
         assert self._next is not None
-        assert self._left is not None
+        assert self._unwritten_keys is not None
         while True:
-            keys = list(islice(self._left, BATCH))
+            keys = list(islice(self._unwritten_keys, RECORDS_PER_BLOCK))
             if not keys:
                 break
             batch = [(key, self.records[key]) for key in keys if key in self.records]
@@ -280,19 +282,19 @@
     def _seal(self) -> None:
         assert self._next is not None
         self._append(self._next, BlockType.SEAL, b"")
-        self._sync(self._sealed)
+        self._sync(self._activate_next)
 
-    def _sealed(self) -> None:
+    def _activate_next(self) -> None:
         assert self._next is not None
         file = self._next
         before = max((number for number in self._files if number < file.number), default=0)
-        self._current, self._next, self._left = file, None, None
+        self._current, self._next, self._unwritten_keys = file, None, None
         for number in [number for number in self._files if number < before]:
             self._remove(number)
         self._flush()
 
-    def _remove_all_but(self, kept: int) -> None:
-        for number in [number for number in self._files if number != kept]:
+    def _remove_all_but(self, kept_number: int) -> None:
+        for number in [number for number in self._files if number != kept_number]:
             self._remove(number)
 
     def _remove(self, number: int) -> None:
@@ -307,7 +309,7 @@
 
     def close(self) -> None:
         """Write pending records and close all files."""
-        self._paused_us = 0
+        self._resume_us = 0
         self._flush()
         self._closed = True
         if self._syncer is not None:
--- a/tests/test_learning.py
+++ b/tests/test_learning.py
@@ -145,9 +145,9 @@
 @pytest.fixture
 def small(monkeypatch: pytest.MonkeyPatch) -> None:
     """Use small generations that are written two records at a time."""
-    monkeypatch.setattr(stores, "LEAST", 600)
-    monkeypatch.setattr(stores, "LOOSE", 1)
-    monkeypatch.setattr(stores, "BATCH", 2)
+    monkeypatch.setattr(stores, "COMPACTION_MIN_BYTES", 600)
+    monkeypatch.setattr(stores, "COMPACTION_FACTOR", 1)
+    monkeypatch.setattr(stores, "RECORDS_PER_BLOCK", 2)
 
 
 def deaths(torn: bool) -> Iterator[tuple[Evening, FaultyDisk]]:
