--- a/amberlug/lab/relay.py
+++ b/amberlug/lab/relay.py
@@ -13,7 +13,7 @@
 from amberlug.lab.partners import Endpoint
 from amberlug.lab.scenario import World
 from amberlug.lab.transport import ModelTransport
-from amberlug.learning import SHARE
+from amberlug.learning import DISK_SHARE_DIVISOR
 from amberlug.learning.blocks import generation_number
 from amberlug.learning.learner import Learner
 from amberlug.learning.store import Store
@@ -113,8 +113,8 @@
         if not self._world.remembers:
             for name in [name for name in self._disk.files() if generation_number(name) is not None]:
                 self._disk.remove(name)
-        journal = Journal(self._disk, room - room // SHARE, clock.wall_ms(), clock.now_us)
-        learner = Learner(Store(self._disk, room // SHARE, clock.now_us), clock)
+        journal = Journal(self._disk, room - room // DISK_SHARE_DIVISOR, clock.wall_ms(), clock.now_us)
+        learner = Learner(Store(self._disk, room // DISK_SHARE_DIVISOR, clock.now_us), clock)
         idle_us = int(self._world.idle_s * SECOND)
         self._transport = ModelTransport(
             self._endpoints,
--- a/amberlug/learning/store.py
+++ b/amberlug/learning/store.py
@@ -43,12 +43,12 @@
     def __init__(
         self,
         disk: Disk,
-        room_bytes: int,
+        max_bytes: int,
         clock_us: Callable[[], int],
         key: bytes = b"",
         syncer: Syncer | None = None,
     ) -> None:
-        self._disk, self._max_bytes, self._clock_us = disk, room_bytes, clock_us
+        self._disk, self._max_bytes, self._clock_us = disk, max_bytes, clock_us
         self._key, self._syncer = key, syncer
         self.records: dict[bytes, bytes] = {}  # least recently written first
         self.stamp = Timestamp(0, 0, "")
--- a/amberlug/library/relay.py
+++ b/amberlug/library/relay.py
@@ -21,7 +21,7 @@
 from amberlug.core.node import CLOSED_RETRY_US, Node
 from amberlug.core.ports import Held, Observer
 from amberlug.http.calls import Caller
-from amberlug.learning import SHARE, open_learning
+from amberlug.learning import DISK_SHARE_DIVISOR, open_learning
 from amberlug.library.claims import CLAIMS, Claim
 from amberlug.library.desk import Desk, OnEnd
 from amberlug.library.endpoints import Discovery, Endpoints
@@ -129,7 +129,7 @@
             self._lock = FolderLock(self._folder, lambda: not loop.is_closed())
             stack.callback(self._lock.release)
             self._clock = LoopClock()
-            part = self._disk_bytes // SHARE
+            part = self._disk_bytes // DISK_SHARE_DIVISOR
             self._journal = open_journal(self._folder, self._disk_bytes - part, self._clock, self._durability)
             stack.callback(self._journal.close)
             self._learning = open_learning(self._folder, part, self._clock, self._durability)
--- a/amberlug/platform/daemon.py
+++ b/amberlug/platform/daemon.py
@@ -22,7 +22,7 @@
 from amberlug.core.ports import Clock, Ends, Transport
 from amberlug.http.calls import Caller
 from amberlug.http.server import Server
-from amberlug.learning import SHARE, open_learning
+from amberlug.learning import DISK_SHARE_DIVISOR, open_learning
 from amberlug.platform.backoff import DiscoveryBackoff
 from amberlug.platform.config import Config, read_config
 from amberlug.platform.confirmation import ListConfirmation
@@ -95,10 +95,14 @@
     lock = FolderLock(config.state, lambda: not loop.is_closed())
     clock = LoopClock()
     disk_bytes = int(config.limits.disk_bytes * USABLE_DISK_FRACTION)
-    local_journal = open_journal(config.state, disk_bytes - disk_bytes // SHARE, clock, config.durability)
+    local_journal = open_journal(
+        config.state, disk_bytes - disk_bytes // DISK_SHARE_DIVISOR, clock, config.durability
+    )
     replicator = None if make_replicator is None else make_replicator(config.state, config.settings, clock)
     journal = local_journal if replicator is None else replicator.journal(local_journal)
-    learning = open_learning(config.state, disk_bytes // SHARE, clock, config.durability, config.learning_key)
+    learning = open_learning(
+        config.state, disk_bytes // DISK_SHARE_DIVISOR, clock, config.durability, config.learning_key
+    )
     backoff = DiscoveryBackoff(config.settings.relays, config.settings.drain_grace_us / SECOND)
     caller = Caller(config.settings, config.limits.endpoint_connections, clock)
     notices = NoticeSender(config.discovery)
