--- a/tests/test_learning.py
+++ b/tests/test_learning.py
@@ -54,11 +54,11 @@
     def at(self, when_us: int, callback: Callable[..., object], *args: object) -> Handle:
         raise NotImplementedError
 
-    def past(self, us: int) -> None:
+    def advance(self, us: int) -> None:
         self.us, self.wall = self.us + us, self.wall + us // 1000
 
 
-def opened(disk: FaultyDisk, time: Time, room: int = ROOM, key: bytes = b"") -> Learner:
+def open_learner(disk: FaultyDisk, time: Time, room: int = ROOM, key: bytes = b"") -> Learner:
     return Learner(Store(disk, room, time.now_us, key), time)
 
 
@@ -91,7 +91,7 @@
     return api.Known(destination, (api.KnownRoute("", **limits),), (told,))
 
 
-def believed(learner: Learner, *entries: api.Entry) -> api.Known:
+def recalled(learner: Learner, *entries: api.Entry) -> api.Known:
     listed = entries or (entry(),)
     return learner.recall(listed[0].destination, listed) or api.Known(listed[0].destination)
 
@@ -104,23 +104,23 @@
 
 
 @dataclass
-class Evening:
+class RecordedWorkload:
     """Records observations and requested waits of a few destinations, and what must survive."""
 
     time: Time = field(default_factory=lambda: Time(tick=40))
     waits: dict[int, int] = field(default_factory=dict)  # end of each stored wait, by destination
-    ever: dict[bytes, set[bytes]] = field(default_factory=dict)  # all values that a record has had
+    written: dict[bytes, set[bytes]] = field(default_factory=dict)  # all values that a record has had
 
     def play(self, disk: FaultyDisk, rounds: int = 24) -> None:
-        learner = opened(disk, self.time, room=40_000)
+        learner = open_learner(disk, self.time, room=40_000)
         for count in range(rounds):
-            self.time.past(SECOND)
+            self.time.advance(SECOND)
             number = count % 5
             learner.observe([known(self.time.us, number, failure_rate=count / 100)])
             self.note(learner)
             if count % 3 == 0:
                 wait = wait_at(self.time, number, 60 * SECOND + count)
-                self.ever.setdefault(codec.wait_key(wait), set()).add(codec.pack_wait(wait))
+                self.written.setdefault(codec.wait_key(wait), set()).add(codec.pack_wait(wait))
                 learner.told(wait)
                 self.waits[number] = wait.until_us
             for _ in range(3):
@@ -129,73 +129,77 @@
 
     def note(self, learner: Learner) -> None:
         for key, record in learner._store.records.items():
-            self.ever.setdefault(key, set()).add(record)
+            self.written.setdefault(key, set()).add(record)
 
     def check(self, disk: FaultyDisk, waits_last: bool = True) -> None:
         """Check that each stored record is one that was written; after a process crash no wait is lost."""
         store = Store(disk, 40_000, self.time.now_us)
         for key, record in store.records.items():
-            assert record in self.ever[key]
-        learner = opened(disk.after_death(), self.time, room=40_000)
+            assert record in self.written[key]
+        learner = open_learner(disk.after_death(), self.time, room=40_000)
         for number, until_us in self.waits.items() if waits_last else ():
-            (route,) = believed(learner, entry(f"e{number}", number)).routes
+            (route,) = recalled(learner, entry(f"e{number}", number)).routes
             assert route.blocked_until_us >= until_us
 
 
 @pytest.fixture
-def small(monkeypatch: pytest.MonkeyPatch) -> None:
+def small_generations(monkeypatch: pytest.MonkeyPatch) -> None:
     """Use small generations that are written two records at a time."""
     monkeypatch.setattr(stores, "COMPACTION_MIN_BYTES", 600)
     monkeypatch.setattr(stores, "COMPACTION_FACTOR", 1)
     monkeypatch.setattr(stores, "RECORDS_PER_BLOCK", 2)
 
 
-def deaths(torn: bool) -> Iterator[tuple[Evening, FaultyDisk]]:
+def crashes(torn: bool) -> Iterator[tuple[RecordedWorkload, FaultyDisk]]:
     """Crash the workload at each of its disk operations in turn."""
     for at in itertools.count(1):
-        disk, evening = FaultyDisk(), Evening()
+        disk, workload = FaultyDisk(), RecordedWorkload()
         disk.dies_at, disk.torn = at, torn
         try:
-            evening.play(disk)
+            workload.play(disk)
         except DiedError:
-            yield evening, disk
+            yield workload, disk
         else:
             assert at > 60
             return
 
 
 @pytest.mark.parametrize("torn", [False, True])
-def test_a_death_at_every_operation_makes_nothing_up_and_keeps_told_waits(small: None, torn: bool) -> None:
+def test_a_death_at_every_operation_makes_nothing_up_and_keeps_told_waits(
+    small_generations: None, torn: bool
+) -> None:
     changed = 0
-    for evening, disk in deaths(torn):
+    for workload, disk in crashes(torn):
         changed += len(disk.files()) > 2
-        evening.check(disk.after_death())
+        workload.check(disk.after_death())
         # Also crash at each operation of the following start.
         for at in range(1, 8):
             again = disk.after_death()
             again.dies_at, again.torn = at, torn
             try:
-                opened(again, replace(evening.time), room=40_000)
+                open_learner(again, replace(workload.time), room=40_000)
             except DiedError:
-                evening.check(again.after_death())
+                workload.check(again.after_death())
     assert changed > 20  # many crashes happened while a generation was written
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_a_power_cut_that_loses_tears_and_reorders_writes_makes_nothing_up(small: None, seed: int) -> None:
+def test_a_power_cut_that_loses_tears_and_reorders_writes_makes_nothing_up(
+    small_generations: None, seed: int
+) -> None:
     chance = random.Random(seed)
-    for evening, disk in deaths(torn=False):
-        evening.check(disk.after_power_cut(chance), waits_last=False)
+    for workload, disk in crashes(torn=False):
+        workload.check(disk.after_power_cut(chance), waits_last=False)
 
 
 def test_ten_restarts_in_a_minute_change_no_fact_and_grow_nothing() -> None:
     time, disk = Time(), FaultyDisk()
-    learner = opened(disk, time)
+    learner = open_learner(disk, time)
     learner.observe([known(time.us, number) for number in range(50)])
     before, size = dict(learner._store.records), disk.used()
     for _ in range(10):
-        time.past(6 * SECOND)
-        learner = opened(disk := disk.after_death(), time)
+        time.advance(6 * SECOND)
+        learner = open_learner(disk := disk.after_death(), time)
     assert learner._store.records == before
     assert disk.used() == size
 
@@ -203,10 +207,10 @@
 # Corrupted files.
 
 
-def evening_files() -> tuple[Time, bytes]:
-    evening, disk = Evening(), FaultyDisk()
-    evening.play(disk, 12)
-    return evening.time, bytes(disk.contents[max(disk.contents)])
+def workload_file() -> tuple[Time, bytes]:
+    workload, disk = RecordedWorkload(), FaultyDisk()
+    workload.play(disk, 12)
+    return workload.time, bytes(disk.contents[max(disk.contents)])
 
 
 def prefixes(data: bytes, number: int) -> list[dict[bytes, bytes]]:
@@ -223,7 +227,7 @@
 
 
 def test_20_000_mutations_are_refused_or_tell_what_was_true() -> None:
-    chance, (_, data) = random.Random(5), evening_files()
+    chance, (_, data) = random.Random(5), workload_file()
     number = 1
     true = prefixes(data, number)
     starts = [at for at in range(len(data)) if data[at : at + 2] == blocks.MARKER]
@@ -264,7 +268,7 @@
     return data
 
 
-def altered(at: int, column: int, value: Any) -> bytes:
+def record_with(at: int, column: int, value: Any) -> bytes:
     """A destination's record with one value changed."""
     fields = msgpack.unpackb(
         codec.pack_destination(DestinationRecord(known(START), START)), strict_map_key=False
@@ -280,15 +284,15 @@
 @pytest.mark.parametrize(
     ("record", "why"),
     [
-        (altered(3, 9, math.nan), "bounds"),
-        (altered(3, 9, -0.1), "bounds"),
-        (altered(3, 7, START + 10 * SECOND), "bounds"),  # delivery in the future
-        (altered(3, 4, 1), "bounds"),
-        (altered(3, 0, ""), "bounds"),
-        (altered(2, 4, math.inf), "bounds"),
-        (altered(2, 1, -1), "bounds"),
-        (altered(0, 0, 2), "key"),
-        (altered(6, 6, {"e1": {3: [1.0, 2.0]}}), "bounds"),  # more resets than calls
+        (record_with(3, 9, math.nan), "bounds"),
+        (record_with(3, 9, -0.1), "bounds"),
+        (record_with(3, 7, START + 10 * SECOND), "bounds"),  # delivery in the future
+        (record_with(3, 4, 1), "bounds"),
+        (record_with(3, 0, ""), "bounds"),
+        (record_with(2, 4, math.inf), "bounds"),
+        (record_with(2, 1, -1), "bounds"),
+        (record_with(0, 0, 2), "key"),
+        (record_with(6, 6, {"e1": {3: [1.0, 2.0]}}), "bounds"),  # more resets than calls
         (b"\xc1", "malformed"),
         (b"\x93\x01\x02\x03", "unpack"),
     ],
@@ -298,12 +302,12 @@
     good = codec.pack_destination(DestinationRecord(known(START, 2), START))
     records = [(ONE, record), (codec.destination_key(2), good)]
     disk = FaultyDisk({blocks.file_name(1): put_file(records, time)})
-    learner = opened(disk, time)
+    learner = open_learner(disk, time)
     assert len(learner.rejected) == 1
     assert why in learner.rejected[0]
     assert not learner._store.records
     learner.observe([known(time.us)])  # later writes work
-    assert believed(opened(disk.after_death(), time)).endpoints
+    assert recalled(open_learner(disk.after_death(), time)).endpoints
 
 
 @pytest.mark.parametrize(
@@ -330,74 +334,78 @@
     if "contains" not in why:
         newest = put_file([(ONE, b"")], time, number=3)
     files = {blocks.file_name(1): before, blocks.file_name(3): change(newest)}
-    learner = opened(FaultyDisk(files), time)
+    learner = open_learner(FaultyDisk(files), time)
     assert why in learner.rejected[0]
-    assert believed(learner).endpoints[0].failure_rate == 0.0
-    assert not opened(FaultyDisk({blocks.file_name(3): files[blocks.file_name(3)]}), time)._store.records
+    assert recalled(learner).endpoints[0].failure_rate == 0.0
+    assert not open_learner(
+        FaultyDisk({blocks.file_name(3): files[blocks.file_name(3)]}), time
+    )._store.records
 
 
 def test_what_can_not_be_believed_later_is_not_written_for_all_to_be_refused() -> None:
     time, disk = Time(), FaultyDisk()
-    learner = opened(disk, time)
+    learner = open_learner(disk, time)
     learner.observe([known(time.us, 2, of=entry("e" * 5000, 2)), known(time.us, route={"usual_us": 10**11})])
     learner.told(Wait(3, "e" * 5000, SECOND, time.us + SECOND, time.boot))
-    again = opened(disk.after_death(), time)
+    again = open_learner(disk.after_death(), time)
     assert again.rejected == []
-    assert believed(again).endpoints
-    assert not believed(again, entry("e" * 5000, 2)).endpoints
+    assert recalled(again).endpoints
+    assert not recalled(again, entry("e" * 5000, 2)).endpoints
 
 
 def test_only_the_key_that_wrote_a_folder_reads_it() -> None:
     time, disk = Time(), FaultyDisk()
-    opened(disk, time, key=b"k" * 32).observe([known(time.us)])
-    assert believed(opened(disk.after_death(), time, key=b"k" * 32)).endpoints
+    open_learner(disk, time, key=b"k" * 32).observe([known(time.us)])
+    assert recalled(open_learner(disk.after_death(), time, key=b"k" * 32)).endpoints
     for key in (b"", b"l" * 32):
-        learner = opened(disk.after_death(), time, key=key)
+        learner = open_learner(disk.after_death(), time, key=key)
         assert "another key" in learner.rejected[0]
-        assert not believed(learner).endpoints
+        assert not recalled(learner).endpoints
 
 
 # Full and failing disks.
 
 
-def test_a_failing_disk_stops_nothing_and_what_was_told_is_written_once_it_works(small: None) -> None:
+def test_a_failing_disk_stops_nothing_and_what_was_told_is_written_once_it_works(
+    small_generations: None,
+) -> None:
     time, disk = Time(), FaultyDisk()
-    learner = opened(disk, time)
+    learner = open_learner(disk, time)
     disk.fails, disk.short = OSError(errno.ENOSPC, "full"), True
     wait = wait_at(time, length_us=60 * SECOND)
     learner.told(wait)
     learner.observe([known(time.us, number) for number in range(30)])
     assert learner.work() is not None
-    assert believed(learner).routes[0].blocked_until_us == wait.until_us  # known, though not stored
+    assert recalled(learner).routes[0].blocked_until_us == wait.until_us  # known, though not stored
     disk.fails = None
-    time.past(RETRY_US)
+    time.advance(RETRY_US)
     while learner.work() is not None:
         pass
-    again = opened(disk.after_death(), time)
-    assert believed(again).routes[0].blocked_until_us == wait.until_us
+    again = open_learner(disk.after_death(), time)
+    assert recalled(again).routes[0].blocked_until_us == wait.until_us
     assert len(again._store.records) > 30
 
 
 def test_it_never_takes_more_than_its_room_and_forgets_the_oldest_but_no_wait() -> None:
     time, disk = Time(), FaultyDisk()
-    learner = opened(disk, time, room=12_000)
+    learner = open_learner(disk, time, room=12_000)
     wait = wait_at(time, 0, 1000 * SECOND)
     learner.told(wait)
     for number in range(400):
-        time.past(SECOND // 10)
+        time.advance(SECOND // 10)
         learner.observe([known(time.us, number)])
         while learner.work() is not None and learner.work() != RETRY_US:
-            time.past(RETRY_US)
+            time.advance(RETRY_US)
         assert disk.used() <= 12_000
-    again = opened(disk.after_death(), time, room=12_000)
-    assert believed(again, entry("e399", 399)).endpoints
-    assert not believed(again, entry("e7", 7)).endpoints
-    assert believed(again, entry("e0", 0)).routes[0].blocked_until_us == wait.until_us
+    again = open_learner(disk.after_death(), time, room=12_000)
+    assert recalled(again, entry("e399", 399)).endpoints
+    assert not recalled(again, entry("e7", 7)).endpoints
+    assert recalled(again, entry("e0", 0)).routes[0].blocked_until_us == wait.until_us
 
 
-def test_it_leaves_a_full_disk_to_the_journal(small: None) -> None:
+def test_it_leaves_a_full_disk_to_the_journal(small_generations: None) -> None:
     time, disk = Time(), FaultyDisk()
-    learner = opened(disk, time)
+    learner = open_learner(disk, time)
     for count in range(60):
         learner.observe([known(time.us, count % 3)])
         learner.work()
@@ -429,11 +437,11 @@
     boot: str, clock_us: int, wall_ms: int, left_us: int
 ) -> None:
     time, disk = Time(), FaultyDisk()
-    opened(disk, time).told(wait_at(time))
+    open_learner(disk, time).told(wait_at(time))
     later = Time(clock_us, wall_ms, boot)
-    (route,) = believed(opened(disk.after_death(), later)).routes
+    (route,) = recalled(open_learner(disk.after_death(), later)).routes
     assert max(0, route.blocked_until_us - clock_us) == left_us
-    (again,) = believed(opened(disk.after_death().after_death(), later)).routes
+    (again,) = recalled(open_learner(disk.after_death().after_death(), later)).routes
     assert again.told_us == 5 * SECOND
 
 
@@ -448,9 +456,9 @@
 @pytest.mark.parametrize("shift_ms", [-3_600_000, 0, DAY_MS, -WALL])
 def test_times_of_another_boot_stay_in_their_order_and_in_the_past(shift_ms: int) -> None:
     time, disk = Time(), FaultyDisk()
-    opened(disk, time).observe([known(time.us, **COLD)])
+    open_learner(disk, time).observe([known(time.us, **COLD)])
     later = Time(50 * SECOND, WALL + shift_ms, "second")
-    (health,) = believed(opened(disk.after_death(), later)).endpoints
+    (health,) = recalled(open_learner(disk.after_death(), later)).endpoints
     if shift_ms < DAY_MS:
         assert health.cold
         assert (health.failed_us, health.since_us) == (later.us - SECOND, later.us - 9 * SECOND)
@@ -473,12 +481,12 @@
     listed: api.Entry, cold: bool | None, rate: float | None, limit: float, waits: bool
 ) -> None:
     time, disk = Time(), FaultyDisk()
-    learner = opened(disk, time)
+    learner = open_learner(disk, time)
     limit_of = {"learned": 3.0, "learned_us": time.us}
     was = known(time.us, route=limit_of, of=entry(up_since_ms=WALL - 5), **COLD)
     learner.observe([was])
     learner.told(wait_at(time))
-    told = believed(opened(disk.after_death(), time), listed)
+    told = recalled(open_learner(disk.after_death(), time), listed)
     health = {it.entry.endpoint: it for it in told.endpoints}.get(listed.endpoint)
     assert (health and health.cold) == cold
     if health is not None:
@@ -503,11 +511,11 @@
 ) -> None:
     time, disk = Time(), FaultyDisk()
     told = known(time.us, route={"learned": 3.0, "learned_us": time.us}, **COLD)
-    opened(disk, time).observe([told])
-    time.past(pause_us)
+    open_learner(disk, time).observe([told])
+    time.advance(pause_us)
     store = Store(disk.after_death(), ROOM, time.now_us)
     store.records.pop(codec.KIND + b"plain")  # without a baseline of its kind
-    found = believed(Learner(store, time))
+    found = recalled(Learner(store, time))
     assert found.endpoints[0].cold is cold
     assert found.endpoints[0].failure_rate == pytest.approx(rate, abs=0.02)
     assert found.routes[0].learned == pytest.approx(limit, rel=0.02)
@@ -516,23 +524,23 @@
 
 def test_an_endpoint_never_met_is_believed_to_be_like_others_of_its_kind() -> None:
     time = Time()
-    learner = opened(FaultyDisk(), time)
+    learner = open_learner(FaultyDisk(), time)
     learner.observe([known(time.us, number, route={"usual_us": 90_000}) for number in range(5)])
-    (route, _) = believed(learner, entry("new", 77)).routes
+    (route, _) = recalled(learner, entry("new", 77)).routes
     assert route.usual_us == 90_000
-    assert not believed(learner, entry("new", 77, "bundled")).routes
+    assert not recalled(learner, entry("new", 77, "bundled")).routes
 
 
 def test_answer_times_hours_and_tenants_are_counted() -> None:
     time = Time()
-    learner = opened(FaultyDisk(), time)
+    learner = open_learner(FaultyDisk(), time)
     for minute in range(5):
         for took_us in (100_000, 100_000, 100_000, 2_000_000):
             learner.answered(1, took_us)
             learner.sent("club")
             learner.reused(1, "e1", 300_000, reset=took_us > SECOND)
             learner.reused(1, "gone", 5, reset=True)
-        time.past(60 * SECOND)
+        time.advance(60 * SECOND)
         learner.observe([known(time.us)])
         assert minute >= 0
     kept = codec.unpack_destination(learner._store.records[ONE], time.us)
@@ -548,21 +556,21 @@
     time, disk = Time(), FaultyDisk()
     row = Seen("e1", True, START - 9 * SECOND, START - SECOND, NEVER, None, 0.9, True, 2.0, START - SECOND)
     earlier = Earlier(WALL, START, (row, replace(row, endpoint="gone")), (wait_at(time),))
-    learner = opened(disk, time)
+    learner = open_learner(disk, time)
     learner.take_over(earlier, {"e1": entry()}.get)
-    time.past(SECOND)
-    for life in (learner, opened(disk.after_death(), time)):
-        told = believed(life)
+    time.advance(SECOND)
+    for each in (learner, open_learner(disk.after_death(), time)):
+        told = recalled(each)
         assert (told.endpoints[0].cold, told.endpoints[0].failed_us) == (True, START - SECOND)
         assert told.routes[0].learned == pytest.approx(2.0, rel=0.01)
         assert told.routes[0].blocked_until_us == START + 5 * SECOND
-        life.take_over(replace(earlier, seen=(replace(row, cold=False),)), {"e1": entry()}.get)
+        each.take_over(replace(earlier, seen=(replace(row, cold=False),)), {"e1": entry()}.get)
 
 
 # The decision module across restarts.
 
 
-class Life:
+class RestartableSender:
     """The decision module with learned data, across restarts on one disk; responses take 50 ms."""
 
     def __init__(self, answer: Callable[[int], tuple[Result, int]], rate: float = 20.0) -> None:
@@ -574,7 +582,7 @@
 
     def begin(self) -> None:
         self.disk = self.disk.after_death()
-        self.learner = opened(self.disk, self.time)
+        self.learner = open_learner(self.disk, self.time)
         settings = read_settings(setup(Weights="nominal", FamilyInfo__Slots=50, Bounds__MaxOpen=2000))
         self.sender = LastingSender(settings, 7, self.learner.recall)
         self.due: list[tuple[int, api.Event]] = []
@@ -604,7 +612,7 @@
         while True:
             self.due.sort(key=lambda it: it[0])
             next_us = min([*arrivals[:1], *[at for at, _ in self.due[:1]], until])
-            self.time.past(next_us - self.time.us)
+            self.time.advance(next_us - self.time.us)
             if next_us >= until:
                 break
             if arrivals and arrivals[0] == next_us:
@@ -616,15 +624,17 @@
         return self.sends[before:]
 
     def restart(self, away_us: int = SECOND) -> None:
-        self.time.past(away_us)
+        self.time.advance(away_us)
         self.begin()
 
 
 def test_a_restart_in_a_told_wait_ends_with_a_call_soon_after_it() -> None:
-    life = Life(lambda at: (Result.REFUSED, 4 * SECOND) if at < START + SECOND else (Result.DONE, 0))
-    until_us = life.run(1)[0][0] + 50_000 + 4 * SECOND
-    life.restart()
-    (first, _), *_ = life.run(6)
+    run = RestartableSender(
+        lambda at: (Result.REFUSED, 4 * SECOND) if at < START + SECOND else (Result.DONE, 0)
+    )
+    until_us = run.run(1)[0][0] + 50_000 + 4 * SECOND
+    run.restart()
+    (first, _), *_ = run.run(6)
     assert until_us <= first <= until_us + SECOND // 10
 
 
@@ -635,17 +645,17 @@
 @pytest.mark.parametrize("outage", [15, 7])
 def test_a_restart_does_not_pass_the_bound_on_what_is_cold(outage: int) -> None:
     """During the outage, or in the cold start after it, which began three seconds before the restart."""
-    apart = Life(failing_until(START + outage * SECOND), rate=4.0)
-    whole = Life(failing_until(START + outage * SECOND), rate=4.0)
-    assert len(apart.run(10)) == len(whole.run(10))
-    apart.restart(SECOND // 10)
-    whole.time.past(SECOND // 10)
+    restarted_run = RestartableSender(failing_until(START + outage * SECOND), rate=4.0)
+    steady_run = RestartableSender(failing_until(START + outage * SECOND), rate=4.0)
+    assert len(restarted_run.run(10)) == len(steady_run.run(10))
+    restarted_run.restart(SECOND // 10)
+    steady_run.time.advance(SECOND // 10)
     window = 2 * SECOND
 
     def most(sends: list[tuple[int, Result]]) -> int:
         return max((sum(at <= it < at + window for it, _ in sends) for at, _ in sends), default=0)
 
-    assert most(apart.run(4)) <= most(whole.run(4)) + 1
+    assert most(restarted_run.run(4)) <= most(steady_run.run(4)) + 1
 
 
 def test_a_learned_limit_goes_on_over_a_restart() -> None:
@@ -661,47 +671,47 @@
     refused = []
     for keep in (True, False):
         starts.clear()
-        life = Life(limited, rate=0.0)
-        life.run(8, per_second=100)
+        run = RestartableSender(limited, rate=0.0)
+        run.run(8, per_second=100)
         if not keep:
-            life.disk = FaultyDisk()
-        life.restart()
-        refused.append(sum(result is Result.REFUSED for _, result in life.run(2.5, per_second=100)))
+            run.disk = FaultyDisk()
+        run.restart()
+        refused.append(sum(result is Result.REFUSED for _, result in run.run(2.5, per_second=100)))
     assert refused[0] < refused[1] / 2
 
 
 def test_a_partner_that_got_better_meanwhile_is_served_again_from_its_first_call_on() -> None:
-    life = Life(failing_until(START + 6 * SECOND))
-    life.run(6)
-    assert life.sender.endpoints["e1"].cold
-    life.restart(2 * SECOND)
-    sends = life.run(9)
-    assert sends[0][0] < life.time.us - 8 * SECOND  # immediately, by a single call
-    late = [it for it in sends if it[0] > life.time.us - 4 * SECOND]
+    run = RestartableSender(failing_until(START + 6 * SECOND))
+    run.run(6)
+    assert run.sender.endpoints["e1"].cold
+    run.restart(2 * SECOND)
+    sends = run.run(9)
+    assert sends[0][0] < run.time.us - 8 * SECOND  # immediately, by a single call
+    late = [it for it in sends if it[0] > run.time.us - 4 * SECOND]
     assert len(late) >= 0.95 * 40  # from five seconds on, nearly all messages
-    assert life.sender.stale_rate == 0
+    assert run.sender.stale_rate == 0
 
 
 def test_a_learned_limit_that_was_lifted_meanwhile_gives_way_in_a_few_windows() -> None:
     refusing = START + 4 * SECOND
-    life = Life(lambda at: (Result.REFUSED if at < refusing else Result.DONE, 0), rate=0.0)
-    life.run(4)
-    assert life.sender.endpoints["e1"].account.limit(life.time.us) < 2
-    life.restart()
-    life.run(LIFT * 2)
-    assert life.sender.endpoints["e1"].account.limit(life.time.us) == OPEN
+    run = RestartableSender(lambda at: (Result.REFUSED if at < refusing else Result.DONE, 0), rate=0.0)
+    run.run(4)
+    assert run.sender.endpoints["e1"].account.limit(run.time.us) < 2
+    run.restart()
+    run.run(LIFT * 2)
+    assert run.sender.endpoints["e1"].account.limit(run.time.us) == OPEN
 
 
 def test_what_was_learned_of_endpoints_that_are_listed_late_counts_from_then_on() -> None:
-    life = Life(failing_until(START + 60 * SECOND))
-    life.run(6)
-    life.disk = life.disk.after_death()
-    learner = opened(life.disk, life.time)
+    run = RestartableSender(failing_until(START + 60 * SECOND))
+    run.run(6)
+    run.disk = run.disk.after_death()
+    learner = open_learner(run.disk, run.time)
     settings = read_settings(setup(Weights="nominal"))
     sender = LastingSender(settings, 7, learner.recall)
-    sender.step(life.time.us, [api.Resumed(api.Taken(1, 1, "safe", None, None, 9 * SECOND), 0, ())])
-    assert not of(sender.step(life.time.us, [api.Listed(api.ListKind.WHOLE, (entry("e9"),))]), api.Refuse)
-    sender.step(life.time.us, [api.Listed(api.ListKind.PATCH, (life.listed,))])
+    sender.step(run.time.us, [api.Resumed(api.Taken(1, 1, "safe", None, None, 9 * SECOND), 0, ())])
+    assert not of(sender.step(run.time.us, [api.Listed(api.ListKind.WHOLE, (entry("e9"),))]), api.Refuse)
+    sender.step(run.time.us, [api.Listed(api.ListKind.PATCH, (run.listed,))])
     assert sender.endpoints["e1"].cold
     assert not sender.endpoints["e9"].cold
 
@@ -709,7 +719,7 @@
 @pytest.mark.parametrize("restarts", [True, False])
 def test_a_route_that_was_not_listed_for_a_while_is_still_waited_for(restarts: bool) -> None:
     time, disk = Time(), FaultyDisk()
-    learner, settings = opened(disk, time), read_settings(setup(Weights="nominal"))
+    learner, settings = open_learner(disk, time), read_settings(setup(Weights="nominal"))
     first, other = (entry(name, kind="apart") for name in ("c1", "c2"))
     sender = LastingSender(settings, 7, learner.recall)
     sender.step(time.us, [api.Listed(api.ListKind.WHOLE, (first, other))])
@@ -722,7 +732,7 @@
     sender.step(time.us, [told, api.Withdrawn(1)])
     gone, left = (first, other) if name == "c1" else (other, first)
     if restarts:
-        sender = LastingSender(settings, 8, opened(disk.after_death(), time).recall)
+        sender = LastingSender(settings, 8, open_learner(disk.after_death(), time).recall)
         sender.step(time.us, [api.Listed(api.ListKind.WHOLE, (left,))])
     else:
         sender.step(time.us, [api.Listed(api.ListKind.PATCH, (replace(gone, state=State.GONE),))])
--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -33,21 +33,21 @@
     """A transport that answers each call after 40 ms, occasionally with a failure."""
 
     def __init__(self, clock: LifeClock) -> None:
-        self._clock, self.out, self.calls = clock, 0, 0
+        self._clock, self.in_flight, self.calls = clock, 0, 0
 
     @property
     def busy(self) -> bool:
-        return self.out > 0
+        return self.in_flight > 0
 
     def bind(self, calls: Calls) -> None:
         self._node = calls
 
     def call(self, endpoint: str, attempts: list[Attempt], fresh: bool) -> None:
-        self.out += 1
+        self.in_flight += 1
         self._clock.at(self._clock.now_us() + 40_000, self._answer, attempts)
 
     def _answer(self, attempts: list[Attempt]) -> None:
-        self.out -= 1
+        self.in_flight -= 1
         self.calls += 1
         cleared = self._node.clear(attempts)
         for attempt in attempts:
@@ -118,22 +118,22 @@
         if number % 9 == 0:
             node.hung_up(client)
 
-    looks: dict[range, list[int]] = {EARLY: [], LATE: []}
+    samples: dict[range, list[int]] = {EARLY: [], LATE: []}
     for number in range(MESSAGES):
         time.run(START_US + number * EVERY_US)
         hand_in(number)
-        for period, held in looks.items():
+        for period, sizes_kb in samples.items():
             if number in period:
-                held.append(resident_kb())
-    print(min(looks[EARLY]), min(looks[LATE]))
+                sizes_kb.append(resident_kb())
+    print(min(samples[EARLY]), min(samples[LATE]))
     assert transport.calls > 0.8 * MESSAGES, transport.calls
     assert ends[Outcome.GIVEN_UP] > 0.0005 * MESSAGES, ends
 
 
 def test_what_the_process_holds_is_flat_over_200_000_messages() -> None:
     run = [sys.executable, "-c", "from tests.test_memory import play; play()"]
-    out = subprocess.run(run, cwd=ROOT, capture_output=True, text=True, check=False)
-    assert out.returncode == 0, out.stderr
-    early, late = map(int, out.stdout.split())
+    result = subprocess.run(run, cwd=ROOT, capture_output=True, text=True, check=False)
+    assert result.returncode == 0, result.stderr
+    early, late = map(int, result.stdout.split())
     # A leak of 8 bytes per message would be 1.2 MB between the ends of the two periods.
     assert late - early < 600, f"grew by {late - early} kB to {late} kB"
--- a/tests/test_pauses.py
+++ b/tests/test_pauses.py
@@ -13,57 +13,57 @@
 PATIENCE = 2.0  # seconds until a relay gives up on a response; discovery does the work all the same
 
 
-def ask(relays: int, seed: int, per_call: float = PER_CALL) -> tuple[list[float], int]:
+def simulate_fleet(relays: int, seed: int, per_call: float = PER_CALL) -> tuple[list[float], int]:
     """Simulate a fleet whose watches all end at 0: when each relay has its list, and the number of calls."""
     chance = random.Random(seed).random
     backoffs = [DiscoveryBackoff(relays, 2.0, chance) for _ in range(relays)]
     due = [(it.next_delay_s(True), number) for number, it in enumerate(backoffs)]
     heapq.heapify(due)
-    had, calls, free = [], 0, 0.0
+    received_at, calls, free_at = [], 0, 0.0
     while due and calls < 100 * relays:
         at, number = heapq.heappop(due)
-        calls, start = calls + 1, max(free, at)
+        calls, start = calls + 1, max(free_at, at)
         if start - at > 2 * PATIENCE:
             heapq.heappush(due, (at + backoffs[number].next_delay_s(False, True), number))  # refused
             continue
-        free = start + per_call
-        if free <= at + PATIENCE:
-            had.append(free)
+        free_at = start + per_call
+        if free_at <= at + PATIENCE:
+            received_at.append(free_at)
         else:
             heapq.heappush(due, (at + PATIENCE + backoffs[number].next_delay_s(False, True), number))
-    return had, calls
+    return received_at, calls
 
 
 def test_forty_relays_that_lose_their_watch_at_once_all_have_it_again_soon() -> None:
     for seed in range(20):
-        had, calls = ask(40, seed)
-        assert len(had) == 40
+        received_at, calls = simulate_fleet(40, seed)
+        assert len(received_at) == 40
         assert calls <= 4 * 40
-        assert max(had) < 45
-        assert sorted(had)[20] < 15
+        assert max(received_at) < 45
+        assert sorted(received_at)[20] < 15
 
 
 def test_two_hundred_renew_their_watch_within_the_grace_for_drains() -> None:
     for seed in range(20):
-        had, calls = ask(200, seed, per_call=0.0)  # an agent on each machine answers immediately
-        assert (len(had), calls) == (200, 200)
-        assert max(had) <= 1.0
+        received_at, calls = simulate_fleet(200, seed, per_call=0.0)  # a local agent answers immediately
+        assert (len(received_at), calls) == (200, 200)
+        assert max(received_at) <= 1.0
         for per_call, most_s in ((0.03, 30), (PER_CALL, 160)):  # one that serves calls sequentially
-            had, calls = ask(200, seed, per_call)
-            assert len(had) == 200
+            received_at, calls = simulate_fleet(200, seed, per_call)
+            assert len(received_at) == 200
             assert calls <= 5 * 200
-            assert max(had) < most_s
+            assert max(received_at) < most_s
 
 
 def test_a_few_relays_have_their_list_as_soon_as_ever() -> None:
     for seed in range(20):
-        had, calls = ask(3, seed)
-        assert max(had) < 1.0
+        received_at, calls = simulate_fleet(3, seed)
+        assert max(received_at) < 1.0
         assert calls == 3
-    lone = DiscoveryBackoff(1, 2.0, lambda: 1.0)
-    delays = [round(lone.next_delay_s(received_data), 3) for received_data in (True, False, False, True)]
+    single = DiscoveryBackoff(1, 2.0, lambda: 1.0)
+    delays = [round(single.next_delay_s(received_data), 3) for received_data in (True, False, False, True)]
     assert delays == [0.1, 0.2, 0.4, 0.1]
-    assert max(lone.next_delay_s(False) for _ in range(50)) <= MAX_DELAY_S
+    assert max(single.next_delay_s(False) for _ in range(50)) <= MAX_DELAY_S
 
 
 def test_two_relays_that_lose_their_watch_at_once_draw_apart() -> None:
