--- a/amberlug/learning/learner.py
+++ b/amberlug/learning/learner.py
@@ -88,6 +88,7 @@
         return shifted
 
     def take_over(self, earlier: Earlier, listed: Callable[[str], api.Entry | None]) -> None:
+        """Import the data of an earlier release, unless the store had any; see `Learning`."""
         if self._store.had_generation or earlier == Earlier():
             return
         now = self._stamp()
@@ -144,6 +145,7 @@
         return Baseline(NEVER) if record is None else codec.unpack_baseline(record, self._clock.now_us())
 
     def observe(self, known: Sequence[api.Known]) -> None:
+        """Store the current state of some destinations, and update the baselines."""
         if not known and not self._sent:
             return
         now = self._stamp()
@@ -252,20 +254,24 @@
         return deletions
 
     def answered(self, destination: int, took_us: int) -> None:
+        """Buffer a response time until the destination is observed next."""
         waiting = self._answers[destination]
         if len(waiting) < MAX_RESPONSE_TIMES:
             waiting.append(took_us)
 
     def reused(self, destination: int, endpoint: str, idle_us: int, reset: bool) -> None:
+        """Buffer a call on a reused connection until the destination is observed next."""
         waiting = self._reuses[destination]
         if len(waiting) < MAX_RESPONSE_TIMES:
             waiting.append((endpoint, idle_us, reset))
 
     def sent(self, tenant: str | None) -> None:
+        """Count a message of a tenant."""
         if tenant is not None:
             self._sent[tenant] += 1
 
     def told(self, wait: Wait) -> None:
+        """Store a requested wait immediately, unless a longer one is stored."""
         now = self._stamp()
         key = codec.wait_key(wait)
         if (record := self._store.records.get(key)) is not None:
@@ -317,9 +323,11 @@
         return True
 
     def give_way(self) -> None:
+        """Free disk space for the journal."""
         self._store.give_way()
 
     def work(self) -> int | None:
+        """Do a slice of pending work; returns the microseconds until the next call, or None."""
         return self._store.work()
 
     def close(self) -> None:
@@ -347,8 +355,10 @@
         if entry is None:
             endpoints.append(it)  # it may be listed later, and its state is needed then
         elif entry.kind == it.entry.kind:
-            told = decay.decayed_endpoint(it, now_us, gap_us, _kind_baseline(usual, entry.kind).failure_rate)
-            endpoints.append(told if _same_start(it.entry, entry) else _state_after_restart(told))
+            decayed = decay.decayed_endpoint(
+                it, now_us, gap_us, _kind_baseline(usual, entry.kind).failure_rate
+            )
+            endpoints.append(decayed if _same_start(it.entry, entry) else _state_after_restart(decayed))
     same_kinds = not kinds or not listed or set(kinds.values()) & {it.kind for it in entries}
     routes = []
     for route in known.routes:
