--- a/amberlug/learning/learner.py
+++ b/amberlug/learning/learner.py
@@ -1,6 +1,6 @@
-"""Owns what is known of partners over many lives: takes in what was learned, and tells what to believe.
+"""Maintains statistics on partners across restarts: records observations, and returns their decayed state.
 
-It reads and writes through its store alone.
+All I/O goes through the store.
 """
 
 from __future__ import annotations
@@ -12,106 +12,116 @@
 
 from amberlug.core.log import log
 from amberlug.core.ports import Clock, LegacyEndpointState, LegacyState, RequestedPause
-from amberlug.learning import ageing, facts
-from amberlug.learning.blocks import Stamp
-from amberlug.learning.facts import Kept, Usual
+from amberlug.learning import codec, decay
+from amberlug.learning.blocks import Timestamp
+from amberlug.learning.codec import Baseline, DestinationRecord
 from amberlug.learning.store import Store
 from amberlug.policy import interface as api
 from amberlug.policy.account import INITIAL_ANSWER_US, UNLIMITED
 from amberlug.policy.state import NEVER
 
 HOUR_MS = 3_600_000
-TOLD_US = 600_000_000  # for so long beyond its end a told wait is known: another one may be as long
-PAUSE_MOST_MS = 400 * 24 * HOUR_MS  # longest pause that a wall's clock is believed to tell
-ANSWERS_MOST = 256  # answer times that wait to be counted, for each destination
-IDLE_MOST = 64  # calls of one idle age that are counted in full: more halve those before
-KIND_WEIGHT = 0.02  # weight of one destination's newest answer times in what is usual of its kind
-TENANT_US = 10 * 60_000_000  # the rate of a tenant is that of about so long
-FORGETS = 4  # records that each keeping looks at, to forget those that are old
+WAIT_RETENTION_US = 600_000_000  # retention of a requested wait beyond its end: the next one may be as long
+MAX_PAUSE_MS = 400 * 24 * HOUR_MS  # longest pause accepted from the wall clock
+MAX_RESPONSE_TIMES = 256  # per destination: buffered ones, and the total weight above which it is halved
+MAX_REUSE_COUNT = 64  # calls per idle time bin before its counts are halved
+KIND_SMOOTHING = 0.02  # weight of a destination's latest response time in the baseline of its kind
+TENANT_RATE_HALF_LIFE_US = 10 * 60_000_000
+EXPIRY_CHECKS = 4  # records checked for expiry at each update
 
 
 class Learner:
-    """What is kept, by a clock that it goes on with; refuses what can't be believed as a whole."""
+    """Maintains the stored records by the clock of this boot; rejects all of them if one is invalid."""
 
     def __init__(self, store: Store, clock: Clock) -> None:
         self._store, self._clock = store, clock
         self._answers: dict[int, list[int]] = defaultdict(list)
-        self._reused: dict[int, list[tuple[str, int, bool]]] = defaultdict(list)
+        self._reuses: dict[int, list[tuple[str, int, bool]]] = defaultdict(list)
         self._sent: dict[str, int] = defaultdict(int)
         self._sent_us = clock.now_us()
-        self.refused = store.refused
-        self._go_on()
-        store.ready()
+        self.rejected = store.rejected
+        self._load_records()
+        store.ensure_writable()
 
-    def _stamp(self) -> Stamp:
-        return Stamp(self._clock.wall_ms(), self._clock.now_us(), self._clock.boot)
+    def _stamp(self) -> Timestamp:
+        return Timestamp(self._clock.wall_ms(), self._clock.now_us(), self._clock.boot)
 
-    # At the start.
+    # Startup.
 
-    def _go_on(self) -> None:
-        """See that all that is known can be, and put it into this boot's clock where it is by another's."""
+    def _load_records(self) -> None:
+        """Validate all records, and convert their times if they are by the clock of another boot."""
         was, now = self._store.stamp, self._stamp()
         try:
-            facts.check(self._store.records.items(), was.clock_us)
+            codec.check(self._store.records.items(), was.clock_us)
             if was.boot and was.boot == now.boot and was.clock_us > now.clock_us:
-                raise ValueError("it was written later than now")
+                raise ValueError("its timestamp is in the future")
         except ValueError as error:
-            # Guards against half a belief: one figure out of its bounds, and none is to be trusted.
-            self.refused.append(f"what was learned is not believed: {error}")
-            log(f"learning: {self.refused[-1]}")
-            self._store.restamp(now, {})
+            # If one value is out of bounds, none is trusted: partial data is not used.
+            self.rejected.append(f"learned data rejected: {error}")
+            log(f"learning: {self.rejected[-1]}")
+            self._store.replace_records(now, {})
             return
         if not self._store.records:
             self._store.stamp = now
         elif not now.boot or was.boot != now.boot:
-            pause_ms = min(PAUSE_MOST_MS, max(0, now.wall_ms - was.wall_ms))
-            self._store.restamp(now, self._shifted(now, now.clock_us - was.clock_us - pause_ms * 1000, was))
+            pause_ms = min(MAX_PAUSE_MS, max(0, now.wall_ms - was.wall_ms))
+            self._store.replace_records(
+                now, self._converted_records(now, now.clock_us - was.clock_us - pause_ms * 1000, was)
+            )
 
-    def _shifted(self, now: Stamp, shift_us: int, was: Stamp) -> dict[bytes, bytes]:
+    def _converted_records(self, now: Timestamp, shift_us: int, was: Timestamp) -> dict[bytes, bytes]:
         shifted = {}
         for key, record in self._store.records.items():
-            if key[:1] == facts.DESTINATION:
-                kept = facts.unpack(record, was.clock_us)
-                kept.known, kept.seen_us = shift(kept.known, shift_us), kept.seen_us + shift_us
-                shifted[key] = facts.pack(kept)
-            elif key[:1] == facts.WAIT:
-                # Guards against the wall's clock: by another boot's all of the wait runs once more.
-                wait = facts.unpack_wait(record, was.clock_us)
+            if key[:1] == codec.DESTINATION:
+                kept = codec.unpack_destination(record, was.clock_us)
+                kept.known, kept.updated_us = shift_times(kept.known, shift_us), kept.updated_us + shift_us
+                shifted[key] = codec.pack_destination(kept)
+            elif key[:1] == codec.WAIT:
+                # The wall clock is not trusted here: after a reboot the whole wait starts over.
+                wait = codec.unpack_wait(record, was.clock_us)
                 until_us = now.clock_us + wait.left_us(now.clock_us, now.boot)
-                shifted[key] = facts.pack_wait(replace(wait, until_us=until_us, boot=now.boot))
+                shifted[key] = codec.pack_wait(replace(wait, until_us=until_us, boot=now.boot))
             else:
-                usual = facts.unpack_usual(record, was.clock_us)
-                usual.seen_us += shift_us
-                shifted[key] = facts.pack_usual(usual)
+                usual = codec.unpack_baseline(record, was.clock_us)
+                usual.updated_us += shift_us
+                shifted[key] = codec.pack_baseline(usual)
         return shifted
 
     def take_over(self, earlier: LegacyState, listed: Callable[[str], api.Entry | None]) -> None:
-        if self._store.found or earlier == LegacyState():
+        """Import the data of an earlier release, unless the store had any; see `Learning`."""
+        if self._store.had_generation or earlier == LegacyState():
             return
         now = self._stamp()
-        pause_ms = min(PAUSE_MOST_MS, max(0, now.wall_ms - earlier.wall_ms))
+        pause_ms = min(MAX_PAUSE_MS, max(0, now.wall_ms - earlier.wall_ms))
         shift_us = now.clock_us - earlier.clock_us - pause_ms * 1000
         seen_us = min(now.clock_us, earlier.clock_us + shift_us)
         records = [
-            (facts.destination_key(known.destination), facts.pack(Kept(shift(known, shift_us), seen_us)))
-            for known in _known(earlier.seen, listed)
+            (
+                codec.destination_key(known.destination),
+                codec.pack_destination(DestinationRecord(shift_times(known, shift_us), seen_us)),
+            )
+            for known in _group_by_destination(earlier.seen, listed)
         ]
         for wait in earlier.waits:
             until_us = now.clock_us + wait.left_us(now.clock_us, now.boot)
             kept_wait = replace(wait, until_us=until_us, boot=now.boot)
-            records.append((facts.wait_key(wait), facts.pack_wait(kept_wait)))
-        self._put(records, now)
+            records.append((codec.wait_key(wait), codec.pack_wait(kept_wait)))
+        self._store_valid(records, now)
 
-    # What the core asks and tells.
+    # Interface to the core.
 
     def recall(self, destination: int, entries: tuple[api.Entry, ...]) -> api.KnownDestination | None:
-        """What is believed of a destination whose endpoints are listed like this now."""
+        """Return the decayed state of a destination with these listed endpoints; None if unknown."""
         now_us = self._clock.now_us()
-        record = self._store.records.get(facts.destination_key(destination))
-        kept = Kept(api.KnownDestination(destination), now_us) if record is None else self._unpack(record)
-        usual = {it.kind: self._usual(facts.KIND, it.kind) for it in entries}
-        gap_us = max(0, now_us - kept.seen_us)
-        known = believed(kept.known, entries, now_us, gap_us, usual)
+        record = self._store.records.get(codec.destination_key(destination))
+        kept = (
+            DestinationRecord(api.KnownDestination(destination), now_us)
+            if record is None
+            else self._unpack(record)
+        )
+        usual = {it.kind: self._baseline(codec.KIND, it.kind) for it in entries}
+        gap_us = max(0, now_us - kept.updated_us)
+        known = applicable_state(kept.known, entries, now_us, gap_us, usual)
         known = replace(known, routes=tuple(self._with_waits(known, entries, now_us)))
         return known if known.routes or known.endpoints else None
 
@@ -119,179 +129,195 @@
         self, known: api.KnownDestination, entries: tuple[api.Entry, ...], now_us: int
     ) -> Iterable[api.KnownRoute]:
         routes = {it.route: it for it in known.routes}
-        prefix = facts.WAIT + f"{known.destination}/".encode()
+        prefix = codec.WAIT + f"{known.destination}/".encode()
         names = {"", *routes, *(it.endpoint for it in entries)}
         for name in sorted(names):
             route = routes.get(name)
             if (record := self._store.records.get(prefix + name.encode())) is not None:
-                wait = facts.unpack_wait(record, now_us + facts.WAIT_MOST_US)
+                wait = codec.unpack_wait(record, now_us + codec.MAX_WAIT_US)
                 until_us = now_us + wait.left_us(now_us, self._clock.boot)
                 route = route or api.KnownRoute(name, INITIAL_ANSWER_US, 1.0, 0, UNLIMITED, 0)
                 route = replace(route, blocked_until_us=until_us, last_retry_after_us=wait.length_us)
             if route is not None:
                 yield route
 
-    def _unpack(self, record: bytes) -> Kept:
-        return facts.unpack(record, self._clock.now_us())
+    def _unpack(self, record: bytes) -> DestinationRecord:
+        return codec.unpack_destination(record, self._clock.now_us())
 
-    def _usual(self, sort: bytes, name: str) -> Usual:
+    def _baseline(self, sort: bytes, name: str) -> Baseline:
         record = self._store.records.get(sort + name.encode())
-        return Usual(NEVER) if record is None else facts.unpack_usual(record, self._clock.now_us())
+        return Baseline(NEVER) if record is None else codec.unpack_baseline(record, self._clock.now_us())
 
     def observe(self, known: Sequence[api.KnownDestination]) -> None:
+        """Store the current state of some destinations, and update the baselines."""
         if not known and not self._sent:
             return
         now = self._stamp()
-        records = [self._learn(it, now) for it in known]
-        if len(self._answers) + len(self._reused) > facts.MANY:  # of destinations that are gone by now
+        records = [self._update_destination(it, now) for it in known]
+        if len(self._answers) + len(self._reuses) > codec.MAX_ITEMS:  # of destinations that no longer exist
             self._answers.clear()
-            self._reused.clear()
-        records += self._kinds(known, now)
-        records += self._tenants(now)
-        records += self._old(now.clock_us)
-        self._put(records, now)
-
-    def _put(self, records: Sequence[tuple[bytes, bytes]], now: Stamp) -> None:
-        """Keep records, but none that the next start would not believe: it would refuse all for that one."""
+            self._reuses.clear()
+        records += self._update_kinds(known, now)
+        records += self._update_tenants(now)
+        records += self._expired_records(now.clock_us)
+        self._store_valid(records, now)
+
+    def _store_valid(self, records: Sequence[tuple[bytes, bytes]], now: Timestamp) -> None:
+        """Store valid records only: the next start rejects all records if one is invalid."""
         sound = []
         for record in records:
             try:
-                facts.check([record] if record[1] else [], now.clock_us)
-            except ValueError:  # an endless name, say: there is no other way to tell this partner's facts
+                codec.check([record] if record[1] else [], now.clock_us)
+            except ValueError:  # for instance a name that is too long: this partner's data can't be stored
                 continue
             sound.append(record)
         self._store.put(sound, now)
 
-    def _learn(self, known: api.KnownDestination, now: Stamp) -> tuple[bytes, bytes]:
-        key = facts.destination_key(known.destination)
+    def _update_destination(self, known: api.KnownDestination, now: Timestamp) -> tuple[bytes, bytes]:
+        key = codec.destination_key(known.destination)
         record = self._store.records.get(key)
-        kept = Kept(known, now.clock_us) if record is None else self._unpack(record)
-        fade = ageing.weight(now.clock_us - kept.seen_us, ageing.USUAL_US)
-        kept.known, kept.seen_us = known, now.clock_us
+        kept = DestinationRecord(known, now.clock_us) if record is None else self._unpack(record)
+        decay_weight = decay.weight(now.clock_us - kept.updated_us, decay.BASELINE_HALF_LIFE_US)
+        kept.known, kept.updated_us = known, now.clock_us
         for took_us in self._answers.pop(known.destination, ()):
-            number = facts.bin_of(took_us)
-            kept.answers[number] = kept.answers.get(number, 0.0) + 1.0
-        if fade < 0.99 or sum(kept.answers.values()) > ANSWERS_MOST:
-            part = min(fade, 0.5 if sum(kept.answers.values()) > ANSWERS_MOST else 1.0)
-            kept.answers = {at: w * part for at, w in kept.answers.items() if w * part >= ageing.LEAST}
-        self._count_idle(kept, fade)
-        hour, week = now.wall_ms // HOUR_MS % facts.WEEK_HOURS, now.wall_ms // HOUR_MS // facts.WEEK_HOURS
-        was = kept.hours.get(hour)
+            number = codec.response_bin(took_us)
+            kept.response_times[number] = kept.response_times.get(number, 0.0) + 1.0
+        if decay_weight < 0.99 or sum(kept.response_times.values()) > MAX_RESPONSE_TIMES:
+            part = min(decay_weight, 0.5 if sum(kept.response_times.values()) > MAX_RESPONSE_TIMES else 1.0)
+            kept.response_times = {
+                at: w * part for at, w in kept.response_times.items() if w * part >= decay.MIN_WEIGHT
+            }
+        self._update_reuse_counts(kept, decay_weight)
+        week, hour = divmod(now.wall_ms // HOUR_MS, codec.WEEK_HOURS)
+        was = kept.active_hours.get(hour)
         if week >= 0 and (was is None or was[0] != week):
-            usual = ageing.hour_weight(was, week)
-            kept.hours[hour] = week, usual + (1 - usual) * 0.5
-        return key, facts.pack(kept)
+            usual = decay.hour_weight(was, week)
+            kept.active_hours[hour] = week, usual + (1 - usual) * 0.5
+        return key, codec.pack_destination(kept)
 
-    def _count_idle(self, kept: Kept, fade: float) -> None:
-        """Count calls on connections that had idled; what is counted gives way to what is new."""
+    def _update_reuse_counts(self, kept: DestinationRecord, decay_weight: float) -> None:
+        """Count calls on idle connections; older counts decay."""
         names = {it.entry.endpoint for it in kept.known.endpoints}
-        kept.idle = {name: bins for name, bins in kept.idle.items() if name in names}
-        for name, idle_us, reset in self._reused.pop(kept.known.destination, ()):
+        kept.reuse_counts = {name: bins for name, bins in kept.reuse_counts.items() if name in names}
+        for name, idle_us, reset in self._reuses.pop(kept.known.destination, ()):
             if name in names:
-                bins = kept.idle.setdefault(name, {})
-                at = facts.idle_bin(idle_us)
+                bins = kept.reuse_counts.setdefault(name, {})
+                at = codec.idle_bin(idle_us)
                 used, resets = bins.get(at, (0.0, 0.0))
-                part = 0.5 if used >= IDLE_MOST else 1.0
+                part = 0.5 if used >= MAX_REUSE_COUNT else 1.0
                 bins[at] = used * part + 1.0, resets * part + reset
-        if fade < 0.99:
-            for name, bins in kept.idle.items():
-                faded = {at: (used * fade, resets * fade) for at, (used, resets) in bins.items()}
-                kept.idle[name] = {at: it for at, it in faded.items() if it[0] >= ageing.LEAST}
-
-    def _kinds(self, known: Sequence[api.KnownDestination], now: Stamp) -> list[tuple[bytes, bytes]]:
-        """Learn what is usual of kinds, a little from each destination that was heard of."""
-        changed: dict[str, Usual] = {}
+        if decay_weight < 0.99:
+            for name, bins in kept.reuse_counts.items():
+                faded = {
+                    at: (used * decay_weight, resets * decay_weight) for at, (used, resets) in bins.items()
+                }
+                kept.reuse_counts[name] = {at: it for at, it in faded.items() if it[0] >= decay.MIN_WEIGHT}
+
+    def _update_kinds(
+        self, known: Sequence[api.KnownDestination], now: Timestamp
+    ) -> list[tuple[bytes, bytes]]:
+        """Update the baselines of kinds by an exponential moving average over the observed destinations."""
+        changed: dict[str, Baseline] = {}
         for it in known:
             for endpoint in it.endpoints[:1]:
                 kind = endpoint.entry.kind
-                usual = changed.setdefault(kind, self._usual(facts.KIND, kind))
+                usual = changed.setdefault(kind, self._baseline(codec.KIND, kind))
                 answer_us = float(it.routes[0].usual_us) if it.routes else 0.0
-                part = KIND_WEIGHT if usual.answer_us else 1.0
-                usual.answer_us += (answer_us - usual.answer_us) * part
-                usual.failure_rate += (endpoint.failure_rate - usual.failure_rate) * KIND_WEIGHT
-                usual.seen_us = now.clock_us
-        return [(facts.KIND + kind.encode(), facts.pack_usual(usual)) for kind, usual in changed.items()]
+                part = KIND_SMOOTHING if usual.response_us else 1.0
+                usual.response_us += (answer_us - usual.response_us) * part
+                usual.failure_rate += (endpoint.failure_rate - usual.failure_rate) * KIND_SMOOTHING
+                usual.updated_us = now.clock_us
+        return [(codec.KIND + kind.encode(), codec.pack_baseline(usual)) for kind, usual in changed.items()]
 
-    def _tenants(self, now: Stamp) -> list[tuple[bytes, bytes]]:
+    def _update_tenants(self, now: Timestamp) -> list[tuple[bytes, bytes]]:
         past_us = now.clock_us - self._sent_us
-        if not self._sent or past_us < TENANT_US // 60:
+        if not self._sent or past_us < TENANT_RATE_HALF_LIFE_US // 60:
             return []
         sent, self._sent, self._sent_us = self._sent, defaultdict(int), now.clock_us
-        part = 1 - ageing.weight(past_us, TENANT_US)
+        part = 1 - decay.weight(past_us, TENANT_RATE_HALF_LIFE_US)
         records = []
         for tenant, count in sent.items():
-            usual = self._usual(facts.TENANT, tenant)
+            usual = self._baseline(codec.TENANT, tenant)
             usual.rate += (count * 1e6 / past_us - usual.rate) * part
-            usual.seen_us = now.clock_us
-            records.append((facts.TENANT + tenant.encode(), facts.pack_usual(usual)))
+            usual.updated_us = now.clock_us
+            records.append((codec.TENANT + tenant.encode(), codec.pack_baseline(usual)))
         return records
 
-    def _old(self, now_us: int) -> list[tuple[bytes, bytes]]:
-        """What is too old to be kept, of a few records that were written longest ago."""
-        old = []
-        for name, value in islice(self._store.records.items(), FORGETS):
-            if name[:1] == facts.WAIT:
-                gone = facts.unpack_wait(value, now_us + facts.WAIT_MOST_US).until_us + TOLD_US < now_us
-            elif name[:1] == facts.DESTINATION:
-                gone = self._unpack(value).seen_us + ageing.FORGET_US < now_us
+    def _expired_records(self, now_us: int) -> list[tuple[bytes, bytes]]:
+        """Return deletions for expired records among the few that were written longest ago."""
+        deletions = []
+        for name, value in islice(self._store.records.items(), EXPIRY_CHECKS):
+            if name[:1] == codec.WAIT:
+                expired = (
+                    codec.unpack_wait(value, now_us + codec.MAX_WAIT_US).until_us + WAIT_RETENTION_US < now_us
+                )
+            elif name[:1] == codec.DESTINATION:
+                expired = self._unpack(value).updated_us + decay.RETENTION_US < now_us
             else:
-                gone = facts.unpack_usual(value, now_us).seen_us + ageing.FORGET_US < now_us
-            if gone:
-                old.append((name, b""))
-        return old
+                expired = codec.unpack_baseline(value, now_us).updated_us + decay.RETENTION_US < now_us
+            if expired:
+                deletions.append((name, b""))
+        return deletions
 
     def answered(self, destination: int, took_us: int) -> None:
+        """Buffer a response time until the destination is observed next."""
         waiting = self._answers[destination]
-        if len(waiting) < ANSWERS_MOST:
+        if len(waiting) < MAX_RESPONSE_TIMES:
             waiting.append(took_us)
 
     def reused(self, destination: int, endpoint: str, idle_us: int, reset: bool) -> None:
-        waiting = self._reused[destination]
-        if len(waiting) < ANSWERS_MOST:
+        """Buffer a call on a reused connection until the destination is observed next."""
+        waiting = self._reuses[destination]
+        if len(waiting) < MAX_RESPONSE_TIMES:
             waiting.append((endpoint, idle_us, reset))
 
     def sent(self, tenant: str | None) -> None:
+        """Count a message of a tenant."""
         if tenant is not None:
             self._sent[tenant] += 1
 
     def told(self, wait: RequestedPause) -> None:
+        """Store a requested wait immediately, unless a longer one is stored."""
         now = self._stamp()
-        key = facts.wait_key(wait)
+        key = codec.wait_key(wait)
         if (record := self._store.records.get(key)) is not None:
-            known = facts.unpack_wait(record, now.clock_us + facts.WAIT_MOST_US)
+            known = codec.unpack_wait(record, now.clock_us + codec.MAX_WAIT_US)
             if known.left_us(now.clock_us, wait.boot) >= wait.length_us:
-                return  # it waits for longer already
-        self._put([(key, facts.pack_wait(wait))], now)
+                return  # a longer wait is already stored
+        self._store_valid([(key, codec.pack_wait(wait))], now)
 
-    # For operators.
+    # Operator commands.
 
-    def destinations(self) -> Iterator[tuple[Kept, list[tuple[str, int]]]]:
-        """All that is kept of each destination, with the routes that still wait and for how long (us)."""
+    def destinations(self) -> Iterator[tuple[DestinationRecord, list[tuple[str, int]]]]:
+        """Yield each destination's data, with its routes that still wait and the microseconds left."""
         now_us = self._clock.now_us()
         waits: dict[int, list[tuple[str, int]]] = defaultdict(list)
-        kept: dict[int, Kept] = {}
+        kept: dict[int, DestinationRecord] = {}
         for key, record in self._store.records.items():
-            if key[:1] == facts.WAIT:
-                wait = facts.unpack_wait(record, now_us + facts.WAIT_MOST_US)
+            if key[:1] == codec.WAIT:
+                wait = codec.unpack_wait(record, now_us + codec.MAX_WAIT_US)
                 if (left_us := wait.left_us(now_us, self._clock.boot)) > 0:
                     waits[wait.destination].append((wait.route, left_us))
-            elif key[:1] == facts.DESTINATION:
+            elif key[:1] == codec.DESTINATION:
                 one = self._unpack(record)
                 kept[one.known.destination] = one
         for number in sorted({*kept, *waits}):
-            yield kept.get(number) or Kept(api.KnownDestination(number), now_us), waits[number]
+            yield kept.get(number) or DestinationRecord(api.KnownDestination(number), now_us), waits[number]
 
-    def usual(self) -> Iterator[tuple[str, str, Usual]]:
-        """What is usual of kinds and tenants: which of both, its name, and the figures."""
+    def baselines(self) -> Iterator[tuple[str, str, Baseline]]:
+        """Yield the baselines of kinds and tenants: "kind" or "tenant", the name, and the values."""
         now_us = self._clock.now_us()
         for key, record in sorted(self._store.records.items()):
-            if key[:1] in (facts.KIND, facts.TENANT):
-                sort = "kind" if key[:1] == facts.KIND else "tenant"
-                yield sort, key[1:].decode(), facts.unpack_usual(record, now_us)
+            if key[:1] in (codec.KIND, codec.TENANT):
+                sort = "kind" if key[:1] == codec.KIND else "tenant"
+                yield sort, key[1:].decode(), codec.unpack_baseline(record, now_us)
 
     def forget(self, destination: int, endpoint: str | None = None) -> bool:
-        """Forget all of a destination but told waits, or only one endpoint's health; whether anything was."""
-        key = facts.destination_key(destination)
+        """Delete a destination's data except its requested waits, or one endpoint's health.
+
+        Returns whether anything was deleted.
+        """
+        key = codec.destination_key(destination)
         if (record := self._store.records.get(key)) is None:
             return False
         kept = self._unpack(record)
@@ -299,31 +325,33 @@
         if endpoint is not None and len(left) == len(kept.known.endpoints):
             return False
         kept.known = replace(kept.known, endpoints=left)
-        self._store.put([(key, b"" if endpoint is None else facts.pack(kept))], self._stamp())
+        self._store.put([(key, b"" if endpoint is None else codec.pack_destination(kept))], self._stamp())
         return True
 
     def free_disk_space(self) -> None:
+        """Free disk space for the journal."""
         self._store.free_disk_space()
 
     def work(self) -> int | None:
+        """Do a slice of pending work; returns the microseconds until the next call, or None."""
         return self._store.work()
 
     def close(self) -> None:
-        """Keep what is left to be kept, and let go of the folder."""
+        """Write pending records and close the store."""
         self._store.close()
 
 
-def believed(
+def applicable_state(
     known: api.KnownDestination,
     entries: tuple[api.Entry, ...],
     now_us: int,
     gap_us: int,
-    usual: dict[str, Usual],
+    usual: dict[str, Baseline],
 ) -> api.KnownDestination:
-    """What still applies of a destination, of whose endpoints these are listed by now.
+    """Return what still applies to a destination, given its currently listed endpoints.
 
-    A route's limit and answer times apply while an endpoint of the same kind serves it. An endpoint that
-    started anew under its id keeps nothing but the bound on what comes back cold from an outage.
+    A route's limit and response times apply while an endpoint of the same kind serves it. An endpoint that
+    was restarted under the same id keeps only the cold-start limit that follows an outage.
     """
     listed = {it.endpoint: it for it in entries}
     kinds = {it.entry.endpoint: it.entry.kind for it in known.endpoints}
@@ -331,44 +359,48 @@
     for it in known.endpoints:
         entry = listed.get(it.entry.endpoint)
         if entry is None:
-            endpoints.append(it)  # it may be listed later, and is asked for then
+            endpoints.append(it)  # it may be listed later, and its state is needed then
         elif entry.kind == it.entry.kind:
-            told = ageing.endpoint(it, now_us, gap_us, _prior(usual, entry.kind).failure_rate)
-            endpoints.append(told if _same(it.entry, entry) else _anew(told))
+            decayed = decay.decayed_endpoint(
+                it, now_us, gap_us, _kind_baseline(usual, entry.kind).failure_rate
+            )
+            endpoints.append(decayed if _same_start(it.entry, entry) else _state_after_restart(decayed))
     same_kinds = not kinds or not listed or set(kinds.values()) & {it.kind for it in entries}
     routes = []
     for route in known.routes:
         entry = listed.get(route.route)
         if route.route and (entry is None or entry.kind != kinds.get(route.route)):
-            continue  # a route apart that is not listed, or is another's by now
+            continue  # a separate route whose endpoint is not listed, or was replaced by one of another kind
         if same_kinds:
             kind = entry.kind if entry is not None else next(iter(listed.values())).kind if listed else ""
-            routes.append(ageing.route(route, now_us, gap_us, _prior(usual, kind).answer_us))
+            routes.append(decay.decayed_route(route, now_us, gap_us, _kind_baseline(usual, kind).response_us))
     if not known.routes:
         routes += [
             api.KnownRoute(route, int(answer_us), 1.0, 0, UNLIMITED, 0)
-            for route, answer_us in _never_met(entries, usual)
+            for route, answer_us in _baseline_response_times(entries, usual)
         ]
     return api.KnownDestination(known.destination, tuple(routes), tuple(endpoints))
 
 
-def _never_met(entries: tuple[api.Entry, ...], usual: dict[str, Usual]) -> Iterable[tuple[str, float]]:
-    """For a destination of which nothing is known: the answer time that is usual of its kind."""
+def _baseline_response_times(
+    entries: tuple[api.Entry, ...], usual: dict[str, Baseline]
+) -> Iterable[tuple[str, float]]:
+    """Yield the baseline response time of its kind, for a destination without data."""
     for it in entries:
-        if (answer_us := _prior(usual, it.kind).answer_us) > 0:
+        if (answer_us := _kind_baseline(usual, it.kind).response_us) > 0:
             yield "", answer_us
-            yield it.endpoint, answer_us  # which of both it is, the module knows
+            yield it.endpoint, answer_us  # the decision module uses the one that applies
 
 
-def _known(
+def _group_by_destination(
     rows: Sequence[LegacyEndpointState], listed: Callable[[str], api.Entry | None]
 ) -> Iterable[api.KnownDestination]:
-    """What an earlier release kept, by destinations as they are listed now."""
+    """Group what an earlier release stored by the currently listed destinations."""
     grouped: dict[int, list[tuple[api.Entry, LegacyEndpointState]]] = defaultdict(list)
     for row in rows:
         if (entry := listed(row.endpoint)) is not None and entry.state is api.State.IN:
             grouped[entry.destination].append((entry, row))
-    for number, ones in grouped.items():
+    for number, group in grouped.items():
         endpoints = [
             api.KnownEndpoint(
                 entry,
@@ -382,26 +414,26 @@
                 1.0,
                 (),
             )
-            for entry, it in ones
+            for entry, it in group
         ]
         limits = {
             route: api.KnownRoute(route, INITIAL_ANSWER_US, 1.0, 0, it.learned, it.learned_us)
-            for entry, it in ones
-            for route in ("", entry.endpoint)  # which of both it is, the module knows
+            for entry, it in group
+            for route in ("", entry.endpoint)  # the decision module uses the one that applies
         }
         yield api.KnownDestination(number, tuple(limits.values()), tuple(endpoints))
 
 
-def _prior(usual: dict[str, Usual], kind: str) -> Usual:
-    return usual.get(kind) or Usual(NEVER)
+def _kind_baseline(usual: dict[str, Baseline], kind: str) -> Baseline:
+    return usual.get(kind) or Baseline(NEVER)
 
 
-def _same(was: api.Entry, entry: api.Entry) -> bool:
+def _same_start(was: api.Entry, entry: api.Entry) -> bool:
     return not (was.up_since_ms and entry.up_since_ms) or was.up_since_ms == entry.up_since_ms
 
 
-def _anew(it: api.KnownEndpoint) -> api.KnownEndpoint:
-    """What applies of an endpoint that started anew: after an outage it is back, and cold."""
+def _state_after_restart(it: api.KnownEndpoint) -> api.KnownEndpoint:
+    """Return the state of an endpoint that was restarted: after an outage it is back, and cold."""
     return replace(
         it,
         failure_rate=0.0,
@@ -412,26 +444,26 @@
     )
 
 
-def shift(known: api.KnownDestination, by_us: int) -> api.KnownDestination:
-    """The same by another clock."""
+def shift_times(known: api.KnownDestination, by_us: int) -> api.KnownDestination:
+    """Shift all times, to convert them to another clock."""
 
-    def moved(at_us: int) -> int:
+    def shifted_time(at_us: int) -> int:
         return at_us if at_us == NEVER else max(NEVER + 1, at_us + by_us)
 
     return replace(
         known,
         routes=tuple(
-            replace(it, throughput_us=moved(it.throughput_us), learned_us=moved(it.learned_us))
+            replace(it, throughput_us=shifted_time(it.throughput_us), learned_us=shifted_time(it.learned_us))
             for it in known.routes
         ),
         endpoints=tuple(
             replace(
                 it,
-                outage_since_us=moved(it.outage_since_us),
-                last_failure_us=moved(it.last_failure_us),
-                last_success_us=moved(it.last_success_us),
-                recovered_us=None if it.recovered_us is None else moved(it.recovered_us),
-                starts=tuple(moved(at_us) for at_us in it.starts),
+                outage_since_us=shifted_time(it.outage_since_us),
+                last_failure_us=shifted_time(it.last_failure_us),
+                last_success_us=shifted_time(it.last_success_us),
+                recovered_us=None if it.recovered_us is None else shifted_time(it.recovered_us),
+                starts=tuple(shifted_time(at_us) for at_us in it.starts),
             )
             for it in known.endpoints
         ),
--- a/amberlug/library/endpoints.py
+++ b/amberlug/library/endpoints.py
@@ -12,9 +12,9 @@
 from amberlug.core.log import log
 from amberlug.core.ports import EndpointListUpdate
 from amberlug.core.sliced_queue import SlicedQueue
+from amberlug.platform.backoff import DiscoveryBackoff
+from amberlug.platform.confirmation import ListConfirmation
 from amberlug.platform.discovery import Watch
-from amberlug.platform.heard import Heard
-from amberlug.platform.pauses import Pauses
 from amberlug.policy.account import SECOND
 from amberlug.policy.interface import Entry, Settings, State
 
@@ -168,29 +168,29 @@
         self._where, self._known = parse_address(where), known
         self._watch: Watch | None = None
         self._current: Callable[[float], None] = _unheeded
-        self._heard: Heard | None = None
+        self._heard: ListConfirmation | None = None
 
-    def confirms(self, current: Callable[[float], None], heard: Heard) -> None:
+    def confirms(self, current: Callable[[float], None], heard: ListConfirmation) -> None:
         """Have told that the list is the newest, with the seconds for which calls may go by it."""
         self._current, self._heard = current, heard
 
     async def tried(self, seconds: float) -> None:
         """Wait until discovery has answered once, or refused, for so long at the most."""
         if self._watch is not None:
-            await self._watch.tried(seconds)
+            await self._watch.wait_attempted(seconds)
 
     def start(self, settings: Settings, listed: Listed) -> None:
         if self._known is not None:
             apply(listed(self._known))
         revision = self._known.revision if self._known is not None else 0
-        pauses = Pauses(settings.relays, settings.drain_grace_us / SECOND)
+        pauses = DiscoveryBackoff(settings.relays, settings.drain_grace_us / SECOND)
         age_s = None if self._heard is None else self._heard.age_s()
-        self._current(pauses.good_at_first(True, age_s))
+        self._current(pauses.initial_list_validity_s(True, age_s))
 
         def confirmed() -> None:
-            self._current(pauses.good_for())
+            self._current(pauses.list_validity_s())
             if self._heard is not None:
-                self._heard.note()
+                self._heard.record()
 
         self._watch = Watch(self._where, settings.kinds, revision, listed, pauses, confirmed)
         self._watch.start()
--- a/amberlug/library/relay.py
+++ b/amberlug/library/relay.py
@@ -21,7 +21,7 @@
 from amberlug.core.node import CLOSED_RETRY_US, Node
 from amberlug.core.ports import Observer, PendingMessage
 from amberlug.http.calls import Caller
-from amberlug.learning import SHARE, open_learning
+from amberlug.learning import DISK_SHARE_DIVISOR, open_learning
 from amberlug.library.claims import CLAIMS, Claim
 from amberlug.library.desk import Desk, OnEnd
 from amberlug.library.endpoints import Discovery, Endpoints
@@ -36,8 +36,8 @@
 from amberlug.library.observers import Shielded
 from amberlug.library.taken import Taken
 from amberlug.library.transport import Deliver, HostTransport
-from amberlug.platform.discovery import ASK_FOR
-from amberlug.platform.heard import Heard
+from amberlug.platform.confirmation import ListConfirmation
+from amberlug.platform.discovery import STARTUP_WAIT_S
 from amberlug.policy.interface import Settings
 
 GRACE = 3.0  # seconds that `close` waits for calls that are out
@@ -129,7 +129,7 @@
             self._lock = FolderLock(self._folder, lambda: not loop.is_closed())
             stack.callback(self._lock.release)
             self._clock = LoopClock()
-            part = self._disk_bytes // SHARE
+            part = self._disk_bytes // DISK_SHARE_DIVISOR
             self._journal = open_journal(self._folder, self._disk_bytes - part, self._clock, self._durability)
             stack.callback(self._journal.close)
             self._learning = open_learning(self._folder, part, self._clock, self._durability)
@@ -152,12 +152,12 @@
                 observer,
             )
             if isinstance(self._endpoints, Discovery):
-                self._endpoints.confirms(self._node.current, Heard(self._folder, self._clock))
+                self._endpoints.confirms(self._node.current, ListConfirmation(self._folder, self._clock))
             self._endpoints.start(self.settings, self._node.listing)
             stack.callback(self._endpoints.stop)
             if isinstance(self._endpoints, Discovery):
                 # Guards against first calls to what began to drain while no process was here.
-                await self._endpoints.tried(ASK_FOR)
+                await self._endpoints.tried(STARTUP_WAIT_S)
             for held in list(self._journal.held.values()):
                 self._claim_held(held)
             self._lag = Lag()
--- a/amberlug/platform/daemon.py
+++ b/amberlug/platform/daemon.py
@@ -1,4 +1,4 @@
-"""Run one relay: wire its parts, reread the configuration on SIGHUP, end well on SIGTERM."""
+"""Runs one relay: wires its components, reloads the configuration on SIGHUP, stops gracefully on SIGTERM."""
 
 from __future__ import annotations
 
@@ -22,171 +22,184 @@
 from amberlug.core.ports import Clock, OutcomeNotifier, Transport
 from amberlug.http.calls import Caller
 from amberlug.http.server import Server
-from amberlug.learning import SHARE, open_learning
+from amberlug.learning import DISK_SHARE_DIVISOR, open_learning
+from amberlug.platform.backoff import DiscoveryBackoff
 from amberlug.platform.config import Config, read_config
-from amberlug.platform.discovery import ASK_FOR, Watch
-from amberlug.platform.heard import Heard
-from amberlug.platform.memory import give_back
-from amberlug.platform.notices import Notices
-from amberlug.platform.pauses import Pauses
+from amberlug.platform.confirmation import ListConfirmation
+from amberlug.platform.discovery import STARTUP_WAIT_S, Watch
+from amberlug.platform.loop_lag import LoopLagSelector
+from amberlug.platform.memory import return_freed_memory
+from amberlug.platform.notices import NoticeSender
 from amberlug.platform.trace import Trace
-from amberlug.platform.turns import Turns
 from amberlug.policy.interface import Settings
 
-OPEN_FOR = 0.6  # seconds after SIGTERM that connections are still taken: they go on coming for 0.4 s
-COLLECT_FOR = 3.0  # seconds after SIGTERM for calls that are out: SIGKILL comes at 3.7 s
-LOOK_AGAIN = 0.02
+ACCEPT_AFTER_STOP_S = 0.6  # seconds after SIGTERM to keep accepting connections: new ones arrive for 0.4 s
+CALLS_TIMEOUT_S = 3.0  # seconds after SIGTERM for calls in flight to end: SIGKILL follows at 3.7 s
+STOP_POLL_S = 0.02  # seconds between checks while stopping
 BACKLOG = 512
-DISK_SHARE = 0.9  # of the folder's room for the journal; over it the relay is ended
-YOUNG = 10_000  # new objects between looks for garbage in cycles, of which a message leaves few
-ACCEPTS = 16  # connections accepted in one turn of the loop
+USABLE_DISK_FRACTION = 0.9  # of the disk limit; the deployment ends a relay that exceeds the limit
+GC_THRESHOLD = 10_000  # new objects between runs of the cycle collector; messages create few cycles
+ACCEPTS_PER_ITERATION = 16  # connections accepted in one iteration of the event loop
 
 
-class Front(Protocol):
-    """A further way in and out, beside HTTP."""
+class ProtocolFrontend(Protocol):
+    """A further protocol for messages in and out, beside HTTP."""
 
     def transport(self, others: Transport) -> Transport:
-        """Take the place of the transport; what is not for this front is passed on."""
+        """Wrap the transport; calls that are not for this protocol are passed to `others`."""
 
     def ends(self, notices: OutcomeNotifier) -> OutcomeNotifier:
-        """Take the place of the notices; what is not for this front is passed on."""
+        """Wrap the notices; those that are not for this protocol are passed on."""
 
     async def start(self, node: Node) -> None:
-        """Begin to take messages on; `OSError` where that can't be."""
+        """Start accepting messages; raises `OSError` if that fails."""
 
     def close(self) -> None:
-        """Take nothing on any more."""
+        """Stop accepting messages."""
 
     def stop(self) -> None:
-        """Let go of everything."""
+        """Close all connections and release all resources."""
 
 
-class Guard(Protocol):
-    """What has others hold what is taken on here."""
+class Replicator(Protocol):
+    """Replicates accepted messages to other relays."""
 
     def journal(self, inner: Journal) -> ports.Journal:
-        """Take the place of the journal."""
+        """Wrap the journal."""
 
     async def start(self, node: Node) -> None:
-        """Begin to talk to others; `OSError` where that can't be."""
+        """Start communicating with the other relays; raises `OSError` if that fails."""
 
     async def stop(self) -> None:
-        """Tell them that this relay goes, and let go of everything."""
+        """Announce to the others that this relay leaves, and release all resources."""
 
 
-MakeFront = Callable[[Settings, Clock], Front]
-MakeGuard = Callable[[Path, Settings, Clock], Guard]
+FrontendFactory = Callable[[Settings, Clock], ProtocolFrontend]
+ReplicatorFactory = Callable[[Path, Settings, Clock], Replicator]
 
 
 async def serve(
-    config: Config, turns: Turns, make_front: MakeFront | None = None, make_guard: MakeGuard | None = None
+    config: Config,
+    selector: LoopLagSelector,
+    make_frontend: FrontendFactory | None = None,
+    make_replicator: ReplicatorFactory | None = None,
 ) -> None:
-    """Serve until SIGTERM."""
+    """Serve until SIGTERM or SIGINT."""
     loop = asyncio.get_running_loop()
-    stop, moved = asyncio.Event(), asyncio.Event()
-    # Guards against a signal that comes before there is a watch to move, which would end the process.
-    loop.add_signal_handler(signal.SIGHUP, moved.set)
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, stop.set)
-    away = any(config.state.iterdir())  # an earlier process was here
+    stop, reload_requested = asyncio.Event(), asyncio.Event()
+    # A SIGHUP that arrives before the watch exists would otherwise end the process.
+    loop.add_signal_handler(signal.SIGHUP, reload_requested.set)
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, stop.set)
+    restarted = any(config.state.iterdir())  # an earlier process used this directory
     lock = FolderLock(config.state, lambda: not loop.is_closed())
     clock = LoopClock()
-    room = int(config.limits.disk_bytes * DISK_SHARE)
-    own = open_journal(config.state, room - room // SHARE, clock, config.durability)
-    guard = None if make_guard is None else make_guard(config.state, config.settings, clock)
-    journal = own if guard is None else guard.journal(own)
-    learning = open_learning(config.state, room // SHARE, clock, config.durability, config.learning_key)
-    pauses = Pauses(config.settings.relays, config.settings.drain_grace_us / SECOND)
-    caller, notices = Caller(config.settings, config.limits.links, clock), Notices(config.discovery)
-    front = None if make_front is None else make_front(config.settings, clock)
-    transport = caller if front is None else front.transport(caller)
-    ends = notices if front is None else front.ends(notices)
+    disk_bytes = int(config.limits.disk_bytes * USABLE_DISK_FRACTION)
+    local_journal = open_journal(
+        config.state, disk_bytes - disk_bytes // DISK_SHARE_DIVISOR, clock, config.durability
+    )
+    replicator = None if make_replicator is None else make_replicator(config.state, config.settings, clock)
+    journal = local_journal if replicator is None else replicator.journal(local_journal)
+    learning = open_learning(
+        config.state, disk_bytes // DISK_SHARE_DIVISOR, clock, config.durability, config.learning_key
+    )
+    backoff = DiscoveryBackoff(config.settings.relays, config.settings.drain_grace_us / SECOND)
+    caller = Caller(config.settings, config.limits.endpoint_connections, clock)
+    notices = NoticeSender(config.discovery)
+    frontend = None if make_frontend is None else make_frontend(config.settings, clock)
+    transport = caller if frontend is None else frontend.transport(caller)
+    end_receiver = notices if frontend is None else frontend.ends(notices)
     observer = Trace(config.settings) if os.environ.get("AMBERLUG_TRACE") == "log" else None
-    node = Node(config.settings, config.seed, journal, learning, transport, ends, clock, observer)
+    node = Node(config.settings, config.seed, journal, learning, transport, end_receiver, clock, observer)
     node.listed(config.known)
-    heard = Heard(config.state, clock)
-    node.current(pauses.good_at_first(away, heard.age_s()))
+    confirmation = ListConfirmation(config.state, clock)
+    node.current(backoff.initial_list_validity_s(restarted, confirmation.age_s()))
 
     def confirmed() -> None:
-        node.current(pauses.good_for())
-        heard.note()
+        node.current(backoff.list_validity_s())
+        confirmation.record()
 
     watch = Watch(
-        config.discovery, config.settings.kinds, config.known.revision, node.listing, pauses, confirmed
+        config.discovery, config.settings.kinds, config.known.revision, node.listing, backoff, confirmed
     )
     watch.start()
-    # Guards against first calls to what began to drain while no process was here.
-    await watch.tried(ASK_FOR)
-    if guard is not None:
-        await guard.start(node)
+    # Avoids first calls to endpoints that began to drain while no process was running.
+    await watch.wait_attempted(STARTUP_WAIT_S)
+    if replicator is not None:
+        await replicator.start(node)
     node.restore()
-    server = Server(config.settings, node, clock.wall_ms, turns.waited_us, config.limits.clients)
-    sock = socket.create_server(
+    server = Server(
+        config.settings, node, clock.wall_ms, selector.waited_us, config.limits.client_connections
+    )
+    listen_socket = socket.create_server(
         config.listen, family=socket.AF_INET6 if ":" in config.listen[0] else socket.AF_INET
     )
-    # asyncio accepts as many in one turn as its backlog tells, before one of them can be given up again.
-    listener = await loop.create_server(server, sock=sock, backlog=ACCEPTS)
-    sock.listen(BACKLOG)
-    loop.add_signal_handler(signal.SIGHUP, reread, watch, notices)
+    # In one iteration asyncio accepts up to `backlog` connections, before any of them can be closed again.
+    listener = await loop.create_server(server, sock=listen_socket, backlog=ACCEPTS_PER_ITERATION)
+    listen_socket.listen(BACKLOG)
+    loop.add_signal_handler(signal.SIGHUP, reload_config, watch, notices)
     notices.start()
-    if moved.is_set():
-        reread(watch, notices)
-    # Guards against collections that look through all modules again and again, and hold up the loop.
+    if reload_requested.is_set():
+        reload_config(watch, notices)
+    # Keeps the collector from repeatedly scanning all loaded modules, which blocks the event loop.
     gc.collect()
     gc.freeze()
-    gc.set_threshold(YOUNG)
-    if front is not None:
-        await front.start(node)
+    gc.set_threshold(GC_THRESHOLD)
+    if frontend is not None:
+        await frontend.start(node)
     log(f"ready on {config.listen[0]}:{config.listen[1]}")
     await stop.wait()
     server.closing = True
     node.close()
-    if front is not None:
-        front.close()
+    if frontend is not None:
+        frontend.close()
     started = loop.time()
-    while loop.time() < started + OPEN_FOR or (node.busy and loop.time() < started + COLLECT_FOR):
-        await asyncio.sleep(LOOK_AGAIN)
+    accept_until, calls_until = started + ACCEPT_AFTER_STOP_S, started + CALLS_TIMEOUT_S
+    while loop.time() < accept_until or (node.busy and loop.time() < calls_until):
+        await asyncio.sleep(STOP_POLL_S)
     listener.close()
     server.close_idle()
-    await asyncio.sleep(LOOK_AGAIN)  # a request that is being read is answered first
+    await asyncio.sleep(STOP_POLL_S)  # lets a request that is being read be answered first
     watch.stop()
     notices.stop()
-    if front is not None:
-        front.stop()
-    if guard is not None:
-        await guard.stop()
+    if frontend is not None:
+        frontend.stop()
+    if replicator is not None:
+        await replicator.stop()
     node.save_learned()
     learning.close()
     lock.release()
 
 
-def reread(watch: Watch, notices: Notices) -> None:
-    """Go on at the address that the file names now, with all that is held; limits wait for the next start."""
+def reload_config(watch: Watch, notices: NoticeSender) -> None:
+    """Switch to discovery's address in the file and keep all state; new limits apply from the next start."""
     try:
         config = read_config(os.environ)
     except (ValueError, OSError) as error:
-        # Guards against ending on a file that is bad or half written: the old configuration serves.
-        log(f"configuration not reread: {plain(error)}")
+        # An invalid or partially written file must not end the process: the old configuration stays in use.
+        log(f"configuration not reloaded, the previous one stays in use: {one_line(error)}")
         return
-    watch.move(config.discovery)
-    notices.move(config.discovery)
+    watch.change_address(config.discovery)
+    notices.change_address(config.discovery)
 
 
-def plain(error: Exception) -> str:
-    """Say an error in one line."""
+def one_line(error: Exception) -> str:
+    """Format an error as a single line."""
     return str(error).replace("\n", " ")
 
 
-def main(make_front: MakeFront | None = None, make_guard: MakeGuard | None = None) -> int:
-    """Run the relay; 0 after SIGTERM, 2 after one plain line on what it can't be started with."""
+def main(
+    make_frontend: FrontendFactory | None = None, make_replicator: ReplicatorFactory | None = None
+) -> int:
+    """Run the relay; returns 0 after SIGTERM, 2 after a one-line message if it can't be started."""
     logging.basicConfig(stream=sys.stderr, format="%(message)s")
     LOGGER.setLevel(logging.INFO)
-    give_back()
+    return_freed_memory()
     try:
-        config, turns = read_config(os.environ), Turns()
-        with asyncio.Runner(loop_factory=lambda: asyncio.SelectorEventLoop(turns)) as runner:
-            runner.run(serve(config, turns, make_front, make_guard))
+        config, selector = read_config(os.environ), LoopLagSelector()
+        with asyncio.Runner(loop_factory=lambda: asyncio.SelectorEventLoop(selector)) as runner:
+            runner.run(serve(config, selector, make_frontend, make_replicator))
     except (ValueError, OSError) as error:
-        print(f"amberlug: {plain(error)}", file=sys.stderr)
+        print(f"amberlug: {one_line(error)}", file=sys.stderr)
         return 2
     return 0
--- a/amberlug/platform/discovery.py
+++ b/amberlug/platform/discovery.py
@@ -1,4 +1,4 @@
-"""Follows the list of endpoints at the platform's discovery."""
+"""Follows the list of endpoints that the platform's discovery service streams."""
 
 from __future__ import annotations
 
@@ -11,134 +11,137 @@
 from amberlug.core.ports import Address, EndpointListUpdate
 from amberlug.core.sliced_queue import SlicedQueue
 from amberlug.http.link import Link, dial
-from amberlug.platform.pauses import Pauses
+from amberlug.platform.backoff import DiscoveryBackoff
 
-SETTLED = 1.0  # seconds after which an agent that answers at once has told what it had to tell
-SILENCE = 5.0  # seconds without a line, which come every 2 s, after which the watch is renewed
-ASK_FOR = 0.25  # seconds that a start waits for discovery, which answers at once
-DIAL = 1.0  # seconds for a connection
-LINE_MOST = 1 << 24  # longest line that is read, 100,000 members: bounds memory against a broken peer
+SETTLE_S = 1.0  # seconds within which an agent that answers immediately has sent all pending changes
+IDLE_TIMEOUT_S = 5.0  # seconds without data after which the watch reconnects; a line arrives every 2 s
+STARTUP_WAIT_S = 0.25  # seconds that a start waits for discovery, which answers immediately
+DIAL_TIMEOUT_S = 1.0  # seconds to establish a connection
+MAX_LINE_BYTES = 1 << 24  # longest line accepted, some 100,000 members: bounds memory if the peer is faulty
 
 
 class Watch:
-    """Follows the list; a connection that breaks, goes silent or sends what can't be read is renewed.
+    """Follows the list; reconnects after a connection fails, times out or sends malformed data.
 
-    `told` makes the work of news, which is done in slices; `revision` is that of the list told before.
-    `current` is called when all that discovery had to tell has been told, each time that it says so.
+    `apply_update` returns the job that applies an update, which is run in slices. `revision` is that of the
+    list known so far. `on_confirmed` is called each time discovery has confirmed that no change is
+    outstanding.
     """
 
     def __init__(
         self,
-        where: Address,
+        address: Address,
         kinds: Collection[str],
         revision: int,
-        told: Callable[[EndpointListUpdate], Iterator[None]],
-        pauses: Pauses,
-        current: Callable[[], None],
+        apply_update: Callable[[EndpointListUpdate], Iterator[None]],
+        backoff: DiscoveryBackoff,
+        on_confirmed: Callable[[], None],
     ) -> None:
-        self._where, self._kinds, self._told, self._pauses = where, kinds, told, pauses
-        self._current, self._tried = current, asyncio.Event()
-        self._slices = SlicedQueue(self._broken)
+        self._address, self._kinds, self._apply_update, self._backoff = address, kinds, apply_update, backoff
+        self._on_confirmed, self._attempted = on_confirmed, asyncio.Event()
+        self._slices = SlicedQueue(self._on_malformed)
         self._link: Link | None = None
         self._task: asyncio.Task[None] | None = None
         self._revision = revision
-        self._rest = bytearray()
-        self._searched = self._unread = 0  # bytes of the rest without a line's end; of lines still to be read
-        self._heard = self._asked = 0.0
-        self._confirmed = False  # whether this connection has brought its first object: what has changed
+        self._buffer = bytearray()
+        self._searched = 0  # bytes of `_buffer` without a newline
+        self._unprocessed = 0  # bytes of complete lines not yet processed
+        self._last_data_s = self._requested_s = 0.0
+        self._confirmed = False  # whether this connection has delivered an object: the changes so far
 
     def start(self) -> None:
-        """Begin to ask."""
-        self._begin(0.0)
+        """Start following the list."""
+        self._start_task(0.0)
 
-    async def tried(self, seconds: float) -> None:
-        """Wait until discovery has answered once, or refused, for so long at the most."""
+    async def wait_attempted(self, seconds: float) -> None:
+        """Wait until discovery has answered or a first attempt has failed, up to a timeout."""
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(seconds):
-                await self._tried.wait()
+                await self._attempted.wait()
 
-    def _begin(self, after: float) -> None:
-        self._task = asyncio.get_running_loop().create_task(self._run(after))
+    def _start_task(self, delay_s: float) -> None:
+        self._task = asyncio.get_running_loop().create_task(self._run(delay_s))
 
     def stop(self) -> None:
-        """End it with its connection."""
+        """Stop following the list and close the connection."""
         if self._task is not None:
             self._task.cancel()
         self._slices.clear()
         if self._link is not None:
             self._link.close()
 
-    def move(self, where: Address) -> None:
-        """Go on at another address at once: what is told there counts, whatever the old one still says."""
-        if where != self._where:
-            log(f"discovery: now at {where[0]}:{where[1]}")
+    def change_address(self, address: Address) -> None:
+        """Reconnect to another address immediately; data still in flight from the old one is ignored."""
+        if address != self._address:
+            log(f"discovery: now at {address[0]}:{address[1]}")
             self.stop()
-            self._where = where
-            self._begin(0.0)
+            self._address = address
+            self._start_task(0.0)
 
-    async def _run(self, after: float) -> None:
-        await asyncio.sleep(after)
+    async def _run(self, delay_s: float) -> None:
+        await asyncio.sleep(delay_s)
         while True:
-            started = self._heard = asyncio.get_running_loop().time()
-            self._link = await dial(*self._where, DIAL)
+            started = self._last_data_s = asyncio.get_running_loop().time()
+            self._link = await dial(*self._address, DIAL_TIMEOUT_S)
             refused = self._link is not None and await self._follow(self._link)
-            self._tried.set()
-            await asyncio.sleep(self._pauses.after(self._heard > started, refused))
+            self._attempted.set()
+            await asyncio.sleep(self._backoff.next_delay_s(self._last_data_s > started, refused))
 
     async def _follow(self, link: Link) -> bool:
-        """Follow the list on a connection until it ends: whether it ended by a refusal."""
-        self._slices.clear()  # what an earlier connection brought comes again
-        self._rest.clear()
-        self._searched = self._unread = 0
+        """Follow the list until the connection ends; returns whether discovery ended it, a refusal."""
+        self._slices.clear()  # whatever an earlier connection left unprocessed is sent again
+        self._buffer.clear()
+        self._searched = self._unprocessed = 0
         self._confirmed = False
-        self._asked = asyncio.get_running_loop().time()
+        self._requested_s = asyncio.get_running_loop().time()
         target = f"/discovery/hosts?follow=1&since={self._revision}"
-        reply = link.request("GET", target, [], sink=self._data)
+        reply = link.request("GET", target, [], sink=self._on_data)
         loop = asyncio.get_running_loop()
-        while not reply.done() and (left := self._heard + SILENCE - loop.time()) > 0:
-            await asyncio.wait({reply}, timeout=left)
+        while not reply.done() and (remaining_s := self._last_data_s + IDLE_TIMEOUT_S - loop.time()) > 0:
+            await asyncio.wait({reply}, timeout=remaining_s)
         if not reply.done():
-            log("discovery: silent, connection renewed")
+            log("discovery: no data received, reconnecting")
         link.close()
         return reply.done()
 
-    def _data(self, data: bytes) -> None:
-        self._heard = asyncio.get_running_loop().time()
-        self._rest += data
-        while (end := self._rest.find(b"\n", self._searched)) >= 0:
-            line, self._rest = self._rest, self._rest[end + 1 :]  # without a copy of what may be long
+    def _on_data(self, data: bytes) -> None:
+        self._last_data_s = asyncio.get_running_loop().time()
+        self._buffer += data
+        while (end := self._buffer.find(b"\n", self._searched)) >= 0:
+            line, self._buffer = self._buffer, self._buffer[end + 1 :]  # avoids copying a long line
             del line[end:]
             self._searched = 0
-            if line and not line.isspace():  # strip() would copy what may be long
-                self._unread += len(line)
+            if line and not line.isspace():  # strip() would copy a long line
+                self._unprocessed += len(line)
                 self._confirmed = True
-                self._slices.add(self._read(line))
-            # An agent may send no first object where nothing has changed. An empty line proves that only once
-            # one that answers at once would have told it: as the first byte it may stand before the object.
-            if self._confirmed or self._heard - self._asked >= SETTLED:
-                self._slices.add(self._confirm())
-        self._searched = len(self._rest)
-        if len(self._rest) + self._unread > LINE_MOST:
-            self._broken(ValueError("line too long"))
-
-    def _read(self, line: bytearray) -> Iterator[None]:
-        """Read a line, a slice at a time."""
-        size, news = len(line), read_list_line(line, self._kinds)
-        yield from self._told(news)
-        self._revision = news.revision
-        self._unread -= size
-
-    def _confirm(self) -> Iterator[None]:
-        """Say that the list is the newest, once all that came before has been told."""
-        self._current()
-        self._tried.set()
+                self._slices.add(self._process_line(line))
+            # If nothing has changed, an agent may send no first object. An empty line proves this only after
+            # the time in which an agent that answers immediately would have sent it: an empty line may also
+            # precede the object.
+            if self._confirmed or self._last_data_s - self._requested_s >= SETTLE_S:
+                self._slices.add(self._report_confirmed())
+        self._searched = len(self._buffer)
+        if len(self._buffer) + self._unprocessed > MAX_LINE_BYTES:
+            self._on_malformed(ValueError(f"unprocessed data exceeds {MAX_LINE_BYTES} bytes"))
+
+    def _process_line(self, line: bytearray) -> Iterator[None]:
+        """Parse a line and apply it, a slice at a time."""
+        size, update = len(line), read_list_line(line, self._kinds)
+        yield from self._apply_update(update)
+        self._revision = update.revision
+        self._unprocessed -= size
+
+    def _report_confirmed(self) -> Iterator[None]:
+        """Report the list as current, once all earlier updates have been applied."""
+        self._on_confirmed()
+        self._attempted.set()
         yield
 
-    def _broken(self, error: ValueError) -> None:
-        # A broken line must not stop the relay; what it held comes again on the next connection.
-        log(f"discovery: {error}, connection renewed")
+    def _on_malformed(self, error: ValueError) -> None:
+        # A malformed line must not stop the relay; its content is sent again on the next connection.
+        log(f"discovery: {error}, reconnecting")
         self._slices.clear()
-        self._rest.clear()
-        self._searched = self._unread = 0
+        self._buffer.clear()
+        self._searched = self._unprocessed = 0
         if self._link is not None:
             self._link.close()
--- a/amberlug/platform/trace.py
+++ b/amberlug/platform/trace.py
@@ -1,18 +1,18 @@
-"""Every event and decision of a relay as lines of its log, for counts over a whole fleet.
+"""Logs every event and decision of a relay, for statistics over a whole fleet.
 
-A line for each round: `~`, the relay's clock in microseconds, then words of fields that are set apart by `:`.
-All times are microseconds. A space or a colon in a name is written as `_`.
+Each round is one line: `~`, the relay's clock in microseconds, then words whose fields are separated by `:`.
+All times are in microseconds. A space or a colon in a name is written as `_`.
 
 | word | fields |
 | --- | --- |
-| `K` | a class, as this process begins: name, worth, aim, deadline, part of its worth that is left then |
-| `T` | a message: its number in this life, destination, class, microseconds left |
-| `B` | the same, held from before a restart, with attempts made |
-| `S` | a send: message, endpoint, the first message of its call, 1 where it wants a new connection |
-| `O` | an outcome: message, attempt, endpoint, result, told wait, 1 on a used connection, time it took |
-| `R` | handed back or refused: message, microseconds until its client may come again |
-| `F` | given up: message |
-| `L` | listed: endpoint, destination, kind, phase, rate |
+| `K` | a message class, at startup: name, worth, aim, deadline, fraction of the worth left at the deadline |
+| `T` | message accepted: its number in this process, destination, class, time left |
+| `B` | message resumed after a restart: the same fields, and the number of attempts made |
+| `S` | send: message, endpoint, the first message of its call, 1 if a new connection is required |
+| `O` | outcome: message, attempt, endpoint, result, requested wait, 1 on a reused connection, duration |
+| `R` | handed back or refused: message, time until its client may retry |
+| `F` | failed: message |
+| `L` | list entry received: endpoint, destination, kind, phase, rate |
 | `C` | idle connections closed: endpoint |
 """
 
@@ -25,39 +25,39 @@
 from amberlug.core.messages import Attempt, AttemptResult, End, Message
 from amberlug.policy import interface as api
 
-_APART = re.compile(r"[\s:]")
+_SEPARATORS = re.compile(r"[\s:]")
 
 
-def _plain(text: str) -> str:
-    return _APART.sub("_", text)
+def _escape(text: str) -> str:
+    return _SEPARATORS.sub("_", text)
 
 
-def _word(it: api.Event | api.Action) -> str | None:
-    match it:
+def _format(item: api.Event | api.Action) -> str | None:
+    match item:
         case api.Taken():
-            return f"T:{it.ref}:{it.destination}:{_plain(it.message_class)}:{it.left_us}"
+            return f"T:{item.ref}:{item.destination}:{_escape(item.message_class)}:{item.left_us}"
         case api.Resumed(taken, attempts):
-            held = f"{taken.ref}:{taken.destination}:{_plain(taken.message_class)}"
+            held = f"{taken.ref}:{taken.destination}:{_escape(taken.message_class)}"
             return f"B:{held}:{taken.left_us}:{attempts}"
         case api.Send():
-            return f"S:{it.ref}:{_plain(it.endpoint)}:{it.call}:{it.fresh:d}"
+            return f"S:{item.ref}:{_escape(item.endpoint)}:{item.call}:{item.fresh:d}"
         case api.Outcome():
-            result = it.result.value.replace(" ", "_")
-            ended = f"{it.ref}:{it.attempt}:{_plain(it.endpoint)}:{result}"
-            return f"O:{ended}:{it.wait_us}:{it.reused:d}:{it.took_us}"
+            result = item.result.value.replace(" ", "_")
+            ended = f"{item.ref}:{item.attempt}:{_escape(item.endpoint)}:{result}"
+            return f"O:{ended}:{item.wait_us}:{item.reused:d}:{item.took_us}"
         case api.Refuse():
-            return f"R:{it.ref}:{it.advice_us}"
+            return f"R:{item.ref}:{item.advice_us}"
         case api.Fail():
-            return f"F:{it.ref}"
+            return f"F:{item.ref}"
         case api.CloseIdle():
-            return f"C:{_plain(it.endpoint)}"
+            return f"C:{_escape(item.endpoint)}"
     return None
 
 
-def _entries(news: api.Listed) -> list[str]:
+def _format_entries(news: api.Listed) -> list[str]:
     return [
-        f"L:{_plain(it.endpoint)}:{it.destination}:{_plain(it.kind)}:{it.state.value}:{it.rate:g}"
-        for it in news.entries
+        f"L:{_escape(item.endpoint)}:{item.destination}:{_escape(item.kind)}:{item.state.value}:{item.rate:g}"
+        for item in news.entries
     ]
 
 
@@ -65,30 +65,32 @@
     """Writes each round to the log; an `Observer`."""
 
     def __init__(self, settings: api.Settings) -> None:
-        kinds = (
-            f"K:{_plain(it.name)}:{it.worth:g}:{it.aim_us}:{it.deadline_us}:{it.late_worth:g}"
-            for it in settings.classes.values()
+        classes = (
+            f"K:{_escape(item.name)}:{item.worth:g}:{item.aim_us}:{item.deadline_us}:{item.late_worth:g}"
+            for item in settings.classes.values()
         )
-        log(f"~ 0 {' '.join(kinds)}")
+        log(f"~ 0 {' '.join(classes)}")
 
     def round(self, now_us: int, events: Sequence[api.Event], actions: Sequence[api.Action]) -> None:
-        """Write what the module was told and what it decided."""
-        words: list[str] = []
+        """Log the events given to the decision module, and its actions."""
+        formatted: list[str] = []
         for event in events:
             if isinstance(event, api.Listed):
-                words += _entries(event)
-        words += [word for it in (*events, *actions) if (word := _word(it)) is not None]
-        if words:
-            log(f"~ {now_us} {' '.join(words)}")
+                formatted += _format_entries(event)
+        formatted += [
+            formatted_item for item in (*events, *actions) if (formatted_item := _format(item)) is not None
+        ]
+        if formatted:
+            log(f"~ {now_us} {' '.join(formatted)}")
 
     def taken(self, message: Message) -> None:
-        """Pass over what the round has told."""
+        """Do nothing: the round has logged this."""
 
     def attempt(self, attempt: Attempt) -> None:
-        """Pass over what the round has told."""
+        """Do nothing: the round has logged this."""
 
     def outcome(self, attempt: Attempt, how: AttemptResult) -> None:
-        """Pass over what the round will tell."""
+        """Do nothing: the round will log this."""
 
     def ended(self, message: Message, end: End) -> None:
-        """Pass over what the round or an outcome tells."""
+        """Do nothing: the round or an outcome logs this."""
--- a/tests/test_listing.py
+++ b/tests/test_listing.py
@@ -15,8 +15,8 @@
 from amberlug.core.endpoint_list import read_list_line, read_list_update, read_object_with_list
 from amberlug.core.ports import EndpointListUpdate
 from amberlug.core.sliced_queue import SlicedQueue
-from amberlug.platform.discovery import LINE_MOST, SETTLED, Watch
-from amberlug.platform.pauses import Pauses
+from amberlug.platform.backoff import DiscoveryBackoff
+from amberlug.platform.discovery import MAX_LINE_BYTES, SETTLE_S, Watch
 from amberlug.policy import interface as api
 from amberlug.policy.interface import State
 from amberlug.policy.membership import BATCH, Comparison, Members
@@ -338,7 +338,7 @@
     def __init__(self) -> None:
         self.told: list[list[api.Entry]] = []
         self.confirmed: list[int] = []  # number of updates so far, at each confirmation of the list
-        self.watch = Watch(("127.0.0.1", 1), KINDS, 0, self._listing, Pauses(1, 2.0), self._current)
+        self.watch = Watch(("127.0.0.1", 1), KINDS, 0, self._listing, DiscoveryBackoff(1, 2.0), self._current)
 
     def _listing(self, news: EndpointListUpdate) -> Any:
         self.told.append(list(news.entries))
@@ -349,7 +349,7 @@
 
     async def take(self, data: bytes) -> None:
         """Feed data and wait until it is processed, which can take several slices on a busy machine."""
-        self.watch._data(data)
+        self.watch._on_data(data)
         while self.watch._slices._jobs:
             await asyncio.sleep(0)
 
@@ -371,7 +371,7 @@
 def test_a_list_is_the_newest_only_from_the_first_news_of_a_connection_on() -> None:
     async def scenario() -> None:
         it = _FedWatch()
-        it.watch._asked = asyncio.get_running_loop().time() + 60.0  # never settled
+        it.watch._requested_s = asyncio.get_running_loop().time() + 60.0  # never settled
         for data, times in ((b"\n", 0), (line(item(1)).encode(), 0), (b"\n", 1), (b"\n", 2)):
             await it.take(data)
             assert len(it.confirmed) == times
@@ -383,10 +383,10 @@
     async def scenario() -> None:
         it = _FedWatch()
         loop = asyncio.get_running_loop()
-        it.watch._asked = loop.time()
+        it.watch._requested_s = loop.time()
         await it.take(b"\n")  # changes may still follow
         assert it.confirmed == []
-        it.watch._asked = loop.time() - SETTLED
+        it.watch._requested_s = loop.time() - SETTLE_S
         await it.take(b"\n")
         assert it.confirmed == [0]
 
@@ -396,9 +396,9 @@
 def test_a_line_without_end_is_not_kept() -> None:
     async def scenario() -> None:
         it = _FedWatch()
-        for _ in range(LINE_MOST // 65536 + 1):
-            it.watch._data(b"x" * 65536)
-        assert len(it.watch._rest) <= 65536
+        for _ in range(MAX_LINE_BYTES // 65536 + 1):
+            it.watch._on_data(b"x" * 65536)
+        assert len(it.watch._buffer) <= 65536
         await it.take(b"\n" + line(item(1)).encode() + b"\n")
         assert len(it.told) == 1
 
