--- a/amberlug/cluster/control/cluster_state.py
+++ b/amberlug/cluster/control/cluster_state.py
@@ -1,8 +1,8 @@
-"""The state machine that the control plane replicates: each replica applies the same commands in order.
+"""The replicated state machine of the control plane: every replica applies the same commands in log order.
 
-Its clock is the sum of the seconds that leaders led before their timed commands. It advances alike on every
-replica, no step of a machine's clock moves it, and it falls behind with each new leader: what is kept for a
-time is kept for longer, never for less.
+The state machine has a replicated clock, which each timed command advances by the time that the leader has
+led since it last did so. All replicas see the same time, and clock steps on a machine do not affect it. It
+falls behind real time with each change of leader, so retention periods may be exceeded, but never cut short.
 """
 
 from __future__ import annotations
@@ -41,23 +41,24 @@
 )
 from amberlug.cluster.interfaces import Json
 
-CONFIG_HASH_RETENTION_S = (
-    3600.0  # the hash of each call is kept so long, so that a repeated call is recognized
-)
-# The newest hashes are kept beyond that time; more than the maximum are kept under no circumstances.
+CONFIG_HASH_RETENTION_S = 3600.0  # how long the hash of each call is kept to recognize a repeated call
+# The newest MIN_CONFIG_HASHES outlive the retention period; MAX_CONFIG_HASHES is a hard limit at any age.
 MIN_CONFIG_HASHES = 1024
 MAX_CONFIG_HASHES = 16384
-GONE_RETENTION_S = 600.0  # calls of endpoints take about a second, and no later incarnation reuses a name
-LEAVING_RETENTION_S = 3600.0  # for endpoints that leave and never report that they have left
+GONE_RETENTION_S = 600.0  # an endpoint's calls take about a second, and no later incarnation reuses its name
+LEAVING_RETENTION_S = 3600.0  # for endpoints that start to leave and never report that they have left
 
 
 def digest(document: Json) -> str:
-    """The hash of a JSON object, whatever the order of its keys."""
+    """Return the hash of a JSON object, independent of the order of its keys."""
     return hashlib.blake2b(json.dumps(document, sort_keys=True).encode(), digest_size=12).hexdigest()
 
 
 def _upgraded(snapshot: Json) -> Json:
-    """A snapshot in today's form; the first version had no clock, so all is as of the clock's start."""
+    """Convert a snapshot to the current format.
+
+    The first version had no replicated clock, so all its entries get the time 0.
+    """
     if "drains" not in snapshot:
         return snapshot
     drains = snapshot["drains"].items()
@@ -72,17 +73,17 @@
 
 
 class ClusterState:
-    """Configuration, roster of storage nodes, owners of shards, and endpoints that leave.
+    """Configuration, roster of storage nodes, shard owners, and departures of endpoints.
 
     :ivar index: log index of the newest applied command.
     :ivar clock_s: seconds of the replicated clock.
-    :ivar config_hashes: by configuration version, the hash of the call that brought it; the oldest first.
-    :ivar forgotten_version: the newest configuration version whose hash is no longer kept.
-    :ivar roster: storage nodes by disk.
-    :ivar retirements: how far the emptying of storage nodes has come, by name.
-    :ivar owners: owners of shards, by incarnation.
-    :ivar shards_roster_index: the roster's index as shards were last assigned.
-    :ivar leaving: endpoints that leave, the oldest first; those that have left stand in `gone`.
+    :ivar config_hashes: by configuration version, the hash of the call that set it; oldest first.
+    :ivar forgotten_version: the newest configuration version whose hash has been discarded.
+    :ivar roster: storage nodes by disk id.
+    :ivar retirements: progress of storage node retirements, by node name.
+    :ivar owners: shard owners, by incarnation.
+    :ivar shards_roster_index: the roster's index when shards were last assigned.
+    :ivar leaving: endpoints that are leaving, oldest first; those that have left are in `gone`.
     """
 
     def __init__(self) -> None:
@@ -106,7 +107,7 @@
         self._changed_departures: dict[str, DepartureRank] = {}
 
     def to_json(self) -> Json:
-        """A snapshot: the JSON object of files and frames, in the order of its first version."""
+        """Return a snapshot as stored in files and sent in frames, in the key order of its first version."""
         return {
             "index": self.index,
             "edition": self.config_version,
@@ -128,7 +129,7 @@
         }
 
     def from_json(self, snapshot: Json) -> None:
-        """Take over a snapshot of this version or an earlier one; what it lacks stays as it is."""
+        """Restore a snapshot of this version or an earlier one; fields that it lacks keep their values."""
         body = {**self.to_json(), **_upgraded(snapshot)}
         self.index = body["index"]
         self.config_version, self.config = body["edition"], body["config"]
@@ -146,9 +147,9 @@
         self._changed_departures = {name: self.departure(name) for name in (*self.leaving, *self.gone)}
 
     def apply_entry(self, index: int, command: Json) -> Json:
-        """Apply a committed entry of the log, in its JSON form.
+        """Apply a committed log entry in its JSON form.
 
-        :returns: the JSON form of a `CommandResult`, for whoever proposed the command.
+        :returns: the JSON form of a `CommandResult`, for the proposer of the command.
         """
         return self.apply(index, command_from_wire(command)).to_wire()
 
@@ -169,10 +170,10 @@
                 return self._drain_endpoints(index, command)
 
     def check_config(self, base_version: int, version: int, call_hash: str) -> CommandResult:
-        """What applying a configuration would come to now.
+        """Return the result that applying a configuration would have now.
 
-        A call whose hash may have been forgotten gets no final answer, since it may have been applied. One on
-        top of the version in force was not, whatever its own version.
+        A call whose hash may have been discarded gets no final answer (503), since it may have been applied.
+        A call based on the version in force cannot have been applied, whatever its own version.
         """
         applied = self.config_hashes.get(version)
         if applied is not None and applied.call_hash == call_hash:
@@ -210,7 +211,8 @@
         for disk, store in command.entries.items():
             current = roster.get(disk)
             state_index = current.state_index if current and current.state is store.state else index
-            # Owners that act under this shard table or a newer one know the disk; it must reject older ones.
+            # Owners that use this shard table or a newer one know the disk; it must reject writes under older
+            # tables.
             table_index = self.shards_index if current is None else current.table_index or 0
             roster[disk] = replace(store, state_index=state_index, table_index=table_index)
         for disk in command.dropped:
@@ -223,7 +225,7 @@
     def _retire_store(self, index: int, command: RetireStore) -> CommandResult:
         name = command.name
         disks = {disk: store for disk, store in self.roster.items() if store.name == name}
-        # A node that is away for now exists all the same, and is still to be emptied once it is back.
+        # A node whose disks are all marked as lost still exists, and has to be retired once it returns.
         present = {disk: store for disk, store in disks.items() if store.state is not StoreState.LOST}
         affected = present or disks
         has_full = any(store.state is StoreState.FULL for store in affected.values())
@@ -236,7 +238,7 @@
         return self._update_roster(index, UpdateRoster(retiring))
 
     def _assign_shards(self, index: int, command: AssignShards) -> CommandResult:
-        """The index of the command is the fencing token that the new owners act under."""
+        """Assign shards to new owners, with the index of the command as their fencing token."""
         self.owners = dict(command.owners)
         shards = list(self.shards) or [ShardEntry("", 0, "")] * SHARDS
         for owner, numbers in command.assignments.items():
@@ -266,7 +268,7 @@
             del departures[next(iter(departures))]
 
     def departure(self, name: str) -> DepartureRank:
-        """How far an endpoint's departure has come; rank and sequence 0 where none is known."""
+        """Return the progress of an endpoint's departure; rank and sequence are 0 if none is known."""
         if name in self.gone:
             return DepartureRank(EndpointRank.GONE, self.gone[name].sequence)
         if name in self.leaving:
@@ -274,6 +276,6 @@
         return DepartureRank(EndpointRank.READY, 0)
 
     def take_changed_departures(self) -> dict[str, DepartureRank]:
-        """The departures that have changed since the last call, or all of them after a snapshot."""
+        """Return the departures that changed since the last call, or all after a snapshot was restored."""
         changed, self._changed_departures = self._changed_departures, {}
         return changed
--- a/amberlug/cluster/control/command_service.py
+++ b/amberlug/cluster/control/command_service.py
@@ -1,4 +1,4 @@
-"""Commands of operators and endpoints: forwarded to the leader, and carried out there."""
+"""Commands of operators and endpoints: forwarded to the leader and executed there."""
 
 from __future__ import annotations
 
@@ -34,10 +34,10 @@
 from amberlug.cluster.interfaces import RequestFailure
 from amberlug.cluster.rpc.messages import Responder, handles, request
 
-FORWARD_TIMEOUT_S = 0.9  # for the leader to carry out a command: callers wait for a second
-MAX_CAUSES = 20  # errors of a configuration that one reply names
-# Rejections by `ClusterState.check_config` whatever the configuration says: another version is in force, or
-# it is no longer known whether the call was applied.
+FORWARD_TIMEOUT_S = 0.9  # for the leader to execute a command: callers wait for one second
+MAX_CAUSES = 20  # configuration errors listed in one reply
+# Rejections by `ClusterState.check_config` that do not depend on the content of the configuration: another
+# version is in force, or it is no longer known whether the call was applied.
 FINAL_STATUSES = (412, 503)
 
 OutcomeCallback: TypeAlias = Callable[[Result[CommandOutcome, ProposalRejected]], None]
@@ -46,7 +46,7 @@
 
 
 class CommandExecutor:
-    """Carries commands out on the leader."""
+    """Executes commands on the leader."""
 
     def __init__(self, context: ControlContext, reconciler: Reconciler) -> None:
         self._runtime, self._raft, self._quorum = context.runtime, context.raft, context.quorum
@@ -55,9 +55,9 @@
         self._clock_advanced_at_s = 0.0  # when this node last advanced the replicated clock
 
     def execute(self, command: SubmittedCommand, on_outcome: OutcomeCallback) -> None:
-        """Carry out a command; this node leads, or did so a moment ago.
+        """Execute a command; this node is the leader, or was until a moment ago.
 
-        :param on_outcome: called once the outcome is committed, or cannot be known here.
+        :param on_outcome: called when the outcome is committed, or cannot be determined on this node.
         """
         match command:
             case SubmitRetirement():
@@ -70,14 +70,15 @@
                 self.when_confirmed(lambda: self._change_config(command, on_outcome), on_outcome)
 
     def _propose(self, command: Command, on_result: ResultCallback) -> None:
-        """Have a command committed and applied."""
+        """Propose a command, and report its result once it is applied."""
         self._raft.propose(command.to_wire(), lambda outcome: on_result(outcome.map(CommandResult.from_wire)))
 
     def when_confirmed(self, action: Callable[[], None], on_outcome: OutcomeCallback) -> None:
-        """Act once the state here is confirmed to be as new as a majority's; no reply may be older.
+        """Run an action once the local state is confirmed to be as recent as a majority's.
 
-        A new leader's state may lack what the one before it committed, and a deposed leader knows nothing of
-        what came since. A rejection ends a command for good, so it needs as much as an acknowledgement.
+        No reply may be based on an older state: a new leader may not have applied everything that its
+        predecessor committed, and a deposed leader lacks everything committed since. A rejection is final, so
+        it needs the same confirmation as an acknowledgement.
         """
 
         def receive(index: int | None) -> None:
@@ -92,7 +93,7 @@
         return ConfirmedState(self._cluster_state.config, self._cluster_state.retirements)
 
     def _timed(self, command: TimedCommand) -> TimedCommand:
-        """The command, advancing the replicated clock by the time that this node led since it last did so."""
+        """Make a command advance the replicated clock by the time led by this node since the last advance."""
         now_s, since_s = self._runtime.now(), max(self._clock_advanced_at_s, self._raft.leader_since)
         self._clock_advanced_at_s = now_s
         return with_elapsed(command, round(now_s - since_s, 3))
@@ -105,14 +106,14 @@
             cause = f"too few stores would be left without {name}"
             on_result(Ok(CommandResult.rejected(409, cause)))
         elif not is_on_roster and name in self._sessions.members(self._runtime.now()):
-            # It has come, and is not on the roster yet: the caller is to try again.
+            # The node has a session but is not on the roster yet: the caller has to retry.
             on_result(Err(self._raft.rejection(RejectionReason.NOT_LEADER)))
         else:
             self._propose(RetireStore(name), on_result)
 
     def _change_config(self, command: SubmitConfig, on_result: ResultCallback) -> None:
         base_version = command.base_version
-        version: Any = command.data.get("edition")  # validated after a repeated call is recognized
+        version: Any = command.data.get("edition")  # validated only after the check for a repeated call
         call_hash = digest({"word": command.name, "base": base_version, "data": command.data})
         checked = ACCEPTED
         if isinstance(version, int):
@@ -131,14 +132,14 @@
         self._propose(self._timed(replacement), on_result)
 
     def _requested_config(self, command: SubmitConfig) -> Result[ConfigDocument, ConfigErrors]:
-        """The whole configuration that a command asks for, or all its errors."""
+        """Return the complete configuration that a command requests, or all its errors."""
         if command.call is ConfigCall.REPLACE:
             return validate(command.data)
         return apply_change(self._cluster_state.config, command.data).and_then(validate)
 
 
 class CommandService:
-    """Submits commands to the leader, wherever it is."""
+    """Submits commands to the leader, whichever node that is."""
 
     def __init__(self, context: ControlContext, executor: CommandExecutor) -> None:
         self._runtime, self._raft, self._quorum = context.runtime, context.raft, context.quorum
@@ -149,24 +150,24 @@
         self._submit_change(command, on_result)
 
     def retire_store(self, name: str, on_result: ResultCallback) -> None:
-        """Have a storage node emptied."""
+        """Start the retirement of a storage node."""
         self._submit_change(SubmitRetirement(name), on_result)
 
     def drain_endpoints(self, drains: Sequence[EndpointDrain], on_result: ResultCallback) -> None:
-        """Replicate that endpoints leave, or have left."""
+        """Replicate that endpoints are leaving or have left."""
         self._submit_change(SubmitDrains(drains), on_result)
 
     def read_state(self, on_state: StateCallback) -> None:
-        """Read the state that a majority has confirmed."""
+        """Read the state as confirmed by a majority."""
         self.submit(ReadState(), lambda outcome: on_state(outcome.map(_as_state)))
 
     def _submit_change(self, command: SubmittedCommand, on_result: ResultCallback) -> None:
         self.submit(command, lambda outcome: on_result(outcome.map(_as_result)))
 
     def submit(self, command: SubmittedCommand, on_outcome: OutcomeCallback) -> None:
-        """Carry out a command here where this node leads, else forward it to the leader once.
+        """Execute a command if this node is the leader, else forward it to the leader once.
 
-        Nobody sends it again: where the outcome is unknown, only its caller may do so.
+        The control plane never retries a command: if the outcome is unknown, only the caller may do so.
         """
         if self._raft.role is Role.LEADER:
             self._executor.execute(command, on_outcome)
@@ -183,7 +184,7 @@
 
     @handles(ForwardCommand)
     def on_forward_command(self, message: ForwardCommand, origin: str, respond: Responder) -> None:
-        """Carry out a command that another control-plane node forwards."""
+        """Execute a command that another control-plane node forwards."""
 
         def reply(outcome: Result[CommandOutcome, ProposalRejected]) -> None:
             respond(CommandReply(outcome.ok_value if isinstance(outcome, Ok) else None))
@@ -197,7 +198,7 @@
 def _outcome_of(
     reply: Result[CommandReply, RequestFailure], leader_id: str
 ) -> Result[CommandOutcome, ProposalRejected]:
-    """What the leader's reply to a forwarded command says of its outcome."""
+    """Return the outcome of a forwarded command from the leader's reply."""
     if isinstance(reply, Err):
         return Err(ProposalRejected(RejectionReason.OUTCOME_UNKNOWN, leader_id=leader_id))
     outcome = reply.ok_value.outcome
@@ -207,10 +208,10 @@
 
 
 def _as_result(outcome: CommandOutcome) -> CommandResult:
-    assert isinstance(outcome, CommandResult), "a change is answered by its result"
+    assert isinstance(outcome, CommandResult), "the outcome of a change must be a CommandResult"
     return outcome
 
 
 def _as_state(outcome: CommandOutcome) -> ConfirmedState:
-    assert isinstance(outcome, ConfirmedState), "a read is answered by the state"
+    assert isinstance(outcome, ConfirmedState), "the outcome of a read must be a ConfirmedState"
     return outcome
--- a/amberlug/cluster/control/commands.py
+++ b/amberlug/cluster/control/commands.py
@@ -1,6 +1,7 @@
-"""Commands of the replicated log: what the leader proposes and each replica applies.
+"""Commands of the replicated log, which the leader proposes and every replica applies.
 
-`do` names the command in the log; its values and the JSON fields are kept for replicas of other versions.
+`do` is the name of a command in the log. Its values and the JSON fields must not change, since replicas of
+other versions read them.
 """
 
 from __future__ import annotations
@@ -22,7 +23,7 @@
 
 
 def _elapsed_s(body: Json) -> float:
-    """By how many seconds a command of the log advances the replicated clock; it never goes back."""
+    """Return the seconds by which a command advances the replicated clock; it never goes backward."""
     return max(0.0, float(body.get("after", 0.0)))
 
 
@@ -30,9 +31,10 @@
 class ReplaceConfig:
     """Put a configuration in force.
 
-    :param base_version: the version that the operator saw; the command is void under any other.
-    :param call_hash: tells a repeated call from another one with the same version.
-    :param elapsed_s: by how many seconds the replicated clock advances.
+    :param base_version: the version that the operator based the change on; under any other one the command is
+        rejected.
+    :param call_hash: distinguishes a repeated call from a different one with the same version.
+    :param elapsed_s: seconds by which the replicated clock advances.
     """
 
     do: ClassVar[str] = "config"
@@ -43,7 +45,7 @@
     elapsed_s: float = 0.0
 
     def to_wire(self) -> Json:
-        """The JSON object of the log."""
+        """Return the JSON object of the log."""
         return {
             "do": self.do,
             "base": self.base_version,
@@ -55,13 +57,13 @@
 
     @classmethod
     def from_wire(cls, body: Json) -> ReplaceConfig:
-        """Read a command of the log."""
+        """Decode a command of the log."""
         return cls(body["base"], body["edition"], body["sum"], body["config"], _elapsed_s(body))
 
 
 @value
 class UpdateRoster:
-    """Put disks on the roster of storage nodes, change their state, or drop them."""
+    """Add disks to the roster of storage nodes, change their state, or drop them."""
 
     do: ClassVar[str] = "roster"
     entries: Mapping[str, StoreEntry] = field(default_factory=dict)
@@ -69,14 +71,14 @@
     elapsed_s: float = 0.0
 
     def to_wire(self) -> Json:
-        """The JSON object of the log; a leader sends either entries or dropped disks."""
+        """Return the JSON object of the log; a leader sends either entries or dropped disks."""
         if self.dropped:
             return {"do": self.do, "drop": list(self.dropped)}
         return {"do": self.do, "set": roster_to_wire(self.entries)}
 
     @classmethod
     def from_wire(cls, body: Json) -> UpdateRoster:
-        """Read a command of the log."""
+        """Decode a command of the log."""
         return cls(
             roster_from_wire(body.get("set", {})),
             tuple(body.get("drop", ())),
@@ -86,28 +88,28 @@
 
 @value
 class RetireStore:
-    """Have a storage node emptied."""
+    """Start the retirement of a storage node."""
 
     do: ClassVar[str] = "retire"
     name: str
     elapsed_s: float = 0.0
 
     def to_wire(self) -> Json:
-        """The JSON object of the log."""
+        """Return the JSON object of the log."""
         return {"do": self.do, "name": self.name}
 
     @classmethod
     def from_wire(cls, body: Json) -> RetireStore:
-        """Read a command of the log."""
+        """Decode a command of the log."""
         return cls(body["name"], _elapsed_s(body))
 
 
 @value
 class AssignShards:
-    """Give shards to owners.
+    """Assign shards to owners.
 
-    :param owners: every owner from now on, by incarnation.
-    :param assignments: the numbers of the shards that change hands, by their new owner.
+    :param owners: all owners after the command, by incarnation.
+    :param assignments: numbers of the shards that change owner, by their new owner.
     """
 
     do: ClassVar[str] = "give"
@@ -116,7 +118,7 @@
     elapsed_s: float = 0.0
 
     def to_wire(self) -> Json:
-        """The JSON object of the log."""
+        """Return the JSON object of the log."""
         return {
             "do": self.do,
             "owners": {name: owner.to_wire() for name, owner in self.owners.items()},
@@ -125,16 +127,16 @@
 
     @classmethod
     def from_wire(cls, body: Json) -> AssignShards:
-        """Read a command of the log."""
+        """Decode a command of the log."""
         owners = {name: OwnerEntry.from_wire(owner) for name, owner in body["owners"].items()}
         return cls(owners, body["give"], _elapsed_s(body))
 
 
 @value
 class DrainEndpoints:
-    """Endpoints leave, or have left.
+    """Record that endpoints are leaving or have left.
 
-    :param elapsed_s: by how many seconds the replicated clock advances.
+    :param elapsed_s: seconds by which the replicated clock advances.
     """
 
     do: ClassVar[str] = "drain"
@@ -142,18 +144,18 @@
     elapsed_s: float = 0.0
 
     def to_wire(self) -> Json:
-        """The JSON object of the log."""
+        """Return the JSON object of the log."""
         return {"do": self.do, "ids": [list(drain) for drain in self.drains], "after": self.elapsed_s}
 
     @classmethod
     def from_wire(cls, body: Json) -> DrainEndpoints:
-        """Read a command of the log."""
+        """Decode a command of the log."""
         drains = tuple(EndpointDrain(*row) for row in body["ids"])
         return cls(drains, _elapsed_s(body))
 
 
 Command = ReplaceConfig | UpdateRoster | RetireStore | AssignShards | DrainEndpoints
-TimedCommand = ReplaceConfig | DrainEndpoints  # those that advance the replicated clock
+TimedCommand = ReplaceConfig | DrainEndpoints  # commands that advance the replicated clock
 
 _READERS: Mapping[str, Callable[[Json], Command]] = {
     ReplaceConfig.do: ReplaceConfig.from_wire,
@@ -165,13 +167,13 @@
 
 
 def command_from_wire(body: Json) -> Command:
-    """Read a command of the log.
+    """Decode a command of the log.
 
-    :raises KeyError: where no version of this program knows the command, or a field is missing.
+    :raises KeyError: if the command is unknown, or a field is missing.
     """
     return _READERS[body["do"]](body)
 
 
 def with_elapsed(command: TimedCommand, elapsed_s: float) -> TimedCommand:
-    """The command, advancing the replicated clock by so many seconds."""
+    """Return the command with the seconds by which it advances the replicated clock."""
     return replace(command, elapsed_s=elapsed_s)
--- a/amberlug/cluster/control/config_service.py
+++ b/amberlug/cluster/control/config_service.py
@@ -1,4 +1,4 @@
-"""The configuration over HTTP: Replace, Modify and Read of the control API."""
+"""HTTP calls for the configuration: Replace, Modify and Read of the control API."""
 
 from __future__ import annotations
 
@@ -18,24 +18,24 @@
 
 
 class ConfigService:
-    """Calls of operators that replace, change and read the configuration."""
+    """Handles operators' calls that replace, modify and read the configuration."""
 
     def __init__(self, commands: CommandService, cluster_state: ClusterState, counters: Counters) -> None:
         self._commands, self.cluster_state, self._counters = commands, cluster_state, counters
 
     @api_call("POST", "/-/Configuration.Replace")
     def replace(self, request: HttpRequest, name: str, respond: RespondHttp) -> None:
-        """Put a whole configuration in force."""
+        """Put a complete configuration in force."""
         self._change(ConfigCall.REPLACE, request, respond)
 
     @api_call("POST", "/-/Configuration.Modify")
     def modify(self, request: HttpRequest, name: str, respond: RespondHttp) -> None:
-        """Change named items of the configuration."""
+        """Change individual items of the configuration."""
         self._change(ConfigCall.MODIFY, request, respond)
 
     @api_call("GET", "/-/Configuration.Read")
     def read(self, request: HttpRequest, name: str, respond: RespondHttp) -> None:
-        """Reply with the newest configuration, confirmed by a majority."""
+        """Reply with the current configuration as confirmed by a majority."""
 
         def receive(result: Result[ConfirmedState, ProposalRejected]) -> None:
             if isinstance(result, Err):
@@ -61,7 +61,7 @@
 
         def receive(result: Result[CommandResult, ProposalRejected]) -> None:
             if isinstance(result, Err):
-                # It is not known yet whether it is in force: the caller sends it again unchanged.
+                # The change may or may not have been committed: the caller repeats the call unchanged.
                 cause = f"no answer of a majority: {result.err_value.reason.value}"
                 respond(HttpResponse(503, {"cause": cause}, 1))
                 return
--- a/amberlug/cluster/control/config_validation.py
+++ b/amberlug/cluster/control/config_validation.py
@@ -1,4 +1,4 @@
-"""Validation of operators' configurations: all errors of a configuration, each with its path."""
+"""Validation of operators' configurations, which reports all errors with their paths."""
 
 from __future__ import annotations
 
@@ -12,27 +12,27 @@
 from amberlug.cluster.control.state_entries import ConfigDocument
 from amberlug.cluster.values import value
 
-MAX_CONFIG_BYTES = 4 << 20  # a large table, and far below what a log entry may have
+MAX_CONFIG_BYTES = 4 << 20  # enough for a large table, and far below the limit of a log entry
 MAX_NESTING = 32  # levels; no table needs more than five
 TABLES = ("routeTable", "serviceTable")
-ROOT_PATH = "configuration"  # the path of errors that no field has
+ROOT_PATH = "configuration"  # the path of errors that belong to no field
 
 JsonPairs: TypeAlias = list[tuple[str, Any]]
-"""Names and values of one JSON object in their order, as the decoder gives them."""
+"""Names and values of one JSON object in document order, as the decoder passes them."""
 
 
 @value
 class ConfigError:
     """An error of a configuration.
 
-    :param path: where it is: fields and positions in tables, with dots between.
+    :param path: its location: field names and positions in tables, separated by dots.
     """
 
     path: str
     message: str
 
     def __str__(self) -> str:
-        """The error as operators read it."""
+        """Return the error as displayed to operators."""
         return f"{self.path}: {self.message}"
 
 
@@ -117,7 +117,7 @@
 
 
 def _schema_errors(error: t.DataError, path: str = "") -> ConfigErrors:
-    """The errors of a check, each with its path, in the order of the fields."""
+    """Flatten a schema error into errors with paths, in the order of the fields."""
     detail = error.error
     if not isinstance(detail, dict):
         return [ConfigError(path or ROOT_PATH, str(detail))]
@@ -128,7 +128,7 @@
 
 
 def _nesting(value: object, level: int = 0) -> int:
-    """Levels of nesting, counted no further than what is too many."""
+    """Return the number of nesting levels; counting stops just above the maximum."""
     if level > MAX_NESTING or not isinstance(value, dict | list):
         return level
     children = value.values() if isinstance(value, dict) else value
@@ -136,9 +136,9 @@
 
 
 def _object_without_duplicates(pairs: JsonPairs) -> ConfigDocument:
-    """A JSON object.
+    """Build a JSON object from its pairs.
 
-    :raises ValueError: where a name stands twice.
+    :raises ValueError: if a name occurs twice.
     """
     document = dict(pairs)
     if len(document) != len(pairs):
@@ -147,7 +147,7 @@
 
 
 def parse(body: bytes) -> Result[ConfigDocument, ConfigErrors]:
-    """Read a request's body as one JSON object.
+    """Parse a request body as one JSON object.
 
     :returns: the object, or the errors.
     """
@@ -169,7 +169,7 @@
 
 
 def _duplicates(table: str, keys: Sequence[Hashable], description: str) -> ConfigErrors:
-    """An error for each row of a table whose key an earlier row has."""
+    """Return an error for each row of a table whose key is that of an earlier row."""
     first_positions: dict[Hashable, int] = {}
     errors = []
     for position, key in enumerate(keys):
@@ -181,7 +181,7 @@
 
 
 def find_errors(config: ConfigDocument) -> ConfigErrors:
-    """All errors of a whole configuration; empty for one that can be put in force."""
+    """Return all errors of a complete configuration; a valid one has none."""
     try:
         _CONFIG.check(config)
     except t.DataError as error:
@@ -200,7 +200,7 @@
 
 
 def validate(config: ConfigDocument) -> Result[ConfigDocument, ConfigErrors]:
-    """A whole configuration that can be put in force, or all its errors."""
+    """Return a complete configuration if it is valid, else all its errors."""
     errors = find_errors(config)
     return Err(errors) if errors else Ok(config)
 
@@ -208,10 +208,10 @@
 def apply_change(
     current: ConfigDocument | None, change: ConfigDocument
 ) -> Result[ConfigDocument, ConfigErrors]:
-    """The whole configuration that a change makes of the one in force.
+    """Apply a change to the configuration in force.
 
-    :param current: None where none is in force yet.
-    :returns: the configuration, which may have errors of its own, or the errors of the change.
+    :param current: the configuration in force; None if there is none yet.
+    :returns: the complete configuration, which is not validated yet, or the errors of the change.
     """
     try:
         _CHANGE.check(change)
--- a/amberlug/cluster/control/context.py
+++ b/amberlug/cluster/control/context.py
@@ -1,4 +1,4 @@
-"""What the services of one control-plane node share."""
+"""State and interfaces that the services of one control-plane node share."""
 
 from __future__ import annotations
 
@@ -18,11 +18,11 @@
 
 @value
 class ControlContext:
-    """The state and the surroundings that services of one node are made with.
+    """Dependencies of the services of one node.
 
-    :param address: where this node serves other nodes, `host:port`.
-    :param settings: the settings as they are now; operators change them while the node runs.
-    :param peers: addresses of the other control-plane nodes.
+    :param address: the address at which other nodes reach this one, `host:port`.
+    :param settings: returns the current settings; operators change them while the node runs.
+    :param peers: returns the addresses of the other control-plane nodes.
     """
 
     runtime: Runtime
--- a/amberlug/cluster/control/dead_messages.py
+++ b/amberlug/cluster/control/dead_messages.py
@@ -1,4 +1,4 @@
-"""Operators' calls for messages that ended without success, as the storage nodes have them. No I/O."""
+"""Operators' calls that read dead messages, those that ended without success, from storage nodes. No I/O."""
 
 from __future__ import annotations
 
@@ -24,14 +24,14 @@
 
 
 class DeadMessageApi:
-    """Reads messages that ended without success from the storage nodes."""
+    """Handles calls that list and read messages that ended without success."""
 
     def __init__(self, runtime: Runtime, cluster_state: ClusterState) -> None:
         self._runtime, self._cluster_state = runtime, cluster_state
 
     @api_call("GET", "/-/Foreman.Dead")
     def list_messages(self, request: HttpRequest, name: str, respond: RespondHttp) -> None:
-        """Reply with one page of messages by name, those after the query's `after`, `most` at the most."""
+        """Reply with a page of messages sorted by id: at most `most` of those after the query's `after`."""
         message = _page_request(request.target)
         if isinstance(message, Err):
             respond(HttpResponse(400, {"cause": message.err_value}))
@@ -50,7 +50,7 @@
 
     @api_call("GET", "/-/Foreman.Dead/")
     def read_message(self, request: HttpRequest, name: str, respond: RespondHttp) -> None:
-        """Reply with one message and its bytes."""
+        """Reply with one message and its body."""
 
         def receive(replies: Replies[DeadMessagesReply]) -> None:
             messages = merge_pages(replies, 1).messages
@@ -76,7 +76,7 @@
         query.finish_sending()
 
     def _read_content(self, message: DeadMessage, disks: Iterable[str], respond: RespondHttp) -> None:
-        """Reply with a message and its bytes, from any of the storage nodes that has them."""
+        """Reply with a message and its body, read from any storage node that has it."""
 
         def receive(replies: Replies[ContentReply]) -> None:
             for reply in replies.values():
@@ -95,7 +95,7 @@
 
 
 def _page_request(target: str) -> Result[DeadMessagesRequest, str]:
-    """What to ask storage nodes for, or what is wrong with the query of a request's target."""
+    """Parse the query of a request target into a request to storage nodes, or return its error."""
     query = parse_qs(target.partition("?")[2])
     after, limit = query.get("after", [""])[0], query.get("most", [str(DEAD_MESSAGES_PER_PAGE)])[0]
     if not limit.isdigit() or not 0 < int(limit) <= DEAD_MESSAGES_PER_PAGE:
@@ -105,25 +105,25 @@
 
 @value
 class DeadMessagePage:
-    """One page of messages for an operator, by name.
+    """One page of messages for an operator, sorted by id.
 
-    :param next_after: the name after which the next page begins; None after the last one.
+    :param next_after: the id after which the next page starts; None on the last page.
     """
 
     messages: Sequence[DeadMessage]
     next_after: str | None = None
 
     def to_json(self) -> Json:
-        """The page as operators get it."""
+        """Return the page as sent to operators."""
         document: Json = {"rows": [message_to_json(message) for message in self.messages]}
         return document if self.next_after is None else {**document, "after": self.next_after}
 
 
 def merge_pages(replies: Replies[DeadMessagesReply], limit: int) -> DeadMessagePage:
-    """One page made of the pages of those storage nodes that replied, with `limit` messages at the most."""
+    """Merge the pages of the storage nodes that replied into one page of at most `limit` messages."""
     pages = [reply.ok_value for reply in replies.values() if isinstance(reply, Ok)]
     messages: dict[str, DeadMessage] = {}
-    page_ends: list[str] = []  # last names of pages that were cut off: what follows them may be missing
+    page_ends: list[str] = []  # last ids of truncated pages: messages after them may be missing
     for page in pages:
         for message in page.messages:
             known = messages.get(message.message_id)
@@ -139,12 +139,12 @@
 
 
 def _knows_more(message: DeadMessage, other: DeadMessage) -> bool:
-    """Whether a storage node stored the message, where another one was notified only of its end."""
+    """Whether a message has the metadata that `other` lacks, whose node was notified only of the outcome."""
     return bool(message.metadata and not other.metadata.get("m"))
 
 
 def message_to_json(message: DeadMessage) -> Json:
-    """A message as operators get it; names of its metadata are those of `dispatch.message`."""
+    """Return a message as sent to operators; the metadata keys are defined by `dispatch.message`."""
     metadata = message.metadata
     return {
         "id": message.message_id,
--- a/amberlug/cluster/control/endpoint_api.py
+++ b/amberlug/cluster/control/endpoint_api.py
@@ -1,4 +1,4 @@
-"""Endpoints' calls: Instances.Announce and Instances.Deregister of the control API."""
+"""HTTP calls of endpoints: Instances.Announce and Instances.Deregister of the control API."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 class EndpointApi:
-    """Calls of endpoints that announce themselves, leave, and have left."""
+    """Handles endpoints' announcements and deregistrations."""
 
     def __init__(self, context: ControlContext, commands: CommandService) -> None:
         self._runtime, self.raft, self._quorum = context.runtime, context.raft, context.quorum
@@ -36,10 +36,10 @@
 
     @api_call("POST", "/-/Instances.Announce/")
     def announce(self, request: HttpRequest, name: str, respond: RespondHttp) -> None:
-        """Receive an endpoint's announcement that it is ready, or that it leaves."""
+        """Handle an endpoint's heartbeat, or its announcement that it is leaving."""
         self._counters.increment("endpoint heartbeats")
         if not self._quorum.is_in_contact:
-            # The endpoint calls another control-plane node then.
+            # On this reply the endpoint calls another control-plane node.
             respond(HttpResponse(503, {"cause": "no contact with a majority"}, 1))
             return
         arguments = read_json_object(request, respond, MAX_ANNOUNCEMENT_BYTES)
@@ -60,13 +60,13 @@
 
     @api_call("POST", "/-/Instances.Deregister/")
     def deregister(self, request: HttpRequest, name: str, respond: RespondHttp) -> None:
-        """Receive an endpoint's announcement that it has left."""
+        """Handle the deregistration of an endpoint that has left."""
         endpoint = self.registry.find(name)
         sequence = endpoint.sequence if endpoint is not None else 0
         self.depart(name, DepartureRank(EndpointRank.GONE, sequence), None, respond)
 
     def heartbeat_address(self, zone: str) -> str:
-        """The control address of a responsive control-plane node in a zone; empty where there is none."""
+        """Return the control address of a responsive control-plane node in a zone; empty if there is none."""
         now_s = self._runtime.now()
         for name, member in sorted(self.raft.members.items()):
             if member.zone != zone or not member.control_address:
@@ -83,9 +83,9 @@
         announcement: EndpointAnnouncement | None,
         respond: RespondHttp,
     ) -> None:
-        """Announce a departure to all nodes at once, and acknowledge it once it is committed.
+        """Gossip a departure to all nodes immediately, and acknowledge it once it is committed.
 
-        A departure that one node alone knew of would be lost together with that node.
+        A departure known to this node alone would be lost if the node failed.
         """
         if self._cluster_state.departure(name).rank >= departure.rank:
             respond(HttpResponse(200, {}))
@@ -95,7 +95,7 @@
         def receive(result: Result[CommandResult, ProposalRejected]) -> None:
             if isinstance(result, Ok):
                 is_leaving = departure.rank == EndpointRank.LEAVING
-                logging.info("endpoint %s %s", name, "leaves" if is_leaving else "has left")
+                logging.info("endpoint %s %s", name, "is leaving" if is_leaving else "has left")
                 respond(HttpResponse(200, {}))
             else:
                 respond(unconfirmed())
--- a/amberlug/cluster/control/endpoint_registry.py
+++ b/amberlug/cluster/control/endpoint_registry.py
@@ -1,4 +1,4 @@
-"""The endpoints of a zone: what they announce, which have timed out, which leave. No I/O."""
+"""Registry of endpoints: their announcements, heartbeat timeouts and departures. No I/O."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 from amberlug.cluster.interfaces import Json, Runtime
 from amberlug.cluster.values import value
 
-MISSED_HEARTBEATS = 3.2  # an endpoint that misses so many heartbeats gets no more calls
+MISSED_HEARTBEATS = 3.2  # heartbeat intervals without a heartbeat after which an endpoint gets no more calls
 MAX_ANNOUNCEMENT_BYTES = 4096
 CONDITION_BY_RANK = (EndpointCondition.READY, EndpointCondition.DRAINING, EndpointCondition.GONE)
 
@@ -43,11 +43,11 @@
 
 @value
 class EndpointAnnouncement:
-    """An endpoint's announcement of itself.
+    """An announcement that an endpoint makes of itself.
 
-    :param version: the endpoint's own, as it states it.
-    :param capacity: how many calls it takes at a time.
-    :param sequence: the endpoint's number of this announcement; it never decreases.
+    :param version: the endpoint's own version, as it reports it.
+    :param capacity: maximum number of concurrent calls.
+    :param sequence: the endpoint's sequence number of this announcement; it never decreases.
     """
 
     service: str
@@ -61,11 +61,11 @@
 
     @property
     def is_ready(self) -> bool:
-        """Whether it takes calls, and does not leave."""
+        """Whether it accepts calls, rather than leaving."""
         return self.condition == EndpointCondition.READY
 
     def published(self, condition: str) -> PublishedEndpoint:
-        """What is published of the endpoint, in a condition."""
+        """Return the published entry of the endpoint in the given condition."""
         return PublishedEndpoint(
             self.service,
             self.address,
@@ -77,15 +77,15 @@
         )
 
 
-# Stands for an endpoint of which only the departure is known.
+# Placeholder for an endpoint of which only the departure is known.
 _UNKNOWN = EndpointAnnouncement("", "", "", "", 0, "", 0, 0)
 
 
 @value
 class KnownEndpoint:
-    """An endpoint's newest entry in gossip.
+    """The newest gossip entry of an endpoint.
 
-    :param body: the entry as it was published; it may have fields of other versions of this program.
+    :param body: the entry as published; it may contain fields of other versions.
     """
 
     rank: int
@@ -94,11 +94,11 @@
 
     @property
     def is_ready(self) -> bool:
-        """Whether it takes calls: it neither leaves nor has timed out."""
+        """Whether it accepts calls: it is neither leaving nor timed out."""
         return self.rank == EndpointRank.READY and condition_of(self.body) == EndpointCondition.READY
 
     def has_same_service(self, announcement: EndpointAnnouncement) -> bool:
-        """Whether service, address and capacity are those of an announcement."""
+        """Whether service, address and capacity match those of an announcement."""
         published = PublishedEndpoint.from_wire(self.body)
         return (published.service, published.address, published.capacity) == (
             announcement.service,
@@ -108,9 +108,9 @@
 
 
 def read_announcement(body: object) -> Result[EndpointAnnouncement, str]:
-    """Check an announcement's JSON.
+    """Validate the JSON of an announcement.
 
-    :returns: the announcement, or what is wrong with it, field by field.
+    :returns: the announcement, or its errors by field.
     """
     try:
         checked = _ANNOUNCEMENT.check(body)
@@ -134,11 +134,11 @@
 
 
 class EndpointRegistry:
-    """What one control-plane node knows of endpoints; gossip carries it to all nodes.
+    """The endpoints that one control-plane node knows; gossip distributes their entries to all nodes.
 
-    :ivar timeout_s: seconds without a heartbeat until an endpoint has timed out.
-    :ivar last_heartbeat_s: when each endpoint's last heartbeat came, here or at another control-plane node.
-    :ivar unreported_heartbeats: endpoints whose heartbeats came here since the last report to the others.
+    :ivar timeout_s: seconds without a heartbeat after which an endpoint has timed out.
+    :ivar last_heartbeat_s: time of each endpoint's last heartbeat, at this or another control-plane node.
+    :ivar unreported_heartbeats: endpoints whose heartbeats arrived here since the last report to the others.
     """
 
     def __init__(self, runtime: Runtime, gossip: GossipStore, heartbeat_interval_s: float) -> None:
@@ -148,7 +148,7 @@
         self.unreported_heartbeats: set[str] = set()
 
     def find(self, name: str) -> KnownEndpoint | None:
-        """An endpoint's newest entry; None where nothing is known of it."""
+        """Return the newest entry of an endpoint; None if it is unknown."""
         item = self.gossip.items.get(ENDPOINT_KEY_PREFIX + name)
         if item is None:
             return None
@@ -156,9 +156,9 @@
         return KnownEndpoint(rank, sequence, body)
 
     def receive_heartbeat(self, name: str, announcement: EndpointAnnouncement) -> None:
-        """Record a ready endpoint's announcement, and publish it where it changes the endpoint's entry.
+        """Record the heartbeat of a ready endpoint, and publish its entry if that changes.
 
-        It changes nothing where it is out of date, or the endpoint has announced its departure.
+        The entry is not changed if the announcement is out of date or the endpoint is already leaving.
         """
         self.last_heartbeat_s[name] = self.runtime.now()
         self.unreported_heartbeats.add(name)
@@ -175,7 +175,7 @@
     def depart(
         self, name: str, departure: DepartureRank, announcement: EndpointAnnouncement | None = None
     ) -> None:
-        """Announce to all nodes that an endpoint leaves or has left; that is never taken back."""
+        """Publish to all nodes that an endpoint is leaving or has left; this is irreversible."""
         endpoint, condition = self.find(name), CONDITION_BY_RANK[departure.rank]
         if endpoint is not None:
             body = with_condition(endpoint.body, condition)
@@ -185,28 +185,28 @@
         self.gossip.offer(ENDPOINT_KEY_PREFIX + name, [departure.rank, departure.sequence, 0], body)
 
     def apply_departure(self, name: str, departure: DepartureRank) -> None:
-        """Announce a replicated departure, where a newer one is not known already."""
+        """Publish a replicated departure, unless one at least as new is already known."""
         endpoint = self.find(name)
         if endpoint is None or (endpoint.rank, endpoint.sequence) < departure:
             self.depart(name, departure)
 
     def receive_report(self, names: Iterable[str]) -> None:
-        """Take over which endpoints' heartbeats have come to another control-plane node."""
+        """Record the heartbeats that another control-plane node has received."""
         now_s = self.runtime.now()
         for name in names:
             self.last_heartbeat_s[name] = now_s
 
     def restart_timeouts(self) -> None:
-        """Restart all timeouts: this node was out of contact, and does not know of any heartbeats."""
+        """Restart all timeouts, since this node was out of contact and may have missed heartbeats."""
         self.receive_report(list(self.last_heartbeat_s))
 
     def pop_unreported_heartbeats(self) -> Sequence[str]:
-        """The endpoints whose heartbeats have come here since the last call, by name."""
+        """Return the names of the endpoints whose heartbeats arrived here since the last call, sorted."""
         names, self.unreported_heartbeats = sorted(self.unreported_heartbeats), set()
         return names
 
     def expire(self, on_timeout: Callable[[str], None]) -> None:
-        """Announce to all nodes which endpoints have timed out."""
+        """Publish to all nodes which endpoints have timed out."""
         now_s = self.runtime.now()
         for key in [key for key in self.gossip.items if key.startswith(ENDPOINT_KEY_PREFIX)]:
             name = key.removeprefix(ENDPOINT_KEY_PREFIX)
--- a/amberlug/cluster/control/initial_state.py
+++ b/amberlug/cluster/control/initial_state.py
@@ -1,4 +1,4 @@
-"""What an empty disk of a control-plane node starts with."""
+"""Initial persistent state of a control-plane node with an empty disk."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def founding_members(settings: Settings) -> Members:
-    """The members that found the cluster: the seeds of the first start, each in its founding incarnation."""
+    """Return the founding members: the seeds of the first start, each in its founding incarnation."""
     seeds = zip(settings.seeds, seed_addresses(settings), strict=True)
     return Members(
         {
@@ -24,9 +24,9 @@
 
 
 def blank(settings: Settings, random_bits: Callable[[int], int]) -> PersistentState:
-    """The state of an empty disk: a founder's at the first start, else that of a node that is to be admitted.
+    """Return the state of an empty disk: a founder's at the first start, else that of a node yet to join.
 
-    :param random_bits: returns a random integer of so many bits, which names the incarnation.
+    :param random_bits: returns a random integer of the given number of bits, to identify the incarnation.
     """
     members = founding_members(settings) if settings.first_start else Members()
     member_id = f"{settings.ip}/{FOUNDING_INCARNATION}"
--- a/amberlug/cluster/control/membership.py
+++ b/amberlug/cluster/control/membership.py
@@ -1,4 +1,4 @@
-"""Membership of the control plane: nodes join and leave, and the leader promotes and demotes voters."""
+"""Membership of the control plane: joining, leaving, and the leader's placement of voters."""
 
 from __future__ import annotations
 
@@ -20,30 +20,30 @@
 from amberlug.cluster.rpc.messages import Responder, handles, send
 from amberlug.cluster.session_client import seed_addresses
 
-JOIN_INTERVAL_S = 0.3  # between a node's attempts to become a member
-# Without a leader's message until a node asks to be admitted again: it may have been removed meanwhile.
+JOIN_INTERVAL_S = 0.3  # between a node's attempts to join
+# Time without a message from a leader after which a node asks to join again: it may have been removed.
 LEADER_TIMEOUT_S = 1.5
-REPLACEMENT_TIMEOUT_S = 0.8  # for another node to vote in the place of one that is to stop
-LEAVING_INTERVAL_S = 0.05  # between announcements that this node leaves
-LEAVING_TIMEOUT_S = 2.0  # after the last announcement a node is taken to stay after all
+REPLACEMENT_TIMEOUT_S = 0.8  # for another node to replace a voter that is shutting down
+LEAVING_INTERVAL_S = 0.05  # between announcements that this node is leaving
+LEAVING_TIMEOUT_S = 2.0  # since the last announcement, after which a node is no longer considered leaving
 
 
 class MembershipService:
-    """One node's part in the membership: its own, and as the leader that of all nodes."""
+    """Maintains this node's own membership and, on the leader, the membership of all nodes."""
 
     def __init__(self, context: ControlContext) -> None:
         self._runtime, self._raft, self._quorum = context.runtime, context.raft, context.quorum
         self._address, self._settings, self._peers = context.address, context.settings, context.peers
         self._is_changing = False
-        self._committed = 0  # the commit index at the last look at the voters
+        self._committed = 0  # the commit index at the last check of the voters
         self._is_short_of_voters = False
         self._leave_deadline_s = 0.0
-        self._leaving_at_s: dict[str, float] = {}  # members that announced that they leave, and when
+        self._leaving_at_s: dict[str, float] = {}  # by member: time of its last announcement
 
     # -- this node's own membership
 
     def leave(self) -> None:
-        """Begin a planned stop: another node leads and votes from now on, where there is one."""
+        """Begin a planned shutdown: hand leadership and vote over to another node, if there is one."""
         members = self._raft.members.values()
         if any(not member.is_voter and not member.is_superseded for member in members):
             self._leave_deadline_s = self._runtime.now() + REPLACEMENT_TIMEOUT_S
@@ -52,11 +52,11 @@
 
     @property
     def has_left(self) -> bool:
-        """Whether a node that is shutting down may stop: it votes no more, or no other node can instead."""
+        """Whether a node that shuts down may stop: it is no voter, or no node replaced it in time."""
         return self._runtime.now() >= self._leave_deadline_s or not self._raft.is_voter
 
     def _announce_leaving(self) -> None:
-        """Have the present leader replace this voter by another one."""
+        """Ask the current leader repeatedly to replace this voter."""
         if self.has_left:
             return
         leader = self._quorum.leader_address()
@@ -65,7 +65,7 @@
         self._runtime.call_later(LEAVING_INTERVAL_S, self._announce_leaving)
 
     def join(self) -> None:
-        """Have the leader know this node as it is now; one without a leader may have been removed."""
+        """Keep this node's membership entry up to date; a node without a leader may have been removed."""
         self._runtime.call_later(JOIN_INTERVAL_S, self.join)
         is_leader = self._raft.role is Role.LEADER
         is_followed = is_leader or self._runtime.now() - self._raft.leader_contact_at < LEADER_TIMEOUT_S
@@ -87,7 +87,7 @@
         return [address for address in addresses if address != self._address]
 
     def _is_up_to_date(self) -> bool:
-        """Whether the membership has this node as it is now, as a voter or not."""
+        """Whether this node's entry in the membership is current, apart from whether it is a voter."""
         member = self._raft.members.get(self._raft.member_id)
         return member is not None and member.with_vote(False) == self._description().as_learner()
 
@@ -96,11 +96,11 @@
         control = f"{settings.control[0]}:{settings.control[1]}" if settings.control else ""
         return MemberDescription(self._address, settings.name, settings.zone, settings.region, control)
 
-    # -- the leader's part
+    # -- tasks of the leader
 
     @handles(AnnounceLeaving)
     def on_leaving(self, message: AnnounceLeaving, origin: str, respond: Responder) -> None:
-        """Remember that a voter is about to stop."""
+        """Record that a voter is about to stop."""
         self._leaving_at_s[message.member_id] = self._runtime.now()
 
     @handles(JoinCluster)
@@ -113,7 +113,7 @@
             send(self._runtime, leader, forwarded)
 
     def _admit(self, message: JoinCluster) -> None:
-        """Add a node as a learner; the incarnation that had its address before is superseded."""
+        """Add a node as a learner, and mark earlier incarnations at its address as superseded."""
         joining, current = message.member_id, self._raft.members
         members = current
         for name, member in current.items():
@@ -122,10 +122,10 @@
         joined = message.member.as_learner().with_vote(current.is_voter(joining))
         members = members.with_member(joining, joined)
         if members != current:
-            self._change(members, f"{joining} is admitted")
+            self._change(members, f"{joining} joined")
 
     def _change(self, members: Members, reason: str) -> None:
-        """Propose a membership, where the one before is committed."""
+        """Propose a membership, provided that the previous one is committed."""
         if self._is_changing or not self._raft.is_membership_committed:
             return
         self._is_changing = True
@@ -138,7 +138,7 @@
         self._raft.change_members(members, receive)
 
     def adjust_voters(self) -> None:
-        """Promote or demote one voter, or remove a member, where the placement of voters asks for it."""
+        """Promote or demote one voter, or remove one member, if the placement of voters requires it."""
         tolerance = self._settings().tolerance
         statuses = self._member_statuses()
         voters = (status for status in statuses if status.is_voter)
@@ -157,7 +157,7 @@
 
     def _member_statuses(self) -> list[MemberStatus]:
         raft, now_s = self._raft, self._runtime.now()
-        # A member need not have more than what was committed at the last look: the rest is on its way.
+        # A member need only have what was committed at the previous check: later entries may be in transit.
         committed, self._committed = self._committed, raft.commit_index
         return [
             MemberStatus(
@@ -176,5 +176,5 @@
     def _report_shortage(self, is_short: bool) -> None:
         if is_short != self._is_short_of_voters:
             self._is_short_of_voters = is_short
-            outcome = "do not survive" if is_short else "survive"
-            logging.info("control-plane voters %s the failures to be tolerated", outcome)
+            outcome = "do not meet" if is_short else "meet"
+            logging.info("control-plane voters %s the configured failure tolerance", outcome)
--- a/amberlug/cluster/control/messages.py
+++ b/amberlug/cluster/control/messages.py
@@ -1,7 +1,7 @@
-"""Messages of sessions: between edge or storage nodes and a control-plane node, and reports of sessions.
+"""Session messages between edge or storage nodes and control-plane nodes, and session reports.
 
-Tags and JSON fields are a protocol between versions, so they keep names that the code has given up: `beat` is
-a heartbeat, and `hello` opens a session.
+Tags and JSON fields are part of the protocol between versions, so they keep names that the code no longer
+uses: `beat` is a heartbeat, and `hello` opens a session.
 """
 
 from __future__ import annotations
@@ -13,22 +13,22 @@
 from amberlug.cluster.rpc.messages import Body, Notification, Request
 from amberlug.cluster.values import value
 
-# Fields without which no session is opened.
+# Fields required to open a session.
 REQUIRED_FIELDS = ("name", "incarnation", "address", "machine_class", "zone", "region", "state")
-# Rows of gossip as `GossipStore` pages them; their form is the gossip package's.
+# Rows of gossip as paged by `GossipStore`; the gossip package defines their format.
 GossipRows = list[Any]
 SessionDetails: TypeAlias = dict[str, Any]
-"""What only one class of node reports of itself, as a JSON object, which is passed on as it came:
-`control.session_attributes` reads and writes those of edge and storage nodes."""
+"""Attributes that only one class of node reports, as a JSON object that is passed on unchanged:
+`control.session_attributes` encodes and decodes those of edge and storage nodes."""
 
 
 @value
 class SessionDescription:
-    """A node as it describes itself to the control-plane node that keeps its session.
+    """The description of itself that a node sends to the control-plane node that holds its session.
 
-    :param incarnation: names one run of the node's process; it changes with each start.
-    :param state: `up`, or `leaving` once a planned stop has begun.
-    :param details: what only this class of node reports, for example a storage node's disk.
+    :param incarnation: identifies one run of the node's process; it changes with each start.
+    :param state: `up`, or `leaving` once a planned shutdown has begun.
+    :param details: attributes of this class of node only, for example a storage node's disk.
     """
 
     name: str
@@ -41,7 +41,7 @@
     details: SessionDetails
 
     def to_wire(self) -> Json:
-        """The JSON object of `hello` and `beat`."""
+        """Return the JSON object of `hello` and `beat`."""
         return {
             "name": self.name,
             "incarnation": self.incarnation,
@@ -55,9 +55,9 @@
 
     @classmethod
     def from_wire(cls, body: Json) -> SessionDescription:
-        """Read a description; only name, incarnation and state are needed of a heartbeat.
+        """Decode a description; a heartbeat needs only name, incarnation and state.
 
-        :raises KeyError: where one of those is missing.
+        :raises KeyError: if one of those is missing.
         """
         return cls(
             name=str(body["name"]),
@@ -73,10 +73,10 @@
 
 @value
 class SessionReply(Body):
-    """Whether a control-plane node keeps the session, and how current its own state is.
+    """Whether a control-plane node accepts a session, and how current its own state is.
 
-    :param staleness_s: by how many seconds at most its state may be older than a majority's.
-    :param rejection: why a session was not opened; empty in every other reply.
+    :param staleness_s: upper bound in seconds of how far its state lags behind a majority's.
+    :param rejection: why a session was not opened; empty in all other replies.
     """
 
     is_accepted: bool
@@ -84,14 +84,14 @@
     rejection: str = ""
 
     def to_wire(self) -> Json:
-        """The JSON object; a rejection states no age."""
+        """Return the JSON object; a rejection contains no age."""
         if self.rejection:
             return {"ok": self.is_accepted, "cause": self.rejection}
         return {"ok": self.is_accepted, "age": self.staleness_s}
 
     @classmethod
     def from_wire(cls, body: Json, payload: bytes) -> SessionReply:
-        """Read a reply; a missing age counts as none."""
+        """Decode a reply; a missing age defaults to 0."""
         return cls(bool(body.get("ok")), float(body.get("age", 0.0)), str(body.get("cause", "")))
 
 
@@ -104,14 +104,14 @@
     node: SessionDescription
 
     def to_wire(self) -> Json:
-        """The JSON object."""
+        """Return the JSON object."""
         return self.node.to_wire()
 
     @classmethod
     def from_wire(cls, body: Json, payload: bytes) -> OpenSession:
-        """Read a request.
+        """Decode a request.
 
-        :raises KeyError: where a field other than the details is missing.
+        :raises KeyError: if a field other than the details is missing.
         """
         missing = [field for field in REQUIRED_FIELDS if field not in body]
         if missing:
@@ -121,31 +121,31 @@
 
 @value
 class Heartbeat(Request[SessionReply]):
-    """Renew a session; sent without waiting for the reply to announce a planned stop."""
+    """Renew a session; to announce a planned shutdown it is sent without waiting for the reply."""
 
     wire_tag: ClassVar[str] = "beat"
     reply_type: ClassVar[type[SessionReply]] = SessionReply
     node: SessionDescription
 
     def to_wire(self) -> Json:
-        """The JSON object, the same as that of `hello`."""
+        """Return the JSON object, the same as that of `hello`."""
         return self.node.to_wire()
 
     @classmethod
     def from_wire(cls, body: Json, payload: bytes) -> Heartbeat:
-        """Read a heartbeat.
+        """Decode a heartbeat.
 
-        :raises KeyError: where name, incarnation or state is missing.
+        :raises KeyError: if name, incarnation or state is missing.
         """
         return cls(SessionDescription.from_wire(body))
 
 
 @value
 class CurrentStateReply(Body):
-    """One page of all gossip entries, confirmed to be as new as a majority's.
+    """One page of all gossip entries, confirmed to be as recent as a majority's.
 
-    :param is_confirmed: False where no majority answered; the page is empty then.
-    :param next_key: where the next page begins; empty after the last one.
+    :param is_confirmed: False if no majority answered; the page is empty in that case.
+    :param next_key: where the next page starts; empty on the last page.
     """
 
     is_confirmed: bool
@@ -153,16 +153,16 @@
     next_key: str = ""
 
     def to_wire(self) -> Json:
-        """The JSON object."""
+        """Return the JSON object."""
         if not self.is_confirmed:
             return {"ok": False}
         return {"ok": True, "items": self.items, "next": self.next_key}
 
     @classmethod
     def from_wire(cls, body: Json, payload: bytes) -> CurrentStateReply:
-        """Read a reply.
+        """Decode a reply.
 
-        :raises KeyError: where a confirmed reply has no items.
+        :raises KeyError: if a confirmed reply has no items.
         """
         if not body.get("ok"):
             return cls(False, [])
@@ -173,7 +173,7 @@
 class ReadCurrentState(Request[CurrentStateReply]):
     """Read one page of all gossip entries once a majority has confirmed them.
 
-    :param after_key: where the page begins; empty for the first one.
+    :param after_key: where the page starts; empty for the first page.
     """
 
     wire_tag: ClassVar[str] = "newest"
@@ -181,12 +181,12 @@
     after_key: str = ""
 
     def to_wire(self) -> Json:
-        """The JSON object."""
+        """Return the JSON object."""
         return {"after": self.after_key}
 
     @classmethod
     def from_wire(cls, body: Json, payload: bytes) -> ReadCurrentState:
-        """Read a request; the first page is the default."""
+        """Decode a request; the default is the first page."""
         return cls(body.get("after", ""))
 
 
@@ -194,7 +194,7 @@
 class SessionRow:
     """A session as one control-plane node reports it to the others.
 
-    Ages stand in place of times, since clocks differ between machines.
+    It contains ages instead of times, since clocks differ between machines.
 
     :param open_for_s: seconds since the session was opened.
     :param last_heartbeat_age_s: seconds since its last heartbeat.
@@ -205,7 +205,7 @@
     last_heartbeat_age_s: float
 
     def to_wire(self) -> list[object]:
-        """The JSON array."""
+        """Return the JSON array."""
         node = self.node
         return [
             node.name,
@@ -222,14 +222,14 @@
 
     @classmethod
     def from_wire(cls, row: list[Any]) -> SessionRow:
-        """Read a row.
+        """Decode a row.
 
-        :raises ValueError: where it has another number of columns.
+        :raises ValueError: if the number of columns is wrong.
         """
         name, incarnation, address, machine_class, zone, region, state, open_for_s, last_s, details = row
-        assert isinstance(open_for_s, int | float), "ages are numbers"
-        assert isinstance(last_s, int | float), "ages are numbers"
-        assert isinstance(details, dict), "details are an object"
+        assert isinstance(open_for_s, int | float), "open_for_s must be a number"
+        assert isinstance(last_s, int | float), "last_heartbeat_age_s must be a number"
+        assert isinstance(details, dict), "details must be a JSON object"
         node = SessionDescription(
             str(name),
             str(incarnation),
@@ -256,7 +256,7 @@
     has_contact: bool
 
     def to_wire(self) -> Json:
-        """The JSON object."""
+        """Return the JSON object."""
         return {
             "rows": [row.to_wire() for row in self.rows],
             "seen": list(self.endpoints),
@@ -265,6 +265,6 @@
 
     @classmethod
     def from_wire(cls, body: Json, payload: bytes) -> SessionReport:
-        """Read a report; a sender that does not state its contact is taken to have it."""
+        """Decode a report; a sender that does not report its contact is assumed to be in contact."""
         rows = tuple(SessionRow.from_wire(row) for row in body["rows"])
         return cls(rows, tuple(body["seen"]), bool(body.get("contact", True)))
--- a/amberlug/cluster/control/node.py
+++ b/amberlug/cluster/control/node.py
@@ -1,4 +1,4 @@
-"""A control-plane node: a replica of the log, its services, and the leader's roles while it leads. No I/O."""
+"""A control-plane node: a replica of the log, its services, and the leader's tasks. No I/O."""
 
 from __future__ import annotations
 
@@ -34,14 +34,14 @@
 
 __all__ = ["ControlNode", "blank"]
 
-# Keys of gossip that other control-plane nodes have by their log, and that are large.
+# Gossip keys with large values, which other control-plane nodes receive through the log.
 REPLICATED_KEYS = (CONFIG_KEY,)
 
 
 class ControlNode:
-    """Wires the parts of one control-plane node.
+    """Assembles the components of one control-plane node.
 
-    :ivar handlers: handlers of frames by their wire tag.
+    :ivar handlers: frame handlers by wire tag.
     :ivar admin_api: the HTTP calls of operators and endpoints.
     :ivar counters: the node's metrics.
     """
@@ -111,7 +111,7 @@
             for tag, handler in handlers_of(component).items()
         }
 
-    # -- the node's process
+    # -- lifecycle
 
     def begin(self) -> None:
         """Start all timers."""
@@ -123,7 +123,7 @@
         self.membership.join()
 
     def begin_shutdown(self) -> None:
-        """Begin a planned stop: another node leads and votes from now on, where there is one."""
+        """Begin a planned shutdown: hand leadership and vote over to another node, if there is one."""
         self.membership.leave()
 
     @property
@@ -132,32 +132,32 @@
         return self.membership.has_left
 
     def update_settings(self, settings: Settings) -> None:
-        """Take over a settings file that has changed."""
+        """Apply the settings of a changed settings file."""
         self.settings = settings
 
     def on_peer_disconnected(self, address: str) -> None:
-        """Notice that the connection with a process ended."""
+        """Handle the end of the connection with a peer process."""
         self.session_service.close_connection(address)
 
-    # -- what the replicated state's changes lead to
+    # -- changes of the replicated state
 
     def on_state_changed(self) -> None:
-        """Publish the state after commands were applied, or leader or membership changed."""
+        """Publish the state after commands were applied, or the leader or the membership changed."""
         self.publisher.publish()
         if self.raft.leader_id != self._known_leader:
             self._known_leader = self.raft.leader_id
-            logging.info("term %d: the leader is %s", self.raft.term, self._known_leader or "unknown")
+            logging.info("term %d: leader is %s", self.raft.term, self._known_leader or "unknown")
             self.runtime.call_later(0.0, self.quorum.refresh)
         self.quorum.on_applied()
 
     # -- peers
 
     def _peers(self) -> list[str]:
-        """Addresses of the other control-plane nodes."""
+        """Return the addresses of the other control-plane nodes."""
         return [member.address for name, member in self.raft.members.items() if name != self.raft.member_id]
 
     def _replicated_keys(self, address: str) -> Collection[str]:
-        """Keys that a node has by its log: sent as gossip besides, they would delay its heartbeats."""
+        """Return keys that a node receives through the log; gossiping them too would delay its heartbeats."""
         return REPLICATED_KEYS if address in self._peers() else ()
 
     def _gossip_peers(self) -> list[str]:
@@ -165,7 +165,7 @@
         return self._peers() + own + self._owners_without_session()
 
     def _owners_without_session(self) -> list[str]:
-        """Owners of shards that have no session anywhere: the leader gossips to them itself."""
+        """Return shard owners without a session at any node, to which the leader itself gossips."""
         if self.raft.role is not Role.LEADER:
             return []
         members = self.sessions.members(self.runtime.now())
--- a/amberlug/cluster/control/peer_messages.py
+++ b/amberlug/cluster/control/peer_messages.py
@@ -1,7 +1,7 @@
 """Messages between control-plane nodes: membership, confirmed reads, forwarded commands and status.
 
-Tags and JSON fields are a protocol between versions, so they keep names that the code has given up: the
-`core` is the set of control-plane nodes, and an `order` is a command.
+Tags and JSON fields are part of the protocol between versions, so they keep names that the code no longer
+uses: `core` is the set of control-plane nodes, and an `order` is a command.
 """
 
 from __future__ import annotations
@@ -20,60 +20,60 @@
 
 @value
 class AnnounceLeaving(Notification):
-    """A voter is about to stop, and the leader is to put another one in its place."""
+    """Announce that a voter is about to stop, so that the leader replaces it."""
 
     wire_tag: ClassVar[str] = "core.leaving"
     member_id: str
 
     def to_wire(self) -> Json:
-        """The JSON object."""
+        """Return the JSON object."""
         return {"id": self.member_id}
 
     @classmethod
     def from_wire(cls, body: Json, payload: bytes) -> AnnounceLeaving:
-        """Read a message."""
+        """Decode a message."""
         return cls(body["id"])
 
 
 @value
 class ConfirmedIndex(Body):
-    """The commit index that a majority has confirmed; None where the receiver does not lead one."""
+    """The commit index as confirmed by a majority; None if the receiver is not the leader of a majority."""
 
     index: int | None
 
     def to_wire(self) -> Json:
-        """The JSON object."""
+        """Return the JSON object."""
         return {"index": self.index}
 
     @classmethod
     def from_wire(cls, body: Json, payload: bytes) -> ConfirmedIndex:
-        """Read a reply."""
+        """Decode a reply."""
         return cls(body.get("index"))
 
 
 @value
 class ConfirmIndex(Request[ConfirmedIndex]):
-    """Have the leader confirm its commit index with a majority (ReadIndex)."""
+    """Ask the leader to confirm its commit index with a majority (ReadIndex)."""
 
     wire_tag: ClassVar[str] = "core.confirm"
     reply_type: ClassVar[type[ConfirmedIndex]] = ConfirmedIndex
 
     def to_wire(self) -> Json:
-        """An empty JSON object."""
+        """Return an empty JSON object."""
         return {}
 
     @classmethod
     def from_wire(cls, body: Json, payload: bytes) -> ConfirmIndex:
-        """Read a request, which has no fields."""
+        """Decode a request, which has no fields."""
         return cls()
 
 
 @value
 class MemberDescription:
-    """A control-plane node as it describes itself to the leader.
+    """The description of itself that a control-plane node sends to the leader.
 
-    :param address: where it serves other nodes, `host:port`.
-    :param control_address: where it serves the control API, `host:port`; empty where it serves none.
+    :param address: the address at which other nodes reach it, `host:port`.
+    :param control_address: the address of its control API, `host:port`; empty if it has none.
     """
 
     address: str
@@ -83,11 +83,11 @@
     control_address: str
 
     def as_learner(self) -> Member:
-        """The node as a member; who joins does not vote yet."""
+        """Return the node as a member; a joining node is not a voter yet."""
         return Member.from_wire(self.to_wire())
 
     def to_wire(self) -> Json:
-        """The JSON object, which has the form of a member in the membership."""
+        """Return the JSON object, in the format of a member of the membership."""
         return {
             "addr": self.address,
             "voter": False,
@@ -99,9 +99,9 @@
 
     @classmethod
     def from_wire(cls, body: Json) -> MemberDescription:
-        """Read a description.
+        """Decode a description.
 
-        :raises KeyError: where the address is missing.
+        :raises KeyError: if the address is missing.
         """
         return cls(
             body["addr"],
@@ -114,9 +114,9 @@
 
 @value
 class JoinCluster(Notification):
-    """A control-plane node asks to become a member, or to have its description brought up to date.
+    """Ask to become a member, or to have the description of a member updated.
 
-    :param is_forwarded: whether a follower has passed it on; it is passed on once only.
+    :param is_forwarded: whether a follower has forwarded it; it is forwarded only once.
     """
 
     wire_tag: ClassVar[str] = "core.join"
@@ -125,60 +125,60 @@
     is_forwarded: bool = False
 
     def to_wire(self) -> Json:
-        """The JSON object."""
+        """Return the JSON object."""
         body: Json = {"id": self.member_id, "member": self.member.to_wire()}
         return {**body, "passed": True} if self.is_forwarded else body
 
     @classmethod
     def from_wire(cls, body: Json, payload: bytes) -> JoinCluster:
-        """Read a message."""
+        """Decode a message."""
         return cls(body["id"], MemberDescription.from_wire(body["member"]), bool(body.get("passed")))
 
 
 @value
 class CommandReply(Body):
-    """What came of a forwarded command; None where its receiver does not lead, or could not commit it."""
+    """The outcome of a forwarded command; None if the receiver is not the leader, or could not commit it."""
 
     outcome: CommandOutcome | None
 
     def to_wire(self) -> Json:
-        """The JSON object, which is empty where there is no outcome."""
+        """Return the JSON object, which is empty without an outcome."""
         return {} if self.outcome is None else {"said": self.outcome.to_wire()}
 
     @classmethod
     def from_wire(cls, body: Json, payload: bytes) -> CommandReply:
-        """Read a reply."""
+        """Decode a reply."""
         outcome = body.get("said")
         return cls(None if outcome is None else outcome_from_wire(outcome))
 
 
 @value
 class ForwardCommand(Request[CommandReply]):
-    """Have the leader carry out a command."""
+    """Ask the leader to execute a command."""
 
     wire_tag: ClassVar[str] = "core.order"
     reply_type: ClassVar[type[CommandReply]] = CommandReply
     command: SubmittedCommand
 
     def to_wire(self) -> Json:
-        """The JSON object."""
+        """Return the JSON object."""
         return {"word": self.command.name, "body": self.command.to_wire()}
 
     @classmethod
     def from_wire(cls, body: Json, payload: bytes) -> ForwardCommand:
-        """Read a request.
+        """Decode a request.
 
-        :raises KeyError: where the command or one of its arguments is missing.
+        :raises KeyError: if the command or one of its arguments is missing.
         """
         return cls(submitted_from_wire(body["word"], body["body"]))
 
 
 @value
 class ControlStatusReport(Body):
-    """A control-plane node as its operators see it.
+    """The status of a control-plane node, for operators.
 
     :param role: the node's role in the Raft group.
-    :param leader_id: the leader that it knows; empty for none.
+    :param leader_id: the leader known to the node; empty if there is none.
     """
 
     role: str
@@ -189,7 +189,7 @@
     counters: Mapping[str, int]
 
     def to_wire(self) -> Json:
-        """The fields in the order in which operators read them; their names are historical."""
+        """Return the JSON object in the order shown to operators; the names of its fields are historical."""
         return {
             "role": self.role,
             "term": self.term,
@@ -201,9 +201,9 @@
 
     @classmethod
     def from_wire(cls, body: Json, payload: bytes) -> ControlStatusReport:
-        """Read the report.
+        """Decode a report.
 
-        :raises KeyError: where a field is missing.
+        :raises KeyError: if a field is missing.
         """
         return cls(
             body["role"],
@@ -217,16 +217,16 @@
 
 @value
 class ReadControlStatus(Request[NodeStatusReport]):
-    """Read another control-plane node's status, which it reports as a `ControlStatusReport`."""
+    """Read the status of another control-plane node, which replies with a `ControlStatusReport`."""
 
     wire_tag: ClassVar[str] = "core.status"
     reply_type: ClassVar[type[NodeStatusReport]] = NodeStatusReport
 
     def to_wire(self) -> Json:
-        """An empty JSON object."""
+        """Return an empty JSON object."""
         return {}
 
     @classmethod
     def from_wire(cls, body: Json, payload: bytes) -> ReadControlStatus:
-        """Read a request, which has no fields."""
+        """Decode a request, which has no fields."""
         return cls()
--- a/amberlug/cluster/control/peer_query.py
+++ b/amberlug/cluster/control/peer_query.py
@@ -1,4 +1,4 @@
-"""One question to several peers, with a deadline for all of them together."""
+"""Queries to several peers at once, whose replies are collected within one deadline."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 from amberlug.cluster.interfaces import RequestFailure, Runtime
 from amberlug.cluster.rpc.messages import ReplyT, Request, request
 
-QUERY_TIMEOUT_S = 0.6  # for peers to reply: operators wait for a second
+QUERY_TIMEOUT_S = 0.6  # for peers to reply: operators wait for one second
 
-Replies: TypeAlias = Mapping[str, Result[ReplyT, RequestFailure]]  # by the name of a request
+Replies: TypeAlias = Mapping[str, Result[ReplyT, RequestFailure]]  # by request name
 
 
 class PeerQuery(Generic[ReplyT]):
-    """Collects replies to requests, and passes them on together.
+    """Collects the replies to several requests.
 
     :param on_replies: called once, with a reply or a failure for each request.
     """
@@ -25,17 +25,17 @@
     def __init__(self, runtime: Runtime, on_replies: Callable[[Replies[ReplyT]], None]) -> None:
         self._runtime, self._on_replies = runtime, on_replies
         self._replies: dict[str, Result[ReplyT, RequestFailure]] = {}
-        self._pending = 1  # the query itself, until all requests are made
+        self._pending = 1  # counts the query itself until all requests are sent
 
     def request(self, name: str, address: str, message: Request[ReplyT]) -> None:
-        """Make a request whose reply stands under a name."""
+        """Send a request whose reply is stored under a name."""
         self._pending += 1
         request(self._runtime, address, message, QUERY_TIMEOUT_S, partial(self._receive, name))
 
     def wait(self) -> Callable[[], None]:
-        """Wait for something else as well, for as long as for a peer.
+        """Also wait for another event, at most until the timeout of a request.
 
-        :returns: what is to be called once it has happened.
+        :returns: a callback that signals the event.
         """
         self._pending += 1
         waiting = [self._finish_one]
@@ -48,7 +48,7 @@
         return finish
 
     def finish_sending(self) -> None:
-        """Note that all requests have been made."""
+        """Signal that all requests have been sent."""
         self._finish_one()
 
     def _receive(self, name: str, reply: Result[ReplyT, RequestFailure]) -> None:
--- a/amberlug/cluster/control/published_state.py
+++ b/amberlug/cluster/control/published_state.py
@@ -1,9 +1,10 @@
 """The state that control-plane nodes publish to all nodes by gossip: its keys, and a type for each value.
 
-Gossip passes the values on unread. Publisher and readers share the codecs of this module, so that the form of
-a value stands in one place. Names of keys and fields are historical: they are a protocol between versions.
-Two values have their codec elsewhere: that of `CONFIG_KEY` is the operators' document itself, which
-`http.routing.build` reads, and that of `CONTROL_NODES_KEY` is `consensus.membership.Members`.
+Gossip forwards the values without decoding them. Publisher and readers share the codecs of this module, so
+that the format of each value is defined in one place. The names of keys and fields are historical and must
+not change, since they are part of the protocol between versions. Two values have their codecs elsewhere: that
+of `CONFIG_KEY` is the operators' document itself, which `http.routing.build` reads, and that of
+`CONTROL_NODES_KEY` is `consensus.membership.Members`.
 """
 
 from __future__ import annotations
@@ -23,15 +24,15 @@
 CONTROL_NODES_KEY = "cores"
 ENDPOINT_KEY_PREFIX = "ep/"  # the endpoint's id follows
 
-NO_OWNER = -1  # in the place of an owner's index
+NO_OWNER = -1  # stands for the index of an owner in a row without one
 
 _KNOWN_STORE_STATES = frozenset(state.value for state in StoreState)
 
 
 def published_index(items: Mapping[str, VersionedValue], key: str) -> int:
-    """The log index at which the newest known value of a key was agreed; 0 where none is known.
+    """Return the log index at which the newest known value of a key was committed; 0 if none is known.
 
-    :param items: what gossip knows, by key.
+    :param items: the gossip entries, by key.
     """
     return items[key].version[0] if key in items else 0
 
@@ -40,35 +41,38 @@
 class StorageRoster:
     """The disks that replicas are written to.
 
-    :param index: the log index at which it was agreed.
-    :param stores: by disk: a machine that lost its disk is another storage node.
+    :param index: the log index at which it was committed.
+    :param stores: by disk id: a machine that lost its disk counts as a different storage node.
     """
 
     index: int = 0
     stores: Mapping[str, StoreEntry] = field(default_factory=dict)
 
     def to_wire(self) -> Json:
-        """The value that is published; the index is its version in gossip."""
+        """Return the value to publish; the index is its version in gossip."""
         return roster_to_wire(self.stores)
 
     @classmethod
     def from_wire(cls, index: int, body: Json) -> StorageRoster:
-        """Read the published value; disks of early versions lack the index of a table.
+        """Decode the published value; disks published by early versions lack `table_index`.
 
-        :raises KeyError: where a disk lacks another field.
+        :raises KeyError: if a disk lacks any other field.
         """
         return cls(index, {disk: _store_from_wire(row) for disk, row in body.items()})
 
 
 def _store_from_wire(row: Json) -> StoreEntry:
-    """Read a disk; in a state that only later versions know it takes no new replicas, and none counts."""
+    """Decode a disk; one in a state unknown to this version counts as retiring.
+
+    Thus it takes no new replicas, and those that it has do not count.
+    """
     if row["state"] not in _KNOWN_STORE_STATES:
         row = {**row, "state": StoreState.RETIRING.value}
     return StoreEntry.from_wire(row)
 
 
 class TableOwner(NamedTuple):
-    """An edge node that owns shards, or did.
+    """A current or previous owner of shards, which is an edge node.
 
     :param node_id: its name and incarnation.
     """
@@ -78,33 +82,33 @@
 
     @property
     def address(self) -> str:
-        """Where peers reach it, `host:port`."""
+        """The address at which peers reach it, `host:port`."""
         return self.entry.address
 
     @classmethod
     def from_wire(cls, node_id: str, row: Json) -> TableOwner:
-        """Read an owner; readers need only its address.
+        """Decode an owner; readers need only its address.
 
-        :raises KeyError: without an address.
+        :raises KeyError: if the address is missing.
         """
         entry = OwnerEntry(row.get("name", ""), str(row["addr"]), row.get("zone", ""), row.get("region", ""))
         return cls(str(node_id), entry)
 
 
 class ShardRow(NamedTuple):
-    """One shard's ownership; owners are indices in the table's list of them, or `NO_OWNER`."""
+    """The ownership of one shard; owners are indices into the table's list of owners, or `NO_OWNER`."""
 
     owner: int
-    epoch: int  # grows with each change of the owner: its fencing token at storage nodes
+    epoch: int  # increases with each change of owner: the owner's fencing token at storage nodes
     previous_owner: int
 
 
 @value
 class ShardTable:
-    """Who owns which shard, and who did before. A shard's number is its place in `rows`.
+    """The current and previous owner of each shard. A shard's number is its index in `rows`.
 
-    :param index: the log index at which it was agreed; 0 where none is known.
-    :param roster_index: the log index of the roster of storage nodes that it was agreed on.
+    :param index: the log index at which it was committed; 0 if no table is known.
+    :param roster_index: the log index of the storage roster that was in force when it was committed.
     """
 
     index: int = 0
@@ -113,7 +117,7 @@
     roster_index: int = 0
 
     def to_wire(self) -> Json:
-        """The value that is published; the index is its version in gossip."""
+        """Return the value to publish; the index is its version in gossip."""
         return {
             "owners": [[owner.node_id, owner.entry.to_wire()] for owner in self.owners],
             "shards": [list(row) for row in self.rows],
@@ -122,30 +126,30 @@
 
     @classmethod
     def from_wire(cls, index: int, body: Json) -> ShardTable:
-        """Read the published value; tables of early versions lack the index of a roster.
+        """Decode the published value; tables published by early versions lack `roster_index`.
 
-        :raises KeyError: without owners or shards.
+        :raises KeyError: if owners or shards are missing.
         """
         owners = tuple(TableOwner.from_wire(node_id, row) for node_id, row in body["owners"])
         return cls(index, owners, tuple(ShardRow(*row) for row in body["shards"]), body.get("roster", 0))
 
     def __len__(self) -> int:
-        """The number of shards; an edge node that knows no table yet has none."""
+        """Return the number of shards, which is 0 on an edge node that knows no table yet."""
         return len(self.rows)
 
     def owner_of(self, shard: int) -> TableOwner | None:
-        """The owner of a shard; None for one without an owner and for one that does not exist."""
+        """Return the owner of a shard; None if it has no owner or does not exist."""
         return self._owner_at(self.rows[shard].owner) if 0 <= shard < len(self.rows) else None
 
     def previous_owner_of(self, shard: int) -> TableOwner | None:
-        """Who owned an existing shard before, where that one lives."""
+        """Return the previous owner of an existing shard, if that node is still alive."""
         return self._owner_at(self.rows[shard].previous_owner)
 
     def _owner_at(self, index: int) -> TableOwner | None:
         return self.owners[index] if index >= 0 else None
 
     def epochs_of(self, node_id: str) -> dict[int, int]:
-        """By shard: the epoch of each one that a node owns."""
+        """Return the epochs of the shards that a node owns, by shard."""
         return {
             shard: row.epoch
             for shard, row in enumerate(self.rows)
@@ -153,27 +157,30 @@
         }
 
     def count_owners(self) -> int:
-        """How many edge nodes own anything, one at least."""
+        """Return the number of edge nodes that own shards, at least 1."""
         return max(1, len({row.owner for row in self.rows}))
 
 
 class EndpointCondition:
-    """Whether an endpoint gets calls: only in `READY`. Plain strings: later versions may have others."""
+    """Conditions of an endpoint, which gets calls only in `READY`.
+
+    They are plain strings, since later versions may add others.
+    """
 
     READY: Final = "ready"
     DRAINING: Final = "draining"
-    GONE: Final = "gone"  # for good: its incarnation does not come back
-    LOST: Final = "lost"  # it has timed out, and may come back
+    GONE: Final = "gone"  # has left permanently: this incarnation does not return
+    LOST: Final = "lost"  # has timed out, and may return
 
 
 @value
 class PublishedEndpoint:
     """One incarnation of an endpoint.
 
-    :param version: the endpoint's own, as it states it.
-    :param capacity: how many calls it takes at a time.
-    :param warm_up_ms: for which it is slow after its start, from now on.
-    :param condition: one of `EndpointCondition`, or of a later version's.
+    :param version: the endpoint's own version, as it reports it.
+    :param capacity: maximum number of concurrent calls.
+    :param warm_up_ms: remaining time for which the endpoint is slow after its start.
+    :param condition: one of `EndpointCondition`, or a condition that a later version has added.
     """
 
     service: str
@@ -190,7 +197,7 @@
         return self.warm_up_ms / 1000
 
     def to_wire(self) -> Json:
-        """The value that is published."""
+        """Return the value to publish."""
         return {
             "service": self.service,
             "addr": self.address,
@@ -203,9 +210,9 @@
 
     @classmethod
     def from_wire(cls, body: Json) -> PublishedEndpoint:
-        """Read the published value; no reader needs the endpoint's version.
+        """Decode the published value; the version is optional, since no reader needs it.
 
-        :raises KeyError: where another field is missing.
+        :raises KeyError: if any other field is missing.
         """
         return cls(
             body["service"],
@@ -219,10 +226,10 @@
 
 
 def condition_of(body: Json) -> str:
-    """The condition of a published endpoint, for searches over all of them."""
+    """Return the condition of a published endpoint without decoding the rest, for searches over all."""
     return str(body["cond"])
 
 
 def with_condition(body: Json, condition: str) -> Json:
-    """A published endpoint in another condition; fields of other versions of this program stay in it."""
+    """Return a published endpoint in another condition; fields of other versions are preserved."""
     return {**body, "cond": condition}
--- a/amberlug/cluster/control/reconciler.py
+++ b/amberlug/cluster/control/reconciler.py
@@ -1,6 +1,6 @@
-"""The leader's singleton roles: it reconciles voters, the roster of storage nodes and the owners of shards.
+"""The leader's reconciliation of voters, the roster of storage nodes and the owners of shards.
 
-Each role compares the replicated state with the sessions that stand, and proposes one command at a time.
+Each task compares the replicated state with the open sessions, and proposes one command at a time.
 """
 
 from __future__ import annotations
@@ -20,22 +20,22 @@
 from amberlug.cluster.control.state_entries import OwnerEntry, Retirement, Roster, StoreEntry, StoreState
 
 RECONCILE_INTERVAL_S = 0.1
-SETTLING_S = 1.5  # a new leader waits so long for reports of sessions before it treats any member as gone
+SETTLING_S = 1.5  # for a new leader to receive session reports before it treats any member as gone
 OWNER_TIMEOUT_S = 0.15  # without a session until an owner's shards are assigned to others
-STORE_TIMEOUT_S = 1.5  # without a session until a disk is lost, and its messages are replicated again
-GATHERING_S = 0.4  # without a new edge node until those that have come are assigned shards together
+STORE_TIMEOUT_S = 1.5  # without a session until a disk is marked lost and its messages are re-replicated
+GATHERING_S = 0.4  # without a further new edge node until the new ones are assigned shards together
 
 
 class LeaderRole(Enum):
-    """What the leader reconciles: each role has at most one command in flight."""
+    """Tasks of the leader, each with at most one command in flight."""
 
-    ENTER_DISKS = "enter disks"  # put disks on the roster, or change their state
+    ENTER_DISKS = "enter disks"  # add disks to the roster, or change their state
     DROP_DISKS = "drop disks"
     ASSIGN_SHARDS = "assign shards"
 
 
 class Reconciler:
-    """What a control-plane node does while it leads."""
+    """Reconciles the replicated state with the open sessions while this node is the leader."""
 
     def __init__(self, context: ControlContext, membership: MembershipService) -> None:
         self._runtime, self._raft, self._settings = context.runtime, context.raft, context.settings
@@ -49,7 +49,7 @@
         self._present_disks: set[str] = set()  # disks that storage nodes report with their sessions
 
     def begin(self) -> None:
-        """Reconcile now and in each interval, while this node leads and has committed in its term."""
+        """Reconcile now and in each interval while this node leads and has committed an entry in its term."""
         self._runtime.call_later(RECONCILE_INTERVAL_S, self.begin)
         if self._is_established_leader():
             self._reconcile()
@@ -59,7 +59,7 @@
             self._first_seen_s.clear()
 
     def _is_established_leader(self) -> bool:
-        """Whether this node leads, and its state has all that leaders before it committed."""
+        """Whether this node leads, and its state includes everything that earlier leaders committed."""
         raft = self._raft
         return raft.role is Role.LEADER and raft.term_at(raft.commit_index) == raft.term
 
@@ -76,7 +76,7 @@
         self.reassign_shards(edges, now_s)
 
     def can_hold_messages(self, roster: Roster) -> bool:
-        """Whether messages can have the replicas that they need on the full disks of a roster."""
+        """Whether the full disks of a roster suffice for the replicas that messages require."""
         domains = {
             store.name: (store.zone, store.region)
             for store in roster.values()
@@ -85,7 +85,7 @@
         return self._settings().tolerance.holds(list(domains.values()))
 
     def propose(self, role: LeaderRole, command: UpdateRoster | AssignShards) -> None:
-        """Propose a role's command, where none of this role is in flight."""
+        """Propose the command of a task, unless one of the same task is in flight."""
         if role in self._in_flight:
             return
         self._in_flight.add(role)
@@ -97,10 +97,10 @@
     # -- the roster of storage nodes
 
     def update_roster(self, stores: Mapping[str, Session], now_s: float) -> None:
-        """Enter disks that come, and mark those that are lost, so that their messages are replicated again.
+        """Add new disks, and mark lost ones, so that their messages are re-replicated.
 
-        Not while disks are being dropped: one of them that comes back would be entered again after its drop,
-        with messages that have ended meanwhile.
+        This is suspended while disks are being dropped: a dropped disk that returned would be added again
+        after its drop, with messages that have ended in the meantime.
 
         :param stores: sessions of storage nodes, by name.
         """
@@ -118,13 +118,13 @@
             self.propose(LeaderRole.ENTER_DISKS, UpdateRoster(changes))
 
     def _entries_for(self, session: Session) -> dict[str, StoreEntry]:
-        """What a storage node's session changes on the roster."""
+        """Return the roster changes that a storage node's session requires."""
         roster, retirement = self.cluster_state.roster, self.cluster_state.retirements.get(session.name)
         attributes, node = StorageAttributes.from_wire(session.details), session.node
         disk, current = attributes.disk_id, roster.get(attributes.disk_id)
         if current is None and (attributes.is_enrolled or retirement is Retirement.COMPLETED):
-            return {}  # its disk was dropped or emptied before: it has to come with another one
-        # A node that lost its disk while it was emptied comes back as one that is still to be emptied.
+            return {}  # its disk was dropped or retired before: the node has to use a new one
+        # A node that lost its disk during its retirement returns as one that is still to be retired.
         state = StoreState.RETIRING if retirement is Retirement.IN_PROGRESS else StoreState.FULL
         entry = StoreEntry(node.name, node.address, node.zone, node.region, state)
         is_unchanged = current is not None and current.is_same_node(entry) and current.state is state
@@ -132,7 +132,7 @@
         return changes | self._replaced_disks(session.name, disk)
 
     def _replaced_disks(self, name: str, current_disk: str) -> dict[str, StoreEntry]:
-        """Earlier disks of a storage node that has come with another one: they are lost."""
+        """Return earlier disks of a storage node that now reports another one, marked as lost."""
         return {
             disk: store.with_state(StoreState.LOST)
             for disk, store in self.cluster_state.roster.items()
@@ -140,15 +140,15 @@
         }
 
     def _lost_disks(self, stores: Mapping[str, Session], now_s: float) -> dict[str, StoreEntry]:
-        """Full disks whose storage nodes have had no session for too long."""
+        """Return full disks whose storage nodes have had no session for too long, marked as lost."""
         roster = self.cluster_state.roster
         absent = {disk: store for disk, store in roster.items() if store.name not in stores}
         present = {disk: store for disk, store in roster.items() if disk not in absent}
         self._absent_disks = set(absent)
         for disk in present:
             self._disk_missing_since_s.pop(disk, None)
-        # A leader that is partitioned from other control-plane nodes sees none of their sessions. More disks
-        # can't be lost than are tolerated: with more of them absent, it is the leader that is cut off.
+        # A leader partitioned from other control-plane nodes sees none of their sessions. If more disks are
+        # absent than the tolerance allows to be lost, it is assumed that the leader is partitioned.
         if not self._has_settled(now_s) or not self.can_hold_messages(present):
             return {}
         return {
@@ -159,16 +159,16 @@
         }
 
     def drop_replaced_disks(self, edges: Mapping[str, Session]) -> None:
-        """Drop disks from the roster once every owner has enough replicas without them.
+        """Drop retiring and lost disks once every owner has enough replicas on the others.
 
         :param edges: sessions of edge nodes, by incarnation.
         """
         state = self.cluster_state
         leaving = {disk: store for disk, store in state.roster.items() if store.state is not StoreState.FULL}
         if not leaving or not self.can_hold_messages(state.roster):
-            return  # no owner reports a shortage only because nothing can be replicated
+            return  # owners may report no missing replicas just because nothing can be replicated
         if self._is_full_disk_absent():
-            return  # its replicas count, and may be lost: it comes back, or its messages are replicated again
+            return  # its replicas count, but may be lost: it returns, or its messages are re-replicated first
         progress = self._owners_progress(edges)
         if not progress:
             return
@@ -184,22 +184,22 @@
         ]
         if dropped:
             names = [leaving[disk].name for disk in dropped]
-            logging.info("roster: %s have no replica that is needed any more", names)
+            logging.info("roster: dropping disks of %s, whose replicas are no longer needed", names)
             self.propose(LeaderRole.DROP_DISKS, UpdateRoster(dropped=tuple(dropped)))
 
     def _is_coming_back(self, disk: str, store: StoreEntry) -> bool:
-        """Whether a disk that is marked as lost is there again: it counts soon, and is not to be dropped."""
+        """Whether a disk marked as lost is present again, and about to be restored instead of dropped."""
         return store.state is StoreState.LOST and disk in self._present_disks
 
     def _is_full_disk_absent(self) -> bool:
-        """Whether a disk whose replicas count belongs to a storage node without a session."""
+        """Whether any disk whose replicas count belongs to a storage node without a session."""
         roster = self.cluster_state.roster
         return any(
             disk in self._absent_disks for disk, store in roster.items() if store.state is StoreState.FULL
         )
 
     def _owners_progress(self, edges: Mapping[str, Session]) -> Sequence[EdgeAttributes]:
-        """What all owners of shards report; empty where there is none, or one has no session."""
+        """Return the progress reports of all shard owners; empty if there is none or one has no session."""
         owners = {shard.owner for shard in self.cluster_state.shards}
         if not owners <= set(edges):
             return []
@@ -208,7 +208,7 @@
     # -- owners of shards
 
     def reassign_shards(self, edges: Mapping[str, Session], now_s: float) -> None:
-        """Assign shards to edge nodes that have come, and away from those that are gone.
+        """Assign shards to new edge nodes, and reassign those of departed ones.
 
         :param edges: sessions of edge nodes, by incarnation.
         """
@@ -232,7 +232,7 @@
     def _departed_owners(
         self, owners: Sequence[str], edges: Mapping[str, Session], now_s: float
     ) -> list[str]:
-        """Owners that leave, have restarted, or have had no session for too long."""
+        """Return owners that are leaving, have restarted, or have had no session for too long."""
         names = {session.name for session in edges.values()}
         departed = []
         for owner in owners:
@@ -242,14 +242,14 @@
                     departed.append(owner)
             elif owner:
                 missing_s = now_s - self._owner_missing_since_s.setdefault(owner, now_s)
-                # A node that runs again has no earlier incarnation any more.
+                # The new incarnation of a node replaces all earlier ones.
                 is_restarted = owner.rpartition("/")[0] in names
                 if is_restarted or (missing_s >= OWNER_TIMEOUT_S and self._has_settled(now_s)):
                     departed.append(owner)
         return departed
 
     def _has_gathered(self, live: Sequence[str], owners: Sequence[str], now_s: float) -> bool:
-        """Whether edge nodes without shards have come, and no further one of late."""
+        """Whether there are edge nodes without shards, and no further one has joined recently."""
         joined = [name for name in live if name not in owners]
         newest_s = max((self._first_seen_s[name] for name in joined), default=0.0)
         if not owners:
@@ -259,7 +259,7 @@
     def _owner_entries(
         self, owners: Sequence[str], departed: Sequence[str], edges: Mapping[str, Session]
     ) -> dict[str, OwnerEntry]:
-        """Every owner from now on: those that stay, and all edge nodes that have a session."""
+        """Return the owners after the assignment: remaining ones, and all edge nodes with a session."""
         current = self.cluster_state.owners
         entries = {name: current[name] for name in owners if name in current}
         for name, session in edges.items():
--- a/amberlug/cluster/control/retirement_api.py
+++ b/amberlug/cluster/control/retirement_api.py
@@ -1,4 +1,4 @@
-"""Operators' calls that empty storage nodes: Retire.Begin and Retire.Read of the control API."""
+"""HTTP calls that retire storage nodes: Retire.Begin and Retire.Read of the control API."""
 
 from __future__ import annotations
 
@@ -22,14 +22,14 @@
 
 
 class RetirementApi:
-    """Calls of operators that empty storage nodes."""
+    """Handles operators' calls that retire storage nodes."""
 
     def __init__(self, commands: CommandService) -> None:
         self._commands = commands
 
     @api_call("POST", "/-/Retire.Begin/")
     def begin_retirement(self, request: HttpRequest, name: str, respond: RespondHttp) -> None:
-        """Have a storage node emptied: its messages are replicated elsewhere."""
+        """Start the retirement of a storage node, which re-replicates its messages to other nodes."""
         arguments = read_json_object(request, respond, MAX_CALL_BYTES)
         if arguments is None:
             return
@@ -44,14 +44,14 @@
             elif result.ok_value.is_rejected:
                 respond(HttpResponse(result.ok_value.status, {"cause": result.ok_value.cause}))
             else:
-                logging.info("storage node %s is to be emptied", name)
+                logging.info("retirement of storage node %s started", name)
                 respond(HttpResponse(200, {"condition": Retirement.IN_PROGRESS.value}))
 
         self._commands.retire_store(name, receive)
 
     @api_call("GET", "/-/Retire.Read/")
     def read_retirement(self, request: HttpRequest, name: str, respond: RespondHttp) -> None:
-        """Reply how far the emptying of a storage node has come, as a majority knows it."""
+        """Reply with the progress of a retirement as confirmed by a majority."""
 
         def receive(result: Result[ConfirmedState, ProposalRejected]) -> None:
             if isinstance(result, Err):
--- a/amberlug/cluster/control/session_attributes.py
+++ b/amberlug/cluster/control/session_attributes.py
@@ -1,4 +1,4 @@
-"""What only one class of node reports with its session; names of fields on the wire are historical."""
+"""Session attributes that only one class of node reports; the names of fields on the wire are historical."""
 
 from __future__ import annotations
 
@@ -9,20 +9,20 @@
 
 
 class SessionAttributes(Protocol):
-    """What a node reports beside what all nodes do."""
+    """Attributes that a node reports in addition to those of all nodes."""
 
     def to_wire(self) -> Json:
-        """The JSON object in the requests of a session."""
+        """Return the JSON object sent in session requests."""
 
 
 @value
 class EdgeAttributes:
-    """An edge node's progress, which the leader waits for before it drops a disk for good.
+    """An edge node's progress, which the leader waits for before it drops a disk.
 
-    :param roster_index: the roster that it has acted upon; 0 for none.
-    :param shard_table_index: the shard table that it acts under; 0 for none.
-    :param recovering_shards: shards whose messages it still reads from storage nodes.
-    :param under_replicated_messages: messages with fewer replicas than they need.
+    :param roster_index: index of the roster that it has applied; 0 for none.
+    :param shard_table_index: index of the shard table that it uses; 0 for none.
+    :param recovering_shards: number of shards whose messages it is still reading from storage nodes.
+    :param under_replicated_messages: number of messages with fewer replicas than required.
     """
 
     roster_index: int
@@ -32,11 +32,11 @@
 
     @property
     def is_complete(self) -> bool:
-        """Whether it has read all its shards, and each message has enough replicas."""
+        """Whether it has recovered all its shards, and every message has enough replicas."""
         return not self.recovering_shards and not self.under_replicated_messages
 
     def to_wire(self) -> Json:
-        """The JSON object in the requests of a session."""
+        """Return the JSON object sent in session requests."""
         return {
             "roster": self.roster_index,
             "table": self.shard_table_index,
@@ -46,9 +46,9 @@
 
     @classmethod
     def from_wire(cls, body: Json) -> EdgeAttributes:
-        """Read the attributes.
+        """Decode the attributes.
 
-        :raises KeyError: where one is missing.
+        :raises KeyError: if one is missing.
         """
         return cls(body["roster"], body["table"], body["loading"], body["short"])
 
@@ -57,20 +57,20 @@
 class StorageAttributes:
     """A storage node's disk.
 
-    :param is_enrolled: whether it was once on the roster, so that it does not count as a new one.
+    :param is_enrolled: whether it has been on the roster before, so that it is not taken for a new disk.
     """
 
     disk_id: str
     is_enrolled: bool
 
     def to_wire(self) -> Json:
-        """The JSON object in the requests of a session."""
+        """Return the JSON object sent in session requests."""
         return {"disk": self.disk_id, "enrolled": self.is_enrolled}
 
     @classmethod
     def from_wire(cls, body: Json) -> StorageAttributes:
-        """Read the attributes.
+        """Decode the attributes.
 
-        :raises KeyError: without the id of a disk.
+        :raises KeyError: if the disk id is missing.
         """
         return cls(str(body["disk"]), bool(body.get("enrolled", False)))
--- a/amberlug/cluster/control/session_service.py
+++ b/amberlug/cluster/control/session_service.py
@@ -1,4 +1,4 @@
-"""Sessions over the network: members open and renew them, control-plane nodes report theirs to each other."""
+"""Network side of sessions: members open and renew them, and control-plane nodes exchange reports of them."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
 from amberlug.cluster.control.sessions import HEARTBEAT_INTERVAL_S
 from amberlug.cluster.rpc.messages import Responder, handles, raw_message
 
-MAX_STALENESS_S = 1e6  # what a node that never had contact states instead of a larger number
+MAX_STALENESS_S = 1e6  # upper bound of what is reported, for a node that never had contact
 
 
 class SessionService:
-    """Keeps sessions, and reports them to the other control-plane nodes."""
+    """Maintains sessions, and reports them to the other control-plane nodes."""
 
     def __init__(self, context: ControlContext) -> None:
         self._runtime, self._quorum, self._peers = context.runtime, context.quorum, context.peers
@@ -28,27 +28,27 @@
         self._gossip, self._counters = context.gossip, context.counters
 
     def begin(self) -> None:
-        """Look after sessions, contact and endpoints now and in each heartbeat interval."""
+        """Maintain sessions, contact and endpoints now and in each heartbeat interval."""
         self._runtime.call_later(HEARTBEAT_INTERVAL_S, self.begin)
         for session in self._sessions.expire(self._runtime.now()):
             logging.info("session of %s expired", session.id)
         self._report()
         self._quorum.refresh()
         self._quorum.check()
-        if self._quorum.is_in_contact:  # else it is this node that no heartbeat reaches
+        if self._quorum.is_in_contact:  # without contact, heartbeats may fail to reach this node
             self._registry.expire(lambda name: logging.info("endpoint %s timed out", name))
 
     def close_connection(self, address: str) -> None:
-        """End the sessions of a process whose connection ended."""
+        """End the sessions of a process whose connection was closed."""
         ended = self._sessions.close_connection(address)
         for session in ended:
-            logging.info("session of %s ended: its connection is closed", session.id)
+            logging.info("session of %s ended: connection closed", session.id)
         if ended:
             self._report()
 
     @handles(OpenSession)
     def on_open_session(self, message: OpenSession, origin: str, respond: Responder) -> None:
-        """Open a session, where this node is in contact with a majority."""
+        """Open a session if this node is in contact with a majority, else reject it."""
         if not self._quorum.is_in_contact:
             self._counters.increment("sessions rejected")
             respond(SessionReply(False, rejection="no contact with a majority"))
@@ -60,7 +60,7 @@
 
     @handles(Heartbeat)
     def on_heartbeat(self, message: Heartbeat, origin: str, respond: Responder) -> None:
-        """Renew a session; without contact it is not renewed, so that its member looks for another node."""
+        """Renew a session, but not without contact, so that the member switches to another node."""
         session = self._sessions.own.get(message.node.name)
         previous_state = session.node.state if session is not None else ""
         is_renewed = self._quorum.is_in_contact and self._sessions.renew(message.node, self._runtime.now())
@@ -71,7 +71,7 @@
 
     @handles(ReadCurrentState)
     def on_read_current_state(self, message: ReadCurrentState, origin: str, respond: Responder) -> None:
-        """Reply with a page of all gossip entries once they are confirmed to be as new as a majority's."""
+        """Reply with a page of all gossip entries once they are confirmed to be as recent as a majority's."""
 
         def reply() -> None:
             items, next_key = self._gossip.page_after(message.after_key)
@@ -91,12 +91,12 @@
             self._registry.pop_unreported_heartbeats(),
             self._quorum.is_in_contact,
         )
-        message = raw_message(report)  # encoded once for all peers: it grows with the deployment
+        message = raw_message(report)  # encoded once for all peers, since its size grows with the deployment
         for address in self._peers():
             self._runtime.send(address, message)
 
     @handles(SessionReport)
     def on_session_report(self, message: SessionReport, origin: str, respond: Responder) -> None:
-        """Take over another control-plane node's report."""
+        """Apply the report of another control-plane node."""
         self._sessions.receive_report(origin, message.rows, self._runtime.now(), message.has_contact)
         self._registry.receive_report(message.endpoints)
--- a/amberlug/cluster/control/sessions.py
+++ b/amberlug/cluster/control/sessions.py
@@ -1,4 +1,4 @@
-"""Sessions of edge and storage nodes: who is a member, as all control-plane nodes together see it."""
+"""Sessions of edge and storage nodes, and the live members according to all control-plane nodes together."""
 
 from __future__ import annotations
 
@@ -8,20 +8,20 @@
 from amberlug.cluster.control.messages import SessionDescription, SessionDetails, SessionRow
 from amberlug.cluster.values import value
 
-EDGE_CLASS, STORAGE_CLASS = "edge", "storage"  # classes of machines that open sessions
+EDGE_CLASS, STORAGE_CLASS = "edge", "storage"  # machine classes that open sessions
 HEARTBEAT_INTERVAL_S = 0.25  # between a member's heartbeats
 SESSION_TIMEOUT_S = 1.2  # without a heartbeat until a session expires: four intervals and a slow link
-# Members of an unresponsive control-plane node have so much longer, since they look for another one.
+# Additional time for members of an unresponsive control-plane node, in which they switch to another one.
 FAILOVER_GRACE_S = 0.9
-REPORT_TIMEOUT_S = 2 * HEARTBEAT_INTERVAL_S + 0.1  # a peer whose report is older is unresponsive
-PEER_CONTACT_TIMEOUT_S = 2 * HEARTBEAT_INTERVAL_S + 0.2  # a peer's contact is believed for so long
+REPORT_TIMEOUT_S = 2 * HEARTBEAT_INTERVAL_S + 0.1  # age of the last report at which a peer is unresponsive
+PEER_CONTACT_TIMEOUT_S = 2 * HEARTBEAT_INTERVAL_S + 0.2  # how long a peer's report of its contact is valid
 
 
 @dataclass(slots=True)
 class Session:
-    """A member as one control-plane node sees it; times are this machine's monotonic clock.
+    """A member as one control-plane node sees it; times are from this machine's monotonic clock.
 
-    :ivar node: the member as it last described itself.
+    :ivar node: the member's latest description of itself.
     """
 
     node: SessionDescription
@@ -30,31 +30,31 @@
 
     @property
     def name(self) -> str:
-        """The member's name, whatever its incarnation."""
+        """The member's name, which is the same for all its incarnations."""
         return self.node.name
 
     @property
     def id(self) -> str:
-        """Name and incarnation: what shards are assigned to."""
+        """Name and incarnation, to which shards are assigned."""
         return f"{self.node.name}/{self.node.incarnation}"
 
     @property
     def address(self) -> str:
-        """Where it serves other nodes, `host:port`."""
+        """The address at which other nodes reach it, `host:port`."""
         return self.node.address
 
     @property
     def details(self) -> SessionDetails:
-        """What only its class of node reports: see `control.session_attributes`."""
+        """Attributes specific to its class of node: see `control.session_attributes`."""
         return self.node.details
 
     @property
     def is_up(self) -> bool:
-        """Whether it takes work, and does not stop."""
+        """Whether it accepts work, rather than shutting down."""
         return self.node.state == "up"
 
     def is_more_recent_than(self, other: Session) -> bool:
-        """Whether its last heartbeat came later, or with heartbeats at the same time, it was opened later."""
+        """Whether its last heartbeat is later, or its opening if the heartbeats are equally late."""
         mine = self.last_heartbeat_at_s, self.opened_at_s
         return mine > (other.last_heartbeat_at_s, other.opened_at_s)
 
@@ -69,7 +69,7 @@
         return self.node.machine_class == STORAGE_CLASS
 
     def to_row(self, now_s: float) -> SessionRow:
-        """The session as it is reported to other control-plane nodes."""
+        """Return the session as reported to other control-plane nodes."""
         return SessionRow(
             self.node, round(now_s - self.opened_at_s, 3), round(now_s - self.last_heartbeat_at_s, 3)
         )
@@ -82,23 +82,23 @@
 
 
 class Sessions:
-    """Sessions of this node, and what other control-plane nodes last reported of theirs."""
+    """The sessions at this node, and the last reported ones of other control-plane nodes."""
 
     def __init__(self) -> None:
         self.own: dict[str, Session] = {}
         self._reports: dict[str, _PeerReport] = {}
-        self._peers_in_contact: set[str] = set()  # those that reported contact with a majority
+        self._peers_in_contact: set[str] = set()  # those that last reported contact with a majority
 
     def open(self, node: SessionDescription, now_s: float) -> Session:
-        """Open a member's session, or replace the one that it has."""
+        """Open a session for a member, replacing any existing one."""
         session = Session(node, now_s, now_s)
         self.own[session.name] = session
         return session
 
     def renew(self, node: SessionDescription, now_s: float) -> bool:
-        """Renew the session of a member whose heartbeat has come.
+        """Renew the session of a member that sent a heartbeat.
 
-        :returns: False where there is no such session here, and the member has to open one.
+        :returns: False if there is no such session here, so that the member has to open one.
         """
         session = self.own.get(node.name)
         if session is None or session.node.incarnation != node.incarnation:
@@ -108,11 +108,11 @@
         return True
 
     def close_connection(self, address: str) -> list[Session]:
-        """End the sessions of a process whose connection ended, until it opens one again."""
+        """End the sessions of a process whose connection was closed; it may open new ones."""
         return self._end([session for session in self.own.values() if session.address == address])
 
     def expire(self, now_s: float) -> list[Session]:
-        """End the sessions whose heartbeats stay away."""
+        """End the sessions whose heartbeats have timed out."""
         return self._end(
             [
                 session
@@ -127,13 +127,13 @@
         return ended
 
     def report(self, now_s: float) -> Sequence[SessionRow]:
-        """Sessions of this node, as other control-plane nodes get them."""
+        """Return the sessions at this node as reported to other control-plane nodes."""
         return [session.to_row(now_s) for session in self.own.values()]
 
     def receive_report(
         self, peer: str, rows: Sequence[SessionRow], now_s: float, has_contact: bool = True
     ) -> None:
-        """Take over another control-plane node's report of its sessions and of its contact."""
+        """Record another control-plane node's report of its sessions and its contact."""
         if has_contact:
             self._peers_in_contact.add(peer)
         else:
@@ -145,13 +145,13 @@
         self._reports[peer] = _PeerReport(now_s, sessions)
 
     def is_in_contact(self, peer: str, now_s: float) -> bool:
-        """Whether another control-plane node responds, and reported contact with a majority."""
+        """Whether another control-plane node recently reported, and was in contact with a majority."""
         if peer not in self._peers_in_contact:
             return False
         return now_s - self._reports[peer].received_at_s < PEER_CONTACT_TIMEOUT_S
 
     def members(self, now_s: float) -> dict[str, Session]:
-        """The live members by name, each in its newest incarnation."""
+        """Return the live members by name, each with its most recent session."""
         members: dict[str, Session] = {}
         _add_live(members, self.own, now_s, 0.0)
         for report in self._reports.values():
@@ -163,11 +163,11 @@
 def _add_live(
     members: dict[str, Session], sessions: dict[str, Session], now_s: float, grace_s: float
 ) -> None:
-    """Add sessions whose heartbeats have not timed out; of several of one member, the most recent stays."""
+    """Add sessions whose heartbeats have not timed out, keeping the most recent one of each member."""
     for session in sessions.values():
         if now_s - session.last_heartbeat_at_s > SESSION_TIMEOUT_S + grace_s:
             continue
         other = members.get(session.name)
-        # A member that tried several control-plane nodes stays with one: that one has the latest heartbeat.
+        # A member that tried several control-plane nodes keeps one of them, which has the latest heartbeat.
         if other is None or session.is_more_recent_than(other):
             members[session.name] = session
--- a/amberlug/cluster/control/shard_assignment.py
+++ b/amberlug/cluster/control/shard_assignment.py
@@ -1,25 +1,25 @@
-"""Assignment of shards to owners: as few moves as possible, and an even number for each owner."""
+"""Balanced assignment of shards to owners with as few moves as possible."""
 
 from __future__ import annotations
 
 from collections.abc import Collection, Mapping, Sequence
 
-SHARDS = 256  # messages are partitioned by key into so many; more than any deployment has edge nodes
+SHARDS = 256  # partitions of messages by key; more than any deployment has edge nodes
 
 
 def assign_shards(
     owners: Sequence[str], live: Sequence[str], count: int, retained: Collection[str] = ()
 ) -> Mapping[str, list[int]]:
-    """Which shards to give to which owner.
+    """Compute which shards to assign to which owner.
 
-    Each live owner gets an even number of all shards that are not retained, rounded down or up. A shard moves
+    Each live owner gets an equal share of the shards that are not retained, rounded down or up. A shard moves
     only from an owner that is not live, or that has more than its quota.
 
-    :param owners: the current owner of each shard by number; empty for none.
-    :param live: who may own shards.
+    :param owners: the current owner of each shard by number; empty if it has none.
+    :param live: the nodes that may own shards.
     :param count: the number of shards.
-    :param retained: owners whose shards stay where they are for now.
-    :returns: numbers of the shards that move, by their new owner.
+    :param retained: owners whose shards are not moved for now.
+    :returns: numbers of the shards to move, by their new owner.
     """
     if not live:
         return {}
@@ -41,9 +41,9 @@
 
 
 def _quotas(owned: Mapping[str, Sequence[int]], total: int) -> dict[str, int]:
-    """How many shards each owner is to have, those with the most shards first.
+    """Return the number of shards that each owner is to have, in descending order of its current number.
 
-    Those with the most shards get the larger quotas, so that fewer shards move.
+    Owners with the most shards get the larger quotas, so that fewer shards move.
     """
     least, remainder = divmod(total, len(owned))
     by_size = sorted(owned, key=lambda name: (-len(owned[name]), name))
@@ -53,7 +53,7 @@
 def _fill(
     owned: Mapping[str, Sequence[int]], quotas: Mapping[str, int], unassigned: Sequence[int]
 ) -> dict[str, list[int]]:
-    """Give unassigned shards to the owners that have fewer than their quotas, in the quotas' order."""
+    """Assign the unassigned shards to owners below their quota, in the order of the quotas."""
     assigned: dict[str, list[int]] = {}
     position = 0
     for name, quota in quotas.items():
@@ -61,5 +61,5 @@
         if missing > 0:
             assigned[name] = list(unassigned[position : position + missing])
             position += missing
-    assert position == len(unassigned), "every shard has an owner"
+    assert position == len(unassigned), "not every shard was assigned"
     return assigned
--- a/amberlug/cluster/control/state_entries.py
+++ b/amberlug/cluster/control/state_entries.py
@@ -1,6 +1,6 @@
-"""Entries of the replicated state: storage nodes, shard owners, shards, and endpoints that leave.
+"""Entries of the replicated state: storage nodes, shard owners, shards, and departures of endpoints.
 
-JSON keys are those of snapshots, of commands in the log and of gossip, and stay as they are.
+The JSON keys are used in snapshots, in commands of the log and in gossip, and must not change.
 """
 
 from __future__ import annotations
@@ -14,27 +14,27 @@
 from amberlug.cluster.values import value
 
 ConfigDocument: TypeAlias = dict[str, Any]
-"""A configuration, or a change of one, as the JSON object that operators send: `config_validation` checks it,
-and the routing tables of edge nodes read it. Everything between passes it on with all its fields."""
+"""A configuration or a change of one, as the JSON object that operators send. `config_validation` validates
+it, and the routing tables of edge nodes read it; components in between pass it on with all its fields."""
 
 
 class StoreState(Enum):
-    """What a storage node's replicas count for."""
+    """Whether the replicas on a storage node count, and whether it takes new ones."""
 
-    FULL = "full"  # they count, and it takes new ones
-    RETIRING = "retiring"  # an operator empties it: none counts, and it takes no new ones
-    LOST = "lost"  # its disk is gone for good
+    FULL = "full"  # its replicas count, and it takes new ones
+    RETIRING = "retiring"  # being retired by an operator: its replicas do not count, and it takes no new ones
+    LOST = "lost"  # the disk is considered lost
 
 
 class Retirement(Enum):
-    """How far the emptying of a storage node has come."""
+    """Progress of the retirement of a storage node."""
 
     IN_PROGRESS = "in_progress"
     COMPLETED = "completed"
 
 
 class EndpointRank:
-    """How far an endpoint's departure has come; it never goes back. Plain integers, as gossip has them."""
+    """Progress of an endpoint's departure, which never decreases. Plain integers, as in gossip."""
 
     READY: Final = 0
     LEAVING: Final = 1
@@ -46,7 +46,7 @@
     """A disk on the roster of storage nodes.
 
     :param state_index: log index at which the state was entered; None in an entry that is only proposed.
-    :param table_index: log index of the shard table that was in force when the disk came; None likewise.
+    :param table_index: log index of the shard table in force when the disk was added; None likewise.
     """
 
     name: str
@@ -58,16 +58,16 @@
     table_index: int | None = None
 
     def with_state(self, state: StoreState) -> StoreEntry:
-        """The same disk in another state."""
+        """Return the same disk in another state."""
         return replace(self, state=state)
 
     def is_same_node(self, other: StoreEntry) -> bool:
-        """Whether both name the same node at the same address and failure domain."""
+        """Whether both are of the same node at the same address and in the same failure domain."""
         mine = (self.name, self.address, self.zone, self.region)
         return mine == (other.name, other.address, other.zone, other.region)
 
     def to_wire(self) -> Json:
-        """The JSON object; indices that are not known are left out."""
+        """Return the JSON object; unknown indices are omitted."""
         body: Json = {
             "name": self.name,
             "addr": self.address,
@@ -83,10 +83,10 @@
 
     @classmethod
     def from_wire(cls, body: Json) -> StoreEntry:
-        """Read an entry.
+        """Decode an entry.
 
-        :raises KeyError: where a field other than the indices is missing.
-        :raises ValueError: where the state is none of those known.
+        :raises KeyError: if a field other than the indices is missing.
+        :raises ValueError: if the state is unknown.
         """
         return cls(
             body["name"],
@@ -109,24 +109,24 @@
     region: str
 
     def to_wire(self) -> Json:
-        """The JSON object."""
+        """Return the JSON object."""
         return {"name": self.name, "addr": self.address, "zone": self.zone, "region": self.region}
 
     @classmethod
     def from_wire(cls, body: Json) -> OwnerEntry:
-        """Read an entry.
+        """Decode an entry.
 
-        :raises KeyError: where a field is missing.
+        :raises KeyError: if a field is missing.
         """
         return cls(body["name"], body["addr"], body["zone"], body["region"])
 
 
 class ShardEntry(NamedTuple):
-    """Who owns a shard, in the order of its JSON array.
+    """The ownership of a shard, in the order of its JSON array.
 
-    :param owner: the owner's incarnation; empty for none.
-    :param epoch: the fencing token: the log index of the assignment.
-    :param previous_owner: who owned it before, where that one is still known; empty otherwise.
+    :param owner: the owner's incarnation; empty if there is none.
+    :param epoch: the fencing token, which is the log index of the assignment.
+    :param previous_owner: incarnation of the previous owner if that is still an owner; else empty.
     """
 
     owner: str
@@ -135,9 +135,9 @@
 
 
 class ConfigHash(NamedTuple):
-    """The hash of the call that brought a configuration version, in the order of its JSON array.
+    """The hash of the call that set a configuration version, in the order of its JSON array.
 
-    :param applied_at_s: when it was applied, in seconds of the replicated clock.
+    :param applied_at_s: time at which it was applied, in seconds of the replicated clock.
     """
 
     call_hash: str
@@ -147,8 +147,8 @@
 class Departure(NamedTuple):
     """An endpoint's departure, in the order of its JSON array.
 
-    :param applied_at_s: when it was applied, in seconds of the replicated clock.
-    :param sequence: the endpoint's own number of its announcement.
+    :param applied_at_s: time at which it was applied, in seconds of the replicated clock.
+    :param sequence: the endpoint's sequence number of its announcement.
     """
 
     applied_at_s: float
@@ -156,49 +156,49 @@
 
 
 class DepartureRank(NamedTuple):
-    """How far an endpoint's departure has come; a later one compares as greater."""
+    """Progress of an endpoint's departure; a later one compares as greater."""
 
     rank: int
     sequence: int
 
 
 class EndpointDrain(NamedTuple):
-    """A departure to be replicated, in the order of its JSON array."""
+    """A departure to replicate, in the order of its JSON array."""
 
     name: str
     rank: int
     sequence: int
 
 
-Roster = Mapping[str, StoreEntry]  # by disk
+Roster = Mapping[str, StoreEntry]  # by disk id
 
 
 def roster_to_wire(roster: Roster) -> Json:
-    """The JSON object of a roster, by disk."""
+    """Return the JSON object of a roster, by disk id."""
     return {disk: store.to_wire() for disk, store in roster.items()}
 
 
 def roster_from_wire(body: Json) -> dict[str, StoreEntry]:
-    """Read a roster.
+    """Decode a roster.
 
-    :raises KeyError: where an entry lacks a field.
+    :raises KeyError: if an entry lacks a field.
     """
     return {disk: StoreEntry.from_wire(store) for disk, store in body.items()}
 
 
 def retirements_to_wire(retirements: Mapping[str, Retirement]) -> Json:
-    """The JSON object of retirements, by name of the storage node."""
+    """Return the JSON object of retirements, by name of the storage node."""
     return {name: retirement.value for name, retirement in retirements.items()}
 
 
 def retirements_from_wire(body: Json) -> dict[str, Retirement]:
-    """Read retirements.
+    """Decode retirements.
 
-    :raises ValueError: where one is in a state that this version does not know.
+    :raises ValueError: if one has a state unknown to this version.
     """
     return {name: Retirement(retirement) for name, retirement in body.items()}
 
 
 def shards_from_wire(rows: list[Any]) -> list[ShardEntry]:
-    """Read the shards of a snapshot."""
+    """Decode the shards of a snapshot."""
     return [ShardEntry(str(owner), epoch, str(previous)) for owner, epoch, previous in rows]
--- a/amberlug/cluster/control/state_publisher.py
+++ b/amberlug/cluster/control/state_publisher.py
@@ -1,4 +1,4 @@
-"""Publishes the replicated state as gossip to all nodes, whenever it changes."""
+"""Publishes changes of the replicated state to all nodes by gossip."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class StatePublisher:
-    """Offers each part of the state to gossip, with the log index that it changed at as its version."""
+    """Offers each part of the state to gossip, versioned by the log index of its last change."""
 
     def __init__(
         self,
@@ -33,7 +33,7 @@
         self._gossip, self._registry = gossip, registry
 
     def publish(self) -> None:
-        """Offer what has changed; gossip ignores what is no newer than what it has."""
+        """Offer what has changed; gossip ignores versions that are not newer than its own."""
         state, offer = self._cluster_state, self._gossip.offer
         if state.config is not None:
             offer(CONFIG_KEY, [state.config_index], state.config)
@@ -48,12 +48,12 @@
             self._registry.apply_departure(name, departure)
 
     def _is_newer(self, key: str, index: int) -> bool:
-        """Whether gossip has no such version yet; large values are encoded only then."""
+        """Whether gossip does not have this version yet; large values are encoded only in that case."""
         published = self._gossip.items.get(key)
         return published is None or published.version < [index]
 
     def _shard_table(self) -> ShardTable:
-        """The shard table as nodes get it: owners once, and by their position in each shard."""
+        """Return the shard table to publish, which lists each owner once and refers to owners by position."""
         state = self._cluster_state
         names = sorted(state.owners)
         positions = {name: position for position, name in enumerate(names)}
--- a/amberlug/cluster/control/status.py
+++ b/amberlug/cluster/control/status.py
@@ -1,4 +1,4 @@
-"""Operators' calls that only read: the status of the whole deployment in one reply. No I/O."""
+"""Operators' read-only calls: the status of the whole deployment in one reply, and metrics. No I/O."""
 
 from __future__ import annotations
 
@@ -41,12 +41,12 @@
 
     @api_call("GET", metrics.PATH)
     def read_counters(self, request: HttpRequest, name: str, respond: RespondHttp) -> None:
-        """Reply with this process's counters."""
+        """Reply with the counters of this process."""
         respond(HttpResponse(200, {}, page=metrics.page(self._counters)))
 
     @api_call("GET", "/-/Foreman.Status")
     def read_status(self, request: HttpRequest, name: str, respond: RespondHttp) -> None:
-        """Reply with the status of the whole deployment, also where some nodes do not respond."""
+        """Reply with the status of the whole deployment, even if some nodes do not respond."""
         members = self._sessions.members(self._runtime.now())
         is_confirmed = False
 
@@ -76,7 +76,7 @@
         respond(self._own_status())
 
     def _request_reports(self, query: PeerQuery[NodeStatusReport], members: Members) -> None:
-        """Ask each member, and each other control-plane node, for its own report."""
+        """Request a report from each member and each other control-plane node."""
         node_request = NodeStatusRequest(self._replica_disks(members))
         for session in members.values():
             query.request(session.id, session.address, node_request)
@@ -95,7 +95,7 @@
         )
 
     def _replica_disks(self, members: Members) -> Sequence[str]:
-        """Disks whose replicas count, and whose storage nodes have a session."""
+        """Return the disks whose replicas count and whose storage nodes have a session."""
         return [
             disk
             for disk, store in self._cluster_state.roster.items()
@@ -136,7 +136,7 @@
 
 
 def _has_session(members: Members, disk: str, store: StoreEntry) -> bool:
-    """Whether a storage node is a member, with this disk."""
+    """Whether a storage node has a session with this disk."""
     session = members.get(store.name)
     return session is not None and session.details.get("disk") == disk
 
--- a/amberlug/cluster/control/status_document.py
+++ b/amberlug/cluster/control/status_document.py
@@ -1,7 +1,7 @@
-"""The status of the deployment, as operators get it from one control-plane node. No I/O.
+"""The status document of the deployment, which operators get from one control-plane node. No I/O.
 
-Names of JSON fields are read by operators' tools, so some of them are those of earlier versions: `told` is a
-node's own report, `core` the control plane, and `edition` the version of the configuration.
+Operators' tools read the JSON fields, so some names are those of earlier versions: `told` is a node's own
+report, `core` is the control plane, and `edition` is the version of the configuration.
 """
 
 from __future__ import annotations
@@ -19,18 +19,18 @@
 from amberlug.cluster.values import value
 
 Reports: TypeAlias = Mapping[str, NodeStatusReport | None]
-"""By node, its own report; None where it did not reply in time."""
+"""The report of each node; None if it did not reply in time."""
 
 
 @value
 class SessionStatus:
-    """A member of the deployment, and its own report where it replied in time."""
+    """A member of the deployment, and its own report if it replied in time."""
 
     session: Session
     report: NodeStatusReport | None
 
     def to_json(self, now_s: float) -> Json:
-        """The member's row at a time of the monotonic clock."""
+        """Return the member's row; `now_s` is a time of the monotonic clock."""
         node = self.session.node
         return {
             "name": node.name,
@@ -48,7 +48,7 @@
 
 @value
 class ConsensusStatus:
-    """The Raft group as the reporting node sees it."""
+    """The Raft group as seen by the reporting node."""
 
     term: int
     leader_id: str
@@ -57,7 +57,7 @@
     reports: Reports
 
     def to_json(self) -> Json:
-        """The members as the membership has them, each with the member's own report."""
+        """Return the state of the group, with each member's entry in the membership and its own report."""
         return {
             "term": self.term,
             "leader": self.leader_id,
@@ -71,17 +71,17 @@
 
 @value
 class ShardStatus:
-    """How many shards each owner has.
+    """The number of shards of each owner.
 
     :param table_index: log index of the shard table.
-    :param shard_counts: by the owner's incarnation; by the empty string, shards without an owner.
+    :param shard_counts: by the owner's incarnation; the empty string counts shards without an owner.
     """
 
     table_index: int
     shard_counts: Counter[str]
 
     def to_json(self) -> Json:
-        """The owners by name."""
+        """Return the owners sorted by name, and the number of shards without an owner."""
         counts = self.shard_counts
         return {
             "at": self.table_index,
@@ -98,24 +98,24 @@
     has_session: bool
 
     def to_json(self) -> Json:
-        """The roster's entry, and the session."""
+        """Return the roster entry, and whether there is a session."""
         return {**self.entry.to_wire(), "session": self.has_session}
 
 
 @value
 class EndpointStatus:
-    """An endpoint's entry in gossip; fields of other versions are passed on."""
+    """An endpoint's gossip entry; fields of other versions are passed on."""
 
     name: str
     entry: Json
 
     @classmethod
     def from_gossip(cls, key: str, entry: Json) -> EndpointStatus:
-        """The status of an entry of gossip by its key."""
+        """Return the status of a gossip entry by its key."""
         return cls(key.removeprefix(ENDPOINT_KEY_PREFIX), entry)
 
     def to_json(self) -> Json:
-        """The name and the entry."""
+        """Return the entry with the name of the endpoint."""
         return {"id": self.name, **self.entry}
 
 
@@ -125,11 +125,11 @@
 
     :param reported_by: the control-plane node that reports it.
     :param reported_at_s: time of that node's monotonic clock.
-    :param is_confirmed: whether a majority confirmed the commit index meanwhile.
-    :param sessions: by class and name.
-    :param stores: the disks of the roster, by name of their nodes.
+    :param is_confirmed: whether a majority confirmed the commit index while the status was collected.
+    :param sessions: sorted by class and name.
+    :param stores: the disks of the roster, sorted by name of their nodes.
     :param config_index: log index of the configuration in force.
-    :param counters: sums of all nodes' counters.
+    :param counters: sums of the counters of all nodes.
     """
 
     reported_by: str
@@ -150,7 +150,7 @@
         return [status for status in self.sessions if status.session.is_edge]
 
     def to_json(self) -> Json:
-        """The document that operators get."""
+        """Return the document sent to operators."""
         edge_reports = [edge.report for edge in self.edges if edge.report is not None]
         rows = [status.to_json(self.reported_at_s) for status in self.sessions]
         endpoints = [endpoint.to_json() for endpoint in self.endpoints]
@@ -169,7 +169,7 @@
         }
 
     def _config_to_json(self) -> Json:
-        """The version in force by the log, and the one in force on each edge node."""
+        """Return the version in force according to the log, and the one in force on each edge node."""
         return {
             "edition": self.config_version,
             "at": self.config_index,
--- a/amberlug/cluster/control/submitted_commands.py
+++ b/amberlug/cluster/control/submitted_commands.py
@@ -1,6 +1,6 @@
-"""Commands that operators and endpoints submit, before the leader turns them into commands of the log.
+"""Commands submitted by operators and endpoints, which the leader converts to commands of the log.
 
-Names and JSON fields are a protocol between control-plane nodes, and stay as they are.
+Names and JSON fields are part of the protocol between control-plane nodes and must not change.
 """
 
 from __future__ import annotations
@@ -15,44 +15,44 @@
 
 
 class ConfigCall(Enum):
-    """How a configuration changes; the values are names of commands in frames."""
+    """Ways to change the configuration; the values are the names of commands in frames."""
 
-    REPLACE = "replace"  # a whole configuration takes the place of the one in force
-    MODIFY = "modify"  # named items of the one in force change
+    REPLACE = "replace"  # replaces the configuration in force as a whole
+    MODIFY = "modify"  # changes individual items of the configuration in force
 
 
 @value
 class SubmitRetirement:
-    """Have a storage node emptied."""
+    """Start the retirement of a storage node."""
 
     name: ClassVar[str] = "retire"
     node_name: str
 
     def to_wire(self) -> Json:
-        """The arguments as a JSON object."""
+        """Return the arguments as a JSON object."""
         return {"name": self.node_name}
 
 
 @value
 class SubmitDrains:
-    """Replicate that endpoints leave, or have left."""
+    """Replicate that endpoints are leaving or have left."""
 
     name: ClassVar[str] = "drain"
     drains: Sequence[EndpointDrain]
 
     def to_wire(self) -> Json:
-        """The arguments as a JSON object."""
+        """Return the arguments as a JSON object."""
         return {"ids": [list(drain) for drain in self.drains]}
 
 
 @value
 class ReadState:
-    """Read the state that a majority has confirmed."""
+    """Read the state as confirmed by a majority."""
 
     name: ClassVar[str] = "read"
 
     def to_wire(self) -> Json:
-        """An empty JSON object."""
+        """Return an empty JSON object."""
         return {}
 
 
@@ -60,8 +60,8 @@
 class SubmitConfig:
     """Replace or modify the configuration.
 
-    :param base_version: the version that the operator saw.
-    :param data: the whole configuration, or what of it changes.
+    :param base_version: the version that the operator based the change on.
+    :param data: the complete configuration, or the change of it.
     """
 
     call: ConfigCall
@@ -74,7 +74,7 @@
         return self.call.value
 
     def to_wire(self) -> Json:
-        """The arguments as a JSON object."""
+        """Return the arguments as a JSON object."""
         return {"base": self.base_version, "data": self.data}
 
 
@@ -82,10 +82,10 @@
 
 
 def submitted_from_wire(name: str, arguments: Json) -> SubmittedCommand:
-    """Read a command of a frame.
+    """Decode a command from a frame.
 
-    :raises KeyError: where an argument is missing.
-    :raises ValueError: where no command has this name.
+    :raises KeyError: if an argument is missing.
+    :raises ValueError: if there is no command with this name.
     """
     if name == SubmitRetirement.name:
         return SubmitRetirement(arguments["name"])
