--- a/tests/cluster/test_cluster_state.py
+++ b/tests/cluster/test_cluster_state.py
@@ -1,4 +1,4 @@
-"""What the replicated state retains, and for how long."""
+"""Retention of entries in the replicated state: configuration hashes, departures and retirements."""
 
 import json
 from typing import Any
@@ -19,7 +19,7 @@
 
 
 class Log:
-    """A replica, and commands for it in the form of the log."""
+    """A replica of the state, to which commands are applied in their log format."""
 
     def __init__(self) -> None:
         self.cluster_state = ClusterState()
@@ -33,7 +33,7 @@
         return self.apply("config", after, base=base, edition=edition, sum=sum_, config={"edition": edition})
 
     def restore_from_snapshot(self) -> None:
-        """Go on with another replica, which is restored from a snapshot."""
+        """Replace the replica by a new one, restored from its snapshot."""
         text = json.dumps(self.cluster_state.to_json())
         self.cluster_state = ClusterState()
         self.cluster_state.from_json(json.loads(text))
@@ -56,7 +56,7 @@
 
 
 def answer_to_repeat(changes: int, seconds: float) -> Json:
-    """The answer to a repeat of the first version, after so many changes with so many seconds between."""
+    """Return the answer to a repeat of the first call after `changes` changes that are `seconds` apart."""
     log = Log()
     for it in range(1, changes + 1):
         assert log.replace_config(it, it - 1, f"sum {it}", seconds) == {"ok": True}
--- a/tests/cluster/test_contact.py
+++ b/tests/cluster/test_contact.py
@@ -1,4 +1,7 @@
-"""Control relays that reach no majority: they hold no sessions, refuse nothing, and edges go elsewhere."""
+"""Control-plane nodes without contact with a majority: they keep no sessions and reject no commands.
+
+Edge and storage nodes fail over to other control-plane nodes.
+"""
 
 from collections.abc import Callable
 from functools import partial
@@ -33,14 +36,18 @@
 
 
 class Fast:
-    """A disk that keeps nothing."""
+    """A disk that acknowledges each write at once, and stores nothing."""
 
     def write(self, rows: list[tuple[str, tuple[Any, ...]]], then: OnWritten) -> None:
         then(None)
 
 
 class Cut:
-    """A quiet deployment, one core machine of which is cut off from the other core machines."""
+    """A deployment without other faults, one of whose control-plane nodes is partitioned from the others.
+
+    :param which: `leader` or `follower`.
+    :param way: direction in which messages are lost: `to` the node, `from` it, or `both`.
+    """
 
     def __init__(self, seed: int, which: str, way: str) -> None:
         day = self.day = Day(seed, "quiet")
@@ -60,7 +67,7 @@
         self.clock.call_later(CUT_S, partial(self.deployment.net.join, pairs))
 
     def restart_others(self) -> None:
-        """All sessions are moved to the one that is cut off, where it takes them."""
+        """Restart the other control-plane nodes, so that sessions move to the partitioned one if possible."""
         for machine in self.others:
             machine.kill()
             self.clock.call_later(0.5, machine.start)
@@ -72,7 +79,7 @@
         return what()
 
     def ask(self, core: Machine, method: str, path: str, body: bytes = b"", base: str = "") -> int:
-        """What a control relay answers within a second, or what else came of it."""
+        """Return the status of a control-plane node's reply within one second, or the code of a failure."""
         found: list[int] = []
         headers = (("amberlug-base-version", base),) if base else ()
         self.deployment.control(
@@ -104,7 +111,7 @@
 
 def test_a_partitioned_control_node_neither_accepts_nor_rejects_commands() -> None:
     play = Cut(3, "leader", "both")
-    play.clock.run(BEFORE_S + 0.1)  # it still takes itself for the leader
+    play.clock.run(BEFORE_S + 0.1)  # it still considers itself the leader
     calls: list[tuple[str, str, bytes, str]] = [
         ("POST", "/-/Configuration.Replace", b'{"edition": 900}', "899"),
         ("GET", "/-/Configuration.Read", b"", ""),
@@ -163,7 +170,7 @@
             return {"host": "x", "amberlug-attempt-id": "a"}.get(name)
 
     old = play.deployment.edges[1].part.gossip.announcements()
-    part.gossip.apply(old)  # what it hears from another edge first
+    part.gossip.apply(old)  # gossip from another edge node arrives first
     assert part.routes.index > 0
     part.handle(HttpRequest(), lambda response: statuses.append(response.status))
     assert statuses == [503]
@@ -181,7 +188,7 @@
         world, of, names[0], Fast(), PersistentState(names[0], 1, members=members, entries=[Entry(1, config)])
     )
     core.raft.election.start(2)
-    core.raft.become_leader()  # what the leader before it committed is in its log, but not in its book yet
+    core.raft.become_leader()  # its log has what the previous leader committed, which it has not applied yet
     responses: list[Any] = []
     core.executor.execute(SubmitConfig(ConfigCall.REPLACE, 5, {"edition": 6}), responses.append)
     core.executor.execute(SubmitRetirement("store-0"), responses.append)
@@ -195,7 +202,7 @@
     statuses = [it.status for it in results if isinstance(it, CommandResult)]
     assert core.cluster_state.config_version == 5
     assert 412 not in statuses
-    assert len(responses) == 2  # the order to retire is proposed by now, and not committed
+    assert len(responses) == 2  # the retirement is proposed, but not committed yet
 
 
 def test_an_edge_reads_all_published_state_page_by_page_before_it_serves(
@@ -247,14 +254,14 @@
         )
     message = Message(f"{shard}-x", shard, "x", "", "POST", "/plain/x", "r-plain", "", 1.79e9, 1.79e9)
     message.body, message.holders = None, set(edge.replicator.stores)
-    edge.delivery.add(message)  # read as open without its body, before its end was known there
+    edge.delivery.add(message)  # read as open without its body, before its outcome was known there
     day.clock.run(6.0)
     assert message.ended
     assert edge.delivery.outcomes.get(message.id) == MessageOutcome("done", "seal")
 
 
 def started(cores: int) -> Day:
-    """A quiet deployment with so many core machines, 6 s after its start."""
+    """Return a fault-free deployment with `cores` control-plane nodes, `BEFORE_S` seconds after its start."""
     day = next(it for it in (Day(seed, "quiet") for seed in range(1, 99)) if it.size.cores == cores)
     for machine in day.deployment.machines:
         machine.start()
--- a/tests/cluster/test_control_commands.py
+++ b/tests/cluster/test_control_commands.py
@@ -1,4 +1,4 @@
-"""Commands of the replicated log and entries of its state: their JSON, which other versions read."""
+"""JSON formats of log commands and of entries of the replicated state, which other versions read."""
 
 import json
 from typing import Any
--- a/tests/cluster/test_control_messages.py
+++ b/tests/cluster/test_control_messages.py
@@ -1,4 +1,4 @@
-"""Messages of the control plane: recorded frames are decoded and encoded again as the same bytes."""
+"""Messages of the control plane: recorded frames are decoded, and encoded again to the same bytes."""
 
 import json
 from typing import Any
@@ -38,7 +38,7 @@
 }
 FRAMES = [
     *((tag, frame["body"]) for tag, frame in RECORDED.items() if tag in MESSAGES.keys() | REPLIES.keys()),
-    # Forms that the recording has no example of.
+    # Variants that are missing from the recording.
     ("hello/reply", '{"ok": false, "cause": "no contact with a majority"}'),
     ("beat/reply", '{"ok": false, "age": 1000000.0}'),
     ("newest/reply", '{"ok": true, "items": [["cores", [3], {}]], "next": ""}'),
--- a/tests/cluster/test_control_node.py
+++ b/tests/cluster/test_control_node.py
@@ -1,4 +1,4 @@
-"""A control-plane node alone, as the leader of a log whose proposals are only recorded."""
+"""The reconciler of a single control-plane node whose proposals are recorded instead of committed."""
 
 from dataclasses import replace
 from typing import Any
@@ -17,14 +17,14 @@
 
 
 class InstantDisk:
-    """A disk that acknowledges each write at once, and keeps nothing."""
+    """A disk that acknowledges each write at once, and stores nothing."""
 
     def write(self, rows: Rows, then: OnWritten) -> None:
         then(None)
 
 
 class Rig:
-    """A leader, the storage nodes on its roster, and what it proposes."""
+    """A control-plane node with three storage nodes on its roster, and its proposals."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
         of = settings("core")
@@ -49,7 +49,7 @@
         roster[disk] = replace(roster[disk], state=state)
 
     def reconcile_roster(self, *stores: str) -> None:
-        """Reconcile the roster for 5 s, with sessions of these storage nodes."""
+        """Reconcile the roster for 5 s with sessions of the given storage nodes."""
         sessions = {
             name: self.session(name, "storage", disk=f"disk-{name}", enrolled=True) for name in stores
         }
@@ -57,7 +57,7 @@
             self.core.reconciler.update_roster(sessions, step / 10)
 
     def drop_disks(self) -> None:
-        """Look for disks to drop, with an edge node that lacks no replica."""
+        """Search for disks to drop, with an edge node that reports no missing replicas."""
         edge = self.session("edge", "edge", table=0, loading=0, short=0, roster=9)
         self.core.reconciler.drop_replaced_disks({edge.id: edge})
 
--- a/tests/cluster/test_internal_replies.py
+++ b/tests/cluster/test_internal_replies.py
@@ -1,4 +1,4 @@
-"""Each request gets its own reply: with late, repeated and reordered replies, over connections that break."""
+"""Matching of replies to requests, with late, repeated and reordered replies and broken connections."""
 
 import asyncio
 import random
@@ -20,7 +20,7 @@
 
 
 class Peer:
-    """A process that replies once, twice, late, out of order or never, and may restart."""
+    """A peer that replies once, twice, late, out of order or never, and may restart."""
 
     def __init__(self, loop: Loop, rng: random.Random, slow_connect_probability: float = 0.1) -> None:
         self.loop, self.rng, self.slow_connect_probability = loop, rng, slow_connect_probability
@@ -53,7 +53,7 @@
         self.received[number] += 1
         self.requests.append((respond, number))
         fault = rng.choice(("once", "once", "twice", "late", "never", "another", "stall", "broken"))
-        if fault == "another":  # a handler replies to an earlier request again
+        if fault == "another":  # a handler replies again to an earlier request
             respond, number = rng.choice(self.requests)
         if fault == "stall":
             self.loop.stall(rng.uniform(0.01, 0.5))
@@ -71,7 +71,7 @@
 
 
 class Requester:
-    """A process that sends requests, and checks each reply that it receives."""
+    """A client that sends requests, and checks each reply that it receives."""
 
     def __init__(self, loop: Loop, rng: random.Random, peer: Peer, retry_probability: float = 0.2) -> None:
         self.loop, self.rng, self.peer, self.retry_probability = loop, rng, peer, retry_probability
@@ -90,7 +90,7 @@
             elif reply.err_value is RequestFailure.NOT_SENT:
                 self.not_sent.add(number)
             if isinstance(reply, Err) and self.rng.random() < self.retry_probability:
-                self.request(f"{number}+")  # at once, over another connection
+                self.request(f"{number}+")  # immediate retry, over another connection
 
         message = RawMessage("word", {"number": number})
         self.peers.request(f"{ADDRESS[0]}:{ADDRESS[1]}", message, TIMEOUT_S, on_reply)
@@ -140,7 +140,7 @@
 
 
 def test_a_connection_with_an_invalid_frame_is_closed() -> None:
-    """What follows on its connection is not taken for a reply."""
+    """Data after an invalid frame must not be taken for a reply."""
 
     async def cut_frames(loop: Loop, rng: random.Random) -> None:
         frame = encode_reply(1, {"number": "1"}, b"111").unwrap()
--- a/tests/cluster/test_published_state.py
+++ b/tests/cluster/test_published_state.py
@@ -1,4 +1,4 @@
-"""The values that control-plane nodes publish by gossip, as they stand in frames."""
+"""Wire formats of the values that control-plane nodes publish by gossip."""
 
 import json
 
--- a/tests/cluster/test_session_attributes.py
+++ b/tests/cluster/test_session_attributes.py
@@ -1,4 +1,4 @@
-"""What nodes report of themselves with their sessions, as it stands in frames."""
+"""Wire formats of the attributes that nodes report with their sessions."""
 
 import json
 
