--- a/amberlug/cluster/control/cluster_state.py
+++ b/amberlug/cluster/control/cluster_state.py
@@ -21,7 +21,7 @@
     UpdateRoster,
     command_from_wire,
 )
-from amberlug.cluster.control.shard_assignment import SHARDS
+from amberlug.cluster.control.shard_assignment import SHARD_COUNT
 from amberlug.cluster.control.state_entries import (
     ConfigDocument,
     ConfigHash,
@@ -240,7 +240,7 @@
     def _assign_shards(self, index: int, command: AssignShards) -> CommandResult:
         """Assign shards to new owners, with the index of the command as their fencing token."""
         self.owners = dict(command.owners)
-        shards = list(self.shards) or [ShardEntry("", 0, "")] * SHARDS
+        shards = list(self.shards) or [ShardEntry("", 0, "")] * SHARD_COUNT
         for owner, numbers in command.assignments.items():
             assert owner in self.owners, "a shard is assigned to an unknown owner"
             for number in numbers:
--- a/amberlug/cluster/control/reconciler.py
+++ b/amberlug/cluster/control/reconciler.py
@@ -16,7 +16,7 @@
 from amberlug.cluster.control.membership import MembershipService
 from amberlug.cluster.control.session_attributes import EdgeAttributes, StorageAttributes
 from amberlug.cluster.control.sessions import Session
-from amberlug.cluster.control.shard_assignment import SHARDS, assign_shards
+from amberlug.cluster.control.shard_assignment import SHARD_COUNT, assign_shards
 from amberlug.cluster.control.state_entries import OwnerEntry, Retirement, Roster, StoreEntry, StoreState
 
 RECONCILE_INTERVAL_S = 0.1
@@ -221,7 +221,7 @@
         if not departed and not self._has_gathered(live, owners, now_s):
             return
         retained = [name for name in owners if name and name not in departed and name not in live]
-        assignments = assign_shards(current, live, len(current) or SHARDS, retained)
+        assignments = assign_shards(current, live, len(current) or SHARD_COUNT, retained)
         assignments = {name: numbers for name, numbers in assignments.items() if numbers}
         if not assignments:
             return
--- a/amberlug/cluster/control/shard_assignment.py
+++ b/amberlug/cluster/control/shard_assignment.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Collection, Mapping, Sequence
 
-SHARDS = 256  # partitions of messages by key; more than any deployment has edge nodes
+SHARD_COUNT = 256  # partitions of messages by key; more than any deployment has edge nodes
 
 
 def assign_shards(
--- a/amberlug/cluster/edge/intake.py
+++ b/amberlug/cluster/edge/intake.py
@@ -7,7 +7,7 @@
 
 from result import Err, Ok, Result
 
-from amberlug.cluster.control.shard_assignment import SHARDS
+from amberlug.cluster.control.shard_assignment import SHARD_COUNT
 from amberlug.cluster.dispatch.message import Message, name_of, shard_of
 from amberlug.cluster.dispatch.messages import AdmissionOutcome
 from amberlug.cluster.edge.answer_history import AnswerHistory
@@ -165,7 +165,7 @@
     def _choose_shard(self, key: str) -> int | None:
         """The shard of a sequence key; without a key one that is served here, else any that has an owner."""
         if key:
-            return shard_of(key, SHARDS)
+            return shard_of(key, SHARD_COUNT)
         shard_owner = self._delivery.shard_owner
         serving = [number for number, shard in shard_owner.owned.items() if shard.serving]
         if serving:
--- a/benchmarks/hollow/steps.py
+++ b/benchmarks/hollow/steps.py
@@ -23,7 +23,7 @@
 from amberlug.cluster.control.node import ControlNode, blank
 from amberlug.cluster.control.published_state import PublishedEndpoint, StorageRoster
 from amberlug.cluster.control.sessions import Sessions
-from amberlug.cluster.control.shard_assignment import SHARDS, assign_shards
+from amberlug.cluster.control.shard_assignment import SHARD_COUNT, assign_shards
 from amberlug.cluster.dispatch.delivery_queue import DeliveryQueue
 from amberlug.cluster.dispatch.endpoint_pool import EndpointPool
 from amberlug.cluster.dispatch.message import Message, SequencePosition
@@ -58,10 +58,10 @@
 
 def message(number: int, body: int) -> Message:
     """One that is not due for a day."""
-    name = f"{number % SHARDS:x}-a{number:012d}"
+    name = f"{number % SHARD_COUNT:x}-a{number:012d}"
     held = Message(
         name,
-        number % SHARDS,
+        number % SHARD_COUNT,
         f"a{number:012d}",
         "host.example",
         "POST",
--- a/tests/cluster/test_control_commands.py
+++ b/tests/cluster/test_control_commands.py
@@ -16,7 +16,7 @@
     UpdateRoster,
     command_from_wire,
 )
-from amberlug.cluster.control.shard_assignment import SHARDS
+from amberlug.cluster.control.shard_assignment import SHARD_COUNT
 from amberlug.cluster.control.state_entries import (
     EndpointDrain,
     EndpointRank,
@@ -108,4 +108,4 @@
     assert state.apply(6, second) == CommandResult(epoch=6)
     found: list[Any] = state.shards[:3]
     assert found == [("a", 5, ""), ("b", 6, "a"), ("", 0, "")]
-    assert len(state.shards) == SHARDS
+    assert len(state.shards) == SHARD_COUNT
