--- a/amberlug/cluster/control/reconciler.py
+++ b/amberlug/cluster/control/reconciler.py
@@ -26,10 +26,10 @@
 GATHERING_S = 0.4  # without a further new edge node until the new ones are assigned shards together
 
 
-class LeaderRole(Enum):
+class LeaderTask(Enum):
     """Tasks of the leader, each with at most one command in flight."""
 
-    ENTER_DISKS = "enter disks"  # add disks to the roster, or change their state
+    UPDATE_DISKS = "enter disks"  # add disks to the roster, or change their state
     DROP_DISKS = "drop disks"
     ASSIGN_SHARDS = "assign shards"
 
@@ -41,7 +41,7 @@
         self._runtime, self._raft, self._settings = context.runtime, context.raft, context.settings
         self._sessions, self._membership = context.sessions, membership
         self.cluster_state = context.cluster_state
-        self._in_flight: set[LeaderRole] = set()
+        self._in_flight: set[LeaderTask] = set()
         self._first_seen_s: dict[str, float] = {}  # when the leader first saw each incarnation's session
         self._owner_missing_since_s: dict[str, float] = {}
         self._disk_missing_since_s: dict[str, float] = {}
@@ -84,12 +84,12 @@
         }
         return self._settings().tolerance.holds(list(domains.values()))
 
-    def propose(self, role: LeaderRole, command: UpdateRoster | AssignShards) -> None:
+    def propose(self, task: LeaderTask, command: UpdateRoster | AssignShards) -> None:
         """Propose the command of a task, unless one of the same task is in flight."""
-        if role in self._in_flight:
+        if task in self._in_flight:
             return
-        self._in_flight.add(role)
-        self._raft.propose(command.to_wire(), lambda result: self._in_flight.discard(role))
+        self._in_flight.add(task)
+        self._raft.propose(command.to_wire(), lambda result: self._in_flight.discard(task))
 
     def _has_settled(self, now_s: float) -> bool:
         return now_s - self._raft.leader_since > SETTLING_S
@@ -107,7 +107,7 @@
         self._present_disks = {
             StorageAttributes.from_wire(session.details).disk_id for session in stores.values()
         }
-        if LeaderRole.DROP_DISKS in self._in_flight:
+        if LeaderTask.DROP_DISKS in self._in_flight:
             return
         changes: dict[str, StoreEntry] = {}
         for session in stores.values():
@@ -115,7 +115,7 @@
         changes.update(self._lost_disks(stores, now_s))
         if changes:
             logging.info("roster: %s", {store.name: store.state.value for store in changes.values()})
-            self.propose(LeaderRole.ENTER_DISKS, UpdateRoster(changes))
+            self.propose(LeaderTask.UPDATE_DISKS, UpdateRoster(changes))
 
     def _entries_for(self, session: Session) -> dict[str, StoreEntry]:
         """Return the roster changes that a storage node's session requires."""
@@ -185,7 +185,7 @@
         if dropped:
             names = [leaving[disk].name for disk in dropped]
             logging.info("roster: dropping disks of %s, whose replicas are no longer needed", names)
-            self.propose(LeaderRole.DROP_DISKS, UpdateRoster(dropped=tuple(dropped)))
+            self.propose(LeaderTask.DROP_DISKS, UpdateRoster(dropped=tuple(dropped)))
 
     def _is_coming_back(self, disk: str, store: StoreEntry) -> bool:
         """Whether a disk marked as lost is present again, and about to be restored instead of dropped."""
@@ -213,7 +213,7 @@
         :param edges: sessions of edge nodes, by incarnation.
         """
         live = [name for name, session in edges.items() if session.is_up]
-        if not live or LeaderRole.ASSIGN_SHARDS in self._in_flight:
+        if not live or LeaderTask.ASSIGN_SHARDS in self._in_flight:
             return
         current = [shard.owner for shard in self.cluster_state.shards]
         owners = sorted(set(current))
@@ -227,7 +227,7 @@
             return
         logging.info("shards assigned: %s", {name: len(numbers) for name, numbers in assignments.items()})
         entries = self._owner_entries(owners, departed, edges)
-        self.propose(LeaderRole.ASSIGN_SHARDS, AssignShards(entries, assignments))
+        self.propose(LeaderTask.ASSIGN_SHARDS, AssignShards(entries, assignments))
 
     def _departed_owners(
         self, owners: Sequence[str], edges: Mapping[str, Session], now_s: float
--- a/amberlug/cluster/simulation/mutations.py
+++ b/amberlug/cluster/simulation/mutations.py
@@ -17,7 +17,7 @@
 from amberlug.cluster.control.endpoint_api import EndpointApi
 from amberlug.cluster.control.endpoint_registry import EndpointAnnouncement
 from amberlug.cluster.control.initial_state import founding_members
-from amberlug.cluster.control.reconciler import LeaderRole, Reconciler
+from amberlug.cluster.control.reconciler import LeaderTask, Reconciler
 from amberlug.cluster.control.sessions import Session
 from amberlug.cluster.control.state_entries import DepartureRank, StoreState
 from amberlug.cluster.dispatch.message import Message, SequencePosition
@@ -214,7 +214,7 @@
         roster = self.cluster_state.roster
         leaving = [disk for disk, store in roster.items() if store.state is not StoreState.FULL]
         if leaving:
-            self.propose(LeaderRole.DROP_DISKS, UpdateRoster(dropped=tuple(leaving)))
+            self.propose(LeaderTask.DROP_DISKS, UpdateRoster(dropped=tuple(leaving)))
 
     return patch.object(Reconciler, "drop_replaced_disks", drop)
 
