--- a/amberlug/cluster/control/reconciler.py
+++ b/amberlug/cluster/control/reconciler.py
@@ -23,7 +23,7 @@
 SETTLING_S = 1.5  # for a new leader to receive session reports before it treats any member as gone
 OWNER_TIMEOUT_S = 0.15  # without a session until an owner's shards are assigned to others
 STORE_TIMEOUT_S = 1.5  # without a session until a disk is marked lost and its messages are re-replicated
-GATHERING_S = 0.4  # without a further new edge node until the new ones are assigned shards together
+JOIN_BATCH_WAIT_S = 0.4  # without a further new edge node until the new ones are assigned shards together
 
 
 class LeaderTask(Enum):
@@ -218,7 +218,7 @@
         current = [shard.owner for shard in self.cluster_state.shards]
         owners = sorted(set(current))
         departed = self._departed_owners(owners, edges, now_s)
-        if not departed and not self._has_gathered(live, owners, now_s):
+        if not departed and not self._is_join_batch_complete(live, owners, now_s):
             return
         retained = [name for name in owners if name and name not in departed and name not in live]
         assignments = assign_shards(current, live, len(current) or SHARD_COUNT, retained)
@@ -248,13 +248,13 @@
                     departed.append(owner)
         return departed
 
-    def _has_gathered(self, live: Sequence[str], owners: Sequence[str], now_s: float) -> bool:
+    def _is_join_batch_complete(self, live: Sequence[str], owners: Sequence[str], now_s: float) -> bool:
         """Whether there are edge nodes without shards, and no further one has joined recently."""
         joined = [name for name in live if name not in owners]
         newest_s = max((self._first_seen_s[name] for name in joined), default=0.0)
         if not owners:
-            return now_s - newest_s >= GATHERING_S
-        return bool(joined) and now_s - newest_s > GATHERING_S
+            return now_s - newest_s >= JOIN_BATCH_WAIT_S
+        return bool(joined) and now_s - newest_s > JOIN_BATCH_WAIT_S
 
     def _owner_entries(
         self, owners: Sequence[str], departed: Sequence[str], edges: Mapping[str, Session]
