--- a/amberlug/cluster/control/status.py
+++ b/amberlug/cluster/control/status.py
@@ -28,7 +28,7 @@
 from amberlug.cluster.node_status import NodeStatusReport, NodeStatusRequest
 from amberlug.cluster.rpc.messages import Responder, handles
 
-Members: TypeAlias = Mapping[str, Session]  # by name
+MemberSessions: TypeAlias = Mapping[str, Session]  # by name
 
 
 class StatusService:
@@ -75,7 +75,7 @@
         """Reply to another control-plane node with this node's own status."""
         respond(self._own_status())
 
-    def _request_reports(self, query: PeerQuery[NodeStatusReport], members: Members) -> None:
+    def _request_reports(self, query: PeerQuery[NodeStatusReport], members: MemberSessions) -> None:
         """Request a report from each member and each other control-plane node."""
         node_request = NodeStatusRequest(self._replica_disks(members))
         for session in members.values():
@@ -94,7 +94,7 @@
             counters=self._counters,
         )
 
-    def _replica_disks(self, members: Members) -> Sequence[str]:
+    def _replica_disks(self, members: MemberSessions) -> Sequence[str]:
         """Return the disks whose replicas count and whose storage nodes have a session."""
         return [
             disk
@@ -102,7 +102,7 @@
             if store.state is StoreState.FULL and _has_session(members, disk, store)
         ]
 
-    def _cluster_status(self, members: Members, reports: Reports, is_confirmed: bool) -> ClusterStatus:
+    def _cluster_status(self, members: MemberSessions, reports: Reports, is_confirmed: bool) -> ClusterStatus:
         state = self._cluster_state
         sessions = sorted(members.values(), key=lambda session: (session.node.machine_class, session.name))
         return ClusterStatus(
@@ -123,7 +123,7 @@
         raft = self._raft
         return ConsensusStatus(raft.term, raft.leader_id, raft.commit_index, raft.members, reports)
 
-    def _store_status(self, members: Members) -> Mapping[str, StoreStatus]:
+    def _store_status(self, members: MemberSessions) -> Mapping[str, StoreStatus]:
         stores = sorted(self._cluster_state.roster.items(), key=lambda item: item[1].name)
         return {disk: StoreStatus(store, _has_session(members, disk, store)) for disk, store in stores}
 
@@ -135,7 +135,7 @@
         ]
 
 
-def _has_session(members: Members, disk: str, store: StoreEntry) -> bool:
+def _has_session(members: MemberSessions, disk: str, store: StoreEntry) -> bool:
     """Whether a storage node has a session with this disk."""
     session = members.get(store.name)
     return session is not None and session.details.get("disk") == disk
