--- a/amberlug/cluster/control/reconciler.py
+++ b/amberlug/cluster/control/reconciler.py
@@ -169,7 +169,7 @@
             return  # owners may report no missing replicas just because nothing can be replicated
         if self._is_full_disk_absent():
             return  # its replicas count, but may be lost: it returns, or its messages are re-replicated first
-        progress = self._owners_progress(edges)
+        progress = self._owner_progress_reports(edges)
         if not progress:
             return
         if any(owner.shard_table_index != state.shards_index or not owner.is_complete for owner in progress):
@@ -180,14 +180,14 @@
             for disk, store in leaving.items()
             if store.state_index is not None
             and store.state_index <= roster_index
-            and not self._is_coming_back(disk, store)
+            and not self._has_returned(disk, store)
         ]
         if dropped:
             names = [leaving[disk].name for disk in dropped]
             logging.info("roster: dropping disks of %s, whose replicas are no longer needed", names)
             self.propose(LeaderTask.DROP_DISKS, UpdateRoster(dropped=tuple(dropped)))
 
-    def _is_coming_back(self, disk: str, store: StoreEntry) -> bool:
+    def _has_returned(self, disk: str, store: StoreEntry) -> bool:
         """Whether a disk marked as lost is present again, and about to be restored instead of dropped."""
         return store.state is StoreState.LOST and disk in self._present_disks
 
@@ -198,7 +198,7 @@
             disk in self._absent_disks for disk, store in roster.items() if store.state is StoreState.FULL
         )
 
-    def _owners_progress(self, edges: Mapping[str, Session]) -> Sequence[EdgeAttributes]:
+    def _owner_progress_reports(self, edges: Mapping[str, Session]) -> Sequence[EdgeAttributes]:
         """Return the progress reports of all shard owners; empty if there is none or one has no session."""
         owners = {shard.owner for shard in self.cluster_state.shards}
         if not owners <= set(edges):
