--- a/amberlug/cluster/control/membership.py
+++ b/amberlug/cluster/control/membership.py
@@ -68,20 +68,20 @@
         """Keep this node's membership entry up to date; a node without a leader may have been removed."""
         self._runtime.call_later(JOIN_INTERVAL_S, self.join)
         is_leader = self._raft.role is Role.LEADER
-        is_followed = is_leader or self._runtime.now() - self._raft.leader_contact_at < LEADER_TIMEOUT_S
-        if is_followed and self._is_up_to_date():
+        has_leader = is_leader or self._runtime.now() - self._raft.leader_contact_at < LEADER_TIMEOUT_S
+        if has_leader and self._is_up_to_date():
             return
         message = JoinCluster(self._raft.member_id, self._description())
         if is_leader:
             self._admit(message)
             return
-        addresses = self._join_addresses(is_followed)
+        addresses = self._join_addresses(has_leader)
         if addresses:
             send(self._runtime, self._runtime.rng.choice(addresses), message)
 
-    def _join_addresses(self, is_followed: bool) -> list[str]:
+    def _join_addresses(self, has_leader: bool) -> list[str]:
         leader = self._quorum.leader_address()
-        if leader and is_followed:
+        if leader and has_leader:
             return [leader]
         addresses = [*seed_addresses(self._settings()), *self._peers()]
         return [address for address in addresses if address != self._address]
