--- a/amberlug/cluster/control/cluster_state.py
+++ b/amberlug/cluster/control/cluster_state.py
@@ -54,7 +54,7 @@
     return hashlib.blake2b(json.dumps(document, sort_keys=True).encode(), digest_size=12).hexdigest()
 
 
-def _upgraded(snapshot: Json) -> Json:
+def _upgrade_snapshot(snapshot: Json) -> Json:
     """Convert a snapshot to the current format.
 
     The first version had no replicated clock, so all its entries get the time 0.
@@ -130,7 +130,7 @@
 
     def from_json(self, snapshot: Json) -> None:
         """Restore a snapshot of this version or an earlier one; fields that it lacks keep their values."""
-        body = {**self.to_json(), **_upgraded(snapshot)}
+        body = {**self.to_json(), **_upgrade_snapshot(snapshot)}
         self.index = body["index"]
         self.config_version, self.config = body["edition"], body["config"]
         self.config_index, self.clock_s = body["config_at"], body["now"]
--- a/amberlug/cluster/control/commands.py
+++ b/amberlug/cluster/control/commands.py
@@ -157,7 +157,7 @@
 Command = ReplaceConfig | UpdateRoster | RetireStore | AssignShards | DrainEndpoints
 TimedCommand = ReplaceConfig | DrainEndpoints  # commands that advance the replicated clock
 
-_READERS: Mapping[str, Callable[[Json], Command]] = {
+_COMMAND_DECODERS: Mapping[str, Callable[[Json], Command]] = {
     ReplaceConfig.do: ReplaceConfig.from_wire,
     UpdateRoster.do: UpdateRoster.from_wire,
     RetireStore.do: RetireStore.from_wire,
@@ -171,7 +171,7 @@
 
     :raises KeyError: if the command is unknown, or a field is missing.
     """
-    return _READERS[body["do"]](body)
+    return _COMMAND_DECODERS[body["do"]](body)
 
 
 def with_elapsed(command: TimedCommand, elapsed_s: float) -> TimedCommand:
--- a/amberlug/cluster/control/config_validation.py
+++ b/amberlug/cluster/control/config_validation.py
@@ -47,8 +47,8 @@
 
 
 _NAME = t.String(min_length=1, max_length=256)
-_NATURAL = t.Int(gte=0)
-_NUMBER = (t.Int(gte=0) | t.Float(gte=0)) & (lambda value: value)
+_NON_NEGATIVE_INT = t.Int(gte=0)
+_NON_NEGATIVE_NUMBER = (t.Int(gte=0) | t.Float(gte=0)) & (lambda value: value)
 
 _ROUTE = t.Dict(
     {
@@ -58,13 +58,13 @@
         t.Key("routeType"): _NAME,
         t.Key("targetService"): _NAME,
         t.Key("expiryMs"): t.Int(gt=0) | t.Float(gt=0),
-        t.Key("targetMs", optional=True): _NUMBER,
-        t.Key("precedence", optional=True): _NATURAL,
+        t.Key("targetMs", optional=True): _NON_NEGATIVE_NUMBER,
+        t.Key("precedence", optional=True): _NON_NEGATIVE_INT,
         t.Key("maxAttempts", optional=True): t.Int(gte=1),
         t.Key("inSequence", optional=True): t.Bool(),
-        t.Key("retentionS", optional=True): _NUMBER,
+        t.Key("retentionS", optional=True): _NON_NEGATIVE_NUMBER,
         t.Key("notifyUri", optional=True): t.Bool() | t.String(allow_blank=True) | t.Null(),
-        t.Key("startTargetMs", optional=True): _NUMBER,
+        t.Key("startTargetMs", optional=True): _NON_NEGATIVE_NUMBER,
     },
     allow_extra="*",
 )
@@ -75,7 +75,7 @@
         t.Key("maxConnections", optional=True): t.Int(gte=1),
         t.Key("protocol", optional=True): t.String(),
         t.Key("tls", optional=True): t.Bool(),
-        t.Key("ratePerS", optional=True): _NUMBER,
+        t.Key("ratePerS", optional=True): _NON_NEGATIVE_NUMBER,
         t.Key("dedupCapable", optional=True): t.Bool(),
         t.Key("pull", optional=True): t.Bool(),
         t.Key("fixedAddress", optional=True): t.Null() | (t.String() & _address),
