--- a/amberlug/cluster/control/dead_messages.py
+++ b/amberlug/cluster/control/dead_messages.py
@@ -127,7 +127,7 @@
     for page in pages:
         for message in page.messages:
             known = messages.get(message.message_id)
-            if known is None or _knows_more(message, known):
+            if known is None or _has_more_metadata(message, known):
                 messages[message.message_id] = message
         if page.has_more:
             page_ends.append(page.messages[-1].message_id)
@@ -138,7 +138,7 @@
     return DeadMessagePage([messages[name] for name in selected], next_after)
 
 
-def _knows_more(message: DeadMessage, other: DeadMessage) -> bool:
+def _has_more_metadata(message: DeadMessage, other: DeadMessage) -> bool:
     """Whether a message has the metadata that `other` lacks, whose node was notified only of the outcome."""
     return bool(message.metadata and not other.metadata.get("m"))
 
--- a/amberlug/cluster/control/endpoint_registry.py
+++ b/amberlug/cluster/control/endpoint_registry.py
@@ -19,7 +19,7 @@
 from amberlug.cluster.interfaces import Json, Runtime
 from amberlug.cluster.values import value
 
-MISSED_HEARTBEATS = 3.2  # heartbeat intervals without a heartbeat after which an endpoint gets no more calls
+TIMEOUT_HEARTBEATS = 3.2  # heartbeat intervals without a heartbeat after which an endpoint gets no more calls
 MAX_ANNOUNCEMENT_BYTES = 4096
 CONDITION_BY_RANK = (EndpointCondition.READY, EndpointCondition.DRAINING, EndpointCondition.GONE)
 
@@ -143,7 +143,7 @@
 
     def __init__(self, runtime: Runtime, gossip: GossipStore, heartbeat_interval_s: float) -> None:
         self.runtime, self.gossip = runtime, gossip
-        self.timeout_s = MISSED_HEARTBEATS * heartbeat_interval_s
+        self.timeout_s = TIMEOUT_HEARTBEATS * heartbeat_interval_s
         self.last_heartbeat_s: dict[str, float] = {}
         self.unreported_heartbeats: set[str] = set()
 
--- a/amberlug/cluster/control/shard_assignment.py
+++ b/amberlug/cluster/control/shard_assignment.py
@@ -37,7 +37,7 @@
     for name in names:
         while len(owned[name]) > quotas[name]:
             unassigned.append(owned[name].pop())
-    return _fill(owned, quotas, unassigned)
+    return _assign_to_quotas(owned, quotas, unassigned)
 
 
 def _quotas(owned: Mapping[str, Sequence[int]], total: int) -> dict[str, int]:
@@ -50,7 +50,7 @@
     return {name: least + (1 if rank < remainder else 0) for rank, name in enumerate(by_size)}
 
 
-def _fill(
+def _assign_to_quotas(
     owned: Mapping[str, Sequence[int]], quotas: Mapping[str, int], unassigned: Sequence[int]
 ) -> dict[str, list[int]]:
     """Assign the unassigned shards to owners below their quota, in the order of the quotas."""
