--- a/tests/cluster/test_cluster_state.py
+++ b/tests/cluster/test_cluster_state.py
@@ -58,8 +58,8 @@
 def answer_to_repeat(changes: int, seconds: float) -> Json:
     """Return the answer to a repeat of the first call after `changes` changes that are `seconds` apart."""
     log = Log()
-    for it in range(1, changes + 1):
-        assert log.replace_config(it, it - 1, f"sum {it}", seconds) == {"ok": True}
+    for version in range(1, changes + 1):
+        assert log.replace_config(version, version - 1, f"sum {version}", seconds) == {"ok": True}
     log.restore_from_snapshot()
     return log.cluster_state.check_config(0, 1, "sum 1").to_wire()
 
@@ -76,8 +76,8 @@
 def test_departures_of_endpoints_are_retained_by_time_whatever_their_number() -> None:
     log = Log()
     log.apply("drain", ids=[["first", LEAVING, 7], ["second", LEAVING, 1]])
-    for it in range(20):
-        log.apply("drain", 1.0, ids=[[f"e{it}-{at}", LEAVING, 1] for at in range(500)])
+    for batch in range(20):
+        log.apply("drain", 1.0, ids=[[f"e{batch}-{number}", LEAVING, 1] for number in range(500)])
     log.restore_from_snapshot()
     assert log.cluster_state.departure("first") == (LEAVING, 7)
     log.apply(
--- a/tests/cluster/test_contact.py
+++ b/tests/cluster/test_contact.py
@@ -32,39 +32,41 @@
 
 pytestmark = pytest.mark.usefixtures("suppressed_logs")
 
-BEFORE_S, CUT_S, APPLY_S = 6.0, 20.0, 3.0
+WARM_UP_S, PARTITION_S, CONFIG_TIMEOUT_S = 6.0, 20.0, 3.0
 
 
-class Fast:
+class InstantDisk:
     """A disk that acknowledges each write at once, and stores nothing."""
 
     def write(self, rows: list[tuple[str, tuple[Any, ...]]], then: OnWritten) -> None:
         then(None)
 
 
-class Cut:
+class PartitionedDeployment:
     """A deployment without other faults, one of whose control-plane nodes is partitioned from the others.
 
-    :param which: `leader` or `follower`.
-    :param way: direction in which messages are lost: `to` the node, `from` it, or `both`.
+    :param raft_role: `leader` or `follower`.
+    :param direction: direction in which messages are blocked: `to` the node, `from` it, or `both`.
     """
 
-    def __init__(self, seed: int, which: str, way: str) -> None:
+    def __init__(self, seed: int, raft_role: str, direction: str) -> None:
         day = self.day = Day(seed, "quiet")
         self.deployment, self.clock = day.deployment, day.clock
         for machine in self.deployment.machines:
             machine.start()
         self.clock.call_later(0.6, day.operator.begin)
-        self.clock.run(BEFORE_S)
+        self.clock.run(WARM_UP_S)
         leader = day.leader()
         assert leader is not None
-        voters = [it for it in self.deployment.cores if it.part.raft.is_voter]
-        self.cut = leader if which == "leader" else next(it for it in voters if it is not leader)
-        self.others = [it for it in self.deployment.cores if it is not self.cut]
-        pairs = {(self.cut.name, it.name) for it in self.others} if way != "to" else set()
-        pairs |= {(it.name, self.cut.name) for it in self.others} if way != "from" else set()
+        voters = [machine for machine in self.deployment.cores if machine.part.raft.is_voter]
+        follower = next(voter for voter in voters if voter is not leader)
+        self.partitioned = leader if raft_role == "leader" else follower
+        self.others = [machine for machine in self.deployment.cores if machine is not self.partitioned]
+        name = self.partitioned.name
+        pairs = {(name, other.name) for other in self.others} if direction != "to" else set()
+        pairs |= {(other.name, name) for other in self.others} if direction != "from" else set()
         self.deployment.net.cut(pairs)
-        self.clock.call_later(CUT_S, partial(self.deployment.net.join, pairs))
+        self.clock.call_later(PARTITION_S, partial(self.deployment.net.join, pairs))
 
     def restart_others(self) -> None:
         """Restart the other control-plane nodes, so that sessions move to the partitioned one if possible."""
@@ -89,29 +91,30 @@
         return found[0]
 
     def editions(self) -> set[int]:
-        return {it.part.routes.edition for it in self.deployment.edges}
+        return {machine.part.routes.edition for machine in self.deployment.edges}
 
     def relays(self) -> set[str]:
-        return {it.part.session.control_address for it in self.deployment.edges + self.deployment.stores}
+        nodes = self.deployment.edges + self.deployment.stores
+        return {node.part.session.control_address for node in nodes}
 
 
-@pytest.mark.parametrize("way", ["both", "to", "from"])
-@pytest.mark.parametrize("which", ["leader", "follower"])
-def test_no_session_stays_with_a_partitioned_control_node(which: str, way: str) -> None:
-    play = Cut(3, which, way)
-    play.clock.run(BEFORE_S + 0.5)
+@pytest.mark.parametrize("direction", ["both", "to", "from"])
+@pytest.mark.parametrize("raft_role", ["leader", "follower"])
+def test_no_session_stays_with_a_partitioned_control_node(raft_role: str, direction: str) -> None:
+    play = PartitionedDeployment(3, raft_role, direction)
+    play.clock.run(WARM_UP_S + 0.5)
     play.restart_others()
-    assert play.wait(lambda: play.day.leader() not in (None, play.cut), 4.0)
-    assert play.wait(lambda: not play.relays() & {play.cut.address, ""}, 3.0)
+    assert play.wait(lambda: play.day.leader() not in (None, play.partitioned), 4.0)
+    assert play.wait(lambda: not play.relays() & {play.partitioned.address, ""}, 3.0)
     before = play.day.operator.edition
     play.day.operator.change()
     assert play.wait(lambda: play.day.operator.edition > before, 6.0)
-    assert play.wait(lambda: play.editions() == {play.day.operator.edition}, APPLY_S)
+    assert play.wait(lambda: play.editions() == {play.day.operator.edition}, CONFIG_TIMEOUT_S)
 
 
 def test_a_partitioned_control_node_neither_accepts_nor_rejects_commands() -> None:
-    play = Cut(3, "leader", "both")
-    play.clock.run(BEFORE_S + 0.1)  # it still considers itself the leader
+    play = PartitionedDeployment(3, "leader", "both")
+    play.clock.run(WARM_UP_S + 0.1)  # it still considers itself the leader
     calls: list[tuple[str, str, bytes, str]] = [
         ("POST", "/-/Configuration.Replace", b'{"edition": 900}', "899"),
         ("GET", "/-/Configuration.Read", b"", ""),
@@ -119,34 +122,34 @@
         ("POST", "/-/Retire.Begin/store-0", b'{"durationS": 1}', ""),
         ("GET", "/-/Retire.Read/store-0", b"", ""),
     ]
-    assert {play.ask(play.cut, *it) for it in calls} <= {503, -2}
-    play.clock.run(BEFORE_S + 5.0)
+    assert {play.ask(play.partitioned, *call) for call in calls} <= {503, -2}
+    play.clock.run(WARM_UP_S + 5.0)
     announce = b'{"targetService": "alpha", "address": "10.0.0.9:80", "sequence": 1}'
-    assert {play.ask(play.cut, *it) for it in calls} == {503}
-    assert play.ask(play.cut, "POST", "/-/Instances.Announce/i-1", announce) == 503
+    assert {play.ask(play.partitioned, *call) for call in calls} == {503}
+    assert play.ask(play.partitioned, "POST", "/-/Instances.Announce/i-1", announce) == 503
     responses: list[Any] = []
     other = play.others[0]
-    body = announce.replace(b"{", b'{"zone": "%s",' % play.cut.zone.encode(), 1)
+    body = announce.replace(b"{", b'{"zone": "%s",' % play.partitioned.zone.encode(), 1)
     play.deployment.control(
         other,
         "POST",
         "/-/Instances.Announce/i-1",
         body,
         1.0,
-        lambda status, it: responses.append((status, it)),
+        lambda status, reply_body: responses.append((status, reply_body)),
     )
     play.clock.run(play.clock.now + 1.1)
     assert responses[0][0] == 200
-    assert responses[0][1].get("heartbeatUri") != play.cut.control
+    assert responses[0][1].get("heartbeatUri") != play.partitioned.control
 
 
 def test_endpoints_of_a_partitioned_zone_fail_over_and_are_not_lost() -> None:
-    play = Cut(5, "follower", "both")
+    play = PartitionedDeployment(5, "follower", "both")
     endpoint_fleet = play.deployment.endpoint_fleet
     for _ in range(3):
-        endpoint_fleet.start("alpha", play.cut.zone)
+        endpoint_fleet.start("alpha", play.partitioned.zone)
     lost: set[str] = set()
-    while play.clock.now < BEFORE_S + CUT_S + 4.0:
+    while play.clock.now < WARM_UP_S + PARTITION_S + 4.0:
         play.clock.run(play.clock.now + 0.5)
         for core in play.deployment.cores:
             items = core.part.registry.gossip.items
@@ -155,8 +158,8 @@
 
 
 def test_an_edge_serves_no_configuration_that_no_majority_has_confirmed() -> None:
-    play = Cut(3, "leader", "both")
-    play.clock.run(BEFORE_S + 3.0)
+    play = PartitionedDeployment(3, "leader", "both")
+    play.clock.run(WARM_UP_S + 3.0)
     edge = play.deployment.edges[0]
     edge.kill()
     edge.start()
@@ -184,9 +187,8 @@
     member = {"voter": True, "zone": "", "control": ""}
     members = Members.from_wire({name: {"addr": name, **member} for name in names})
     config = {"do": "config", "base": 0, "edition": 5, "sum": "x", "config": {"edition": 5}}
-    core = ControlNode(
-        world, of, names[0], Fast(), PersistentState(names[0], 1, members=members, entries=[Entry(1, config)])
-    )
+    saved = PersistentState(names[0], 1, members=members, entries=[Entry(1, config)])
+    core = ControlNode(world, of, names[0], InstantDisk(), saved)
     core.raft.election.start(2)
     core.raft.become_leader()  # its log has what the previous leader committed, which it has not applied yet
     responses: list[Any] = []
@@ -195,11 +197,11 @@
     core.executor.execute(ReadState(), responses.append)
     assert responses == []
     for commit in (0, 2):
-        for to, tag, body, then in world.requests[:]:
-            if tag == "vise.append" and to == names[1] and body["commit"] == commit:
-                then(Ok(Reply({"ok": True, "term": 2})))
-    results = [it.ok_value for it in responses if isinstance(it, Ok)]
-    statuses = [it.status for it in results if isinstance(it, CommandResult)]
+        for address, tag, body, on_reply in world.requests[:]:
+            if tag == "vise.append" and address == names[1] and body["commit"] == commit:
+                on_reply(Ok(Reply({"ok": True, "term": 2})))
+    results = [response.ok_value for response in responses if isinstance(response, Ok)]
+    statuses = [result.status for result in results if isinstance(result, CommandResult)]
     assert core.cluster_state.config_version == 5
     assert 412 not in statuses
     assert len(responses) == 2  # the retirement is proposed, but not committed yet
@@ -260,46 +262,46 @@
     assert edge.delivery.outcomes.get(message.id) == MessageOutcome("done", "seal")
 
 
-def started(cores: int) -> Day:
-    """Return a fault-free deployment with `cores` control-plane nodes, `BEFORE_S` seconds after its start."""
-    day = next(it for it in (Day(seed, "quiet") for seed in range(1, 99)) if it.size.cores == cores)
+def start_deployment(cores: int) -> Day:
+    """Return a fault-free deployment with `cores` control-plane nodes, `WARM_UP_S` after its start."""
+    day = next(day for day in (Day(seed, "quiet") for seed in range(1, 99)) if day.size.cores == cores)
     for machine in day.deployment.machines:
         machine.start()
     day.clock.call_later(0.6, day.operator.begin)
-    day.clock.run(BEFORE_S)
+    day.clock.run(WARM_UP_S)
     return day
 
 
-@pytest.mark.parametrize("which", ["leader", "follower"])
-def test_a_voter_that_shuts_down_hands_over_its_vote_first(which: str) -> None:
-    day = started(4)
+@pytest.mark.parametrize("raft_role", ["leader", "follower"])
+def test_a_voter_that_shuts_down_hands_over_its_vote_first(raft_role: str) -> None:
+    day = start_deployment(4)
     leader = day.leader()
     assert leader is not None
-    voters = [it for it in day.deployment.cores if it.part.raft.is_voter]
+    voters = [machine for machine in day.deployment.cores if machine.part.raft.is_voter]
     assert len(voters) == 3
-    ending = leader if which == "leader" else next(it for it in voters if it is not leader)
-    name = ending.part.raft.member_id
-    ending.term()
-    while ending.up:
+    stopping = leader if raft_role == "leader" else next(voter for voter in voters if voter is not leader)
+    name = stopping.part.raft.member_id
+    stopping.term()
+    while stopping.up:
         day.clock.run(day.clock.now + 0.01)
-        assert day.clock.now < BEFORE_S + 1.0
-    others = [it for it in day.deployment.cores if it is not ending]
-    assert all(it.part.raft.is_voter for it in others)
+        assert day.clock.now < WARM_UP_S + 1.0
+    others = [machine for machine in day.deployment.cores if machine is not stopping]
+    assert all(machine.part.raft.is_voter for machine in others)
     assert name not in others[0].part.raft.members.voters
 
 
 def test_nodes_find_a_control_node_while_several_do_not_respond() -> None:
-    day = started(5)
-    unresponsive = [it for it in day.deployment.cores if not it.part.raft.is_voter]
+    day = start_deployment(5)
+    unresponsive = [machine for machine in day.deployment.cores if not machine.part.raft.is_voter]
     assert len(unresponsive) == 2
-    gone = {it.address for it in unresponsive}
-    sessions = [it.part.session for it in day.deployment.edges + day.deployment.stores]
-    session = next(it for it in sessions if it.control_address not in gone)
+    gone = {machine.address for machine in unresponsive}
+    sessions = [machine.part.session for machine in day.deployment.edges + day.deployment.stores]
+    session = next(session for session in sessions if session.control_address not in gone)
     for machine in unresponsive:
         machine.power_off()
     day.clock.run(day.clock.now + 2.0)
-    session._candidates = [it.address for it in unresponsive] + [
-        it.address for it in day.deployment.cores if it not in unresponsive
+    session._candidates = [machine.address for machine in unresponsive] + [
+        machine.address for machine in day.deployment.cores if machine not in unresponsive
     ]
     session._attempts = 0
     session.on_disconnect(session.control_address)
--- a/tests/cluster/test_control_commands.py
+++ b/tests/cluster/test_control_commands.py
@@ -106,6 +106,6 @@
     state = ClusterState()
     assert state.apply(5, first) == CommandResult(epoch=5)
     assert state.apply(6, second) == CommandResult(epoch=6)
-    found: list[Any] = state.shards[:3]
-    assert found == [("a", 5, ""), ("b", 6, "a"), ("", 0, "")]
+    first_shards: list[Any] = state.shards[:3]
+    assert first_shards == [("a", 5, ""), ("b", 6, "a"), ("", 0, "")]
     assert len(state.shards) == SHARD_COUNT
--- a/tests/cluster/test_control_node.py
+++ b/tests/cluster/test_control_node.py
@@ -65,7 +65,7 @@
 def test_a_disk_without_a_session_is_lost_and_then_dropped(monkeypatch: pytest.MonkeyPatch) -> None:
     rig = Rig(monkeypatch)
     rig.reconcile_roster("a", "b")
-    assert [list(it["set"]) for it in rig.proposed] == [["disk-c"]]
+    assert [list(command["set"]) for command in rig.proposed] == [["disk-c"]]
     rig.set_state("disk-c", StoreState.LOST)
     rig.drop_disks()
     assert rig.proposed[-1]["drop"] == ["disk-c"]
--- a/tests/cluster/test_internal_replies.py
+++ b/tests/cluster/test_internal_replies.py
@@ -75,7 +75,7 @@
 
     def __init__(self, loop: Loop, rng: random.Random, peer: Peer, retry_probability: float = 0.2) -> None:
         self.loop, self.rng, self.peer, self.retry_probability = loop, rng, peer, retry_probability
-        self.peers = PeerTransport(lambda *given: None, lambda address: None)
+        self.peers = PeerTransport(lambda *args: None, lambda address: None)
         self.peers.address = "10.0.0.1:7300"
         self.outcomes: Counter[str] = Counter()
         self.not_sent: set[str] = set()
@@ -142,22 +142,22 @@
 def test_a_connection_with_an_invalid_frame_is_closed() -> None:
     """Data after an invalid frame must not be taken for a reply."""
 
-    async def cut_frames(loop: Loop, rng: random.Random) -> None:
+    async def truncate_frames(loop: Loop, rng: random.Random) -> None:
         frame = encode_reply(1, {"number": "1"}, b"111").unwrap()
         for length in range(len(frame)):
             peer = Peer(loop, rng, slow_connect_probability=0.0)
             await peer.start()
             requester = Requester(loop, rng, peer, retry_probability=0.0)
             requester.request("1")
-            link = requester.peers._client_connections[f"{ADDRESS[0]}:{ADDRESS[1]}"]
+            connection = requester.peers._client_connections[f"{ADDRESS[0]}:{ADDRESS[1]}"]
             await asyncio.sleep(0.01)
-            assert link.transport is not None
-            link.data_received(frame[:length])
+            assert connection.transport is not None
+            connection.data_received(frame[:length])
             if length % 2:
-                link.data_received(b"\xff" * len(frame))
+                connection.data_received(b"\xff" * len(frame))
             peer.kill()
             await asyncio.sleep(0.5)
             assert requester.outcomes == {"1": 1}
-            assert not link.pending
+            assert not connection.pending
 
-    run(2, cut_frames)
+    run(2, truncate_frames)
