--- a/tests/cluster/test_control_commands.py
+++ b/tests/cluster/test_control_commands.py
@@ -1,4 +1,4 @@
-"""Commands of the replicated log and entries of its state: their JSON, which other versions read."""
+"""JSON formats of log commands and of entries of the replicated state, which other versions read."""
 
 import json
 from typing import Any
@@ -16,7 +16,7 @@
     UpdateRoster,
     command_from_wire,
 )
-from amberlug.cluster.control.shard_assignment import SHARDS
+from amberlug.cluster.control.shard_assignment import SHARD_COUNT
 from amberlug.cluster.control.state_entries import (
     EndpointDrain,
     EndpointRank,
@@ -106,6 +106,6 @@
     state = ClusterState()
     assert state.apply(5, first) == CommandResult(epoch=5)
     assert state.apply(6, second) == CommandResult(epoch=6)
-    found: list[Any] = state.shards[:3]
-    assert found == [("a", 5, ""), ("b", 6, "a"), ("", 0, "")]
-    assert len(state.shards) == SHARDS
+    first_shards: list[Any] = state.shards[:3]
+    assert first_shards == [("a", 5, ""), ("b", 6, "a"), ("", 0, "")]
+    assert len(state.shards) == SHARD_COUNT
