--- a/amberlug/cluster/__init__.py
+++ b/amberlug/cluster/__init__.py
@@ -1,1 +1,1 @@
-"""An ingest and dispatch service of many machines."""
+"""A clustered message ingest and dispatch service."""
--- a/amberlug/cluster/__main__.py
+++ b/amberlug/cluster/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m amberlug.cluster`: the program of every machine."""
+"""Entry point of `python -m amberlug.cluster`, which runs a node of any kind."""
 
 from __future__ import annotations
 
@@ -10,15 +10,15 @@
 
 
 def main(arguments: list[str]) -> None:
-    """Run a command, and end the process with its exit code.
+    """Run a command and exit with its exit code.
 
-    A node, which starts on a fraction of a core, does not import the command line: it would cost a tenth of
-    the start.
+    `run` bypasses the command-line module: nodes start on a fraction of a core, and importing it would take
+    a tenth of the startup time.
 
-    :param arguments: behind the program's name.
+    :param arguments: the command-line arguments after the program name.
     """
     if arguments == [RUN_COMMAND]:
-        gc.disable()  # imports leave no garbage, and looking for it takes a thirtieth of the start
+        gc.disable()  # imports create no garbage, and collecting takes a thirtieth of the startup time
         from amberlug.cluster.process import run_configured_node
 
         sys.exit(run_configured_node())
--- a/amberlug/cluster/asyncio_runtime.py
+++ b/amberlug/cluster/asyncio_runtime.py
@@ -1,4 +1,4 @@
-"""The runtime of a real process: the clocks and timers of asyncio, and peers over TCP."""
+"""The production runtime: asyncio clocks and timers, and peer messages over TCP."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class AsyncioRuntime:
-    """`Runtime` on the running event loop; see there for what its methods do."""
+    """Implements `Runtime` on the running event loop."""
 
     def __init__(self, transport: PeerTransport, rng: random.Random) -> None:
         self._loop = asyncio.get_running_loop()
@@ -20,7 +20,7 @@
         self.rng, self.now, self.wall_clock = rng, self._loop.time, time.time
 
     def call_later(self, delay_s: float, callback: Callable[[], None]) -> TimerHandle:
-        """Call back after a delay."""
+        """Call `callback` once after a delay."""
         return self._loop.call_later(delay_s, callback)
 
     def send(self, address: str, message: RawMessage) -> None:
--- a/amberlug/cluster/cli.py
+++ b/amberlug/cluster/cli.py
@@ -10,7 +10,7 @@
 
 
 class LazyGroup(click.Group):
-    """Imports the module of a command only once the command is asked for."""
+    """Imports the module of a command only when that command is looked up."""
 
     COMMANDS_ELSEWHERE: ClassVar = {
         "admin": "amberlug.cluster.admin.commands:admin",
@@ -20,11 +20,11 @@
     }
 
     def list_commands(self, ctx: click.Context) -> list[str]:
-        """Name all commands."""
+        """List the names of all commands."""
         return sorted([*super().list_commands(ctx), *self.COMMANDS_ELSEWHERE])
 
     def get_command(self, ctx: click.Context, cmd_name: str) -> click.Command | None:
-        """Give one command."""
+        """Return a command by name, importing its module if necessary."""
         if cmd_name not in self.COMMANDS_ELSEWHERE:
             return super().get_command(ctx, cmd_name)
         module, _, name = self.COMMANDS_ELSEWHERE[cmd_name].partition(":")
@@ -39,7 +39,7 @@
 
 @cli.command()
 def run() -> None:
-    """Serve as the settings file says."""
+    """Run the node that the settings file describes."""
     from amberlug.cluster.process import run_configured_node
 
     sys.exit(run_configured_node())
--- a/amberlug/cluster/frontends.py
+++ b/amberlug/cluster/frontends.py
@@ -1,4 +1,4 @@
-"""The HTTP fronts of nodes: responses to clients, probes and operators, as the HTTP server carries them."""
+"""HTTP frontends of nodes: map node responses to clients, probes and operators onto the HTTP server."""
 
 from __future__ import annotations
 
@@ -20,18 +20,18 @@
 
 
 class EdgeFrontend:
-    """The front of an edge node: clients' requests, the readiness probe, and the counters page."""
+    """The HTTP frontend of an edge node: client requests, the readiness probe and the counters page."""
 
     def __init__(self, node: EdgeNode) -> None:
         self._node = node
 
     def limits(self) -> Limits:
-        """The limits of the newest configuration."""
+        """Return the HTTP limits of the current configuration."""
         routes = self._node.routes
         return Limits(routes.header_bytes, routes.body_bytes, routes.header_s, routes.idle_s)
 
     def handle(self, request: Request, respond: RespondCallback) -> None:
-        """Pass on a client's request."""
+        """Pass a client request to the node."""
 
         def send(response: ClientResponse) -> None:
             if response.body is not None:
@@ -42,7 +42,7 @@
         self._node.handle(request, send)
 
     def handle_probe(self, request: Request, respond: RespondCallback) -> None:
-        """Respond to the readiness probe, with 200 or 503, and to readers of the counters."""
+        """Serve the readiness probe (200 or 503) and the counters page."""
         path = request.target.partition("?")[0]
         if path == metrics.PATH:
             respond(Response(200, TEXT_CONTENT, metrics.page(self._node.counters)))
@@ -53,7 +53,7 @@
 
 
 def respond_to_operator(respond: RespondCallback, response: HttpResponse) -> None:
-    """Send the response to a call of the control API: a page of text, or a JSON object."""
+    """Send the response to a control API call: a text page or a JSON object."""
     headers = (("Retry-After", str(response.retry_after)),) if response.retry_after is not None else ()
     if response.page is not None:
         respond(Response(response.status, TEXT_CONTENT + headers, response.page))
--- a/amberlug/cluster/interfaces.py
+++ b/amberlug/cluster/interfaces.py
@@ -1,7 +1,7 @@
-"""What decisions are given as their environment: clock, timers, random numbers, peers, disk, endpoints.
+"""Interfaces of the cluster logic to its environment: clock, timers, randomness, peers, disk, endpoints.
 
-All decisions are made without I/O, against these protocols. `process` implements them on sockets, clocks and
-disks, and `simulation` deterministically, in virtual time.
+The logic performs no I/O itself and depends only on these protocols. `process` implements them with real
+sockets, clocks and disks; `simulation` implements them deterministically in virtual time.
 """
 
 from __future__ import annotations
@@ -16,26 +16,26 @@
 from amberlug.cluster.values import value
 
 Json = dict[str, Any]
-"""A JSON object as it stands in a frame, in a row or in an HTTP body; only codecs look into it."""
+"""A JSON object of a frame, a database row or an HTTP body. Only codecs access its fields."""
 
 Headers = tuple[tuple[str, str], ...]
-"""HTTP header fields in their order: names and values."""
+"""HTTP header fields as (name, value) pairs, in order."""
 
 SqlStatement = tuple[str, tuple[Any, ...]]
-"""An SQL text with the parameters that are bound to it."""
+"""An SQL statement and its bound parameters."""
 
 
 class RequestFailure(Enum):
-    """Why a request to a peer has no reply."""
+    """Why a request to a peer received no reply."""
 
-    NOT_SENT = "unsent"  # nothing of it was written to the peer, which has surely not acted on it
-    CONNECTION_LOST = "broken"  # the connection ended first: the peer may have acted on it
-    TIMED_OUT = "silent"  # no reply in time: the peer may have acted on it, or may do so yet
+    NOT_SENT = "unsent"  # no byte was written, so the peer cannot have processed the request
+    CONNECTION_LOST = "broken"  # the connection closed first: the peer may have processed the request
+    TIMED_OUT = "silent"  # no reply in time: the peer may have processed the request, or may still do so
 
 
 @value
 class RawMessage:
-    """A message as it stands in a frame: its wire tag, its JSON object, and bytes beside it."""
+    """An encoded message: its wire tag, JSON body and binary payload."""
 
     tag: str
     body: Json
@@ -44,48 +44,48 @@
 
 @value
 class Reply:
-    """A peer's reply as it stands in a frame: a JSON object, and bytes beside it."""
+    """An encoded reply of a peer: its JSON body and binary payload."""
 
     body: Json
     blob: bytes = b""
 
 
 ReplyCallback = Callable[[Result[Reply, RequestFailure]], None]
-"""Called once with the reply to a request, or with the reason why there is none."""
+"""Called once with the reply to a request or the reason for its failure."""
 
 Respond = Callable[[Json, bytes], None]
-"""Sends the reply to a request: a JSON object, and bytes beside it."""
+"""Sends the reply to a request: a JSON body and a binary payload."""
 
 
 class TimerHandle(Protocol):
-    """A timer that has not fired."""
+    """Handle of a scheduled timer."""
 
     def cancel(self) -> None:
-        """Keep the timer from firing; no effect once it has fired."""
+        """Cancel the timer; has no effect once it has fired."""
 
 
 class Runtime(Protocol):
-    """Clock, timers, random numbers and peers, as the decisions of one process see them.
+    """Clock, timers, random numbers and peer messaging of one process.
 
-    Callbacks run one at a time, and never before the call that takes them has returned.
+    Callbacks run one at a time, and never before the call they were passed to has returned.
     """
 
     rng: random.Random
-    """The only source of random numbers, so that the simulation can reproduce them from a seed."""
+    """The only source of random numbers, so that the simulation can reproduce a run from its seed."""
 
     def now(self) -> float:
-        """Seconds of the monotonic clock; only differences mean something."""
+        """Return the monotonic clock in seconds; only differences are meaningful."""
 
     def wall_clock(self) -> float:
-        """Seconds since the Unix epoch; the clocks of nodes differ a little."""
+        """Return the seconds since the Unix epoch; clocks of different nodes may deviate slightly."""
 
     def call_later(self, delay_s: float, callback: Callable[[], None]) -> TimerHandle:
-        """Call `callback` once, after so many seconds."""
+        """Call `callback` once, after `delay_s` seconds."""
 
     def send(self, address: str, message: RawMessage) -> None:
-        """Send a notification; whether it arrives is not known.
+        """Send a notification without delivery guarantee.
 
-        Typed messages are sent by `rpc.messages.send`.
+        Use `rpc.messages.send` for typed messages.
 
         :param address: the peer, as `host:port`.
         """
@@ -93,37 +93,37 @@
     def request(self, address: str, message: RawMessage, timeout_s: float, on_reply: ReplyCallback) -> None:
         """Send a request.
 
-        Typed messages are sent by `rpc.messages.request`.
+        Use `rpc.messages.request` for typed messages.
 
         :param address: the peer, as `host:port`.
-        :param timeout_s: seconds until the request counts as timed out.
-        :param on_reply: called exactly once, with the reply or with the reason why there is none.
+        :param timeout_s: seconds until the request times out.
+        :param on_reply: called exactly once, with the reply or the reason for the failure.
         """
 
 
 class CallVerdict(Enum):
-    """How a call of an endpoint ended. The values are historical; recorded simulated days have them."""
+    """The result of an endpoint call. The values are historical: recorded simulation runs contain them."""
 
     ANSWERED = "answered"
-    NOT_CONNECTED = "unreached"  # no connection, or the request was not sent completely: it has not run
-    CONNECTION_LOST = "broken"  # the connection ended, or its response was not to this call: it may have run
-    TIMED_OUT = "silent"  # no response in time: it may have run, or may do so yet
+    NOT_CONNECTED = "unreached"  # not connected, or the request was not sent completely: not executed
+    CONNECTION_LOST = "broken"  # connection lost or mismatched response: possibly executed
+    TIMED_OUT = "silent"  # no response in time: possibly executed, or may still be
 
     @property
     def description(self) -> str:
-        """In words, as counters name it."""
+        """The verdict in words, as used in counter names."""
         return self.name.lower().replace("_", " ")
 
 
 @value
 class EndpointCall:
-    """A call of an endpoint.
+    """A call to an endpoint.
 
-    :param address: of the endpoint, as `host:port`.
-    :param instance: which start of the endpoint is meant.
+    :param address: the endpoint, as `host:port`.
+    :param instance: the endpoint instance (one start of its process) that the call is meant for.
     :param attempt_id: identifies this call among all calls for the message.
-    :param headers: of the request as it was received.
-    :param timeout_s: seconds until the call counts as timed out.
+    :param headers: the headers of the request as received.
+    :param timeout_s: seconds until the call times out.
     """
 
     address: str
@@ -140,8 +140,8 @@
 class CallResult:
     """The outcome of a call.
 
-    :param status: of the HTTP response; 0 where there is none.
-    :param headers: of the response, with names in lower case.
+    :param status: HTTP status of the response; 0 if there is no response.
+    :param headers: headers of the response, with names in lower case.
     """
 
     verdict: CallVerdict
@@ -149,25 +149,25 @@
     headers: Headers = ()
 
     def header(self, name: str) -> str | None:
-        """The first value of a header, by its name in lower case."""
+        """Return the first value of a header, given its name in lower case."""
         return next((value for key, value in self.headers if key == name), None)
 
 
 class Endpoints(Protocol):
-    """Calls of endpoints, over connections that are kept."""
+    """Calls endpoints over persistent connections."""
 
     def call(self, call: EndpointCall, on_result: Callable[[CallResult], None]) -> None:
         """Call an endpoint; `on_result` is called exactly once."""
 
     def available_connections(self, address: str) -> int:
-        """How many connections to an endpoint could carry a call at once."""
+        """Return the number of connections to an endpoint that can take a call immediately."""
 
     def close_idle_connections(self, address: str) -> None:
-        """Close the idle connections to an endpoint that has gone."""
+        """Close the idle connections to an endpoint that no longer exists."""
 
 
 class WriteFailureReason(Enum):
-    """Why a write to a disk failed; the value is the text for logs."""
+    """Why a disk write failed; the value is the log text."""
 
     OUT_OF_SPACE = "no space is left"
     IO_ERROR = "the disk failed"
@@ -176,25 +176,25 @@
 
 @value
 class WriteFailure:
-    """A write to a disk of which nothing is there.
+    """A disk write that failed as a whole; none of it was persisted.
 
-    :param detail: what the database reported; empty where there is nothing more to say.
+    :param detail: the error that the database reported; may be empty.
     """
 
     reason: WriteFailureReason
     detail: str = ""
 
     def __str__(self) -> str:
-        """The text for logs."""
+        """Return the log text."""
         return f"{self.reason.value}: {self.detail}" if self.detail else self.reason.value
 
 
 OnWritten = Callable[[WriteFailure | None], None]
-"""Called once at the end of a write: with None when it is on disk, else with the reason why it is not."""
+"""Called once when a write completes: with None if it is durable, otherwise with the failure."""
 
 
 class Disk(Protocol):
     """Durable writes."""
 
     def write(self, statements: list[SqlStatement], on_written: OnWritten, /) -> None:
-        """Execute statements in one transaction with others that are pending."""
+        """Execute the statements in one transaction, together with other pending writes."""
--- a/amberlug/cluster/metrics.py
+++ b/amberlug/cluster/metrics.py
@@ -1,4 +1,4 @@
-"""A process's metrics: counters, and the page that operators' tools read."""
+"""Metrics of a process: counters, and the page that exposes them to operator tools."""
 
 from __future__ import annotations
 
@@ -9,17 +9,17 @@
 
 
 class Counters(dict[str, int]):
-    """Counters by name; one that was never incremented is not listed."""
+    """Counters by name; a counter is absent until its first increment."""
 
     def increment(self, name: str) -> None:
-        """Count one more event."""
+        """Increment a counter by one."""
         self[name] = self.get(name, 0) + 1
 
 
 def page(counters: Mapping[str, int]) -> bytes:
-    """The page: a line `name value` for each counter, by name.
+    """Render the counters page: one `name value` line per counter, sorted by name.
 
-    Names are letters, digits and underscores, so that a blank ends each.
+    Other characters in names are replaced by underscores, so that a space always terminates the name.
     """
     lines = (f"{re.sub('[^A-Za-z0-9]+', '_', name).strip('_')} {value}\n" for name, value in counters.items())
     return "".join(sorted(lines)).encode()
--- a/amberlug/cluster/node_status.py
+++ b/amberlug/cluster/node_status.py
@@ -1,6 +1,6 @@
-"""The status request, by which operators look at edge and storage nodes through a control-plane node. No I/O.
+"""The status request, with which a control-plane node queries edge and storage nodes for operators. No I/O.
 
-Each role has a report of its own: `EdgeStatusReport` in `edge/status.py`, `StorageStatusReport` in
+Each role defines its own report: `EdgeStatusReport` in `edge/status.py`, `StorageStatusReport` in
 `storage/operator_messages.py` and `ControlStatusReport` in `control/peer_messages.py`.
 """
 
@@ -16,39 +16,39 @@
 
 @value
 class NodeStatusReport(Body):
-    """A node's report to its operators, as a control-plane node receives it.
+    """A node's status report, as received by a control-plane node.
 
-    All fields are passed on, also those of other versions. The properties are what the deployment's status
-    needs of them; each raises a KeyError where the node's role has no such field.
+    All fields are passed on, including those that only other versions define. The properties are the fields
+    that the deployment status uses; each raises KeyError if the node's role does not report the field.
     """
 
     fields: Json
 
     @property
     def counters(self) -> Mapping[str, int]:
-        """The node's metrics; of every role."""
+        """The node's metrics; reported by every role."""
         counters: Mapping[str, int] = self.fields["counts"]
         return counters
 
     @property
     def config_version(self) -> int:
-        """The version of the configuration in force there; of edge nodes."""
+        """The version of the node's active configuration; reported by edge nodes."""
         version: int = self.fields["edition"]
         return version
 
     @property
     def under_replicated_messages(self) -> int:
-        """How many messages have fewer replicas than they need; of edge nodes."""
+        """The number of messages with fewer replicas than required; reported by edge nodes."""
         count: int = self.fields["copies short"]
         return count
 
     def to_wire(self) -> Json:
-        """The report as it came."""
+        """Return the report as received."""
         return self.fields
 
     @classmethod
     def from_wire(cls, body: Json, payload: bytes) -> NodeStatusReport:
-        """Take the report as it is."""
+        """Read a report, keeping all fields."""
         return cls(body)
 
 
@@ -58,13 +58,13 @@
 
     wire_tag: ClassVar[str] = "status"
     reply_type: ClassVar[type[NodeStatusReport]] = NodeStatusReport
-    storage_disk_ids: Sequence[str]  # disks in service whose nodes have a session: their replicas count
+    storage_disk_ids: Sequence[str]  # disks in service whose nodes have a session; only their replicas count
 
     def to_wire(self) -> Json:
-        """The list of disks."""
+        """The JSON object: the list of disks."""
         return {"up": list(self.storage_disk_ids)}
 
     @classmethod
     def from_wire(cls, body: Json, payload: bytes) -> NodeStatusRequest:
-        """Read the request; only edges need the disks."""
+        """Read a request; only edge nodes use the disks."""
         return cls(tuple(body.get("up", ())))
--- a/amberlug/cluster/process.py
+++ b/amberlug/cluster/process.py
@@ -1,4 +1,4 @@
-"""One process: a node of any kind on real sockets, clocks and disks."""
+"""The process of a node: runs a node of any kind on real sockets, clocks and disks."""
 
 from __future__ import annotations
 
@@ -35,57 +35,59 @@
 
 COUNTERS_INTERVAL_S = 10.0  # between log lines with the counters
 SETTINGS_CHECK_INTERVAL_S = 2.0
-SWEEP_INTERVAL_S = 0.5  # between looks for idle connections to endpoints
-STILL_ROUTED_S = 2.6  # after SIGTERM until the platform routes no new client to this process
-MAX_CONNECTION_AGE_S = 6.0  # of clients: else they stay where they were routed while other edges were down
-GRACE_MARGIN_S = 0.8  # of the grace period that is kept for the end of the process
-EX_SOFTWARE = 70  # exit code: an invariant does not hold
-EX_BAD_SETTINGS = 2  # exit code
+SWEEP_INTERVAL_S = 0.5  # between sweeps of idle endpoint connections
+STILL_ROUTED_S = 2.6  # after SIGTERM, until the platform no longer routes new clients to this process
+# Of client connections: without it, clients would stay on the node they were routed to while other edge nodes
+# were down.
+MAX_CONNECTION_AGE_S = 6.0
+GRACE_MARGIN_S = 0.8  # part of the grace period reserved for process exit
+EX_SOFTWARE = 70  # exit code: an invariant is violated
+EX_BAD_SETTINGS = 2  # exit code: the settings file is invalid
 DRAIN_CHECK_INTERVAL_S = 0.05
 IDLE_CHECK_INTERVAL_S = 0.02
 CONTROL_LIMITS = Limits(body_bytes=4 << 20)
 
 
 class Node(Protocol):
-    """What a process needs of the node that it runs: an edge, storage or control-plane node."""
+    """The interface between a process and its node: an edge, storage or control-plane node."""
 
     @property
     def handlers(self) -> Mapping[str, Callable[..., None]]:
-        """Handlers of peers' messages by wire tag: `(body, payload, origin, respond)`."""
+        """Handlers of peer messages by wire tag: `(body, payload, origin, respond)`."""
 
     @property
     def counters(self) -> Mapping[str, int]:
-        """Counters for operators, by name."""
+        """Metrics by name."""
 
     @property
     def is_idle(self) -> bool:
-        """Whether the process may end without loss."""
+        """Whether the process can exit without losing work."""
 
     def begin(self) -> None:
-        """Start, once the process listens."""
+        """Start the node; called once the process is listening."""
 
     def begin_shutdown(self) -> None:
-        """Announce a planned stop."""
+        """Announce a planned shutdown."""
 
     def update_settings(self, settings: Settings) -> None:
-        """Take the settings of a file that has changed."""
+        """Apply a changed settings file."""
 
     def on_peer_disconnected(self, address: str) -> None:
-        """A connection with a peer has ended."""
+        """Called when a connection to a peer has closed."""
 
 
 class _FileStamp(NamedTuple):
-    """By which a change of a file is noticed."""
+    """Modification time and size of a file, used to detect changes."""
 
     modified_at_s: float
     size_bytes: int
 
 
 class NodeProcess:
-    """A node in its process: it is built, served, drained and ended here.
+    """Builds a node, serves it, drains it and exits.
 
-    :param path: of the settings file, which is read again when it changes.
-    :param transport_type: what carries its messages to peers.
+    :param path: the settings file, which is reloaded when it changes.
+    :param transport_type: the transport for peer messages.
     """
 
     def __init__(
@@ -110,12 +112,12 @@
 
     @property
     def node(self) -> Node:
-        """The node, once it was built."""
-        assert self._node is not None, "the node is built before anything is asked of it"
+        """The node; available once it has been built."""
+        assert self._node is not None, "the node has not been built yet"
         return self._node
 
     async def run(self) -> int:
-        """Serve until a signal ends the process; returns its exit code."""
+        """Serve until a signal stops the process; returns the exit code."""
         loop = asyncio.get_running_loop()
         loop.set_exception_handler(self._on_error)
         await self.transport.listen(self.settings.ip, self.settings.ports)
@@ -123,7 +125,7 @@
         for number in (signal.SIGTERM, signal.SIGINT):
             loop.add_signal_handler(number, self._on_stop_signal)
         loop.add_signal_handler(signal.SIGHUP, self._reload_settings)
-        gc.enable()  # it is off while modules are imported
+        gc.enable()  # disabled while modules were imported
         self.node.begin()
         loop.call_later(COUNTERS_INTERVAL_S, self._log_counters)
         loop.call_later(SETTINGS_CHECK_INTERVAL_S, self._check_settings_file)
@@ -133,7 +135,7 @@
         self.transport.close()
         return 0
 
-    # Packages of the other kinds of nodes are not imported: they cost memory in each process.
+    # Each builder imports only the packages of its own kind of node: the others would cost memory.
 
     async def _build(self, runtime: AsyncioRuntime) -> None:
         if "control_plane" in self.settings.serves:
@@ -209,10 +211,10 @@
         logging.error("%s", context.get("message"), exc_info=error)
         if isinstance(error, AssertionError):
             logging.flush()
-            os._exit(EX_SOFTWARE)  # an invariant is broken: the state of this process can not be trusted
+            os._exit(EX_SOFTWARE)  # an invariant is violated: the state of this process cannot be trusted
 
     def _on_stop_signal(self) -> None:
-        logging.info("stopping on a signal")
+        logging.info("received a stop signal; shutting down")
         self.node.begin_shutdown()
         loop = asyncio.get_running_loop()
         if self.settings.front is None:
@@ -224,14 +226,14 @@
         self._drain(now + STILL_ROUTED_S, now + self.settings.seconds("graceS") - GRACE_MARGIN_S)
 
     def _end_when_idle(self) -> None:
-        """End at once, but for a control-plane node, which is idle once another one votes in its place."""
+        """Exit once idle: at once, unless a control-plane node waits for another one to vote in its place."""
         if self.node.is_idle:
             self._ended.set()
         else:
             asyncio.get_running_loop().call_later(IDLE_CHECK_INTERVAL_S, self._end_when_idle)
 
     def _drain(self, routed_until_s: float, deadline_s: float) -> None:
-        """End at the deadline, or once no request is open and the platform routes no client here."""
+        """Exit at the deadline, or once no request is open and the platform no longer routes clients here."""
         loop = asyncio.get_running_loop()
         now = loop.time()
         open_requests = sum(server.open_requests for server in self._servers)
@@ -256,11 +258,11 @@
             self._reload_settings()
 
     def _reload_settings(self) -> None:
-        """Take seeds and bounds from the settings file; a bad file is ignored."""
+        """Apply seeds and bounds from the settings file; an invalid file is ignored."""
         self._stamp = self._file_stamp()
         found = read_settings_file(self._path)
         if isinstance(found, Err):
-            logging.error("ignoring the settings file: %s", "; ".join(map(str, found.err_value)))
+            logging.error("ignoring invalid settings file: %s", "; ".join(map(str, found.err_value)))
             return
         self.settings = found.ok_value
         self.node.update_settings(found.ok_value)
@@ -274,21 +276,21 @@
 
 
 def _post_to_running_loop() -> Callable[[Callable[[], None]], None]:
-    """What has the running loop call something, from other threads."""
+    """Return a function that schedules a callback on the running loop from another thread."""
     loop = asyncio.get_running_loop()
 
     def post(callback: Callable[[], None]) -> None:
-        with contextlib.suppress(RuntimeError):  # the loop has ended: nobody waits for the outcome
+        with contextlib.suppress(RuntimeError):  # the loop is closed: nothing waits for the outcome
             loop.call_soon_threadsafe(callback)
 
     return post
 
 
 def main(path: str, transport_type: type[PeerTransport] = PeerTransport) -> int:
-    """Read the settings file and serve.
+    """Read the settings file and run the node.
 
-    :param transport_type: what carries messages to peers.
-    :returns: the exit code: `EX_BAD_SETTINGS` where the file has errors, which are printed.
+    :param transport_type: the transport for peer messages.
+    :returns: the exit code; `EX_BAD_SETTINGS` if the file is invalid, after printing its errors.
     """
     logging.set_verbosity(logging.INFO)
     logging.use_absl_handler()
@@ -305,5 +307,5 @@
 
 
 def run_configured_node() -> int:
-    """Serve as the settings file says that the environment names; returns the exit code."""
+    """Run the node described by the settings file that the environment names; returns the exit code."""
     return main(os.environ.get(SETTINGS_FILE_VARIABLE, DEFAULT_SETTINGS_FILE))
--- a/amberlug/cluster/session_client.py
+++ b/amberlug/cluster/session_client.py
@@ -1,7 +1,8 @@
-"""The session that edge and storage nodes keep with one control-plane node. No I/O.
+"""Client side of the session between an edge or storage node and one control-plane node. No I/O.
 
 The session is a lease: heartbeats renew it, and the control plane drops a node whose session has expired. A
-control-plane node that reaches no majority of its peers refuses sessions, so that nodes find one that does.
+control-plane node that cannot reach a majority of its peers rejects sessions, so that nodes move to one that
+can.
 """
 
 from __future__ import annotations
@@ -32,23 +33,23 @@
 
 HEARTBEAT_TIMEOUT_S = 0.4
 OPEN_TIMEOUT_S = 0.8
-HEDGE_DELAY_S = 0.25  # without a reply until a further control-plane node is tried as well
-CURRENT_STATE_TIMEOUT_S = 5.0  # for a page: a large one takes seconds over a slow link
+HEDGE_DELAY_S = 0.25  # without a reply, until another control-plane node is tried in parallel
+CURRENT_STATE_TIMEOUT_S = 5.0  # per page: a large page takes seconds over a slow link
 MIN_RETRY_DELAY_S = 0.1
-MAX_RETRY_DELAY_S = 0.5  # all control-plane nodes may be without a majority for long
+MAX_RETRY_DELAY_S = 0.5  # the control plane may be without a majority for a long time
 RETRY_BACKOFF = 1.3
-RETRY_JITTER = (0.8, 1.2)  # factors: nodes that lost one control-plane node do not retry in step
-MAX_COUNTED_FAILURES = 20  # keeps the power of the backoff small: the delay is at its maximum long before
-MAX_STALENESS_S = 1.5  # what a control-plane node knows may be so much older than what a majority has
+RETRY_JITTER = (0.8, 1.2)  # factors; keep nodes that lost the same control-plane node from retrying in step
+MAX_COUNTED_FAILURES = 20  # bounds the exponent of the backoff; the delay reaches its maximum long before
+MAX_STALENESS_S = 1.5  # how far the state of a control-plane node may lag behind the majority
 
 
 def seed_addresses(settings: Settings) -> list[str]:
-    """The seeds' addresses for peers: all nodes of a deployment use the same ports."""
+    """Return the peer addresses of the seed nodes; all nodes of a deployment use the same port range."""
     return [f"{host}:{settings.ports.start}" for host, _ in settings.seeds]
 
 
 def _is_in_contact(reply: Result[SessionReply, RequestFailure]) -> bool:
-    """Whether a control-plane node keeps the session, and knows what a majority knows."""
+    """Whether the control-plane node accepts the session and is up to date with a majority."""
     if isinstance(reply, Err):
         return False
     return reply.ok_value.is_accepted and reply.ok_value.staleness_s <= MAX_STALENESS_S
@@ -59,7 +60,7 @@
     """The node that the session is for.
 
     :param address: where it listens for peers.
-    :param attributes: gives what only this class of node reports.
+    :param attributes: returns the attributes that are specific to this kind of node.
     """
 
     address: str
@@ -69,7 +70,7 @@
 
 @dataclass(slots=True)
 class _Attempt:
-    """A request to open a session. The search continues without it once it has been hedged."""
+    """A request to open a session. Once it has been hedged, the search no longer depends on it."""
 
     epoch: int
     address: str
@@ -77,26 +78,26 @@
 
 
 class SessionClient:
-    """Keeps a session with one control-plane node, and opens one with another when that one is unresponsive.
+    """Maintains a session with one control-plane node, and fails over to another when it is unresponsive.
 
     Each search for a control-plane node has an epoch. Replies and timers of earlier epochs are ignored, so
-    that at most one session is kept at a time.
+    that at most one session is active at a time.
     """
 
     def __init__(self, runtime: Runtime, settings: Settings, node: LocalNode, gossip: GossipStore) -> None:
         self.runtime, self.settings, self.node, self.gossip = runtime, settings, node, gossip
         self.incarnation = f"{int(runtime.wall_clock() * 1000):x}{runtime.rng.getrandbits(16):04x}"
         self.state = "up"
-        self.control_address = ""  # of the control-plane node that the session is with
-        self.is_confirmed = False  # whether the announcements were once as new as a majority's
+        self.control_address = ""  # of the control-plane node of the session; empty without a session
+        self.is_confirmed = False  # whether a majority has confirmed the announcements once
         self._candidates: list[str] = seed_addresses(settings)
-        self._attempts = 0  # which candidate is next
-        self._failures = 0  # since a session was open
+        self._attempts = 0  # selects the next candidate
+        self._failures = 0  # since the last session
         self._epoch = 0
 
     @property
     def id(self) -> str:
-        """The node's name with its incarnation."""
+        """The node ID: `name/incarnation`."""
         return f"{self.settings.name}/{self.incarnation}"
 
     def begin(self) -> None:
@@ -105,9 +106,9 @@
         self._search()
 
     def update_control_nodes(self, members: Members) -> None:
-        """Prefer the control-plane nodes of the own zone, then the others in random order.
+        """Update the candidates: control-plane nodes of this zone first, then the others in random order.
 
-        :param members: the control plane's Raft group; ignored where it is empty.
+        :param members: the Raft group of the control plane; ignored if empty.
         """
         zone = self.settings.zone
         same_zone = [member.address for member in members.values() if member.zone == zone]
@@ -116,16 +117,16 @@
         self._candidates = same_zone + others or self._candidates
 
     def add_seeds(self, addresses: list[str]) -> None:
-        """Add addresses to try after those that are known."""
+        """Append addresses to the candidates."""
         self._candidates += [address for address in addresses if address not in self._candidates]
 
     def on_disconnect(self, address: str) -> None:
-        """A connection with a peer ended: where the session is with it, search at once."""
+        """Search for another control-plane node immediately if the session was with this peer."""
         if address == self.control_address:
             self._lose_session()
 
     def leave(self) -> None:
-        """Announce a planned stop, without waiting for the next heartbeat."""
+        """Announce a planned shutdown without waiting for the next heartbeat."""
         self.state = "leaving"
         if self.control_address:
             send(self.runtime, self.control_address, Heartbeat(self._describe()))
@@ -153,7 +154,7 @@
         self._try_next(self._epoch)
 
     def _try_next(self, epoch: int) -> None:
-        """Try one control-plane node, and soon a further one in parallel: several may be unresponsive."""
+        """Try one control-plane node, and hedge with another after a delay: several may be unresponsive."""
         if epoch != self._epoch or self.control_address:
             return
         attempt = _Attempt(epoch, self._candidates[self._attempts % len(self._candidates)])
@@ -169,7 +170,7 @@
 
     def _on_open_reply(self, attempt: _Attempt, reply: Result[SessionReply, RequestFailure]) -> None:
         if attempt.epoch != self._epoch or self.control_address:
-            return  # another one was quicker
+            return  # another attempt succeeded first
         if _is_in_contact(reply):
             attempt.was_continued = True
             self._start_session(attempt)
@@ -186,7 +187,7 @@
             self._read_current_state(attempt.epoch)
 
     def _retry_later(self) -> None:
-        """Try the next control-plane node after a delay that grows with each failure."""
+        """Try the next control-plane node after an exponential backoff."""
         delay_s = min(MAX_RETRY_DELAY_S, MIN_RETRY_DELAY_S * RETRY_BACKOFF**self._failures)
         delay_s *= self.runtime.rng.uniform(*RETRY_JITTER)
         self._failures = min(self._failures + 1, MAX_COUNTED_FAILURES)
@@ -195,7 +196,7 @@
     # -- confirming the state
 
     def _read_current_state(self, epoch: int, after_key: str = "") -> None:
-        """Have a majority confirm what is known once, page by page, before clients are served."""
+        """Read the state confirmed by a majority, page by page, before serving clients for the first time."""
         if epoch == self._epoch and not self.is_confirmed:
             message, on_reply = ReadCurrentState(after_key), partial(self._on_current_state, epoch)
             request(self.runtime, self.control_address, message, CURRENT_STATE_TIMEOUT_S, on_reply)
@@ -204,7 +205,7 @@
         if self.is_confirmed or epoch != self._epoch:
             return
         if not isinstance(reply, Ok) or not reply.ok_value.is_confirmed:
-            # This control-plane node reaches no majority, or is slow: another one may do better.
+            # This control-plane node cannot reach a majority, or is slow: try another one.
             self.control_address = ""
             self._epoch += 1
             self._retry_later()
--- a/amberlug/cluster/settings.py
+++ b/amberlug/cluster/settings.py
@@ -1,4 +1,4 @@
-"""The settings file of a node: checked completely, and given as one immutable value."""
+"""The settings file of a node: validated as a whole and exposed as one immutable value."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from amberlug.cluster.interfaces import Json
 from amberlug.cluster.values import value
 
-SETTINGS_FILE_VARIABLE = "AMBERLUG_NODE_FILE"  # environment variable with the path of the file
+SETTINGS_FILE_VARIABLE = "AMBERLUG_NODE_FILE"  # environment variable that holds the path of the file
 DEFAULT_SETTINGS_FILE = "/etc/amberlug/boot.yaml"
 MAX_PORT = 65535
 
@@ -32,7 +32,7 @@
 
 _ADDRESS = t.String() & _parse_address
 _NOT_NEGATIVE = t.ToFloat(gte=0)
-# Defaults of the bounds that operators may set; the ending of a name is its unit.
+# Defaults of the configurable bounds; the suffix of a name is its unit.
 _DEFAULT_BOUNDS = {
     "seedLagS": 3.0,
     "reuseAfterS": 2.0,
@@ -50,7 +50,7 @@
 }
 _DEFAULT_TOLERANCE = {"machines": 1, "zones": 0, "regions": 0}
 
-# `machineClass`, `counted`, `diskMb` and `fileDescriptors` are checked, and not used.
+# `machineClass`, `counted`, `diskMb` and `fileDescriptors` are validated but not used.
 SCHEMA = t.Dict(
     {
         t.Key("nodeName"): t.String(),
@@ -90,16 +90,16 @@
 
 @value
 class Tolerance:
-    """What may fail at once without loss of data: so many nodes, or zones, or regions."""
+    """The failures to survive without data loss: a number of nodes, zones or regions at a time."""
 
     machines: int = 1
     zones: int = 0
     regions: int = 0
 
     def holds(self, domains: list[FailureDomain]) -> bool:
-        """Whether at least one replica survives any tolerated failure.
+        """Whether at least one replica survives every tolerated failure.
 
-        :param domains: the failure domain of each node that has a replica.
+        :param domains: the failure domain of each node with a replica.
         """
         return (
             len(domains) > self.machines
@@ -112,15 +112,15 @@
 class Settings:
     """The settings of a node.
 
-    :param ip: where the node listens for peers and clients.
-    :param serves: the parts that the process plays.
-    :param front: where it listens for clients of the ingest API.
-    :param readiness: where it listens for probes, and for readers of its counters.
-    :param control: where it listens for operators and endpoints.
-    :param ports: for peers; the first free one is taken.
-    :param seeds: control-plane nodes to find the cluster by.
-    :param first_start: whether the control plane is founded by this start.
-    :param bounds: by their names in the file, in the unit of the name.
+    :param ip: IP address on which the node listens for peers.
+    :param serves: the roles of the process.
+    :param front: listen address of the ingest API for clients.
+    :param readiness: listen address of the readiness probe and the counters page.
+    :param control: listen address of the control API for operators and endpoints.
+    :param ports: port range for peers; the first free port is used.
+    :param seeds: control-plane nodes used to discover the cluster.
+    :param first_start: whether this start bootstraps the control plane.
+    :param bounds: bounds by their names in the file, in the unit of the name suffix.
     """
 
     name: str
@@ -141,9 +141,9 @@
     bounds: dict[str, float] = field(hash=False)
 
     def seconds(self, name: str) -> float:
-        """A bound in seconds, whatever its unit in the file.
+        """Return a bound in seconds, whatever its unit in the file.
 
-        :raises KeyError: where there is no bound of that name.
+        :raises KeyError: if there is no such bound.
         """
         value = self.bounds[name]
         return value / 1000 if name.endswith("Ms") else value
@@ -153,19 +153,19 @@
 class SettingsError:
     """An error in a settings file.
 
-    :param path: the keys that lead to the setting, joined by dots; `file` where it is about the file itself.
+    :param path: the path of the setting, joined by dots; `file` if the error concerns the whole file.
     """
 
     path: str
     reason: str
 
     def __str__(self) -> str:
-        """One line for operators."""
+        """Return the error as one line."""
         return f"{self.path}: {self.reason}"
 
 
 def _settings_errors(error: t.DataError, path: str = "") -> list[SettingsError]:
-    """The leaves of a tree of errors, in the order of the schema."""
+    """Flatten a tree of validation errors, in schema order."""
     if not isinstance(error.error, dict):
         return [SettingsError(path or "file", str(error.error))]
     return [
@@ -199,7 +199,7 @@
 
 
 def parse_settings(text: str) -> Result[Settings, list[SettingsError]]:
-    """Parse the text of a settings file, and collect all of its errors."""
+    """Parse the text of a settings file, collecting all errors."""
     loader = getattr(yaml, "CSafeLoader", yaml.SafeLoader)
     try:
         data = yaml.load(text, Loader=loader)
@@ -212,7 +212,7 @@
 
 
 def read_settings_file(path: str) -> Result[Settings, list[SettingsError]]:
-    """Read the settings file at a path; a file that can not be read is an error of its own."""
+    """Read and parse a settings file; a file that cannot be read is reported as an error as well."""
     try:
         text = Path(path).read_text(encoding="utf-8")
     except (OSError, UnicodeDecodeError) as error:
--- a/amberlug/cluster/values.py
+++ b/amberlug/cluster/values.py
@@ -1,10 +1,10 @@
-"""Immutable values whose classes are cheap to define.
+"""Immutable value classes that are cheap to define.
 
 A frozen dataclass takes several times as long to define (see `benchmarks/values.py`), since each of its
-methods is compiled anew. A node defines more than a hundred values at its start, on a fraction of a core.
-`value` therefore leaves immutability to the type checker, which rejects an assignment to a field. Of its
-methods only `__init__` is compiled for each class, and not before the first instance is made; the others
-share their code.
+methods is compiled separately. A node defines more than a hundred value classes at startup, on a fraction of
+a core. `value` therefore leaves immutability to the type checker, which rejects assignments to fields. Only
+`__init__` is compiled per class, and not before the first instance is created; the other methods share their
+code.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 
 def _tuple_getter(names: tuple[str, ...]) -> Callable[[Any], tuple[Any, ...]]:
-    """What reads the fields of these names as a tuple; `attrgetter` does so from two names on."""
+    """Return a function that reads these fields as a tuple, as `attrgetter` does from two names on."""
     if not names:
         return lambda instance: ()
     if len(names) == 1:
@@ -28,7 +28,7 @@
 
 
 def _add_comparison(cls: Any) -> None:
-    """Compare instances of a class by their fields, and hash them by those that are not `hash=False`."""
+    """Add equality over all fields, and a hash over the fields that are not declared with `hash=False`."""
     read_fields = _tuple_getter(cls.__match_args__)
     read_hashed_fields = _tuple_getter(tuple(each.name for each in fields(cls) if each.hash is not False))
 
@@ -43,11 +43,11 @@
     cls.__eq__, cls.__hash__ = is_equal, hash_fields
 
 
-_FROM_FACTORY = object()  # the default of a parameter whose field has a factory
+_FROM_FACTORY = object()  # sentinel default of parameters whose field has a default factory
 
 
 def _compile_init(cls: Any) -> None:
-    """Give a class the `__init__` that a dataclass has: its parameters are the fields in their order."""
+    """Compile the `__init__` of a dataclass, whose parameters are the fields in order."""
     names: dict[str, Any] = {"_FROM_FACTORY": _FROM_FACTORY}
     parameters, assignments = ["self"], []
     for each in fields(cls):
@@ -68,7 +68,7 @@
 
 
 def _init_first(self: Any, *args: Any, **kwargs: Any) -> None:
-    """Make the first instance of a class: later ones go to the `__init__` that is compiled here."""
+    """Initialize the first instance of a class, replacing this method by a compiled `__init__`."""
     cls = type(self)
     _compile_init(cls)
     cls.__init__(self, *args, **kwargs)
@@ -81,7 +81,7 @@
 
 @dataclass_transform(frozen_default=True, field_specifiers=(field,))
 def value(cls: type[ValueT]) -> type[ValueT]:
-    """Make a class with annotated fields a value: compared, hashed and shown by its fields, with slots."""
+    """Class decorator for values: equality, hash and repr by the annotated fields, and slots."""
     made: Any = dataclass(slots=True, init=False, eq=False, repr=False)(cls)
     _add_comparison(made)
     made.__init__, made.__repr__ = _init_first, _represent
