--- a/amberlug/cluster/consensus/__init__.py
+++ b/amberlug/cluster/consensus/__init__.py
@@ -1,1 +1,1 @@
-"""Consensus among the control-plane nodes by Raft: log replication, elections, snapshots, voter selection."""
+"""Raft consensus among the control-plane nodes: log replication, elections, snapshots, voter selection."""
--- a/amberlug/cluster/consensus/chunk_sender.py
+++ b/amberlug/cluster/consensus/chunk_sender.py
@@ -1,4 +1,4 @@
-"""The leader's side of transfers: long entries and snapshots go to a peer in chunks (Raft, section 7)."""
+"""The leader's side of transfers: sends long entries and snapshots in chunks (Raft, section 7)."""
 
 from __future__ import annotations
 
@@ -20,15 +20,16 @@
 
 
 class ChunkSender:
-    """Decides what goes to a peer in chunks, and sends the chunks."""
+    """Decides what to send to a peer in chunks, and sends the chunks."""
 
     def __init__(self, raft: MemberContext, replication: ReplicationControl) -> None:
         self._raft, self._replication = raft, replication
 
     def prepare(self, peer: PeerProgress) -> bool:
-        """Whether what a peer lacks next goes in chunks; a transfer that was begun is finished.
+        """Begin a transfer if the peer's next missing item needs one; returns whether one is active.
 
-        So a slow peer receives a complete snapshot, also where newer ones are made faster than it takes one.
+        A transfer in progress is always finished, so that a slow peer receives a complete snapshot even if
+        newer ones are taken faster than it can receive them.
         """
         transfer = peer.transfer
         if transfer is not None and transfer.header.last_index >= peer.next_index:
@@ -47,7 +48,7 @@
     def _begin(
         self, peer: PeerProgress, kind: str, last_index: int, last_term: int, encode: Callable[[], str]
     ) -> OutgoingTransfer:
-        """Begin a transfer; bytes that go to another peer already are not encoded again."""
+        """Begin a transfer; data that is already being sent to another peer is not encoded again."""
         previous_term = self._raft.log.term_at(last_index - 1)
         for other in self._replication.peers.values():
             transfer = other.transfer
@@ -64,8 +65,8 @@
             self._send(name, peer, peer.transfer, chunk)
 
     def send_status_request(self, name: str, peer: PeerProgress) -> None:
-        """Ask how much of its transfer a peer has received, which is a heartbeat as well."""
-        assert peer.transfer is not None, "a status is that of a transfer"
+        """Query how much of its transfer a peer has received; the query also serves as a heartbeat."""
+        assert peer.transfer is not None, "a status request without a transfer"
         self._send(name, peer, peer.transfer, None)
 
     def _send(self, name: str, peer: PeerProgress, transfer: OutgoingTransfer, chunk: Chunk | None) -> None:
@@ -94,7 +95,7 @@
         chunk: Chunk | None,
         on_reply: Callable[[FollowerReply], bool],
     ) -> LeaderRequest:
-        """The request for a chunk; without one, the request for the status of the transfer."""
+        """Create the request for a chunk, or the status request if there is no chunk."""
         message = TransferChunk(
             self._replication.header_for(name),
             transfer.header,
--- a/amberlug/cluster/consensus/context.py
+++ b/amberlug/cluster/consensus/context.py
@@ -1,4 +1,4 @@
-"""What the parts of a Raft member know of it and of each other: its state, and what they may have it do."""
+"""Interfaces through which the components of a Raft member access its state and each other."""
 
 from __future__ import annotations
 
@@ -18,49 +18,49 @@
 
 @value
 class StateMachine:
-    """The replicated state machine, and who is notified of changes."""
+    """The replicated state machine and its change callback."""
 
-    apply: Callable[[int, Command], Outcome]  # a command at its index; returns the outcome for its proposer
+    apply: Callable[[int, Command], Outcome]  # applies the command at an index; returns its outcome
     snapshot: Callable[[], MachineState]
     restore: Callable[[MachineState], None]  # from a snapshot
     on_change: Callable[[], None] = lambda: None  # the leader, the commit index or the membership has changed
 
 
 class ElectionControl(Protocol):
-    """Elections, as far as other parts begin them."""
+    """The interface of elections to other components."""
 
     def campaign_soon(self) -> None:
-        """Begin an election after a short random delay."""
+        """Start an election after a short random delay."""
 
     def restart_timer(self) -> None:
         """Restart the election timeout."""
 
     def start(self, term: int, is_leadership_transfer: bool = False) -> None:
-        """Begin an election in a term."""
+        """Start an election in a term."""
 
 
 class ReplicationControl(Protocol):
-    """The leader's replication, as far as other parts use it."""
+    """The interface of the leader's replication to other components."""
 
     @property
     def peers(self) -> Mapping[str, PeerProgress]:
-        """The progress of each other member, by name."""
+        """The replication progress of each other member, by name."""
 
     def send_to_all(self) -> None:
-        """Send each peer what it lacks, or a heartbeat."""
+        """Send each peer its missing entries or a heartbeat."""
 
     def header_for(self, name: str) -> LeaderHeader:
-        """What each message of a leader says of it."""
+        """Return the header for leader messages to a peer."""
 
     def on_matched(self, peer: PeerProgress, index: int) -> None:
-        """A peer has the log up to an index on its disk."""
+        """Handle that a peer has the log on disk up to an index."""
 
     def send_request(self, name: str, peer: PeerProgress, leader_request: LeaderRequest) -> None:
-        """Send a message as the leader."""
+        """Send a leader message to a peer."""
 
 
 class ReadControl(Protocol):
-    """Pending reads, as far as replication resolves them."""
+    """The interface of pending reads to replication."""
 
     sequence: int
 
@@ -69,37 +69,37 @@
 
 
 class GuardControl(Protocol):
-    """Detection of restored backups, as far as elections, leaders and followers use it."""
+    """The interface of the rollback guard to elections, leaders and followers."""
 
     may_vote: bool
     acknowledged: dict[str, int]  # index by member
 
     def indexes_for(self, name: str) -> AcknowledgedIndexes:
-        """What a message to a member says of acknowledged indexes."""
+        """Return the acknowledged indexes to send along with a message to a member."""
 
     def has_lost_entries(self, acknowledged: AcknowledgedIndexes) -> bool:
-        """Whether this member has less than it acknowledged."""
+        """Whether this member's log ends before the index that it acknowledged."""
 
     def on_acknowledged(self, match_indexes: Mapping[str, int], commit_index: int) -> None:
-        """Keep what members have on their disks."""
+        """Record the indexes that members have on disk."""
 
 
 class MemberContext(Protocol):
-    """One member of the group, as its parts see it: the state of Raft, figure 2, and what it has besides.
+    """A member of the group as its components see it: the state of Raft, figure 2, and additional state.
 
-    Times are seconds of the steady clock.
+    Times are seconds of the monotonic clock.
     """
 
     runtime: Runtime
     disk: Disk
     log: Log
     membership: Membership  # the newest in the log, committed or not
-    member_id: str  # its name: `host/incarnation`
-    term: int  # the newest that it has seen
-    voted_for: str  # in this term; empty where it may vote for any candidate
+    member_id: str  # `host/incarnation`
+    term: int  # the highest term that it has seen
+    voted_for: str  # in this term; empty if it may still vote for any candidate
     role: Role
-    leader_id: str  # the leader of this term; empty where none is known
-    leader_contact_at: float  # when it last heard from a leader, or voted
+    leader_id: str  # the leader of this term; empty if unknown
+    leader_contact_at: float  # time of the last message from a leader, or of its last vote
     commit_index: int
     last_applied: int
     is_stopped: bool
@@ -112,7 +112,7 @@
 
     @property
     def replication(self) -> ReplicationControl:
-        """What it sends as a leader."""
+        """The replication to other members while it is the leader."""
 
     @property
     def reads(self) -> ReadControl:
@@ -124,7 +124,7 @@
 
     @property
     def is_leader(self) -> bool:
-        """Whether it leads in its term, as far as it knows."""
+        """Whether it believes itself to be the leader of its term."""
 
     @property
     def members(self) -> Members:
@@ -132,29 +132,29 @@
 
     @property
     def is_voter(self) -> bool:
-        """Whether it votes."""
+        """Whether it is a voter."""
 
     @property
     def since_leader_contact_s(self) -> float:
         """Seconds since the last contact with a leader."""
 
     def has_majority(self, names: Set[str]) -> bool:
-        """Whether these members are a majority of the voters."""
+        """Whether these members contain a majority of the voters."""
 
     def schedule(self, delay_s: float, action: Callable[[], None]) -> None:
-        """Set the one timer."""
+        """Set the member's single timer, replacing the previous one."""
 
     def save_term(self, on_saved: Callable[[], None]) -> None:
-        """Write the term and the vote."""
+        """Persist the term and the vote."""
 
     def observe_term(self, term: int) -> None:
-        """Become a follower where a message has a higher term."""
+        """Become a follower if a message has a higher term."""
 
     def step_down(self) -> None:
         """Become a follower."""
 
     def become_leader(self) -> None:
-        """Lead in the current term."""
+        """Become the leader of the current term."""
 
     def append(self, entries: Sequence[Entry]) -> None:
         """Append entries as the leader."""
@@ -166,4 +166,4 @@
         """Commit and apply entries up to an index."""
 
     def restart_as_new_incarnation(self) -> None:
-        """Go on with an empty log under another name."""
+        """Restart with an empty log under a new member ID."""
--- a/amberlug/cluster/consensus/election.py
+++ b/amberlug/cluster/consensus/election.py
@@ -1,14 +1,15 @@
 """Elections: timeouts and votes (Raft, sections 5.2, 5.4.1), pre-votes (dissertation, section 9.6).
 
-A member whose election timeout has elapsed first asks whether it would win (pre-vote), so that one that was
-partitioned does not disturb the group with a higher term. A member that hears from a leader grants no vote,
-so that one that only receives nothing deposes nobody (dissertation, section 4.2.3).
+A member whose election timeout has elapsed first asks whether it would win (pre-vote), so that a formerly
+partitioned member does not disrupt the group with a higher term. A member in contact with a leader grants no
+vote, so that a member that merely receives no messages cannot depose the leader (dissertation, section
+4.2.3).
 
-Requests of members that this one does not know of are answered too: its membership may be an older one than
-the candidate's (dissertation, section 4.1). Candidates count the votes of voters alone.
+Requests from unknown members are answered too: this member's membership may be older than the candidate's
+(dissertation, section 4.1). Candidates count only the votes of voters.
 
-Invariant (Election Safety; Raft, section 5.2): a member votes at most once in a term, and its vote is on disk
-before it is sent. Two majorities have a voter in common, so two members never win the same term.
+Invariant (Election Safety; Raft, section 5.2): a member votes at most once per term, and its vote is on disk
+before it is sent. Any two majorities share a voter, so two members never win the same term.
 """
 
 from __future__ import annotations
@@ -24,12 +25,12 @@
 from amberlug.cluster.interfaces import RequestFailure
 from amberlug.cluster.rpc.messages import Responder, request
 
-# Without a message of a leader until a member starts an election: several heartbeats, and a spread that lets
-# one candidate win before the next one's timeout (Raft, sections 5.2, 9.3).
+# Time without a message from a leader before a member starts an election: several heartbeat intervals, with a
+# spread that lets one candidate win before the next one times out (Raft, sections 5.2, 9.3).
 MIN_ELECTION_TIMEOUT_S = 0.5
 MAX_ELECTION_TIMEOUT_S = 0.9
-# The same right after a start: shorter, since there may be no leader to wait for, and a pre-vote does not
-# disturb the one that there is.
+# The timeout right after startup: shorter, since there may be no leader, and a pre-vote does not disrupt an
+# existing one.
 MIN_STARTUP_TIMEOUT_S = 0.05
 MAX_STARTUP_TIMEOUT_S = 0.3
 
@@ -39,25 +40,25 @@
 
     def __init__(self, raft: MemberContext) -> None:
         self._raft = raft
-        self.started_count = 0  # elections, without pre-votes
+        self.started_count = 0  # of elections, excluding pre-votes
 
     # -- as a candidate
 
     def campaign_soon(self) -> None:
-        """Start an election after a short delay, unless a leader makes contact."""
+        """Start an election after a short random delay, unless a leader is heard from."""
         raft = self._raft
         if raft.leader_id == "":
             delay_s = raft.runtime.rng.uniform(MIN_STARTUP_TIMEOUT_S, MAX_STARTUP_TIMEOUT_S)
             raft.schedule(delay_s, self._on_timeout)
 
     def restart_timer(self) -> None:
-        """Wait for another random election timeout, so that split votes are rare (Raft, section 5.2)."""
+        """Restart the election timeout, randomized so that split votes are rare (Raft, section 5.2)."""
         raft = self._raft
         delay_s = raft.runtime.rng.uniform(MIN_ELECTION_TIMEOUT_S, MAX_ELECTION_TIMEOUT_S)
         raft.schedule(delay_s, self._on_timeout)
 
     def _on_timeout(self) -> None:
-        """No leader has made contact: ask whether an election would be won (dissertation, section 9.6)."""
+        """Start a pre-vote when no leader was heard from (dissertation, section 9.6)."""
         raft = self._raft
         self.restart_timer()
         if not raft.is_voter or not raft.rollback_guard.may_vote:
@@ -70,7 +71,7 @@
     def start(self, term: int, is_leadership_transfer: bool = False) -> None:
         """Become a candidate in a new term (Raft, section 5.2).
 
-        Its vote for itself is on disk before others are asked for theirs.
+        The vote for itself is persisted before votes are requested from others.
         """
         raft = self._raft
         raft.role = Role.CANDIDATE
@@ -84,7 +85,7 @@
         raft.save_term(on_saved)
 
     def _request_votes(self, term: int, is_pre_vote: bool, is_leadership_transfer: bool = False) -> None:
-        """Ask the other voters, in the order of the membership."""
+        """Request the votes of the other voters, in membership order."""
         raft = self._raft
         count = _VoteCount(raft, term, is_pre_vote)
         last_index = raft.log.last_index
@@ -108,27 +109,27 @@
     # -- as a voter
 
     def on_vote_request(self, message: RequestVote, respond: Responder) -> None:
-        """Answer a vote request; a vote is sent once it is on disk."""
+        """Handle a vote request; a vote is sent once it is on disk."""
         raft = self._raft
         is_right_target = message.target_id == raft.member_id and not raft.is_stopped
         acknowledged = AcknowledgedIndexes(message.acknowledged_index)
         if is_right_target and raft.rollback_guard.has_lost_entries(acknowledged):
             raft.restart_as_new_incarnation()
         if not is_right_target or raft.is_stopped or not raft.rollback_guard.may_vote:
-            # Another incarnation's vote, or one that was forgotten, must not be cast again.
+            # The vote of another incarnation, or one that this member may have lost, must not be cast again.
             respond(VoteReply(granted=False, term=0))
         elif message.is_pre_vote:
             would_vote = message.term > raft.term and self._is_up_to_date(message) and not self._has_leader
             respond(VoteReply(would_vote, raft.term, election_term=message.term))
         elif self._has_leader and message.term > raft.term and not message.is_leadership_transfer:
-            # The candidate's higher term is not adopted either, else its leader would have to step down
+            # The candidate's higher term is not adopted either: the current leader would have to step down
             # (dissertation, section 4.2.3).
             respond(VoteReply(granted=False, term=raft.term))
         else:
             self._vote(message, respond)
 
     def _vote(self, message: RequestVote, respond: Responder) -> None:
-        """Vote for the first candidate of a term whose log is complete enough (Raft, sections 5.2, 5.4.1)."""
+        """Vote for the first candidate of a term whose log is up to date (Raft, sections 5.2, 5.4.1)."""
         raft = self._raft
         term = message.term
         is_up_to_date = self._is_up_to_date(message)
@@ -145,10 +146,10 @@
     def _is_up_to_date(self, message: RequestVote) -> bool:
         """Whether the candidate's log is at least as up to date as this one (Raft, section 5.4.1).
 
-        The later last term decides, then the longer log.
+        Logs are compared by their last terms, then by their lengths.
 
         Invariant (Leader Completeness; Raft, section 5.4.3): each committed entry is on disk at a majority,
-        so whoever wins the votes of a majority has them all.
+        so a candidate that wins the votes of a majority has all of them.
         """
         log = self._raft.log
         own_last_term = log.term_at(log.last_index)
@@ -156,7 +157,7 @@
 
     @property
     def _has_leader(self) -> bool:
-        """Whether a leader made contact within the minimum election timeout (dissertation, section 4.2.3)."""
+        """Whether a leader was heard from within the minimum election timeout (dissertation, 4.2.3)."""
         raft = self._raft
         if raft.is_leader:
             return True
@@ -164,7 +165,7 @@
 
 
 class _VoteCount:
-    """The votes that a candidate has received in one election or pre-vote."""
+    """The votes that a candidate has received in an election or pre-vote."""
 
     def __init__(self, raft: MemberContext, term: int, is_pre_vote: bool) -> None:
         self._raft, self._term, self._is_pre_vote = raft, term, is_pre_vote
@@ -172,7 +173,7 @@
         self._is_won = False
 
     def on_reply(self, name: str, reply: Result[VoteReply, RequestFailure]) -> None:
-        """Take the reply of a voter."""
+        """Handle a voter's reply."""
         if not isinstance(reply, Ok):
             return
         vote = reply.ok_value
@@ -183,7 +184,7 @@
             self.conclude()
 
     def conclude(self) -> None:
-        """Go on, to the election or to leadership, once a majority has granted its vote in time."""
+        """Proceed to the election or to leadership once a majority has granted its vote in time."""
         raft = self._raft
         if self._is_won or not raft.has_majority(self._granted_by) or raft.is_stopped:
             return
--- a/amberlug/cluster/consensus/follower.py
+++ b/amberlug/cluster/consensus/follower.py
@@ -19,12 +19,12 @@
 from amberlug.cluster.rpc.messages import Responder
 from amberlug.cluster.values import value
 
-MAX_SYNC_WAITERS = 8  # replies that wait for the disk: the leader has given up on older ones by then
+MAX_SYNC_WAITERS = 8  # replies that wait for the disk; older ones have timed out at the leader
 
 
 @value
 class _SyncWaiter:
-    """A reply that waits until the log is on disk up to an index."""
+    """A reply that is deferred until the log is on disk up to an index."""
 
     index: int
     term: int
@@ -32,10 +32,10 @@
 
 
 class Follower:
-    """What a follower does with a leader's messages.
+    """Handles a leader's messages in the follower role.
 
-    Invariant (Log Matching; Raft, section 5.3): entries are appended behind one that is the same in the
-    leader's log, and so are all before it. What is acknowledged is on disk (Raft, figure 2).
+    Invariant (Log Matching; Raft, section 5.3): entries are appended only after an entry that matches the
+    leader's log, as do all entries before it. Acknowledged entries are on disk (Raft, figure 2).
     """
 
     def __init__(self, raft: MemberContext) -> None:
@@ -47,7 +47,7 @@
     # -- the disk
 
     def on_synced(self) -> None:
-        """More entries are on disk: send the replies that waited for them."""
+        """Send the deferred replies whose entries are now on disk."""
         raft = self._raft
         waiters, self._sync_waiters = self._sync_waiters, []
         for waiter in waiters:
@@ -57,7 +57,7 @@
                 self._sync_waiters.append(waiter)
 
     def _acknowledge_when_synced(self, index: int, respond: Responder) -> None:
-        """Acknowledge the log up to an index once it is on disk, if the term is still the same then."""
+        """Acknowledge the log up to an index once it is on disk, provided that the term has not changed."""
         term = self._raft.term
         waiter = _SyncWaiter(index, term, lambda: respond(FollowerReply(success=True, term=term)))
         self._sync_waiters = [*self._sync_waiters, waiter][-MAX_SYNC_WAITERS:]
@@ -66,10 +66,10 @@
     # -- the leader
 
     def _accept_leader(self, header: LeaderHeader, acknowledged: AcknowledgedIndexes) -> bool:
-        """Whether a message is meant for this member, and from the leader of the newest known term.
+        """Whether a message is addressed to this member and comes from the leader of the highest known term.
 
-        A leader of an older term is rejected (Raft, section 5.1). One of the same term has won its election,
-        so a candidate becomes a follower (section 5.2).
+        Leaders of older terms are rejected (Raft, section 5.1). A leader of the same term has won its
+        election, so a candidate becomes a follower (section 5.2).
         """
         raft = self._raft
         if header.target_id != raft.member_id or raft.is_stopped:
@@ -98,7 +98,7 @@
     # -- entries
 
     def on_append_entries(self, message: AppendEntries, respond: Responder) -> None:
-        """Take entries, or a heartbeat."""
+        """Handle entries or a heartbeat."""
         if not self._accept_leader(message.header, message.acknowledged):
             self._reject(message.header, respond)
         elif self._is_consistent(message.previous_index, message.previous_term, respond):
@@ -106,13 +106,13 @@
             self._append_after(message.previous_index, message.entries, commit_index, respond)
 
     def _is_consistent(self, previous_index: int, previous_term: int, respond: Responder) -> bool:
-        """The consistency check of AppendEntries (Raft, section 5.3).
+        """Perform the consistency check of AppendEntries (Raft, section 5.3).
 
-        If it fails, the reply has the last index that may match. So the leader skips what is missing here in
-        one step, and tries entries of conflicting terms one by one.
+        If it fails, the reply contains the last index that may match, so that the leader skips missing
+        entries in one step, and backs up over entries of conflicting terms one by one.
         """
         log = self._raft.log
-        if previous_index < log.base_index:  # committed, and thus the same in the leader's log
+        if previous_index < log.base_index:  # committed, thus identical in the leader's log
             return True
         if previous_index <= log.last_index and log.term_at(previous_index) == previous_term:
             return True
@@ -125,13 +125,14 @@
     ) -> None:
         """Append the entries that are new, and acknowledge all of them once they are on disk.
 
-        Entries that conflict with the leader's are truncated, those that match are not: the message may be a
-        late one, and the log longer by now (Raft, section 5.3 and figure 2). What is committed and known to
-        be the same as in the leader's log is the smaller of its commit index and the last of the entries.
+        Entries that conflict with the leader's are truncated. Matching entries are not, since the message may
+        be delayed and the log longer by now (Raft, section 5.3 and figure 2). The log is known to be
+        committed and to match the leader's up to the smaller of the leader's commit index and the last entry
+        of the message.
         """
         raft, log = self._raft, self._raft.log
         last_index = previous_index + len(entries)
-        if previous_index < log.base_index:  # what is no longer in the log is committed: nothing to do
+        if previous_index < log.base_index:  # skip entries that were compacted, and are thus committed
             entries = entries[log.base_index - previous_index :]
             previous_index = log.base_index
         matching = self._matching_count(previous_index, entries)
@@ -141,14 +142,14 @@
             truncate_from = first_index if first_index <= log.last_index else 0
             assert (
                 not truncate_from or truncate_from > raft.commit_index
-            ), "a committed entry would be taken back"
+            ), "a committed entry would be truncated"
             log.append(new_entries, truncate_from)
             raft.refresh_membership()
         self._acknowledge_when_synced(last_index, respond)
         raft.commit_to(min(commit_index, last_index))
 
     def _matching_count(self, previous_index: int, entries: list[Entry]) -> int:
-        """How many of the first entries are in the log already, by their index and term."""
+        """Return how many leading entries are already in the log, by index and term."""
         log = self._raft.log
         for count, entry in enumerate(entries):
             index = previous_index + count + 1
@@ -159,10 +160,10 @@
     # -- transfers
 
     def on_chunk(self, message: TransferChunk, respond: Responder) -> None:
-        """Take a chunk of an entry or of a snapshot, and all of it with the last one.
+        """Handle a chunk of an entry or a snapshot; the last chunk completes the transfer.
 
-        A long entry is treated like the one entry of AppendEntries, a snapshot like InstallSnapshot (Raft,
-        figure 13). A chunk without data is answered by how much was received.
+        A long entry is treated like an AppendEntries message with one entry, a snapshot like InstallSnapshot
+        (Raft, figure 13). The reply to a chunk without data states how much was received.
         """
         if not self._accept_leader(message.header, message.acknowledged):
             self._reject(message.header, respond)
@@ -181,7 +182,7 @@
             self._receive(message, respond)
 
     def _answer_duplicate(self, message: TransferChunk, respond: Responder) -> None:
-        """All of a transfer is here, though perhaps not on disk yet."""
+        """Reply to a chunk of a transfer that is complete, although perhaps not on disk yet."""
         raft, transfer = self._raft, message.transfer
         if message.data or raft.log.synced_index >= transfer.last_index:
             self._acknowledge_when_synced(transfer.last_index, respond)
@@ -208,7 +209,7 @@
             self._install_snapshot(transfer, Snapshot.decode(data), respond)
 
     def _install_snapshot(self, transfer: TransferHeader, snapshot: Snapshot, respond: Responder) -> None:
-        """Replace all that a leader's snapshot covers, the membership included (Raft, figure 13)."""
+        """Replace everything that a leader's snapshot covers, including the membership (Raft, figure 13)."""
         raft, index = self._raft, transfer.last_index
         raft.log.install(transfer, snapshot, raft.commit_index)
         raft.commit_index = raft.last_applied = index
--- a/amberlug/cluster/consensus/log.py
+++ b/amberlug/cluster/consensus/log.py
@@ -1,11 +1,11 @@
 """The log of a member, in memory and on its way to disk, and the snapshot that replaces a prefix of it.
 
-Nothing here is written but through `Disk`. Snapshots follow section 7 of the Raft paper. Entries are counted
-by bytes as well as by number, since one may have 4 MiB: a snapshot is made after so many of either, never
-more often than its own size warrants, and a tail of entries before it stays for followers that lack only a
-little.
+All writes go through `Disk`. Snapshots follow section 7 of the Raft paper. Limits apply to bytes as well as
+to the number of entries, since a single entry can have 4 MiB: a snapshot is taken after a number of entries,
+or after a number of bytes that is at least the size of the last snapshot. A tail of entries before the
+snapshot is kept for followers that lag only a little.
 
-Invariant: `synced_index` covers only what a restart finds again, so that what is acknowledged is durable.
+Invariant: `synced_index` covers only what a restart recovers, so that everything acknowledged is durable.
 """
 
 from __future__ import annotations
@@ -22,20 +22,22 @@
 from amberlug.cluster.interfaces import Disk, Runtime, WriteFailure
 from amberlug.cluster.values import value
 
-MAX_BATCH_ENTRIES = 64  # in one message; they are of CHUNK_BYTES at most in all
-# Applied since the last snapshot until another one is made: their replay at a start takes milliseconds.
+MAX_BATCH_ENTRIES = 64  # per message; their total size is also limited to CHUNK_BYTES
+# Entries applied since the last snapshot that trigger another one; replaying them at startup takes
+# milliseconds.
 SNAPSHOT_ENTRIES = 512
-# The same in bytes, or as many as the snapshot has, so that a large one is not written at each change.
+# Applied bytes that trigger a snapshot; at least the size of the last one, so that a large snapshot is not
+# written at each change.
 SNAPSHOT_BYTES = 4 << 20
-TAIL_ENTRIES = 128  # kept before the snapshot, so that followers that lack a few need no transfer of it
-TAIL_BYTES = 1 << 20  # of the tail at most
-WRITE_RETRY_S = 0.1  # until what the disk refused is written again, doubled at each refusal
-MAX_WRITE_RETRY_S = 1.6  # after four refusals in a row: a disk with space again is noticed within seconds
+TAIL_ENTRIES = 128  # kept before the snapshot: followers that lack only a few need no snapshot transfer
+TAIL_BYTES = 1 << 20  # maximum size of that tail
+WRITE_RETRY_S = 0.1  # delay before a failed write is retried; doubles with each failure
+MAX_WRITE_RETRY_S = 1.6  # after four failures in a row; freed disk space is noticed within seconds
 
 
 @dataclass(slots=True, eq=False)
 class _PendingWrite:
-    """Entries on their way to the disk."""
+    """A range of entries that is being written to disk."""
 
     first_index: int
     last_index: int
@@ -43,7 +45,7 @@
 
 @value
 class _EncodedEntry:
-    """The text of a long entry, which is encoded once for all peers; index 0: of none."""
+    """The encoded text of a long entry, cached for all peers; index 0 means empty."""
 
     index: int = 0
     term: int = 0
@@ -51,9 +53,9 @@
 
 
 class Log:
-    """Entries after `base_index`, and a snapshot up to `snapshot_index`, which is the same or a later one.
+    """The entries after `base_index`, and a snapshot up to `snapshot_index`, which is at least `base_index`.
 
-    :param on_synced: called when more entries are on disk.
+    :param on_synced: called when further entries are durable.
     """
 
     def __init__(
@@ -70,12 +72,12 @@
             self.entries = saved.tail[1:] + self.entries
         self.sizes_bytes = [len(encode(entry.command)) for entry in self.entries]
         self._newest_long = _EncodedEntry()
-        self.synced_index = self.last_index  # entries up to here are on disk, as such or in a snapshot
+        self.synced_index = self.last_index  # up to here, everything is on disk, as entries or as a snapshot
         self._synced_snapshot_index = self.snapshot_index
         self._snapshot_bytes = len(encode(self.snapshot_state))
         self._applied_bytes = 0  # since the snapshot
         self._pending_writes: list[_PendingWrite] = []
-        self._has_refused_writes = False  # the disk has refused something that is not written again yet
+        self._has_refused_writes = False  # whether a write has failed and its retry is still to come
         self._is_closed = False
         self._retry_s = WRITE_RETRY_S
 
@@ -85,17 +87,17 @@
         return self.base_index + len(self.entries)
 
     def entry_at(self, index: int) -> Entry:
-        """The entry at an index that the log still has."""
+        """Return the entry at an index, which must still be in the log."""
         return self.entries[index - self.base_index - 1]
 
     def term_at(self, index: int) -> int:
-        """The term of an entry; -1 where it is not known."""
+        """Return the term of the entry at an index; -1 if it is unknown."""
         if index == self.base_index:
             return self.base_term
         return self.entry_at(index).term if self.base_index < index <= self.last_index else -1
 
     def newest_membership(self) -> Membership:
-        """The newest membership in the log, committed or not (dissertation, section 4.1)."""
+        """Return the newest membership in the log, committed or not (dissertation, section 4.1)."""
         for count_behind, entry in enumerate(reversed(self.entries)):
             members = entry.members
             if members is not None:
@@ -103,7 +105,7 @@
         return Membership(self.snapshot_members, self.base_index)
 
     def members_until(self, index: int) -> Members:
-        """The members of the configuration that holds at an entry of the log."""
+        """Return the members of the configuration in effect at an index."""
         members = self.snapshot_members
         for entry in self.entries[: index - self.base_index]:
             if entry.members is not None:
@@ -111,9 +113,9 @@
         return members
 
     def batch_after(self, index: int) -> list[Entry]:
-        """The entries after an index that one message takes: bounded by number and by bytes.
+        """Return the entries after an index for one message, limited by number and by size.
 
-        It takes none where the first is too long: that one goes in chunks.
+        The batch is empty if the first entry is too long; such entries are sent in chunks.
         """
         entries: list[Entry] = []
         left_bytes, offset = CHUNK_BYTES, index - self.base_index
@@ -126,19 +128,19 @@
         return entries
 
     def size_bytes(self, first_index: int, count: int = 1) -> int:
-        """The size of so many entries, from one on."""
+        """Return the total size of `count` entries, beginning at `first_index`."""
         offset = first_index - self.base_index - 1
         return sum(self.sizes_bytes[offset : offset + count])
 
     def encoded_entry(self, index: int) -> str:
-        """An entry's command as text."""
+        """Return the encoded command of an entry."""
         encoded = self._newest_long
         if (encoded.index, encoded.term) == (index, self.term_at(index)):
             return encoded.text
         return encode(self.entry_at(index).command)
 
     def encoded_snapshot(self) -> str:
-        """The snapshot as text, as it goes to others."""
+        """Return the snapshot as it is sent to peers."""
         return Snapshot(self.snapshot_state, self.snapshot_members).encoded()
 
     # -- changes
@@ -146,7 +148,7 @@
     def append(self, entries: Sequence[Entry], truncate_from: int = 0) -> None:
         """Append entries.
 
-        :param truncate_from: entries from this index on are replaced, none of which was committed; 0: none.
+        :param truncate_from: replace the entries from this index on, which must be uncommitted; 0: none.
         """
         if truncate_from:
             del self.entries[truncate_from - self.base_index - 1 :]
@@ -164,9 +166,9 @@
         self._save(rows, _PendingWrite(first_index, self.last_index))
 
     def count_applied(self, index: int) -> bool:
-        """Count an entry that was applied.
+        """Account for an applied entry.
 
-        :returns: whether it is time for a snapshot.
+        :returns: whether a snapshot is due.
         """
         self._applied_bytes += self.size_bytes(index)
         if index - self.snapshot_index >= SNAPSHOT_ENTRIES:
@@ -174,7 +176,7 @@
         return self._applied_bytes >= max(SNAPSHOT_BYTES, self._snapshot_bytes)
 
     def compact(self, index: int, state: MachineState) -> None:
-        """Replace the entries up to an applied index by a snapshot, but for a tail (Raft, section 7)."""
+        """Replace the entries up to an applied index by a snapshot, except for a tail (Raft, section 7)."""
         members = self.members_until(index)
         self.snapshot_term = self.term_at(index)
         self.snapshot_index, self.snapshot_state, self.snapshot_members = index, state, members
@@ -185,11 +187,11 @@
         del self.sizes_bytes[: base_index - self.base_index]
         self.base_index = base_index
         self._newest_long = _EncodedEntry()
-        # What is not on disk yet counts as being there once the snapshot is: a disk may refuse it.
+        # The snapshot also makes entries durable whose own writes have failed.
         self._save([self._snapshot_row()], _PendingWrite(index + 1, index), index)
 
     def _tail_length(self, index: int) -> int:
-        """How many entries before a snapshot up to an index are kept."""
+        """Return how many entries to keep before a snapshot up to an index."""
         count, left_bytes = 0, TAIL_BYTES
         while count < min(TAIL_ENTRIES, index - self.base_index - 1):
             left_bytes -= self.sizes_bytes[index - self.base_index - count - 1]
@@ -199,10 +201,11 @@
         return count
 
     def install(self, header: TransferHeader, snapshot: Snapshot, commit_index: int) -> None:
-        """Replace all that a leader's snapshot covers; entries behind it stay if they follow from it.
+        """Replace everything that a leader's snapshot covers; later entries are kept if they are consistent.
 
-        Invariant (Log Matching): an entry that has the snapshot's last index and term is the same, and so are
-        all before it; else what is behind it may conflict, and goes (Raft, section 7; figure 13, steps 6, 7).
+        Invariant (Log Matching): an entry with the snapshot's last index and term is identical to the
+        leader's, and so are all entries before it. Without such an entry, later entries may conflict and are
+        discarded (Raft, section 7; figure 13, steps 6 and 7).
         """
         index, term = header.last_index, header.last_term
         keeps_rest = self.term_at(index) == term
@@ -218,7 +221,7 @@
         self._save([*rows, self._snapshot_row()], _PendingWrite(index + 1, index), index)
 
     def _limit_synced(self, index: int) -> None:
-        """What is behind an index was replaced: it is not on disk, nor will be by writes under way."""
+        """Exclude the entries after an index, which were replaced, from what is or will be synced."""
         self.synced_index = min(self.synced_index, index)
         for write in self._pending_writes:
             write.last_index = min(write.last_index, index)
@@ -226,13 +229,13 @@
     # -- the disk
 
     def close(self) -> None:
-        """Write nothing more: what follows is another incarnation's log."""
+        """Stop writing: the file now belongs to the log of another incarnation."""
         self._is_closed = True
 
     def _save(self, rows: Sequence[Row], write: _PendingWrite, snapshot_index: int = 0) -> None:
-        """Write rows.
+        """Write rows to disk.
 
-        :param snapshot_index: of the snapshot among the rows; 0: there is none.
+        :param snapshot_index: index of the snapshot among the rows; 0 if there is none.
         """
 
         def on_written(failure: WriteFailure | None) -> None:
@@ -250,19 +253,19 @@
                 self.synced_index = max(self.synced_index, write.last_index)
             self._on_synced()
 
-        if not self._has_refused_writes:  # else it is written with the rest
+        if not self._has_refused_writes:  # otherwise the scheduled retry writes these rows as well
             self._pending_writes.append(write)
             self._disk.write(raw_rows(rows), on_written)
 
     def _retry_later(self) -> None:
-        """The disk has refused a write: write all that is missing, once, a while later."""
+        """Schedule one retry, after a failed write, of everything that is not on disk."""
         if not self._has_refused_writes:
             self._has_refused_writes = True
             self._runtime.call_later(self._retry_s, self._save_rest)
             self._retry_s = min(MAX_WRITE_RETRY_S, 2 * self._retry_s)
 
     def _save_rest(self) -> None:
-        """Write all that is not known to be on disk: a log with a gap would be worth nothing at a start."""
+        """Write everything that is not known to be on disk: a log with a gap is unusable after a restart."""
         if self._is_closed:
             return
         self._has_refused_writes = False
--- a/amberlug/cluster/consensus/messages.py
+++ b/amberlug/cluster/consensus/messages.py
@@ -1,7 +1,7 @@
-"""Messages between the members of the Raft group: one frozen dataclass a message, with its wire form.
+"""Messages between the members of the Raft group: one value class per message, with its wire format.
 
-The wire tags and the JSON field names are historical. They are a protocol between versions, so they stay as
-they are, and stand in this module only.
+The wire tags and JSON field names are historical. They are part of the protocol between versions, so they
+must not change, and appear in this module only.
 """
 
 from __future__ import annotations
@@ -17,11 +17,11 @@
 
 @value
 class LeaderHeader:
-    """What each message of a leader begins with: the first arguments of AppendEntries (Raft, figure 2)."""
+    """The common header of all leader messages: the first arguments of AppendEntries (Raft, figure 2)."""
 
     term: int
     leader_id: str
-    target_id: str  # the incarnation that the message is meant for; empty where a peer did not send it
+    target_id: str  # the incarnation that the message is addressed to; empty if the peer did not send it
     commit_index: int
 
     def to_wire(self) -> Json:
@@ -41,10 +41,10 @@
 
 @value
 class AcknowledgedIndexes:
-    """Up to which index members are known to have acknowledged the log: input of the rollback guard."""
+    """The highest log indexes that members are known to have acknowledged: input of the rollback guard."""
 
     of_target: int = 0
-    of_members: dict[str, int] | None = None  # by member; None where only the target's own is sent
+    of_members: dict[str, int] | None = None  # by member; None if only the target's own index is sent
 
     def to_wire(self) -> Json:
         """The last fields of the JSON object."""
@@ -61,16 +61,16 @@
 
 @value
 class FollowerReply(Body):
-    """A follower's answer to AppendEntries, and to a chunk of an entry or of a snapshot."""
+    """A follower's reply to AppendEntries, or to a chunk of an entry or a snapshot."""
 
     success: bool
     term: int
-    is_wrong_target: bool | None = None  # whether the message was meant for another incarnation
-    last_index: int | None = None  # where the consistency check failed: the next entry to try is behind it
+    is_wrong_target: bool | None = None  # whether the message was addressed to another incarnation
+    last_index: int | None = None  # if the consistency check failed: the leader retries after this index
     received_bytes: int | None = None  # of the transfer that a chunk belongs to
 
     def to_wire(self) -> Json:
-        """The JSON object; optional fields are left out where they are None."""
+        """The JSON object; optional fields that are None are omitted."""
         body: Json = {"ok": self.success, "term": self.term}
         if self.is_wrong_target is not None:
             body["stranger"] = self.is_wrong_target
@@ -94,7 +94,7 @@
 
 @value
 class AppendEntries(Request[FollowerReply]):
-    """AppendEntries (Raft, section 5.3), which is a heartbeat where it carries no entries (section 5.2)."""
+    """AppendEntries (Raft, section 5.3); without entries it is a heartbeat (section 5.2)."""
 
     wire_tag: ClassVar[str] = "vise.append"
     reply_type: ClassVar[type[FollowerReply]] = FollowerReply
@@ -131,14 +131,14 @@
 class TransferChunk(Request[FollowerReply]):
     """A chunk of a long entry or of a snapshot (InstallSnapshot, Raft, section 7).
 
-    Without data it asks how much the follower has received, and is a heartbeat as well.
+    Without data, it queries how much the follower has received, and also serves as a heartbeat.
     """
 
     wire_tag: ClassVar[str] = "vise.part"
     reply_type: ClassVar[type[FollowerReply]] = FollowerReply
     header: LeaderHeader
     transfer: TransferHeader
-    previous_term: int  # of the entry before the one that is transferred
+    previous_term: int  # of the entry before the transferred one
     offset_bytes: int
     data: bytes
     acknowledged: AcknowledgedIndexes
@@ -173,11 +173,11 @@
 
 @value
 class VoteReply(Body):
-    """The answer to a vote request."""
+    """The reply to a vote request."""
 
     granted: bool
-    term: int  # the voter's own; 0 where it may not vote at all
-    election_term: int | None = None  # the term that the vote is for; None in most refusals
+    term: int  # the voter's current term; 0 if it is not allowed to vote at all
+    election_term: int | None = None  # the term that the vote is for; None in most rejections
 
     def to_wire(self) -> Json:
         """The JSON object, with the fields in the order in which they are sent."""
@@ -202,9 +202,9 @@
     last_log_term: int
     is_pre_vote: bool
     candidate_id: str
-    is_leadership_transfer: bool  # a leader has asked for this election: the voter's leader lease is ignored
+    is_leadership_transfer: bool  # the leader requested this election, so the voter ignores the leader lease
     target_id: str
-    acknowledged_index: int  # up to which the voter is known to have acknowledged the log
+    acknowledged_index: int  # the highest log index that the voter is known to have acknowledged
 
     def to_wire(self) -> Json:
         """The JSON object, with the fields in the order in which they are sent."""
@@ -236,12 +236,12 @@
 
 @value
 class AcknowledgedIndexReply(Body):
-    """Up to which index a member is known to have acknowledged the log."""
+    """The highest log index that a member is known to have acknowledged."""
 
-    index: int | None  # None where the request was meant for another incarnation
+    index: int | None  # None if the request was addressed to another incarnation
 
     def to_wire(self) -> Json:
-        """The JSON object, which is empty where there is no index."""
+        """The JSON object; empty if there is no index."""
         return {} if self.index is None else {"floor": self.index}
 
     @classmethod
@@ -252,7 +252,7 @@
 
 @value
 class AcknowledgedIndexRequest(Request[AcknowledgedIndexReply]):
-    """A member that has just started asks up to where it had acknowledged the log."""
+    """Sent by a member after startup: asks for the highest log index that it had acknowledged."""
 
     wire_tag: ClassVar[str] = "vise.floor"
     reply_type: ClassVar[type[AcknowledgedIndexReply]] = AcknowledgedIndexReply
@@ -271,7 +271,7 @@
 
 @value
 class TimeoutNow(Notification):
-    """A leader that ends has its target start an election at once (dissertation, section 3.10)."""
+    """Sent by a stopping leader: the target starts an election at once (dissertation, section 3.10)."""
 
     wire_tag: ClassVar[str] = "vise.now"
     term: int
--- a/amberlug/cluster/consensus/persistent_state.py
+++ b/amberlug/cluster/consensus/persistent_state.py
@@ -1,4 +1,4 @@
-"""What a member keeps on disk: its name, the persistent state of figure 2 of Raft, and its snapshot."""
+"""The persistent state of a member: its name, the persistent state of Raft, figure 2, and its snapshot."""
 
 from __future__ import annotations
 
@@ -14,20 +14,20 @@
 
 
 class Entry(NamedTuple):
-    """An entry of the log; it is encoded as the pair `[term, command]`."""
+    """An entry of the log, encoded as the pair `[term, command]`."""
 
     term: int
-    command: Command | None  # None: the first entry of a new leader (Raft, section 8)
+    command: Command | None  # None: the no-op entry of a new leader (Raft, section 8)
 
     @property
     def members(self) -> Members | None:
-        """The members that the entry puts in place; None where it is no configuration entry."""
+        """The members that a configuration entry puts in place; None for other entries."""
         return None if self.command is None else Members.from_command(self.command)
 
 
 @value
 class StoredEntry:
-    """An entry as it is read from disk."""
+    """An entry as read from disk."""
 
     index: int
     term: int
@@ -35,51 +35,51 @@
 
 
 def encode(body: Json | None) -> str:
-    """A command, a state or members as text, as they go to disk and to others."""
+    """Encode a command, a state or members as they are stored and sent."""
     return json.dumps(body, separators=(",", ":"))
 
 
 @value
 class Snapshot:
-    """The state machine and the membership as of an index: what InstallSnapshot transfers."""
+    """The state machine and the membership at an index, as transferred by InstallSnapshot."""
 
     state: MachineState | None
     members: Members
 
     def encoded(self) -> str:
-        """The snapshot as text, as it goes to others."""
+        """Return the snapshot as it is sent to peers."""
         return f'{{"state":{encode(self.state)},"members":{encode(self.members.to_wire())}}}'
 
     @classmethod
     def decode(cls, data: bytes) -> Snapshot:
-        """Read what a leader has sent."""
+        """Decode a snapshot sent by a leader."""
         fields = json.loads(data)
         return cls(fields["state"], Members.from_wire(fields["members"]))
 
 
 @dataclass(slots=True)
 class PersistentState:
-    """What a member has on disk: its name, the persistent state of figure 2, and its snapshot."""
+    """The state that a member has on disk: its name, the persistent state of figure 2, and its snapshot."""
 
     member_id: str
     term: int = 0
     voted_for: str = ""
-    snapshot_index: int = 0  # the last entry that the snapshot covers
+    snapshot_index: int = 0  # of the last entry that the snapshot covers
     snapshot_term: int = 0
     snapshot_state: MachineState | None = None
-    members: Members = field(default_factory=Members)  # as of the snapshot
-    entries: list[Entry] = field(default_factory=list)  # behind what the snapshot covers
-    tail: list[Entry] = field(default_factory=list)  # the last ones that it covers, as far as they are kept
-    acknowledged: dict[str, int] = field(default_factory=dict)  # by member: the input of the rollback guard
+    members: Members = field(default_factory=Members)  # at the snapshot
+    entries: list[Entry] = field(default_factory=list)  # after the snapshot
+    tail: list[Entry] = field(default_factory=list)  # the last entries that the snapshot covers, if retained
+    acknowledged: dict[str, int] = field(default_factory=dict)  # by member; input of the rollback guard
 
 
 def assemble(saved: PersistentState, rows: Iterable[StoredEntry]) -> PersistentState | None:
-    """Put the rows of a log, in their order, behind and before a snapshot.
+    """Assign the rows of a log, in index order, to the entries after a snapshot and the tail before it.
 
-    What the snapshot covers may have gaps: it came from a leader, or was written when entries before it were
-    refused.
+    Rows that the snapshot covers may have gaps: the snapshot may have come from a leader, or may have been
+    written after the writes of earlier entries had failed.
 
-    :returns: None where entries behind the snapshot are missing.
+    :returns: None if entries after the snapshot are missing.
     """
     previous = 0
     for row in rows:
--- a/amberlug/cluster/consensus/proposals.py
+++ b/amberlug/cluster/consensus/proposals.py
@@ -1,4 +1,4 @@
-"""Commands that a leader has appended and whose callers wait for the outcome."""
+"""Pending proposals: commands that a leader has appended and whose callers await the outcome."""
 
 from __future__ import annotations
 
@@ -12,21 +12,21 @@
 
 
 class RejectionReason(Enum):
-    """Why a command was not committed, or is not known to be; operators are sent the historical values."""
+    """Why a proposal was rejected. The values are historical, and are sent to operators."""
 
-    NOT_LEADER = "elsewhere"  # the command was not appended: it surely has no effect
-    CHANGE_NOT_ALLOWED = "not allowed"  # the same, for a membership change that must not begin yet
-    OUTCOME_UNKNOWN = "unclear"  # leadership ended meanwhile: the command may or may not be committed
+    NOT_LEADER = "elsewhere"  # not appended, so the command certainly has no effect
+    CHANGE_NOT_ALLOWED = "not allowed"  # not appended: a membership change that must not begin yet
+    OUTCOME_UNKNOWN = "unclear"  # leadership was lost: the command may or may not be committed
 
 
 @value
 class ProposalRejected:
-    """The error of a proposal, and what the member that rejected it knew then."""
+    """The error of a rejected proposal, with the state of the rejecting member at that time."""
 
     reason: RejectionReason
-    member_id: str = ""  # that rejected it; empty where another process passes the reason on
+    member_id: str = ""  # the rejecting member; empty if the reason was relayed by another process
     term: int = 0  # of that member
-    leader_id: str = ""  # where to try again; empty where no leader is known
+    leader_id: str = ""  # where to retry; empty if no leader is known
 
 
 ProposalResult = Result[Outcome, ProposalRejected]
@@ -40,20 +40,20 @@
 
 
 class PendingProposals:
-    """The callers that wait, in the order of their entries."""
+    """The waiting callers, in the order of their entries."""
 
     def __init__(self) -> None:
         self._pending: list[_PendingProposal] = []
 
     def add(self, index: int, on_outcome: ProposalCallback) -> None:
-        """Have a caller notified once the entry at an index is applied, or is known not to be."""
+        """Notify a caller once the entry at an index has been applied or rejected."""
         self._pending.append(_PendingProposal(index, on_outcome))
 
     def on_applied(self, index: int, outcome: ProposalResult, rejection: ProposalRejected) -> None:
         """Notify the callers up to an applied entry.
 
-        :param outcome: what the state machine returned for it, or the rejection if the entry is of another
-            term than that of this leader, thus not the one that was proposed.
+        :param outcome: the result of the state machine, or the rejection if the entry has a different term
+            than this leader and thus is not the proposed one.
         :param rejection: for callers whose entry was replaced by a snapshot.
         """
         while self._pending and self._pending[0].index <= index:
@@ -61,7 +61,7 @@
             proposal.on_outcome(outcome if proposal.index == index else Err(rejection))
 
     def reject_all(self, rejection: ProposalRejected) -> None:
-        """Leadership has ended: another leader may commit the entries, or replace them."""
+        """Reject all proposals once leadership is lost: another leader may commit or replace the entries."""
         for proposal in self._pending:
             proposal.on_outcome(Err(rejection))
         self._pending.clear()
--- a/amberlug/cluster/consensus/raft.py
+++ b/amberlug/cluster/consensus/raft.py
@@ -1,26 +1,26 @@
-"""One member of the Raft group. No I/O.
+"""A member of the Raft group. No I/O.
 
-The algorithm is that of Ongaro and Ousterhout, "In Search of an Understandable Consensus Algorithm (Extended
-Version)", 2014, which this package cites as Raft. From Ongaro's dissertation, "Consensus: Bridging Theory and
-Practice", 2014, are pre-votes (section 9.6), ReadIndex (6.4), membership changes of one voter at a time
-(chapter 4) and leadership transfer (3.10).
+Implements Ongaro and Ousterhout, "In Search of an Understandable Consensus Algorithm (Extended Version)",
+2014, cited in this package as Raft. Pre-votes (section 9.6), ReadIndex (6.4), single-server membership
+changes (chapter 4) and leadership transfer (3.10) follow Ongaro's dissertation, "Consensus: Bridging Theory
+and Practice", 2014.
 
-The member's state is here; what it does is in modules by concern: `election`, `replication` and
-`chunk_sender` (the leader's side), `follower`, `read_index`, `proposals`, `rollback_guard`.
+This module holds the state of a member. Its behavior is divided by concern into `election`, `replication` and
+`chunk_sender` (the leader's side), `follower`, `read_index`, `proposals` and `rollback_guard`.
 
-Invariants (Raft, figure 3), and what keeps them:
+Invariants (Raft, figure 3) and how they are maintained:
 
-- Election Safety, at most one leader in a term: a member votes once in a term, and its vote is on disk before
+- Election Safety, at most one leader per term: a member votes once per term, and its vote is on disk before
   it is sent (`election`).
-- Leader Append-Only: a leader appends to its log and replaces nothing in it; only `follower` truncates.
-- Log Matching: entries are appended behind one that is the same in the leader's log (`follower`).
-- Leader Completeness: nobody votes for a candidate with an older log (`election`), and a leader commits by
-  counting replicas of entries of its own term only (`replication`).
-- State Machine Safety: entries are applied in their order, once they are committed (`RaftNode.commit_to`);
-  `follower` asserts that no committed entry is replaced.
-
-A vote or an entry is acknowledged once it is on disk (Raft, figure 2). A leader sends entries while its own
-disk still writes them, and counts itself among their replicas only then (dissertation, section 10.2.1).
+- Leader Append-Only: a leader only appends to its log; only `follower` truncates.
+- Log Matching: entries are appended only after an entry that matches the leader's log (`follower`).
+- Leader Completeness: no member votes for a candidate with an older log (`election`), and a leader commits by
+  counting replicas only for entries of its own term (`replication`).
+- State Machine Safety: committed entries are applied in order (`RaftNode.commit_to`); `follower` asserts that
+  no committed entry is replaced.
+
+Votes and entries are acknowledged once they are on disk (Raft, figure 2). A leader sends entries while its
+own disk is still writing them, and counts itself as a replica only after that (dissertation, section 10.2.1).
 """
 
 from __future__ import annotations
@@ -73,12 +73,12 @@
 
 
 class RaftNode:
-    """One member; its fields are documented in `context.MemberContext`.
+    """A member of the group; its fields are documented in `context.MemberContext`.
 
-    :param runtime: its clock, timers, random numbers and peers.
-    :param disk: its stable storage.
-    :param saved: what the disk contains at the start.
-    :param state_machine: what committed commands are applied to.
+    :param runtime: clock, timers, random numbers and peers.
+    :param disk: stable storage.
+    :param saved: the content of the disk at startup.
+    :param state_machine: the state machine to which committed commands are applied.
     """
 
     def __init__(
@@ -90,14 +90,14 @@
         self._load(saved)
 
     def _load(self, saved: PersistentState) -> None:
-        """Begin with what is on disk."""
+        """Initialize the member from its persistent state."""
         self.member_id, self.term, self.voted_for = saved.member_id, saved.term, saved.voted_for
         self.log = Log(self.runtime, self.disk, saved, self._on_log_synced)
         newest_term = self.log.term_at(self.log.last_index)
         if newest_term > self.term:
-            # The disk took entries of a term whose own row it refused. No leader of an older term is
-            # accepted, since it could replace what was acknowledged; and the vote of this term is not known,
-            # so it is not cast again.
+            # The disk stored entries of a term, but the write of the term itself failed. Leaders of older
+            # terms are not accepted, since they could replace acknowledged entries. The vote in this term is
+            # unknown, so the member must not vote again.
             self.term, self.voted_for = newest_term, self.member_id
         self.role, self.leader_id = Role.FOLLOWER, ""
         self.commit_index = self.last_applied = self.log.snapshot_index
@@ -115,16 +115,16 @@
             self.state_machine.restore(self.log.snapshot_state)
         self.refresh_membership()
 
-    # -- what others may know
+    # -- state
 
     @property
     def is_leader(self) -> bool:
-        """Whether this member leads in its term, as far as it knows."""
+        """Whether this member believes itself to be the leader of its term."""
         return self.role is Role.LEADER
 
     @property
     def is_voter(self) -> bool:
-        """Whether this member votes."""
+        """Whether this member is a voter."""
         return self.members.is_voter(self.member_id)
 
     @property
@@ -134,7 +134,7 @@
 
     @property
     def is_membership_committed(self) -> bool:
-        """Whether the newest membership is committed: only then may another change begin."""
+        """Whether the newest membership is committed, which is required before the next change."""
         return self.membership.index <= self.commit_index
 
     @property
@@ -143,40 +143,41 @@
         return self.runtime.now() - self.leader_contact_at
 
     def term_at(self, index: int) -> int:
-        """The term of an entry; -1 where it is not known."""
+        """Return the term of the entry at an index; -1 if it is unknown."""
         return self.log.term_at(index)
 
     def has_majority(self, names: Set[str]) -> bool:
-        """Whether these members have a majority of the voters among them."""
+        """Whether these members contain a majority of the voters."""
         return self.members.has_majority(names)
 
-    # -- start and end
+    # -- starting and stopping
 
     def start(self) -> None:
-        """Begin to take part; votes wait until it is known that the disk has lost nothing."""
-        self.leader_contact_at = NEVER  # not since this start: after a loss of all, nobody waits for a leader
+        """Join the group; voting is disabled until it is known that the disk has lost nothing."""
+        self.leader_contact_at = NEVER  # so that after a failure of all members none waits for a leader
         self.rollback_guard.may_vote = False
         self.election.campaign_soon()
         self.rollback_guard.start_check()
 
     def stop(self) -> None:
-        """Take part no more."""
+        """Stop participating in the group."""
         self.is_stopped = True
         if self._timer is not None:
             self._timer.cancel()
 
     def restart_as_new_incarnation(self) -> None:
-        """The folder was restored from a backup: its log ends before what this member had acknowledged.
+        """Restart with an empty log under a new member ID, after the data folder was restored from a backup.
 
-        Nobody knows what else it has lost, so its vote proves nothing: it continues with an empty log under
-        another name, and has to be let in, like a machine that has lost its disk.
+        The log ends before an index that this member had acknowledged. What else was lost is unknown, so the
+        member cannot vote safely. Like a machine that has lost its disk, it must be admitted to the group
+        again.
         """
         if self.is_stopped:
             return
         host = self.member_id.rpartition("/")[0]
         member_id = new_member_id(host, self.runtime.rng.getrandbits)
         logging.warning(
-            "%s has less on disk than it acknowledged: it goes on as %s", self.member_id, member_id
+            "%s: the log ends before an acknowledged entry; restarting as %s", self.member_id, member_id
         )
         self.step_down()
         self.stop()
@@ -197,7 +198,7 @@
         write()
 
     def schedule(self, delay_s: float, action: Callable[[], None]) -> None:
-        """Set the one timer: the election timeout of a follower, the heartbeat interval of a leader."""
+        """Set the single timer: the election timeout of a follower or the heartbeat interval of a leader."""
         if self._timer is not None:
             self._timer.cancel()
         if not self.is_stopped:
@@ -206,22 +207,22 @@
     # -- terms and roles
 
     def save_term(self, on_saved: Callable[[], None]) -> None:
-        """Write the term and the vote (Raft, figure 2); `on_saved` is not called if the disk refuses them."""
+        """Persist the term and the vote (Raft, figure 2); `on_saved` is not called if the write fails."""
         row = TermRow(self.term, self.voted_for)
         self.disk.write(raw_rows([row]), lambda error: None if error else on_saved())
 
     def observe_term(self, term: int) -> None:
-        """Become a follower where a message has a higher term (Raft, section 5.1)."""
+        """Adopt a higher term and become a follower (Raft, section 5.1); other terms have no effect."""
         if term <= self.term:
             return
         self.term, self.voted_for = term, ""
         self.step_down()
-        # Nothing waits for this write: a vote or an entry of the term is written after it, and `_load` copes
-        # with a disk that refused it and took the entry.
+        # Nothing waits for this write: votes and entries of the term are written after it, and `_load`
+        # handles the case that this write failed and that of an entry succeeded.
         self.save_term(lambda: None)
 
     def step_down(self) -> None:
-        """Become a follower; who waits for this leader is notified."""
+        """Become a follower; pending proposals and reads are rejected if this member was the leader."""
         was_leader = self.is_leader
         self.role = Role.FOLLOWER
         if was_leader:
@@ -232,7 +233,7 @@
         self.election.restart_timer()
 
     def become_leader(self) -> None:
-        """Lead in the current term: a majority has voted for this member (Raft, section 5.2)."""
+        """Become the leader of the current term, after a majority has voted for this member (section 5.2)."""
         self.role, self.leader_id, self.leader_since = Role.LEADER, self.member_id, self.runtime.now()
         self.replication.start()
         self.on_change()
@@ -241,9 +242,9 @@
     # -- the log
 
     def append(self, entries: Sequence[Entry]) -> None:
-        """Append entries as the leader; a membership among them holds at once (dissertation, section 4.1).
+        """Append entries as the leader; a new membership takes effect at once (dissertation, section 4.1).
 
-        Invariant (Leader Append-Only; Raft, section 5.3): nothing in the log is replaced.
+        Invariant (Leader Append-Only; Raft, section 5.3): no entry of the log is replaced.
         """
         self.log.append(entries)
         if any(entry.members is not None for entry in entries):
@@ -253,15 +254,15 @@
     def refresh_membership(self) -> None:
         """Use the newest membership in the log, committed or not (dissertation, section 4.1).
 
-        Where its entry is truncated, that is the one before it again.
+        After its entry has been truncated, this is the previous membership again.
         """
         self.membership = self.log.newest_membership()
 
     def commit_to(self, index: int) -> None:
-        """Commit entries up to an index, and apply them in their order (Raft, section 5.3).
+        """Commit entries up to an index and apply them in order (Raft, section 5.3).
 
         Invariant (State Machine Safety; Raft, section 5.4.3): the commit index never decreases, and only
-        committed entries are applied, so all members apply the same entry at an index.
+        committed entries are applied, so all members apply the same entry at each index.
         """
         if index > self.commit_index:
             self.commit_index = index
@@ -291,16 +292,16 @@
         if self.is_leader:
             self.replication.advance_commit_index()
 
-    # -- requests of this process
+    # -- requests from this process
 
     def rejection(self, reason: RejectionReason) -> ProposalRejected:
-        """The error of a proposal that this member rejects now."""
+        """Create the error for a proposal that this member rejects."""
         return ProposalRejected(reason, self.member_id, self.term, self.leader_id)
 
     def propose(self, command: Command, on_outcome: ProposalCallback) -> None:
-        """Have a command committed and applied.
+        """Propose a command, to be committed and applied.
 
-        :param on_outcome: called once, with what the state machine returned or why it was rejected.
+        :param on_outcome: called once, with the result of the state machine or the rejection.
         """
         if not self.is_leader or self.is_stopped:
             on_outcome(Err(self.rejection(RejectionReason.NOT_LEADER)))
@@ -310,14 +311,14 @@
         self.replication.send_new_entries()
 
     def change_members(self, members: Members, on_outcome: ProposalCallback) -> None:
-        """Put another membership in place: one change at a time, of one voter at most.
+        """Change the membership: one change at a time, and at most one voter per change.
 
-        Invariant: any majority before the change has a voter in common with any one after it (dissertation,
-        section 4.1). Therefore it begins only once the change before it is committed, and an entry of this
-        leader's term, else the majorities of two leaders could be disjoint. The second condition is not in
-        the dissertation: Ongaro added it later ("bug in single-server membership changes", raft-dev, 2015).
-        A majority of the new voters must also have what is committed, so that a removal leaves enough
-        replicas.
+        Invariant: every majority before the change shares a voter with every majority after it (dissertation,
+        section 4.1). Therefore a change requires that the previous change and an entry of this leader's term
+        are committed; otherwise, the majorities of two leaders could be disjoint. The second condition is not
+        in the dissertation: Ongaro added it later ("bug in single-server membership changes", raft-dev,
+        2015). A majority of the new voters must also have all committed entries, so that a removal leaves
+        enough replicas.
 
         :param members: all members after the change.
         """
@@ -332,48 +333,48 @@
         ):
             on_outcome(Err(self.rejection(RejectionReason.CHANGE_NOT_ALLOWED)))
             return
-        assert len(set(members.voters) ^ set(self.members.voters)) <= 1, "two voters change at once"
+        assert len(set(members.voters) ^ set(self.members.voters)) <= 1, "more than one voter changes at once"
         self.propose(members.to_command(), on_outcome)
 
     def confirm_read(self, on_confirmed: ReadCallback) -> None:
-        """Have the commit index confirmed by a majority, for a linearizable read: see `ReadIndex.request`."""
+        """Confirm the commit index with a majority for a linearizable read: see `ReadIndex.request`."""
         self.reads.request(on_confirmed)
 
     def transfer_leadership(self) -> None:
-        """Before a planned end: have another voter lead, if this member leads now."""
+        """Transfer leadership to another voter before a planned stop, if this member is the leader."""
         if self.is_leader:
             self.replication.transfer_leadership()
 
     def has_replicated(self, name: str, index: int) -> bool:
-        """Whether a member is known to have the log up to an entry on its disk."""
+        """Whether a member is known to have the log on disk up to an index."""
         return self.replication.has_replicated(name, index)
 
     def unresponsive_s(self, name: str) -> float:
-        """For how many seconds a member has not replied to this leader."""
+        """Return the seconds since a member last replied to this leader."""
         return self.replication.unresponsive_s(name)
 
-    # -- messages of peers
+    # -- messages from peers
 
     @handles(RequestVote)
     def on_request_vote(self, message: RequestVote, origin: str, respond: Responder) -> None:
-        """Answer a candidate."""
+        """Handle a candidate's vote request."""
         self.election.on_vote_request(message, respond)
 
     @handles(AppendEntries)
     def on_append_entries(self, message: AppendEntries, origin: str, respond: Responder) -> None:
-        """Answer a leader."""
+        """Handle entries or a heartbeat from a leader."""
         self.follower.on_append_entries(message, respond)
 
     @handles(TransferChunk)
     def on_transfer_chunk(self, message: TransferChunk, origin: str, respond: Responder) -> None:
-        """Answer a leader that transfers a long entry or a snapshot."""
+        """Handle a chunk of a long entry or of a snapshot from a leader."""
         self.follower.on_chunk(message, respond)
 
     @handles(AcknowledgedIndexRequest)
     def on_acknowledged_index_request(
         self, message: AcknowledgedIndexRequest, origin: str, respond: Responder
     ) -> None:
-        """Answer a member that has just started: up to where it is known to have acknowledged the log."""
+        """Tell a member that has just started which log index it is known to have acknowledged."""
         if message.target_id == self.member_id and not self.is_stopped:
             acknowledged = self.rollback_guard.acknowledged.get(message.member_id, 0)
             respond(AcknowledgedIndexReply(acknowledged))
@@ -382,7 +383,7 @@
 
     @handles(TimeoutNow)
     def on_timeout_now(self, message: TimeoutNow, origin: str, respond: Responder) -> None:
-        """The leader ends: start an election at once, without a pre-vote (dissertation, section 3.10)."""
+        """Start an election at once, without a pre-vote, as the leader is stopping (dissertation, 3.10)."""
         is_current = message.target_id == self.member_id and message.term == self.term
         if is_current and self.is_voter and self.role is Role.FOLLOWER:
             self.leader_id, self.leader_contact_at = "", NEVER
--- a/amberlug/cluster/consensus/read_index.py
+++ b/amberlug/cluster/consensus/read_index.py
@@ -17,25 +17,25 @@
 
 
 class ReadIndex:
-    """Reads that wait until a majority confirms that this leader is still the leader.
+    """Reads that wait until a majority confirms that this member is still the leader.
 
     Invariant: a confirmed index is at least the commit index at the time of the request (dissertation,
     section 6.4, step 2). The majority replied to messages sent after the request (step 3), so no other leader
-    had been elected by then. Who reads waits itself until the index is applied (step 4).
+    had been elected at that time. The reader is responsible for waiting until the index is applied (step 4).
     """
 
     def __init__(self, raft: MemberContext) -> None:
         self._raft = raft
         self._pending: list[_PendingRead] = []
-        self.sequence = 0  # of the newest read; messages to peers carry it implicitly, by when they are sent
+        self.sequence = 0  # of the newest read; a message confirms the reads requested before it was sent
 
     def request(self, on_confirmed: ReadCallback) -> None:
-        """Have the commit index confirmed by a majority: a state applied up to there is the newest.
+        """Have a majority confirm the commit index: a state applied up to it is current.
 
-        The commit index of a new leader may lag behind that of its predecessor: the read waits until an
-        entry of its own term is committed (dissertation, section 6.4, step 1).
+        The commit index of a new leader may lag behind that of its predecessor, so the read waits until an
+        entry of the leader's own term is committed (dissertation, section 6.4, step 1).
 
-        :param on_confirmed: called once, with the index, or with None where this member does not lead.
+        :param on_confirmed: called once, with the index, or with None if this member is not the leader.
         """
         raft = self._raft
         if not raft.is_leader:
@@ -47,7 +47,7 @@
         self.resolve()
 
     def resolve(self) -> None:
-        """Confirm the reads that a majority has acknowledged, in their order."""
+        """Confirm, in order, the reads that a majority has acknowledged."""
         raft = self._raft
         if raft.log.term_at(raft.commit_index) != raft.term:
             return
@@ -62,7 +62,7 @@
             read.on_confirmed(raft.commit_index)
 
     def reject_all(self) -> None:
-        """Leadership has ended: nothing can be confirmed."""
+        """Reject all pending reads once leadership is lost."""
         for read in self._pending:
             read.on_confirmed(None)
         self._pending.clear()
--- a/amberlug/cluster/consensus/replication.py
+++ b/amberlug/cluster/consensus/replication.py
@@ -1,9 +1,9 @@
 """The leader's side: heartbeats (Raft, section 5.2), log replication (5.3), the commit rule (5.4.2).
 
-A peer has one message with entries in flight at a time, and a heartbeat beside it where one is due.
+At most one message with entries is in flight to a peer at a time, plus a heartbeat if one is due.
 
-Invariant (Leader Completeness; Raft, section 5.4.3): an entry counts as committed only once a majority has it
-on disk together with an entry of the leader's term, so each later leader has it.
+Invariant (Leader Completeness; Raft, section 5.4.3): an entry is committed only once a majority has it on
+disk together with an entry of the leader's term, so every later leader has it.
 """
 
 from __future__ import annotations
@@ -31,26 +31,26 @@
 from amberlug.cluster.interfaces import RequestFailure
 from amberlug.cluster.rpc.messages import request, send
 
-HEARTBEAT_INTERVAL_S = 0.1  # a fifth of the election timeout: four may be lost in a row
-# Without anything sent to a peer until a heartbeat is due, whatever is in flight. It is less than the
-# interval, else one that was measured a little short would leave out a heartbeat.
+HEARTBEAT_INTERVAL_S = 0.1  # a fifth of the election timeout, so that four in a row may be lost
+# Time since the last message to a peer after which a heartbeat is due, whatever is in flight. It is less than
+# the interval, since otherwise an interval measured slightly too short would skip a heartbeat.
 HEARTBEAT_DUE_S = 0.9 * HEARTBEAT_INTERVAL_S
 
 
 class Replication:
-    """What a leader does for its followers; it is idle in another role."""
+    """Replicates the leader's log to the other members; idle in other roles."""
 
     def __init__(self, raft: MemberContext) -> None:
         self.raft = raft
         self._chunks = ChunkSender(raft, self)
         self.peers: dict[str, PeerProgress] = {}
-        self.send_failures = 0  # messages that could not be made or sent
+        self.send_failures = 0  # messages that could not be created or sent
         self._request_number = 0
 
     def start(self) -> None:
-        """Lead: append an entry of the new term, which commits those before it (Raft, section 8).
+        """Start leading with an entry of the new term, which commits those before it (Raft, section 8).
 
-        A peer's next entry is first taken to be the one behind the log (Raft, figure 2).
+        The next index of each peer is initialized to the one after the last entry (Raft, figure 2).
         """
         raft = self.raft
         now = raft.runtime.now()
@@ -62,7 +62,7 @@
         raft.append([Entry(raft.term, None)])
 
     def track_members(self) -> None:
-        """Keep a record of each other member while leading."""
+        """Update the tracked peers after a membership change, while leading."""
         raft = self.raft
         if not raft.is_leader:
             return
@@ -73,10 +73,10 @@
         for name in sorted(set(self.peers) - set(raft.members)):
             del self.peers[name]
 
-    # -- what is known of peers
+    # -- progress of peers
 
     def has_replicated(self, name: str, index: int) -> bool:
-        """Whether a member is known to have the log up to an entry on its disk."""
+        """Whether a member is known to have the log on disk up to an index."""
         raft = self.raft
         if name == raft.member_id:
             return raft.log.synced_index >= index
@@ -84,12 +84,12 @@
         return peer is not None and peer.match_index >= index
 
     def unresponsive_s(self, name: str) -> float:
-        """For how many seconds a member has not replied to this leader."""
+        """Return the seconds since a member last replied to this leader."""
         peer = self.peers.get(name)
         return 0.0 if peer is None else self.raft.runtime.now() - peer.replied_at
 
     def match_indexes(self) -> dict[str, int]:
-        """Up to which index each member has the log on disk, this one among them (Raft, figure 2)."""
+        """Return the match index of each member, including this one (Raft, figure 2)."""
         match_indexes = {name: peer.match_index for name, peer in self.peers.items()}
         match_indexes[self.raft.member_id] = self.raft.log.synced_index
         return match_indexes
@@ -97,15 +97,15 @@
     # -- sending
 
     def send_heartbeats(self) -> None:
-        """Send to all peers, again and again, as long as a majority replies.
+        """Send to all peers periodically, as long as a majority replies.
 
-        A leader that hears from no majority within an election timeout steps down (dissertation, section
-        6.2).
+        A leader that receives no replies from a majority within an election timeout steps down (dissertation,
+        section 6.2).
         """
         raft = self.raft
         if not raft.is_leader or raft.is_stopped:
             return
-        # First of all, so that no error below ends the heartbeats.
+        # Scheduled first, so that an error below does not stop the heartbeats.
         raft.schedule(HEARTBEAT_INTERVAL_S, self.send_heartbeats)
         now = raft.runtime.now()
         responsive = {
@@ -118,18 +118,18 @@
         self.send_to_all()
 
     def send_to_all(self) -> None:
-        """Send each peer what it lacks, or a heartbeat where one is due."""
+        """Send each peer its missing entries, or a heartbeat if one is due."""
         for name, peer in list(self.peers.items()):
             self._send(name, peer)
 
     def send_new_entries(self) -> None:
-        """Send to the peers that lack entries."""
+        """Send to the peers with missing entries."""
         for name, peer in list(self.peers.items()):
             if peer.next_index <= self.raft.log.last_index:
                 self._send(name, peer)
 
     def _send(self, name: str, peer: PeerProgress) -> None:
-        """Send a peer what comes next; an error there concerns this peer alone."""
+        """Send the next message to a peer; errors do not affect other peers."""
         try:
             self.send_next(name, peer)
         except AssertionError:
@@ -137,12 +137,12 @@
         except Exception:
             self.send_failures += 1
             if self.send_failures == 1:
-                logging.exception("nothing could be sent to %s", name)
+                logging.exception("failed to send to peer %s", name)
 
     def send_next(self, name: str, peer: PeerProgress) -> None:
-        """Send a peer the next chunks or entries that it lacks, as far as none are in flight.
+        """Send a peer its next missing chunks or entries, unless they are already in flight.
 
-        Whatever is in flight, a heartbeat goes along: else the peer's election timeout would elapse.
+        A heartbeat is sent whatever is in flight; otherwise, the peer's election timeout would elapse.
         """
         now = self.raft.runtime.now()
         needs_heartbeat = now - peer.sent_at >= HEARTBEAT_DUE_S
@@ -159,7 +159,7 @@
         self._send_entries(name, peer, is_waiting)
 
     def _send_entries(self, name: str, peer: PeerProgress, is_heartbeat: bool) -> None:
-        """Send AppendEntries: without entries where it is but a heartbeat, or the peer does not respond."""
+        """Send AppendEntries; entries are omitted for heartbeats and for unresponsive peers."""
         raft, log = self.raft, self.raft.log
         previous_index = peer.next_index - 1
         entries = [] if is_heartbeat or peer.is_unresponsive else log.batch_after(previous_index)
@@ -184,12 +184,12 @@
         self.send_request(name, peer, LeaderRequest(kind, message, timeout_s, on_reply))
 
     def header_for(self, name: str) -> LeaderHeader:
-        """What each message to a peer begins with."""
+        """Return the common header of messages to a peer."""
         raft = self.raft
         return LeaderHeader(raft.term, raft.member_id, name, raft.commit_index)
 
     def send_request(self, name: str, peer: PeerProgress, leader_request: LeaderRequest) -> None:
-        """Send a request, and take its reply as long as this term's leadership lasts."""
+        """Send a request; its reply is ignored once the leadership of this term has ended."""
         raft, kind = self.raft, leader_request.kind
         now = raft.runtime.now()
         self._request_number += 1
@@ -219,7 +219,7 @@
     def _on_reply(
         self, name: str, peer: PeerProgress, leader_request: LeaderRequest, reply: FollowerReply
     ) -> None:
-        """Take a reply of the current term, and send on what the peer still lacks."""
+        """Handle a reply of the current term, and continue with the entries that the peer still lacks."""
         raft = self.raft
         peer.replied_at, peer.is_unresponsive = raft.runtime.now(), False
         may_send_more = leader_request.on_reply(reply)
@@ -232,22 +232,22 @@
     # -- committing
 
     def on_matched(self, peer: PeerProgress, index: int) -> None:
-        """A peer has the log on disk up to an index."""
+        """Record that a peer has the log on disk up to an index."""
         peer.acknowledge(index)
         self.advance_commit_index()
 
     def advance_commit_index(self) -> None:
-        """Commit what a majority has on disk, if it is of the current term (Raft, section 5.4.2).
+        """Commit the entries that a majority has on disk, up to one of the current term (section 5.4.2).
 
-        Invariant: an entry of an older term is committed only by a later one of the current term, since a
-        majority that has it alone does not keep another leader from replacing it (Raft, figure 8).
+        Invariant: an entry of an older term is committed only by a later entry of the current term, since
+        another leader could still replace it even if a majority stores it (Raft, figure 8).
         """
         raft = self.raft
         match_indexes = self.match_indexes()
         indexes = sorted((match_indexes.get(name, 0) for name in raft.members.voters), reverse=True)
         if not indexes:
             return
-        index = indexes[len(indexes) // 2]  # at least so far a majority of the voters has the log
+        index = indexes[len(indexes) // 2]  # a majority of the voters has the log up to here
         if index > raft.commit_index and raft.log.term_at(index) == raft.term:
             raft.commit_to(index)
             self.send_to_all()
@@ -255,14 +255,14 @@
             if raft.member_id not in raft.members:
                 raft.step_down()  # it leads until its own removal is committed (dissertation, section 4.2.2)
 
-    # -- planned end
+    # -- planned stop
 
     def transfer_leadership(self) -> None:
-        """Before a planned end: have a voter start an election at once (dissertation, section 3.10).
+        """Before a planned stop, have another voter start an election at once (dissertation, section 3.10).
 
-        It is the one with the longest known log among those that reply; of equals the last by name, and
-        without one nothing happens. Unlike there, the leader does not wait until its log is complete: if the
-        target loses the election, another one begins after the election timeout.
+        The target is the responsive voter with the longest known log, or the last of equals by name; without
+        one, nothing happens. Unlike in the dissertation, the leader does not wait until the target's log is
+        complete: if the target loses the election, another one follows after the election timeout.
         """
         raft = self.raft
         candidates = [
--- a/amberlug/cluster/consensus/roles.py
+++ b/amberlug/cluster/consensus/roles.py
@@ -1,4 +1,4 @@
-"""What a member does in its term (Raft, section 5.1)."""
+"""The roles of a member (Raft, section 5.1)."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class Role(Enum):
-    """The role of a member; a learner is a follower that does not vote."""
+    """The role of a member in its current term; a learner is a non-voting follower."""
 
     FOLLOWER = "follower"
     CANDIDATE = "candidate"
--- a/amberlug/cluster/consensus/rollback_guard.py
+++ b/amberlug/cluster/consensus/rollback_guard.py
@@ -1,13 +1,13 @@
 """Detection of a data folder that was restored from a backup.
 
-Raft assumes that what a member has acknowledged stays on its disk (section 5.1: servers update stable
-storage before they respond). A folder that was put back breaks that. A leader knows up to which committed
-entry each member has acknowledged the log. What is committed is never taken back, so a member whose log ends
-before its acknowledged index has lost entries, and perhaps a vote. All members keep these indexes and pass
-them on: a leader with its messages, any member when one that has just started asks.
-
-Invariant: a member votes only after so many others have replied as make a majority with it, or after a
-leader was heard of. So one that has lost what it acknowledged helps to elect nobody.
+Raft assumes that whatever a member has acknowledged stays on its disk (section 5.1: servers update stable
+storage before they respond). Restoring a folder violates that assumption. A leader knows up to which
+committed entry each member has acknowledged the log. Committed entries are never removed, so a member whose
+log ends before its acknowledged index has lost entries, and perhaps a vote. All members store these indexes
+and share them: a leader with its messages, other members when a member that has just started asks.
+
+Invariant: after a start, a member votes only once it has replies from enough members to form a majority with
+it, or has heard from a leader. A member that has lost acknowledged entries thus helps to elect no leader.
 """
 
 from __future__ import annotations
@@ -30,36 +30,36 @@
 from amberlug.cluster.interfaces import RequestFailure
 from amberlug.cluster.rpc.messages import request
 
-RETRY_INTERVAL_S = 0.1  # between requests for the own index: a start must not take an election timeout longer
-# Between two messages to a member that pass on all indexes which have risen: a fifth of the heartbeats carry
-# them, since they have as many fields as there are members.
+RETRY_INTERVAL_S = 0.1  # between requests for its own index; must not delay startup by an election timeout
+# Interval between messages to a member that carry all indexes, while they change: one in five heartbeats
+# carries them, since they have as many fields as there are members.
 CHANGED_INTERVAL_S = 0.5
-# The same if none has risen, and between writes to disk: each write costs a sync, and members that are up
-# repeat what a crash loses.
+# The same interval while no index changes, and between writes to disk: each write costs a sync, and running
+# members repeat what a crash loses.
 UNCHANGED_INTERVAL_S = 5.0
 
 
 class _Copy(NamedTuple):
-    """The acknowledged indexes as another member or the disk was last given them.
+    """The acknowledged indexes as last sent to a member or written to disk.
 
-    Indexes only rise while the members stay the same, so their sum says whether one has.
+    Indexes only increase while the membership stays the same, so their sum shows whether any has changed.
     """
 
     index_sum: int
-    at: float  # seconds of the steady clock
+    at: float  # seconds of the monotonic clock
 
 
 _NO_COPY = _Copy(-1, NEVER)
 
 
 class RollbackGuard:
-    """The acknowledged indexes that one member knows of, by member."""
+    """The acknowledged indexes known to a member, by member."""
 
     def __init__(self, raft: MemberContext, acknowledged: Mapping[str, int]) -> None:
         self._raft = raft
         self.acknowledged: dict[str, int] = dict(acknowledged)
-        self.may_vote = True  # False from a start until it is known that nothing was lost
-        self._replied: set[str] = set()  # members that have sent this member's index since the start
+        self.may_vote = True  # False after a start until it is known that nothing was lost
+        self._replied: set[str] = set()  # members that have reported this member's index since the start
         self._sent: dict[str, _Copy] = {}  # by member
         self._saved = _Copy(self._index_sum, NEVER)
 
@@ -73,7 +73,7 @@
             if index > self.acknowledged.get(name, 0):
                 self.acknowledged[name] = index
         for name in sorted(set(self.acknowledged) - set(raft.members)):
-            del self.acknowledged[name]  # it is no member any more, and comes back as another incarnation
+            del self.acknowledged[name]  # removed from the group; it can only return as another incarnation
         now = raft.runtime.now()
         if self._index_sum != self._saved.index_sum and now - self._saved.at >= UNCHANGED_INTERVAL_S:
             self._saved = _Copy(self._index_sum, now)
@@ -82,11 +82,11 @@
     # -- as a leader
 
     def on_acknowledged(self, match_indexes: Mapping[str, int], commit_index: int) -> None:
-        """Take up to where members have acknowledged the log; only what is committed counts."""
+        """Record the indexes that members have acknowledged, limited to the commit index."""
         self._raise_to({name: min(index, commit_index) for name, index in match_indexes.items()})
 
     def indexes_for(self, name: str) -> AcknowledgedIndexes:
-        """What goes along with a message to a member: all indexes now and then, else its own alone."""
+        """Return the indexes to send with a message: periodically all of them, else only the target's."""
         now, index_sum = self._raft.runtime.now(), self._index_sum
         sent = self._sent.get(name, _NO_COPY)
         interval_s = UNCHANGED_INTERVAL_S if sent.index_sum == index_sum else CHANGED_INTERVAL_S
@@ -96,12 +96,12 @@
         self._sent[name] = _Copy(index_sum, now)
         return AcknowledgedIndexes(of_target, self.acknowledged)
 
-    # -- as a member that starts
+    # -- as a starting member
 
     def has_lost_entries(self, acknowledged: AcknowledgedIndexes) -> bool:
-        """Take the indexes that another member has sent.
+        """Merge the indexes that another member has sent.
 
-        :returns: whether they show that this member's log ends before what it had acknowledged.
+        :returns: whether this member's log ends before an index that it had acknowledged.
         """
         raft = self._raft
         self._raise_to(acknowledged.of_members or {})
@@ -109,10 +109,10 @@
         return acknowledged_index > raft.log.last_index
 
     def start_check(self) -> None:
-        """Ask the other voters up to where this member had acknowledged the log, until enough reply."""
+        """Ask the other voters for this member's acknowledged index until enough have replied."""
         raft = self._raft
         if self.may_vote or raft.rollback_guard is not self or not raft.is_voter:
-            return  # one that becomes a voter later learns of it from a leader
+            return  # a member that becomes a voter later receives its index from a leader
         if self._has_enough_replies:
             self.may_vote = True
             raft.election.campaign_soon()
@@ -126,7 +126,7 @@
 
     @property
     def _has_enough_replies(self) -> bool:
-        """Whether the members that have replied are a majority of the voters together with this one."""
+        """Whether the members that have replied form a majority of the voters together with this one."""
         return len(self._replied) >= len(self._raft.members.voters) // 2
 
     def _on_reply(self, name: str, reply: Result[AcknowledgedIndexReply, RequestFailure]) -> None:
--- a/amberlug/cluster/consensus/rows.py
+++ b/amberlug/cluster/consensus/rows.py
@@ -1,7 +1,7 @@
-"""What a member writes to stable storage: one value a kind of row.
+"""The rows that a member writes to stable storage: one value class per kind of row.
 
-A disk is given a row as its kind and values (`raw_rows`); `row_from` reads it back, for `storage` and for
-the disks of the simulation. The kinds are not stored: they name SQL statements.
+Rows are passed to a disk as a kind and raw values (`raw_rows`); `row_from` decodes them for `storage` and for
+the simulated disks. The kinds themselves are not stored: they select SQL statements.
 """
 
 from __future__ import annotations
@@ -15,12 +15,12 @@
 from amberlug.cluster.values import value
 
 RawRow = tuple[str, tuple[Any, ...]]
-"""A row's kind, and its values as JSON has them."""
+"""A row's kind and its JSON values."""
 
 
 @value
 class TermRow:
-    """The current term and the vote in it: persistent state of each server (Raft, figure 2)."""
+    """The current term and the vote in it: part of the persistent state (Raft, figure 2)."""
 
     kind: ClassVar[str] = "term"
     term: int
@@ -39,7 +39,7 @@
 
 @value
 class TruncateRow:
-    """Entries from an index on are deleted: a leader has others there (Raft, section 5.3)."""
+    """Deletes the entries from an index on, which conflict with the leader's log (Raft, section 5.3)."""
 
     kind: ClassVar[str] = "cut"
     first_index: int
@@ -47,7 +47,7 @@
 
 @value
 class SnapshotRow:
-    """A snapshot takes the place of a prefix of the log (Raft, section 7)."""
+    """A snapshot that replaces a prefix of the log (Raft, section 7)."""
 
     kind: ClassVar[str] = "snap"
     index: int
@@ -57,19 +57,19 @@
     first_kept_index: int  # rows of entries before this one are deleted
 
     def raw_values(self) -> tuple[Any, ...]:
-        """The values as a disk is given them."""
+        """Return the raw values for a disk."""
         return self.index, self.term, self.state, self.members.to_wire(), self.first_kept_index
 
     @classmethod
     def from_raw(cls, values: Sequence[Any]) -> SnapshotRow:
-        """Read the values that a disk was given."""
+        """Decode the raw values passed to a disk."""
         index, term, state, members, first_kept_index = values
         return cls(index, term, state, Members.from_wire(members), first_kept_index)
 
 
 @value
 class AcknowledgedRow:
-    """Up to which index each member is known to have acknowledged the log."""
+    """The highest log index that each member is known to have acknowledged."""
 
     kind: ClassVar[str] = "floors"
     indexes: dict[str, int]
@@ -77,7 +77,7 @@
 
 @value
 class NewIncarnationRow:
-    """The member continues with an empty log under another name."""
+    """The member restarts with an empty log under a new member ID."""
 
     kind: ClassVar[str] = "anew"
     member_id: str
@@ -91,15 +91,15 @@
 
 
 def row_from(kind: str, values: Sequence[Any]) -> Row:
-    """The row that a disk was given.
+    """Decode a row passed to a disk.
 
-    :raises KeyError: where no row is of that kind.
+    :raises KeyError: if the kind is unknown.
     """
     return SnapshotRow.from_raw(values) if kind == SnapshotRow.kind else _ROW_TYPES[kind](*values)
 
 
 def raw_rows(rows: Sequence[Row]) -> list[RawRow]:
-    """Rows as a disk is given them."""
+    """Encode rows for a disk."""
     return [(row.kind, _raw_values(row)) for row in rows]
 
 
--- a/amberlug/cluster/consensus/storage.py
+++ b/amberlug/cluster/consensus/storage.py
@@ -1,7 +1,8 @@
 """Stable storage of a Raft member: the file `vise.db`, whose name is historical.
 
-Every row has a checksum. One that is wrong spoils the folder: what it contains can't be told from what it
-contained, and a vote or an entry that was lost must not be cast or acknowledged again (Raft, section 5.1).
+Every row has a checksum. A mismatch invalidates the whole file: the damage cannot be assessed, and after the
+loss of a vote or an entry the member must not vote or acknowledge again under the same name (Raft, section
+5.1).
 """
 
 from __future__ import annotations
@@ -31,8 +32,8 @@
 from amberlug.cluster.storage.group_commit import GroupCommitWriter, open_file
 
 FILE_NAME = "vise.db"
-FORMAT = 1  # of the file; one of another format counts as empty
-# Names of the values in table `state`; they are historical.
+FORMAT = 1  # file format version; files of other formats are treated as empty
+# Names of the values in table `state`. They are historical.
 FORMAT_VALUE, MEMBER_ID_VALUE, TERM_VALUE = "format", "me", "term"
 SNAPSHOT_VALUE, ACKNOWLEDGED_VALUE = "snap", "floors"
 SCHEMA = """
@@ -43,29 +44,29 @@
 """
 
 StoredValue: TypeAlias = int | str | list[int | str] | Json
-"""A value of table `state`, as JSON has it."""
+"""A JSON value of table `state`."""
 
 
 class ChecksumError(Exception):
-    """A row is not what was written.
+    """The checksum of a row does not match its content.
 
-    :param row: the name of a value, or the index of an entry.
+    :param row: the name of a value or the index of an entry.
     """
 
     def __init__(self, row: str | int) -> None:
-        super().__init__(f"the checksum of {row} is wrong")
+        super().__init__(f"checksum mismatch in row {row}")
 
 
 class OpenedStorage(NamedTuple):
-    """What `open_raft_storage` found."""
+    """The result of `open_raft_storage`."""
 
     saved: PersistentState
     writer: GroupCommitWriter[RawRow]
-    is_new: bool  # nothing usable was there
+    is_new: bool  # whether there was no usable file
 
 
 def execute_rows(database: sqlite3.Connection, raw: list[RawRow]) -> None:
-    """Execute the statements that write rows, in their order."""
+    """Execute the statements that write the rows, in order."""
     for kind, values in raw:
         _execute_row(database, row_from(kind, values))
 
@@ -109,10 +110,10 @@
 
 
 def _load(database: sqlite3.Connection) -> PersistentState | None:
-    """Read the file.
+    """Read the persistent state.
 
-    :returns: None where it is empty, of another format, or lacks entries.
-    :raises ChecksumError: where it is damaged.
+    :returns: None if the file is empty, has another format, or lacks entries.
+    :raises ChecksumError: if a row is damaged.
     """
     values = _load_values(database)
     if values.get(FORMAT_VALUE) != FORMAT or MEMBER_ID_VALUE not in values:
@@ -133,7 +134,7 @@
 
 
 def _load_values(database: sqlite3.Connection) -> Json:
-    """The values of table `state` by name, as JSON has them."""
+    """Read the JSON values of table `state`, by name."""
     values: Json = {}
     for name, text, checksum in database.execute("select name, value, sum from state"):
         if zlib.crc32(text.encode()) != checksum:
@@ -143,7 +144,7 @@
 
 
 def _load_entries(database: sqlite3.Connection) -> Iterator[StoredEntry]:
-    """The entries in the order of their indexes."""
+    """Read the entries in index order."""
     for index, term, text, checksum in database.execute("select at, term, command, sum from log order by at"):
         if _entry_checksum(index, term, text) != checksum:
             raise ChecksumError(index)
@@ -155,13 +156,12 @@
     new_state: Callable[[], PersistentState],
     post: Callable[[Callable[[], None]], None],
 ) -> OpenedStorage:
-    """Open a member's file in a folder, or begin it.
+    """Open or create a member's file in a folder.
 
-    A file that is damaged is deleted: its machine comes back as another incarnation, like one that has lost
-    its disk.
+    A damaged file is deleted: the machine returns as another incarnation, like one that has lost its disk.
 
-    :param new_state: what an empty disk begins with.
-    :param post: brings the end of a write back to the thread that asked for it.
+    :param new_state: creates the initial state of an empty disk.
+    :param post: runs a callback on the thread that requested a write.
     """
     folder.mkdir(parents=True, exist_ok=True)
     path = folder / FILE_NAME
@@ -183,7 +183,7 @@
 
 
 def _write_new(database: sqlite3.Connection, saved: PersistentState) -> None:
-    """Write what an empty disk begins with."""
+    """Write the initial state of an empty disk."""
     database.execute("begin immediate")
     _put_value(database, FORMAT_VALUE, FORMAT)
     _put_value(database, MEMBER_ID_VALUE, saved.member_id)
--- a/amberlug/cluster/consensus/voter_selection.py
+++ b/amberlug/cluster/consensus/voter_selection.py
@@ -1,9 +1,9 @@
-"""Which members vote: chosen so that the losses to be tolerated leave a majority. No I/O.
+"""Selection of the voters, so that a majority survives the tolerated losses. No I/O.
 
-Changes are made one at a time, each of one voter (dissertation, section 4.1).
+Changes are made one at a time, each affecting one voter (dissertation, section 4.1).
 
-Invariants: no change leads to a membership that a further tolerated loss would stop if the one before would
-survive it; and none is made unless a majority of the voters after it is alive and has what is committed.
+Invariants: no change turns a membership that survives a further tolerated loss into one that does not; and a
+change requires that a majority of the resulting voters is alive and has all committed entries.
 """
 
 from __future__ import annotations
@@ -16,78 +16,79 @@
 from amberlug.cluster.settings import Tolerance
 from amberlug.cluster.values import value
 
-MIN_VOTERS = 3  # where there are as many members: fewer tolerate no loss
-MAX_VOTERS = 7  # more slow down each commit, and 7 survive 3 losses
-VOTER_TIMEOUT_S = 1.5  # without a reply until a voter counts as lost: beyond an election timeout
-# Without a reply until a learner is not made a voter: below VOTER_TIMEOUT_S, else it might count as lost at
-# once.
+MIN_VOTERS = 3  # if there are enough members: fewer voters tolerate no loss
+MAX_VOTERS = 7  # more would slow down each commit, and 7 survive 3 losses
+VOTER_TIMEOUT_S = 1.5  # without a reply, until a voter is considered lost; longer than an election timeout
+# Without a reply, until a learner is no longer eligible as a voter; less than VOTER_TIMEOUT_S, since
+# otherwise it might be considered lost immediately.
 LEARNER_TIMEOUT_S = 1.0
-# Without a reply until a learner is removed: beyond a restart. One that comes back later is admitted again.
+# Without a reply, until a learner is removed; longer than a restart. A learner that returns later is admitted
+# again.
 REMOVAL_TIMEOUT_S = 30.0
 
 
 @value
 class MemberStatus:
-    """A member as the leader knows it."""
+    """The leader's view of a member."""
 
     name: str
     is_voter: bool
-    zone: str = ""  # a failure domain; empty where it is not known: then it is one by itself
+    zone: str = ""  # failure domain; a member with an unknown (empty) zone forms a zone of its own
     region: str = ""
-    is_caught_up: bool = True  # it has on disk what was committed a moment ago
-    unresponsive_s: float = 0.0  # since it last replied to this leader
-    is_superseded: bool = False  # another incarnation has come at its address
-    is_leaving: bool = False  # its process is about to end
+    is_caught_up: bool = True  # whether it has on disk what was committed a moment ago
+    unresponsive_s: float = 0.0  # since its last reply to this leader
+    is_superseded: bool = False  # another incarnation has joined at its address
+    is_leaving: bool = False  # its process is about to stop
 
     @property
     def is_alive(self) -> bool:
-        """Whether it counts as a voter that works."""
+        """Whether it counts as a working voter."""
         return not self.is_superseded and not self.is_leaving and self.unresponsive_s <= VOTER_TIMEOUT_S
 
     @property
     def is_eligible(self) -> bool:
-        """Whether it may be made a voter."""
+        """Whether it may become a voter."""
         if self.is_superseded or self.is_leaving or not self.is_caught_up:
             return False
         return self.unresponsive_s < LEARNER_TIMEOUT_S
 
     @property
     def zone_key(self) -> str:
-        """The zone; a member whose zone is not known is one by itself."""
+        """The zone; a member with an unknown zone forms a zone of its own."""
         return self.zone or self.name
 
     @property
     def region_key(self) -> str:
-        """The region; a member whose region is not known is in one with its zone."""
+        """The region; a member with an unknown region forms one with its zone."""
         return self.region or self.zone_key
 
 
 class _Load(NamedTuple):
-    """How many voters the failure domains of a member have already: the smaller, the better."""
+    """How many voters the failure domains of a member already have; smaller is better."""
 
-    in_region: int  # 0 where no region may be lost
+    in_region: int  # 0 if no loss of a region is tolerated
     in_zone: int
 
 
 class ChangeKind(Enum):
-    """What a change does to a member."""
+    """The kinds of membership changes."""
 
     PROMOTE = "promote"  # a learner becomes a voter
     DEMOTE = "demote"  # a voter becomes a learner
-    REMOVE = "remove"  # a learner is a member no more
+    REMOVE = "remove"  # a learner is removed from the group
 
 
 @value
 class MembershipChange:
-    """One change of the membership."""
+    """A change of one member."""
 
     name: str
     kind: ChangeKind
-    reason: str  # for the log of the process
+    reason: str  # for the process log
 
 
 def loss_margin(voters: Iterable[MemberStatus], tolerance: Tolerance) -> int:
-    """Live voters above a majority after the worst loss to be tolerated; below 0 it stops the group."""
+    """Return the live voters in excess of a majority after the worst tolerated loss; negative: no quorum."""
     members = list(voters)
     alive = [member for member in members if member.is_alive]
     zones = Counter(member.zone_key for member in alive)
@@ -101,17 +102,17 @@
 
 
 def best_voters(members: Iterable[MemberStatus], tolerance: Tolerance, leader: str) -> list[MemberStatus]:
-    """The best voters there are: as few as tolerate the losses, else those with the best margin.
+    """Choose the smallest set of voters that tolerates the losses, or else the one with the best margin.
 
-    The leader is one of them. The number is odd where it can be: one more voter tolerates no more losses
-    then.
+    The leader is always included. The number is odd if possible: one more voter would not tolerate more
+    losses.
     """
     candidates = sorted(
         (member for member in members if (member.is_alive if member.is_voter else member.is_eligible)),
         key=lambda member: (member.name != leader, not member.is_voter, member.name),
     )
-    chosen: list[MemberStatus] = []  # grows by one a step
-    best: list[MemberStatus] = []  # of the odd numbers until now
+    chosen: list[MemberStatus] = []  # grows by one member per step
+    best: list[MemberStatus] = []  # among the odd numbers so far
     zones: Counter[str] = Counter()
     regions: Counter[str] = Counter()
 
@@ -120,7 +121,7 @@
         return _Load(in_region, zones[member.zone_key])
 
     while candidates and len(chosen) < MAX_VOTERS:
-        member = min(candidates, key=load)  # of equal loads the first candidate
+        member = min(candidates, key=load)  # the first candidate among equal loads
         candidates.remove(member)
         chosen.append(member)
         zones[member.zone_key] += 1
@@ -137,12 +138,12 @@
 def next_change(
     members: Iterable[MemberStatus], tolerance: Tolerance, leader: str
 ) -> MembershipChange | None:
-    """The next change that the leader is to make; None where all is well."""
+    """Return the next change that the leader should make; None if no change is needed."""
     by_name = {member.name: member for member in members}
     voters = {name for name, member in by_name.items() if member.is_voter}
     wanted = {member.name for member in best_voters(by_name.values(), tolerance, leader)}
     if len(wanted) < MIN_VOTERS:
-        wanted |= voters  # too few are left to do without any, also without those that do not respond
+        wanted |= voters  # too few are left to demote any voter, even an unresponsive one
     change = _next_voter_change(by_name, voters, wanted, tolerance)
     return change or _next_removal(by_name, leader)
 
@@ -150,19 +151,19 @@
 def _next_voter_change(
     by_name: Mapping[str, MemberStatus], voters: Set[str], wanted: Set[str], tolerance: Tolerance
 ) -> MembershipChange | None:
-    """The best change of one voter on the way to the wanted ones."""
+    """Choose the best change of a single voter towards the wanted voters."""
 
     def margin_of(names: Set[str]) -> int:
         return loss_margin((by_name[name] for name in names), tolerance)
 
-    # What is above a tolerated loss is worth no change: margins count up to 0.
+    # Margins above 0 are not worth a change, so they are capped at 0.
     current_margin = min(0, margin_of(voters))
     has_few = len(voters) < MIN_VOTERS
     if min(0, margin_of(wanted)) <= current_margin and len(wanted) >= len(voters) and not has_few:
         return None
-    # Fewer voters than MIN_VOTERS tolerate nothing, so any further one may come.
+    # Fewer voters than MIN_VOTERS tolerate no loss, so any additional voter is allowed.
     least_margin = -MAX_VOTERS if has_few else current_margin
-    # Of equal margins the first one is taken: promotions go first, then voters that do not respond.
+    # The first of equal margins is chosen: promotions come first, then demotions of unresponsive voters.
     promotions = sorted(wanted - voters)
     demotions = sorted(voters - wanted, key=lambda name: (by_name[name].is_alive, name))
     allowed = [
@@ -175,23 +176,23 @@
     name = max(allowed, key=lambda candidate: margin_of(voters ^ {candidate}))
     if name not in voters:
         return MembershipChange(name, ChangeKind.PROMOTE, "becomes a voter")
-    reason = "is a voter no more" if by_name[name].is_alive else "does not respond: it is a voter no more"
+    reason = "is demoted to learner" if by_name[name].is_alive else "is unresponsive: demoted to learner"
     return MembershipChange(name, ChangeKind.DEMOTE, reason)
 
 
 def _next_removal(by_name: Mapping[str, MemberStatus], leader: str) -> MembershipChange | None:
-    """The first learner, in the order of the members, that will not come back."""
+    """Choose the first learner, in membership order, that is not expected to return."""
     for name, member in by_name.items():
         if member.is_voter or name == leader:
             continue
         if member.is_superseded:
-            return MembershipChange(name, ChangeKind.REMOVE, "came back as another incarnation")
+            return MembershipChange(name, ChangeKind.REMOVE, "is superseded by another incarnation: removed")
         if member.unresponsive_s > REMOVAL_TIMEOUT_S:
-            return MembershipChange(name, ChangeKind.REMOVE, "does not respond: it is removed")
+            return MembershipChange(name, ChangeKind.REMOVE, "is unresponsive: removed")
     return None
 
 
 def _has_working_majority(voters: Set[str], by_name: Mapping[str, MemberStatus]) -> bool:
-    """Whether a majority of these voters is alive and has what is committed."""
+    """Whether a majority of these voters is alive and has all committed entries."""
     working = sum(1 for name in voters if by_name[name].is_alive and by_name[name].is_caught_up)
     return 2 * working > len(voters)
