--- a/amberlug/cluster/gossip/__init__.py
+++ b/amberlug/cluster/gossip/__init__.py
@@ -1,1 +1,1 @@
-"""Gossip of versioned announcements among all nodes, with anti-entropy."""
+"""Gossip of versioned announcements among all nodes, with anti-entropy repair."""
--- a/amberlug/cluster/gossip/announcements.py
+++ b/amberlug/cluster/gossip/announcements.py
@@ -1,4 +1,4 @@
-"""Versioned announcements: the newest version of each key, a digest over them, and pages of bounded size."""
+"""Versioned announcements: the newest version of each key, a digest of them, and pages of bounded size."""
 
 from __future__ import annotations
 
@@ -8,25 +8,25 @@
 from collections.abc import Iterator, Mapping
 from typing import Any, NamedTuple
 
-PAGE_ITEMS = 400  # announcements in one message
-PAGE_BYTES = 256 << 10  # of the values in one message, but for a single value that is larger
+PAGE_ITEMS = 400  # maximum number of announcements per message
+PAGE_BYTES = 256 << 10  # maximum total size of the values in a message, unless a single value is larger
 
 Version = list[int]
-"""Numbers that are compared from the left; the first ones are the owner's epoch and sequence."""
+"""Numbers that are compared lexicographically; the first ones are the owner's epoch and sequence."""
 
 Payload = Any
-"""A JSON value that gossip passes on unread: only publisher and subscribers of a key know its form."""
+"""A JSON value that is opaque to gossip: only the publisher and the subscribers of a key know its format."""
 
 
 class VersionedValue(NamedTuple):
-    """The value of a key, and the version that orders it among the values of that key."""
+    """The value of a key, and its version, which orders the values of that key."""
 
     version: Version
     value: Payload
 
 
 class Announcement(NamedTuple):
-    """A key with its value; in a frame it stands as an array of three."""
+    """A key with its value; encoded as an array of three elements."""
 
     key: str
     version: Version
@@ -34,9 +34,9 @@
 
 
 class Page(NamedTuple):
-    """Announcements in the order of their keys.
+    """Announcements in key order.
 
-    `next_after` is the key after which the next page begins; it is empty on the last one.
+    `next_after` is the key after which the next page begins; it is empty on the last page.
     """
 
     announcements: list[Announcement]
@@ -44,14 +44,14 @@
 
 
 class PageSplit(NamedTuple):
-    """What fits into one message, and what has to follow in others."""
+    """The announcements that fit into one message, and those left for later messages."""
 
     page: list[Announcement]
     rest: list[Announcement]
 
 
 class VersionPage(NamedTuple):
-    """Versions by key, in the order of keys, and the key after which the next page begins or ""."""
+    """Versions by key, in key order, and the key after which the next page begins; "" on the last page."""
 
     versions: Mapping[str, Version]
     next_after: str
@@ -64,17 +64,17 @@
 class AnnouncementMap:
     """The newest announcement of each key.
 
-    `digest` is the exclusive or of a 64-bit hash of each key with its version. It is kept up to date in
-    constant time. Two maps with equal digests contain the same versions, but for collisions.
+    `digest` is the XOR of a 64-bit hash of each key and version, and is updated in constant time. Maps with
+    equal digests contain the same versions, except for hash collisions.
     """
 
     def __init__(self) -> None:
         self.items: dict[str, VersionedValue] = {}
         self.digest = 0
-        self._sizes: dict[str, int] = {}  # bytes of values that were put into pages
+        self._sizes: dict[str, int] = {}  # cached sizes of values, in bytes
 
     def keep_if_newer(self, key: str, version: Version, value: Payload) -> bool:
-        """Keep a value unless the newest known one is as new; returns whether it was kept."""
+        """Store a value if it is newer than the known one; returns whether it was stored."""
         newest = self.items.get(key)
         if newest is not None:
             if newest.version >= version:
@@ -86,26 +86,26 @@
         return True
 
     def lacks(self, key: str, version: Version) -> bool:
-        """Whether this version is newer than the known one."""
+        """Whether this version is newer than the known one, or the key is unknown."""
         return key not in self.items or self.items[key].version < version
 
     def __iter__(self) -> Iterator[Announcement]:
         return (Announcement(key, *item) for key, item in self.items.items())
 
     def page_after(self, after: str) -> Page:
-        """One page of the announcements whose keys come after that one."""
+        """Return one page of the announcements whose keys follow `after`."""
         keys = heapq.nsmallest(PAGE_ITEMS, (key for key in self.items if key > after))
         page, rest = self.split_page([Announcement(key, *self.items[key]) for key in keys])
         return Page(page, page[-1].key if rest or len(keys) == PAGE_ITEMS else "")
 
     def versions_after(self, after: str, limit: int) -> VersionPage:
-        """At most `limit` versions, of the keys that come after that one."""
+        """Return at most `limit` versions of the keys that follow `after`."""
         keys = heapq.nsmallest(limit, (key for key in self.items if key > after))
         next_after = keys[-1] if len(keys) == limit else ""
         return VersionPage({key: self.items[key].version for key in keys}, next_after)
 
     def split_page(self, announcements: list[Announcement]) -> PageSplit:
-        """Split off what fits into one message, at least one announcement."""
+        """Split off the announcements that fit into one message, at least one."""
         remaining_bytes = PAGE_BYTES
         for index, announcement in enumerate(announcements[:PAGE_ITEMS]):
             remaining_bytes -= self._size_bytes(announcement)
@@ -114,7 +114,7 @@
         return PageSplit(announcements[:PAGE_ITEMS], announcements[PAGE_ITEMS:])
 
     def _size_bytes(self, announcement: Announcement) -> int:
-        """Length of the value as JSON; it is computed once for the newest version."""
+        """Return the size of the value as JSON; cached for the newest version."""
         key, version, value = announcement
         newest = self.items.get(key)
         if newest is None or newest.version != version:
--- a/amberlug/cluster/gossip/messages.py
+++ b/amberlug/cluster/gossip/messages.py
@@ -1,4 +1,4 @@
-"""Messages of gossip. Their wire tags are historical: they are a protocol between versions."""
+"""Gossip messages. Their wire tags are historical, and are part of the protocol between versions."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 @value
 class Acknowledgement(Body):
-    """An update was received and applied."""
+    """Confirms that an update was received and applied."""
 
     def to_wire(self) -> Json:
         """An empty object."""
@@ -21,20 +21,20 @@
 
     @classmethod
     def from_wire(cls, body: Json, payload: bytes) -> Acknowledgement:
-        """Read any object: nothing in it counts."""
+        """Read a reply; its content is ignored."""
         return cls()
 
 
 @value
 class Update(Request[Acknowledgement]):
-    """Announcements that are pushed to a peer: also sent as a notification, where no further page follows."""
+    """Announcements pushed to a peer; sent as a notification if no further page follows."""
 
     wire_tag: ClassVar[str] = "news"
     reply_type: ClassVar[type[Acknowledgement]] = Acknowledgement
     announcements: Sequence[Announcement]
 
     def to_wire(self) -> Json:
-        """The JSON object: an array of `[key, version, value]`."""
+        """The JSON object, with an array of `[key, version, value]`."""
         return {"items": self.announcements}
 
     @classmethod
@@ -45,7 +45,7 @@
 
 @value
 class VersionNotice(Notification):
-    """Versions that the sender has received a moment ago: the peer fetches those that it lacks."""
+    """Versions that the sender has just received; the peer fetches those that it lacks."""
 
     wire_tag: ClassVar[str] = "news.rumour"
     versions: Mapping[str, Version]
@@ -62,17 +62,17 @@
 
 @value
 class DigestReply(Body):
-    """The versions that the peer knows of the keys that were compared.
+    """The peer's versions of the compared keys.
 
-    `versions` is None where both digests are equal: then nothing is to be exchanged. `next_after` is the key
-    after which the comparison goes on, or "" at its end.
+    `versions` is None if both digests are equal, so that nothing needs to be exchanged. `next_after` is the
+    key after which the comparison continues, or "" at its end.
     """
 
     versions: Mapping[str, Version] | None
     next_after: str = ""
 
     def to_wire(self) -> Json:
-        """The JSON object; an empty one says that the digests are equal."""
+        """The JSON object; an empty object means that the digests are equal."""
         return {} if self.versions is None else {"versions": self.versions, "next": self.next_after}
 
     @classmethod
@@ -83,7 +83,7 @@
 
 @value
 class DigestRequest(Request[DigestReply]):
-    """Compare all announcements by their digest, and where it differs the versions after a key."""
+    """Compares the digests of all announcements and, if they differ, requests the versions after a key."""
 
     wire_tag: ClassVar[str] = "news.digest"
     reply_type: ClassVar[type[DigestReply]] = DigestReply
@@ -102,7 +102,7 @@
 
 @value
 class FetchReply(Body):
-    """As many of the requested announcements as fit into one message, and the keys of the others."""
+    """The requested announcements that fit into one message, and the keys of the others."""
 
     announcements: Sequence[Announcement]
     remaining_keys: Sequence[str] = ()
@@ -119,7 +119,7 @@
 
 @value
 class FetchRequest(Request[FetchReply]):
-    """Request announcements by their keys; keys that the peer does not know are passed over."""
+    """Requests announcements by their keys; keys that the peer does not know are skipped."""
 
     wire_tag: ClassVar[str] = "news.want"
     reply_type: ClassVar[type[FetchReply]] = FetchReply
--- a/amberlug/cluster/gossip/store.py
+++ b/amberlug/cluster/gossip/store.py
@@ -1,12 +1,12 @@
 """Dissemination of versioned announcements among all nodes, with anti-entropy. No I/O.
 
-Control-plane nodes push announcements to all nodes that have a session with them. Edge nodes notify a few
-random peers of the versions only, and a peer fetches those that it lacks: nearly all have them by then, and
-traffic between zones is expensive. Each node compares its digest with one peer after another, which repairs
-what was lost.
+Control-plane nodes push announcements to all nodes that have a session with them. Edge nodes send only the
+versions to a few random peers, which fetch those that they lack: by then, nearly all have them, and traffic
+between zones is expensive. Each node compares its digest with one peer after another, which repairs lost
+updates.
 
-The newest version of a key wins, whatever the order in which versions arrive, so that all nodes converge to
-the same state.
+The newest version of a key wins regardless of the order of arrival, so that all nodes converge to the same
+state.
 """
 
 from __future__ import annotations
@@ -38,11 +38,11 @@
 from amberlug.cluster.rpc.messages import Responder, handles, request, send
 from amberlug.cluster.values import value
 
-ANTI_ENTROPY_INTERVAL_S = 1.0  # between comparisons with one peer and with the next one
-FANOUT = 2  # peers that an edge node notifies of new versions
-NOTICE_DELAY_S = 0.05  # until it does: by then the peers have them from their control-plane nodes
+ANTI_ENTROPY_INTERVAL_S = 1.0  # between comparisons with successive peers
+FANOUT = 2  # number of peers that an edge node notifies of new versions
+NOTICE_DELAY_S = 0.05  # before the notice; peers receive most versions from the control plane meanwhile
 DIGEST_TIMEOUT_S = 1.0
-TRANSFER_TIMEOUT_S = 5.0  # of a page: a large one takes 2.2 s over a link of 15 Mbit/s
+TRANSFER_TIMEOUT_S = 5.0  # per page; a large page takes 2.2 s over a link of 15 Mbit/s
 VERSIONS_PER_MESSAGE = 10_000
 
 
@@ -52,12 +52,12 @@
 
 @value
 class DisseminationPolicy:
-    """Which peers new announcements go to.
+    """How new announcements are disseminated.
 
-    :param fanout: how many peers are notified of new versions.
-    :param push_to_all: whether new announcements are sent to all peers in place of notices to a few.
-    :param replicated_keys: gives the keys that the peer at an address replicates by other means, as this node
-        does; they are neither sent to it nor fetched from it.
+    :param fanout: number of peers to notify of new versions.
+    :param push_to_all: whether to send new announcements to all peers instead of notifying a few.
+    :param replicated_keys: returns the keys that this node and the peer at an address replicate by other
+        means; they are neither sent to that peer nor fetched from it.
     """
 
     fanout: int = FANOUT
@@ -70,18 +70,18 @@
 
 @value
 class _PendingFetch:
-    """A version that was requested and has not arrived."""
+    """A version that was requested and has not arrived yet."""
 
     peer: str
     version: Version
 
 
 class GossipStore:
-    """The announcements that this node knows, and their exchange with peers.
+    """The announcements known to this node, and their exchange with peers.
 
-    :param peers: gives the addresses of the peers to exchange with.
-    :param on_update: called with the key and the value of each announcement that is new here.
-    :param policy: which peers new announcements go to.
+    :param peers: returns the addresses of the peers.
+    :param on_update: called with the key and value of each new announcement.
+    :param policy: how new announcements are disseminated.
     """
 
     def __init__(
@@ -94,12 +94,12 @@
         self.runtime, self._peers, self._on_update, self._policy = runtime, peers, on_update, policy
         self._announcements = AnnouncementMap()
         self._pending_fetches: dict[str, _PendingFetch] = {}
-        self._unsent: dict[str, VersionedValue] = {}  # new since peers were last notified
+        self._unsent: dict[str, VersionedValue] = {}  # new since the last dissemination
         self._comparisons = 0
 
     @property
     def items(self) -> Mapping[str, VersionedValue]:
-        """The newest known value of each key."""
+        """The newest known versioned value of each key."""
         return self._announcements.items
 
     @property
@@ -108,22 +108,22 @@
         return f"{self._announcements.digest:x}"
 
     def begin(self) -> None:
-        """Start anti-entropy, at a random time so that nodes that start together do not stay in step."""
+        """Start anti-entropy after a random delay, so that nodes started together do not run in step."""
         first_delay_s = self.runtime.rng.uniform(0.2, 1.0) * ANTI_ENTROPY_INTERVAL_S
         self.runtime.call_later(first_delay_s, self._run_anti_entropy)
 
     def announcements(self) -> list[Announcement]:
-        """All announcements, in the order in which their keys became known."""
+        """Return all announcements, in the order in which their keys became known."""
         return list(self._announcements)
 
     def page_after(self, after: str) -> Page:
-        """One page of all announcements, of the keys that come after that one."""
+        """Return one page of the announcements whose keys follow `after`."""
         return self._announcements.page_after(after)
 
     # -- announcements
 
     def offer(self, key: str, version: Version, value: Payload) -> bool:
-        """Apply an announcement and pass it on; returns False where the known version is as new."""
+        """Apply and disseminate an announcement; returns False if the known version is at least as new."""
         if not self._announcements.keep_if_newer(key, version, value):
             return False
         if not self._unsent:
@@ -133,7 +133,7 @@
         return True
 
     def apply(self, announcements: Iterable[Announcement]) -> None:
-        """Offer several announcements."""
+        """Apply and disseminate several announcements."""
         for announcement in announcements:
             self.offer(*announcement)
 
@@ -159,7 +159,7 @@
                 send(self.runtime, peer, VersionNotice(dict(rows[start : start + VERSIONS_PER_MESSAGE])))
 
     def _send_pages(self, peer: str, announcements: list[Announcement]) -> None:
-        """Send pages one after another: heartbeats must not queue behind all of them on the connection."""
+        """Send pages one at a time, so that heartbeats do not queue behind all of them on the connection."""
         if not announcements:
             return
         page, rest = self._announcements.split_page(announcements)
@@ -172,18 +172,18 @@
     def _on_page_acknowledged(
         self, peer: str, rest: list[Announcement], reply: Result[Acknowledgement, RequestFailure]
     ) -> None:
-        if isinstance(reply, Ok):  # else the next comparison repairs what is missing
+        if isinstance(reply, Ok):  # otherwise, the next anti-entropy comparison repairs the rest
             self._send_pages(peer, rest)
 
     @handles(Update)
     def on_update_message(self, message: Update, origin: str, respond: Responder) -> None:
-        """Apply what a peer has pushed."""
+        """Apply the announcements that a peer has pushed."""
         self.apply(message.announcements)
         respond(Acknowledgement())
 
     @handles(VersionNotice)
     def on_version_notice(self, message: VersionNotice, origin: str, respond: Responder) -> None:
-        """Fetch from the sender what is newer there."""
+        """Fetch newer versions from the sender."""
         self._fetch_missing(origin, message.versions)
 
     # -- anti-entropy
@@ -196,7 +196,7 @@
             self.compare_with(peers[self._comparisons % len(peers)])
 
     def compare_with(self, peer: str, after: str = "") -> None:
-        """Compare with a peer the keys after that one, and have either side get what it lacks."""
+        """Compare the keys that follow `after` with a peer, and exchange what either side lacks."""
         on_reply = partial(self._on_digest_reply, peer, after)
         request(self.runtime, peer, DigestRequest(self.digest, after), DIGEST_TIMEOUT_S, on_reply)
 
@@ -214,7 +214,7 @@
     def _newer_than(
         self, versions: Mapping[str, Version], after: str, last: str, skipped: Collection[str]
     ) -> list[Announcement]:
-        """What is known of keys in (after, last], or to the end where `last` is "", in newer versions."""
+        """Return announcements that `versions` lacks, of keys in (after, last], or after `after` if not `last`."""
         return [
             announcement
             for announcement in self._announcements
@@ -226,7 +226,7 @@
 
     @handles(DigestRequest)
     def on_digest_request(self, message: DigestRequest, origin: str, respond: Responder) -> None:
-        """Reply with the known versions, or with None where the digests are equal."""
+        """Reply with the known versions, or with None if the digests are equal."""
         if message.digest == self.digest:
             respond(DigestReply(None))
         else:
@@ -235,7 +235,7 @@
     # -- fetching
 
     def _fetch_missing(self, peer: str, versions: Mapping[str, Version]) -> None:
-        """Fetch what is newer at a peer, but for what was requested from it already."""
+        """Fetch newer versions from a peer, except those already requested from it."""
         missing = [
             key
             for key, version in versions.items()
@@ -246,7 +246,7 @@
         self._fetch(peer, missing)
 
     def _fetch(self, peer: str, keys: list[str]) -> None:
-        """Fetch announcements from a peer, one page after another."""
+        """Fetch announcements from a peer, one page at a time."""
         if not keys:
             return
         requested, later = keys[:PAGE_ITEMS], keys[PAGE_ITEMS:]
@@ -260,7 +260,7 @@
         if isinstance(reply, Ok):
             self.apply(reply.ok_value.announcements)
             postponed = list(reply.ok_value.remaining_keys)
-            # A peer that postpones all of the keys would be sent the same request without end.
+            # If the peer postpones all keys, stop: the same request would be repeated endlessly.
             remaining = (postponed if len(postponed) < len(requested) else []) + later
         self._forget_pending(peer, {*requested, *later} - set(remaining))
         self._fetch(peer, remaining)
@@ -273,7 +273,7 @@
 
     @handles(FetchRequest)
     def on_fetch_request(self, message: FetchRequest, origin: str, respond: Responder) -> None:
-        """Reply with as many announcements as fit into one message."""
+        """Reply with the requested announcements that fit into one message."""
         items = self._announcements.items
         requested = [Announcement(key, *items[key]) for key in message.keys if key in items]
         page, rest = self._announcements.split_page(requested)
--- a/amberlug/cluster/rpc/__init__.py
+++ b/amberlug/cluster/rpc/__init__.py
@@ -1,1 +1,1 @@
-"""Remote procedure calls between nodes: framing, connections, messages."""
+"""RPC between nodes: framing, connections and messages."""
--- a/amberlug/cluster/rpc/client_connection.py
+++ b/amberlug/cluster/rpc/client_connection.py
@@ -1,4 +1,4 @@
-"""The side of a connection that opened it: requests go out on it, and replies come back."""
+"""Client side of a connection to a peer: sends requests and receives their replies."""
 
 from __future__ import annotations
 
@@ -22,20 +22,20 @@
 
 
 class ConnectError(ConnectionError):
-    """A connection to a peer was not established.
+    """A connection to a peer could not be established.
 
     :param address: the peer, as `host:port`.
-    :param reason: what the operating system said, or that it took too long.
+    :param reason: the error of the operating system, or the timeout.
     """
 
     def __init__(self, address: str, reason: str) -> None:
-        super().__init__(f"no connection to {address}: {reason}")
+        super().__init__(f"could not connect to {address}: {reason}")
         self.address, self.reason = address, reason
 
 
 @value
 class PendingRequest:
-    """A request without a reply so far."""
+    """A request that awaits its reply."""
 
     on_reply: ReplyCallback
     timeout: asyncio.TimerHandle
@@ -43,7 +43,7 @@
 
 @value
 class _QueuedFrame:
-    """A frame that waits for the connection to be established; its number where it is a request."""
+    """A frame queued until the connection is established; the number is None for notifications."""
 
     number: int | None
     data: bytes
@@ -52,13 +52,13 @@
 class ClientConnection(asyncio.Protocol):
     """A connection to one peer, and the requests that are pending on it.
 
-    Each request is completed exactly once: by its reply, by its timeout or by the end of the connection. It
-    fails as `NOT_SENT` only where none of its bytes were written: the peer has surely not acted on it.
+    Each request is completed exactly once: by its reply, its timeout or the end of the connection. It fails
+    with `NOT_SENT` only if none of its bytes were written, so the peer cannot have processed it.
 
-    :param local_address: where this node listens, as the handshake states it.
+    :param local_address: the address of this node, sent in the handshake.
     :param address: the peer's address.
-    :param on_end: called once as the connection ends, before its pending requests fail.
-    :param on_disconnect: called with the peer's address once they have failed.
+    :param on_end: called once when the connection ends, before its pending requests fail.
+    :param on_disconnect: called with the peer's address after the pending requests have failed.
     """
 
     def __init__(
@@ -80,19 +80,19 @@
     async def connect(self) -> None:
         """Establish the connection.
 
-        :raises ConnectError: where the peer does not accept it within `CONNECT_TIMEOUT_S`.
+        :raises ConnectError: if the peer does not accept it within `CONNECT_TIMEOUT_S`.
         """
         host, _, port = self.address.rpartition(":")
         try:
             async with asyncio.timeout(CONNECT_TIMEOUT_S):
                 await asyncio.get_running_loop().create_connection(lambda: self, host, int(port))
         except TimeoutError as error:
-            raise ConnectError(self.address, f"none within {CONNECT_TIMEOUT_S} s") from error
+            raise ConnectError(self.address, f"timed out after {CONNECT_TIMEOUT_S} s") from error
         except (OSError, ValueError) as error:
             raise ConnectError(self.address, str(error)) from error
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Send the handshake, and what was queued."""
+        """Send the handshake and the queued frames."""
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
         set_user_timeout(transport)
@@ -101,7 +101,7 @@
         self._queue_bytes = 0
 
     def request(self, number: int, data: bytes, timeout_s: float, on_reply: ReplyCallback) -> bool:
-        """Send a request; returns False, and does not call `on_reply`, where it can not be sent."""
+        """Send a request; returns False, without calling `on_reply`, if it cannot be sent."""
         if not self.send(number, data):
             return False
         timeout = asyncio.get_running_loop().call_later(timeout_s, self._on_timeout, number)
@@ -109,7 +109,7 @@
         return True
 
     def send(self, number: int | None, data: bytes) -> bool:
-        """Send a frame, or queue it until the connection is established; returns whether that was done."""
+        """Send a frame, or queue it until the connection is established; returns False on failure."""
         if self._has_ended:
             return False
         if self.transport is None:
@@ -127,7 +127,7 @@
         return True
 
     def data_received(self, data: bytes) -> None:
-        """Complete requests by the replies in these bytes; a reply to no pending request is ignored."""
+        """Complete pending requests with the received replies; other replies are ignored."""
         try:
             for frame in self._reader.feed(data):
                 request = self.pending.pop(frame.head.get(NUMBER_FIELD, -1), None)
@@ -148,19 +148,19 @@
         request.on_reply(Err(RequestFailure.NOT_SENT if was_queued else RequestFailure.TIMED_OUT))
 
     def connection_lost(self, error: Exception | None) -> None:
-        """Fail what is pending."""
+        """Fail all pending requests."""
         self.end(RequestFailure.CONNECTION_LOST)
 
     def on_connect_failed(self) -> None:
-        """End a connection whose establishment was given up."""
-        # It may have been established in the same moment, if this process was paused: then the peer may
-        # have received what was written.
+        """End the connection after establishing it has failed."""
+        # If this process was paused, the connection may have been established just before the timeout: the
+        # peer may then have received what was written.
         if self.transport is not None:
             self.transport.abort()
         self.end(RequestFailure.NOT_SENT if self.transport is None else RequestFailure.CONNECTION_LOST)
 
     def end(self, failure: RequestFailure) -> None:
-        """Fail all pending requests: those that are still queued as not sent, the others as stated."""
+        """Fail all pending requests: those still queued with `NOT_SENT`, the others with `failure`."""
         if self._has_ended:
             return
         self._has_ended = True
--- a/amberlug/cluster/rpc/framing.py
+++ b/amberlug/cluster/rpc/framing.py
@@ -1,10 +1,10 @@
-"""Frames between nodes: a head as a netstring of JSON, and where it says so a payload as a second netstring.
+"""Frames between nodes: a JSON head as a netstring, optionally followed by a payload as a second netstring.
 
-A message's payload is sent as bytes: as JSON text it would grow by a third and be parsed twice.
+The payload is sent as raw bytes: encoded in JSON, it would grow by a third and be parsed twice.
 
 The head of a request has the fields tag, body and number, in this order; a notification has no number, and a
-reply has number and body. The first frame of a client on a connection is a handshake that names the address
-at which its node listens. The field names are a protocol between versions.
+reply has number and body. The first frame that a client sends on a connection is a handshake with the address
+at which its node listens. The field names are part of the protocol between versions.
 """
 
 from __future__ import annotations
@@ -18,21 +18,21 @@
 from amberlug.cluster.interfaces import Json, RawMessage
 from amberlug.cluster.values import value
 
-MAX_NETSTRING_BYTES = 8 << 20  # a whole configuration and a page of a storage node's messages fit
+MAX_NETSTRING_BYTES = 8 << 20  # fits a whole configuration or a page of a storage node's messages
 MAX_LENGTH_DIGITS = len(str(MAX_NETSTRING_BYTES))
 
 TAG_FIELD = "w"
 BODY_FIELD = "b"
 NUMBER_FIELD = "n"  # of a request; its reply repeats it
-HAS_PAYLOAD_FIELD = "x"  # present where a netstring with the payload follows
+HAS_PAYLOAD_FIELD = "x"  # present if a netstring with the payload follows
 HANDSHAKE_TAG = "hello"
 ORIGIN_FIELD = "from"  # in the body of a handshake
 
 
 class BadFrameError(ValueError):
-    """What was received is not a frame: nothing after it on the connection can be read.
+    """A malformed frame was received; nothing after it on the connection can be decoded.
 
-    :param reason: what is wrong with it.
+    :param reason: what is wrong with the frame.
     """
 
     def __init__(self, reason: str) -> None:
@@ -42,21 +42,21 @@
 
 @value
 class FrameTooLong:
-    """Why a frame was not encoded."""
+    """Error of a frame that exceeds the size limit and was not encoded."""
 
     size_bytes: int
     limit_bytes: int = MAX_NETSTRING_BYTES
 
 
 class Frame(NamedTuple):
-    """A frame as it was received."""
+    """A received frame."""
 
     head: Json
     payload: bytes
 
 
 def encode_message(message: RawMessage, number: int | None = None) -> Result[bytes, FrameTooLong]:
-    """The frame of a request with that number, or of a notification."""
+    """Encode a message: a request if a number is given, otherwise a notification."""
     head: Json = {TAG_FIELD: message.tag, BODY_FIELD: message.body}
     if number is not None:
         head[NUMBER_FIELD] = number
@@ -64,19 +64,19 @@
 
 
 def encode_reply(number: object, body: Json, payload: bytes) -> Result[bytes, FrameTooLong]:
-    """The frame of a reply to the request with that number."""
+    """Encode the reply to the request with the given number."""
     return encode_frame({NUMBER_FIELD: number, BODY_FIELD: body}, payload)
 
 
 def encode_handshake(origin: str) -> bytes:
-    """The first frame of a client whose node listens at that address."""
+    """Encode the handshake of a client whose node listens at the address `origin`."""
     return encode_message(RawMessage(HANDSHAKE_TAG, {ORIGIN_FIELD: origin})).unwrap()
 
 
 def handshake_origin(frame: Frame) -> str:
-    """The address that a handshake names.
+    """Return the address stated in a handshake.
 
-    :raises BadFrameError: where the frame is not a handshake.
+    :raises BadFrameError: if the frame is not a handshake.
     """
     body = frame.head.get(BODY_FIELD)
     origin = body.get(ORIGIN_FIELD) if isinstance(body, dict) else None
@@ -86,13 +86,13 @@
 
 
 def decode_message(frame: Frame) -> RawMessage:
-    """The message of a request or of a notification.
+    """Return the message of a request or notification.
 
-    :raises BadFrameError: where the frame is neither.
+    :raises BadFrameError: if the frame is neither.
     """
     body, tag = frame.head.get(BODY_FIELD), frame.head.get(TAG_FIELD)
     if not isinstance(body, dict) or not isinstance(tag, str):
-        raise BadFrameError("a frame without tag or body")
+        raise BadFrameError("the frame has no tag or no body")
     return RawMessage(tag, body, frame.payload)
 
 
@@ -101,7 +101,7 @@
 
 
 def encode_frame(head: Json, payload: bytes = b"") -> Result[bytes, FrameTooLong]:
-    """Encode a frame; an error where a netstring of it would exceed `MAX_NETSTRING_BYTES`."""
+    """Encode a frame; returns an error if one of its netstrings would exceed `MAX_NETSTRING_BYTES`."""
     if payload:
         head = {**head, HAS_PAYLOAD_FIELD: 1}
     text = json.dumps(head, separators=(",", ":")).encode()
@@ -111,24 +111,24 @@
 
 
 class FrameReader:
-    """Decodes a stream of frames; its memory is bounded by two netstrings.
+    """Decodes a stream of frames, buffering at most two netstrings.
 
-    :param max_bytes: limit for one netstring, until `accept_full_size` is called.
+    :param max_bytes: size limit per netstring until `accept_full_size` is called.
     """
 
     def __init__(self, max_bytes: int = MAX_NETSTRING_BYTES) -> None:
         self._buffer = bytearray()
-        self._head: Json | None = None  # of a frame whose payload is incomplete
+        self._head: Json | None = None  # of a frame whose payload is still incomplete
         self._max_bytes = max_bytes
 
     def accept_full_size(self) -> None:
-        """Accept frames of any size that may be sent from now on."""
+        """Raise the size limit to `MAX_NETSTRING_BYTES`."""
         self._max_bytes = MAX_NETSTRING_BYTES
 
     def feed(self, data: bytes) -> Iterator[Frame]:
-        """Add received bytes, and give each frame that is complete.
+        """Add received bytes and yield each complete frame.
 
-        :raises BadFrameError: where the stream is malformed; the reader can not be used any more.
+        :raises BadFrameError: if the stream is malformed; the reader cannot be used afterwards.
         """
         self._buffer += data
         while (content := self._next_netstring()) is not None:
@@ -143,20 +143,20 @@
                 yield Frame(head, b"")
 
     def _next_netstring(self) -> bytes | None:
-        """Take a netstring off the buffer; None while it is incomplete."""
+        """Remove the next netstring from the buffer; returns None while it is incomplete."""
         colon = self._buffer.find(b":", 0, MAX_LENGTH_DIGITS + 1)
         if colon < 0:
             if len(self._buffer) > MAX_LENGTH_DIGITS:
-                raise BadFrameError("no length")
+                raise BadFrameError("the netstring has no length")
             return None
         digits = bytes(self._buffer[:colon])
         if not digits.isdigit() or (size := int(digits)) > self._max_bytes:
-            raise BadFrameError("a bad length")
+            raise BadFrameError("the length of the netstring is invalid or exceeds the limit")
         end = colon + 1 + size
         if len(self._buffer) <= end:
             return None
         if self._buffer[end] != ord(","):
-            raise BadFrameError("no comma")
+            raise BadFrameError("the netstring is not terminated by a comma")
         content = bytes(self._buffer[colon + 1 : end])
         del self._buffer[: end + 1]
         return content
@@ -166,7 +166,7 @@
     try:
         head = json.loads(text)
     except (ValueError, RecursionError) as error:
-        raise BadFrameError("a head that is not JSON") from error
+        raise BadFrameError("the head is not valid JSON") from error
     if not isinstance(head, dict):
-        raise BadFrameError("a head that is not a JSON object")
+        raise BadFrameError("the head is not a JSON object")
     return head
--- a/amberlug/cluster/rpc/messages.py
+++ b/amberlug/cluster/rpc/messages.py
@@ -1,8 +1,9 @@
-"""Typed messages between nodes: a frozen dataclass a message, its tag and its wire form in one place.
+"""Typed messages between nodes: each message class defines its wire tag and its wire format.
 
-A message class declares its `wire_tag`, and converts itself by `to_wire` and `from_wire`. Handlers are
-declared by `handles`, requests are made by `request`: nothing else sees the bare JSON object of a frame. Tags
-and JSON fields are a protocol between versions. They stay as they are when a class or a field is renamed.
+A message class declares its `wire_tag` and converts itself with `to_wire` and `from_wire`. Handlers are
+declared with `handles`, and requests are sent with `request`, so that no other code accesses the raw JSON
+object of a frame. Tags and JSON fields are part of the protocol between versions: they do not change when a
+class or a field is renamed.
 """
 
 from __future__ import annotations
@@ -16,31 +17,31 @@
 
 
 class WireBody(Protocol):
-    """What can stand in a frame: a JSON object, and bytes beside it."""
+    """The content of a frame: a JSON object and a binary payload."""
 
     @property
     def payload(self) -> bytes:
-        """Bytes beside the JSON object; empty for most messages."""
+        """The binary payload; empty for most messages."""
 
     def to_wire(self) -> Json:
         """The JSON object, with the fields in the order in which they are sent."""
 
     @classmethod
     def from_wire(cls, body: Json, payload: bytes) -> Self:
-        """Read what a peer of this version or of an earlier one has sent.
+        """Decode a message from a peer of this or an earlier version.
 
-        :raises KeyError: where a field without a default is missing.
+        :raises KeyError: if a field without a default is missing.
         """
 
 
 class Body:
-    """A part of a frame without bytes beside it: the base of most messages and replies."""
+    """Base class of messages and replies, by default without payload."""
 
     __slots__ = ()
 
     @property
     def payload(self) -> bytes:
-        """No bytes."""
+        """The empty payload."""
         return b""
 
     def to_wire(self) -> Json:
@@ -49,7 +50,7 @@
 
     @classmethod
     def from_wire(cls, body: Json, payload: bytes) -> Self:
-        """Read what a peer of this version or of an earlier one has sent."""
+        """Decode a message from a peer of this or an earlier version."""
         raise NotImplementedError
 
 
@@ -57,14 +58,14 @@
 
 
 class Notification(Body):
-    """A message that nobody answers."""
+    """A message without a reply."""
 
     __slots__ = ()
     wire_tag: ClassVar[str]
 
 
 class Request(Body, Generic[ReplyT]):
-    """A message that is answered by one `ReplyT`, which `reply_type` names."""
+    """A message with a reply of type `ReplyT`, declared in `reply_type`."""
 
     __slots__ = ()
     wire_tag: ClassVar[str]
@@ -76,12 +77,12 @@
 
 
 def raw_message(message: _Sendable) -> RawMessage:
-    """A typed message as it stands in a frame."""
+    """Encode a typed message."""
     return RawMessage(message.wire_tag, message.to_wire(), message.payload)
 
 
 def send(runtime: Runtime, address: str, message: _Sendable) -> None:
-    """Send a notification to the peer at an address; whether it arrives is not known."""
+    """Send a notification to the peer at an address, without delivery guarantee."""
     runtime.send(address, raw_message(message))
 
 
@@ -94,8 +95,8 @@
 ) -> None:
     """Send a request to the peer at an address.
 
-    :param timeout_s: seconds until the request counts as timed out.
-    :param on_reply: called once, with the typed reply or with the reason why there is none.
+    :param timeout_s: seconds until the request times out.
+    :param on_reply: called once, with the typed reply or the reason for the failure.
     """
     reply_type: type[ReplyT] = message.reply_type
 
@@ -114,7 +115,7 @@
 
 
 def handles(message_type: type[_Sendable]) -> Callable[[Callable[..., None]], Callable[..., None]]:
-    """Declare a method as the handler of a message: `(message, origin_address, respond)`."""
+    """Mark a method as the handler of a message type: `(message, origin_address, respond)`."""
 
     def declare(handler: Callable[..., None]) -> Callable[..., None]:
         handler.__dict__[_DECLARED] = message_type
@@ -124,7 +125,7 @@
 
 
 def raw_handler(message_type: type[_Sendable], handler: Callable[..., None]) -> RawHandler:
-    """A handler of frames that decodes the message for a typed handler, and encodes its reply."""
+    """Wrap a typed handler: decodes the message and encodes the reply."""
 
     def handle(body: Json, payload: bytes, origin: str, respond: Respond) -> None:
         def answer(reply: WireBody) -> None:
@@ -136,7 +137,7 @@
 
 
 def handlers_of(component: object) -> dict[str, Callable[..., None]]:
-    """The frame handlers that the class of a component declares, by wire tag."""
+    """Return the handlers that a component declares, by wire tag."""
     found: dict[str, Callable[..., None]] = {}
     for cls in type(component).__mro__:
         for name, member in vars(cls).items():
--- a/amberlug/cluster/rpc/server_connection.py
+++ b/amberlug/cluster/rpc/server_connection.py
@@ -1,4 +1,4 @@
-"""The side of a connection that accepted it: requests arrive on it, and replies go back."""
+"""Server side of a connection from a peer: receives requests and sends their replies."""
 
 from __future__ import annotations
 
@@ -19,30 +19,30 @@
 )
 from amberlug.cluster.rpc.tcp import abort_if_not_reading, set_user_timeout
 
-MAX_HANDSHAKE_BYTES = 1 << 12  # clients that are no nodes must not fill memory
+MAX_HANDSHAKE_BYTES = 1 << 12  # bounds the memory used by clients that are not nodes
 
 
 class ConnectionOwner(Protocol):
-    """What a server connection reports to."""
+    """Receives the events of server connections."""
 
     def on_accepted(self, connection: ServerConnection) -> None:
-        """A peer has connected."""
+        """Handle a new connection."""
 
     def on_closed(self, connection: ServerConnection) -> None:
-        """The connection has ended."""
+        """Handle the end of a connection."""
 
     def on_rejected(self, connection: ServerConnection, error: BadFrameError) -> None:
-        """The connection is aborted, as the peer does not speak the protocol."""
+        """Handle a protocol violation by the peer; the connection is aborted."""
 
     def on_message(self, message: RawMessage, origin: str, respond: Respond) -> None:
-        """A message from the node at the address `origin`."""
+        """Handle a message from the node at the address `origin`."""
 
     def frame_to_send(self, frame: Result[bytes, FrameTooLong], tag: str) -> bytes | None:
-        """The encoded frame; None where it is too long, which is counted."""
+        """Return the encoded frame, or None if it is too long, which is counted."""
 
 
 class ServerConnection(asyncio.Protocol):
-    """A connection that a peer opened. `origin` is the peer's own address, once its handshake was read."""
+    """A connection opened by a peer. `origin` is the peer's listen address, known after its handshake."""
 
     def __init__(self, owner: ConnectionOwner) -> None:
         self.owner = owner
@@ -51,14 +51,14 @@
         self._reader = FrameReader(MAX_HANDSHAKE_BYTES)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Wait for the handshake."""
+        """Register the connection and wait for the handshake."""
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
         set_user_timeout(transport)
         self.owner.on_accepted(self)
 
     def data_received(self, data: bytes) -> None:
-        """Pass on the messages in these bytes, and abort the connection of a peer that sends no frames."""
+        """Handle the received messages; the connection is aborted if the peer sends malformed frames."""
         transport = self.transport
         assert transport is not None
         try:
@@ -74,7 +74,7 @@
             transport.abort()
 
     def _respond_to(self, number: object) -> Respond:
-        """What sends the reply to a request; where there is no number, nobody waits for one."""
+        """Return the function that replies to a request; without a number, no reply is expected."""
 
         def respond(body: Json, payload: bytes = b"") -> None:
             transport = self.transport
@@ -83,11 +83,11 @@
             if abort_if_not_reading(transport):
                 return
             data = self.owner.frame_to_send(encode_reply(number, body, payload), "a reply")
-            if data is not None:  # else the request times out
+            if data is not None:  # otherwise, the request times out at the peer
                 transport.write(data)
 
         return respond
 
     def connection_lost(self, error: Exception | None) -> None:
-        """Report the end."""
+        """Report the end of the connection."""
         self.owner.on_closed(self)
--- a/amberlug/cluster/rpc/transport.py
+++ b/amberlug/cluster/rpc/transport.py
@@ -1,4 +1,4 @@
-"""The connections between one node and its peers: opened on first use, kept until they fail."""
+"""The connections between a node and its peers: opened on first use and kept until they fail."""
 
 from __future__ import annotations
 
@@ -14,26 +14,27 @@
 from amberlug.cluster.rpc.framing import BadFrameError, FrameTooLong, encode_message
 from amberlug.cluster.rpc.server_connection import ServerConnection
 
-ACCEPT_BACKLOG = 256  # a restarted node is dialled by all others at once
+ACCEPT_BACKLOG = 256  # all other nodes connect to a restarted node at once
 
 MessageHandler = Callable[[RawMessage, str, Respond], None]
-"""Called with each message, the address of the node that sent it, and what sends the reply."""
+"""Called with each message, the address of the sending node, and the function that sends the reply."""
 
 
 class PeerTransport:
-    """Sends messages to peers by their addresses, and passes on what peers send.
+    """Sends messages to peers by address, and passes received messages to a handler.
 
-    Requests go out on a connection that this node opened, and their replies come back on the same one.
-    Numbers are unique over all connections, so that a reply never completes a request of another connection.
+    Requests are sent on connections opened by this node, and their replies arrive on the same connection.
+    Request numbers are unique across connections, so that a reply never completes a request of another
+    connection.
 
-    :param handle_message: called with each message of a peer.
+    :param handle_message: called with each message from a peer.
     :param on_disconnect: called with the address of a peer when a connection with it ends.
     """
 
     def __init__(self, handle_message: MessageHandler, on_disconnect: Callable[[str], None]) -> None:
-        self.address = ""  # at which this node listens
-        self.rejected_connections = 0  # of peers that do not speak the protocol
-        self.oversized_frames = 0  # that were not sent: their senders must bound them
+        self.address = ""  # listen address of this node
+        self.rejected_connections = 0  # aborted because the peer violated the protocol
+        self.oversized_frames = 0  # not sent; senders must limit the size of their messages
         self.server_connections: dict[ServerConnection, None] = {}  # in the order in which they were opened
         self._handle_message, self._on_disconnect = handle_message, on_disconnect
         self._client_connections: dict[str, ClientConnection] = {}
@@ -42,9 +43,9 @@
         self._connect_tasks: set[asyncio.Task[None]] = set()
 
     async def listen(self, host: str, ports: range) -> None:
-        """Listen at the first port of the range that is free.
+        """Listen on the first free port of the range.
 
-        :raises OSError: where none is free.
+        :raises OSError: if no port is free.
         """
         loop = asyncio.get_running_loop()
         for port in ports:
@@ -56,23 +57,23 @@
                 continue
             self.address = f"{host}:{port}"
             return
-        raise OSError(f"no port of {ports} is free at {host}")
+        raise OSError(f"no free port in {ports} on {host}")
 
     def send(self, address: str, message: RawMessage) -> None:
-        """Send a notification; whether it arrives is not known."""
+        """Send a notification without delivery guarantee."""
         data = self.frame_to_send(encode_message(message), message.tag)
         if data is not None:
             self._connection_to(address).send(None, data)
 
     def request(self, address: str, message: RawMessage, timeout_s: float, on_reply: ReplyCallback) -> None:
-        """Send a request; `on_reply` is called exactly once, and never before this returns."""
+        """Send a request; `on_reply` is called exactly once, and never before this method returns."""
         number = next(self._request_numbers)
         data = self.frame_to_send(encode_message(message, number), message.tag)
         if data is None or not self._connection_to(address).request(number, data, timeout_s, on_reply):
             asyncio.get_running_loop().call_soon(on_reply, Err(RequestFailure.NOT_SENT))
 
     def close(self) -> None:
-        """End all connections; what is buffered is still written where the peer reads."""
+        """Close all connections; buffered data is still sent to peers that read it."""
         if self._server is not None:
             self._server.close()
         transports = [connection.transport for connection in self._client_connections.values()]
@@ -82,9 +83,9 @@
                 transport.close()
 
     def frame_to_send(self, frame: Result[bytes, FrameTooLong], tag: str) -> bytes | None:
-        """The encoded frame; None where it is too long, which is counted, and logged the first time.
+        """Return the encoded frame, or None if it is too long, which is counted, and logged the first time.
 
-        :param tag: what the log names.
+        :param tag: describes the message in the log.
         """
         if isinstance(frame, Ok):
             return frame.ok_value
@@ -92,7 +93,7 @@
         if self.oversized_frames == 1:
             error = frame.err_value
             logging.error(
-                "not sending %s: a frame of %d bytes, the limit is %d",
+                "not sending %s: frame of %d bytes exceeds the limit of %d",
                 tag,
                 error.size_bytes,
                 error.limit_bytes,
@@ -124,19 +125,19 @@
     # -- connections that peers open
 
     def on_accepted(self, connection: ServerConnection) -> None:
-        """Keep a connection that a peer opened."""
+        """Register a connection opened by a peer."""
         self.server_connections[connection] = None
 
     def on_closed(self, connection: ServerConnection) -> None:
-        """Drop a connection that a peer opened, and report it where the peer is known."""
+        """Remove a connection opened by a peer, and report the disconnect if the peer is known."""
         self.server_connections.pop(connection, None)
         if connection.origin:
             self._on_disconnect(connection.origin)
 
     def on_rejected(self, connection: ServerConnection, error: BadFrameError) -> None:
-        """Count a connection that is aborted."""
+        """Count a connection that is aborted because the peer violated the protocol."""
         self.rejected_connections += 1
 
     def on_message(self, message: RawMessage, origin: str, respond: Respond) -> None:
-        """Pass on a peer's message."""
+        """Pass a peer's message to the handler."""
         self._handle_message(message, origin, respond)
