--- a/amberlug/cluster/gossip/store.py
+++ b/amberlug/cluster/gossip/store.py
@@ -214,7 +214,10 @@
     def _newer_than(
         self, versions: Mapping[str, Version], after: str, last: str, skipped: Collection[str]
     ) -> list[Announcement]:
-        """Return announcements that `versions` lacks, of keys in (after, last], or after `after` if not `last`."""
+        """Return the announcements that are newer than `versions`, for keys in (after, last].
+
+        An empty `last` means no upper limit.
+        """
         return [
             announcement
             for announcement in self._announcements
