--- a/tests/cluster/conftest.py
+++ b/tests/cluster/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures that tests of the cluster share."""
+"""Shared fixtures of the cluster tests."""
 
 from collections.abc import Iterator
 
@@ -8,7 +8,7 @@
 
 @pytest.fixture
 def suppressed_logs() -> Iterator[None]:
-    """Keep the log lines of simulated nodes out of the output."""
+    """Suppress the log output of simulated nodes."""
     before = logging.get_verbosity()
     logging.set_verbosity(logging.FATAL)
     yield
--- a/tests/cluster/fakes.py
+++ b/tests/cluster/fakes.py
@@ -1,4 +1,4 @@
-"""Stand-ins for what one machine is given, for tests of a single one."""
+"""Test doubles for tests of a single node."""
 
 import random
 from collections.abc import Callable
@@ -11,7 +11,7 @@
 
 
 class Alone:
-    """A world in which nobody answers; what was asked is kept."""
+    """A runtime on a virtual clock that records requests and never replies to them."""
 
     def __init__(self, clock: Clock) -> None:
         self.clock, self.rng = clock, random.Random(1)
@@ -36,7 +36,7 @@
 
 
 def settings(kind: str) -> Settings:
-    """The settings file of a machine of some kind in a small deployment."""
+    """The settings of a node of the given kind in a small deployment."""
     deployment = Deployment(1, 3, 1, 3, 3, [], 1.0)
     machines: dict[str, list[Machine]] = {
         "edge": deployment.edges,
--- a/tests/cluster/group.py
+++ b/tests/cluster/group.py
@@ -1,4 +1,4 @@
-"""A Raft group of three members over the simulated network; its state is as large as its commands."""
+"""A Raft group of three members on the simulated network; the size of its state follows from its commands."""
 
 import random
 from functools import partial
@@ -14,11 +14,11 @@
 from amberlug.cluster.simulation.disk import ControlDisk, ProcessDisk
 from amberlug.cluster.simulation.network import Host, Incarnation, Network, SimulatedRuntime
 
-SLOW = 15e6 / 8  # bytes a second: a link of 15 Mbit/s
+SLOW = 15e6 / 8  # bytes per second of a 15 Mbit/s link
 
 
 class GroupMember(Host):
-    """One member of the group, and its disk."""
+    """A member of the group and its disk."""
 
     def __init__(self, group: "RaftGroup", name: str) -> None:
         super().__init__(name, "z", name)
@@ -45,7 +45,7 @@
         incarnation.do(self.raft.start)
 
     def stop(self) -> None:
-        """Lose power, with what is not on disk yet."""
+        """Lose power, and with it all writes that are not on disk yet."""
         assert self.life is not None
         self.powered = False
         self.life.over = True
@@ -65,7 +65,7 @@
 
 
 class RecordingStateMachine:
-    """The state of one incarnation of a member: the numbers of all commands, and the newest configuration."""
+    """State machine of one incarnation of a member: all command numbers and the newest configuration."""
 
     def __init__(self, runtime: SimulatedRuntime, disk: ProcessDisk, saved: PersistentState) -> None:
         self.state: Json = {"numbers": [], "config": None}
@@ -89,7 +89,7 @@
 
 
 class RaftGroup:
-    """Three members, and a client that submits commands."""
+    """Three members and a client that submits commands."""
 
     def __init__(self, seed: int = 1) -> None:
         self.clock = Clock()
@@ -97,8 +97,8 @@
         self.founders = Members.from_wire({name: {"addr": name, "voter": True} for name in "abc"})
         self.members = {name: GroupMember(self, name) for name in "abc"}
         self.failed_assertions: list[str] = []
-        self.committed: list[int] = []  # numbers of the commands that were acknowledged
-        self.latencies_s: list[float] = []  # how long each took
+        self.committed: list[int] = []  # numbers of the acknowledged commands
+        self.latencies_s: list[float] = []  # of each acknowledged command
         for member in self.members.values():
             self.net.hosts[member.address] = member
             member.start()
@@ -112,14 +112,14 @@
 
     @property
     def leader(self) -> GroupMember | None:
-        """The leader of the newest term."""
+        """The leader of the highest term."""
         leaders = [
             member for member in self.members.values() if member.up and member.raft.role is Role.LEADER
         ]
         return max(leaders, key=lambda member: member.raft.term) if leaders else None
 
     def submit(self, number: int, size: int, since: float | None = None) -> None:
-        """Have a command committed, however often it must be proposed."""
+        """Propose a command repeatedly until it is committed."""
         since = self.clock.now if since is None else since
         retry = partial(self.clock.call_later, 0.05, partial(self.submit, number, size, since))
         if number in self.committed:
@@ -138,10 +138,10 @@
 
         command = {"number": number, "config": "x" * size}
         leader.life.do(lambda: leader.raft.propose(command, on_outcome))
-        self.clock.call_later(1.5, partial(self.submit, number, size, since))  # its leader may have failed
+        self.clock.call_later(1.5, partial(self.submit, number, size, since))  # in case the leader has failed
 
     def admit(self, member: GroupMember) -> None:
-        """Put a member that came back empty in the place of the one that it was."""
+        """Replace the old incarnation of a member that returned with an empty disk by the new one."""
         retry = partial(self.clock.call_later, 0.1, partial(self.admit, member))
         leader = self.leader
         if leader is None:
@@ -162,13 +162,13 @@
 
     @property
     def tolerates_a_loss(self) -> bool:
-        """Whether one more member may be lost."""
+        """Whether the group survives the loss of another member."""
         leader = self.leader
         return leader is not None and not self.lagging and len(leader.raft.members.voters) == 3
 
     @property
     def lagging(self) -> list[str]:
-        """The members that have not applied all committed entries."""
+        """The members that are down or have not applied all committed entries."""
         commit_index = max(member.raft.commit_index for member in self.members.values() if member.up)
         return [
             name
--- a/tests/cluster/test_frames.py
+++ b/tests/cluster/test_frames.py
@@ -1,6 +1,6 @@
 """Recorded frames of an earlier version (tests/data/frames.json) are decoded and encoded to the same bytes.
 
-A package adds the classes of its messages to `MESSAGES`.
+Packages add their message classes to `MESSAGES`.
 """
 
 import json
@@ -26,7 +26,7 @@
 
 FRAMES = json.loads((Path(__file__).parents[1] / "data" / "frames.json").read_text())
 
-# By the tag of a request or a notification, and by the tag with `/reply` for what answers it.
+# Keyed by the tag of the request or notification; `/reply` is appended for the reply.
 MESSAGES: dict[str, type[WireBody]] = {
     "vise.append": AppendEntries,
     "vise.append/reply": FollowerReply,
@@ -39,7 +39,7 @@
     "vise.vote/reply": VoteReply,
 }
 
-# Forms of a message beside the one that is recorded.
+# Forms of a message other than the recorded one.
 OTHER_FORMS: list[tuple[WireBody, str]] = [
     (
         AppendEntries(
--- a/tests/cluster/test_gossip.py
+++ b/tests/cluster/test_gossip.py
@@ -1,4 +1,4 @@
-"""Gossip between two nodes that know many announcements, in messages of bounded size."""
+"""Tests of gossip between two nodes with many announcements, in messages of bounded size."""
 
 import json
 import random
@@ -16,7 +16,7 @@
 
 
 class GossipNode:
-    """A node with nothing but a gossip store."""
+    """A node that consists only of a gossip store."""
 
     def __init__(self, net: Network, name: str, peer: str, replicated: tuple[str, ...] = ()) -> None:
         host = Host(name, "z", name)
--- a/tests/cluster/test_messages.py
+++ b/tests/cluster/test_messages.py
@@ -1,4 +1,4 @@
-"""Typed messages: decoded for their handlers, encoded as they are sent, failures passed on."""
+"""Tests of typed messages: decoding for handlers, encoding on sending, and propagation of failures."""
 
 from __future__ import annotations
 
@@ -51,7 +51,7 @@
 
 
 class Loopback(Alone):
-    """A runtime whose requests reach one component, or are lost."""
+    """A runtime that passes requests to one component; requests without a handler time out."""
 
     def __init__(self, handlers: dict[str, Callable[..., None]]) -> None:
         super().__init__(Clock())
--- a/tests/cluster/test_raft.py
+++ b/tests/cluster/test_raft.py
@@ -1,4 +1,4 @@
-"""Single members of the Raft group, driven by frames."""
+"""Tests of a single Raft member, driven by frames."""
 
 import random
 from typing import Any
@@ -23,7 +23,7 @@
 
 
 class RefusingDisk:
-    """A disk that refuses entries while it is full."""
+    """A disk that rejects entries while it is full."""
 
     def __init__(self) -> None:
         self.full = False
@@ -63,7 +63,7 @@
     assert append_after(0, (1, {"n": 1})) == []
     assert append_after(0, (1, {"n": 1})) == []
     disk.full = False
-    assert append_after(1, (1, {"n": 2})) == []  # the entry before it is not on disk
+    assert append_after(1, (1, {"n": 2})) == []  # the previous entry is not on disk yet
     assert disk.entries == {}
     clock.run(0.2)
     assert disk.entries == {1: (1, {"n": 1}), 2: (1, {"n": 2})}
@@ -71,7 +71,7 @@
 
 
 class Learner:
-    """A member with an empty log, which receives snapshots in chunks."""
+    """A member with an empty log that receives snapshots in chunks."""
 
     def __init__(self) -> None:
         self.clock = Clock()
@@ -91,7 +91,7 @@
     def receive(
         self, transfer: OutgoingTransfer, offset: int, data: bytes, term: int = 1, leader: str = "b"
     ) -> Json | None:
-        """The reply to a chunk, once the disk has synced."""
+        """Deliver a chunk, let the disk sync, and return the reply."""
         replies: list[Json] = []
         body = {"term": term, "me": leader, "to": "d", "commit": 9, **transfer.header.to_wire()}
         body |= {"before_term": 0, "offset": offset}
@@ -109,14 +109,14 @@
 
 
 def snapshot(fill: str, last_index: int = 9) -> OutgoingTransfer:
-    """A snapshot of three chunks of a letter and some more; it makes `d` a voter where the letter is x."""
+    """A snapshot of slightly more than three chunks, filled with a letter; `d` is a voter if it is `x`."""
     members = {**MEMBERS.to_wire(), "d": {"addr": "d", "voter": fill == "x"}}
     data = encode({"state": {"text": fill * 3 * CHUNK_BYTES}, "members": members}).encode()
     return OutgoingTransfer(TransferHeader.describe("snapshot", last_index, 1, data), data, SendWindow())
 
 
 def chunks(transfer: OutgoingTransfer) -> list[tuple[int, bytes]]:
-    """The chunks of a transfer: their offsets and bytes."""
+    """The chunks of a transfer, as offsets and data."""
     data = transfer.data
     return [(offset, data[offset : offset + CHUNK_BYTES]) for offset in range(0, len(data), CHUNK_BYTES)]
 
@@ -126,7 +126,7 @@
     all_chunks = chunks(transfer)
     assert len(all_chunks) == 4
     total = len(transfer.data)
-    for number, received_bytes in (  # also one out of order, and one twice
+    for number, received_bytes in (  # includes a chunk out of order and a duplicate
         (1, 0),
         (0, CHUNK_BYTES),
         (0, CHUNK_BYTES),
--- a/tests/cluster/test_raft_storage.py
+++ b/tests/cluster/test_raft_storage.py
@@ -1,4 +1,4 @@
-"""Stable storage of a Raft member in a real file."""
+"""Tests of the stable storage of a Raft member with a real file."""
 
 import json
 import queue
@@ -20,7 +20,7 @@
 
 
 class SingleMember:
-    """A group of one member on a real file."""
+    """A group of one member with a real file."""
 
     def __init__(self, folder: Path) -> None:
         self.posted: queue.SimpleQueue[Callable[[], None]] = queue.SimpleQueue()
@@ -83,7 +83,7 @@
     restarted = SingleMember(tmp_path)
     restarted_log = restarted.raft.log
     assert (restarted_log.snapshot_index, restarted_log.base_index) == (log.snapshot_index, log.base_index)
-    assert restarted_log.entries[:-1] == log.entries  # the last one is that of the new leader
+    assert restarted_log.entries[:-1] == log.entries  # the last one is the new leader's no-op entry
     restarted.close()
 
 
@@ -100,7 +100,7 @@
 
 def test_a_log_with_missing_entries_is_discarded_unless_the_snapshot_covers_them(tmp_path: Path) -> None:
     def reopened(*indexes: int) -> PersistentState:
-        """What is read from a file with a snapshot up to 512, and entries at some indexes."""
+        """The state read from a file with a snapshot up to 512 and entries at the given indexes."""
         for file in tmp_path.iterdir():
             file.unlink()
         open_raft_storage(tmp_path, lambda: PersistentState("a", members=ALONE), lambda act: None)[1].close()
@@ -124,7 +124,7 @@
     assert (saved.entries, saved.tail) == ([(3, {"text": "513"}), (3, {"text": "514"})], [])
     assert reopened(513, 515).member_id == "new"
     assert reopened(514).member_id == "new"
-    # The snapshot covers what is missing before it.
+    # Gaps before the end of the snapshot are covered by it.
     assert len(reopened(511, 512, 513).tail) == 2
     assert len(reopened(509, 511, 512).tail) == 2
     assert len(reopened(509, 510).tail) == 0
--- a/tests/cluster/test_recorded.py
+++ b/tests/cluster/test_recorded.py
@@ -1,4 +1,4 @@
-"""What earlier versions sent and wrote: digests of days, and folders of core machines and stores."""
+"""Tests against recordings of earlier versions: simulation digests and data folders of nodes."""
 
 import json
 import os
@@ -38,7 +38,7 @@
         capture_output=True,
         text=True,
         check=False,
-        env=os.environ | {"PYTHONHASHSEED": "7"},  # days must not hang on the order of sets
+        env=os.environ | {"PYTHONHASHSEED": "7"},  # simulated days must not depend on the order of sets
     )
     assert done.stdout.splitlines()[-1] == "5 days, 0 explorations, 0 moved", done.stdout
     assert done.returncode == 0
@@ -94,7 +94,7 @@
     bodies = {row[0]: row[5] for row in before["message"]}
     rows: list[StorageRow] = []
     for name, message in contents.messages.items():
-        if message.accepted_epoch:  # the outcome of a message that was never put here stands alone
+        if message.accepted_epoch:  # 0 for an outcome without a replica of the message
             rows.append(
                 ReplicaRow(
                     name,
@@ -113,5 +113,5 @@
     assert {table: after[table] for table in ("about", "fence")} == {
         table: before[table] for table in ("about", "fence")
     }
-    # The check sum stands beside the body that was put, which is gone from those that have ended.
+    # The checksum column is excluded: it covers the stored body, which ended messages no longer have.
     assert [row[:6] + row[7:] for row in after["message"]] == [row[:6] + row[7:] for row in before["message"]]
--- a/tests/cluster/test_rollback_guard.py
+++ b/tests/cluster/test_rollback_guard.py
@@ -1,4 +1,4 @@
-"""A control-plane node whose folder is restored from a backup, and one that was only down."""
+"""Tests of control-plane nodes whose data folder is restored from a backup, or that were only down."""
 
 from collections.abc import Callable
 from copy import deepcopy
@@ -19,7 +19,7 @@
 
 
 class ControlPlane:
-    """Three control-plane nodes, and the endpoints whose draining they have committed."""
+    """Three control-plane nodes, and the endpoints for which they have committed a drain command."""
 
     def __init__(self) -> None:
         self.deployment = Deployment(3, 3, 0, 0, 3, [], 1.0)
@@ -39,7 +39,7 @@
         return None
 
     def commit_entry(self) -> None:
-        """Have the leader commit an entry, and time for all that are connected to receive it."""
+        """Commit an entry and give all connected nodes time to receive it."""
         leader = self.leader()
         assert leader is not None
         assert leader.life is not None
@@ -52,18 +52,18 @@
         self.committed.append(name)
 
     def backup(self, machine: Machine) -> Callable[[], None]:
-        """Back up a node's folder; returns what restores it."""
+        """Back up a node's data folder; returns a function that restores it."""
         disk = machine.disk
         saved = {key: deepcopy(value) for key, value in vars(disk).items() if key in ("_saved", "_rows")}
         return lambda: vars(disk).update(deepcopy(saved))
 
     def lost_at(self, machine: Machine) -> list[str]:
-        """What is committed and not in a node's state."""
+        """The committed entries that are missing from a node's state."""
         return [name for name in self.committed if name not in machine.part.cluster_state.leaving]
 
 
 def restore_beside_a_lagging_member() -> list[str]:
-    """One follower lags and the other one is restored while the leader is partitioned: what is lost then."""
+    """Entries lost if one follower lags and the other is restored while the leader is partitioned."""
     control_plane = ControlPlane()
     leader = control_plane.leader()
     assert leader is not None
--- a/tests/cluster/test_rpc_transport.py
+++ b/tests/cluster/test_rpc_transport.py
@@ -1,4 +1,4 @@
-"""Connections between nodes: the bytes of frames, frames that are too long, and clients that are no nodes."""
+"""Tests of connections between nodes: frame encoding, oversized frames, and clients that are not nodes."""
 
 import asyncio
 
--- a/tests/cluster/test_startup.py
+++ b/tests/cluster/test_startup.py
@@ -1,4 +1,7 @@
-"""A node's start imports what its kind needs: it starts on a fraction of a core, where each module counts."""
+"""Tests that a starting node imports only the modules of its kind.
+
+Nodes start on a fraction of a core, where each imported module delays startup.
+"""
 
 import os
 import subprocess
@@ -16,7 +19,7 @@
 ROOT = Path(__file__).parents[2]
 CLUSTER = "amberlug.cluster"
 EX_BAD_USAGE = 2
-# Packages and parts of the cluster that no node needs to serve.
+# Packages and modules of the cluster that no node needs for serving.
 NEVER = (
     "click",
     "pyrsistent",
@@ -27,7 +30,7 @@
     f"{CLUSTER}.local_deployment",
     f"{CLUSTER}.simulation",
 )
-# What nodes that keep a session with the control plane import of it.
+# Modules of the control plane that are imported by nodes with a session.
 SESSION = (
     "consensus.membership",
     "consensus.opaque",
@@ -37,7 +40,7 @@
     "control.sessions",
     "control.state_entries",
 )
-# What a kind of node may import of the packages of the others: their messages, and what it shares with them.
+# Modules that a kind of node may import from the packages of other kinds: their messages and shared code.
 SHARED = {
     "edge": (
         *SESSION,
@@ -59,7 +62,7 @@
     "storage": ("edge", "dispatch", "control", "consensus"),
     "control_plane": ("edge", "dispatch", "storage"),
 }
-# Of the project. A start reads each of them: whoever raises a bound runs `benchmarks.startup` first.
+# Modules of the project, all of which are read at startup: run `benchmarks.startup` before raising a limit.
 MOST_MODULES = {"edge": 80, "storage": 52, "control_plane": 88}
 KINDS = tuple(SHARED)
 
--- a/tests/cluster/test_values.py
+++ b/tests/cluster/test_values.py
@@ -1,4 +1,4 @@
-"""What `value` makes of a class: equality, hash, text and slots as of a frozen dataclass."""
+"""Tests of `value`: equality, hash, repr and slots match those of a frozen dataclass."""
 
 import copy
 import pickle
@@ -27,12 +27,12 @@
 
 @value
 class Origin:
-    """A value without a field."""
+    """A value without fields."""
 
 
 @value
 class OtherPoint:
-    """A value with the fields of another one."""
+    """A value with the same fields as another class."""
 
     x: int
     y: int = 0
@@ -40,7 +40,7 @@
 
 @value
 class Named(Point):
-    """A value that adds a field to another one's, and a property to both."""
+    """A value that inherits fields, and adds fields and a property."""
 
     name: str = ""
     tags: dict[str, str] = field(default_factory=dict, hash=False)
@@ -52,7 +52,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FrozenPoint:
-    """What a value is to behave as."""
+    """The reference for the behavior of a value."""
 
     x: int
     y: int = 0
--- a/tests/cluster/test_voter_selection.py
+++ b/tests/cluster/test_voter_selection.py
@@ -1,4 +1,4 @@
-"""Voter selection: the decision by itself over random memberships, and deployments that lose nodes."""
+"""Tests of voter selection: the decision over random memberships, and deployments that lose nodes."""
 
 import random
 from dataclasses import replace
@@ -28,7 +28,7 @@
 
 
 def make_all_changes(members: list[MemberStatus], tolerance: Tolerance, leader: str) -> list[MemberStatus]:
-    """Make one change after another until there is none; each must leave a majority that is alive."""
+    """Apply changes until there are none left; each must leave a live majority."""
     by_name = {member.name: member for member in members}
 
     def voters() -> list[MemberStatus]:
@@ -38,7 +38,7 @@
         change = next_change(by_name.values(), tolerance, leader)
         if change is None:
             return list(by_name.values())
-        assert change.name != leader, "the leader keeps its vote"
+        assert change.name != leader, "the leader must remain a voter"
         margin_before, has_few = loss_margin(voters(), tolerance), len(voters()) < MIN_VOTERS
         if change.kind is ChangeKind.REMOVE:
             assert not by_name.pop(change.name).is_voter
@@ -49,12 +49,12 @@
         working = sum(voter.is_alive and voter.is_caught_up for voter in voters())
         assert 2 * working > len(voters())
         margin = loss_margin(voters(), tolerance)
-        assert has_few or margin >= min(0, margin_before), "a further loss would stop it"
-    raise AssertionError("the changes have no end")
+        assert has_few or margin >= min(0, margin_before), "a further tolerated loss would stop the group"
+    raise AssertionError("the changes do not terminate")
 
 
 def random_members(seed: int) -> tuple[list[MemberStatus], Tolerance, str]:
-    """Voters of which a minority is unresponsive, learners, the losses to be tolerated, and the leader."""
+    """Random voters, a minority of them unresponsive, learners, tolerated losses and the leader."""
     rng = random.Random(seed)
     zone_count = rng.randrange(1, 6)
     domains = [(f"z{zone}", f"r{zone % rng.choice((1, 2, 3))}") for zone in range(zone_count)]
@@ -70,7 +70,7 @@
 
 
 def falls_short(seed: int) -> bool:
-    """Whether the changes end with voters that are not the best of all odd numbers of them."""
+    """Whether the final voters are worse than the best choice of 3, 5 or 7 candidates, or too many."""
     members, tolerance, leader_name = random_members(seed)
     changed = make_all_changes(members, tolerance, leader_name)
     candidates = [
@@ -98,11 +98,11 @@
     assert next_change([*voters[:2], lost, lagging], Tolerance(), "a") is None
 
 
-# -- in whole deployments
+# -- complete deployments
 
 
 def started(seed: int, zones: int, cores: int, tolerance: Tolerance = A_MACHINE) -> Deployment:
-    """Control-plane nodes that have elected a leader."""
+    """Start a deployment of control-plane nodes and wait until they have elected a leader."""
     deployment = Deployment(seed, zones, 0, 0, cores, [], 1.0)
     deployment.tolerance = tolerance
     for machine in deployment.cores:
@@ -112,7 +112,7 @@
 
 
 def leader(deployment: Deployment) -> Machine | None:
-    """The node whose leadership a majority has just confirmed."""
+    """The node whose leadership a majority confirms."""
     confirmed: list[Machine] = []
 
     def on_confirmed(machine: Machine, index: int | None) -> None:
@@ -127,9 +127,9 @@
 
 
 def voting(deployment: Deployment) -> list[Machine]:
-    """The nodes that vote, as the leader has them."""
+    """The nodes that are voters according to the leader."""
     leading = leader(deployment)
-    assert leading is not None, "nobody leads"
+    assert leading is not None, "there is no leader"
     members = leading.part.raft.members
     addresses = [member.address for member in members.values() if member.is_voter]
     assert len(set(addresses)) == len(addresses)
@@ -139,7 +139,7 @@
 @pytest.mark.parametrize("seed", [1, 2, 3])
 def test_no_zone_has_half_of_the_voters_where_a_zone_may_be_lost(seed: int) -> None:
     deployment = started(seed, 3, 6, A_ZONE)
-    # The founders are in three zones; with one of them lost, only its own zone has another node.
+    # The founders are in three zones; once one of them is lost, its zone has one other node.
     lost = next(machine for machine in deployment.cores[:3] if machine is not leader(deployment))
     lost.power_off()
     deployment.clock.run(deployment.clock.now + 4.0)
@@ -157,7 +157,7 @@
 
 
 def zones_of_voters() -> list[str]:
-    """The zones of the voters in the end, where all founders are in one zone and two nodes in others."""
+    """The final zones of the voters if all founders are in one zone and two more nodes in other zones."""
     deployment = Deployment(1, 3, 0, 0, 5, [], 1.0)
     deployment.tolerance = A_ZONE
     for machine, zone in zip(deployment.cores, ("z0", "z0", "z0", "z1", "z2"), strict=True):
@@ -179,7 +179,7 @@
 def test_a_majority_survives_a_second_loss_once_the_first_is_replaced(
     cores: int, replacement: str, is_leader_lost: bool
 ) -> None:
-    for second in range(cores):  # the position of the node that is lost second; the last is the replacement
+    for second in range(cores):  # position of the second node to be lost; the last one is the replacement
         deployment = started(cores * 10 + second, 3, cores)
         clock, leading = deployment.clock, leader(deployment)
         lost = next(machine for machine in voting(deployment) if (machine is leading) is is_leader_lost)
@@ -195,7 +195,7 @@
         others = [machine for machine in deployment.cores if machine is not new]
         (others[second] if second < len(others) else new).power_off()
         clock.run(clock.now + BOUNDS["contactMs"] / 1000 - 1.0)
-        assert leader(deployment) is not None, f"{second} was lost second"
+        assert leader(deployment) is not None, f"no leader after node {second} was lost second"
 
 
 def test_a_stopping_leader_transfers_leadership_to_a_responsive_voter() -> None:
--- a/tests/cluster/wires.py
+++ b/tests/cluster/wires.py
@@ -1,4 +1,7 @@
-"""Connections in memory, on a loop whose time is virtual: real protocols, no sockets but markers."""
+"""In-memory connections on an event loop with virtual time, for testing real protocol classes.
+
+The only sockets are socket pairs that signal readability to `poll`.
+"""
 
 import asyncio
 import random
@@ -12,25 +15,25 @@
 
 
 class Waits(selectors.EpollSelector):
-    """Instead of waiting, time goes on."""
+    """A selector that advances virtual time instead of waiting."""
 
     now = 0.0
 
     def select(self, timeout: float | None = None) -> list[Any]:
-        assert timeout is not None, "nothing is left that could happen"
+        assert timeout is not None, "no event is pending"
         self.now += max(0.0, timeout)
         return super().select(0)
 
 
 class Marker(socket.socket):
-    """Readable while something has come; it takes the options of TCP, which mean nothing here."""
+    """Socket that is readable while data is unread; TCP options are accepted and ignored."""
 
     def setsockopt(self, *given: Any) -> None:
         pass
 
 
 class End(asyncio.Transport):
-    """One end of a connection."""
+    """One end of an in-memory connection."""
 
     def __init__(self, loop: "Loop", protocol: asyncio.Protocol, peername: tuple[str, int]) -> None:
         super().__init__()
@@ -38,17 +41,17 @@
         self.other: End
         marker, self._mark = socket.socketpair()
         self.marker = Marker(fileno=marker.detach())
-        self.unread: list[bytes | None] = []  # None: the other side has said all
-        self.received = bytearray()  # all that the protocol was given
-        self.had_come = b""  # all that had come, read or not, when it last wrote
-        self.window = FOREVER_S  # bytes that still leave, until it is opened
+        self.unread: list[bytes | None] = []  # None: end of stream
+        self.received = bytearray()  # all data passed to the protocol
+        self.had_come = b""  # all data that had arrived, read or not, at its last write
+        self.window = FOREVER_S  # bytes that can still be sent until `open` is called
         self.closing = self.over = False
         self.paused = False
         self._left = bytearray()
         self._ending = False
         self._last = self.read_at = 0.0
 
-    # -- as protocols see it
+    # -- transport interface
 
     def get_extra_info(self, name: str, default: Any = None) -> Any:
         return {"socket": self.marker, "peername": self.peername}.get(name, default)
@@ -57,7 +60,7 @@
         return self.closing
 
     def set_write_buffer_limits(self, high: int | None = None, low: int | None = None) -> None:
-        pass  # always none: what is left is told of at once
+        pass  # no limits: buffered data pauses the protocol at once
 
     def get_write_buffer_size(self) -> int:
         return len(self._left)
@@ -99,14 +102,14 @@
         self.loop.call_later(self.loop.rng.uniform(*DELAY_S), self.other.reset)
         self.loop.call_soon(self._lost, None)
 
-    # -- on the wire
+    # -- network
 
     def _leave(self, data: bytes | None) -> None:
         self._last = max(self._last + 1e-9, self.loop.time() + self.loop.rng.uniform(*DELAY_S))
         self.loop.call_at(self._last, self.other.arrive, data, self._last)
 
     def open(self) -> None:
-        """What was held up leaves."""
+        """Open the window and send the buffered data."""
         self.window = FOREVER_S
         if self._left and not self.closing:
             self._leave(bytes(self._left))
@@ -114,7 +117,7 @@
             self.protocol.resume_writing()
 
     def arrive(self, data: bytes | None, due: float) -> None:
-        """Something has come; the process reads it a little later."""
+        """Deliver data; the process reads it immediately or a little later."""
         if self.over:
             return
         self.unread.append(data)
@@ -125,7 +128,7 @@
             self.loop.call_later(0.0005, self._read, self.loop.time() + 0.0005)
 
     def _read(self, due: float) -> None:
-        self.read_at = due  # by the loop's time, also where the process was held up until later
+        self.read_at = due  # loop time at which it was due, even if the process was stalled until later
         while self.unread and not self.paused and not self.closing:
             self.marker.recv(1)
             data = self.unread.pop(0)
@@ -136,7 +139,7 @@
                 self.close()
 
     def reset(self) -> None:
-        """The other side is gone: what is not read by now is lost."""
+        """Handle a reset by the other side: unread data is lost."""
         if not self.over:
             self.closing = True
             self._lost(ConnectionResetError())
@@ -150,15 +153,15 @@
 
 
 class Loop(asyncio.SelectorEventLoop):
-    """A loop with virtual time, whose connections are in memory."""
+    """An event loop with virtual time and in-memory connections."""
 
     def __init__(self, rng: random.Random) -> None:
         self.waits = Waits()
         super().__init__(self.waits)
         self.rng = rng
         self.doors: dict[tuple[str, int], Callable[[], asyncio.Protocol]] = {}
-        self.deaf: set[tuple[str, int]] = set()  # connections to these do not come up
-        self.ends: list[End] = []  # of who dialled
+        self.deaf: set[tuple[str, int]] = set()  # connections to these addresses are never established
+        self.ends: list[End] = []  # of the connecting side
         self.failures: list[BaseException] = []
         self.set_exception_handler(self._failed)
         self.set_task_factory(self._task)
@@ -180,7 +183,7 @@
         return self.waits.now
 
     def stall(self, seconds: float) -> None:
-        """The process is held up: much falls due at once."""
+        """Stall the process, so that many timers become due at once."""
         self.waits.now += seconds
 
     async def create_connection(self, factory: Any, host: Any = None, port: Any = None, **rest: Any) -> Any:  # type: ignore[override]
@@ -211,13 +214,13 @@
     async def create_server(self, factory: Any, host: Any = None, port: Any = None, **rest: Any) -> Any:  # type: ignore[override]
         at = str(host), int(port)
         if at in self.doors:
-            raise OSError("the port is taken")
+            raise OSError("address already in use")
         self.doors[at] = factory
         return Door(self, at)
 
 
 class Door:
-    """What listens at an address."""
+    """A listening server at an address."""
 
     def __init__(self, loop: Loop, at: tuple[str, int]) -> None:
         self.loop, self.at = loop, at
@@ -228,7 +231,7 @@
 
 
 def run(seed: int, scene: Callable[[Loop, random.Random], Coroutine[Any, Any, None]]) -> None:
-    """Play a scene drawn from a seed; what failed unseen in the loop fails here."""
+    """Run a scenario generated from a seed; exceptions raised in the loop are raised here."""
     rng = random.Random(seed)
     loop = Loop(rng)
     try:
