--- a/amberlug/cluster/consensus/log.py
+++ b/amberlug/cluster/consensus/log.py
@@ -71,13 +71,13 @@
             self.base_term = saved.tail[0].term
             self.entries = saved.tail[1:] + self.entries
         self.sizes_bytes = [len(encode(entry.command)) for entry in self.entries]
-        self._newest_long = _EncodedEntry()
+        self._long_entry_cache = _EncodedEntry()
         self.synced_index = self.last_index  # up to here, everything is on disk, as entries or as a snapshot
         self._synced_snapshot_index = self.snapshot_index
         self._snapshot_bytes = len(encode(self.snapshot_state))
         self._applied_bytes = 0  # since the snapshot
         self._pending_writes: list[_PendingWrite] = []
-        self._has_refused_writes = False  # whether a write has failed and its retry is still to come
+        self._is_retry_scheduled = False  # after a failed write
         self._is_closed = False
         self._retry_s = WRITE_RETRY_S
 
@@ -98,10 +98,10 @@
 
     def newest_membership(self) -> Membership:
         """Return the newest membership in the log, committed or not (dissertation, section 4.1)."""
-        for count_behind, entry in enumerate(reversed(self.entries)):
+        for offset_from_end, entry in enumerate(reversed(self.entries)):
             members = entry.members
             if members is not None:
-                return Membership(members, self.last_index - count_behind)
+                return Membership(members, self.last_index - offset_from_end)
         return Membership(self.snapshot_members, self.base_index)
 
     def members_until(self, index: int) -> Members:
@@ -118,13 +118,13 @@
         The batch is empty if the first entry is too long; such entries are sent in chunks.
         """
         entries: list[Entry] = []
-        left_bytes, offset = CHUNK_BYTES, index - self.base_index
+        remaining_bytes, offset = CHUNK_BYTES, index - self.base_index
         sized = zip(self.entries, self.sizes_bytes, strict=True)
         for entry, size in islice(sized, offset, offset + MAX_BATCH_ENTRIES):
-            if size > left_bytes:
+            if size > remaining_bytes:
                 break
             entries.append(entry)
-            left_bytes -= size
+            remaining_bytes -= size
         return entries
 
     def size_bytes(self, first_index: int, count: int = 1) -> int:
@@ -134,7 +134,7 @@
 
     def encoded_entry(self, index: int) -> str:
         """Return the encoded command of an entry."""
-        encoded = self._newest_long
+        encoded = self._long_entry_cache
         if (encoded.index, encoded.term) == (index, self.term_at(index)):
             return encoded.text
         return encode(self.entry_at(index).command)
@@ -153,19 +153,19 @@
         if truncate_from:
             del self.entries[truncate_from - self.base_index - 1 :]
             del self.sizes_bytes[truncate_from - self.base_index - 1 :]
-            self._limit_synced(truncate_from - 1)
+            self._cap_synced_index(truncate_from - 1)
         first_index = self.last_index + 1
         for entry in entries:
             text = encode(entry.command)
             self.entries.append(entry)
             self.sizes_bytes.append(len(text))
             if len(text) > CHUNK_BYTES:
-                self._newest_long = _EncodedEntry(self.last_index, entry.term, text)
+                self._long_entry_cache = _EncodedEntry(self.last_index, entry.term, text)
         rows: list[Row] = [TruncateRow(truncate_from)] if truncate_from else []
         rows += self._entry_rows(first_index, entries)
         self._save(rows, _PendingWrite(first_index, self.last_index))
 
-    def count_applied(self, index: int) -> bool:
+    def record_applied(self, index: int) -> bool:
         """Account for an applied entry.
 
         :returns: whether a snapshot is due.
@@ -186,16 +186,16 @@
         del self.entries[: base_index - self.base_index]
         del self.sizes_bytes[: base_index - self.base_index]
         self.base_index = base_index
-        self._newest_long = _EncodedEntry()
+        self._long_entry_cache = _EncodedEntry()
         # The snapshot also makes entries durable whose own writes have failed.
         self._save([self._snapshot_row()], _PendingWrite(index + 1, index), index)
 
     def _tail_length(self, index: int) -> int:
         """Return how many entries to keep before a snapshot up to an index."""
-        count, left_bytes = 0, TAIL_BYTES
+        count, remaining_bytes = 0, TAIL_BYTES
         while count < min(TAIL_ENTRIES, index - self.base_index - 1):
-            left_bytes -= self.sizes_bytes[index - self.base_index - count - 1]
-            if left_bytes < 0:
+            remaining_bytes -= self.sizes_bytes[index - self.base_index - count - 1]
+            if remaining_bytes < 0:
                 break
             count += 1
         return count
@@ -208,19 +208,19 @@
         discarded (Raft, section 7; figure 13, steps 6 and 7).
         """
         index, term = header.last_index, header.last_term
-        keeps_rest = self.term_at(index) == term
-        self.entries = self.entries[index - self.base_index :] if keeps_rest else []
-        self.sizes_bytes = self.sizes_bytes[index - self.base_index :] if keeps_rest else []
-        if not keeps_rest:
-            self._limit_synced(commit_index)
+        keeps_suffix = self.term_at(index) == term
+        self.entries = self.entries[index - self.base_index :] if keeps_suffix else []
+        self.sizes_bytes = self.sizes_bytes[index - self.base_index :] if keeps_suffix else []
+        if not keeps_suffix:
+            self._cap_synced_index(commit_index)
         self.base_index = self.snapshot_index = index
         self.base_term = self.snapshot_term = term
         self.snapshot_state, self.snapshot_members = snapshot.state, snapshot.members
         self._snapshot_bytes, self._applied_bytes = header.size_bytes, 0
-        rows: list[Row] = [] if keeps_rest else [TruncateRow(1)]
+        rows: list[Row] = [] if keeps_suffix else [TruncateRow(1)]
         self._save([*rows, self._snapshot_row()], _PendingWrite(index + 1, index), index)
 
-    def _limit_synced(self, index: int) -> None:
+    def _cap_synced_index(self, index: int) -> None:
         """Exclude the entries after an index, which were replaced, from what is or will be synced."""
         self.synced_index = min(self.synced_index, index)
         for write in self._pending_writes:
@@ -244,7 +244,7 @@
             if write in self._pending_writes:
                 self._pending_writes.remove(write)
             if failure is not None:
-                self._retry_later()
+                self._schedule_retry()
                 return
             self._retry_s = WRITE_RETRY_S
             self._synced_snapshot_index = max(self._synced_snapshot_index, snapshot_index)
@@ -253,22 +253,22 @@
                 self.synced_index = max(self.synced_index, write.last_index)
             self._on_synced()
 
-        if not self._has_refused_writes:  # otherwise the scheduled retry writes these rows as well
+        if not self._is_retry_scheduled:  # otherwise the scheduled retry writes these rows as well
             self._pending_writes.append(write)
             self._disk.write(raw_rows(rows), on_written)
 
-    def _retry_later(self) -> None:
+    def _schedule_retry(self) -> None:
         """Schedule one retry, after a failed write, of everything that is not on disk."""
-        if not self._has_refused_writes:
-            self._has_refused_writes = True
-            self._runtime.call_later(self._retry_s, self._save_rest)
+        if not self._is_retry_scheduled:
+            self._is_retry_scheduled = True
+            self._runtime.call_later(self._retry_s, self._save_unsynced)
             self._retry_s = min(MAX_WRITE_RETRY_S, 2 * self._retry_s)
 
-    def _save_rest(self) -> None:
+    def _save_unsynced(self) -> None:
         """Write everything that is not known to be on disk: a log with a gap is unusable after a restart."""
         if self._is_closed:
             return
-        self._has_refused_writes = False
+        self._is_retry_scheduled = False
         rows: list[Row] = []
         if self._synced_snapshot_index < self.snapshot_index:
             rows.append(self._snapshot_row())
--- a/amberlug/cluster/consensus/raft.py
+++ b/amberlug/cluster/consensus/raft.py
@@ -274,7 +274,7 @@
             self.last_applied += 1
             index = self.last_applied
             entry = self.log.entry_at(index)
-            needs_snapshot = self.log.count_applied(index) or needs_snapshot
+            needs_snapshot = self.log.record_applied(index) or needs_snapshot
             outcome: Outcome = {}
             if entry.command is not None and entry.members is None:
                 outcome = self.state_machine.apply(index, entry.command)
