--- a/amberlug/cluster/consensus/chunk_sender.py
+++ b/amberlug/cluster/consensus/chunk_sender.py
@@ -77,7 +77,7 @@
                 peer.transfer = None
                 self._replication.on_matched(peer, transfer.header.last_index)
             elif reply.received_bytes is None:
-                peer.step_back(reply.last_index or 0)
+                peer.decrement_next_index(reply.last_index or 0)
             elif chunk is None:
                 transfer.on_status(reply.received_bytes)
             else:
--- a/amberlug/cluster/consensus/peer_progress.py
+++ b/amberlug/cluster/consensus/peer_progress.py
@@ -63,7 +63,7 @@
         self.match_index = max(self.match_index, index)
         self.next_index = max(self.next_index, index + 1)
 
-    def step_back(self, last_index: int) -> None:
+    def decrement_next_index(self, last_index: int) -> None:
         """Decrement the next index after a failed consistency check (Raft, section 5.3).
 
         :param last_index: the last index that may match, according to the peer's reply.
--- a/amberlug/cluster/consensus/replication.py
+++ b/amberlug/cluster/consensus/replication.py
@@ -169,7 +169,7 @@
             if reply.success:
                 self.on_matched(peer, last_index)
             else:
-                peer.step_back(reply.last_index or 0)
+                peer.decrement_next_index(reply.last_index or 0)
             return True
 
         message = AppendEntries(
