--- a/amberlug/cluster/consensus/rollback_guard.py
+++ b/amberlug/cluster/consensus/rollback_guard.py
@@ -39,7 +39,7 @@
 UNCHANGED_INTERVAL_S = 5.0
 
 
-class _Copy(NamedTuple):
+class _LastPublished(NamedTuple):
     """The acknowledged indexes as last sent to a member or written to disk.
 
     Indexes only increase while the membership stays the same, so their sum shows whether any has changed.
@@ -49,7 +49,7 @@
     at: float  # seconds of the monotonic clock
 
 
-_NO_COPY = _Copy(-1, NEVER)
+_NEVER_PUBLISHED = _LastPublished(-1, NEVER)
 
 
 class RollbackGuard:
@@ -60,14 +60,14 @@
         self.acknowledged: dict[str, int] = dict(acknowledged)
         self.may_vote = True  # False after a start until it is known that nothing was lost
         self._replied: set[str] = set()  # members that have reported this member's index since the start
-        self._sent: dict[str, _Copy] = {}  # by member
-        self._saved = _Copy(self._index_sum, NEVER)
+        self._sent: dict[str, _LastPublished] = {}  # by member
+        self._saved = _LastPublished(self._index_sum, NEVER)
 
     @property
     def _index_sum(self) -> int:
         return sum(self.acknowledged.values())
 
-    def _raise_to(self, indexes: Mapping[str, int]) -> None:
+    def _merge_indexes(self, indexes: Mapping[str, int]) -> None:
         raft = self._raft
         for name, index in indexes.items():
             if index > self.acknowledged.get(name, 0):
@@ -76,24 +76,24 @@
             del self.acknowledged[name]  # removed from the group; it can only return as another incarnation
         now = raft.runtime.now()
         if self._index_sum != self._saved.index_sum and now - self._saved.at >= UNCHANGED_INTERVAL_S:
-            self._saved = _Copy(self._index_sum, now)
+            self._saved = _LastPublished(self._index_sum, now)
             raft.disk.write(raw_rows([AcknowledgedRow(dict(self.acknowledged))]), lambda error: None)
 
     # -- as a leader
 
     def on_acknowledged(self, match_indexes: Mapping[str, int], commit_index: int) -> None:
         """Record the indexes that members have acknowledged, limited to the commit index."""
-        self._raise_to({name: min(index, commit_index) for name, index in match_indexes.items()})
+        self._merge_indexes({name: min(index, commit_index) for name, index in match_indexes.items()})
 
     def indexes_for(self, name: str) -> AcknowledgedIndexes:
         """Return the indexes to send with a message: periodically all of them, else only the target's."""
         now, index_sum = self._raft.runtime.now(), self._index_sum
-        sent = self._sent.get(name, _NO_COPY)
+        sent = self._sent.get(name, _NEVER_PUBLISHED)
         interval_s = UNCHANGED_INTERVAL_S if sent.index_sum == index_sum else CHANGED_INTERVAL_S
         of_target = self.acknowledged.get(name, 0)
         if now - sent.at < interval_s:
             return AcknowledgedIndexes(of_target)
-        self._sent[name] = _Copy(index_sum, now)
+        self._sent[name] = _LastPublished(index_sum, now)
         return AcknowledgedIndexes(of_target, self.acknowledged)
 
     # -- as a starting member
@@ -104,7 +104,7 @@
         :returns: whether this member's log ends before an index that it had acknowledged.
         """
         raft = self._raft
-        self._raise_to(acknowledged.of_members or {})
+        self._merge_indexes(acknowledged.of_members or {})
         acknowledged_index = max(acknowledged.of_target, self.acknowledged.get(raft.member_id, 0))
         return acknowledged_index > raft.log.last_index
 
