--- a/amberlug/cluster/consensus/voter_selection.py
+++ b/amberlug/cluster/consensus/voter_selection.py
@@ -158,11 +158,11 @@
 
     # Margins above 0 are not worth a change, so they are capped at 0.
     current_margin = min(0, margin_of(voters))
-    has_few = len(voters) < MIN_VOTERS
-    if min(0, margin_of(wanted)) <= current_margin and len(wanted) >= len(voters) and not has_few:
+    has_too_few_voters = len(voters) < MIN_VOTERS
+    if min(0, margin_of(wanted)) <= current_margin and len(wanted) >= len(voters) and not has_too_few_voters:
         return None
     # Fewer voters than MIN_VOTERS tolerate no loss, so any additional voter is allowed.
-    least_margin = -MAX_VOTERS if has_few else current_margin
+    least_margin = -MAX_VOTERS if has_too_few_voters else current_margin
     # The first of equal margins is chosen: promotions come first, then demotions of unresponsive voters.
     promotions = sorted(wanted - voters)
     demotions = sorted(voters - wanted, key=lambda name: (by_name[name].is_alive, name))
--- a/tests/cluster/test_voter_selection.py
+++ b/tests/cluster/test_voter_selection.py
@@ -39,7 +39,7 @@
         if change is None:
             return list(by_name.values())
         assert change.name != leader, "the leader must remain a voter"
-        margin_before, has_few = loss_margin(voters(), tolerance), len(voters()) < MIN_VOTERS
+        margin_before, has_too_few_voters = loss_margin(voters(), tolerance), len(voters()) < MIN_VOTERS
         if change.kind is ChangeKind.REMOVE:
             assert not by_name.pop(change.name).is_voter
         else:
@@ -49,7 +49,9 @@
         working = sum(voter.is_alive and voter.is_caught_up for voter in voters())
         assert 2 * working > len(voters())
         margin = loss_margin(voters(), tolerance)
-        assert has_few or margin >= min(0, margin_before), "a further tolerated loss would stop the group"
+        assert has_too_few_voters or margin >= min(
+            0, margin_before
+        ), "a further tolerated loss would stop the group"
     raise AssertionError("the changes do not terminate")
 
 
