--- a/amberlug/cluster/process.py
+++ b/amberlug/cluster/process.py
@@ -36,7 +36,7 @@
 COUNTERS_INTERVAL_S = 10.0  # between log lines with the counters
 SETTINGS_CHECK_INTERVAL_S = 2.0
 SWEEP_INTERVAL_S = 0.5  # between sweeps of idle endpoint connections
-STILL_ROUTED_S = 2.6  # after SIGTERM, until the platform no longer routes new clients to this process
+ROUTE_REMOVAL_DELAY_S = 2.6  # after SIGTERM, until the platform no longer routes new clients to this process
 # Of client connections: without it, clients would stay on the node they were routed to while other edge nodes
 # were down.
 MAX_CONNECTION_AGE_S = 6.0
@@ -223,7 +223,7 @@
         for server in self._servers:
             server.drain()
         now = loop.time()
-        self._drain(now + STILL_ROUTED_S, now + self.settings.seconds("graceS") - GRACE_MARGIN_S)
+        self._drain(now + ROUTE_REMOVAL_DELAY_S, now + self.settings.seconds("graceS") - GRACE_MARGIN_S)
 
     def _end_when_idle(self) -> None:
         """Exit once idle: at once, unless a control-plane node waits for another one to vote in its place."""
--- a/amberlug/cluster/simulation/machine.py
+++ b/amberlug/cluster/simulation/machine.py
@@ -11,7 +11,7 @@
 from amberlug.cluster.edge.answer_history import VIOLATION_PREFIX
 from amberlug.cluster.edge.node import EdgeNode
 from amberlug.cluster.interfaces import Endpoints, RequestFailure
-from amberlug.cluster.process import GRACE_MARGIN_S, STILL_ROUTED_S
+from amberlug.cluster.process import GRACE_MARGIN_S, ROUTE_REMOVAL_DELAY_S
 from amberlug.cluster.settings import Settings
 from amberlug.cluster.simulation.boundary_digest import BoundaryDigest
 from amberlug.cluster.simulation.clock import Clock
@@ -202,7 +202,7 @@
             clock.call_later(STOP_S, partial(self._end_when_idle, life))
             return
         grace = BOUNDS["graceS"]
-        self._wind_up(life, clock.now + STILL_ROUTED_S, clock.now + grace - GRACE_MARGIN_S)
+        self._wind_up(life, clock.now + ROUTE_REMOVAL_DELAY_S, clock.now + grace - GRACE_MARGIN_S)
 
     def _end_when_idle(self, life: Incarnation) -> None:
         if life.over:
