--- a/amberlug/cluster/gossip/store.py
+++ b/amberlug/cluster/gossip/store.py
@@ -265,10 +265,10 @@
             postponed = list(reply.ok_value.remaining_keys)
             # If the peer postpones all keys, stop: the same request would be repeated endlessly.
             remaining = (postponed if len(postponed) < len(requested) else []) + later
-        self._forget_pending(peer, {*requested, *later} - set(remaining))
+        self._clear_pending(peer, {*requested, *later} - set(remaining))
         self._fetch(peer, remaining)
 
-    def _forget_pending(self, peer: str, keys: Iterable[str]) -> None:
+    def _clear_pending(self, peer: str, keys: Iterable[str]) -> None:
         for key in sorted(keys):
             pending = self._pending_fetches.get(key)
             if pending is not None and pending.peer == peer:
