--- a/tests/cluster/test_voter_selection.py
+++ b/tests/cluster/test_voter_selection.py
@@ -49,9 +49,7 @@
         working = sum(voter.is_alive and voter.is_caught_up for voter in voters())
         assert 2 * working > len(voters())
         margin = loss_margin(voters(), tolerance)
-        assert has_too_few_voters or margin >= min(
-            0, margin_before
-        ), "a further tolerated loss would stop the group"
+        assert has_too_few_voters or margin >= min(0, margin_before), "a further loss stops the group"
     raise AssertionError("the changes do not terminate")
 
 
