--- a/tests/cluster/wires.py
+++ b/tests/cluster/wires.py
@@ -14,7 +14,7 @@
 FOREVER_S = 1e6
 
 
-class Waits(selectors.EpollSelector):
+class VirtualTimeSelector(selectors.EpollSelector):
     """A selector that advances virtual time instead of waiting."""
 
     now = 0.0
@@ -25,7 +25,7 @@
         return super().select(0)
 
 
-class Marker(socket.socket):
+class ReadinessSocket(socket.socket):
     """Socket that is readable while data is unread; TCP options are accepted and ignored."""
 
     def setsockopt(self, *given: Any) -> None:
@@ -39,22 +39,22 @@
         super().__init__()
         self.loop, self.protocol, self.peername = loop, protocol, peername
         self.other: End
-        marker, self._mark = socket.socketpair()
-        self.marker = Marker(fileno=marker.detach())
+        readiness_socket, self._readiness_signal = socket.socketpair()
+        self.readiness_socket = ReadinessSocket(fileno=readiness_socket.detach())
         self.unread: list[bytes | None] = []  # None: end of stream
         self.received = bytearray()  # all data passed to the protocol
         self.had_come = b""  # all data that had arrived, read or not, at its last write
         self.window = FOREVER_S  # bytes that can still be sent until `open` is called
         self.closing = self.over = False
         self.paused = False
-        self._left = bytearray()
-        self._ending = False
-        self._last = self.read_at = 0.0
+        self._write_buffer = bytearray()
+        self._eof_written = False
+        self._last_arrival_at = self.read_at = 0.0
 
     # -- transport interface
 
     def get_extra_info(self, name: str, default: Any = None) -> Any:
-        return {"socket": self.marker, "peername": self.peername}.get(name, default)
+        return {"socket": self.readiness_socket, "peername": self.peername}.get(name, default)
 
     def is_closing(self) -> bool:
         return self.closing
@@ -63,7 +63,7 @@
         pass  # no limits: buffered data pauses the protocol at once
 
     def get_write_buffer_size(self) -> int:
-        return len(self._left)
+        return len(self._write_buffer)
 
     def pause_reading(self) -> None:
         self.paused = True
@@ -73,20 +73,20 @@
         self.loop.call_soon(self._read, self.loop.time())
 
     def write(self, data: Any) -> None:
-        if self.closing or self._ending:
+        if self.closing or self._eof_written:
             return
         self.had_come = bytes(self.received) + b"".join(it or b"" for it in self.unread)
-        out = int(min(len(data), max(0, self.window))) if not self._left else 0
+        out = int(min(len(data), max(0, self.window))) if not self._write_buffer else 0
         self.window -= out
         if out:
-            self._leave(bytes(data[:out]))
+            self._transmit(bytes(data[:out]))
         if out < len(data):
-            self._left += data[out:]
+            self._write_buffer += data[out:]
             self.protocol.pause_writing()
 
     def write_eof(self) -> None:
-        self._ending = True
-        self._leave(None)
+        self._eof_written = True
+        self._transmit(None)
 
     def can_write_eof(self) -> bool:
         return True
@@ -94,34 +94,36 @@
     def close(self) -> None:
         if not self.closing:
             self.closing = True
-            self._leave(None)
-            self.loop.call_soon(self._lost, None)
+            self._transmit(None)
+            self.loop.call_soon(self._connection_lost, None)
 
     def abort(self) -> None:
         self.closing = True
         self.loop.call_later(self.loop.rng.uniform(*DELAY_S), self.other.reset)
-        self.loop.call_soon(self._lost, None)
+        self.loop.call_soon(self._connection_lost, None)
 
     # -- network
 
-    def _leave(self, data: bytes | None) -> None:
-        self._last = max(self._last + 1e-9, self.loop.time() + self.loop.rng.uniform(*DELAY_S))
-        self.loop.call_at(self._last, self.other.arrive, data, self._last)
+    def _transmit(self, data: bytes | None) -> None:
+        self._last_arrival_at = max(
+            self._last_arrival_at + 1e-9, self.loop.time() + self.loop.rng.uniform(*DELAY_S)
+        )
+        self.loop.call_at(self._last_arrival_at, self.other.deliver, data, self._last_arrival_at)
 
     def open(self) -> None:
         """Open the window and send the buffered data."""
         self.window = FOREVER_S
-        if self._left and not self.closing:
-            self._leave(bytes(self._left))
-            self._left.clear()
+        if self._write_buffer and not self.closing:
+            self._transmit(bytes(self._write_buffer))
+            self._write_buffer.clear()
             self.protocol.resume_writing()
 
-    def arrive(self, data: bytes | None, due: float) -> None:
+    def deliver(self, data: bytes | None, due: float) -> None:
         """Deliver data; the process reads it immediately or a little later."""
         if self.over:
             return
         self.unread.append(data)
-        self._mark.send(b"x")
+        self._readiness_signal.send(b"x")
         if self.loop.rng.random() < 0.7:
             self._read(due)
         else:
@@ -130,7 +132,7 @@
     def _read(self, due: float) -> None:
         self.read_at = due  # loop time at which it was due, even if the process was stalled until later
         while self.unread and not self.paused and not self.closing:
-            self.marker.recv(1)
+            self.readiness_socket.recv(1)
             data = self.unread.pop(0)
             if data is not None:
                 self.received += data
@@ -142,40 +144,40 @@
         """Handle a reset by the other side: unread data is lost."""
         if not self.over:
             self.closing = True
-            self._lost(ConnectionResetError())
+            self._connection_lost(ConnectionResetError())
 
-    def _lost(self, error: Exception | None) -> None:
+    def _connection_lost(self, error: Exception | None) -> None:
         if not self.over:
             self.over = True
             self.protocol.connection_lost(error)
-            self.marker.close()
-            self._mark.close()
+            self.readiness_socket.close()
+            self._readiness_signal.close()
 
 
 class Loop(asyncio.SelectorEventLoop):
     """An event loop with virtual time and in-memory connections."""
 
     def __init__(self, rng: random.Random) -> None:
-        self.waits = Waits()
+        self.waits = VirtualTimeSelector()
         super().__init__(self.waits)
         self.rng = rng
         self.doors: dict[tuple[str, int], Callable[[], asyncio.Protocol]] = {}
         self.deaf: set[tuple[str, int]] = set()  # connections to these addresses are never established
         self.ends: list[End] = []  # of the connecting side
         self.failures: list[BaseException] = []
-        self.set_exception_handler(self._failed)
-        self.set_task_factory(self._task)
+        self.set_exception_handler(self._record_failure)
+        self.set_task_factory(self._create_task)
 
-    def _failed(self, loop: Any, context: dict[str, Any]) -> None:
+    def _record_failure(self, loop: Any, context: dict[str, Any]) -> None:
         if (error := context.get("exception")) is not None:
             self.failures.append(error)
 
-    def _task(self, loop: Any, what: Any, **rest: Any) -> Any:
+    def _create_task(self, loop: Any, what: Any, **rest: Any) -> Any:
         task = asyncio.Task(what, loop=loop, **rest)
-        task.add_done_callback(self._done)
+        task.add_done_callback(self._check_task)
         return task
 
-    def _done(self, task: Any) -> None:
+    def _check_task(self, task: Any) -> None:
         if not task.cancelled() and (error := task.exception()) is not None:
             self.failures.append(error)
 
@@ -191,35 +193,35 @@
         await asyncio.sleep(self.rng.uniform(*DELAY_S) if at not in self.deaf else FOREVER_S)
         if at not in self.doors:
             raise ConnectionRefusedError
-        here, there = factory(), self.doors[at]()
-        near, far = End(self, here, at), End(self, there, ("10.0.0.1", 1))
-        near.other, far.other = far, near
-        self.ends.append(near)
-        there.connection_made(far)
-        self.call_soon(here.connection_made, near)
-        up = self.create_future()
-        self.call_soon(self._is_up, up)
+        client, server = factory(), self.doors[at]()
+        client_end, server_end = End(self, client, at), End(self, server, ("10.0.0.1", 1))
+        client_end.other, server_end.other = server_end, client_end
+        self.ends.append(client_end)
+        server.connection_made(server_end)
+        self.call_soon(client.connection_made, client_end)
+        established = self.create_future()
+        self.call_soon(self._set_established, established)
         try:
-            await up
+            await established
         except BaseException:
-            near.close()
+            client_end.close()
             raise
-        return near, here
+        return client_end, client
 
     @staticmethod
-    def _is_up(up: asyncio.Future[None]) -> None:
-        if not up.done():
-            up.set_result(None)
+    def _set_established(established: asyncio.Future[None]) -> None:
+        if not established.done():
+            established.set_result(None)
 
     async def create_server(self, factory: Any, host: Any = None, port: Any = None, **rest: Any) -> Any:  # type: ignore[override]
         at = str(host), int(port)
         if at in self.doors:
             raise OSError("address already in use")
         self.doors[at] = factory
-        return Door(self, at)
+        return MemoryServer(self, at)
 
 
-class Door:
+class MemoryServer:
     """A listening server at an address."""
 
     def __init__(self, loop: Loop, at: tuple[str, int]) -> None:
@@ -230,20 +232,20 @@
         self.loop.doors.pop(self.at, None)
 
 
-def run(seed: int, scene: Callable[[Loop, random.Random], Coroutine[Any, Any, None]]) -> None:
+def run(seed: int, scenario: Callable[[Loop, random.Random], Coroutine[Any, Any, None]]) -> None:
     """Run a scenario generated from a seed; exceptions raised in the loop are raised here."""
     rng = random.Random(seed)
     loop = Loop(rng)
     try:
-        loop.run_until_complete(scene(loop, rng))
+        loop.run_until_complete(scenario(loop, rng))
     finally:
         for task in asyncio.all_tasks(loop):
             task.cancel()
         loop.run_until_complete(asyncio.sleep(0))
         for end in loop.ends:
             for each in (end, end.other):
-                each.marker.close()
-                each._mark.close()
+                each.readiness_socket.close()
+                each._readiness_signal.close()
         loop.close()
         if loop.failures:
             raise loop.failures[0]
