--- a/tests/cluster/test_rpc_transport.py
+++ b/tests/cluster/test_rpc_transport.py
@@ -46,7 +46,7 @@
 
 
 @pytest.mark.parametrize("data", [b"x" * 8, b"99999999:", b"2:{};", b"2:[],", b"2:{x,"])
-def test_what_is_no_frame_is_an_error_with_a_reason(data: bytes) -> None:
+def test_a_malformed_frame_is_an_error_with_a_reason(data: bytes) -> None:
     with pytest.raises(BadFrameError) as caught:
         list(FrameReader().feed(data))
     assert caught.value.reason
@@ -97,7 +97,7 @@
         encode_handshake("10.0.0.9:7300") + encode_reply(1, {}, b"").unwrap(),
     ],
 )
-def test_a_client_that_is_no_node_is_disconnected(data: bytes) -> None:
+def test_a_client_that_is_not_a_node_is_disconnected(data: bytes) -> None:
     async def scenario() -> None:
         received: list[RawMessage] = []
         node = PeerTransport(lambda message, origin, respond: received.append(message), lambda address: None)
--- a/tests/cluster/test_startup.py
+++ b/tests/cluster/test_startup.py
@@ -20,7 +20,7 @@
 CLUSTER = "amberlug.cluster"
 EX_BAD_USAGE = 2
 # Packages and modules of the cluster that no node needs for serving.
-NEVER = (
+FORBIDDEN = (
     "click",
     "pyrsistent",
     "msgpack",
@@ -63,7 +63,7 @@
     "control_plane": ("edge", "dispatch", "storage"),
 }
 # Modules of the project, all of which are read at startup: run `benchmarks.startup` before raising a limit.
-MOST_MODULES = {"edge": 80, "storage": 52, "control_plane": 88}
+MAX_MODULES = {"edge": 80, "storage": 52, "control_plane": 88}
 KINDS = tuple(SHARED)
 
 
@@ -72,7 +72,7 @@
     return {kind: start_node(ROOT, kind) for kind in KINDS}
 
 
-def lies_in(module: str, package: str) -> bool:
+def is_in_package(module: str, package: str) -> bool:
     return module == package or module.startswith(package + ".")
 
 
@@ -80,7 +80,9 @@
 def test_a_start_imports_nothing_of_the_command_line_and_of_the_simulation(
     starts: dict[str, Start], kind: str
 ) -> None:
-    found = [name for name in starts[kind].modules if any(lies_in(name, package) for package in NEVER)]
+    found = [
+        name for name in starts[kind].modules if any(is_in_package(name, package) for package in FORBIDDEN)
+    ]
     assert found == []
 
 
@@ -88,14 +90,16 @@
 def test_a_start_imports_only_the_messages_of_other_kinds(starts: dict[str, Start], kind: str) -> None:
     packages = [f"{CLUSTER}.{name}" for name in OTHERS[kind]]
     allowed = {*packages, *(f"{CLUSTER}.{name}" for name in SHARED[kind])}
-    found = {name for name in starts[kind].modules if any(lies_in(name, package) for package in packages)}
+    found = {
+        name for name in starts[kind].modules if any(is_in_package(name, package) for package in packages)
+    }
     assert found - allowed == set()
 
 
 @pytest.mark.parametrize("kind", KINDS)
 def test_a_start_imports_no_more_modules_than_are_counted_here(starts: dict[str, Start], kind: str) -> None:
     assert f"{CLUSTER}.process" in starts[kind].own_modules
-    assert len(starts[kind].own_modules) <= MOST_MODULES[kind]
+    assert len(starts[kind].own_modules) <= MAX_MODULES[kind]
 
 
 def test_run_without_the_command_line_does_what_the_command_line_would(tmp_path: Path) -> None:
@@ -116,7 +120,7 @@
 @pytest.mark.parametrize(
     ("arguments", "status"), [(["--help"], 0), (["run", "--help"], 0), (["run", "x"], 2)]
 )
-def test_all_else_goes_to_the_command_line(arguments: list[str], status: int) -> None:
+def test_other_arguments_go_to_the_command_line(arguments: list[str], status: int) -> None:
     command = [sys.executable, "-m", "amberlug.cluster", *arguments]
     found = subprocess.run(command, cwd=ROOT, capture_output=True, text=True, check=False)
     assert found.returncode == status
--- a/tests/cluster/test_values.py
+++ b/tests/cluster/test_values.py
@@ -81,7 +81,7 @@
 
 
 @pytest.mark.parametrize("made", [Point(1, 2), Length(1.0), Origin(), Named(1, 2, "a")])
-def test_equal_values_have_one_hash(made: object) -> None:
+def test_equal_values_have_equal_hashes(made: object) -> None:
     assert hash(made) == hash(copy.copy(made))
     assert len({made, copy.copy(made)}) == 1
 
@@ -102,20 +102,20 @@
         hash(Length(contents))
 
 
-def test_a_value_is_shown_by_its_fields() -> None:
+def test_the_repr_of_a_value_has_its_fields() -> None:
     assert repr(Point(1)) == repr(FrozenPoint(1)).replace("FrozenPoint", "Point") == "Point(x=1, y=0)"
     assert repr(Origin()) == "Origin()"
     assert repr(Named(1, 2, "a")) == "Named(x=1, y=2, name='a', tags={})"
 
 
-def test_a_value_has_slots_alone() -> None:
+def test_a_value_has_slots_and_no_dict() -> None:
     point: Any = Point(1)
     assert not hasattr(point, "__dict__")
     with pytest.raises(AttributeError):
         point.z = 1
 
 
-def test_the_type_checker_alone_rejects_an_assignment() -> None:
+def test_only_the_type_checker_rejects_an_assignment() -> None:
     point = Point(1)
     frozen: Any = FrozenPoint(1)
     point.x = 2  # type: ignore[misc]
@@ -124,7 +124,7 @@
         frozen.x = 2
 
 
-def test_a_factory_makes_each_default_anew() -> None:
+def test_a_default_factory_is_called_for_each_instance() -> None:
     first, second = Named(1), Named(1)
     assert first.tags == {}
     assert first.tags is not second.tags
