--- a/tests/cluster/group.py
+++ b/tests/cluster/group.py
@@ -14,7 +14,7 @@
 from amberlug.cluster.simulation.disk import ControlDisk, ProcessDisk
 from amberlug.cluster.simulation.network import Host, Incarnation, Network, SimulatedRuntime
 
-SLOW = 15e6 / 8  # bytes per second of a 15 Mbit/s link
+SLOW_LINK_BYTES_PER_S = 15e6 / 8  # bytes per second of a 15 Mbit/s link
 
 
 class GroupMember(Host):
--- a/tests/cluster/test_replication.py
+++ b/tests/cluster/test_replication.py
@@ -9,7 +9,7 @@
 from amberlug.cluster.consensus.election import MIN_ELECTION_TIMEOUT_S
 from amberlug.cluster.consensus.log import SNAPSHOT_BYTES, TAIL_BYTES
 from amberlug.cluster.interfaces import RawMessage
-from tests.cluster.group import SLOW, GroupMember, RaftGroup
+from tests.cluster.group import SLOW_LINK_BYTES_PER_S, GroupMember, RaftGroup
 
 pytestmark = pytest.mark.usefixtures("suppressed_logs")
 
@@ -47,7 +47,7 @@
 def test_a_slow_member_stays_a_follower_while_it_receives_large_entries() -> None:
     group = RaftGroup()
     slow, leader = follower(group), group.leader
-    slow.rate, slow.loss = SLOW, 0.01
+    slow.rate, slow.loss = SLOW_LINK_BYTES_PER_S, 0.01
     longest_without_leader_s = 0.0
     for step in range(210):
         if step < 60 and step % 5 == 0:
@@ -72,7 +72,7 @@
     for number in range(2):
         group.submit(number, 4_000_000)
         group.run(0.5)
-    restarted.rate = SLOW
+    restarted.rate = SLOW_LINK_BYTES_PER_S
     restarted.start()
     group.admit(restarted)
     for at in range(1, 20):  # 4 MB take 2.1 s; a snapshot from its beginning each time would never come whole
@@ -182,7 +182,7 @@
     what = rng.choice(("down", "slow", "wiped", "cut", "reset", "stalled", "full"))
     later = partial(group.clock.call_later, seconds)
     if what == "slow":
-        member.rate, member.loss = SLOW, 0.02
+        member.rate, member.loss = SLOW_LINK_BYTES_PER_S, 0.02
         later(lambda: vars(member).update(rate=0.0, loss=0.0))
     elif what == "cut":
         others = [it for it in "abc" if it != member.name]
@@ -191,7 +191,7 @@
         group.net.cut(pairs)
         later(partial(group.net.join, pairs))
     elif what == "reset":
-        member.rate = SLOW
+        member.rate = SLOW_LINK_BYTES_PER_S
         for at in range(10):
             group.clock.call_later(at * 0.15, partial(group.net.reset, member))
         later(lambda: vars(member).update(rate=0.0))
