--- a/tests/cluster/test_raft.py
+++ b/tests/cluster/test_raft.py
@@ -183,7 +183,7 @@
     assert learner.restored[-1] == {"text": "x" * 3 * CHUNK_BYTES}
 
 
-def test_a_snapshot_transfer_begins_anew_from_another_leader_and_after_a_restart() -> None:
+def test_a_snapshot_transfer_restarts_with_another_leader_and_after_a_restart() -> None:
     learner, old, new = Learner(), snapshot("x"), snapshot("y", 12)
     learner.receive(old, *chunks(old)[0])
     assert learner.receive(new, *chunks(new)[1], 2, "c") == {"ok": False, "term": 2, "had": 0}
