--- a/tests/cluster/test_recorded.py
+++ b/tests/cluster/test_recorded.py
@@ -58,7 +58,7 @@
     path = copy_of("core/vise.db", tmp_path)
     before = dump(path, TABLES["core/vise.db"])
     saved, disk, anew = open_raft_storage(
-        tmp_path, lambda: pytest.fail("a new file was created"), lambda act: None
+        tmp_path, lambda: pytest.fail("the file was recreated"), lambda act: None
     )
     disk.close()
     assert not anew
@@ -70,7 +70,9 @@
 def test_a_control_node_folder_is_written_as_by_the_version_before(tmp_path: Path) -> None:
     path = copy_of("core/vise.db", tmp_path)
     before = dump(path, TABLES["core/vise.db"])
-    saved, disk, _ = open_raft_storage(tmp_path, lambda: pytest.fail("a new file was created"), lambda act: None)
+    saved, disk, _ = open_raft_storage(
+        tmp_path, lambda: pytest.fail("the file was recreated"), lambda act: None
+    )
     rows: list[tuple[str, tuple[Any, ...]]] = [("cut", (saved.snapshot_index + 1,))]
     rows += [("term", (saved.term, saved.voted_for))]
     rows += [
@@ -86,7 +88,7 @@
     path = copy_of("storage/chest.db", tmp_path)
     before = dump(path, TABLES["storage/chest.db"])
     contents, message_store = open_message_store(
-        tmp_path, lambda: pytest.fail("a new file was created"), lambda act: None
+        tmp_path, lambda: pytest.fail("the file was recreated"), lambda act: None
     )
     assert sorted(contents.messages) == [row[0] for row in before["message"]]
     assert contents.fencing_tokens == dict(before["fence"])
