--- a/tests/cluster/fakes.py
+++ b/tests/cluster/fakes.py
@@ -10,7 +10,7 @@
 from amberlug.cluster.simulation.machine import Machine
 
 
-class Alone:
+class UnresponsiveRuntime:
     """A runtime on a virtual clock that records requests and never replies to them."""
 
     def __init__(self, clock: Clock) -> None:
--- a/tests/cluster/test_contact.py
+++ b/tests/cluster/test_contact.py
@@ -25,7 +25,7 @@
 from amberlug.cluster.simulation.scenarios import Day
 from amberlug.cluster.storage.outcomes import MessageOutcome
 from amberlug.cluster.storage.records import StoredMessage
-from tests.cluster.fakes import Alone, settings
+from tests.cluster.fakes import UnresponsiveRuntime, settings
 
 pytestmark = pytest.mark.usefixtures("suppressed_logs")
 
@@ -172,7 +172,7 @@
 
 def test_a_new_leader_rejects_nothing_while_its_state_lags() -> None:
     of = settings("core")
-    world = Alone(Clock())
+    world = UnresponsiveRuntime(Clock())
     names = [f"10.0.0.{number}:7300" for number in (1, 2, 3)]
     member = {"voter": True, "zone": "", "control": ""}
     members = Members.from_wire({name: {"addr": name, **member} for name in names})
--- a/tests/cluster/test_control_node.py
+++ b/tests/cluster/test_control_node.py
@@ -11,7 +11,7 @@
 from amberlug.cluster.control.state_entries import ShardEntry, StoreEntry, StoreState
 from amberlug.cluster.interfaces import Json, OnWritten
 from amberlug.cluster.simulation.clock import Clock
-from tests.cluster.fakes import Alone, settings
+from tests.cluster.fakes import UnresponsiveRuntime, settings
 
 Rows = list[tuple[str, tuple[Any, ...]]]
 
@@ -30,7 +30,7 @@
         of = settings("core")
         self.clock = Clock()
         self.core = ControlNode(
-            Alone(self.clock), of, "10.0.0.1:7300", InstantDisk(), blank(of, lambda bits: 1)
+            UnresponsiveRuntime(self.clock), of, "10.0.0.1:7300", InstantDisk(), blank(of, lambda bits: 1)
         )
         self.core.cluster_state.roster = {
             f"disk-{name}": StoreEntry(name, name, "z", "r", StoreState.FULL, state_index=1)
--- a/tests/cluster/test_edge_node.py
+++ b/tests/cluster/test_edge_node.py
@@ -11,7 +11,7 @@
 from amberlug.cluster.simulation.deployment import Request
 from amberlug.cluster.simulation.scenarios import Day
 from amberlug.cluster.storage.outcomes import MessageOutcome
-from tests.cluster.fakes import Alone, settings
+from tests.cluster.fakes import UnresponsiveRuntime, settings
 
 
 class Nowhere:
@@ -28,7 +28,7 @@
 
 
 def test_a_message_whose_outcome_is_stored_is_not_called_after_its_repair() -> None:
-    edge = EdgeNode(Alone(Clock()), settings("edge"), "10.0.0.1:7300", Nowhere())
+    edge = EdgeNode(UnresponsiveRuntime(Clock()), settings("edge"), "10.0.0.1:7300", Nowhere())
     message = Message("0-x", 0, "x", "", "POST", "/", "r", "", 0.0, 100.0)
     edge.delivery_queue.add(message)
     message.outcome = MessageOutcome("done", "seal")  # as the reply to a replica write sets it
--- a/tests/cluster/test_edge_parts.py
+++ b/tests/cluster/test_edge_parts.py
@@ -24,7 +24,7 @@
 from amberlug.cluster.simulation.clock import Clock
 from amberlug.cluster.simulation.deployment import Request
 from amberlug.cluster.storage.outcomes import MessageOutcome
-from tests.cluster.fakes import Alone, settings
+from tests.cluster.fakes import UnresponsiveRuntime, settings
 from tests.cluster.test_edge_node import Nowhere
 
 
@@ -109,7 +109,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     clock = Clock()
-    edge = EdgeNode(Alone(clock), settings("edge"), "10.0.0.1:7300", Nowhere())
+    edge = EdgeNode(UnresponsiveRuntime(clock), settings("edge"), "10.0.0.1:7300", Nowhere())
     dispatchers, shares = edge.delivery.dispatchers, list[float]()
     set_rate_share = ServiceDispatchers._set_rate_share
 
--- a/tests/cluster/test_messages.py
+++ b/tests/cluster/test_messages.py
@@ -11,7 +11,7 @@
 from amberlug.cluster.interfaces import Json, RawMessage, Reply, ReplyCallback, RequestFailure
 from amberlug.cluster.rpc.messages import Body, Request, Responder, handlers_of, handles, request
 from amberlug.cluster.simulation.clock import Clock
-from tests.cluster.fakes import Alone
+from tests.cluster.fakes import UnresponsiveRuntime
 
 
 @dataclass(frozen=True, slots=True)
@@ -50,7 +50,7 @@
         respond(Length(len(message.data)))
 
 
-class Loopback(Alone):
+class Loopback(UnresponsiveRuntime):
     """A runtime that passes requests to one component; requests without a handler time out."""
 
     def __init__(self, handlers: dict[str, Callable[..., None]]) -> None:
--- a/tests/cluster/test_outcomes.py
+++ b/tests/cluster/test_outcomes.py
@@ -26,7 +26,7 @@
 from amberlug.cluster.simulation.mutations import mutated
 from amberlug.cluster.storage.messages import Acknowledgement
 from amberlug.cluster.storage.outcomes import OPEN, MessageOutcome
-from tests.cluster.fakes import Alone, settings
+from tests.cluster.fakes import UnresponsiveRuntime, settings
 from tests.cluster.test_edge_node import Nowhere
 from tests.cluster.test_shard_owner import DONE, OPEN_ROW, STORES, OwnerRig, new_message
 
@@ -49,7 +49,7 @@
 
     def __init__(self, **states: str) -> None:
         self.clock = Clock()
-        self.runtime = Alone(self.clock)
+        self.runtime = UnresponsiveRuntime(self.clock)
         self.edge = EdgeNode(self.runtime, settings("edge"), "10.0.0.1:7300", Nowhere())
         self.replicator = self.edge.replicator
         self.set_roster(**(states or dict.fromkeys(STORES, "full")))
--- a/tests/cluster/test_raft.py
+++ b/tests/cluster/test_raft.py
@@ -17,7 +17,7 @@
 from amberlug.cluster.rpc.messages import handlers_of
 from amberlug.cluster.simulation.clock import Clock
 from amberlug.cluster.simulation.disk import OUT_OF_SPACE, ControlDisk
-from tests.cluster.fakes import Alone, settings
+from tests.cluster.fakes import UnresponsiveRuntime, settings
 
 MEMBERS = Members.from_wire({name: {"addr": name, "voter": True} for name in "abc"})
 
@@ -44,7 +44,7 @@
 def test_entries_that_the_disk_refuses_are_acknowledged_only_once_a_retry_has_written_them() -> None:
     clock, disk = Clock(), RefusingDisk()
     raft = RaftNode(
-        Alone(clock),
+        UnresponsiveRuntime(clock),
         disk,
         PersistentState("a", members=MEMBERS),
         StateMachine(lambda index, command: {}, dict, lambda state: None),
@@ -82,7 +82,7 @@
     def start(self) -> None:
         saved = self.disk.begun(lambda: PersistentState("d"))
         self.raft = RaftNode(
-            Alone(self.clock),
+            UnresponsiveRuntime(self.clock),
             _ProcessDisk(self.disk),
             saved,
             StateMachine(lambda index, command: {}, dict, self.restored.append),
@@ -215,7 +215,7 @@
 def test_a_leader_of_an_older_term_than_the_last_entry_is_rejected_after_a_restart() -> None:
     saved = PersistentState("a", 4, "b", members=MEMBERS, entries=[Entry(4, {"n": 1}), Entry(5, {"n": 2})])
     raft = RaftNode(
-        Alone(Clock()),
+        UnresponsiveRuntime(Clock()),
         RefusingDisk(),
         saved,
         StateMachine(lambda index, command: {}, dict, lambda state: None),
--- a/tests/cluster/test_raft_storage.py
+++ b/tests/cluster/test_raft_storage.py
@@ -14,7 +14,7 @@
 from amberlug.cluster.interfaces import Json
 from amberlug.cluster.simulation.clock import Clock
 from amberlug.cluster.storage.group_commit import GroupCommitWriter
-from tests.cluster.fakes import Alone
+from tests.cluster.fakes import UnresponsiveRuntime
 
 ALONE = Members.from_wire({"a": {"addr": "a", "voter": True}})
 
@@ -30,7 +30,7 @@
         )
         clock = Clock()
         self.raft = RaftNode(
-            Alone(clock),
+            UnresponsiveRuntime(clock),
             self.disk,
             self.saved,
             StateMachine(self._apply, lambda: dict(self.state), self.state.update),
--- a/tests/cluster/test_shard_owner.py
+++ b/tests/cluster/test_shard_owner.py
@@ -11,7 +11,7 @@
 from amberlug.cluster.settings import Tolerance
 from amberlug.cluster.simulation.clock import Clock
 from amberlug.cluster.storage.outcomes import MessageOutcome
-from tests.cluster.fakes import Alone
+from tests.cluster.fakes import UnresponsiveRuntime
 
 METADATA = {"a": "x", "h": "", "m": "POST", "t": "/", "r": "r", "k": "", "w": 0.0, "d": 0.0, "x": [], "c": 0}
 OPEN_ROW = ["0-x", 0, 1, 1, METADATA, 2, 2]
@@ -34,7 +34,7 @@
 
     def __init__(self) -> None:
         self.clock = Clock()
-        self.runtime = Alone(self.clock)
+        self.runtime = UnresponsiveRuntime(self.clock)
         self.replicator = Replicator(self.runtime, Tolerance(), "z", "r", 60.0)
         self.roster = {
             disk: {"name": disk, "addr": disk, "zone": "z", "region": "r", "state": "full"} for disk in STORES
--- a/tests/cluster/test_storage_node.py
+++ b/tests/cluster/test_storage_node.py
@@ -9,7 +9,7 @@
 from amberlug.cluster.simulation.mutations import mutated
 from amberlug.cluster.storage.node import StorageNode
 from amberlug.cluster.storage.records import OutcomeRow, StorageRow, StoredContents
-from tests.cluster.fakes import Alone, settings
+from tests.cluster.fakes import UnresponsiveRuntime, settings
 
 OUT_OF_SPACE = WriteFailure(WriteFailureReason.OUT_OF_SPACE)
 
@@ -38,7 +38,7 @@
     def __init__(self) -> None:
         self.clock, self.disk, self.replies = Clock(), ManualDisk(), list[Json]()
         contents = StoredContents("d", enrolled_index=1)  # one that may be written to
-        runtime = Alone(self.clock)
+        runtime = UnresponsiveRuntime(self.clock)
         self.node = StorageNode(runtime, settings("store"), "10.0.0.1:7300", self.disk, contents)
 
     def request(self, tag: str, body: Json) -> None:
--- a/tests/cluster/test_unknown_outcomes.py
+++ b/tests/cluster/test_unknown_outcomes.py
@@ -15,7 +15,7 @@
 from amberlug.cluster.simulation.clock import Clock
 from amberlug.cluster.simulation.deployment import Request
 from amberlug.cluster.simulation.mutations_answers import FAULTS
-from tests.cluster.fakes import Alone, settings
+from tests.cluster.fakes import UnresponsiveRuntime, settings
 from tests.cluster.test_control_node import InstantDisk
 from tests.cluster.test_edge_node import Nowhere
 
@@ -30,7 +30,7 @@
 ) -> tuple[list[AdmissionOutcome], list[Json], list[ReplyCallback]]:
     """Offer a message to an owner elsewhere, whose answers come in this order, the last one ever again."""
     clock = Clock()
-    world = Alone(clock)
+    world = UnresponsiveRuntime(clock)
     edge = EdgeNode(world, settings("edge"), "10.0.0.1:7300", Nowhere())
     edge.shard_owner.update_table(AWAY)
     outcomes: list[AdmissionOutcome] = []
@@ -70,7 +70,7 @@
 def order(fate: RequestFailure | Json) -> tuple[list[HttpResponse], int]:
     """Have a follower pass a configuration on to its leader; what it answers, and how often it asked."""
     clock = Clock()
-    world = Alone(clock)
+    world = UnresponsiveRuntime(clock)
     of = settings("core")
     core = ControlNode(world, of, "10.0.0.1:7300", InstantDisk(), blank(of, lambda bits: 1))
     core.quorum.leader_address = lambda: "10.0.0.9:7300"  # type: ignore[method-assign]
