--- a/tests/cluster/test_endpoint_answers.py
+++ b/tests/cluster/test_endpoint_answers.py
@@ -115,7 +115,7 @@
         site, here = self.site, ask.end.other
         assert all(it.call != ask.call for it in site.asks), "one call is sent twice"
         assert (
-            here.closing or here.had_come == self.response_text
+            here.closing or here.arrived_before_write == self.response_text
         ), "a connection is used again on which more has come"
         if not here.closing:  # else it was given up while it was on its way
             assert ask.attempt not in site.known, "a success that is known runs again"
@@ -195,7 +195,7 @@
         pool = EndpointPool("z", site.rng, self.caller.available_connections)
         for number in range(2):
             at = f"10.0.0.{number}", 80
-            site.loop.doors[at] = lambda: Endpoint(site)
+            site.loop.listeners[at] = lambda: Endpoint(site)
             announcement = PublishedEndpoint("s", f"{at[0]}:80", "z", 3, "", 0, "ready")
             pool.update(f"i{number}", announcement, 0.0)
         callbacks = DispatchCallbacks(lambda message: EXPIRY_S, self.finished)
--- a/tests/cluster/test_internal_replies.py
+++ b/tests/cluster/test_internal_replies.py
@@ -33,17 +33,17 @@
         self.starts += 1
         self.peers = PeerTransport(self.receive, lambda address: None)
         await self.peers.listen(ADDRESS[0], range(ADDRESS[1], ADDRESS[1] + 1))
-        accept = self.loop.doors[ADDRESS]
+        accept = self.loop.listeners[ADDRESS]
 
         def connect_slowly() -> asyncio.Protocol:
             if self.rng.random() < self.slow_connect_probability:  # the peer that connects is delayed
                 self.loop.stall(CONNECT_TIMEOUT_S)
             return accept()
 
-        self.loop.doors[ADDRESS] = connect_slowly
+        self.loop.listeners[ADDRESS] = connect_slowly
 
     def kill(self) -> None:
-        self.loop.doors.pop(ADDRESS, None)
+        self.loop.listeners.pop(ADDRESS, None)
         for connection in list(self.peers.server_connections):
             assert connection.transport is not None, "a connection that was established"
             connection.transport.abort()
--- a/tests/cluster/wires.py
+++ b/tests/cluster/wires.py
@@ -43,7 +43,7 @@
         self.readiness_socket = ReadinessSocket(fileno=readiness_socket.detach())
         self.unread: list[bytes | None] = []  # None: end of stream
         self.received = bytearray()  # all data passed to the protocol
-        self.had_come = b""  # all data that had arrived, read or not, at its last write
+        self.arrived_before_write = b""  # all data that had arrived, read or not, at its last write
         self.window = FOREVER_S  # bytes that can still be sent until `open` is called
         self.closing = self.over = False
         self.paused = False
@@ -75,7 +75,7 @@
     def write(self, data: Any) -> None:
         if self.closing or self._eof_written:
             return
-        self.had_come = bytes(self.received) + b"".join(it or b"" for it in self.unread)
+        self.arrived_before_write = bytes(self.received) + b"".join(it or b"" for it in self.unread)
         out = int(min(len(data), max(0, self.window))) if not self._write_buffer else 0
         self.window -= out
         if out:
@@ -161,7 +161,7 @@
         self.waits = VirtualTimeSelector()
         super().__init__(self.waits)
         self.rng = rng
-        self.doors: dict[tuple[str, int], Callable[[], asyncio.Protocol]] = {}
+        self.listeners: dict[tuple[str, int], Callable[[], asyncio.Protocol]] = {}
         self.deaf: set[tuple[str, int]] = set()  # connections to these addresses are never established
         self.ends: list[End] = []  # of the connecting side
         self.failures: list[BaseException] = []
@@ -191,9 +191,9 @@
     async def create_connection(self, factory: Any, host: Any = None, port: Any = None, **rest: Any) -> Any:  # type: ignore[override]
         at = str(host), int(port)
         await asyncio.sleep(self.rng.uniform(*DELAY_S) if at not in self.deaf else FOREVER_S)
-        if at not in self.doors:
+        if at not in self.listeners:
             raise ConnectionRefusedError
-        client, server = factory(), self.doors[at]()
+        client, server = factory(), self.listeners[at]()
         client_end, server_end = End(self, client, at), End(self, server, ("10.0.0.1", 1))
         client_end.other, server_end.other = server_end, client_end
         self.ends.append(client_end)
@@ -215,9 +215,9 @@
 
     async def create_server(self, factory: Any, host: Any = None, port: Any = None, **rest: Any) -> Any:  # type: ignore[override]
         at = str(host), int(port)
-        if at in self.doors:
+        if at in self.listeners:
             raise OSError("address already in use")
-        self.doors[at] = factory
+        self.listeners[at] = factory
         return MemoryServer(self, at)
 
 
@@ -229,7 +229,7 @@
         self.sockets = ()
 
     def close(self) -> None:
-        self.loop.doors.pop(self.at, None)
+        self.loop.listeners.pop(self.at, None)
 
 
 def run(seed: int, scenario: Callable[[Loop, random.Random], Coroutine[Any, Any, None]]) -> None:
