--- a/tests/cluster/test_client_answers.py
+++ b/tests/cluster/test_client_answers.py
@@ -12,7 +12,7 @@
 from amberlug.cluster.http.parser import Limits
 from amberlug.cluster.http.server import Server
 from amberlug.cluster.simulation.mutations_answers import FAULTS
-from tests.cluster.wires import End, Loop, run
+from tests.cluster.memory_loop import End, Loop, run
 
 AT = "10.0.0.3", 8080
 CONNECTIONS = 25
--- a/tests/cluster/test_endpoint_answers.py
+++ b/tests/cluster/test_endpoint_answers.py
@@ -22,7 +22,7 @@
 from amberlug.cluster.rpc.transport import PeerTransport
 from amberlug.cluster.simulation.mutations_answers import FAULTS
 from amberlug.http.link import BODY_MOST
-from tests.cluster.wires import End, Loop, run
+from tests.cluster.memory_loop import End, Loop, run
 
 EXPIRY_S = 0.4
 MAX_ATTEMPTS = 3
--- a/tests/cluster/test_internal_replies.py
+++ b/tests/cluster/test_internal_replies.py
@@ -12,7 +12,7 @@
 from amberlug.cluster.rpc.framing import encode_reply
 from amberlug.cluster.rpc.transport import PeerTransport
 from amberlug.cluster.simulation.mutations_answers import FAULTS
-from tests.cluster.wires import Loop, run
+from tests.cluster.memory_loop import Loop, run
 
 REQUESTS = 60
 TIMEOUT_S = 0.3
