--- a/amberlug/cluster/process.py
+++ b/amberlug/cluster/process.py
@@ -97,7 +97,7 @@
         self._node: Node | None = None
         self._servers: list[Server] = []
         self._close_storage: list[Callable[[], None]] = []
-        self._ended = asyncio.Event()
+        self._exit_requested = asyncio.Event()
         self.transport = transport_type(self._handle_message, self._on_disconnect)
         self._stamp = self._file_stamp()
 
@@ -129,7 +129,7 @@
         self.node.begin()
         loop.call_later(COUNTERS_INTERVAL_S, self._log_counters)
         loop.call_later(SETTINGS_CHECK_INTERVAL_S, self._check_settings_file)
-        await self._ended.wait()
+        await self._exit_requested.wait()
         for close in self._close_storage:
             close()
         self.transport.close()
@@ -218,19 +218,19 @@
         self.node.begin_shutdown()
         loop = asyncio.get_running_loop()
         if self.settings.front is None:
-            loop.call_later(IDLE_CHECK_INTERVAL_S, self._end_when_idle)
+            loop.call_later(IDLE_CHECK_INTERVAL_S, self._exit_when_idle)
             return
         for server in self._servers:
             server.drain()
         now = loop.time()
         self._drain(now + ROUTE_REMOVAL_DELAY_S, now + self.settings.seconds("graceS") - GRACE_MARGIN_S)
 
-    def _end_when_idle(self) -> None:
+    def _exit_when_idle(self) -> None:
         """Exit once idle: at once, unless a control-plane node waits for another one to vote in its place."""
         if self.node.is_idle:
-            self._ended.set()
+            self._exit_requested.set()
         else:
-            asyncio.get_running_loop().call_later(IDLE_CHECK_INTERVAL_S, self._end_when_idle)
+            asyncio.get_running_loop().call_later(IDLE_CHECK_INTERVAL_S, self._exit_when_idle)
 
     def _drain(self, routed_until_s: float, deadline_s: float) -> None:
         """Exit at the deadline, or once no request is open and the platform no longer routes clients here."""
@@ -241,7 +241,7 @@
         if now >= deadline_s or is_drained:
             for server in self._servers:
                 server.stop()
-            self._ended.set()
+            self._exit_requested.set()
         else:
             loop.call_later(DRAIN_CHECK_INTERVAL_S, self._drain, routed_until_s, deadline_s)
 
