--- a/tests/cluster/test_rollback_guard.py
+++ b/tests/cluster/test_rollback_guard.py
@@ -57,7 +57,7 @@
         saved = {key: deepcopy(value) for key, value in vars(disk).items() if key in ("_saved", "_rows")}
         return lambda: vars(disk).update(deepcopy(saved))
 
-    def lost_at(self, machine: Machine) -> list[str]:
+    def missing_entries(self, machine: Machine) -> list[str]:
         """The committed entries that are missing from a node's state."""
         return [name for name in self.committed if name not in machine.part.cluster_state.leaving]
 
@@ -79,7 +79,7 @@
     restored.start()
     control_plane.run(4.0)
     new_leader = control_plane.leader(lagging, restored)
-    return [] if new_leader is None else control_plane.lost_at(new_leader)
+    return [] if new_leader is None else control_plane.missing_entries(new_leader)
 
 
 def test_a_member_restored_from_a_backup_elects_no_leader_without_committed_entries() -> None:
@@ -103,7 +103,7 @@
         control_plane.commit_entry()
     machine.start()
     control_plane.run(BOUNDS["catchUpS"])
-    assert (machine.part.raft.member_id, control_plane.lost_at(machine)) == (member_id, [])
+    assert (machine.part.raft.member_id, control_plane.missing_entries(machine)) == (member_id, [])
     machine.power_off()
     restore()
     machine.start()
@@ -112,7 +112,7 @@
     assert raft.member_id != member_id
     assert raft.is_voter
     assert member_id not in raft.members
-    assert control_plane.lost_at(machine) == []
+    assert control_plane.missing_entries(machine) == []
 
 
 def test_committed_entries_survive_a_restart_of_all_members_with_one_restored() -> None:
@@ -131,7 +131,7 @@
         control_plane.run(BOUNDS["catchUpS"])
         leader = control_plane.leader()
         assert leader is not None
-        assert control_plane.lost_at(leader) == []
+        assert control_plane.missing_entries(leader) == []
         assert not restored.part.raft.member_id.endswith("/0")
 
 
--- a/tests/cluster/test_voter_selection.py
+++ b/tests/cluster/test_voter_selection.py
@@ -101,7 +101,7 @@
 # -- complete deployments
 
 
-def started(seed: int, zones: int, cores: int, tolerance: Tolerance = A_MACHINE) -> Deployment:
+def start_deployment(seed: int, zones: int, cores: int, tolerance: Tolerance = A_MACHINE) -> Deployment:
     """Start a deployment of control-plane nodes and wait until they have elected a leader."""
     deployment = Deployment(seed, zones, 0, 0, cores, [], 1.0)
     deployment.tolerance = tolerance
@@ -126,7 +126,7 @@
     return confirmed[0] if confirmed else None
 
 
-def voting(deployment: Deployment) -> list[Machine]:
+def voting_nodes(deployment: Deployment) -> list[Machine]:
     """The nodes that are voters according to the leader."""
     leading = leader(deployment)
     assert leading is not None, "there is no leader"
@@ -138,12 +138,12 @@
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
 def test_no_zone_has_half_of_the_voters_where_a_zone_may_be_lost(seed: int) -> None:
-    deployment = started(seed, 3, 6, A_ZONE)
+    deployment = start_deployment(seed, 3, 6, A_ZONE)
     # The founders are in three zones; once one of them is lost, its zone has one other node.
     lost = next(machine for machine in deployment.cores[:3] if machine is not leader(deployment))
     lost.power_off()
     deployment.clock.run(deployment.clock.now + 4.0)
-    assert sorted(machine.zone for machine in voting(deployment)) == ["z0", "z1", "z2"]
+    assert sorted(machine.zone for machine in voting_nodes(deployment)) == ["z0", "z1", "z2"]
     for zone in deployment.zones:
         for machine in deployment.cores:
             if machine.zone == zone:
@@ -164,7 +164,7 @@
         machine.zone = zone
         machine.start()
     deployment.clock.run(4.0)
-    return sorted(machine.zone for machine in voting(deployment))
+    return sorted(machine.zone for machine in voting_nodes(deployment))
 
 
 def test_voters_are_spread_over_zones_where_all_founders_are_in_one() -> None:
@@ -180,9 +180,9 @@
     cores: int, replacement: str, is_leader_lost: bool
 ) -> None:
     for second in range(cores):  # position of the second node to be lost; the last one is the replacement
-        deployment = started(cores * 10 + second, 3, cores)
+        deployment = start_deployment(cores * 10 + second, 3, cores)
         clock, leading = deployment.clock, leader(deployment)
-        lost = next(machine for machine in voting(deployment) if (machine is leading) is is_leader_lost)
+        lost = next(machine for machine in voting_nodes(deployment) if (machine is leading) is is_leader_lost)
         lost.power_off()
         if replacement == "another node":
             deployment.remove(lost)
@@ -199,7 +199,7 @@
 
 
 def test_a_stopping_leader_transfers_leadership_to_a_responsive_voter() -> None:
-    deployment = started(5, 3, 3)
+    deployment = start_deployment(5, 3, 3)
     leading = leader(deployment)
     assert leading is not None
     others = sorted(
@@ -214,8 +214,8 @@
 
 
 def test_an_unresponsive_learner_is_removed_after_a_timeout_and_admitted_again() -> None:
-    deployment = started(6, 4, 4)
-    learner = next(machine for machine in deployment.cores if machine not in voting(deployment))
+    deployment = start_deployment(6, 4, 4)
+    learner = next(machine for machine in deployment.cores if machine not in voting_nodes(deployment))
     member_id = learner.part.raft.member_id
 
     def is_member() -> bool:
