--- a/amberlug/cluster/consensus/raft.py
+++ b/amberlug/cluster/consensus/raft.py
@@ -177,7 +177,7 @@
         host = self.member_id.rpartition("/")[0]
         member_id = new_member_id(host, self.runtime.rng.getrandbits)
         logging.warning(
-            "%s: the log ends before an acknowledged entry; restarting as %s", self.member_id, member_id
+            "%s has less on disk than it acknowledged: it goes on as %s", self.member_id, member_id
         )
         self.step_down()
         self.stop()
--- a/amberlug/cluster/process.py
+++ b/amberlug/cluster/process.py
@@ -214,7 +214,7 @@
             os._exit(EX_SOFTWARE)  # an invariant is violated: the state of this process cannot be trusted
 
     def _on_stop_signal(self) -> None:
-        logging.info("received a stop signal; shutting down")
+        logging.info("stopping on a signal")
         self.node.begin_shutdown()
         loop = asyncio.get_running_loop()
         if self.settings.front is None:
@@ -262,7 +262,7 @@
         self._stamp = self._file_stamp()
         found = read_settings_file(self._path)
         if isinstance(found, Err):
-            logging.error("ignoring invalid settings file: %s", "; ".join(map(str, found.err_value)))
+            logging.error("ignoring the settings file: %s", "; ".join(map(str, found.err_value)))
             return
         self.settings = found.ok_value
         self.node.update_settings(found.ok_value)
--- a/amberlug/cluster/rpc/transport.py
+++ b/amberlug/cluster/rpc/transport.py
@@ -93,7 +93,7 @@
         if self.oversized_frames == 1:
             error = frame.err_value
             logging.error(
-                "not sending %s: frame of %d bytes exceeds the limit of %d",
+                "not sending %s: a frame of %d bytes, the limit is %d",
                 tag,
                 error.size_bytes,
                 error.limit_bytes,
