--- a/tests/cluster/fakes.py
+++ b/tests/cluster/fakes.py
@@ -23,9 +23,9 @@
     def wall_clock(self) -> float:
         return self.clock.now
 
-    def call_later(self, delay_s: float, callback: Callable[[], None]) -> Timer:
-        timer = Timer(callback)
-        self.clock.call_later(delay_s, timer.fire)
+    def call_later(self, seconds: float, act: Callable[[], None]) -> Timer:
+        timer = Timer(act)
+        self.clock.call_later(seconds, timer.fire)
         return timer
 
     def send(self, address: str, message: RawMessage) -> None:
--- a/tests/cluster/memory_loop.py
+++ b/tests/cluster/memory_loop.py
@@ -199,19 +199,19 @@
         self.ends.append(client_end)
         server.connection_made(server_end)
         self.call_soon(client.connection_made, client_end)
-        established = self.create_future()
-        self.call_soon(self._set_established, established)
+        up = self.create_future()
+        self.call_soon(self._set_established, up)
         try:
-            await established
+            await up
         except BaseException:
             client_end.close()
             raise
         return client_end, client
 
     @staticmethod
-    def _set_established(established: asyncio.Future[None]) -> None:
-        if not established.done():
-            established.set_result(None)
+    def _set_established(up: asyncio.Future[None]) -> None:
+        if not up.done():
+            up.set_result(None)
 
     async def create_server(self, factory: Any, host: Any = None, port: Any = None, **rest: Any) -> Any:  # type: ignore[override]
         at = str(host), int(port)
--- a/tests/cluster/test_raft_storage.py
+++ b/tests/cluster/test_raft_storage.py
@@ -37,7 +37,7 @@
         )
         self.raft.start()
         clock.run(0.4)
-        self.wait_until(
+        self.until(
             lambda: self.raft.role is Role.LEADER and self.raft.commit_index == self.raft.log.last_index
         )
 
@@ -45,14 +45,14 @@
         self.state.update(command)
         return {}
 
-    def wait_until(self, is_met: Callable[[], bool]) -> None:
+    def until(self, is_met: Callable[[], bool]) -> None:
         while not is_met():
             self.posted.get(timeout=5.0)()
 
     def change(self, text: str) -> None:
-        self.raft.propose({"text": text}, lambda outcome: None)
+        self.raft.propose({"text": text}, lambda said: None)
         last = self.raft.log.last_index
-        self.wait_until(lambda: self.raft.commit_index >= last)
+        self.until(lambda: self.raft.commit_index >= last)
 
     def close(self) -> None:
         self.disk.close()
