--- a/tests/cluster/test_endpoint_answers.py
+++ b/tests/cluster/test_endpoint_answers.py
@@ -24,7 +24,7 @@
 from amberlug.cluster.rpc.transport import PeerTransport
 from amberlug.cluster.simulation.mutations_answers import FAULTS
 from amberlug.http.link import BODY_MOST
-from tests.cluster.wires import End, Loop, run
+from tests.cluster.memory_loop import End, Loop, run
 
 EXPIRY_S = 0.4
 MAX_ATTEMPTS = 3
@@ -117,7 +117,7 @@
         log, client_end = self.log, request.connection.other
         assert all(earlier.call != request.call for earlier in log.requests), "a call was sent twice"
         assert (
-            client_end.closing or client_end.had_come == self.sent_responses
+            client_end.closing or client_end.arrived_before_write == self.sent_responses
         ), "a connection with surplus data was reused"
         if not client_end.closing:  # otherwise the call timed out while the request was in transit
             assert request.attempt not in log.completed, "a completed attempt was executed again"
@@ -203,7 +203,7 @@
         pool = EndpointPool("z", log.rng, self.client.available_connections)
         for number in range(2):
             address = f"10.0.0.{number}", 80
-            log.loop.doors[address] = lambda: Endpoint(log)
+            log.loop.listeners[address] = lambda: Endpoint(log)
             announcement = PublishedEndpoint("s", f"{address[0]}:80", "z", 3, "", 0, "ready")
             pool.update(f"i{number}", announcement, 0.0)
         callbacks = DispatchCallbacks(lambda message: EXPIRY_S, self.on_result)
--- a/tests/cluster/test_messages.py
+++ b/tests/cluster/test_messages.py
@@ -1,4 +1,4 @@
-"""Typed messages: decoded for their handlers, encoded as they are sent, failures passed on."""
+"""Tests of typed messages: decoding for handlers, encoding on sending, and propagation of failures."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from amberlug.cluster.interfaces import Json, RawMessage, Reply, ReplyCallback, RequestFailure
 from amberlug.cluster.rpc.messages import Body, Request, Responder, handlers_of, handles, request
 from amberlug.cluster.simulation.clock import Clock
-from tests.cluster.fakes import Alone
+from tests.cluster.fakes import UnresponsiveRuntime
 
 
 @dataclass(frozen=True, slots=True)
@@ -50,8 +50,8 @@
         respond(Length(len(message.data)))
 
 
-class Loopback(Alone):
-    """A runtime whose requests reach one component, or are lost."""
+class Loopback(UnresponsiveRuntime):
+    """A runtime that passes requests to one component; requests without a handler time out."""
 
     def __init__(self, handlers: dict[str, Callable[..., None]]) -> None:
         super().__init__(Clock())
--- a/tests/cluster/test_recorded.py
+++ b/tests/cluster/test_recorded.py
@@ -1,4 +1,4 @@
-"""What earlier versions sent and wrote: digests of days, and folders of core machines and stores."""
+"""Tests against recordings of earlier versions: simulation digests and data folders of nodes."""
 
 import json
 import os
@@ -38,7 +38,7 @@
         capture_output=True,
         text=True,
         check=False,
-        env=os.environ | {"PYTHONHASHSEED": "7"},  # days must not hang on the order of sets
+        env=os.environ | {"PYTHONHASHSEED": "7"},  # simulated days must not depend on the order of sets
     )
     assert done.stdout.splitlines()[-1] == "5 days, 0 explorations, 0 moved", done.stdout
     assert done.returncode == 0
@@ -58,7 +58,7 @@
     path = copy_of("core/vise.db", tmp_path)
     before = dump(path, TABLES["core/vise.db"])
     saved, disk, anew = open_raft_storage(
-        tmp_path, lambda: pytest.fail("it was begun anew"), lambda act: None
+        tmp_path, lambda: pytest.fail("the file was recreated"), lambda act: None
     )
     disk.close()
     assert not anew
@@ -70,7 +70,9 @@
 def test_a_control_node_folder_is_written_as_by_the_version_before(tmp_path: Path) -> None:
     path = copy_of("core/vise.db", tmp_path)
     before = dump(path, TABLES["core/vise.db"])
-    saved, disk, _ = open_raft_storage(tmp_path, lambda: pytest.fail("it was begun anew"), lambda act: None)
+    saved, disk, _ = open_raft_storage(
+        tmp_path, lambda: pytest.fail("the file was recreated"), lambda act: None
+    )
     rows: list[tuple[str, tuple[Any, ...]]] = [("cut", (saved.snapshot_index + 1,))]
     rows += [("term", (saved.term, saved.voted_for))]
     rows += [
@@ -86,7 +88,7 @@
     path = copy_of("storage/chest.db", tmp_path)
     before = dump(path, TABLES["storage/chest.db"])
     contents, message_store = open_message_store(
-        tmp_path, lambda: pytest.fail("it was begun anew"), lambda act: None
+        tmp_path, lambda: pytest.fail("the file was recreated"), lambda act: None
     )
     assert sorted(contents.messages) == [row[0] for row in before["message"]]
     assert contents.fencing_tokens == dict(before["fence"])
@@ -94,7 +96,7 @@
     bodies = {row[0]: row[5] for row in before["message"]}
     rows: list[StorageRow] = []
     for name, message in contents.messages.items():
-        if message.accepted_epoch:  # the outcome of a message that was never put here stands alone
+        if message.accepted_epoch:  # 0 for an outcome without a replica of the message
             rows.append(
                 ReplicaRow(
                     name,
@@ -113,5 +115,5 @@
     assert {table: after[table] for table in ("about", "fence")} == {
         table: before[table] for table in ("about", "fence")
     }
-    # The check sum stands beside the body that was put, which is gone from those that have ended.
+    # The checksum column is excluded: it covers the stored body, which ended messages no longer have.
     assert [row[:6] + row[7:] for row in after["message"]] == [row[:6] + row[7:] for row in before["message"]]
--- a/tests/cluster/test_rollback_guard.py
+++ b/tests/cluster/test_rollback_guard.py
@@ -1,4 +1,4 @@
-"""A control-plane node whose folder is restored from a backup, and one that was only down."""
+"""Tests of control-plane nodes whose data folder is restored from a backup, or that were only down."""
 
 from collections.abc import Callable
 from copy import deepcopy
@@ -19,7 +19,7 @@
 
 
 class ControlPlane:
-    """Three control-plane nodes, and the endpoints whose draining they have committed."""
+    """Three control-plane nodes, and the endpoints for which they have committed a drain command."""
 
     def __init__(self) -> None:
         self.deployment = Deployment(3, 3, 0, 0, 3, [], 1.0)
@@ -39,7 +39,7 @@
         return None
 
     def commit_entry(self) -> None:
-        """Have the leader commit an entry, and time for all that are connected to receive it."""
+        """Commit an entry and give all connected nodes time to receive it."""
         leader = self.leader()
         assert leader is not None
         assert leader.life is not None
@@ -52,18 +52,18 @@
         self.committed.append(name)
 
     def backup(self, machine: Machine) -> Callable[[], None]:
-        """Back up a node's folder; returns what restores it."""
+        """Back up a node's data folder; returns a function that restores it."""
         disk = machine.disk
         saved = {key: deepcopy(value) for key, value in vars(disk).items() if key in ("_saved", "_rows")}
         return lambda: vars(disk).update(deepcopy(saved))
 
-    def lost_at(self, machine: Machine) -> list[str]:
-        """What is committed and not in a node's state."""
+    def missing_entries(self, machine: Machine) -> list[str]:
+        """The committed entries that are missing from a node's state."""
         return [name for name in self.committed if name not in machine.part.cluster_state.leaving]
 
 
 def restore_beside_a_lagging_member() -> list[str]:
-    """One follower lags and the other one is restored while the leader is partitioned: what is lost then."""
+    """Entries lost if one follower lags and the other is restored while the leader is partitioned."""
     control_plane = ControlPlane()
     leader = control_plane.leader()
     assert leader is not None
@@ -79,7 +79,7 @@
     restored.start()
     control_plane.run(4.0)
     new_leader = control_plane.leader(lagging, restored)
-    return [] if new_leader is None else control_plane.lost_at(new_leader)
+    return [] if new_leader is None else control_plane.missing_entries(new_leader)
 
 
 def test_a_member_restored_from_a_backup_elects_no_leader_without_committed_entries() -> None:
@@ -103,7 +103,7 @@
         control_plane.commit_entry()
     machine.start()
     control_plane.run(BOUNDS["catchUpS"])
-    assert (machine.part.raft.member_id, control_plane.lost_at(machine)) == (member_id, [])
+    assert (machine.part.raft.member_id, control_plane.missing_entries(machine)) == (member_id, [])
     machine.power_off()
     restore()
     machine.start()
@@ -112,7 +112,7 @@
     assert raft.member_id != member_id
     assert raft.is_voter
     assert member_id not in raft.members
-    assert control_plane.lost_at(machine) == []
+    assert control_plane.missing_entries(machine) == []
 
 
 def test_committed_entries_survive_a_restart_of_all_members_with_one_restored() -> None:
@@ -131,7 +131,7 @@
         control_plane.run(BOUNDS["catchUpS"])
         leader = control_plane.leader()
         assert leader is not None
-        assert control_plane.lost_at(leader) == []
+        assert control_plane.missing_entries(leader) == []
         assert not restored.part.raft.member_id.endswith("/0")
 
 
--- a/tests/cluster/test_unknown_outcomes.py
+++ b/tests/cluster/test_unknown_outcomes.py
@@ -15,7 +15,7 @@
 from amberlug.cluster.simulation.clock import Clock
 from amberlug.cluster.simulation.deployment import Request
 from amberlug.cluster.simulation.mutations_answers import FAULTS
-from tests.cluster.fakes import Alone, settings
+from tests.cluster.fakes import UnresponsiveRuntime, settings
 from tests.cluster.test_control_node import InstantDisk
 from tests.cluster.test_edge_node import UnresponsiveEndpoints
 
@@ -30,7 +30,7 @@
 ) -> tuple[list[AdmissionOutcome], list[Json], list[ReplyCallback]]:
     """Offer a message to a remote owner that replies with these results in order, repeating the last one."""
     clock = Clock()
-    runtime = Alone(clock)
+    runtime = UnresponsiveRuntime(clock)
     edge = EdgeNode(runtime, settings("edge"), "10.0.0.1:7300", UnresponsiveEndpoints())
     edge.shard_owner.update_table(TABLE_WITH_REMOTE_OWNER)
     outcomes: list[AdmissionOutcome] = []
@@ -81,7 +81,7 @@
     :returns: the responses to the operator, and the number of requests to the leader.
     """
     clock = Clock()
-    runtime = Alone(clock)
+    runtime = UnresponsiveRuntime(clock)
     node_settings = settings("core")
     blank_disk = blank(node_settings, lambda bits: 1)
     node = ControlNode(runtime, node_settings, "10.0.0.1:7300", InstantDisk(), blank_disk)
