--- a/amberlug/__init__.py
+++ b/amberlug/__init__.py
@@ -1,1 +1,1 @@
-"""A message relay for partner delivery: a daemon, and the same relay as a library."""
+"""A message relay for delivery to partners, as a daemon and as a library."""
--- a/amberlug/__main__.py
+++ b/amberlug/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m amberlug`: the command line."""
+"""Entry point of `python -m amberlug`."""
 
 from amberlug.cli.main import run
 
--- a/amberlug/asgi.py
+++ b/amberlug/asgi.py
@@ -1,11 +1,12 @@
-"""Middleware that serves the relay's hand-in protocol inside a host's ASGI application.
+"""ASGI middleware that serves the relay's submission protocol inside a host's application.
 
-Pure ASGI 3, with no framework imported. It opens its relay with the host's lifespan and closes it with that,
-answers what lies under its prefix, and gives handlers the relay in the scope's state:
+It is pure ASGI 3 and imports no framework. It opens and closes its relay with the host's lifespan, handles
+requests under its prefix, and passes the relay to handlers in the scope's state:
 
     app = RelayMiddleware(app, relay=Relay(...), prefix="/relay")
 
-`POST {prefix}/{class}` takes a hand-in as the daemon does, `GET {prefix}/up` tells whether it is open.
+`POST {prefix}/{class}` submits a message as to the daemon, `GET {prefix}/up` reports whether the relay is
+open.
 """
 
 from __future__ import annotations
@@ -33,18 +34,18 @@
 Send = Callable[[Event], Awaitable[None]]
 Application = Callable[[Scope, Receive, Send], Awaitable[None]]
 
-READING_FOR = 2.0  # seconds for a whole body
-READING_MOST = 256  # bodies that are read at once: with 64 KiB each, a bound on memory
+READING_FOR = 2.0  # timeout for a whole body, in seconds
+READING_MOST = 256  # bodies read concurrently; with 64 KiB each, this bounds memory
 BUSY_RETRY_US = 1_000_000
 NOT_OPEN: Answer = (503, "the relay is not open", BUSY_RETRY_US)
 
 
 class _GoneError(Exception):
-    """The client has left."""
+    """The client has disconnected."""
 
 
 class RelayMiddleware:
-    """An ASGI application round another."""
+    """An ASGI application that wraps another."""
 
     def __init__(self, app: Application, relay: Relay, prefix: str = "/relay") -> None:
         if not prefix.startswith("/") or prefix.endswith("/"):
@@ -58,17 +59,18 @@
             return
         path = self._below(scope)
         if path is None:
-            # The host gives each request a copy of the lifespan's state, or none at all.
+            # The server passes each request a copy of the lifespan's state, or none at all.
             state = {**scope.get("state", {}), "relay": self.relay}
             await self._app({**scope, "state": state}, receive, send)
         elif scope["type"] == "http":
             await self._serve(scope, path, receive, send)
         else:
             await receive()
-            await send({"type": "websocket.close", "code": 1000})  # before it is accepted: answered 403
+            # Closed before it is accepted: the server responds with 403.
+            await send({"type": "websocket.close", "code": 1000})
 
     def _below(self, scope: Scope) -> str | None:
-        """The path under the prefix, if it lies there; a root path that the host mounted it at is passed."""
+        """The path relative to the prefix, or None outside it; the root path of a mount is skipped."""
         path: str = scope["path"]
         root: str = scope.get("root_path", "")
         if root and path.startswith(root):
@@ -76,10 +78,10 @@
         under = path == self._prefix or path.startswith(self._prefix + "/")
         return path[len(self._prefix) :] if under else None
 
-    # The host's life.
+    # The lifespan.
 
     async def _live(self, scope: Scope, receive: Receive, send: Send) -> None:
-        """Open before the application starts, and close after it has stopped: its handlers use the relay."""
+        """Open the relay before the application starts; close it after that has stopped using it."""
         await receive()
         try:
             await self.relay.open()
@@ -97,11 +99,11 @@
                 await self.relay.close()
                 await send(failed or {"type": "lifespan.shutdown.complete"})
         finally:
-            # Guards against a host that cancels its lifespan, or fails: what is held stays in the folder.
+            # Also runs if the lifespan fails or is cancelled; pending messages stay in the folder.
             inner.cancel()
             self.relay.abandon()
 
-    # Hand-ins.
+    # Submissions.
 
     async def _serve(self, scope: Scope, path: str, receive: Receive, send: Send) -> None:
         try:
@@ -121,12 +123,12 @@
         await send({"type": "http.response.body", "body": body})
 
     async def _answer(self, scope: Scope, path: str, receive: Receive) -> Answer:
-        """Tell what a request is answered; `BadRequestError` where it is bad."""
+        """The response to a request; raises `BadRequestError` if it is invalid."""
         if path == "/up":
             if scope["method"] != "GET":
                 raise BadRequestError(405, "use GET")
             return (200, "up", 0) if self.relay.is_open else NOT_OPEN
-        # Asked first: nothing that could be read helps where nothing can be taken on.
+        # Checked first: there is no point in reading a request while no message can be accepted.
         if not self.relay.is_open:
             return NOT_OPEN
         headers = [(bytes(name).lower(), bytes(value)) for name, value in scope["headers"]]
@@ -141,7 +143,7 @@
             body = await _body(receive)
         finally:
             self._reading -= 1
-        if not self.relay.is_open:  # it closed while the body came
+        if not self.relay.is_open:  # closed while the body was read
             return NOT_OPEN
         fields = {name.decode("latin-1"): value.decode("latin-1") for name, value in headers}
         message, left_us = read_message(settings, self.relay.serves, path, fields, body, self.relay.wall_ms())
@@ -150,11 +152,11 @@
         try:
             return answer(await _unless_gone(told, receive))
         finally:
-            self.relay.withdraw(hand_in)  # no harm to one that was settled
+            self.relay.withdraw(hand_in)  # has no effect once it is settled
 
 
 async def _body(receive: Receive) -> bytes:
-    """Read a whole body, no longer and no slower than is allowed."""
+    """Read a whole body within the limits of size and time."""
     body = bytearray()
     try:
         async with asyncio.timeout(READING_FOR):
@@ -172,7 +174,7 @@
 
 
 async def _unless_gone(told: asyncio.Future[Refusal | None], receive: Receive) -> Refusal | None:
-    """Wait for the answer; `_GoneError` where the client leaves before it."""
+    """Wait for the decision; raises `_GoneError` if the client disconnects first."""
     if told.done():
         return told.result()
     left = asyncio.ensure_future(_gone(receive))
@@ -187,13 +189,13 @@
 
 
 async def _gone(receive: Receive) -> None:
-    """Wait until the client has left."""
+    """Wait until the client has disconnected."""
     while (await receive())["type"] != "http.disconnect":
         pass
 
 
 class _Inner:
-    """The application's own lifespan, which it may not have."""
+    """The lifespan of the wrapped application, which is optional."""
 
     def __init__(self, app: Application, scope: Scope) -> None:
         self._told: asyncio.Queue[Event] = asyncio.Queue()
@@ -201,24 +203,24 @@
         self._task = asyncio.ensure_future(_run(app, scope, self._told.get, self._said.put))
 
     async def ask(self, what: str) -> Event | None:
-        """Have it start or stop: its event where that failed. One that has no lifespan is passed over."""
+        """Request startup or shutdown; returns the event if that failed, None also without a lifespan."""
         self._told.put_nowait({"type": f"lifespan.{what}"})
         said = asyncio.ensure_future(self._said.get())
         await asyncio.wait({said, self._task}, return_when=asyncio.FIRST_COMPLETED)
         if not said.done():
             said.cancel()
             if not self._task.cancelled() and (error := self._task.exception()) is not None:
-                log(f"the application has no lifespan: {error!r}")
+                log(f"the application does not support the lifespan protocol: {error!r}")
             return None
         event = said.result()
         return event if event["type"] == f"lifespan.{what}.failed" else None
 
     def cancel(self) -> None:
-        """End it, whatever it does."""
+        """Cancel it and discard any error."""
         self._task.cancel()
         self._task.add_done_callback(lambda task: task.cancelled() or task.exception())
 
 
 async def _run(app: Application, scope: Scope, receive: Receive, send: Send) -> None:
-    """Run the application inside its task: also one that raises at once."""
+    """Run the application inside its task, so that an error raised at once is caught as well."""
     await app(scope, receive, send)
--- a/amberlug/cli/__init__.py
+++ b/amberlug/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The command line: serve, check, try."""
+"""The command line interface."""
--- a/amberlug/cli/checking.py
+++ b/amberlug/cli/checking.py
@@ -1,4 +1,4 @@
-"""`amberlug check`: what is wrong with a configuration, or with an operator's file beside it."""
+"""`amberlug check`: validates a configuration, an MQTT mapping or a fleet file."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def main(path: Path, config: Path | None, as_json: bool) -> int:
-    """Print all problems of a file; 1 where there are any, 2 where it can't be read."""
+    """Print all problems of a file; returns 1 if there are any, 2 if it cannot be read."""
     try:
         text = path.read_text(encoding="utf-8")
         beside = config.read_text(encoding="utf-8") if config is not None else None
@@ -32,9 +32,9 @@
 
 
 def _toml(path: Path, text: str, beside: str | None) -> list[Problem]:
-    """What is wrong with an operator's file: a fleet, which has members, or an MQTT mapping.
+    """The problems of a fleet file, recognized by its members, or else of an MQTT mapping.
 
-    It is held against the settings of a configuration where one is given.
+    It is also checked against the settings of a configuration if one is given.
     """
     settings = None
     if beside is not None:
--- a/amberlug/cli/drills.py
+++ b/amberlug/cli/drills.py
@@ -1,4 +1,4 @@
-"""`amberlug drill`: real processes under drawn faults, a live view, a verdict that can be played again."""
+"""`amberlug drill`: runs real processes under random faults with a live view; a seed repeats the run."""
 
 from __future__ import annotations
 
@@ -17,13 +17,13 @@
 
 
 class View:
-    """What is going on, as a table that is drawn anew."""
+    """The live view: a table that is redrawn on each change."""
 
     def __init__(self, live: Live | None) -> None:
         self._live, self._did = live, list[str]()
 
     def __call__(self, fleet: Fleet, doing: str) -> None:
-        """Show what is being done, and where the promises stand."""
+        """Show the current action and the state of the accepted messages."""
         self._did = [*self._did[-5:], doing]
         if self._live is None:
             return
@@ -38,7 +38,7 @@
 
 
 def verdict_table(verdict: Verdict) -> Table:
-    """What came of it, for people."""
+    """Format the verdict as a table."""
     table = Table("what", "count", title="KEPT" if not verdict.broken else "BROKEN")
     for name in ("handed_in", "promised", "refused", "unanswered", "delivered", "late", "lost"):
         label = "relays lost with their disks" if name == "lost" else name.replace("_", " ")
@@ -48,7 +48,7 @@
 
 
 def loss(relays: int, copies: int, seed: int, seconds: float, as_json: bool) -> int:
-    """Play a drill with losses; 1 where a promise was broken, 2 where it can't be played."""
+    """Run a drill that loses relays; returns 1 if a promise was broken, 2 if it cannot be run."""
     if relays < 2 * copies + 1:
         print(f"amberlug: {copies} copies need {2 * copies + 1} relays", file=sys.stderr)
         return 2
--- a/amberlug/cli/journals.py
+++ b/amberlug/cli/journals.py
@@ -1,4 +1,4 @@
-"""`amberlug journal`: looks into a state folder, and saves what can be read of a damaged one."""
+"""`amberlug journal`: inspects a state folder and salvages the readable records of a damaged one."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
 from amberlug.core.journal.recovery import Found, held, read_folder
 from amberlug.core.ports import Held
 
-ROOM = 1 << 40  # bytes: a salvaged journal takes what it needs
+ROOM = 1 << 40  # size limit in bytes; in effect none for a salvaged journal
 
 
 def main(command: str, folder: Path, to: Path | None, as_json: bool) -> int:
-    """Run one command; 0, 1 where something is damaged, 2 where the folder can't be read or written."""
+    """Run a command; returns 0, 1 if there is damage, or 2 if the folder cannot be read or written."""
     if not folder.is_dir():
-        print(f"amberlug: {folder} is no folder", file=sys.stderr)
+        print(f"amberlug: {folder} is not a folder", file=sys.stderr)
         return 2
     disk = FolderDisk(folder, writable=False)
     try:
@@ -45,7 +45,7 @@
 
 
 def look(found: Found, ones: Mapping[str, Held]) -> dict[str, Any]:
-    """What a folder holds, in figures."""
+    """Summarize the contents of a folder."""
     going = [one for one in ones.values() if one.end is None]
     return {
         "segments": [{"number": it.number, "bytes": it.size} for it in found.segments],
@@ -59,7 +59,7 @@
 
 
 def show(figures: Mapping[str, Any], damage: list[str]) -> None:
-    """Print it for a person."""
+    """Print the summary as text."""
     for name, value in figures.items():
         if name == "segments":
             print(f"segments: {len(value)}")
@@ -77,7 +77,7 @@
 
 
 def salvage(found: Found, ones: Mapping[str, Held], to: Path, now_ms: int) -> None:
-    """Write what could be read to a new folder; `OSError` where it is not empty."""
+    """Write the readable records to a new folder; raises `OSError` if it is not empty."""
     to.mkdir(parents=True, exist_ok=True)
     if any(to.iterdir()):
         raise OSError(f"{to} is not empty")
--- a/amberlug/cli/labs.py
+++ b/amberlug/cli/labs.py
@@ -1,4 +1,4 @@
-"""`amberlug lab run` and `days`: play scenarios in virtual time, and sum up what came of them."""
+"""`amberlug lab run` and `days`: simulate scenarios in virtual time and summarize the results."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 def main(names: Sequence[str], seeds: int, processes: int | None, store: Path) -> int:
-    """Play them; 0, 1 where a rule was broken, 2 where a scenario is bad or the store can't be used."""
+    """Run scenarios; returns 0, 1 if a rule was broken, 2 if a scenario is invalid or the store unusable."""
     paths = [found(name) for name in names] or sorted(LIBRARY.glob("*.toml"))
     try:
         jobs = jobs_of(paths, seeds)
@@ -39,7 +39,7 @@
                 screen.write(f"\r{count} of {len(jobs)}: {job.path.stem} seed {job.seed} {how}   ")
                 screen.flush()
     except KeyboardInterrupt:
-        print("\nstopped: what was played is kept", file=sys.stderr)
+        print("\nstopped; completed runs are kept", file=sys.stderr)
     finally:
         runs.close()
     if screen is not None:
@@ -51,7 +51,7 @@
 
 
 def fleet(first: int, count: int, relays: int, processes: int | None) -> int:
-    """Play drawn days of a whole fleet; 0, or 1 where a rule was broken."""
+    """Simulate random days of a whole fleet; returns 0, or 1 if a rule was broken."""
     broken = served = 0.0
     for it in days(first, count, relays, processes or os.cpu_count() or 1):
         print(f"{it['scenario']}: {it['messages']} messages, service {it['service']:.3f}")
@@ -63,6 +63,6 @@
 
 
 def found(name: str) -> Path:
-    """A scenario's file: one of the library by its name, or any by its path."""
+    """The file of a scenario: a built-in one by its name, or any other by its path."""
     path = LIBRARY / f"{name}.toml"
     return path if path.is_file() else Path(name)
--- a/amberlug/cli/learnings.py
+++ b/amberlug/cli/learnings.py
@@ -1,4 +1,4 @@
-"""`amberlug learning`: shows what a relay has learned of its partners, and has it forget."""
+"""`amberlug learning`: shows, compares and deletes what a relay has learned about its partners."""
 
 from __future__ import annotations
 
@@ -22,11 +22,11 @@
 from amberlug.policy.account import UNLIMITED
 from amberlug.policy.state import NEVER
 
-ROOM = 1 << 30  # bytes: a folder of any installation is read
+ROOM = 1 << 30  # size limit in bytes, above that of any installation
 
 
 class Now:
-    """The machine's clocks, of which no timer is asked."""
+    """The machine's clocks, without timers."""
 
     def __init__(self) -> None:
         self.boot = boot_of(self.now_us())
@@ -42,30 +42,30 @@
 
 
 class ReadOnlyDisk(FolderDisk):
-    """A folder in which nothing is changed, whoever has it."""
+    """A folder that is opened read-only, so that it may be in use."""
 
     def __init__(self, folder: Path) -> None:
         super().__init__(folder, writable=False)
 
     def create(self, name: str) -> None:
-        raise OSError(errno.EROFS, "only read")
+        raise OSError(errno.EROFS, "the folder is opened read-only")
 
     def append(self, name: str, data: bytes) -> int:
-        raise OSError(errno.EROFS, "only read")
+        raise OSError(errno.EROFS, "the folder is opened read-only")
 
     def truncate(self, name: str, size: int) -> None:
-        raise OSError(errno.EROFS, "only read")
+        raise OSError(errno.EROFS, "the folder is opened read-only")
 
     def remove(self, name: str) -> None:
-        raise OSError(errno.EROFS, "only read")
+        raise OSError(errno.EROFS, "the folder is opened read-only")
 
 
 def main(options: argparse.Namespace) -> int:
-    """Run one command; 0, 1 where something is not believed or differs, 2 where it can't be done."""
+    """Run a command; returns 0, 1 if a fact is rejected or differs, or 2 if the command cannot be run."""
     folders = [options.folder, *([options.other] if options.action == "diff" else [])]
     for folder in folders:
         if not folder.is_dir():
-            print(f"amberlug: {folder} is no folder", file=sys.stderr)
+            print(f"amberlug: {folder} is not a folder", file=sys.stderr)
             return 2
     try:
         key = b"" if options.key is None else read_key(options.key)
@@ -95,7 +95,7 @@
 
 
 def forget(folder: Path, destination: int, endpoint: str | None, key: bytes, as_json: bool) -> int:
-    """Forget something; `FolderInUseError`, an `OSError`, while a relay has the folder."""
+    """Delete learned facts; raises `FolderInUseError`, an `OSError`, while a relay has the folder open."""
     lock = FolderLock(folder, lambda: True)
     try:
         learner = _opened(FolderDisk(folder), key)
@@ -109,7 +109,7 @@
 
 
 def look(learner: Learner, destination: int | None = None, endpoint: str | None = None) -> dict[str, Any]:
-    """What is believed, as plain figures: times in seconds, ages before now."""
+    """The accepted facts as plain values; times are in seconds, and times of events are ages."""
     now_us = Now().now_us()
     partners = []
     for kept, waits in learner.destinations():
@@ -192,7 +192,7 @@
 
 
 def differences(one: dict[str, Any], other: dict[str, Any]) -> list[str]:
-    """What two folders believe unlike each other; ages apart, which differ by when each was written."""
+    """The facts that differ between two folders, except ages, which depend on when each was written."""
     sides = [_flat(it) for it in (one, other)]
     return [
         f"{name}: {sides[0].get(name, 'unknown')} | {sides[1].get(name, 'unknown')}"
@@ -215,7 +215,7 @@
 
 
 def show(found: dict[str, Any], refused: list[str]) -> None:
-    """Print it for a person."""
+    """Print facts, differences and rejected records as text."""
     for it in found.get("destinations", ()):
         answers = ", ".join(f"{name} {value} s" for name, value in it["answers_s"].items() if value)
         print(f"destination {it['destination']}: learned {it['learned_s']} s ago; {answers or 'no answers'}")
--- a/amberlug/cli/main.py
+++ b/amberlug/cli/main.py
@@ -1,4 +1,4 @@
-"""The command line: reads the arguments; what a command needs is imported with that command alone."""
+"""Parses the command line; the modules of a command are imported only when it is run."""
 
 from __future__ import annotations
 
@@ -11,71 +11,71 @@
 
 
 def positive(text: str) -> int:
-    """Read a whole number of one or more; `ValueError` for any other."""
+    """Parse a positive integer; raises `ValueError` otherwise."""
     if (number := int(text)) < 1:
         raise ValueError(text)
     return number
 
 
 def parser() -> argparse.ArgumentParser:
-    """Describe the command line."""
+    """Create the argument parser."""
     it = argparse.ArgumentParser("amberlug", description="A message relay for partner delivery.")
     commands = it.add_subparsers(dest="command", metavar="COMMAND")
     commands.add_parser("serve", help="run one relay, configured by ROUTER_* variables (the default)")
-    check = commands.add_parser("check", help="check a configuration: all its errors, each with its place")
+    check = commands.add_parser("check", help="check a configuration and print all errors with locations")
     check.add_argument("file", type=Path, help="a configuration, an MQTT mapping or a fleet (.toml)")
-    check.add_argument("--config", type=Path, help="the configuration that a mapping is to fit")
-    trial = commands.add_parser("try", help="run the relay among stand-ins for some ten seconds")
-    journal = commands.add_parser("journal", help="look into a state folder; save what a damaged one holds")
+    check.add_argument("--config", type=Path, help="the configuration to check a mapping or fleet against")
+    trial = commands.add_parser("try", help="run the relay against simulated partners for about ten seconds")
+    journal = commands.add_parser("journal", help="inspect a state folder or salvage a damaged one")
     actions = journal.add_subparsers(dest="action", metavar="ACTION", required=True)
-    inspect = actions.add_parser("inspect", help="what is held, how large, what is damaged")
-    verify = actions.add_parser("verify", help="what is damaged")
-    salvage = actions.add_parser("salvage", help="write what can be read to a new folder")
+    inspect = actions.add_parser("inspect", help="show contents, sizes and damage")
+    verify = actions.add_parser("verify", help="show damage only")
+    salvage = actions.add_parser("salvage", help="write the readable records to a new folder")
     for action in (inspect, verify, salvage):
         action.add_argument("folder", type=Path)
     salvage.add_argument("to", type=Path)
-    learning = commands.add_parser("learning", help="look into what a relay has learned of its partners")
+    learning = commands.add_parser("learning", help="inspect what a relay has learned about its partners")
     actions = learning.add_subparsers(dest="action", metavar="ACTION", required=True)
     learned = [
-        actions.add_parser("show", help="what is believed, since when, and how much it weighs now"),
-        actions.add_parser("verify", help="what is not believed, and why"),
-        actions.add_parser("diff", help="what two folders believe unlike each other"),
-        actions.add_parser("forget", help="forget a destination or an endpoint, while no relay runs there"),
+        actions.add_parser("show", help="show accepted facts, their age and current weight"),
+        actions.add_parser("verify", help="show rejected records and the reasons"),
+        actions.add_parser("diff", help="show the differences between two folders"),
+        actions.add_parser("forget", help="delete a destination or an endpoint (no relay may be running)"),
     ]
     for action in learned:
         action.add_argument("folder", type=Path)
-        action.add_argument("--key", type=Path, help="the file of the key that it was written with")
-    learned[0].add_argument("--endpoint", help="only this one")
-    learned[0].add_argument("--destination", type=int, help="only this one")
+        action.add_argument("--key", type=Path, help="file with the key that the folder was written with")
+    learned[0].add_argument("--endpoint", help="show this endpoint only")
+    learned[0].add_argument("--destination", type=int, help="show this destination only")
     learned[2].add_argument("other", type=Path)
     learned[3].add_argument("--destination", type=int, required=True)
-    learned[3].add_argument("--endpoint", help="only its health; else all of the destination but told waits")
-    lab = commands.add_parser("lab", help="play a whole service in virtual time (needs the extra `lab`)")
+    learned[3].add_argument("--endpoint", help="delete its health only; default: all but requested waits")
+    lab = commands.add_parser("lab", help="simulate a whole service in virtual time (needs the extra `lab`)")
     actions = lab.add_subparsers(dest="action", metavar="ACTION", required=True)
-    played = actions.add_parser("run", help="play scenarios, and sum up what came of them")
-    played.add_argument("scenario", nargs="*", help="a name of the library, or a file; none for the library")
-    played.add_argument("--seeds", type=int, default=8, help="plays of each")
-    played.add_argument("--jobs", type=int, help="processes; as many as there are cores")
-    played.add_argument("--store", type=Path, default=Path("lab.db"), help="where runs are kept")
-    drawn = actions.add_parser("days", help="play drawn days of a whole fleet, and tell the rules broken")
-    drawn.add_argument("--first", type=int, default=1, help="seed of the first")
-    drawn.add_argument("--count", type=positive, default=20, help="how many")
+    played = actions.add_parser("run", help="run scenarios and summarize the results")
+    played.add_argument("scenario", nargs="*", help="built-in name or file; default: all built-in scenarios")
+    played.add_argument("--seeds", type=int, default=8, help="number of seeds per scenario")
+    played.add_argument("--jobs", type=int, help="number of processes; default: one per core")
+    played.add_argument("--store", type=Path, default=Path("lab.db"), help="database of completed runs")
+    drawn = actions.add_parser("days", help="simulate random days of a whole fleet and report broken rules")
+    drawn.add_argument("--first", type=int, default=1, help="seed of the first day")
+    drawn.add_argument("--count", type=positive, default=20, help="number of days")
     drawn.add_argument("--relays", type=positive, default=200)
-    drawn.add_argument("--jobs", type=positive, help="processes; as many as there are cores")
-    drill = commands.add_parser("drill", help="real relays under drawn faults (needs the extra `fleet`)")
+    drawn.add_argument("--jobs", type=positive, help="number of processes; default: one per core")
+    drill = commands.add_parser("drill", help="run real relays under random faults (needs the extra `fleet`)")
     actions = drill.add_subparsers(dest="action", metavar="ACTION", required=True)
-    loss = actions.add_parser("loss", help="lose machines with their disks, and see what becomes of promises")
+    loss = actions.add_parser("loss", help="lose machines with their disks and check the accepted messages")
     loss.add_argument("--relays", type=positive, default=3)
     loss.add_argument("--copies", type=int, default=1)
     loss.add_argument("--seed", type=int, default=1)
     loss.add_argument("--seconds", type=float, default=30.0)
     for command in (loss, check, trial, inspect, verify, salvage, *learned):
-        command.add_argument("--json", action="store_true", help="print one JSON object, for machines")
+        command.add_argument("--json", action="store_true", help="print one JSON object")
     return it
 
 
 def main(arguments: Sequence[str] | None = None) -> int:
-    """Run a command; its exit code."""
+    """Run a command and return its exit code."""
     options = parser().parse_args(arguments)
     if options.command == "check":
         from amberlug.cli import checking
@@ -119,5 +119,5 @@
 
 
 def run() -> None:
-    """Run it as an installed program."""
+    """Entry point of the installed program."""
     sys.exit(main())
--- a/amberlug/cli/trial.py
+++ b/amberlug/cli/trial.py
@@ -1,4 +1,4 @@
-"""`amberlug try`: the real relay among stand-ins on loopback, with no configuration."""
+"""`amberlug try`: runs the real relay against simulated partners on loopback, without a configuration."""
 
 from __future__ import annotations
 
@@ -17,13 +17,13 @@
 
 MOODS = {1: [STEADY, STEADY], 2: [SLOW, SLOW], 3: [LIMITED], 4: [DROPPING, DROPPING], 5: [DRAINING, DRAINING]}
 MESSAGES = 300
-SECONDS = 5.0  # over which they are handed in
-REDRAW = 0.2
-SETTLE = 0.4  # seconds beyond the last message's time: an end that comes late still counts as late
+SECONDS = 5.0  # period over which they are submitted
+REDRAW = 0.2  # seconds between updates of the progress line
+SETTLE = 0.4  # seconds waited after the last deadline, so that late outcomes are counted as late
 
 
 async def play(messages: int, seconds: float, screen: TextIO | None) -> dict[str, Any]:
-    """Play it; what came of it, as plain figures."""
+    """Run the trial and return its figures."""
     chance = random.Random(7)
     with tempfile.TemporaryDirectory() as folder:
         async with Deployment(Path(folder), MOODS) as deployment:
@@ -47,7 +47,7 @@
 
 
 async def _draw(deployment: Deployment, messages: int, screen: TextIO | None) -> None:
-    """Show how far it is, on one line."""
+    """Show the progress on one line."""
     while screen is not None:
         tally = deployment.tally
         line = f"{tally.handed_in:4d} of {messages} handed in, {tally.taken:4d} taken on"
@@ -91,7 +91,7 @@
 
 
 def table(figures: dict[str, Any]) -> str:
-    """Lay the figures out for a person."""
+    """Format the figures as a table."""
     rows = [[name.replace("_", " ") for name in COLUMNS]]
     for row in figures["partners"]:
         rows.append(["-" if row[name] is None else str(row[name]) for name in COLUMNS])
@@ -104,7 +104,7 @@
 
 
 def main(as_json: bool, messages: int = MESSAGES, seconds: float = SECONDS) -> int:
-    """Play it and print what came of it; 1 where a rule was broken."""
+    """Run the trial and print its figures; returns 1 if a rule was broken."""
     screen = sys.stderr if not as_json and sys.stderr.isatty() else None
     figures = asyncio.run(play(messages, seconds, screen))
     if screen is not None:
--- a/amberlug/http/calls.py
+++ b/amberlug/http/calls.py
@@ -1,4 +1,4 @@
-"""Connections to endpoints, and the calls and probes on them."""
+"""Calls and probes to endpoints over pooled connections."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
 from amberlug.http.link import Link, LinkLostError, Reply, dial
 from amberlug.policy.interface import Result, Settings
 
-IDLE_MARGIN = 0.5  # seconds that an idle connection is closed before the endpoint may close it
-WAIT_MOST_MS = 3_600_000  # longest told wait that is kept
+IDLE_MARGIN = 0.5  # seconds by which an idle connection is closed before the endpoint's idle timeout
+WAIT_MOST_MS = 3_600_000  # cap on the wait that an endpoint asks for
 BATCH_ENDS = {
     "ok": Ending(Result.DONE),
     "error": Ending(Result.ERROR),
@@ -26,7 +26,7 @@
 
 
 def report(text: str, names: Sequence[str]) -> tuple[float, ...]:
-    """Read a load report's values in the order of the settings; () where it can't be read."""
+    """Parse the values of a load report, in the order of the settings; () if it is malformed."""
     found: dict[str, float] = {}
     for part in text.split(","):
         name, _, value = part.strip().partition("=")
@@ -34,23 +34,23 @@
             found[name] = float(value)
         except ValueError:
             return ()
-        # Guards against figures that no endpoint can mean: they would pass into an account's limit.
+        # Rejects impossible values, which would otherwise enter the limit of the endpoint's account.
         if not 0 <= found[name] < math.inf:
             return ()
     return tuple(found.get(name, 0.0) for name in names) if names else ()
 
 
 def wait_us(reply: Reply) -> int:
-    """Read the told wait; one that can't be read is none."""
+    """Parse the requested wait in microseconds; 0 if it is malformed."""
     text = reply.headers.get("wait-ms", "").strip()
     if not (text.isascii() and text.isdigit()):
         return 0
-    # Guards against digits without end, on which int() raises; no message lives as long as the longest wait.
+    # Prevents the error that int() raises for very long digit strings; no message lives as long as the cap.
     return min(int(text[:18]), WAIT_MOST_MS) * 1000
 
 
 def ending(reply: Reply, names: Sequence[str]) -> Ending:
-    """Tell what an answer to a call with one fate means."""
+    """Map the response to a call with a single result to that result."""
     told = report(reply.headers.get("srv-load", ""), names)
     if reply.status == 200:
         return Ending(Result.DONE, wait_us(reply), report=told)
@@ -58,7 +58,7 @@
         if reply.headers.get("slots-taken") == "1":
             return Ending(Result.UNSENT, report=told)
         return Ending(Result.REFUSED, wait_us(reply), report=told)
-    if reply.status in (400, 413, 504):  # never ran
+    if reply.status in (400, 413, 504):  # not executed
         return Ending(Result.UNSENT, report=told)
     if reply.status == 410:
         return Ending(Result.UNSENT, over=True, report=told)
@@ -66,7 +66,7 @@
 
 
 def batch_endings(reply: Reply, names: Sequence[str]) -> Mapping[str, Ending]:
-    """Tell each message's end from the answer to a batch; one that is not named may have run."""
+    """Parse the results per message of a batch response; a message it omits may have been executed."""
     told, wait = report(reply.headers.get("srv-load", ""), names), wait_us(reply)
     ends: dict[str, Ending] = {}
     for line in reply.body.decode("latin-1").splitlines():
@@ -78,15 +78,15 @@
 
 
 def lost(error: LinkLostError) -> Ending:
-    """Tell what a lost connection means: what was written or had an answer may have run."""
-    # Guards against trusting a spoilt head: a 429 there does not tell that the call never ran.
+    """Map a lost connection to a result: a call that was written or partly answered may have run."""
+    # A corrupt response head is not trusted: a 429 in it does not prove that the call was not executed.
     if error.answered:
         return Ending(Result.SPOILT)
     return Ending(Result.RESET if error.written else Result.UNCONNECTED)
 
 
 class Pool:
-    """Connections to endpoints, the one used last taken first."""
+    """Connections to endpoints; the most recently used one is reused first."""
 
     def __init__(self, settings: Settings, most: int) -> None:
         self._most = most
@@ -94,14 +94,13 @@
         self._life = max(0.1, settings.idle_us / 1e6 - IDLE_MARGIN)
         self._addresses: dict[str, Address] = {}
         self._idle: dict[str, list[Link]] = {}
-        self._timers: dict[
-            Link, tuple[str, asyncio.TimerHandle]
-        ] = {}  # of those that idle, the longest first
+        # Idle connections with their endpoints and timers, in the order in which they became idle.
+        self._timers: dict[Link, tuple[str, asyncio.TimerHandle]] = {}
         self._links: set[Link] = set()
         self.dialing = 0
 
     def locate(self, endpoint: str, address: Address | None, kind: str = "") -> None:
-        """Learn where an endpoint is, or that it is gone."""
+        """Set the address of an endpoint, or remove it."""
         if address != self._addresses.get(endpoint):
             self.close_idle(endpoint)
         if address is None:
@@ -110,9 +109,10 @@
             self._addresses[endpoint] = address
 
     async def take(self, endpoint: str, seconds: float, fresh: bool = False) -> Link | None:
-        """Take an idle connection or dial a new one; None where none came up."""
+        """Acquire an idle connection or open a new one; None if none could be established."""
         if fresh and endpoint in self._idle:
-            self._retire(self._idle[endpoint][0])  # the new one takes its place at the endpoint
+            # The new one replaces it in the endpoint's connection table.
+            self._retire(self._idle[endpoint][0])
         while not fresh and (idle := self._idle.get(endpoint)) is not None:
             link = idle[-1]
             self._forget(link)
@@ -135,14 +135,15 @@
         return link_or_none
 
     def _make_room(self) -> None:
-        """Close what has been idle longest where a further connection would be one too many."""
-        # Guards against running out of descriptors. Calls alone don't: the module has fewer slots than links.
+        """Close the connection that has been idle longest if another one would exceed the maximum."""
+        # Prevents running out of file descriptors. Active calls cannot exceed them: the decision module has
+        # fewer slots than there are connections.
         if len(self._links) + self.dialing >= self._most and self._timers:
             self._retire(next(iter(self._timers)))
 
     def give(self, endpoint: str, link: Link) -> None:
-        """Keep a connection for the next call, for less than the time that the endpoint keeps it."""
-        # Guards against keeping one to where the endpoint no longer is, or of one that is gone.
+        """Return a connection to the pool for reuse, for less than the endpoint's idle timeout."""
+        # Drops connections to an address that the endpoint no longer has, or to a removed endpoint.
         if not link.usable or self._addresses.get(endpoint) != link.where:
             link.close()
             return
@@ -157,7 +158,7 @@
             link.close()
 
     def close_idle(self, endpoint: str) -> None:
-        """Close the connections to an endpoint that carry no call."""
+        """Close the idle connections to an endpoint."""
         for link in list(self._idle.get(endpoint, ())):
             self._retire(link)
 
@@ -170,7 +171,7 @@
         self._links.discard(link)
 
     def _forget(self, link: Link) -> None:
-        """Take a connection out of those that idle; an endpoint without any leaves no record."""
+        """Remove a connection from the idle ones, and the endpoint's entry if it was the last."""
         if link not in self._timers:
             return
         endpoint, timer = self._timers.pop(link)
@@ -181,7 +182,7 @@
 
 
 class Caller:
-    """Makes the calls: one at a time on a connection, each attempt's end reported once."""
+    """Makes calls, one at a time per connection, and reports the result of each attempt once."""
 
     def __init__(self, settings: Settings, links: int, clock: Clock) -> None:
         self._settings, self._clock = settings, clock.now_us
@@ -191,7 +192,7 @@
         self._nudges: dict[Attempt, asyncio.Future[None]] = {}
 
     def bind(self, calls: Calls) -> None:
-        """Learn who clears attempts and is told their ends."""
+        """Set the core, which clears attempts to be sent and receives their results."""
         self._calls, self._ended = calls, calls.ended
 
     @property
@@ -199,31 +200,31 @@
         return bool(self._nudges)
 
     def abandon(self) -> None:
-        """Give up all calls and connections; no more ends are reported."""
+        """Cancel all calls, close all connections and report no more results."""
         self._ended = _unheard
         for task in list(self._tasks):
             task.cancel()
         self.pool.close()
 
     def call(self, endpoint: str, attempts: list[Attempt], fresh: bool) -> None:
-        """Send one call with one or more messages, on a new connection where that is wanted."""
+        """Send one call with one or more messages, on a new connection if `fresh` is set."""
         self._listen(attempts)
         self._start(self._call(endpoint, attempts, fresh))
 
     def _listen(self, attempts: Sequence[Attempt]) -> asyncio.Future[None]:
-        """Make what wakes the call's task: an answer, its time, or an attempt that is called off."""
+        """Create the future that wakes the call's task on a response, a timeout or a cancelled attempt."""
         nudge = asyncio.get_running_loop().create_future()
         self._nudges.update(dict.fromkeys((it for it in attempts if not it.ended), nudge))
         return nudge
 
     def call_off(self, attempt: Attempt) -> None:
-        """Stop waiting for an attempt; its end is reported as any other."""
+        """Stop waiting for an attempt; its result is reported like any other."""
         attempt.called_off = True
         if (nudge := self._nudges.get(attempt)) is not None:
             _wake(nudge)
 
     def probe(self, endpoint: str, ended: Callable[[Ending], None]) -> None:
-        """Ask an endpoint whether it is well."""
+        """Send a health probe to an endpoint."""
         self._start(self._probe(endpoint, ended))
 
     def _start(self, work: Coroutine[Any, Any, None]) -> None:
@@ -253,11 +254,12 @@
             finally:
                 self.pool.give(endpoint, link)
         finally:
-            # Guards against an error that leaves an attempt without an outcome, and its slot taken for good.
+            # Ensures that an error never leaves an attempt without a result, which would occupy its slot
+            # forever.
             self._end_all(attempts, Ending(Result.RESET))
 
     async def _use(self, link: Link, attempts: list[Attempt]) -> None:
-        # A dial takes time: what a drain, a wait or an end forbids by now is not sent.
+        # Connecting takes time: a drain, a requested wait or an outcome may have ruled out sending since.
         cleared = await departing(self._calls, attempts)
         self._end_all([attempt for attempt in attempts if attempt not in cleared], Ending(Result.UNSENT))
         for attempt in cleared:
@@ -270,7 +272,7 @@
         while not reply.done():
             waits_us = self._give_up(attempts)
             if not any(not attempt.ended for attempt in attempts):
-                link.close()  # an attempt that was given up must not stay out on an open connection
+                link.close()  # an abandoned attempt must not stay outstanding on an open connection
                 return
             nudge = self._listen(attempts)
             reply.add_done_callback(partial(_wake, nudge))
@@ -280,7 +282,7 @@
         try:
             self._read(reply.result(), attempts)
         except LinkLostError as error:
-            done = error.ok and len(attempts) == 1  # of several, only the whole answer tells each one's end
+            done = error.ok and len(attempts) == 1  # a batch needs the complete response for its results
             self._end_all(attempts, Ending(Result.DONE) if done else lost(error))
 
     def _write(self, link: Link, attempts: list[Attempt]) -> asyncio.Future[Reply]:
@@ -300,8 +302,9 @@
             self._end_all(attempts, ending(reply, names))
             return
         if min(attempt.until_us for attempt in attempts) <= self._clock():
-            # Guards against a late answer to several that a loop held up reads before it gives the call up:
-            # what it says of each may count for nobody. It could do harm to one that came just in time.
+            # A delayed event loop may read a late batch response before it times the call out. Its results
+            # must not count for any message. Cost: a batch response that arrived just in time is discarded
+            # too.
             self._end_all(attempts, Ending(Result.SPOILT, wait_us(reply)))
             return
         ends = batch_endings(reply, names)
@@ -309,10 +312,11 @@
             self._end(attempt, ends.get(attempt.message.name, Ending(Result.ERROR, wait_us(reply))))
 
     def _give_up(self, attempts: list[Attempt]) -> int:
-        """End what is out of time; how long the next one has.
+        """Report timed out and cancelled attempts; returns the microseconds until the next timeout.
 
-        While others in the call still wait, an attempt whose message lives on stays out with them: sent
-        again now it would be a second copy, and closing the connection would spoil the others.
+        While other attempts of the call are pending, an attempt whose message has no outcome stays
+        outstanding with them: retrying it now would send a duplicate, and closing the connection would fail
+        the others.
         """
         now = self._clock()
         left = [attempt for attempt in attempts if not attempt.ended]
@@ -350,7 +354,7 @@
 
 
 def _unheard(attempt: Attempt, how: Ending) -> None:
-    """Guard against ends of calls that the closing relay gave up: nothing was learned of them."""
+    """Discard the results of calls that a closing relay abandoned: they are not known."""
 
 
 def _wake(nudge: asyncio.Future[None], _: object = None) -> None:
--- a/amberlug/http/handin.py
+++ b/amberlug/http/handin.py
@@ -1,4 +1,4 @@
-"""Reads a hand-in: what an HTTP request must hold to be a message, and what is said where it does not."""
+"""Decodes submissions over HTTP: validates requests, and maps refusals and errors to responses."""
 
 from __future__ import annotations
 
@@ -10,18 +10,18 @@
 TOO_LONG = "the body is over 64 KiB"
 FIELDS = ("req-id", "req-kind", "req-owner", "req-deadline-ms", "envelope", "idempotency-key")
 
-Answer = tuple[int, str, int]  # status, text, microseconds after which to come again
+Answer = tuple[int, str, int]  # status, text, microseconds after which to retry
 
 
 def answer(refusal: Refusal | None) -> Answer:
-    """Tell what a client is answered: taken on, or when to come again."""
+    """Map a decision to the response: accepted, or refused with the time after which to retry."""
     if refusal is None:
         return 202, "", 0
     return 429 if refusal.reason is Reason.REFUSED else 503, refusal.reason.value, refusal.retry_us
 
 
 class BadRequestError(ValueError):
-    """A request that is refused with one plain line."""
+    """A request that is rejected with a status and a line of text."""
 
     def __init__(self, status: int, text: str) -> None:
         super().__init__(text)
@@ -42,10 +42,10 @@
 
 
 def refusal_of(headers: Sequence[tuple[bytes, bytes]]) -> tuple[int, str] | None:
-    """Tell why a request is refused by its head alone, with its connection; names are in lower case."""
+    """The status and text if a request is rejected by its headers, else None; names must be in lower case."""
     names = [name for name, _ in headers]
     if b"content-length" in names and b"transfer-encoding" in names:
-        # Guards against a second request that stands inside the body: which length holds can't be told.
+        # Prevents request smuggling: it is ambiguous which of the two headers delimits the body.
         return 400, "Content-Length and Transfer-Encoding contradict each other"
     if any(names.count(name.encode()) > 1 for name in FIELDS):
         return 400, "a field is given twice"
@@ -56,7 +56,7 @@
 
 
 def check_route(settings: Settings, method: str, path: str) -> None:
-    """Raise `BadRequestError` where a request can be no hand-in."""
+    """Raise `BadRequestError` if the path or the method is not that of a submission."""
     if path.strip("/").split("/")[0] not in settings.classes:
         raise BadRequestError(404, "no such path")
     if method != "POST":
@@ -71,7 +71,7 @@
     body: bytes,
     now_ms: int,
 ) -> tuple[Message, int]:
-    """Read a hand-in: the message and how long it has left, in microseconds."""
+    """Decode a submission to the message and the time that it has left, in microseconds."""
     name, class_name = _word(headers, "Req-Id"), _word(headers, "Req-Kind")
     message_class = settings.classes.get(class_name)
     if message_class is None or path.strip("/").split("/")[0] != class_name:
@@ -82,7 +82,7 @@
     left_ms = _digits(headers.get("req-deadline-ms", "").strip(), "Req-Deadline-Ms", 10**9)
     fields = dict(part.strip().partition("=")[::2] for part in headers.get("envelope", "").split(";"))
     destination = _digits(fields.get("dest", ""), "dest", 10**9)
-    # Guards against taking on what can't be sent, and a record of each number that a client thinks up.
+    # Prevents accepting messages that cannot be sent, and state for every number that a client makes up.
     if not serves(destination):
         raise BadRequestError(404, "no such destination")
     keyed = message_class.effect is Effect.KEYED or "idempotency-key" in headers
--- a/amberlug/http/link.py
+++ b/amberlug/http/link.py
@@ -1,4 +1,4 @@
-"""One outgoing HTTP/1.1 connection: a request at a time, and whether its last byte was written."""
+"""An outgoing HTTP/1.1 connection: one request at a time, tracking whether its last byte was written."""
 
 import asyncio
 import contextlib
@@ -9,9 +9,9 @@
 
 import h11
 
-BODY_MOST = 1 << 18  # longest answer that is kept: bounds memory against a broken peer
-WHOLE_FOR = 0.5  # seconds from an answer's first byte to its last; they leave together
-LINE_MOST = 256  # bytes kept of an answer's start, for its first line
+BODY_MOST = 1 << 18  # longest response body in bytes: bounds the memory that a faulty peer can use
+WHOLE_FOR = 0.5  # timeout in seconds from a response's first byte to its last; they are sent together
+LINE_MOST = 256  # bytes kept of the start of a response, to parse its status line
 _OK_LINE = re.compile(rb"HTTP/1\.[01] 200(?: [^\r\n]*)?\r?\n")
 
 Headers = Sequence[tuple[str, str]]
@@ -19,7 +19,7 @@
 
 @dataclass(slots=True)
 class Reply:
-    """What came back; its headers by lower-case name."""
+    """A response; header names are in lower case."""
 
     status: int
     headers: dict[str, str]
@@ -27,49 +27,52 @@
 
 
 class LinkLostError(Exception):
-    """The connection ended before the answer did, or the answer could not be read."""
+    """The connection was lost before the response was complete, or the response was malformed."""
 
     def __init__(self, written: bool, said: bytes = b"") -> None:
         super().__init__("connection lost")
-        self.written = written  # whether the request's last byte had left
-        self.answered = bool(said)  # whether an answer had begun
-        self.ok = _OK_LINE.match(said) is not None  # whether its first line says 200: that alone is true
+        self.written = written  # whether the request's last byte was written
+        self.answered = bool(said)  # whether any part of a response had arrived
+        # Whether the status line is complete and says 200: nothing else is trusted.
+        self.ok = _OK_LINE.match(said) is not None
 
 
 class Link(asyncio.Protocol):
-    """A connection that this relay opened; asyncio sets TCP_NODELAY on it."""
+    """An outgoing connection; asyncio sets TCP_NODELAY on it."""
 
     def __init__(self, where: tuple[str, int]) -> None:
         self.where = where
         self.reused = False  # whether it has carried a request before
-        self.idle_since, self.idled_us = 0.0, 0  # loop's clock; and for how long it idled before its last use
+        self.idle_since, self.idled_us = 0.0, 0  # by the loop's clock; idle time before the last use
         self._http = h11.Connection(h11.CLIENT)
         self._transport: asyncio.Transport | None = None
         self._reply: Reply | None = None
         self._waiter: asyncio.Future[Reply] | None = None
         self._sink: Callable[[bytes], None] | None = None
         self._unwritten = False
-        self._said = b""  # how the answer begins
+        self._said = b""  # start of the response
         self._limit: asyncio.TimerHandle | None = None
         self.on_lost: Callable[[Link], None] | None = None
 
     @property
     def usable(self) -> bool:
-        """Whether another request may be written now."""
+        """Whether another request may be sent now."""
         transport = self._transport
         idle = self._http.our_state is h11.IDLE and self._http.their_state is h11.IDLE
         return transport is not None and not transport.is_closing() and idle and not self._stirs(transport)
 
     def _stirs(self, transport: asyncio.Transport) -> bool:
-        """Whether anything unread has come: on an idle connection its end, or what belongs to no request."""
-        # Guards against a late copy that is taken for the next call's answer, and a call that meets a close.
+        """Whether an idle connection has unread input: the peer closed it or sent an unsolicited response."""
+        # Prevents taking a late response for that of the next call, and sending a call on a closed
+        # connection.
         poll = select.poll()
         poll.register(transport.get_extra_info("socket").fileno(), select.POLLIN)
         return bool(poll.poll(0))
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         assert isinstance(transport, asyncio.Transport)
-        # With no room in the buffer a pause means that bytes are left: that tells a reset from no connection.
+        # With a zero-size buffer, a pause means that bytes are unwritten. This shows on a reset whether the
+        # request had been written.
         transport.set_write_buffer_limits(high=0)
         self._transport = transport
 
@@ -88,9 +91,9 @@
         sink: Callable[[bytes], None] | None = None,
         host: str = "",
     ) -> asyncio.Future[Reply]:
-        """Write a request; the body of a 200 goes to `sink` as it comes, if there is one.
+        """Send a request; the body of a 200 response is streamed to `sink`, if there is one.
 
-        Without a `host` it names the endpoint's own address.
+        The Host header defaults to the peer's address.
         """
         self._waiter = asyncio.get_running_loop().create_future()
         if not self.usable or self._transport is None:
@@ -108,13 +111,13 @@
         return self._waiter
 
     def close(self) -> None:
-        """End the connection at once; a request that is out on it is given up."""
+        """Abort the connection; an outstanding request fails."""
         if self._transport is not None:
             self._transport.abort()
 
     def data_received(self, data: bytes) -> None:
         if self._waiter is None or self._waiter.done():
-            self.close()  # guards against what belongs to no request: it would end the next one
+            self.close()  # an unsolicited response would be taken for that of the next request
             return
         if self._limit is None and self._sink is None:
             self._limit = asyncio.get_running_loop().call_later(WHOLE_FOR, self.close)
@@ -133,7 +136,7 @@
             self._limit.cancel()
         if self._waiter is not None and not self._waiter.done():
             self._waiter.set_exception(LinkLostError(not self._unwritten, self._said))
-            self._waiter.exception()  # it may be that nobody waits any more
+            self._waiter.exception()  # marks it as retrieved: there may be no waiter left
         if self.on_lost is not None:
             self.on_lost(self)
 
@@ -146,13 +149,14 @@
 
     def _take(self, event: object) -> bool:
         if isinstance(event, h11.InformationalResponse):
-            self._said = self._http.trailing_data[0][:LINE_MOST]  # the answer proper begins behind it
+            self._said = self._http.trailing_data[0][:LINE_MOST]  # the final response follows it
         elif isinstance(event, h11.Response):
             self._reply = Reply(
                 event.status_code, {name.decode(): value.decode("latin-1") for name, value in event.headers}
             )
         elif isinstance(event, h11.Data) and self._reply is not None:
-            if self._sink is not None and self._reply.status == 200:  # what refuses tells nothing
+            # The body of an error response is not streamed.
+            if self._sink is not None and self._reply.status == 200:
                 self._sink(bytes(event.data))
             else:
                 self._reply.body += event.data
@@ -172,13 +176,13 @@
         if done and not self._http.trailing_data[0]:
             self._http.start_next_cycle()
         else:
-            self.close()  # what has come behind an answer would be taken for the next one
+            self.close()  # surplus bytes would be taken for the next response
         if waiter is not None and reply is not None and not waiter.done():
             waiter.set_result(reply)
 
 
 async def dial(host: str, port: int, seconds: float) -> Link | None:
-    """Open a connection, or None where none came up in time."""
+    """Open a connection; None if it could not be established in time."""
     loop = asyncio.get_running_loop()
     try:
         async with asyncio.timeout(seconds):
--- a/amberlug/http/server.py
+++ b/amberlug/http/server.py
@@ -1,4 +1,4 @@
-"""The clients' side: hand-ins, and whether this relay is up."""
+"""The HTTP server for clients: submissions and the readiness check."""
 
 from __future__ import annotations
 
@@ -15,29 +15,27 @@
 from amberlug.http.handin import TOO_LONG, BadRequestError, answer, check_route, read_message, refusal_of
 from amberlug.policy.interface import Settings
 
-UNREAD_MOST = 1 << 20  # so much is passed over behind an error: closing at once would lose the answer
-AHEAD_MOST = 1 << 16  # bytes kept beyond an open request; with more, it is the connection's last
-TURN = (
-    64  # pieces of requests that are dealt with in one go: what many send at once must not hold up the others
-)
-SILENT = 0.2  # seconds after which a connection with no whole request on it makes room before others
-SWEEP = 0.25  # seconds between looks for connections whose time is up
+UNREAD_MOST = 1 << 20  # bytes discarded after an error response: closing at once could lose the response
+AHEAD_MOST = 1 << 16  # bytes buffered beyond an open request; with more, the connection closes after it
+TURN = 64  # parser events handled per loop iteration: a burst on one connection must not delay the others
+SILENT = 0.2  # seconds without a complete request after which a connection is evicted before others
+SWEEP = 0.25  # seconds between checks for expired connections
 
 
 class Phase(Enum):
-    """What is waited for on a connection, and for how many seconds at most."""
+    """The state of a connection; the value is its timeout in seconds."""
 
-    ENDING = 0.5  # it has had its last answer, and what it still sends is passed over
-    READING = 2.0  # a whole request, from the connect or its first byte: 3 s are promised
-    RESTING = 4.0  # the next request: a client that asked once may keep its connection for good
-    ASKED = float("inf")  # the relay's own answer
+    ENDING = 0.5  # its last response was sent, and further input is discarded
+    READING = 2.0  # reading a request, from the connect or its first byte; clients are promised 3 s
+    RESTING = 4.0  # idle: without a limit, a client could keep its connection forever after one request
+    ASKED = float("inf")  # waiting for the relay's response
 
 
 WAITING = (Phase.ENDING, Phase.READING, Phase.RESTING)
 
 
 class Node(Protocol):
-    """What the clients' side wants of the relay."""
+    """The part of the relay's core that the server uses."""
 
     ready: bool
 
@@ -47,7 +45,7 @@
 
 
 class Connection(asyncio.Protocol):
-    """One client's connection; it carries one request at a time."""
+    """A client connection; it handles one request at a time."""
 
     def __init__(self, server: Server) -> None:
         self._server = server
@@ -55,7 +53,7 @@
         self._transport: asyncio.Transport | None = None
         self._request: h11.Request | None = None
         self._body = bytearray()
-        self._ahead = 0  # bytes read since the request was whole, or since its last answer
+        self._ahead = 0  # bytes read since the request was complete, or since the last response
         self._reading = self._stuck = False
         self.phase = Phase.READING
 
@@ -71,8 +69,8 @@
             if self._ahead > UNREAD_MOST:
                 self.abort()
             return
-        # Guards against bytes that pile up ahead of an open request. They are read on and dropped: a hang-up
-        # stands behind them, and would not be seen while reading is paused.
+        # Bounds the bytes buffered ahead of an open request. The rest is read and dropped: while reading is
+        # paused, a disconnect behind these bytes would not be detected.
         if self._ahead > AHEAD_MOST:
             return
         if self.phase is Phase.RESTING:
@@ -87,7 +85,7 @@
             self._server.node.hung_up(self)
 
     def pause_writing(self) -> None:
-        """Guard against answers that pile up for a client that sends and does not read."""
+        """Stop reading: responses must not accumulate for a client that sends but does not read."""
         self._stuck = True
         if self._transport is not None:
             self._transport.pause_reading()
@@ -102,7 +100,7 @@
             self._read()
 
     def close(self) -> None:
-        """Close it once what was answered is written."""
+        """Close it after all responses are written."""
         if self._transport is not None:
             self._transport.close()
 
@@ -111,7 +109,7 @@
             self._transport.abort()
 
     def expire(self) -> None:
-        """End it where its time is up: with an answer where a request had begun."""
+        """Handle a timeout: send an error response if a request was incomplete, else abort."""
         begun = self._request is not None or bool(self._http.trailing_data[0])
         if self.phase is Phase.READING and begun and not self._stuck:
             self.answer(408, "the request did not come in time")
@@ -119,11 +117,11 @@
             self.abort()
 
     def settle(self, refusal: Refusal | None) -> None:
-        """Answer that the message was taken on, or when to come again."""
+        """Respond that the message was accepted, or when to retry."""
         self.answer(*answer(refusal))
 
     def answer(self, status: int, text: str = "", retry_us: int = 0) -> None:
-        """Answer the request that is being waited on; a client that has hung up is passed over."""
+        """Send the response to the current request, unless the client has disconnected."""
         if self._transport is None or self._transport.is_closing():
             return
         body = f"{text}\n".encode() if text else b""
@@ -148,7 +146,7 @@
             more = bool(self._http.trailing_data[0])
             self._server.enter(self, Phase.READING if more else Phase.RESTING)
             self._read()
-        elif unread:  # closing on what is still on its way would lose the answer
+        elif unread:  # closing with input still in flight could lose the response
             self._server.enter(self, Phase.ENDING)
             if self._transport.can_write_eof():
                 self._transport.write_eof()
@@ -156,7 +154,7 @@
             self._transport.close()
 
     def _read(self) -> None:
-        # Guards against many small requests in one read: each answer must not nest the next one's.
+        # Prevents unbounded recursion when one read holds many small requests: responding reads the next one.
         if self._reading:
             return
         self._reading = True
@@ -173,7 +171,7 @@
             self._reading = False
 
     def _defer(self) -> None:
-        """Go on in the loop's next turn, and read nothing more until then."""
+        """Pause reading and continue in the next iteration of the loop."""
         if self._transport is not None and not self._transport.is_closing():
             self._transport.pause_reading()
             asyncio.get_running_loop().call_soon(self._go_on)
@@ -211,7 +209,7 @@
 
 
 class Server:
-    """All clients' connections; while it closes, each answer ends its connection."""
+    """All client connections; while the server is closing, each response closes its connection."""
 
     def __init__(
         self,
@@ -223,7 +221,8 @@
     ) -> None:
         self._settings, self.node, self._most = settings, node, most
         self._now_ms, self._waited_us = now_ms, waited_us
-        # When the time of each is up, by phase: one phase has one time, so the first in it is due first.
+        # Deadline of each connection, by phase: all in a phase have the same timeout, so the first is due
+        # first.
         self._due: dict[Phase, dict[Connection, float]] = {phase: {} for phase in Phase}
         self._sweeping: asyncio.TimerHandle | None = None
         self.closing = False
@@ -232,7 +231,7 @@
         return Connection(self)
 
     def opened(self, connection: Connection) -> None:
-        """Take a connection in; past the most, one goes that has been silent, or else idle, the longest."""
+        """Register a connection; above the maximum, evict the one silent, or else idle, for longest."""
         self.enter(connection, Phase.READING)
         if sum(map(len, self._due.values())) > self._most:
             self._evict()
@@ -240,8 +239,8 @@
             self._sweep()
 
     def _evict(self) -> None:
-        # Guards against running out of descriptors, where asyncio accepts nobody for a second. One that has
-        # just been opened is about to be read: it goes only where nothing else can.
+        # Prevents running out of file descriptors, after which asyncio accepts no connection for a second. A
+        # connection that was just opened is about to be read and is evicted only if there is no other.
         silent_since = asyncio.get_running_loop().time() + Phase.READING.value - SILENT
         silent = [it for it, due in islice(self._due[Phase.READING].items(), 1) if due < silent_since]
         others = (self._due[phase] for phase in (Phase.ENDING, Phase.RESTING, Phase.READING))
@@ -259,7 +258,7 @@
         self._due[connection.phase].pop(connection, None)
 
     def _sweep(self) -> None:
-        """End the connections whose time is up; it goes on while there are any."""
+        """Expire connections; repeated while there are any."""
         loop = asyncio.get_running_loop()
         for phase in WAITING:
             for connection, due in list(self._due[phase].items()):
@@ -270,7 +269,7 @@
         self._sweeping = loop.call_later(SWEEP, self._sweep) if there else None
 
     def close_idle(self) -> None:
-        """Close the connections that carry no request."""
+        """Close the connections without a request."""
         for phase in (Phase.ENDING, Phase.RESTING):
             for connection in list(self._due[phase]):
                 connection.close()
--- a/amberlug/library/__init__.py
+++ b/amberlug/library/__init__.py
@@ -1,11 +1,11 @@
-"""The relay as a library, for hosts that would rather not hop through a socket.
+"""The relay as a library, for applications that embed it instead of calling a daemon over a socket.
 
     async with Relay(settings, folder, StaticEndpoints(Endpoint("e1", 7, "10.0.0.4:7070"))) as relay:
         taken = await relay.hand_in(Message(7, "fee-payment", b"..."))
         end = await taken.end()
 
-A message that is taken on is in the journal, and gets exactly one end, in this life of the host or in a next
-one: delivered, handed back (trying again does no harm) or given up (no promise).
+An accepted message is in the journal and gets exactly one outcome, before or after a restart of the host:
+delivered, handed back (it may safely be submitted again) or given up (it is unknown whether it was executed).
 """
 
 from amberlug.core.journal import Durability
--- a/amberlug/library/blocking.py
+++ b/amberlug/library/blocking.py
@@ -1,4 +1,4 @@
-"""The relay for hosts without a loop: it runs in a thread of its own, with the same guarantees."""
+"""The relay for hosts without an event loop: it runs in its own thread, with the same guarantees."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class BlockingTaken:
-    """A message that was taken on."""
+    """An accepted message."""
 
     def __init__(self, owner: BlockingRelay, taken: Taken) -> None:
         self._owner, self._taken = owner, taken
@@ -26,25 +26,26 @@
 
     @property
     def ended(self) -> End | None:
-        """The end, once there is one."""
+        """The final outcome, or None while there is none."""
         return self._taken.ended
 
     def end(self, timeout: float | None = None, *, acknowledge: bool = True) -> End:
-        """Wait for the one end; `TimeoutError` after so many seconds, which does not cancel the message."""
+        """Wait for the outcome; `TimeoutError` after `timeout` seconds, which does not cancel the message."""
         end = self._owner.ask(self._taken.end(acknowledge=False), timeout)
         if acknowledge:
             self.acknowledge()
         return end
 
     def acknowledge(self) -> None:
-        """Say that the end was seen, or that nobody will ask for it."""
+        """Acknowledge the outcome, or declare in advance that nobody will ask for it."""
         self._taken.acknowledge()
 
 
 class BlockingRelay:
-    """Owns a relay that is not open yet, and a thread for its loop; used from any number of threads.
+    """Wraps a relay that is not open yet and runs its event loop in a thread; safe to use from any thread.
 
-    The thread does not keep the interpreter from ending. What is held then goes on in the next life.
+    The thread is a daemon thread and does not keep the interpreter alive. Messages without an outcome are
+    then resumed when the folder is opened again.
     """
 
     def __init__(self, relay: Relay) -> None:
@@ -61,7 +62,7 @@
         self.close()
 
     def open(self) -> None:
-        """Start the thread and open the relay; raises what `Relay.open` does."""
+        """Start the thread and open the relay; raises the same errors as `Relay.open`."""
         started: Future[None] = Future()
         self._thread = threading.Thread(target=self._run, args=(started,), name="amberlug", daemon=True)
         self._thread.start()
@@ -73,7 +74,7 @@
             raise
 
     def close(self, grace: float = GRACE) -> None:
-        """Close the relay, then end the thread; no harm where it is not open."""
+        """Close the relay, then stop the thread; does nothing if it is not open."""
         if self._loop is not None:
             self._relay.check_process()
             try:
@@ -82,26 +83,26 @@
                 self._end_thread()
 
     def hand_in(self, message: Message, timeout: float | None = None) -> BlockingTaken:
-        """Hand a message in as `Relay.hand_in` does; `TimeoutError` where it was withdrawn in the end."""
+        """Submit a message like `Relay.hand_in`; `TimeoutError` if it was withdrawn after the timeout."""
         return BlockingTaken(self, self.ask(self._hand_in(message), timeout))
 
     def find(self, name: str) -> BlockingTaken | None:
-        """The message with that id, if it is held, or its end is not acknowledged."""
+        """The message with that id, if it has no outcome yet or the outcome is not acknowledged."""
         taken = self.ask(self._find(name))
         return None if taken is None else BlockingTaken(self, taken)
 
     def unclaimed(self) -> list[End]:
-        """All ends that nobody has acknowledged."""
+        """All unacknowledged outcomes."""
         return self.ask(self._unclaimed())
 
     def acknowledge(self, name: str) -> None:
-        """Say that the end of the message with that id was seen."""
+        """Acknowledge the outcome of the message with that id."""
         self.ask(self._acknowledge(name))
 
     def ask(self, work: Coroutine[Any, Any, T], timeout: float | None = None) -> T:
-        """Have the relay's thread do something, and wait until it is done.
+        """Run a coroutine in the relay's thread and wait for its result.
 
-        After `timeout` it is cancelled, and what it came to in spite of that still counts.
+        It is cancelled after `timeout`; if it still completes, its result is returned.
         """
         loop = self._loop
         if loop is None:
@@ -124,8 +125,8 @@
             return done.result(timeout)
         except TimeoutError:
             if done.done():
-                raise  # the work's own
-        # Guards against doubt: it is told only when it is known whether the work was done.
+                raise  # raised by the coroutine itself
+        # Prevents an ambiguous result: return only once it is known whether the coroutine completed.
         loop.call_soon_threadsafe(lambda: task[0].cancel())
         return done.result()
 
@@ -164,7 +165,7 @@
 
 def _copy(task: asyncio.Task[T], done: Future[T]) -> None:
     if task.cancelled():
-        done.set_exception(TimeoutError("not done in time"))
+        done.set_exception(TimeoutError("the operation timed out and was cancelled"))
     elif (error := task.exception()) is not None:
         done.set_exception(error)
     else:
--- a/amberlug/library/claims.py
+++ b/amberlug/library/claims.py
@@ -1,6 +1,7 @@
-"""Which relay of this process answers for a message: no two of them may attempt the same payment.
+"""Which relay of this process is responsible for a message, so that no two attempt the same payment.
 
-Decisions only: who asks tells the time. A message is known by its id, and by its key within its class.
+No I/O and no clock: callers pass the current time. A message is identified by its id, and by its key within
+its class.
 """
 
 from __future__ import annotations
@@ -14,17 +15,17 @@
 from amberlug.core.messages import End, Message, Outcome
 from amberlug.library.taken import Taken
 
-Owner = Hashable  # a state folder, whichever relay has it open
+Owner = Hashable  # identifies a state folder, whichever relay has it open
 
 
 @dataclass(slots=True, eq=False)
 class Claim:
-    """One message's claim; `taken` is None while it is being handed in."""
+    """The claim to one message; `taken` is None while the message is being submitted."""
 
     owner: Owner
     message: Message
     taken: Taken | None = None
-    hands: int = 0  # how many are handing it in, and have heard nothing yet
+    hands: int = 0  # number of pending submissions that share the claim
 
 
 def _names(message: Message) -> Iterator[Hashable]:
@@ -34,20 +35,21 @@
 
 
 class Claims:
-    """All claims of the process, from any of its threads.
+    """All claims of the process; thread-safe.
 
-    A claim ends with a refusal or a hand-back, which tell that trying again does no harm. A delivery or an
-    end without a promise keeps it until the message's time is up. So does a relay that closes: the message
-    goes on when its folder is opened again.
+    A refusal or a hand-back releases the claim, because the message may safely be retried. After a delivery,
+    or when the message was given up, the claim is kept until the message's deadline. The same holds when the
+    relay closes, because the message is resumed when its folder is opened again.
     """
 
     def __init__(self) -> None:
         self._lock = threading.Lock()
         self._by_name: dict[Hashable, Claim] = {}
-        self._all: OrderedDict[Claim, None] = OrderedDict()  # the first to be looked at for its time first
+        # In the order in which they are checked for expiry.
+        self._all: OrderedDict[Claim, None] = OrderedDict()
 
     def clear(self) -> None:
-        """Forget all, in the child of a fork: its parent's messages are not its own."""
+        """Drop all claims in the child of a fork: the parent's messages are not the child's."""
         self._lock = threading.Lock()
         self._by_name.clear()
         self._all.clear()
@@ -56,15 +58,15 @@
         return len(self._all)
 
     def holder(self, message: Message, now_ms: int) -> Claim | None:
-        """Who has this message now, by its id or its key."""
+        """The current claim to this message, by its id or its key."""
         with self._lock:
             return self._holder(message, now_ms)
 
     def claim(self, message: Message, owner: Owner, now_ms: int) -> Claim | None:
-        """Claim a message for one who hands it in: the claim, or None where there is another's.
+        """Claim a message for a submission; None if another owner holds the claim.
 
-        Several who hand the same one in at once share a claim. One that a closed relay of the same folder
-        left passes to the new one.
+        Concurrent submissions of the same message share a claim. A claim left by a closed relay passes to the
+        next relay on the same folder.
         """
         with self._lock:
             self._forget_some(now_ms)
@@ -83,21 +85,21 @@
             return claim
 
     def settle(self, claim: Claim, taken: Taken | None) -> None:
-        """Note that the message was taken on, or not."""
+        """Record whether the message was accepted."""
         with self._lock:
             claim.taken = taken
             if taken is None:
                 self._drop(claim)
 
     def withdraw(self, claim: Claim) -> None:
-        """Note that one of those who hand it in has left, before the message was taken on."""
+        """Record that one of the pending submissions was withdrawn before the message was accepted."""
         with self._lock:
             claim.hands -= 1
             if claim.hands == 0 and claim.taken is None:
                 self._drop(claim)
 
     def ended(self, owner: Owner, end: End) -> None:
-        """Note how a message ended; after a hand-back any relay may try."""
+        """Record the outcome of a message; after a hand-back any relay may claim it."""
         with self._lock:
             claim = self._by_name.get(end.message)
             if claim is not None and claim.owner == owner and end.outcome is Outcome.HANDED_BACK:
@@ -111,12 +113,15 @@
         return None
 
     def _over(self, claim: Claim, now_ms: int) -> bool:
-        """Whether a claim's time is up: that of a message with no end yet is not, while its relay lives."""
+        """Whether a claim has expired.
+
+        It never does while the message is being submitted, or has no outcome and its relay is open.
+        """
         live = claim.taken is not None and claim.taken.ended is None and not claim.taken.closed
         return claim.taken is not None and not live and claim.message.deadline_ms <= now_ms
 
     def _forget_some(self, now_ms: int) -> None:
-        """Look at two, so that those whose time is up don't pile up: each new one adds one."""
+        """Check two claims for expiry. Each new claim adds one, so expired ones do not accumulate."""
         for _ in range(min(2, len(self._all))):
             claim, _ = self._all.popitem(last=False)
             self._all[claim] = None
--- a/amberlug/library/desk.py
+++ b/amberlug/library/desk.py
@@ -1,4 +1,4 @@
-"""Where the ends of messages wait until their host acknowledges them."""
+"""Reports the outcomes of messages to the host and keeps them until they are acknowledged."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 
 OnEnd = Callable[[End], Awaitable[None]]
 
-TELLING_MOST = 8  # calls of the host's callback that run at once
-PAUSE = 0.5, 60.0  # seconds until an end is told again whose callback raised, doubled up to the second
+TELLING_MOST = 8  # concurrent calls of the host's callback
+PAUSE = 0.5, 60.0  # first and longest delay in seconds before a failed callback is retried; doubled each time
 
 
 class Desk:
-    """Ends that are in the journal and not yet acknowledged, and whoever waits for one."""
+    """Outcomes that are in the journal and not yet acknowledged, and the tasks that wait for one."""
 
     def __init__(self, on_end: OnEnd | None, ended: Callable[[End], None]) -> None:
         self._on_end, self._ended = on_end, ended
@@ -26,30 +26,31 @@
         self._taken: dict[str, Taken] = {}
         self._unclaimed: dict[str, End] = {}
         self._queue: deque[End] = deque()
-        self._pauses: dict[str, float] = {}  # of ends whose callback raised
+        self._pauses: dict[str, float] = {}  # current retry delay of outcomes whose callback raised
         self._tasks: set[asyncio.Task[None]] = set()
         self._closed = False
 
-    waiting = False  # an end that is not acknowledged is told to the next life, so nobody need stay for it
+    # Unacknowledged outcomes are reported again after the next start, so closing need not wait for them.
+    waiting = False
 
     def bind(self, acknowledged: Callable[[str], None]) -> None:
         self._acknowledged = acknowledged
 
     @property
     def calling(self) -> bool:
-        """Whether a call of the host's callback runs."""
+        """Whether the host's callback is running."""
         return bool(self._tasks)
 
     def opened(self, taken: Taken) -> None:
-        """Note a message that was taken on."""
+        """Register an accepted message."""
         self._taken[taken.id] = taken
 
     def find(self, name: str) -> Taken | None:
-        """The message with that id, if it is held or its end is not acknowledged."""
+        """The message with that id, if it has no outcome yet or the outcome is not acknowledged."""
         return self._taken.get(name)
 
     def unclaimed(self) -> list[End]:
-        """All ends that are not acknowledged, the oldest first."""
+        """All unacknowledged outcomes, oldest first."""
         return list(self._unclaimed.values())
 
     def owed(self, end: End) -> bool:
@@ -57,7 +58,7 @@
         return taken is None or not taken.waived
 
     def tell(self, end: End) -> None:
-        """Let whoever waits for it go on, and the host's callback be called."""
+        """Wake the tasks that wait for the outcome and schedule the host's callback."""
         self._ended(end)
         taken = self._taken.get(end.message)
         if self.owed(end):
@@ -71,17 +72,17 @@
             taken.finish(end)
 
     def send(self) -> None:
-        """Nothing is kept back: each end was told as it came."""
+        """Do nothing: each outcome is reported as soon as it is known."""
 
     def acknowledge(self, name: str) -> None:
-        """Take the host's word that it has seen an end; one that is not waiting is passed over."""
+        """Remove an outcome that the host has acknowledged; unknown names are ignored."""
         if not self._closed and self._unclaimed.pop(name, None) is not None:
             self._taken.pop(name, None)
             self._pauses.pop(name, None)
             self._acknowledged(name)
 
     def close(self) -> None:
-        """Let go of all who wait; what is not acknowledged is told to the next life."""
+        """Wake all waiting tasks; unacknowledged outcomes are reported again after the next start."""
         self._closed = True
         for task in list(self._tasks):
             task.cancel()
@@ -89,7 +90,7 @@
             taken.close()
 
     def _call(self) -> None:
-        """Call the host's callback for the next ends, a few at once."""
+        """Call the host's callback for queued outcomes, up to the concurrency limit."""
         while self._queue and len(self._tasks) < TELLING_MOST and self._on_end is not None:
             end = self._queue.popleft()
             if self._unclaimed.get(end.message) is not end:
@@ -102,12 +103,12 @@
         self._tasks.discard(task)
         if self._closed:
             return
-        # Guards against a host's callback that raises: the end stays, and is told again.
+        # If the host's callback raises, the outcome stays unacknowledged and is reported again.
         error = None if task.cancelled() else task.exception()
         if not task.cancelled() and error is None:
             self.acknowledge(end.message)
         else:
-            log(f"on_end raised for message {end.message}: {error!r}; it will be told again")
+            log(f"on_end raised {error!r} for message {end.message}; it will be called again")
             pause = self._pauses.get(end.message, PAUSE[0])
             self._pauses[end.message] = min(2 * pause, PAUSE[1])
             asyncio.get_running_loop().call_later(pause, self._again, end)
@@ -120,9 +121,9 @@
 
 
 async def _told(on_end: OnEnd, end: End) -> None:
-    """Call a callback inside its task: also one that raises before its first await."""
+    """Call a callback inside its task, so that an error before its first await is caught as well."""
     await on_end(end)
 
 
 def _nobody(name: str) -> None:
-    """Stand in until the core has bound itself."""
+    """Placeholder until the core calls `bind`."""
--- a/amberlug/library/endpoints.py
+++ b/amberlug/library/endpoints.py
@@ -1,4 +1,4 @@
-"""Where a relay in a host learns of its endpoints: a list, a file that is watched, or discovery."""
+"""Sources of endpoints for an embedded relay: a static list, a watched file, or the discovery service."""
 
 from __future__ import annotations
 
@@ -18,26 +18,26 @@
 from amberlug.policy.account import SECOND
 from amberlug.policy.interface import Entry, Settings, State
 
-Listed = Callable[[News], Iterator[None]]  # makes the work of news, to be done at once or in slices
-FILE_MOST = 1 << 26  # bytes of a list's file
+Listed = Callable[[News], Iterator[None]]  # returns the work of applying an update, run at once or in slices
+FILE_MOST = 1 << 26  # largest endpoint file, in bytes
 
 
 class Endpoints(Protocol):
     """A source of endpoints, for one relay."""
 
     def start(self, settings: Settings, listed: Listed) -> None:
-        """Tell the list, and each change from now on; `ValueError` or `OSError` where there is none."""
+        """Report the list, then each change; raises `ValueError` or `OSError` if it cannot be read."""
 
     def stop(self) -> None:
-        """Tell nothing more."""
+        """Stop reporting changes."""
 
 
 @dataclass(frozen=True, slots=True)
 class Endpoint:
     """One endpoint of a destination.
 
-    `address` is an IP address and port; a transport of the host's own may do without. `rate` is how many
-    calls a second the destination takes from all relays together, 0 where that is not known.
+    `address` is an IP address and port; it is optional with a custom transport. `rate` is the number of calls
+    per second that the destination accepts from all relays together, 0 if unknown.
     """
 
     id: str
@@ -50,7 +50,7 @@
 
 
 class StaticEndpoints:
-    """A list that the host gives, and may change."""
+    """A list of endpoints that the host provides and may replace."""
 
     def __init__(self, *endpoints: Endpoint) -> None:
         self._endpoints = endpoints
@@ -69,7 +69,7 @@
         self._slices.clear()
 
     def change(self, *endpoints: Endpoint) -> None:
-        """Give a new list in place of the old one; `ValueError` where it is bad, and the old one stays."""
+        """Replace the list; raises `ValueError` and keeps the old one if the new one is invalid."""
         news = self._news(endpoints) if self._listed is not None else None
         self._endpoints = endpoints
         if self._listed is not None and news is not None:
@@ -88,10 +88,10 @@
 
 
 class EndpointFile:
-    """A JSON file in discovery's form, looked at every `every` seconds.
+    """A JSON file in the format of the discovery service, checked for changes every `every` seconds.
 
-    One that is bad, half written or gone is a line in the log, and the list that was read before stays. At
-    the start it is an error.
+    A file that becomes invalid, incomplete or missing is logged and the previous list is kept. At the start
+    it is an error.
     """
 
     def __init__(self, path: Path | str, every: float = 1.0) -> None:
@@ -111,7 +111,7 @@
             self._timer.cancel()
 
     def _bad(self, error: Exception) -> None:
-        log(f"endpoints: {self._path.name}: {error}; the list as it was stays")
+        log(f"endpoints: {self._path.name}: {error}; the previous list stays in use")
 
     def _later(self, settings: Settings, listed: Listed) -> None:
         self._timer = asyncio.get_running_loop().call_later(self._every, self._look, settings, listed)
@@ -120,7 +120,7 @@
         self._later(settings, listed)
         stamp = self._stamp_now()
         if stamp == self._stamp:
-            return  # also one that is bad or gone is told once
+            return  # an invalid or missing file is thus logged once
         self._stamp = stamp
         try:
             news = self._read(settings)
@@ -130,7 +130,7 @@
         self._slices.add(listed(news))
 
     def _stamp_now(self) -> tuple[int, ...]:
-        """What changes with the file; () where there is none."""
+        """Fingerprint of the file from its metadata; () if it does not exist."""
         try:
             it = self._path.stat()
         except OSError:
@@ -146,21 +146,21 @@
 
 
 def apply(work: Iterator[None]) -> None:
-    """Do all of the work of news at once: before the relay serves, nobody waits."""
+    """Apply an update at once; before the relay serves, nothing is delayed by it."""
     for _ in work:
         pass
 
 
 def _unheard(error: ValueError) -> None:
-    """Guard against an error that can't be: a host's list is checked before its news are told."""
+    """Ignore errors, which cannot occur: a list is validated before it is applied."""
 
 
 def _unheeded(seconds: float) -> None:
-    """Where nobody asks how old the list may be."""
+    """Ignore how long the list is valid, until `confirms` is called."""
 
 
 class Discovery:
-    """The platform's discovery, followed as the daemon does; `known` is a list to begin with."""
+    """The platform's discovery service, watched as by the daemon; `known` is the initial list."""
 
     def __init__(self, where: str, known: News | None = None) -> None:
         self._where, self._known = address(where), known
@@ -169,11 +169,11 @@
         self._heard: Heard | None = None
 
     def confirms(self, current: Callable[[float], None], heard: Heard) -> None:
-        """Have told that the list is the newest, with the seconds for which calls may go by it."""
+        """Set the callback for a confirmed list, called with the seconds for which the list is valid."""
         self._current, self._heard = current, heard
 
     async def tried(self, seconds: float) -> None:
-        """Wait until discovery has answered once, or refused, for so long at the most."""
+        """Wait for the first answer or failure of discovery, for `seconds` at most."""
         if self._watch is not None:
             await self._watch.tried(seconds)
 
--- a/amberlug/library/lag.py
+++ b/amberlug/library/lag.py
@@ -1,14 +1,14 @@
-"""How long a loop that belongs to somebody else holds things up."""
+"""Measures how long the host's event loop delays input."""
 
 from __future__ import annotations
 
 import asyncio
 
-TICK = 0.05  # seconds between two looks
+TICK = 0.05  # seconds between two measurements
 
 
 class Lag:
-    """Looks at the loop's clock now and then: what is read after a long turn has waited as long."""
+    """Measures the delay of a periodic timer: input read after a long loop iteration has waited that long."""
 
     def __init__(self) -> None:
         self._loop = asyncio.get_running_loop()
@@ -18,15 +18,16 @@
         self._look()
 
     def waited_us(self) -> int:
-        """Tell how long at most what is read now has waited, in microseconds.
+        """Upper bound for how long input that is read now has waited, in microseconds.
 
-        A long turn counts while it lasts; afterwards its weight falls with the time, as what waited is read.
+        A long iteration counts in full while it lasts. Afterwards the bound falls with time, as the backlog
+        is read.
         """
         now = self._loop.time()
         return int(max(0.0, now - self._due, self._late - (now - self._looked)) * 1e6)
 
     def stop(self) -> None:
-        """Look no more."""
+        """Stop measuring."""
         if self._timer is not None:
             self._timer.cancel()
 
--- a/amberlug/library/messages.py
+++ b/amberlug/library/messages.py
@@ -1,4 +1,4 @@
-"""What a host hands in, and the errors that it can meet."""
+"""The messages that a host submits, and the errors that a submission can raise."""
 
 from __future__ import annotations
 
@@ -9,34 +9,34 @@
 from amberlug.core.messages import BODY_MOST, Reason, is_word
 from amberlug.policy.interface import Effect, Settings
 
-DEADLINE_MOST = 1_000_000.0  # seconds
+DEADLINE_MOST = 1_000_000.0  # longest deadline, in seconds
 
 
 class RefusedError(Exception):
-    """The message was not taken on: handing it in again, here or elsewhere, does no harm.
+    """The message was not accepted; it may safely be submitted again, here or elsewhere.
 
-    `retry_after` tells in how many seconds that may help, `reason` why it was refused.
+    `retry_after` is the number of seconds after which a retry may succeed, `reason` why it was refused.
     """
 
     def __init__(self, reason: Reason, retry_after: float) -> None:
-        super().__init__(f"{reason.value}; try again in {retry_after:.3f} s")
+        super().__init__(f"{reason.value}; retry after {retry_after:.3f} s")
         self.reason, self.retry_after = reason, retry_after
 
 
 class RelayClosedError(Exception):
-    """The relay is not open. What it had taken on is in its folder, and goes on when that is opened again."""
+    """The relay is not open. Accepted messages are in its folder and are resumed when it is opened again."""
 
 
 class AcknowledgedError(ValueError):
-    """A message with that id was taken on before, and its end has been acknowledged."""
+    """A message with that id was accepted before, and its outcome has been acknowledged."""
 
 
 class BadMessageError(ValueError):
-    """A message that can't be taken on, whatever the state of the relay."""
+    """The message is invalid and is never accepted, whatever the state of the relay."""
 
 
 def new_id() -> str:
-    """Make an id that no other message has."""
+    """Generate a unique message id."""
     return secrets.token_hex(16)
 
 
@@ -44,8 +44,8 @@
 class Message:
     """A message for one destination.
 
-    `deadline` is how many seconds it may still be delivered, from the hand-in on; without one its class
-    tells. The id is how a message is known again: the same id is never taken on twice.
+    `deadline` is the number of seconds from submission within which it may be delivered; the default is set
+    by its class. The id identifies the message for deduplication: the same id is never accepted twice.
     """
 
     destination: int
@@ -57,7 +57,7 @@
     deadline: float | None = None
 
     def checked(self, settings: Settings, now_ms: int) -> tuple[core.Message, int]:
-        """The relay's own record of it, and the microseconds left; `BadMessageError` where it is bad."""
+        """Validate and convert to the core's message and the microseconds left; raises `BadMessageError`."""
         kind = settings.classes.get(self.message_class)
         if kind is None:
             raise BadMessageError(f"message_class {self.message_class!r} is unknown")
@@ -70,7 +70,7 @@
         if kind.effect is Effect.KEYED and self.key is None:
             raise BadMessageError(f"a message of class {self.message_class!r} needs a key")
         if not isinstance(self.body, bytes) or len(self.body) > BODY_MOST:
-            raise BadMessageError(f"the body is no bytes, or over {BODY_MOST} of them")
+            raise BadMessageError(f"the body must be bytes, at most {BODY_MOST} of them")
         seconds = kind.deadline_us / 1e6 if self.deadline is None else self.deadline
         if not 0 <= seconds <= DEADLINE_MOST:
             raise BadMessageError(f"deadline is out of range: {seconds!r}")
--- a/amberlug/library/observers.py
+++ b/amberlug/library/observers.py
@@ -1,4 +1,4 @@
-"""A host's observer, kept at a distance."""
+"""Isolates the relay from errors in a host's observer."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
 
 
 class Shielded:
-    """Shows all to an observer in a later turn of the loop, in order.
+    """Forwards all events to an observer in a later iteration of the loop, in order.
 
-    Guards against one that raises: its error goes to the loop's handler, and the relay's round is not broken.
-    What it is shown may have gone on by then; numbers and results never change.
+    An error that the observer raises thus goes to the loop's exception handler and does not interrupt the
+    relay's round. Objects that it is passed may have changed state by then; numbers and results never change.
     """
 
     def __init__(self, observer: Observer) -> None:
--- a/amberlug/library/relay.py
+++ b/amberlug/library/relay.py
@@ -1,4 +1,4 @@
-"""The relay as a library: the daemon's core in a host's own loop."""
+"""The relay as a library: the daemon's core in the host's event loop."""
 
 from __future__ import annotations
 
@@ -40,8 +40,8 @@
 from amberlug.platform.heard import Heard
 from amberlug.policy.interface import Settings
 
-GRACE = 3.0  # seconds that `close` waits for calls that are out
-LOOK_AGAIN = 0.01
+GRACE = 3.0  # seconds that `close` waits for outstanding calls
+LOOK_AGAIN = 0.01  # seconds between two checks for them
 Tell = Callable[[Refusal | None], None]
 
 
@@ -52,7 +52,7 @@
 
 
 class HandIn:
-    """One hand-in that waits to hear whether its message was taken on."""
+    """A pending submission, until its message is accepted or refused."""
 
     def __init__(self, relay: Relay, claim: Claim | None, message: core.Message, tell: Tell) -> None:
         self._relay, self._claim, self._tell = relay, claim, tell
@@ -60,27 +60,27 @@
         self.settled = False
 
     def settle(self, refusal: Refusal | None) -> None:
-        """Hear it from the core."""
+        """Record the decision; called by the core."""
         self.settled = True
         if self._claim is not None:
             CLAIMS.settle(self._claim, None if refusal is not None else self._relay.opened(self.message))
         self._tell(refusal)
 
     def withdraw(self) -> None:
-        """Leave before it was heard."""
+        """Release the claim before there is a decision."""
         if self._claim is not None:
             CLAIMS.withdraw(self._claim)
 
 
 class Relay:
-    """A relay in this process, on a folder of its own; it belongs to the loop that opens it.
-
-    It decides, journals and calls as the daemon does, and keeps the same rules. `settings` tell classes,
-    kinds and limits; `folder` outlasts the process; `endpoints` tell where messages go. Without a `transport`
-    of the host's own it calls over HTTP/1.1, on `connections` at most. `on_end` is awaited with each end,
-    which counts as acknowledged when it returns; one that raises is called again later. `disk_bytes` bounds
-    the folder; `durability` tells what a message that was taken on outlasts. An `observer` is shown each
-    event and decision, a turn of the loop later.
+    """A relay in this process, on its own folder; it is bound to the event loop that opens it.
+
+    It decides, journals and calls like the daemon, with the same guarantees. `settings` define classes, kinds
+    and limits; `folder` must persist across restarts; `endpoints` provide the endpoints. Without a custom
+    `transport` it calls over HTTP/1.1, on at most `connections` connections. `on_end` is awaited with each
+    outcome, which counts as acknowledged when it returns; if it raises, it is called again later.
+    `disk_bytes` bounds the size of the folder; `durability` determines which failures an accepted message
+    survives. An `observer` is passed each event and decision, in a later iteration of the loop.
     """
 
     def __init__(
@@ -115,13 +115,13 @@
         await self.close()
 
     async def open(self) -> None:
-        """Open the folder and go on with what it holds; one that was closed may be opened again.
+        """Open the folder and resume its messages; a closed relay may be opened again.
 
-        Raises `FolderInUseError` where another relay has it, in any process, `OSError` where it can't be
-        used, and `ValueError` where the list of endpoints is bad.
+        Raises `FolderInUseError` if another relay of any process has the folder open, `OSError` if it cannot
+        be used, and `ValueError` if the list of endpoints is invalid.
         """
         if self._phase is _Phase.OPEN:
-            raise RuntimeError("the relay is open already")
+            raise RuntimeError("the relay is already open")
         self._loop, self._thread = asyncio.get_running_loop(), threading.get_ident()
         loop = self._loop
         self._folder.mkdir(parents=True, exist_ok=True)
@@ -156,7 +156,7 @@
             self._endpoints.start(self.settings, self._node.listing)
             stack.callback(self._endpoints.stop)
             if isinstance(self._endpoints, Discovery):
-                # Guards against first calls to what began to drain while no process was here.
+                # Prevents first calls to endpoints that began to drain while the process was down.
                 await self._endpoints.tried(ASK_FOR)
             for held in list(self._journal.held.values()):
                 self._claim_held(held)
@@ -167,10 +167,10 @@
             stack.pop_all()
 
     async def close(self, grace: float = GRACE) -> None:
-        """Take nothing on and start no calls; wait for those that are out, `grace` seconds at most.
+        """Accept no messages and start no calls; wait at most `grace` seconds for outstanding calls.
 
-        What would lose too much by waiting is handed back. The rest goes on when the folder is opened again.
-        No harm where the relay is not open. Cancelling it closes at once.
+        Messages that would lose too much value by waiting are handed back. The rest are resumed when the
+        folder is opened again. Does nothing if the relay is not open. Cancelling it closes the relay at once.
         """
         if self._phase is not _Phase.OPEN:
             return
@@ -185,7 +185,7 @@
             self.abandon()
 
     def abandon(self) -> None:
-        """Close at once: calls that are out are given up, and may have run."""
+        """Close at once: outstanding calls are abandoned and may have been executed."""
         if self._phase is not _Phase.OPEN:
             return
         self._lock.check()
@@ -202,25 +202,27 @@
         self._lock.release()
 
     async def hand_in(self, message: Message) -> Taken:
-        """Hand a message in; returns once it is in the journal, and so owed its end.
+        """Submit a message; returns once it is in the journal and thus guaranteed an outcome.
 
-        Raises `RefusedError` where it was not taken on, with the seconds after which to come again;
-        `BadMessageError` where it never can be; `AcknowledgedError` where it was, and its end is
-        acknowledged. A message that this process has handed in already, here or to another relay, by its id
-        or by its key in its class, is not taken on twice: what is returned belongs to the first. Where this
-        is cancelled, the message was withdrawn, unless `find` has it: then it was taken on.
+        Raises `RefusedError` if it was not accepted, with the seconds after which to retry; `BadMessageError`
+        if it is invalid; `AcknowledgedError` if it was accepted before and its outcome is acknowledged. A
+        message that this process has submitted before, to this or another relay, is identified by its id or
+        by its key within its class and not accepted twice: the handle of the first submission is returned. If
+        this is cancelled, the message is withdrawn, unless `find` returns it: then it was accepted.
         """
         self._check()
         now_ms = self._clock.wall_ms()
         held, left_us = message.checked(self.settings, now_ms)
         if not self._node.serves(held.destination):
-            raise BadMessageError(f"no endpoint of destination {held.destination!r} was ever listed")
+            raise BadMessageError(
+                f"destination {held.destination!r} is unknown: no endpoint of it was ever listed"
+            )
         if (taken := self._known(held, now_ms)) is not None:
             return taken
         told: asyncio.Future[Refusal | None] = self._loop.create_future()
 
         def tell(refusal: Refusal | None) -> None:
-            if not told.done():  # cancelled, and not yet withdrawn: what was taken on stays
+            if not told.done():  # done if cancelled and not yet withdrawn: an accepted message stays
                 told.set_result(refusal)
 
         hand_in = self.admit(held, left_us, tell)
@@ -234,24 +236,24 @@
         return self.opened(held)
 
     def find(self, name: str) -> Taken | None:
-        """The message with that id, if it is held or its end not acknowledged; also of an earlier life."""
+        """The message with that id, also from before a restart, until its outcome is acknowledged."""
         self._check()
         return self._desk.find(name)
 
     def unclaimed(self) -> list[End]:
-        """All ends that nobody has acknowledged, those of earlier lives first."""
+        """All unacknowledged outcomes, those from before a restart first."""
         self._check()
         return self._desk.unclaimed()
 
     def acknowledge(self, name: str) -> None:
-        """Say that the end of the message with that id was seen; one that is not known is passed over."""
+        """Acknowledge the outcome of the message with that id; unknown ids are ignored."""
         self._check()
         self._desk.acknowledge(name)
 
-    # For fronts, which hand in what they read from a wire.
+    # For protocol front ends such as the ASGI middleware, which submit decoded requests.
 
     def serves(self, destination: int) -> bool:
-        """Whether a list has named that destination."""
+        """Whether an endpoint of that destination was ever listed."""
         return self._node.serves(destination)
 
     def wall_ms(self) -> int:
@@ -263,9 +265,9 @@
         return self._phase is _Phase.OPEN
 
     def admit(self, message: core.Message, left_us: int, tell: Tell) -> HandIn:
-        """Hand a message in that was checked; `tell` hears once what becomes of it, unless it is withdrawn.
+        """Submit a validated message; `tell` is called once with the decision, unless it is withdrawn.
 
-        The id of one that was taken on before is told as taken on, as by the daemon.
+        The id of a message that was accepted before is reported as accepted, as by the daemon.
         """
         claim = None
         if not self._node.knows(message.name):
@@ -279,17 +281,17 @@
         return hand_in
 
     def withdraw(self, hand_in: HandIn) -> None:
-        """Take a hand-in back; one that has been settled stays."""
+        """Withdraw a submission; does nothing once it is settled."""
         if hand_in.settled or self._phase is not _Phase.OPEN:
             return
-        if self._node.knows(hand_in.message.name):  # in the journal already, and only waiting for its sync
+        if self._node.knows(hand_in.message.name):  # already in the journal, waiting for its sync only
             self.opened(hand_in.message)
             return
         self._node.hung_up(hand_in)
         hand_in.withdraw()
 
     def opened(self, message: core.Message) -> Taken:
-        """What stands for a message that was taken on."""
+        """The handle of an accepted message; created if there is none."""
         taken = self._desk.find(message.name)
         if taken is None:
             taken = Taken(message.name, self._acknowledge)
@@ -301,7 +303,7 @@
             raise RelayClosedError(f"the relay is {self._phase.value}")
         self._lock.check()
         if threading.get_ident() != self._thread:
-            raise RuntimeError("the relay belongs to another thread; see BlockingRelay")
+            raise RuntimeError("the relay belongs to another thread; use BlockingRelay")
 
     def check_process(self) -> None:
         """Raise `ForkedError` in a child of the process that opened the relay."""
@@ -309,7 +311,7 @@
             self._lock.check()
 
     def _known(self, message: core.Message, now_ms: int) -> Taken | None:
-        """What stands for a message that this process has had before."""
+        """The handle of a message that was accepted before, or None."""
         holder = CLAIMS.holder(message, now_ms)
         if holder is not None and holder.taken is not None and not holder.taken.closed:
             return holder.taken
@@ -317,10 +319,12 @@
             return None
         if (taken := self._desk.find(message.name)) is not None:
             return taken
-        raise AcknowledgedError(f"message {message.name!r} was taken on before, and its end acknowledged")
+        raise AcknowledgedError(
+            f"message {message.name!r} was accepted before, and its outcome is acknowledged"
+        )
 
     def _claim_held(self, held: Held) -> None:
-        """Claim what an earlier life took on; what another relay has meanwhile is given up untried."""
+        """Claim a message from before a restart; give it up untried if another relay has claimed it."""
         message = held.message
         taken = self.opened(message)
         if held.end is not None and held.end.outcome is Outcome.HANDED_BACK:
@@ -329,7 +333,7 @@
         if claim is not None:
             CLAIMS.settle(claim, taken)
         elif held.end is None:
-            log(f"message {message.name} was handed to another relay meanwhile: given up here")
+            log(f"message {message.name} was submitted to another relay in the meantime; given up here")
             held.end = End(message.name, Outcome.GIVEN_UP)
             self._journal.owe(message, held.end)
 
@@ -337,7 +341,7 @@
         CLAIMS.ended(self._lock.inode, end)
 
     def _acknowledge(self, name: str) -> None:
-        """Acknowledge from whichever thread waits."""
+        """Acknowledge an outcome; may be called from any thread."""
         if threading.get_ident() == self._thread:
             self._desk.acknowledge(name)
         elif not self._loop.is_closed():
--- a/amberlug/library/settings.py
+++ b/amberlug/library/settings.py
@@ -1,4 +1,4 @@
-"""Settings for a relay in a host, which has no platform to be told them by."""
+"""Settings for an embedded relay, which has no platform that configures it."""
 
 from amberlug.core.usual import message_class, settings
 
--- a/amberlug/library/taken.py
+++ b/amberlug/library/taken.py
@@ -1,4 +1,4 @@
-"""A message that was taken on, as its host sees it: it can wait for the end, and acknowledge it."""
+"""The host's handle to an accepted message: waits for the outcome and acknowledges it."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 
 
 class Taken:
-    """A message that a relay answers for. It may be waited for from any loop of the process."""
+    """A message that a relay is responsible for; it may be awaited from any event loop of the process."""
 
     def __init__(self, name: str, acknowledge: Callable[[str], None]) -> None:
         self.id = name
-        self.waived = False  # nobody wants to hear its end
+        self.waived = False  # the host does not want the outcome
         self._acknowledge = acknowledge
         self._lock = threading.Lock()
         self._end: End | None = None
@@ -24,21 +24,21 @@
 
     @property
     def ended(self) -> End | None:
-        """The end, once there is one."""
+        """The final outcome, or None while there is none."""
         return self._end
 
     @property
     def closed(self) -> bool:
-        """Whether its relay closed before it ended."""
+        """Whether its relay closed before there was an outcome."""
         return self._closed
 
     async def end(self, *, acknowledge: bool = True) -> End:
-        """Wait for the one end, and acknowledge that it was seen.
+        """Wait for the final outcome and acknowledge it.
 
-        Cancelling this does not cancel the message. A host that must first store what it learned passes
-        `acknowledge=False`, and calls `acknowledge()` after that; until then the end is told again to each
-        next life. Raises `RelayClosedError` where the relay closes first: the message goes on with its
-        folder.
+        Cancelling this does not cancel the message. A host that must store the outcome first passes
+        `acknowledge=False` and calls `acknowledge()` afterwards; until then the outcome is reported again
+        after each restart. Raises `RelayClosedError` if the relay closes first: the message is resumed when
+        its folder is opened again.
         """
         while self._end is None:
             waiter = asyncio.get_running_loop().create_future()
@@ -58,19 +58,19 @@
         return self._end
 
     def acknowledge(self) -> None:
-        """Say that the end was seen; before there is one, that nobody will ask for it."""
+        """Acknowledge the outcome; before there is one, declare that nobody will ask for it."""
         self.waived = True
         if self._end is not None:
             self._acknowledge(self.id)
 
     def finish(self, end: End) -> None:
-        """Take the end in; the relay's own call."""
+        """Set the outcome; called by the relay only."""
         with self._lock:
             self._end = end
         self._wake()
 
     def close(self) -> None:
-        """Let go of whoever waits: the relay can tell no more."""
+        """Wake the waiting tasks, because the closed relay can report no outcome."""
         with self._lock:
             self._closed = self._end is None
         self._wake()
--- a/amberlug/library/transport.py
+++ b/amberlug/library/transport.py
@@ -1,4 +1,4 @@
-"""A transport that the host supplies: one coroutine that makes a call."""
+"""Custom transports: the host supplies a coroutine that makes a call."""
 
 from __future__ import annotations
 
@@ -15,20 +15,20 @@
 
 
 class NotSentError(Exception):
-    """The call never left: no connection came up, or it broke before its last byte was written."""
+    """The call was not sent: no connection was established, or it broke before the last byte was written."""
 
 
 class TurnedAwayError(Exception):
-    """The endpoint refused the call, which never ran; it may have told how many seconds to wait."""
+    """The endpoint refused the call without executing it; `wait` is the requested delay in seconds."""
 
     def __init__(self, wait: float = 0.0) -> None:
-        super().__init__(f"turned away; wait {wait} s")
+        super().__init__(f"the endpoint refused the call; retry after {wait} s")
         self.wait = wait
 
 
 @dataclass(frozen=True, slots=True)
 class Outgoing:
-    """A message as it goes to an endpoint."""
+    """A message as it is sent to an endpoint."""
 
     id: str
     key: str | None
@@ -39,31 +39,31 @@
 
 @dataclass(frozen=True, slots=True)
 class Call:
-    """One call to one endpoint, with several messages where its kind bundles them; they have one fate."""
+    """A call to an endpoint, with several messages if its kind bundles them; they share one result."""
 
     endpoint: str
     messages: tuple[Outgoing, ...]
-    seconds: float  # after which it is given up
+    seconds: float  # timeout
 
     @property
     def message(self) -> Outgoing:
-        """The first of its messages, which is the only one unless their kind bundles them."""
+        """The first message, which is the only one unless the endpoint's kind bundles messages."""
         return self.messages[0]
 
 
 class Deliver(Protocol):
     """Makes a call.
 
-    Returning means that it was delivered, `NotSentError` and `TurnedAwayError` that it never ran; anything
-    else that it raises, that it may have. It is cancelled when the relay stops waiting; until it has ended,
-    it counts as out.
+    Returning means that it was delivered; `NotSentError` and `TurnedAwayError` mean that it was not executed;
+    any other exception means that it may have been. It is cancelled when the relay stops waiting, and counts
+    as outstanding until it has ended.
     """
 
     async def __call__(self, call: Call, /) -> None: ...
 
 
 class HostTransport:
-    """The core's transport over a host's coroutine."""
+    """Implements the core's transport with a host's coroutine."""
 
     def __init__(self, deliver: Deliver, clock: Clock) -> None:
         self._deliver, self._clock = deliver, clock
@@ -89,17 +89,17 @@
             task.cancel()
 
     def probe(self, endpoint: str, ended: Callable[[Ending], None]) -> None:
-        """Say that nothing was asked: a host's coroutine only delivers."""
+        """Report that no probe was sent: a host's coroutine only delivers messages."""
         asyncio.get_running_loop().call_soon(ended, Ending(Result.UNSENT))
 
     def locate(self, endpoint: str, address: Address | None, kind: str = "") -> None:
-        """Leave addresses to the host."""
+        """Do nothing: the host manages addresses."""
 
     def close_idle(self, endpoint: str) -> None:
-        """Leave connections to the host."""
+        """Do nothing: the host manages connections."""
 
     def abandon(self) -> None:
-        """Give up all that is out; no more ends are reported."""
+        """Cancel all outstanding calls and report no more results."""
         self._closed = True
         for task in [*self._out.values(), *self._tasks]:
             task.cancel()
@@ -110,7 +110,8 @@
             self._calls.ended(attempt, how)
 
     async def _call(self, endpoint: str, attempts: list[Attempt]) -> None:
-        # Only now: an attempt that is recorded and then does not leave may have run, for the next life.
+        # Record only now: after a restart, an attempt that was recorded but not sent counts as possibly
+        # executed.
         cleared = await departing(self._calls, attempts)
         for attempt in attempts:
             if attempt not in cleared:
@@ -124,7 +125,7 @@
             Outgoing(it.name, it.key, it.message_class, it.destination, it.body)
             for it in (attempt.message for attempt in attempts)
         )
-        # In a task of its own: whatever it raises is looked at, and harms nothing.
+        # Runs in a separate task, so that any exception it raises is caught and evaluated.
         out = asyncio.get_running_loop().create_task(_made(self._deliver, Call(endpoint, messages, seconds)))
         for attempt in attempts:
             self._out[attempt] = out
@@ -132,7 +133,7 @@
         late = not out.done()
         if late:
             out.cancel()
-            await asyncio.wait({out})  # it counts as out until it has ended
+            await asyncio.wait({out})  # it counts as outstanding until it has ended
         for attempt in attempts:
             del self._out[attempt]
         how = Ending(Result.TIMED_OUT) if late and out.cancelled() else ending(out)
@@ -141,12 +142,12 @@
 
 
 async def _made(deliver: Deliver, call: Call) -> None:
-    """Call a host's coroutine inside its task: also one that raises before its first await."""
+    """Call a host's coroutine inside its task, so that an error before its first await is caught as well."""
     await deliver(call)
 
 
 def ending(out: asyncio.Task[None]) -> Ending:
-    """Tell what became of a call that is over."""
+    """Map a finished call to its result."""
     if out.cancelled():
         return Ending(Result.RESET)
     error = out.exception()
@@ -156,5 +157,5 @@
         return Ending(Result.REFUSED, int(max(0.0, min(error.wait, 3600.0)) * 1e6))
     if isinstance(error, NotSentError):
         return Ending(Result.UNCONNECTED)
-    log(f"a call raised {error!r}: it may have run")
+    log(f"transport raised {error!r}; the call may have been executed")
     return Ending(Result.ERROR)
