--- a/tests/asgi_host.py
+++ b/tests/asgi_host.py
@@ -1,6 +1,7 @@
-"""A small ASGI host, written to the ASGI specification (3.0): lifespan, HTTP on loopback, shutdown by signal.
+"""A minimal server for the ASGI 3.0 specification: lifespan, HTTP on loopback, shutdown by signal.
 
-`python -m tests.asgi_host module:factory PORT [argument ...]` serves what the factory makes of the arguments.
+`python -m tests.asgi_host module:factory PORT [argument ...]` serves the application that the factory
+returns.
 """
 
 from __future__ import annotations
@@ -15,11 +16,11 @@
 
 from amberlug.asgi import Application, Event
 
-GRACE = 5.0  # seconds for requests that are open at the shutdown
+GRACE = 5.0  # seconds that the shutdown waits for pending requests
 
 
 class Lifespan:
-    """The application's lifespan; one that raises on it has none, as the specification has it."""
+    """The application's lifespan; by the specification, an application that raises does not support it."""
 
     def __init__(self, app: Application) -> None:
         self.state: dict[str, Any] = {}
@@ -48,7 +49,7 @@
         self.port = 0
 
     async def start(self, port: int = 0) -> Host:
-        """Start it; `RuntimeError` where the application's startup failed."""
+        """Start serving; raises `RuntimeError` if the application's startup fails."""
         self.lifespan = Lifespan(self._app)
         said = await self.lifespan.ask("startup")
         if said is not None and said["type"] == "lifespan.startup.failed":
@@ -58,7 +59,7 @@
         return self
 
     async def stop(self) -> Event | None:
-        """Take no more connections, see requests to their end, then have the application shut down."""
+        """Stop accepting connections, wait for pending requests, then shut the application down."""
         self._server.close()
         for writer in list(self._idle):
             writer.transport.abort()
@@ -100,7 +101,7 @@
 
 
 class Exchange:
-    """One request and its answer."""
+    """One request and its response."""
 
     def __init__(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, http: h11.Connection
--- a/tests/hosts.py
+++ b/tests/hosts.py
@@ -1,4 +1,4 @@
-"""Helpers for tests of the relay as a library: settings, a scripted transport, a host in a process."""
+"""Helpers for tests of the library: settings, a scripted transport, and a host in its own process."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 class Partner:
-    """A transport: each call takes the next of `answers`, to raise or await; without one it is delivered."""
+    """A transport: each call raises or awaits the next of `answers`, or is delivered if there is none."""
 
     def __init__(self, *answers: BaseException | None | Callable[[Call], Awaitable[None]]) -> None:
         self.answers = list(answers)
@@ -54,7 +54,7 @@
 
 
 async def forever(call: Call) -> None:
-    """Never answer."""
+    """Never return."""
     await asyncio.Event().wait()
 
 
@@ -70,7 +70,7 @@
 
 
 async def host(folder: Path, script: str, *arguments: str) -> tuple[int, str, str]:
-    """Run a host's program on a folder to its end: its code, what it printed, and its log."""
+    """Run a host script on a folder; returns its exit code, output and log."""
     path = folder / "host.py"
     path.write_text(script)
     process = await asyncio.create_subprocess_exec(
--- a/tests/parity_host.py
+++ b/tests/parity_host.py
@@ -1,4 +1,4 @@
-"""A host of the library that is told by lines what to hand in, and says what came of it."""
+"""A host of the library: reads submissions as lines and prints their results."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
     except RefusedError:
         say(told=order["id"], taken=False)
         return
-    except AcknowledgedError:  # the daemon answers such a one as taken on
+    except AcknowledgedError:  # the daemon reports such a message as accepted
         say(told=order["id"], taken=True)
         return
     say(told=order["id"], taken=True)
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -1,4 +1,4 @@
-"""Answers that come spoilt, or with more than belongs to them."""
+"""Responses of endpoints that are malformed, truncated or followed by surplus bytes."""
 
 import asyncio
 from collections import Counter
@@ -18,7 +18,7 @@
 
 
 def raw(text: bytes) -> Callable[[Seen], bool]:
-    """Answer the first call with bytes, the others as usual; the connection stays open."""
+    """Respond to the first call with raw bytes, to others as usual; the connection stays open."""
     left = [text]
 
     def answer(seen: Seen) -> bool:
@@ -68,7 +68,7 @@
         async with world(tmp_path, endpoint) as (relay, platform):
             assert (await relay.hand_in("m1", "unsafe")).status == 202
             await endpoint.requests(1)
-            await endpoint.until(lambda: endpoint.closed == 1)  # it is of no further use
+            await endpoint.until(lambda: endpoint.closed == 1)  # the connection cannot be reused
             await relay.hand_in("m2")
             assert [seen.name for seen in await endpoint.requests(2)] == ["m1", "m2"]
             if not delivered:
@@ -82,7 +82,7 @@
 def test_an_answer_that_is_cut_off_at_any_byte_delivers_once_its_first_line_is_whole(
     tmp_path: Path, kind: str
 ) -> None:
-    """Each cut meets a destination of its own, so that none of them waits for another's outage."""
+    """Each cut uses its own destination, so that none is delayed by the outage of another."""
 
     async def scenario() -> None:
         endpoint, cuts = StandIn(), range(len(GOOD))
@@ -131,7 +131,7 @@
             await relay.hand_in("m1", "unsafe")
             (first,) = await endpoint.requests(1)
             if later:
-                await asyncio.sleep(0.1)  # the good answer has been read: the connection is idle
+                await asyncio.sleep(0.1)  # the valid response has been read and the connection is idle
                 first.writer.write(more)
             await endpoint.until(lambda: endpoint.closed == 1)
             endpoint.usual = (500, [], b"")
@@ -159,7 +159,7 @@
 
 @pytest.mark.parametrize("kind", ["safe", "unsafe"])
 def test_an_answer_to_several_after_the_time_of_one_delivers_none(tmp_path: Path, kind: str) -> None:
-    """Guards against taking for delivered what came with the `ok` of a message whose time was up."""
+    """A batch response that arrives after the deadline of one of its messages must not count as delivery."""
 
     async def scenario() -> None:
         endpoint = StandIn(OK, None, None)
@@ -182,7 +182,7 @@
 
 
 def test_what_waits_out_its_time_shares_no_call_with_what_may_be_repeated(tmp_path: Path) -> None:
-    """Guards against a silent call that holds what could be repeated for as long as what can't."""
+    """In a shared call, a missing response would block retryable messages as long as non-retryable ones."""
 
     async def scenario() -> None:
         endpoint = StandIn(OK, None, None)
@@ -208,7 +208,7 @@
         assert of(it.step(it.take("unsafe")), object)
         it.answer(ref, 0, Result.SPOILT)
         it.now += 1_000_000
-    assert len(it.sent) == 8  # nothing was held back
+    assert len(it.sent) == 8  # no message was delayed
     assert not it.endpoint("a").cold
 
 
@@ -223,7 +223,7 @@
 
 
 def test_a_reset_on_a_used_connection_bars_no_endpoint(tmp_path: Path) -> None:
-    """Guards against giving an endpoint up for seconds where only a kept connection had been dropped."""
+    """An endpoint that drops a kept connection must not be avoided for seconds as if it had failed."""
 
     async def scenario() -> None:
         endpoint = StandIn()
@@ -240,13 +240,13 @@
             await relay.hand_in("m2")
             _, second, third = await endpoint.requests(3)
             assert (second.name, third.name) == ("m2", "m2")
-            assert third.at - second.at < 1.5  # what failed gives way to its siblings for 2.1 s at least
+            assert third.at - second.at < 1.5  # a failed endpoint is avoided for at least 2.1 s
 
     run(scenario())
 
 
 def test_what_cannot_be_repeated_shuns_used_connections_that_are_reset(tmp_path: Path) -> None:
-    """Guards against losing by a dropped connection what a new one would have delivered."""
+    """A non-retryable message must not be lost to a dropped kept connection if a new one would deliver it."""
 
     async def scenario() -> None:
         endpoint = StandIn()
@@ -261,7 +261,7 @@
         async with world(tmp_path, endpoint) as (relay, _):
             await relay.hand_in("m0")
             await endpoint.requests(1)
-            for number in (1, 2, 3):  # each is reset on the connection of the one before, and goes again
+            for number in (1, 2, 3):  # each is reset on the previous message's connection and retried
                 await relay.hand_in(f"m{number}")
                 await endpoint.requests(1 + 2 * number)
             await relay.hand_in("m4", "unsafe")
--- a/tests/test_asgi.py
+++ b/tests/test_asgi.py
@@ -1,4 +1,4 @@
-"""The middleware in an ASGI host, round Starlette, FastAPI and plain applications."""
+"""The ASGI middleware with Starlette, FastAPI and plain applications."""
 
 import asyncio
 import json
@@ -48,7 +48,7 @@
 
 
 async def plain_app(scope: Scope, receive: Receive, send: Send) -> None:
-    """Without a lifespan, as the specification allows."""
+    """An application without a lifespan, as the specification allows."""
     assert scope["type"] == "http"
     await send({"type": "http.response.start", "status": 418, "headers": [(b"content-length", b"0")]})
     await send({"type": "http.response.body", "body": b""})
@@ -88,7 +88,7 @@
             calls = await partner.called(2)
             assert [call.message.body for call in calls] == [b"fee", b"hello"]
             assert (await ask(host.port, "GET", "/other")).status == 404
-        async with relay_on(tmp_path, partner) as relay:  # closed with the host, and its folder is free
+        async with relay_on(tmp_path, partner) as relay:  # closed with the host; the folder is unlocked
             assert [end.message for end in relay.unclaimed()] == ["m1"]
 
     run(scenario())
@@ -122,7 +122,7 @@
             assert json.loads(bytes((await ask(host.port, "GET", "/own")).body)) == ["state", True]
         assert steps == [True, Outcome.DELIVERED]
         assert not relay.is_open
-        async with hosted(app, relay):  # it may live again
+        async with hosted(app, relay):  # it may be opened again
             assert relay.is_open
 
     run(scenario())
@@ -174,7 +174,7 @@
 
 
 class Client:
-    """Drives the middleware event by event, where a socket would be too quick or too kind."""
+    """Sends single ASGI events to the middleware, in sequences that a real server does not produce."""
 
     def __init__(self, app: Application, headers: dict[str, str], path: str = "/relay/safe") -> None:
         self.events: asyncio.Queue[Event] = asyncio.Queue()
@@ -198,7 +198,7 @@
         return self.said[0]["status"] if self.said else None
 
 
-# Its rounds are so far apart that a client can leave between its request and the answer.
+# The round interval is long enough for a client to disconnect between its request and the response.
 UNHURRIED = replace(SETTINGS, granularity_us=200_000)
 
 
@@ -305,7 +305,7 @@
 
 
 def hosted_app(folder: str, endpoint: str) -> Application:
-    """What the test below has a process serve."""
+    """The application that the process in the next test serves."""
     where = StaticEndpoints(Endpoint("e1", 1, f"127.0.0.1:{endpoint}", rate=50.0))
     return RelayMiddleware(starlette_app(), Relay(SETTINGS, folder, where, seed=1))
 
@@ -334,7 +334,7 @@
             (seen,) = await endpoint.requests(1)
             process.send_signal(number)
             if number is signal.SIGTERM:
-                seen.answer((200, [], b""))  # what is out is still collected
+                seen.answer((200, [], b""))  # the outstanding call is still completed
             out, _ = await process.communicate()
         assert out == (b"lifespan.shutdown.complete\n" if number is signal.SIGTERM else b"")
         async with relay_on(tmp_path, partner := Partner()) as relay:
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -1,4 +1,4 @@
-"""Which relay answers for a message: decisions alone, with times that the tests give."""
+"""Claims to messages: which relay is responsible. No I/O; the tests set the time."""
 
 from amberlug.core.messages import End, Message, Outcome
 from amberlug.library.claims import Claims
@@ -34,12 +34,12 @@
     assert first is claims.claim(message("m1", "k"), "a", NOW)
     assert first is not None
     claims.withdraw(first)
-    assert claims.claim(message("m1"), "b", NOW) is None  # the second still waits
+    assert claims.claim(message("m1"), "b", NOW) is None  # the second submission is still pending
     claims.withdraw(first)
     claim = claims.claim(message("m1"), "b", NOW)
     assert claim is not None
     claims.settle(claim, taken("m1"))
-    claims.ended("a", End("m1", Outcome.HANDED_BACK))  # not this relay's
+    claims.ended("a", End("m1", Outcome.HANDED_BACK))  # the claim belongs to another relay
     assert claims.holder(message("m1"), NOW) is claim
     claims.ended("b", End("m1", Outcome.HANDED_BACK))
     assert (claims.holder(message("m1"), NOW), len(claims)) == (None, 0)
@@ -51,7 +51,7 @@
     assert claim is not None
     held = taken("m1")
     claims.settle(claim, held)
-    assert claims.holder(message("m1"), UNTIL + 1) is claim  # it has no end yet
+    assert claims.holder(message("m1"), UNTIL + 1) is claim  # there is no outcome yet
     held.finish(End("m1", Outcome.GIVEN_UP))
     claims.ended("a", End("m1", Outcome.GIVEN_UP))
     assert claims.claim(message("m1"), "b", UNTIL - 1) is None
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -1,4 +1,4 @@
-"""Clients that send what can't be used, or nothing: each gets an error or a close, nothing is taken on."""
+"""Clients that send invalid input or none: they get an error or a close, and no message is accepted."""
 
 import asyncio
 import socket
@@ -11,7 +11,7 @@
 from tests.rig import Relay, hand_in, run, world
 
 HEAD = "POST /safe HTTP/1.1\r\nHost: a\r\n" + "".join(f"{k}: {v}\r\n" for k, v in hand_in("m1").items())
-IN_TIME = 3.0  # seconds from the connect to an error or a close
+IN_TIME = 3.0  # limit in seconds from the connect to an error or a close
 
 
 async def exchange(relay: Relay, text: bytes) -> bytes:
@@ -67,7 +67,7 @@
 
 
 def test_a_request_that_is_cut_off_at_any_byte_takes_nothing_on(tmp_path: Path) -> None:
-    """Half the clients close at the cut, half only end their sending and wait for what is said."""
+    """Half of the clients close at the cut; the others only shut down sending and wait for the response."""
 
     async def scenario() -> None:
         endpoint = StandIn()
@@ -127,7 +127,7 @@
                 assert (await relay.hand_in(f"m{count}")).status == 202
                 assert len(list(Path(f"/proc/{relay.process.pid}/fd").iterdir())) < 100
             await endpoint.requests(5)
-            for reader, writer in silent:  # each is closed, the late ones when their time is up
+            for reader, writer in silent:  # all are closed, the most recent ones by the timeout
                 with pytest.raises((ConnectionError, asyncio.IncompleteReadError)):
                     await reader.readexactly(1)
                 writer.close()
@@ -140,12 +140,12 @@
     async def scenario() -> None:
         endpoint = StandIn()
         async with world(tmp_path, endpoint, GranularityUs=1_000_000) as (relay, _):
-            await relay.hand_in("m0")  # the next round is a second away
+            await relay.hand_in("m0")  # the next round is one second away
             with socket.create_connection(("127.0.0.1", relay.port)) as client:
                 client.setblocking(False)
                 loop = asyncio.get_running_loop()
                 client.send(f"{HEAD}Content-Length: 0\r\n\r\n".encode())
-                for _ in range(1000):  # 64 MB: what the relay keeps of it shows in its memory
+                for _ in range(1000):  # 64 MB: what the relay buffers shows in its memory use
                     await loop.sock_sendall(client, b"x" * (1 << 16))
             assert (await relay.hand_in("last")).status == 202
             assert [seen.name for seen in await endpoint.requests(2)] == ["m0", "last"]
@@ -162,7 +162,7 @@
             assert (await reader.readuntil(b"up\n")).startswith(b"HTTP/1.1 200")
             start = time.monotonic()
             assert await reader.read() == b""
-            assert time.monotonic() - start > 2.0  # not before: it may ask again
+            assert time.monotonic() - start > 2.0  # not earlier: it may send another request
             writer.close()
 
     run(scenario())
@@ -172,7 +172,7 @@
     async def scenario() -> None:
         async with world(tmp_path, StandIn(), limits={"sockets": 100}) as (relay, _):
             resting = []
-            for _ in range(60):  # guards against closing each new connection in favour of those that rest
+            for _ in range(60):  # new connections must not be closed in favour of idle ones
                 reader, writer = await asyncio.open_connection("127.0.0.1", relay.port)
                 writer.write(b"GET /up HTTP/1.1\r\nHost: a\r\n\r\n")
                 assert (await reader.readuntil(b"up\n")).startswith(b"HTTP/1.1 200")
--- a/tests/test_commands.py
+++ b/tests/test_commands.py
@@ -1,4 +1,4 @@
-"""The command line: what `check` finds, what `try` shows, and what a bad call says."""
+"""The command line: validation, `try`, the journal and learning commands, and usage errors."""
 
 import asyncio
 import json
@@ -81,7 +81,7 @@
 
 
 def learned(folder: Path, key: bytes = b"", **health: Any) -> None:
-    """A folder of a relay that has learned of one endpoint, and was told to wait by its destination."""
+    """Create the folder of a relay that has learned about one endpoint, with a wait requested by it."""
     folder.mkdir()
     now = learnings.Now()
     learner = Learner(Store(FolderDisk(folder), 10**5, now.now_us, key), now)
@@ -106,13 +106,14 @@
     assert "all is believed" in said
     assert main(["learning", "diff", str(one), str(other)]) == 1
     assert "endpoint e1 failure_rate: 0.0 | 0.25" in capsys.readouterr().out
-    assert {path.name: path.read_bytes() for path in one.iterdir()} == before  # nothing was changed
+    assert {path.name: path.read_bytes() for path in one.iterdir()} == before  # nothing was modified
     assert main(["learning", "forget", str(one), "--destination", "1", "--endpoint", "e1"]) == 0
     assert main(["learning", "forget", str(one), "--destination", "1", "--endpoint", "e1"]) == 1
     capsys.readouterr()
     assert main(["learning", "show", str(one), "--json"]) == 0
     (partner,) = json.loads(capsys.readouterr().out)["destinations"]
-    assert (partner["endpoints"], len(partner["waits"])) == ([], 1)  # what a rule needs is not forgotten
+    # Requested waits are kept, because they must be honored.
+    assert (partner["endpoints"], len(partner["waits"])) == ([], 1)
 
 
 def test_learning_verify_tells_what_is_not_believed(
@@ -163,7 +164,7 @@
     path = tmp_path / "config.json"
     path.write_text(json.dumps(config(**changes)))
     environ = {"ROUTER_CONFIG": str(path), "ROUTER_STATE": str(tmp_path)}
-    with pytest.raises(ValueError):  # noqa: PT011 - any of its lines
+    with pytest.raises(ValueError):  # noqa: PT011 - any of its error messages
         read_config(environ)
     assert check(path.read_text()) != []
 
@@ -216,7 +217,7 @@
 
 
 def journal(folder: Path) -> None:
-    """A folder with a message of each sort."""
+    """Create a folder with a sent, an unacknowledged and a completed message."""
     it = journal_in(folder)
     sent, owed, over = (Message(name, "safe", None, 1, None, b"x" * 500, 10**15) for name in ("a", "b", "c"))
     for one in (sent, owed, over):
@@ -242,7 +243,7 @@
     assert figures["attempts_without_outcome"] == 1
     assert main(["journal", "inspect", str(folder)]) == 0
     assert "held: 1 safe" in capsys.readouterr().out
-    assert {path.name: path.read_bytes() for path in folder.iterdir()} == before  # it only reads
+    assert {path.name: path.read_bytes() for path in folder.iterdir()} == before  # it is read-only
     (path,) = folder.iterdir()
     data = bytearray(path.read_bytes())
     data[data.index(b"x" * 100) + 50] ^= 1
--- a/tests/test_library.py
+++ b/tests/test_library.py
@@ -1,4 +1,4 @@
-"""The relay as a library: hand-ins, ends, cancels, and hosts that close, hang or end at every stage."""
+"""The relay as a library: submissions, outcomes, cancellation, and hosts that close, block or exit."""
 
 import asyncio
 import gc
@@ -98,26 +98,26 @@
 
 
 def test_what_is_held_goes_where_discovery_says_by_now(tmp_path: Path) -> None:
-    """The list that a host begins with is older than what discovery says at once."""
+    """A host's initial list may be older than the one that discovery reports at the start."""
 
     async def scenario() -> None:
         first, other, platform = await StandIn().start(), await StandIn().start(), Platform()
         await platform.start()
         platform.first = news(member(first.port, "e0", "terminating"))
 
-        def later(seen: Seen) -> bool:  # an answer that a first call would not wait for
+        def later(seen: Seen) -> bool:  # delays discovery's answer beyond the first possible call
             asyncio.get_running_loop().call_later(0.05, platform._watch, seen)
             return True
 
         platform.on_request = later
-        # What loses little by waiting is not handed back as its relay closes.
+        # A class that loses little value by waiting is not handed back when the relay closes.
         patient = settings([message_class("slow", Effect.SAFE, deadline=60.0, wanted=50.0)])
         for phase in ("terminating", "in_service"):
             known = read_line(news(member(first.port, "e0", phase), complete=True), patient.kinds)
             relay = Relay(patient, tmp_path, Discovery(f"127.0.0.1:{platform.port}", known), seed=1)
             await relay.open()
             if phase == "terminating":
-                await relay.hand_in(Message(1, "slow", b"hello", id="m1"))  # nothing may be called for it yet
+                await relay.hand_in(Message(1, "slow", b"hello", id="m1"))  # no endpoint may be called yet
                 platform.first = news(
                     member(first.port, "e0", "terminating"), member(other.port, "e9"), revision=3
                 )
@@ -169,7 +169,7 @@
 
         async with relay_on(tmp_path, partner := Partner(stubborn)) as relay:
             taken = await relay.hand_in(message("m1", "unsafe", deadline=0.5))
-            assert (await taken.end()).outcome is GIVEN_UP  # on time, though the call still runs
+            assert (await taken.end()).outcome is GIVEN_UP  # on time although the call is still running
             await cancelled.wait()
             assert partner.names == ["m1"]
             let_go.set()
@@ -216,7 +216,7 @@
     run(scenario())
 
 
-# Cancels.
+# Cancellation.
 
 
 def test_cancelling_the_wait_for_an_end_does_not_cancel_the_message(tmp_path: Path) -> None:
@@ -241,7 +241,7 @@
 
 @pytest.mark.parametrize("turns", range(8))
 def test_a_cancelled_hand_in_was_taken_on_or_never_will_be(tmp_path: Path, turns: int) -> None:
-    """Cancels it at each turn of the loop round the journal's write; the clock's tick lies among them."""
+    """Cancels at each loop iteration around the journal's write, including that of the clock tick."""
 
     async def scenario() -> None:
         async with relay_on(tmp_path, partner := Partner()) as relay:
@@ -267,7 +267,7 @@
             task = asyncio.create_task(relay.hand_in(message("m1")))
             await asyncio.sleep(0)
             task.cancel()
-            relay._node._round()  # the round comes before the cancelled task's turn
+            relay._node._round()  # the round runs before the cancelled task does
             await asyncio.wait({task})
             assert task.cancelled()
             taken = relay.find("m1")
@@ -277,7 +277,7 @@
     run(scenario())
 
 
-# Ends that nobody has seen.
+# Unacknowledged outcomes.
 
 
 def test_an_end_is_told_to_each_next_life_until_it_is_acknowledged(tmp_path: Path) -> None:
@@ -322,7 +322,7 @@
                 await relay_find_again(relay)
 
     async def relay_find_again(relay: Relay) -> None:
-        CLAIMS.clear()  # as in a next life of the process
+        CLAIMS.clear()  # as after a restart of the process
         await relay.hand_in(message("m1"))
 
     run(scenario())
@@ -375,7 +375,7 @@
     run(scenario())
 
 
-# Closing, at each stage of a message.
+# Closing at each stage of a message.
 
 
 @pytest.mark.parametrize("kind", ["safe", "unsafe"])
@@ -413,7 +413,7 @@
             await partner.called(1)
             waits = await relay.hand_in(message("m2", "unsafe"))
             closing = asyncio.create_task(relay.close())
-            # What loses most of its worth by waiting for a next life is handed back.
+            # A message that loses most of its value by waiting for a restart is handed back.
             assert (await waits.end()).outcome is HANDED_BACK
             with pytest.raises(RefusedError) as refused:
                 await relay.hand_in(message("m3"))
@@ -436,7 +436,7 @@
         await asyncio.sleep(0)
         closing.cancel()
         await asyncio.wait({closing})
-        async with relay_on(tmp_path, Partner()) as relay:  # the folder is free
+        async with relay_on(tmp_path, Partner()) as relay:  # the folder is unlocked
             assert relay.unclaimed() == [End("m1", GIVEN_UP)] or relay.find("m1") is not None
 
     run(scenario())
@@ -450,7 +450,7 @@
         await relay.open()
         await relay.hand_in(message("m1", "unsafe"))
         await partner.called(1)
-        old.append(relay)  # it stays reachable, and is never closed
+        old.append(relay)  # keeps it referenced; it is never closed
 
     async def second() -> None:
         async with relay_on(tmp_path, partner := Partner()) as relay:
@@ -478,7 +478,7 @@
         os.kill(os.getpid(), signal.SIGKILL)
     if way == "exit":
         os._exit(0)
-    raise SystemExit(0)  # the interpreter ends with the relay open
+    raise SystemExit(0)  # the interpreter exits with the relay open
 
 async def main():
     answered = asyncio.Event()
@@ -501,7 +501,7 @@
         stop(relay)
     while taken.ended is None:
         await asyncio.sleep(0)
-    stop(relay)  # before the end is read
+    stop(relay)  # before the outcome is read
 
 asyncio.run(main())
 """
@@ -530,7 +530,8 @@
             if stage == "after the outcome":
                 assert (end.outcome, attempts) == (DELIVERED, ["m1"])
             elif kind == "unsafe":
-                # One that was out may have run: it is never sent again. One that was not out goes now.
+                # An outstanding call may have been executed and is not repeated. A message not yet sent is
+                # sent now.
                 assert attempts == ["m1"]
                 assert end.outcome is (GIVEN_UP if before else DELIVERED)
             else:
@@ -542,7 +543,7 @@
     run(scenario())
 
 
-# Two relays.
+# Several relays.
 
 
 def test_a_folder_has_one_relay_in_the_process(tmp_path: Path) -> None:
@@ -583,7 +584,7 @@
             assert await other.hand_in(again) is taken
             go_on.set()
             assert (await taken.end()).outcome is DELIVERED
-            assert await other.hand_in(again) is taken  # also now
+            assert await other.hand_in(again) is taken  # also after the outcome
             assert (first.names, second.names) == (["m1"], [])
 
     run(scenario())
@@ -644,7 +645,7 @@
 
 
 def test_a_message_that_went_elsewhere_meanwhile_is_given_up_untried(tmp_path: Path) -> None:
-    """The process forgot who had it, as one that was restarted has."""
+    """After a restart, the process does not know that another relay had the message."""
 
     async def scenario() -> None:
         payment = message("m1", "unsafe")
@@ -652,7 +653,7 @@
         async with relay_on(tmp_path / "a", blocked := Partner(forever), settings=one_slot) as one:
             await one.hand_in(message("m0", "unsafe"))
             await blocked.called(1)
-            one._node.closing = True  # it hands nothing back, as one that is killed
+            one._node.closing = True  # hands nothing back, like a process that is killed
             one._node.closing = False
             await one.hand_in(payment)
             one._node.stop()
@@ -684,7 +685,7 @@
                     os._exit(code)
             _, status = os.waitpid(pid, 0)
             assert os.waitstatus_to_exitcode(status) == 0
-            # The parent goes on, and still holds its folder.
+            # The parent continues and still has its folder locked.
             assert (await (await relay.hand_in(message("m1"))).end()).outcome is DELIVERED
             with pytest.raises(FolderInUseError):
                 await relay_on(tmp_path, partner).open()
@@ -692,7 +693,7 @@
     run(scenario())
 
 
-# A loop that is held up.
+# A blocked event loop.
 
 
 def test_ends_are_true_though_the_hosts_loop_was_held_up(tmp_path: Path) -> None:
@@ -725,11 +726,11 @@
             while not endpoint.seen:
                 await asyncio.sleep(0)
             assert answer.wait(PATIENCE)
-            time.sleep(1.2)  # the host holds its loop up beyond the time of both
-            assert (await out.end()).outcome is DELIVERED  # its answer had come
-            assert (await waits.end()).outcome is HANDED_BACK  # it never left
+            time.sleep(1.2)  # the host blocks its loop beyond both deadlines
+            assert (await out.end()).outcome is DELIVERED  # its response had arrived
+            assert (await waits.end()).outcome is HANDED_BACK  # it was never sent
             done.set()
-            with pytest.raises(RefusedError):  # what came meanwhile waited, and the refusal says so
+            with pytest.raises(RefusedError):  # refused because of the time that the submission waited
                 await relay.hand_in(message("m3"))
 
     run(scenario())
@@ -754,7 +755,7 @@
 
 
 async def delivered(relay: Relay, name: str) -> None:
-    """See a message to its end; a relay that is behind, as on a busy machine, has it come again."""
+    """Deliver a message, retrying while the relay refuses because it is overloaded, as on a busy machine."""
     async with asyncio.timeout(PATIENCE):
         while True:
             try:
@@ -781,7 +782,7 @@
 
     async def scenario() -> None:
         write("{")
-        with pytest.raises(ValueError):  # noqa: PT011 - the library's own words
+        with pytest.raises(ValueError):  # noqa: PT011 - the message comes from the JSON parser
             await relay_on(tmp_path / "s", Partner(), endpoints=EndpointFile(path)).open()
         write(json.dumps({"members": [member(1, "e1")]}))
         watched = EndpointFile(path, every=0.005)
@@ -792,7 +793,7 @@
             await delivered(relay, "m2")
             path.unlink()
             await until_logged("No such file")
-            await asyncio.sleep(0.05)  # ten looks
+            await asyncio.sleep(0.05)  # ten checks of the file
             assert caplog.text.count("No such file") == 1
             write(json.dumps({"members": [member(1, "e9")]}))
             async with asyncio.timeout(PATIENCE):
@@ -804,7 +805,7 @@
     run(scenario())
 
 
-# Without a loop.
+# Hosts without an event loop.
 
 
 def test_the_blocking_facade_keeps_the_same_promises(tmp_path: Path) -> None:
@@ -903,7 +904,7 @@
         await partner.called(1)
         task.cancel()
         await asyncio.sleep(0)
-        task.cancel()  # again, while it closes
+        task.cancel()  # again, while it is closing
         await asyncio.wait({task})
         assert task.cancelled()
         async with relay_on(tmp_path, second := Partner()) as relay:
@@ -916,13 +917,13 @@
 
 
 def test_a_message_that_has_ended_wakes_nobody_when_its_time_comes(tmp_path: Path) -> None:
-    """Guards against a wake-up and a round for each message, seconds after it was delivered."""
+    """Prevents a timer wake-up and a round per message, seconds after its delivery."""
 
     async def scenario() -> None:
         async with relay_on(tmp_path, Partner()) as relay:
             for count in range(5):
                 await (await relay.hand_in(message(f"m{count}"))).end()
-            assert len(relay._node._timers._heap) <= 1  # the last one is seen through by the next round
+            assert len(relay._node._timers._heap) <= 1  # the next round removes the timer of the last one
             held = await relay.hand_in(message("m9", deadline=0.3))
             assert (await held.end()).outcome is DELIVERED
 
@@ -947,7 +948,7 @@
                 while not relay._node.knows("m1"):
                     await asyncio.sleep(0)
             await asyncio.sleep(0.02)
-            assert (task.done(), partner.calls) == (False, [])  # neither told nor sent before the sync
+            assert (task.done(), partner.calls) == (False, [])  # neither reported nor sent before the sync
             task.cancel()
             await asyncio.wait({task})
             taken = relay.find("m1")
--- a/tests/test_parity.py
+++ b/tests/test_parity.py
@@ -1,4 +1,4 @@
-"""Library and daemon give the same results on the same recorded run, by what passes on the wires."""
+"""Library and daemon produce the same results for the same script, judged by the traffic."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 @dataclass
 class Story:
-    """What became of one message: each attempt's key, body and answer, and the end."""
+    """The history of one message: key, body and response of each attempt, acceptance and outcomes."""
 
     attempts: list[tuple[str, bytes, str]] = field(default_factory=list)
     taken: list[bool] = field(default_factory=list)
@@ -35,12 +35,12 @@
 
 
 class Front(Protocol):
-    """The relay under test, as whoever hands in sees it."""
+    """The relay under test, as seen by a client."""
 
     async def start(self) -> None: ...
     async def hand_in(self, name: str, kind: str) -> bool: ...
     async def told(self) -> dict[str, str]:
-        """The ends that it has told so far, by message; for a delivery it need not tell any."""
+        """The outcomes reported so far, by message; deliveries need not be reported."""
 
     async def kill(self) -> None: ...
     def shut_down(self) -> None: ...
@@ -48,7 +48,7 @@
 
 
 class Run:
-    """Plays the script against a front, one step after the other."""
+    """Runs the steps of the script in order against a front."""
 
     def __init__(self, folder: Path, make: Callable[[Path, Platform, list[dict[str, Any]]], Front]) -> None:
         self._folder, self._make = folder, make
@@ -57,7 +57,7 @@
         self._peers: dict[str, StandIn] = {}
         self._answers = {name: list(answers) for name, answers in SCRIPT["answers"].items()}
         self._held: list[Seen] = []
-        self.calls: list[tuple[str, str]] = []  # message and endpoint, in their order
+        self.calls: list[tuple[str, str]] = []  # message and endpoint, in order
         self._news = asyncio.Event()
         self._holding = False
 
@@ -84,7 +84,8 @@
         self._peers[name] = await peer.start()
 
     def _called(self, endpoint: str, seen: Seen) -> bool:
-        # By message: which endpoint is called depends on how long ago another failed, so on the machine.
+        # Responses are scripted by message: which endpoint is called depends on timing and thus on the
+        # machine.
         answers = self._answers.get(seen.name, [])
         word = "hold" if self._holding else answers.pop(0) if answers else "ok"
         key = seen.headers.get("idempotency-key", "-")
@@ -108,7 +109,7 @@
     def _delivered(self, name: str) -> bool:
         return any(word == "ok" for *_, word in self.stories[name].attempts)
 
-    # The steps.
+    # The steps of the script.
 
     async def _hand_in(self, name: str, kind: str) -> None:
         story = self.stories.setdefault(name, Story())
@@ -128,7 +129,7 @@
         await self._until(lambda: bool(self.stories[name].attempts))
 
     async def _hand_in_waiting(self, name: str, kind: str) -> None:
-        # Guards against a call that comes before the hand-in's answer has: it is part of the story already.
+        # Created first: a call may arrive before the response to the submission and belongs to the history.
         story = self.stories[name] = Story()
         story.taken.append(await self._front.hand_in(name, kind))
 
@@ -147,7 +148,7 @@
         gone, peer = self._peers[old], self._peers[new]
         self._members[:] = [it for it in self._members if it["id"] != old] + [member(peer.port, new)]
         self.platform.tell(news(member(gone.port, old, "terminating"), member(peer.port, new)))
-        await gone.until(lambda: gone.closed == gone.dials)  # the relay has heard of it
+        await gone.until(lambda: gone.closed == gone.dials)  # the relay has received the update
 
     async def _kill(self) -> None:
         await self._front.kill()
@@ -165,7 +166,7 @@
 
 
 class Daemon:
-    """The daemon as a process."""
+    """The daemon in its own process."""
 
     def __init__(self, folder: Path, platform: Platform, members: list[dict[str, Any]]) -> None:
         limits = {"disk_mb": 3.0, "memory_mb": 64, "sockets": 256}
@@ -196,7 +197,7 @@
 
 
 class Library:
-    """The library in a host's process."""
+    """The library in a host process."""
 
     def __init__(self, folder: Path, platform: Platform, members: list[dict[str, Any]]) -> None:
         self._folder, self._platform, self._members = folder, platform, members
@@ -292,7 +293,7 @@
     assert daemon.keys() == library.keys()
     for name in daemon:
         assert (name, library[name]) == (name, daemon[name])
-    # The run held what it is meant to hold.
+    # The script covered the intended cases.
     ends = {name: story.ends for name, story in daemon.items()}
     assert ends["m12"] == ["given_up", "given_up"]
     assert ends["m13"] == ends["m14"] == ends["m15"] == ends["m17"] == ["delivered"]
@@ -300,6 +301,6 @@
     words = [word for story in daemon.values() for *_, word in story.attempts]
     assert {"error", "full", "reset", "wait", "hold"} <= set(words)
     for one in runs:
-        called = dict(one.calls)  # the last endpoint of each
-        assert all(called[name] != "a" for name in called if name > "m08")  # it drains by then
+        called = dict(one.calls)  # the last endpoint of each message
+        assert all(called[name] != "a" for name in called if name > "m08")  # it is draining by then
         assert {endpoint for _, endpoint in one.calls} <= {"a", "b", "c", "d"}
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -1,4 +1,4 @@
-"""The relay over loopback sockets: taking on, every outcome, batches, drains, waits and bad input."""
+"""The relay over loopback sockets: accepting, every result, batches, drains, waits and invalid input."""
 
 import asyncio
 import json
@@ -143,12 +143,12 @@
         async with world(tmp_path, endpoint, kind="bundled", FamilyInfo__Slots=1) as (relay, platform):
             await relay.hand_in("a", "unsafe")
             (first,) = await endpoint.requests(1)
-            for name in ("b", "c", "d"):  # they wait for the one slot and go out together
+            for name in ("b", "c", "d"):  # they wait for the only slot and are sent together
                 await relay.hand_in(name, "unsafe")
             first.answer(OK)
             _, batch, again = await endpoint.requests(3)
             assert batch.path == "/hook/batch"
-            frames = batch.body.split(b"hello\r\n")  # in any order: they lose alike by waiting
+            frames = batch.body.split(b"hello\r\n")  # in any order: all lose the same value by waiting
             assert sorted(frames) == [b"", b"b - 5\r\n", b"c - 5\r\n", b"d - 5\r\n"]
             assert (again.path, again.name) == ("/hook", "d")
             assert await platform.noticed() == [{"message": "c", "outcome": "given_up"}]
@@ -252,7 +252,7 @@
             platform.answers = [None]
             await relay.hand_in("m1", "unsafe")
             assert await platform.noticed(2) == [{"message": "m1", "outcome": "given_up"}] * 2
-            assert platform.closed == 0  # the first still waits for its answer
+            assert platform.closed == 0  # the first is still waiting for its response
 
     run(scenario())
 
@@ -285,7 +285,7 @@
 
 
 def test_a_client_that_hangs_up_before_its_answer_withdraws_its_message(tmp_path: Path) -> None:
-    """Drives the node itself: between sockets the answer is too quick to hang up before it."""
+    """Drives the node directly: over sockets the response is too fast to disconnect before it."""
 
     async def scenario() -> None:
         settings = read_settings(setup(GranularityUs=50_000))
@@ -304,7 +304,7 @@
 
 
 class Told:
-    """An exchange that keeps its answer."""
+    """An exchange that records its response."""
 
     def __init__(self) -> None:
         self.status: asyncio.Future[int] = asyncio.get_running_loop().create_future()
