--- a/amberlug/library/desk.py
+++ b/amberlug/library/outcomes.py
@@ -13,20 +13,23 @@
 
 OnEnd = Callable[[End], Awaitable[None]]
 
-TELLING_MOST = 8  # concurrent calls of the host's callback
-PAUSE = 0.5, 60.0  # first and longest delay in seconds before a failed callback is retried; doubled each time
+MAX_CALLBACKS = 8  # concurrent calls of the host's callback
+RETRY_DELAYS_S = (
+    0.5,
+    60.0,
+)  # first and longest delay in seconds before a failed callback is retried; doubled each time
 
 
-class Desk:
+class OutcomeReporter:
     """Outcomes that are in the journal and not yet acknowledged, and the tasks that wait for one."""
 
     def __init__(self, on_end: OnEnd | None, ended: Callable[[End], None]) -> None:
         self._on_end, self._ended = on_end, ended
-        self._acknowledged: Callable[[str], None] = _nobody
+        self._acknowledged: Callable[[str], None] = _unbound
         self._taken: dict[str, Taken] = {}
         self._unclaimed: dict[str, End] = {}
         self._queue: deque[End] = deque()
-        self._pauses: dict[str, float] = {}  # current retry delay of outcomes whose callback raised
+        self._retry_delays: dict[str, float] = {}  # current retry delay of outcomes whose callback raised
         self._tasks: set[asyncio.Task[None]] = set()
         self._closed = False
 
@@ -37,7 +40,7 @@
         self._acknowledged = acknowledged
 
     @property
-    def calling(self) -> bool:
+    def callback_running(self) -> bool:
         """Whether the host's callback is running."""
         return bool(self._tasks)
 
@@ -65,7 +68,7 @@
             self._unclaimed[end.message] = end
             if self._on_end is not None:
                 self._queue.append(end)
-                self._call()
+                self._start_callbacks()
         else:
             self._taken.pop(end.message, None)
         if taken is not None:
@@ -78,7 +81,7 @@
         """Remove an outcome that the host has acknowledged; unknown names are ignored."""
         if not self._closed and self._unclaimed.pop(name, None) is not None:
             self._taken.pop(name, None)
-            self._pauses.pop(name, None)
+            self._retry_delays.pop(name, None)
             self._acknowledged(name)
 
     def close(self) -> None:
@@ -89,17 +92,17 @@
         for taken in self._taken.values():
             taken.close()
 
-    def _call(self) -> None:
+    def _start_callbacks(self) -> None:
         """Call the host's callback for queued outcomes, up to the concurrency limit."""
-        while self._queue and len(self._tasks) < TELLING_MOST and self._on_end is not None:
+        while self._queue and len(self._tasks) < MAX_CALLBACKS and self._on_end is not None:
             end = self._queue.popleft()
             if self._unclaimed.get(end.message) is not end:
                 continue
-            task = asyncio.get_running_loop().create_task(_told(self._on_end, end))
+            task = asyncio.get_running_loop().create_task(_run_callback(self._on_end, end))
             self._tasks.add(task)
-            task.add_done_callback(partial(self._called, end))
+            task.add_done_callback(partial(self._on_callback_done, end))
 
-    def _called(self, end: End, task: asyncio.Task[None]) -> None:
+    def _on_callback_done(self, end: End, task: asyncio.Task[None]) -> None:
         self._tasks.discard(task)
         if self._closed:
             return
@@ -109,21 +112,21 @@
             self.acknowledge(end.message)
         else:
             log(f"on_end raised {error!r} for message {end.message}; it will be called again")
-            pause = self._pauses.get(end.message, PAUSE[0])
-            self._pauses[end.message] = min(2 * pause, PAUSE[1])
-            asyncio.get_running_loop().call_later(pause, self._again, end)
-        self._call()
+            delay = self._retry_delays.get(end.message, RETRY_DELAYS_S[0])
+            self._retry_delays[end.message] = min(2 * delay, RETRY_DELAYS_S[1])
+            asyncio.get_running_loop().call_later(delay, self._retry, end)
+        self._start_callbacks()
 
-    def _again(self, end: End) -> None:
+    def _retry(self, end: End) -> None:
         if not self._closed:
             self._queue.append(end)
-            self._call()
+            self._start_callbacks()
 
 
-async def _told(on_end: OnEnd, end: End) -> None:
+async def _run_callback(on_end: OnEnd, end: End) -> None:
     """Call a callback inside its task, so that an error before its first await is caught as well."""
     await on_end(end)
 
 
-def _nobody(name: str) -> None:
+def _unbound(name: str) -> None:
     """Placeholder until the core calls `bind`."""
--- a/amberlug/library/relay.py
+++ b/amberlug/library/relay.py
@@ -23,7 +23,6 @@
 from amberlug.http.calls import Caller
 from amberlug.learning import SHARE, open_learning
 from amberlug.library.claims import CLAIMS, Claim
-from amberlug.library.desk import Desk, OnEnd
 from amberlug.library.endpoints import Discovery, Endpoints
 from amberlug.library.lag import Lag
 from amberlug.library.messages import (
@@ -34,6 +33,7 @@
     RelayClosedError,
 )
 from amberlug.library.observers import Shielded
+from amberlug.library.outcomes import OnEnd, OutcomeReporter
 from amberlug.library.taken import Taken
 from amberlug.library.transport import Deliver, HostTransport
 from amberlug.platform.discovery import ASK_FOR
@@ -134,7 +134,7 @@
             stack.callback(self._journal.close)
             self._learning = open_learning(self._folder, part, self._clock, self._durability)
             stack.callback(self._learning.close)
-            self._desk = Desk(self._on_end, self._ended)
+            self._outcomes = OutcomeReporter(self._on_end, self._ended)
             self._transport = (
                 Caller(self.settings, self._connections, self._clock)
                 if self._deliver is None
@@ -147,7 +147,7 @@
                 self._journal,
                 self._learning,
                 self._transport,
-                self._desk,
+                self._outcomes,
                 self._clock,
                 observer,
             )
@@ -179,7 +179,7 @@
             if not self._node.closing:
                 self._node.close()
             until = self._loop.time() + grace
-            while (self._transport.busy or self._desk.calling) and self._loop.time() < until:
+            while (self._transport.busy or self._outcomes.callback_running) and self._loop.time() < until:
                 await asyncio.sleep(LOOK_AGAIN)
         finally:
             self.abandon()
@@ -196,7 +196,7 @@
         self._transport.abandon()
         self._endpoints.stop()
         self._lag.stop()
-        self._desk.close()
+        self._outcomes.close()
         self._learning.close()
         self._journal.close()
         self._lock.release()
@@ -238,17 +238,17 @@
     def find(self, name: str) -> Taken | None:
         """The message with that id, also from before a restart, until its outcome is acknowledged."""
         self._check()
-        return self._desk.find(name)
+        return self._outcomes.find(name)
 
     def unclaimed(self) -> list[End]:
         """All unacknowledged outcomes, those from before a restart first."""
         self._check()
-        return self._desk.unclaimed()
+        return self._outcomes.unclaimed()
 
     def acknowledge(self, name: str) -> None:
         """Acknowledge the outcome of the message with that id; unknown ids are ignored."""
         self._check()
-        self._desk.acknowledge(name)
+        self._outcomes.acknowledge(name)
 
     # For protocol front ends such as the ASGI middleware, which submit decoded requests.
 
@@ -292,10 +292,10 @@
 
     def opened(self, message: core.Message) -> Taken:
         """The handle of an accepted message; created if there is none."""
-        taken = self._desk.find(message.name)
+        taken = self._outcomes.find(message.name)
         if taken is None:
             taken = Taken(message.name, self._acknowledge)
-            self._desk.opened(taken)
+            self._outcomes.opened(taken)
         return taken
 
     def _check(self) -> None:
@@ -317,7 +317,7 @@
             return holder.taken
         if not self._node.knows(message.name):
             return None
-        if (taken := self._desk.find(message.name)) is not None:
+        if (taken := self._outcomes.find(message.name)) is not None:
             return taken
         raise AcknowledgedError(
             f"message {message.name!r} was accepted before, and its outcome is acknowledged"
@@ -343,6 +343,6 @@
     def _acknowledge(self, name: str) -> None:
         """Acknowledge an outcome; may be called from any thread."""
         if threading.get_ident() == self._thread:
-            self._desk.acknowledge(name)
+            self._outcomes.acknowledge(name)
         elif not self._loop.is_closed():
-            self._loop.call_soon_threadsafe(self._desk.acknowledge, name)
+            self._loop.call_soon_threadsafe(self._outcomes.acknowledge, name)
--- a/tests/test_library.py
+++ b/tests/test_library.py
@@ -331,7 +331,7 @@
 def test_a_callback_that_raises_is_called_again_and_harms_nothing(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr("amberlug.library.desk.PAUSE", (0.01, 0.02))
+    monkeypatch.setattr("amberlug.library.outcomes.RETRY_DELAYS_S", (0.01, 0.02))
 
     async def scenario() -> None:
         told: list[str] = []
