--- a/amberlug/library/relay.py
+++ b/amberlug/library/relay.py
@@ -24,7 +24,7 @@
 from amberlug.learning import SHARE, open_learning
 from amberlug.library.claims import CLAIMS, Claim
 from amberlug.library.endpoints import Discovery, Endpoints
-from amberlug.library.lag import Lag
+from amberlug.library.loop_delay import LoopDelay
 from amberlug.library.messages import (
     AcknowledgedError,
     BadMessageError,
@@ -160,8 +160,8 @@
                 await self._endpoints.tried(ASK_FOR)
             for held in list(self._journal.held.values()):
                 self._claim_held(held)
-            self._lag = Lag()
-            stack.callback(self._lag.stop)
+            self._loop_delay = LoopDelay()
+            stack.callback(self._loop_delay.stop)
             self._phase = _Phase.OPEN
             self._node.restore()
             stack.pop_all()
@@ -195,7 +195,7 @@
         self._phase = _Phase.CLOSED
         self._transport.abandon()
         self._endpoints.stop()
-        self._lag.stop()
+        self._loop_delay.stop()
         self._outcomes.close()
         self._learning.close()
         self._journal.close()
@@ -277,7 +277,7 @@
                 hand_in.settle(Refusal(Reason.ELSEWHERE, CLOSED_RETRY_US))
                 return hand_in
         hand_in = HandIn(self, claim, message, tell)
-        self._node.hand_in(message, left_us, self._lag.waited_us(), hand_in)
+        self._node.hand_in(message, left_us, self._loop_delay.waited_us(), hand_in)
         return hand_in
 
     def withdraw(self, hand_in: HandIn) -> None:
