--- a/amberlug/library/observers.py
+++ b/amberlug/library/observers.py
@@ -10,7 +10,7 @@
 from amberlug.policy import interface as api
 
 
-class Shielded:
+class IsolatedObserver:
     """Forwards all events to an observer in a later iteration of the loop, in order.
 
     An error that the observer raises thus goes to the loop's exception handler and does not interrupt the
@@ -18,19 +18,19 @@
     """
 
     def __init__(self, observer: Observer) -> None:
-        self._observer, self._soon = observer, asyncio.get_running_loop().call_soon
+        self._observer, self._call_soon = observer, asyncio.get_running_loop().call_soon
 
     def round(self, now_us: int, events: Sequence[api.Event], actions: Sequence[api.Action]) -> None:
-        self._soon(self._observer.round, now_us, events, actions)
+        self._call_soon(self._observer.round, now_us, events, actions)
 
     def taken(self, message: Message) -> None:
-        self._soon(self._observer.taken, message)
+        self._call_soon(self._observer.taken, message)
 
     def attempt(self, attempt: Attempt) -> None:
-        self._soon(self._observer.attempt, attempt)
+        self._call_soon(self._observer.attempt, attempt)
 
     def outcome(self, attempt: Attempt, how: Ending) -> None:
-        self._soon(self._observer.outcome, attempt, how)
+        self._call_soon(self._observer.outcome, attempt, how)
 
     def ended(self, message: Message, end: End) -> None:
-        self._soon(self._observer.ended, message, end)
+        self._call_soon(self._observer.ended, message, end)
--- a/amberlug/library/relay.py
+++ b/amberlug/library/relay.py
@@ -32,7 +32,7 @@
     RefusedError,
     RelayClosedError,
 )
-from amberlug.library.observers import Shielded
+from amberlug.library.observers import IsolatedObserver
 from amberlug.library.outcomes import OnEnd, OutcomeReporter
 from amberlug.library.taken import Taken
 from amberlug.library.transport import Deliver, HostTransport
@@ -140,7 +140,7 @@
                 if self._deliver is None
                 else HostTransport(self._deliver, self._clock)
             )
-            observer = None if self._observer is None else Shielded(self._observer)
+            observer = None if self._observer is None else IsolatedObserver(self._observer)
             self._node = Node(
                 self.settings,
                 self._seed,
