--- a/amberlug/library/claims.py
+++ b/amberlug/library/claims.py
@@ -25,10 +25,10 @@
     owner: Owner
     message: Message
     taken: Taken | None = None
-    hands: int = 0  # number of pending submissions that share the claim
+    submissions: int = 0  # number of pending submissions that share the claim
 
 
-def _names(message: Message) -> Iterator[Hashable]:
+def _keys(message: Message) -> Iterator[Hashable]:
     yield message.name
     if message.key is not None:
         yield message.message_class, message.key
@@ -44,14 +44,14 @@
 
     def __init__(self) -> None:
         self._lock = threading.Lock()
-        self._by_name: dict[Hashable, Claim] = {}
+        self._by_key: dict[Hashable, Claim] = {}
         # In the order in which they are checked for expiry.
         self._all: OrderedDict[Claim, None] = OrderedDict()
 
     def clear(self) -> None:
         """Drop all claims in the child of a fork: the parent's messages are not the child's."""
         self._lock = threading.Lock()
-        self._by_name.clear()
+        self._by_key.clear()
         self._all.clear()
 
     def __len__(self) -> int:
@@ -69,18 +69,18 @@
         next relay on the same folder.
         """
         with self._lock:
-            self._forget_some(now_ms)
+            self._drop_some_expired(now_ms)
             held = self._holder(message, now_ms)
             if held is not None and not (held.owner == owner and held.message.name == message.name):
                 return None
             if held is not None and held.taken is None:
-                held.hands += 1
+                held.submissions += 1
                 return held
             if held is not None:
                 self._drop(held)
-            claim = Claim(owner, message, hands=1)
-            for name in _names(message):
-                self._by_name[name] = claim
+            claim = Claim(owner, message, submissions=1)
+            for name in _keys(message):
+                self._by_key[name] = claim
             self._all[claim] = None
             return claim
 
@@ -94,25 +94,25 @@
     def withdraw(self, claim: Claim) -> None:
         """Record that one of the pending submissions was withdrawn before the message was accepted."""
         with self._lock:
-            claim.hands -= 1
-            if claim.hands == 0 and claim.taken is None:
+            claim.submissions -= 1
+            if claim.submissions == 0 and claim.taken is None:
                 self._drop(claim)
 
     def ended(self, owner: Owner, end: End) -> None:
         """Record the outcome of a message; after a hand-back any relay may claim it."""
         with self._lock:
-            claim = self._by_name.get(end.message)
+            claim = self._by_key.get(end.message)
             if claim is not None and claim.owner == owner and end.outcome is Outcome.HANDED_BACK:
                 self._drop(claim)
 
     def _holder(self, message: Message, now_ms: int) -> Claim | None:
-        for name in _names(message):
-            claim = self._by_name.get(name)
-            if claim is not None and not self._over(claim, now_ms):
+        for name in _keys(message):
+            claim = self._by_key.get(name)
+            if claim is not None and not self._is_expired(claim, now_ms):
                 return claim
         return None
 
-    def _over(self, claim: Claim, now_ms: int) -> bool:
+    def _is_expired(self, claim: Claim, now_ms: int) -> bool:
         """Whether a claim has expired.
 
         It never does while the message is being submitted, or has no outcome and its relay is open.
@@ -120,19 +120,19 @@
         live = claim.taken is not None and claim.taken.ended is None and not claim.taken.closed
         return claim.taken is not None and not live and claim.message.deadline_ms <= now_ms
 
-    def _forget_some(self, now_ms: int) -> None:
+    def _drop_some_expired(self, now_ms: int) -> None:
         """Check two claims for expiry. Each new claim adds one, so expired ones do not accumulate."""
         for _ in range(min(2, len(self._all))):
             claim, _ = self._all.popitem(last=False)
             self._all[claim] = None
-            if self._over(claim, now_ms):
+            if self._is_expired(claim, now_ms):
                 self._drop(claim)
 
     def _drop(self, claim: Claim) -> None:
         self._all.pop(claim, None)
-        for name in _names(claim.message):
-            if self._by_name.get(name) is claim:
-                del self._by_name[name]
+        for name in _keys(claim.message):
+            if self._by_key.get(name) is claim:
+                del self._by_key[name]
 
 
 CLAIMS = Claims()
