--- a/amberlug/library/relay.py
+++ b/amberlug/library/relay.py
@@ -42,7 +42,7 @@
 
 GRACE = 3.0  # seconds that `close` waits for outstanding calls
 LOOK_AGAIN = 0.01  # seconds between two checks for them
-Tell = Callable[[Refusal | None], None]
+DecisionCallback = Callable[[Refusal | None], None]
 
 
 class _Phase(Enum):
@@ -51,10 +51,12 @@
     CLOSED = "closed"
 
 
-class HandIn:
+class Submission:
     """A pending submission, until its message is accepted or refused."""
 
-    def __init__(self, relay: Relay, claim: Claim | None, message: core.Message, tell: Tell) -> None:
+    def __init__(
+        self, relay: Relay, claim: Claim | None, message: core.Message, tell: DecisionCallback
+    ) -> None:
         self._relay, self._claim, self._tell = relay, claim, tell
         self.message = message
         self.settled = False
@@ -264,7 +266,7 @@
     def is_open(self) -> bool:
         return self._phase is _Phase.OPEN
 
-    def admit(self, message: core.Message, left_us: int, tell: Tell) -> HandIn:
+    def admit(self, message: core.Message, left_us: int, tell: DecisionCallback) -> Submission:
         """Submit a validated message; `tell` is called once with the decision, unless it is withdrawn.
 
         The id of a message that was accepted before is reported as accepted, as by the daemon.
@@ -273,14 +275,14 @@
         if not self._node.knows(message.name):
             claim = CLAIMS.claim(message, self._lock.inode, self._clock.wall_ms())
             if claim is None:
-                hand_in = HandIn(self, None, message, tell)
+                hand_in = Submission(self, None, message, tell)
                 hand_in.settle(Refusal(Reason.ELSEWHERE, CLOSED_RETRY_US))
                 return hand_in
-        hand_in = HandIn(self, claim, message, tell)
+        hand_in = Submission(self, claim, message, tell)
         self._node.hand_in(message, left_us, self._loop_delay.waited_us(), hand_in)
         return hand_in
 
-    def withdraw(self, hand_in: HandIn) -> None:
+    def withdraw(self, hand_in: Submission) -> None:
         """Withdraw a submission; does nothing once it is settled."""
         if hand_in.settled or self._phase is not _Phase.OPEN:
             return
