--- a/amberlug/library/blocking.py
+++ b/amberlug/library/blocking.py
@@ -11,7 +11,7 @@
 
 from amberlug.core.messages import End
 from amberlug.library.messages import Message, RelayClosedError
-from amberlug.library.relay import GRACE, Relay
+from amberlug.library.relay import CLOSE_GRACE_S, Relay
 from amberlug.library.taken import Taken
 
 T = TypeVar("T")
@@ -73,7 +73,7 @@
             self._end_thread()
             raise
 
-    def close(self, grace: float = GRACE) -> None:
+    def close(self, grace: float = CLOSE_GRACE_S) -> None:
         """Close the relay, then stop the thread; does nothing if it is not open."""
         if self._loop is not None:
             self._relay.check_process()
@@ -118,7 +118,7 @@
 
         def start() -> None:
             task.append(loop.create_task(work))
-            task[0].add_done_callback(lambda it: _copy(it, done))
+            task[0].add_done_callback(lambda it: _copy_result(it, done))
 
         loop.call_soon_threadsafe(start)
         try:
@@ -163,7 +163,7 @@
             self._thread.join()
 
 
-def _copy(task: asyncio.Task[T], done: Future[T]) -> None:
+def _copy_result(task: asyncio.Task[T], done: Future[T]) -> None:
     if task.cancelled():
         done.set_exception(TimeoutError("the operation timed out and was cancelled"))
     elif (error := task.exception()) is not None:
--- a/amberlug/library/relay.py
+++ b/amberlug/library/relay.py
@@ -40,12 +40,12 @@
 from amberlug.platform.heard import Heard
 from amberlug.policy.interface import Settings
 
-GRACE = 3.0  # seconds that `close` waits for outstanding calls
-LOOK_AGAIN = 0.01  # seconds between two checks for them
+CLOSE_GRACE_S = 3.0  # time that `close` waits for outstanding calls
+CLOSE_POLL_S = 0.01  # interval between two checks for them
 DecisionCallback = Callable[[Refusal | None], None]
 
 
-class _Phase(Enum):
+class _State(Enum):
     NEW = "not open yet"
     OPEN = "open"
     CLOSED = "closed"
@@ -105,7 +105,7 @@
         self._seed = secrets.randbits(64) if seed is None else seed
         self._connections, self._disk_bytes, self._observer = connections, disk_bytes, observer
         self._durability = durability
-        self._phase = _Phase.NEW
+        self._state = _State.NEW
 
     async def __aenter__(self) -> Self:
         await self.open()
@@ -122,7 +122,7 @@
         Raises `FolderInUseError` if another relay of any process has the folder open, `OSError` if it cannot
         be used, and `ValueError` if the list of endpoints is invalid.
         """
-        if self._phase is _Phase.OPEN:
+        if self._state is _State.OPEN:
             raise RuntimeError("the relay is already open")
         self._loop, self._thread = asyncio.get_running_loop(), threading.get_ident()
         loop = self._loop
@@ -161,20 +161,20 @@
                 # Prevents first calls to endpoints that began to drain while the process was down.
                 await self._endpoints.tried(ASK_FOR)
             for held in list(self._journal.held.values()):
-                self._claim_held(held)
+                self._claim_restored(held)
             self._loop_delay = LoopDelay()
             stack.callback(self._loop_delay.stop)
-            self._phase = _Phase.OPEN
+            self._state = _State.OPEN
             self._node.restore()
             stack.pop_all()
 
-    async def close(self, grace: float = GRACE) -> None:
+    async def close(self, grace: float = CLOSE_GRACE_S) -> None:
         """Accept no messages and start no calls; wait at most `grace` seconds for outstanding calls.
 
         Messages that would lose too much value by waiting are handed back. The rest are resumed when the
         folder is opened again. Does nothing if the relay is not open. Cancelling it closes the relay at once.
         """
-        if self._phase is not _Phase.OPEN:
+        if self._state is not _State.OPEN:
             return
         self._lock.check()
         try:
@@ -182,19 +182,19 @@
                 self._node.close()
             until = self._loop.time() + grace
             while (self._transport.busy or self._outcomes.callback_running) and self._loop.time() < until:
-                await asyncio.sleep(LOOK_AGAIN)
+                await asyncio.sleep(CLOSE_POLL_S)
         finally:
             self.abandon()
 
     def abandon(self) -> None:
         """Close at once: outstanding calls are abandoned and may have been executed."""
-        if self._phase is not _Phase.OPEN:
+        if self._state is not _State.OPEN:
             return
         self._lock.check()
         if not self._node.closing:
             self._node.close()
         self._node.stop()
-        self._phase = _Phase.CLOSED
+        self._state = _State.CLOSED
         self._transport.abandon()
         self._endpoints.stop()
         self._loop_delay.stop()
@@ -212,14 +212,14 @@
         by its key within its class and not accepted twice: the handle of the first submission is returned. If
         this is cancelled, the message is withdrawn, unless `find` returns it: then it was accepted.
         """
-        self._check()
+        self._check_usable()
         now_ms = self._clock.wall_ms()
         held, left_us = message.checked(self.settings, now_ms)
         if not self._node.serves(held.destination):
             raise BadMessageError(
                 f"destination {held.destination!r} is unknown: no endpoint of it was ever listed"
             )
-        if (taken := self._known(held, now_ms)) is not None:
+        if (taken := self._find_accepted(held, now_ms)) is not None:
             return taken
         told: asyncio.Future[Refusal | None] = self._loop.create_future()
 
@@ -239,17 +239,17 @@
 
     def find(self, name: str) -> Taken | None:
         """The message with that id, also from before a restart, until its outcome is acknowledged."""
-        self._check()
+        self._check_usable()
         return self._outcomes.find(name)
 
     def unclaimed(self) -> list[End]:
         """All unacknowledged outcomes, those from before a restart first."""
-        self._check()
+        self._check_usable()
         return self._outcomes.unclaimed()
 
     def acknowledge(self, name: str) -> None:
         """Acknowledge the outcome of the message with that id; unknown ids are ignored."""
-        self._check()
+        self._check_usable()
         self._outcomes.acknowledge(name)
 
     # For protocol front ends such as the ASGI middleware, which submit decoded requests.
@@ -264,7 +264,7 @@
 
     @property
     def is_open(self) -> bool:
-        return self._phase is _Phase.OPEN
+        return self._state is _State.OPEN
 
     def admit(self, message: core.Message, left_us: int, tell: DecisionCallback) -> Submission:
         """Submit a validated message; `tell` is called once with the decision, unless it is withdrawn.
@@ -284,7 +284,7 @@
 
     def withdraw(self, hand_in: Submission) -> None:
         """Withdraw a submission; does nothing once it is settled."""
-        if hand_in.settled or self._phase is not _Phase.OPEN:
+        if hand_in.settled or self._state is not _State.OPEN:
             return
         if self._node.knows(hand_in.message.name):  # already in the journal, waiting for its sync only
             self.opened(hand_in.message)
@@ -300,19 +300,19 @@
             self._outcomes.opened(taken)
         return taken
 
-    def _check(self) -> None:
-        if self._phase is not _Phase.OPEN:
-            raise RelayClosedError(f"the relay is {self._phase.value}")
+    def _check_usable(self) -> None:
+        if self._state is not _State.OPEN:
+            raise RelayClosedError(f"the relay is {self._state.value}")
         self._lock.check()
         if threading.get_ident() != self._thread:
             raise RuntimeError("the relay belongs to another thread; use BlockingRelay")
 
     def check_process(self) -> None:
         """Raise `ForkedError` in a child of the process that opened the relay."""
-        if self._phase is _Phase.OPEN:
+        if self._state is _State.OPEN:
             self._lock.check()
 
-    def _known(self, message: core.Message, now_ms: int) -> Taken | None:
+    def _find_accepted(self, message: core.Message, now_ms: int) -> Taken | None:
         """The handle of a message that was accepted before, or None."""
         holder = CLAIMS.holder(message, now_ms)
         if holder is not None and holder.taken is not None and not holder.taken.closed:
@@ -325,7 +325,7 @@
             f"message {message.name!r} was accepted before, and its outcome is acknowledged"
         )
 
-    def _claim_held(self, held: Held) -> None:
+    def _claim_restored(self, held: Held) -> None:
         """Claim a message from before a restart; give it up untried if another relay has claimed it."""
         message = held.message
         taken = self.opened(message)
