--- a/amberlug/library/endpoints.py
+++ b/amberlug/library/endpoints.py
@@ -18,14 +18,16 @@
 from amberlug.policy.account import SECOND
 from amberlug.policy.interface import Entry, Settings, State
 
-Listed = Callable[[News], Iterator[None]]  # returns the work of applying an update, run at once or in slices
-FILE_MOST = 1 << 26  # largest endpoint file, in bytes
+UpdateHandler = Callable[
+    [News], Iterator[None]
+]  # returns the work of applying an update, run at once or in slices
+MAX_FILE_BYTES = 1 << 26  # largest endpoint file, in bytes
 
 
 class Endpoints(Protocol):
     """A source of endpoints, for one relay."""
 
-    def start(self, settings: Settings, listed: Listed) -> None:
+    def start(self, settings: Settings, listed: UpdateHandler) -> None:
         """Report the list, then each change; raises `ValueError` or `OSError` if it cannot be read."""
 
     def stop(self) -> None:
@@ -54,15 +56,15 @@
 
     def __init__(self, *endpoints: Endpoint) -> None:
         self._endpoints = endpoints
-        self._listed: Listed | None = None
-        self._slices = Slices(_unheard)
+        self._listed: UpdateHandler | None = None
+        self._slices = Slices(_ignore_error)
         self._kinds: frozenset[str] = frozenset()
 
-    def start(self, settings: Settings, listed: Listed) -> None:
+    def start(self, settings: Settings, listed: UpdateHandler) -> None:
         self._kinds = frozenset(settings.kinds)
         news = self._news(self._endpoints)
         self._listed = listed
-        apply(listed(news))
+        run_to_end(listed(news))
 
     def stop(self) -> None:
         self._listed = None
@@ -96,40 +98,40 @@
 
     def __init__(self, path: Path | str, every: float = 1.0) -> None:
         self._path, self._every = Path(path), every
-        self._stamp: tuple[int, ...] = ()
+        self._fingerprint: tuple[int, ...] = ()
         self._timer: asyncio.TimerHandle | None = None
-        self._slices = Slices(self._bad)
+        self._slices = Slices(self._log_error)
 
-    def start(self, settings: Settings, listed: Listed) -> None:
-        self._stamp = self._stamp_now()
-        apply(listed(self._read(settings)))
-        self._later(settings, listed)
+    def start(self, settings: Settings, listed: UpdateHandler) -> None:
+        self._fingerprint = self._read_fingerprint()
+        run_to_end(listed(self._read(settings)))
+        self._schedule_check(settings, listed)
 
     def stop(self) -> None:
         self._slices.clear()
         if self._timer is not None:
             self._timer.cancel()
 
-    def _bad(self, error: Exception) -> None:
+    def _log_error(self, error: Exception) -> None:
         log(f"endpoints: {self._path.name}: {error}; the previous list stays in use")
 
-    def _later(self, settings: Settings, listed: Listed) -> None:
-        self._timer = asyncio.get_running_loop().call_later(self._every, self._look, settings, listed)
+    def _schedule_check(self, settings: Settings, listed: UpdateHandler) -> None:
+        self._timer = asyncio.get_running_loop().call_later(self._every, self._check_file, settings, listed)
 
-    def _look(self, settings: Settings, listed: Listed) -> None:
-        self._later(settings, listed)
-        stamp = self._stamp_now()
-        if stamp == self._stamp:
+    def _check_file(self, settings: Settings, listed: UpdateHandler) -> None:
+        self._schedule_check(settings, listed)
+        fingerprint = self._read_fingerprint()
+        if fingerprint == self._fingerprint:
             return  # an invalid or missing file is thus logged once
-        self._stamp = stamp
+        self._fingerprint = fingerprint
         try:
             news = self._read(settings)
         except (OSError, ValueError) as error:
-            self._bad(error)
+            self._log_error(error)
             return
         self._slices.add(listed(news))
 
-    def _stamp_now(self) -> tuple[int, ...]:
+    def _read_fingerprint(self) -> tuple[int, ...]:
         """Fingerprint of the file from its metadata; () if it does not exist."""
         try:
             it = self._path.stat()
@@ -139,24 +141,24 @@
 
     def _read(self, settings: Settings) -> News:
         with self._path.open("rb") as file:
-            text = file.read(FILE_MOST + 1)
-        if len(text) > FILE_MOST:
+            text = file.read(MAX_FILE_BYTES + 1)
+        if len(text) > MAX_FILE_BYTES:
             raise ValueError("the list is too long")
         return read_line(text, settings.kinds, {"revision": 0, "complete": True})
 
 
-def apply(work: Iterator[None]) -> None:
+def run_to_end(work: Iterator[None]) -> None:
     """Apply an update at once; before the relay serves, nothing is delayed by it."""
     for _ in work:
         pass
 
 
-def _unheard(error: ValueError) -> None:
+def _ignore_error(error: ValueError) -> None:
     """Ignore errors, which cannot occur: a list is validated before it is applied."""
 
 
-def _unheeded(seconds: float) -> None:
-    """Ignore how long the list is valid, until `confirms` is called."""
+def _ignore_validity(seconds: float) -> None:
+    """Ignore how long the list is valid, until `on_confirmed` is called."""
 
 
 class Discovery:
@@ -165,28 +167,28 @@
     def __init__(self, where: str, known: News | None = None) -> None:
         self._where, self._known = address(where), known
         self._watch: Watch | None = None
-        self._current: Callable[[float], None] = _unheeded
+        self._on_confirmed: Callable[[float], None] = _ignore_validity
         self._heard: Heard | None = None
 
-    def confirms(self, current: Callable[[float], None], heard: Heard) -> None:
+    def on_confirmed(self, current: Callable[[float], None], heard: Heard) -> None:
         """Set the callback for a confirmed list, called with the seconds for which the list is valid."""
-        self._current, self._heard = current, heard
+        self._on_confirmed, self._heard = current, heard
 
-    async def tried(self, seconds: float) -> None:
+    async def wait_for_first_answer(self, seconds: float) -> None:
         """Wait for the first answer or failure of discovery, for `seconds` at most."""
         if self._watch is not None:
             await self._watch.tried(seconds)
 
-    def start(self, settings: Settings, listed: Listed) -> None:
+    def start(self, settings: Settings, listed: UpdateHandler) -> None:
         if self._known is not None:
-            apply(listed(self._known))
+            run_to_end(listed(self._known))
         revision = self._known.revision if self._known is not None else 0
         pauses = Pauses(settings.relays, settings.drain_grace_us / SECOND)
         age_s = None if self._heard is None else self._heard.age_s()
-        self._current(pauses.good_at_first(True, age_s))
+        self._on_confirmed(pauses.good_at_first(True, age_s))
 
         def confirmed() -> None:
-            self._current(pauses.good_for())
+            self._on_confirmed(pauses.good_for())
             if self._heard is not None:
                 self._heard.note()
 
--- a/amberlug/library/relay.py
+++ b/amberlug/library/relay.py
@@ -154,12 +154,12 @@
                 observer,
             )
             if isinstance(self._endpoints, Discovery):
-                self._endpoints.confirms(self._node.current, Heard(self._folder, self._clock))
+                self._endpoints.on_confirmed(self._node.current, Heard(self._folder, self._clock))
             self._endpoints.start(self.settings, self._node.listing)
             stack.callback(self._endpoints.stop)
             if isinstance(self._endpoints, Discovery):
                 # Prevents first calls to endpoints that began to drain while the process was down.
-                await self._endpoints.tried(ASK_FOR)
+                await self._endpoints.wait_for_first_answer(ASK_FOR)
             for held in list(self._journal.held.values()):
                 self._claim_restored(held)
             self._loop_delay = LoopDelay()
