--- a/amberlug/library/transport.py
+++ b/amberlug/library/transport.py
@@ -67,7 +67,7 @@
 
     def __init__(self, deliver: Deliver, clock: Clock) -> None:
         self._deliver, self._clock = deliver, clock
-        self._out: dict[Attempt, asyncio.Task[None]] = {}
+        self._outstanding: dict[Attempt, asyncio.Task[None]] = {}
         self._tasks: set[asyncio.Task[None]] = set()
         self._closed = False
 
@@ -85,7 +85,7 @@
 
     def call_off(self, attempt: Attempt) -> None:
         attempt.called_off = True
-        if (task := self._out.get(attempt)) is not None:
+        if (task := self._outstanding.get(attempt)) is not None:
             task.cancel()
 
     def probe(self, endpoint: str, ended: Callable[[Ending], None]) -> None:
@@ -101,7 +101,7 @@
     def abandon(self) -> None:
         """Cancel all outstanding calls and report no more results."""
         self._closed = True
-        for task in [*self._out.values(), *self._tasks]:
+        for task in [*self._outstanding.values(), *self._tasks]:
             task.cancel()
 
     def _end(self, attempt: Attempt, how: Ending) -> None:
@@ -117,36 +117,38 @@
             if attempt not in cleared:
                 self._end(attempt, Ending(Result.UNSENT))
         if cleared:
-            await self._make(endpoint, cleared)
+            await self._make_call(endpoint, cleared)
 
-    async def _make(self, endpoint: str, attempts: list[Attempt]) -> None:
+    async def _make_call(self, endpoint: str, attempts: list[Attempt]) -> None:
         seconds = max(0.0, (min(it.until_us for it in attempts) - self._clock.now_us()) / 1e6)
         messages = tuple(
             Outgoing(it.name, it.key, it.message_class, it.destination, it.body)
             for it in (attempt.message for attempt in attempts)
         )
         # Runs in a separate task, so that any exception it raises is caught and evaluated.
-        out = asyncio.get_running_loop().create_task(_made(self._deliver, Call(endpoint, messages, seconds)))
+        out = asyncio.get_running_loop().create_task(
+            _run_deliver(self._deliver, Call(endpoint, messages, seconds))
+        )
         for attempt in attempts:
-            self._out[attempt] = out
+            self._outstanding[attempt] = out
         await asyncio.wait({out}, timeout=seconds)
         late = not out.done()
         if late:
             out.cancel()
             await asyncio.wait({out})  # it counts as outstanding until it has ended
         for attempt in attempts:
-            del self._out[attempt]
-        how = Ending(Result.TIMED_OUT) if late and out.cancelled() else ending(out)
+            del self._outstanding[attempt]
+        how = Ending(Result.TIMED_OUT) if late and out.cancelled() else ending_of(out)
         for attempt in attempts:
             self._end(attempt, Ending(Result.CALLED_OFF) if attempt.called_off and out.cancelled() else how)
 
 
-async def _made(deliver: Deliver, call: Call) -> None:
+async def _run_deliver(deliver: Deliver, call: Call) -> None:
     """Call a host's coroutine inside its task, so that an error before its first await is caught as well."""
     await deliver(call)
 
 
-def ending(out: asyncio.Task[None]) -> Ending:
+def ending_of(out: asyncio.Task[None]) -> Ending:
     """Map a finished call to its result."""
     if out.cancelled():
         return Ending(Result.RESET)
