--- a/amberlug/http/calls.py
+++ b/amberlug/http/calls.py
@@ -14,9 +14,9 @@
 from amberlug.http.link import Link, LinkLostError, Reply, dial
 from amberlug.policy.interface import Result, Settings
 
-IDLE_MARGIN = 0.5  # seconds by which an idle connection is closed before the endpoint's idle timeout
-WAIT_MOST_MS = 3_600_000  # cap on the wait that an endpoint asks for
-BATCH_ENDS = {
+IDLE_MARGIN_S = 0.5  # time by which an idle connection is closed before the endpoint's idle timeout
+MAX_WAIT_MS = 3_600_000  # cap on the wait that an endpoint asks for
+BATCH_RESULTS = {
     "ok": Ending(Result.DONE),
     "error": Ending(Result.ERROR),
     "later": Ending(Result.REFUSED),
@@ -25,7 +25,7 @@
 }
 
 
-def report(text: str, names: Sequence[str]) -> tuple[float, ...]:
+def parse_load_report(text: str, names: Sequence[str]) -> tuple[float, ...]:
     """Parse the values of a load report, in the order of the settings; () if it is malformed."""
     found: dict[str, float] = {}
     for part in text.split(","):
@@ -40,40 +40,40 @@
     return tuple(found.get(name, 0.0) for name in names) if names else ()
 
 
-def wait_us(reply: Reply) -> int:
+def parse_wait_us(reply: Reply) -> int:
     """Parse the requested wait in microseconds; 0 if it is malformed."""
     text = reply.headers.get("wait-ms", "").strip()
     if not (text.isascii() and text.isdigit()):
         return 0
     # Prevents the error that int() raises for very long digit strings; no message lives as long as the cap.
-    return min(int(text[:18]), WAIT_MOST_MS) * 1000
+    return min(int(text[:18]), MAX_WAIT_MS) * 1000
 
 
-def ending(reply: Reply, names: Sequence[str]) -> Ending:
+def parse_result(reply: Reply, names: Sequence[str]) -> Ending:
     """Map the response to a call with a single result to that result."""
-    told = report(reply.headers.get("srv-load", ""), names)
+    load = parse_load_report(reply.headers.get("srv-load", ""), names)
     if reply.status == 200:
-        return Ending(Result.DONE, wait_us(reply), report=told)
+        return Ending(Result.DONE, parse_wait_us(reply), report=load)
     if reply.status in (429, 503):
         if reply.headers.get("slots-taken") == "1":
-            return Ending(Result.UNSENT, report=told)
-        return Ending(Result.REFUSED, wait_us(reply), report=told)
+            return Ending(Result.UNSENT, report=load)
+        return Ending(Result.REFUSED, parse_wait_us(reply), report=load)
     if reply.status in (400, 413, 504):  # not executed
-        return Ending(Result.UNSENT, report=told)
+        return Ending(Result.UNSENT, report=load)
     if reply.status == 410:
-        return Ending(Result.UNSENT, over=True, report=told)
-    return Ending(Result.ERROR, wait_us(reply), report=told)
+        return Ending(Result.UNSENT, over=True, report=load)
+    return Ending(Result.ERROR, parse_wait_us(reply), report=load)
 
 
-def batch_endings(reply: Reply, names: Sequence[str]) -> Mapping[str, Ending]:
+def parse_batch_results(reply: Reply, names: Sequence[str]) -> Mapping[str, Ending]:
     """Parse the results per message of a batch response; a message it omits may have been executed."""
-    told, wait = report(reply.headers.get("srv-load", ""), names), wait_us(reply)
+    load, wait = parse_load_report(reply.headers.get("srv-load", ""), names), parse_wait_us(reply)
     ends: dict[str, Ending] = {}
     for line in reply.body.decode("latin-1").splitlines():
         name, _, word = line.strip().partition(" ")
-        if word in BATCH_ENDS:
-            known = BATCH_ENDS[word]
-            ends[name] = Ending(known.result, wait, known.over, told)
+        if word in BATCH_RESULTS:
+            known = BATCH_RESULTS[word]
+            ends[name] = Ending(known.result, wait, known.over, load)
     return ends
 
 
@@ -91,7 +91,7 @@
     def __init__(self, settings: Settings, most: int) -> None:
         self._most = most
         self._dial = settings.dial_us / 1e6
-        self._life = max(0.1, settings.idle_us / 1e6 - IDLE_MARGIN)
+        self._life = max(0.1, settings.idle_us / 1e6 - IDLE_MARGIN_S)
         self._addresses: dict[str, Address] = {}
         self._idle: dict[str, list[Link]] = {}
         # Idle connections with their endpoints and timers, in the order in which they became idle.
@@ -299,17 +299,17 @@
     def _read(self, reply: Reply, attempts: list[Attempt]) -> None:
         names = self._settings.report_names
         if len(attempts) == 1 or reply.status != 200:
-            self._end_all(attempts, ending(reply, names))
+            self._end_all(attempts, parse_result(reply, names))
             return
         if min(attempt.until_us for attempt in attempts) <= self._clock():
             # A delayed event loop may read a late batch response before it times the call out. Its results
             # must not count for any message. Cost: a batch response that arrived just in time is discarded
             # too.
-            self._end_all(attempts, Ending(Result.SPOILT, wait_us(reply)))
+            self._end_all(attempts, Ending(Result.SPOILT, parse_wait_us(reply)))
             return
-        ends = batch_endings(reply, names)
+        ends = parse_batch_results(reply, names)
         for attempt in attempts:
-            self._end(attempt, ends.get(attempt.message.name, Ending(Result.ERROR, wait_us(reply))))
+            self._end(attempt, ends.get(attempt.message.name, Ending(Result.ERROR, parse_wait_us(reply))))
 
     def _give_up(self, attempts: list[Attempt]) -> int:
         """Report timed out and cancelled attempts; returns the microseconds until the next timeout.
@@ -348,9 +348,9 @@
         except LinkLostError as error:
             return lost(error)
         self.pool.give(endpoint, link)
-        how = ending(reply, names)
-        told = how.report or report(reply.body.decode("latin-1"), names)
-        return Ending(how.result, how.wait_us, report=told)
+        how = parse_result(reply, names)
+        load = how.report or parse_load_report(reply.body.decode("latin-1"), names)
+        return Ending(how.result, how.wait_us, report=load)
 
 
 def _unheard(attempt: Attempt, how: Ending) -> None:
--- a/amberlug/library/endpoints.py
+++ b/amberlug/library/endpoints.py
@@ -18,9 +18,8 @@
 from amberlug.policy.account import SECOND
 from amberlug.policy.interface import Entry, Settings, State
 
-UpdateHandler = Callable[
-    [News], Iterator[None]
-]  # returns the work of applying an update, run at once or in slices
+# Returns the work of applying an update, run at once or in slices.
+UpdateHandler = Callable[[News], Iterator[None]]
 MAX_FILE_BYTES = 1 << 26  # largest endpoint file, in bytes
 
 
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from amberlug.http.calls import report, wait_us
+from amberlug.http.calls import parse_load_report, parse_wait_us
 from amberlug.http.link import Reply
 from amberlug.policy.interface import Result
 from amberlug.standin.wire import OK, Seen, StandIn
@@ -214,11 +214,13 @@
 
 @pytest.mark.parametrize("text", ["x0=nan", "x0=inf", "x0=-1", "x0=1,x0=", "\xb2"])
 def test_a_load_report_that_means_nothing_is_none(text: str) -> None:
-    assert report(text, ("x0",)) == ()
+    assert parse_load_report(text, ("x0",)) == ()
 
 
 def test_a_wait_without_end_is_bounded() -> None:
-    waits = [wait_us(Reply(429, {"wait-ms": text})) for text in ("9" * 5000, "250", "-1", "1e3", "\xb2")]
+    waits = [
+        parse_wait_us(Reply(429, {"wait-ms": text})) for text in ("9" * 5000, "250", "-1", "1e3", "\xb2")
+    ]
     assert waits == [3_600_000_000, 250_000, 0, 0, 0]
 
 
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -8,7 +8,7 @@
 
 from amberlug.core.listing import read_news
 from amberlug.core.messages import Message, Refusal
-from amberlug.http.calls import batch_endings
+from amberlug.http.calls import parse_batch_results
 from amberlug.http.link import Reply
 from amberlug.policy.interface import Result
 from amberlug.policy.settings import read_settings
@@ -346,7 +346,7 @@
 
 
 def test_a_broken_batch_answer_may_have_run() -> None:
-    ends = batch_endings(Reply(200, {"wait-ms": "300"}, bytearray(b"a ok\r\nb what\r\n\xff\r\n")), ())
+    ends = parse_batch_results(Reply(200, {"wait-ms": "300"}, bytearray(b"a ok\r\nb what\r\n\xff\r\n")), ())
     assert {name: (it.result, it.wait_us) for name, it in ends.items()} == {"a": (Result.DONE, 300_000)}
 
 
