--- a/amberlug/http/calls.py
+++ b/amberlug/http/calls.py
@@ -85,13 +85,13 @@
     return Ending(Result.RESET if error.written else Result.UNCONNECTED)
 
 
-class Pool:
+class ConnectionPool:
     """Connections to endpoints; the most recently used one is reused first."""
 
     def __init__(self, settings: Settings, most: int) -> None:
         self._most = most
         self._dial = settings.dial_us / 1e6
-        self._life = max(0.1, settings.idle_us / 1e6 - IDLE_MARGIN_S)
+        self._keep_s = max(0.1, settings.idle_us / 1e6 - IDLE_MARGIN_S)
         self._addresses: dict[str, Address] = {}
         self._idle: dict[str, list[Link]] = {}
         # Idle connections with their endpoints and timers, in the order in which they became idle.
@@ -112,10 +112,10 @@
         """Acquire an idle connection or open a new one; None if none could be established."""
         if fresh and endpoint in self._idle:
             # The new one replaces it in the endpoint's connection table.
-            self._retire(self._idle[endpoint][0])
+            self._close_idle_link(self._idle[endpoint][0])
         while not fresh and (idle := self._idle.get(endpoint)) is not None:
             link = idle[-1]
-            self._forget(link)
+            self._remove_idle(link)
             if link.usable:
                 link.idled_us = int((asyncio.get_running_loop().time() - link.idle_since) * 1e6)
                 return link
@@ -123,7 +123,7 @@
         address = self._addresses.get(endpoint)
         if address is None:
             return None
-        self._make_room()
+        self._evict_idle()
         self.dialing += 1
         try:
             link_or_none = await dial(*address, min(self._dial, seconds))
@@ -134,12 +134,12 @@
             link_or_none.on_lost = self._lost
         return link_or_none
 
-    def _make_room(self) -> None:
+    def _evict_idle(self) -> None:
         """Close the connection that has been idle longest if another one would exceed the maximum."""
         # Prevents running out of file descriptors. Active calls cannot exceed them: the decision module has
         # fewer slots than there are connections.
         if len(self._links) + self.dialing >= self._most and self._timers:
-            self._retire(next(iter(self._timers)))
+            self._close_idle_link(next(iter(self._timers)))
 
     def give(self, endpoint: str, link: Link) -> None:
         """Return a connection to the pool for reuse, for less than the endpoint's idle timeout."""
@@ -149,7 +149,7 @@
             return
         link.reused, link.idle_since = True, asyncio.get_running_loop().time()
         self._idle.setdefault(endpoint, []).append(link)
-        timer = asyncio.get_running_loop().call_later(self._life, self._retire, link)
+        timer = asyncio.get_running_loop().call_later(self._keep_s, self._close_idle_link, link)
         self._timers[link] = endpoint, timer
 
     def close(self) -> None:
@@ -160,17 +160,17 @@
     def close_idle(self, endpoint: str) -> None:
         """Close the idle connections to an endpoint."""
         for link in list(self._idle.get(endpoint, ())):
-            self._retire(link)
+            self._close_idle_link(link)
 
-    def _retire(self, link: Link) -> None:
-        self._forget(link)
+    def _close_idle_link(self, link: Link) -> None:
+        self._remove_idle(link)
         link.close()
 
     def _lost(self, link: Link) -> None:
-        self._forget(link)
+        self._remove_idle(link)
         self._links.discard(link)
 
-    def _forget(self, link: Link) -> None:
+    def _remove_idle(self, link: Link) -> None:
         """Remove a connection from the idle ones, and the endpoint's entry if it was the last."""
         if link not in self._timers:
             return
@@ -186,10 +186,10 @@
 
     def __init__(self, settings: Settings, links: int, clock: Clock) -> None:
         self._settings, self._clock = settings, clock.now_us
-        self.pool = Pool(settings, links)
+        self.pool = ConnectionPool(settings, links)
         self.locate, self.close_idle = self.pool.locate, self.pool.close_idle
         self._tasks: set[asyncio.Task[None]] = set()
-        self._nudges: dict[Attempt, asyncio.Future[None]] = {}
+        self._wakeups: dict[Attempt, asyncio.Future[None]] = {}
 
     def bind(self, calls: Calls) -> None:
         """Set the core, which clears attempts to be sent and receives their results."""
@@ -197,31 +197,31 @@
 
     @property
     def busy(self) -> bool:
-        return bool(self._nudges)
+        return bool(self._wakeups)
 
     def abandon(self) -> None:
         """Cancel all calls, close all connections and report no more results."""
-        self._ended = _unheard
+        self._ended = _discard_result
         for task in list(self._tasks):
             task.cancel()
         self.pool.close()
 
     def call(self, endpoint: str, attempts: list[Attempt], fresh: bool) -> None:
         """Send one call with one or more messages, on a new connection if `fresh` is set."""
-        self._listen(attempts)
+        self._arm_wakeup(attempts)
         self._start(self._call(endpoint, attempts, fresh))
 
-    def _listen(self, attempts: Sequence[Attempt]) -> asyncio.Future[None]:
+    def _arm_wakeup(self, attempts: Sequence[Attempt]) -> asyncio.Future[None]:
         """Create the future that wakes the call's task on a response, a timeout or a cancelled attempt."""
-        nudge = asyncio.get_running_loop().create_future()
-        self._nudges.update(dict.fromkeys((it for it in attempts if not it.ended), nudge))
-        return nudge
+        wakeup = asyncio.get_running_loop().create_future()
+        self._wakeups.update(dict.fromkeys((it for it in attempts if not it.ended), wakeup))
+        return wakeup
 
     def call_off(self, attempt: Attempt) -> None:
         """Stop waiting for an attempt; its result is reported like any other."""
         attempt.called_off = True
-        if (nudge := self._nudges.get(attempt)) is not None:
-            _wake(nudge)
+        if (wakeup := self._wakeups.get(attempt)) is not None:
+            _wake(wakeup)
 
     def probe(self, endpoint: str, ended: Callable[[Ending], None]) -> None:
         """Send a health probe to an endpoint."""
@@ -232,64 +232,64 @@
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    def _end(self, attempt: Attempt, how: Ending) -> None:
+    def _report(self, attempt: Attempt, how: Ending) -> None:
         if not attempt.ended:
             attempt.ended = True
-            del self._nudges[attempt]
+            del self._wakeups[attempt]
             self._ended(attempt, how)
 
-    def _end_all(self, attempts: Sequence[Attempt], how: Ending) -> None:
+    def _report_all(self, attempts: Sequence[Attempt], how: Ending) -> None:
         for attempt in attempts:
-            self._end(attempt, how)
+            self._report(attempt, how)
 
     async def _call(self, endpoint: str, attempts: list[Attempt], fresh: bool) -> None:
         try:
             until = max(attempt.until_us for attempt in attempts)
             link = await self.pool.take(endpoint, max(0.0, (until - self._clock()) / 1e6), fresh)
             if link is None:
-                self._end_all(attempts, Ending(Result.UNCONNECTED))
+                self._report_all(attempts, Ending(Result.UNCONNECTED))
                 return
             try:
-                await self._use(link, attempts)
+                await self._send_cleared(link, attempts)
             finally:
                 self.pool.give(endpoint, link)
         finally:
             # Ensures that an error never leaves an attempt without a result, which would occupy its slot
             # forever.
-            self._end_all(attempts, Ending(Result.RESET))
+            self._report_all(attempts, Ending(Result.RESET))
 
-    async def _use(self, link: Link, attempts: list[Attempt]) -> None:
+    async def _send_cleared(self, link: Link, attempts: list[Attempt]) -> None:
         # Connecting takes time: a drain, a requested wait or an outcome may have ruled out sending since.
         cleared = await departing(self._calls, attempts)
-        self._end_all([attempt for attempt in attempts if attempt not in cleared], Ending(Result.UNSENT))
+        self._report_all([attempt for attempt in attempts if attempt not in cleared], Ending(Result.UNSENT))
         for attempt in cleared:
             attempt.reused, attempt.idle_us = link.reused, link.idled_us
         if cleared:
-            await self._converse(link, cleared)
+            await self._exchange(link, cleared)
 
-    async def _converse(self, link: Link, attempts: list[Attempt]) -> None:
+    async def _exchange(self, link: Link, attempts: list[Attempt]) -> None:
         reply = self._write(link, attempts)
         while not reply.done():
-            waits_us = self._give_up(attempts)
+            waits_us = self._expire(attempts)
             if not any(not attempt.ended for attempt in attempts):
                 link.close()  # an abandoned attempt must not stay outstanding on an open connection
                 return
-            nudge = self._listen(attempts)
-            reply.add_done_callback(partial(_wake, nudge))
-            timer = asyncio.get_running_loop().call_later(waits_us / 1e6, _wake, nudge)
-            await nudge
+            wakeup = self._arm_wakeup(attempts)
+            reply.add_done_callback(partial(_wake, wakeup))
+            timer = asyncio.get_running_loop().call_later(waits_us / 1e6, _wake, wakeup)
+            await wakeup
             timer.cancel()
         try:
             self._read(reply.result(), attempts)
         except LinkLostError as error:
             done = error.ok and len(attempts) == 1  # a batch needs the complete response for its results
-            self._end_all(attempts, Ending(Result.DONE) if done else lost(error))
+            self._report_all(attempts, Ending(Result.DONE) if done else lost(error))
 
     def _write(self, link: Link, attempts: list[Attempt]) -> asyncio.Future[Reply]:
         left_ms = max(1, (max(it.until_us for it in attempts) - self._clock()) // 1000)
         headers = [("Req-Deadline-Ms", str(left_ms))]
         if len(attempts) > 1:
-            return link.request("POST", "/hook/batch", headers, b"".join(map(_frame, attempts)))
+            return link.request("POST", "/hook/batch", headers, b"".join(map(_batch_entry, attempts)))
         message: Message = attempts[0].message
         headers.append(("Req-Id", message.name))
         if message.key is not None:
@@ -299,19 +299,19 @@
     def _read(self, reply: Reply, attempts: list[Attempt]) -> None:
         names = self._settings.report_names
         if len(attempts) == 1 or reply.status != 200:
-            self._end_all(attempts, parse_result(reply, names))
+            self._report_all(attempts, parse_result(reply, names))
             return
         if min(attempt.until_us for attempt in attempts) <= self._clock():
             # A delayed event loop may read a late batch response before it times the call out. Its results
             # must not count for any message. Cost: a batch response that arrived just in time is discarded
             # too.
-            self._end_all(attempts, Ending(Result.SPOILT, parse_wait_us(reply)))
+            self._report_all(attempts, Ending(Result.SPOILT, parse_wait_us(reply)))
             return
         ends = parse_batch_results(reply, names)
         for attempt in attempts:
-            self._end(attempt, ends.get(attempt.message.name, Ending(Result.ERROR, parse_wait_us(reply))))
+            self._report(attempt, ends.get(attempt.message.name, Ending(Result.ERROR, parse_wait_us(reply))))
 
-    def _give_up(self, attempts: list[Attempt]) -> int:
+    def _expire(self, attempts: list[Attempt]) -> int:
         """Report timed out and cancelled attempts; returns the microseconds until the next timeout.
 
         While other attempts of the call are pending, an attempt whose message has no outcome stays
@@ -324,17 +324,17 @@
         for attempt in left:
             if attempt not in alive and (not alive or attempt.message.over):
                 result = Result.CALLED_OFF if attempt.called_off else Result.TIMED_OUT
-                self._end(attempt, Ending(result))
+                self._report(attempt, Ending(result))
         return min((attempt.until_us for attempt in alive), default=now) - now
 
     async def _probe(self, endpoint: str, ended: Callable[[Ending], None]) -> None:
         how = Ending(Result.RESET)
         try:
-            how = await self._sound_out(endpoint)
+            how = await self._send_probe(endpoint)
         finally:
             ended(how)
 
-    async def _sound_out(self, endpoint: str) -> Ending:
+    async def _send_probe(self, endpoint: str) -> Ending:
         seconds, names = self._settings.dial_us / 1e6, self._settings.report_names
         link = await self.pool.take(endpoint, seconds)
         if link is None:
@@ -353,16 +353,16 @@
         return Ending(how.result, how.wait_us, report=load)
 
 
-def _unheard(attempt: Attempt, how: Ending) -> None:
+def _discard_result(attempt: Attempt, how: Ending) -> None:
     """Discard the results of calls that a closing relay abandoned: they are not known."""
 
 
-def _wake(nudge: asyncio.Future[None], _: object = None) -> None:
-    if not nudge.done():
-        nudge.set_result(None)
+def _wake(wakeup: asyncio.Future[None], _: object = None) -> None:
+    if not wakeup.done():
+        wakeup.set_result(None)
 
 
-def _frame(attempt: Attempt) -> bytes:
+def _batch_entry(attempt: Attempt) -> bytes:
     message = attempt.message
     head = f"{message.name} {message.key or '-'} {len(message.body)}\r\n"
     return head.encode("latin-1") + message.body + b"\r\n"
