--- a/amberlug/http/server.py
+++ b/amberlug/http/server.py
@@ -15,23 +15,27 @@
 from amberlug.http.handin import TOO_LONG, BadRequestError, answer, check_route, read_message, refusal_of
 from amberlug.policy.interface import Settings
 
-UNREAD_MOST = 1 << 20  # bytes discarded after an error response: closing at once could lose the response
-AHEAD_MOST = 1 << 16  # bytes buffered beyond an open request; with more, the connection closes after it
-TURN = 64  # parser events handled per loop iteration: a burst on one connection must not delay the others
-SILENT = 0.2  # seconds without a complete request after which a connection is evicted before others
-SWEEP = 0.25  # seconds between checks for expired connections
+MAX_DISCARDED_BYTES = (
+    1 << 20
+)  # bytes discarded after an error response: closing at once could lose the response
+MAX_BYTES_AHEAD = 1 << 16  # bytes buffered beyond an open request; with more, the connection closes after it
+EVENTS_PER_ITERATION = (
+    64  # parser events handled per loop iteration: a burst on one connection must not delay the others
+)
+SILENT_S = 0.2  # time without a complete request after which a connection is evicted before others
+SWEEP_INTERVAL_S = 0.25  # time between checks for expired connections
 
 
 class Phase(Enum):
     """The state of a connection; the value is its timeout in seconds."""
 
-    ENDING = 0.5  # its last response was sent, and further input is discarded
+    DISCARDING = 0.5  # its last response was sent, and further input is discarded
     READING = 2.0  # reading a request, from the connect or its first byte; clients are promised 3 s
-    RESTING = 4.0  # idle: without a limit, a client could keep its connection forever after one request
-    ASKED = float("inf")  # waiting for the relay's response
+    IDLE = 4.0  # idle: without a limit, a client could keep its connection forever after one request
+    RESPONDING = float("inf")  # waiting for the relay's response
 
 
-WAITING = (Phase.ENDING, Phase.READING, Phase.RESTING)
+PHASES_WITH_TIMEOUT = (Phase.DISCARDING, Phase.READING, Phase.IDLE)
 
 
 class Node(Protocol):
@@ -54,7 +58,7 @@
         self._request: h11.Request | None = None
         self._body = bytearray()
         self._ahead = 0  # bytes read since the request was complete, or since the last response
-        self._reading = self._stuck = False
+        self._reading = self._write_blocked = False
         self.phase = Phase.READING
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -63,41 +67,41 @@
         self._server.opened(self)
 
     def data_received(self, data: bytes) -> None:
-        if self.phase in (Phase.ENDING, Phase.ASKED):
+        if self.phase in (Phase.DISCARDING, Phase.RESPONDING):
             self._ahead += len(data)
-        if self.phase is Phase.ENDING:
-            if self._ahead > UNREAD_MOST:
+        if self.phase is Phase.DISCARDING:
+            if self._ahead > MAX_DISCARDED_BYTES:
                 self.abort()
             return
         # Bounds the bytes buffered ahead of an open request. The rest is read and dropped: while reading is
         # paused, a disconnect behind these bytes would not be detected.
-        if self._ahead > AHEAD_MOST:
+        if self._ahead > MAX_BYTES_AHEAD:
             return
-        if self.phase is Phase.RESTING:
+        if self.phase is Phase.IDLE:
             self._server.enter(self, Phase.READING)
         self._http.receive_data(data)
-        self._read()
+        self._process_events()
 
     def connection_lost(self, error: Exception | None) -> None:
-        asked = self.phase is Phase.ASKED
+        responding = self.phase is Phase.RESPONDING
         self._server.closed(self)
-        if asked:
+        if responding:
             self._server.node.hung_up(self)
 
     def pause_writing(self) -> None:
         """Stop reading: responses must not accumulate for a client that sends but does not read."""
-        self._stuck = True
+        self._write_blocked = True
         if self._transport is not None:
             self._transport.pause_reading()
 
     def resume_writing(self) -> None:
-        self._stuck = False
-        self._go_on()
+        self._write_blocked = False
+        self._resume()
 
-    def _go_on(self) -> None:
-        if self._transport is not None and not self._transport.is_closing() and not self._stuck:
+    def _resume(self) -> None:
+        if self._transport is not None and not self._transport.is_closing() and not self._write_blocked:
             self._transport.resume_reading()
-            self._read()
+            self._process_events()
 
     def close(self) -> None:
         """Close it after all responses are written."""
@@ -111,7 +115,7 @@
     def expire(self) -> None:
         """Handle a timeout: send an error response if a request was incomplete, else abort."""
         begun = self._request is not None or bool(self._http.trailing_data[0])
-        if self.phase is Phase.READING and begun and not self._stuck:
+        if self.phase is Phase.READING and begun and not self._write_blocked:
             self.answer(408, "the request did not come in time")
         else:
             self.abort()
@@ -130,7 +134,7 @@
             headers.append(("Content-Type", "text/plain"))
         if retry_us > 0:
             headers.append(("Retry-After", f"{retry_us / 1e6:.3f}"))
-        unread = self._http.their_state is not h11.DONE or self._ahead > AHEAD_MOST
+        unread = self._http.their_state is not h11.DONE or self._ahead > MAX_BYTES_AHEAD
         if unread or self._server.closing:
             headers.append(("Connection", "close"))
         with contextlib.suppress(h11.LocalProtocolError):
@@ -144,39 +148,39 @@
         if self._http.states == {h11.CLIENT: h11.DONE, h11.SERVER: h11.DONE}:
             self._http.start_next_cycle()
             more = bool(self._http.trailing_data[0])
-            self._server.enter(self, Phase.READING if more else Phase.RESTING)
-            self._read()
+            self._server.enter(self, Phase.READING if more else Phase.IDLE)
+            self._process_events()
         elif unread:  # closing with input still in flight could lose the response
-            self._server.enter(self, Phase.ENDING)
+            self._server.enter(self, Phase.DISCARDING)
             if self._transport.can_write_eof():
                 self._transport.write_eof()
         else:
             self._transport.close()
 
-    def _read(self) -> None:
+    def _process_events(self) -> None:
         # Prevents unbounded recursion when one read holds many small requests: responding reads the next one.
         if self._reading:
             return
         self._reading = True
         try:
-            for _ in range(TURN):
-                if self._stuck or self.phase not in (Phase.READING, Phase.RESTING):
+            for _ in range(EVENTS_PER_ITERATION):
+                if self._write_blocked or self.phase not in (Phase.READING, Phase.IDLE):
                     return
-                if not self._take(self._http.next_event()):
+                if not self._handle_event(self._http.next_event()):
                     return
-            self._defer()
+            self._continue_later()
         except h11.RemoteProtocolError as error:
             self.answer(error.error_status_hint, "the request can't be read")
         finally:
             self._reading = False
 
-    def _defer(self) -> None:
+    def _continue_later(self) -> None:
         """Pause reading and continue in the next iteration of the loop."""
         if self._transport is not None and not self._transport.is_closing():
             self._transport.pause_reading()
-            asyncio.get_running_loop().call_soon(self._go_on)
+            asyncio.get_running_loop().call_soon(self._resume)
 
-    def _take(self, event: object) -> bool:
+    def _handle_event(self, event: object) -> bool:
         if isinstance(event, h11.Request):
             self._request = event
             if (refusal := refusal_of(event.headers)) is not None:
@@ -191,9 +195,9 @@
                 self.answer(413, TOO_LONG)
                 return False
         elif isinstance(event, h11.EndOfMessage):
-            self._server.enter(self, Phase.ASKED)
+            self._server.enter(self, Phase.RESPONDING)
             self._dispatch()
-            return self.phase is not Phase.ASKED
+            return self.phase is not Phase.RESPONDING
         elif isinstance(event, h11.ConnectionClosed):
             self.close()
         return isinstance(event, h11.Request | h11.Data)
@@ -241,9 +245,9 @@
     def _evict(self) -> None:
         # Prevents running out of file descriptors, after which asyncio accepts no connection for a second. A
         # connection that was just opened is about to be read and is evicted only if there is no other.
-        silent_since = asyncio.get_running_loop().time() + Phase.READING.value - SILENT
+        silent_since = asyncio.get_running_loop().time() + Phase.READING.value - SILENT_S
         silent = [it for it, due in islice(self._due[Phase.READING].items(), 1) if due < silent_since]
-        others = (self._due[phase] for phase in (Phase.ENDING, Phase.RESTING, Phase.READING))
+        others = (self._due[phase] for phase in (Phase.DISCARDING, Phase.IDLE, Phase.READING))
         connection = next(chain(silent, *others), None)
         if connection is not None:
             del self._due[connection.phase][connection]
@@ -260,17 +264,17 @@
     def _sweep(self) -> None:
         """Expire connections; repeated while there are any."""
         loop = asyncio.get_running_loop()
-        for phase in WAITING:
+        for phase in PHASES_WITH_TIMEOUT:
             for connection, due in list(self._due[phase].items()):
                 if due > loop.time():
                     break
                 connection.expire()
         there = any(self._due.values())
-        self._sweeping = loop.call_later(SWEEP, self._sweep) if there else None
+        self._sweeping = loop.call_later(SWEEP_INTERVAL_S, self._sweep) if there else None
 
     def close_idle(self) -> None:
         """Close the connections without a request."""
-        for phase in (Phase.ENDING, Phase.RESTING):
+        for phase in (Phase.DISCARDING, Phase.IDLE):
             for connection in list(self._due[phase]):
                 connection.close()
 
