--- a/amberlug/asgi.py
+++ b/amberlug/asgi.py
@@ -18,13 +18,13 @@
 from amberlug.core.log import log
 from amberlug.core.messages import BODY_MOST, Refusal
 from amberlug.http.handin import (
-    TOO_LONG,
-    Answer,
+    BODY_TOO_LONG,
     BadRequestError,
+    HttpResponse,
     answer,
     check_route,
     read_message,
-    refusal_of,
+    reject_by_headers,
 )
 from amberlug.library.relay import Relay
 
@@ -37,7 +37,7 @@
 READING_FOR = 2.0  # timeout for a whole body, in seconds
 READING_MOST = 256  # bodies read concurrently; with 64 KiB each, this bounds memory
 BUSY_RETRY_US = 1_000_000
-NOT_OPEN: Answer = (503, "the relay is not open", BUSY_RETRY_US)
+NOT_OPEN: HttpResponse = (503, "the relay is not open", BUSY_RETRY_US)
 
 
 class _GoneError(Exception):
@@ -122,7 +122,7 @@
         await send({"type": "http.response.start", "status": status, "headers": headers})
         await send({"type": "http.response.body", "body": body})
 
-    async def _answer(self, scope: Scope, path: str, receive: Receive) -> Answer:
+    async def _answer(self, scope: Scope, path: str, receive: Receive) -> HttpResponse:
         """The response to a request; raises `BadRequestError` if it is invalid."""
         if path == "/up":
             if scope["method"] != "GET":
@@ -132,7 +132,7 @@
         if not self.relay.is_open:
             return NOT_OPEN
         headers = [(bytes(name).lower(), bytes(value)) for name, value in scope["headers"]]
-        if (refusal := refusal_of(headers)) is not None:
+        if (refusal := reject_by_headers(headers)) is not None:
             raise BadRequestError(*refusal)
         settings = self.relay.settings
         check_route(settings, scope["method"], path)
@@ -166,7 +166,7 @@
                     raise _GoneError
                 body += event.get("body", b"")
                 if len(body) > BODY_MOST:
-                    raise BadRequestError(413, TOO_LONG)
+                    raise BadRequestError(413, BODY_TOO_LONG)
                 if not event.get("more_body", False):
                     return bytes(body)
     except TimeoutError:
--- a/amberlug/http/server.py
+++ b/amberlug/http/server.py
@@ -12,7 +12,14 @@
 import h11
 
 from amberlug.core.messages import BODY_MOST, Exchange, Message, Refusal
-from amberlug.http.handin import TOO_LONG, BadRequestError, answer, check_route, read_message, refusal_of
+from amberlug.http.handin import (
+    BODY_TOO_LONG,
+    BadRequestError,
+    answer,
+    check_route,
+    read_message,
+    reject_by_headers,
+)
 from amberlug.policy.interface import Settings
 
 MAX_DISCARDED_BYTES = (
@@ -183,7 +190,7 @@
     def _handle_event(self, event: object) -> bool:
         if isinstance(event, h11.Request):
             self._request = event
-            if (refusal := refusal_of(event.headers)) is not None:
+            if (refusal := reject_by_headers(event.headers)) is not None:
                 self.answer(*refusal)
                 return False
             if self._http.they_are_waiting_for_100_continue and self._transport is not None:
@@ -192,7 +199,7 @@
         elif isinstance(event, h11.Data):
             self._body += event.data
             if len(self._body) > BODY_MOST:
-                self.answer(413, TOO_LONG)
+                self.answer(413, BODY_TOO_LONG)
                 return False
         elif isinstance(event, h11.EndOfMessage):
             self._server.enter(self, Phase.RESPONDING)
