--- a/amberlug/cluster/simulation/mutations_answers.py
+++ b/amberlug/cluster/simulation/mutations_answers.py
@@ -70,9 +70,9 @@
     """A connection is used again although more has come on it than answers."""
 
     def finish(self: Link) -> None:
-        if self._limit is not None:
-            self._limit.cancel()
-            self._limit = None
+        if self._timer is not None:
+            self._timer.cancel()
+            self._timer = None
         self._http.start_next_cycle()
         if self._waiter is not None and self._reply is not None and not self._waiter.done():
             self._waiter.set_result(self._reply)
@@ -83,8 +83,8 @@
         if self._waiter is not None and not self._waiter.done():
             received(self, data)
 
-    stirs = patch.object(Link, "_stirs", lambda self, transport: False)
-    with patch.object(Link, "_finish", finish), patch.object(Link, "data_received", skip), stirs:
+    unread = patch.object(Link, "_has_unread_input", lambda self, transport: False)
+    with patch.object(Link, "_finish", finish), patch.object(Link, "data_received", skip), unread:
         yield
 
 
--- a/amberlug/http/link.py
+++ b/amberlug/http/link.py
@@ -9,9 +9,9 @@
 
 import h11
 
-BODY_MOST = 1 << 18  # longest response body in bytes: bounds the memory that a faulty peer can use
-WHOLE_FOR = 0.5  # timeout in seconds from a response's first byte to its last; they are sent together
-LINE_MOST = 256  # bytes kept of the start of a response, to parse its status line
+MAX_BODY_BYTES = 1 << 18  # longest response body in bytes: bounds the memory that a faulty peer can use
+RESPONSE_TIMEOUT_S = 0.5  # timeout from a response's first byte to its last; they are sent together
+MAX_STATUS_LINE_BYTES = 256  # bytes kept of the start of a response, to parse its status line
 _OK_LINE = re.compile(rb"HTTP/1\.[01] 200(?: [^\r\n]*)?\r?\n")
 
 Headers = Sequence[tuple[str, str]]
@@ -50,8 +50,8 @@
         self._waiter: asyncio.Future[Reply] | None = None
         self._sink: Callable[[bytes], None] | None = None
         self._unwritten = False
-        self._said = b""  # start of the response
-        self._limit: asyncio.TimerHandle | None = None
+        self._response_start = b""
+        self._timer: asyncio.TimerHandle | None = None
         self.on_lost: Callable[[Link], None] | None = None
 
     @property
@@ -59,9 +59,14 @@
         """Whether another request may be sent now."""
         transport = self._transport
         idle = self._http.our_state is h11.IDLE and self._http.their_state is h11.IDLE
-        return transport is not None and not transport.is_closing() and idle and not self._stirs(transport)
-
-    def _stirs(self, transport: asyncio.Transport) -> bool:
+        return (
+            transport is not None
+            and not transport.is_closing()
+            and idle
+            and not self._has_unread_input(transport)
+        )
+
+    def _has_unread_input(self, transport: asyncio.Transport) -> bool:
         """Whether an idle connection has unread input: the peer closed it or sent an unsolicited response."""
         # Prevents taking a late response for that of the next call, and sending a call on a closed
         # connection.
@@ -99,7 +104,7 @@
         if not self.usable or self._transport is None:
             self._waiter.set_exception(LinkLostError(written=False))
             return self._waiter
-        self._reply, self._sink, self._said = None, sink, b""
+        self._reply, self._sink, self._response_start = None, sink, b""
         peer = self._transport.get_extra_info("peername")
         head = [("Host", host or f"{peer[0]}:{peer[1]}"), *headers, ("Content-Length", str(len(body)))]
         parts = [
@@ -119,37 +124,38 @@
         if self._waiter is None or self._waiter.done():
             self.close()  # an unsolicited response would be taken for that of the next request
             return
-        if self._limit is None and self._sink is None:
-            self._limit = asyncio.get_running_loop().call_later(WHOLE_FOR, self.close)
+        if self._timer is None and self._sink is None:
+            self._timer = asyncio.get_running_loop().call_later(RESPONSE_TIMEOUT_S, self.close)
         if self._reply is None:
-            self._said = (self._said + data)[:LINE_MOST]
+            self._response_start = (self._response_start + data)[:MAX_STATUS_LINE_BYTES]
         self._http.receive_data(data)
-        self._read()
+        self._process_events()
 
     def eof_received(self) -> None:
         with contextlib.suppress(h11.RemoteProtocolError):
             self._http.receive_data(b"")
-        self._read()
+        self._process_events()
 
     def connection_lost(self, error: Exception | None) -> None:
-        if self._limit is not None:
-            self._limit.cancel()
+        if self._timer is not None:
+            self._timer.cancel()
         if self._waiter is not None and not self._waiter.done():
-            self._waiter.set_exception(LinkLostError(not self._unwritten, self._said))
+            self._waiter.set_exception(LinkLostError(not self._unwritten, self._response_start))
             self._waiter.exception()  # marks it as retrieved: there may be no waiter left
         if self.on_lost is not None:
             self.on_lost(self)
 
-    def _read(self) -> None:
+    def _process_events(self) -> None:
         try:
-            while self._take(self._http.next_event()):
+            while self._handle_event(self._http.next_event()):
                 pass
         except h11.RemoteProtocolError:
             self.close()
 
-    def _take(self, event: object) -> bool:
+    def _handle_event(self, event: object) -> bool:
         if isinstance(event, h11.InformationalResponse):
-            self._said = self._http.trailing_data[0][:LINE_MOST]  # the final response follows it
+            # The final response follows it.
+            self._response_start = self._http.trailing_data[0][:MAX_STATUS_LINE_BYTES]
         elif isinstance(event, h11.Response):
             self._reply = Reply(
                 event.status_code, {name.decode(): value.decode("latin-1") for name, value in event.headers}
@@ -160,7 +166,7 @@
                 self._sink(bytes(event.data))
             else:
                 self._reply.body += event.data
-            if len(self._reply.body) > BODY_MOST:
+            if len(self._reply.body) > MAX_BODY_BYTES:
                 self.close()
                 return False
         elif isinstance(event, h11.EndOfMessage):
@@ -169,9 +175,9 @@
 
     def _finish(self) -> None:
         waiter, reply = self._waiter, self._reply
-        if self._limit is not None:
-            self._limit.cancel()
-            self._limit = None
+        if self._timer is not None:
+            self._timer.cancel()
+            self._timer = None
         done = self._http.our_state is h11.DONE and self._http.their_state is h11.DONE
         if done and not self._http.trailing_data[0]:
             self._http.start_next_cycle()
--- a/amberlug/http/server.py
+++ b/amberlug/http/server.py
@@ -22,9 +22,8 @@
 )
 from amberlug.policy.interface import Settings
 
-MAX_DISCARDED_BYTES = (
-    1 << 20
-)  # bytes discarded after an error response: closing at once could lose the response
+# Bytes discarded after an error response: closing at once could lose the response.
+MAX_DISCARDED_BYTES = 1 << 20
 MAX_BYTES_AHEAD = 1 << 16  # bytes buffered beyond an open request; with more, the connection closes after it
 EVENTS_PER_ITERATION = (
     64  # parser events handled per loop iteration: a burst on one connection must not delay the others
