--- a/amberlug/asgi.py
+++ b/amberlug/asgi.py
@@ -34,13 +34,13 @@
 Send = Callable[[Event], Awaitable[None]]
 Application = Callable[[Scope, Receive, Send], Awaitable[None]]
 
-READING_FOR = 2.0  # timeout for a whole body, in seconds
-READING_MOST = 256  # bodies read concurrently; with 64 KiB each, this bounds memory
+BODY_TIMEOUT_S = 2.0  # timeout for reading a whole body
+MAX_CONCURRENT_BODIES = 256  # bodies read concurrently; with 64 KiB each, this bounds memory
 BUSY_RETRY_US = 1_000_000
 NOT_OPEN: HttpResponse = (503, "the relay is not open", BUSY_RETRY_US)
 
 
-class _GoneError(Exception):
+class _DisconnectedError(Exception):
     """The client has disconnected."""
 
 
@@ -51,13 +51,13 @@
         if not prefix.startswith("/") or prefix.endswith("/"):
             raise ValueError(f"the prefix must begin with a slash and not end with one: {prefix!r}")
         self._app, self.relay, self._prefix = app, relay, prefix
-        self._reading = 0
+        self._bodies_in_progress = 0
 
     async def __call__(self, scope: Scope, receive: Receive, send: Send) -> None:
         if scope["type"] == "lifespan":
-            await self._live(scope, receive, send)
+            await self._run_lifespan(scope, receive, send)
             return
-        path = self._below(scope)
+        path = self._relative_path(scope)
         if path is None:
             # The server passes each request a copy of the lifespan's state, or none at all.
             state = {**scope.get("state", {}), "relay": self.relay}
@@ -69,7 +69,7 @@
             # Closed before it is accepted: the server responds with 403.
             await send({"type": "websocket.close", "code": 1000})
 
-    def _below(self, scope: Scope) -> str | None:
+    def _relative_path(self, scope: Scope) -> str | None:
         """The path relative to the prefix, or None outside it; the root path of a mount is skipped."""
         path: str = scope["path"]
         root: str = scope.get("root_path", "")
@@ -80,7 +80,7 @@
 
     # The lifespan.
 
-    async def _live(self, scope: Scope, receive: Receive, send: Send) -> None:
+    async def _run_lifespan(self, scope: Scope, receive: Receive, send: Send) -> None:
         """Open the relay before the application starts; close it after that has stopped using it."""
         await receive()
         try:
@@ -88,14 +88,14 @@
         except (OSError, ValueError, RuntimeError) as error:
             await send({"type": "lifespan.startup.failed", "message": f"relay: {error}"})
             return
-        inner = _Inner(self._app, {**scope, "state": scope.setdefault("state", {})})
+        inner = _InnerLifespan(self._app, {**scope, "state": scope.setdefault("state", {})})
         scope["state"]["relay"] = self.relay
         try:
-            failed = await inner.ask("startup")
+            failed = await inner.request("startup")
             await send(failed or {"type": "lifespan.startup.complete"})
             if failed is None:
                 await receive()
-                failed = await inner.ask("shutdown")
+                failed = await inner.request("shutdown")
                 await self.relay.close()
                 await send(failed or {"type": "lifespan.shutdown.complete"})
         finally:
@@ -108,7 +108,7 @@
     async def _serve(self, scope: Scope, path: str, receive: Receive, send: Send) -> None:
         try:
             said = await self._answer(scope, path, receive)
-        except _GoneError:
+        except _DisconnectedError:
             return
         except BadRequestError as error:
             said = error.status, str(error), 0
@@ -136,21 +136,23 @@
             raise BadRequestError(*refusal)
         settings = self.relay.settings
         check_route(settings, scope["method"], path)
-        if self._reading >= READING_MOST:
+        if self._bodies_in_progress >= MAX_CONCURRENT_BODIES:
             return 503, "too many at once", BUSY_RETRY_US
-        self._reading += 1
+        self._bodies_in_progress += 1
         try:
             body = await _body(receive)
         finally:
-            self._reading -= 1
+            self._bodies_in_progress -= 1
         if not self.relay.is_open:  # closed while the body was read
             return NOT_OPEN
         fields = {name.decode("latin-1"): value.decode("latin-1") for name, value in headers}
         message, left_us = read_message(settings, self.relay.serves, path, fields, body, self.relay.wall_ms())
-        told: asyncio.Future[Refusal | None] = asyncio.get_running_loop().create_future()
-        hand_in = self.relay.admit(message, left_us, lambda it: None if told.done() else told.set_result(it))
+        decision: asyncio.Future[Refusal | None] = asyncio.get_running_loop().create_future()
+        hand_in = self.relay.admit(
+            message, left_us, lambda it: None if decision.done() else decision.set_result(it)
+        )
         try:
-            return answer(await _unless_gone(told, receive))
+            return answer(await _wait_for_decision(decision, receive))
         finally:
             self.relay.withdraw(hand_in)  # has no effect once it is settled
 
@@ -159,11 +161,11 @@
     """Read a whole body within the limits of size and time."""
     body = bytearray()
     try:
-        async with asyncio.timeout(READING_FOR):
+        async with asyncio.timeout(BODY_TIMEOUT_S):
             while True:
                 event = await receive()
                 if event["type"] == "http.disconnect":
-                    raise _GoneError
+                    raise _DisconnectedError
                 body += event.get("body", b"")
                 if len(body) > BODY_MOST:
                     raise BadRequestError(413, BODY_TOO_LONG)
@@ -173,39 +175,39 @@
         raise BadRequestError(408, "the request did not come in time") from None
 
 
-async def _unless_gone(told: asyncio.Future[Refusal | None], receive: Receive) -> Refusal | None:
-    """Wait for the decision; raises `_GoneError` if the client disconnects first."""
-    if told.done():
-        return told.result()
-    left = asyncio.ensure_future(_gone(receive))
+async def _wait_for_decision(decision: asyncio.Future[Refusal | None], receive: Receive) -> Refusal | None:
+    """Wait for the decision; raises `_DisconnectedError` if the client disconnects first."""
+    if decision.done():
+        return decision.result()
+    left = asyncio.ensure_future(_wait_for_disconnect(receive))
     try:
-        waits: set[asyncio.Future[Any]] = {told, left}
+        waits: set[asyncio.Future[Any]] = {decision, left}
         await asyncio.wait(waits, return_when=asyncio.FIRST_COMPLETED)
-        if not told.done():
-            raise _GoneError
-        return told.result()
+        if not decision.done():
+            raise _DisconnectedError
+        return decision.result()
     finally:
         left.cancel()
 
 
-async def _gone(receive: Receive) -> None:
+async def _wait_for_disconnect(receive: Receive) -> None:
     """Wait until the client has disconnected."""
     while (await receive())["type"] != "http.disconnect":
         pass
 
 
-class _Inner:
+class _InnerLifespan:
     """The lifespan of the wrapped application, which is optional."""
 
     def __init__(self, app: Application, scope: Scope) -> None:
-        self._told: asyncio.Queue[Event] = asyncio.Queue()
-        self._said: asyncio.Queue[Event] = asyncio.Queue()
-        self._task = asyncio.ensure_future(_run(app, scope, self._told.get, self._said.put))
+        self._to_app: asyncio.Queue[Event] = asyncio.Queue()
+        self._from_app: asyncio.Queue[Event] = asyncio.Queue()
+        self._task = asyncio.ensure_future(_run(app, scope, self._to_app.get, self._from_app.put))
 
-    async def ask(self, what: str) -> Event | None:
+    async def request(self, what: str) -> Event | None:
         """Request startup or shutdown; returns the event if that failed, None also without a lifespan."""
-        self._told.put_nowait({"type": f"lifespan.{what}"})
-        said = asyncio.ensure_future(self._said.get())
+        self._to_app.put_nowait({"type": f"lifespan.{what}"})
+        said = asyncio.ensure_future(self._from_app.get())
         await asyncio.wait({said, self._task}, return_when=asyncio.FIRST_COMPLETED)
         if not said.done():
             said.cancel()
--- a/amberlug/http/server.py
+++ b/amberlug/http/server.py
@@ -25,9 +25,7 @@
 # Bytes discarded after an error response: closing at once could lose the response.
 MAX_DISCARDED_BYTES = 1 << 20
 MAX_BYTES_AHEAD = 1 << 16  # bytes buffered beyond an open request; with more, the connection closes after it
-EVENTS_PER_ITERATION = (
-    64  # parser events handled per loop iteration: a burst on one connection must not delay the others
-)
+EVENTS_PER_ITERATION = 64  # parser events per loop iteration: one busy connection must not delay others
 SILENT_S = 0.2  # time without a complete request after which a connection is evicted before others
 SWEEP_INTERVAL_S = 0.25  # time between checks for expired connections
 
--- a/tests/test_asgi.py
+++ b/tests/test_asgi.py
@@ -240,8 +240,8 @@
 
 
 def test_bodies_that_are_slow_or_many_are_bounded(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("amberlug.asgi.READING_FOR", 0.05)
-    monkeypatch.setattr("amberlug.asgi.READING_MOST", 2)
+    monkeypatch.setattr("amberlug.asgi.BODY_TIMEOUT_S", 0.05)
+    monkeypatch.setattr("amberlug.asgi.MAX_CONCURRENT_BODIES", 2)
 
     async def scenario() -> None:
         async with relay_on(tmp_path, Partner()) as relay:
