--- a/amberlug/cli/checking.py
+++ b/amberlug/cli/checking.py
@@ -20,7 +20,7 @@
     except (OSError, UnicodeDecodeError) as error:
         print(f"amberlug: {error}", file=sys.stderr)
         return 2
-    found = _toml(path, text, beside) if path.suffix == ".toml" else check(text)
+    found = _check_toml(path, text, beside) if path.suffix == ".toml" else check(text)
     if as_json:
         print(json.dumps({"file": str(path), "problems": [asdict(it) for it in found]}))
     else:
@@ -31,7 +31,7 @@
     return 1 if found else 0
 
 
-def _toml(path: Path, text: str, beside: str | None) -> list[Problem]:
+def _check_toml(path: Path, text: str, beside: str | None) -> list[Problem]:
     """The problems of a fleet file, recognized by its members, or else of an MQTT mapping.
 
     It is also checked against the settings of a configuration if one is given.
--- a/amberlug/cli/drills.py
+++ b/amberlug/cli/drills.py
@@ -20,11 +20,11 @@
     """The live view: a table that is redrawn on each change."""
 
     def __init__(self, live: Live | None) -> None:
-        self._live, self._did = live, list[str]()
+        self._live, self._recent_actions = live, list[str]()
 
     def __call__(self, fleet: Fleet, doing: str) -> None:
         """Show the current action and the state of the accepted messages."""
-        self._did = [*self._did[-5:], doing]
+        self._recent_actions = [*self._recent_actions[-5:], doing]
         if self._live is None:
             return
         table = Table("relay", "process", "newest line of its log")
@@ -33,7 +33,7 @@
             table.add_row(relay.name, state, relay.log[-1] if relay.log else "")
         promises = fleet.promises
         counts = f"{len(promises.promised)} promised, {len(promises.open)} open"
-        table.caption = "; ".join([counts, *self._did])
+        table.caption = "; ".join([counts, *self._recent_actions])
         self._live.update(table)
 
 
--- a/amberlug/cli/journals.py
+++ b/amberlug/cli/journals.py
@@ -14,7 +14,7 @@
 from amberlug.core.journal.recovery import Found, held, read_folder
 from amberlug.core.ports import Held
 
-ROOM = 1 << 40  # size limit in bytes; in effect none for a salvaged journal
+MAX_BYTES = 1 << 40  # size limit in bytes; in effect none for a salvaged journal
 
 
 def main(command: str, folder: Path, to: Path | None, as_json: bool) -> int:
@@ -35,7 +35,7 @@
         return 2
     finally:
         disk.close()
-    figures = look(found, ones) if command != "verify" else {}
+    figures = summarize(found, ones) if command != "verify" else {}
     damage = [str(it) for it in found.damage]
     if as_json:
         print(json.dumps({**figures, "damage": damage}))
@@ -44,7 +44,7 @@
     return 1 if damage else 0
 
 
-def look(found: Found, ones: Mapping[str, Held]) -> dict[str, Any]:
+def summarize(found: Found, ones: Mapping[str, Held]) -> dict[str, Any]:
     """Summarize the contents of a folder."""
     going = [one for one in ones.values() if one.end is None]
     return {
@@ -81,7 +81,7 @@
     to.mkdir(parents=True, exist_ok=True)
     if any(to.iterdir()):
         raise OSError(f"{to} is not empty")
-    journal = Journal(FolderDisk(to), ROOM, now_ms, time.monotonic_ns)
+    journal = Journal(FolderDisk(to), MAX_BYTES, now_ms, time.monotonic_ns)
     names = {name: until for name, (until, *_) in found.ended.items()}
     journal.carry_over(list(ones.values()), names, now_ms)
     journal.close()
--- a/amberlug/cli/learnings.py
+++ b/amberlug/cli/learnings.py
@@ -22,10 +22,10 @@
 from amberlug.policy.account import UNLIMITED
 from amberlug.policy.state import NEVER
 
-ROOM = 1 << 30  # size limit in bytes, above that of any installation
+MAX_BYTES = 1 << 30  # size limit in bytes, above that of any installation
 
 
-class Now:
+class SystemClock:
     """The machine's clocks, without timers."""
 
     def __init__(self) -> None:
@@ -77,9 +77,9 @@
         return 2
     refused = [line for learner in learners for line in learner.refused]
     if options.action == "diff":
-        found: dict[str, Any] = {"differs": differences(*(look(it) for it in learners))}
+        found: dict[str, Any] = {"differs": differences(*(summarize(it) for it in learners))}
     elif options.action == "show":
-        found = look(learners[0], options.destination, options.endpoint)
+        found = summarize(learners[0], options.destination, options.endpoint)
     else:
         found = {}
     if options.json:
@@ -90,8 +90,8 @@
 
 
 def _opened(disk: FolderDisk, key: bytes) -> Learner:
-    now = Now()
-    return Learner(Store(disk, ROOM, now.now_us, key), now)
+    now = SystemClock()
+    return Learner(Store(disk, MAX_BYTES, now.now_us, key), now)
 
 
 def forget(folder: Path, destination: int, endpoint: str | None, key: bytes, as_json: bool) -> int:
@@ -108,9 +108,11 @@
     return 0 if done else 1
 
 
-def look(learner: Learner, destination: int | None = None, endpoint: str | None = None) -> dict[str, Any]:
+def summarize(
+    learner: Learner, destination: int | None = None, endpoint: str | None = None
+) -> dict[str, Any]:
     """The accepted facts as plain values; times are in seconds, and times of events are ages."""
-    now_us = Now().now_us()
+    now_us = SystemClock().now_us()
     partners = []
     for kept, waits in learner.destinations():
         names = {it.entry.endpoint for it in kept.known.endpoints}
@@ -168,7 +170,7 @@
                     },
                 }
             )
-    week = Now().wall_ms() // 3_600_000 // facts.WEEK_HOURS
+    week = SystemClock().wall_ms() // 3_600_000 // facts.WEEK_HOURS
     hours = {hour: round(ageing.hour_weight(was, week), 2) for hour, was in sorted(kept.hours.items())}
     return {
         "destination": kept.known.destination,
--- a/amberlug/cli/trial.py
+++ b/amberlug/cli/trial.py
@@ -15,45 +15,51 @@
 from amberlug.standin.deployment import CLASSES, DEADLINE, Deployment
 from amberlug.standin.partners import DRAINING, DROPPING, LIMITED, SLOW, STEADY
 
-MOODS = {1: [STEADY, STEADY], 2: [SLOW, SLOW], 3: [LIMITED], 4: [DROPPING, DROPPING], 5: [DRAINING, DRAINING]}
+PARTNERS = {
+    1: [STEADY, STEADY],
+    2: [SLOW, SLOW],
+    3: [LIMITED],
+    4: [DROPPING, DROPPING],
+    5: [DRAINING, DRAINING],
+}
 MESSAGES = 300
 SECONDS = 5.0  # period over which they are submitted
-REDRAW = 0.2  # seconds between updates of the progress line
-SETTLE = 0.4  # seconds waited after the last deadline, so that late outcomes are counted as late
+REFRESH_S = 0.2  # time between updates of the progress line
+SETTLE_S = 0.4  # time waited after the last deadline, so that late outcomes are counted as late
 
 
 async def play(messages: int, seconds: float, screen: TextIO | None) -> dict[str, Any]:
     """Run the trial and return its figures."""
     chance = random.Random(7)
     with tempfile.TemporaryDirectory() as folder:
-        async with Deployment(Path(folder), MOODS) as deployment:
-            drawing = asyncio.ensure_future(_draw(deployment, messages, screen))
+        async with Deployment(Path(folder), PARTNERS) as deployment:
+            progress = asyncio.ensure_future(_show_progress(deployment, messages, screen))
             started = deployment.clock()
             sent: set[asyncio.Task[None]] = set()
             for number in range(messages):
                 await asyncio.sleep(started + number * seconds / messages - deployment.clock())
                 if number == messages // 2:
                     await deployment.replace(next(it for it in deployment.partners if it.mood is DRAINING))
-                kind, destination = chance.choice(list(CLASSES)), chance.choice(list(MOODS))
+                kind, destination = chance.choice(list(CLASSES)), chance.choice(list(PARTNERS))
                 body = f"message {number}".encode()
                 sent.add(asyncio.ensure_future(deployment.hand_in(f"m{number:05d}", kind, destination, body)))
             await asyncio.gather(*sent)
-            until = deployment.clock() + DEADLINE + SETTLE
+            until = deployment.clock() + DEADLINE + SETTLE_S
             while deployment.unended and deployment.clock() < until:
-                await asyncio.sleep(REDRAW / 4)
+                await asyncio.sleep(REFRESH_S / 4)
             code = await deployment.stop_relay()
-            drawing.cancel()
+            progress.cancel()
             return _figures(deployment, code)
 
 
-async def _draw(deployment: Deployment, messages: int, screen: TextIO | None) -> None:
+async def _show_progress(deployment: Deployment, messages: int, screen: TextIO | None) -> None:
     """Show the progress on one line."""
     while screen is not None:
         tally = deployment.tally
         line = f"{tally.handed_in:4d} of {messages} handed in, {tally.taken:4d} taken on"
         screen.write(f"\r{line}, {tally.refused} refused, {deployment.unended:3d} under way ")
         screen.flush()
-        await asyncio.sleep(REDRAW)
+        await asyncio.sleep(REFRESH_S)
 
 
 def _figures(deployment: Deployment, code: int) -> dict[str, Any]:
--- a/tests/test_commands.py
+++ b/tests/test_commands.py
@@ -83,7 +83,7 @@
 def learned(folder: Path, key: bytes = b"", **health: Any) -> None:
     """Create the folder of a relay that has learned about one endpoint, with a wait requested by it."""
     folder.mkdir()
-    now = learnings.Now()
+    now = learnings.SystemClock()
     learner = Learner(Store(FolderDisk(folder), 10**5, now.now_us, key), now)
     learner.observe([known(now.now_us(), route={"learned": 3.0, "learned_us": now.now_us()}, **health)])
     learner.told(Wait(1, "", 60_000_000, now.now_us() + 60_000_000, now.boot))
--- a/tests/test_restart.py
+++ b/tests/test_restart.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from amberlug.cli.learnings import Now, ReadOnlyDisk
+from amberlug.cli.learnings import ReadOnlyDisk, SystemClock
 from amberlug.core.journal import FolderDisk
 from amberlug.core.journal.recovery import read_folder
 from amberlug.learning.blocks import number_of
@@ -127,7 +127,7 @@
                     await relay.hand_in(f"m{life}-{count}")
                 await relay.kill()
                 numbers |= {number_of(it.name) for it in state.iterdir()}
-                now = Now()
+                now = SystemClock()
                 learner = Learner(Store(ReadOnlyDisk(state), 10**6, now.now_us), now)
                 assert learner.refused == []
                 await relay.start()
