--- a/amberlug/http/calls.py
+++ b/amberlug/http/calls.py
@@ -181,7 +181,7 @@
             del self._idle[endpoint]
 
 
-class Caller:
+class HttpTransport:
     """Makes calls, one at a time per connection, and reports the result of each attempt once."""
 
     def __init__(self, settings: Settings, links: int, clock: Clock) -> None:
--- a/amberlug/library/relay.py
+++ b/amberlug/library/relay.py
@@ -20,7 +20,7 @@
 from amberlug.core.messages import End, Outcome, Reason, Refusal
 from amberlug.core.node import CLOSED_RETRY_US, Node
 from amberlug.core.ports import Held, Observer
-from amberlug.http.calls import Caller
+from amberlug.http.calls import HttpTransport
 from amberlug.learning import SHARE, open_learning
 from amberlug.library.claims import CLAIMS, Claim
 from amberlug.library.endpoints import Discovery, Endpoints
@@ -138,7 +138,7 @@
             stack.callback(self._learning.close)
             self._outcomes = OutcomeReporter(self._on_end, self._ended)
             self._transport = (
-                Caller(self.settings, self._connections, self._clock)
+                HttpTransport(self.settings, self._connections, self._clock)
                 if self._deliver is None
                 else HostTransport(self._deliver, self._clock)
             )
--- a/amberlug/platform/daemon.py
+++ b/amberlug/platform/daemon.py
@@ -20,7 +20,7 @@
 from amberlug.core.log import LOGGER, log
 from amberlug.core.node import Node
 from amberlug.core.ports import Clock, Ends, Transport
-from amberlug.http.calls import Caller
+from amberlug.http.calls import HttpTransport
 from amberlug.http.server import Server
 from amberlug.learning import SHARE, open_learning
 from amberlug.platform.config import Config, read_config
@@ -97,7 +97,7 @@
     journal = own if guard is None else guard.journal(own)
     learning = open_learning(config.state, room // SHARE, clock, config.durability, config.learning_key)
     pauses = Pauses(config.settings.relays, config.settings.drain_grace_us / SECOND)
-    caller, notices = Caller(config.settings, config.limits.links, clock), Notices(config.discovery)
+    caller, notices = HttpTransport(config.settings, config.limits.links, clock), Notices(config.discovery)
     front = None if make_front is None else make_front(config.settings, clock)
     transport = caller if front is None else front.transport(caller)
     ends = notices if front is None else front.ends(notices)
--- a/benchmarks/sleeping.py
+++ b/benchmarks/sleeping.py
@@ -19,7 +19,7 @@
 from amberlug.core.clock import LoopClock
 from amberlug.core.journal import Durability, open_journal
 from amberlug.core.node import Node
-from amberlug.http.calls import Caller
+from amberlug.http.calls import HttpTransport
 from amberlug.learning import open_learning
 from amberlug.platform.discovery import Watch
 from amberlug.platform.notices import Notices
@@ -208,7 +208,7 @@
         journal = open_journal(Path(folder), 10**7, clock, Durability.PROCESS)
         read, notices = read_settings(settings()), Notices(("127.0.0.1", 1))
         learning = open_learning(Path(folder), 10**7, clock)
-        node = Node(read, 1, journal, learning, Caller(read, 9, clock), notices, clock)
+        node = Node(read, 1, journal, learning, HttpTransport(read, 9, clock), notices, clock)
         watch = Watch(("127.0.0.1", 1), read.kinds, 0, node.listing, Pauses(1, 2.0), lambda: None)
         kept = int(listed * (1 - share))
         lists = [
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -19,7 +19,7 @@
 from amberlug.core.clock import LoopClock
 from amberlug.core.journal import FolderDisk, Journal
 from amberlug.core.node import Node
-from amberlug.http.calls import Caller
+from amberlug.http.calls import HttpTransport
 from amberlug.http.link import Link, Reply, dial
 from amberlug.learning import Learner
 from amberlug.learning.store import Store
@@ -189,13 +189,13 @@
 def node_in(folder: Path, settings: Settings) -> Node:
     """The daemon's core with its real connections, and nobody to tell its ends to."""
     clock = LoopClock()
-    caller, notices = Caller(settings, 9, clock), Notices(("127.0.0.1", 1))
+    caller, notices = HttpTransport(settings, 9, clock), Notices(("127.0.0.1", 1))
     learning = Learner(Store(FolderDisk(folder), 10**5, clock.now_us), clock)
     return Node(settings, 1, journal_in(folder), learning, caller, notices, clock)
 
 
-def caller_of(node: Node) -> Caller:
-    assert isinstance(node._transport, Caller)
+def caller_of(node: Node) -> HttpTransport:
+    assert isinstance(node._transport, HttpTransport)
     return node._transport
 
 
