--- a/amberlug/cluster/dispatch/endpoint_client.py
+++ b/amberlug/cluster/dispatch/endpoint_client.py
@@ -9,7 +9,7 @@
 
 from amberlug.cluster.dispatch.call_outcome import ATTEMPT_HEADER, SEAL_HEADER
 from amberlug.cluster.interfaces import CallResult, CallVerdict, EndpointCall
-from amberlug.http.link import Link, LinkLostError, Reply, dial
+from amberlug.http.link import ConnectionLostError, OutgoingConnection, Reply, dial
 
 CONNECT_TIMEOUT_S = 0.7
 MAX_IDLE_PER_ENDPOINT = 8
@@ -23,7 +23,7 @@
 class _Connection:
     """A connection to an endpoint; it carries one call at a time."""
 
-    link: Link
+    link: OutgoingConnection
     usable_until: float = 0.0  # by the event loop's clock
     # Attempts that got an unsuccessful response on this connection. A duplicate of that response could still
     # arrive and be mistaken for the response to a retry of the attempt, so retries use another connection.
@@ -115,7 +115,7 @@
         link = await dial(host, int(port), min(CONNECT_TIMEOUT_S, call.timeout_s))
         return _Connection(link) if link is not None else None
 
-    async def _exchange(self, link: Link, call: EndpointCall) -> Reply | CallVerdict:
+    async def _exchange(self, link: OutgoingConnection, call: EndpointCall) -> Reply | CallVerdict:
         """Send a call; return the response, or the verdict if there is none."""
         host = next((value for name, value in call.headers if name == "Host"), "")
         headers = [(name, value) for name, value in call.headers if name != "Host"]
@@ -123,7 +123,7 @@
         try:
             async with asyncio.timeout(call.timeout_s):
                 return await waiter
-        except LinkLostError as lost:
+        except ConnectionLostError as lost:
             was_sent = lost.written or lost.answered
             return CallVerdict.CONNECTION_LOST if was_sent else CallVerdict.NOT_CONNECTED
         except TimeoutError:
--- a/amberlug/cluster/local_deployment/http_call.py
+++ b/amberlug/cluster/local_deployment/http_call.py
@@ -8,7 +8,7 @@
 from result import Err, Ok, Result
 
 from amberlug.cluster.interfaces import Headers, RequestFailure
-from amberlug.http.link import LinkLostError, Reply, dial
+from amberlug.http.link import ConnectionLostError, Reply, dial
 
 RESPONSE_TIMEOUT_S = 2.0
 
@@ -42,7 +42,7 @@
         async with asyncio.timeout(timeout_s):
             host_header = call.host or address
             return Ok(await link.request(call.method, call.target, call.headers, call.body, host=host_header))
-    except LinkLostError as lost:
+    except ConnectionLostError as lost:
         may_have_run = lost.written or lost.answered
         return Err(RequestFailure.CONNECTION_LOST if may_have_run else RequestFailure.NOT_SENT)
     except TimeoutError:
--- a/amberlug/cluster/simulation/mutations_answers.py
+++ b/amberlug/cluster/simulation/mutations_answers.py
@@ -28,7 +28,7 @@
 from amberlug.cluster.rpc.messages import Responder
 from amberlug.cluster.rpc.server_connection import ConnectionOwner, ServerConnection
 from amberlug.cluster.rpc.transport import PeerTransport
-from amberlug.http.link import Link
+from amberlug.http.link import OutgoingConnection
 
 
 def _answer_by_order() -> AbstractContextManager[Any]:
@@ -51,7 +51,7 @@
 
 def _silent_open() -> AbstractContextManager[Any]:
     """A call that has had its time is left under way, and its message is called again."""
-    return patch.object(Link, "close", lambda self: None)
+    return patch.object(OutgoingConnection, "close", lambda self: None)
 
 
 def _sent_again() -> AbstractContextManager[Any]:
@@ -69,7 +69,7 @@
 def _extra_kept() -> Iterator[None]:
     """A connection is used again although more has come on it than answers."""
 
-    def finish(self: Link) -> None:
+    def finish(self: OutgoingConnection) -> None:
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
@@ -77,14 +77,18 @@
         if self._waiter is not None and self._reply is not None and not self._waiter.done():
             self._waiter.set_result(self._reply)
 
-    received = Link.data_received
+    received = OutgoingConnection.data_received
 
-    def skip(self: Link, data: bytes) -> None:
+    def skip(self: OutgoingConnection, data: bytes) -> None:
         if self._waiter is not None and not self._waiter.done():
             received(self, data)
 
-    unread = patch.object(Link, "_has_unread_input", lambda self, transport: False)
-    with patch.object(Link, "_finish", finish), patch.object(Link, "data_received", skip), unread:
+    unread = patch.object(OutgoingConnection, "_has_unread_input", lambda self, transport: False)
+    with (
+        patch.object(OutgoingConnection, "_finish", finish),
+        patch.object(OutgoingConnection, "data_received", skip),
+        unread,
+    ):
         yield
 
 
--- a/amberlug/http/calls.py
+++ b/amberlug/http/calls.py
@@ -11,7 +11,7 @@
 from amberlug.core.departure import departing
 from amberlug.core.messages import Attempt, Ending, Message
 from amberlug.core.ports import Address, Calls, Clock
-from amberlug.http.link import Link, LinkLostError, Reply, dial
+from amberlug.http.link import ConnectionLostError, OutgoingConnection, Reply, dial
 from amberlug.policy.interface import Result, Settings
 
 IDLE_MARGIN_S = 0.5  # time by which an idle connection is closed before the endpoint's idle timeout
@@ -77,7 +77,7 @@
     return ends
 
 
-def lost(error: LinkLostError) -> Ending:
+def lost(error: ConnectionLostError) -> Ending:
     """Map a lost connection to a result: a call that was written or partly answered may have run."""
     # A corrupt response head is not trusted: a 429 in it does not prove that the call was not executed.
     if error.answered:
@@ -93,10 +93,10 @@
         self._dial = settings.dial_us / 1e6
         self._keep_s = max(0.1, settings.idle_us / 1e6 - IDLE_MARGIN_S)
         self._addresses: dict[str, Address] = {}
-        self._idle: dict[str, list[Link]] = {}
+        self._idle: dict[str, list[OutgoingConnection]] = {}
         # Idle connections with their endpoints and timers, in the order in which they became idle.
-        self._timers: dict[Link, tuple[str, asyncio.TimerHandle]] = {}
-        self._links: set[Link] = set()
+        self._timers: dict[OutgoingConnection, tuple[str, asyncio.TimerHandle]] = {}
+        self._connections: set[OutgoingConnection] = set()
         self.dialing = 0
 
     def locate(self, endpoint: str, address: Address | None, kind: str = "") -> None:
@@ -108,75 +108,75 @@
         else:
             self._addresses[endpoint] = address
 
-    async def take(self, endpoint: str, seconds: float, fresh: bool = False) -> Link | None:
+    async def take(self, endpoint: str, seconds: float, fresh: bool = False) -> OutgoingConnection | None:
         """Acquire an idle connection or open a new one; None if none could be established."""
         if fresh and endpoint in self._idle:
             # The new one replaces it in the endpoint's connection table.
-            self._close_idle_link(self._idle[endpoint][0])
+            self._close_idle_connection(self._idle[endpoint][0])
         while not fresh and (idle := self._idle.get(endpoint)) is not None:
-            link = idle[-1]
-            self._remove_idle(link)
-            if link.usable:
-                link.idled_us = int((asyncio.get_running_loop().time() - link.idle_since) * 1e6)
-                return link
-            link.close()
+            connection = idle[-1]
+            self._remove_idle(connection)
+            if connection.usable:
+                connection.idled_us = int((asyncio.get_running_loop().time() - connection.idle_since) * 1e6)
+                return connection
+            connection.close()
         address = self._addresses.get(endpoint)
         if address is None:
             return None
         self._evict_idle()
         self.dialing += 1
         try:
-            link_or_none = await dial(*address, min(self._dial, seconds))
+            dialed = await dial(*address, min(self._dial, seconds))
         finally:
             self.dialing -= 1
-        if link_or_none is not None:
-            self._links.add(link_or_none)
-            link_or_none.on_lost = self._lost
-        return link_or_none
+        if dialed is not None:
+            self._connections.add(dialed)
+            dialed.on_lost = self._lost
+        return dialed
 
     def _evict_idle(self) -> None:
         """Close the connection that has been idle longest if another one would exceed the maximum."""
         # Prevents running out of file descriptors. Active calls cannot exceed them: the decision module has
         # fewer slots than there are connections.
-        if len(self._links) + self.dialing >= self._most and self._timers:
-            self._close_idle_link(next(iter(self._timers)))
+        if len(self._connections) + self.dialing >= self._most and self._timers:
+            self._close_idle_connection(next(iter(self._timers)))
 
-    def give(self, endpoint: str, link: Link) -> None:
+    def give(self, endpoint: str, connection: OutgoingConnection) -> None:
         """Return a connection to the pool for reuse, for less than the endpoint's idle timeout."""
         # Drops connections to an address that the endpoint no longer has, or to a removed endpoint.
-        if not link.usable or self._addresses.get(endpoint) != link.where:
-            link.close()
+        if not connection.usable or self._addresses.get(endpoint) != connection.where:
+            connection.close()
             return
-        link.reused, link.idle_since = True, asyncio.get_running_loop().time()
-        self._idle.setdefault(endpoint, []).append(link)
-        timer = asyncio.get_running_loop().call_later(self._keep_s, self._close_idle_link, link)
-        self._timers[link] = endpoint, timer
+        connection.reused, connection.idle_since = True, asyncio.get_running_loop().time()
+        self._idle.setdefault(endpoint, []).append(connection)
+        timer = asyncio.get_running_loop().call_later(self._keep_s, self._close_idle_connection, connection)
+        self._timers[connection] = endpoint, timer
 
     def close(self) -> None:
         """Close all connections."""
-        for link in list(self._links):
-            link.close()
+        for connection in list(self._connections):
+            connection.close()
 
     def close_idle(self, endpoint: str) -> None:
         """Close the idle connections to an endpoint."""
-        for link in list(self._idle.get(endpoint, ())):
-            self._close_idle_link(link)
+        for connection in list(self._idle.get(endpoint, ())):
+            self._close_idle_connection(connection)
 
-    def _close_idle_link(self, link: Link) -> None:
-        self._remove_idle(link)
-        link.close()
+    def _close_idle_connection(self, connection: OutgoingConnection) -> None:
+        self._remove_idle(connection)
+        connection.close()
 
-    def _lost(self, link: Link) -> None:
-        self._remove_idle(link)
-        self._links.discard(link)
+    def _lost(self, connection: OutgoingConnection) -> None:
+        self._remove_idle(connection)
+        self._connections.discard(connection)
 
-    def _remove_idle(self, link: Link) -> None:
+    def _remove_idle(self, connection: OutgoingConnection) -> None:
         """Remove a connection from the idle ones, and the endpoint's entry if it was the last."""
-        if link not in self._timers:
+        if connection not in self._timers:
             return
-        endpoint, timer = self._timers.pop(link)
+        endpoint, timer = self._timers.pop(connection)
         timer.cancel()
-        self._idle[endpoint].remove(link)
+        self._idle[endpoint].remove(connection)
         if not self._idle[endpoint]:
             del self._idle[endpoint]
 
@@ -184,9 +184,9 @@
 class HttpTransport:
     """Makes calls, one at a time per connection, and reports the result of each attempt once."""
 
-    def __init__(self, settings: Settings, links: int, clock: Clock) -> None:
+    def __init__(self, settings: Settings, connections: int, clock: Clock) -> None:
         self._settings, self._clock = settings, clock.now_us
-        self.pool = ConnectionPool(settings, links)
+        self.pool = ConnectionPool(settings, connections)
         self.locate, self.close_idle = self.pool.locate, self.pool.close_idle
         self._tasks: set[asyncio.Task[None]] = set()
         self._wakeups: dict[Attempt, asyncio.Future[None]] = {}
@@ -245,34 +245,34 @@
     async def _call(self, endpoint: str, attempts: list[Attempt], fresh: bool) -> None:
         try:
             until = max(attempt.until_us for attempt in attempts)
-            link = await self.pool.take(endpoint, max(0.0, (until - self._clock()) / 1e6), fresh)
-            if link is None:
+            connection = await self.pool.take(endpoint, max(0.0, (until - self._clock()) / 1e6), fresh)
+            if connection is None:
                 self._report_all(attempts, Ending(Result.UNCONNECTED))
                 return
             try:
-                await self._send_cleared(link, attempts)
+                await self._send_cleared(connection, attempts)
             finally:
-                self.pool.give(endpoint, link)
+                self.pool.give(endpoint, connection)
         finally:
             # Ensures that an error never leaves an attempt without a result, which would occupy its slot
             # forever.
             self._report_all(attempts, Ending(Result.RESET))
 
-    async def _send_cleared(self, link: Link, attempts: list[Attempt]) -> None:
+    async def _send_cleared(self, connection: OutgoingConnection, attempts: list[Attempt]) -> None:
         # Connecting takes time: a drain, a requested wait or an outcome may have ruled out sending since.
         cleared = await departing(self._calls, attempts)
         self._report_all([attempt for attempt in attempts if attempt not in cleared], Ending(Result.UNSENT))
         for attempt in cleared:
-            attempt.reused, attempt.idle_us = link.reused, link.idled_us
+            attempt.reused, attempt.idle_us = connection.reused, connection.idled_us
         if cleared:
-            await self._exchange(link, cleared)
+            await self._exchange(connection, cleared)
 
-    async def _exchange(self, link: Link, attempts: list[Attempt]) -> None:
-        reply = self._write(link, attempts)
+    async def _exchange(self, connection: OutgoingConnection, attempts: list[Attempt]) -> None:
+        reply = self._write(connection, attempts)
         while not reply.done():
             waits_us = self._expire(attempts)
             if not any(not attempt.ended for attempt in attempts):
-                link.close()  # an abandoned attempt must not stay outstanding on an open connection
+                connection.close()  # an abandoned attempt must not stay outstanding on an open connection
                 return
             wakeup = self._arm_wakeup(attempts)
             reply.add_done_callback(partial(_wake, wakeup))
@@ -281,20 +281,20 @@
             timer.cancel()
         try:
             self._read(reply.result(), attempts)
-        except LinkLostError as error:
+        except ConnectionLostError as error:
             done = error.ok and len(attempts) == 1  # a batch needs the complete response for its results
             self._report_all(attempts, Ending(Result.DONE) if done else lost(error))
 
-    def _write(self, link: Link, attempts: list[Attempt]) -> asyncio.Future[Reply]:
+    def _write(self, connection: OutgoingConnection, attempts: list[Attempt]) -> asyncio.Future[Reply]:
         left_ms = max(1, (max(it.until_us for it in attempts) - self._clock()) // 1000)
         headers = [("Req-Deadline-Ms", str(left_ms))]
         if len(attempts) > 1:
-            return link.request("POST", "/hook/batch", headers, b"".join(map(_batch_entry, attempts)))
+            return connection.request("POST", "/hook/batch", headers, b"".join(map(_batch_entry, attempts)))
         message: Message = attempts[0].message
         headers.append(("Req-Id", message.name))
         if message.key is not None:
             headers.append(("Idempotency-Key", message.key))
-        return link.request("POST", "/hook", headers, message.body)
+        return connection.request("POST", "/hook", headers, message.body)
 
     def _read(self, reply: Reply, attempts: list[Attempt]) -> None:
         names = self._settings.report_names
@@ -336,18 +336,18 @@
 
     async def _send_probe(self, endpoint: str) -> Ending:
         seconds, names = self._settings.dial_us / 1e6, self._settings.report_names
-        link = await self.pool.take(endpoint, seconds)
-        if link is None:
+        connection = await self.pool.take(endpoint, seconds)
+        if connection is None:
             return Ending(Result.UNCONNECTED)
         try:
             async with asyncio.timeout(seconds):
-                reply = await link.request("GET", "/metrics/load" if names else "/alive", [])
+                reply = await connection.request("GET", "/metrics/load" if names else "/alive", [])
         except TimeoutError:
-            link.close()
+            connection.close()
             return Ending(Result.TIMED_OUT)
-        except LinkLostError as error:
+        except ConnectionLostError as error:
             return lost(error)
-        self.pool.give(endpoint, link)
+        self.pool.give(endpoint, connection)
         how = parse_result(reply, names)
         load = how.report or parse_load_report(reply.body.decode("latin-1"), names)
         return Ending(how.result, how.wait_us, report=load)
--- a/amberlug/http/link.py
+++ b/amberlug/http/link.py
@@ -26,7 +26,7 @@
     body: bytearray = field(default_factory=bytearray)
 
 
-class LinkLostError(Exception):
+class ConnectionLostError(Exception):
     """The connection was lost before the response was complete, or the response was malformed."""
 
     def __init__(self, written: bool, said: bytes = b"") -> None:
@@ -37,7 +37,7 @@
         self.ok = _OK_LINE.match(said) is not None
 
 
-class Link(asyncio.Protocol):
+class OutgoingConnection(asyncio.Protocol):
     """An outgoing connection; asyncio sets TCP_NODELAY on it."""
 
     def __init__(self, where: tuple[str, int]) -> None:
@@ -52,7 +52,7 @@
         self._unwritten = False
         self._response_start = b""
         self._timer: asyncio.TimerHandle | None = None
-        self.on_lost: Callable[[Link], None] | None = None
+        self.on_lost: Callable[[OutgoingConnection], None] | None = None
 
     @property
     def usable(self) -> bool:
@@ -102,7 +102,7 @@
         """
         self._waiter = asyncio.get_running_loop().create_future()
         if not self.usable or self._transport is None:
-            self._waiter.set_exception(LinkLostError(written=False))
+            self._waiter.set_exception(ConnectionLostError(written=False))
             return self._waiter
         self._reply, self._sink, self._response_start = None, sink, b""
         peer = self._transport.get_extra_info("peername")
@@ -140,7 +140,7 @@
         if self._timer is not None:
             self._timer.cancel()
         if self._waiter is not None and not self._waiter.done():
-            self._waiter.set_exception(LinkLostError(not self._unwritten, self._response_start))
+            self._waiter.set_exception(ConnectionLostError(not self._unwritten, self._response_start))
             self._waiter.exception()  # marks it as retrieved: there may be no waiter left
         if self.on_lost is not None:
             self.on_lost(self)
@@ -187,12 +187,12 @@
             waiter.set_result(reply)
 
 
-async def dial(host: str, port: int, seconds: float) -> Link | None:
+async def dial(host: str, port: int, seconds: float) -> OutgoingConnection | None:
     """Open a connection; None if it could not be established in time."""
     loop = asyncio.get_running_loop()
     try:
         async with asyncio.timeout(seconds):
-            _, link = await loop.create_connection(lambda: Link((host, port)), host, port)
+            _, link = await loop.create_connection(lambda: OutgoingConnection((host, port)), host, port)
     except (OSError, TimeoutError):
         return None
     return link
--- a/amberlug/platform/discovery.py
+++ b/amberlug/platform/discovery.py
@@ -10,7 +10,7 @@
 from amberlug.core.log import log
 from amberlug.core.ports import Address, News
 from amberlug.core.slices import Slices
-from amberlug.http.link import Link, dial
+from amberlug.http.link import OutgoingConnection, dial
 from amberlug.platform.pauses import Pauses
 
 SETTLED = 1.0  # seconds after which an agent that answers at once has told what it had to tell
@@ -39,7 +39,7 @@
         self._where, self._kinds, self._told, self._pauses = where, kinds, told, pauses
         self._current, self._tried = current, asyncio.Event()
         self._slices = Slices(self._broken)
-        self._link: Link | None = None
+        self._link: OutgoingConnection | None = None
         self._task: asyncio.Task[None] | None = None
         self._revision = revision
         self._rest = bytearray()
@@ -85,7 +85,7 @@
             self._tried.set()
             await asyncio.sleep(self._pauses.after(self._heard > started, refused))
 
-    async def _follow(self, link: Link) -> bool:
+    async def _follow(self, link: OutgoingConnection) -> bool:
         """Follow the list on a connection until it ends: whether it ended by a refusal."""
         self._slices.clear()  # what an earlier connection brought comes again
         self._rest.clear()
--- a/amberlug/platform/notices.py
+++ b/amberlug/platform/notices.py
@@ -9,7 +9,7 @@
 
 from amberlug.core.log import log
 from amberlug.core.messages import End, Outcome
-from amberlug.http.link import Link, LinkLostError, Reply, dial
+from amberlug.http.link import ConnectionLostError, OutgoingConnection, Reply, dial
 from amberlug.platform.pauses import FIRST, MOST
 
 ANSWER = 1.0  # seconds for a notice's answer, which comes at once
@@ -34,7 +34,7 @@
         self._waiting: dict[str, End] = {}
         self._unsent: dict[str, End] = {}
         self._posts: set[asyncio.Task[None]] = set()
-        self._links: list[Link] = []  # that carry no notice
+        self._links: list[OutgoingConnection] = []  # that carry no notice
         self._pause, self._most = FIRST, NOTICES_MOST
         self._running = False
 
@@ -89,10 +89,12 @@
             self._posts.add(task)
             task.add_done_callback(self._posts.discard)
 
-    def _write(self, link: Link, notices: list[End]) -> asyncio.Future[Reply]:
+    def _write(self, link: OutgoingConnection, notices: list[End]) -> asyncio.Future[Reply]:
         return link.request("POST", "/v1/notices", [], b"".join(line(it) for it in notices))
 
-    async def _post(self, sent: list[End], link: Link | None, written: asyncio.Future[Reply] | None) -> None:
+    async def _post(
+        self, sent: list[End], link: OutgoingConnection | None, written: asyncio.Future[Reply] | None
+    ) -> None:
         """See notices to their answer, or have them sent again."""
         # Guards against an answer or a dial that is held up: a notice that waits behind it is late, and so a
         # message lost. It goes again on another connection meanwhile, which does no harm, but adds to load.
@@ -104,7 +106,7 @@
                     link = await dial(*self._where, ANSWER)
                     written = None if link is None else self._write(link, sent)
                 status = 0 if written is None else (await written).status
-        except (TimeoutError, LinkLostError):
+        except (TimeoutError, ConnectionLostError):
             pass
         finally:
             again.cancel()
--- a/amberlug/standin/deployment.py
+++ b/amberlug/standin/deployment.py
@@ -12,7 +12,7 @@
 from pathlib import Path
 from typing import Any
 
-from amberlug.http.link import Link, LinkLostError, dial
+from amberlug.http.link import ConnectionLostError, OutgoingConnection, dial
 from amberlug.standin.checker import Checker, Repeat, Track
 from amberlug.standin.partners import Mood, Partner
 from amberlug.standin.wire import PATIENCE, Platform
@@ -96,7 +96,7 @@
         self.checker, self.platform, self.tally = Checker(), _Watched(self), Tally()
         self.partners: list[Partner] = []
         self._revision = 1
-        self._links: list[Link] = []
+        self._links: list[OutgoingConnection] = []
         self.process: asyncio.subprocess.Process | None = None
 
     def clock(self) -> float:
@@ -187,7 +187,7 @@
         try:
             async with asyncio.timeout(ANSWER):
                 reply = await link.request("POST", f"/{message_class}", headers, body)
-        except (TimeoutError, LinkLostError):
+        except (TimeoutError, ConnectionLostError):
             link.close()
             self.tally.unanswered += 1
             return
--- a/amberlug/standin/fleet.py
+++ b/amberlug/standin/fleet.py
@@ -18,7 +18,7 @@
 from pathlib import Path
 from typing import Any
 
-from amberlug.http.link import LinkLostError, dial
+from amberlug.http.link import ConnectionLostError, dial
 from amberlug.standin.deployment import SECOND
 from amberlug.standin.deployment import settings as usual_settings
 from amberlug.standin.promises import Promises
@@ -236,7 +236,7 @@
         try:
             async with asyncio.timeout(wait):
                 reply = await link.request("POST", f"/{kind}", headers, b"x" * 100)
-        except (TimeoutError, LinkLostError):
+        except (TimeoutError, ConnectionLostError):
             return 0
         finally:
             link.close()
--- a/benchmarks/restarts.py
+++ b/benchmarks/restarts.py
@@ -21,7 +21,7 @@
 from dataclasses import dataclass, field
 from pathlib import Path
 
-from amberlug.http.link import LinkLostError, dial
+from amberlug.http.link import ConnectionLostError, dial
 from amberlug.standin.deployment import DEADLINE, WANTED, settings
 from amberlug.standin.wire import OK, Answer, Platform, Seen, StandIn
 
@@ -178,7 +178,7 @@
                     if reply.status in (200, 202):
                         self.handed[name] = began, True
                         return
-                except (TimeoutError, LinkLostError):
+                except (TimeoutError, ConnectionLostError):
                     pass
                 finally:
                     link.close()
--- a/tests/cluster/test_endpoint_answers.py
+++ b/tests/cluster/test_endpoint_answers.py
@@ -1,8 +1,8 @@
 """Each call gets the response to its own request, despite faulty responses on reused connections.
 
 Endpoints send late, duplicated, truncated and foreign responses, which could complete the wrong call. The
-calls go through the real `Dispatcher`, `EndpointClient` and `Link`; the endpoints' behavior is drawn from a
-seed.
+calls go through the real `Dispatcher`, `EndpointClient` and `OutgoingConnection`; the endpoints' behavior is
+drawn from a seed.
 """
 
 import asyncio
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -20,7 +20,7 @@
 from amberlug.core.journal import FolderDisk, Journal
 from amberlug.core.node import Node
 from amberlug.http.calls import HttpTransport
-from amberlug.http.link import Link, Reply, dial
+from amberlug.http.link import OutgoingConnection, Reply, dial
 from amberlug.learning import Learner
 from amberlug.learning.store import Store
 from amberlug.platform.notices import Notices
@@ -158,7 +158,7 @@
         self.signal(signal.SIGKILL)
         await self.ended()
 
-    async def link(self) -> Link:
+    async def link(self) -> OutgoingConnection:
         link = await dial("127.0.0.1", self.port, PATIENCE)
         assert link is not None
         return link
