--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -59,7 +59,7 @@
         "short200",
     ],
 )
-def test_of_a_spoilt_answer_only_a_first_line_with_200_is_true(
+def test_only_a_complete_200_status_line_of_a_corrupt_response_is_trusted(
     tmp_path: Path, text: bytes, delivered: bool
 ) -> None:
     async def scenario() -> None:
@@ -79,7 +79,7 @@
 
 
 @pytest.mark.parametrize("kind", ["safe", "unsafe"])
-def test_an_answer_that_is_cut_off_at_any_byte_delivers_once_its_first_line_is_whole(
+def test_a_response_truncated_at_any_byte_delivers_if_its_status_line_is_complete(
     tmp_path: Path, kind: str
 ) -> None:
     """Each cut uses its own destination, so that none is delayed by the outage of another."""
@@ -123,7 +123,9 @@
 
 @pytest.mark.parametrize("more", [GOOD, b"noise", b"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"])
 @pytest.mark.parametrize("later", [False, True])
-def test_what_is_behind_an_answer_never_ends_the_next_call(tmp_path: Path, more: bytes, later: bool) -> None:
+def test_surplus_bytes_after_a_response_never_complete_the_next_call(
+    tmp_path: Path, more: bytes, later: bool
+) -> None:
     async def scenario() -> None:
         endpoint = StandIn()
         endpoint.on_request = raw(GOOD if later else GOOD + more)
@@ -141,7 +143,7 @@
     run(scenario())
 
 
-def test_a_spoilt_answer_to_several_may_have_run_for_each(tmp_path: Path) -> None:
+def test_after_a_corrupt_batch_response_each_message_may_have_been_executed(tmp_path: Path) -> None:
     async def scenario() -> None:
         endpoint = StandIn(OK, None)
         async with world(tmp_path, endpoint, kind="bundled", FamilyInfo__Slots=1) as (relay, platform):
@@ -158,7 +160,7 @@
 
 
 @pytest.mark.parametrize("kind", ["safe", "unsafe"])
-def test_an_answer_to_several_after_the_time_of_one_delivers_none(tmp_path: Path, kind: str) -> None:
+def test_a_batch_response_after_the_deadline_of_one_message_delivers_none(tmp_path: Path, kind: str) -> None:
     """A batch response that arrives after the deadline of one of its messages must not count as delivery."""
 
     async def scenario() -> None:
@@ -181,7 +183,7 @@
     run(scenario())
 
 
-def test_what_waits_out_its_time_shares_no_call_with_what_may_be_repeated(tmp_path: Path) -> None:
+def test_retryable_and_non_retryable_messages_do_not_share_a_call(tmp_path: Path) -> None:
     """In a shared call, a missing response would block retryable messages as long as non-retryable ones."""
 
     async def scenario() -> None:
@@ -201,7 +203,7 @@
     run(scenario())
 
 
-def test_spoilt_answers_are_no_outage(relay: Callable[..., Relay]) -> None:
+def test_corrupt_responses_are_not_an_outage(relay: Callable[..., Relay]) -> None:
     it = relay()
     it.listed("a")
     for ref in range(1, 9):
@@ -213,18 +215,18 @@
 
 
 @pytest.mark.parametrize("text", ["x0=nan", "x0=inf", "x0=-1", "x0=1,x0=", "\xb2"])
-def test_a_load_report_that_means_nothing_is_none(text: str) -> None:
+def test_an_invalid_load_report_is_ignored(text: str) -> None:
     assert parse_load_report(text, ("x0",)) == ()
 
 
-def test_a_wait_without_end_is_bounded() -> None:
+def test_a_requested_wait_is_bounded() -> None:
     waits = [
         parse_wait_us(Reply(429, {"wait-ms": text})) for text in ("9" * 5000, "250", "-1", "1e3", "\xb2")
     ]
     assert waits == [3_600_000_000, 250_000, 0, 0, 0]
 
 
-def test_a_reset_on_a_used_connection_bars_no_endpoint(tmp_path: Path) -> None:
+def test_a_reset_on_a_reused_connection_does_not_exclude_the_endpoint(tmp_path: Path) -> None:
     """An endpoint that drops a kept connection must not be avoided for seconds as if it had failed."""
 
     async def scenario() -> None:
@@ -247,7 +249,7 @@
     run(scenario())
 
 
-def test_what_cannot_be_repeated_shuns_used_connections_that_are_reset(tmp_path: Path) -> None:
+def test_non_retryable_messages_avoid_reused_connections_after_resets(tmp_path: Path) -> None:
     """A non-retryable message must not be lost to a dropped kept connection if a new one would deliver it."""
 
     async def scenario() -> None:
--- a/tests/test_asgi.py
+++ b/tests/test_asgi.py
@@ -94,7 +94,7 @@
     run(scenario())
 
 
-def test_an_application_without_a_lifespan_is_served_all_the_same(tmp_path: Path) -> None:
+def test_an_application_without_a_lifespan_is_served(tmp_path: Path) -> None:
     async def scenario() -> None:
         async with hosted(plain_app, relay_on(tmp_path, Partner())) as host:
             assert (await ask(host.port, "GET", "/relay/up")).status == 200
@@ -103,7 +103,7 @@
     run(scenario())
 
 
-def test_the_application_starts_and_stops_inside_the_relays_life(tmp_path: Path) -> None:
+def test_the_application_starts_and_stops_while_the_relay_is_open(tmp_path: Path) -> None:
     async def scenario() -> None:
         relay = relay_on(tmp_path, Partner())
         steps: list[Any] = []
@@ -128,7 +128,7 @@
     run(scenario())
 
 
-def test_a_startup_that_fails_is_told_and_leaves_the_folder_free(tmp_path: Path) -> None:
+def test_a_failed_startup_is_reported_and_releases_the_folder(tmp_path: Path) -> None:
     async def scenario() -> None:
         @asynccontextmanager
         async def lifespan(app: Starlette) -> AsyncIterator[None]:
@@ -159,7 +159,7 @@
         ("POST", "/relay/safe", hand_in("m1"), b"x" * (BODY_MOST + 1), 413),
     ],
 )
-def test_bad_input_is_a_clear_error_and_nothing_is_taken(
+def test_invalid_input_is_rejected_with_a_clear_error(
     tmp_path: Path, method: str, path: str, headers: dict[str, str], body: bytes, status: int
 ) -> None:
     async def scenario() -> None:
@@ -202,7 +202,7 @@
 UNHURRIED = replace(SETTINGS, granularity_us=200_000)
 
 
-def test_a_client_that_leaves_before_its_answer_withdraws_its_message(tmp_path: Path) -> None:
+def test_a_client_that_disconnects_before_the_response_withdraws_its_message(tmp_path: Path) -> None:
     async def scenario() -> None:
         async with relay_on(tmp_path, partner := Partner(), settings=UNHURRIED) as relay:
             app = RelayMiddleware(plain_app, relay)
@@ -257,7 +257,7 @@
     run(scenario())
 
 
-def test_without_a_lifespan_it_says_that_it_is_not_open(tmp_path: Path) -> None:
+def test_without_a_lifespan_the_relay_is_reported_as_not_open(tmp_path: Path) -> None:
     async def scenario() -> None:
         app = RelayMiddleware(plain_app, relay_on(tmp_path, Partner()))
         client = Client(app, hand_in("m1"))
@@ -268,7 +268,7 @@
     run(scenario())
 
 
-def test_a_websocket_under_the_prefix_is_turned_away(tmp_path: Path) -> None:
+def test_a_websocket_under_the_prefix_is_rejected(tmp_path: Path) -> None:
     async def scenario() -> None:
         said: list[Event] = []
 
@@ -285,7 +285,7 @@
     run(scenario())
 
 
-def test_a_cancelled_lifespan_leaves_what_is_held_to_the_next_life(tmp_path: Path) -> None:
+def test_messages_survive_a_cancelled_lifespan(tmp_path: Path) -> None:
     async def scenario() -> None:
         relay = relay_on(tmp_path, partner := Partner(forever))
         host = await Host(RelayMiddleware(starlette_app(), relay)).start()
@@ -311,7 +311,9 @@
 
 
 @pytest.mark.parametrize("number", [signal.SIGTERM, signal.SIGKILL])
-def test_a_host_that_is_signalled_leaves_each_message_one_end(tmp_path: Path, number: signal.Signals) -> None:
+def test_a_host_that_is_signalled_leaves_each_message_one_outcome(
+    tmp_path: Path, number: signal.Signals
+) -> None:
     async def scenario() -> None:
         endpoint = await StandIn(None).start()
         port = free_port()
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -15,7 +15,7 @@
     return Taken(name, lambda name: None)
 
 
-def test_a_message_is_known_by_its_id_and_by_its_key_in_its_class() -> None:
+def test_a_message_is_identified_by_its_id_and_by_its_key_in_its_class() -> None:
     claims = Claims()
     assert claims.claim(message("m1", "k"), "a", NOW) is not None
     assert claims.claim(message("m1"), "b", NOW) is None
@@ -24,7 +24,7 @@
     assert claims.claim(message("m4", "k", "entry"), "b", NOW) is not None
 
 
-def test_a_refusal_a_withdrawal_and_a_hand_back_free_it() -> None:
+def test_a_refusal_a_withdrawal_and_a_hand_back_release_the_claim() -> None:
     claims = Claims()
     for _ in range(2):
         claim = claims.claim(message("m1", "k"), "a", NOW)
@@ -45,7 +45,7 @@
     assert (claims.holder(message("m1"), NOW), len(claims)) == (None, 0)
 
 
-def test_an_end_without_promise_keeps_it_until_its_time_is_up() -> None:
+def test_a_given_up_message_stays_claimed_until_its_deadline() -> None:
     claims = Claims()
     claim = claims.claim(message("m1"), "a", NOW)
     assert claim is not None
@@ -58,7 +58,7 @@
     assert claims.claim(message("m1"), "b", UNTIL) is not None
 
 
-def test_what_a_closed_relay_left_passes_to_the_next_one_of_its_folder() -> None:
+def test_claims_of_a_closed_relay_pass_to_the_next_one_on_its_folder() -> None:
     claims = Claims()
     claim = claims.claim(message("m1"), "a", NOW)
     assert claim is not None
@@ -69,7 +69,7 @@
     assert claims.claim(message("m1"), "a", NOW) is not None
 
 
-def test_claims_whose_time_is_up_do_not_pile_up() -> None:
+def test_expired_claims_do_not_accumulate() -> None:
     claims = Claims()
     for number in range(10_000):
         claim = claims.claim(
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -50,7 +50,7 @@
     ],
     ids=["silent", "part", "head", "half", "negative", "huge", "long", "twice", "endless", "noise"],
 )
-def test_what_is_no_request_is_answered_and_closed_in_time(
+def test_an_invalid_request_is_answered_and_closed_in_time(
     tmp_path: Path, text: bytes, status: bytes
 ) -> None:
     async def scenario() -> None:
@@ -66,7 +66,7 @@
     run(scenario())
 
 
-def test_a_request_that_is_cut_off_at_any_byte_takes_nothing_on(tmp_path: Path) -> None:
+def test_a_request_truncated_at_any_byte_is_not_accepted(tmp_path: Path) -> None:
     """Half of the clients close at the cut; the others only shut down sending and wait for the response."""
 
     async def scenario() -> None:
@@ -92,7 +92,7 @@
     run(scenario())
 
 
-def test_a_request_hidden_in_a_body_is_not_passed_on(tmp_path: Path) -> None:
+def test_a_smuggled_request_is_not_forwarded(tmp_path: Path) -> None:
     async def scenario() -> None:
         endpoint = StandIn()
         async with world(tmp_path, endpoint) as (relay, _):
@@ -106,7 +106,7 @@
     run(scenario())
 
 
-def test_a_destination_that_no_list_has_named_is_turned_away(tmp_path: Path) -> None:
+def test_an_unknown_destination_is_rejected(tmp_path: Path) -> None:
     async def scenario() -> None:
         async with world(tmp_path, StandIn()) as (relay, _):
             assert (await relay.hand_in("m1", Envelope="dest=2")).status == 404
@@ -115,7 +115,7 @@
     run(scenario())
 
 
-def test_silent_connections_past_the_descriptors_leave_room_for_clients_and_calls(tmp_path: Path) -> None:
+def test_silent_connections_do_not_exhaust_the_descriptors(tmp_path: Path) -> None:
     async def scenario() -> None:
         endpoint = StandIn()
         async with world(tmp_path, endpoint, limits={"sockets": 100}) as (relay, platform):
@@ -136,7 +136,7 @@
     run(scenario())
 
 
-def test_a_client_that_hangs_up_behind_what_it_sent_ahead_takes_nothing_on(tmp_path: Path) -> None:
+def test_a_disconnect_behind_surplus_input_withdraws_the_message(tmp_path: Path) -> None:
     async def scenario() -> None:
         endpoint = StandIn()
         async with world(tmp_path, endpoint, GranularityUs=1_000_000) as (relay, _):
@@ -154,7 +154,7 @@
     run(scenario())
 
 
-def test_a_client_that_asks_once_and_stays_is_let_go(tmp_path: Path) -> None:
+def test_an_idle_client_connection_is_closed(tmp_path: Path) -> None:
     async def scenario() -> None:
         async with world(tmp_path, StandIn()) as (relay, _):
             reader, writer = await asyncio.open_connection("127.0.0.1", relay.port)
@@ -168,7 +168,7 @@
     run(scenario())
 
 
-def test_a_client_in_use_is_served_while_others_rest_on_all_descriptors(tmp_path: Path) -> None:
+def test_an_active_client_is_served_while_idle_ones_hold_all_descriptors(tmp_path: Path) -> None:
     async def scenario() -> None:
         async with world(tmp_path, StandIn(), limits={"sockets": 100}) as (relay, _):
             resting = []
--- a/tests/test_commands.py
+++ b/tests/test_commands.py
@@ -46,7 +46,7 @@
     assert found(config(settings=deployment.settings(), known={"revision": 1, "members": []})) == {}
 
 
-def test_all_problems_are_told_each_with_its_place() -> None:
+def test_all_problems_are_reported_with_their_locations() -> None:
     settings = setup(Rules__ColdShare=7, Bounds__MaxOpen="many", Weights="heavy")
     settings["Categories"][1]["KeyTtlUs"] = -1
     del settings["FamilyInfo"]["Slots"]
@@ -116,9 +116,7 @@
     assert (partner["endpoints"], len(partner["waits"])) == ([], 1)
 
 
-def test_learning_verify_tells_what_is_not_believed(
-    tmp_path: Path, capsys: pytest.CaptureFixture[str]
-) -> None:
+def test_learning_verify_reports_rejected_facts(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
     folder, key = tmp_path / "state", tmp_path / "key"
     key.write_bytes(b"k" * 32)
     learned(folder, key=b"k" * 32)
@@ -144,7 +142,7 @@
         ("{}", "seed"),
     ],
 )
-def test_what_is_no_configuration_at_all_is_one_clear_problem(text: str, where: str) -> None:
+def test_an_unreadable_configuration_is_one_clear_problem(text: str, where: str) -> None:
     assert check(text)[0].where == where
 
 
@@ -160,7 +158,7 @@
         {"known": {"revision": 1, "complete": True, "members": [member(0)]}},
     ],
 )
-def test_what_a_start_refuses_the_check_finds(tmp_path: Path, changes: dict[str, Any]) -> None:
+def test_check_finds_what_a_start_refuses(tmp_path: Path, changes: dict[str, Any]) -> None:
     path = tmp_path / "config.json"
     path.write_text(json.dumps(config(**changes)))
     environ = {"ROUTER_CONFIG": str(path), "ROUTER_STATE": str(tmp_path)}
@@ -183,7 +181,7 @@
     assert capsys.readouterr().err.count("\n") == 1
 
 
-def test_try_plays_the_real_relay_and_keeps_every_rule(capsys: pytest.CaptureFixture[str]) -> None:
+def test_try_runs_the_real_relay_without_breaking_a_rule(capsys: pytest.CaptureFixture[str]) -> None:
     assert trial.main(as_json=True, messages=60, seconds=1.0) == 0
     figures = json.loads(capsys.readouterr().out)
     assert (figures["handed_in"], figures["broken"]) == (60, [])
@@ -199,7 +197,7 @@
     assert ends == figures["taken"]
 
 
-def test_try_shows_a_table_and_tells_what_was_broken() -> None:
+def test_try_shows_a_table_and_the_broken_rules() -> None:
     row = {
         "partner": "steady",
         "messages": 1,
@@ -263,7 +261,7 @@
     assert capsys.readouterr().err.count("\n") == 2
 
 
-def test_a_bad_command_is_told_and_serve_is_the_default() -> None:
+def test_an_unknown_command_is_an_error_and_serve_is_the_default() -> None:
     async def scenario() -> None:
         environ = {name: value for name, value in os.environ.items() if not name.startswith("ROUTER_")}
         unset = b"ROUTER_CONFIG is not set"
--- a/tests/test_library.py
+++ b/tests/test_library.py
@@ -49,7 +49,7 @@
 DELIVERED, HANDED_BACK, GIVEN_UP = Outcome.DELIVERED, Outcome.HANDED_BACK, Outcome.GIVEN_UP
 
 
-def test_a_message_is_delivered_and_its_end_told(tmp_path: Path) -> None:
+def test_a_message_is_delivered_and_its_outcome_reported(tmp_path: Path) -> None:
     async def scenario() -> None:
         async with relay_on(tmp_path, partner := Partner()) as relay:
             taken = await relay.hand_in(message("m1", "keyed"))
@@ -75,7 +75,7 @@
     run(scenario())
 
 
-def test_a_list_that_discovery_has_not_confirmed_for_too_long_is_not_gone_by(
+def test_an_unconfirmed_list_is_not_used_beyond_its_validity(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     for name in ("good_for", "good_at_first"):
@@ -97,7 +97,7 @@
     run(scenario())
 
 
-def test_what_is_held_goes_where_discovery_says_by_now(tmp_path: Path) -> None:
+def test_restored_messages_use_the_current_list_of_discovery(tmp_path: Path) -> None:
     """A host's initial list may be older than the one that discovery reports at the start."""
 
     async def scenario() -> None:
@@ -141,7 +141,7 @@
         (TurnedAwayError(0.2), "unsafe", DELIVERED, 2),
     ],
 )
-def test_what_a_hosts_transport_raises_decides_whether_it_goes_again(
+def test_the_transports_exception_determines_whether_a_call_is_retried(
     tmp_path: Path, answer: BaseException, kind: str, outcome: Outcome, calls: int
 ) -> None:
     async def scenario() -> None:
@@ -155,7 +155,7 @@
     run(scenario())
 
 
-def test_a_call_that_will_not_be_cancelled_counts_as_out_until_it_ends(tmp_path: Path) -> None:
+def test_a_call_that_ignores_cancellation_stays_outstanding_until_it_ends(tmp_path: Path) -> None:
     async def scenario() -> None:
         let_go, cancelled = asyncio.Event(), asyncio.Event()
 
@@ -192,7 +192,7 @@
         Message(99, "safe"),
     ],
 )
-def test_a_bad_message_is_an_error_and_nothing_is_taken(tmp_path: Path, bad: Message) -> None:
+def test_an_invalid_message_raises_and_is_not_accepted(tmp_path: Path, bad: Message) -> None:
     async def scenario() -> None:
         async with relay_on(tmp_path, partner := Partner()) as relay:
             with pytest.raises(BadMessageError):
@@ -202,7 +202,7 @@
     run(scenario())
 
 
-def test_a_relay_without_room_refuses_with_a_time_to_come_again(tmp_path: Path) -> None:
+def test_a_full_relay_refuses_with_a_retry_time(tmp_path: Path) -> None:
     async def scenario() -> None:
         async with relay_on(tmp_path, Partner(forever), disk_bytes=21_500) as relay:
             for _ in range(2):
@@ -219,7 +219,7 @@
 # Cancellation.
 
 
-def test_cancelling_the_wait_for_an_end_does_not_cancel_the_message(tmp_path: Path) -> None:
+def test_cancelling_the_wait_for_an_outcome_does_not_cancel_the_message(tmp_path: Path) -> None:
     async def scenario() -> None:
         go_on = asyncio.Event()
 
@@ -240,7 +240,7 @@
 
 
 @pytest.mark.parametrize("turns", range(8))
-def test_a_cancelled_hand_in_was_taken_on_or_never_will_be(tmp_path: Path, turns: int) -> None:
+def test_a_cancelled_submission_was_accepted_or_is_withdrawn(tmp_path: Path, turns: int) -> None:
     """Cancels at each loop iteration around the journal's write, including that of the clock tick."""
 
     async def scenario() -> None:
@@ -261,7 +261,7 @@
     run(scenario())
 
 
-def test_a_cancel_that_crosses_the_journals_write_leaves_no_doubt(tmp_path: Path) -> None:
+def test_a_cancel_concurrent_with_the_journals_write_is_unambiguous(tmp_path: Path) -> None:
     async def scenario() -> None:
         async with relay_on(tmp_path, Partner()) as relay:
             task = asyncio.create_task(relay.hand_in(message("m1")))
@@ -280,7 +280,7 @@
 # Unacknowledged outcomes.
 
 
-def test_an_end_is_told_to_each_next_life_until_it_is_acknowledged(tmp_path: Path) -> None:
+def test_an_outcome_is_reported_after_each_restart_until_acknowledged(tmp_path: Path) -> None:
     async def scenario() -> None:
         async with relay_on(tmp_path, Partner(None, OSError("broke"))) as relay:
             for name in ("m1", "m2"):
@@ -304,7 +304,7 @@
     run(scenario())
 
 
-def test_an_end_that_is_waived_leaves_nothing_behind(tmp_path: Path) -> None:
+def test_a_waived_outcome_is_not_kept(tmp_path: Path) -> None:
     async def scenario() -> None:
         go_on = asyncio.Event()
 
@@ -328,9 +328,7 @@
     run(scenario())
 
 
-def test_a_callback_that_raises_is_called_again_and_harms_nothing(
-    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
-) -> None:
+def test_a_callback_that_raises_is_called_again(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("amberlug.library.outcomes.RETRY_DELAYS_S", (0.01, 0.02))
 
     async def scenario() -> None:
@@ -355,7 +353,7 @@
     run(scenario())
 
 
-def test_an_observer_that_raises_harms_nothing(tmp_path: Path) -> None:
+def test_an_observer_that_raises_does_not_affect_the_relay(tmp_path: Path) -> None:
     async def scenario() -> None:
         errors: list[object] = []
         asyncio.get_running_loop().set_exception_handler(lambda _, it: errors.append(it["exception"]))
@@ -379,7 +377,7 @@
 
 
 @pytest.mark.parametrize("kind", ["safe", "unsafe"])
-def test_closing_in_an_attempt_leaves_it_to_the_next_life(tmp_path: Path, kind: str) -> None:
+def test_an_attempt_interrupted_by_close_is_resolved_after_the_restart(tmp_path: Path, kind: str) -> None:
     async def scenario() -> None:
         first = Partner(forever)
         async with relay_on(tmp_path, first) as relay:
@@ -400,7 +398,7 @@
     run(scenario())
 
 
-def test_closing_collects_what_is_out_and_starts_nothing(tmp_path: Path) -> None:
+def test_close_waits_for_outstanding_calls_and_starts_none(tmp_path: Path) -> None:
     async def scenario() -> None:
         go_on = asyncio.Event()
 
@@ -442,7 +440,7 @@
     run(scenario())
 
 
-def test_a_loop_that_is_closed_leaves_the_folder_to_the_next_relay(tmp_path: Path) -> None:
+def test_a_closed_loop_releases_the_folder(tmp_path: Path) -> None:
     old = []
 
     async def first() -> None:
@@ -512,7 +510,7 @@
 @pytest.mark.parametrize(
     "stage", ["before the journal", "after the journal", "in the attempt", "after the outcome"]
 )
-def test_a_host_that_ends_at_any_stage_leaves_one_end(
+def test_a_host_that_exits_at_any_stage_leaves_one_outcome(
     tmp_path: Path, stage: str, kind: str, way: str
 ) -> None:
     async def scenario() -> None:
@@ -590,7 +588,7 @@
     run(scenario())
 
 
-def test_hand_ins_at_once_to_two_relays_are_one_payment(tmp_path: Path) -> None:
+def test_concurrent_submissions_to_two_relays_are_one_payment(tmp_path: Path) -> None:
     async def scenario() -> None:
         first, second = Partner(), Partner()
         async with relay_on(tmp_path / "a", first) as one, relay_on(tmp_path / "b", second) as other:
@@ -626,7 +624,7 @@
     run(scenario())
 
 
-def test_what_a_closed_relay_still_holds_no_other_takes_on(tmp_path: Path) -> None:
+def test_messages_of_a_closed_relay_are_refused_by_others(tmp_path: Path) -> None:
     async def scenario() -> None:
         payment = message("m1", "unsafe")
         async with relay_on(tmp_path / "a", partner := Partner(forever)) as one:
@@ -644,7 +642,7 @@
     run(scenario())
 
 
-def test_a_message_that_went_elsewhere_meanwhile_is_given_up_untried(tmp_path: Path) -> None:
+def test_a_restored_message_that_another_relay_has_is_given_up_untried(tmp_path: Path) -> None:
     """After a restart, the process does not know that another relay had the message."""
 
     async def scenario() -> None:
@@ -671,7 +669,7 @@
     run(scenario())
 
 
-def test_the_child_of_a_fork_refuses_to_use_it(tmp_path: Path) -> None:
+def test_the_child_of_a_fork_cannot_use_the_relay(tmp_path: Path) -> None:
     async def scenario() -> None:
         async with relay_on(tmp_path, partner := Partner()) as relay:
             pid = os.fork()
@@ -696,7 +694,7 @@
 # A blocked event loop.
 
 
-def test_ends_are_true_though_the_hosts_loop_was_held_up(tmp_path: Path) -> None:
+def test_outcomes_are_correct_after_the_hosts_loop_was_blocked(tmp_path: Path) -> None:
     async def scenario() -> None:
         endpoint = StandIn(None)
         started, answer = threading.Event(), threading.Event()
@@ -739,7 +737,7 @@
 # Endpoints.
 
 
-def test_a_list_that_changes_is_followed(tmp_path: Path) -> None:
+def test_a_changed_list_is_applied(tmp_path: Path) -> None:
     async def scenario() -> None:
         where = StaticEndpoints(ONE)
         async with relay_on(tmp_path, partner := Partner(), endpoints=where) as relay:
@@ -765,7 +763,7 @@
                 await asyncio.sleep(refused.retry_after)
 
 
-def test_a_file_of_endpoints_is_watched_and_a_broken_one_passed_over(
+def test_an_endpoint_file_is_watched_and_invalid_versions_ignored(
     tmp_path: Path, caplog: pytest.LogCaptureFixture
 ) -> None:
     caplog.set_level("INFO")
@@ -808,7 +806,7 @@
 # Hosts without an event loop.
 
 
-def test_the_blocking_facade_keeps_the_same_promises(tmp_path: Path) -> None:
+def test_the_blocking_facade_gives_the_same_guarantees(tmp_path: Path) -> None:
     partner = Partner()
     with BlockingRelay(relay_on(tmp_path, partner)) as relay:
         taken = [relay.hand_in(message(f"m{count}")) for count in range(5)]
@@ -878,7 +876,7 @@
     gc.collect()
 
 
-def test_a_refusal_told_after_a_cancel_is_passed_over(tmp_path: Path) -> None:
+def test_a_refusal_after_a_cancel_is_ignored(tmp_path: Path) -> None:
     async def scenario() -> None:
         async with relay_on(tmp_path, Partner()) as relay:
             told: list[Refusal | None] = []
@@ -892,7 +890,7 @@
     run(scenario())
 
 
-def test_a_host_task_that_is_cancelled_closes_and_leaves_the_message_its_end(tmp_path: Path) -> None:
+def test_a_cancelled_host_task_closes_the_relay_and_keeps_the_message(tmp_path: Path) -> None:
     async def scenario() -> None:
         partner = Partner(forever)
 
@@ -916,7 +914,7 @@
     run(scenario())
 
 
-def test_a_message_that_has_ended_wakes_nobody_when_its_time_comes(tmp_path: Path) -> None:
+def test_a_completed_message_leaves_no_timer(tmp_path: Path) -> None:
     """Prevents a timer wake-up and a round per message, seconds after its delivery."""
 
     async def scenario() -> None:
@@ -930,7 +928,7 @@
     run(scenario())
 
 
-def test_a_hand_in_cancelled_while_it_waits_for_a_sync_was_taken_on(
+def test_a_submission_cancelled_while_waiting_for_a_sync_is_accepted(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     held: list[Callable[[], None]] = []
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -19,7 +19,7 @@
 WAIT: Answer = (429, [("Wait-Ms", "700")], b"")
 
 
-def test_a_message_is_taken_on_and_delivered_unchanged(tmp_path: Path) -> None:
+def test_a_message_is_accepted_and_delivered_unchanged(tmp_path: Path) -> None:
     async def scenario() -> None:
         endpoint = StandIn()
         async with world(tmp_path, endpoint) as (relay, _):
@@ -32,7 +32,7 @@
     run(scenario())
 
 
-def test_the_same_id_again_is_answered_and_not_taken_twice(tmp_path: Path) -> None:
+def test_a_repeated_id_is_answered_and_not_accepted_twice(tmp_path: Path) -> None:
     async def scenario() -> None:
         endpoint = StandIn()
         async with world(tmp_path, endpoint) as (relay, _):
@@ -58,7 +58,7 @@
         ("reset", "safe", True),
     ],
 )
-def test_an_outcome_decides_whether_it_is_sent_again(
+def test_the_result_of_a_call_determines_whether_it_is_retried(
     tmp_path: Path, first: Answer | str, kind: str, again: bool
 ) -> None:
     async def scenario() -> None:
@@ -87,7 +87,7 @@
     run(scenario())
 
 
-def test_a_message_that_is_over_owes_nothing_more(tmp_path: Path) -> None:
+def test_a_message_ended_by_its_endpoint_needs_no_notice(tmp_path: Path) -> None:
     async def scenario() -> None:
         endpoint = StandIn(OK, (410, [], b""))
         async with world(tmp_path, endpoint) as (relay, platform):
@@ -100,7 +100,7 @@
     run(scenario())
 
 
-def test_a_refused_connection_never_ran(tmp_path: Path) -> None:
+def test_a_message_whose_connection_is_refused_is_handed_back(tmp_path: Path) -> None:
     async def scenario() -> None:
         endpoint = StandIn()
         async with world(tmp_path, endpoint) as (relay, platform):
@@ -113,7 +113,7 @@
     run(scenario())
 
 
-def test_a_silent_endpoint_ends_an_attempt_and_its_connection_at_the_deadline(tmp_path: Path) -> None:
+def test_a_call_without_a_response_ends_with_its_connection_at_the_deadline(tmp_path: Path) -> None:
     async def scenario() -> None:
         endpoint = StandIn(None)
         async with world(tmp_path, endpoint) as (relay, platform):
@@ -137,7 +137,7 @@
     run(scenario())
 
 
-def test_sends_of_one_round_share_a_call_and_each_has_its_own_end(tmp_path: Path) -> None:
+def test_sends_of_one_round_share_a_call_and_each_has_its_own_result(tmp_path: Path) -> None:
     async def scenario() -> None:
         endpoint = StandIn(OK, None, (200, [], b"b ok\r\nc error\r\nd later\r\n"))
         async with world(tmp_path, endpoint, kind="bundled", FamilyInfo__Slots=1) as (relay, platform):
@@ -156,7 +156,7 @@
     run(scenario())
 
 
-def test_a_drain_is_heeded_in_the_round_that_reads_it(tmp_path: Path) -> None:
+def test_a_drain_applies_in_the_round_that_reads_it(tmp_path: Path) -> None:
     async def scenario() -> None:
         old, new = StandIn(), StandIn()
         async with world(tmp_path, old) as (relay, platform):
@@ -173,7 +173,7 @@
     run(scenario())
 
 
-def test_broken_news_renews_the_watch_and_the_relay_lives(tmp_path: Path) -> None:
+def test_malformed_updates_restart_the_watch(tmp_path: Path) -> None:
     async def scenario() -> None:
         endpoint = StandIn()
         async with world(tmp_path, endpoint) as (relay, platform):
@@ -189,7 +189,7 @@
     run(scenario())
 
 
-def test_bad_input_is_answered_and_takes_nothing(tmp_path: Path) -> None:
+def test_invalid_input_is_rejected(tmp_path: Path) -> None:
     async def scenario() -> None:
         endpoint = StandIn()
         async with world(tmp_path, endpoint, Accounts=[{"Name": "acme", "QuotaPerS": 9.0}]) as (relay, _):
@@ -221,7 +221,7 @@
     run(scenario())
 
 
-def test_more_than_may_be_held_is_refused(tmp_path: Path) -> None:
+def test_submissions_beyond_the_limit_are_refused(tmp_path: Path) -> None:
     async def scenario() -> None:
         endpoint = StandIn(None)
         async with world(tmp_path, endpoint, Bounds__MaxOpen=3) as (relay, _):
@@ -232,7 +232,7 @@
     run(scenario())
 
 
-def test_notices_are_sent_until_they_are_answered(tmp_path: Path) -> None:
+def test_notices_are_sent_until_they_are_acknowledged(tmp_path: Path) -> None:
     async def scenario() -> None:
         endpoint = StandIn((500, [], b""))
         async with world(tmp_path, endpoint) as (relay, platform):
@@ -244,7 +244,7 @@
     run(scenario())
 
 
-def test_a_notice_whose_answer_is_held_up_goes_again_beside_it(tmp_path: Path) -> None:
+def test_a_notice_whose_response_is_delayed_is_sent_again_concurrently(tmp_path: Path) -> None:
     async def scenario() -> None:
         endpoint = StandIn((500, [], b""))
         async with world(tmp_path, endpoint) as (relay, platform):
@@ -257,7 +257,7 @@
     run(scenario())
 
 
-def test_a_wait_binds_every_message_and_endpoint_of_the_destination(tmp_path: Path) -> None:
+def test_a_requested_wait_applies_to_every_message_and_endpoint_of_the_destination(tmp_path: Path) -> None:
     async def scenario() -> None:
         first, second = StandIn(OK, WAIT), StandIn(OK, WAIT)
         async with world(tmp_path, first, second) as (relay, _):
@@ -284,7 +284,7 @@
     return seen()
 
 
-def test_a_client_that_hangs_up_before_its_answer_withdraws_its_message(tmp_path: Path) -> None:
+def test_a_disconnect_before_the_response_withdraws_the_message(tmp_path: Path) -> None:
     """Drives the node directly: over sockets the response is too fast to disconnect before it."""
 
     async def scenario() -> None:
@@ -314,7 +314,7 @@
 
 
 @pytest.mark.parametrize("stop", ["drain", "wait", "none"])
-def test_a_send_whose_dial_outlasts_a_drain_or_a_wait_does_not_leave(tmp_path: Path, stop: str) -> None:
+def test_a_call_is_not_sent_if_a_drain_or_wait_arrives_while_connecting(tmp_path: Path, stop: str) -> None:
     async def scenario() -> None:
         endpoint = await StandIn().start()
         settings = read_settings(setup(Weights="nominal"))
@@ -345,7 +345,7 @@
     run(scenario())
 
 
-def test_a_broken_batch_answer_may_have_run() -> None:
+def test_a_malformed_batch_response_has_results_for_its_valid_lines_only() -> None:
     ends = parse_batch_results(Reply(200, {"wait-ms": "300"}, bytearray(b"a ok\r\nb what\r\n\xff\r\n")), ())
     assert {name: (it.result, it.wait_us) for name, it in ends.items()} == {"a": (Result.DONE, 300_000)}
 
