--- a/tests/hosts.py
+++ b/tests/hosts.py
@@ -22,30 +22,30 @@
         message_class("unsafe", Effect.UNSAFE, deadline=8.0, wanted=1.0),
     ]
 )
-ONE = Endpoint("e1", 1, rate=50.0)
+ENDPOINT = Endpoint("e1", 1, rate=50.0)
 
 
-class Partner:
+class ScriptedTransport:
     """A transport: each call raises or awaits the next of `answers`, or is delivered if there is none."""
 
     def __init__(self, *answers: BaseException | None | Callable[[Call], Awaitable[None]]) -> None:
         self.answers = list(answers)
         self.calls: list[Call] = []
-        self._news = asyncio.Condition()
+        self._changed = asyncio.Condition()
 
     async def __call__(self, call: Call, /) -> None:
         self.calls.append(call)
         answer = self.answers.pop(0) if self.answers else None
-        async with self._news:
-            self._news.notify_all()
+        async with self._changed:
+            self._changed.notify_all()
         if callable(answer):
             await answer(call)
         elif answer is not None:
             raise answer
 
     async def called(self, count: int) -> list[Call]:
-        async with asyncio.timeout(PATIENCE), self._news:
-            await self._news.wait_for(lambda: len(self.calls) >= count)
+        async with asyncio.timeout(PATIENCE), self._changed:
+            await self._changed.wait_for(lambda: len(self.calls) >= count)
         return self.calls
 
     @property
@@ -53,14 +53,14 @@
         return [call.message.id for call in self.calls]
 
 
-async def forever(call: Call) -> None:
+async def never_return(call: Call) -> None:
     """Never return."""
     await asyncio.Event().wait()
 
 
-def relay_on(folder: Path, partner: Partner, **more: Any) -> Relay:
-    usual: dict[str, Any] = {"endpoints": StaticEndpoints(ONE), "settings": SETTINGS, "seed": 1}
-    return Relay(folder=folder, transport=partner, **usual | more)
+def relay_on(folder: Path, partner: ScriptedTransport, **more: Any) -> Relay:
+    defaults: dict[str, Any] = {"endpoints": StaticEndpoints(ENDPOINT), "settings": SETTINGS, "seed": 1}
+    return Relay(folder=folder, transport=partner, **defaults | more)
 
 
 def message(name: str, kind: str = "safe", **more: Any) -> Message:
--- a/tests/test_asgi.py
+++ b/tests/test_asgi.py
@@ -24,7 +24,7 @@
 from amberlug.library import Endpoint, Message, Outcome, Relay, StaticEndpoints
 from amberlug.standin.wire import PATIENCE, StandIn
 from tests.asgi_host import Host
-from tests.hosts import SETTINGS, Partner, forever, relay_on
+from tests.hosts import SETTINGS, ScriptedTransport, never_return, relay_on
 from tests.rig import ROOT, free_port, hand_in, run
 
 
@@ -78,7 +78,7 @@
     tmp_path: Path, make: Callable[[], Application]
 ) -> None:
     async def scenario() -> None:
-        partner = Partner()
+        partner = ScriptedTransport()
         async with hosted(make(), relay_on(tmp_path, partner)) as host:
             assert (await ask(host.port, "GET", "/relay/up")).status == 200
             paid = await ask(host.port, "POST", "/pay", body=b"fee")
@@ -96,7 +96,7 @@
 
 def test_an_application_without_a_lifespan_is_served(tmp_path: Path) -> None:
     async def scenario() -> None:
-        async with hosted(plain_app, relay_on(tmp_path, Partner())) as host:
+        async with hosted(plain_app, relay_on(tmp_path, ScriptedTransport())) as host:
             assert (await ask(host.port, "GET", "/relay/up")).status == 200
             assert (await ask(host.port, "GET", "/relays")).status == 418
 
@@ -105,7 +105,7 @@
 
 def test_the_application_starts_and_stops_while_the_relay_is_open(tmp_path: Path) -> None:
     async def scenario() -> None:
-        relay = relay_on(tmp_path, Partner())
+        relay = relay_on(tmp_path, ScriptedTransport())
         steps: list[Any] = []
 
         @asynccontextmanager
@@ -136,10 +136,12 @@
             yield
 
         with pytest.raises(RuntimeError, match="no database"):
-            await Host(RelayMiddleware(Starlette(lifespan=lifespan), relay_on(tmp_path, Partner()))).start()
-        async with relay_on(tmp_path, Partner()):
+            await Host(
+                RelayMiddleware(Starlette(lifespan=lifespan), relay_on(tmp_path, ScriptedTransport()))
+            ).start()
+        async with relay_on(tmp_path, ScriptedTransport()):
             with pytest.raises(RuntimeError, match="another relay has"):
-                await Host(RelayMiddleware(plain_app, relay_on(tmp_path, Partner()))).start()
+                await Host(RelayMiddleware(plain_app, relay_on(tmp_path, ScriptedTransport()))).start()
 
     run(scenario())
 
@@ -163,7 +165,7 @@
     tmp_path: Path, method: str, path: str, headers: dict[str, str], body: bytes, status: int
 ) -> None:
     async def scenario() -> None:
-        relay = relay_on(tmp_path, partner := Partner())
+        relay = relay_on(tmp_path, partner := ScriptedTransport())
         async with hosted(starlette_app(), relay) as host:
             reply = await ask(host.port, method, path, headers, body)
             assert reply.status == status
@@ -204,7 +206,7 @@
 
 def test_a_client_that_disconnects_before_the_response_withdraws_its_message(tmp_path: Path) -> None:
     async def scenario() -> None:
-        async with relay_on(tmp_path, partner := Partner(), settings=UNHURRIED) as relay:
+        async with relay_on(tmp_path, partner := ScriptedTransport(), settings=UNHURRIED) as relay:
             app = RelayMiddleware(plain_app, relay)
             half, whole = Client(app, hand_in("m1")), Client(app, hand_in("m2"))
             half.body(b"hel", more=True)
@@ -226,7 +228,7 @@
 
 def test_a_request_that_the_host_cancels_is_withdrawn(tmp_path: Path) -> None:
     async def scenario() -> None:
-        async with relay_on(tmp_path, Partner(), settings=UNHURRIED) as relay:
+        async with relay_on(tmp_path, ScriptedTransport(), settings=UNHURRIED) as relay:
             client = Client(RelayMiddleware(plain_app, relay), hand_in("m1"))
             client.body(b"hello")
             await asyncio.sleep(0)
@@ -244,7 +246,7 @@
     monkeypatch.setattr("amberlug.asgi.MAX_CONCURRENT_BODIES", 2)
 
     async def scenario() -> None:
-        async with relay_on(tmp_path, Partner()) as relay:
+        async with relay_on(tmp_path, ScriptedTransport()) as relay:
             app = RelayMiddleware(plain_app, relay)
             clients = [Client(app, hand_in(f"m{count}")) for count in range(3)]
             for client in clients:
@@ -259,7 +261,7 @@
 
 def test_without_a_lifespan_the_relay_is_reported_as_not_open(tmp_path: Path) -> None:
     async def scenario() -> None:
-        app = RelayMiddleware(plain_app, relay_on(tmp_path, Partner()))
+        app = RelayMiddleware(plain_app, relay_on(tmp_path, ScriptedTransport()))
         client = Client(app, hand_in("m1"))
         client.body(b"hello")
         await client.task
@@ -278,7 +280,7 @@
         async def send(event: Event) -> None:
             said.append(event)
 
-        app = RelayMiddleware(plain_app, relay_on(tmp_path, Partner()))
+        app = RelayMiddleware(plain_app, relay_on(tmp_path, ScriptedTransport()))
         await app({"type": "websocket", "path": "/relay/safe"}, receive, send)
         assert [event["type"] for event in said] == ["websocket.close"]
 
@@ -287,7 +289,7 @@
 
 def test_messages_survive_a_cancelled_lifespan(tmp_path: Path) -> None:
     async def scenario() -> None:
-        relay = relay_on(tmp_path, partner := Partner(forever))
+        relay = relay_on(tmp_path, partner := ScriptedTransport(never_return))
         host = await Host(RelayMiddleware(starlette_app(), relay)).start()
         assert (await ask(host.port, "POST", "/relay/unsafe", hand_in("m1", "unsafe"))).status == 202
         await partner.called(1)
@@ -295,7 +297,7 @@
         await asyncio.wait({host.lifespan.task})
         host._server.close()
         assert not relay.is_open
-        async with relay_on(tmp_path, second := Partner()) as relay:
+        async with relay_on(tmp_path, second := ScriptedTransport()) as relay:
             taken = relay.find("m1")
             assert taken is not None
             assert (await taken.end()).outcome is Outcome.GIVEN_UP
@@ -339,7 +341,7 @@
                 seen.answer((200, [], b""))  # the outstanding call is still completed
             out, _ = await process.communicate()
         assert out == (b"lifespan.shutdown.complete\n" if number is signal.SIGTERM else b"")
-        async with relay_on(tmp_path, partner := Partner()) as relay:
+        async with relay_on(tmp_path, partner := ScriptedTransport()) as relay:
             taken = relay.find("m1")
             assert taken is not None
             delivered = number is signal.SIGTERM
--- a/tests/test_library.py
+++ b/tests/test_library.py
@@ -43,7 +43,7 @@
 from amberlug.library.claims import CLAIMS
 from amberlug.platform.pauses import Pauses
 from amberlug.standin.wire import PATIENCE, Platform, Seen, StandIn
-from tests.hosts import ONE, SETTINGS, Partner, forever, host, lines, message, relay_on
+from tests.hosts import ENDPOINT, SETTINGS, ScriptedTransport, host, lines, message, never_return, relay_on
 from tests.rig import member, news, run
 
 DELIVERED, HANDED_BACK, GIVEN_UP = Outcome.DELIVERED, Outcome.HANDED_BACK, Outcome.GIVEN_UP
@@ -51,7 +51,7 @@
 
 def test_a_message_is_delivered_and_its_outcome_reported(tmp_path: Path) -> None:
     async def scenario() -> None:
-        async with relay_on(tmp_path, partner := Partner()) as relay:
+        async with relay_on(tmp_path, partner := ScriptedTransport()) as relay:
             taken = await relay.hand_in(message("m1", "keyed"))
             assert await taken.end() == End("m1", DELIVERED)
             (call,) = partner.calls
@@ -145,7 +145,7 @@
     tmp_path: Path, answer: BaseException, kind: str, outcome: Outcome, calls: int
 ) -> None:
     async def scenario() -> None:
-        async with relay_on(tmp_path, partner := Partner(answer)) as relay:
+        async with relay_on(tmp_path, partner := ScriptedTransport(answer)) as relay:
             started = time.monotonic()
             taken = await relay.hand_in(message("m1", kind))
             assert (await taken.end()).outcome is outcome
@@ -167,7 +167,7 @@
                 await let_go.wait()
                 raise
 
-        async with relay_on(tmp_path, partner := Partner(stubborn)) as relay:
+        async with relay_on(tmp_path, partner := ScriptedTransport(stubborn)) as relay:
             taken = await relay.hand_in(message("m1", "unsafe", deadline=0.5))
             assert (await taken.end()).outcome is GIVEN_UP  # on time although the call is still running
             await cancelled.wait()
@@ -194,7 +194,7 @@
 )
 def test_an_invalid_message_raises_and_is_not_accepted(tmp_path: Path, bad: Message) -> None:
     async def scenario() -> None:
-        async with relay_on(tmp_path, partner := Partner()) as relay:
+        async with relay_on(tmp_path, partner := ScriptedTransport()) as relay:
             with pytest.raises(BadMessageError):
                 await relay.hand_in(bad)
             assert (partner.calls, relay.unclaimed()) == ([], [])
@@ -204,7 +204,7 @@
 
 def test_a_full_relay_refuses_with_a_retry_time(tmp_path: Path) -> None:
     async def scenario() -> None:
-        async with relay_on(tmp_path, Partner(forever), disk_bytes=21_500) as relay:
+        async with relay_on(tmp_path, ScriptedTransport(never_return), disk_bytes=21_500) as relay:
             for _ in range(2):
                 await relay.hand_in(Message(1, "unsafe", b"x" * 4000))
             with pytest.raises(RefusedError) as refused:
@@ -226,7 +226,7 @@
         async def slow(call: Call) -> None:
             await go_on.wait()
 
-        async with relay_on(tmp_path, Partner(slow)) as relay:
+        async with relay_on(tmp_path, ScriptedTransport(slow)) as relay:
             taken = await relay.hand_in(message("m1", "unsafe"))
             waits = asyncio.create_task(taken.end())
             await asyncio.sleep(0)
@@ -244,7 +244,7 @@
     """Cancels at each loop iteration around the journal's write, including that of the clock tick."""
 
     async def scenario() -> None:
-        async with relay_on(tmp_path, partner := Partner()) as relay:
+        async with relay_on(tmp_path, partner := ScriptedTransport()) as relay:
             await (await relay.hand_in(message("m0"))).end()
             task = asyncio.create_task(relay.hand_in(message("m1")))
             for _ in range(turns):
@@ -263,7 +263,7 @@
 
 def test_a_cancel_concurrent_with_the_journals_write_is_unambiguous(tmp_path: Path) -> None:
     async def scenario() -> None:
-        async with relay_on(tmp_path, Partner()) as relay:
+        async with relay_on(tmp_path, ScriptedTransport()) as relay:
             task = asyncio.create_task(relay.hand_in(message("m1")))
             await asyncio.sleep(0)
             task.cancel()
@@ -282,12 +282,12 @@
 
 def test_an_outcome_is_reported_after_each_restart_until_acknowledged(tmp_path: Path) -> None:
     async def scenario() -> None:
-        async with relay_on(tmp_path, Partner(None, OSError("broke"))) as relay:
+        async with relay_on(tmp_path, ScriptedTransport(None, OSError("broke"))) as relay:
             for name in ("m1", "m2"):
                 taken = await relay.hand_in(message(name, "unsafe"))
                 await taken.end(acknowledge=False)
         for _ in range(2):
-            async with relay_on(tmp_path, partner := Partner()) as relay:
+            async with relay_on(tmp_path, partner := ScriptedTransport()) as relay:
                 assert relay.unclaimed() == [End("m1", DELIVERED), End("m2", GIVEN_UP)]
                 found = relay.find("m2")
                 assert found is not None
@@ -311,7 +311,7 @@
         async def slow(call: Call) -> None:
             await go_on.wait()
 
-        async with relay_on(tmp_path, Partner(slow)) as relay:
+        async with relay_on(tmp_path, ScriptedTransport(slow)) as relay:
             taken = await relay.hand_in(message("m1"))
             taken.acknowledge()
             go_on.set()
@@ -342,12 +342,12 @@
             if len(told) == 4:
                 seen.set()
 
-        async with relay_on(tmp_path, Partner(), on_end=on_end) as relay:
+        async with relay_on(tmp_path, ScriptedTransport(), on_end=on_end) as relay:
             for name in ("m1", "m2"):
                 await relay.hand_in(message(name))
             await asyncio.wait_for(seen.wait(), PATIENCE)
         assert sorted(told) == ["m1", "m1", "m1", "m2"]
-        async with relay_on(tmp_path, Partner()) as relay:
+        async with relay_on(tmp_path, ScriptedTransport()) as relay:
             assert relay.unclaimed() == []
 
     run(scenario())
@@ -365,7 +365,7 @@
 
                 return broken
 
-        async with relay_on(tmp_path, Partner(), observer=Broken()) as relay:
+        async with relay_on(tmp_path, ScriptedTransport(), observer=Broken()) as relay:
             assert (await (await relay.hand_in(message("m1"))).end()).outcome is DELIVERED
         await asyncio.sleep(0)
         assert {str(error) for error in errors} == {"round", "taken", "attempt", "outcome", "ended"}
@@ -379,7 +379,7 @@
 @pytest.mark.parametrize("kind", ["safe", "unsafe"])
 def test_an_attempt_interrupted_by_close_is_resolved_after_the_restart(tmp_path: Path, kind: str) -> None:
     async def scenario() -> None:
-        first = Partner(forever)
+        first = ScriptedTransport(never_return)
         async with relay_on(tmp_path, first) as relay:
             taken = await relay.hand_in(message("m1", kind))
             await first.called(1)
@@ -389,7 +389,7 @@
                 await waits
             with pytest.raises(RelayClosedError):
                 await relay.hand_in(message("m2"))
-        async with relay_on(tmp_path, second := Partner()) as relay:
+        async with relay_on(tmp_path, second := ScriptedTransport()) as relay:
             again = relay.find("m1")
             assert again is not None
             end = await again.end()
@@ -406,7 +406,7 @@
             await go_on.wait()
 
         one_slot = settings(list(SETTINGS.classes.values()), slots=1)
-        async with relay_on(tmp_path, partner := Partner(slow), settings=one_slot) as relay:
+        async with relay_on(tmp_path, partner := ScriptedTransport(slow), settings=one_slot) as relay:
             out = await relay.hand_in(message("m1", "unsafe"))
             await partner.called(1)
             waits = await relay.hand_in(message("m2", "unsafe"))
@@ -426,7 +426,7 @@
 
 def test_a_cancelled_close_closes_at_once(tmp_path: Path) -> None:
     async def scenario() -> None:
-        relay = relay_on(tmp_path, partner := Partner(forever))
+        relay = relay_on(tmp_path, partner := ScriptedTransport(never_return))
         await relay.open()
         await relay.hand_in(message("m1", "unsafe"))
         await partner.called(1)
@@ -434,7 +434,7 @@
         await asyncio.sleep(0)
         closing.cancel()
         await asyncio.wait({closing})
-        async with relay_on(tmp_path, Partner()) as relay:  # the folder is unlocked
+        async with relay_on(tmp_path, ScriptedTransport()) as relay:  # the folder is unlocked
             assert relay.unclaimed() == [End("m1", GIVEN_UP)] or relay.find("m1") is not None
 
     run(scenario())
@@ -444,14 +444,14 @@
     old = []
 
     async def first() -> None:
-        relay = relay_on(tmp_path, partner := Partner(forever))
+        relay = relay_on(tmp_path, partner := ScriptedTransport(never_return))
         await relay.open()
         await relay.hand_in(message("m1", "unsafe"))
         await partner.called(1)
         old.append(relay)  # keeps it referenced; it is never closed
 
     async def second() -> None:
-        async with relay_on(tmp_path, partner := Partner()) as relay:
+        async with relay_on(tmp_path, partner := ScriptedTransport()) as relay:
             taken = relay.find("m1")
             assert taken is not None
             assert (await taken.end()).outcome is GIVEN_UP
@@ -467,7 +467,7 @@
 sys.path.insert(0, ".")
 from amberlug import library
 from amberlug.library.claims import CLAIMS
-from tests.hosts import ONE, SETTINGS, Partner, forever, message, relay_on
+from tests.hosts import ENDPOINT, SETTINGS, ScriptedTransport, never_return, message, relay_on
 
 stage, way = sys.argv[2], sys.argv[3]
 
@@ -484,7 +484,7 @@
         print(json.dumps(call.message.id), flush=True)
         if stage == "in the attempt":
             answered.set()
-            await forever(call)
+            await never_return(call)
     relay = relay_on(Path(sys.argv[1]), slow)
     await relay.open()
     if stage == "before the journal":
@@ -517,7 +517,7 @@
         code, said, _ = await host(tmp_path, HOST, stage, way, kind)
         assert code == (-signal.SIGKILL if way == "kill" else 0)
         before = lines(said)
-        async with relay_on(tmp_path / "state", partner := Partner()) as relay:
+        async with relay_on(tmp_path / "state", partner := ScriptedTransport()) as relay:
             taken = relay.find("m1")
             if stage == "before the journal":
                 assert (taken, before) == (None, [])
@@ -534,7 +534,7 @@
                 assert end.outcome is (GIVEN_UP if before else DELIVERED)
             else:
                 assert (end.outcome, attempts[-1]) == (DELIVERED, "m1")
-        async with relay_on(tmp_path / "state", Partner()) as relay:
+        async with relay_on(tmp_path / "state", ScriptedTransport()) as relay:
             assert relay.unclaimed() == []
             assert relay.find("m1") is None
 
@@ -546,10 +546,10 @@
 
 def test_a_folder_has_one_relay_in_the_process(tmp_path: Path) -> None:
     async def scenario() -> None:
-        async with relay_on(tmp_path, Partner()):
+        async with relay_on(tmp_path, ScriptedTransport()):
             with pytest.raises(FolderInUseError, match="another relay has"):
-                await relay_on(tmp_path, Partner()).open()
-        async with relay_on(tmp_path, Partner()):
+                await relay_on(tmp_path, ScriptedTransport()).open()
+        async with relay_on(tmp_path, ScriptedTransport()):
             pass
 
     run(scenario())
@@ -557,7 +557,7 @@
 
 def test_a_folder_has_one_relay_in_all_processes(tmp_path: Path) -> None:
     async def scenario() -> None:
-        async with relay_on(tmp_path / "state", partner := Partner()) as relay:
+        async with relay_on(tmp_path / "state", partner := ScriptedTransport()) as relay:
             code, _, said = await host(tmp_path, HOST, "after the journal", "exit", "unsafe")
             assert (code, "FolderInUseError" in said) == (1, True)
             assert relay.find("m1") is None
@@ -574,7 +574,7 @@
         async def slow(call: Call) -> None:
             await go_on.wait()
 
-        first, second = Partner(slow), Partner()
+        first, second = ScriptedTransport(slow), ScriptedTransport()
         payment = message("m1", "unsafe", key="k")
         again = payment if same == "id" else message("m2", "unsafe", key="k")
         async with relay_on(tmp_path / "a", first) as one, relay_on(tmp_path / "b", second) as other:
@@ -590,7 +590,7 @@
 
 def test_concurrent_submissions_to_two_relays_are_one_payment(tmp_path: Path) -> None:
     async def scenario() -> None:
-        first, second = Partner(), Partner()
+        first, second = ScriptedTransport(), ScriptedTransport()
         async with relay_on(tmp_path / "a", first) as one, relay_on(tmp_path / "b", second) as other:
             payment = message("m1", "unsafe")
             results = await asyncio.gather(
@@ -610,9 +610,9 @@
         async def never(call: Call) -> None:
             raise NotSentError
 
-        second = Partner()
+        second = ScriptedTransport()
         async with (
-            relay_on(tmp_path / "a", Partner(*[never] * 20)) as one,
+            relay_on(tmp_path / "a", ScriptedTransport(*[never] * 20)) as one,
             relay_on(tmp_path / "b", second) as other,
         ):
             payment = message("m1", "unsafe", deadline=0.5)
@@ -627,15 +627,15 @@
 def test_messages_of_a_closed_relay_are_refused_by_others(tmp_path: Path) -> None:
     async def scenario() -> None:
         payment = message("m1", "unsafe")
-        async with relay_on(tmp_path / "a", partner := Partner(forever)) as one:
+        async with relay_on(tmp_path / "a", partner := ScriptedTransport(never_return)) as one:
             await one.hand_in(payment)
             await partner.called(1)
             await one.close(grace=0.0)
-        async with relay_on(tmp_path / "b", second := Partner()) as other:
+        async with relay_on(tmp_path / "b", second := ScriptedTransport()) as other:
             with pytest.raises(RefusedError) as refused:
                 await other.hand_in(payment)
             assert refused.value.reason is Reason.ELSEWHERE
-            async with relay_on(tmp_path / "a", Partner()) as one:
+            async with relay_on(tmp_path / "a", ScriptedTransport()) as one:
                 assert (await (await other.hand_in(payment)).end()).outcome is GIVEN_UP
             assert second.calls == []
 
@@ -648,7 +648,9 @@
     async def scenario() -> None:
         payment = message("m1", "unsafe")
         one_slot = settings(list(SETTINGS.classes.values()), slots=1)
-        async with relay_on(tmp_path / "a", blocked := Partner(forever), settings=one_slot) as one:
+        async with relay_on(
+            tmp_path / "a", blocked := ScriptedTransport(never_return), settings=one_slot
+        ) as one:
             await one.hand_in(message("m0", "unsafe"))
             await blocked.called(1)
             one._node.closing = True  # hands nothing back, like a process that is killed
@@ -658,10 +660,10 @@
             one._node.closing = True
             one.abandon()
         CLAIMS.clear()
-        async with relay_on(tmp_path / "b", second := Partner(forever)) as other:
+        async with relay_on(tmp_path / "b", second := ScriptedTransport(never_return)) as other:
             await other.hand_in(payment)
             await second.called(1)
-            async with relay_on(tmp_path / "a", third := Partner()) as one:
+            async with relay_on(tmp_path / "a", third := ScriptedTransport()) as one:
                 assert End("m1", GIVEN_UP) in one.unclaimed()
                 assert third.names == []
             await other.close(grace=0.0)
@@ -671,7 +673,7 @@
 
 def test_the_child_of_a_fork_cannot_use_the_relay(tmp_path: Path) -> None:
     async def scenario() -> None:
-        async with relay_on(tmp_path, partner := Partner()) as relay:
+        async with relay_on(tmp_path, partner := ScriptedTransport()) as relay:
             pid = os.fork()
             if pid == 0:
                 code = 1
@@ -739,8 +741,8 @@
 
 def test_a_changed_list_is_applied(tmp_path: Path) -> None:
     async def scenario() -> None:
-        where = StaticEndpoints(ONE)
-        async with relay_on(tmp_path, partner := Partner(), endpoints=where) as relay:
+        where = StaticEndpoints(ENDPOINT)
+        async with relay_on(tmp_path, partner := ScriptedTransport(), endpoints=where) as relay:
             await (await relay.hand_in(message("m1"))).end()
             where.change(Endpoint("e1", 1, draining=True, rate=50.0), Endpoint("e2", 1, rate=50.0))
             await (await relay.hand_in(message("m2"))).end()
@@ -781,10 +783,10 @@
     async def scenario() -> None:
         write("{")
         with pytest.raises(ValueError):  # noqa: PT011 - the message comes from the JSON parser
-            await relay_on(tmp_path / "s", Partner(), endpoints=EndpointFile(path)).open()
+            await relay_on(tmp_path / "s", ScriptedTransport(), endpoints=EndpointFile(path)).open()
         write(json.dumps({"members": [member(1, "e1")]}))
         watched = EndpointFile(path, every=0.005)
-        async with relay_on(tmp_path / "s", partner := Partner(), endpoints=watched) as relay:
+        async with relay_on(tmp_path / "s", partner := ScriptedTransport(), endpoints=watched) as relay:
             await delivered(relay, "m1")
             write('{"members": [{"id": "half')
             await until_logged("stays")
@@ -807,7 +809,7 @@
 
 
 def test_the_blocking_facade_gives_the_same_guarantees(tmp_path: Path) -> None:
-    partner = Partner()
+    partner = ScriptedTransport()
     with BlockingRelay(relay_on(tmp_path, partner)) as relay:
         taken = [relay.hand_in(message(f"m{count}")) for count in range(5)]
         assert [it.end(PATIENCE).outcome for it in taken] == [DELIVERED] * 5
@@ -831,7 +833,7 @@
         let_go.append(asyncio.Event())
         await let_go[0].wait()
 
-    with BlockingRelay(relay_on(tmp_path, Partner(slow))) as relay:
+    with BlockingRelay(relay_on(tmp_path, ScriptedTransport(slow))) as relay:
         taken = relay.hand_in(message("m1", "unsafe"))
         with pytest.raises(TimeoutError):
             taken.end(0.05)
@@ -841,7 +843,7 @@
 
 
 def test_many_threads_hand_in_at_once(tmp_path: Path) -> None:
-    partner = Partner()
+    partner = ScriptedTransport()
     ends: list[End] = []
     with BlockingRelay(relay_on(tmp_path, partner, endpoints=StaticEndpoints(Endpoint("e1", 1)))) as relay:
 
@@ -859,7 +861,7 @@
 
 def test_a_relay_belongs_to_the_thread_that_opened_it(tmp_path: Path) -> None:
     async def scenario() -> None:
-        async with relay_on(tmp_path, Partner()) as relay:
+        async with relay_on(tmp_path, ScriptedTransport()) as relay:
             with pytest.raises(RuntimeError, match="another thread"):
                 await asyncio.to_thread(relay.find, "m1")
 
@@ -868,9 +870,9 @@
 
 def test_a_folder_in_use_ends_the_facades_thread(tmp_path: Path) -> None:
     before = threading.active_count()
-    with BlockingRelay(relay_on(tmp_path, Partner())):
+    with BlockingRelay(relay_on(tmp_path, ScriptedTransport())):
         with pytest.raises(FolderInUseError):
-            BlockingRelay(relay_on(tmp_path, Partner())).open()
+            BlockingRelay(relay_on(tmp_path, ScriptedTransport())).open()
         assert threading.active_count() == before + 1
     assert threading.active_count() == before
     gc.collect()
@@ -878,7 +880,7 @@
 
 def test_a_refusal_after_a_cancel_is_ignored(tmp_path: Path) -> None:
     async def scenario() -> None:
-        async with relay_on(tmp_path, Partner()) as relay:
+        async with relay_on(tmp_path, ScriptedTransport()) as relay:
             told: list[Refusal | None] = []
             held, left_us = message("m1").checked(SETTINGS, relay.wall_ms())
             hand_in = relay.admit(held, left_us, told.append)
@@ -892,7 +894,7 @@
 
 def test_a_cancelled_host_task_closes_the_relay_and_keeps_the_message(tmp_path: Path) -> None:
     async def scenario() -> None:
-        partner = Partner(forever)
+        partner = ScriptedTransport(never_return)
 
         async def work() -> None:
             async with relay_on(tmp_path, partner) as relay:
@@ -905,7 +907,7 @@
         task.cancel()  # again, while it is closing
         await asyncio.wait({task})
         assert task.cancelled()
-        async with relay_on(tmp_path, second := Partner()) as relay:
+        async with relay_on(tmp_path, second := ScriptedTransport()) as relay:
             taken = relay.find("m1")
             assert taken is not None
             assert (await taken.end()).outcome is GIVEN_UP
@@ -918,7 +920,7 @@
     """Prevents a timer wake-up and a round per message, seconds after its delivery."""
 
     async def scenario() -> None:
-        async with relay_on(tmp_path, Partner()) as relay:
+        async with relay_on(tmp_path, ScriptedTransport()) as relay:
             for count in range(5):
                 await (await relay.hand_in(message(f"m{count}"))).end()
             assert len(relay._node._timers._heap) <= 1  # the next round removes the timer of the last one
@@ -940,7 +942,7 @@
     monkeypatch.setattr("amberlug.core.journal.ThreadSyncer", Slow)
 
     async def scenario() -> None:
-        async with relay_on(tmp_path, partner := Partner(), durability=Durability.GROUP) as relay:
+        async with relay_on(tmp_path, partner := ScriptedTransport(), durability=Durability.GROUP) as relay:
             task = asyncio.create_task(relay.hand_in(message("m1", "unsafe")))
             async with asyncio.timeout(PATIENCE):
                 while not relay._node.knows("m1"):
@@ -967,7 +969,7 @@
 def test_every_durability_delivers_and_closes(tmp_path: Path, durability: Durability) -> None:
     async def scenario() -> None:
         for life in range(2):
-            async with relay_on(tmp_path, partner := Partner(), durability=durability) as relay:
+            async with relay_on(tmp_path, partner := ScriptedTransport(), durability=durability) as relay:
                 names = [f"m{life}-{count}" for count in range(20)]
                 taken = await asyncio.gather(*(relay.hand_in(message(name)) for name in names))
                 assert {(await it.end()).outcome for it in taken} == {DELIVERED}
