--- a/tests/parity_host.py
+++ b/tests/parity_host.py
@@ -19,23 +19,23 @@
     print(json.dumps(fields), flush=True)
 
 
-async def tell_end(taken: Taken) -> None:
+async def report_outcome(taken: Taken) -> None:
     end = await taken.end()
     say(end=end.message, outcome=end.outcome.value)
 
 
-async def hand_in(relay: Relay, order: dict[str, Any]) -> None:
-    message = Message(1, order["kind"], b"hello", order["id"], order["key"], deadline=8.0)
+async def hand_in(relay: Relay, submission: dict[str, Any]) -> None:
+    message = Message(1, submission["kind"], b"hello", submission["id"], submission["key"], deadline=8.0)
     try:
         taken = await relay.hand_in(message)
     except RefusedError:
-        say(told=order["id"], taken=False)
+        say(submitted=submission["id"], taken=False)
         return
     except AcknowledgedError:  # the daemon reports such a message as accepted
-        say(told=order["id"], taken=True)
+        say(submitted=submission["id"], taken=True)
         return
-    say(told=order["id"], taken=True)
-    await tell_end(taken)
+    say(submitted=submission["id"], taken=True)
+    await report_outcome(taken)
 
 
 async def main(path: str, state: str) -> None:
@@ -51,7 +51,7 @@
     async with Relay(settings, state, endpoints, seed=int(config["seed"], 16), disk_bytes=3_000_000) as relay:
         for name in config["held"]:
             if (taken := relay.find(name)) is not None:
-                work.add(asyncio.ensure_future(tell_end(taken)))
+                work.add(asyncio.ensure_future(report_outcome(taken)))
         say(ready=True)
         stopped = asyncio.ensure_future(stop.wait())
         while not stop.is_set():
--- a/tests/test_asgi.py
+++ b/tests/test_asgi.py
@@ -201,12 +201,12 @@
 
 
 # The round interval is long enough for a client to disconnect between its request and the response.
-UNHURRIED = replace(SETTINGS, granularity_us=200_000)
+SLOW_ROUNDS = replace(SETTINGS, granularity_us=200_000)
 
 
 def test_a_client_that_disconnects_before_the_response_withdraws_its_message(tmp_path: Path) -> None:
     async def scenario() -> None:
-        async with relay_on(tmp_path, partner := ScriptedTransport(), settings=UNHURRIED) as relay:
+        async with relay_on(tmp_path, partner := ScriptedTransport(), settings=SLOW_ROUNDS) as relay:
             app = RelayMiddleware(plain_app, relay)
             half, whole = Client(app, hand_in("m1")), Client(app, hand_in("m2"))
             half.body(b"hel", more=True)
@@ -228,7 +228,7 @@
 
 def test_a_request_that_the_host_cancels_is_withdrawn(tmp_path: Path) -> None:
     async def scenario() -> None:
-        async with relay_on(tmp_path, ScriptedTransport(), settings=UNHURRIED) as relay:
+        async with relay_on(tmp_path, ScriptedTransport(), settings=SLOW_ROUNDS) as relay:
             client = Client(RelayMiddleware(plain_app, relay), hand_in("m1"))
             client.body(b"hello")
             await asyncio.sleep(0)
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -11,7 +11,7 @@
 from tests.rig import Relay, hand_in, run, world
 
 HEAD = "POST /safe HTTP/1.1\r\nHost: a\r\n" + "".join(f"{k}: {v}\r\n" for k, v in hand_in("m1").items())
-IN_TIME = 3.0  # limit in seconds from the connect to an error or a close
+TIME_LIMIT_S = 3.0  # from the connect to an error or a close
 
 
 async def exchange(relay: Relay, text: bytes) -> bytes:
@@ -58,7 +58,7 @@
         async with world(tmp_path, endpoint) as (relay, _):
             start = time.monotonic()
             said = await exchange(relay, text)
-            assert time.monotonic() - start < IN_TIME
+            assert time.monotonic() - start < TIME_LIMIT_S
             assert said[9:12] == status
             await relay.hand_in("last")
             assert [seen.name for seen in await endpoint.requests(1)] == ["last"]
@@ -131,7 +131,7 @@
                 with pytest.raises((ConnectionError, asyncio.IncompleteReadError)):
                     await reader.readexactly(1)
                 writer.close()
-            assert time.monotonic() - start < IN_TIME
+            assert time.monotonic() - start < TIME_LIMIT_S
 
     run(scenario())
 
--- a/tests/test_parity.py
+++ b/tests/test_parity.py
@@ -26,7 +26,7 @@
 
 
 @dataclass
-class Story:
+class History:
     """The history of one message: key, body and response of each attempt, acceptance and outcomes."""
 
     attempts: list[tuple[str, bytes, str]] = field(default_factory=list)
@@ -39,7 +39,7 @@
 
     async def start(self) -> None: ...
     async def hand_in(self, name: str, kind: str) -> bool: ...
-    async def told(self) -> dict[str, str]:
+    async def outcomes(self) -> dict[str, str]:
         """The outcomes reported so far, by message; deliveries need not be reported."""
 
     async def kill(self) -> None: ...
@@ -53,15 +53,15 @@
     def __init__(self, folder: Path, make: Callable[[Path, Platform, list[dict[str, Any]]], Front]) -> None:
         self._folder, self._make = folder, make
         self.platform = Platform()
-        self.stories: dict[str, Story] = {}
+        self.histories: dict[str, History] = {}
         self._peers: dict[str, StandIn] = {}
         self._answers = {name: list(answers) for name, answers in SCRIPT["answers"].items()}
         self._held: list[Seen] = []
         self.calls: list[tuple[str, str]] = []  # message and endpoint, in order
-        self._news = asyncio.Event()
+        self._changed = asyncio.Event()
         self._holding = False
 
-    async def play(self) -> dict[str, Story]:
+    async def play(self) -> dict[str, History]:
         await self.platform.start()
         for name in SCRIPT["endpoints"]:
             await self._add(name)
@@ -76,7 +76,7 @@
             await self._front.kill()
             for peer in (self.platform, *self._peers.values()):
                 await peer.stop()
-        return self.stories
+        return self.histories
 
     async def _add(self, name: str) -> None:
         peer = StandIn(None)
@@ -89,7 +89,7 @@
         answers = self._answers.get(seen.name, [])
         word = "hold" if self._holding else answers.pop(0) if answers else "ok"
         key = seen.headers.get("idempotency-key", "-")
-        self.stories[seen.name].attempts.append((key, seen.body, word))
+        self.histories[seen.name].attempts.append((key, seen.body, word))
         self.calls.append((seen.name, endpoint))
         if word == "hold":
             self._held.append(seen)
@@ -97,49 +97,49 @@
             seen.reset()
         else:
             seen.answer(ANSWERS[word])
-        self._news.set()
+        self._changed.set()
         return True
 
     async def _until(self, true: Callable[[], bool]) -> None:
         async with asyncio.timeout(PATIENCE):
             while not true():
-                self._news.clear()
-                await self._news.wait()
+                self._changed.clear()
+                await self._changed.wait()
 
     def _delivered(self, name: str) -> bool:
-        return any(word == "ok" for *_, word in self.stories[name].attempts)
+        return any(word == "ok" for *_, word in self.histories[name].attempts)
 
     # The steps of the script.
 
     async def _hand_in(self, name: str, kind: str) -> None:
-        story = self.stories.setdefault(name, Story())
-        story.taken.append(await self._front.hand_in(name, kind))
+        history = self.histories.setdefault(name, History())
+        history.taken.append(await self._front.hand_in(name, kind))
         await self._ended(name)
 
     async def _ended(self, name: str) -> None:
         async with asyncio.timeout(PATIENCE):
-            while not self._delivered(name) and name not in (told := await self._front.told()):
+            while not self._delivered(name) and name not in (outcomes := await self._front.outcomes()):
                 await asyncio.sleep(0.005)
-        story = self.stories[name]
-        story.ends.append("delivered" if self._delivered(name) else told[name])
+        history = self.histories[name]
+        history.ends.append("delivered" if self._delivered(name) else outcomes[name])
 
     async def _hand_in_held(self, name: str, kind: str) -> None:
         self._holding = True
         await self._hand_in_waiting(name, kind)
-        await self._until(lambda: bool(self.stories[name].attempts))
+        await self._until(lambda: bool(self.histories[name].attempts))
 
     async def _hand_in_waiting(self, name: str, kind: str) -> None:
         # Created first: a call may arrive before the response to the submission and belongs to the history.
-        story = self.stories[name] = Story()
-        story.taken.append(await self._front.hand_in(name, kind))
+        history = self.histories[name] = History()
+        history.taken.append(await self._front.hand_in(name, kind))
 
     async def _release(self) -> None:
         self._holding = False
         for seen in self._held:
-            story = self.stories[seen.name]
+            history = self.histories[seen.name]
             if not seen.writer.transport.is_closing():
-                at = story.attempts.index((seen.headers.get("idempotency-key", "-"), seen.body, "hold"))
-                story.attempts[at] = (*story.attempts[at][:2], "ok")
+                at = history.attempts.index((seen.headers.get("idempotency-key", "-"), seen.body, "hold"))
+                history.attempts[at] = (*history.attempts[at][:2], "ok")
                 seen.answer(OK)
         self._held.clear()
 
@@ -182,7 +182,7 @@
     async def hand_in(self, name: str, kind: str) -> bool:
         return (await self._relay.hand_in(name, kind)).status == 202
 
-    async def told(self) -> dict[str, str]:
+    async def outcomes(self) -> dict[str, str]:
         return {it["message"]: it["outcome"] for it in self._platform.notices}
 
     async def kill(self) -> None:
@@ -202,7 +202,7 @@
     def __init__(self, folder: Path, platform: Platform, members: list[dict[str, Any]]) -> None:
         self._folder, self._platform, self._members = folder, platform, members
         self._process: asyncio.subprocess.Process | None = None
-        self._told: dict[str, str] = {}
+        self._outcomes: dict[str, str] = {}
         self._taken: dict[str, asyncio.Future[bool]] = {}
 
     async def start(self) -> None:
@@ -245,9 +245,9 @@
         assert line, "the host ended"
         said = json.loads(line)
         if "end" in said:
-            self._told[said["end"]] = said["outcome"]
-        elif "told" in said:
-            self._taken[said["told"]].set_result(said["taken"])
+            self._outcomes[said["end"]] = said["outcome"]
+        elif "submitted" in said:
+            self._taken[said["submitted"]].set_result(said["taken"])
 
     async def hand_in(self, name: str, kind: str) -> bool:
         assert self._process is not None
@@ -258,8 +258,8 @@
         async with asyncio.timeout(PATIENCE):
             return await self._taken[name]
 
-    async def told(self) -> dict[str, str]:
-        return self._told
+    async def outcomes(self) -> dict[str, str]:
+        return self._outcomes
 
     async def kill(self) -> None:
         if self._process is not None and self._process.returncode is None:
@@ -278,27 +278,27 @@
 
 
 def test_library_and_daemon_give_identical_results(tmp_path: Path) -> None:
-    stories: list[dict[str, Story]] = []
+    histories: list[dict[str, History]] = []
     runs: list[Run] = []
 
     async def scenario(name: str, make: Callable[..., Front]) -> None:
         folder = tmp_path / name
         folder.mkdir()
         runs.append(Run(folder, make))
-        stories.append(await runs[-1].play())
+        histories.append(await runs[-1].play())
 
     run(scenario("daemon", Daemon))
     run(scenario("library", Library))
-    daemon, library = stories
+    daemon, library = histories
     assert daemon.keys() == library.keys()
     for name in daemon:
         assert (name, library[name]) == (name, daemon[name])
     # The script covered the intended cases.
-    ends = {name: story.ends for name, story in daemon.items()}
+    ends = {name: history.ends for name, history in daemon.items()}
     assert ends["m12"] == ["given_up", "given_up"]
     assert ends["m13"] == ends["m14"] == ends["m15"] == ends["m17"] == ["delivered"]
     assert ends["m16"] == ["handed_back"]
-    words = [word for story in daemon.values() for *_, word in story.attempts]
+    words = [word for history in daemon.values() for *_, word in history.attempts]
     assert {"error", "full", "reset", "wait", "hold"} <= set(words)
     for one in runs:
         called = dict(one.calls)  # the last endpoint of each message
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -291,10 +291,10 @@
         settings = read_settings(setup(GranularityUs=50_000))
         node = node_in(tmp_path, settings)
         node.restore()
-        exchange = Told()
+        exchange = RecordingExchange()
         node.hand_in(Message("m1", "safe", None, 1, None, b"", 10**15), SECOND, 0, exchange)
         node.hung_up(exchange)
-        again = Told()
+        again = RecordingExchange()
         node.hand_in(Message("m2", "safe", None, 1, None, b"", 10**15), SECOND, 0, again)
         assert await again.status == 202
         assert not exchange.status.done()
@@ -303,7 +303,7 @@
     run(scenario())
 
 
-class Told:
+class RecordingExchange:
     """An exchange that records its response."""
 
     def __init__(self) -> None:
@@ -323,7 +323,7 @@
         node.listed(read_news(json.loads(news(member(endpoint.port))), kinds))
         node.restore()
         held = Message("m1", "unsafe", None, 1, None, b"x", 10**15)
-        node.hand_in(held, 5 * SECOND, 0, exchange := Told())
+        node.hand_in(held, 5 * SECOND, 0, exchange := RecordingExchange())
         assert await exchange.status == 202
         while not caller_of(node).pool.dialing:
             await asyncio.sleep(0)
