--- a/amberlug/asgi.py
+++ b/amberlug/asgi.py
@@ -107,12 +107,12 @@
 
     async def _serve(self, scope: Scope, path: str, receive: Receive, send: Send) -> None:
         try:
-            said = await self._answer(scope, path, receive)
+            response = await self._answer(scope, path, receive)
         except _DisconnectedError:
             return
         except BadRequestError as error:
-            said = error.status, str(error), 0
-        status, text, retry_us = said
+            response = error.status, str(error), 0
+        status, text, retry_us = response
         body = f"{text}\n".encode() if text else b""
         headers = [(b"content-length", str(len(body)).encode())]
         if body:
@@ -148,13 +148,13 @@
         fields = {name.decode("latin-1"): value.decode("latin-1") for name, value in headers}
         message, left_us = read_message(settings, self.relay.serves, path, fields, body, self.relay.wall_ms())
         decision: asyncio.Future[Refusal | None] = asyncio.get_running_loop().create_future()
-        hand_in = self.relay.admit(
+        submission = self.relay.admit(
             message, left_us, lambda it: None if decision.done() else decision.set_result(it)
         )
         try:
             return answer(await _wait_for_decision(decision, receive))
         finally:
-            self.relay.withdraw(hand_in)  # has no effect once it is settled
+            self.relay.withdraw(submission)  # has no effect once it is settled
 
 
 async def _body(receive: Receive) -> bytes:
@@ -207,14 +207,14 @@
     async def request(self, what: str) -> Event | None:
         """Request startup or shutdown; returns the event if that failed, None also without a lifespan."""
         self._to_app.put_nowait({"type": f"lifespan.{what}"})
-        said = asyncio.ensure_future(self._from_app.get())
-        await asyncio.wait({said, self._task}, return_when=asyncio.FIRST_COMPLETED)
-        if not said.done():
-            said.cancel()
+        reply = asyncio.ensure_future(self._from_app.get())
+        await asyncio.wait({reply, self._task}, return_when=asyncio.FIRST_COMPLETED)
+        if not reply.done():
+            reply.cancel()
             if not self._task.cancelled() and (error := self._task.exception()) is not None:
                 log(f"the application does not support the lifespan protocol: {error!r}")
             return None
-        event = said.result()
+        event = reply.result()
         return event if event["type"] == f"lifespan.{what}.failed" else None
 
     def cancel(self) -> None:
--- a/amberlug/cli/trial.py
+++ b/amberlug/cli/trial.py
@@ -30,7 +30,7 @@
 
 async def play(messages: int, seconds: float, screen: TextIO | None) -> dict[str, Any]:
     """Run the trial and return its figures."""
-    chance = random.Random(7)
+    rng = random.Random(7)
     with tempfile.TemporaryDirectory() as folder:
         async with Deployment(Path(folder), PARTNERS) as deployment:
             progress = asyncio.ensure_future(_show_progress(deployment, messages, screen))
@@ -40,7 +40,7 @@
                 await asyncio.sleep(started + number * seconds / messages - deployment.clock())
                 if number == messages // 2:
                     await deployment.replace(next(it for it in deployment.partners if it.mood is DRAINING))
-                kind, destination = chance.choice(list(CLASSES)), chance.choice(list(PARTNERS))
+                kind, destination = rng.choice(list(CLASSES)), rng.choice(list(PARTNERS))
                 body = f"message {number}".encode()
                 sent.add(asyncio.ensure_future(deployment.hand_in(f"m{number:05d}", kind, destination, body)))
             await asyncio.gather(*sent)
@@ -83,12 +83,12 @@
 def _ends(tracks: list[Track]) -> dict[str, int | None]:
     taken = [it for it in tracks if it.taken is not None]
     times = sorted(it.delivered - it.handed_in for it in taken if it.delivered is not None)
-    told = [it.ends[0][1] for it in taken if it.ends and it.delivered is None]
+    outcomes = [it.ends[0][1] for it in taken if it.ends and it.delivered is None]
     return {
         "messages": len(tracks),
         "delivered": len(times),
-        "handed_back": told.count("handed_back"),
-        "given_up": told.count("given_up"),
+        "handed_back": outcomes.count("handed_back"),
+        "given_up": outcomes.count("given_up"),
         "median_ms": round(times[len(times) // 2] * 1000) if times else None,
     }
 
@@ -103,8 +103,8 @@
         rows.append(["-" if row[name] is None else str(row[name]) for name in COLUMNS])
     widths = [max(map(len, column)) for column in zip(*rows, strict=True)]
     lines = ["  ".join(cell.rjust(width) for cell, width in zip(row, widths, strict=True)) for row in rows]
-    said = "{handed_in} handed in, {taken} taken on, {refused} refused, {unanswered} unanswered"
-    lines.append(said.format(**figures))
+    summary = "{handed_in} handed in, {taken} taken on, {refused} refused, {unanswered} unanswered"
+    lines.append(summary.format(**figures))
     lines += [f"BROKEN {line}" for line in figures["broken"]] or ["every rule was kept"]
     return "\n".join(lines)
 
--- a/amberlug/http/calls.py
+++ b/amberlug/http/calls.py
@@ -69,10 +69,10 @@
     """Parse the results per message of a batch response; a message it omits may have been executed."""
     load, wait = parse_load_report(reply.headers.get("srv-load", ""), names), parse_wait_us(reply)
     ends: dict[str, Ending] = {}
-    for line in reply.body.decode("latin-1").splitlines():
-        name, _, word = line.strip().partition(" ")
-        if word in BATCH_RESULTS:
-            known = BATCH_RESULTS[word]
+    for entry in reply.body.decode("latin-1").splitlines():
+        name, _, code = entry.strip().partition(" ")
+        if code in BATCH_RESULTS:
+            known = BATCH_RESULTS[code]
             ends[name] = Ending(known.result, wait, known.over, load)
     return ends
 
--- a/amberlug/http/server.py
+++ b/amberlug/http/server.py
@@ -26,7 +26,7 @@
 MAX_DISCARDED_BYTES = 1 << 20
 MAX_BYTES_AHEAD = 1 << 16  # bytes buffered beyond an open request; with more, the connection closes after it
 EVENTS_PER_ITERATION = 64  # parser events per loop iteration: one busy connection must not delay others
-SILENT_S = 0.2  # time without a complete request after which a connection is evicted before others
+STALLED_AFTER_S = 0.2  # time without a complete request after which a connection is evicted before others
 SWEEP_INTERVAL_S = 0.25  # time between checks for expired connections
 
 
@@ -239,7 +239,7 @@
         return Connection(self)
 
     def opened(self, connection: Connection) -> None:
-        """Register a connection; above the maximum, evict the one silent, or else idle, for longest."""
+        """Register a connection; above the maximum, evict the one stalled, or else idle, for longest."""
         self.enter(connection, Phase.READING)
         if sum(map(len, self._due.values())) > self._most:
             self._evict()
@@ -249,10 +249,10 @@
     def _evict(self) -> None:
         # Prevents running out of file descriptors, after which asyncio accepts no connection for a second. A
         # connection that was just opened is about to be read and is evicted only if there is no other.
-        silent_since = asyncio.get_running_loop().time() + Phase.READING.value - SILENT_S
-        silent = [it for it, due in islice(self._due[Phase.READING].items(), 1) if due < silent_since]
+        stalled_since = asyncio.get_running_loop().time() + Phase.READING.value - STALLED_AFTER_S
+        stalled = [it for it, due in islice(self._due[Phase.READING].items(), 1) if due < stalled_since]
         others = (self._due[phase] for phase in (Phase.DISCARDING, Phase.IDLE, Phase.READING))
-        connection = next(chain(silent, *others), None)
+        connection = next(chain(stalled, *others), None)
         if connection is not None:
             del self._due[connection.phase][connection]
             connection.abort()
--- a/amberlug/library/claims.py
+++ b/amberlug/library/claims.py
@@ -57,10 +57,10 @@
     def __len__(self) -> int:
         return len(self._all)
 
-    def holder(self, message: Message, now_ms: int) -> Claim | None:
+    def find(self, message: Message, now_ms: int) -> Claim | None:
         """The current claim to this message, by its id or its key."""
         with self._lock:
-            return self._holder(message, now_ms)
+            return self._find(message, now_ms)
 
     def claim(self, message: Message, owner: Owner, now_ms: int) -> Claim | None:
         """Claim a message for a submission; None if another owner holds the claim.
@@ -70,14 +70,16 @@
         """
         with self._lock:
             self._drop_some_expired(now_ms)
-            held = self._holder(message, now_ms)
-            if held is not None and not (held.owner == owner and held.message.name == message.name):
+            existing = self._find(message, now_ms)
+            if existing is not None and not (
+                existing.owner == owner and existing.message.name == message.name
+            ):
                 return None
-            if held is not None and held.taken is None:
-                held.submissions += 1
-                return held
-            if held is not None:
-                self._drop(held)
+            if existing is not None and existing.taken is None:
+                existing.submissions += 1
+                return existing
+            if existing is not None:
+                self._drop(existing)
             claim = Claim(owner, message, submissions=1)
             for name in _keys(message):
                 self._by_key[name] = claim
@@ -105,7 +107,7 @@
             if claim is not None and claim.owner == owner and end.outcome is Outcome.HANDED_BACK:
                 self._drop(claim)
 
-    def _holder(self, message: Message, now_ms: int) -> Claim | None:
+    def _find(self, message: Message, now_ms: int) -> Claim | None:
         for name in _keys(message):
             claim = self._by_key.get(name)
             if claim is not None and not self._is_expired(claim, now_ms):
