--- a/amberlug/library/loop_delay.py
+++ b/amberlug/library/loop_delay.py
@@ -4,7 +4,7 @@
 
 import asyncio
 
-INTERVAL_S = 0.05  # seconds between two measurements
+INTERVAL_S = 0.05  # time between two measurements
 
 
 class LoopDelay:
--- a/amberlug/library/outcomes.py
+++ b/amberlug/library/outcomes.py
@@ -14,10 +14,7 @@
 OnEnd = Callable[[End], Awaitable[None]]
 
 MAX_CALLBACKS = 8  # concurrent calls of the host's callback
-RETRY_DELAYS_S = (
-    0.5,
-    60.0,
-)  # first and longest delay in seconds before a failed callback is retried; doubled each time
+RETRY_DELAYS_S = 0.5, 60.0  # first and longest delay before a failed callback is retried; doubled each time
 
 
 class OutcomeReporter:
