--- a/amberlug/http/link.py
+++ b/amberlug/http/link.py
@@ -9,7 +9,9 @@
 
 import h11
 
-MAX_BODY_BYTES = 1 << 18  # longest response body in bytes: bounds the memory that a faulty peer can use
+MAX_RESPONSE_BODY_BYTES = (
+    1 << 18
+)  # longest response body in bytes: bounds the memory that a faulty peer can use
 RESPONSE_TIMEOUT_S = 0.5  # timeout from a response's first byte to its last; they are sent together
 MAX_STATUS_LINE_BYTES = 256  # bytes kept of the start of a response, to parse its status line
 _OK_LINE = re.compile(rb"HTTP/1\.[01] 200(?: [^\r\n]*)?\r?\n")
@@ -166,7 +168,7 @@
                 self._sink(bytes(event.data))
             else:
                 self._reply.body += event.data
-            if len(self._reply.body) > MAX_BODY_BYTES:
+            if len(self._reply.body) > MAX_RESPONSE_BODY_BYTES:
                 self.close()
                 return False
         elif isinstance(event, h11.EndOfMessage):
--- a/tests/cluster/test_endpoint_answers.py
+++ b/tests/cluster/test_endpoint_answers.py
@@ -23,7 +23,7 @@
 from amberlug.cluster.interfaces import CallResult, CallVerdict, EndpointCall
 from amberlug.cluster.rpc.transport import PeerTransport
 from amberlug.cluster.simulation.mutations_answers import FAULTS
-from amberlug.http.link import MAX_BODY_BYTES
+from amberlug.http.link import MAX_RESPONSE_BODY_BYTES
 from tests.cluster.wires import End, Loop, run
 
 EXPIRY_S = 0.4
@@ -242,7 +242,7 @@
                 assert response == (received.status, received.seal)
             elif result.verdict is CallVerdict.TIMED_OUT and received is not None:
                 client_end = received.connection.other
-                is_excused = client_end.read_at > deadline or len(received.response) > MAX_BODY_BYTES
+                is_excused = client_end.read_at > deadline or len(received.response) > MAX_RESPONSE_BODY_BYTES
                 assert (
                     is_excused or received.response not in client_end.received
                 ), "a response that was read was reported as a timeout"
