--- a/amberlug/asgi.py
+++ b/amberlug/asgi.py
@@ -91,11 +91,11 @@
         inner = _InnerLifespan(self._app, {**scope, "state": scope.setdefault("state", {})})
         scope["state"]["relay"] = self.relay
         try:
-            failed = await inner.request("startup")
+            failed = await inner.ask("startup")
             await send(failed or {"type": "lifespan.startup.complete"})
             if failed is None:
                 await receive()
-                failed = await inner.request("shutdown")
+                failed = await inner.ask("shutdown")
                 await self.relay.close()
                 await send(failed or {"type": "lifespan.shutdown.complete"})
         finally:
@@ -107,12 +107,12 @@
 
     async def _serve(self, scope: Scope, path: str, receive: Receive, send: Send) -> None:
         try:
-            response = await self._answer(scope, path, receive)
+            said = await self._answer(scope, path, receive)
         except _DisconnectedError:
             return
         except BadRequestError as error:
-            response = error.status, str(error), 0
-        status, text, retry_us = response
+            said = error.status, str(error), 0
+        status, text, retry_us = said
         body = f"{text}\n".encode() if text else b""
         headers = [(b"content-length", str(len(body)).encode())]
         if body:
@@ -147,14 +147,12 @@
             return NOT_OPEN
         fields = {name.decode("latin-1"): value.decode("latin-1") for name, value in headers}
         message, left_us = read_message(settings, self.relay.serves, path, fields, body, self.relay.wall_ms())
-        decision: asyncio.Future[Refusal | None] = asyncio.get_running_loop().create_future()
-        submission = self.relay.admit(
-            message, left_us, lambda it: None if decision.done() else decision.set_result(it)
-        )
+        told: asyncio.Future[Refusal | None] = asyncio.get_running_loop().create_future()
+        hand_in = self.relay.admit(message, left_us, lambda it: None if told.done() else told.set_result(it))
         try:
-            return answer(await _wait_for_decision(decision, receive))
+            return answer(await _wait_for_decision(told, receive))
         finally:
-            self.relay.withdraw(submission)  # has no effect once it is settled
+            self.relay.withdraw(hand_in)  # has no effect once it is settled
 
 
 async def _body(receive: Receive) -> bytes:
@@ -175,17 +173,17 @@
         raise BadRequestError(408, "the request did not come in time") from None
 
 
-async def _wait_for_decision(decision: asyncio.Future[Refusal | None], receive: Receive) -> Refusal | None:
+async def _wait_for_decision(told: asyncio.Future[Refusal | None], receive: Receive) -> Refusal | None:
     """Wait for the decision; raises `_DisconnectedError` if the client disconnects first."""
-    if decision.done():
-        return decision.result()
+    if told.done():
+        return told.result()
     left = asyncio.ensure_future(_wait_for_disconnect(receive))
     try:
-        waits: set[asyncio.Future[Any]] = {decision, left}
+        waits: set[asyncio.Future[Any]] = {told, left}
         await asyncio.wait(waits, return_when=asyncio.FIRST_COMPLETED)
-        if not decision.done():
+        if not told.done():
             raise _DisconnectedError
-        return decision.result()
+        return told.result()
     finally:
         left.cancel()
 
@@ -204,17 +202,17 @@
         self._from_app: asyncio.Queue[Event] = asyncio.Queue()
         self._task = asyncio.ensure_future(_run(app, scope, self._to_app.get, self._from_app.put))
 
-    async def request(self, what: str) -> Event | None:
+    async def ask(self, what: str) -> Event | None:
         """Request startup or shutdown; returns the event if that failed, None also without a lifespan."""
         self._to_app.put_nowait({"type": f"lifespan.{what}"})
-        reply = asyncio.ensure_future(self._from_app.get())
-        await asyncio.wait({reply, self._task}, return_when=asyncio.FIRST_COMPLETED)
-        if not reply.done():
-            reply.cancel()
+        said = asyncio.ensure_future(self._from_app.get())
+        await asyncio.wait({said, self._task}, return_when=asyncio.FIRST_COMPLETED)
+        if not said.done():
+            said.cancel()
             if not self._task.cancelled() and (error := self._task.exception()) is not None:
                 log(f"the application does not support the lifespan protocol: {error!r}")
             return None
-        event = reply.result()
+        event = said.result()
         return event if event["type"] == f"lifespan.{what}.failed" else None
 
     def cancel(self) -> None:
--- a/amberlug/cli/learnings.py
+++ b/amberlug/cli/learnings.py
@@ -135,8 +135,8 @@
 def _partner(kept: Kept, waits: list[tuple[str, int]], only: str | None, now_us: int) -> dict[str, Any]:
     gap_us = max(0, now_us - kept.seen_us)
     routes = []
-    for learned in kept.known.routes:
-        it = ageing.route(learned, now_us, gap_us, 0.0)
+    for told in kept.known.routes:
+        it = ageing.route(told, now_us, gap_us, 0.0)
         routes.append(
             {
                 "route": it.route,
@@ -244,9 +244,9 @@
             if resets := ", ".join(f"{ms}: {count}" for ms, count in one["resets_by_idle_ms"].items()):
                 print(f"    resets on connections that idled (ms): {resets}")
     for it in found.get("usual", ()):
-        text = f"answers in {it['answer_s']} s, failure rate {it['failure_rate']}"
-        text = text if it["of"] == "kind" else f"{it['per_second']} messages a second"
-        print(f"{it['of']} {it['name']}: usually {text} (weighs {it['weight']})")
+        told = f"answers in {it['answer_s']} s, failure rate {it['failure_rate']}"
+        told = told if it["of"] == "kind" else f"{it['per_second']} messages a second"
+        print(f"{it['of']} {it['name']}: usually {told} (weighs {it['weight']})")
     for line in found.get("differs", ()):
         print(line)
     for line in refused:
--- a/amberlug/cli/trial.py
+++ b/amberlug/cli/trial.py
@@ -83,12 +83,12 @@
 def _ends(tracks: list[Track]) -> dict[str, int | None]:
     taken = [it for it in tracks if it.taken is not None]
     times = sorted(it.delivered - it.handed_in for it in taken if it.delivered is not None)
-    outcomes = [it.ends[0][1] for it in taken if it.ends and it.delivered is None]
+    told = [it.ends[0][1] for it in taken if it.ends and it.delivered is None]
     return {
         "messages": len(tracks),
         "delivered": len(times),
-        "handed_back": outcomes.count("handed_back"),
-        "given_up": outcomes.count("given_up"),
+        "handed_back": told.count("handed_back"),
+        "given_up": told.count("given_up"),
         "median_ms": round(times[len(times) // 2] * 1000) if times else None,
     }
 
@@ -103,8 +103,8 @@
         rows.append(["-" if row[name] is None else str(row[name]) for name in COLUMNS])
     widths = [max(map(len, column)) for column in zip(*rows, strict=True)]
     lines = ["  ".join(cell.rjust(width) for cell, width in zip(row, widths, strict=True)) for row in rows]
-    summary = "{handed_in} handed in, {taken} taken on, {refused} refused, {unanswered} unanswered"
-    lines.append(summary.format(**figures))
+    said = "{handed_in} handed in, {taken} taken on, {refused} refused, {unanswered} unanswered"
+    lines.append(said.format(**figures))
     lines += [f"BROKEN {line}" for line in figures["broken"]] or ["every rule was kept"]
     return "\n".join(lines)
 
--- a/amberlug/http/calls.py
+++ b/amberlug/http/calls.py
@@ -51,29 +51,29 @@
 
 def parse_result(reply: Reply, names: Sequence[str]) -> Ending:
     """Map the response to a call with a single result to that result."""
-    load = parse_load_report(reply.headers.get("srv-load", ""), names)
+    told = parse_load_report(reply.headers.get("srv-load", ""), names)
     if reply.status == 200:
-        return Ending(Result.DONE, parse_wait_us(reply), report=load)
+        return Ending(Result.DONE, parse_wait_us(reply), report=told)
     if reply.status in (429, 503):
         if reply.headers.get("slots-taken") == "1":
-            return Ending(Result.UNSENT, report=load)
-        return Ending(Result.REFUSED, parse_wait_us(reply), report=load)
+            return Ending(Result.UNSENT, report=told)
+        return Ending(Result.REFUSED, parse_wait_us(reply), report=told)
     if reply.status in (400, 413, 504):  # not executed
-        return Ending(Result.UNSENT, report=load)
+        return Ending(Result.UNSENT, report=told)
     if reply.status == 410:
-        return Ending(Result.UNSENT, over=True, report=load)
-    return Ending(Result.ERROR, parse_wait_us(reply), report=load)
+        return Ending(Result.UNSENT, over=True, report=told)
+    return Ending(Result.ERROR, parse_wait_us(reply), report=told)
 
 
 def parse_batch_results(reply: Reply, names: Sequence[str]) -> Mapping[str, Ending]:
     """Parse the results per message of a batch response; a message it omits may have been executed."""
-    load, wait = parse_load_report(reply.headers.get("srv-load", ""), names), parse_wait_us(reply)
+    told, wait = parse_load_report(reply.headers.get("srv-load", ""), names), parse_wait_us(reply)
     ends: dict[str, Ending] = {}
-    for entry in reply.body.decode("latin-1").splitlines():
-        name, _, code = entry.strip().partition(" ")
-        if code in BATCH_RESULTS:
-            known = BATCH_RESULTS[code]
-            ends[name] = Ending(known.result, wait, known.over, load)
+    for line in reply.body.decode("latin-1").splitlines():
+        name, _, word = line.strip().partition(" ")
+        if word in BATCH_RESULTS:
+            known = BATCH_RESULTS[word]
+            ends[name] = Ending(known.result, wait, known.over, told)
     return ends
 
 
@@ -349,8 +349,8 @@
             return lost(error)
         self.pool.give(endpoint, connection)
         how = parse_result(reply, names)
-        load = how.report or parse_load_report(reply.body.decode("latin-1"), names)
-        return Ending(how.result, how.wait_us, report=load)
+        told = how.report or parse_load_report(reply.body.decode("latin-1"), names)
+        return Ending(how.result, how.wait_us, report=told)
 
 
 def _discard_result(attempt: Attempt, how: Ending) -> None:
--- a/amberlug/http/link.py
+++ b/amberlug/http/link.py
@@ -31,12 +31,12 @@
 class ConnectionLostError(Exception):
     """The connection was lost before the response was complete, or the response was malformed."""
 
-    def __init__(self, written: bool, response_start: bytes = b"") -> None:
+    def __init__(self, written: bool, said: bytes = b"") -> None:
         super().__init__("connection lost")
         self.written = written  # whether the request's last byte was written
-        self.answered = bool(response_start)  # whether any part of a response had arrived
+        self.answered = bool(said)  # whether any part of a response had arrived
         # Whether the status line is complete and says 200: nothing else is trusted.
-        self.ok = _OK_LINE.match(response_start) is not None
+        self.ok = _OK_LINE.match(said) is not None
 
 
 class OutgoingConnection(asyncio.Protocol):
--- a/amberlug/http/server.py
+++ b/amberlug/http/server.py
@@ -250,9 +250,9 @@
         # Prevents running out of file descriptors, after which asyncio accepts no connection for a second. A
         # connection that was just opened is about to be read and is evicted only if there is no other.
         stalled_since = asyncio.get_running_loop().time() + Phase.READING.value - STALLED_AFTER_S
-        stalled = [it for it, due in islice(self._due[Phase.READING].items(), 1) if due < stalled_since]
+        silent = [it for it, due in islice(self._due[Phase.READING].items(), 1) if due < stalled_since]
         others = (self._due[phase] for phase in (Phase.DISCARDING, Phase.IDLE, Phase.READING))
-        connection = next(chain(stalled, *others), None)
+        connection = next(chain(silent, *others), None)
         if connection is not None:
             del self._due[connection.phase][connection]
             connection.abort()
--- a/amberlug/library/claims.py
+++ b/amberlug/library/claims.py
@@ -70,16 +70,14 @@
         """
         with self._lock:
             self._drop_some_expired(now_ms)
-            existing = self._find(message, now_ms)
-            if existing is not None and not (
-                existing.owner == owner and existing.message.name == message.name
-            ):
+            held = self._find(message, now_ms)
+            if held is not None and not (held.owner == owner and held.message.name == message.name):
                 return None
-            if existing is not None and existing.taken is None:
-                existing.submissions += 1
-                return existing
-            if existing is not None:
-                self._drop(existing)
+            if held is not None and held.taken is None:
+                held.submissions += 1
+                return held
+            if held is not None:
+                self._drop(held)
             claim = Claim(owner, message, submissions=1)
             for name in _keys(message):
                 self._by_key[name] = claim
--- a/amberlug/library/endpoints.py
+++ b/amberlug/library/endpoints.py
@@ -157,7 +157,7 @@
 
 
 def _ignore_validity(seconds: float) -> None:
-    """Ignore how long the list is valid, until `on_confirmed` is called."""
+    """Ignore how long the list is valid, until `confirms` is called."""
 
 
 class Discovery:
@@ -169,11 +169,11 @@
         self._on_confirmed: Callable[[float], None] = _ignore_validity
         self._heard: Heard | None = None
 
-    def on_confirmed(self, current: Callable[[float], None], heard: Heard) -> None:
+    def confirms(self, current: Callable[[float], None], heard: Heard) -> None:
         """Set the callback for a confirmed list, called with the seconds for which the list is valid."""
         self._on_confirmed, self._heard = current, heard
 
-    async def wait_for_first_answer(self, seconds: float) -> None:
+    async def tried(self, seconds: float) -> None:
         """Wait for the first answer or failure of discovery, for `seconds` at most."""
         if self._watch is not None:
             await self._watch.tried(seconds)
--- a/amberlug/library/messages.py
+++ b/amberlug/library/messages.py
@@ -62,9 +62,9 @@
         if kind is None:
             raise BadMessageError(f"message_class {self.message_class!r} is unknown")
         tokens = {"id": self.id, "key": self.key, "tenant": self.tenant}
-        for what, token in tokens.items():
-            if token is not None and not (isinstance(token, str) and is_word(token)):
-                raise BadMessageError(f"{what} is malformed: {token!r:.200}")
+        for what, word in tokens.items():
+            if word is not None and not (isinstance(word, str) and is_word(word)):
+                raise BadMessageError(f"{what} is malformed: {word!r:.200}")
         if settings.tenants and self.tenant not in settings.tenants:
             raise BadMessageError(f"tenant {self.tenant!r} is unknown")
         if kind.effect is Effect.KEYED and self.key is None:
--- a/amberlug/library/outcomes.py
+++ b/amberlug/library/outcomes.py
@@ -109,9 +109,9 @@
             self.acknowledge(end.message)
         else:
             log(f"on_end raised {error!r} for message {end.message}; it will be called again")
-            delay = self._retry_delays.get(end.message, RETRY_DELAYS_S[0])
-            self._retry_delays[end.message] = min(2 * delay, RETRY_DELAYS_S[1])
-            asyncio.get_running_loop().call_later(delay, self._retry, end)
+            pause = self._retry_delays.get(end.message, RETRY_DELAYS_S[0])
+            self._retry_delays[end.message] = min(2 * pause, RETRY_DELAYS_S[1])
+            asyncio.get_running_loop().call_later(pause, self._retry, end)
         self._start_callbacks()
 
     def _retry(self, end: End) -> None:
--- a/amberlug/library/relay.py
+++ b/amberlug/library/relay.py
@@ -55,9 +55,9 @@
     """A pending submission, until its message is accepted or refused."""
 
     def __init__(
-        self, relay: Relay, claim: Claim | None, message: core.Message, on_decision: DecisionCallback
+        self, relay: Relay, claim: Claim | None, message: core.Message, tell: DecisionCallback
     ) -> None:
-        self._relay, self._claim, self._on_decision = relay, claim, on_decision
+        self._relay, self._claim, self._on_decision = relay, claim, tell
         self.message = message
         self.settled = False
 
@@ -154,14 +154,14 @@
                 observer,
             )
             if isinstance(self._endpoints, Discovery):
-                self._endpoints.on_confirmed(self._node.current, Heard(self._folder, self._clock))
+                self._endpoints.confirms(self._node.current, Heard(self._folder, self._clock))
             self._endpoints.start(self.settings, self._node.listing)
             stack.callback(self._endpoints.stop)
             if isinstance(self._endpoints, Discovery):
                 # Prevents first calls to endpoints that began to drain while the process was down.
-                await self._endpoints.wait_for_first_answer(ASK_FOR)
-            for restored in list(self._journal.held.values()):
-                self._claim_restored(restored)
+                await self._endpoints.tried(ASK_FOR)
+            for held in list(self._journal.held.values()):
+                self._claim_restored(held)
             self._loop_delay = LoopDelay()
             stack.callback(self._loop_delay.stop)
             self._state = _State.OPEN
@@ -214,28 +214,28 @@
         """
         self._check_usable()
         now_ms = self._clock.wall_ms()
-        core_message, left_us = message.checked(self.settings, now_ms)
-        if not self._node.serves(core_message.destination):
+        held, left_us = message.checked(self.settings, now_ms)
+        if not self._node.serves(held.destination):
             raise BadMessageError(
-                f"destination {core_message.destination!r} is unknown: no endpoint of it was ever listed"
+                f"destination {held.destination!r} is unknown: no endpoint of it was ever listed"
             )
-        if (taken := self._find_accepted(core_message, now_ms)) is not None:
+        if (taken := self._find_accepted(held, now_ms)) is not None:
             return taken
-        decision: asyncio.Future[Refusal | None] = self._loop.create_future()
+        told: asyncio.Future[Refusal | None] = self._loop.create_future()
 
-        def on_decision(refusal: Refusal | None) -> None:
-            if not decision.done():  # done if cancelled and not yet withdrawn: an accepted message stays
-                decision.set_result(refusal)
+        def tell(refusal: Refusal | None) -> None:
+            if not told.done():  # done if cancelled and not yet withdrawn: an accepted message stays
+                told.set_result(refusal)
 
-        submission = self.admit(core_message, left_us, on_decision)
+        hand_in = self.admit(held, left_us, tell)
         try:
-            refusal = await decision
+            refusal = await told
         except asyncio.CancelledError:
-            self.withdraw(submission)
+            self.withdraw(hand_in)
             raise
         if refusal is not None:
             raise RefusedError(refusal.reason, refusal.retry_us / 1e6)
-        return self.opened(core_message)
+        return self.opened(held)
 
     def find(self, name: str) -> Taken | None:
         """The message with that id, also from before a restart, until its outcome is acknowledged."""
@@ -266,8 +266,8 @@
     def is_open(self) -> bool:
         return self._state is _State.OPEN
 
-    def admit(self, message: core.Message, left_us: int, on_decision: DecisionCallback) -> Submission:
-        """Submit a validated message; `on_decision` is called once, unless the submission is withdrawn.
+    def admit(self, message: core.Message, left_us: int, tell: DecisionCallback) -> Submission:
+        """Submit a validated message; `tell` is called once, unless the submission is withdrawn.
 
         The id of a message that was accepted before is reported as accepted, as by the daemon.
         """
@@ -275,22 +275,22 @@
         if not self._node.knows(message.name):
             claim = CLAIMS.claim(message, self._lock.inode, self._clock.wall_ms())
             if claim is None:
-                submission = Submission(self, None, message, on_decision)
-                submission.settle(Refusal(Reason.ELSEWHERE, CLOSED_RETRY_US))
-                return submission
-        submission = Submission(self, claim, message, on_decision)
-        self._node.hand_in(message, left_us, self._loop_delay.waited_us(), submission)
-        return submission
-
-    def withdraw(self, submission: Submission) -> None:
+                hand_in = Submission(self, None, message, tell)
+                hand_in.settle(Refusal(Reason.ELSEWHERE, CLOSED_RETRY_US))
+                return hand_in
+        hand_in = Submission(self, claim, message, tell)
+        self._node.hand_in(message, left_us, self._loop_delay.waited_us(), hand_in)
+        return hand_in
+
+    def withdraw(self, hand_in: Submission) -> None:
         """Withdraw a submission; does nothing once it is settled."""
-        if submission.settled or self._state is not _State.OPEN:
+        if hand_in.settled or self._state is not _State.OPEN:
             return
-        if self._node.knows(submission.message.name):  # already in the journal, waiting for its sync only
-            self.opened(submission.message)
+        if self._node.knows(hand_in.message.name):  # already in the journal, waiting for its sync only
+            self.opened(hand_in.message)
             return
-        self._node.hung_up(submission)
-        submission.withdraw()
+        self._node.hung_up(hand_in)
+        hand_in.withdraw()
 
     def opened(self, message: core.Message) -> Taken:
         """The handle of an accepted message; created if there is none."""
@@ -325,19 +325,19 @@
             f"message {message.name!r} was accepted before, and its outcome is acknowledged"
         )
 
-    def _claim_restored(self, restored: Held) -> None:
+    def _claim_restored(self, held: Held) -> None:
         """Claim a message from before a restart; give it up untried if another relay has claimed it."""
-        message = restored.message
+        message = held.message
         taken = self.opened(message)
-        if restored.end is not None and restored.end.outcome is Outcome.HANDED_BACK:
+        if held.end is not None and held.end.outcome is Outcome.HANDED_BACK:
             return
         claim = CLAIMS.claim(message, self._lock.inode, self._clock.wall_ms())
         if claim is not None:
             CLAIMS.settle(claim, taken)
-        elif restored.end is None:
+        elif held.end is None:
             log(f"message {message.name} was submitted to another relay in the meantime; given up here")
-            restored.end = End(message.name, Outcome.GIVEN_UP)
-            self._journal.owe(message, restored.end)
+            held.end = End(message.name, Outcome.GIVEN_UP)
+            self._journal.owe(message, held.end)
 
     def _ended(self, end: End) -> None:
         CLAIMS.ended(self._lock.inode, end)
--- a/tests/asgi_host.py
+++ b/tests/asgi_host.py
@@ -29,7 +29,7 @@
         scope = {"type": "lifespan", "asgi": {"version": "3.0", "spec_version": "2.0"}, "state": self.state}
         self.task = asyncio.ensure_future(app(scope, self._to_app.get, self._from_app.put))
 
-    async def request(self, what: str) -> Event | None:
+    async def ask(self, what: str) -> Event | None:
         self._to_app.put_nowait({"type": f"lifespan.{what}"})
         said = asyncio.ensure_future(self._from_app.get())
         await asyncio.wait({said, self.task}, return_when=asyncio.FIRST_COMPLETED)
@@ -51,7 +51,7 @@
     async def start(self, port: int = 0) -> Host:
         """Start serving; raises `RuntimeError` if the application's startup fails."""
         self.lifespan = Lifespan(self._app)
-        said = await self.lifespan.request("startup")
+        said = await self.lifespan.ask("startup")
         if said is not None and said["type"] == "lifespan.startup.failed":
             raise RuntimeError(said.get("message", ""))
         self._server = await asyncio.start_server(self._connected, "127.0.0.1", port)
@@ -65,7 +65,7 @@
             writer.transport.abort()
         if self._open:
             await asyncio.wait(self._open, timeout=GRACE)
-        return await self.lifespan.request("shutdown")
+        return await self.lifespan.ask("shutdown")
 
     async def _connected(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         http = h11.Connection(h11.SERVER)
--- a/tests/hosts.py
+++ b/tests/hosts.py
@@ -59,8 +59,8 @@
 
 
 def relay_on(folder: Path, partner: ScriptedTransport, **more: Any) -> Relay:
-    defaults: dict[str, Any] = {"endpoints": StaticEndpoints(ENDPOINT), "settings": SETTINGS, "seed": 1}
-    return Relay(folder=folder, transport=partner, **defaults | more)
+    usual: dict[str, Any] = {"endpoints": StaticEndpoints(ENDPOINT), "settings": SETTINGS, "seed": 1}
+    return Relay(folder=folder, transport=partner, **usual | more)
 
 
 def message(name: str, kind: str = "safe", **more: Any) -> Message:
--- a/tests/parity_host.py
+++ b/tests/parity_host.py
@@ -24,17 +24,17 @@
     say(end=end.message, outcome=end.outcome.value)
 
 
-async def hand_in(relay: Relay, submission: dict[str, Any]) -> None:
-    message = Message(1, submission["kind"], b"hello", submission["id"], submission["key"], deadline=8.0)
+async def hand_in(relay: Relay, order: dict[str, Any]) -> None:
+    message = Message(1, order["kind"], b"hello", order["id"], order["key"], deadline=8.0)
     try:
         taken = await relay.hand_in(message)
     except RefusedError:
-        say(submitted=submission["id"], taken=False)
+        say(told=order["id"], taken=False)
         return
     except AcknowledgedError:  # the daemon reports such a message as accepted
-        say(submitted=submission["id"], taken=True)
+        say(told=order["id"], taken=True)
         return
-    say(submitted=submission["id"], taken=True)
+    say(told=order["id"], taken=True)
     await report_outcome(taken)
 
 
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -49,10 +49,10 @@
     claims = Claims()
     claim = claims.claim(message("m1"), "a", NOW)
     assert claim is not None
-    accepted = taken("m1")
-    claims.settle(claim, accepted)
+    held = taken("m1")
+    claims.settle(claim, held)
     assert claims.find(message("m1"), UNTIL + 1) is claim  # there is no outcome yet
-    accepted.finish(End("m1", Outcome.GIVEN_UP))
+    held.finish(End("m1", Outcome.GIVEN_UP))
     claims.ended("a", End("m1", Outcome.GIVEN_UP))
     assert claims.claim(message("m1"), "b", UNTIL - 1) is None
     assert claims.claim(message("m1"), "b", UNTIL) is not None
@@ -76,7 +76,7 @@
             Message(f"m{number}", "fee", None, 1, f"k{number}", b"", number + 100), "a", number
         )
         assert claim is not None
-        accepted = taken(f"m{number}")
-        claims.settle(claim, accepted)
-        accepted.finish(End(f"m{number}", Outcome.DELIVERED))
+        held = taken(f"m{number}")
+        claims.settle(claim, held)
+        held.finish(End(f"m{number}", Outcome.DELIVERED))
         assert len(claims) <= 250
--- a/tests/test_parity.py
+++ b/tests/test_parity.py
@@ -39,7 +39,7 @@
 
     async def start(self) -> None: ...
     async def hand_in(self, name: str, kind: str) -> bool: ...
-    async def outcomes(self) -> dict[str, str]:
+    async def told(self) -> dict[str, str]:
         """The outcomes reported so far, by message; deliveries need not be reported."""
 
     async def kill(self) -> None: ...
@@ -118,10 +118,10 @@
 
     async def _ended(self, name: str) -> None:
         async with asyncio.timeout(PATIENCE):
-            while not self._delivered(name) and name not in (outcomes := await self._front.outcomes()):
+            while not self._delivered(name) and name not in (told := await self._front.told()):
                 await asyncio.sleep(0.005)
         history = self.histories[name]
-        history.ends.append("delivered" if self._delivered(name) else outcomes[name])
+        history.ends.append("delivered" if self._delivered(name) else told[name])
 
     async def _hand_in_held(self, name: str, kind: str) -> None:
         self._holding = True
@@ -182,7 +182,7 @@
     async def hand_in(self, name: str, kind: str) -> bool:
         return (await self._relay.hand_in(name, kind)).status == 202
 
-    async def outcomes(self) -> dict[str, str]:
+    async def told(self) -> dict[str, str]:
         return {it["message"]: it["outcome"] for it in self._platform.notices}
 
     async def kill(self) -> None:
@@ -246,8 +246,8 @@
         said = json.loads(line)
         if "end" in said:
             self._outcomes[said["end"]] = said["outcome"]
-        elif "submitted" in said:
-            self._taken[said["submitted"]].set_result(said["taken"])
+        elif "told" in said:
+            self._taken[said["told"]].set_result(said["taken"])
 
     async def hand_in(self, name: str, kind: str) -> bool:
         assert self._process is not None
@@ -258,7 +258,7 @@
         async with asyncio.timeout(PATIENCE):
             return await self._taken[name]
 
-    async def outcomes(self) -> dict[str, str]:
+    async def told(self) -> dict[str, str]:
         return self._outcomes
 
     async def kill(self) -> None:
