--- a/amberlug/asgi.py
+++ b/amberlug/asgi.py
@@ -1,11 +1,12 @@
-"""Middleware that serves the relay's hand-in protocol inside a host's ASGI application.
+"""ASGI middleware that serves the relay's submission protocol inside a host's application.
 
-Pure ASGI 3, with no framework imported. It opens its relay with the host's lifespan and closes it with that,
-answers what lies under its prefix, and gives handlers the relay in the scope's state:
+It is pure ASGI 3 and imports no framework. It opens and closes its relay with the host's lifespan, handles
+requests under its prefix, and passes the relay to handlers in the scope's state:
 
     app = RelayMiddleware(app, relay=Relay(...), prefix="/relay")
 
-`POST {prefix}/{class}` takes a hand-in as the daemon does, `GET {prefix}/up` tells whether it is open.
+`POST {prefix}/{class}` submits a message as to the daemon, `GET {prefix}/up` reports whether the relay is
+open.
 """
 
 from __future__ import annotations
@@ -17,13 +18,13 @@
 from amberlug.core.log import log
 from amberlug.core.messages import MAX_BODY_BYTES, Refusal
 from amberlug.http.handin import (
-    TOO_LONG,
-    Answer,
+    BODY_TOO_LONG,
     BadRequestError,
+    HttpResponse,
     answer,
     check_route,
     read_message,
-    refusal_of,
+    reject_by_headers,
 )
 from amberlug.library.relay import Relay
 
@@ -33,42 +34,43 @@
 Send = Callable[[Event], Awaitable[None]]
 Application = Callable[[Scope, Receive, Send], Awaitable[None]]
 
-READING_FOR = 2.0  # seconds for a whole body
-READING_MOST = 256  # bodies that are read at once: with 64 KiB each, a bound on memory
+BODY_TIMEOUT_S = 2.0  # timeout for reading a whole body
+MAX_CONCURRENT_BODIES = 256  # bodies read concurrently; with 64 KiB each, this bounds memory
 BUSY_RETRY_US = 1_000_000
-NOT_OPEN: Answer = (503, "the relay is not open", BUSY_RETRY_US)
+NOT_OPEN: HttpResponse = (503, "the relay is not open", BUSY_RETRY_US)
 
 
-class _GoneError(Exception):
-    """The client has left."""
+class _DisconnectedError(Exception):
+    """The client has disconnected."""
 
 
 class RelayMiddleware:
-    """An ASGI application round another."""
+    """An ASGI application that wraps another."""
 
     def __init__(self, app: Application, relay: Relay, prefix: str = "/relay") -> None:
         if not prefix.startswith("/") or prefix.endswith("/"):
             raise ValueError(f"the prefix must begin with a slash and not end with one: {prefix!r}")
         self._app, self.relay, self._prefix = app, relay, prefix
-        self._reading = 0
+        self._bodies_in_progress = 0
 
     async def __call__(self, scope: Scope, receive: Receive, send: Send) -> None:
         if scope["type"] == "lifespan":
-            await self._live(scope, receive, send)
+            await self._run_lifespan(scope, receive, send)
             return
-        path = self._below(scope)
+        path = self._relative_path(scope)
         if path is None:
-            # The host gives each request a copy of the lifespan's state, or none at all.
+            # The server passes each request a copy of the lifespan's state, or none at all.
             state = {**scope.get("state", {}), "relay": self.relay}
             await self._app({**scope, "state": state}, receive, send)
         elif scope["type"] == "http":
             await self._serve(scope, path, receive, send)
         else:
             await receive()
-            await send({"type": "websocket.close", "code": 1000})  # before it is accepted: answered 403
+            # Closed before it is accepted: the server responds with 403.
+            await send({"type": "websocket.close", "code": 1000})
 
-    def _below(self, scope: Scope) -> str | None:
-        """The path under the prefix, if it lies there; a root path that the host mounted it at is passed."""
+    def _relative_path(self, scope: Scope) -> str | None:
+        """The path relative to the prefix, or None outside it; the root path of a mount is skipped."""
         path: str = scope["path"]
         root: str = scope.get("root_path", "")
         if root and path.startswith(root):
@@ -76,17 +78,17 @@
         under = path == self._prefix or path.startswith(self._prefix + "/")
         return path[len(self._prefix) :] if under else None
 
-    # The host's life.
+    # The lifespan.
 
-    async def _live(self, scope: Scope, receive: Receive, send: Send) -> None:
-        """Open before the application starts, and close after it has stopped: its handlers use the relay."""
+    async def _run_lifespan(self, scope: Scope, receive: Receive, send: Send) -> None:
+        """Open the relay before the application starts; close it after that has stopped using it."""
         await receive()
         try:
             await self.relay.open()
         except (OSError, ValueError, RuntimeError) as error:
             await send({"type": "lifespan.startup.failed", "message": f"relay: {error}"})
             return
-        inner = _Inner(self._app, {**scope, "state": scope.setdefault("state", {})})
+        inner = _InnerLifespan(self._app, {**scope, "state": scope.setdefault("state", {})})
         scope["state"]["relay"] = self.relay
         try:
             failed = await inner.ask("startup")
@@ -97,16 +99,16 @@
                 await self.relay.close()
                 await send(failed or {"type": "lifespan.shutdown.complete"})
         finally:
-            # Guards against a host that cancels its lifespan, or fails: what is held stays in the folder.
+            # Also runs if the lifespan fails or is cancelled; pending messages stay in the folder.
             inner.cancel()
             self.relay.abandon()
 
-    # Hand-ins.
+    # Submissions.
 
     async def _serve(self, scope: Scope, path: str, receive: Receive, send: Send) -> None:
         try:
             said = await self._answer(scope, path, receive)
-        except _GoneError:
+        except _DisconnectedError:
             return
         except BadRequestError as error:
             said = error.status, str(error), 0
@@ -120,105 +122,105 @@
         await send({"type": "http.response.start", "status": status, "headers": headers})
         await send({"type": "http.response.body", "body": body})
 
-    async def _answer(self, scope: Scope, path: str, receive: Receive) -> Answer:
-        """Tell what a request is answered; `BadRequestError` where it is bad."""
+    async def _answer(self, scope: Scope, path: str, receive: Receive) -> HttpResponse:
+        """The response to a request; raises `BadRequestError` if it is invalid."""
         if path == "/up":
             if scope["method"] != "GET":
                 raise BadRequestError(405, "use GET")
             return (200, "up", 0) if self.relay.is_open else NOT_OPEN
-        # Asked first: nothing that could be read helps where nothing can be taken on.
+        # Checked first: there is no point in reading a request while no message can be accepted.
         if not self.relay.is_open:
             return NOT_OPEN
         headers = [(bytes(name).lower(), bytes(value)) for name, value in scope["headers"]]
-        if (refusal := refusal_of(headers)) is not None:
+        if (refusal := reject_by_headers(headers)) is not None:
             raise BadRequestError(*refusal)
         settings = self.relay.settings
         check_route(settings, scope["method"], path)
-        if self._reading >= READING_MOST:
+        if self._bodies_in_progress >= MAX_CONCURRENT_BODIES:
             return 503, "too many at once", BUSY_RETRY_US
-        self._reading += 1
+        self._bodies_in_progress += 1
         try:
             body = await _body(receive)
         finally:
-            self._reading -= 1
-        if not self.relay.is_open:  # it closed while the body came
+            self._bodies_in_progress -= 1
+        if not self.relay.is_open:  # closed while the body was read
             return NOT_OPEN
         fields = {name.decode("latin-1"): value.decode("latin-1") for name, value in headers}
         message, left_us = read_message(settings, self.relay.serves, path, fields, body, self.relay.wall_ms())
         told: asyncio.Future[Refusal | None] = asyncio.get_running_loop().create_future()
         hand_in = self.relay.admit(message, left_us, lambda it: None if told.done() else told.set_result(it))
         try:
-            return answer(await _unless_gone(told, receive))
+            return answer(await _wait_for_decision(told, receive))
         finally:
-            self.relay.withdraw(hand_in)  # no harm to one that was settled
+            self.relay.withdraw(hand_in)  # has no effect once it is settled
 
 
 async def _body(receive: Receive) -> bytes:
-    """Read a whole body, no longer and no slower than is allowed."""
+    """Read a whole body within the limits of size and time."""
     body = bytearray()
     try:
-        async with asyncio.timeout(READING_FOR):
+        async with asyncio.timeout(BODY_TIMEOUT_S):
             while True:
                 event = await receive()
                 if event["type"] == "http.disconnect":
-                    raise _GoneError
+                    raise _DisconnectedError
                 body += event.get("body", b"")
                 if len(body) > MAX_BODY_BYTES:
-                    raise BadRequestError(413, TOO_LONG)
+                    raise BadRequestError(413, BODY_TOO_LONG)
                 if not event.get("more_body", False):
                     return bytes(body)
     except TimeoutError:
         raise BadRequestError(408, "the request did not come in time") from None
 
 
-async def _unless_gone(told: asyncio.Future[Refusal | None], receive: Receive) -> Refusal | None:
-    """Wait for the answer; `_GoneError` where the client leaves before it."""
+async def _wait_for_decision(told: asyncio.Future[Refusal | None], receive: Receive) -> Refusal | None:
+    """Wait for the decision; raises `_DisconnectedError` if the client disconnects first."""
     if told.done():
         return told.result()
-    left = asyncio.ensure_future(_gone(receive))
+    left = asyncio.ensure_future(_wait_for_disconnect(receive))
     try:
         waits: set[asyncio.Future[Any]] = {told, left}
         await asyncio.wait(waits, return_when=asyncio.FIRST_COMPLETED)
         if not told.done():
-            raise _GoneError
+            raise _DisconnectedError
         return told.result()
     finally:
         left.cancel()
 
 
-async def _gone(receive: Receive) -> None:
-    """Wait until the client has left."""
+async def _wait_for_disconnect(receive: Receive) -> None:
+    """Wait until the client has disconnected."""
     while (await receive())["type"] != "http.disconnect":
         pass
 
 
-class _Inner:
-    """The application's own lifespan, which it may not have."""
+class _InnerLifespan:
+    """The lifespan of the wrapped application, which is optional."""
 
     def __init__(self, app: Application, scope: Scope) -> None:
-        self._told: asyncio.Queue[Event] = asyncio.Queue()
-        self._said: asyncio.Queue[Event] = asyncio.Queue()
-        self._task = asyncio.ensure_future(_run(app, scope, self._told.get, self._said.put))
+        self._to_app: asyncio.Queue[Event] = asyncio.Queue()
+        self._from_app: asyncio.Queue[Event] = asyncio.Queue()
+        self._task = asyncio.ensure_future(_run(app, scope, self._to_app.get, self._from_app.put))
 
     async def ask(self, what: str) -> Event | None:
-        """Have it start or stop: its event where that failed. One that has no lifespan is passed over."""
-        self._told.put_nowait({"type": f"lifespan.{what}"})
-        said = asyncio.ensure_future(self._said.get())
+        """Request startup or shutdown; returns the event if that failed, None also without a lifespan."""
+        self._to_app.put_nowait({"type": f"lifespan.{what}"})
+        said = asyncio.ensure_future(self._from_app.get())
         await asyncio.wait({said, self._task}, return_when=asyncio.FIRST_COMPLETED)
         if not said.done():
             said.cancel()
             if not self._task.cancelled() and (error := self._task.exception()) is not None:
-                log(f"the application has no lifespan: {error!r}")
+                log(f"the application does not support the lifespan protocol: {error!r}")
             return None
         event = said.result()
         return event if event["type"] == f"lifespan.{what}.failed" else None
 
     def cancel(self) -> None:
-        """End it, whatever it does."""
+        """Cancel it and discard any error."""
         self._task.cancel()
         self._task.add_done_callback(lambda task: task.cancelled() or task.exception())
 
 
 async def _run(app: Application, scope: Scope, receive: Receive, send: Send) -> None:
-    """Run the application inside its task: also one that raises at once."""
+    """Run the application inside its task, so that an error raised at once is caught as well."""
     await app(scope, receive, send)
--- a/amberlug/cli/checking.py
+++ b/amberlug/cli/checking.py
@@ -1,4 +1,4 @@
-"""`amberlug check`: what is wrong with a configuration, or with an operator's file beside it."""
+"""`amberlug check`: validates a configuration, an MQTT mapping or a fleet file."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
 
 
 def main(path: Path, config: Path | None, as_json: bool) -> int:
-    """Print all problems of a file; 1 where there are any, 2 where it can't be read."""
+    """Print all problems of a file; returns 1 if there are any, 2 if it cannot be read."""
     try:
         text = path.read_text(encoding="utf-8")
         beside = config.read_text(encoding="utf-8") if config is not None else None
     except (OSError, UnicodeDecodeError) as error:
         print(f"amberlug: {error}", file=sys.stderr)
         return 2
-    found = _toml(path, text, beside) if path.suffix == ".toml" else check(text)
+    found = _check_toml(path, text, beside) if path.suffix == ".toml" else check(text)
     if as_json:
         print(json.dumps({"file": str(path), "problems": [asdict(it) for it in found]}))
     else:
@@ -31,10 +31,10 @@
     return 1 if found else 0
 
 
-def _toml(path: Path, text: str, beside: str | None) -> list[Problem]:
-    """What is wrong with an operator's file: a fleet, which has members, or an MQTT mapping.
+def _check_toml(path: Path, text: str, beside: str | None) -> list[Problem]:
+    """The problems of a fleet file, recognized by its members, or else of an MQTT mapping.
 
-    It is held against the settings of a configuration where one is given.
+    It is also checked against the settings of a configuration if one is given.
     """
     settings = None
     if beside is not None:
--- a/amberlug/cli/drills.py
+++ b/amberlug/cli/drills.py
@@ -1,4 +1,4 @@
-"""`amberlug drill`: real processes under drawn faults, a live view, a verdict that can be played again."""
+"""`amberlug drill`: runs real processes under random faults with a live view; a seed repeats the run."""
 
 from __future__ import annotations
 
@@ -17,14 +17,14 @@
 
 
 class View:
-    """What is going on, as a table that is drawn anew."""
+    """The live view: a table that is redrawn on each change."""
 
     def __init__(self, live: Live | None) -> None:
-        self._live, self._did = live, list[str]()
+        self._live, self._recent_actions = live, list[str]()
 
     def __call__(self, fleet: Fleet, doing: str) -> None:
-        """Show what is being done, and where the promises stand."""
-        self._did = [*self._did[-5:], doing]
+        """Show the current action and the state of the accepted messages."""
+        self._recent_actions = [*self._recent_actions[-5:], doing]
         if self._live is None:
             return
         table = Table("relay", "process", "newest line of its log")
@@ -33,12 +33,12 @@
             table.add_row(relay.name, state, relay.log[-1] if relay.log else "")
         promises = fleet.promises
         counts = f"{len(promises.promised)} promised, {len(promises.open)} open"
-        table.caption = "; ".join([counts, *self._did])
+        table.caption = "; ".join([counts, *self._recent_actions])
         self._live.update(table)
 
 
 def verdict_table(verdict: Verdict) -> Table:
-    """What came of it, for people."""
+    """Format the verdict as a table."""
     table = Table("what", "count", title="KEPT" if not verdict.broken else "BROKEN")
     for name in ("handed_in", "promised", "refused", "unanswered", "delivered", "late", "lost"):
         label = "relays lost with their disks" if name == "lost" else name.replace("_", " ")
@@ -48,7 +48,7 @@
 
 
 def loss(relays: int, copies: int, seed: int, seconds: float, as_json: bool) -> int:
-    """Play a drill with losses; 1 where a promise was broken, 2 where it can't be played."""
+    """Run a drill that loses relays; returns 1 if a promise was broken, 2 if it cannot be run."""
     if relays < 2 * copies + 1:
         print(f"amberlug: {copies} copies need {2 * copies + 1} relays", file=sys.stderr)
         return 2
--- a/amberlug/cli/journals.py
+++ b/amberlug/cli/journals.py
@@ -1,4 +1,4 @@
-"""`amberlug journal`: looks into a state folder, and saves what can be read of a damaged one."""
+"""`amberlug journal`: inspects a state folder and salvages the readable records of a damaged one."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
 from amberlug.core.journal.recovery import RecoveredJournal, recover_folder, resumable_messages
 from amberlug.core.ports import PendingMessage
 
-ROOM = 1 << 40  # bytes: a salvaged journal takes what it needs
+MAX_BYTES = 1 << 40  # size limit in bytes; in effect none for a salvaged journal
 
 
 def main(command: str, folder: Path, to: Path | None, as_json: bool) -> int:
-    """Run one command; 0, 1 where something is damaged, 2 where the folder can't be read or written."""
+    """Run a command; returns 0, 1 if there is damage, or 2 if the folder cannot be read or written."""
     if not folder.is_dir():
-        print(f"amberlug: {folder} is no folder", file=sys.stderr)
+        print(f"amberlug: {folder} is not a folder", file=sys.stderr)
         return 2
     disk = FolderDisk(folder, writable=False)
     try:
@@ -35,7 +35,7 @@
         return 2
     finally:
         disk.close()
-    figures = look(found, ones) if command != "verify" else {}
+    figures = summarize(found, ones) if command != "verify" else {}
     damage = [str(it) for it in found.damage]
     if as_json:
         print(json.dumps({**figures, "damage": damage}))
@@ -44,8 +44,8 @@
     return 1 if damage else 0
 
 
-def look(found: RecoveredJournal, ones: Mapping[str, PendingMessage]) -> dict[str, Any]:
-    """What a folder holds, in figures."""
+def summarize(found: RecoveredJournal, ones: Mapping[str, PendingMessage]) -> dict[str, Any]:
+    """Summarize the contents of a folder."""
     going = [one for one in ones.values() if one.end is None]
     return {
         "segments": [{"number": it.number, "bytes": it.size} for it in found.segments],
@@ -59,7 +59,7 @@
 
 
 def show(figures: Mapping[str, Any], damage: list[str]) -> None:
-    """Print it for a person."""
+    """Print the summary as text."""
     for name, value in figures.items():
         if name == "segments":
             print(f"segments: {len(value)}")
@@ -77,11 +77,11 @@
 
 
 def salvage(found: RecoveredJournal, ones: Mapping[str, PendingMessage], to: Path, now_ms: int) -> None:
-    """Write what could be read to a new folder; `OSError` where it is not empty."""
+    """Write the readable records to a new folder; raises `OSError` if it is not empty."""
     to.mkdir(parents=True, exist_ok=True)
     if any(to.iterdir()):
         raise OSError(f"{to} is not empty")
-    journal = Journal(FolderDisk(to), ROOM, now_ms, time.monotonic_ns)
+    journal = Journal(FolderDisk(to), MAX_BYTES, now_ms, time.monotonic_ns)
     names = {name: until for name, (until, *_) in found.ended.items()}
     journal.import_messages(list(ones.values()), names, now_ms)
     journal.close()
--- a/amberlug/http/calls.py
+++ b/amberlug/http/calls.py
@@ -1,4 +1,4 @@
-"""Connections to endpoints, and the calls and probes on them."""
+"""Calls and probes to endpoints over pooled connections."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 from amberlug.core.attempt_clearance import clear_attempts
 from amberlug.core.messages import Attempt, AttemptResult, Message
 from amberlug.core.ports import Address, Calls, Clock
-from amberlug.http.link import Link, LinkLostError, Reply, dial
+from amberlug.http.link import ConnectionLostError, OutgoingConnection, Reply, dial
 from amberlug.policy.interface import Result, Settings
 
-IDLE_MARGIN = 0.5  # seconds that an idle connection is closed before the endpoint may close it
-WAIT_MOST_MS = 3_600_000  # longest told wait that is kept
-BATCH_ENDS = {
+IDLE_MARGIN_S = 0.5  # time by which an idle connection is closed before the endpoint's idle timeout
+MAX_WAIT_MS = 3_600_000  # cap on the wait that an endpoint asks for
+BATCH_RESULTS = {
     "ok": AttemptResult(Result.DONE),
     "error": AttemptResult(Result.ERROR),
     "later": AttemptResult(Result.REFUSED),
@@ -25,8 +25,8 @@
 }
 
 
-def report(text: str, names: Sequence[str]) -> tuple[float, ...]:
-    """Read a load report's values in the order of the settings; () where it can't be read."""
+def parse_load_report(text: str, names: Sequence[str]) -> tuple[float, ...]:
+    """Parse the values of a load report, in the order of the settings; () if it is malformed."""
     found: dict[str, float] = {}
     for part in text.split(","):
         name, _, value = part.strip().partition("=")
@@ -34,74 +34,73 @@
             found[name] = float(value)
         except ValueError:
             return ()
-        # Guards against figures that no endpoint can mean: they would pass into an account's limit.
+        # Rejects impossible values, which would otherwise enter the limit of the endpoint's account.
         if not 0 <= found[name] < math.inf:
             return ()
     return tuple(found.get(name, 0.0) for name in names) if names else ()
 
 
-def wait_us(reply: Reply) -> int:
-    """Read the told wait; one that can't be read is none."""
+def parse_wait_us(reply: Reply) -> int:
+    """Parse the requested wait in microseconds; 0 if it is malformed."""
     text = reply.headers.get("wait-ms", "").strip()
     if not (text.isascii() and text.isdigit()):
         return 0
-    # Guards against digits without end, on which int() raises; no message lives as long as the longest wait.
-    return min(int(text[:18]), WAIT_MOST_MS) * 1000
+    # Prevents the error that int() raises for very long digit strings; no message lives as long as the cap.
+    return min(int(text[:18]), MAX_WAIT_MS) * 1000
 
 
-def ending(reply: Reply, names: Sequence[str]) -> AttemptResult:
-    """Tell what an answer to a call with one fate means."""
-    told = report(reply.headers.get("srv-load", ""), names)
+def parse_result(reply: Reply, names: Sequence[str]) -> AttemptResult:
+    """Map the response to a call with a single result to that result."""
+    told = parse_load_report(reply.headers.get("srv-load", ""), names)
     if reply.status == 200:
-        return AttemptResult(Result.DONE, wait_us(reply), report=told)
+        return AttemptResult(Result.DONE, parse_wait_us(reply), report=told)
     if reply.status in (429, 503):
         if reply.headers.get("slots-taken") == "1":
             return AttemptResult(Result.UNSENT, report=told)
-        return AttemptResult(Result.REFUSED, wait_us(reply), report=told)
-    if reply.status in (400, 413, 504):  # never ran
+        return AttemptResult(Result.REFUSED, parse_wait_us(reply), report=told)
+    if reply.status in (400, 413, 504):  # not executed
         return AttemptResult(Result.UNSENT, report=told)
     if reply.status == 410:
         return AttemptResult(Result.UNSENT, over=True, report=told)
-    return AttemptResult(Result.ERROR, wait_us(reply), report=told)
+    return AttemptResult(Result.ERROR, parse_wait_us(reply), report=told)
 
 
-def batch_endings(reply: Reply, names: Sequence[str]) -> Mapping[str, AttemptResult]:
-    """Tell each message's end from the answer to a batch; one that is not named may have run."""
-    told, wait = report(reply.headers.get("srv-load", ""), names), wait_us(reply)
+def parse_batch_results(reply: Reply, names: Sequence[str]) -> Mapping[str, AttemptResult]:
+    """Parse the results per message of a batch response; a message it omits may have been executed."""
+    told, wait = parse_load_report(reply.headers.get("srv-load", ""), names), parse_wait_us(reply)
     ends: dict[str, AttemptResult] = {}
     for line in reply.body.decode("latin-1").splitlines():
         name, _, word = line.strip().partition(" ")
-        if word in BATCH_ENDS:
-            known = BATCH_ENDS[word]
+        if word in BATCH_RESULTS:
+            known = BATCH_RESULTS[word]
             ends[name] = AttemptResult(known.result, wait, known.over, told)
     return ends
 
 
-def lost(error: LinkLostError) -> AttemptResult:
-    """Tell what a lost connection means: what was written or had an answer may have run."""
-    # Guards against trusting a spoilt head: a 429 there does not tell that the call never ran.
+def lost(error: ConnectionLostError) -> AttemptResult:
+    """Map a lost connection to a result: a call that was written or partly answered may have run."""
+    # A corrupt response head is not trusted: a 429 in it does not prove that the call was not executed.
     if error.answered:
         return AttemptResult(Result.SPOILT)
     return AttemptResult(Result.RESET if error.written else Result.UNCONNECTED)
 
 
-class Pool:
-    """Connections to endpoints, the one used last taken first."""
+class ConnectionPool:
+    """Connections to endpoints; the most recently used one is reused first."""
 
     def __init__(self, settings: Settings, most: int) -> None:
         self._most = most
         self._dial = settings.dial_us / 1e6
-        self._life = max(0.1, settings.idle_us / 1e6 - IDLE_MARGIN)
+        self._keep_s = max(0.1, settings.idle_us / 1e6 - IDLE_MARGIN_S)
         self._addresses: dict[str, Address] = {}
-        self._idle: dict[str, list[Link]] = {}
-        self._timers: dict[
-            Link, tuple[str, asyncio.TimerHandle]
-        ] = {}  # of those that idle, the longest first
-        self._links: set[Link] = set()
+        self._idle: dict[str, list[OutgoingConnection]] = {}
+        # Idle connections with their endpoints and timers, in the order in which they became idle.
+        self._timers: dict[OutgoingConnection, tuple[str, asyncio.TimerHandle]] = {}
+        self._connections: set[OutgoingConnection] = set()
         self.dialing = 0
 
     def locate(self, endpoint: str, address: Address | None, kind: str = "") -> None:
-        """Learn where an endpoint is, or that it is gone."""
+        """Set the address of an endpoint, or remove it."""
         if address != self._addresses.get(endpoint):
             self.close_idle(endpoint)
         if address is None:
@@ -109,121 +108,123 @@
         else:
             self._addresses[endpoint] = address
 
-    async def take(self, endpoint: str, seconds: float, fresh: bool = False) -> Link | None:
-        """Take an idle connection or dial a new one; None where none came up."""
+    async def take(self, endpoint: str, seconds: float, fresh: bool = False) -> OutgoingConnection | None:
+        """Acquire an idle connection or open a new one; None if none could be established."""
         if fresh and endpoint in self._idle:
-            self._retire(self._idle[endpoint][0])  # the new one takes its place at the endpoint
+            # The new one replaces it in the endpoint's connection table.
+            self._close_idle_connection(self._idle[endpoint][0])
         while not fresh and (idle := self._idle.get(endpoint)) is not None:
-            link = idle[-1]
-            self._forget(link)
-            if link.usable:
-                link.idled_us = int((asyncio.get_running_loop().time() - link.idle_since) * 1e6)
-                return link
-            link.close()
+            connection = idle[-1]
+            self._remove_idle(connection)
+            if connection.usable:
+                connection.idled_us = int((asyncio.get_running_loop().time() - connection.idle_since) * 1e6)
+                return connection
+            connection.close()
         address = self._addresses.get(endpoint)
         if address is None:
             return None
-        self._make_room()
+        self._evict_idle()
         self.dialing += 1
         try:
-            link_or_none = await dial(*address, min(self._dial, seconds))
+            dialed = await dial(*address, min(self._dial, seconds))
         finally:
             self.dialing -= 1
-        if link_or_none is not None:
-            self._links.add(link_or_none)
-            link_or_none.on_lost = self._lost
-        return link_or_none
-
-    def _make_room(self) -> None:
-        """Close what has been idle longest where a further connection would be one too many."""
-        # Guards against running out of descriptors. Calls alone don't: the module has fewer slots than links.
-        if len(self._links) + self.dialing >= self._most and self._timers:
-            self._retire(next(iter(self._timers)))
-
-    def give(self, endpoint: str, link: Link) -> None:
-        """Keep a connection for the next call, for less than the time that the endpoint keeps it."""
-        # Guards against keeping one to where the endpoint no longer is, or of one that is gone.
-        if not link.usable or self._addresses.get(endpoint) != link.where:
-            link.close()
+        if dialed is not None:
+            self._connections.add(dialed)
+            dialed.on_lost = self._lost
+        return dialed
+
+    def _evict_idle(self) -> None:
+        """Close the connection that has been idle longest if another one would exceed the maximum."""
+        # Prevents running out of file descriptors. Active calls cannot exceed them: the decision module has
+        # fewer slots than there are connections.
+        if len(self._connections) + self.dialing >= self._most and self._timers:
+            self._close_idle_connection(next(iter(self._timers)))
+
+    def give(self, endpoint: str, connection: OutgoingConnection) -> None:
+        """Return a connection to the pool for reuse, for less than the endpoint's idle timeout."""
+        # Drops connections to an address that the endpoint no longer has, or to a removed endpoint.
+        if not connection.usable or self._addresses.get(endpoint) != connection.where:
+            connection.close()
             return
-        link.reused, link.idle_since = True, asyncio.get_running_loop().time()
-        self._idle.setdefault(endpoint, []).append(link)
-        timer = asyncio.get_running_loop().call_later(self._life, self._retire, link)
-        self._timers[link] = endpoint, timer
+        connection.reused, connection.idle_since = True, asyncio.get_running_loop().time()
+        self._idle.setdefault(endpoint, []).append(connection)
+        timer = asyncio.get_running_loop().call_later(self._keep_s, self._close_idle_connection, connection)
+        self._timers[connection] = endpoint, timer
 
     def close(self) -> None:
         """Close all connections."""
-        for link in list(self._links):
-            link.close()
+        for connection in list(self._connections):
+            connection.close()
 
     def close_idle(self, endpoint: str) -> None:
-        """Close the connections to an endpoint that carry no call."""
-        for link in list(self._idle.get(endpoint, ())):
-            self._retire(link)
+        """Close the idle connections to an endpoint."""
+        for connection in list(self._idle.get(endpoint, ())):
+            self._close_idle_connection(connection)
 
-    def _retire(self, link: Link) -> None:
-        self._forget(link)
-        link.close()
+    def _close_idle_connection(self, connection: OutgoingConnection) -> None:
+        self._remove_idle(connection)
+        connection.close()
 
-    def _lost(self, link: Link) -> None:
-        self._forget(link)
-        self._links.discard(link)
+    def _lost(self, connection: OutgoingConnection) -> None:
+        self._remove_idle(connection)
+        self._connections.discard(connection)
 
-    def _forget(self, link: Link) -> None:
-        """Take a connection out of those that idle; an endpoint without any leaves no record."""
-        if link not in self._timers:
+    def _remove_idle(self, connection: OutgoingConnection) -> None:
+        """Remove a connection from the idle ones, and the endpoint's entry if it was the last."""
+        if connection not in self._timers:
             return
-        endpoint, timer = self._timers.pop(link)
+        endpoint, timer = self._timers.pop(connection)
         timer.cancel()
-        self._idle[endpoint].remove(link)
+        self._idle[endpoint].remove(connection)
         if not self._idle[endpoint]:
             del self._idle[endpoint]
 
 
-class Caller:
-    """Makes the calls: one at a time on a connection, each attempt's end reported once."""
+class HttpTransport:
+    """Makes calls, one at a time per connection, and reports the result of each attempt once."""
 
-    def __init__(self, settings: Settings, links: int, clock: Clock) -> None:
+    def __init__(self, settings: Settings, connections: int, clock: Clock) -> None:
         self._settings, self._clock = settings, clock.now_us
-        self.pool = Pool(settings, links)
+        self.pool = ConnectionPool(settings, connections)
         self.locate, self.close_idle = self.pool.locate, self.pool.close_idle
         self._tasks: set[asyncio.Task[None]] = set()
-        self._nudges: dict[Attempt, asyncio.Future[None]] = {}
+        self._wakeups: dict[Attempt, asyncio.Future[None]] = {}
 
     def bind(self, calls: Calls) -> None:
-        """Learn who clears attempts and is told their ends."""
+        """Set the core, which clears attempts to be sent and receives their results."""
         self._calls, self._ended = calls, calls.ended
 
     @property
     def busy(self) -> bool:
-        return bool(self._nudges)
+        return bool(self._wakeups)
 
     def abandon(self) -> None:
-        """Give up all calls and connections; no more ends are reported."""
-        self._ended = _unheard
+        """Cancel all calls, close all connections and report no more results."""
+        self._ended = _discard_result
         for task in list(self._tasks):
             task.cancel()
         self.pool.close()
 
     def call(self, endpoint: str, attempts: list[Attempt], fresh: bool) -> None:
-        """Send one call with one or more messages, on a new connection where that is wanted."""
-        self._listen(attempts)
+        """Send one call with one or more messages, on a new connection if `fresh` is set."""
+        self._arm_wakeup(attempts)
         self._start(self._call(endpoint, attempts, fresh))
 
-    def _listen(self, attempts: Sequence[Attempt]) -> asyncio.Future[None]:
-        """Make what wakes the call's task: an answer, its time, or an attempt that is called off."""
-        nudge = asyncio.get_running_loop().create_future()
-        self._nudges.update(dict.fromkeys((it for it in attempts if not it.ended), nudge))
-        return nudge
+    def _arm_wakeup(self, attempts: Sequence[Attempt]) -> asyncio.Future[None]:
+        """Create the future that wakes the call's task on a response, a timeout or a cancelled attempt."""
+        wakeup = asyncio.get_running_loop().create_future()
+        self._wakeups.update(dict.fromkeys((it for it in attempts if not it.ended), wakeup))
+        return wakeup
 
     def call_off(self, attempt: Attempt) -> None:
-        """Stop waiting for an attempt; its end is reported as any other."""
+        """Stop waiting for an attempt; its result is reported like any other."""
         attempt.called_off = True
-        if (nudge := self._nudges.get(attempt)) is not None:
-            _wake(nudge)
+        if (wakeup := self._wakeups.get(attempt)) is not None:
+            _wake(wakeup)
 
     def probe(self, endpoint: str, ended: Callable[[AttemptResult], None]) -> None:
-        """Ask an endpoint whether it is well."""
+        """Send a health probe to an endpoint."""
         self._start(self._probe(endpoint, ended))
 
     def _start(self, work: Coroutine[Any, Any, None]) -> None:
@@ -231,90 +232,95 @@
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    def _end(self, attempt: Attempt, how: AttemptResult) -> None:
+    def _report(self, attempt: Attempt, how: AttemptResult) -> None:
         if not attempt.ended:
             attempt.ended = True
-            del self._nudges[attempt]
+            del self._wakeups[attempt]
             self._ended(attempt, how)
 
-    def _end_all(self, attempts: Sequence[Attempt], how: AttemptResult) -> None:
+    def _report_all(self, attempts: Sequence[Attempt], how: AttemptResult) -> None:
         for attempt in attempts:
-            self._end(attempt, how)
+            self._report(attempt, how)
 
     async def _call(self, endpoint: str, attempts: list[Attempt], fresh: bool) -> None:
         try:
             until = max(attempt.until_us for attempt in attempts)
-            link = await self.pool.take(endpoint, max(0.0, (until - self._clock()) / 1e6), fresh)
-            if link is None:
-                self._end_all(attempts, AttemptResult(Result.UNCONNECTED))
+            connection = await self.pool.take(endpoint, max(0.0, (until - self._clock()) / 1e6), fresh)
+            if connection is None:
+                self._report_all(attempts, AttemptResult(Result.UNCONNECTED))
                 return
             try:
-                await self._use(link, attempts)
+                await self._send_cleared(connection, attempts)
             finally:
-                self.pool.give(endpoint, link)
+                self.pool.give(endpoint, connection)
         finally:
-            # Guards against an error that leaves an attempt without an outcome, and its slot taken for good.
-            self._end_all(attempts, AttemptResult(Result.RESET))
+            # Ensures that an error never leaves an attempt without a result, which would occupy its slot
+            # forever.
+            self._report_all(attempts, AttemptResult(Result.RESET))
 
-    async def _use(self, link: Link, attempts: list[Attempt]) -> None:
-        # A dial takes time: what a drain, a wait or an end forbids by now is not sent.
+    async def _send_cleared(self, connection: OutgoingConnection, attempts: list[Attempt]) -> None:
+        # Connecting takes time: a drain, a requested wait or an outcome may have ruled out sending since.
         cleared = await clear_attempts(self._calls, attempts)
-        self._end_all(
+        self._report_all(
             [attempt for attempt in attempts if attempt not in cleared], AttemptResult(Result.UNSENT)
         )
         for attempt in cleared:
-            attempt.reused, attempt.idle_us = link.reused, link.idled_us
+            attempt.reused, attempt.idle_us = connection.reused, connection.idled_us
         if cleared:
-            await self._converse(link, cleared)
+            await self._exchange(connection, cleared)
 
-    async def _converse(self, link: Link, attempts: list[Attempt]) -> None:
-        reply = self._write(link, attempts)
+    async def _exchange(self, connection: OutgoingConnection, attempts: list[Attempt]) -> None:
+        reply = self._write(connection, attempts)
         while not reply.done():
-            waits_us = self._give_up(attempts)
+            waits_us = self._expire(attempts)
             if not any(not attempt.ended for attempt in attempts):
-                link.close()  # an attempt that was given up must not stay out on an open connection
+                connection.close()  # an abandoned attempt must not stay outstanding on an open connection
                 return
-            nudge = self._listen(attempts)
-            reply.add_done_callback(partial(_wake, nudge))
-            timer = asyncio.get_running_loop().call_later(waits_us / 1e6, _wake, nudge)
-            await nudge
+            wakeup = self._arm_wakeup(attempts)
+            reply.add_done_callback(partial(_wake, wakeup))
+            timer = asyncio.get_running_loop().call_later(waits_us / 1e6, _wake, wakeup)
+            await wakeup
             timer.cancel()
         try:
             self._read(reply.result(), attempts)
-        except LinkLostError as error:
-            done = error.ok and len(attempts) == 1  # of several, only the whole answer tells each one's end
-            self._end_all(attempts, AttemptResult(Result.DONE) if done else lost(error))
+        except ConnectionLostError as error:
+            done = error.ok and len(attempts) == 1  # a batch needs the complete response for its results
+            self._report_all(attempts, AttemptResult(Result.DONE) if done else lost(error))
 
-    def _write(self, link: Link, attempts: list[Attempt]) -> asyncio.Future[Reply]:
+    def _write(self, connection: OutgoingConnection, attempts: list[Attempt]) -> asyncio.Future[Reply]:
         left_ms = max(1, (max(it.until_us for it in attempts) - self._clock()) // 1000)
         headers = [("Req-Deadline-Ms", str(left_ms))]
         if len(attempts) > 1:
-            return link.request("POST", "/hook/batch", headers, b"".join(map(_frame, attempts)))
+            return connection.request("POST", "/hook/batch", headers, b"".join(map(_batch_entry, attempts)))
         message: Message = attempts[0].message
         headers.append(("Req-Id", message.name))
         if message.key is not None:
             headers.append(("Idempotency-Key", message.key))
-        return link.request("POST", "/hook", headers, message.body)
+        return connection.request("POST", "/hook", headers, message.body)
 
     def _read(self, reply: Reply, attempts: list[Attempt]) -> None:
         names = self._settings.report_names
         if len(attempts) == 1 or reply.status != 200:
-            self._end_all(attempts, ending(reply, names))
+            self._report_all(attempts, parse_result(reply, names))
             return
         if min(attempt.until_us for attempt in attempts) <= self._clock():
-            # Guards against a late answer to several that a loop held up reads before it gives the call up:
-            # what it says of each may count for nobody. It could do harm to one that came just in time.
-            self._end_all(attempts, AttemptResult(Result.SPOILT, wait_us(reply)))
+            # A delayed event loop may read a late batch response before it times the call out. Its results
+            # must not count for any message. Cost: a batch response that arrived just in time is discarded
+            # too.
+            self._report_all(attempts, AttemptResult(Result.SPOILT, parse_wait_us(reply)))
             return
-        ends = batch_endings(reply, names)
+        ends = parse_batch_results(reply, names)
         for attempt in attempts:
-            self._end(attempt, ends.get(attempt.message.name, AttemptResult(Result.ERROR, wait_us(reply))))
+            self._report(
+                attempt, ends.get(attempt.message.name, AttemptResult(Result.ERROR, parse_wait_us(reply)))
+            )
 
-    def _give_up(self, attempts: list[Attempt]) -> int:
-        """End what is out of time; how long the next one has.
+    def _expire(self, attempts: list[Attempt]) -> int:
+        """Report timed out and cancelled attempts; returns the microseconds until the next timeout.
 
-        While others in the call still wait, an attempt whose message lives on stays out with them: sent
-        again now it would be a second copy, and closing the connection would spoil the others.
+        While other attempts of the call are pending, an attempt whose message has no outcome stays
+        outstanding with them: retrying it now would send a duplicate, and closing the connection would fail
+        the others.
         """
         now = self._clock()
         left = [attempt for attempt in attempts if not attempt.ended]
@@ -322,45 +328,45 @@
         for attempt in left:
             if attempt not in alive and (not alive or attempt.message.over):
                 result = Result.CALLED_OFF if attempt.called_off else Result.TIMED_OUT
-                self._end(attempt, AttemptResult(result))
+                self._report(attempt, AttemptResult(result))
         return min((attempt.until_us for attempt in alive), default=now) - now
 
     async def _probe(self, endpoint: str, ended: Callable[[AttemptResult], None]) -> None:
         how = AttemptResult(Result.RESET)
         try:
-            how = await self._sound_out(endpoint)
+            how = await self._send_probe(endpoint)
         finally:
             ended(how)
 
-    async def _sound_out(self, endpoint: str) -> AttemptResult:
+    async def _send_probe(self, endpoint: str) -> AttemptResult:
         seconds, names = self._settings.dial_us / 1e6, self._settings.report_names
-        link = await self.pool.take(endpoint, seconds)
-        if link is None:
+        connection = await self.pool.take(endpoint, seconds)
+        if connection is None:
             return AttemptResult(Result.UNCONNECTED)
         try:
             async with asyncio.timeout(seconds):
-                reply = await link.request("GET", "/metrics/load" if names else "/alive", [])
+                reply = await connection.request("GET", "/metrics/load" if names else "/alive", [])
         except TimeoutError:
-            link.close()
+            connection.close()
             return AttemptResult(Result.TIMED_OUT)
-        except LinkLostError as error:
+        except ConnectionLostError as error:
             return lost(error)
-        self.pool.give(endpoint, link)
-        how = ending(reply, names)
-        told = how.report or report(reply.body.decode("latin-1"), names)
+        self.pool.give(endpoint, connection)
+        how = parse_result(reply, names)
+        told = how.report or parse_load_report(reply.body.decode("latin-1"), names)
         return AttemptResult(how.result, how.wait_us, report=told)
 
 
-def _unheard(attempt: Attempt, how: AttemptResult) -> None:
-    """Guard against ends of calls that the closing relay gave up: nothing was learned of them."""
+def _discard_result(attempt: Attempt, how: AttemptResult) -> None:
+    """Discard the results of calls that a closing relay abandoned: they are not known."""
 
 
-def _wake(nudge: asyncio.Future[None], _: object = None) -> None:
-    if not nudge.done():
-        nudge.set_result(None)
+def _wake(wakeup: asyncio.Future[None], _: object = None) -> None:
+    if not wakeup.done():
+        wakeup.set_result(None)
 
 
-def _frame(attempt: Attempt) -> bytes:
+def _batch_entry(attempt: Attempt) -> bytes:
     message = attempt.message
     head = f"{message.name} {message.key or '-'} {len(message.body)}\r\n"
     return head.encode("latin-1") + message.body + b"\r\n"
--- a/amberlug/http/server.py
+++ b/amberlug/http/server.py
@@ -1,4 +1,4 @@
-"""The clients' side: hand-ins, and whether this relay is up."""
+"""The HTTP server for clients: submissions and the readiness check."""
 
 from __future__ import annotations
 
@@ -12,32 +12,38 @@
 import h11
 
 from amberlug.core.messages import MAX_BODY_BYTES, Message, PendingRequest, Refusal
-from amberlug.http.handin import TOO_LONG, BadRequestError, answer, check_route, read_message, refusal_of
+from amberlug.http.handin import (
+    BODY_TOO_LONG,
+    BadRequestError,
+    answer,
+    check_route,
+    read_message,
+    reject_by_headers,
+)
 from amberlug.policy.interface import Settings
 
-UNREAD_MOST = 1 << 20  # so much is passed over behind an error: closing at once would lose the answer
-AHEAD_MOST = 1 << 16  # bytes kept beyond an open request; with more, it is the connection's last
-TURN = (
-    64  # pieces of requests that are dealt with in one go: what many send at once must not hold up the others
-)
-SILENT = 0.2  # seconds after which a connection with no whole request on it makes room before others
-SWEEP = 0.25  # seconds between looks for connections whose time is up
+# Bytes discarded after an error response: closing at once could lose the response.
+MAX_DISCARDED_BYTES = 1 << 20
+MAX_BYTES_AHEAD = 1 << 16  # bytes buffered beyond an open request; with more, the connection closes after it
+EVENTS_PER_ITERATION = 64  # parser events per loop iteration: one busy connection must not delay others
+STALLED_AFTER_S = 0.2  # time without a complete request after which a connection is evicted before others
+SWEEP_INTERVAL_S = 0.25  # time between checks for expired connections
 
 
 class Phase(Enum):
-    """What is waited for on a connection, and for how many seconds at most."""
+    """The state of a connection; the value is its timeout in seconds."""
 
-    ENDING = 0.5  # it has had its last answer, and what it still sends is passed over
-    READING = 2.0  # a whole request, from the connect or its first byte: 3 s are promised
-    RESTING = 4.0  # the next request: a client that asked once may keep its connection for good
-    ASKED = float("inf")  # the relay's own answer
+    DISCARDING = 0.5  # its last response was sent, and further input is discarded
+    READING = 2.0  # reading a request, from the connect or its first byte; clients are promised 3 s
+    IDLE = 4.0  # idle: without a limit, a client could keep its connection forever after one request
+    RESPONDING = float("inf")  # waiting for the relay's response
 
 
-WAITING = (Phase.ENDING, Phase.READING, Phase.RESTING)
+PHASES_WITH_TIMEOUT = (Phase.DISCARDING, Phase.READING, Phase.IDLE)
 
 
 class Node(Protocol):
-    """What the clients' side wants of the relay."""
+    """The part of the relay's core that the server uses."""
 
     ready: bool
 
@@ -47,7 +53,7 @@
 
 
 class Connection(asyncio.Protocol):
-    """One client's connection; it carries one request at a time."""
+    """A client connection; it handles one request at a time."""
 
     def __init__(self, server: Server) -> None:
         self._server = server
@@ -55,8 +61,8 @@
         self._transport: asyncio.Transport | None = None
         self._request: h11.Request | None = None
         self._body = bytearray()
-        self._ahead = 0  # bytes read since the request was whole, or since its last answer
-        self._reading = self._stuck = False
+        self._ahead = 0  # bytes read since the request was complete, or since the last response
+        self._reading = self._write_blocked = False
         self.phase = Phase.READING
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -65,44 +71,44 @@
         self._server.opened(self)
 
     def data_received(self, data: bytes) -> None:
-        if self.phase in (Phase.ENDING, Phase.ASKED):
+        if self.phase in (Phase.DISCARDING, Phase.RESPONDING):
             self._ahead += len(data)
-        if self.phase is Phase.ENDING:
-            if self._ahead > UNREAD_MOST:
+        if self.phase is Phase.DISCARDING:
+            if self._ahead > MAX_DISCARDED_BYTES:
                 self.abort()
             return
-        # Guards against bytes that pile up ahead of an open request. They are read on and dropped: a hang-up
-        # stands behind them, and would not be seen while reading is paused.
-        if self._ahead > AHEAD_MOST:
+        # Bounds the bytes buffered ahead of an open request. The rest is read and dropped: while reading is
+        # paused, a disconnect behind these bytes would not be detected.
+        if self._ahead > MAX_BYTES_AHEAD:
             return
-        if self.phase is Phase.RESTING:
+        if self.phase is Phase.IDLE:
             self._server.enter(self, Phase.READING)
         self._http.receive_data(data)
-        self._read()
+        self._process_events()
 
     def connection_lost(self, error: Exception | None) -> None:
-        asked = self.phase is Phase.ASKED
+        responding = self.phase is Phase.RESPONDING
         self._server.closed(self)
-        if asked:
+        if responding:
             self._server.node.client_disconnected(self)
 
     def pause_writing(self) -> None:
-        """Guard against answers that pile up for a client that sends and does not read."""
-        self._stuck = True
+        """Stop reading: responses must not accumulate for a client that sends but does not read."""
+        self._write_blocked = True
         if self._transport is not None:
             self._transport.pause_reading()
 
     def resume_writing(self) -> None:
-        self._stuck = False
-        self._go_on()
+        self._write_blocked = False
+        self._resume()
 
-    def _go_on(self) -> None:
-        if self._transport is not None and not self._transport.is_closing() and not self._stuck:
+    def _resume(self) -> None:
+        if self._transport is not None and not self._transport.is_closing() and not self._write_blocked:
             self._transport.resume_reading()
-            self._read()
+            self._process_events()
 
     def close(self) -> None:
-        """Close it once what was answered is written."""
+        """Close it after all responses are written."""
         if self._transport is not None:
             self._transport.close()
 
@@ -111,19 +117,19 @@
             self._transport.abort()
 
     def expire(self) -> None:
-        """End it where its time is up: with an answer where a request had begun."""
+        """Handle a timeout: send an error response if a request was incomplete, else abort."""
         begun = self._request is not None or bool(self._http.trailing_data[0])
-        if self.phase is Phase.READING and begun and not self._stuck:
+        if self.phase is Phase.READING and begun and not self._write_blocked:
             self.answer(408, "the request did not come in time")
         else:
             self.abort()
 
     def settle(self, refusal: Refusal | None) -> None:
-        """Answer that the message was taken on, or when to come again."""
+        """Respond that the message was accepted, or when to retry."""
         self.answer(*answer(refusal))
 
     def answer(self, status: int, text: str = "", retry_us: int = 0) -> None:
-        """Answer the request that is being waited on; a client that has hung up is passed over."""
+        """Send the response to the current request, unless the client has disconnected."""
         if self._transport is None or self._transport.is_closing():
             return
         body = f"{text}\n".encode() if text else b""
@@ -132,7 +138,7 @@
             headers.append(("Content-Type", "text/plain"))
         if retry_us > 0:
             headers.append(("Retry-After", f"{retry_us / 1e6:.3f}"))
-        unread = self._http.their_state is not h11.DONE or self._ahead > AHEAD_MOST
+        unread = self._http.their_state is not h11.DONE or self._ahead > MAX_BYTES_AHEAD
         if unread or self._server.closing:
             headers.append(("Connection", "close"))
         with contextlib.suppress(h11.LocalProtocolError):
@@ -146,42 +152,42 @@
         if self._http.states == {h11.CLIENT: h11.DONE, h11.SERVER: h11.DONE}:
             self._http.start_next_cycle()
             more = bool(self._http.trailing_data[0])
-            self._server.enter(self, Phase.READING if more else Phase.RESTING)
-            self._read()
-        elif unread:  # closing on what is still on its way would lose the answer
-            self._server.enter(self, Phase.ENDING)
+            self._server.enter(self, Phase.READING if more else Phase.IDLE)
+            self._process_events()
+        elif unread:  # closing with input still in flight could lose the response
+            self._server.enter(self, Phase.DISCARDING)
             if self._transport.can_write_eof():
                 self._transport.write_eof()
         else:
             self._transport.close()
 
-    def _read(self) -> None:
-        # Guards against many small requests in one read: each answer must not nest the next one's.
+    def _process_events(self) -> None:
+        # Prevents unbounded recursion when one read holds many small requests: responding reads the next one.
         if self._reading:
             return
         self._reading = True
         try:
-            for _ in range(TURN):
-                if self._stuck or self.phase not in (Phase.READING, Phase.RESTING):
+            for _ in range(EVENTS_PER_ITERATION):
+                if self._write_blocked or self.phase not in (Phase.READING, Phase.IDLE):
                     return
-                if not self._take(self._http.next_event()):
+                if not self._handle_event(self._http.next_event()):
                     return
-            self._defer()
+            self._continue_later()
         except h11.RemoteProtocolError as error:
             self.answer(error.error_status_hint, "the request can't be read")
         finally:
             self._reading = False
 
-    def _defer(self) -> None:
-        """Go on in the loop's next turn, and read nothing more until then."""
+    def _continue_later(self) -> None:
+        """Pause reading and continue in the next iteration of the loop."""
         if self._transport is not None and not self._transport.is_closing():
             self._transport.pause_reading()
-            asyncio.get_running_loop().call_soon(self._go_on)
+            asyncio.get_running_loop().call_soon(self._resume)
 
-    def _take(self, event: object) -> bool:
+    def _handle_event(self, event: object) -> bool:
         if isinstance(event, h11.Request):
             self._request = event
-            if (refusal := refusal_of(event.headers)) is not None:
+            if (refusal := reject_by_headers(event.headers)) is not None:
                 self.answer(*refusal)
                 return False
             if self._http.they_are_waiting_for_100_continue and self._transport is not None:
@@ -190,12 +196,12 @@
         elif isinstance(event, h11.Data):
             self._body += event.data
             if len(self._body) > MAX_BODY_BYTES:
-                self.answer(413, TOO_LONG)
+                self.answer(413, BODY_TOO_LONG)
                 return False
         elif isinstance(event, h11.EndOfMessage):
-            self._server.enter(self, Phase.ASKED)
+            self._server.enter(self, Phase.RESPONDING)
             self._dispatch()
-            return self.phase is not Phase.ASKED
+            return self.phase is not Phase.RESPONDING
         elif isinstance(event, h11.ConnectionClosed):
             self.close()
         return isinstance(event, h11.Request | h11.Data)
@@ -211,7 +217,7 @@
 
 
 class Server:
-    """All clients' connections; while it closes, each answer ends its connection."""
+    """All client connections; while the server is closing, each response closes its connection."""
 
     def __init__(
         self,
@@ -223,7 +229,8 @@
     ) -> None:
         self._settings, self.node, self._most = settings, node, most
         self._now_ms, self._waited_us = now_ms, waited_us
-        # When the time of each is up, by phase: one phase has one time, so the first in it is due first.
+        # Deadline of each connection, by phase: all in a phase have the same timeout, so the first is due
+        # first.
         self._due: dict[Phase, dict[Connection, float]] = {phase: {} for phase in Phase}
         self._sweeping: asyncio.TimerHandle | None = None
         self.closing = False
@@ -232,7 +239,7 @@
         return Connection(self)
 
     def opened(self, connection: Connection) -> None:
-        """Take a connection in; past the most, one goes that has been silent, or else idle, the longest."""
+        """Register a connection; above the maximum, evict the one stalled, or else idle, for longest."""
         self.enter(connection, Phase.READING)
         if sum(map(len, self._due.values())) > self._most:
             self._evict()
@@ -240,11 +247,11 @@
             self._sweep()
 
     def _evict(self) -> None:
-        # Guards against running out of descriptors, where asyncio accepts nobody for a second. One that has
-        # just been opened is about to be read: it goes only where nothing else can.
-        silent_since = asyncio.get_running_loop().time() + Phase.READING.value - SILENT
-        silent = [it for it, due in islice(self._due[Phase.READING].items(), 1) if due < silent_since]
-        others = (self._due[phase] for phase in (Phase.ENDING, Phase.RESTING, Phase.READING))
+        # Prevents running out of file descriptors, after which asyncio accepts no connection for a second. A
+        # connection that was just opened is about to be read and is evicted only if there is no other.
+        stalled_since = asyncio.get_running_loop().time() + Phase.READING.value - STALLED_AFTER_S
+        silent = [it for it, due in islice(self._due[Phase.READING].items(), 1) if due < stalled_since]
+        others = (self._due[phase] for phase in (Phase.DISCARDING, Phase.IDLE, Phase.READING))
         connection = next(chain(silent, *others), None)
         if connection is not None:
             del self._due[connection.phase][connection]
@@ -259,19 +266,19 @@
         self._due[connection.phase].pop(connection, None)
 
     def _sweep(self) -> None:
-        """End the connections whose time is up; it goes on while there are any."""
+        """Expire connections; repeated while there are any."""
         loop = asyncio.get_running_loop()
-        for phase in WAITING:
+        for phase in PHASES_WITH_TIMEOUT:
             for connection, due in list(self._due[phase].items()):
                 if due > loop.time():
                     break
                 connection.expire()
         there = any(self._due.values())
-        self._sweeping = loop.call_later(SWEEP, self._sweep) if there else None
+        self._sweeping = loop.call_later(SWEEP_INTERVAL_S, self._sweep) if there else None
 
     def close_idle(self) -> None:
-        """Close the connections that carry no request."""
-        for phase in (Phase.ENDING, Phase.RESTING):
+        """Close the connections without a request."""
+        for phase in (Phase.DISCARDING, Phase.IDLE):
             for connection in list(self._due[phase]):
                 connection.close()
 
--- a/amberlug/library/endpoints.py
+++ b/amberlug/library/endpoints.py
@@ -1,4 +1,4 @@
-"""Where a relay in a host learns of its endpoints: a list, a file that is watched, or discovery."""
+"""Sources of endpoints for an embedded relay: a static list, a watched file, or the discovery service."""
 
 from __future__ import annotations
 
@@ -18,28 +18,27 @@
 from amberlug.policy.account import SECOND
 from amberlug.policy.interface import Entry, Settings, State
 
-Listed = Callable[
-    [EndpointListUpdate], Iterator[None]
-]  # makes the work of news, to be done at once or in slices
-FILE_MOST = 1 << 26  # bytes of a list's file
+# Returns the work of applying an update, run at once or in slices.
+UpdateHandler = Callable[[EndpointListUpdate], Iterator[None]]
+MAX_FILE_BYTES = 1 << 26  # largest endpoint file, in bytes
 
 
 class Endpoints(Protocol):
     """A source of endpoints, for one relay."""
 
-    def start(self, settings: Settings, listed: Listed) -> None:
-        """Tell the list, and each change from now on; `ValueError` or `OSError` where there is none."""
+    def start(self, settings: Settings, listed: UpdateHandler) -> None:
+        """Report the list, then each change; raises `ValueError` or `OSError` if it cannot be read."""
 
     def stop(self) -> None:
-        """Tell nothing more."""
+        """Stop reporting changes."""
 
 
 @dataclass(frozen=True, slots=True)
 class Endpoint:
     """One endpoint of a destination.
 
-    `address` is an IP address and port; a transport of the host's own may do without. `rate` is how many
-    calls a second the destination takes from all relays together, 0 where that is not known.
+    `address` is an IP address and port; it is optional with a custom transport. `rate` is the number of calls
+    per second that the destination accepts from all relays together, 0 if unknown.
     """
 
     id: str
@@ -52,26 +51,26 @@
 
 
 class StaticEndpoints:
-    """A list that the host gives, and may change."""
+    """A list of endpoints that the host provides and may replace."""
 
     def __init__(self, *endpoints: Endpoint) -> None:
         self._endpoints = endpoints
-        self._listed: Listed | None = None
-        self._slices = SlicedQueue(_unheard)
+        self._listed: UpdateHandler | None = None
+        self._slices = SlicedQueue(_ignore_error)
         self._kinds: frozenset[str] = frozenset()
 
-    def start(self, settings: Settings, listed: Listed) -> None:
+    def start(self, settings: Settings, listed: UpdateHandler) -> None:
         self._kinds = frozenset(settings.kinds)
         news = self._news(self._endpoints)
         self._listed = listed
-        apply(listed(news))
+        run_to_end(listed(news))
 
     def stop(self) -> None:
         self._listed = None
         self._slices.clear()
 
     def change(self, *endpoints: Endpoint) -> None:
-        """Give a new list in place of the old one; `ValueError` where it is bad, and the old one stays."""
+        """Replace the list; raises `ValueError` and keeps the old one if the new one is invalid."""
         news = self._news(endpoints) if self._listed is not None else None
         self._endpoints = endpoints
         if self._listed is not None and news is not None:
@@ -90,49 +89,49 @@
 
 
 class EndpointFile:
-    """A JSON file in discovery's form, looked at every `every` seconds.
+    """A JSON file in the format of the discovery service, checked for changes every `every` seconds.
 
-    One that is bad, half written or gone is a line in the log, and the list that was read before stays. At
-    the start it is an error.
+    A file that becomes invalid, incomplete or missing is logged and the previous list is kept. At the start
+    it is an error.
     """
 
     def __init__(self, path: Path | str, every: float = 1.0) -> None:
         self._path, self._every = Path(path), every
-        self._stamp: tuple[int, ...] = ()
+        self._fingerprint: tuple[int, ...] = ()
         self._timer: asyncio.TimerHandle | None = None
-        self._slices = SlicedQueue(self._bad)
+        self._slices = SlicedQueue(self._log_error)
 
-    def start(self, settings: Settings, listed: Listed) -> None:
-        self._stamp = self._stamp_now()
-        apply(listed(self._read(settings)))
-        self._later(settings, listed)
+    def start(self, settings: Settings, listed: UpdateHandler) -> None:
+        self._fingerprint = self._read_fingerprint()
+        run_to_end(listed(self._read(settings)))
+        self._schedule_check(settings, listed)
 
     def stop(self) -> None:
         self._slices.clear()
         if self._timer is not None:
             self._timer.cancel()
 
-    def _bad(self, error: Exception) -> None:
-        log(f"endpoints: {self._path.name}: {error}; the list as it was stays")
+    def _log_error(self, error: Exception) -> None:
+        log(f"endpoints: {self._path.name}: {error}; the previous list stays in use")
 
-    def _later(self, settings: Settings, listed: Listed) -> None:
-        self._timer = asyncio.get_running_loop().call_later(self._every, self._look, settings, listed)
+    def _schedule_check(self, settings: Settings, listed: UpdateHandler) -> None:
+        self._timer = asyncio.get_running_loop().call_later(self._every, self._check_file, settings, listed)
 
-    def _look(self, settings: Settings, listed: Listed) -> None:
-        self._later(settings, listed)
-        stamp = self._stamp_now()
-        if stamp == self._stamp:
-            return  # also one that is bad or gone is told once
-        self._stamp = stamp
+    def _check_file(self, settings: Settings, listed: UpdateHandler) -> None:
+        self._schedule_check(settings, listed)
+        fingerprint = self._read_fingerprint()
+        if fingerprint == self._fingerprint:
+            return  # an invalid or missing file is thus logged once
+        self._fingerprint = fingerprint
         try:
             news = self._read(settings)
         except (OSError, ValueError) as error:
-            self._bad(error)
+            self._log_error(error)
             return
         self._slices.add(listed(news))
 
-    def _stamp_now(self) -> tuple[int, ...]:
-        """What changes with the file; () where there is none."""
+    def _read_fingerprint(self) -> tuple[int, ...]:
+        """Fingerprint of the file from its metadata; () if it does not exist."""
         try:
             it = self._path.stat()
         except OSError:
@@ -141,54 +140,54 @@
 
     def _read(self, settings: Settings) -> EndpointListUpdate:
         with self._path.open("rb") as file:
-            text = file.read(FILE_MOST + 1)
-        if len(text) > FILE_MOST:
+            text = file.read(MAX_FILE_BYTES + 1)
+        if len(text) > MAX_FILE_BYTES:
             raise ValueError("the list is too long")
         return read_list_line(text, settings.kinds, {"revision": 0, "complete": True})
 
 
-def apply(work: Iterator[None]) -> None:
-    """Do all of the work of news at once: before the relay serves, nobody waits."""
+def run_to_end(work: Iterator[None]) -> None:
+    """Apply an update at once; before the relay serves, nothing is delayed by it."""
     for _ in work:
         pass
 
 
-def _unheard(error: ValueError) -> None:
-    """Guard against an error that can't be: a host's list is checked before its news are told."""
+def _ignore_error(error: ValueError) -> None:
+    """Ignore errors, which cannot occur: a list is validated before it is applied."""
 
 
-def _unheeded(seconds: float) -> None:
-    """Where nobody asks how old the list may be."""
+def _ignore_validity(seconds: float) -> None:
+    """Ignore how long the list is valid, until `confirms` is called."""
 
 
 class Discovery:
-    """The platform's discovery, followed as the daemon does; `known` is a list to begin with."""
+    """The platform's discovery service, watched as by the daemon; `known` is the initial list."""
 
     def __init__(self, where: str, known: EndpointListUpdate | None = None) -> None:
         self._where, self._known = parse_address(where), known
         self._watch: Watch | None = None
-        self._current: Callable[[float], None] = _unheeded
+        self._on_confirmed: Callable[[float], None] = _ignore_validity
         self._heard: ListConfirmation | None = None
 
     def confirms(self, current: Callable[[float], None], heard: ListConfirmation) -> None:
-        """Have told that the list is the newest, with the seconds for which calls may go by it."""
-        self._current, self._heard = current, heard
+        """Set the callback for a confirmed list, called with the seconds for which the list is valid."""
+        self._on_confirmed, self._heard = current, heard
 
     async def tried(self, seconds: float) -> None:
-        """Wait until discovery has answered once, or refused, for so long at the most."""
+        """Wait for the first answer or failure of discovery, for `seconds` at most."""
         if self._watch is not None:
             await self._watch.wait_attempted(seconds)
 
-    def start(self, settings: Settings, listed: Listed) -> None:
+    def start(self, settings: Settings, listed: UpdateHandler) -> None:
         if self._known is not None:
-            apply(listed(self._known))
+            run_to_end(listed(self._known))
         revision = self._known.revision if self._known is not None else 0
         pauses = DiscoveryBackoff(settings.relays, settings.drain_grace_us / SECOND)
         age_s = None if self._heard is None else self._heard.age_s()
-        self._current(pauses.initial_list_validity_s(True, age_s))
+        self._on_confirmed(pauses.initial_list_validity_s(True, age_s))
 
         def confirmed() -> None:
-            self._current(pauses.list_validity_s())
+            self._on_confirmed(pauses.list_validity_s())
             if self._heard is not None:
                 self._heard.record()
 
--- a/amberlug/library/observers.py
+++ b/amberlug/library/observers.py
@@ -1,4 +1,4 @@
-"""A host's observer, kept at a distance."""
+"""Isolates the relay from errors in a host's observer."""
 
 from __future__ import annotations
 
@@ -10,27 +10,27 @@
 from amberlug.policy import interface as api
 
 
-class Shielded:
-    """Shows all to an observer in a later turn of the loop, in order.
+class IsolatedObserver:
+    """Forwards all events to an observer in a later iteration of the loop, in order.
 
-    Guards against one that raises: its error goes to the loop's handler, and the relay's round is not broken.
-    What it is shown may have gone on by then; numbers and results never change.
+    An error that the observer raises thus goes to the loop's exception handler and does not interrupt the
+    relay's round. Objects that it is passed may have changed state by then; numbers and results never change.
     """
 
     def __init__(self, observer: Observer) -> None:
-        self._observer, self._soon = observer, asyncio.get_running_loop().call_soon
+        self._observer, self._call_soon = observer, asyncio.get_running_loop().call_soon
 
     def round(self, now_us: int, events: Sequence[api.Event], actions: Sequence[api.Action]) -> None:
-        self._soon(self._observer.round, now_us, events, actions)
+        self._call_soon(self._observer.round, now_us, events, actions)
 
     def taken(self, message: Message) -> None:
-        self._soon(self._observer.taken, message)
+        self._call_soon(self._observer.taken, message)
 
     def attempt(self, attempt: Attempt) -> None:
-        self._soon(self._observer.attempt, attempt)
+        self._call_soon(self._observer.attempt, attempt)
 
     def outcome(self, attempt: Attempt, how: AttemptResult) -> None:
-        self._soon(self._observer.outcome, attempt, how)
+        self._call_soon(self._observer.outcome, attempt, how)
 
     def ended(self, message: Message, end: End) -> None:
-        self._soon(self._observer.ended, message, end)
+        self._call_soon(self._observer.ended, message, end)
--- a/amberlug/platform/daemon.py
+++ b/amberlug/platform/daemon.py
@@ -20,7 +20,7 @@
 from amberlug.core.log import LOGGER, log
 from amberlug.core.node import Node
 from amberlug.core.ports import Clock, OutcomeNotifier, Transport
-from amberlug.http.calls import Caller
+from amberlug.http.calls import HttpTransport
 from amberlug.http.server import Server
 from amberlug.learning import DISK_SHARE_DIVISOR, open_learning
 from amberlug.platform.backoff import DiscoveryBackoff
@@ -104,7 +104,7 @@
         config.state, disk_bytes // DISK_SHARE_DIVISOR, clock, config.durability, config.learning_key
     )
     backoff = DiscoveryBackoff(config.settings.relays, config.settings.drain_grace_us / SECOND)
-    caller = Caller(config.settings, config.limits.endpoint_connections, clock)
+    caller = HttpTransport(config.settings, config.limits.endpoint_connections, clock)
     notices = NoticeSender(config.discovery)
     frontend = None if make_frontend is None else make_frontend(config.settings, clock)
     transport = caller if frontend is None else frontend.transport(caller)
--- a/amberlug/platform/discovery.py
+++ b/amberlug/platform/discovery.py
@@ -10,7 +10,7 @@
 from amberlug.core.log import log
 from amberlug.core.ports import Address, EndpointListUpdate
 from amberlug.core.sliced_queue import SlicedQueue
-from amberlug.http.link import Link, dial
+from amberlug.http.link import OutgoingConnection, dial
 from amberlug.platform.backoff import DiscoveryBackoff
 
 SETTLE_S = 1.0  # seconds within which an agent that answers immediately has sent all pending changes
@@ -40,7 +40,7 @@
         self._address, self._kinds, self._apply_update, self._backoff = address, kinds, apply_update, backoff
         self._on_confirmed, self._attempted = on_confirmed, asyncio.Event()
         self._slices = SlicedQueue(self._on_malformed)
-        self._link: Link | None = None
+        self._link: OutgoingConnection | None = None
         self._task: asyncio.Task[None] | None = None
         self._revision = revision
         self._buffer = bytearray()
@@ -87,7 +87,7 @@
             self._attempted.set()
             await asyncio.sleep(self._backoff.next_delay_s(self._last_data_s > started, refused))
 
-    async def _follow(self, link: Link) -> bool:
+    async def _follow(self, link: OutgoingConnection) -> bool:
         """Follow the list until the connection ends; returns whether discovery ended it, a refusal."""
         self._slices.clear()  # whatever an earlier connection left unprocessed is sent again
         self._buffer.clear()
--- a/amberlug/platform/notices.py
+++ b/amberlug/platform/notices.py
@@ -9,7 +9,7 @@
 
 from amberlug.core.log import log
 from amberlug.core.messages import End, Outcome
-from amberlug.http.link import Link, LinkLostError, Reply, dial
+from amberlug.http.link import ConnectionLostError, OutgoingConnection, Reply, dial
 from amberlug.platform.backoff import FIRST_DELAY_S, MAX_DELAY_S
 
 RESPONSE_TIMEOUT_S = 1.0  # seconds to wait for a response, which normally comes immediately
@@ -36,7 +36,7 @@
         self._waiting: dict[str, End] = {}
         self._unsent: dict[str, End] = {}
         self._requests: set[asyncio.Task[None]] = set()
-        self._idle_links: list[Link] = []
+        self._idle_links: list[OutgoingConnection] = []
         self._retry_delay_s, self._batch_size = FIRST_DELAY_S, MAX_BATCH
         self._running = False
 
@@ -92,11 +92,11 @@
             self._requests.add(task)
             task.add_done_callback(self._requests.discard)
 
-    def _send_batch(self, link: Link, notices: list[End]) -> asyncio.Future[Reply]:
+    def _send_batch(self, link: OutgoingConnection, notices: list[End]) -> asyncio.Future[Reply]:
         return link.request("POST", "/v1/notices", [], b"".join(encode_notice(notice) for notice in notices))
 
     async def _await_response(
-        self, batch: list[End], link: Link | None, response: asyncio.Future[Reply] | None
+        self, batch: list[End], link: OutgoingConnection | None, response: asyncio.Future[Reply] | None
     ) -> None:
         """Wait for the response to a batch, and have it sent again if there is none."""
         # A notice that waits for a delayed response or dial would be late, and a late notice means a lost
@@ -109,7 +109,7 @@
                     link = await dial(*self._address, RESPONSE_TIMEOUT_S)
                     response = None if link is None else self._send_batch(link, batch)
                 status = 0 if response is None else (await response).status
-        except (TimeoutError, LinkLostError):
+        except (TimeoutError, ConnectionLostError):
             pass
         finally:
             resend_timer.cancel()
--- a/tests/parity_host.py
+++ b/tests/parity_host.py
@@ -1,4 +1,4 @@
-"""A host of the library that is told by lines what to hand in, and says what came of it."""
+"""A host of the library: reads submissions as lines and prints their results."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
     print(json.dumps(fields), flush=True)
 
 
-async def tell_end(taken: Taken) -> None:
+async def report_outcome(taken: Taken) -> None:
     end = await taken.end()
     say(end=end.message, outcome=end.outcome.value)
 
@@ -31,11 +31,11 @@
     except RefusedError:
         say(told=order["id"], taken=False)
         return
-    except AcknowledgedError:  # the daemon answers such a one as taken on
+    except AcknowledgedError:  # the daemon reports such a message as accepted
         say(told=order["id"], taken=True)
         return
     say(told=order["id"], taken=True)
-    await tell_end(taken)
+    await report_outcome(taken)
 
 
 async def main(path: str, state: str) -> None:
@@ -51,7 +51,7 @@
     async with Relay(settings, state, endpoints, seed=int(config["seed"], 16), disk_bytes=3_000_000) as relay:
         for name in config["held"]:
             if (taken := relay.find(name)) is not None:
-                work.add(asyncio.ensure_future(tell_end(taken)))
+                work.add(asyncio.ensure_future(report_outcome(taken)))
         say(ready=True)
         stopped = asyncio.ensure_future(stop.wait())
         while not stop.is_set():
--- a/tests/test_asgi.py
+++ b/tests/test_asgi.py
@@ -1,4 +1,4 @@
-"""The middleware in an ASGI host, round Starlette, FastAPI and plain applications."""
+"""The ASGI middleware with Starlette, FastAPI and plain applications."""
 
 import asyncio
 import json
@@ -24,7 +24,7 @@
 from amberlug.library import Endpoint, Message, Outcome, Relay, StaticEndpoints
 from amberlug.standin.wire import PATIENCE, StandIn
 from tests.asgi_host import Host
-from tests.hosts import SETTINGS, Partner, forever, relay_on
+from tests.hosts import SETTINGS, ScriptedTransport, never_return, relay_on
 from tests.rig import ROOT, free_port, hand_in, run
 
 
@@ -48,7 +48,7 @@
 
 
 async def plain_app(scope: Scope, receive: Receive, send: Send) -> None:
-    """Without a lifespan, as the specification allows."""
+    """An application without a lifespan, as the specification allows."""
     assert scope["type"] == "http"
     await send({"type": "http.response.start", "status": 418, "headers": [(b"content-length", b"0")]})
     await send({"type": "http.response.body", "body": b""})
@@ -78,7 +78,7 @@
     tmp_path: Path, make: Callable[[], Application]
 ) -> None:
     async def scenario() -> None:
-        partner = Partner()
+        partner = ScriptedTransport()
         async with hosted(make(), relay_on(tmp_path, partner)) as host:
             assert (await ask(host.port, "GET", "/relay/up")).status == 200
             paid = await ask(host.port, "POST", "/pay", body=b"fee")
@@ -88,24 +88,24 @@
             calls = await partner.called(2)
             assert [call.message.body for call in calls] == [b"fee", b"hello"]
             assert (await ask(host.port, "GET", "/other")).status == 404
-        async with relay_on(tmp_path, partner) as relay:  # closed with the host, and its folder is free
+        async with relay_on(tmp_path, partner) as relay:  # closed with the host; the folder is unlocked
             assert [end.message for end in relay.unclaimed()] == ["m1"]
 
     run(scenario())
 
 
-def test_an_application_without_a_lifespan_is_served_all_the_same(tmp_path: Path) -> None:
+def test_an_application_without_a_lifespan_is_served(tmp_path: Path) -> None:
     async def scenario() -> None:
-        async with hosted(plain_app, relay_on(tmp_path, Partner())) as host:
+        async with hosted(plain_app, relay_on(tmp_path, ScriptedTransport())) as host:
             assert (await ask(host.port, "GET", "/relay/up")).status == 200
             assert (await ask(host.port, "GET", "/relays")).status == 418
 
     run(scenario())
 
 
-def test_the_application_starts_and_stops_inside_the_relays_life(tmp_path: Path) -> None:
+def test_the_application_starts_and_stops_while_the_relay_is_open(tmp_path: Path) -> None:
     async def scenario() -> None:
-        relay = relay_on(tmp_path, Partner())
+        relay = relay_on(tmp_path, ScriptedTransport())
         steps: list[Any] = []
 
         @asynccontextmanager
@@ -122,13 +122,13 @@
             assert json.loads(bytes((await ask(host.port, "GET", "/own")).body)) == ["state", True]
         assert steps == [True, Outcome.DELIVERED]
         assert not relay.is_open
-        async with hosted(app, relay):  # it may live again
+        async with hosted(app, relay):  # it may be opened again
             assert relay.is_open
 
     run(scenario())
 
 
-def test_a_startup_that_fails_is_told_and_leaves_the_folder_free(tmp_path: Path) -> None:
+def test_a_failed_startup_is_reported_and_releases_the_folder(tmp_path: Path) -> None:
     async def scenario() -> None:
         @asynccontextmanager
         async def lifespan(app: Starlette) -> AsyncIterator[None]:
@@ -136,10 +136,12 @@
             yield
 
         with pytest.raises(RuntimeError, match="no database"):
-            await Host(RelayMiddleware(Starlette(lifespan=lifespan), relay_on(tmp_path, Partner()))).start()
-        async with relay_on(tmp_path, Partner()):
+            await Host(
+                RelayMiddleware(Starlette(lifespan=lifespan), relay_on(tmp_path, ScriptedTransport()))
+            ).start()
+        async with relay_on(tmp_path, ScriptedTransport()):
             with pytest.raises(RuntimeError, match="another relay has"):
-                await Host(RelayMiddleware(plain_app, relay_on(tmp_path, Partner()))).start()
+                await Host(RelayMiddleware(plain_app, relay_on(tmp_path, ScriptedTransport()))).start()
 
     run(scenario())
 
@@ -159,11 +161,11 @@
         ("POST", "/relay/safe", hand_in("m1"), b"x" * (MAX_BODY_BYTES + 1), 413),
     ],
 )
-def test_bad_input_is_a_clear_error_and_nothing_is_taken(
+def test_invalid_input_is_rejected_with_a_clear_error(
     tmp_path: Path, method: str, path: str, headers: dict[str, str], body: bytes, status: int
 ) -> None:
     async def scenario() -> None:
-        relay = relay_on(tmp_path, partner := Partner())
+        relay = relay_on(tmp_path, partner := ScriptedTransport())
         async with hosted(starlette_app(), relay) as host:
             reply = await ask(host.port, method, path, headers, body)
             assert reply.status == status
@@ -174,7 +176,7 @@
 
 
 class Client:
-    """Drives the middleware event by event, where a socket would be too quick or too kind."""
+    """Sends single ASGI events to the middleware, in sequences that a real server does not produce."""
 
     def __init__(self, app: Application, headers: dict[str, str], path: str = "/relay/safe") -> None:
         self.events: asyncio.Queue[Event] = asyncio.Queue()
@@ -198,13 +200,13 @@
         return self.said[0]["status"] if self.said else None
 
 
-# Its rounds are so far apart that a client can leave between its request and the answer.
-UNHURRIED = replace(SETTINGS, granularity_us=200_000)
+# The round interval is long enough for a client to disconnect between its request and the response.
+SLOW_ROUNDS = replace(SETTINGS, granularity_us=200_000)
 
 
-def test_a_client_that_leaves_before_its_answer_withdraws_its_message(tmp_path: Path) -> None:
+def test_a_client_that_disconnects_before_the_response_withdraws_its_message(tmp_path: Path) -> None:
     async def scenario() -> None:
-        async with relay_on(tmp_path, partner := Partner(), settings=UNHURRIED) as relay:
+        async with relay_on(tmp_path, partner := ScriptedTransport(), settings=SLOW_ROUNDS) as relay:
             app = RelayMiddleware(plain_app, relay)
             half, whole = Client(app, hand_in("m1")), Client(app, hand_in("m2"))
             half.body(b"hel", more=True)
@@ -226,7 +228,7 @@
 
 def test_a_request_that_the_host_cancels_is_withdrawn(tmp_path: Path) -> None:
     async def scenario() -> None:
-        async with relay_on(tmp_path, Partner(), settings=UNHURRIED) as relay:
+        async with relay_on(tmp_path, ScriptedTransport(), settings=SLOW_ROUNDS) as relay:
             client = Client(RelayMiddleware(plain_app, relay), hand_in("m1"))
             client.body(b"hello")
             await asyncio.sleep(0)
@@ -240,11 +242,11 @@
 
 
 def test_bodies_that_are_slow_or_many_are_bounded(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("amberlug.asgi.READING_FOR", 0.05)
-    monkeypatch.setattr("amberlug.asgi.READING_MOST", 2)
+    monkeypatch.setattr("amberlug.asgi.BODY_TIMEOUT_S", 0.05)
+    monkeypatch.setattr("amberlug.asgi.MAX_CONCURRENT_BODIES", 2)
 
     async def scenario() -> None:
-        async with relay_on(tmp_path, Partner()) as relay:
+        async with relay_on(tmp_path, ScriptedTransport()) as relay:
             app = RelayMiddleware(plain_app, relay)
             clients = [Client(app, hand_in(f"m{count}")) for count in range(3)]
             for client in clients:
@@ -257,9 +259,9 @@
     run(scenario())
 
 
-def test_without_a_lifespan_it_says_that_it_is_not_open(tmp_path: Path) -> None:
+def test_without_a_lifespan_the_relay_is_reported_as_not_open(tmp_path: Path) -> None:
     async def scenario() -> None:
-        app = RelayMiddleware(plain_app, relay_on(tmp_path, Partner()))
+        app = RelayMiddleware(plain_app, relay_on(tmp_path, ScriptedTransport()))
         client = Client(app, hand_in("m1"))
         client.body(b"hello")
         await client.task
@@ -268,7 +270,7 @@
     run(scenario())
 
 
-def test_a_websocket_under_the_prefix_is_turned_away(tmp_path: Path) -> None:
+def test_a_websocket_under_the_prefix_is_rejected(tmp_path: Path) -> None:
     async def scenario() -> None:
         said: list[Event] = []
 
@@ -278,16 +280,16 @@
         async def send(event: Event) -> None:
             said.append(event)
 
-        app = RelayMiddleware(plain_app, relay_on(tmp_path, Partner()))
+        app = RelayMiddleware(plain_app, relay_on(tmp_path, ScriptedTransport()))
         await app({"type": "websocket", "path": "/relay/safe"}, receive, send)
         assert [event["type"] for event in said] == ["websocket.close"]
 
     run(scenario())
 
 
-def test_a_cancelled_lifespan_leaves_what_is_held_to_the_next_life(tmp_path: Path) -> None:
+def test_messages_survive_a_cancelled_lifespan(tmp_path: Path) -> None:
     async def scenario() -> None:
-        relay = relay_on(tmp_path, partner := Partner(forever))
+        relay = relay_on(tmp_path, partner := ScriptedTransport(never_return))
         host = await Host(RelayMiddleware(starlette_app(), relay)).start()
         assert (await ask(host.port, "POST", "/relay/unsafe", hand_in("m1", "unsafe"))).status == 202
         await partner.called(1)
@@ -295,7 +297,7 @@
         await asyncio.wait({host.lifespan.task})
         host._server.close()
         assert not relay.is_open
-        async with relay_on(tmp_path, second := Partner()) as relay:
+        async with relay_on(tmp_path, second := ScriptedTransport()) as relay:
             taken = relay.find("m1")
             assert taken is not None
             assert (await taken.end()).outcome is Outcome.GIVEN_UP
@@ -305,13 +307,15 @@
 
 
 def hosted_app(folder: str, endpoint: str) -> Application:
-    """What the test below has a process serve."""
+    """The application that the process in the next test serves."""
     where = StaticEndpoints(Endpoint("e1", 1, f"127.0.0.1:{endpoint}", rate=50.0))
     return RelayMiddleware(starlette_app(), Relay(SETTINGS, folder, where, seed=1))
 
 
 @pytest.mark.parametrize("number", [signal.SIGTERM, signal.SIGKILL])
-def test_a_host_that_is_signalled_leaves_each_message_one_end(tmp_path: Path, number: signal.Signals) -> None:
+def test_a_host_that_is_signalled_leaves_each_message_one_outcome(
+    tmp_path: Path, number: signal.Signals
+) -> None:
     async def scenario() -> None:
         endpoint = await StandIn(None).start()
         port = free_port()
@@ -334,10 +338,10 @@
             (seen,) = await endpoint.requests(1)
             process.send_signal(number)
             if number is signal.SIGTERM:
-                seen.answer((200, [], b""))  # what is out is still collected
+                seen.answer((200, [], b""))  # the outstanding call is still completed
             out, _ = await process.communicate()
         assert out == (b"lifespan.shutdown.complete\n" if number is signal.SIGTERM else b"")
-        async with relay_on(tmp_path, partner := Partner()) as relay:
+        async with relay_on(tmp_path, partner := ScriptedTransport()) as relay:
             taken = relay.find("m1")
             assert taken is not None
             delivered = number is signal.SIGTERM
--- a/tests/test_commands.py
+++ b/tests/test_commands.py
@@ -1,4 +1,4 @@
-"""The command line: what `check` finds, what `try` shows, and what a bad call says."""
+"""The command line: validation, `try`, the journal and learning commands, and usage errors."""
 
 import asyncio
 import json
@@ -46,7 +46,7 @@
     assert found(config(settings=deployment.settings(), known={"revision": 1, "members": []})) == {}
 
 
-def test_all_problems_are_told_each_with_its_place() -> None:
+def test_all_problems_are_reported_with_their_locations() -> None:
     settings = setup(Rules__ColdShare=7, Bounds__MaxOpen="many", Weights="heavy")
     settings["Categories"][1]["KeyTtlUs"] = -1
     del settings["FamilyInfo"]["Slots"]
@@ -81,9 +81,9 @@
 
 
 def learned(folder: Path, key: bytes = b"", **health: Any) -> None:
-    """A folder of a relay that has learned of one endpoint, and was told to wait by its destination."""
+    """Create the folder of a relay that has learned about one endpoint, with a wait requested by it."""
     folder.mkdir()
-    now = learnings.Now()
+    now = learnings.SystemClock()
     learner = Learner(Store(FolderDisk(folder), 10**5, now.now_us, key), now)
     learner.observe([known(now.now_us(), route={"learned": 3.0, "learned_us": now.now_us()}, **health)])
     learner.told(RequestedPause(1, "", 60_000_000, now.now_us() + 60_000_000, now.boot))
@@ -106,18 +106,17 @@
     assert "all is believed" in said
     assert main(["learning", "diff", str(one), str(other)]) == 1
     assert "endpoint e1 failure_rate: 0.0 | 0.25" in capsys.readouterr().out
-    assert {path.name: path.read_bytes() for path in one.iterdir()} == before  # nothing was changed
+    assert {path.name: path.read_bytes() for path in one.iterdir()} == before  # nothing was modified
     assert main(["learning", "forget", str(one), "--destination", "1", "--endpoint", "e1"]) == 0
     assert main(["learning", "forget", str(one), "--destination", "1", "--endpoint", "e1"]) == 1
     capsys.readouterr()
     assert main(["learning", "show", str(one), "--json"]) == 0
     (partner,) = json.loads(capsys.readouterr().out)["destinations"]
-    assert (partner["endpoints"], len(partner["waits"])) == ([], 1)  # what a rule needs is not forgotten
+    # Requested waits are kept, because they must be honored.
+    assert (partner["endpoints"], len(partner["waits"])) == ([], 1)
 
 
-def test_learning_verify_tells_what_is_not_believed(
-    tmp_path: Path, capsys: pytest.CaptureFixture[str]
-) -> None:
+def test_learning_verify_reports_rejected_facts(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
     folder, key = tmp_path / "state", tmp_path / "key"
     key.write_bytes(b"k" * 32)
     learned(folder, key=b"k" * 32)
@@ -143,7 +142,7 @@
         ("{}", "seed"),
     ],
 )
-def test_what_is_no_configuration_at_all_is_one_clear_problem(text: str, where: str) -> None:
+def test_an_unreadable_configuration_is_one_clear_problem(text: str, where: str) -> None:
     assert check(text)[0].where == where
 
 
@@ -159,11 +158,11 @@
         {"known": {"revision": 1, "complete": True, "members": [member(0)]}},
     ],
 )
-def test_what_a_start_refuses_the_check_finds(tmp_path: Path, changes: dict[str, Any]) -> None:
+def test_check_finds_what_a_start_refuses(tmp_path: Path, changes: dict[str, Any]) -> None:
     path = tmp_path / "config.json"
     path.write_text(json.dumps(config(**changes)))
     environ = {"ROUTER_CONFIG": str(path), "ROUTER_STATE": str(tmp_path)}
-    with pytest.raises(ValueError):  # noqa: PT011 - any of its lines
+    with pytest.raises(ValueError):  # noqa: PT011 - any of its error messages
         read_config(environ)
     assert check(path.read_text()) != []
 
@@ -182,7 +181,7 @@
     assert capsys.readouterr().err.count("\n") == 1
 
 
-def test_try_plays_the_real_relay_and_keeps_every_rule(capsys: pytest.CaptureFixture[str]) -> None:
+def test_try_runs_the_real_relay_without_breaking_a_rule(capsys: pytest.CaptureFixture[str]) -> None:
     assert trial.main(as_json=True, messages=60, seconds=1.0) == 0
     figures = json.loads(capsys.readouterr().out)
     assert (figures["handed_in"], figures["broken"]) == (60, [])
@@ -198,7 +197,7 @@
     assert ends == figures["taken"]
 
 
-def test_try_shows_a_table_and_tells_what_was_broken() -> None:
+def test_try_shows_a_table_and_the_broken_rules() -> None:
     row = {
         "partner": "steady",
         "messages": 1,
@@ -216,7 +215,7 @@
 
 
 def journal(folder: Path) -> None:
-    """A folder with a message of each sort."""
+    """Create a folder with a sent, an unacknowledged and a completed message."""
     it = journal_in(folder)
     sent, owed, over = (Message(name, "safe", None, 1, None, b"x" * 500, 10**15) for name in ("a", "b", "c"))
     for one in (sent, owed, over):
@@ -242,7 +241,7 @@
     assert figures["attempts_without_outcome"] == 1
     assert main(["journal", "inspect", str(folder)]) == 0
     assert "held: 1 safe" in capsys.readouterr().out
-    assert {path.name: path.read_bytes() for path in folder.iterdir()} == before  # it only reads
+    assert {path.name: path.read_bytes() for path in folder.iterdir()} == before  # it is read-only
     (path,) = folder.iterdir()
     data = bytearray(path.read_bytes())
     data[data.index(b"x" * 100) + 50] ^= 1
@@ -262,7 +261,7 @@
     assert capsys.readouterr().err.count("\n") == 2
 
 
-def test_a_bad_command_is_told_and_serve_is_the_default() -> None:
+def test_an_unknown_command_is_an_error_and_serve_is_the_default() -> None:
     async def scenario() -> None:
         environ = {name: value for name, value in os.environ.items() if not name.startswith("ROUTER_")}
         unset = b"ROUTER_CONFIG is not set"
--- a/tests/test_library.py
+++ b/tests/test_library.py
@@ -1,4 +1,4 @@
-"""The relay as a library: hand-ins, ends, cancels, and hosts that close, hang or end at every stage."""
+"""The relay as a library: submissions, outcomes, cancellation, and hosts that close, block or exit."""
 
 import asyncio
 import gc
@@ -43,15 +43,15 @@
 from amberlug.library.claims import CLAIMS
 from amberlug.platform.backoff import DiscoveryBackoff
 from amberlug.standin.wire import PATIENCE, Platform, Seen, StandIn
-from tests.hosts import ONE, SETTINGS, Partner, forever, host, lines, message, relay_on
+from tests.hosts import ENDPOINT, SETTINGS, ScriptedTransport, host, lines, message, never_return, relay_on
 from tests.rig import member, news, run
 
 DELIVERED, HANDED_BACK, GIVEN_UP = Outcome.DELIVERED, Outcome.HANDED_BACK, Outcome.GIVEN_UP
 
 
-def test_a_message_is_delivered_and_its_end_told(tmp_path: Path) -> None:
+def test_a_message_is_delivered_and_its_outcome_reported(tmp_path: Path) -> None:
     async def scenario() -> None:
-        async with relay_on(tmp_path, partner := Partner()) as relay:
+        async with relay_on(tmp_path, partner := ScriptedTransport()) as relay:
             taken = await relay.hand_in(message("m1", "keyed"))
             assert await taken.end() == End("m1", DELIVERED)
             (call,) = partner.calls
@@ -75,7 +75,7 @@
     run(scenario())
 
 
-def test_a_list_that_discovery_has_not_confirmed_for_too_long_is_not_gone_by(
+def test_an_unconfirmed_list_is_not_used_beyond_its_validity(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     for name in ("list_validity_s", "initial_list_validity_s"):
@@ -97,27 +97,27 @@
     run(scenario())
 
 
-def test_what_is_held_goes_where_discovery_says_by_now(tmp_path: Path) -> None:
-    """The list that a host begins with is older than what discovery says at once."""
+def test_restored_messages_use_the_current_list_of_discovery(tmp_path: Path) -> None:
+    """A host's initial list may be older than the one that discovery reports at the start."""
 
     async def scenario() -> None:
         first, other, platform = await StandIn().start(), await StandIn().start(), Platform()
         await platform.start()
         platform.first = news(member(first.port, "e0", "terminating"))
 
-        def later(seen: Seen) -> bool:  # an answer that a first call would not wait for
+        def later(seen: Seen) -> bool:  # delays discovery's answer beyond the first possible call
             asyncio.get_running_loop().call_later(0.05, platform._watch, seen)
             return True
 
         platform.on_request = later
-        # What loses little by waiting is not handed back as its relay closes.
+        # A class that loses little value by waiting is not handed back when the relay closes.
         patient = settings([message_class("slow", Effect.SAFE, deadline=60.0, wanted=50.0)])
         for phase in ("terminating", "in_service"):
             known = read_list_line(news(member(first.port, "e0", phase), complete=True), patient.kinds)
             relay = Relay(patient, tmp_path, Discovery(f"127.0.0.1:{platform.port}", known), seed=1)
             await relay.open()
             if phase == "terminating":
-                await relay.hand_in(Message(1, "slow", b"hello", id="m1"))  # nothing may be called for it yet
+                await relay.hand_in(Message(1, "slow", b"hello", id="m1"))  # no endpoint may be called yet
                 platform.first = news(
                     member(first.port, "e0", "terminating"), member(other.port, "e9"), revision=3
                 )
@@ -141,11 +141,11 @@
         (TurnedAwayError(0.2), "unsafe", DELIVERED, 2),
     ],
 )
-def test_what_a_hosts_transport_raises_decides_whether_it_goes_again(
+def test_the_transports_exception_determines_whether_a_call_is_retried(
     tmp_path: Path, answer: BaseException, kind: str, outcome: Outcome, calls: int
 ) -> None:
     async def scenario() -> None:
-        async with relay_on(tmp_path, partner := Partner(answer)) as relay:
+        async with relay_on(tmp_path, partner := ScriptedTransport(answer)) as relay:
             started = time.monotonic()
             taken = await relay.hand_in(message("m1", kind))
             assert (await taken.end()).outcome is outcome
@@ -155,7 +155,7 @@
     run(scenario())
 
 
-def test_a_call_that_will_not_be_cancelled_counts_as_out_until_it_ends(tmp_path: Path) -> None:
+def test_a_call_that_ignores_cancellation_stays_outstanding_until_it_ends(tmp_path: Path) -> None:
     async def scenario() -> None:
         let_go, cancelled = asyncio.Event(), asyncio.Event()
 
@@ -167,9 +167,9 @@
                 await let_go.wait()
                 raise
 
-        async with relay_on(tmp_path, partner := Partner(stubborn)) as relay:
+        async with relay_on(tmp_path, partner := ScriptedTransport(stubborn)) as relay:
             taken = await relay.hand_in(message("m1", "unsafe", deadline=0.5))
-            assert (await taken.end()).outcome is GIVEN_UP  # on time, though the call still runs
+            assert (await taken.end()).outcome is GIVEN_UP  # on time although the call is still running
             await cancelled.wait()
             assert partner.names == ["m1"]
             let_go.set()
@@ -192,9 +192,9 @@
         Message(99, "safe"),
     ],
 )
-def test_a_bad_message_is_an_error_and_nothing_is_taken(tmp_path: Path, bad: Message) -> None:
+def test_an_invalid_message_raises_and_is_not_accepted(tmp_path: Path, bad: Message) -> None:
     async def scenario() -> None:
-        async with relay_on(tmp_path, partner := Partner()) as relay:
+        async with relay_on(tmp_path, partner := ScriptedTransport()) as relay:
             with pytest.raises(BadMessageError):
                 await relay.hand_in(bad)
             assert (partner.calls, relay.unclaimed()) == ([], [])
@@ -202,9 +202,9 @@
     run(scenario())
 
 
-def test_a_relay_without_room_refuses_with_a_time_to_come_again(tmp_path: Path) -> None:
+def test_a_full_relay_refuses_with_a_retry_time(tmp_path: Path) -> None:
     async def scenario() -> None:
-        async with relay_on(tmp_path, Partner(forever), disk_bytes=21_500) as relay:
+        async with relay_on(tmp_path, ScriptedTransport(never_return), disk_bytes=21_500) as relay:
             for _ in range(2):
                 await relay.hand_in(Message(1, "unsafe", b"x" * 4000))
             with pytest.raises(RefusedError) as refused:
@@ -216,17 +216,17 @@
     run(scenario())
 
 
-# Cancels.
+# Cancellation.
 
 
-def test_cancelling_the_wait_for_an_end_does_not_cancel_the_message(tmp_path: Path) -> None:
+def test_cancelling_the_wait_for_an_outcome_does_not_cancel_the_message(tmp_path: Path) -> None:
     async def scenario() -> None:
         go_on = asyncio.Event()
 
         async def slow(call: Call) -> None:
             await go_on.wait()
 
-        async with relay_on(tmp_path, Partner(slow)) as relay:
+        async with relay_on(tmp_path, ScriptedTransport(slow)) as relay:
             taken = await relay.hand_in(message("m1", "unsafe"))
             waits = asyncio.create_task(taken.end())
             await asyncio.sleep(0)
@@ -240,11 +240,11 @@
 
 
 @pytest.mark.parametrize("turns", range(8))
-def test_a_cancelled_hand_in_was_taken_on_or_never_will_be(tmp_path: Path, turns: int) -> None:
-    """Cancels it at each turn of the loop round the journal's write; the clock's tick lies among them."""
+def test_a_cancelled_submission_was_accepted_or_is_withdrawn(tmp_path: Path, turns: int) -> None:
+    """Cancels at each loop iteration around the journal's write, including that of the clock tick."""
 
     async def scenario() -> None:
-        async with relay_on(tmp_path, partner := Partner()) as relay:
+        async with relay_on(tmp_path, partner := ScriptedTransport()) as relay:
             await (await relay.hand_in(message("m0"))).end()
             task = asyncio.create_task(relay.hand_in(message("m1")))
             for _ in range(turns):
@@ -261,13 +261,13 @@
     run(scenario())
 
 
-def test_a_cancel_that_crosses_the_journals_write_leaves_no_doubt(tmp_path: Path) -> None:
+def test_a_cancel_concurrent_with_the_journals_write_is_unambiguous(tmp_path: Path) -> None:
     async def scenario() -> None:
-        async with relay_on(tmp_path, Partner()) as relay:
+        async with relay_on(tmp_path, ScriptedTransport()) as relay:
             task = asyncio.create_task(relay.hand_in(message("m1")))
             await asyncio.sleep(0)
             task.cancel()
-            relay._node._round()  # the round comes before the cancelled task's turn
+            relay._node._round()  # the round runs before the cancelled task does
             await asyncio.wait({task})
             assert task.cancelled()
             taken = relay.find("m1")
@@ -277,17 +277,17 @@
     run(scenario())
 
 
-# Ends that nobody has seen.
+# Unacknowledged outcomes.
 
 
-def test_an_end_is_told_to_each_next_life_until_it_is_acknowledged(tmp_path: Path) -> None:
+def test_an_outcome_is_reported_after_each_restart_until_acknowledged(tmp_path: Path) -> None:
     async def scenario() -> None:
-        async with relay_on(tmp_path, Partner(None, OSError("broke"))) as relay:
+        async with relay_on(tmp_path, ScriptedTransport(None, OSError("broke"))) as relay:
             for name in ("m1", "m2"):
                 taken = await relay.hand_in(message(name, "unsafe"))
                 await taken.end(acknowledge=False)
         for _ in range(2):
-            async with relay_on(tmp_path, partner := Partner()) as relay:
+            async with relay_on(tmp_path, partner := ScriptedTransport()) as relay:
                 assert relay.unclaimed() == [End("m1", DELIVERED), End("m2", GIVEN_UP)]
                 found = relay.find("m2")
                 assert found is not None
@@ -304,14 +304,14 @@
     run(scenario())
 
 
-def test_an_end_that_is_waived_leaves_nothing_behind(tmp_path: Path) -> None:
+def test_a_waived_outcome_is_not_kept(tmp_path: Path) -> None:
     async def scenario() -> None:
         go_on = asyncio.Event()
 
         async def slow(call: Call) -> None:
             await go_on.wait()
 
-        async with relay_on(tmp_path, Partner(slow)) as relay:
+        async with relay_on(tmp_path, ScriptedTransport(slow)) as relay:
             taken = await relay.hand_in(message("m1"))
             taken.acknowledge()
             go_on.set()
@@ -322,16 +322,14 @@
                 await relay_find_again(relay)
 
     async def relay_find_again(relay: Relay) -> None:
-        CLAIMS.clear()  # as in a next life of the process
+        CLAIMS.clear()  # as after a restart of the process
         await relay.hand_in(message("m1"))
 
     run(scenario())
 
 
-def test_a_callback_that_raises_is_called_again_and_harms_nothing(
-    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
-) -> None:
-    monkeypatch.setattr("amberlug.library.desk.PAUSE", (0.01, 0.02))
+def test_a_callback_that_raises_is_called_again(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr("amberlug.library.outcomes.RETRY_DELAYS_S", (0.01, 0.02))
 
     async def scenario() -> None:
         told: list[str] = []
@@ -344,18 +342,18 @@
             if len(told) == 4:
                 seen.set()
 
-        async with relay_on(tmp_path, Partner(), on_end=on_end) as relay:
+        async with relay_on(tmp_path, ScriptedTransport(), on_end=on_end) as relay:
             for name in ("m1", "m2"):
                 await relay.hand_in(message(name))
             await asyncio.wait_for(seen.wait(), PATIENCE)
         assert sorted(told) == ["m1", "m1", "m1", "m2"]
-        async with relay_on(tmp_path, Partner()) as relay:
+        async with relay_on(tmp_path, ScriptedTransport()) as relay:
             assert relay.unclaimed() == []
 
     run(scenario())
 
 
-def test_an_observer_that_raises_harms_nothing(tmp_path: Path) -> None:
+def test_an_observer_that_raises_does_not_affect_the_relay(tmp_path: Path) -> None:
     async def scenario() -> None:
         errors: list[object] = []
         asyncio.get_running_loop().set_exception_handler(lambda _, it: errors.append(it["exception"]))
@@ -367,7 +365,7 @@
 
                 return broken
 
-        async with relay_on(tmp_path, Partner(), observer=Broken()) as relay:
+        async with relay_on(tmp_path, ScriptedTransport(), observer=Broken()) as relay:
             assert (await (await relay.hand_in(message("m1"))).end()).outcome is DELIVERED
         await asyncio.sleep(0)
         assert {str(error) for error in errors} == {"round", "taken", "attempt", "outcome", "ended"}
@@ -375,13 +373,13 @@
     run(scenario())
 
 
-# Closing, at each stage of a message.
+# Closing at each stage of a message.
 
 
 @pytest.mark.parametrize("kind", ["safe", "unsafe"])
-def test_closing_in_an_attempt_leaves_it_to_the_next_life(tmp_path: Path, kind: str) -> None:
+def test_an_attempt_interrupted_by_close_is_resolved_after_the_restart(tmp_path: Path, kind: str) -> None:
     async def scenario() -> None:
-        first = Partner(forever)
+        first = ScriptedTransport(never_return)
         async with relay_on(tmp_path, first) as relay:
             taken = await relay.hand_in(message("m1", kind))
             await first.called(1)
@@ -391,7 +389,7 @@
                 await waits
             with pytest.raises(RelayClosedError):
                 await relay.hand_in(message("m2"))
-        async with relay_on(tmp_path, second := Partner()) as relay:
+        async with relay_on(tmp_path, second := ScriptedTransport()) as relay:
             again = relay.find("m1")
             assert again is not None
             end = await again.end()
@@ -400,7 +398,7 @@
     run(scenario())
 
 
-def test_closing_collects_what_is_out_and_starts_nothing(tmp_path: Path) -> None:
+def test_close_waits_for_outstanding_calls_and_starts_none(tmp_path: Path) -> None:
     async def scenario() -> None:
         go_on = asyncio.Event()
 
@@ -408,12 +406,12 @@
             await go_on.wait()
 
         one_slot = settings(list(SETTINGS.classes.values()), slots=1)
-        async with relay_on(tmp_path, partner := Partner(slow), settings=one_slot) as relay:
+        async with relay_on(tmp_path, partner := ScriptedTransport(slow), settings=one_slot) as relay:
             out = await relay.hand_in(message("m1", "unsafe"))
             await partner.called(1)
             waits = await relay.hand_in(message("m2", "unsafe"))
             closing = asyncio.create_task(relay.close())
-            # What loses most of its worth by waiting for a next life is handed back.
+            # A message that loses most of its value by waiting for a restart is handed back.
             assert (await waits.end()).outcome is HANDED_BACK
             with pytest.raises(RefusedError) as refused:
                 await relay.hand_in(message("m3"))
@@ -428,7 +426,7 @@
 
 def test_a_cancelled_close_closes_at_once(tmp_path: Path) -> None:
     async def scenario() -> None:
-        relay = relay_on(tmp_path, partner := Partner(forever))
+        relay = relay_on(tmp_path, partner := ScriptedTransport(never_return))
         await relay.open()
         await relay.hand_in(message("m1", "unsafe"))
         await partner.called(1)
@@ -436,24 +434,24 @@
         await asyncio.sleep(0)
         closing.cancel()
         await asyncio.wait({closing})
-        async with relay_on(tmp_path, Partner()) as relay:  # the folder is free
+        async with relay_on(tmp_path, ScriptedTransport()) as relay:  # the folder is unlocked
             assert relay.unclaimed() == [End("m1", GIVEN_UP)] or relay.find("m1") is not None
 
     run(scenario())
 
 
-def test_a_loop_that_is_closed_leaves_the_folder_to_the_next_relay(tmp_path: Path) -> None:
+def test_a_closed_loop_releases_the_folder(tmp_path: Path) -> None:
     old = []
 
     async def first() -> None:
-        relay = relay_on(tmp_path, partner := Partner(forever))
+        relay = relay_on(tmp_path, partner := ScriptedTransport(never_return))
         await relay.open()
         await relay.hand_in(message("m1", "unsafe"))
         await partner.called(1)
-        old.append(relay)  # it stays reachable, and is never closed
+        old.append(relay)  # keeps it referenced; it is never closed
 
     async def second() -> None:
-        async with relay_on(tmp_path, partner := Partner()) as relay:
+        async with relay_on(tmp_path, partner := ScriptedTransport()) as relay:
             taken = relay.find("m1")
             assert taken is not None
             assert (await taken.end()).outcome is GIVEN_UP
@@ -469,7 +467,7 @@
 sys.path.insert(0, ".")
 from amberlug import library
 from amberlug.library.claims import CLAIMS
-from tests.hosts import ONE, SETTINGS, Partner, forever, message, relay_on
+from tests.hosts import ENDPOINT, SETTINGS, ScriptedTransport, never_return, message, relay_on
 
 stage, way = sys.argv[2], sys.argv[3]
 
@@ -478,7 +476,7 @@
         os.kill(os.getpid(), signal.SIGKILL)
     if way == "exit":
         os._exit(0)
-    raise SystemExit(0)  # the interpreter ends with the relay open
+    raise SystemExit(0)  # the interpreter exits with the relay open
 
 async def main():
     answered = asyncio.Event()
@@ -486,7 +484,7 @@
         print(json.dumps(call.message.id), flush=True)
         if stage == "in the attempt":
             answered.set()
-            await forever(call)
+            await never_return(call)
     relay = relay_on(Path(sys.argv[1]), slow)
     await relay.open()
     if stage == "before the journal":
@@ -501,7 +499,7 @@
         stop(relay)
     while taken.ended is None:
         await asyncio.sleep(0)
-    stop(relay)  # before the end is read
+    stop(relay)  # before the outcome is read
 
 asyncio.run(main())
 """
@@ -512,14 +510,14 @@
 @pytest.mark.parametrize(
     "stage", ["before the journal", "after the journal", "in the attempt", "after the outcome"]
 )
-def test_a_host_that_ends_at_any_stage_leaves_one_end(
+def test_a_host_that_exits_at_any_stage_leaves_one_outcome(
     tmp_path: Path, stage: str, kind: str, way: str
 ) -> None:
     async def scenario() -> None:
         code, said, _ = await host(tmp_path, HOST, stage, way, kind)
         assert code == (-signal.SIGKILL if way == "kill" else 0)
         before = lines(said)
-        async with relay_on(tmp_path / "state", partner := Partner()) as relay:
+        async with relay_on(tmp_path / "state", partner := ScriptedTransport()) as relay:
             taken = relay.find("m1")
             if stage == "before the journal":
                 assert (taken, before) == (None, [])
@@ -530,27 +528,28 @@
             if stage == "after the outcome":
                 assert (end.outcome, attempts) == (DELIVERED, ["m1"])
             elif kind == "unsafe":
-                # One that was out may have run: it is never sent again. One that was not out goes now.
+                # An outstanding call may have been executed and is not repeated. A message not yet sent is
+                # sent now.
                 assert attempts == ["m1"]
                 assert end.outcome is (GIVEN_UP if before else DELIVERED)
             else:
                 assert (end.outcome, attempts[-1]) == (DELIVERED, "m1")
-        async with relay_on(tmp_path / "state", Partner()) as relay:
+        async with relay_on(tmp_path / "state", ScriptedTransport()) as relay:
             assert relay.unclaimed() == []
             assert relay.find("m1") is None
 
     run(scenario())
 
 
-# Two relays.
+# Several relays.
 
 
 def test_a_folder_has_one_relay_in_the_process(tmp_path: Path) -> None:
     async def scenario() -> None:
-        async with relay_on(tmp_path, Partner()):
+        async with relay_on(tmp_path, ScriptedTransport()):
             with pytest.raises(FolderInUseError, match="another relay has"):
-                await relay_on(tmp_path, Partner()).open()
-        async with relay_on(tmp_path, Partner()):
+                await relay_on(tmp_path, ScriptedTransport()).open()
+        async with relay_on(tmp_path, ScriptedTransport()):
             pass
 
     run(scenario())
@@ -558,7 +557,7 @@
 
 def test_a_folder_has_one_relay_in_all_processes(tmp_path: Path) -> None:
     async def scenario() -> None:
-        async with relay_on(tmp_path / "state", partner := Partner()) as relay:
+        async with relay_on(tmp_path / "state", partner := ScriptedTransport()) as relay:
             code, _, said = await host(tmp_path, HOST, "after the journal", "exit", "unsafe")
             assert (code, "FolderInUseError" in said) == (1, True)
             assert relay.find("m1") is None
@@ -575,7 +574,7 @@
         async def slow(call: Call) -> None:
             await go_on.wait()
 
-        first, second = Partner(slow), Partner()
+        first, second = ScriptedTransport(slow), ScriptedTransport()
         payment = message("m1", "unsafe", key="k")
         again = payment if same == "id" else message("m2", "unsafe", key="k")
         async with relay_on(tmp_path / "a", first) as one, relay_on(tmp_path / "b", second) as other:
@@ -583,15 +582,15 @@
             assert await other.hand_in(again) is taken
             go_on.set()
             assert (await taken.end()).outcome is DELIVERED
-            assert await other.hand_in(again) is taken  # also now
+            assert await other.hand_in(again) is taken  # also after the outcome
             assert (first.names, second.names) == (["m1"], [])
 
     run(scenario())
 
 
-def test_hand_ins_at_once_to_two_relays_are_one_payment(tmp_path: Path) -> None:
+def test_concurrent_submissions_to_two_relays_are_one_payment(tmp_path: Path) -> None:
     async def scenario() -> None:
-        first, second = Partner(), Partner()
+        first, second = ScriptedTransport(), ScriptedTransport()
         async with relay_on(tmp_path / "a", first) as one, relay_on(tmp_path / "b", second) as other:
             payment = message("m1", "unsafe")
             results = await asyncio.gather(
@@ -611,9 +610,9 @@
         async def never(call: Call) -> None:
             raise NotSentError
 
-        second = Partner()
+        second = ScriptedTransport()
         async with (
-            relay_on(tmp_path / "a", Partner(*[never] * 20)) as one,
+            relay_on(tmp_path / "a", ScriptedTransport(*[never] * 20)) as one,
             relay_on(tmp_path / "b", second) as other,
         ):
             payment = message("m1", "unsafe", deadline=0.5)
@@ -625,44 +624,46 @@
     run(scenario())
 
 
-def test_what_a_closed_relay_still_holds_no_other_takes_on(tmp_path: Path) -> None:
+def test_messages_of_a_closed_relay_are_refused_by_others(tmp_path: Path) -> None:
     async def scenario() -> None:
         payment = message("m1", "unsafe")
-        async with relay_on(tmp_path / "a", partner := Partner(forever)) as one:
+        async with relay_on(tmp_path / "a", partner := ScriptedTransport(never_return)) as one:
             await one.hand_in(payment)
             await partner.called(1)
             await one.close(grace=0.0)
-        async with relay_on(tmp_path / "b", second := Partner()) as other:
+        async with relay_on(tmp_path / "b", second := ScriptedTransport()) as other:
             with pytest.raises(RefusedError) as refused:
                 await other.hand_in(payment)
             assert refused.value.reason is Reason.ELSEWHERE
-            async with relay_on(tmp_path / "a", Partner()) as one:
+            async with relay_on(tmp_path / "a", ScriptedTransport()) as one:
                 assert (await (await other.hand_in(payment)).end()).outcome is GIVEN_UP
             assert second.calls == []
 
     run(scenario())
 
 
-def test_a_message_that_went_elsewhere_meanwhile_is_given_up_untried(tmp_path: Path) -> None:
-    """The process forgot who had it, as one that was restarted has."""
+def test_a_restored_message_that_another_relay_has_is_given_up_untried(tmp_path: Path) -> None:
+    """After a restart, the process does not know that another relay had the message."""
 
     async def scenario() -> None:
         payment = message("m1", "unsafe")
         one_slot = settings(list(SETTINGS.classes.values()), slots=1)
-        async with relay_on(tmp_path / "a", blocked := Partner(forever), settings=one_slot) as one:
+        async with relay_on(
+            tmp_path / "a", blocked := ScriptedTransport(never_return), settings=one_slot
+        ) as one:
             await one.hand_in(message("m0", "unsafe"))
             await blocked.called(1)
-            one._node.closing = True  # it hands nothing back, as one that is killed
+            one._node.closing = True  # hands nothing back, like a process that is killed
             one._node.closing = False
             await one.hand_in(payment)
             one._node.stop()
             one._node.closing = True
             one.abandon()
         CLAIMS.clear()
-        async with relay_on(tmp_path / "b", second := Partner(forever)) as other:
+        async with relay_on(tmp_path / "b", second := ScriptedTransport(never_return)) as other:
             await other.hand_in(payment)
             await second.called(1)
-            async with relay_on(tmp_path / "a", third := Partner()) as one:
+            async with relay_on(tmp_path / "a", third := ScriptedTransport()) as one:
                 assert End("m1", GIVEN_UP) in one.unclaimed()
                 assert third.names == []
             await other.close(grace=0.0)
@@ -670,9 +671,9 @@
     run(scenario())
 
 
-def test_the_child_of_a_fork_refuses_to_use_it(tmp_path: Path) -> None:
+def test_the_child_of_a_fork_cannot_use_the_relay(tmp_path: Path) -> None:
     async def scenario() -> None:
-        async with relay_on(tmp_path, partner := Partner()) as relay:
+        async with relay_on(tmp_path, partner := ScriptedTransport()) as relay:
             pid = os.fork()
             if pid == 0:
                 code = 1
@@ -684,7 +685,7 @@
                     os._exit(code)
             _, status = os.waitpid(pid, 0)
             assert os.waitstatus_to_exitcode(status) == 0
-            # The parent goes on, and still holds its folder.
+            # The parent continues and still has its folder locked.
             assert (await (await relay.hand_in(message("m1"))).end()).outcome is DELIVERED
             with pytest.raises(FolderInUseError):
                 await relay_on(tmp_path, partner).open()
@@ -692,10 +693,10 @@
     run(scenario())
 
 
-# A loop that is held up.
+# A blocked event loop.
 
 
-def test_ends_are_true_though_the_hosts_loop_was_held_up(tmp_path: Path) -> None:
+def test_outcomes_are_correct_after_the_hosts_loop_was_blocked(tmp_path: Path) -> None:
     async def scenario() -> None:
         endpoint = StandIn(None)
         started, answer = threading.Event(), threading.Event()
@@ -725,11 +726,11 @@
             while not endpoint.seen:
                 await asyncio.sleep(0)
             assert answer.wait(PATIENCE)
-            time.sleep(1.2)  # the host holds its loop up beyond the time of both
-            assert (await out.end()).outcome is DELIVERED  # its answer had come
-            assert (await waits.end()).outcome is HANDED_BACK  # it never left
+            time.sleep(1.2)  # the host blocks its loop beyond both deadlines
+            assert (await out.end()).outcome is DELIVERED  # its response had arrived
+            assert (await waits.end()).outcome is HANDED_BACK  # it was never sent
             done.set()
-            with pytest.raises(RefusedError):  # what came meanwhile waited, and the refusal says so
+            with pytest.raises(RefusedError):  # refused because of the time that the submission waited
                 await relay.hand_in(message("m3"))
 
     run(scenario())
@@ -738,10 +739,10 @@
 # Endpoints.
 
 
-def test_a_list_that_changes_is_followed(tmp_path: Path) -> None:
+def test_a_changed_list_is_applied(tmp_path: Path) -> None:
     async def scenario() -> None:
-        where = StaticEndpoints(ONE)
-        async with relay_on(tmp_path, partner := Partner(), endpoints=where) as relay:
+        where = StaticEndpoints(ENDPOINT)
+        async with relay_on(tmp_path, partner := ScriptedTransport(), endpoints=where) as relay:
             await (await relay.hand_in(message("m1"))).end()
             where.change(Endpoint("e1", 1, draining=True, rate=50.0), Endpoint("e2", 1, rate=50.0))
             await (await relay.hand_in(message("m2"))).end()
@@ -754,7 +755,7 @@
 
 
 async def delivered(relay: Relay, name: str) -> None:
-    """See a message to its end; a relay that is behind, as on a busy machine, has it come again."""
+    """Deliver a message, retrying while the relay refuses because it is overloaded, as on a busy machine."""
     async with asyncio.timeout(PATIENCE):
         while True:
             try:
@@ -764,7 +765,7 @@
                 await asyncio.sleep(refused.retry_after)
 
 
-def test_a_file_of_endpoints_is_watched_and_a_broken_one_passed_over(
+def test_an_endpoint_file_is_watched_and_invalid_versions_ignored(
     tmp_path: Path, caplog: pytest.LogCaptureFixture
 ) -> None:
     caplog.set_level("INFO")
@@ -781,18 +782,18 @@
 
     async def scenario() -> None:
         write("{")
-        with pytest.raises(ValueError):  # noqa: PT011 - the library's own words
-            await relay_on(tmp_path / "s", Partner(), endpoints=EndpointFile(path)).open()
+        with pytest.raises(ValueError):  # noqa: PT011 - the message comes from the JSON parser
+            await relay_on(tmp_path / "s", ScriptedTransport(), endpoints=EndpointFile(path)).open()
         write(json.dumps({"members": [member(1, "e1")]}))
         watched = EndpointFile(path, every=0.005)
-        async with relay_on(tmp_path / "s", partner := Partner(), endpoints=watched) as relay:
+        async with relay_on(tmp_path / "s", partner := ScriptedTransport(), endpoints=watched) as relay:
             await delivered(relay, "m1")
             write('{"members": [{"id": "half')
             await until_logged("stays")
             await delivered(relay, "m2")
             path.unlink()
             await until_logged("No such file")
-            await asyncio.sleep(0.05)  # ten looks
+            await asyncio.sleep(0.05)  # ten checks of the file
             assert caplog.text.count("No such file") == 1
             write(json.dumps({"members": [member(1, "e9")]}))
             async with asyncio.timeout(PATIENCE):
@@ -804,11 +805,11 @@
     run(scenario())
 
 
-# Without a loop.
+# Hosts without an event loop.
 
 
-def test_the_blocking_facade_keeps_the_same_promises(tmp_path: Path) -> None:
-    partner = Partner()
+def test_the_blocking_facade_gives_the_same_guarantees(tmp_path: Path) -> None:
+    partner = ScriptedTransport()
     with BlockingRelay(relay_on(tmp_path, partner)) as relay:
         taken = [relay.hand_in(message(f"m{count}")) for count in range(5)]
         assert [it.end(PATIENCE).outcome for it in taken] == [DELIVERED] * 5
@@ -832,7 +833,7 @@
         let_go.append(asyncio.Event())
         await let_go[0].wait()
 
-    with BlockingRelay(relay_on(tmp_path, Partner(slow))) as relay:
+    with BlockingRelay(relay_on(tmp_path, ScriptedTransport(slow))) as relay:
         taken = relay.hand_in(message("m1", "unsafe"))
         with pytest.raises(TimeoutError):
             taken.end(0.05)
@@ -842,7 +843,7 @@
 
 
 def test_many_threads_hand_in_at_once(tmp_path: Path) -> None:
-    partner = Partner()
+    partner = ScriptedTransport()
     ends: list[End] = []
     with BlockingRelay(relay_on(tmp_path, partner, endpoints=StaticEndpoints(Endpoint("e1", 1)))) as relay:
 
@@ -860,7 +861,7 @@
 
 def test_a_relay_belongs_to_the_thread_that_opened_it(tmp_path: Path) -> None:
     async def scenario() -> None:
-        async with relay_on(tmp_path, Partner()) as relay:
+        async with relay_on(tmp_path, ScriptedTransport()) as relay:
             with pytest.raises(RuntimeError, match="another thread"):
                 await asyncio.to_thread(relay.find, "m1")
 
@@ -869,17 +870,17 @@
 
 def test_a_folder_in_use_ends_the_facades_thread(tmp_path: Path) -> None:
     before = threading.active_count()
-    with BlockingRelay(relay_on(tmp_path, Partner())):
+    with BlockingRelay(relay_on(tmp_path, ScriptedTransport())):
         with pytest.raises(FolderInUseError):
-            BlockingRelay(relay_on(tmp_path, Partner())).open()
+            BlockingRelay(relay_on(tmp_path, ScriptedTransport())).open()
         assert threading.active_count() == before + 1
     assert threading.active_count() == before
     gc.collect()
 
 
-def test_a_refusal_told_after_a_cancel_is_passed_over(tmp_path: Path) -> None:
+def test_a_refusal_after_a_cancel_is_ignored(tmp_path: Path) -> None:
     async def scenario() -> None:
-        async with relay_on(tmp_path, Partner()) as relay:
+        async with relay_on(tmp_path, ScriptedTransport()) as relay:
             told: list[Refusal | None] = []
             held, left_us = message("m1").checked(SETTINGS, relay.wall_ms())
             hand_in = relay.admit(held, left_us, told.append)
@@ -891,9 +892,9 @@
     run(scenario())
 
 
-def test_a_host_task_that_is_cancelled_closes_and_leaves_the_message_its_end(tmp_path: Path) -> None:
+def test_a_cancelled_host_task_closes_the_relay_and_keeps_the_message(tmp_path: Path) -> None:
     async def scenario() -> None:
-        partner = Partner(forever)
+        partner = ScriptedTransport(never_return)
 
         async def work() -> None:
             async with relay_on(tmp_path, partner) as relay:
@@ -903,10 +904,10 @@
         await partner.called(1)
         task.cancel()
         await asyncio.sleep(0)
-        task.cancel()  # again, while it closes
+        task.cancel()  # again, while it is closing
         await asyncio.wait({task})
         assert task.cancelled()
-        async with relay_on(tmp_path, second := Partner()) as relay:
+        async with relay_on(tmp_path, second := ScriptedTransport()) as relay:
             taken = relay.find("m1")
             assert taken is not None
             assert (await taken.end()).outcome is GIVEN_UP
@@ -915,21 +916,21 @@
     run(scenario())
 
 
-def test_a_message_that_has_ended_wakes_nobody_when_its_time_comes(tmp_path: Path) -> None:
-    """Guards against a wake-up and a round for each message, seconds after it was delivered."""
+def test_a_completed_message_leaves_no_timer(tmp_path: Path) -> None:
+    """Prevents a timer wake-up and a round per message, seconds after its delivery."""
 
     async def scenario() -> None:
-        async with relay_on(tmp_path, Partner()) as relay:
+        async with relay_on(tmp_path, ScriptedTransport()) as relay:
             for count in range(5):
                 await (await relay.hand_in(message(f"m{count}"))).end()
-            assert len(relay._node._timers._heap) <= 1  # the last one is seen through by the next round
+            assert len(relay._node._timers._heap) <= 1  # the next round removes the timer of the last one
             held = await relay.hand_in(message("m9", deadline=0.3))
             assert (await held.end()).outcome is DELIVERED
 
     run(scenario())
 
 
-def test_a_hand_in_cancelled_while_it_waits_for_a_sync_was_taken_on(
+def test_a_submission_cancelled_while_waiting_for_a_sync_is_accepted(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     held: list[Callable[[], None]] = []
@@ -941,13 +942,13 @@
     monkeypatch.setattr("amberlug.core.journal.ThreadSyncer", Slow)
 
     async def scenario() -> None:
-        async with relay_on(tmp_path, partner := Partner(), durability=Durability.GROUP) as relay:
+        async with relay_on(tmp_path, partner := ScriptedTransport(), durability=Durability.GROUP) as relay:
             task = asyncio.create_task(relay.hand_in(message("m1", "unsafe")))
             async with asyncio.timeout(PATIENCE):
                 while not relay._node.knows("m1"):
                     await asyncio.sleep(0)
             await asyncio.sleep(0.02)
-            assert (task.done(), partner.calls) == (False, [])  # neither told nor sent before the sync
+            assert (task.done(), partner.calls) == (False, [])  # neither reported nor sent before the sync
             task.cancel()
             await asyncio.wait({task})
             taken = relay.find("m1")
@@ -968,7 +969,7 @@
 def test_every_durability_delivers_and_closes(tmp_path: Path, durability: Durability) -> None:
     async def scenario() -> None:
         for life in range(2):
-            async with relay_on(tmp_path, partner := Partner(), durability=durability) as relay:
+            async with relay_on(tmp_path, partner := ScriptedTransport(), durability=durability) as relay:
                 names = [f"m{life}-{count}" for count in range(20)]
                 taken = await asyncio.gather(*(relay.hand_in(message(name)) for name in names))
                 assert {(await it.end()).outcome for it in taken} == {DELIVERED}
--- a/tests/test_parity.py
+++ b/tests/test_parity.py
@@ -1,4 +1,4 @@
-"""Library and daemon give the same results on the same recorded run, by what passes on the wires."""
+"""Library and daemon produce the same results for the same script, judged by the traffic."""
 
 from __future__ import annotations
 
@@ -26,8 +26,8 @@
 
 
 @dataclass
-class Story:
-    """What became of one message: each attempt's key, body and answer, and the end."""
+class History:
+    """The history of one message: key, body and response of each attempt, acceptance and outcomes."""
 
     attempts: list[tuple[str, bytes, str]] = field(default_factory=list)
     taken: list[bool] = field(default_factory=list)
@@ -35,12 +35,12 @@
 
 
 class Front(Protocol):
-    """The relay under test, as whoever hands in sees it."""
+    """The relay under test, as seen by a client."""
 
     async def start(self) -> None: ...
     async def hand_in(self, name: str, kind: str) -> bool: ...
     async def told(self) -> dict[str, str]:
-        """The ends that it has told so far, by message; for a delivery it need not tell any."""
+        """The outcomes reported so far, by message; deliveries need not be reported."""
 
     async def kill(self) -> None: ...
     def shut_down(self) -> None: ...
@@ -48,20 +48,20 @@
 
 
 class Run:
-    """Plays the script against a front, one step after the other."""
+    """Runs the steps of the script in order against a front."""
 
     def __init__(self, folder: Path, make: Callable[[Path, Platform, list[dict[str, Any]]], Front]) -> None:
         self._folder, self._make = folder, make
         self.platform = Platform()
-        self.stories: dict[str, Story] = {}
+        self.histories: dict[str, History] = {}
         self._peers: dict[str, StandIn] = {}
         self._answers = {name: list(answers) for name, answers in SCRIPT["answers"].items()}
         self._held: list[Seen] = []
-        self.calls: list[tuple[str, str]] = []  # message and endpoint, in their order
-        self._news = asyncio.Event()
+        self.calls: list[tuple[str, str]] = []  # message and endpoint, in order
+        self._changed = asyncio.Event()
         self._holding = False
 
-    async def play(self) -> dict[str, Story]:
+    async def play(self) -> dict[str, History]:
         await self.platform.start()
         for name in SCRIPT["endpoints"]:
             await self._add(name)
@@ -76,7 +76,7 @@
             await self._front.kill()
             for peer in (self.platform, *self._peers.values()):
                 await peer.stop()
-        return self.stories
+        return self.histories
 
     async def _add(self, name: str) -> None:
         peer = StandIn(None)
@@ -84,11 +84,12 @@
         self._peers[name] = await peer.start()
 
     def _called(self, endpoint: str, seen: Seen) -> bool:
-        # By message: which endpoint is called depends on how long ago another failed, so on the machine.
+        # Responses are scripted by message: which endpoint is called depends on timing and thus on the
+        # machine.
         answers = self._answers.get(seen.name, [])
         word = "hold" if self._holding else answers.pop(0) if answers else "ok"
         key = seen.headers.get("idempotency-key", "-")
-        self.stories[seen.name].attempts.append((key, seen.body, word))
+        self.histories[seen.name].attempts.append((key, seen.body, word))
         self.calls.append((seen.name, endpoint))
         if word == "hold":
             self._held.append(seen)
@@ -96,49 +97,49 @@
             seen.reset()
         else:
             seen.answer(ANSWERS[word])
-        self._news.set()
+        self._changed.set()
         return True
 
     async def _until(self, true: Callable[[], bool]) -> None:
         async with asyncio.timeout(PATIENCE):
             while not true():
-                self._news.clear()
-                await self._news.wait()
+                self._changed.clear()
+                await self._changed.wait()
 
     def _delivered(self, name: str) -> bool:
-        return any(word == "ok" for *_, word in self.stories[name].attempts)
+        return any(word == "ok" for *_, word in self.histories[name].attempts)
 
-    # The steps.
+    # The steps of the script.
 
     async def _hand_in(self, name: str, kind: str) -> None:
-        story = self.stories.setdefault(name, Story())
-        story.taken.append(await self._front.hand_in(name, kind))
+        history = self.histories.setdefault(name, History())
+        history.taken.append(await self._front.hand_in(name, kind))
         await self._ended(name)
 
     async def _ended(self, name: str) -> None:
         async with asyncio.timeout(PATIENCE):
             while not self._delivered(name) and name not in (told := await self._front.told()):
                 await asyncio.sleep(0.005)
-        story = self.stories[name]
-        story.ends.append("delivered" if self._delivered(name) else told[name])
+        history = self.histories[name]
+        history.ends.append("delivered" if self._delivered(name) else told[name])
 
     async def _hand_in_held(self, name: str, kind: str) -> None:
         self._holding = True
         await self._hand_in_waiting(name, kind)
-        await self._until(lambda: bool(self.stories[name].attempts))
+        await self._until(lambda: bool(self.histories[name].attempts))
 
     async def _hand_in_waiting(self, name: str, kind: str) -> None:
-        # Guards against a call that comes before the hand-in's answer has: it is part of the story already.
-        story = self.stories[name] = Story()
-        story.taken.append(await self._front.hand_in(name, kind))
+        # Created first: a call may arrive before the response to the submission and belongs to the history.
+        history = self.histories[name] = History()
+        history.taken.append(await self._front.hand_in(name, kind))
 
     async def _release(self) -> None:
         self._holding = False
         for seen in self._held:
-            story = self.stories[seen.name]
+            history = self.histories[seen.name]
             if not seen.writer.transport.is_closing():
-                at = story.attempts.index((seen.headers.get("idempotency-key", "-"), seen.body, "hold"))
-                story.attempts[at] = (*story.attempts[at][:2], "ok")
+                at = history.attempts.index((seen.headers.get("idempotency-key", "-"), seen.body, "hold"))
+                history.attempts[at] = (*history.attempts[at][:2], "ok")
                 seen.answer(OK)
         self._held.clear()
 
@@ -147,7 +148,7 @@
         gone, peer = self._peers[old], self._peers[new]
         self._members[:] = [it for it in self._members if it["id"] != old] + [member(peer.port, new)]
         self.platform.tell(news(member(gone.port, old, "terminating"), member(peer.port, new)))
-        await gone.until(lambda: gone.closed == gone.dials)  # the relay has heard of it
+        await gone.until(lambda: gone.closed == gone.dials)  # the relay has received the update
 
     async def _kill(self) -> None:
         await self._front.kill()
@@ -165,7 +166,7 @@
 
 
 class Daemon:
-    """The daemon as a process."""
+    """The daemon in its own process."""
 
     def __init__(self, folder: Path, platform: Platform, members: list[dict[str, Any]]) -> None:
         limits = {"disk_mb": 3.0, "memory_mb": 64, "sockets": 256}
@@ -196,12 +197,12 @@
 
 
 class Library:
-    """The library in a host's process."""
+    """The library in a host process."""
 
     def __init__(self, folder: Path, platform: Platform, members: list[dict[str, Any]]) -> None:
         self._folder, self._platform, self._members = folder, platform, members
         self._process: asyncio.subprocess.Process | None = None
-        self._told: dict[str, str] = {}
+        self._outcomes: dict[str, str] = {}
         self._taken: dict[str, asyncio.Future[bool]] = {}
 
     async def start(self) -> None:
@@ -244,7 +245,7 @@
         assert line, "the host ended"
         said = json.loads(line)
         if "end" in said:
-            self._told[said["end"]] = said["outcome"]
+            self._outcomes[said["end"]] = said["outcome"]
         elif "told" in said:
             self._taken[said["told"]].set_result(said["taken"])
 
@@ -258,7 +259,7 @@
             return await self._taken[name]
 
     async def told(self) -> dict[str, str]:
-        return self._told
+        return self._outcomes
 
     async def kill(self) -> None:
         if self._process is not None and self._process.returncode is None:
@@ -277,29 +278,29 @@
 
 
 def test_library_and_daemon_give_identical_results(tmp_path: Path) -> None:
-    stories: list[dict[str, Story]] = []
+    histories: list[dict[str, History]] = []
     runs: list[Run] = []
 
     async def scenario(name: str, make: Callable[..., Front]) -> None:
         folder = tmp_path / name
         folder.mkdir()
         runs.append(Run(folder, make))
-        stories.append(await runs[-1].play())
+        histories.append(await runs[-1].play())
 
     run(scenario("daemon", Daemon))
     run(scenario("library", Library))
-    daemon, library = stories
+    daemon, library = histories
     assert daemon.keys() == library.keys()
     for name in daemon:
         assert (name, library[name]) == (name, daemon[name])
-    # The run held what it is meant to hold.
-    ends = {name: story.ends for name, story in daemon.items()}
+    # The script covered the intended cases.
+    ends = {name: history.ends for name, history in daemon.items()}
     assert ends["m12"] == ["given_up", "given_up"]
     assert ends["m13"] == ends["m14"] == ends["m15"] == ends["m17"] == ["delivered"]
     assert ends["m16"] == ["handed_back"]
-    words = [word for story in daemon.values() for *_, word in story.attempts]
+    words = [word for history in daemon.values() for *_, word in history.attempts]
     assert {"error", "full", "reset", "wait", "hold"} <= set(words)
     for one in runs:
-        called = dict(one.calls)  # the last endpoint of each
-        assert all(called[name] != "a" for name in called if name > "m08")  # it drains by then
+        called = dict(one.calls)  # the last endpoint of each message
+        assert all(called[name] != "a" for name in called if name > "m08")  # it is draining by then
         assert {endpoint for _, endpoint in one.calls} <= {"a", "b", "c", "d"}
--- a/tests/test_restart.py
+++ b/tests/test_restart.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from amberlug.cli.learnings import Now, ReadOnlyDisk
+from amberlug.cli.learnings import ReadOnlyDisk, SystemClock
 from amberlug.core.journal import FolderDisk
 from amberlug.core.journal.recovery import recover_folder
 from amberlug.learning.blocks import generation_number
@@ -127,7 +127,7 @@
                     await relay.hand_in(f"m{life}-{count}")
                 await relay.kill()
                 numbers |= {generation_number(it.name) for it in state.iterdir()}
-                now = Now()
+                now = SystemClock()
                 learner = Learner(Store(ReadOnlyDisk(state), 10**6, now.now_us), now)
                 assert learner.rejected == []
                 await relay.start()
