--- a/amberlug/cluster/admin/client.py
+++ b/amberlug/cluster/admin/client.py
@@ -1,4 +1,4 @@
-"""Calls of control-plane and edge nodes by operators: to one node after the other until one responds."""
+"""HTTP client for operators: calls control-plane and edge nodes in turn until one responds."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
 
 RESPONSE_TIMEOUT_S = 2.0
 MIN_RETRY_DELAY_S = 0.1
-MAX_RETRY_DELAY_S = 1.0  # of the exponential backoff
+MAX_RETRY_DELAY_S = 1.0  # cap of the exponential backoff
 MAX_REDIRECTS = 2
 DEFAULT_HTTP_PORT = 80
-# Statuses of an edge node that has not accepted a message, and never will.
+# Statuses by which an edge node rejects a message: it has not accepted it and will not do so later.
 REJECTED_STATUSES = frozenset((408, 421, 429, 503))
-# Statuses, beside 5xx, after which another node, or the same one later, may respond otherwise.
+# Statuses besides 5xx after which another node, or the same node later, may respond differently.
 UNSETTLED_STATUSES = frozenset((408, 429))
 
 
@@ -29,7 +29,7 @@
 class NodeResponse:
     """The response of a node.
 
-    :param headers: with names in lower case.
+    :param headers: header names are in lower case.
     """
 
     status: int
@@ -38,12 +38,12 @@
 
     @property
     def is_settled(self) -> bool:
-        """Whether the call is settled: no other node would respond otherwise."""
+        """Whether the call is settled: no other node would respond differently."""
         return self.status < 500 and self.status not in UNSETTLED_STATUSES
 
     @property
     def json(self) -> Any:
-        """The body as JSON; an empty object where it is none."""
+        """The body parsed as JSON; an empty object if it is not valid JSON."""
         try:
             return json.loads(self.body)
         except ValueError:
@@ -51,7 +51,7 @@
 
     @property
     def cause(self) -> str:
-        """Why the call was rejected, in the words of the node."""
+        """Why the call was rejected: the `cause` in the response, else its status."""
         data = self.json
         cause = data.get("cause") if isinstance(data, dict) else None
         return str(cause) if cause else f"status {self.status}"
@@ -59,7 +59,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Call:
-    """A request, which is the same on each attempt."""
+    """A request; it is identical on each attempt."""
 
     method: str
     path: str
@@ -68,15 +68,15 @@
 
     @property
     def has_host_header(self) -> bool:
-        """Whether the headers name a host, so that none is added."""
+        """Whether the headers include `Host`, so that the client does not add one."""
         return any(name.lower() == "host" for name, _ in self.headers)
 
 
 def send_once(address: str, call: Call, timeout_s: float = RESPONSE_TIMEOUT_S) -> Result[NodeResponse, str]:
-    """Send a call to one address, and to where it is redirected.
+    """Send a call to one address, following redirects.
 
     :param address: `host:port`.
-    :param timeout_s: seconds for each response.
+    :param timeout_s: timeout for each response.
     :returns: the response, or why there is none.
     """
     path = call.path
@@ -89,7 +89,7 @@
         if response.status != 307 or not location.hostname:
             return Ok(response)
         address, path = f"{location.hostname}:{location.port or DEFAULT_HTTP_PORT}", _path_of(location)
-    return Err(f"{address}: redirected too often")
+    return Err(f"{address}: too many redirects")
 
 
 def _exchange(address: str, path: str, call: Call, timeout_s: float) -> NodeResponse:
@@ -112,9 +112,9 @@
 
 
 def send_to_any(addresses: Sequence[str], call: Call) -> Result[NodeResponse, list[str]]:
-    """Send a call to one address after the other until one settles it.
+    """Send a call to each address in turn until one settles it.
 
-    :returns: the response that settles it, or for each address why it did not.
+    :returns: the response that settles it, or for each address the reason why it did not.
     """
     failures = []
     for address in addresses:
@@ -128,7 +128,7 @@
 def send_until_settled(
     addresses: Sequence[str], call: Call, timeout_s: float
 ) -> Result[NodeResponse, list[str]]:
-    """Send an idempotent call, unchanged, to any of the addresses until one settles it or the time is up."""
+    """Retry an idempotent call, unchanged, on all addresses until one settles it or the timeout expires."""
     deadline = time.monotonic() + timeout_s
     for delay_s in _retry_delays_s():
         sent = send_to_any(addresses, call)
@@ -139,9 +139,10 @@
 
 
 def submit_message(addresses: Sequence[str], call: Call, timeout_s: float) -> Result[NodeResponse, list[str]]:
-    """Submit a message to edge nodes in turn, until one accepts it or the time is up.
+    """Submit a message to edge nodes in turn until one accepts it or the timeout expires.
 
-    It is sent again only after a rejection. After anything else a node may have it, and it would run twice.
+    It is retried only after a rejection. After any other failure a node may have accepted the message, and a
+    retry would execute it twice.
 
     :returns: the response, or why the outcome is unknown.
     """
--- a/amberlug/cluster/admin/commands.py
+++ b/amberlug/cluster/admin/commands.py
@@ -1,4 +1,4 @@
-"""`python -m amberlug.cluster admin`: look at a deployment, change its configuration, check its files."""
+"""`python -m amberlug.cluster admin`: inspects a deployment, changes its configuration, checks its files."""
 
 from __future__ import annotations
 
@@ -29,8 +29,8 @@
 def admin() -> None:
     """Operators' commands.
 
-    Exit codes: 0 done; 1 rejected, or not found; 2 wrong usage, or a bad file; 3 no node responded, or it is
-    unknown whether it was done.
+    Exit codes: 0 done; 1 rejected, or not found; 2 wrong usage, or an invalid file; 3 no node responded, or
+    the outcome is unknown.
     """
 
 
@@ -57,7 +57,7 @@
 @admin.command()
 @click.argument("name")
 @address_option("An edge node's client address")
-@click.option("--body", "as_body", is_flag=True, help="Write its bytes instead, while it is queued or dead.")
+@click.option("--body", "as_body", is_flag=True, help="Write its body instead, while it is queued or dead.")
 @json_option
 def message(name: str, at: Addresses, as_body: bool, as_json: bool) -> None:
     """Show the status of the message NAME."""
@@ -82,13 +82,13 @@
 @admin.command()
 @click.argument("node")
 @control_option
-@click.option("--seconds", type=click.FloatRange(0, min_open=True), help="Empty it within so many seconds.")
-@click.option("--read", is_flag=True, help="Show how far it is.")
+@click.option("--seconds", type=click.FloatRange(0, min_open=True), help="Seconds within which to empty it.")
+@click.option("--read", is_flag=True, help="Show the progress.")
 @json_option
 def retire(node: str, at: Addresses, seconds: float | None, read: bool, as_json: bool) -> None:
-    """Have the storage node NODE emptied, so that it can be taken away."""
+    """Retire the storage node NODE: have it emptied, so that it can be removed."""
     if read == (seconds is not None):
-        raise click.UsageError("either --seconds or --read")
+        raise click.UsageError("give either --seconds or --read")
     path_name = quote(node, safe="")
     if read:
         call = Call("GET", f"/-/Retire.Read/{path_name}")
--- a/amberlug/cluster/admin/config_commands.py
+++ b/amberlug/cluster/admin/config_commands.py
@@ -1,4 +1,4 @@
-"""`admin config`: look at the configuration in force, and change it."""
+"""`admin config`: shows and changes the configuration in force."""
 
 from __future__ import annotations
 
@@ -25,11 +25,11 @@
 
 @click.group()
 def config() -> None:
-    """Look at the configuration in force, and change it."""
+    """Show and change the configuration in force."""
 
 
 def _read_file(path: Path, as_json: bool) -> ConfigDocument:
-    """A configuration from a file; the command ends here where it is bad."""
+    """Read a configuration from a file; exits the command if it is invalid."""
     read = read_config(path)
     if isinstance(read, Err):
         finish(ExitCode.BAD_INPUT, read.err_value, {"errors": read.err_value}, as_json)
@@ -48,7 +48,7 @@
 @control_option
 @json_option
 def show(at: Addresses, as_json: bool) -> None:
-    """Print the configuration that a majority confirms, as JSON."""
+    """Print the configuration that a majority confirms as JSON."""
     document = _read_in_force(at, as_json)
     if document is None:
         finish(ExitCode.REJECTED, ["no configuration is in place yet"], {"cause": "none"}, as_json)
@@ -59,7 +59,7 @@
 @click.argument("path", metavar="FILE", type=FILE)
 @json_option
 def check_config(path: Path, as_json: bool) -> None:
-    """Show all errors of a configuration, without a deployment."""
+    """Show all errors of a configuration file; needs no deployment."""
     document = _read_file(path, as_json)
     finish(ExitCode.DONE, [f"edition {document['edition']} is well formed"], {"errors": []}, as_json)
 
@@ -69,7 +69,7 @@
 @control_option
 @json_option
 def diff(path: Path, at: Addresses, as_json: bool) -> None:
-    """Show what FILE would change of what is in force."""
+    """Show how FILE differs from the configuration in force."""
     document = _read_file(path, as_json)
     lines = differences(_read_in_force(at, as_json) or {}, document)
     finish(ExitCode.DONE, lines or ["no difference"], {"differences": lines}, as_json)
@@ -78,14 +78,14 @@
 @config.command()
 @click.argument("path", metavar="FILE", type=FILE)
 @control_option
-@click.option("--base", type=click.IntRange(0), help="The edition it builds on; else the one in force.")
+@click.option("--base", type=click.IntRange(0), help="The edition it is based on; default: the one in force.")
 @click.option(
     "--for",
     "timeout_s",
     type=click.FloatRange(0),
     default=10.0,
     show_default=True,
-    help="Seconds to send it again, unchanged, while the outcome is unknown.",
+    help="Seconds to retry, unchanged, while the outcome is unknown.",
 )
 @json_option
 def push(path: Path, at: Addresses, base: int | None, timeout_s: float, as_json: bool) -> None:
--- a/amberlug/cluster/admin/config_differences.py
+++ b/amberlug/cluster/admin/config_differences.py
@@ -1,4 +1,4 @@
-"""What one configuration changes of another, as lines for people."""
+"""The differences between two configurations, as human-readable lines."""
 
 from __future__ import annotations
 
@@ -7,12 +7,12 @@
 from amberlug.cluster.control.state_entries import ConfigDocument
 from amberlug.cluster.interfaces import Json
 
-TABLES = ("routeTable", "serviceTable")  # lists of items with names
+TABLES = ("routeTable", "serviceTable")  # lists of items that are identified by `name`
 LIMITS = "limits"
 
 
 def differences(before: ConfigDocument, after: ConfigDocument) -> list[str]:
-    """The items that are removed (`-`) and added (`+`), then the fields that change (`~`)."""
+    """List removed (`-`) and added (`+`) items, then changed fields (`~`)."""
     lines = []
     for table in TABLES:
         old = {item["name"]: item for item in before.get(table, [])}
--- a/amberlug/cluster/admin/dead_message_commands.py
+++ b/amberlug/cluster/admin/dead_message_commands.py
@@ -1,4 +1,4 @@
-"""`admin dead`: messages that ended without success."""
+"""`admin dead`: lists, shows and resubmits messages that ended without success."""
 
 from __future__ import annotations
 
@@ -23,15 +23,15 @@
 )
 from amberlug.cluster.interfaces import Json
 
-RESUBMIT_TIMEOUT_S = 5.0  # for a dead message to be accepted, while edge nodes reject it
+RESUBMIT_TIMEOUT_S = 5.0  # for which a resubmission is retried while edge nodes reject it
 ATTEMPT_ID_BYTES = 8
 
 
 @click.group()
 def dead() -> None:
-    """Look at messages that ended without success, and submit them again.
+    """Inspect and resubmit messages that ended without success.
 
-    Storage nodes keep them for `statusTtlS` after their end.
+    Storage nodes keep them for `statusTtlS` after they ended.
     """
 
 
@@ -39,7 +39,7 @@
 @control_option
 @json_option
 def list_dead(at: Addresses, as_json: bool) -> None:
-    """List them by name."""
+    """List the dead messages by name."""
     messages: list[Json] = []
     unresponsive: set[str] = set()
     after: str | None = ""
@@ -51,7 +51,7 @@
         after = page.get("after")
     lines = [_summary(message) for message in messages]
     lines += [
-        f"the storage node {name} does not respond: some may be missing" for name in sorted(unresponsive)
+        f"storage node {name} does not respond: some messages may be missing" for name in sorted(unresponsive)
     ]
     data = {"messages": messages, "silent": sorted(unresponsive)}
     finish(ExitCode.DONE, lines or ["none"], data, as_json)
@@ -73,7 +73,7 @@
 @control_option
 @json_option
 def show_dead(name: str, at: Addresses, as_json: bool) -> None:
-    """Print one, with its bytes."""
+    """Print the dead message NAME with its headers and body."""
     message = _read_dead(name, at, as_json)
     lines = [f"{key}: {value}" for key, value in message.items() if key not in ("body", "headers")]
     lines += [f"{key}: {value}" for key, value in message["headers"]]
@@ -87,26 +87,26 @@
 @address_option("An edge node's client address", "front")
 @json_option
 def resubmit(name: str, at: Addresses, front: Addresses, as_json: bool) -> None:
-    """Submit the message NAME again, under a new name, to an edge node.
+    """Resubmit the message NAME to an edge node, under a new name.
 
-    It goes the way of any client's message, behind all others of its key. It is sent again only while an edge
-    node rejects it; where the outcome is unknown, the command ends with 3.
+    It is handled like any client's message, after all others with its sequence key. The request is retried
+    only while edge nodes reject it; if the outcome is unknown, the exit code is 3.
     """
     attempt_id = secrets.token_hex(ATTEMPT_ID_BYTES)
     sent = submit_message(front, _resubmission(_read_dead(name, at, as_json), attempt_id), RESUBMIT_TIMEOUT_S)
     if isinstance(sent, Err):
-        hint = f"it may have been accepted, as attempt {attempt_id}: look for that at its service"
+        hint = f"it may have been accepted as attempt {attempt_id}; look for that attempt id at its service"
         data = {"unclear": sent.err_value, "attempt": attempt_id}
         finish(ExitCode.UNKNOWN, [*sent.err_value, hint], data, as_json)
     response = sent.ok_value
     if response.status != 202:
         finish_rejected(response, as_json)
     new_name = response.headers.get("amberlug-message-name", attempt_id)
-    finish(ExitCode.DONE, [f"{name} goes again as {new_name}"], {"id": new_name, "was": name}, as_json)
+    finish(ExitCode.DONE, [f"{name} was resubmitted as {new_name}"], {"id": new_name, "was": name}, as_json)
 
 
 def _resubmission(message: Json, attempt_id: str) -> Call:
-    """The request that submits a dead message again: as it came, but for its attempt id."""
+    """The request that resubmits a dead message: the original request with a new attempt id."""
     headers = (
         ("Host", message["host"]),
         *((key, value) for key, value in message["headers"]),
--- a/amberlug/cluster/admin/file_commands.py
+++ b/amberlug/cluster/admin/file_commands.py
@@ -1,4 +1,4 @@
-"""`admin check`: the files that a deployment is run by."""
+"""`admin check`: checks the settings file and the deploy file of a deployment."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 @click.group("check")
 def check_files() -> None:
-    """Check the files that a deployment is run by."""
+    """Check the settings file and the deploy file of a deployment."""
 
 
 def _finish_check(path: Path, errors: list[str], as_json: bool) -> NoReturn:
--- a/amberlug/cluster/admin/files.py
+++ b/amberlug/cluster/admin/files.py
@@ -1,4 +1,4 @@
-"""Checks of the files that operators write: all errors, each with the path of its setting."""
+"""Checks of the files that operators write: they report all errors, each with the path of its setting."""
 
 from __future__ import annotations
 
@@ -15,18 +15,18 @@
 from amberlug.cluster.control.state_entries import ConfigDocument
 from amberlug.cluster.settings import Settings, read_settings_file
 
-ROLES = ("edge", "storage", "control_plane")  # what a process may serve
-# The settings without which a process can not serve a role.
+ROLES = ("edge", "storage", "control_plane")  # roles that a process may serve
+# The settings that a process requires to serve a role.
 REQUIRED_SETTINGS = {
     "edge": ("front", "readiness"),
     "storage": ("dataDir",),
     "control_plane": ("control", "dataDir"),
 }
-SHELL_CHARACTERS = frozenset("|&;<>$`\"'*?~")  # of no meaning in a command that no shell reads
-WRAPPER_PROGRAMS = frozenset(("env", "npx", "sh", "bash"))  # the platform starts the program itself
+SHELL_CHARACTERS = frozenset("|&;<>$`\"'*?~")  # have no effect, since commands run without a shell
+WRAPPER_PROGRAMS = frozenset(("env", "npx", "sh", "bash"))  # the platform starts the program directly
 PACKAGE_NAME = r"[a-z0-9][a-z0-9+.-]+\Z"  # Debian policy manual, section 5.6.1
 MAX_ROLES_PER_MACHINE = 2
-STORAGE_CLASS = "storage"  # of machines
+STORAGE_CLASS = "storage"  # the machine class of storage nodes
 
 
 def _read(path: Path) -> Result[bytes, list[str]]:
@@ -40,7 +40,7 @@
 
 
 def read_config(path: Path) -> Result[ConfigDocument, list[str]]:
-    """Read an operator's configuration, and check it as a control-plane node does."""
+    """Read an operator's configuration and validate it as a control-plane node does."""
     content = _read(path)
     if isinstance(content, Err):
         return content
@@ -49,7 +49,7 @@
 
 
 def check_settings(path: Path) -> list[str]:
-    """All errors of a settings file, those among them that would keep the process from starting."""
+    """List all errors of a settings file, including those that would keep the process from starting."""
     read = read_settings_file(str(path))
     if isinstance(read, Err):
         return [str(error) for error in read.err_value]
@@ -59,17 +59,17 @@
 def _errors_of_settings(settings: Settings) -> Iterator[str]:
     names = ", ".join(ROLES)
     for role in sorted(settings.serves - set(ROLES)):
-        yield f"serves: {role!r} is none of {names}"
+        yield f"serves: {role!r} is not one of {names}"
     served = sorted(settings.serves & set(ROLES))
     if len(served) != 1:
-        yield f"serves: one process plays one part of {names}"
+        yield f"serves: one process serves exactly one role of {names}"
     if not settings.seeds:
-        yield "seedNodes: without one the process finds nobody"
+        yield "seedNodes: at least one is required to find the other nodes"
     for role in served:
         for name in REQUIRED_SETTINGS[role]:
             if _setting(settings, name) is None:
                 setting_path = name if name == "dataDir" else f"bindings.{name}"
-                yield f"{setting_path}: missing, and {role} needs it"
+                yield f"{setting_path}: missing, but required to serve {role}"
 
 
 def _setting(settings: Settings, name: str) -> object:
@@ -88,18 +88,18 @@
 def _check_command(value: str) -> str:
     arguments = value.split()
     if not arguments:
-        raise t.DataError("names no program", value=value)
+        raise t.DataError("does not name a program", value=value)
     if arguments[0] in WRAPPER_PROGRAMS:
-        raise t.DataError(f"begins with the helper {arguments[0]!r}", value=value)
+        raise t.DataError(f"starts with the wrapper program {arguments[0]!r}", value=value)
     found = sorted(set(value) & SHELL_CHARACTERS)
     if found:
-        raise t.DataError(f"no shell reads it, but it holds {' '.join(found)}", value=value)
+        raise t.DataError(f"runs without a shell, but contains {' '.join(found)}", value=value)
     return value
 
 
 def _check_share(value: Any) -> float:
     if isinstance(value, bool) or not isinstance(value, int | float) or not 0 < value <= 1:
-        raise t.DataError("is no number over 0 and up to 1", value=value)
+        raise t.DataError("must be a number greater than 0 and at most 1", value=value)
     return float(value)
 
 
@@ -130,11 +130,11 @@
     serves: tuple[str, ...]
     has_share: bool
     has_count: bool
-    runs_on_all: bool  # on each machine of its class
+    runs_on_all: bool  # runs on each machine of its class
 
     @classmethod
     def from_file(cls, name: str, role: Mapping[str, Any]) -> _DeployRole:
-        """Read a role that the schema has accepted."""
+        """Convert a role that was validated against the schema."""
         return cls(
             name=name,
             machine_class=role["on"],
@@ -146,7 +146,7 @@
 
 
 def check_deploy(path: Path) -> list[str]:
-    """All errors of a deploy file."""
+    """List all errors of a deploy file."""
     text = _read(path)
     if isinstance(text, Err):
         return text.err_value
@@ -163,7 +163,7 @@
 
 
 def _errors_of_schema(error: Any, path: str = "") -> Iterator[str]:
-    """The leaves of a tree of errors, in the order of the schema."""
+    """Flatten a tree of schema errors, in the order of the schema."""
     if isinstance(error, t.DataError):
         yield from _errors_of_schema(error.error, path)
     elif isinstance(error, dict):
@@ -178,23 +178,23 @@
         if role.has_share == role.has_count:
             yield f"roles.{role.name}: takes one of share and count"
         if len(role.serves) > 1:
-            yield f"roles.{role.name}.serves: one process plays one part of {', '.join(ROLES)}"
+            yield f"roles.{role.name}.serves: one process serves exactly one role of {', '.join(ROLES)}"
         if "storage" in role.serves and role.machine_class != STORAGE_CLASS:
-            yield f"roles.{role.name}.serves: storage, which only machines of the class storage may"
+            yield f"roles.{role.name}.serves: only machines of the class storage may serve storage"
 
 
 def _errors_of_classes(roles: list[_DeployRole]) -> Iterator[str]:
-    """Errors of all roles together, by the class of machines on which they run."""
+    """Check all roles together, by the machine class on which they run."""
     for served in ROLES:
         classes = Counter(role.machine_class for role in roles if served in role.serves)
         if not classes:
             yield f"roles: none serves {served}"
         for machine_class, count in classes.items():
             if count > 1:
-                yield f"roles: {count} on the class {machine_class} serve {served}, and one may"
+                yield f"roles: {count} on the class {machine_class} serve {served}; at most one may"
     for machine_class, count in Counter(role.machine_class for role in roles if role.runs_on_all).items():
         if count > MAX_ROLES_PER_MACHINE:
             yield (
-                f"roles: {count} on each machine of the class {machine_class}, "
-                f"and {MAX_ROLES_PER_MACHINE} may"
+                f"roles: {count} on each machine of the class {machine_class}; "
+                f"at most {MAX_ROLES_PER_MACHINE} may"
             )
--- a/amberlug/cluster/admin/options.py
+++ b/amberlug/cluster/admin/options.py
@@ -1,4 +1,4 @@
-"""What the operators' commands share: options, exit codes, and how a command ends."""
+"""Shared parts of the operators' commands: options, exit codes, and the output at exit."""
 
 from __future__ import annotations
 
@@ -21,21 +21,21 @@
 
 
 class ExitCode(IntEnum):
-    """How a command ended."""
+    """Exit codes of the commands."""
 
     DONE = 0
     REJECTED = 1  # or not found
-    BAD_INPUT = 2  # wrong usage, or a bad file; click uses it for wrong usage as well
-    UNKNOWN = 3  # no node responded, or it is unknown whether the call was carried out
+    BAD_INPUT = 2  # wrong usage, or an invalid file; click also exits with 2 on wrong usage
+    UNKNOWN = 3  # no node responded, or it is unknown whether the call was executed
 
 
 class AddressType(click.ParamType[str]):
-    """An option's value of the form `host:port`."""
+    """An option value of the form `host:port`."""
 
     name = "host:port"
 
     def convert(self, value: Any, param: click.Parameter | None, ctx: click.Context | None) -> str:
-        """Check the form; the value stays as it is."""
+        """Validate the format and return the value unchanged."""
         host, _, port = str(value).rpartition(":")
         if not host or not port.isdigit() or not 0 < int(port) <= MAX_PORT:
             self.fail(f"{value!r} is no address of the form host:port", param, ctx)
@@ -43,11 +43,11 @@
 
 
 def address_option(node: str, option: str = "at") -> Callable[[CommandT], CommandT]:
-    """An option for the addresses of nodes, any of which may respond.
+    """Make an option for the addresses of nodes, any of which may respond.
 
-    :param node: what listens there, for the help.
+    :param node: the kind of node that listens there, for the help text.
     """
-    help_text = f"{node}; several: whichever responds."
+    help_text = f"{node}; if repeated, the first one that responds is used."
     return click.option(f"--{option}", type=AddressType(), multiple=True, required=True, help=help_text)
 
 
@@ -57,10 +57,10 @@
 
 
 def finish(code: ExitCode, lines: Iterable[str], data: Json, as_json: bool) -> NoReturn:
-    """End the command with an exit code.
+    """Print the output and exit with a code.
 
-    :param lines: for people; to standard error where the command was not carried out.
-    :param data: for programs, printed in place of the lines.
+    :param lines: human-readable output; written to standard error if the command did not succeed.
+    :param data: machine-readable output, printed instead of the lines if `as_json` is set.
     """
     if as_json:
         click.echo(json.dumps(data))
@@ -71,13 +71,13 @@
 
 
 def finish_rejected(response: NodeResponse, as_json: bool) -> NoReturn:
-    """End the command with a node's rejection."""
+    """Report a node's rejection and exit."""
     data = {"status": response.status, "cause": response.cause}
     finish(ExitCode.REJECTED, [f"{response.status}: {response.cause}"], data, as_json)
 
 
 def response_or_finish(sent: Result[NodeResponse, list[str]], as_json: bool) -> NodeResponse:
-    """The response; the command ends here where there is none, or a rejection."""
+    """Return the response; exits the command if there is none, or if it is a rejection."""
     if isinstance(sent, Err):
         finish(ExitCode.UNKNOWN, sent.err_value, {"unclear": sent.err_value}, as_json)
     if sent.ok_value.status >= 300:
--- a/amberlug/cluster/admin/rendering.py
+++ b/amberlug/cluster/admin/rendering.py
@@ -1,4 +1,4 @@
-"""The status of a deployment, as lines for people. Keys are those of the control plane's status document."""
+"""Renders the control plane's status document as human-readable lines."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def status_lines(status: Json) -> Iterator[str]:
-    """The complete status document of a control-plane node."""
+    """Render the complete status document of a control-plane node."""
     yield from _consensus_lines(status["core"], status["confirmed"])
     yield from _table([_session_row(session) for session in status["members"]])
     yield from _storage_lines(status["stores"])
@@ -34,7 +34,7 @@
     leader = consensus["leader"]
     yield f"term {consensus['term']}, led by {leader or 'nobody'}, log at {consensus['commit']}"
     if not is_confirmed:
-        yield "NOT CONFIRMED by a majority: what follows may be old"
+        yield "NOT CONFIRMED by a majority: what follows may be outdated"
     yield from _table([_member_row(member, leader) for member in consensus["members"]])
 
 
