--- a/amberlug/cluster/http/__init__.py
+++ b/amberlug/cluster/http/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP front end of the nodes: server, routing table, declared API calls."""
+"""The nodes' HTTP front end: server, routing table, declared API calls."""
--- a/amberlug/cluster/http/api.py
+++ b/amberlug/cluster/http/api.py
@@ -1,4 +1,4 @@
-"""Calls of endpoints and operators over HTTP: each is declared beside its handler."""
+"""The HTTP API for endpoints and operators: each call is declared by a decorator on its handler."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class HttpRequest(Protocol):
-    """A request, as far as handlers of calls look at it."""
+    """The part of a request that handlers of API calls use."""
 
     @property
     def method(self) -> str:
@@ -19,23 +19,23 @@
 
     @property
     def target(self) -> str:
-        """The path, and the query where there is one."""
+        """The path, with the query if there is one."""
 
     @property
     def body(self) -> bytes:
-        """The whole body."""
+        """The complete body."""
 
     def header(self, name: str) -> str | None:
-        """The value of a header by its name in lower case; None where there is none."""
+        """The value of a header, by its name in lower case; None if it is missing."""
 
 
 @value
 class HttpResponse:
-    """A response to a call.
+    """A response to an API call.
 
     :param body: the JSON object that is sent.
     :param retry_after: seconds after which the caller may try again.
-    :param page: plain text that is sent instead of the body.
+    :param page: plain text that is sent instead of `body`.
     """
 
     status: int
@@ -51,21 +51,21 @@
 
 @value
 class ApiCall:
-    """A declared call; a path that ends with `/` is followed by a name."""
+    """A declared API call; a path that ends with `/` is followed by a name."""
 
     method: str
     path: str
 
     @property
     def is_named(self) -> bool:
-        """Whether a name follows the path."""
+        """Whether the path is followed by a name."""
         return self.path.endswith("/")
 
 
 def api_call(method: str, path: str) -> Callable[[Handler], Handler]:
-    """Declare a method as the handler of a call: `(request, name, respond)`.
+    """Declare a method as the handler of an API call; it takes `(request, name, respond)`.
 
-    :param path: one that ends with `/` is followed by a name, which the handler gets.
+    :param path: if it ends with `/`, it is followed by a name, which is passed to the handler.
     """
 
     def declare(handler: Handler) -> Handler:
@@ -76,7 +76,7 @@
 
 
 class AdminApi:
-    """Finds the handler of a request among those that the classes of some components declare."""
+    """Dispatches requests to the handlers that the classes of the given components declare."""
 
     def __init__(self, *components: object) -> None:
         self._exact: dict[str, dict[str, Callable[..., None]]] = {}
@@ -93,7 +93,7 @@
                     table.setdefault(call.path, {}).setdefault(call.method, getattr(component, name))
 
     def handle(self, request: HttpRequest, respond: RespondHttp) -> None:
-        """Have a request handled; a path or method without a handler is answered here by 404 or 405."""
+        """Dispatch a request; responds with 404 or 405 if there is no handler for its path or method."""
         path = request.target.partition("?")[0]
         methods, name = self._exact.get(path), ""
         if methods is None:
@@ -108,9 +108,9 @@
 
 
 def read_json_object(request: HttpRequest, respond: RespondHttp, max_bytes: int) -> Json | None:
-    """Read a request's body as one small JSON object.
+    """Parse a request's body as a JSON object of limited size.
 
-    :returns: None where it is none, or too large; the request is answered then.
+    :returns: None if it is not a JSON object or too large; an error response was sent in that case.
     """
     if len(request.body) > max_bytes:
         respond(HttpResponse(413, {"cause": f"{len(request.body)} bytes are too many"}))
@@ -127,10 +127,10 @@
 
 
 def unconfirmed() -> HttpResponse:
-    """The response to a call whose outcome no majority has confirmed; the caller may send it again."""
+    """The response to a call whose outcome no majority has confirmed; the caller may retry it."""
     return HttpResponse(503, {"cause": "no answer of a majority"}, 1)
 
 
 def pack(body: Json) -> bytes:
-    """The bytes of a response's body."""
+    """Encode a response's body."""
     return json.dumps(body, separators=(",", ":")).encode()
--- a/amberlug/cluster/http/connection.py
+++ b/amberlug/cluster/http/connection.py
@@ -1,4 +1,4 @@
-"""The server side of one HTTP/1.1 connection: requests in, responses out in the same order."""
+"""The server side of one HTTP/1.1 connection; responses are sent in the order of the requests."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
 from amberlug.cluster.http.message import CONTINUE, Request, Response, encode_response
 from amberlug.cluster.http.parser import Limits, RequestParser, RequestRejectedError
 
-MAX_READ_AHEAD_BYTES = 1 << 16  # received beyond an open request until reading pauses
-MAX_DISCARDED_BYTES = 1 << 20  # received behind a last response until the connection is aborted
-MAX_REQUESTS_PER_TURN = 64  # of one connection: what one client sends at once must not delay the others
-CLOSING_TIMEOUT_S = 0.5  # for the client to end a connection that had its last response
+MAX_READ_AHEAD_BYTES = 1 << 16  # buffered behind an open request before reading is paused
+MAX_DISCARDED_BYTES = 1 << 20  # received after the last response before the connection is aborted
+MAX_REQUESTS_PER_TURN = 64  # of one connection, so that a client that pipelines many does not delay others
+CLOSING_TIMEOUT_S = 0.5  # for the client to close a connection after its last response
 NEVER = float("inf")
 
 RespondCallback = Callable[[Response], None]
@@ -22,11 +22,11 @@
 
 
 class Phase(IntEnum):
-    """What a connection is doing, in this order for each request."""
+    """State of a connection; each request passes through these phases in order."""
 
-    IDLE = 0  # no byte of a request was received
-    HEAD = 1  # a header section is incomplete
-    BODY = 2  # a body is incomplete
+    IDLE = 0  # no byte of a request has been received
+    HEAD = 1  # the header section is incomplete
+    BODY = 2  # the body is incomplete
     OPEN = 3  # a request waits for its response
     CLOSING = 4  # the last response was sent, or the connection is lost
 
@@ -40,21 +40,21 @@
 
     @property
     def handle(self) -> RequestHandler:
-        """Called with each request."""
+        """Handler that is called with each request."""
 
     @property
     def time(self) -> Callable[[], float]:
-        """The loop's clock, in seconds."""
+        """The event loop's clock, in seconds."""
 
     def add(self, connection: HttpConnection) -> None:
-        """Keep a new connection."""
+        """Register a new connection."""
 
     def remove(self, connection: HttpConnection) -> None:
-        """Drop a connection that is closed."""
+        """Unregister a closed connection."""
 
 
 class Responder:
-    """The right to respond to one request, once."""
+    """Sends the response to one request; it can be called once."""
 
     __slots__ = ("_connection", "_is_head", "is_used")
 
@@ -64,12 +64,12 @@
     def __call__(self, response: Response) -> None:
         """Send the response.
 
-        :raises RuntimeError: where one was sent before.
-        :raises ValueError: where a header holds a line break; nothing is sent then.
+        :raises RuntimeError: if a response was sent before.
+        :raises ValueError: if a header contains a line break; nothing is sent in that case.
         """
         if self.is_used:
-            raise RuntimeError("a request has one response")
-        # Set first: the connection goes on to its next request at once, and may come here from within.
+            raise RuntimeError("a response to this request was already sent")
+        # Set first: `respond` processes the next request immediately and may re-enter this method.
         self.is_used = True
         try:
             self._connection.respond(response, self._is_head)
@@ -87,28 +87,28 @@
         self._parser = RequestParser()
         self._is_writing_paused = self._is_parsing = False
         self._unsent_bytes = self._discarded_bytes = 0
-        self.retire_at = NEVER  # the loop's time from which on a response is the connection's last
-        self.is_reading_paused = False  # enough is read ahead
+        self.retire_at = NEVER  # loop time after which the next response is the last one
+        self.is_reading_paused = False  # the read-ahead limit is exceeded
         self.has_responded = False
         self.phase = Phase.IDLE
-        self.deadline = NEVER  # the loop's time at which the phase is over
+        self.deadline = NEVER  # loop time at which the phase times out
 
-    # -- what asyncio calls
+    # -- callbacks of asyncio
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Begin to serve."""
+        """Register the connection with the server."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
         self._server.add(self)
 
     def connection_lost(self, error: Exception | None) -> None:
-        """Drop what was received."""
+        """Discard buffered data and unregister the connection."""
         self.phase, self._transport = Phase.CLOSING, None
         self._parser.clear()
         self._server.remove(self)
 
     def data_received(self, data: bytes) -> None:
-        """Read requests, as far as they are complete and the one before has its response."""
+        """Process the complete requests, each once the one before has its response."""
         phase = self.phase
         if phase == Phase.CLOSING:
             self._discarded_bytes += len(data)
@@ -124,33 +124,33 @@
         self._read_requests()
 
     def pause_writing(self) -> None:
-        """Read no more of a client that sends requests and does not read the responses."""
+        """Stop reading from a client that sends requests without reading the responses."""
         self._is_writing_paused = True
         if self._transport is not None:
             self._transport.pause_reading()
 
     def resume_writing(self) -> None:
-        """Go on with a client that has read its responses."""
+        """Resume reading once the client has read its responses."""
         self._is_writing_paused = False
         self._resume()
 
-    # -- what the server calls
+    # -- called by the server
 
     @property
     def buffered_bytes(self) -> int:
-        """How many bytes are received and not consumed."""
+        """The number of bytes received but not yet parsed."""
         return self._parser.buffered_bytes
 
     def abort(self) -> None:
-        """End the connection at once."""
+        """Close the connection immediately."""
         self.phase = Phase.CLOSING
         if self._transport is not None:
             self._transport.abort()
 
     def expire(self) -> None:
-        """End the connection at its deadline: with a response where a request had begun."""
+        """Close the connection at its deadline; a request that has begun gets a 408 response."""
         unsent_bytes = self._transport.get_write_buffer_size() if self._transport is not None else 0
-        if 0 < unsent_bytes != self._unsent_bytes:  # the client reads its responses, if slowly
+        if 0 < unsent_bytes != self._unsent_bytes:  # the client is still reading its responses, slowly
             self._unsent_bytes = unsent_bytes
             self._enter(self.phase, self._server.limits.header_s)
         elif self.phase in (Phase.HEAD, Phase.BODY) and not self._is_writing_paused:
@@ -159,7 +159,7 @@
             self.abort()
 
     def has_peer_closed(self) -> bool:
-        """Whether the client has closed the connection behind bytes that are not read yet."""
+        """Whether the client has closed the connection after sending bytes that are not read yet."""
         if self._transport is None:
             return False
         poll = select.poll()
@@ -167,7 +167,7 @@
         return bool(poll.poll(0))
 
     def close(self) -> None:
-        """End the connection once the client does: closing on what it still sends would lose the response."""
+        """Half-close, and wait for the client to close: closing with unread data could lose the response."""
         self._enter(Phase.CLOSING, CLOSING_TIMEOUT_S)
         self._parser.clear()
         if self._transport is not None:
@@ -177,10 +177,10 @@
     # -- responses
 
     def respond(self, response: Response, is_head: bool) -> None:
-        """Respond to the open request; nothing is sent to a client that has hung up.
+        """Respond to the open request; nothing is sent if the client has disconnected.
 
         :param is_head: whether it is a HEAD request.
-        :raises ValueError: where a header holds a line break.
+        :raises ValueError: if a header contains a line break.
         """
         server = self._server
         is_last = (
@@ -224,9 +224,10 @@
             self._read_requests()
 
     def _read_requests(self) -> None:
-        """Pass on the requests that are complete, until one waits for its response.
+        """Handle the complete requests until one is waiting for its response.
 
-        The loop replaces recursion: a response that is given at once comes back here through `_resume`.
+        A loop instead of recursion: `respond`, when it is called synchronously by a handler, leaves the next
+        request to this loop.
         """
         if self._is_parsing or self._is_writing_paused:
             return
@@ -245,13 +246,13 @@
             self._limit_read_ahead()
 
     def _yield_to_others(self) -> None:
-        """Go on in the loop's next turn; nothing more is read until then."""
+        """Continue in the next iteration of the event loop; reading is paused until then."""
         if self._transport is not None and self.phase < Phase.OPEN:
             self._transport.pause_reading()
             asyncio.get_running_loop().call_soon(self._resume)
 
     def _read_request(self) -> bool:
-        """Pass on the next request; False while it is incomplete."""
+        """Handle the next request; False if it is incomplete."""
         request = self._parser.next_request(self._server.limits)
         if request is None:
             self._wait_for_rest()
@@ -260,7 +261,7 @@
         return True
 
     def _wait_for_rest(self) -> None:
-        """Set the deadline of a request that has begun, and ask for a body that is held back until then."""
+        """Set the deadline of an incomplete request, and send `100 Continue` if the client waits for it."""
         if self._parser.is_in_body:
             if self.phase != Phase.BODY:
                 self._enter(Phase.BODY, self._server.limits.header_s)
@@ -277,7 +278,7 @@
         try:
             server.handle(request, respond)
         except Exception as error:
-            context = {"message": "a request's handler failed", "exception": error, "protocol": self}
+            context = {"message": "request handler failed", "exception": error, "protocol": self}
             asyncio.get_running_loop().call_exception_handler(context)
             if not respond.is_used:
                 respond(Response(500, close=True))
--- a/amberlug/cluster/http/message.py
+++ b/amberlug/cluster/http/message.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 requests and responses as values, and the bytes of a response. No I/O."""
+"""HTTP/1.1 requests and responses as values, and the encoding of responses. No I/O."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 from amberlug.cluster.interfaces import Headers
 from amberlug.cluster.values import value
 
-# Statuses whose responses have neither a body nor its length (RFC 9112, section 6.3).
+# Statuses whose responses have neither a body nor a Content-Length (RFC 9112, section 6.3).
 BODILESS_STATUSES = frozenset((*range(100, 200), 204, 304))
 CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
 
 
 @value
 class Request:
-    """A complete request; names of headers are in lower case."""
+    """A complete request; header names are in lower case."""
 
     method: str
     target: str
@@ -29,9 +29,9 @@
 
 @value
 class Response:
-    """What a request is answered with; the server adds the length and connection headers.
+    """A response; the server adds the Content-Length and Connection headers.
 
-    :param close: whether the connection ends with this response.
+    :param close: whether the connection is closed after this response.
     """
 
     status: int
@@ -47,15 +47,16 @@
 
 
 def encode_response(response: Response, is_head: bool, is_last: bool) -> bytes:
-    """The bytes of a response.
+    """Encode a response.
 
-    :param is_head: whether it answers a HEAD request, and so is sent without its body.
-    :param is_last: whether the connection ends with it.
-    :raises ValueError: where a header holds a line break, which could smuggle in a header or a response.
+    :param is_head: whether it responds to a HEAD request, and is sent without its body.
+    :param is_last: whether the connection is closed after it.
+    :raises ValueError: if a header contains a line break, which would allow header injection and response
+        splitting.
     """
     fields = "".join([f"{name}: {value}\r\n" for name, value in response.headers])
     if not fields.count("\r") == fields.count("\n") == len(response.headers):
-        raise ValueError("a line break in a response's header")
+        raise ValueError("response header contains a line break")
     is_bodiless = response.status in BODILESS_STATUSES
     length = "" if is_bodiless else f"Content-Length: {len(response.body)}\r\n"
     close = "Connection: close\r\n" if is_last else ""
--- a/amberlug/cluster/http/parser.py
+++ b/amberlug/cluster/http/parser.py
@@ -1,7 +1,7 @@
 """Parses the requests of one connection. No I/O.
 
-Stricter than RFC 9112: what two parsers could read in two ways is rejected, since a proxy before this server
-may have read it the other way (request smuggling).
+Stricter than RFC 9112: input that two parsers could interpret differently is rejected, since a proxy in front
+of this server may have interpreted it the other way (request smuggling).
 """
 
 from __future__ import annotations
@@ -15,27 +15,27 @@
 from amberlug.cluster.interfaces import Headers
 from amberlug.cluster.values import value
 
-MAX_CHUNK_HEADER_BYTES = 256  # size and extension of a chunk
-MAX_CHUNKS = 4096  # of one body: many tiny chunks cost far more time than their bytes are worth
-END_OF_SECTION = b"\r\n\r\n"  # of headers, and of trailers
+MAX_CHUNK_HEADER_BYTES = 256  # a chunk's size and extensions
+MAX_CHUNKS = 4096  # of one body: many tiny chunks take far more time to parse than their size suggests
+END_OF_SECTION = b"\r\n\r\n"  # terminates headers and trailers
 
 _TOKEN = r"[!#$%&'*+\-.^_`|~0-9A-Za-z]+"
 _FIELD = rf"{_TOKEN}:[\t\x20-\x7e\x80-\xff]*"
-# Not matched, though h11 accepts them: folded lines, bare CR or LF, control characters, blanks before a
-# colon, targets that are no path.
+# Rejected, though h11 accepts them: folded lines, bare CR or LF, control characters, whitespace before a
+# colon, targets that are not a path.
 _HEAD = re.compile(rf"({_TOKEN}) (/[!\x22$-~]*) HTTP/(1\.[01])((?:\r\n{_FIELD})*)".encode())
 _TRAILERS = re.compile(rf"(?:{_FIELD}\r\n)*".encode())
 _CHUNK_HEADER = re.compile(rb"([0-9A-Fa-f]{1,8})(?:;[\t\x20-\x7e\x80-\xff]*)?\r\n")
 _HOST = re.compile(rb"[0-9A-Za-z\-._~%!$&'()*+,;=:\[\]]*")
-# In no header section: a client that sends this, such as in a TLS greeting, is not waited for.
+# Never valid in a header section, for instance in a TLS ClientHello: rejected without waiting for more.
 _NEVER_IN_HEAD = re.compile(rb"(?<!\r)\n|[\x00-\x08\x0b\x0c\x0e-\x1f\x7f]")
 _FRAMING_HEADERS = frozenset(("host", "content-length", "transfer-encoding", "connection", "expect"))
 
 
 class RequestRejectedError(Exception):
-    """A request that can not be completed; nothing after it on the connection can be read.
+    """A request that was rejected; nothing after it on the connection can be parsed.
 
-    :param status: of the response, which is the connection's last.
+    :param status: status of the response, after which the connection is closed.
     """
 
     def __init__(self, status: int) -> None:
@@ -45,11 +45,11 @@
 
 @value
 class Limits:
-    """How large requests may be, and how many seconds they may take.
+    """Size limits and timeouts of requests.
 
-    :param header_bytes: of a header section, and of a trailer section.
-    :param header_s: for the header section, and between two parts of a body.
-    :param idle_s: between a response and the next request.
+    :param header_bytes: limit of a header section, and of a trailer section.
+    :param header_s: timeout for the header section, and between two reads of a body.
+    :param idle_s: timeout between a response and the next request.
     """
 
     header_bytes: int = 16384
@@ -60,10 +60,10 @@
 
 @value
 class Framing:
-    """What a header section says about the body and the connection.
+    """How a header section frames the body, and whether the connection persists.
 
-    :param body_bytes: length of the body; None where it is chunked.
-    :param is_persistent: whether the connection may carry a further request.
+    :param body_bytes: length of the body; None if it is chunked.
+    :param is_persistent: whether the connection may carry another request.
     :param expects_continue: whether the client waits for an interim response before it sends the body.
     """
 
@@ -74,7 +74,7 @@
 
 @value
 class _Head:
-    """A header section that was read."""
+    """A parsed header section."""
 
     method: str
     target: str
@@ -82,13 +82,13 @@
     framing: Framing
 
 
-@lru_cache(256)  # most requests of a client have the same framing headers
+@lru_cache(256)  # most requests of one client have the same framing headers
 def parse_framing(version: str, fields: Headers) -> Framing:
-    """Read the headers that frame a request.
+    """Interpret the headers that frame a request.
 
-    :param version: of HTTP, `1.0` or `1.1`.
+    :param version: the HTTP version, `1.0` or `1.1`.
     :param fields: the framing headers, with names in lower case.
-    :raises RequestRejectedError: where they are invalid, or ambiguous.
+    :raises RequestRejectedError: if they are invalid or ambiguous.
     """
     raw = [(name.encode(), value.encode("latin-1")) for name, value in fields]
     try:
@@ -97,7 +97,7 @@
         raise RequestRejectedError(400) from error
     by_name = dict(iter(request.headers))
     is_chunked, length = b"transfer-encoding" in by_name, by_name.get(b"content-length")
-    # h11 prefers the chunks where both are there, and accepts chunks of HTTP/1.0.
+    # h11 prefers the chunked encoding if both are present, and accepts it in HTTP/1.0.
     if is_chunked and (length is not None or version == "1.0"):
         raise RequestRejectedError(400)
     if not _HOST.fullmatch(by_name.get(b"host", b"")):
@@ -111,49 +111,49 @@
 
 
 class RequestParser:
-    """Takes the bytes of a connection, and gives its requests one by one."""
+    """Incremental parser: takes the bytes of a connection and returns its requests one by one."""
 
     def __init__(self) -> None:
-        self.is_persistent = True  # whether the newest request lets the connection go on
-        self._buffer = bytearray()  # received, and not consumed
-        self._scanned_bytes = 0  # of the buffer, without the end of a header section in them
-        self._head: _Head | None = None  # of a request whose body is incomplete
+        self.is_persistent = True  # whether the latest request allows another one
+        self._buffer = bytearray()  # received but not yet consumed
+        self._scanned_bytes = 0  # length of the prefix known not to contain the end of a header section
+        self._head: _Head | None = None  # header of a request whose body is incomplete
         self._chunks = bytearray()
         self._chunk_count = 0
 
     @property
     def buffered_bytes(self) -> int:
-        """How many bytes are received and not consumed."""
+        """The number of bytes received but not yet consumed."""
         return len(self._buffer)
 
     @property
     def is_in_body(self) -> bool:
-        """Whether a header section was read whose body is incomplete."""
+        """Whether a header section was parsed and its body is incomplete."""
         return self._head is not None
 
     @property
     def awaits_continue(self) -> bool:
-        """Whether the client sends a body only once it was asked to."""
+        """Whether the client waits for `100 Continue` before it sends the body."""
         return self._head is not None and self._head.framing.expects_continue and not self._buffer
 
     def feed(self, data: bytes) -> None:
-        """Add received bytes."""
+        """Append received bytes to the buffer."""
         self._buffer += data
 
     def clear(self) -> None:
-        """Drop what was not consumed."""
+        """Discard the buffered bytes."""
         self._buffer.clear()
 
     def next_request(self, limits: Limits) -> Request | None:
-        """Take the next request off the buffer.
+        """Parse the next request and remove it from the buffer.
 
-        :returns: None while it is incomplete.
-        :raises RequestRejectedError: where it can not be completed.
+        :returns: None if it is incomplete.
+        :raises RequestRejectedError: if it is invalid or exceeds a limit.
         """
         if self._head is None and not self._read_head(limits):
             return None
         head = self._head
-        assert head is not None, "the header section was read"
+        assert head is not None, "the header section must have been read"
         body = self._read_body(head.framing.body_bytes, limits)
         if body is None:
             return None
@@ -162,7 +162,7 @@
         return Request(head.method, head.target, head.headers, body)
 
     def _read_head(self, limits: Limits) -> bool:
-        """Consume a header section; False while it is incomplete."""
+        """Consume a header section; False if it is incomplete."""
         buffer = self._buffer
         if not buffer:
             return False
@@ -185,7 +185,7 @@
         return True
 
     def _read_body(self, body_bytes: int | None, limits: Limits) -> bytes | None:
-        """Consume a body; None while it is incomplete."""
+        """Consume a body; None if it is incomplete."""
         if body_bytes is None:
             return bytes(self._chunks) if self._read_chunks(limits) else None
         if len(self._buffer) < body_bytes:
@@ -195,9 +195,9 @@
         return body
 
     def _read_chunks(self, limits: Limits) -> bool:
-        """Consume complete chunks; True once the last one and the trailers were read.
+        """Consume complete chunks; True once the last chunk and the trailers were read.
 
-        h11 would accept a bare LF at the end of the trailers, and any byte in an extension.
+        Not left to h11, which accepts a bare LF after the trailers and any byte in a chunk extension.
         """
         buffer = self._buffer
         while (chunk_header := _CHUNK_HEADER.match(buffer)) is not None:
@@ -219,12 +219,12 @@
         return False
 
     def _read_trailers(self, start: int, limits: Limits) -> bool:
-        """Consume the trailer section, which is ignored; False while it is incomplete.
+        """Consume the trailer section, which is ignored; False if it is incomplete.
 
-        :param start: where it begins in the buffer, behind the header of the last chunk.
+        :param start: its offset in the buffer, after the header of the last chunk.
         """
         buffer = self._buffer
-        end = buffer.find(END_OF_SECTION, start - 2)  # where there are no trailers, it begins in that header
+        end = buffer.find(END_OF_SECTION, start - 2)  # without trailers, it starts in that header
         if end < 0 and len(buffer) <= limits.header_bytes:
             return False
         if end < 0 or end + len(END_OF_SECTION) - start > limits.header_bytes:
@@ -236,7 +236,7 @@
 
 
 def _parse_head(buffer: bytearray, end: int) -> _Head:
-    """Read the header section that ends there."""
+    """Parse the header section that ends at the offset `end`."""
     match = _HEAD.fullmatch(buffer, 0, end)
     if match is None:
         raise RequestRejectedError(400)
--- a/amberlug/cluster/http/routing.py
+++ b/amberlug/cluster/http/routing.py
@@ -9,7 +9,7 @@
 from amberlug.cluster.interfaces import Json
 from amberlug.cluster.values import value
 
-# What the configuration's page gives where a field is missing.
+# Defaults of optional fields, as documented for the configuration.
 DEFAULT_HEADER_BYTES = 16384
 DEFAULT_BODY_BYTES = 262144
 DEFAULT_HEADER_TIMEOUT_S = 3.0
@@ -19,30 +19,30 @@
 
 @value
 class Route:
-    """Where requests of one host and path prefix go. Durations are in seconds, as their names say."""
+    """The route of requests with one host and path prefix; durations are in seconds."""
 
     name: str
-    host: str  # in small letters, without a port
+    host: str  # in lower case, without a port
     prefix: str
     service: str
-    expiry_s: float  # of one attempt
-    rank: int  # lower ones are dispatched first
+    expiry_s: float  # timeout of one attempt
+    rank: int  # lower ranks are dispatched first
     max_attempts: int
-    in_sequence: bool  # messages of one sequence key are delivered in order
+    in_sequence: bool  # messages with the same sequence key are delivered in order
     retention_s: float  # after which an undelivered message expires
 
 
 @value
 class Destination:
-    """One service of the configuration."""
+    """A service of the configuration."""
 
-    rate: float  # attempts a second over all edge nodes; 0 for no limit
-    fixed: str | None  # address of a service whose endpoints do not register
+    rate: float  # limit of attempts per second across all edge nodes; 0 means unlimited
+    fixed: str | None  # static address, if the service's endpoints do not register themselves
 
 
 @value
 class RoutingTable:
-    """One configuration, complete; `index` is its position in the Raft log, by which newer ones are known."""
+    """A complete configuration; `index`, its position in the Raft log, orders configurations by age."""
 
     index: int = 0
     edition: int = 0  # the operators' version number
@@ -55,9 +55,9 @@
     idle_s: float = DEFAULT_IDLE_TIMEOUT_S
 
     def match(self, host: str, path: str) -> Route | None:
-        """The route of a host whose prefix is the longest that the path begins with.
+        """Find the route of a host with the longest matching path prefix.
 
-        :param host: without its port, in any case.
+        :param host: without its port, in upper or lower case.
         """
         for route in self.by_host.get(host.lower(), ()):
             if path.startswith(route.prefix):
@@ -84,7 +84,7 @@
 
 
 def _by_host(routes: list[Route]) -> Mapping[str, tuple[Route, ...]]:
-    """Routes by host, those with the longest prefix first."""
+    """Group routes by host, the longest prefixes first."""
     by_host: dict[str, list[Route]] = {}
     for route in sorted(routes, key=lambda it: -len(it.prefix)):
         by_host.setdefault(route.host, []).append(route)
@@ -92,9 +92,10 @@
 
 
 def build(index: int, config: Json) -> RoutingTable:
-    """Make the routing table of a configuration that was validated, in the form of the configuration page.
+    """Build the routing table of a validated configuration.
 
     :param index: position of the configuration in the Raft log.
+    :param config: the document as operators write it.
     """
     routes = [_route(item) for item in config["routeTable"]]
     limits = config.get("limits", {})
--- a/amberlug/cluster/http/server.py
+++ b/amberlug/cluster/http/server.py
@@ -9,18 +9,18 @@
 from amberlug.cluster.http.connection import NEVER, HttpConnection, Phase, RequestHandler
 from amberlug.cluster.http.parser import Limits
 
-ACCEPT_BACKLOG = 512  # clients of a node that is gone connect to the others at once
-MAX_SWEEP_INTERVAL_S = 0.25  # between looks for connections whose deadline has passed
-SWEEPS_PER_TIMEOUT = 4  # a deadline is exceeded by a quarter of its time-out at most
-AGE_JITTER = (0.7, 1.3)  # factors: connections that were opened together do not end together
+ACCEPT_BACKLOG = 512  # when a node fails, its clients reconnect to the others simultaneously
+MAX_SWEEP_INTERVAL_S = 0.25  # between checks for connections whose deadline has passed
+SWEEPS_PER_TIMEOUT = 4  # a deadline is exceeded by at most a quarter of its timeout
+AGE_JITTER = (0.7, 1.3)  # factors, so that connections opened together do not expire together
 
 
 class Server:
-    """All connections of one listening address.
+    """The connections of one listening address.
 
-    :param handle: called with each request and what sends its response.
-    :param limits: read anew with each sweep.
-    :param max_connection_age_s: seconds after which a connection ends with its next response.
+    :param handle: called with each request and the callback that sends its response.
+    :param limits: called at each sweep to read the current limits.
+    :param max_connection_age_s: age after which a connection is closed with its next response.
     """
 
     def __init__(
@@ -29,17 +29,17 @@
         self.handle, self._read_limits = handle, limits
         self._max_connection_age_s = max_connection_age_s
         self.limits = limits()
-        self.time: Callable[[], float] = lambda: 0.0  # the loop's
+        self.time: Callable[[], float] = lambda: 0.0  # the event loop's clock once it listens
         self.is_draining = False
         self.accepted_connections = 0
-        self.open_requests = 0  # without a response, those whose client hung up among them
+        self.open_requests = 0  # not responded to yet, including those whose client has disconnected
         self._connections: set[HttpConnection] = set()
         self._listener: asyncio.Server | None = None
 
     async def listen(self, host: str, port: int) -> None:
-        """Accept connections from now on.
+        """Start accepting connections.
 
-        :raises OSError: where the address can not be listened on.
+        :raises OSError: if the server cannot listen on the address.
         """
         loop = asyncio.get_running_loop()
         self.time = loop.time
@@ -50,32 +50,32 @@
 
     @property
     def port(self) -> int:
-        """The port that is listened on, 0 where none is."""
+        """The listening port; 0 if the server is not listening."""
         sockets = self._listener.sockets if self._listener is not None else ()
         return int(sockets[0].getsockname()[1]) if sockets else 0
 
     def drain(self) -> None:
-        """Let each response end its connection from now on, and close those that carry no request."""
+        """Close idle connections, and every other one after its next response."""
         self.is_draining = True
         for connection in [it for it in self._connections if it.phase == Phase.IDLE]:
             if connection.has_responded:
                 connection.close()
-            else:  # the request of a client that has just connected may be on its way
+            else:  # a new client's first request may be in transit
                 connection.deadline = min(connection.deadline, self.time() + MAX_SWEEP_INTERVAL_S)
 
     def stop(self) -> None:
-        """Accept no more connections; those that are open stay."""
+        """Stop accepting connections; open ones stay open."""
         if self._listener is not None:
             self._listener.close()
             self._listener = None
 
     def abort(self) -> None:
-        """End all connections at once."""
+        """Close all connections immediately."""
         for connection in list(self._connections):
             connection.abort()
 
     def add(self, connection: HttpConnection) -> None:
-        """Keep a new connection."""
+        """Register a new connection."""
         self.accepted_connections += 1
         self._connections.add(connection)
         now = self.time()
@@ -83,11 +83,11 @@
         connection.retire_at = now + self._max_connection_age_s * random.uniform(*AGE_JITTER)
 
     def remove(self, connection: HttpConnection) -> None:
-        """Drop a connection that is closed."""
+        """Unregister a closed connection."""
         self._connections.discard(connection)
 
     def _sweep(self) -> None:
-        """End the connections whose deadline has passed, or whose client hung up unnoticed."""
+        """Close connections whose deadline has passed, or whose client left while reading was paused."""
         if self._listener is not None or self._connections:
             shortest_timeout_s = min(self.limits.header_s, self.limits.idle_s)
             pause_s = min(MAX_SWEEP_INTERVAL_S, shortest_timeout_s / SWEEPS_PER_TIMEOUT)
