--- a/amberlug/cluster/local_deployment/__init__.py
+++ b/amberlug/cluster/local_deployment/__init__.py
@@ -1,1 +1,1 @@
-"""A small deployment with fake endpoints as processes on loopback."""
+"""A small local deployment: processes on loopback addresses, with fake endpoints."""
--- a/amberlug/cluster/local_deployment/commands.py
+++ b/amberlug/cluster/local_deployment/commands.py
@@ -1,4 +1,4 @@
-"""`python -m amberlug.cluster try` and `stand-in`."""
+"""`python -m amberlug.cluster try`, `soak` and `stand-in`."""
 
 from __future__ import annotations
 
@@ -21,14 +21,14 @@
 from amberlug.cluster.local_deployment.trial import Trial, TrialLoad
 from amberlug.cluster.local_deployment.trial_report import TrialReport
 
-MAX_PRINTED_FAILURES = 20  # of one seed
-EX_INTERRUPTED = 130  # exit code, as shells have it of a command that Ctrl-C ended
+MAX_PRINTED_FAILURES = 20  # per seed
+EX_INTERRUPTED = 130  # exit code that shells report for a command ended by Ctrl-C (128 + SIGINT)
 
 ResultT = TypeVar("ResultT")
 
 
 async def _until_interrupted(work: Coroutine[object, object, ResultT]) -> ResultT:
-    """Do it; Ctrl-C and SIGTERM cancel it, so that it cleans up."""
+    """Run a coroutine; Ctrl-C and SIGTERM cancel it, so that it can clean up."""
     loop, task = asyncio.get_running_loop(), asyncio.ensure_future(work)
     for number in (signal.SIGINT, signal.SIGTERM):
         loop.add_signal_handler(number, task.cancel)
@@ -39,7 +39,7 @@
 
 
 def _print_report(report: TrialReport, as_json: bool) -> int:
-    """Print what came of a trial; returns the exit code."""
+    """Print the result of a trial; returns the exit code."""
     figures = report.figures()
     if as_json:
         click.echo(json.dumps(figures))
@@ -59,31 +59,33 @@
         f"202        p50 {acceptance['p50']} ms, p99 {acceptance['p99']} ms",
         f"first run  p50 {first_run['p50']} ms, p99 {first_run['p99']} ms",
         *(f"WRONG: {failure}" for failure in figures["wrong"]),
-        "FAILED" if figures["wrong"] else "all that was accepted ended as it should, in order",
+        "FAILED" if figures["wrong"] else "all accepted messages ended as expected, in order",
     ]
 
 
 @click.command("try")
-@click.option("--seconds", type=click.FloatRange(1, 600), default=8.0, show_default=True, help="Of load.")
+@click.option(
+    "--seconds", type=click.FloatRange(1, 600), default=8.0, show_default=True, help="Duration of the load."
+)
 @click.option(
     "--rate",
     type=click.FloatRange(0, 200, min_open=True),
     default=30.0,
     show_default=True,
-    help="Messages a second.",
+    help="Messages per second.",
 )
 @click.option(
     "--keep",
     type=click.Path(file_okay=False, path_type=Path),
-    help="A new or empty folder that keeps settings, logs and data.",
+    help="A new or empty folder in which settings, logs and data are kept.",
 )
-@click.option("--net", help="First three numbers of the loopback addresses; else free ones are taken.")
+@click.option("--net", help="First three octets of the loopback addresses; default: free ones.")
 @click.option("--json", "as_json", is_flag=True, help="Print one JSON object.")
 def trial(seconds: float, rate: float, keep: Path | None, net: str | None, as_json: bool) -> None:
-    """Try a complete small deployment on loopback, in one command.
+    """Run a complete small deployment on loopback under load.
 
-    Three machines of each class, in two zones; an edge and a storage node are killed on the way. Exit code 0
-    only where every message that was accepted ended as it should; else 1.
+    It has three machines of each class, in two zones; an edge node and a storage node are killed and
+    restarted during the run. The exit code is 0 only if every accepted message ended as expected, else 1.
     """
     rng = random.Random()
     net = net or free_net(rng)
@@ -105,19 +107,22 @@
 
 
 @click.command("soak")
-@click.option("--first", default=1, show_default=True, help="The first seed.")
-@click.option("--seeds", type=click.IntRange(1), default=1, show_default=True, help="How many are played.")
-@click.option("--seconds", type=click.FloatRange(1, 600), default=8.0, show_default=True, help="Of load.")
+@click.option("--first", default=1, show_default=True, help="First seed.")
+@click.option("--seeds", type=click.IntRange(1), default=1, show_default=True, help="Number of seeds to run.")
+@click.option(
+    "--seconds", type=click.FloatRange(1, 600), default=8.0, show_default=True, help="Duration of the load."
+)
 @click.option(
-    "--rate", type=click.FloatRange(1, 200), default=30.0, show_default=True, help="Messages a second."
+    "--rate", type=click.FloatRange(1, 200), default=30.0, show_default=True, help="Messages per second."
 )
 @click.option(
-    "--keep", type=click.Path(file_okay=False, path_type=Path), help="A folder for what failing seeds leave."
+    "--keep", type=click.Path(file_okay=False, path_type=Path), help="Folder for the files of failing seeds."
 )
 def soak(first: int, seeds: int, seconds: float, rate: float, keep: Path | None) -> None:
-    """Play a small deployment under random faults that overlap, once for each seed.
+    """Run a small deployment under overlapping random faults, once for each seed.
 
-    Exit code 0 only where nothing was lost, forgotten or taken back under any of the seeds; else 1.
+    The exit code is 0 only if under all seeds no accepted message was lost or unknown to an edge node, and
+    no reported outcome was withdrawn; else 1.
     """
     bad = 0
     for seed in range(first, first + seeds):
@@ -134,10 +139,10 @@
 
 
 async def _play_soak(seed: int, load: TrialLoad, keep: Path | None) -> TrialReport:
-    """Play one seed; its folder is kept only where something was wrong."""
+    """Run one seed; its folder is kept only if something failed."""
     with tempfile.TemporaryDirectory(prefix="amberlug-soak-") as name:
         folder, rng = Path(name), random.Random(seed)
-        # Not the usual addresses: another soak may start at the same moment.
+        # Not the default addresses: another soak may start at the same time.
         net_rng = random.Random()
         deployment = Deployment(folder, free_net(net_rng, random_net(net_rng)), FAULTY_PROGRAM)
         report = await Soak(deployment, load, rng, lambda text: click.echo(text, err=True)).run()
@@ -156,7 +161,7 @@
             raise click.BadParameter("the folder is not empty", param_hint="--keep")
         return run(kept_folder)
     except asyncio.CancelledError:
-        click.echo("ended before it was done", err=True)
+        click.echo("interrupted before it was complete", err=True)
         return EX_INTERRUPTED
 
 
@@ -164,10 +169,10 @@
 
 
 async def _serve_endpoint(settings: EndpointSettings, at: tuple[str, ...], host: str, port: int) -> None:
-    """Serve until the task is cancelled, then drain."""
+    """Serve until the task is cancelled, then drain the endpoint."""
     endpoint = FakeEndpoint(settings, at)
     await endpoint.start(host, port)
-    click.echo(f"{settings.name} works at {host}:{port}")
+    click.echo(f"{settings.name} listens on {host}:{port}")
     try:
         await asyncio.Event().wait()
     finally:
@@ -177,16 +182,22 @@
 @click.command("stand-in")
 @click.argument("service")
 @click.option(
-    "--at", multiple=True, required=True, help="HOST:PORT of a control-plane node; several may be given."
+    "--at", multiple=True, required=True, help="HOST:PORT of a control-plane node; can be repeated."
 )
-@click.option("--listen", required=True, help="HOST:PORT to work at.")
-@click.option("--zone", default="", help="Its zone.")
+@click.option("--listen", required=True, help="HOST:PORT to listen on.")
+@click.option("--zone", default="", help="Zone of the endpoint.")
 @click.option(
-    "--slots", type=click.IntRange(1), default=4, show_default=True, help="Messages worked on at once."
+    "--slots", type=click.IntRange(1), default=4, show_default=True, help="Messages processed concurrently."
+)
+@click.option(
+    "--work-ms",
+    type=click.FloatRange(0),
+    default=50.0,
+    show_default=True,
+    help="Processing time of one message in milliseconds.",
 )
-@click.option("--work-ms", type=click.FloatRange(0), default=50.0, show_default=True, help="Of one message.")
 def stand_in(service: str, at: tuple[str, ...], listen: str, **options: Any) -> None:
-    """Serve as an endpoint of SERVICE, announced to control-plane nodes, until Ctrl-C."""
+    """Run a fake endpoint of SERVICE that announces itself to control-plane nodes, until Ctrl-C."""
     host, _, port = listen.rpartition(":")
     if not host or not port.isdigit():
         raise click.BadParameter("no address of the form host:port", param_hint="--listen")
--- a/amberlug/cluster/local_deployment/deployment.py
+++ b/amberlug/cluster/local_deployment/deployment.py
@@ -1,4 +1,4 @@
-"""A small deployment on loopback: each machine is a process at an address of its own, with equal ports."""
+"""A small deployment on loopback: each machine is a process with a separate address and the same ports."""
 
 from __future__ import annotations
 
@@ -27,29 +27,29 @@
 
 FRONT_PORT, READINESS_PORT, CONTROL_PORT, ENDPOINT_PORT = 8263, 8268, 8262, 8080
 INTERNAL_PORTS = (7300, 7315)
-ZONES = {"north": "valley", "south": "valley"}  # with their region
-DEFAULT_NET = "127.0.1"  # the first three numbers of the addresses, where they are free
+ZONES = {"north": "valley", "south": "valley"}  # zone to region
+DEFAULT_NET = "127.0.1"  # first three octets of the addresses, used if they are free
 MACHINES_PER_CLASS = 3
 READY_TIMEOUT_S = 15.0  # for all edge nodes to be ready
 PROBE_TIMEOUT_S = 0.5
-GRACE_S = 3.0  # that the processes have to stop, by their settings
+GRACE_S = 3.0  # the processes' shutdown grace period, written to their settings
 KILL_AFTER_S = 5.0  # from SIGTERM to SIGKILL
 POLL_INTERVAL_S = 0.05
-SERVICES = {"weigh": False, "clear": True}  # whether messages of one sequence key keep their order
+SERVICES = {"weigh": False, "clear": True}  # whether messages of one sequence key are delivered in order
 HOST = "try.example"
 FAULTS_FILE_VARIABLE = "AMBERLUG_NETWORK_FAULTS"  # path of the file that `faulty_process` reads
 FAULTY_PROGRAM = ("amberlug.cluster.local_deployment.faulty_process",)
-PROGRAM = ("amberlug.cluster", "run")  # the module that a machine runs, with its arguments
+PROGRAM = ("amberlug.cluster", "run")  # the module that each machine runs, with its arguments
 
 Condition = Callable[[], Awaitable[bool]]
 
 
 @dataclass(frozen=True, slots=True)
 class MachineClass:
-    """What the machines of a class run.
+    """A class of machines and the role that they serve.
 
-    :param ports: where they listen for HTTP, by binding.
-    :param first_host: the last number of the first machine's address.
+    :param ports: HTTP ports by binding.
+    :param first_host: last octet of the first machine's address.
     """
 
     name: str
@@ -66,7 +66,7 @@
 
 
 def config() -> Json:
-    """The configuration that is put in place first."""
+    """The initial configuration."""
     return {
         "edition": 1,
         "routeTable": [
@@ -100,9 +100,9 @@
 
 
 def free_net(rng: random.Random, first: str = DEFAULT_NET) -> str:
-    """The first three numbers of loopback addresses at which nobody listens.
+    """Find the first three octets of loopback addresses that are not in use.
 
-    :param first: the ones that are tried first.
+    :param first: the octets to try first.
     """
     net = first
     while not _is_free_net(net):
@@ -111,7 +111,7 @@
 
 
 def random_net(rng: random.Random) -> str:
-    """The first three numbers of any loopback addresses."""
+    """The first three octets of random loopback addresses."""
     return f"127.{rng.randrange(1, 255)}.{rng.randrange(1, 255)}"
 
 
@@ -127,7 +127,7 @@
 
 def _is_free(host: str, port: int) -> bool:
     with socket.socket() as probe:
-        # As the programs do: connections of an earlier process there do not matter.
+        # As the nodes do, so that connections left by an earlier process do not matter.
         probe.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         try:
             probe.bind((host, port))
@@ -138,7 +138,7 @@
 
 @dataclass(slots=True)
 class Machine:
-    """One machine: its settings file, and its process while it runs."""
+    """One machine: its settings file, and its process while it is running."""
 
     name: str
     machine_class: str
@@ -149,15 +149,15 @@
 
     @property
     def has_exited(self) -> bool:
-        """Whether its process has ended by itself."""
+        """Whether its process has exited on its own."""
         return self.process is not None and self.process.poll() is not None
 
 
 class Deployment:
     """Three machines of each class, in two zones.
 
-    :param folder: for settings files, logs and the machines' data.
-    :param net: the first three numbers of their addresses.
+    :param folder: holds settings files, logs and the machines' data.
+    :param net: the first three octets of their addresses.
     """
 
     def __init__(self, folder: Path, net: str, program: Sequence[str] = PROGRAM) -> None:
@@ -178,12 +178,12 @@
 
     @property
     def network_faults_path(self) -> Path:
-        """The file by which links between machines that run `faulty_process` are cut."""
+        """The file that cuts links between machines that run `faulty_process`."""
         return self.folder / "network-faults.json"
 
     @property
     def fronts(self) -> list[str]:
-        """The client addresses of the edge nodes that run."""
+        """The client addresses of the running edge nodes."""
         return [f"{machine.ip}:{FRONT_PORT}" for machine in self.of("edge") if machine.process is not None]
 
     # -- files
@@ -193,7 +193,7 @@
         for machine_class in MACHINE_CLASSES:
             for machine in self.of(machine_class.name):
                 text = yaml.safe_dump(self._settings_of(machine, machine_class, first_start), sort_keys=False)
-                # Renamed, so that a process, which looks at the file while it runs, never reads half of it.
+                # Replaced atomically: a running process that polls the file must not read a partial one.
                 temporary = machine.settings_path.with_suffix(".new")
                 temporary.write_text(text)
                 temporary.replace(machine.settings_path)
@@ -224,7 +224,7 @@
     # -- processes
 
     def start(self, machine: Machine) -> None:
-        """Start a machine's process; its log is a file of its own."""
+        """Start a machine's process, with a separate log file."""
         project_folder = str(Path(__file__).parents[3])
         paths = [project_folder, *filter(None, [os.environ.get("PYTHONPATH")])]
         with (self.folder / f"{machine.name}.log").open("ab") as log:
@@ -239,7 +239,7 @@
                 stdin=subprocess.DEVNULL,
                 stdout=log,
                 stderr=log,
-                start_new_session=True,  # Ctrl-C is for the trial alone, which stops them in order
+                start_new_session=True,  # Ctrl-C must reach only the trial, which shuts them down in order
             )
 
     def start_all(self) -> None:
@@ -256,7 +256,7 @@
             process.wait()
 
     def disk_id_of(self, machine: Machine) -> str | None:
-        """The id of a storage node's disk, read from its file; None where there is none."""
+        """The id of a storage node's disk, read from its database; None if there is none."""
         path = self._data_folder(machine) / MESSAGE_STORE_FILE
         if not path.exists():
             return None
@@ -264,30 +264,30 @@
             try:
                 row = database.execute("select value from about where name = 'disk'").fetchone()
             except sqlite3.Error:
-                return None  # it was killed before it had begun the file
+                return None  # it was killed before it had initialized the database
         return str(row[0]) if row is not None else None
 
     def erase_disk(self, machine: Machine) -> None:
-        """Delete what a machine that does not run has on disk."""
-        assert machine.process is None, "a disk is erased while its machine is down"
+        """Delete the data folder of a machine that is not running."""
+        assert machine.process is None, "the machine must be stopped before its disk is erased"
         shutil.rmtree(self._data_folder(machine), ignore_errors=True)
 
     def _data_folder(self, machine: Machine) -> Path:
         return self.folder / f"{machine.name}.data"
 
     def kill_all(self) -> None:
-        """Kill all processes that still run."""
+        """Kill all running processes."""
         for machine in self.machines.values():
             self.kill(machine)
 
     def exited(self) -> list[str]:
-        """Names of the machines whose processes have ended by themselves."""
+        """Names of the machines whose processes have exited on their own."""
         return [machine.name for machine in self.machines.values() if machine.has_exited]
 
     async def stop(self) -> list[str]:
         """Stop all processes.
 
-        :returns: names of the machines whose process ended before, not in time, or not with exit code 0.
+        :returns: names of the machines whose process exited early, not in time, or with a nonzero code.
         """
         running = [machine for machine in self.machines.values() if machine.process is not None]
         unclean = self.exited()
@@ -311,7 +311,7 @@
     # -- conditions
 
     async def wait_until_ready(self) -> bool:
-        """Wait until all edge nodes are ready; False where they are not in time."""
+        """Wait until all edge nodes are ready; False on timeout or if a process has exited."""
         return await self.wait_until(self._all_ready, READY_TIMEOUT_S)
 
     async def _all_ready(self) -> bool:
@@ -325,7 +325,7 @@
         return all(isinstance(reply, Ok) and reply.ok_value.status == 200 for reply in sent)
 
     async def wait_until(self, condition: Condition, timeout_s: float) -> bool:
-        """Wait for a condition; False where a process has ended by itself, or the time is up."""
+        """Wait for a condition; False on timeout or if a process has exited."""
         loop = asyncio.get_running_loop()
         deadline = loop.time() + timeout_s
         while not await condition():
--- a/amberlug/cluster/local_deployment/fake_endpoint.py
+++ b/amberlug/cluster/local_deployment/fake_endpoint.py
@@ -1,4 +1,4 @@
-"""A fake endpoint of a service: it works on messages, and announces itself to control-plane nodes."""
+"""A fake endpoint of a service: processes messages and announces itself to control-plane nodes."""
 
 from __future__ import annotations
 
@@ -18,29 +18,29 @@
 from amberlug.cluster.local_deployment.http_call import HttpCall, send_call
 
 HEARTBEAT_INTERVAL_S = 0.5
-MAX_QUEUED = 8  # messages that wait for a slot
-UNPROCESSABLE_PREFIX = b"poison"  # a body that begins so is rejected for good
+MAX_QUEUED = 8  # messages that wait for a free slot
+UNPROCESSABLE_PREFIX = b"poison"  # a body with this prefix is rejected permanently (422)
 LIMITS = Limits(body_bytes=1 << 20, idle_s=30.0)
 
 
 @dataclass(slots=True)
 class Run:
-    """A message's run at an endpoint; times of the loop's clock."""
+    """An execution of a message at an endpoint; times are those of the event loop's clock."""
 
     attempt_id: str
     sequence_key: str
     started_at: float
     ended_at: float = 0.0
-    status: int = 0  # 0 while it runs
+    status: int = 0  # 0 while it is running
     receipt: str = ""
 
 
 @dataclass(frozen=True, slots=True)
 class EndpointSettings:
-    """What an endpoint announces, and how it works.
+    """What an endpoint announces, and how it processes messages.
 
-    :param slots: messages that it works on at once.
-    :param work_s: seconds for one message.
+    :param slots: number of messages processed concurrently.
+    :param work_s: processing time of one message.
     """
 
     name: str
@@ -51,14 +51,14 @@
 
 
 class _Queued(NamedTuple):
-    """A message that waits for a slot."""
+    """A message that waits for a free slot."""
 
     request: Request
     respond: RespondCallback
 
 
 class FakeEndpoint:
-    """One endpoint.
+    """One fake endpoint.
 
     :param controls: addresses of control-plane nodes.
     """
@@ -75,13 +75,13 @@
         self._condition, self._sequence = "ready", 0
 
     async def start(self, host: str, port: int) -> None:
-        """Listen, and send heartbeats from now on."""
+        """Start listening and sending heartbeats."""
         await self._server.listen(host, port)
         self._address = f"{host}:{self._server.port}"
         self._heartbeats = asyncio.get_running_loop().create_task(self._send_heartbeats())
 
     async def drain(self) -> None:
-        """Announce the planned end, then end."""
+        """Announce the shutdown, deregister, then close."""
         if self._heartbeats is not None:
             self._heartbeats.cancel()
         self._condition = "draining"
@@ -90,7 +90,7 @@
         self.close()
 
     def close(self) -> None:
-        """End without an announcement."""
+        """Close without an announcement."""
         if self._heartbeats is not None:
             self._heartbeats.cancel()
         self._server.stop()
@@ -104,7 +104,7 @@
             await asyncio.sleep(HEARTBEAT_INTERVAL_S)
 
     async def _announce(self, path: str) -> None:
-        """Call one control-plane node, and the next one where that one does not acknowledge."""
+        """Call a control-plane node; if it does not acknowledge, try the next one."""
         self._sequence += 1
         body = {
             "targetService": self.settings.service,
--- a/amberlug/cluster/local_deployment/faulty_process.py
+++ b/amberlug/cluster/local_deployment/faulty_process.py
@@ -1,7 +1,7 @@
-"""`python -m amberlug.cluster.local_deployment.faulty_process`: a node whose links can be cut from outside.
+"""`python -m amberlug.cluster.local_deployment.faulty_process`: a node with network faults, read from a file.
 
-It is the program as it is, on real sockets; only the transport between nodes looks into a file before it
-sends and after it receives. So cuts need no rights on the machine.
+It runs the unmodified program on real sockets; only the transport between nodes checks the faults of the file
+before it sends and after it receives. So cutting links requires no privileges on the machine.
 """
 
 from __future__ import annotations
@@ -23,22 +23,22 @@
 from amberlug.cluster.settings import DEFAULT_SETTINGS_FILE, SETTINGS_FILE_VARIABLE
 from amberlug.cluster.values import value
 
-CHECK_INTERVAL_S = 0.03  # between looks at the file
+CHECK_INTERVAL_S = 0.03  # between reads of the file
 
 
 @value
 class NetworkFaults:
-    """What the file says.
+    """The contents of the faults file.
 
-    :param cut: pairs of IP addresses between which nothing passes, in both directions.
-    :param lost_replies: the share of replies that do not arrive.
+    :param cut: pairs of IP addresses between which no message passes, in either direction.
+    :param lost_replies: the fraction of replies that are lost.
     """
 
     cut: frozenset[frozenset[str]] = frozenset()
     lost_replies: float = 0.0
 
     def write(self, path: Path) -> None:
-        """Write the file, whole at any moment."""
+        """Write the file atomically."""
         body = {"cut": [sorted(pair) for pair in self.cut], "lost_replies": self.lost_replies}
         temporary = path.with_suffix(".new")
         temporary.write_text(json.dumps(body))
@@ -46,7 +46,7 @@
 
     @classmethod
     def read(cls, path: Path) -> NetworkFaults:
-        """Read the file; without one there are no faults."""
+        """Read the file; no faults if it does not exist."""
         try:
             body = json.loads(path.read_text())
         except FileNotFoundError:
@@ -55,7 +55,7 @@
 
 
 class FaultyTransport(PeerTransport):
-    """The transport of a node, with the faults of the file that `FAULTS_FILE_VARIABLE` names."""
+    """A node's transport that applies the faults of the file named by `FAULTS_FILE_VARIABLE`."""
 
     def __init__(self, handle_message: MessageHandler, on_disconnect: Callable[[str], None]) -> None:
         super().__init__(handle_message, on_disconnect)
@@ -77,7 +77,7 @@
             super().send(address, message)
 
     def request(self, address: str, message: RawMessage, timeout_s: float, on_reply: ReplyCallback) -> None:
-        """Send a request; it times out where the link is cut, or its reply is lost."""
+        """Send a request; it times out if the link is cut or its reply is lost."""
         is_lost = self._rng.random() < self._faults.lost_replies
         if not self._is_cut(address) and not is_lost:
             super().request(address, message, timeout_s, on_reply)
--- a/amberlug/cluster/local_deployment/http_call.py
+++ b/amberlug/cluster/local_deployment/http_call.py
@@ -1,4 +1,4 @@
-"""One HTTP call over a connection of its own, as clients and endpoints make it."""
+"""A single HTTP call over a new connection, as clients and endpoints make it."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 class HttpCall:
     """A request.
 
-    :param host: for its `Host` header; the address where it is empty.
+    :param host: value of the `Host` header; the address if empty.
     """
 
     method: str
@@ -32,7 +32,7 @@
 ) -> Result[Reply, RequestFailure]:
     """Send a request to an address, `host:port`.
 
-    :returns: the response, or why no complete one came in time.
+    :returns: the response, or why no complete response was received in time.
     """
     host, _, port = address.rpartition(":")
     link = await dial(host, int(port), timeout_s)
--- a/amberlug/cluster/local_deployment/soak.py
+++ b/amberlug/cluster/local_deployment/soak.py
@@ -1,10 +1,10 @@
-"""`python -m amberlug.cluster soak`: real processes under random faults that overlap.
+"""`python -m amberlug.cluster soak`: real processes under overlapping random faults.
 
-While messages are sent, processes are killed and paused, links between machines are cut, replies are lost and
-one storage node loses its disk. Then all is healed, all processes are killed at once, another disk is lost,
-and each storage node in turn stays silent while every message is looked up. Meanwhile no accepted message may
-be unknown to any edge node, none that was told to have ended may be pending, and no node may count or log an
-invariant as violated.
+While messages are sent, processes are killed and paused, links between machines are cut, replies are lost
+and one storage node loses its disk. Then all faults are healed, all processes are killed at the same time,
+another disk is lost, and each storage node in turn is paused while every message is looked up. Throughout, no
+accepted message may be unknown to an edge node, no message that was reported as ended may be reported as
+pending, and no node may count or log an invariant violation.
 """
 
 from __future__ import annotations
@@ -30,17 +30,17 @@
 )
 from amberlug.cluster.local_deployment.trial_report import PENDING, SentMessage
 
-FAULT_LINES = 3  # faults that may be in force at once
-FAULT_S = (0.2, 2.5)  # a fault's duration
-PAUSE_S = (0.1, 1.0)  # from one fault of a line to the next
-LOST_REPLIES = (0.02, 0.2)  # the share of replies that is lost while some are
-LOOKUP_INTERVAL_S = 0.02  # between look-ups while messages are sent
-HEALED_TIMEOUT_S = 20.0  # for all nodes to be back, and the roster to be whole
+FAULT_LINES = 3  # number of faults that may be active concurrently
+FAULT_S = (0.2, 2.5)  # range of a fault's duration
+PAUSE_S = (0.1, 1.0)  # range of the pause between two faults of one sequence
+LOST_REPLIES = (0.02, 0.2)  # range of the fraction of replies that are lost during such a fault
+LOOKUP_INTERVAL_S = 0.02  # between lookups while messages are sent
+HEALED_TIMEOUT_S = 20.0  # for all nodes to rejoin, and the roster to be complete
 UNKNOWN_STATUSES = (404, 410)
 UNAVAILABLE_STATUS = 503
-RETRY_AFTER_S = 1.0  # as edge nodes tell clients
+RETRY_AFTER_S = 1.0  # as in the edge nodes' Retry-After
 MAX_RETRIES = 2
-# In the log of a node: what it found wrong itself, and errors that nobody handled.
+# In a node's log: violated invariants and unhandled errors.
 BAD_LOG_TEXTS = (VIOLATION_PREFIX, "AssertionError", "Traceback")
 
 
@@ -51,8 +51,8 @@
         self, deployment: Deployment, load: TrialLoad, rng: random.Random, report_progress: ReportProgress
     ) -> None:
         super().__init__(deployment, load, rng, report_progress)
-        self._faulted: set[str] = set()  # names of machines that a fault is in force on
-        self._reported_ended: set[str] = set()  # names of messages
+        self._faulted: set[str] = set()  # names of machines affected by a fault
+        self._reported_ended: set[str] = set()  # names of messages that were reported as ended
         self._faults = NetworkFaults()
         self._erased_disk_ids: set[str] = set()
 
@@ -81,7 +81,7 @@
             await asyncio.sleep(self.rng.uniform(*PAUSE_S))
 
     def _pick(self, machine_class: str = "") -> Machine | None:
-        """A machine without a fault, unless it is the last such one of its class."""
+        """Pick a machine without a fault, but not the last such machine of its class."""
         machines = self.deployment.machines.values()
         sound = [machine for machine in machines if machine.name not in self._faulted]
         classes = [machine.machine_class for machine in sound]
@@ -98,7 +98,7 @@
             await self._kill_one(machine, erase=False)
 
     async def _lose_a_disk(self) -> None:
-        """One storage node loses its disk, whatever else is in force."""
+        """Erase one storage node's disk, in addition to the other active faults."""
         await asyncio.sleep(self.rng.uniform(0.2, 0.6) * self.load.duration_s)
         machine = self._pick("storage")
         if machine is not None:
@@ -130,7 +130,7 @@
             self._faulted.discard(machine.name)
 
     async def _cut(self) -> None:
-        """Cut some of one machine's links."""
+        """Cut some of a machine's links."""
         machines = list(self.deployment.machines.values())
         machine = self.rng.choice(machines)
         others = self.rng.sample(machines, self.rng.randrange(1, len(machines)))
@@ -151,12 +151,12 @@
     def _write_network_faults(self) -> None:
         self._faults.write(self.deployment.network_faults_path)
 
-    # -- the closing fault
+    # -- the final fault
 
     async def _wait_until_healed(self) -> None:
-        """Wait until all nodes are back, and each storage node has one disk, which counts."""
+        """Wait until all nodes have rejoined, and each storage node has exactly one disk, which is in use."""
         if not await self.deployment.wait_until(self._is_healed, HEALED_TIMEOUT_S):
-            self._fail("not all nodes are back, or a lost disk is on the roster")
+            self._fail("some nodes have not rejoined, or a lost disk is still on the roster")
 
     async def _is_healed(self) -> bool:
         control = self.rng.choice(self.deployment.controls)
@@ -167,30 +167,29 @@
         has_all_disks = (
             len(disks) == len(self.deployment.of("storage"))
             and all(disk["state"] == "full" for disk in disks.values())
-            and not self._erased_disk_ids
-            & set(disks)  # until its successor comes, a lost disk counts as full
+            and not self._erased_disk_ids & set(disks)  # a lost disk counts as full until it is replaced
         )
         return has_all_disks and await self._all_rejoined()
 
     async def _lose_all_and_one_disk(self) -> None:
         machine = self.rng.choice(self.deployment.of("storage"))
-        self.report_progress(f"all are killed, {machine.name} loses its disk")
+        self.report_progress(f"all machines are killed, {machine.name} loses its disk")
         self.deployment.kill_all()
         self._erase_disk(machine)
         for each in self.deployment.machines.values():
             self.deployment.start(each)
         if not await self.deployment.wait_until_ready():
             self._fail(
-                f"the edge nodes did not become ready in {READY_TIMEOUT_S:g} s after the closing fault"
+                f"the edge nodes did not become ready within {READY_TIMEOUT_S:g} s after the final fault"
             )
         await self._wait_until_healed()
         if not await self.deployment.wait_until(self._all_ended, END_TIMEOUT_S):
-            self._fail("not all has ended after the closing fault")
+            self._fail("some accepted messages did not end after the final fault")
 
     # -- answers
 
     async def _watch_answers(self) -> None:
-        """Look up messages all the while, at any edge node."""
+        """Continuously look up random accepted messages at random edge nodes."""
         looking: set[asyncio.Task[int]] = set()
         while True:
             accepted = self.report.accepted()
@@ -204,9 +203,9 @@
         await self._check_answer(message)
 
     async def _check_answer(self, message: SentMessage) -> int:
-        """Look a message up once; whatever contradicts what was answered before is a failure.
+        """Look a message up once; a response that contradicts an earlier one is a failure.
 
-        :returns: the status of the response; 0 without one.
+        :returns: the status of the response; 0 if there was none.
         """
         was_ended = message.name in self._reported_ended
         front = self.rng.choice(self.deployment.fronts)
@@ -215,7 +214,7 @@
             return 0
         status = sent.ok_value.status
         if status in UNKNOWN_STATUSES:
-            self.report.failures.append(f"{message.name}: accepted, and {front} answers {status}")
+            self.report.failures.append(f"{message.name}: accepted, but {front} responds with {status}")
         elif status == 200:
             self._apply_status(message, json.loads(sent.ok_value.body), was_ended, front)
         return status
@@ -225,10 +224,10 @@
             self._reported_ended.add(message.name)
             message.condition, message.receipt = body["condition"], body.get("seal", "")
         elif was_ended:
-            self.report.failures.append(f"{message.name}: has ended, and {front} answers {PENDING}")
+            self.report.failures.append(f"{message.name}: has ended, but {front} reports {PENDING}")
 
     async def _look_up_without_each_storage_node(self) -> None:
-        """Any one storage node may be silent: all that was accepted is known to have ended all the same."""
+        """Check that all accepted messages are reported as ended while one storage node is paused."""
         for machine in self.deployment.of("storage"):
             self.report_progress(f"all messages are looked up without {machine.name}")
             _signal(machine, signal.SIGSTOP)
@@ -241,9 +240,9 @@
             await self._wait_until_healed()
 
     async def _check_answer_patiently(self, message: SentMessage) -> int:
-        """Look a message up as clients do: again after a while, where it can't be known now.
+        """Look a message up as clients do: retry after a delay while its status is unavailable.
 
-        Nodes hear of a roster one after the other; until then they answer 503.
+        A new roster reaches the nodes one after another; until then they respond with 503.
         """
         status = await self._check_answer(message)
         for _ in range(MAX_RETRIES):
@@ -258,7 +257,9 @@
     ) -> None:
         for message, status in zip(batch, statuses, strict=True):
             if status != 200:
-                self.report.failures.append(f"{message.name}: {status} while {unresponsive.name} is silent")
+                self.report.failures.append(
+                    f"{message.name}: status {status} while {unresponsive.name} is paused"
+                )
 
     def _check_logs(self) -> None:
         for machine in self.deployment.machines.values():
--- a/amberlug/cluster/local_deployment/trial.py
+++ b/amberlug/cluster/local_deployment/trial.py
@@ -1,4 +1,4 @@
-"""`python -m amberlug.cluster try`: a small deployment under load that loses an edge and a storage node."""
+"""`python -m amberlug.cluster try`: a small deployment under load; an edge and a storage node are killed."""
 
 from __future__ import annotations
 
@@ -22,27 +22,27 @@
 from amberlug.cluster.local_deployment.trial_report import PENDING, SentMessage, TrialReport
 from amberlug.http.link import Reply
 
-ENDPOINT_ZONES = ("north", "south")  # of the endpoints of each service
-FIRST_ENDPOINT_HOST = 101  # the last number of the first endpoint's address
+ENDPOINT_ZONES = ("north", "south")  # zones of each service's endpoints
+FIRST_ENDPOINT_HOST = 101  # last octet of the first endpoint's address
 SEQUENCE_KEYS = 5
-UNPROCESSABLE_INTERVAL = 40  # one message in so many is rejected for good
+UNPROCESSABLE_INTERVAL = 40  # one of this many messages is rejected permanently
 BODY_BYTES = 300
 ATTEMPT_ID_BYTES = 8
-DOWNTIME_S = 1.0  # of a killed machine
-CLIENT_TIMEOUT_S = 3.0  # of a client, over all its attempts
-CLIENT_RETRY_S = 0.1  # between a client's attempts
+DOWNTIME_S = 1.0  # from a machine's kill to its restart
+CLIENT_TIMEOUT_S = 3.0  # total of a client's attempts
+CLIENT_RETRY_S = 0.1  # delay between a client's attempts
 PUSH_TIMEOUT_S = 10.0  # for the configuration to be accepted
-END_TIMEOUT_S = 20.0  # for all that was accepted to end
-REJOIN_TIMEOUT_S = 10.0  # for all machines to have a session again
+END_TIMEOUT_S = 20.0  # for all accepted messages to end
+REJOIN_TIMEOUT_S = 10.0  # for all machines to open a session again
 MAX_CONCURRENT_LOOKUPS = 32
-REJECTED_STATUSES = frozenset((408, 421, 429, 503))  # the message was not accepted, and never will be
+REJECTED_STATUSES = frozenset((408, 421, 429, 503))  # the message was not accepted, and will not be later
 
 ReportProgress = Callable[[str], None]
 
 
 @dataclass(frozen=True, slots=True)
 class TrialLoad:
-    """What clients send: so many messages a second, for so many seconds."""
+    """The rate and duration of the load that clients send."""
 
     rate_per_s: float
     duration_s: float
@@ -61,12 +61,12 @@
         self._time = asyncio.get_running_loop().time
 
     async def run(self) -> TrialReport:
-        """Play it, and leave nothing running."""
+        """Run the trial; no process is left running."""
         try:
             await self._play()
-            self.report_progress("all processes are stopped")
+            self.report_progress("stopping all processes")
             unclean = await self.deployment.stop()
-            self.report.failures += [f"{name}: its process did not stop as it should" for name in unclean]
+            self.report.failures += [f"{name}: its process did not exit cleanly" for name in unclean]
         finally:
             for endpoint in self._endpoints:
                 endpoint.close()
@@ -78,7 +78,7 @@
     async def _play(self) -> None:
         deployment = self.deployment
         self.report_progress(
-            f"{len(deployment.machines)} machines start at {deployment.net}.x, in {deployment.folder}"
+            f"starting {len(deployment.machines)} machines at {deployment.net}.x, in {deployment.folder}"
         )
         deployment.start_all()
         await self._start_endpoints()
@@ -88,21 +88,21 @@
         if not await deployment.wait_until_ready():
             self._fail("the edge nodes did not become ready")
             return
-        # As a platform does at any later start: this is not the first.
+        # As a platform does for every later start.
         deployment.write_settings(first_start=False)
-        self.report_progress(f"{self.load.rate_per_s:g} messages a second for {self.load.duration_s:g} s")
+        self.report_progress(f"{self.load.rate_per_s:g} messages per second for {self.load.duration_s:g} s")
         faults = asyncio.create_task(self._inject_faults())
         await self._send_load()
         await faults
         if not await deployment.wait_until(self._all_ended, END_TIMEOUT_S):
-            self._fail("not all that was accepted has ended")
+            self._fail("some accepted messages did not end")
         if not await deployment.wait_until(self._all_rejoined, REJOIN_TIMEOUT_S):
-            self._fail("not all machines have a session again")
+            self._fail("some machines did not open a session again")
 
     def _fail(self, reason: str) -> None:
         exited = self.deployment.exited()
         self.report.failures.append(
-            reason + (f"; exited by themselves: {', '.join(exited)}" if exited else "")
+            reason + (f"; exited on their own: {', '.join(exited)}" if exited else "")
         )
 
     async def _start_endpoints(self) -> None:
@@ -115,7 +115,7 @@
                 self._endpoints.append(endpoint)
 
     async def _push_config(self) -> bool:
-        """Send the configuration, unchanged on each attempt; whether a control-plane node acknowledges it."""
+        """Send the configuration, unchanged on each attempt; True if a control-plane node acknowledges it."""
         headers = (("Content-Type", "application/json"), ("Amberlug-Base-Version", "0"))
         call = HttpCall("POST", "/-/Configuration.Replace", headers, json.dumps(config()).encode())
         sent = await send_call(self.rng.choice(self.deployment.controls), call)
@@ -131,7 +131,7 @@
         await asyncio.gather(*sending)
 
     async def _send_message(self, number: int) -> None:
-        """Submit a message as a client does: again, as another attempt, only after a rejection."""
+        """Submit a message as a client does: retried, with a new attempt id, only after a rejection."""
         service = list(SERVICES)[number % len(SERVICES)]
         key = f"thing-{self.rng.randrange(SEQUENCE_KEYS)}" if SERVICES[service] else ""
         is_unprocessable = number % UNPROCESSABLE_INTERVAL == UNPROCESSABLE_INTERVAL - 1
@@ -146,7 +146,7 @@
             await self._apply_response(message, await send_call(front, call))
 
     async def _apply_response(self, message: SentMessage, sent: Result[Reply, RequestFailure]) -> None:
-        """Note what came of an attempt; after a rejection, wait for the next one."""
+        """Record the result of an attempt; after a rejection, wait before the next one."""
         if isinstance(sent, Ok) and sent.ok_value.status == 202:
             message.accepted_at = self._time()
             message.name = sent.ok_value.headers.get("amberlug-message-name", message.attempt_id)
@@ -158,7 +158,7 @@
     # -- faults
 
     async def _inject_faults(self) -> None:
-        """An edge and a storage node are killed one after the other, and started again."""
+        """Kill and restart an edge node, then a storage node."""
         for machine_class, delay_share in (("edge", 0.3), ("storage", 0.1)):
             await asyncio.sleep(self.load.duration_s * delay_share)
             machine = self.rng.choice(self.deployment.of(machine_class))
@@ -168,10 +168,10 @@
             self.deployment.start(machine)
             self.report_progress(f"{machine.name} is started again")
 
-    # -- the end
+    # -- final state
 
     async def _all_ended(self) -> bool:
-        """Look up the messages that were accepted, and have not ended as far as is known."""
+        """Look up pending accepted messages; True once all of them have ended."""
         pending = [message for message in self.report.accepted() if message.condition == PENDING]
         await asyncio.gather(*(self._look_up(message) for message in pending[:MAX_CONCURRENT_LOOKUPS]))
         return all(message.condition != PENDING for message in pending)
@@ -184,7 +184,7 @@
             message.condition, message.receipt = status["condition"], status.get("seal", "")
 
     async def _all_rejoined(self) -> bool:
-        """Whether a control-plane node has a report of each edge and storage node."""
+        """Whether a control-plane node has reports from all edge and storage nodes."""
         sent = await send_call(
             self.rng.choice(self.deployment.controls), HttpCall("GET", "/-/Foreman.Status")
         )
@@ -202,7 +202,7 @@
 
 
 def _is_rejection(sent: Result[Reply, RequestFailure]) -> bool:
-    """Whether the message was certainly not accepted."""
+    """Whether the message was definitely not accepted."""
     if isinstance(sent, Err):
         return sent.err_value is RequestFailure.NOT_SENT
     return sent.ok_value.status in REJECTED_STATUSES
--- a/amberlug/cluster/local_deployment/trial_report.py
+++ b/amberlug/cluster/local_deployment/trial_report.py
@@ -1,4 +1,4 @@
-"""What came of a trial, and whether what the service guarantees was kept."""
+"""The result of a trial, and checks of the service's guarantees."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from amberlug.cluster.interfaces import Json
 from amberlug.cluster.local_deployment.fake_endpoint import Run
 
-PENDING, COMPLETED, FAILED = "pending", "completed", "failed"  # conditions, as edge nodes name them
+PENDING, COMPLETED, FAILED = "pending", "completed", "failed"  # conditions as reported by edge nodes
 PERCENTILES = (50, 99)
 
 RunsByAttempt = Mapping[str, Sequence[Run]]
@@ -16,11 +16,11 @@
 
 @dataclass(slots=True)
 class SentMessage:
-    """A message that a client sent; times of the loop's clock.
+    """A message that a client sent; times are those of the event loop's clock.
 
-    :param is_unprocessable: whether endpoints reject it for good.
-    :param sent_at: when its last attempt began.
-    :param accepted_at: 0 while it is not accepted.
+    :param is_unprocessable: whether endpoints reject it permanently.
+    :param sent_at: start of its last attempt.
+    :param accepted_at: 0 until it is accepted.
     """
 
     sequence_key: str
@@ -36,18 +36,18 @@
 
 @dataclass(slots=True)
 class TrialReport:
-    """What came of a trial."""
+    """The result of a trial."""
 
     sent: list[SentMessage] = field(default_factory=list)
     runs: list[Run] = field(default_factory=list)
-    failures: list[str] = field(default_factory=list)  # beside broken guarantees
+    failures: list[str] = field(default_factory=list)  # other than broken guarantees
 
     def accepted(self) -> list[SentMessage]:
         """The messages that were accepted."""
         return [message for message in self.sent if message.accepted_at]
 
     def all_failures(self) -> list[str]:
-        """All that did not go as it should, broken guarantees among it."""
+        """List all failures, including broken guarantees."""
         runs: dict[str, list[Run]] = {}
         for run in self.runs:
             runs.setdefault(run.attempt_id, []).append(run)
@@ -60,7 +60,7 @@
         return [*failures, *_order_failures(accepted, runs)]
 
     def figures(self) -> Json:
-        """The summary, as a JSON object; its keys are those that the command prints."""
+        """The summary as a JSON object, with the keys that the command prints."""
         started_at: dict[str, float] = {}
         for run in self.runs:
             started_at[run.attempt_id] = min(run.started_at, started_at.get(run.attempt_id, run.started_at))
@@ -89,17 +89,17 @@
 def _outcome_failures(message: SentMessage, runs: Sequence[Run]) -> Iterator[str]:
     if message.is_unprocessable:
         if message.condition != FAILED or not any(run.status == 422 for run in runs):
-            yield f"{message.name}: can't be done, and is {message.condition} after {len(runs)} runs"
+            yield f"{message.name}: unprocessable, but {message.condition} after {len(runs)} runs"
     elif message.condition != COMPLETED:
-        yield f"{message.name}: accepted, and is {message.condition} after {len(runs)} runs"
+        yield f"{message.name}: accepted, but {message.condition} after {len(runs)} runs"
     elif message.receipt not in {run.receipt for run in runs if run.status == 200}:
-        yield f"{message.name}: completed with the seal {message.receipt!r}, which no run of it gave"
+        yield f"{message.name}: completed with the seal {message.receipt!r}, which none of its runs returned"
 
 
 def _order_failures(accepted: Sequence[SentMessage], runs: RunsByAttempt) -> Iterator[str]:
-    """Messages whose first run began before that of an earlier one of their key had ended.
+    """Find messages whose first run began before an earlier message with the same key had ended.
 
-    Earlier is what was accepted before the other one was sent.
+    A message is earlier if it was accepted before the other one was sent.
     """
     for key in sorted({message.sequence_key for message in accepted if message.sequence_key}):
         same_key = [message for message in accepted if message.sequence_key == key]
@@ -110,7 +110,7 @@
                     continue
                 ends = [run.ended_at for run in runs.get(earlier.attempt_id, ()) if run.status]
                 if not ends or min(ends) > started_at:
-                    yield f"{message.name}: began before {earlier.name} of its key had ended"
+                    yield f"{message.name}: began before {earlier.name} with the same key had ended"
 
 
 def _percentiles_ms(durations_s: Sequence[float]) -> dict[str, float | None]:
--- a/tests/cluster/test_admin.py
+++ b/tests/cluster/test_admin.py
@@ -1,4 +1,4 @@
-"""The admin command line, the control plane's replies to it, and a trial of a local deployment."""
+"""Tests the admin command line, the control plane's responses to it, and a trial of a local deployment."""
 
 import asyncio
 import json
@@ -35,7 +35,7 @@
 
 
 class Runtime:
-    """Peers reply at once by a table; requests to others time out when the time passes."""
+    """Peers in a table reply immediately; requests to others time out when the timers fire."""
 
     def __init__(self, answers: dict[tuple[str, str], Json]) -> None:
         self.answers, self.rng = answers, random.Random(1)
@@ -144,7 +144,7 @@
 
 
 PAGES = [
-    # the storage nodes' pages (None: no reply), the limit, the names, and where the next page begins
+    # pages of the storage nodes (None: no reply), limit, expected names, start of the next page
     ([None], 9, [], None),
     ([(["a", "b"], False)], 9, ["a", "b"], None),
     ([(["a", "c"], False), (["b", "c"], False)], 9, ["a", "b", "c"], None),
@@ -170,7 +170,7 @@
 
 
 DEAD_MESSAGE_REPLIES = [
-    # the storage nodes' replies, the status of the reply to the operator
+    # replies of the storage nodes, status of the response to the operator
     ({"s1": {"rows": [row("a", {})], "more": False}, "s2": {"rows": [row("a")], "more": False}}, 200),
     ({"s1": {"rows": [], "more": False}, "s2": {"rows": [], "more": False}}, 404),
     ({"s1": {"rows": [], "more": False}}, 503),
@@ -201,7 +201,7 @@
 
 
 class Control:
-    """A control-plane node that gives prepared answers, in order; the last one again and again."""
+    """A fake control-plane node that gives prepared responses in order and repeats the last one."""
 
     def __init__(self) -> None:
         self.answers: dict[str, list[tuple[int, Any]]] = {}
@@ -254,7 +254,7 @@
     "body": "YWJj",
 }
 COMMANDS = [
-    # the command, what the relay answers by path, the exit code, what is said
+    # command, the node's responses by path, exit code, expected output
     ("status --at 127.0.0.1:9", {}, ExitCode.UNKNOWN, "refused"),
     ("status --at nowhere", {}, 2, "no address"),
     (
@@ -482,10 +482,10 @@
 REPORTS: list[tuple[list[SentMessage], list[Run], list[str]]] = [
     ([SENT, NEXT], RAN, []),
     ([], [], ["no message"]),
-    ([SentMessage("", False, 1.0, "a", "1-a", 1.1)], [], ["1-a: accepted, and is pending"]),
+    ([SentMessage("", False, 1.0, "a", "1-a", 1.1)], [], ["1-a: accepted, but pending"]),
     ([SENT], [Run("a", "k", 1.1, 1.2, 200, "other")], ["1-a: completed with the seal"]),
     ([SentMessage("", True, 1.0, "a", "1-a", 1.1, condition="failed")], [Run("a", "", 1.1, 1.2, 422)], []),
-    ([SentMessage("", True, 1.0, "a", "1-a", 1.1, condition="failed")], [], ["1-a: can't be done"]),
+    ([SentMessage("", True, 1.0, "a", "1-a", 1.1, condition="failed")], [], ["1-a: unprocessable, but"]),
     ([SENT, NEXT], [Run("a", "k", 1.1, 1.35, 200, "z"), RAN[1]], ["1-b: began before 1-a"]),
 ]
 
--- a/tests/cluster/test_http_parser.py
+++ b/tests/cluster/test_http_parser.py
@@ -1,4 +1,4 @@
-"""The parser of HTTP requests: without sockets, in any parts."""
+"""Tests the HTTP request parser without sockets, on input split at arbitrary positions."""
 
 import random
 
@@ -9,11 +9,11 @@
 from tests.cluster.test_http_server import ANSWERED, SMALL
 
 Outcome = Request | int | None
-"""A request, the status of a rejection, or None where the rest is missing."""
+"""A request, the status of a rejection, or None if the last request is incomplete."""
 
 
 def outcomes(parts: list[bytes], limits: Limits = SMALL) -> list[Outcome]:
-    """What is parsed from bytes that are received in these parts."""
+    """The results of parsing bytes that are received in these parts."""
     parser = RequestParser()
     found: list[Outcome] = []
     for part in parts:
--- a/tests/cluster/test_http_server.py
+++ b/tests/cluster/test_http_server.py
@@ -1,4 +1,4 @@
-"""The HTTP server of nodes, over real loopback sockets."""
+"""Tests the nodes' HTTP server over loopback sockets."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -14,12 +14,12 @@
 
 SMALL = Limits(header_bytes=400, body_bytes=100, header_s=20.0, idle_s=20.0)
 IMPATIENT = Limits(header_bytes=400, body_bytes=100, header_s=0.04, idle_s=0.04)
-PATIENCE_S = 15.0  # a busy machine is slow
+PATIENCE_S = 15.0  # generous, since a busy machine is slow
 GET = b"GET /a HTTP/1.1\r\nHost: x\r\n\r\n"
 
 
 class Rig:
-    """A server that echoes at once, or keeps what asks for /later."""
+    """A server that echoes bodies immediately, and keeps the responders of requests for /later."""
 
     def __init__(self, limits: Limits) -> None:
         self.server = Server(self.handle, lambda: limits)
@@ -30,7 +30,7 @@
         self.server.add = self.add  # type: ignore[method-assign]
 
     def add(self, connection: Any) -> None:
-        """Count what a connection reads."""
+        """Count the bytes that a connection reads."""
         data_received = connection.data_received
 
         def count(data: bytes) -> None:
@@ -56,7 +56,7 @@
         return pair
 
     async def ask(self, *parts: bytes, hang_up: bool = True) -> bytes:
-        """Send the pieces, each once the last one is read, and read until the server has said all."""
+        """Send the parts, each once the one before was read, and read until the server closes."""
         reader, writer = await self.open()
         sent = self.read
         for chunk in parts:
@@ -96,7 +96,7 @@
 
 CHUNKED = b"Transfer-Encoding: chunked"
 ANSWERED = [
-    # what is sent, the statuses in order, the bodies handed over
+    # parts that are sent, expected statuses in order, bodies passed to the handler
     ((GET,), [200], [b""]),
     ((GET * 200,), [200] * 200, [b""] * 200),
     ((GET[:9], GET[9:] + GET), [200, 200], [b"", b""]),
@@ -109,7 +109,7 @@
     ((b"GET /a HTTP/1.0\r\n\r\n" + GET,), [200], [b""]),
     ((post(b"Connection: x, Close") + GET,), [200], [b""]),
     ((GET.replace(b"/a", b"/fails") + GET,), [500], [b""]),
-    # smuggling, and what is not clean
+    # request smuggling and malformed input
     ((post(b"Content-Length: 3\r\n" + CHUNKED, b"0\r\n\r\n"),), [400], []),
     ((post(b"Content-Length: 3\r\nContent-Length: 4", b"abcd"),), [400], []),
     ((post(b"Content-Length: +3", b"abc"),), [400], []),
@@ -133,7 +133,7 @@
     ((GET.replace(b"/a", b"*"),), [400], []),
     ((GET.replace(b"1.1", b"2.0"),), [400], []),
     ((b"\x16\x03\x01\x02\x00",), [400], []),
-    # limits and times
+    # size limits and timeouts
     ((GET[:-2] + b"A: " + b"b" * 400,), [431], []),
     ((GET[:-2] + b"A: " + b"b" * 400 + b"\r\n\r\n",), [431], []),
     ((post(b"Expect: 100-continue\r\nContent-Length: 101"),), [413], []),
@@ -150,7 +150,7 @@
 def test_each_request_is_answered_in_order_and_a_malformed_one_is_rejected(
     parts: tuple[bytes, ...], statuses: list[int], bodies: list[bytes]
 ) -> None:
-    late = not parts or statuses == [408]  # the server is to lose its patience
+    late = not parts or statuses == [408]  # the server must run into its timeout
 
     async def scene(rig: Rig) -> None:
         answer = await rig.ask(*parts, hang_up=not late)
@@ -188,7 +188,7 @@
         with pytest.raises(RuntimeError):
             rig.later[0](Response(200))
         assert (await reader.readuntil(b"hi")).count(b"HTTP/1.1") == 2
-        writer.write(later + GET * 5_000)  # more than is read ahead, and a hang-up behind it
+        writer.write(later + GET * 5_000)  # exceeds the read-ahead limit; the client then disconnects
         await rig.until(lambda: any(it.is_reading_paused for it in rig.server._connections))
         assert max(it.buffered_bytes for it in rig.server._connections) < 400_000
         writer.transport.abort()
--- a/tests/cluster/test_soak.py
+++ b/tests/cluster/test_soak.py
@@ -1,4 +1,4 @@
-"""The short form of the soak: real processes on loopback under random faults, with one seed."""
+"""A short soak: real processes on loopback under random faults, with one seed."""
 
 import asyncio
 import random
@@ -11,7 +11,7 @@
 
 def test_nothing_accepted_is_lost_or_forgotten_under_faults_that_overlap(tmp_path: Path) -> None:
     async def play() -> list[str]:
-        net_rng = random.Random()  # other tests start deployments at the same moments
+        net_rng = random.Random()  # other tests may start deployments at the same time
         deployment = Deployment(tmp_path, free_net(net_rng, random_net(net_rng)), FAULTY_PROGRAM)
         report = await Soak(deployment, TrialLoad(20.0, 3.0), random.Random(4), print).run()
         assert report.accepted()
