--- a/amberlug/cluster/local_deployment/soak.py
+++ b/amberlug/cluster/local_deployment/soak.py
@@ -30,18 +30,18 @@
 )
 from amberlug.cluster.local_deployment.trial_report import PENDING, SentMessage
 
-FAULT_LINES = 3  # number of faults that may be active concurrently
-FAULT_S = (0.2, 2.5)  # range of a fault's duration
-PAUSE_S = (0.1, 1.0)  # range of the pause between two faults of one sequence
-LOST_REPLIES = (0.02, 0.2)  # range of the fraction of replies that are lost during such a fault
+FAULT_SEQUENCES = 3  # run concurrently, each with one fault at a time
+FAULT_DURATION_RANGE_S = (0.2, 2.5)  # duration of one fault
+FAULT_INTERVAL_RANGE_S = (0.1, 1.0)  # pause between two faults of one sequence
+LOST_REPLIES_RANGE = (0.02, 0.2)  # fraction of replies that are lost during such a fault
 LOOKUP_INTERVAL_S = 0.02  # between lookups while messages are sent
-HEALED_TIMEOUT_S = 20.0  # for all nodes to rejoin, and the roster to be complete
+HEAL_TIMEOUT_S = 20.0  # for all nodes to rejoin, and the roster to be complete
 UNKNOWN_STATUSES = (404, 410)
 UNAVAILABLE_STATUS = 503
 RETRY_AFTER_S = 1.0  # as in the edge nodes' Retry-After
 MAX_RETRIES = 2
 # In a node's log: violated invariants and unhandled errors.
-BAD_LOG_TEXTS = (VIOLATION_PREFIX, "AssertionError", "Traceback")
+LOG_ERROR_MARKERS = (VIOLATION_PREFIX, "AssertionError", "Traceback")
 
 
 class Soak(Trial):
@@ -51,7 +51,7 @@
         self, deployment: Deployment, load: TrialLoad, rng: random.Random, report_progress: ReportProgress
     ) -> None:
         super().__init__(deployment, load, rng, report_progress)
-        self._faulted: set[str] = set()  # names of machines affected by a fault
+        self._machines_with_fault: set[str] = set()  # names of machines affected by a fault
         self._reported_ended: set[str] = set()  # names of messages that were reported as ended
         self._faults = NetworkFaults()
         self._erased_disk_ids: set[str] = set()
@@ -60,59 +60,64 @@
         self._write_network_faults()
         await super()._play()
         if not self.report.failures:
-            await self._lose_all_and_one_disk()
-            await self._look_up_without_each_storage_node()
+            await self._kill_all_and_erase_disk()
+            await self._look_up_with_each_storage_node_paused()
         self._check_logs()
 
     # -- faults while messages are sent
 
     async def _inject_faults(self) -> None:
-        until = self._time() + self.load.duration_s
-        lines = [self._inject_one_after_another(until) for _ in range(FAULT_LINES)]
-        watch = asyncio.create_task(self._watch_answers())
-        await asyncio.gather(self._lose_a_disk(), *lines)
-        watch.cancel()
+        deadline = self._time() + self.load.duration_s
+        fault_sequences = [self._inject_fault_sequence(deadline) for _ in range(FAULT_SEQUENCES)]
+        polling = asyncio.create_task(self._poll_accepted_messages())
+        await asyncio.gather(self._erase_random_disk(), *fault_sequences)
+        polling.cancel()
         await self._wait_until_healed()
 
-    async def _inject_one_after_another(self, until: float) -> None:
-        faults: list[Callable[[], Awaitable[None]]] = [self._kill, self._pause, self._cut, self._lose_replies]
-        while self._time() < until:
+    async def _inject_fault_sequence(self, deadline: float) -> None:
+        faults: list[Callable[[], Awaitable[None]]] = [
+            self._kill_machine,
+            self._pause_machine,
+            self._cut_links,
+            self._lose_replies,
+        ]
+        while self._time() < deadline:
             await self.rng.choice(faults)()
-            await asyncio.sleep(self.rng.uniform(*PAUSE_S))
+            await asyncio.sleep(self.rng.uniform(*FAULT_INTERVAL_RANGE_S))
 
-    def _pick(self, machine_class: str = "") -> Machine | None:
+    def _pick_machine(self, machine_class: str = "") -> Machine | None:
         """Pick a machine without a fault, but not the last such machine of its class."""
         machines = self.deployment.machines.values()
-        sound = [machine for machine in machines if machine.name not in self._faulted]
-        classes = [machine.machine_class for machine in sound]
+        unaffected = [machine for machine in machines if machine.name not in self._machines_with_fault]
+        classes = [machine.machine_class for machine in unaffected]
         candidates = [
             machine
-            for machine in sound
+            for machine in unaffected
             if classes.count(machine.machine_class) > 1 and machine.machine_class.startswith(machine_class)
         ]
         return self.rng.choice(candidates) if candidates else None
 
-    async def _kill(self) -> None:
-        machine = self._pick()
+    async def _kill_machine(self) -> None:
+        machine = self._pick_machine()
         if machine is not None:
-            await self._kill_one(machine, erase=False)
+            await self._kill_and_restart(machine, erase=False)
 
-    async def _lose_a_disk(self) -> None:
+    async def _erase_random_disk(self) -> None:
         """Erase one storage node's disk, in addition to the other active faults."""
         await asyncio.sleep(self.rng.uniform(0.2, 0.6) * self.load.duration_s)
-        machine = self._pick("storage")
+        machine = self._pick_machine("storage")
         if machine is not None:
-            await self._kill_one(machine, erase=True)
+            await self._kill_and_restart(machine, erase=True)
 
-    async def _kill_one(self, machine: Machine, erase: bool) -> None:
-        self._faulted.add(machine.name)
+    async def _kill_and_restart(self, machine: Machine, erase: bool) -> None:
+        self._machines_with_fault.add(machine.name)
         self.deployment.kill(machine)
         if erase:
             self.report_progress(f"{machine.name} loses its disk")
             self._erase_disk(machine)
-        await asyncio.sleep(self.rng.uniform(*FAULT_S))
+        await asyncio.sleep(self.rng.uniform(*FAULT_DURATION_RANGE_S))
         self.deployment.start(machine)
-        self._faulted.discard(machine.name)
+        self._machines_with_fault.discard(machine.name)
 
     def _erase_disk(self, machine: Machine) -> None:
         disk_id = self.deployment.disk_id_of(machine)
@@ -120,16 +125,16 @@
             self._erased_disk_ids.add(disk_id)
         self.deployment.erase_disk(machine)
 
-    async def _pause(self) -> None:
-        machine = self._pick()
+    async def _pause_machine(self) -> None:
+        machine = self._pick_machine()
         if machine is not None:
-            self._faulted.add(machine.name)
+            self._machines_with_fault.add(machine.name)
             _signal(machine, signal.SIGSTOP)
-            await asyncio.sleep(self.rng.uniform(*FAULT_S))
+            await asyncio.sleep(self.rng.uniform(*FAULT_DURATION_RANGE_S))
             _signal(machine, signal.SIGCONT)
-            self._faulted.discard(machine.name)
+            self._machines_with_fault.discard(machine.name)
 
-    async def _cut(self) -> None:
+    async def _cut_links(self) -> None:
         """Cut some of a machine's links."""
         machines = list(self.deployment.machines.values())
         machine = self.rng.choice(machines)
@@ -137,14 +142,14 @@
         pairs = {frozenset((machine.ip, other.ip)) for other in others if other is not machine}
         self._faults = NetworkFaults(self._faults.cut | pairs, self._faults.lost_replies)
         self._write_network_faults()
-        await asyncio.sleep(self.rng.uniform(*FAULT_S))
+        await asyncio.sleep(self.rng.uniform(*FAULT_DURATION_RANGE_S))
         self._faults = NetworkFaults(self._faults.cut - pairs, self._faults.lost_replies)
         self._write_network_faults()
 
     async def _lose_replies(self) -> None:
-        self._faults = NetworkFaults(self._faults.cut, self.rng.uniform(*LOST_REPLIES))
+        self._faults = NetworkFaults(self._faults.cut, self.rng.uniform(*LOST_REPLIES_RANGE))
         self._write_network_faults()
-        await asyncio.sleep(self.rng.uniform(*FAULT_S))
+        await asyncio.sleep(self.rng.uniform(*FAULT_DURATION_RANGE_S))
         self._faults = NetworkFaults(self._faults.cut)
         self._write_network_faults()
 
@@ -155,7 +160,7 @@
 
     async def _wait_until_healed(self) -> None:
         """Wait until all nodes have rejoined, and each storage node has exactly one disk, which is in use."""
-        if not await self.deployment.wait_until(self._is_healed, HEALED_TIMEOUT_S):
+        if not await self.deployment.wait_until(self._is_healed, HEAL_TIMEOUT_S):
             self._fail("some nodes have not rejoined, or a lost disk is still on the roster")
 
     async def _is_healed(self) -> bool:
@@ -171,13 +176,13 @@
         )
         return has_all_disks and await self._all_rejoined()
 
-    async def _lose_all_and_one_disk(self) -> None:
+    async def _kill_all_and_erase_disk(self) -> None:
         machine = self.rng.choice(self.deployment.of("storage"))
         self.report_progress(f"all machines are killed, {machine.name} loses its disk")
         self.deployment.kill_all()
         self._erase_disk(machine)
-        for each in self.deployment.machines.values():
-            self.deployment.start(each)
+        for each_machine in self.deployment.machines.values():
+            self.deployment.start(each_machine)
         if not await self.deployment.wait_until_ready():
             self._fail(
                 f"the edge nodes did not become ready within {READY_TIMEOUT_S:g} s after the final fault"
@@ -188,21 +193,21 @@
 
     # -- answers
 
-    async def _watch_answers(self) -> None:
+    async def _poll_accepted_messages(self) -> None:
         """Continuously look up random accepted messages at random edge nodes."""
-        looking: set[asyncio.Task[int]] = set()
+        lookups: set[asyncio.Task[int]] = set()
         while True:
             accepted = self.report.accepted()
-            if accepted and self.deployment.fronts and len(looking) < MAX_CONCURRENT_LOOKUPS:
-                task = asyncio.create_task(self._check_answer(self.rng.choice(accepted)))
-                looking.add(task)
-                task.add_done_callback(looking.discard)
+            if accepted and self.deployment.fronts and len(lookups) < MAX_CONCURRENT_LOOKUPS:
+                task = asyncio.create_task(self._check_message(self.rng.choice(accepted)))
+                lookups.add(task)
+                task.add_done_callback(lookups.discard)
             await asyncio.sleep(LOOKUP_INTERVAL_S)
 
     async def _look_up(self, message: SentMessage) -> None:
-        await self._check_answer(message)
+        await self._check_message(message)
 
-    async def _check_answer(self, message: SentMessage) -> int:
+    async def _check_message(self, message: SentMessage) -> int:
         """Look a message up once; a response that contradicts an earlier one is a failure.
 
         :returns: the status of the response; 0 if there was none.
@@ -226,7 +231,7 @@
         elif was_ended:
             self.report.failures.append(f"{message.name}: has ended, but {front} reports {PENDING}")
 
-    async def _look_up_without_each_storage_node(self) -> None:
+    async def _look_up_with_each_storage_node_paused(self) -> None:
         """Check that all accepted messages are reported as ended while one storage node is paused."""
         for machine in self.deployment.of("storage"):
             self.report_progress(f"all messages are looked up without {machine.name}")
@@ -234,25 +239,27 @@
             accepted = self.report.accepted()
             for start in range(0, len(accepted), MAX_CONCURRENT_LOOKUPS):
                 batch = accepted[start : start + MAX_CONCURRENT_LOOKUPS]
-                statuses = await asyncio.gather(*(self._check_answer_patiently(message) for message in batch))
-                self._record_unanswered(machine, batch, statuses)
+                statuses = await asyncio.gather(
+                    *(self._check_message_with_retries(message) for message in batch)
+                )
+                self._record_failed_lookups(machine, batch, statuses)
             _signal(machine, signal.SIGCONT)
             await self._wait_until_healed()
 
-    async def _check_answer_patiently(self, message: SentMessage) -> int:
+    async def _check_message_with_retries(self, message: SentMessage) -> int:
         """Look a message up as clients do: retry after a delay while its status is unavailable.
 
         A new roster reaches the nodes one after another; until then they respond with 503.
         """
-        status = await self._check_answer(message)
+        status = await self._check_message(message)
         for _ in range(MAX_RETRIES):
             if status != UNAVAILABLE_STATUS:
                 break
             await asyncio.sleep(RETRY_AFTER_S)
-            status = await self._check_answer(message)
+            status = await self._check_message(message)
         return status
 
-    def _record_unanswered(
+    def _record_failed_lookups(
         self, unresponsive: Machine, batch: Sequence[SentMessage], statuses: Sequence[int]
     ) -> None:
         for message, status in zip(batch, statuses, strict=True):
@@ -267,7 +274,7 @@
             self.report.failures += [
                 f"{machine.name} logs: {entry}"
                 for entry in text.splitlines()
-                if any(bad in entry for bad in BAD_LOG_TEXTS)
+                if any(marker in entry for marker in LOG_ERROR_MARKERS)
             ]
 
 
