--- a/amberlug/cluster/local_deployment/commands.py
+++ b/amberlug/cluster/local_deployment/commands.py
@@ -27,7 +27,7 @@
 ResultT = TypeVar("ResultT")
 
 
-async def _until_interrupted(work: Coroutine[object, object, ResultT]) -> ResultT:
+async def _run_until_interrupted(work: Coroutine[object, object, ResultT]) -> ResultT:
     """Run a coroutine; Ctrl-C and SIGTERM cancel it, so that it can clean up."""
     loop, task = asyncio.get_running_loop(), asyncio.ensure_future(work)
     for number in (signal.SIGINT, signal.SIGTERM):
@@ -94,11 +94,11 @@
     def report_progress(text: str) -> None:
         click.echo(text, err=True)
 
-    async def play(folder: Path) -> TrialReport:
+    async def run_trial(folder: Path) -> TrialReport:
         return await Trial(Deployment(folder.resolve(), net), load, rng, report_progress).run()
 
     def run(folder: Path) -> int:
-        return _print_report(asyncio.run(_until_interrupted(play(folder))), as_json)
+        return _print_report(asyncio.run(_run_until_interrupted(run_trial(folder))), as_json)
 
     sys.exit(_run_in_folder(keep, run))
 
@@ -124,21 +124,21 @@
     The exit code is 0 only if under all seeds no accepted message was lost or unknown to an edge node, and
     no reported outcome was withdrawn; else 1.
     """
-    bad = 0
+    failed_seeds = 0
     for seed in range(first, first + seeds):
-        report = asyncio.run(_until_interrupted(_play_soak(seed, TrialLoad(rate, seconds), keep)))
+        report = asyncio.run(_run_until_interrupted(_run_soak(seed, TrialLoad(rate, seconds), keep)))
         failures = report.all_failures()
-        bad += bool(failures)
+        failed_seeds += bool(failures)
         click.echo(
             f"seed {seed}: {len(report.accepted())} accepted of {len(report.sent)}, {len(failures)} wrong"
         )
         for failure in failures[:MAX_PRINTED_FAILURES]:
             click.echo(f"WRONG: {failure}")
-    click.echo(f"{bad} of {seeds} seeds failed")
-    sys.exit(bool(bad))
+    click.echo(f"{failed_seeds} of {seeds} seeds failed")
+    sys.exit(bool(failed_seeds))
 
 
-async def _play_soak(seed: int, load: TrialLoad, keep: Path | None) -> TrialReport:
+async def _run_soak(seed: int, load: TrialLoad, keep: Path | None) -> TrialReport:
     """Run one seed; its folder is kept only if something failed."""
     with tempfile.TemporaryDirectory(prefix="amberlug-soak-") as name:
         folder, rng = Path(name), random.Random(seed)
@@ -209,6 +209,6 @@
         work_s=options["work_ms"] / 1000,
     )
     try:
-        asyncio.run(_until_interrupted(_serve_endpoint(settings, at, host, int(port))))
+        asyncio.run(_run_until_interrupted(_serve_endpoint(settings, at, host, int(port))))
     except asyncio.CancelledError:
         click.echo("ended")
--- a/amberlug/cluster/local_deployment/soak.py
+++ b/amberlug/cluster/local_deployment/soak.py
@@ -56,9 +56,9 @@
         self._faults = NetworkFaults()
         self._erased_disk_ids: set[str] = set()
 
-    async def _play(self) -> None:
+    async def _run_scenario(self) -> None:
         self._write_network_faults()
-        await super()._play()
+        await super()._run_scenario()
         if not self.report.failures:
             await self._kill_all_and_erase_disk()
             await self._look_up_with_each_storage_node_paused()
--- a/amberlug/cluster/local_deployment/trial.py
+++ b/amberlug/cluster/local_deployment/trial.py
@@ -63,7 +63,7 @@
     async def run(self) -> TrialReport:
         """Run the trial; no process is left running."""
         try:
-            await self._play()
+            await self._run_scenario()
             self.report_progress("stopping all processes")
             unclean = await self.deployment.stop()
             self.report.failures += [f"{name}: its process did not exit cleanly" for name in unclean]
@@ -75,7 +75,7 @@
             self.report.runs += endpoint.runs
         return self.report
 
-    async def _play(self) -> None:
+    async def _run_scenario(self) -> None:
         deployment = self.deployment
         self.report_progress(
             f"starting {len(deployment.machines)} machines at {deployment.net}.x, in {deployment.folder}"
--- a/tests/cluster/test_admin.py
+++ b/tests/cluster/test_admin.py
@@ -503,11 +503,11 @@
     net = f"127.{rng.randrange(2, 255)}.{rng.randrange(1, 255)}"
     lines: list[str] = []
 
-    async def play() -> TrialReport:
+    async def run_trial() -> TrialReport:
         deployment = Deployment(tmp_path, net)
         return await Trial(deployment, TrialLoad(20.0, 3.0), rng, lines.append).run()
 
-    report = asyncio.run(play())
+    report = asyncio.run(run_trial())
     assert report.figures()["wrong"] == []
     assert len(report.accepted()) > 20
     assert sum("is killed" in it for it in lines) == 2
