--- a/amberlug/cluster/local_deployment/deployment.py
+++ b/amberlug/cluster/local_deployment/deployment.py
@@ -65,7 +65,7 @@
 )
 
 
-def config() -> Json:
+def initial_config() -> Json:
     """The initial configuration."""
     return {
         "edition": 1,
@@ -122,10 +122,10 @@
         for machine_class in MACHINE_CLASSES
         for number in range(MACHINES_PER_CLASS)
     ]
-    return all(_is_free(host, port) for host in hosts for port in ports)
+    return all(_is_free_address(host, port) for host in hosts for port in ports)
 
 
-def _is_free(host: str, port: int) -> bool:
+def _is_free_address(host: str, port: int) -> bool:
     with socket.socket() as probe:
         # As the nodes do, so that connections left by an earlier process do not matter.
         probe.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -170,9 +170,11 @@
                 ip = f"{net}.{machine_class.first_host + number}"
                 zone, path = zones[number % len(zones)], folder / f"{name}.yaml"
                 self.machines[name] = Machine(name, machine_class.name, ip, zone, path)
-        self.controls = [f"{machine.ip}:{CONTROL_PORT}" for machine in self.of("core")]
+        self.control_addresses = [
+            f"{machine.ip}:{CONTROL_PORT}" for machine in self.machines_of_class("core")
+        ]
 
-    def of(self, machine_class: str) -> list[Machine]:
+    def machines_of_class(self, machine_class: str) -> list[Machine]:
         """All machines of a class."""
         return [machine for machine in self.machines.values() if machine.machine_class == machine_class]
 
@@ -182,22 +184,26 @@
         return self.folder / "network-faults.json"
 
     @property
-    def fronts(self) -> list[str]:
+    def front_addresses(self) -> list[str]:
         """The client addresses of the running edge nodes."""
-        return [f"{machine.ip}:{FRONT_PORT}" for machine in self.of("edge") if machine.process is not None]
+        return [
+            f"{machine.ip}:{FRONT_PORT}"
+            for machine in self.machines_of_class("edge")
+            if machine.process is not None
+        ]
 
     # -- files
 
     def write_settings(self, first_start: bool) -> None:
         """Write the settings files and the configuration."""
         for machine_class in MACHINE_CLASSES:
-            for machine in self.of(machine_class.name):
+            for machine in self.machines_of_class(machine_class.name):
                 text = yaml.safe_dump(self._settings_of(machine, machine_class, first_start), sort_keys=False)
                 # Replaced atomically: a running process that polls the file must not read a partial one.
                 temporary = machine.settings_path.with_suffix(".new")
                 temporary.write_text(text)
                 temporary.replace(machine.settings_path)
-        (self.folder / "configuration.json").write_text(json.dumps(config(), indent=2) + "\n")
+        (self.folder / "configuration.json").write_text(json.dumps(initial_config(), indent=2) + "\n")
 
     def _settings_of(self, machine: Machine, machine_class: MachineClass, first_start: bool) -> Json:
         is_edge = machine_class.name == "edge"
@@ -212,7 +218,7 @@
             "zones": ZONES,
             "bindings": {name: f"{machine.ip}:{port}" for name, port in machine_class.ports.items()},
             "internalPorts": list(INTERNAL_PORTS),
-            "seedNodes": self.controls,
+            "seedNodes": self.control_addresses,
             "firstStart": first_start,
             "counted": not is_edge,
             "dataDir": None if is_edge else str(self._data_folder(machine)),
@@ -319,7 +325,7 @@
         sent = await asyncio.gather(
             *(
                 send_call(f"{machine.ip}:{READINESS_PORT}", probe, PROBE_TIMEOUT_S)
-                for machine in self.of("edge")
+                for machine in self.machines_of_class("edge")
             )
         )
         return all(isinstance(reply, Ok) and reply.ok_value.status == 200 for reply in sent)
--- a/amberlug/cluster/local_deployment/fake_endpoint.py
+++ b/amberlug/cluster/local_deployment/fake_endpoint.py
@@ -60,13 +60,13 @@
 class FakeEndpoint:
     """One fake endpoint.
 
-    :param controls: addresses of control-plane nodes.
+    :param control_addresses: addresses of control-plane nodes.
     """
 
-    def __init__(self, settings: EndpointSettings, controls: Sequence[str]) -> None:
+    def __init__(self, settings: EndpointSettings, control_addresses: Sequence[str]) -> None:
         self.settings = settings
         self.runs: list[Run] = []
-        self._controls = deque(controls)
+        self._control_addresses = deque(control_addresses)
         self._server = Server(self._handle, lambda: LIMITS)
         self._queue: deque[_Queued] = deque()
         self._busy_slots = 0
@@ -117,11 +117,11 @@
             "sequence": self._sequence,
         }
         call = HttpCall("POST", path, body=json.dumps(body).encode())
-        for _ in range(len(self._controls)):
-            sent = await send_call(self._controls[0], call)
+        for _ in range(len(self._control_addresses)):
+            sent = await send_call(self._control_addresses[0], call)
             if isinstance(sent, Ok) and sent.ok_value.status < 300:
                 return
-            self._controls.rotate(-1)
+            self._control_addresses.rotate(-1)
 
     # -- messages
 
--- a/amberlug/cluster/local_deployment/soak.py
+++ b/amberlug/cluster/local_deployment/soak.py
@@ -164,20 +164,20 @@
             self._fail("some nodes have not rejoined, or a lost disk is still on the roster")
 
     async def _is_healed(self) -> bool:
-        control = self.rng.choice(self.deployment.controls)
+        control = self.rng.choice(self.deployment.control_addresses)
         sent = await send_call(control, HttpCall("GET", "/-/Foreman.Status"))
         if not isinstance(sent, Ok) or sent.ok_value.status != 200:
             return False
         disks = json.loads(sent.ok_value.body)["stores"]
         has_all_disks = (
-            len(disks) == len(self.deployment.of("storage"))
+            len(disks) == len(self.deployment.machines_of_class("storage"))
             and all(disk["state"] == "full" for disk in disks.values())
             and not self._erased_disk_ids & set(disks)  # a lost disk counts as full until it is replaced
         )
         return has_all_disks and await self._all_rejoined()
 
     async def _kill_all_and_erase_disk(self) -> None:
-        machine = self.rng.choice(self.deployment.of("storage"))
+        machine = self.rng.choice(self.deployment.machines_of_class("storage"))
         self.report_progress(f"all machines are killed, {machine.name} loses its disk")
         self.deployment.kill_all()
         self._erase_disk(machine)
@@ -198,7 +198,7 @@
         lookups: set[asyncio.Task[int]] = set()
         while True:
             accepted = self.report.accepted()
-            if accepted and self.deployment.fronts and len(lookups) < MAX_CONCURRENT_LOOKUPS:
+            if accepted and self.deployment.front_addresses and len(lookups) < MAX_CONCURRENT_LOOKUPS:
                 task = asyncio.create_task(self._check_message(self.rng.choice(accepted)))
                 lookups.add(task)
                 task.add_done_callback(lookups.discard)
@@ -213,7 +213,7 @@
         :returns: the status of the response; 0 if there was none.
         """
         was_ended = message.name in self._reported_ended
-        front = self.rng.choice(self.deployment.fronts)
+        front = self.rng.choice(self.deployment.front_addresses)
         sent = await send_call(front, HttpCall("GET", f"/-/message/{message.name}"))
         if not isinstance(sent, Ok):
             return 0
@@ -233,7 +233,7 @@
 
     async def _look_up_with_each_storage_node_paused(self) -> None:
         """Check that all accepted messages are reported as ended while one storage node is paused."""
-        for machine in self.deployment.of("storage"):
+        for machine in self.deployment.machines_of_class("storage"):
             self.report_progress(f"all messages are looked up without {machine.name}")
             _signal(machine, signal.SIGSTOP)
             accepted = self.report.accepted()
--- a/amberlug/cluster/local_deployment/trial.py
+++ b/amberlug/cluster/local_deployment/trial.py
@@ -12,7 +12,13 @@
 from result import Err, Ok, Result
 
 from amberlug.cluster.interfaces import Headers, RequestFailure
-from amberlug.cluster.local_deployment.deployment import ENDPOINT_PORT, HOST, SERVICES, Deployment, config
+from amberlug.cluster.local_deployment.deployment import (
+    ENDPOINT_PORT,
+    HOST,
+    SERVICES,
+    Deployment,
+    initial_config,
+)
 from amberlug.cluster.local_deployment.fake_endpoint import (
     UNPROCESSABLE_PREFIX,
     EndpointSettings,
@@ -109,7 +115,7 @@
         for service in SERVICES:
             for zone in ENDPOINT_ZONES:
                 settings = EndpointSettings(f"{service}-{zone}", service, zone)
-                endpoint = FakeEndpoint(settings, self.deployment.controls)
+                endpoint = FakeEndpoint(settings, self.deployment.control_addresses)
                 host = f"{self.deployment.net}.{FIRST_ENDPOINT_HOST + len(self._endpoints)}"
                 await endpoint.start(host, ENDPOINT_PORT)
                 self._endpoints.append(endpoint)
@@ -117,8 +123,8 @@
     async def _push_config(self) -> bool:
         """Send the configuration, unchanged on each attempt; True if a control-plane node acknowledges it."""
         headers = (("Content-Type", "application/json"), ("Amberlug-Base-Version", "0"))
-        call = HttpCall("POST", "/-/Configuration.Replace", headers, json.dumps(config()).encode())
-        sent = await send_call(self.rng.choice(self.deployment.controls), call)
+        call = HttpCall("POST", "/-/Configuration.Replace", headers, json.dumps(initial_config()).encode())
+        sent = await send_call(self.rng.choice(self.deployment.control_addresses), call)
         return isinstance(sent, Ok) and sent.ok_value.status == 200
 
     # -- load
@@ -140,7 +146,7 @@
         body = (UNPROCESSABLE_PREFIX if is_unprocessable else b"") + secrets.token_bytes(BODY_BYTES)
         deadline = self._time() + CLIENT_TIMEOUT_S
         while not message.accepted_at and not message.is_outcome_unknown and self._time() < deadline:
-            front = self.rng.choice(self.deployment.fronts)
+            front = self.rng.choice(self.deployment.front_addresses)
             message.attempt_id, message.sent_at = secrets.token_hex(ATTEMPT_ID_BYTES), self._time()
             call = HttpCall("POST", f"/{service}/{number}", _submission_headers(message), body, HOST)
             await self._apply_response(message, await send_call(front, call))
@@ -161,7 +167,7 @@
         """Kill and restart an edge node, then a storage node."""
         for machine_class, delay_share in (("edge", 0.3), ("storage", 0.1)):
             await asyncio.sleep(self.load.duration_s * delay_share)
-            machine = self.rng.choice(self.deployment.of(machine_class))
+            machine = self.rng.choice(self.deployment.machines_of_class(machine_class))
             self.report_progress(f"{machine.name} is killed")
             self.deployment.kill(machine)
             await asyncio.sleep(DOWNTIME_S)
@@ -177,7 +183,7 @@
         return all(message.condition != PENDING for message in pending)
 
     async def _look_up(self, message: SentMessage) -> None:
-        front = self.rng.choice(self.deployment.fronts)
+        front = self.rng.choice(self.deployment.front_addresses)
         sent = await send_call(front, HttpCall("GET", f"/-/message/{message.name}"))
         if isinstance(sent, Ok) and sent.ok_value.status == 200:
             status = json.loads(sent.ok_value.body)
@@ -186,7 +192,7 @@
     async def _all_rejoined(self) -> bool:
         """Whether a control-plane node has reports from all edge and storage nodes."""
         sent = await send_call(
-            self.rng.choice(self.deployment.controls), HttpCall("GET", "/-/Foreman.Status")
+            self.rng.choice(self.deployment.control_addresses), HttpCall("GET", "/-/Foreman.Status")
         )
         if isinstance(sent, Err) or sent.ok_value.status != 200:
             return False
--- a/benchmarks/core_away.py
+++ b/benchmarks/core_away.py
@@ -21,7 +21,13 @@
 from result import Ok, Result
 
 from amberlug.cluster.interfaces import Json, RequestFailure
-from amberlug.cluster.local_deployment.deployment import CONTROL_PORT, Deployment, Machine, config, free_net
+from amberlug.cluster.local_deployment.deployment import (
+    CONTROL_PORT,
+    Deployment,
+    Machine,
+    free_net,
+    initial_config,
+)
 from amberlug.cluster.local_deployment.http_call import HttpCall, send_call
 from amberlug.http.link import Reply
 
@@ -35,7 +41,7 @@
 
 def body(edition: int, size: int) -> bytes:
     """A configuration of about so many bytes."""
-    data = config()
+    data = initial_config()
     route = data["routeTable"][0]
     routes = [
         {**route, "name": f"to-{at}", "pathPrefix": f"/p{at}/"} for at in range(max(1, size // ROUTE_BYTES))
@@ -99,12 +105,12 @@
     """One run."""
     deployment = Deployment(folder, free_net(random.Random()))
     deployment.write_settings(first_start=True)
-    cores = deployment.of("core")
+    cores = deployment.machines_of_class("core")
     try:
         for core in cores:
             deployment.start(core)
         await asyncio.sleep(SETTLE_S)
-        await push(deployment.controls, 1, body(1, size))
+        await push(deployment.control_addresses, 1, body(1, size))
         away = cores[2]
         assert away.process is not None, "it was started"
         if how == "stop":
@@ -113,7 +119,9 @@
             deployment.kill(away)
         if how == "empty":
             shutil.rmtree(folder / f"{away.name}.data")
-        took = [await push(deployment.controls[:2], at, body(at, size)) for at in range(2, count + 2)]
+        took = [
+            await push(deployment.control_addresses[:2], at, body(at, size)) for at in range(2, count + 2)
+        ]
         if how == "stop":
             away.process.send_signal(signal.SIGCONT)
         else:
--- a/tests/cluster/test_admin.py
+++ b/tests/cluster/test_admin.py
@@ -22,7 +22,7 @@
 from amberlug.cluster.control.messages import SessionDescription
 from amberlug.cluster.control.node import ControlNode, blank
 from amberlug.cluster.interfaces import Json, OnWritten, RawMessage, Reply, ReplyCallback, RequestFailure
-from amberlug.cluster.local_deployment.deployment import Deployment, config
+from amberlug.cluster.local_deployment.deployment import Deployment, initial_config
 from amberlug.cluster.local_deployment.fake_endpoint import Run
 from amberlug.cluster.local_deployment.trial import Trial, TrialLoad
 from amberlug.cluster.local_deployment.trial_report import SentMessage, TrialReport
@@ -243,7 +243,7 @@
     rig.server.server_close()
 
 
-NEW = {**config(), "edition": 4}
+NEW = {**initial_config(), "edition": 4}
 READ, REPLACE = "/-/Configuration.Read", "/-/Configuration.Replace"
 FOUND = {
     "id": "1-a",
@@ -288,7 +288,7 @@
     ("config check NEW", {}, ExitCode.DONE, "edition 4"),
     ("config check BAD", {}, ExitCode.BAD_INPUT, "routeTable.0.targetService"),
     ("config check none.json", {}, ExitCode.BAD_INPUT, "No such file"),
-    ("config diff NEW --at @", {READ: [(200, config())]}, ExitCode.DONE, "edition 1 -> 4"),
+    ("config diff NEW --at @", {READ: [(200, initial_config())]}, ExitCode.DONE, "edition 1 -> 4"),
     ("config push BAD --at @", {}, ExitCode.BAD_INPUT, "routeTable.0.targetService"),
     ("config push NEW --at @", {REPLACE: [(200, {})]}, ExitCode.DONE, "edition 4 is in force"),
     ("config push NEW --at @", {READ: [(200, NEW)]}, ExitCode.DONE, "already"),
@@ -386,7 +386,7 @@
 
 def test_a_configuration_push_is_retried_unchanged(control: Control, tmp_path: Path) -> None:
     (tmp_path / "c").write_text(json.dumps(NEW))
-    control.answers = {READ: [(200, config())], REPLACE: [(503, {}), (503, {}), (200, {})]}
+    control.answers = {READ: [(200, initial_config())], REPLACE: [(503, {}), (503, {}), (200, {})]}
     assert control.admin("config", "push", str(tmp_path / "c"), "--at", "@").exit_code == ExitCode.DONE
     pushed = [
         (headers["amberlug-base-version"], body)
@@ -462,7 +462,7 @@
 
 
 def test_differences_name_the_changed_fields() -> None:
-    old, new = config(), config()
+    old, new = initial_config(), initial_config()
     new["routeTable"][0]["expiryMs"] = 9
     new["routeTable"][1]["name"] = "other"
     del new["limits"]["idleTimerMs"]
