--- a/amberlug/cluster/frontends.py
+++ b/amberlug/cluster/frontends.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING
 
 from amberlug.cluster import metrics
-from amberlug.cluster.http.api import HttpResponse, pack
+from amberlug.cluster.http.api import HttpResponse, encode_json
 from amberlug.cluster.http.connection import RespondCallback
 from amberlug.cluster.http.message import Request, Response
 from amberlug.cluster.http.parser import Limits
@@ -35,7 +35,9 @@
 
         def send(response: ClientResponse) -> None:
             if response.body is not None:
-                respond(Response(response.status, response.headers + JSON_CONTENT, pack(response.body)))
+                respond(
+                    Response(response.status, response.headers + JSON_CONTENT, encode_json(response.body))
+                )
             else:
                 respond(Response(response.status, response.headers, response.payload))
 
@@ -58,4 +60,4 @@
     if response.page is not None:
         respond(Response(response.status, TEXT_CONTENT + headers, response.page))
     else:
-        respond(Response(response.status, JSON_CONTENT + headers, pack(response.body)))
+        respond(Response(response.status, JSON_CONTENT + headers, encode_json(response.body)))
--- a/amberlug/cluster/http/api.py
+++ b/amberlug/cluster/http/api.py
@@ -46,7 +46,7 @@
 
 RespondHttp = Callable[[HttpResponse], None]
 Handler = Callable[[Any, HttpRequest, str, RespondHttp], None]
-_DECLARED = "_api_call"
+_API_CALL_ATTRIBUTE = "_api_call"
 
 
 @value
@@ -57,7 +57,7 @@
     path: str
 
     @property
-    def is_named(self) -> bool:
+    def takes_name(self) -> bool:
         """Whether the path is followed by a name."""
         return self.path.endswith("/")
 
@@ -69,7 +69,7 @@
     """
 
     def declare(handler: Handler) -> Handler:
-        handler.__dict__[_DECLARED] = ApiCall(method, path)
+        handler.__dict__[_API_CALL_ATTRIBUTE] = ApiCall(method, path)
         return handler
 
     return declare
@@ -79,26 +79,26 @@
     """Dispatches requests to the handlers that the classes of the given components declare."""
 
     def __init__(self, *components: object) -> None:
-        self._exact: dict[str, dict[str, Callable[..., None]]] = {}
-        self._named: dict[str, dict[str, Callable[..., None]]] = {}
+        self._methods_by_path: dict[str, dict[str, Callable[..., None]]] = {}
+        self._methods_by_parent_path: dict[str, dict[str, Callable[..., None]]] = {}
         for component in components:
             self._add(component)
 
     def _add(self, component: object) -> None:
         for cls in type(component).__mro__:
             for name, member in vars(cls).items():
-                call = getattr(member, "__dict__", {}).get(_DECLARED) if callable(member) else None
+                call = getattr(member, "__dict__", {}).get(_API_CALL_ATTRIBUTE) if callable(member) else None
                 if call is not None:
-                    table = self._named if call.is_named else self._exact
+                    table = self._methods_by_parent_path if call.takes_name else self._methods_by_path
                     table.setdefault(call.path, {}).setdefault(call.method, getattr(component, name))
 
     def handle(self, request: HttpRequest, respond: RespondHttp) -> None:
         """Dispatch a request; responds with 404 or 405 if there is no handler for its path or method."""
         path = request.target.partition("?")[0]
-        methods, name = self._exact.get(path), ""
+        methods, name = self._methods_by_path.get(path), ""
         if methods is None:
             parent, slash, name = path.rpartition("/")
-            methods = self._named.get(parent + slash) if name else None
+            methods = self._methods_by_parent_path.get(parent + slash) if name else None
         if methods is None:
             respond(HttpResponse(404, {"cause": f"no call {path}"}))
         elif request.method not in methods:
@@ -131,6 +131,6 @@
     return HttpResponse(503, {"cause": "no answer of a majority"}, 1)
 
 
-def pack(body: Json) -> bytes:
+def encode_json(body: Json) -> bytes:
     """Encode a response's body."""
     return json.dumps(body, separators=(",", ":")).encode()
--- a/amberlug/cluster/http/connection.py
+++ b/amberlug/cluster/http/connection.py
@@ -120,7 +120,7 @@
             self._limit_read_ahead()
             return
         if phase == Phase.BODY:
-            self._enter(Phase.BODY, self._server.limits.header_s)
+            self._enter_phase(Phase.BODY, self._server.limits.header_s)
         self._read_requests()
 
     def pause_writing(self) -> None:
@@ -152,7 +152,7 @@
         unsent_bytes = self._transport.get_write_buffer_size() if self._transport is not None else 0
         if 0 < unsent_bytes != self._unsent_bytes:  # the client is still reading its responses, slowly
             self._unsent_bytes = unsent_bytes
-            self._enter(self.phase, self._server.limits.header_s)
+            self._enter_phase(self.phase, self._server.limits.header_s)
         elif self.phase in (Phase.HEAD, Phase.BODY) and not self._is_writing_paused:
             self._reject(408)
         else:
@@ -168,7 +168,7 @@
 
     def close(self) -> None:
         """Half-close, and wait for the client to close: closing with unread data could lose the response."""
-        self._enter(Phase.CLOSING, CLOSING_TIMEOUT_S)
+        self._enter_phase(Phase.CLOSING, CLOSING_TIMEOUT_S)
         self._parser.clear()
         if self._transport is not None:
             self._transport.resume_reading()
@@ -198,7 +198,7 @@
         if is_last:
             self.close()
             return
-        self._enter(Phase.IDLE, server.limits.idle_s)
+        self._enter_phase(Phase.IDLE, server.limits.idle_s)
         if self._parser.buffered_bytes and not self._is_parsing:
             self._resume()
 
@@ -209,7 +209,7 @@
 
     # -- requests
 
-    def _enter(self, phase: Phase, timeout_s: float) -> None:
+    def _enter_phase(self, phase: Phase, timeout_s: float) -> None:
         self.phase, self.deadline = phase, self._server.time() + timeout_s
 
     def _limit_read_ahead(self) -> None:
@@ -237,7 +237,7 @@
                 if self.phase >= Phase.OPEN or self._is_writing_paused or not self._read_request():
                     break
             else:
-                self._yield_to_others()
+                self._yield_to_event_loop()
         except RequestRejectedError as error:
             self._reject(error.status)
         finally:
@@ -245,7 +245,7 @@
         if self.phase == Phase.OPEN:
             self._limit_read_ahead()
 
-    def _yield_to_others(self) -> None:
+    def _yield_to_event_loop(self) -> None:
         """Continue in the next iteration of the event loop; reading is paused until then."""
         if self._transport is not None and self.phase < Phase.OPEN:
             self._transport.pause_reading()
@@ -255,20 +255,20 @@
         """Handle the next request; False if it is incomplete."""
         request = self._parser.next_request(self._server.limits)
         if request is None:
-            self._wait_for_rest()
+            self._on_incomplete_request()
             return False
         self._handle(request)
         return True
 
-    def _wait_for_rest(self) -> None:
+    def _on_incomplete_request(self) -> None:
         """Set the deadline of an incomplete request, and send `100 Continue` if the client waits for it."""
         if self._parser.is_in_body:
             if self.phase != Phase.BODY:
-                self._enter(Phase.BODY, self._server.limits.header_s)
+                self._enter_phase(Phase.BODY, self._server.limits.header_s)
                 if self._parser.awaits_continue and self._transport is not None:
                     self._transport.write(CONTINUE)
         elif self.phase == Phase.IDLE and self._parser.buffered_bytes:
-            self._enter(Phase.HEAD, self._server.limits.header_s)
+            self._enter_phase(Phase.HEAD, self._server.limits.header_s)
 
     def _handle(self, request: Request) -> None:
         server = self._server
--- a/amberlug/cluster/http/parser.py
+++ b/amberlug/cluster/http/parser.py
@@ -28,7 +28,7 @@
 _CHUNK_HEADER = re.compile(rb"([0-9A-Fa-f]{1,8})(?:;[\t\x20-\x7e\x80-\xff]*)?\r\n")
 _HOST = re.compile(rb"[0-9A-Za-z\-._~%!$&'()*+,;=:\[\]]*")
 # Never valid in a header section, for instance in a TLS ClientHello: rejected without waiting for more.
-_NEVER_IN_HEAD = re.compile(rb"(?<!\r)\n|[\x00-\x08\x0b\x0c\x0e-\x1f\x7f]")
+_INVALID_IN_HEAD = re.compile(rb"(?<!\r)\n|[\x00-\x08\x0b\x0c\x0e-\x1f\x7f]")
 _FRAMING_HEADERS = frozenset(("host", "content-length", "transfer-encoding", "connection", "expect"))
 
 
@@ -171,7 +171,7 @@
         if section_bytes > limits.header_bytes:
             raise RequestRejectedError(431)
         if end < 0:
-            if _NEVER_IN_HEAD.search(buffer, self._scanned_bytes):
+            if _INVALID_IN_HEAD.search(buffer, self._scanned_bytes):
                 raise RequestRejectedError(400)
             self._scanned_bytes = len(buffer)
             return False
--- a/amberlug/cluster/http/routing.py
+++ b/amberlug/cluster/http/routing.py
@@ -65,7 +65,7 @@
         return None
 
 
-def _route(item: Json) -> Route:
+def _parse_route(item: Json) -> Route:
     return Route(
         name=item["name"],
         host=item["authority"].lower(),
@@ -79,11 +79,11 @@
     )
 
 
-def _destination(item: Json) -> Destination:
+def _parse_destination(item: Json) -> Destination:
     return Destination(float(item.get("ratePerS", 0.0)), item.get("fixedAddress"))
 
 
-def _by_host(routes: list[Route]) -> Mapping[str, tuple[Route, ...]]:
+def _group_by_host(routes: list[Route]) -> Mapping[str, tuple[Route, ...]]:
     """Group routes by host, the longest prefixes first."""
     by_host: dict[str, list[Route]] = {}
     for route in sorted(routes, key=lambda it: -len(it.prefix)):
@@ -97,14 +97,16 @@
     :param index: position of the configuration in the Raft log.
     :param config: the document as operators write it.
     """
-    routes = [_route(item) for item in config["routeTable"]]
+    routes = [_parse_route(item) for item in config["routeTable"]]
     limits = config.get("limits", {})
     return RoutingTable(
         index=index,
         edition=config["edition"],
-        by_host=_by_host(routes),
+        by_host=_group_by_host(routes),
         by_name=MappingProxyType({route.name: route for route in routes}),
-        services=MappingProxyType({item["name"]: _destination(item) for item in config["serviceTable"]}),
+        services=MappingProxyType(
+            {item["name"]: _parse_destination(item) for item in config["serviceTable"]}
+        ),
         header_bytes=int(limits.get("maxHeaderBytes", DEFAULT_HEADER_BYTES)),
         body_bytes=int(limits.get("maxBodyBytes", DEFAULT_BODY_BYTES)),
         header_s=limits.get("headerTimerMs", DEFAULT_HEADER_TIMEOUT_S * 1000) / 1000,
