--- a/amberlug/cluster/admin/client.py
+++ b/amberlug/cluster/admin/client.py
@@ -82,17 +82,17 @@
     path = call.path
     for _ in range(MAX_REDIRECTS + 1):
         try:
-            response = _exchange(address, path, call, timeout_s)
+            response = _send_request(address, path, call, timeout_s)
         except (OSError, http.client.HTTPException, ValueError) as error:
             return Err(f"{address}: {error or type(error).__name__}")
         location = urlsplit(response.headers.get("location", ""))
         if response.status != 307 or not location.hostname:
             return Ok(response)
-        address, path = f"{location.hostname}:{location.port or DEFAULT_HTTP_PORT}", _path_of(location)
+        address, path = f"{location.hostname}:{location.port or DEFAULT_HTTP_PORT}", _path_and_query(location)
     return Err(f"{address}: too many redirects")
 
 
-def _exchange(address: str, path: str, call: Call, timeout_s: float) -> NodeResponse:
+def _send_request(address: str, path: str, call: Call, timeout_s: float) -> NodeResponse:
     host, _, port = address.rpartition(":")
     connection = http.client.HTTPConnection(host, int(port), timeout=timeout_s)
     try:
@@ -107,7 +107,7 @@
         connection.close()
 
 
-def _path_of(location: SplitResult) -> str:
+def _path_and_query(location: SplitResult) -> str:
     return location.path + (f"?{location.query}" if location.query else "")
 
 
--- a/amberlug/cluster/admin/config_differences.py
+++ b/amberlug/cluster/admin/config_differences.py
@@ -32,11 +32,11 @@
 def _changed_fields(item: str, old: Json, new: Json) -> list[str]:
     names = [*old, *(name for name in new if name not in old)]
     return [
-        f"~ {item}: {name} {_text(old, name)} -> {_text(new, name)}"
+        f"~ {item}: {name} {_format_field(old, name)} -> {_format_field(new, name)}"
         for name in names
-        if _text(old, name) != _text(new, name)
+        if _format_field(old, name) != _format_field(new, name)
     ]
 
 
-def _text(fields: Json, name: str) -> str:
+def _format_field(fields: Json, name: str) -> str:
     return json.dumps(fields[name], sort_keys=True) if name in fields else "none"
--- a/amberlug/cluster/admin/file_commands.py
+++ b/amberlug/cluster/admin/file_commands.py
@@ -8,7 +8,7 @@
 import click
 
 from amberlug.cluster.admin.files import check_deploy, check_settings
-from amberlug.cluster.admin.options import FILE, ExitCode, finish, json_option
+from amberlug.cluster.admin.options import FILE_PATH_TYPE, ExitCode, finish, json_option
 
 
 @click.group("check")
@@ -22,7 +22,7 @@
 
 
 @check_files.command("settings")
-@click.argument("path", metavar="FILE", type=FILE)
+@click.argument("path", metavar="FILE", type=FILE_PATH_TYPE)
 @json_option
 def settings_file(path: Path, as_json: bool) -> None:
     """Show all errors of a settings file."""
@@ -30,7 +30,7 @@
 
 
 @check_files.command("deploy")
-@click.argument("path", metavar="FILE", type=FILE)
+@click.argument("path", metavar="FILE", type=FILE_PATH_TYPE)
 @json_option
 def deploy_file(path: Path, as_json: bool) -> None:
     """Show all errors of a deploy file."""
--- a/amberlug/cluster/admin/files.py
+++ b/amberlug/cluster/admin/files.py
@@ -29,7 +29,7 @@
 STORAGE_CLASS = "storage"  # the machine class of storage nodes
 
 
-def _read(path: Path) -> Result[bytes, list[str]]:
+def _read_bytes(path: Path) -> Result[bytes, list[str]]:
     try:
         return Ok(path.read_bytes())
     except OSError as error:
@@ -41,7 +41,7 @@
 
 def read_config(path: Path) -> Result[ConfigDocument, list[str]]:
     """Read an operator's configuration and validate it as a control-plane node does."""
-    content = _read(path)
+    content = _read_bytes(path)
     if isinstance(content, Err):
         return content
     document = parse(content.ok_value).and_then(validate)
@@ -53,10 +53,10 @@
     read = read_settings_file(str(path))
     if isinstance(read, Err):
         return [str(error) for error in read.err_value]
-    return list(_errors_of_settings(read.ok_value))
+    return list(_settings_errors(read.ok_value))
 
 
-def _errors_of_settings(settings: Settings) -> Iterator[str]:
+def _settings_errors(settings: Settings) -> Iterator[str]:
     names = ", ".join(ROLES)
     for role in sorted(settings.serves - set(ROLES)):
         yield f"serves: {role!r} is not one of {names}"
@@ -147,7 +147,7 @@
 
 def check_deploy(path: Path) -> list[str]:
     """List all errors of a deploy file."""
-    text = _read(path)
+    text = _read_bytes(path)
     if isinstance(text, Err):
         return text.err_value
     try:
@@ -157,23 +157,23 @@
     try:
         checked = _DEPLOY.check(data)["roles"]
     except t.DataError as error:
-        return list(_errors_of_schema(error))
+        return list(_schema_errors(error))
     roles = [_DeployRole.from_file(name, role) for name, role in checked.items()]
-    return [*_errors_of_roles(roles), *_errors_of_classes(roles)]
+    return [*_role_errors(roles), *_machine_class_errors(roles)]
 
 
-def _errors_of_schema(error: Any, path: str = "") -> Iterator[str]:
+def _schema_errors(error: Any, path: str = "") -> Iterator[str]:
     """Flatten a tree of schema errors, in the order of the schema."""
     if isinstance(error, t.DataError):
-        yield from _errors_of_schema(error.error, path)
+        yield from _schema_errors(error.error, path)
     elif isinstance(error, dict):
         for key, child in error.items():
-            yield from _errors_of_schema(child, f"{path}.{key}" if path else str(key))
+            yield from _schema_errors(child, f"{path}.{key}" if path else str(key))
     else:
         yield f"{path or 'file'}: {error}"
 
 
-def _errors_of_roles(roles: list[_DeployRole]) -> Iterator[str]:
+def _role_errors(roles: list[_DeployRole]) -> Iterator[str]:
     for role in roles:
         if role.has_share == role.has_count:
             yield f"roles.{role.name}: takes one of share and count"
@@ -183,7 +183,7 @@
             yield f"roles.{role.name}.serves: only machines of the class storage may serve storage"
 
 
-def _errors_of_classes(roles: list[_DeployRole]) -> Iterator[str]:
+def _machine_class_errors(roles: list[_DeployRole]) -> Iterator[str]:
     """Check all roles together, by the machine class on which they run."""
     for served in ROLES:
         classes = Counter(role.machine_class for role in roles if served in role.serves)
--- a/amberlug/cluster/admin/options.py
+++ b/amberlug/cluster/admin/options.py
@@ -53,7 +53,7 @@
 
 control_option = address_option("A control-plane node")
 json_option = click.option("--json", "as_json", is_flag=True, help="Print one JSON object.")
-FILE = click.Path(dir_okay=False, path_type=Path)
+FILE_PATH_TYPE = click.Path(dir_okay=False, path_type=Path)
 
 
 def finish(code: ExitCode, lines: Iterable[str], data: Json, as_json: bool) -> NoReturn:
