--- a/tests/cluster/test_http_server.py
+++ b/tests/cluster/test_http_server.py
@@ -12,20 +12,20 @@
 from amberlug.cluster.http.parser import Limits
 from amberlug.cluster.http.server import Server
 
-SMALL = Limits(header_bytes=400, body_bytes=100, header_s=20.0, idle_s=20.0)
-IMPATIENT = Limits(header_bytes=400, body_bytes=100, header_s=0.04, idle_s=0.04)
-PATIENCE_S = 15.0  # generous, since a busy machine is slow
+SMALL_LIMITS = Limits(header_bytes=400, body_bytes=100, header_s=20.0, idle_s=20.0)
+SHORT_TIMEOUTS = Limits(header_bytes=400, body_bytes=100, header_s=0.04, idle_s=0.04)
+TEST_TIMEOUT_S = 15.0  # generous, since a busy machine is slow
 GET = b"GET /a HTTP/1.1\r\nHost: x\r\n\r\n"
 
 
-class Rig:
+class EchoServer:
     """A server that echoes bodies immediately, and keeps the responders of requests for /later."""
 
     def __init__(self, limits: Limits) -> None:
         self.server = Server(self.handle, lambda: limits)
-        self.seen: list[Request] = []
-        self.later: list[RespondCallback] = []
-        self.read = 0  # bytes
+        self.requests: list[Request] = []
+        self.deferred: list[RespondCallback] = []
+        self.bytes_read = 0
         self._add = self.server.add
         self.server.add = self.add  # type: ignore[method-assign]
 
@@ -34,16 +34,16 @@
         data_received = connection.data_received
 
         def count(data: bytes) -> None:
-            self.read += len(data)
+            self.bytes_read += len(data)
             data_received(data)
 
         connection.data_received = count
         self._add(connection)
 
     def handle(self, request: Request, reply: RespondCallback) -> None:
-        self.seen.append(request)
+        self.requests.append(request)
         if request.target == "/later":
-            self.later.append(reply)
+            self.deferred.append(reply)
         elif request.target == "/fails":
             raise ZeroDivisionError
         else:
@@ -52,40 +52,42 @@
     async def open(self) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
         before = self.server.accepted_connections
         pair = await asyncio.open_connection("127.0.0.1", self.server.port)
-        await self.until(lambda: self.server.accepted_connections > before)
+        await self.wait_until(lambda: self.server.accepted_connections > before)
         return pair
 
-    async def ask(self, *parts: bytes, hang_up: bool = True) -> bytes:
+    async def exchange(self, *parts: bytes, send_eof: bool = True) -> bytes:
         """Send the parts, each once the one before was read, and read until the server closes."""
         reader, writer = await self.open()
-        sent = self.read
+        sent = self.bytes_read
         for chunk in parts:
             writer.write(chunk)
             sent += len(chunk)
-            await self.until(partial(self._has_read, sent))
-        if hang_up and self.server._connections:
+            await self.wait_until(partial(self._has_read_bytes, sent))
+        if send_eof and self.server._connections:
             writer.write_eof()
         answer = await reader.read()
         writer.close()
         return answer
 
-    def _has_read(self, count: int) -> bool:
-        return self.read >= count or not self.server._connections
+    def _has_read_bytes(self, count: int) -> bool:
+        return self.bytes_read >= count or not self.server._connections
 
-    async def until(self, true: Callable[[], bool]) -> None:
-        while not true():
+    async def wait_until(self, condition: Callable[[], bool]) -> None:
+        while not condition():
             await asyncio.sleep(0.001)
 
 
-def play(scene: Callable[[Rig], Awaitable[None]], limits: Limits = SMALL) -> Rig:
-    async def run() -> Rig:
-        rig = Rig(limits)
-        await rig.server.listen("127.0.0.1", 0)
-        async with asyncio.timeout(PATIENCE_S):
-            await scene(rig)
-        rig.server.stop()
-        rig.server.abort()
-        return rig
+def run_scenario(
+    scenario: Callable[[EchoServer], Awaitable[None]], limits: Limits = SMALL_LIMITS
+) -> EchoServer:
+    async def run() -> EchoServer:
+        echo = EchoServer(limits)
+        await echo.server.listen("127.0.0.1", 0)
+        async with asyncio.timeout(TEST_TIMEOUT_S):
+            await scenario(echo)
+        echo.server.stop()
+        echo.server.abort()
+        return echo
 
     return asyncio.run(run())
 
@@ -95,7 +97,7 @@
 
 
 CHUNKED = b"Transfer-Encoding: chunked"
-ANSWERED = [
+REQUEST_CASES = [
     # parts that are sent, expected statuses in order, bodies passed to the handler
     ((GET,), [200], [b""]),
     ((GET * 200,), [200] * 200, [b""] * 200),
@@ -146,80 +148,82 @@
 
 
 @pytest.mark.filterwarnings("error")
-@pytest.mark.parametrize(("parts", "statuses", "bodies"), ANSWERED)
+@pytest.mark.parametrize(("parts", "statuses", "bodies"), REQUEST_CASES)
 def test_each_request_is_answered_in_order_and_a_malformed_one_is_rejected(
     parts: tuple[bytes, ...], statuses: list[int], bodies: list[bytes]
 ) -> None:
-    late = not parts or statuses == [408]  # the server must run into its timeout
+    expects_timeout = not parts or statuses == [408]  # the server must run into its timeout
 
-    async def scene(rig: Rig) -> None:
-        answer = await rig.ask(*parts, hang_up=not late)
+    async def scenario(echo: EchoServer) -> None:
+        answer = await echo.exchange(*parts, send_eof=not expects_timeout)
         assert [int(part[:3]) for part in answer.split(b"HTTP/1.1 ")[1:]] == statuses
         closed = bool(statuses) and (statuses[-1] >= 400 or b"HTTP/1.0" in parts[0][:20])
         assert not closed or answer.count(b"Connection: close") == 1
-        assert [it.body for it in rig.seen] == bodies
-        assert rig.server.open_requests == 0
+        assert [it.body for it in echo.requests] == bodies
+        assert echo.server.open_requests == 0
 
-    play(scene, IMPATIENT if late else SMALL)
+    run_scenario(scenario, SHORT_TIMEOUTS if expects_timeout else SMALL_LIMITS)
 
 
 def test_responses_have_their_headers_and_length() -> None:
-    async def scene(rig: Rig) -> None:
-        assert await rig.ask(GET.replace(b"GET", b"HEAD")) == (
+    async def scenario(echo: EchoServer) -> None:
+        assert await echo.exchange(GET.replace(b"GET", b"HEAD")) == (
             b"HTTP/1.1 200 OK\r\nX-A: b\r\nContent-Length: 2\r\n\r\n"
         )
-        assert await rig.ask(GET.replace(b"/a", b"/none")) == b"HTTP/1.1 204 No Content\r\nX-A: b\r\n\r\n"
-        await rig.ask(GET[:-2] + b"X-A: 1\r\nx-A:  \xe9 \r\n\r\n")
-        assert (rig.seen[-1].header("x-a"), rig.seen[-1].header("none")) == ("1", None)
-        assert rig.seen[-1].headers[-1] == ("x-a", "\xe9")
+        assert (
+            await echo.exchange(GET.replace(b"/a", b"/none")) == b"HTTP/1.1 204 No Content\r\nX-A: b\r\n\r\n"
+        )
+        await echo.exchange(GET[:-2] + b"X-A: 1\r\nx-A:  \xe9 \r\n\r\n")
+        assert (echo.requests[-1].header("x-a"), echo.requests[-1].header("none")) == ("1", None)
+        assert echo.requests[-1].headers[-1] == ("x-a", "\xe9")
 
-    play(scene)
+    run_scenario(scenario)
 
 
 def test_a_late_response_is_sent_once_and_reading_ahead_is_bounded() -> None:
-    async def scene(rig: Rig) -> None:
+    async def scenario(echo: EchoServer) -> None:
         later = GET.replace(b"/a", b"/later")
-        reader, writer = await rig.open()
+        reader, writer = await echo.open()
         writer.write(later + GET)
-        await rig.until(lambda: rig.server.open_requests == 1)
+        await echo.wait_until(lambda: echo.server.open_requests == 1)
         with pytest.raises(ValueError, match="line break"):
-            rig.later[0](Response(200, (("A", "b\r\nC: d"),)))
-        rig.later[0](Response(503))
+            echo.deferred[0](Response(200, (("A", "b\r\nC: d"),)))
+        echo.deferred[0](Response(503))
         with pytest.raises(RuntimeError):
-            rig.later[0](Response(200))
+            echo.deferred[0](Response(200))
         assert (await reader.readuntil(b"hi")).count(b"HTTP/1.1") == 2
         writer.write(later + GET * 5_000)  # exceeds the read-ahead limit; the client then disconnects
-        await rig.until(lambda: any(it.is_reading_paused for it in rig.server._connections))
-        assert max(it.buffered_bytes for it in rig.server._connections) < 400_000
+        await echo.wait_until(lambda: any(it.is_reading_paused for it in echo.server._connections))
+        assert max(it.buffered_bytes for it in echo.server._connections) < 400_000
         writer.transport.abort()
-        await rig.until(lambda: not rig.server._connections)
-        assert rig.server.open_requests == 1
-        rig.later[1](Response(200))
-        assert rig.server.open_requests == 0
+        await echo.wait_until(lambda: not echo.server._connections)
+        assert echo.server.open_requests == 1
+        echo.deferred[1](Response(200))
+        assert echo.server.open_requests == 0
 
-    play(scene)
+    run_scenario(scenario)
 
 
 def test_drain_stop_and_abort_end_connections_one_kind_after_the_other() -> None:
-    async def scene(rig: Rig) -> None:
-        (idle, writer), (busy, asks) = await rig.open(), await rig.open()
-        writer.write(GET)
-        await idle.readuntil(b"hi")
-        asks.write(GET.replace(b"/a", b"/later"))
-        await rig.until(lambda: rig.server.open_requests == 1)
-        rig.server.drain()
-        assert await idle.read() == b""
-        rig.later[0](Response(200))
-        assert b"Connection: close" in await busy.read()
-        assert b"Connection: close" in await rig.ask(GET)
-        waiting, asks = await rig.open()
-        asks.write(GET.replace(b"/a", b"/later"))
-        await rig.until(lambda: rig.server.open_requests == 1)
-        port = rig.server.port
-        rig.server.stop()
+    async def scenario(echo: EchoServer) -> None:
+        (idle_reader, idle_writer), (busy_reader, busy_writer) = await echo.open(), await echo.open()
+        idle_writer.write(GET)
+        await idle_reader.readuntil(b"hi")
+        busy_writer.write(GET.replace(b"/a", b"/later"))
+        await echo.wait_until(lambda: echo.server.open_requests == 1)
+        echo.server.drain()
+        assert await idle_reader.read() == b""
+        echo.deferred[0](Response(200))
+        assert b"Connection: close" in await busy_reader.read()
+        assert b"Connection: close" in await echo.exchange(GET)
+        waiting_reader, waiting_writer = await echo.open()
+        waiting_writer.write(GET.replace(b"/a", b"/later"))
+        await echo.wait_until(lambda: echo.server.open_requests == 1)
+        port = echo.server.port
+        echo.server.stop()
         with pytest.raises(OSError, match=r".*"):
             await asyncio.open_connection("127.0.0.1", port)
-        rig.server.abort()
-        assert await waiting.read() == b""
+        echo.server.abort()
+        assert await waiting_reader.read() == b""
 
-    assert play(scene, Limits()).server.accepted_connections == 4
+    assert run_scenario(scenario, Limits()).server.accepted_connections == 4
