--- a/tests/cluster/test_admin.py
+++ b/tests/cluster/test_admin.py
@@ -34,7 +34,7 @@
 # -- calls of a control-plane node
 
 
-class Runtime:
+class FakeRuntime:
     """Peers in a table reply immediately; requests to others time out when the timers fire."""
 
     def __init__(self, answers: dict[tuple[str, str], Json]) -> None:
@@ -47,8 +47,8 @@
     def wall_clock(self) -> float:
         return 10.0
 
-    def call_later(self, seconds: float, act: Callable[[], None]) -> Any:
-        self.timers.append(act)
+    def call_later(self, seconds: float, callback: Callable[[], None]) -> Any:
+        self.timers.append(callback)
 
     def send(self, address: str, message: RawMessage) -> None: ...
 
@@ -59,17 +59,17 @@
         else:
             self.timers.append(lambda: on_reply(Err(RequestFailure.TIMED_OUT)))
 
-    def pass_time(self) -> None:
+    def fire_timers(self) -> None:
         timers, self.timers = self.timers, []
-        for act in timers:
-            act()
+        for callback in timers:
+            callback()
 
 
-class Disk:
+class FakeDisk:
     def write(self, rows: object, then: OnWritten) -> None: ...
 
 
-class HttpRequest:
+class FakeRequest:
     method, body = "GET", b""
 
     def __init__(self, target: str) -> None:
@@ -79,12 +79,14 @@
         return None
 
 
-def control_node_of(tmp_path: Path, answers: dict[tuple[str, str], Json]) -> tuple[ControlNode, Runtime]:
+def control_node_of(tmp_path: Path, answers: dict[tuple[str, str], Json]) -> tuple[ControlNode, FakeRuntime]:
     deployment = Deployment(tmp_path, "127.0.1")
     deployment.write_settings(first_start=True)
     settings = read_settings_file(str(deployment.machines["core-1"].settings_path)).unwrap()
-    runtime = Runtime(answers)
-    node = ControlNode(runtime, settings, "127.0.1.10:7300", Disk(), blank(settings, runtime.rng.getrandbits))
+    runtime = FakeRuntime(answers)
+    node = ControlNode(
+        runtime, settings, "127.0.1.10:7300", FakeDisk(), blank(settings, runtime.rng.getrandbits)
+    )
     for kind, name in (("edge", "e1"), ("edge", "e2"), ("storage", "s1")):
         details = {"disk": f"disk of {name}"}
         member = SessionDescription(name, "1", name, kind, "north", "valley", "up", details)
@@ -95,11 +97,11 @@
     return node, runtime
 
 
-def call(node: ControlNode, runtime: Runtime, target: str) -> tuple[int, Json]:
+def get(node: ControlNode, runtime: FakeRuntime, target: str) -> tuple[int, Json]:
     responses: list[Any] = []
-    node.admin_api.handle(HttpRequest(target), responses.append)
+    node.admin_api.handle(FakeRequest(target), responses.append)
     if not responses:
-        runtime.pass_time()
+        runtime.fire_timers()
     (answer,) = responses
     return answer.status, answer.body
 
@@ -121,7 +123,7 @@
         tmp_path, {("e1", "status"): EDGE_REPORT, ("127.0.1.11:7300", "core.status"): {"counts": {}}}
     )
     node.counters["announced"] = 2
-    status, data = call(node, runtime, "/-/Foreman.Status")
+    status, data = get(node, runtime, "/-/Foreman.Status")
     assert status == 200
     assert " ".join(data) == (
         "by confirmed members core shards stores configuration endpoints copies_short copies_unknown counters"
@@ -139,11 +141,11 @@
     assert data["counters"] == {"announced": 2, "taken": 4}
 
 
-def row(name: str, meta: Json | None = None) -> list[Any]:
+def dead_message_row(name: str, meta: Json | None = None) -> list[Any]:
     return [name, {"m": "POST", "t": "/a", "h": "x", "r": "r", "x": []} if meta is None else meta, 3, 1.0]
 
 
-PAGES = [
+PAGE_CASES = [
     # pages of the storage nodes (None: no reply), limit, expected names, start of the next page
     ([None], 9, [], None),
     ([(["a", "b"], False)], 9, ["a", "b"], None),
@@ -154,14 +156,18 @@
 ]
 
 
-@pytest.mark.parametrize(("pages", "limit", "names", "after"), PAGES)
+@pytest.mark.parametrize(("pages", "limit", "names", "after"), PAGE_CASES)
 def test_pages_of_dead_messages_are_merged(
     pages: list[Any], limit: int, names: list[str], after: str | None
 ) -> None:
     replies: dict[str, Any] = {
         str(at): Err(RequestFailure.TIMED_OUT)
         if it is None
-        else Ok(DeadMessagesReply.from_wire({"rows": [row(name) for name in it[0]], "more": it[1]}, b""))
+        else Ok(
+            DeadMessagesReply.from_wire(
+                {"rows": [dead_message_row(name) for name in it[0]], "more": it[1]}, b""
+            )
+        )
         for at, it in enumerate(pages)
     }
     page = merge_pages(replies, limit).to_json()
@@ -169,16 +175,22 @@
     assert page.get("after") == after
 
 
-DEAD_MESSAGE_REPLIES = [
+DEAD_MESSAGE_CASES = [
     # replies of the storage nodes, status of the response to the operator
-    ({"s1": {"rows": [row("a", {})], "more": False}, "s2": {"rows": [row("a")], "more": False}}, 200),
+    (
+        {
+            "s1": {"rows": [dead_message_row("a", {})], "more": False},
+            "s2": {"rows": [dead_message_row("a")], "more": False},
+        },
+        200,
+    ),
     ({"s1": {"rows": [], "more": False}, "s2": {"rows": [], "more": False}}, 404),
     ({"s1": {"rows": [], "more": False}}, 503),
     ({}, 503),
 ]
 
 
-@pytest.mark.parametrize(("stores", "status"), DEAD_MESSAGE_REPLIES)
+@pytest.mark.parametrize(("stores", "status"), DEAD_MESSAGE_CASES)
 def test_a_dead_message_is_read_from_any_storage_node(
     tmp_path: Path, stores: dict[str, Json], status: int
 ) -> None:
@@ -186,9 +198,9 @@
     answers["s2", "body"] = {"found": True, "blob": b"abc"}
     node, runtime = control_node_of(tmp_path, answers)
     responses: list[Any] = []
-    node.admin_api.handle(HttpRequest("/-/Foreman.Dead/a"), responses.append)
-    runtime.pass_time()
-    runtime.pass_time()
+    node.admin_api.handle(FakeRequest("/-/Foreman.Dead/a"), responses.append)
+    runtime.fire_timers()
+    runtime.fire_timers()
     assert [it.status for it in responses] == [status]
     assert status != 200 or (responses[0].body["body"], responses[0].body["method"]) == ("YWJj", "POST")
 
@@ -200,21 +212,21 @@
 # -- commands
 
 
-class Control:
+class FakeControlNode:
     """A fake control-plane node that gives prepared responses in order and repeats the last one."""
 
     def __init__(self) -> None:
         self.answers: dict[str, list[tuple[int, Any]]] = {}
         self.requests: list[tuple[str, str, dict[str, str], bytes]] = []
-        rig = self
+        node = self
 
         class Handler(BaseHTTPRequestHandler):
             def do_GET(self) -> None:  # noqa: N802
                 body = self.rfile.read(int(self.headers.get("Content-Length", 0)))
                 headers = {name.lower(): value for name, value in self.headers.items()}
-                rig.requests.append((self.command, self.path, headers, body))
-                left = rig.answers.get(self.path.partition("?")[0], [(404, {"cause": "no call"})])
-                status, data = left.pop(0) if len(left) > 1 else left[0]
+                node.requests.append((self.command, self.path, headers, body))
+                responses = node.answers.get(self.path.partition("?")[0], [(404, {"cause": "no call"})])
+                status, data = responses.pop(0) if len(responses) > 1 else responses[0]
                 text = data if isinstance(data, bytes) else json.dumps(data).encode()
                 self.send_response(status)
                 self.send_header("Content-Length", str(len(text)))
@@ -236,16 +248,16 @@
 
 
 @pytest.fixture
-def control() -> Iterator[Control]:
-    rig = Control()
-    yield rig
-    rig.server.shutdown()
-    rig.server.server_close()
+def control() -> Iterator[FakeControlNode]:
+    node = FakeControlNode()
+    yield node
+    node.server.shutdown()
+    node.server.server_close()
 
 
-NEW = {**initial_config(), "edition": 4}
-READ, REPLACE = "/-/Configuration.Read", "/-/Configuration.Replace"
-FOUND = {
+NEW_CONFIG = {**initial_config(), "edition": 4}
+READ_PATH, REPLACE_PATH = "/-/Configuration.Read", "/-/Configuration.Replace"
+DEAD_MESSAGE = {
     "id": "1-a",
     "host": "h",
     "method": "POST",
@@ -253,7 +265,7 @@
     "headers": [["x-a", "b"]],
     "body": "YWJj",
 }
-COMMANDS = [
+COMMAND_CASES = [
     # command, the node's responses by path, exit code, expected output
     ("status --at 127.0.0.1:9", {}, ExitCode.UNKNOWN, "refused"),
     ("status --at nowhere", {}, 2, "no address"),
@@ -283,30 +295,30 @@
         ExitCode.DONE,
         '{"a": 1, "b": 2}',
     ),
-    ("config show --at @", {READ: [(200, NEW)]}, ExitCode.DONE, '"edition": 4'),
+    ("config show --at @", {READ_PATH: [(200, NEW_CONFIG)]}, ExitCode.DONE, '"edition": 4'),
     ("config show --at @", {}, ExitCode.REJECTED, "no configuration"),
     ("config check NEW", {}, ExitCode.DONE, "edition 4"),
     ("config check BAD", {}, ExitCode.BAD_INPUT, "routeTable.0.targetService"),
     ("config check none.json", {}, ExitCode.BAD_INPUT, "No such file"),
-    ("config diff NEW --at @", {READ: [(200, initial_config())]}, ExitCode.DONE, "edition 1 -> 4"),
+    ("config diff NEW --at @", {READ_PATH: [(200, initial_config())]}, ExitCode.DONE, "edition 1 -> 4"),
     ("config push BAD --at @", {}, ExitCode.BAD_INPUT, "routeTable.0.targetService"),
-    ("config push NEW --at @", {REPLACE: [(200, {})]}, ExitCode.DONE, "edition 4 is in force"),
-    ("config push NEW --at @", {READ: [(200, NEW)]}, ExitCode.DONE, "already"),
+    ("config push NEW --at @", {REPLACE_PATH: [(200, {})]}, ExitCode.DONE, "edition 4 is in force"),
+    ("config push NEW --at @", {READ_PATH: [(200, NEW_CONFIG)]}, ExitCode.DONE, "already"),
     (
         "config push NEW --at @ --base 3",
-        {REPLACE: [(503, {}), (503, {}), (200, {})]},
+        {REPLACE_PATH: [(503, {}), (503, {}), (200, {})]},
         ExitCode.DONE,
         "is in force",
     ),
     (
         "config push NEW --at @ --base 3",
-        {REPLACE: [(412, {"cause": "2 is in place"})]},
+        {REPLACE_PATH: [(412, {"cause": "2 is in place"})]},
         ExitCode.REJECTED,
         "412: 2 is",
     ),
     (
         "config push NEW --at @ --base 3 --for 0",
-        {REPLACE: [(503, {"cause": "no majority"})]},
+        {REPLACE_PATH: [(503, {"cause": "no majority"})]},
         ExitCode.UNKNOWN,
         "no maj",
     ),
@@ -336,34 +348,44 @@
     ),
     (
         "dead again 1-a --at @ --front @",
-        {"/-/Foreman.Dead/1-a": [(200, FOUND)], "/a": [(202, b"")]},
+        {"/-/Foreman.Dead/1-a": [(200, DEAD_MESSAGE)], "/a": [(202, b"")]},
         ExitCode.DONE,
         "1-new",
     ),
     (
         "dead again 1-a --at @ --front @",
-        {"/-/Foreman.Dead/1-a": [(200, FOUND)], "/a": [(503, {}), (202, b"")]},
+        {"/-/Foreman.Dead/1-a": [(200, DEAD_MESSAGE)], "/a": [(503, {}), (202, b"")]},
         ExitCode.DONE,
         "1-new",
     ),
     (
         "dead again 1-a --at @ --front @",
-        {"/-/Foreman.Dead/1-a": [(200, FOUND)], "/a": [(504, {})]},
+        {"/-/Foreman.Dead/1-a": [(200, DEAD_MESSAGE)], "/a": [(504, {})]},
         ExitCode.UNKNOWN,
         "may",
     ),
-    ("dead again 1-a --at @ --front @", {"/-/Foreman.Dead/1-a": [(200, FOUND)]}, ExitCode.REJECTED, "404"),
+    (
+        "dead again 1-a --at @ --front @",
+        {"/-/Foreman.Dead/1-a": [(200, DEAD_MESSAGE)]},
+        ExitCode.REJECTED,
+        "404",
+    ),
     ("check deploy DEPLOY", {}, ExitCode.DONE, "well formed"),
     ("check settings none.yaml", {}, ExitCode.BAD_INPUT, "file:"),
 ]
 
 
-@pytest.mark.parametrize(("arguments", "answers", "code", "expected_output"), COMMANDS)
+@pytest.mark.parametrize(("arguments", "answers", "code", "expected_output"), COMMAND_CASES)
 def test_a_command_exits_by_its_outcome(
-    control: Control, tmp_path: Path, arguments: str, answers: dict[str, Any], code: int, expected_output: str
+    control: FakeControlNode,
+    tmp_path: Path,
+    arguments: str,
+    answers: dict[str, Any],
+    code: int,
+    expected_output: str,
 ) -> None:
-    bad = {**NEW, "routeTable": [{**NEW["routeTable"][0], "targetService": "none"}]}
-    for name, data in (("NEW", NEW), ("BAD", bad)):
+    bad = {**NEW_CONFIG, "routeTable": [{**NEW_CONFIG["routeTable"][0], "targetService": "none"}]}
+    for name, data in (("NEW", NEW_CONFIG), ("BAD", bad)):
         (tmp_path / name).write_text(json.dumps(data))
     files = {
         "NEW": str(tmp_path / "NEW"),
@@ -384,20 +406,20 @@
     ]
 
 
-def test_a_configuration_push_is_retried_unchanged(control: Control, tmp_path: Path) -> None:
-    (tmp_path / "c").write_text(json.dumps(NEW))
-    control.answers = {READ: [(200, initial_config())], REPLACE: [(503, {}), (503, {}), (200, {})]}
+def test_a_configuration_push_is_retried_unchanged(control: FakeControlNode, tmp_path: Path) -> None:
+    (tmp_path / "c").write_text(json.dumps(NEW_CONFIG))
+    control.answers = {READ_PATH: [(200, initial_config())], REPLACE_PATH: [(503, {}), (503, {}), (200, {})]}
     assert control.admin("config", "push", str(tmp_path / "c"), "--at", "@").exit_code == ExitCode.DONE
     pushed = [
         (headers["amberlug-base-version"], body)
         for _, path, headers, body in control.requests
-        if path == REPLACE
+        if path == REPLACE_PATH
     ]
-    assert pushed == [("1", json.dumps(NEW).encode())] * 3
+    assert pushed == [("1", json.dumps(NEW_CONFIG).encode())] * 3
 
 
-def test_a_dead_message_is_resubmitted_unchanged_with_a_new_attempt_id(control: Control) -> None:
-    control.answers = {"/-/Foreman.Dead/1-a": [(200, FOUND)], "/a": [(202, b"")]}
+def test_a_dead_message_is_resubmitted_unchanged_with_a_new_attempt_id(control: FakeControlNode) -> None:
+    control.answers = {"/-/Foreman.Dead/1-a": [(200, DEAD_MESSAGE)], "/a": [(202, b"")]}
     for _ in range(2):
         control.admin("dead", "again", "1-a", "--at", "@", "--front", "@")
     (_, _, first, body), (_, _, second, _) = [it for it in control.requests if it[1] == "/a"]
@@ -407,28 +429,34 @@
 
 # -- files
 
-ROLE = 'run = "python3 -m amberlug.cluster run"\nshare = 1.0\n'
-STORE = f'[roles.s]\n{ROLE}on = "storage"\nserves = ["storage"]\n'
-CORE = f'[roles.c]\n{ROLE}on = "core"\nserves = ["control_plane"]\n'
-EDGE_ROLE = f'[roles.e]\n{ROLE}on = "edge"\nserves = ["edge"]\n'
-DEPLOYS = [
-    (STORE + CORE + EDGE_ROLE, []),
-    ('packages = ["python3", "libstdc++6"]\n' + STORE + CORE + EDGE_ROLE, []),
-    ('packages = ["python3 pip"]\n' + STORE + CORE + EDGE_ROLE, ["packages.0"]),
+ROLE_SETTINGS = 'run = "python3 -m amberlug.cluster run"\nshare = 1.0\n'
+STORAGE_ROLE = f'[roles.s]\n{ROLE_SETTINGS}on = "storage"\nserves = ["storage"]\n'
+CONTROL_ROLE = f'[roles.c]\n{ROLE_SETTINGS}on = "core"\nserves = ["control_plane"]\n'
+EDGE_ROLE = f'[roles.e]\n{ROLE_SETTINGS}on = "edge"\nserves = ["edge"]\n'
+DEPLOY_FILE_CASES = [
+    (STORAGE_ROLE + CONTROL_ROLE + EDGE_ROLE, []),
+    ('packages = ["python3", "libstdc++6"]\n' + STORAGE_ROLE + CONTROL_ROLE + EDGE_ROLE, []),
+    ('packages = ["python3 pip"]\n' + STORAGE_ROLE + CONTROL_ROLE + EDGE_ROLE, ["packages.0"]),
     ("roles = 3", ["roles"]),
     ("[roles", ["file"]),
-    (STORE + CORE, ["roles: none serves edge"]),
-    (STORE.replace('on = "storage"', 'on = "core"') + CORE + EDGE_ROLE, ["roles.s.serves"]),
-    (STORE + CORE + EDGE_ROLE.replace("1.0", "1.5"), ["roles.e.share"]),
-    (STORE + CORE + EDGE_ROLE + "count = 2\n", ["roles.e: takes one"]),
-    (STORE + CORE + EDGE_ROLE + "shares = 2\n", ["roles.e.shares"]),
-    (STORE + CORE + EDGE_ROLE.replace("python3", "env A=1 python3"), ["roles.e.run"]),
-    (STORE + CORE + EDGE_ROLE.replace("amberlug.cluster run", "amberlug.cluster run | cat"), ["roles.e.run"]),
-    (STORE + CORE + EDGE_ROLE + EDGE_ROLE.replace("roles.e", "roles.f"), ["roles: 2 on the class edge"]),
+    (STORAGE_ROLE + CONTROL_ROLE, ["roles: none serves edge"]),
+    (STORAGE_ROLE.replace('on = "storage"', 'on = "core"') + CONTROL_ROLE + EDGE_ROLE, ["roles.s.serves"]),
+    (STORAGE_ROLE + CONTROL_ROLE + EDGE_ROLE.replace("1.0", "1.5"), ["roles.e.share"]),
+    (STORAGE_ROLE + CONTROL_ROLE + EDGE_ROLE + "count = 2\n", ["roles.e: takes one"]),
+    (STORAGE_ROLE + CONTROL_ROLE + EDGE_ROLE + "shares = 2\n", ["roles.e.shares"]),
+    (STORAGE_ROLE + CONTROL_ROLE + EDGE_ROLE.replace("python3", "env A=1 python3"), ["roles.e.run"]),
+    (
+        STORAGE_ROLE + CONTROL_ROLE + EDGE_ROLE.replace("amberlug.cluster run", "amberlug.cluster run | cat"),
+        ["roles.e.run"],
+    ),
+    (
+        STORAGE_ROLE + CONTROL_ROLE + EDGE_ROLE + EDGE_ROLE.replace("roles.e", "roles.f"),
+        ["roles: 2 on the class edge"],
+    ),
 ]
 
 
-@pytest.mark.parametrize(("text", "paths"), DEPLOYS)
+@pytest.mark.parametrize(("text", "paths"), DEPLOY_FILE_CASES)
 def test_errors_of_a_deploy_file_name_their_paths(tmp_path: Path, text: str, paths: list[str]) -> None:
     (tmp_path / "d.toml").write_text(text)
     errors = check_deploy(tmp_path / "d.toml")
@@ -436,7 +464,7 @@
     assert all(error.startswith(error_path) for error, error_path in zip(errors, paths, strict=True)), errors
 
 
-SETTINGS: list[tuple[str, Json, list[str]]] = [
+SETTINGS_FILE_CASES: list[tuple[str, Json, list[str]]] = [
     ("edge-1", {}, []),
     ("core-1", {}, []),
     ("core-1", {"dataDir": None}, ["dataDir"]),
@@ -448,7 +476,7 @@
 ]
 
 
-@pytest.mark.parametrize(("name", "change", "paths"), SETTINGS)
+@pytest.mark.parametrize(("name", "change", "paths"), SETTINGS_FILE_CASES)
 def test_errors_of_a_settings_file_name_their_paths(
     tmp_path: Path, name: str, change: Json, paths: list[str]
 ) -> None:
@@ -476,21 +504,25 @@
 
 # -- a trial
 
-SENT = SentMessage("k", False, 1.0, "a", "1-a", 1.1, condition="completed", receipt="z")
-NEXT = SentMessage("k", False, 1.2, "b", "1-b", 1.3, condition="completed", receipt="y")
-RAN = [Run("a", "k", 1.1, 1.2, 200, "z"), Run("b", "k", 1.3, 1.4, 200, "y")]
-REPORTS: list[tuple[list[SentMessage], list[Run], list[str]]] = [
-    ([SENT, NEXT], RAN, []),
+FIRST_MESSAGE = SentMessage("k", False, 1.0, "a", "1-a", 1.1, condition="completed", receipt="z")
+SECOND_MESSAGE = SentMessage("k", False, 1.2, "b", "1-b", 1.3, condition="completed", receipt="y")
+RUNS = [Run("a", "k", 1.1, 1.2, 200, "z"), Run("b", "k", 1.3, 1.4, 200, "y")]
+REPORT_CASES: list[tuple[list[SentMessage], list[Run], list[str]]] = [
+    ([FIRST_MESSAGE, SECOND_MESSAGE], RUNS, []),
     ([], [], ["no message"]),
     ([SentMessage("", False, 1.0, "a", "1-a", 1.1)], [], ["1-a: accepted, but pending"]),
-    ([SENT], [Run("a", "k", 1.1, 1.2, 200, "other")], ["1-a: completed with the seal"]),
+    ([FIRST_MESSAGE], [Run("a", "k", 1.1, 1.2, 200, "other")], ["1-a: completed with the seal"]),
     ([SentMessage("", True, 1.0, "a", "1-a", 1.1, condition="failed")], [Run("a", "", 1.1, 1.2, 422)], []),
     ([SentMessage("", True, 1.0, "a", "1-a", 1.1, condition="failed")], [], ["1-a: unprocessable, but"]),
-    ([SENT, NEXT], [Run("a", "k", 1.1, 1.35, 200, "z"), RAN[1]], ["1-b: began before 1-a"]),
+    (
+        [FIRST_MESSAGE, SECOND_MESSAGE],
+        [Run("a", "k", 1.1, 1.35, 200, "z"), RUNS[1]],
+        ["1-b: began before 1-a"],
+    ),
 ]
 
 
-@pytest.mark.parametrize(("sent", "runs", "wrong"), REPORTS)
+@pytest.mark.parametrize(("sent", "runs", "wrong"), REPORT_CASES)
 def test_a_trial_reports_broken_guarantees(
     sent: list[SentMessage], runs: list[Run], wrong: list[str]
 ) -> None:
