--- a/amberlug/cluster/admin/config_differences.py
+++ b/amberlug/cluster/admin/config_differences.py
@@ -1,4 +1,4 @@
-"""What one configuration changes of another, as lines for people."""
+"""The differences between two configurations, as human-readable lines."""
 
 from __future__ import annotations
 
@@ -7,12 +7,12 @@
 from amberlug.cluster.control.state_entries import ConfigDocument
 from amberlug.cluster.interfaces import Json
 
-TABLES = ("routeTable", "serviceTable")  # lists of items with names
+TABLES = ("routeTable", "serviceTable")  # lists of items that are identified by `name`
 LIMITS = "limits"
 
 
 def differences(before: ConfigDocument, after: ConfigDocument) -> list[str]:
-    """The items that are removed (`-`) and added (`+`), then the fields that change (`~`)."""
+    """List removed (`-`) and added (`+`) items, then changed fields (`~`)."""
     lines = []
     for table in TABLES:
         old = {item["name"]: item for item in before.get(table, [])}
@@ -32,11 +32,11 @@
 def _changed_fields(item: str, old: Json, new: Json) -> list[str]:
     names = [*old, *(name for name in new if name not in old)]
     return [
-        f"~ {item}: {name} {_text(old, name)} -> {_text(new, name)}"
+        f"~ {item}: {name} {_format_field(old, name)} -> {_format_field(new, name)}"
         for name in names
-        if _text(old, name) != _text(new, name)
+        if _format_field(old, name) != _format_field(new, name)
     ]
 
 
-def _text(fields: Json, name: str) -> str:
+def _format_field(fields: Json, name: str) -> str:
     return json.dumps(fields[name], sort_keys=True) if name in fields else "none"
