--- a/amberlug/cluster/simulation/__main__.py
+++ b/amberlug/cluster/simulation/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m amberlug.cluster.simulation`: play a day and tell what happened, or hunt through many."""
+"""`python -m amberlug.cluster.simulation`: run one scenario, or search many seeds for violations."""
 
 from __future__ import annotations
 
@@ -16,27 +16,27 @@
 from amberlug.cluster.simulation.scenarios import Day
 from amberlug.cluster.simulation.seed_search import hunt
 
-AIM = click.option("--aim", default="", help="Kind of trouble that the days are drawn from.")
+AIM = click.option("--aim", default="", help="Scenario family: the kind of faults that are injected.")
 FRAME_AIMS = ("", "control", "storage", "losses-stores", "answers", "core")
 RECORD = "tests/data/simulation_digests.json"
 MUTANT = click.option(
-    "--mutant", default="", type=click.Choice(["", *MUTANTS]), help="A fault put into the program."
+    "--mutant", default="", type=click.Choice(["", *MUTANTS]), help="Mutation applied to the program."
 )
 
 
 @click.group()
 def main() -> None:
-    """Days of a whole deployment in virtual time."""
+    """Simulate whole deployments in virtual time."""
 
 
 @main.command("play")
 @click.argument("seed", type=int)
 @AIM
 @MUTANT
-@click.option("--trace", is_flag=True, help="Tell all that was done.")
-@click.option("--log", is_flag=True, help="Show the machines' logs.")
+@click.option("--trace", is_flag=True, help="Print the trace of the run.")
+@click.option("--log", is_flag=True, help="Print the log output of the simulated processes.")
 def play_one(seed: int, aim: str, mutant: str, trace: bool, log: bool) -> None:
-    """Play the day of one seed."""
+    """Run the scenario of one seed."""
     logging.set_verbosity(logging.INFO if log else logging.FATAL)
     with mutated(mutant):
         day = Day(seed, aim)
@@ -49,13 +49,13 @@
 
 
 @main.command("hunt")
-@click.option("--first", default=1, help="The first seed.")
-@click.option("--days", default=100, help="How many.")
+@click.option("--first", default=1, help="First seed.")
+@click.option("--days", default=100, help="Number of seeds.")
 @AIM
 @MUTANT
-@click.option("--jobs", default=6, help="Processes.")
+@click.option("--jobs", default=6, help="Number of worker processes.")
 def hunt_many(first: int, days: int, aim: str, mutant: str, jobs: int) -> None:
-    """Play many days; tell of those that break a rule."""
+    """Run many seeds, and report those that violate an invariant."""
     bad = 0
     for seed, broken in hunt(range(first, first + days), aim, mutant, jobs):
         if broken:
@@ -67,11 +67,11 @@
 
 
 @main.command("explore")
-@click.option("--depth", default=7, help="Steps from each start.")
-@click.option("--only", default="", help="The one start to look from.")
+@click.option("--depth", default=7, help="Maximum number of steps from each initial state.")
+@click.option("--only", default="", help="Explore from this initial state only.")
 @MUTANT
 def explore_all(depth: int, only: str, mutant: str) -> None:
-    """Look at all interleavings of the core's agreement to some depth."""
+    """Explore all interleavings of the Raft group to a bounded depth."""
     logging.set_verbosity(logging.FATAL)
     bad = 0
     blank = old_self if mutant == "old-vote" else stranger
@@ -89,12 +89,12 @@
 
 
 @main.command("digest")
-@click.option("--file", "path", default=RECORD, type=click.Path(path_type=Path), help="Digests on record.")
-@click.option("--record", is_flag=True, help="Write the file, in place of comparing with it.")
-@click.option("--jobs", default=6, help="Processes.")
-@click.option("--every", default=1, help="Play each so-manieth day alone, and explore nothing.")
+@click.option("--file", "path", default=RECORD, type=click.Path(path_type=Path), help="Recorded digests.")
+@click.option("--record", is_flag=True, help="Write the file instead of comparing with it.")
+@click.option("--jobs", default=6, help="Number of worker processes.")
+@click.option("--every", default=1, help="Run only every n-th scenario; above 1, skip the explorations.")
 def digest_all(path: Path, record: bool, jobs: int, every: int) -> None:
-    """Play and explore what is on record, and tell of each digest that has moved."""
+    """Repeat the recorded scenarios and explorations, and report each digest that changed."""
     measured = measure(jobs, every)
     if record:
         write_record(path, measured)
@@ -109,7 +109,7 @@
 @main.command("frames")
 @click.argument("path", type=click.Path(path_type=Path))
 def keep_frames(path: Path) -> None:
-    """Write a frame of each kind that is sent on some days."""
+    """Write one sample frame of each kind that a set of scenarios sends."""
     logging.set_verbosity(logging.FATAL)
     days = [(seed, aim) for aim in FRAME_AIMS for seed in range(1, 7)]
     path.write_text(json.dumps(record_frames(days), indent=1) + "\n")
--- a/amberlug/cluster/simulation/boundary_digest.py
+++ b/amberlug/cluster/simulation/boundary_digest.py
@@ -1,9 +1,9 @@
-"""A digest of all that crosses the borders of the simulated processes.
+"""A digest of all data that crosses the process boundaries of a simulation.
 
-Two plays of one seed have the same digest exactly if they exchanged the same bytes at the same times:
-frames between machines, HTTP requests and answers of clients, endpoints and operators, and the SQL statements
-of each disk commit. Names of classes, functions and log lines do not enter it, so that a change of names
-alone leaves it as it is.
+Two runs of one seed have the same digest exactly if they exchanged the same bytes at the same virtual times:
+frames between machines, HTTP requests and responses of clients, endpoints and operators, and the SQL
+statements of each disk commit. Class names, function names and log lines are not hashed, so renaming alone
+does not change the digest.
 """
 
 from __future__ import annotations
@@ -15,10 +15,9 @@
 
 
 class BoundaryDigest:
-    """Hashes border crossings in the order in which they happen; each with its virtual time.
+    """Hashes boundary crossings in the order in which they happen, each with its virtual time.
 
-    It does nothing until it is switched on: most plays look for broken invariants alone, and hashing takes
-    a fifth of their time.
+    Recording is off by default: most runs only check invariants, and hashing takes a fifth of their time.
     """
 
     def __init__(self, now: Callable[[], float]) -> None:
@@ -29,21 +28,21 @@
         self.on_frame: Callable[[str, str, bytes], None] = lambda tag, body, blob: None
 
     def add(self, kind: str, *fields: object) -> None:
-        """Take a crossing into the digest."""
+        """Add a crossing to the digest."""
         if not self.is_recording:
             return
         self.crossings += 1
         self._hash.update(f"{self._now()!r} {kind} {fields!r}\n".encode())
 
     def frame(self, source: str, target: str, number: int | None, tag: str, body: str, blob: bytes) -> None:
-        """A frame that one machine sends to another; `number` is None where no reply is awaited."""
+        """Add a frame sent between machines; `number` is None for a notification, which has no reply."""
         if not self.is_recording:
             return
         self.add("frame", source, target, number, tag, body, blob)
         self.on_frame(tag, body, blob)
 
     def commit(self, disk: str, execute: Callable[[Any, Any], None], rows: Any) -> None:
-        """Rows that a disk commits, as the SQL statements which the program would execute for them."""
+        """Add the rows of a disk commit, as the SQL statements that the program would execute for them."""
         if not self.is_recording:
             return
 
@@ -54,5 +53,5 @@
         execute(SimpleNamespace(execute=statement), rows)
 
     def hexdigest(self) -> str:
-        """The digest of all that crossed up to now."""
+        """Return the digest of all crossings so far."""
         return self._hash.hexdigest()
--- a/amberlug/cluster/simulation/clients.py
+++ b/amberlug/cluster/simulation/clients.py
@@ -1,4 +1,4 @@
-"""Clients: an open load in each zone through a virtual address, and questions about what was accepted."""
+"""Simulated clients: an open-loop load through a virtual address, and status queries for messages."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from amberlug.cluster.simulation.network import Incarnation
 
 DEADLINE_S = 1.5
-PATIENCE_S = 0.3  # beyond the deadline, until a connection is closed
+PATIENCE_S = 0.3  # after the deadline, before the client closes its connection
 TRIES = 3
 POLL_S = 1.0
 ASKED_S = 2.0
@@ -22,36 +22,36 @@
 
 @dataclass(frozen=True, slots=True)
 class Load:
-    """What clients send."""
+    """The traffic that clients generate."""
 
-    rate: float  # messages a second
-    paths: tuple[str, ...]  # each as likely as its share of the tuple
+    rate: float  # messages per second
+    paths: tuple[str, ...]  # chosen uniformly; a repeated path is chosen more often
     in_sequence: frozenset[str]
     keys: int
-    delayed: float = 0.1  # part with Amberlug-Not-Before
-    never: float = 0.02  # part that can never be done
-    asks: float = 3.0  # questions a second about what was accepted
+    delayed: float = 0.1  # fraction of messages with Amberlug-Not-Before
+    never: float = 0.02  # fraction of messages that no endpoint ever completes
+    asks: float = 3.0  # status queries per second for accepted messages
 
 
 class Clients:
-    """All clients."""
+    """All clients of a deployment, and the health checks of the virtual address."""
 
     def __init__(self, deployment: Deployment, load: Load) -> None:
         self.deployment, self.load = deployment, load
         self.clock, self.history = deployment.clock, deployment.history
         self.rng = deployment.draw("clients")
         self.sending = False
-        self.extra: list[str] = []  # further paths that were just added or removed
+        self.extra: list[str] = []  # paths of routes that were added or removed recently
         self._misses: dict[str, int] = {it.name: 2 for it in deployment.edges}
         self._accepted: list[Sent] = []
 
     def begin(self) -> None:
-        """Poll readiness from now on."""
+        """Start polling the readiness of the edge nodes."""
         for edge in self.deployment.edges:
             self._poll(edge)
 
     def open(self) -> None:
-        """Begin to send."""
+        """Start sending messages and status queries."""
         self.sending = True
         self._next()
         self._next_question()
@@ -70,7 +70,11 @@
         self.clock.call_later(POLL_S, lambda: self._poll(edge))
 
     def pick(self, zone: str) -> Machine:
-        """The edge that a new connection from a zone is passed to."""
+        """Choose the edge node for a new connection from a zone, as the virtual address does.
+
+        An edge node that failed its last two readiness polls gets no connections. If fewer than half of a
+        zone's edge nodes are left, all nodes of the zone are used; if none is, ready nodes of other zones.
+        """
         here = [it for it in self.deployment.edges if it.zone == zone]
         into = [it for it in here if self._misses[it.name] < 2]
         if into and 2 * len(into) < len(here):
@@ -147,7 +151,7 @@
         request = Request("POST", sent.target, tuple(headers), body)
         self.deployment.front(self.pick(zone), request, left + PATIENCE_S, hear)
 
-    # -- questions
+    # -- status queries
 
     def _next_question(self) -> None:
         if self.sending and self.load.asks:
@@ -157,11 +161,11 @@
                 self.ask(self.rng.choice(recent).name, lambda standing: None)
 
     def ask(self, name: str, then: Callable[[Standing], None]) -> None:
-        """Ask any edge how a message stands."""
+        """Query the status of a message at any edge node."""
         self._question(name, STATUS_PATH, then)
 
     def ask_body(self, name: str, then: Callable[[Standing], None]) -> None:
-        """Ask any edge for a message's bytes."""
+        """Request the body of a message at any edge node."""
         self._question(name, BODY_PATH, then)
 
     def _question(self, name: str, path: str, then: Callable[[Standing], None]) -> None:
@@ -187,7 +191,7 @@
         self.deployment.front(edge, Request("GET", f"{path}{name}", (("host", HOST),)), ASKED_S, hear)
 
     def ask_all(self, tries: int) -> None:
-        """At the end of a day: ask how all stands that was accepted, and for the bytes of what is open."""
+        """At the end of a run, query the status of accepted messages, and the bodies of pending ones."""
         for sent in self._accepted:
             self._insist(sent, tries)
 
--- a/amberlug/cluster/simulation/clock.py
+++ b/amberlug/cluster/simulation/clock.py
@@ -1,4 +1,4 @@
-"""Virtual time: what is due happens in order, and nothing else takes time."""
+"""Virtual time: events run in order of their due time, and running them takes no time."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class Timer:
-    """Something that is to happen, unless it is called off."""
+    """A callback that runs once, unless it is cancelled first."""
 
     __slots__ = ("act",)
 
@@ -19,14 +19,14 @@
         self.act = None
 
     def fire(self) -> None:
-        """Have it happen, once."""
+        """Run the callback, unless it has already run or was cancelled."""
         act, self.act = self.act, None
         if act is not None:
             act()
 
 
 class Clock:
-    """The one clock of a play. What is due at one moment happens in the order it was asked for."""
+    """The event queue of a run. Events with the same due time run in the order of their scheduling."""
 
     def __init__(self) -> None:
         self.now = 0.0
@@ -34,11 +34,11 @@
         self._numbers = itertools.count()
 
     def call_later(self, seconds: float, act: Callable[[], None]) -> None:
-        """Call `act` so many seconds from now."""
+        """Schedule `act` in so many seconds of virtual time."""
         heapq.heappush(self._due, (self.now + max(0.0, seconds), next(self._numbers), act))
 
     def run(self, until: float) -> None:
-        """Have all happen up to that time."""
+        """Run all events that are due up to a time, and advance the clock to it."""
         due = self._due
         while due and due[0][0] <= until:
             self.now, _, act = heapq.heappop(due)
--- a/amberlug/cluster/simulation/control_faults.py
+++ b/amberlug/cluster/simulation/control_faults.py
@@ -1,4 +1,4 @@
-"""Troubles of the core: a machine of it that is cut off, and orders that come to both sides meanwhile."""
+"""Faults of the control plane: a node is partitioned while operators send commands to both sides."""
 
 from __future__ import annotations
 
@@ -11,25 +11,25 @@
 from amberlug.cluster.simulation.scenario_context import ScenarioContext
 
 CUT_S = (2.0, 4.0, 8.0, 14.0, 20.0, 25.0)
-DOWN_S = (0.3, 0.8, 1.2)  # a machine that is restarted is down for so long
-BACK_S = BOUNDS["catchUpS"]  # a machine counts as lost so long after it is back
-RESETS_S = (2.0, 9.0)  # between resets of connections that are cut
-ORDERS_S = (0.3, 2.2)  # between orders
-STORM_S = (0.02, 0.2)  # the same where they come in quick succession
-KNOCK_S = 0.03  # between clients' uses of new routes
+DOWN_S = (0.3, 0.8, 1.2)  # downtime of a restarted process
+BACK_S = BOUNDS["catchUpS"]  # a node still counts as lost for this long after it returns
+RESETS_S = (2.0, 9.0)  # between resets of the connections of a partitioned node
+ORDERS_S = (0.3, 2.2)  # between commands
+STORM_S = (0.02, 0.2)  # between commands of a burst
+KNOCK_S = 0.03  # between client requests to new routes
 FORMS = ("silent", "silent", "to", "from", "reset", "refuse", "refuse")
 
 
 @dataclass(slots=True)
 class Cut:
-    """One machine that is cut off."""
+    """A partition of one machine."""
 
     machine: Machine
     until: float
 
 
 class Control:
-    """What is done to the core and asked of it."""
+    """Injects faults into the control plane, and sends it commands."""
 
     def __init__(self, day: ScenarioContext) -> None:
         self.day, self.deployment, self.rng = day, day.deployment, day.rng
@@ -37,7 +37,10 @@
         self.cut: Cut | None = None
 
     def begin(self, start: float, end: float) -> None:
-        """Cut after cut, each once the one before no longer counts as a loss, and orders all the while."""
+        """Schedule partitions one after another, and commands throughout.
+
+        The next partition starts once the node of the previous one no longer counts as lost.
+        """
         self.clock.call_later(start - self.clock.now, lambda: self._next(end))
         self.clock.call_later(start - self.clock.now, lambda: self._orders(end))
 
@@ -73,10 +76,10 @@
         self.clock.call_later(pause, lambda: self._next(end))
 
     def victim(self) -> Machine:
-        """The leader, one of those who follow it, or one that settings files name."""
+        """Choose the node to partition: the leader, a follower, or a seed of the settings files."""
         cores, leader = self.deployment.cores, self.day.leader()
         if self.day.home and self.rng.random() < 0.6:
-            return next(it for it in cores if it.zone == self.day.home)  # the endpoints' beats go there
+            return next(it for it in cores if it.zone == self.day.home)  # gets all endpoint heartbeats
         which = self.rng.choice(("leader", "follower", "seed"))
         if which == "leader" and leader is not None:
             return leader
@@ -85,10 +88,10 @@
         return self.rng.choice((self.deployment.seeds or cores)[:3])
 
     def cut_off(self, machine: Machine, seconds: float, form: str, stores_too: bool) -> None:
-        """Cut a core machine off from the others that count, or from the other core machines alone.
+        """Partition a control-plane node from the others, and optionally from the storage nodes.
 
-        `form` is silent, to or from (one way), reset (connections are reset as it begins, and now and
-        then), or refuse (what is sent between the two sides is answered by a reset).
+        `form` is silent, to or from (one way), reset (connections are reset at the start and from time to
+        time), or refuse (packets between the two sides are answered by a reset).
         """
         others = [*self.deployment.cores, *(self.deployment.stores if stores_too else [])]
         pairs = set()
@@ -122,10 +125,13 @@
             self.deployment.net.reset(cut.machine, others)
             self.clock.call_later(self.rng.uniform(*RESETS_S), lambda: self._reset(cut, others))
 
-    # -- restarts meanwhile
+    # -- restarts during a partition
 
     def start_beside(self) -> None:
-        """Edges look for a relay while one does not know yet that it is cut off, and changes are made."""
+        """Restart half of the edge nodes just after a partition begins, while the configuration changes.
+
+        They look for a control-plane node while the partitioned one has not noticed the partition yet.
+        """
         for machine in self.rng.sample(self.deployment.edges, len(self.deployment.edges) // 2):
             self.clock.call_later(self.rng.uniform(0.0, 0.5), partial(self.restart, machine, DOWN_S[0]))
         until = self.clock.now + 1.8
@@ -133,7 +139,7 @@
         self._knock(until)
 
     def _knock(self, until: float) -> None:
-        """Clients use the routes that came last."""
+        """Send client requests to the newest routes until a time."""
         if self.clock.now < until:
             self.day.look_at_routes()
             if self.day.clients.extra:
@@ -141,14 +147,14 @@
             self.clock.call_later(KNOCK_S, lambda: self._knock(until))
 
     def restart(self, machine: Machine, seconds: float = 0.0) -> None:
-        """A process is killed, and starts again."""
+        """Kill a process, and start it again after a downtime."""
         seconds = seconds or self.rng.choice(DOWN_S)
         self.history.trouble(f"{machine.name} is restarted", seconds, marked=True)
         machine.kill()
         self.clock.call_later(seconds, machine.start)
 
     def both(self, seconds: float) -> None:
-        """Who is cut off is restarted, then all others that count, in turn or at once."""
+        """Restart the partitioned node, then all other control-plane and storage nodes, at intervals."""
         cut = self.cut
         assert cut is not None, "a machine is cut off"
         at = self.rng.uniform(0.1, 0.5) * seconds
@@ -161,7 +167,7 @@
             at += gap
 
     def new_seeds(self, seconds: float) -> None:
-        """Settings files name the machine that is cut off first; some other machines are restarted."""
+        """Make the partitioned node the first seed of the settings files, and restart some other machines."""
         cut = self.cut
         assert cut is not None, "a machine is cut off"
         others = [it for it in self.deployment.cores if it is not cut.machine]
@@ -175,7 +181,7 @@
             self.clock.call_later(self.rng.uniform(0.1, 0.6) * seconds, partial(self.restart, machine))
 
     def _kill_all(self) -> None:
-        """All machines that count are killed or lose power, just as a configuration was acknowledged."""
+        """Kill or power off all control-plane and storage nodes as a configuration is acknowledged."""
         struck = False
 
         def strike(core: Machine | None = None) -> None:
@@ -196,7 +202,7 @@
         self.clock.call_later(2.0, strike)
 
     def _leader(self) -> Machine | None:
-        """Who leads on the side of the majority."""
+        """The leader on the majority side of the partition."""
         cut_off = self.cut.machine if self.cut is not None else None
         return next(
             (
@@ -208,7 +214,7 @@
         )
 
     def _kill_leader(self) -> None:
-        """The leader is killed just as a configuration was acknowledged, and orders come at once."""
+        """Kill the leader as a configuration is acknowledged, and send a burst of commands."""
         struck = False
 
         def strike(core: Machine | None = None) -> None:
@@ -225,7 +231,7 @@
         self.clock.call_later(1.5, strike)
 
     def _freeze_leader(self) -> None:
-        """The leader does nothing for a while: as it wakes, it does not know yet that another one leads."""
+        """Freeze the leader for a while: when it resumes, it does not know yet that another node leads."""
         leader = self._leader()
         if leader is None:
             return
@@ -239,7 +245,7 @@
             self.clock.call_later(at, partial(self.operator.order, to=leader))
 
     def _lose_packets(self) -> None:
-        """A core machine loses a part of its packets, and orders come."""
+        """Have a control-plane node lose some of its packets during a burst of commands."""
         machine, seconds = self.rng.choice(self.deployment.cores), self.rng.uniform(2.0, 5.0)
         self.history.trouble(f"{machine.name} loses packets for {seconds:.1f} s", seconds)
         machine.loss = self.rng.choice((0.05, 0.2))
@@ -251,7 +257,7 @@
         self.storm(self.clock.now + 2.0)
 
     def _roll(self) -> None:
-        """Core machines are told to end, one after the other."""
+        """Stop and restart the control-plane nodes in an orderly way, one after the other."""
         at = 0.0
         for machine in self.deployment.cores:
             self.clock.call_later(at, partial(self._term, machine))
@@ -266,17 +272,17 @@
 
         look()
 
-    # -- orders
+    # -- commands
 
     def storm(self, until: float) -> None:
-        """Orders in quick succession."""
+        """Send commands in quick succession until a time."""
         if self.clock.now < until:
             operator = self.operator
             self.rng.choice((operator.order, operator.order, operator.pair, operator.read, operator.retire))()
             self.clock.call_later(self.rng.uniform(*STORM_S), lambda: self.storm(until))
 
     def meet(self, cut: Cut) -> None:
-        """Orders to the very machine that is cut off, meanwhile and as it returns."""
+        """Send commands to the partitioned node, during the partition and as it ends."""
         left = cut.until - self.clock.now
         times = [self.rng.uniform(0.0, left), left + self.rng.uniform(-0.05, 0.3)]
         for at in times:
@@ -290,7 +296,7 @@
             self.clock.call_later(left + self.rng.uniform(0.1, 1.0), partial(self._leave_near, cut.machine))
 
     def _leave_near(self, machine: Machine) -> None:
-        """Endpoints of a machine's zone leave."""
+        """Replace the endpoints in the zone of a machine, except the last ready one of each service."""
         endpoint_fleet = self.deployment.endpoint_fleet
         for it in endpoint_fleet.up():
             if it.zone == machine.zone and len(endpoint_fleet.up(it.kind.name)) > 1:
--- a/amberlug/cluster/simulation/deployment.py
+++ b/amberlug/cluster/simulation/deployment.py
@@ -1,4 +1,4 @@
-"""A simulated deployment: its machines, endpoints, network and settings, with calls to them from outside."""
+"""A simulated deployment: its machines, endpoints, network and settings, and requests from outside."""
 
 from __future__ import annotations
 
@@ -18,12 +18,12 @@
 from amberlug.cluster.simulation.network import Incarnation, Network
 
 ONE_MACHINE = Tolerance(1, 0, 0)
-REFUSED, CLOSED, SILENT = 0, -1, -2  # instead of an answer's status
+REFUSED, CLOSED, SILENT = 0, -1, -2  # reported in place of an HTTP status
 
 
 @dataclass(frozen=True, slots=True)
 class Request:
-    """A request from outside; names of headers in small letters."""
+    """A request from outside; header names are in lower case."""
 
     method: str
     target: str
@@ -35,7 +35,7 @@
 
 
 class Deployment:
-    """All of it, from one seed."""
+    """A whole deployment, built from one seed."""
 
     def __init__(
         self,
@@ -58,7 +58,7 @@
         self.net = Network(self.clock, self.draw("network"), self.rng.choice((0.0005, 0.0009, 0.003)))
         self.net.told = self.history.links_are
         self.digest = self.net.digest
-        self.seeds: list[Machine] = []  # the settings file's; the first core machines where there are none
+        self.seeds: list[Machine] = []  # of the settings file; if empty, the first three control-plane nodes
         self.zones = [f"z{number}" for number in range(zones)]
         self.regions = {zone: f"r{number % regions}" for number, zone in enumerate(self.zones)}
         self.net.regions = self.regions
@@ -70,7 +70,7 @@
         self.cores = self._make("core", cores)
 
     def draw(self, what: str) -> random.Random:
-        """Chance of its own for one part, so that parts do not disturb each other's draws."""
+        """Create a random number generator for one part, so that draws of one part do not affect another."""
         return random.Random(f"{self.seed} {what}")
 
     def _make(self, kind: str, count: int) -> list[Machine]:
@@ -85,7 +85,7 @@
         return made
 
     def add(self, kind: str, zone: str, name: str = "") -> Machine:
-        """A further machine, empty and at an address of its own; its process is not started yet."""
+        """Add a machine with an empty disk and a new address; its process is not started yet."""
         self._added += 1
         address = f"10.{self.zones.index(zone)}.9.{self._added}:7300"
         machine = Machine(self, kind, name or f"{kind}-n{self._added}", zone, address, first=False)
@@ -94,13 +94,13 @@
         return machine
 
     def remove(self, machine: Machine) -> None:
-        """A machine is taken away, with its disk."""
+        """Remove a machine and its disk."""
         machine.power_off()
         {"edge": self.edges, "store": self.stores, "core": self.cores}[machine.kind].remove(machine)
         del self.net.hosts[machine.address]
 
     def tell_settings(self) -> None:
-        """All processes take the settings file as it is by now."""
+        """Have all running processes reload the settings file."""
         for machine in self.machines:
             if machine.up and machine.life is not None:
                 machine.life.do(partial(machine.part.update_settings, self.settings(machine)))
@@ -110,7 +110,7 @@
         return self.edges + self.stores + self.cores
 
     def settings(self, machine: Machine) -> Settings:
-        """The settings file of a machine."""
+        """The current settings file of a machine."""
         serves = {"edge": "edge", "store": "storage", "core": "control_plane"}[machine.kind]
         return Settings(
             machine.name,
@@ -132,7 +132,7 @@
         )
 
     def failed(self, life: Incarnation, error: AssertionError) -> None:
-        """A broken invariant ends its process, as it does in the program."""
+        """Record a failed assertion and restart its process, as the program does."""
         self.history.say(f"{life.name} ends: {error}")
         self.history.faults.append(Broken("FAULT", f"{life.name} at {self.clock.now:.3f}: {error}"))
         if isinstance(life.host, Machine):
@@ -140,14 +140,14 @@
             self.clock.call_later(RESTART_S, life.host.start)
 
     def endpoint_client(self, life: Incarnation) -> EndpointClient:
-        """What a process calls endpoints by."""
+        """Create the endpoint client of a process."""
         return EndpointClient(self.endpoint_fleet, life)
 
     def on_process_ended(self, life: Incarnation) -> None:
-        """Have endpoints see the connections of a process closed."""
+        """Close the connections from a process that has ended to endpoints."""
         self.endpoint_fleet.closed(life)
 
-    # -- from outside
+    # -- requests from outside
 
     def call(
         self,
@@ -156,7 +156,7 @@
         within: float,
         then: Callable[..., None],
     ) -> None:
-        """Call a machine; `then` hears what was answered, or REFUSED, CLOSED or SILENT."""
+        """Send a request to a machine; `then` gets the response, or REFUSED, CLOSED or SILENT."""
         clock = self.clock
         over = False
 
@@ -201,7 +201,7 @@
         headers: tuple[tuple[str, str], ...] = (),
         leaves: Callable[[int], None] = lambda status: None,
     ) -> None:
-        """Call a control relay; `leaves` hears of its answer at the moment at which it is sent."""
+        """Send a request to a control-plane node; `leaves` gets the status as the response is sent."""
         request = Request(method, target, headers, body)
         self.digest.add("request", core.name, method, target, headers, body)
 
@@ -221,7 +221,7 @@
         within: float,
         then: Callable[..., None],
     ) -> None:
-        """Call an edge's front; `then` hears status, body, headers, bytes and the process that was asked."""
+        """Send a request to an edge node; `then` gets status, body, headers, payload and process name."""
         self.digest.add("request", edge.name, request.method, request.target, request.headers, request.body)
 
         def ask(life: Incarnation, answer: Callable[..., None]) -> None:
--- a/amberlug/cluster/simulation/digest_record.py
+++ b/amberlug/cluster/simulation/digest_record.py
@@ -1,4 +1,4 @@
-"""The digests on record: simulated days and explorations whose outcome must not move when names change."""
+"""The recorded digests: scenarios and explorations whose results must not change when code is renamed."""
 
 from __future__ import annotations
 
@@ -36,12 +36,12 @@
     "losses-stores-zone": 2,
     "losses-stores-region": 2,
 }
-EXPLORED_DEPTH = 4  # steps from each start; the largest of them takes seconds
+EXPLORED_DEPTH = 4  # steps from each initial state; the largest exploration takes seconds
 
 
 @dataclass(frozen=True, slots=True)
 class PlayedDay:
-    """What a play of one seed came to."""
+    """The result of one recorded run."""
 
     seed: int
     aim: str
@@ -51,7 +51,7 @@
 
 
 def play_day(day: tuple[int, str]) -> PlayedDay:
-    """Play the day of a seed and an aim, and digest it."""
+    """Run the scenario of a seed and a family, and compute its digest."""
     logging.set_verbosity(logging.FATAL)
     seed, aim = day
     played = Day(seed, aim)
@@ -62,14 +62,14 @@
 
 
 def play_recorded(jobs: int, every: int = 1) -> Iterator[PlayedDay]:
-    """Play the days that are kept on record, or every so-manieth of them."""
+    """Run the recorded scenarios, or every n-th of them."""
     days = [(seed, aim) for aim, count in RECORDED_AIMS.items() for seed in range(1, count + 1)][::every]
     with ProcessPoolExecutor(jobs) as pool:
         yield from pool.map(play_day, days)
 
 
 def explore_one(name: str, depth: int) -> tuple[str, int, int, str]:
-    """Explore one start: its name, the states and steps looked at, and what was found."""
+    """Explore one initial state; returns its name, the counts of states and steps, and the violation."""
     logging.set_verbosity(logging.FATAL)
     starts = STARTS | {name: start for name, (start, _) in CHANGES.items()}
     explored = explore(starts[name], depth)
@@ -77,7 +77,7 @@
 
 
 def explore_recorded(jobs: int) -> Iterator[tuple[str, int, int, str]]:
-    """Explore every start to the depth that is kept on record."""
+    """Explore every initial state to the recorded depth."""
     names = [*STARTS, *CHANGES]
     depths = [min(EXPLORED_DEPTH, CHANGES[name][1]) if name in CHANGES else EXPLORED_DEPTH for name in names]
     with ProcessPoolExecutor(jobs) as pool:
@@ -85,9 +85,9 @@
 
 
 def measure(jobs: int, every: int = 1) -> dict[str, Any]:
-    """Play and explore what is kept on record, in the form in which it is kept.
+    """Repeat the recorded scenarios and explorations; returns the results in the format of the record.
 
-    With `every` over 1 only each so-manieth day is played, and nothing is explored.
+    With `every` above 1 only every n-th scenario is run, and nothing is explored.
     """
     return {
         "days": [asdict(day) for day in play_recorded(jobs, every)],
@@ -96,7 +96,7 @@
 
 
 def write_record(path: Path, measured: dict[str, Any]) -> None:
-    """Keep what was measured, one day a line."""
+    """Write the results to a file, one run a line."""
     parts = [
         f'"{name}": [\n' + ",\n".join(json.dumps(one) for one in ones) + "\n]"
         for name, ones in measured.items()
@@ -105,7 +105,7 @@
 
 
 def differences(recorded: dict[str, Any], measured: dict[str, Any]) -> list[str]:
-    """What is not as it was recorded, a line each."""
+    """List the results that differ from the record, one line each."""
     before = {(day["aim"], day["seed"]): day for day in recorded["days"]}
     found = []
     for day in measured["days"]:
@@ -119,11 +119,14 @@
 
 
 def record_frames(days: list[tuple[int, str]]) -> dict[str, dict[str, str]]:
-    """The shortest frame of each kind that these days send: its body as JSON text and its blob in hex."""
+    """Find a sample frame of each kind that these scenarios send: body as JSON text, payload in hex.
+
+    Prefers frames with few empty fields, then short ones.
+    """
     found: dict[str, dict[str, str]] = {}
 
     def gaps(body: str) -> int:
-        # An empty list or map, or a flag that is not set, shows less of the form than one with content.
+        # An empty list or map, or a flag that is not set, shows less of the format than one with content.
         return sum(body.count(gap) for gap in ("[]", "{}", ": false"))
 
     def keep(tag: str, body: str, blob: bytes) -> None:
--- a/amberlug/cluster/simulation/disk.py
+++ b/amberlug/cluster/simulation/disk.py
@@ -1,4 +1,4 @@
-"""Disks as models of what lasts: a control-plane node's log and a storage node's messages, by rows."""
+"""Models of durable storage, row by row: a control-plane node's log and a storage node's messages."""
 
 from __future__ import annotations
 
@@ -39,26 +39,26 @@
     StoredMessage,
 )
 
-Row = Any  # a disk model has rows of its own kind
+Row = Any  # each disk model has its own row type
 OUT_OF_SPACE = WriteFailure(WriteFailureReason.OUT_OF_SPACE)
 READ_S = 0.0005
 
 
 class SimulatedDisk:
-    """One machine's disk: what piles up is committed together, and a commit is there whole or not at all."""
+    """The disk of one machine: queued writes are committed in one batch, and each commit is atomic."""
 
     def __init__(self, clock: Clock, rng: random.Random, sync_s: float) -> None:
         self.clock, self.rng, self.sync_s = clock, rng, sync_s
         self.stalled_until = 0.0
         self.full = False
-        self.on_kept: Callable[[], None] = lambda: None  # as a message or an entry lasts and is acknowledged
+        self.on_kept: Callable[[], None] = lambda: None  # called once a message or log entry is durable
         self._queue: list[tuple[list[Row] | None, Callable[[Any], None]]] = []
         self._batch: list[tuple[list[Row] | None, Callable[[Any], None]]] = []
         self._number = 0
         self.name, self.digest = "", BoundaryDigest(lambda: clock.now)
 
     def put(self, rows: list[Row] | None, then: Callable[[Any], None]) -> None:
-        """Queue a write, or with None a look behind the writes before it."""
+        """Queue a write, or with None a read that sees all writes before it."""
         if rows is not None:
             rows = [self.copied(row) for row in rows]
         self._queue.append((rows, then))
@@ -88,11 +88,11 @@
             then(None)
         if not self.full and any(self.needs_space(row) for rows, _ in batch for row in rows or ()):
             self.on_kept()
-        if not self._batch:  # else what was told has asked for more already
+        if not self._batch:  # otherwise a callback has already started the next batch
             self._begin()
 
     def lose(self) -> None:
-        """The process or the power is gone: what is under way is there or not, what waits is not."""
+        """Simulate a crash: the batch in progress is committed or lost, and queued writes are lost."""
         batch, self._batch, self._queue = self._batch, [], []
         self._number += 1
         if self.rng.random() < 0.5 and not self.full:
@@ -100,7 +100,7 @@
                 self._keep_all(rows or [])
 
     def close(self) -> None:
-        """An orderly end: what is queued is written."""
+        """Close in an orderly way: commit the batch in progress and all queued writes."""
         for rows, _ in self._batch + self._queue:
             self._keep_all(rows or [])
         self._batch, self._queue = [], []
@@ -112,11 +112,11 @@
             self.apply(row)
 
     def execute(self, base: Any, rows: list[Row]) -> None:
-        """Execute the statements that write these rows, as the program does."""
+        """Execute the SQL statements that write these rows, as the program does."""
         raise NotImplementedError
 
     def copied(self, row: Row) -> Row:
-        """A row as it is when it is written: what it refers to may change afterwards."""
+        """Copy a row as it is now: objects that it refers to may change before the commit."""
         raise NotImplementedError
 
     def needs_space(self, row: Row) -> bool:
@@ -124,12 +124,12 @@
         raise NotImplementedError
 
     def apply(self, row: Row) -> None:
-        """A row is durable."""
+        """Apply a committed row to the durable state."""
         raise NotImplementedError
 
 
 class ControlDisk(SimulatedDisk):
-    """A core machine's part of the log: a snapshot, and rows by index as the file has them."""
+    """The disk of a control-plane node: a snapshot, and log rows by index, as in the database file."""
 
     def __init__(self, clock: Clock, rng: random.Random, sync_s: float) -> None:
         super().__init__(clock, rng, sync_s)
@@ -137,7 +137,7 @@
         self._rows: dict[int, Entry] = {}
 
     def begun(self, blank: Callable[[], PersistentState]) -> PersistentState:
-        """What a process that starts reads; a gap spoils it."""
+        """Read the state that a starting process finds; a gap in the log makes it start with a blank one."""
         found = None
         if self._saved is not None:
             it = self._saved
@@ -208,25 +208,26 @@
 
 
 class MessageDisk(SimulatedDisk):
-    """A store's messages."""
+    """The disk of a storage node."""
 
     def __init__(self, clock: Clock, rng: random.Random, sync_s: float) -> None:
         super().__init__(clock, rng, sync_s)
-        self.on_anew: Callable[[], None] = lambda: None  # its store empties it and begins as another disk
+        # Called when the storage node empties the disk and gives it a new id.
+        self.on_anew: Callable[[], None] = lambda: None
         self.wipe()
 
     def execute(self, base: Any, rows: list[Row]) -> None:
         message_store.execute_rows(base, rows)
 
     def wipe(self) -> None:
-        """Replace the disk by an empty one."""
+        """Replace the disk by an empty one with a new id."""
         self._disk_id, self._enrolled_index = f"{self.rng.getrandbits(64):x}", 0
         self._fencing_tokens: dict[int, int] = {}
         self._messages: dict[str, StoredMessage] = {}
         self._contents: dict[str, bytes] = {}
 
     def begun(self) -> StoredContents:
-        """What a process that starts reads."""
+        """Read the state that a starting process finds."""
         messages = {
             message_id: replace(message, metadata=dict(message.metadata))
             for message_id, message in self._messages.items()
@@ -271,7 +272,7 @@
             self._contents.pop(row.message_id, None)
 
     def holds(self, name: str) -> tuple[bool, bool]:
-        """Whether a message is durable here as an open one, and whether its outcome is."""
+        """Whether a message is durable here without an outcome, and whether it is with one."""
         message = self._messages.get(name)
         return (
             message is not None and message.outcome.is_open,
@@ -279,23 +280,23 @@
         )
 
     def bodies(self, names: Sequence[str]) -> dict[str, bytes]:
-        """The bodies of messages, as far as they are here."""
+        """The bodies of those messages whose body is stored here."""
         return {name: self._contents[name] for name in names if name in self._contents}
 
 
 class ProcessDisk:
-    """A disk as one life of a process uses it."""
+    """A disk as one incarnation of a process uses it."""
 
     def __init__(self, life: Incarnation, disk_model: SimulatedDisk) -> None:
         self.life, self.disk_model = life, disk_model
 
     def write(self, rows: Sequence[Row], then: OnWritten) -> None:
-        if not self.life.over:  # it may end in the midst of something
+        if not self.life.over:  # the process may end during the call that writes
             self.disk_model.put(list(rows), lambda error: self.life.do(partial(then, error)))
 
 
 class ProcessMessageDisk(ProcessDisk):
-    """A store's disk, whose bodies can be read."""
+    """The disk of a storage node, which can also read message bodies."""
 
     def __init__(self, life: Incarnation, message_disk: MessageDisk) -> None:
         super().__init__(life, message_disk)
--- a/amberlug/cluster/simulation/endpoints.py
+++ b/amberlug/cluster/simulation/endpoints.py
@@ -1,4 +1,4 @@
-"""Stand-ins for endpoints: slots and a queue, run times, failures, answers lost, lives that end and begin."""
+"""Simulated endpoints: slots and a queue, run times, failures, lost responses, restarts."""
 
 from __future__ import annotations
 
@@ -20,32 +20,32 @@
 
 DELAY_S = 0.0006
 QUEUE = 3
-WITHIN_S = 1.0  # an announcement is acknowledged
+WITHIN_S = 1.0  # timeout of an announcement
 PAUSE_S = 0.2
-LATE_S = 1.8  # beyond what any call waits for
+LATE_S = 1.8  # delay of a late response; longer than any call waits
 DRAIN_S = 3.0
-DROPPED = 0.8  # part of the runs that end when their connection closes
+DROPPED = 0.8  # probability that a run is stopped when its connection closes
 NOT_RUN = ("amberlug-not-executed", "1")
 
 
 @dataclass(slots=True)
 class Kind:
-    """A service's endpoints."""
+    """The endpoints of one service, and their failure rates."""
 
     name: str
     slots: int
     work_s: float
     dedup: bool
-    fails: float = 0.02  # part of the runs that are answered with 500
-    lost: float = 0.0  # part of the answers that are lost, in silence or with a reset
-    garbled: float = 0.0  # part of the answers that are cut, late, or sent once more on the same connection
+    fails: float = 0.02  # fraction of the runs that are answered with 500
+    lost: float = 0.0  # fraction of the responses that are lost, silently or with a reset
+    garbled: float = 0.0  # fraction of the responses that are cut off, late, without id, or sent twice
 
 
 Answer = Callable[[CallResult], None]
 
 
 class EndpointHost(Protocol):
-    """The deployment that endpoints register with, as far as they know it."""
+    """What endpoints need of the deployment that they register with."""
 
     clock: Clock
     digest: BoundaryDigest
@@ -54,7 +54,7 @@
     cores: list[Machine]
 
     def draw(self, what: str) -> random.Random:
-        """A random number generator of its own for one part."""
+        """Create a random number generator for one part."""
 
     def control(
         self,
@@ -67,11 +67,11 @@
         headers: tuple[tuple[str, str], ...] = (),
         leaves: Callable[[int], None] = ...,
     ) -> None:
-        """Call a control-plane node."""
+        """Send a request to a control-plane node."""
 
 
 class Endpoint:
-    """One life of an endpoint."""
+    """One instance of an endpoint."""
 
     def __init__(self, endpoint_fleet: EndpointFleet, name: str, kind: Kind, address: str, zone: str) -> None:
         self.endpoint_fleet, self.name, self.kind, self.address, self.zone = (
@@ -92,7 +92,7 @@
     # -- messages
 
     def take(self, delivery: EndpointCall, life: Incarnation, sent: float, answer: Answer) -> None:
-        """A message arrives."""
+        """Receive a call: run it, queue it, or reject it."""
         names = {name.lower(): value for name, value in delivery.headers}
         about = ("amberlug-attempt-id", delivery.attempt_id)
         if names.get("amberlug-target-instance", self.name) != self.name:
@@ -169,7 +169,7 @@
         self._pump()
 
     def _garble(self, called: CallResult, answer: Answer) -> None:
-        """Cut an answer, give it too late, name nothing in it, or send it a second time a little later."""
+        """Cut off a response, send it too late, omit its attempt id, or repeat it a little later."""
         rng, clock = self.endpoint_fleet.rng, self.deployment.clock
         what = rng.choice(("cut", "late", "nameless", "extra", "extra", "extra"))
         if what == "cut":
@@ -183,7 +183,7 @@
             clock.call_later(rng.choice((0.0, rng.uniform(0.0, 0.3))), lambda: answer(called))
 
     def closed(self, life: Incarnation) -> None:
-        """A sender's process has ended: most of what it has here is dropped."""
+        """Drop the queued calls of an edge process that has ended, and stop most of its runs."""
         self._queue = [it for it in self._queue if it[2] is not life]
         for run, (by, _) in list(self._runs.items()):
             if by is life and self.endpoint_fleet.rng.random() < DROPPED:
@@ -197,7 +197,7 @@
             self.endpoint_fleet.done.pop(run.attempt, None)
 
     def crash(self, silent: bool) -> None:
-        """It ends without a word; with its machine, its connections are silent."""
+        """End without notice; `silent` if its machine fails as well, and connections are not closed."""
         self.up, self.silent = False, silent
         waiting = [answer for _, answer in self._runs.values()] + [it[3] for it in self._queue]
         for run in list(self._runs):
@@ -207,10 +207,10 @@
             for answer in waiting:
                 answer(CallResult(CallVerdict.CONNECTION_LOST))
 
-    # -- the list
+    # -- registration
 
     def begin(self) -> None:
-        """Announce itself from now on."""
+        """Start sending announcements, one per heartbeat interval."""
         if self.up and self.condition == "ready":
             self._announce(lambda ok: None)
             self.deployment.clock.call_later(self.deployment.heartbeat_s, self.begin)
@@ -253,7 +253,7 @@
         deployment.control(to, "POST", target, body, WITHIN_S, hear, leaves=leaves)
 
     def leave(self, linger_s: float, gone: Callable[[], None]) -> None:
-        """A planned end: say so, serve on for a while, say goodbye and end."""
+        """End as planned: announce draining, keep serving for a while, deregister and stop."""
         self.condition = "draining"
         deployment = self.deployment
         deployment.history.leaving.setdefault(self.name, deployment.clock.now)
@@ -277,16 +277,18 @@
 
 
 class EndpointFleet:
-    """All endpoints."""
+    """All endpoints of a deployment."""
 
     def __init__(self, deployment: EndpointHost, kinds: list[Kind]) -> None:
         self.deployment, self.rng = deployment, deployment.draw("endpoints")
         self.kinds = {it.name: it for it in kinds}
         self.all: list[Endpoint] = []
         self.at: dict[str, Endpoint] = {}
-        self.done: dict[str, str] = {}  # the shared table of ids: seal of the first success, or empty
-        self.fates: dict[str, str] = {}  # of messages that can't be done, by attempt
-        self.on_drained: Callable[[Machine], None] = lambda core: None  # as the acknowledgement is sent
+        # The shared deduplication table: by attempt id, the seal of the first success, or "" while it runs.
+        self.done: dict[str, str] = {}
+        self.fates: dict[str, str] = {}  # of messages that never succeed, by attempt id
+        # Called as the acknowledgement of a drain is sent.
+        self.on_drained: Callable[[Machine], None] = lambda core: None
         self._numbers = 0
 
     def next_number(self) -> int:
@@ -297,7 +299,7 @@
         return self.fates.get(delivery.attempt_id, "")
 
     def start(self, service: str, zone: str, address: str = "") -> Endpoint:
-        """A new life, at an address of its own or at one that another life has left."""
+        """Start an instance, at a new address or at one that another instance has left."""
         number = self.next_number()
         address = address or f"10.100.{number // 250}.{number % 250 + 1}:8080"
         endpoint = Endpoint(self, f"i-{number:x}", self.kinds[service], address, zone)
@@ -308,7 +310,7 @@
         return endpoint
 
     def up(self, service: str = "") -> list[Endpoint]:
-        """Those that are ready."""
+        """The ready endpoints, of one service or of all."""
         return [it for it in self.all if it.up and it.condition == "ready" and service in ("", it.kind.name)]
 
     def closed(self, life: Incarnation) -> None:
@@ -319,15 +321,15 @@
 
 @dataclass(slots=True, eq=False)
 class Connection:
-    """One from an edge's process to an endpoint; what comes on it comes to the call that it carries then."""
+    """A connection from an edge process to an endpoint; responses go to the call that it carries then."""
 
     hear: Callable[[CallResult], None] | None = None
     open: bool = True
-    answered: set[str] = field(default_factory=set)  # attempts, without success
+    answered: set[str] = field(default_factory=set)  # ids of attempts that were answered without success
 
 
 class EndpointClient:
-    """Calls of one edge's process to endpoints; whose an answer is, the program's own caller tells."""
+    """Calls endpoints for one edge process; the program's own endpoint client matches responses to calls."""
 
     def __init__(self, endpoint_fleet: EndpointFleet, life: Incarnation) -> None:
         self.endpoint_fleet, self.life = endpoint_fleet, life
@@ -354,7 +356,7 @@
         if connection.hear is not None:
             connection.hear(called)
         else:
-            connection.open = False  # on an idle one it belongs to no call
+            connection.open = False  # a response on an idle connection belongs to no call
 
     def call(self, delivery: EndpointCall, then: Callable[[CallResult], None]) -> None:
         clock, life, digest = (
--- a/amberlug/cluster/simulation/history.py
+++ b/amberlug/cluster/simulation/history.py
@@ -1,4 +1,4 @@
-"""What clients, endpoints and the operator of a play saw, as it happened."""
+"""The history of a run: what clients, endpoints and the operator observed, and which faults were injected."""
 
 from __future__ import annotations
 
@@ -11,56 +11,56 @@
 
 @dataclass(slots=True, eq=False)
 class Sent:
-    """One try of a client."""
+    """One attempt of a client to submit a message."""
 
     attempt: str
     target: str
     key: str
     body: bytes
     at: float
-    first_at: float  # the first try of the same message
+    first_at: float  # time of the first attempt for the same message
     due_at: float
-    life: str = ""  # the process that it went to
+    life: str = ""  # the edge process that answered
     status: int = 0
     answered_at: float = 0.0
-    name: str = ""  # of the message that was accepted
+    name: str = ""  # message id, once accepted
 
 
 @dataclass(slots=True, eq=False)
 class Run:
-    """One arrival of a message at an endpoint."""
+    """One delivery of a message to an endpoint."""
 
     attempt: str
     endpoint: str
     service: str
-    life: str  # the process that sent it
+    life: str  # the edge process that sent it
     sent: float
     arrived: float
-    seconds: float  # that the endpoint was given
+    seconds: float  # time remaining, as told to the endpoint
     body: bytes
     began: float | None = None
     ended: float | None = None
     what: str = ""  # done, dead, failed, stopped
     seal: str = ""
-    read: float | None = None  # when its sender read the answer
+    read: float | None = None  # when the edge process read the response
 
 
 @dataclass(slots=True, eq=False)
 class Version:
-    """One configuration that the operator sent."""
+    """One version of the configuration that an operator submitted."""
 
     edition: int
     base: int
     config: Json
     valid: bool
     at: float
-    status: int = 0  # the clear answer
+    status: int = 0  # of the definite response, if any
     answered_at: float = 0.0
-    taken_at: float = 1e9  # when a relay first acknowledged it, also where that answer was lost
-    refusals: list[tuple[float, int, str]] = field(default_factory=list)  # when, the status, by whom
-    until: float = 1e9  # when its sender had a clear answer, or gave up
-    proper: bool = True  # whether its sender had it sent to any relay until the answer was clear
-    services: dict[str, str] = field(default_factory=dict)  # by path prefix
+    taken_at: float = 1e9  # first acknowledgement by a control-plane node, even if that response was lost
+    refusals: list[tuple[float, int, str]] = field(default_factory=list)  # time, status, node name
+    until: float = 1e9  # when the operator got a definite response, or gave up
+    proper: bool = True  # whether retries went to any control-plane node, not just to one
+    services: dict[str, str] = field(default_factory=dict)  # service name by path prefix
 
     @property
     def acked(self) -> bool:
@@ -69,28 +69,28 @@
 
 @dataclass(frozen=True, slots=True)
 class Trouble:
-    """Something that was done to a machine."""
+    """A fault or planned operation on a machine."""
 
     at: float
     until: float
     planned: bool
-    marked: bool = False  # whether events tell all of it: which machine, which links, when
+    marked: bool = False  # whether events record all of it: machine, links and times
 
 
 class What(Enum):
-    """What happened to a machine's process or to its links."""
+    """What happened to the process of a machine, or to its connections."""
 
     START = "start"
-    END = "end"  # of the process, however it came about
-    TERM = "term"  # it is told to end
+    END = "end"  # of the process, for any reason
+    TERM = "term"  # orderly shutdown requested
     FREEZE = "freeze"
     THAW = "thaw"
-    RESET = "reset"  # connections of it are reset
+    RESET = "reset"  # connections reset
 
 
 @dataclass(frozen=True, slots=True)
 class Event:
-    """Something that happened to one machine."""
+    """An event at one machine."""
 
     at: float
     machine: str
@@ -99,7 +99,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Place:
-    """A machine of the deployment, as rules see it."""
+    """A machine of the deployment, as the checks see it."""
 
     name: str
     kind: str  # edge, store or core
@@ -107,10 +107,10 @@
 
 @dataclass(slots=True, eq=False)
 class Call:
-    """One call of an operator to a control relay, and what came of it."""
+    """One request of an operator to a control-plane node, and its response."""
 
     what: str  # read, retire, retire-read
-    name: str  # of the store that it is about
+    name: str  # of the storage node concerned
     core: str
     at: float
     status: int = 0
@@ -120,7 +120,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Standing:
-    """What was said of a message's state, or of its body."""
+    """The response to a query for the status or the body of a message."""
 
     name: str
     asked: float
@@ -133,13 +133,13 @@
 
     @property
     def says_ended(self) -> bool:
-        """Whether the message is said to have ended."""
+        """Whether the response reports a final outcome."""
         return self.condition in ("completed", "failed")
 
 
 @dataclass(frozen=True, slots=True)
 class Broken:
-    """A broken rule."""
+    """A violation of an invariant."""
 
     rule: str
     what: str
@@ -149,7 +149,7 @@
 
 
 class History:
-    """All of it, and a trace for people."""
+    """Everything that was observed in a run, and a readable trace."""
 
     def __init__(self, clock: Clock) -> None:
         self.clock = clock
@@ -159,15 +159,16 @@
         self.troubles: list[Trouble] = []
         self.standings: list[Standing] = []
         self.events: list[Event] = []
-        self.places: dict[str, Place] = {}  # all machines that there ever were
+        self.places: dict[str, Place] = {}  # all machines ever added
         self.cuts: list[tuple[float, frozenset[tuple[str, str]]]] = [(0.0, frozenset())]
-        self.lossy = False  # whether links lose packets all day long: then nobody is in touch
-        self.emptied: list[tuple[float, str]] = []  # stores that gave up their disk's content, and when
+        # Whether links lose packets throughout the run; then no machine counts as in contact.
+        self.lossy = False
+        self.emptied: list[tuple[float, str]] = []  # time and name of storage nodes that emptied their disk
         self.calls: list[Call] = []
-        self.polls: list[tuple[float, str, bool]] = []  # when, which edge, whether it was ready
-        self.leaving: dict[str, float] = {}  # endpoint -> when it first said that it leaves
-        self.drained: dict[str, float] = {}  # endpoint -> when that was acknowledged
-        self.drained_by: dict[str, str] = {}  # endpoint -> the relay that acknowledged it
+        self.polls: list[tuple[float, str, bool]] = []  # time, edge node, whether it was ready
+        self.leaving: dict[str, float] = {}  # endpoint -> first announcement of draining
+        self.drained: dict[str, float] = {}  # endpoint -> acknowledgement of draining
+        self.drained_by: dict[str, str] = {}  # endpoint -> control-plane node that acknowledged draining
         self.rates: dict[str, float] = {}
         self.faults: list[Broken] = []
         self.read_back: Json | None = None
@@ -179,25 +180,25 @@
         self.lines.append(f"{self.clock.now:8.3f}  {text}")
 
     def trouble(self, what: str, seconds: float = 0.0, planned: bool = False, marked: bool = False) -> None:
-        """Something is done to a machine, for so long; `marked` where events tell all of it."""
+        """Record a fault or a planned operation; `marked` if events record all of it."""
         self.say(what)
         self.troubles.append(Trouble(self.clock.now, self.clock.now + seconds, planned, marked))
 
     def mark(self, machine: str, what: What) -> None:
-        """Something happened to a machine, just now."""
+        """Record an event at a machine, at the current time."""
         self.events.append(Event(self.clock.now, machine, what))
 
     def store_emptied(self, store: str) -> None:
-        """A store has given up what its disk held."""
+        """Record that a storage node has discarded the content of its disk."""
         self.say(f"{store} gives up what it held")
         self.emptied.append((self.clock.now, store))
 
     def links_are(self, cut: frozenset[tuple[str, str]]) -> None:
-        """From now on, nothing gets from the first to the second of these machines."""
+        """Record the current partitions: no packet gets from the first to the second machine of each pair."""
         self.cuts.append((self.clock.now, cut))
 
     def calm(self, since: float, until: float, planned_too: bool = True) -> bool:
-        """Whether nothing was done to any machine between these times."""
+        """Whether there was no fault, and optionally no planned operation, between these times."""
         return not any(
             it.at <= until and it.until >= since and (planned_too or not it.planned) for it in self.troubles
         )
--- a/amberlug/cluster/simulation/invariants.py
+++ b/amberlug/cluster/simulation/invariants.py
@@ -1,4 +1,4 @@
-"""The rules, judged by what clients, endpoints and the operator of a play saw."""
+"""Checks of the invariants, from what clients, endpoints and the operator of a run observed."""
 
 from __future__ import annotations
 
@@ -15,16 +15,16 @@
 DRAIN_S = BOUNDS["drainMs"] / 1000
 WINDOW_S = BOUNDS["ceilingWindowS"]
 REVERT_S = 0.25
-MARGIN_S = 0.05  # before the route's timeout
-SERVED = 0.9  # of what is sent in calm
-READY = 7 / 8  # of the time in touch
-OFFERED_S = 2.0  # from when a message is due until an endpoint has been asked
-STEP_S = 0.25  # between the stretches that are looked at
-KNOWN_S = 3.0  # into a day, until stores are on the roster
+MARGIN_S = 0.05  # a success must not be repeated if it came this long before the route's timeout
+SERVED = 0.9  # minimum fraction of messages that are served while there are no faults
+READY = 7 / 8  # minimum fraction of readiness polls, of edge nodes in contact, that succeed
+OFFERED_S = 2.0  # from when a message is due until its first call to an endpoint
+STEP_S = 0.25  # between the starts of the time windows that are checked
+KNOWN_S = 3.0  # from the start of a run until storage nodes are on the roster
 
 
 class Checker:
-    """One history."""
+    """Checks one history."""
 
     def __init__(self, history: History, max_attempts: int) -> None:
         self.history, self.max_attempts = history, max_attempts
@@ -46,11 +46,11 @@
         self.ended = {name: self._ended(sent) for name, sent in history.sent.items()}
 
     def _ended(self, sent: Sent) -> float:
-        """When a message ended."""
+        """The earliest time at which a message may have ended; 1e9 if it has not ended."""
         failures = []
         least = 1e9
         for run in self.runs.get(sent.attempt, ()):
-            assert run.began is not None, "only what has begun is looked at"
+            assert run.began is not None, "self.runs holds started runs only"
             if run.what in ("done", "dead") and run.ended is not None:
                 least = min(least, run.ended)
             elif run.what == "failed" and run.ended is not None:
@@ -70,7 +70,7 @@
         self.broken.append(Broken(rule, what))
 
     def check(self) -> list[Broken]:
-        """All broken rules."""
+        """Run all checks; returns the violations."""
         self._refused()
         self._unasked()
         self._order()
@@ -128,7 +128,7 @@
             accepted = [it for it in line if it.status == 202]
             for later in line:
                 for run in self.runs.get(later.attempt, ()):
-                    assert run.began is not None, "only what has begun is looked at"
+                    assert run.began is not None, "self.runs holds started runs only"
                     for before in accepted:
                         if before.answered_at < later.at and self.ended[before.attempt] > run.began:
                             self._say(
@@ -145,8 +145,8 @@
                 if first.what != "done" or first.read is None or not whole:
                     continue
                 for second in runs:
-                    assert first.began is not None, "only what has begun is looked at"
-                    assert second.began is not None, "only what has begun is looked at"
+                    assert first.began is not None, "self.runs holds started runs only"
+                    assert second.began is not None, "self.runs holds started runs only"
                     if second.began > first.began and self.history.calm(
                         first.began - CONTACT_S, second.arrived, planned_too=False
                     ):
@@ -169,12 +169,12 @@
                 self._say("MIXED", f"{it.name} comes back with other bytes")
 
     def _known(self) -> None:
-        """What was accepted is never answered as unknown, nor one that was told to have ended as open.
+        """An accepted message is never reported as unknown, nor as pending once it was reported as ended.
 
-        It holds for all machines, in touch or not: whoever can't be sure answers 503.
+        This holds for all edge nodes, in contact or not: a node that can't be sure answers 503.
         """
         by_name = {it.name: it for it in self.history.sent.values() if it.name}
-        told_ended: dict[str, float] = {}  # by message, when a client first heard so
+        told_ended: dict[str, float] = {}  # by message, when a client was first told so
         for it in sorted(self.history.standings, key=lambda standing: standing.told):
             if it.says_ended:
                 told_ended.setdefault(it.name, it.told)
@@ -199,7 +199,7 @@
                 continue
             found = said[sent.name]
             if not any(it.body == sent.body for it in found) and not any(
-                # It ended while it was asked for.
+                # It ended between the two queries.
                 it.condition in ("completed", "failed")
                 for it in found
             ):
@@ -213,19 +213,19 @@
                 self._say("STUCK", f"{sent.name} accepted {sent.answered_at:.3f} is still open")
 
     def _rated(self, sent: Sent) -> bool:
-        """Whether its service may take more time than there is, since it has a rate."""
+        """Whether its service may be rate-limited, so that the message may not be delivered in time."""
         names = {it.services.get(self._prefix(sent)) for it in self.in_force}
         return any(name in self.history.rates for name in names)
 
     # -- configuration
 
     def _allowed(self, since: float, until: float) -> list[Version]:
-        """The versions that a machine in touch may act by between these times."""
+        """The versions that a machine in contact may use between these times."""
         bound = max((it.edition for it in self.in_force if it.acked and it.answered_at < since), default=0)
         return [it for it in self.in_force if it.edition >= bound and it.at <= until]
 
     def _slack(self, life: str, since: float, until: float) -> float | None:
-        """Seconds that a process has to act by an acknowledged version; None where no bound holds."""
+        """Seconds within which a process must use an acknowledged version; None if no bound applies."""
         machine = life.partition("#")[0]
         if self.history.calm(since - CONTACT_S, until) or self.contact.in_touch(machine, since, until):
             return APPLY_S
@@ -255,7 +255,7 @@
         for runs in self.runs.values():
             for run in runs:
                 sent = self.history.sent.get(run.attempt)
-                assert run.began is not None, "only what has begun is looked at"
+                assert run.began is not None, "self.runs holds started runs only"
                 slack = self._slack(run.life, run.sent, run.arrived)
                 if sent is None or slack is None:
                     continue
@@ -268,7 +268,7 @@
                     )
 
     def _config_back(self) -> None:
-        """Within one life nothing is handled by an older version than one whose effect was seen."""
+        """A process never goes back to a version older than one whose effect was observed."""
         floors: dict[str, list[tuple[float, int]]] = defaultdict(list)
         events: list[tuple[float, float, str, set[int]]] = []
         for run in self.history.runs:
@@ -291,7 +291,7 @@
             floors[life].append((seen_at, min(those)))
 
     def _config_fresh(self) -> None:
-        """A process serves by nothing older than what was acknowledged before it began."""
+        """A process never serves a version older than one that was acknowledged before it started."""
         lives: Counter[str] = Counter()
         begun: dict[str, float] = {}
         for event in self.history.events:
@@ -334,7 +334,7 @@
             )
 
     def _config_refused(self) -> None:
-        """What is valid is refused only where another change came first, and never once it was taken."""
+        """A valid change is rejected only if a concurrent one came first, and never after it was accepted."""
         for it in self.history.versions:
             for at, status, core in it.refusals:
                 if at > it.taken_at:
@@ -353,7 +353,7 @@
                     )
 
     def _config_read(self) -> None:
-        """What is read is in force, and no older than what was acknowledged or read before."""
+        """A read returns a version in force, no older than any acknowledged or read before."""
         seen = [(it.answered_at, it.edition) for it in self.in_force if it.acked]
         reads = [it for it in self.history.calls if it.what == "read" and it.status in (200, 404)]
         seen += [(it.answered_at, it.said["edition"]) for it in reads if it.status == 200 and it.said]
@@ -366,7 +366,7 @@
                 self._say("CONFIG", f"{found} is read at {call.core} at {call.at:.3f}, and is not in force")
 
     def _retire(self) -> None:
-        """A store that exists is known, and what was ordered for it too."""
+        """Control-plane nodes know each storage node and its retirement; only retired nodes are emptied."""
         begun: dict[str, float] = {}
         for call in sorted(self.history.calls, key=lambda it: it.answered_at):
             if call.what == "retire" and call.status == 200:
@@ -386,7 +386,7 @@
                 self._say("RETIRE", f"{name}, in touch and not to be emptied, gives up its disk at {at:.3f}")
 
     def _acks(self) -> None:
-        """A proper order is acknowledged within a bound while the core is settled."""
+        """A command that may go to any node is acknowledged in time while the control plane is stable."""
         over = self.history.clock.now
         for it in self.history.versions:
             others = [other for other in self.in_force if other is not it and other.base >= it.base]
@@ -408,7 +408,7 @@
             self._say("ACKS", f"{late} of {all_} endpoints that leave are not acknowledged")
 
     def _served(self) -> None:
-        """Edges in touch are ready, and take what is sent to them."""
+        """Edge nodes in contact are ready, and accept messages."""
         over = self.history.over_at
         polls = [
             (at, name, ready)
@@ -433,7 +433,7 @@
             self._say("RECOVER", f"{served} of {len(sent)} are accepted by edges in touch")
 
     def _offered(self) -> None:
-        """While all edges are in touch, what is due soon reaches an endpoint."""
+        """While all edge nodes are in contact, a due message reaches an endpoint in time."""
         edges = [it.name for it in self.history.places.values() if it.kind == "edge"]
         late: list[str] = []
         all_ = 0
@@ -494,7 +494,7 @@
                     break
 
     def _recover(self) -> None:
-        """In calm, most of what is sent is accepted."""
+        """After all faults, most messages are accepted."""
         over, calm_from = self.history.over_at, max((it.until for it in self.history.troubles), default=0.0)
         late = [
             it
--- a/amberlug/cluster/simulation/loss_schedule.py
+++ b/amberlug/cluster/simulation/loss_schedule.py
@@ -1,4 +1,4 @@
-"""One loss after another, as soon as the pages allow it: after repairs, replacements, retirements."""
+"""Losses in as quick succession as the tolerance allows: after repairs, replacements and retirements."""
 
 from __future__ import annotations
 
@@ -15,9 +15,9 @@
 
 ACK_S = BOUNDS["ackMs"] / 1000
 CONTACT_S = BOUNDS["contactMs"] / 1000
-INSIST_S = 8.0  # an order is sent again for so long, then given up
-PATIENCE_S = 25.0  # for a store to be emptied while others are lost
-NOTICED_S = 2.5  # until the system must know that a store is silent or has lost its disk
+INSIST_S = 8.0  # a command is retried for so long before the operator gives up
+PATIENCE_S = 25.0  # limit for a retirement while other nodes are lost
+NOTICED_S = 2.5  # within which the system must notice a silent storage node or a lost disk
 SPREADS = (
     (Tolerance(1, 0, 0), 4),
     (Tolerance(2, 0, 0), 2),
@@ -30,7 +30,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Site:
-    """A deployment with what it must bear."""
+    """The size of a deployment, and the losses that it must tolerate."""
 
     tolerance: Tolerance
     zones: int
@@ -38,11 +38,11 @@
     edges: int
     stores: int
     cores: int
-    backlog: bool  # much is open at any moment, and copies take their time
+    backlog: bool  # many messages are pending at any time, and replication is slow
 
 
 def draw_site(rng: random.Random, aim: str) -> Site:
-    """Machines placed by zones in turn, as many as bear the losses and, at times, none more."""
+    """Draw zones and node counts; at times only just as many nodes as the tolerance needs."""
     by_aim = {"zone": Tolerance(0, 1, 0), "region": Tolerance(0, 0, 1)}
     tolerance = by_aim.get(aim.rpartition("-")[2]) or rng.choices(*zip(*SPREADS, strict=True))[0]
     zones = rng.choice((3, 3, 4, 5))
@@ -61,18 +61,21 @@
 
 
 class Losses(StorageFaults):
-    """Losses in as many lines as machines may be lost at once, and works of the operators' beside them."""
+    """Injects concurrent sequences of losses, one for each machine that may be lost at once.
+
+    Operators retire and add nodes meanwhile.
+    """
 
     def __init__(self, day: ScenarioContext) -> None:
         super().__init__(day)
         tolerance = self.deployment.tolerance
         wide = tolerance.zones or tolerance.regions
         self.lines = 1 if wide else tolerance.machines
-        self.lost: dict[Machine, None] = {}  # and those that are back only now
+        self.lost: dict[Machine, None] = {}  # also those that returned too recently to lose another
         self.wiped: dict[Machine, float] = {}
         self.gone: dict[Machine, float] = {}
-        self.going: dict[Machine, None] = {}  # those whose successors have come
-        self._free: list[int] = []  # lines that wait for their next loss
+        self.going: dict[Machine, None] = {}  # those whose replacement has already started
+        self._free: list[int] = []  # sequences that wait for their next loss
         self._over = 0.0
         self._kinds = tuple(it for it in ("core", "store") if it in day.aim) or ("core", "store")
         self.works: list[Callable[[], None]] = [self._retire, self._add]
@@ -82,13 +85,13 @@
         for line in range(self.lines):
             self.clock.call_later(start - self.clock.now + line * 0.7, partial(self._lose, line))
         self.clock.call_later(start - self.clock.now, self._work)
-        # An order that is judged is given for long enough.
+        # The last command that is checked has had its full time by then.
         self.clock.call_later(end + CONTACT_S + ACK_S + 1.5 - self.clock.now, self._check_acks)
 
-    # -- lines of losses
+    # -- sequences of losses
 
     def _unit(self) -> list[Machine]:
-        """What is lost next: a machine, or machines of a zone or region that may go at once."""
+        """Choose what is lost next: one machine, or machines of one zone or region that may fail together."""
         tolerance, rng, regions = self.deployment.tolerance, self.rng, self.deployment.regions
         counted = [it for it in self.deployment.stores + self.deployment.cores if it not in self.lost]
         counted = [it for it in counted if it.kind in self._kinds]
@@ -106,7 +109,7 @@
         return whole if rng.random() < 0.7 else rng.sample(whole, rng.randrange(1, len(whole) + 1))
 
     def _lose(self, line: int) -> None:
-        """The next loss of a line; the one after it comes once this one is over by the pages."""
+        """Inject the next loss of a sequence; the one after it follows once this one no longer counts."""
         if line in self._free:
             self._free.remove(line)
         unit = self._unit()
@@ -119,7 +122,7 @@
         self.rng.choice(acts)(unit, partial(self._over_with, line, unit))
 
     def _over_with(self, line: int, unit: list[Machine]) -> None:
-        """All of it is back, or its successors are: after `catchUpS` the next loss may come."""
+        """All lost machines, or their replacements, are back: after `catchUpS` the next loss may follow."""
 
         def next_one() -> None:
             for it in unit:
@@ -135,18 +138,18 @@
             self._lose(line)
 
     def _lose_now(self) -> None:
-        """Something was just finished: whatever may be lost is."""
+        """Start the next loss of every waiting sequence, right after an operation has finished."""
         for line in list(self._free):
             self._lose(line)
 
     def _start(self, machine: Machine) -> None:
-        if machine in self.deployment.machines:  # it may have been taken away meanwhile
+        if machine in self.deployment.machines:  # it may have been removed meanwhile
             machine.start()
 
     def _names(self, unit: list[Machine]) -> str:
         return ", ".join(it.name for it in unit)
 
-    # -- ways of being lost
+    # -- kinds of loss
 
     def _down_all(
         self, unit: list[Machine], what: str, seconds: float, wipe: bool, then: Callable[[], None]
@@ -164,7 +167,7 @@
         self.clock.call_later(seconds, then)
 
     def _wipe(self, unit: list[Machine], then: Callable[[], None]) -> None:
-        """Disks are lost right after one of them acknowledged something."""
+        """Wipe disks right after one of the machines acknowledged a write."""
         seconds = self.rng.uniform(0.3, 2.0)
         act = partial(self._down_all, unit, "lose their disks", seconds, True, then)
         first = self.rng.choice(unit)
@@ -174,7 +177,7 @@
             self._after_ack(act)
 
     def _after_ack(self, act: Callable[[], None]) -> None:
-        """Do something as a configuration is acknowledged, or a second later."""
+        """Call `act` as a configuration is acknowledged, or after a second at the latest."""
         struck = False
 
         def strike(core: Machine | None = None) -> None:
@@ -189,7 +192,7 @@
         self.clock.call_later(1.0, strike)
 
     def _dark(self, unit: list[Machine], then: Callable[[], None]) -> None:
-        """Without power for a while; the other machines of a zone or region go as well at times."""
+        """Power off machines for a while; at times the edge nodes of their zones as well."""
         seconds = self.rng.uniform(0.5, 3.0)
         zones = {it.zone for it in unit}
         edges = [it for it in self.deployment.edges if it.zone in zones and it not in self.lost]
@@ -198,7 +201,7 @@
         self._down_all(unit, "lose power", seconds, False, then)
 
     def _cut(self, unit: list[Machine], then: Callable[[], None]) -> None:
-        """Cut off from all others, or from the counted ones, one way or both."""
+        """Partition machines from all others, or from the control plane, one way or both."""
         seconds = self.rng.uniform(1.0, 6.0)
         others = [it for it in self.deployment.machines if it not in unit]
         if self.rng.random() < 0.5:
@@ -212,7 +215,7 @@
         self.clock.call_later(seconds, then)
 
     def _still(self, unit: list[Machine], then: Callable[[], None]) -> None:
-        """Frozen for a while."""
+        """Freeze machines for a while."""
         seconds = self.rng.uniform(0.5, 4.0)
         self.history.trouble(f"{self._names(unit)} frozen for {seconds:.1f} s", seconds)
         for machine in unit:
@@ -221,7 +224,7 @@
         self.clock.call_later(seconds, then)
 
     def _replaced(self, unit: list[Machine], then: Callable[[], None]) -> None:
-        """Gone for good; an empty one comes at another address, under its name or another."""
+        """Remove a machine; an empty one is added at another address, under the same name or a new one."""
         (machine,) = unit
         seconds = self.rng.uniform(0.3, 2.0)
         name = machine.name if self.rng.random() < 0.5 else ""
@@ -231,7 +234,7 @@
         self.clock.call_later(seconds, then)
 
     def _planned(self, unit: list[Machine], then: Callable[[], None]) -> None:
-        """The new one first; then the old one is told to end and is taken away."""
+        """Replace a machine as planned: add the new one, then shut down and remove the old one."""
         (machine,) = unit
         if self.retired:
             self._dark(unit, then)
@@ -259,7 +262,7 @@
             self.deployment.remove(machine)
             self.gone[machine] = self.clock.now
 
-    # -- works of the operators
+    # -- operations
 
     def _work(self) -> None:
         if self.clock.now < self._over:
@@ -267,7 +270,7 @@
             self.clock.call_later(self.rng.uniform(2.0, 12.0), self._work)
 
     def _add(self) -> None:
-        """A store or a core machine is added; what may be lost goes right after."""
+        """Add a storage or control-plane node; the next losses may follow right after."""
         kind = self.rng.choice(self._kinds)
         count = len(self.deployment.stores if kind == "store" else self.deployment.cores)
         if count >= 9:
@@ -278,22 +281,22 @@
             self.clock.call_later(self.rng.choice((0.05, 0.5, 1.0)), self._lose_now)
 
     def _retire(self) -> None:
-        """A store is to be emptied; as it is, it is taken away with its disk, and another is lost."""
+        """Retire a storage node; once it is empty it is removed with its disk, and the next loss follows."""
         stores = [it for it in self.deployment.stores if it not in self.lost and it.up]
         if stores and "store" in self._kinds:
             self.empty(self.rng.choice(stores))
 
     def empty(self, store: Machine) -> None:
-        """Order a store to be emptied, where enough others remain; else the order must be refused."""
+        """Order a storage node to be retired; the order must be rejected if too few others remain."""
         if self.retired or self.going:
-            return  # no operator takes two away at once
+            return  # operators remove only one node at a time
         others = [it for it in self.deployment.stores if it is not store]
         regions = self.deployment.regions
         whole = [it for it in others if it not in self.lost]
         remain = self.deployment.tolerance.holds([(it.zone, regions[it.zone]) for it in others])
         surely = self.deployment.tolerance.holds([(it.zone, regions[it.zone]) for it in whole])
         if not remain and not self.history.calm(self.clock.now - BACK_S, self.clock.now):
-            return  # the system may not know yet how few there are
+            return  # the system may not have noticed yet how few there are
         self.history.say(f"{store.name} is to be emptied: {'enough' if remain else 'too few'} others remain")
         began = self.clock.now
 
@@ -335,7 +338,8 @@
     def _emptied(self, store: Machine) -> None:
         self.history.say(f"{store.name} is emptied, and taken away")
         self.retired.pop(store.name)
-        # The system can't know yet what was lost a moment ago: its copies counted, and it is the loss borne.
+        # The system can't have noticed the latest losses yet: their copies still counted, and these are the
+        # losses that it must tolerate.
         late = [
             it
             for it, at in (self.wiped | self.gone).items()
@@ -345,10 +349,10 @@
         self.deployment.remove(store)
         self._lose_now()
 
-    # -- what is checked besides
+    # -- further checks
 
     def _check_acks(self) -> None:
-        """An order has an answer within `ackMs` of settled time."""
+        """Each command gets a response within `ackMs` of time without faults."""
         troubles = sorted(self.history.troubles, key=lambda it: it.at)
         for version in self.history.versions:
             if not version.valid or version.at > self._over:
--- a/amberlug/cluster/simulation/machine.py
+++ b/amberlug/cluster/simulation/machine.py
@@ -1,4 +1,4 @@
-"""A simulated machine: its process is started, killed, frozen, rolled and wiped; its disk outlasts it."""
+"""A simulated machine: its process can be started, killed, frozen and shut down; its disk outlasts it."""
 
 from __future__ import annotations
 
@@ -26,10 +26,10 @@
 from amberlug.cluster.simulation.network import Host, Incarnation, Network, SimulatedRuntime
 from amberlug.cluster.storage.node import StorageNode
 
-OUTSIDE_S = 0.001  # from outside to a machine, one way
+OUTSIDE_S = 0.001  # one-way delay between a machine and its clients
 RESTART_S = 0.8
 WALL_S = 1.79e9
-STOP_S = 0.02  # a core's or a store's planned end
+STOP_S = 0.02  # between checks whether a control-plane or storage node may end
 BOUNDS = {
     "seedLagS": 3.0,
     "reuseAfterS": 2.0,
@@ -49,7 +49,7 @@
 
 
 class MachineHost(Protocol):
-    """The deployment that a machine belongs to, as far as the machine knows it."""
+    """What a machine needs of the deployment that it belongs to."""
 
     rng: random.Random
     clock: Clock
@@ -59,19 +59,19 @@
     sync_s: float
 
     def draw(self, what: str) -> random.Random:
-        """A random number generator of its own for one part."""
+        """Create a random number generator for one part."""
 
     def settings(self, machine: Machine) -> Settings:
-        """The settings file of a machine, as it is by now."""
+        """The current settings file of a machine."""
 
     def failed(self, life: Incarnation, error: AssertionError) -> None:
-        """An invariant is broken in a process: it ends."""
+        """Handle a failed assertion in a process, which ends it."""
 
     def endpoint_client(self, life: Incarnation) -> Endpoints:
-        """What a process calls endpoints by."""
+        """Create the endpoint client of a process."""
 
     def on_process_ended(self, life: Incarnation) -> None:
-        """A process has ended: endpoints see its connections closed."""
+        """Close the connections from a process that has ended to endpoints."""
 
 
 class Machine(Host):
@@ -103,12 +103,12 @@
 
     @property
     def part(self) -> Any:
-        """What runs here: an Edge, a Store or a Core."""
-        assert self.life is not None, "nothing runs here"
+        """The node that runs here: an EdgeNode, StorageNode or ControlNode."""
+        assert self.life is not None, "no process runs on this machine"
         return self.life.machine
 
     def start(self) -> None:
-        """Start the process, where none runs."""
+        """Power on, and start the process unless it runs already."""
         if self.up:
             return
         deployment = self.deployment
@@ -132,13 +132,13 @@
         life.do(part.begin)
 
     def kill(self) -> None:
-        """The process ends at once; its connections are reset."""
+        """Kill the process; its connections are reset."""
         if self.up:
             self._end(self.disk.lose if self.disk is not None else lambda: None)
 
     def _end(self, disk: Callable[[], None]) -> None:
         life = self.life
-        assert life is not None, "nothing runs here"
+        assert life is not None, "no process runs on this machine"
         self.deployment.history.mark(self.name, What.END)
         self.note_violations()
         life.over = True
@@ -152,7 +152,7 @@
         self.deployment.on_process_ended(life)
 
     def power_off(self) -> None:
-        """The machine is without power: all of it is silent."""
+        """Power off: the process ends, and its connections stay silent instead of being reset."""
         self.powered = False
         life = self.life
         if life is None or life.over:
@@ -168,7 +168,7 @@
             link.silence(1)
 
     def note_violations(self) -> None:
-        """Count as broken what the process that runs here has found broken itself."""
+        """Record the invariant violations that the running process has counted itself."""
         for name, count in self.part.counters.items() if self.up else ():
             if name.startswith(VIOLATION_PREFIX):
                 self.deployment.history.faults.append(Broken("INVARIANT", f"{self.name}: {name}, {count}"))
@@ -185,13 +185,13 @@
             self.life.thaw(self.deployment.rng)
 
     def wipe(self) -> None:
-        """The disk is empty from now on; nothing runs here."""
-        assert not self.up, "a disk is wiped while its machine is down"
+        """Empty the disk; the process must not be running."""
+        assert not self.up, "a disk is wiped only while its machine is down"
         if isinstance(self.disk, ControlDisk | MessageDisk):
             self.disk.wipe()
 
     def term(self) -> None:
-        """The process is told to end, winds up as the program does and ends."""
+        """Request an orderly shutdown; the process ends once idle, an edge node also after its grace."""
         life = self.life
         if life is None or life.over:
             return
--- a/amberlug/cluster/simulation/model_checker.py
+++ b/amberlug/cluster/simulation/model_checker.py
@@ -1,11 +1,11 @@
-"""All interleavings of the core's agreement among three members and a newcomer, to some depth.
-
-A step is one of: a member's patience ends and it stands for election; a message is delivered, and its disk
-syncs or waits; a disk syncs what waits; a member loses power with what was not synced, or all of its disk; a
-leader is given a command, or makes any change of the membership by one member (let in, made a voter, made a
-learner, removed); a member cuts its log and keeps a snapshot; one whose removal its leader takes for done is
-taken away with its disk. What is never delivered is lost. A branch ends where the same state was seen with as
-many steps left.
+"""Explores all interleavings of Raft among three members and a fourth that may join, to a bounded depth.
+
+A step is one of: a member's election timeout expires and it starts an election; a message is delivered, and
+the receiver's disk syncs or delays its writes; a disk syncs delayed writes; a member loses power with its
+unsynced writes, or loses its whole disk; a leader gets a command, or changes the membership by one member
+(added, made a voter, made a learner, removed); a member compacts its log into a snapshot; a member whose
+removal its leader reports as complete is taken away with its disk. A message that is never delivered is lost.
+A branch ends where the same state was already visited with at least as many steps left.
 """
 
 from __future__ import annotations
@@ -38,48 +38,48 @@
 
 NAMES = ("a", "b", "c")
 VOTERS = Members.from_wire({name: {"addr": name, "voter": True} for name in NAMES})
-NEW = "d"  # the newcomer: no member at first
-RNG = random.Random(1)  # decides nothing here: no timer fires
-STEP_S = 1.0  # what was heard before a step is heard no more after it
-Step = tuple[str, str, int]  # what, whose, which message
+NEW = "d"  # not a member at first
+RNG = random.Random(1)  # has no effect here, since timers never fire
+STEP_S = 1.0  # long enough that contact with a leader before a step has expired after it
+Step = tuple[str, str, int]  # action, member, number of a message or change
 Rows = list[tuple[str, tuple[Any, ...]]]
 
 
 class FoundError(Exception):
-    """An invariant does not hold."""
+    """An invariant is violated."""
 
 
 @dataclass(frozen=True, slots=True)
 class Start:
-    """What the members' disks hold at first, and how often what may happen."""
+    """An initial state: the contents of the members' disks, and how often each kind of step may be taken."""
 
-    disks: dict[str, tuple[int, str, list[int]]]  # by member: term, vote, the terms of its entries
+    disks: dict[str, tuple[int, str, list[int]]]  # by member: term, vote, terms of the log entries
     stands: int
-    losses: int  # of power
+    losses: int  # power losses
     wipes: int
-    first: tuple[tuple[str, str, str], ...] = ()  # steps taken before: what, whose, which message begins so
+    first: tuple[tuple[str, str, str], ...] = ()  # steps taken before: action, member, message prefix
     writes: int = 0
-    changes: int = 0  # of the membership
-    cuts: int = 0  # of logs
-    away: int = 0  # members that are taken away once they are removed
-    plan: Callable[[Play], None] | None = None  # what is done before, after that
+    changes: int = 0  # membership changes
+    cuts: int = 0  # log compactions
+    away: int = 0  # removed members that are taken away with their disks
+    plan: Callable[[Play], None] | None = None  # further setup, after those steps
 
 
 def _led(play: Play) -> None:
-    """The first leads, and all have its first entry."""
+    """Elect the first member, and replicate its first entry to all."""
     play.take(("stand", "a", 0))
     play.settle()
 
 
 def _change(play: Play, leader: str, name: str, voter: bool | None) -> None:
-    """A member is let in, made a voter or a learner, or removed (None), and all hear of it."""
+    """Add a member, make it a voter or learner, or remove it (`voter` is None); all members learn of it."""
     for at, after in enumerate(play.changes(leader)):
         before = play.members[leader].raft.members.get(name)
         if after.get(name) != before and (after[name].is_voter if name in after else None) is voter:
             play.take(("change", leader, at))
             play.settle()
             return
-    raise AssertionError("no such change")
+    raise AssertionError("the leader has no such membership change")
 
 
 def _with_learner(play: Play) -> None:
@@ -97,7 +97,7 @@
     _change(play, "a", "c", None)
 
 
-# Fresh disks; and a leader with an entry of an older term, while another has one of its own of a newer term.
+# Empty disks; and a leader with an entry of an older term, while another member has one of a newer term.
 STARTS = {
     "fresh": Start({name: (0, "", []) for name in NAMES}, 2, 1, 1),
     "older": Start(
@@ -117,7 +117,7 @@
 }
 
 
-# With a newcomer, from a leader that all follow; the depth to which the tests look at all.
+# With a fourth member, starting from an elected leader; and the depth to which the tests explore.
 _EMPTY: dict[str, tuple[int, str, list[int]]] = {name: (0, "", []) for name in (*NAMES, NEW)}
 CHANGES = {
     "learner": (Start(_EMPTY, 1, 0, 0, writes=1, plan=_with_learner), 6),
@@ -138,12 +138,12 @@
 
 @dataclass(slots=True)
 class _Member:
-    """One member: its process, its disk, and what its disk was asked to write."""
+    """One member: its process, its disk, and the writes that are not synced yet."""
 
     saved: PersistentState
     raft: Any = None
     handlers: dict[str, Callable[..., None]] = field(default_factory=dict)
-    cluster_state: Json = field(default_factory=dict)  # what was applied
+    cluster_state: Json = field(default_factory=dict)  # applied commands by index
     waiting: list[tuple[Rows, OnWritten]] = field(default_factory=list)
     life: int = 0
 
@@ -159,7 +159,7 @@
 
 
 class _ModelRuntime:
-    """The world as one life of a member sees it; only explicit steps make anything happen."""
+    """The runtime of one incarnation of a member; nothing happens but through explicit steps."""
 
     def __init__(self, play: Play, name: str) -> None:
         self.play, self.name, self.rng = play, name, RNG
@@ -197,7 +197,7 @@
 
 
 class Play:
-    """One sequence of steps, from a start."""
+    """One sequence of steps from an initial state."""
 
     def __init__(
         self, start: Start, blank: Callable[[str, int], PersistentState], like: Play | None = None
@@ -216,7 +216,7 @@
         self._numbers = 0
         self.leaders: dict[int, str] = {}
         self.committed: dict[int, Entry] = {}
-        self.committed_in: dict[int, int] = {}  # the term of the leader that committed an entry
+        self.committed_in: dict[int, int] = {}  # by index, the term of the leader that committed the entry
         self.members: dict[str, _Member] = {}
         for name, (term, vote, entries) in start.disks.items():
             rows = [Entry(it, None) for it in entries]
@@ -237,7 +237,7 @@
             self.left = left
 
     def _copy(self, like: Play) -> None:
-        """Be as another play of this start whose messages have all come and whose disks have synced."""
+        """Copy the state of another run of the same start without messages in flight or unsynced writes."""
         assert not like.messages, "messages can't be copied"
         self.now, self._numbers = like.now, like._numbers
         self.leaders, self.committed = dict(like.leaders), dict(like.committed)
@@ -276,7 +276,7 @@
         member.raft.leader_contact_at = -1e9
 
     def post(self, to: str, text: str, act: Callable[[], None]) -> None:
-        """A message is under way; one that says the same to the same does nothing new."""
+        """Put a message in flight, unless an identical one to the same member is already."""
         if any(it.to == to and it.text == text for it in self.messages.values()):
             return
         self._numbers += 1
@@ -285,9 +285,9 @@
     # -- steps
 
     def steps(self) -> list[Step]:
-        """What may happen next."""
+        """List all steps that are possible now."""
         found: list[Step] = []
-        late = self.left["power"] > 0  # what is not synced matters to who may lose it
+        late = self.left["power"] > 0  # unsynced writes matter only if they can be lost
         for number, message in self.messages.items():
             found.append(("deliver", message.to, number))
             if late:
@@ -311,7 +311,7 @@
         return found
 
     def changes(self, leader: str) -> list[Members]:
-        """All memberships that a leader could go to from its own by one member."""
+        """All memberships that differ from a leader's by one member."""
         members: Members = self.members[leader].raft.members
         after = [members.with_member(name, it.with_vote(not it.is_voter)) for name, it in members.items()]
         after += [members.without(name) for name in members]
@@ -320,7 +320,7 @@
         return [it for it in after if it.voters]
 
     def _let_go(self, raft: Any, name: str) -> bool:
-        """Whether operators may take away a member: this leader says that it is removed."""
+        """Whether operators may take away a member, since this leader reports its removal as complete."""
         told = (
             raft.role is Role.LEADER
             and raft.is_membership_committed
@@ -331,7 +331,7 @@
         )
 
     def take(self, step: Step) -> None:
-        """Have it happen, and look whether all is still well."""
+        """Take a step, and check the invariants."""
         what, name, number = step
         self.now += STEP_S
         member = self.members[name]
@@ -345,7 +345,7 @@
             self.left[what] -= 1
             if what == "stand":
                 member.raft.election.start(member.raft.term + 1, True)
-                self._sync(member)  # what it may have lost before is lost in another step
+                self._sync(member)  # a power loss before this sync is explored as another step
             elif what == "write":
                 member.raft.propose({"n": self.left[what]}, lambda result: None)
                 self._sync(member)
@@ -367,7 +367,7 @@
         self._check()
 
     def settle(self) -> None:
-        """Take the steps that bring all messages, and those that they bring about."""
+        """Deliver all messages, and those sent in response, until none is left."""
         while self.messages:
             number, message = next(iter(self.messages.items()))
             self.take(("deliver", message.to, number))
@@ -381,7 +381,7 @@
         for _, then in waiting:
             then(None)
 
-    # -- what must hold
+    # -- invariants
 
     def _check(self) -> None:
         for name, member in self.members.items():
@@ -393,7 +393,7 @@
                 for index, entry in self.committed.items():
                     at = index - raft.log.base_index - 1
                     if raft.term <= self.committed_in[index]:
-                        continue  # one that does not know yet that it leads no more may lack it
+                        continue  # a leader that has not noticed a newer one may lack it
                     if index > raft.log.last_index or (at >= 0 and raft.log.entries[at] != entry):
                         raise FoundError(f"{name} leads without the entry that was committed at {index}")
             for index in range(raft.log.base_index + 1, raft.commit_index + 1):
@@ -404,7 +404,7 @@
         self._check_majorities()
 
     def _membership(self, upto: int) -> Members:
-        """The newest one that is committed up to an entry."""
+        """The newest membership that is committed up to an index."""
         for index in range(upto, 0, -1):
             members = self.committed[index].members
             if members is not None:
@@ -412,18 +412,18 @@
         return VOTERS
 
     def _check_book(self, name: str, member: _Member) -> None:
-        """What a snapshot holds is what was committed, and its members are the newest of then."""
+        """A snapshot holds only committed commands, and the newest membership at its index."""
         raft = member.raft
         for index, command in member.cluster_state.items():
             if int(index) <= raft.log.snapshot_index and self.committed[int(index)][1] != command:
                 raise FoundError(f"{name} holds a snapshot of what was not committed at {index}")
-        # A newcomer does not know the founders, who stand in no entry; its own coming is a later one.
+        # A new member does not know the founding members, which no entry lists; a later entry added it.
         snap = raft.log.snapshot_index
         if snap and raft.log.snapshot_members and raft.log.snapshot_members != self._membership(snap):
             raise FoundError(f"{name} holds a snapshot with members that were not the newest")
 
     def _check_majorities(self) -> None:
-        """No majority of the newest leader's voters is disjoint from one of the newest agreed voters."""
+        """Majorities of the newest leader's voters and of the newest committed voters always overlap."""
         leaders = [it.raft for it in self.members.values() if it.raft.role is Role.LEADER]
         if not leaders:
             return
@@ -435,7 +435,7 @@
                 raise FoundError(f"majorities of {sorted(theirs)} and {sorted(ours)} can be disjoint")
 
     def _check_copies(self, name: str) -> None:
-        """As a member is taken away a majority of the rest has what is committed, but for lost disks."""
+        """As a member is taken away, a majority of the rest, minus lost disks, has all committed entries."""
         raft = next(it.raft for it in self.members.values() if self._let_go(it.raft, name))
         saved = [self.members[it].saved for it in raft.members.voters]
         lost = sum(1 for key, it in zip(raft.members.voters, saved, strict=True) if it.member_id != key)
@@ -450,7 +450,7 @@
                 raise FoundError(f"{name} is taken away and leaves {held} copies of the entry at {index}")
 
     def state(self) -> int:
-        """What the future depends on."""
+        """A hash of everything that later steps depend on."""
         members = []
         for name, it in self.members.items():
             raft = it.raft
@@ -485,7 +485,7 @@
 
 
 def _parts_of(raft: RaftNode) -> tuple[object, ...]:
-    """The objects that make up a member's state in memory."""
+    """The objects that hold the in-memory state of a member."""
     return (
         raft,
         raft.log,
@@ -499,7 +499,7 @@
 
 
 def _compact(raft: RaftNode) -> None:
-    """Have a member keep a snapshot and no entry that it covers."""
+    """Compact the log of a member into a snapshot that leaves no entry behind."""
     with patch.object(log, "TAIL_ENTRIES", 0):
         raft.log.compact(raft.last_applied, raft.state_machine.snapshot())
 
@@ -520,11 +520,11 @@
             offset = index - saved.snapshot_index - 1
             saved.entries[offset : offset + 1] = [Entry(term, command)]
         case row:
-            raise AssertionError(f"no member starts a new incarnation here: {row}")
+            raise AssertionError(f"unexpected row: no member starts a new incarnation here: {row}")
 
 
 class _Disk:
-    """Writes wait for a step."""
+    """A disk whose writes wait until a step syncs them."""
 
     def __init__(self, member: _Member, life: int) -> None:
         self.member, self.life = member, life
@@ -535,22 +535,22 @@
 
 
 def stranger(name: str, life: int) -> PersistentState:
-    """What a wiped member comes back as: another one."""
+    """The state of a wiped member: it returns with a new id and no members."""
     return PersistentState(f"{name}/{life}", members=Members())
 
 
 def old_self(name: str, life: int) -> PersistentState:
-    """A fault: a wiped member comes back under the name that it had."""
+    """A faulty state of a wiped member: it returns with the id that it had."""
     return PersistentState(name, members=VOTERS)
 
 
 @dataclass(frozen=True, slots=True)
 class Explored:
-    """What was looked at, and the first steps that break an invariant."""
+    """The result of an exploration: its size, and the first violation with the steps to it."""
 
     states: int
     steps: int
-    whole: bool  # whether all states to this depth were looked at
+    whole: bool  # whether all states to this depth were visited
     found: str = ""
     path: tuple[Step, ...] = ()
 
@@ -558,14 +558,14 @@
 def explore(
     start: Start, depth: int, blank: Callable[[str, int], PersistentState] = stranger, most: int = 1_000_000
 ) -> Explored:
-    """Look at all states that so many steps lead to; at `most` of them, if there are more."""
+    """Visit all states within `depth` steps of an initial state, but no more than `most` states."""
     seen: dict[int, int] = {}
     taken = 0
     path: list[Step] = []
     play = Play(start, blank)
     like = None if play.messages else Play(start, blank)
     todo: list[Iterable[Step]] = [iter(play.steps())]
-    stale = False  # whether the play has gone on beyond the path
+    stale = False  # whether the run has gone beyond `path` and must be rebuilt
     while todo:
         step = next(iter(todo[-1]), None)
         if step is None or len(seen) >= most:
--- a/amberlug/cluster/simulation/mutations.py
+++ b/amberlug/cluster/simulation/mutations.py
@@ -1,4 +1,4 @@
-"""Faults put into the program, each of which the simulation must find."""
+"""Mutations of the program, each of which the simulation must detect."""
 
 from __future__ import annotations
 
@@ -51,7 +51,7 @@
 
 
 def _first_sync() -> AbstractContextManager[Any]:
-    """202 before the second sync."""
+    """A message is accepted with 202 after a single synced copy."""
     on_reply = ReplicaWrite.on_reply
 
     def first(self: ReplicaWrite, disk: str, reply: Result[ReplicaWriteReply, RequestFailure]) -> None:
@@ -65,7 +65,7 @@
 
 
 def _old_vote() -> AbstractContextManager[Any]:
-    """A wiped voter votes as its old self, and nobody tells it what it had."""
+    """A wiped voter returns with its old member id, and is not told that it has lost entries."""
 
     def blank(settings: Settings, rng: Callable[[int], int]) -> PersistentState:
         return PersistentState(f"{settings.ip}/0", members=founding_members(settings))
@@ -75,12 +75,12 @@
 
 
 def _no_fence() -> AbstractContextManager[Any]:
-    """A take-over without a fence."""
+    """Storage nodes accept writes of former shard owners."""
     return patch.object(StoredContents, "is_fenced", lambda self, shard, epoch: False)
 
 
 def _drain_alone() -> AbstractContextManager[Any]:
-    """A drain acknowledged by one machine alone."""
+    """A control-plane node acknowledges a drain without replicating it."""
 
     def depart(
         self: EndpointApi,
@@ -96,7 +96,7 @@
 
 
 def _config_back() -> AbstractContextManager[Any]:
-    """An edge takes any configuration that it hears, also one that it had before."""
+    """An edge node applies any configuration that it receives, including older ones."""
     offer, apply_routes = GossipStore.offer, EdgeNode.apply_routes
 
     def any_offer(self: GossipStore, key: str, version: list[int], value: Any) -> bool:
@@ -122,7 +122,7 @@
 
 
 def _order_lost() -> AbstractContextManager[Any]:
-    """A new owner has messages in the order of their names."""
+    """A new shard owner orders messages by their names."""
     recovered = ShardOwner.recovered
 
     def by_name(self: ShardOwner, recovery: ShardRecovery) -> None:
@@ -135,7 +135,7 @@
 
 
 def _unclear_refused() -> AbstractContextManager[Any]:
-    """A 503 after a write whose fate is open."""
+    """A submission whose outcome is unknown is answered with 503."""
     finish = _Submission._finish
 
     def reject(self: _Submission, outcome: AdmissionOutcome) -> None:
@@ -145,7 +145,7 @@
 
 
 def _forgotten_end() -> AbstractContextManager[Any]:
-    """Who gives a shard away forgets to tell what came of the calls that it still had out."""
+    """A former shard owner does not report the results of calls that were in flight at the handover."""
     call_finished = MessageDelivery._call_finished
 
     def forget(self: MessageDelivery, message: Message, result: CallResult) -> None:
@@ -158,7 +158,7 @@
 
 
 def _failed_early() -> AbstractContextManager[Any]:
-    """A name is answered `failed` while its message is open."""
+    """A status query is answered `failed` while the message is pending."""
     local_outcome = MessageLookup.local_outcome
 
     def failed(self: MessageLookup, message_id: str) -> MessageOutcome | None:
@@ -171,7 +171,7 @@
 
 
 def _rate_alone() -> AbstractContextManager[Any]:
-    """Each edge spends the whole rate of a service."""
+    """Each edge node uses the whole rate limit of a service."""
 
     def use_all(self: ServiceDispatchers, share: float) -> None:
         self._rate_share = share
@@ -183,7 +183,7 @@
 
 
 def _older_term() -> AbstractContextManager[Any]:
-    """What a majority has is committed, also where it is of an older term."""
+    """Entries of an older term are committed by counting replicas."""
 
     def advance(self: Replication) -> None:
         raft = self.raft
@@ -197,7 +197,7 @@
 
 
 def _removed_counts() -> AbstractContextManager[Any]:
-    """A voter that was removed still counts, as one who agrees, until the log is cut."""
+    """A removed voter still counts as agreeing until the log is compacted."""
 
     def majority(self: RaftNode, names: set[str]) -> bool:
         voters = self.members.voters
@@ -208,7 +208,7 @@
 
 
 def _dropped_early() -> AbstractContextManager[Any]:
-    """A lost disk is dropped before the owners have said that they need it no more."""
+    """A lost disk is dropped before the shard owners report that they no longer need it."""
 
     def drop(self: Reconciler, edges: dict[str, Session]) -> None:
         roster = self.cluster_state.roster
@@ -219,7 +219,7 @@
     return patch.object(Reconciler, "drop_replaced_disks", drop)
 
 
-# By name: the fault, and the aim of the days in which it is looked for.
+# By name: the mutation, and the scenario family in which it is looked for.
 MUTANTS: Mapping[str, tuple[Mutant, str]] = {
     "first-sync": (_first_sync, "closing"),
     "old-vote": (_old_vote, "core"),
@@ -244,5 +244,5 @@
 
 
 def mutated(name: str) -> AbstractContextManager[Any]:
-    """The program with a fault, while the context lasts; as it is where there is no name."""
+    """Apply a mutation while the context lasts; none if the name is empty."""
     return MUTANTS[name][0]() if name else nullcontext()
--- a/amberlug/cluster/simulation/mutations_answers.py
+++ b/amberlug/cluster/simulation/mutations_answers.py
@@ -1,4 +1,4 @@
-"""Faults of whose answer an answer is, on the four kinds of link."""
+"""Mutations of how responses are matched to requests, on the four kinds of link."""
 
 from __future__ import annotations
 
@@ -32,12 +32,12 @@
 
 
 def _answer_by_order() -> AbstractContextManager[Any]:
-    """The next answer on a connection is taken for the call's, whatever attempt it names."""
+    """The next response on a connection is matched to the call, whatever attempt id it has."""
     return patch.object(EndpointClient, "is_response_to", staticmethod(lambda call, response: True))
 
 
 def _attempt_by_order() -> AbstractContextManager[Any]:
-    """An attempt is called again where a second copy of its last answer may still come."""
+    """An attempt is repeated on a connection where a second copy of its last response may still arrive."""
     pop_idle = EndpointClient._pop_idle
     return patch.object(
         EndpointClient, "_pop_idle", lambda self, address, attempt: pop_idle(self, address, "")
@@ -45,17 +45,17 @@
 
 
 def _read_answer_lost() -> AbstractContextManager[Any]:
-    """An answer that a process which was held up has read is taken for silence."""
+    """A response that a delayed process has already read is treated as a timeout."""
     return patch.object(EndpointClient, "_completed_response", staticmethod(lambda waiter: None))
 
 
 def _silent_open() -> AbstractContextManager[Any]:
-    """A call that has had its time is left under way, and its message is called again."""
+    """A call that timed out is not aborted, and its message is called again."""
     return patch.object(Link, "close", lambda self: None)
 
 
 def _sent_again() -> AbstractContextManager[Any]:
-    """A call whose connection breaks off is sent a second time at once, as HTTP clients do."""
+    """A call whose connection is lost is retried at once, as HTTP clients do."""
     attempt = EndpointClient._try
 
     async def again(self: EndpointClient, delivery: EndpointCall) -> CallResult:
@@ -67,7 +67,7 @@
 
 @contextmanager
 def _extra_kept() -> Iterator[None]:
-    """A connection is used again although more has come on it than answers."""
+    """A connection is reused although it received unsolicited data."""
 
     def finish(self: Link) -> None:
         if self._limit is not None:
@@ -90,7 +90,7 @@
 
 @contextmanager
 def _reply_by_order() -> Iterator[None]:
-    """The next reply on a connection is taken for the oldest ask's, whatever number it names."""
+    """The next reply on a connection is matched to the oldest request, whatever its number."""
     received = ClientConnection.data_received
 
     def in_order(self: ClientConnection, data: bytes) -> None:
@@ -103,7 +103,7 @@
 
 
 class _Oldest(dict[int, Any]):
-    """Gives its oldest item for any key."""
+    """A dict whose `pop` returns the oldest item for any key."""
 
     def pop(self, key: int, *default: Any) -> Any:
         return super().pop(next(iter(self), key), *default)
@@ -111,7 +111,7 @@
 
 @contextmanager
 def _reply_after_replacement() -> Iterator[None]:
-    """Each connection numbers its asks anew, and replies go back on the newest connection from the asker."""
+    """Each connection numbers requests from 1, and replies use the newest connection from the sender."""
     respond_to, request = ServerConnection._respond_to, PeerTransport.request
     newest: dict[tuple[ConnectionOwner, str], ServerConnection] = {}
 
@@ -135,19 +135,19 @@
 
 
 def _unsent_after_dial() -> AbstractContextManager[Any]:
-    """A dial that is given up as it comes up counts as unsent."""
+    """A request counts as not sent if its connection attempt is given up as it succeeds."""
     return patch.object(ClientConnection, "on_connect_failed", lambda self: self.end(RequestFailure.NOT_SENT))
 
 
 def _answer_to_next() -> AbstractContextManager[Any]:
-    """A second answer to a request goes to whatever its connection has open by then."""
+    """A second response to a request goes to whatever request its connection serves by then."""
     return patch.object(
         HttpResponder, "__call__", lambda self, response: self._connection.respond(response, False)
     )
 
 
 def _answer_again_within() -> AbstractContextManager[Any]:
-    """A request counts as answered only after its connection has gone on to the next one."""
+    """A request is marked as answered only after its connection has started the next one."""
 
     def respond(self: HttpResponder, response: Response) -> None:
         if self.is_used:
@@ -160,7 +160,7 @@
 
 @contextmanager
 def _answer_believed() -> Iterator[None]:
-    """Whatever comes next on a connection ends the message whose call is out there."""
+    """Any response on a connection ends the message whose call is in flight there."""
 
     def believe(message: Message, called: CallResult, max_attempts: int) -> CallOutcome:
         rest = tuple(it for it in called.headers if it[0] != "amberlug-attempt-id")
@@ -173,19 +173,19 @@
 
 @contextmanager
 def _out_elsewhere() -> Iterator[None]:
-    """Who takes a shard over calls at once what the owner before has out."""
+    """A new shard owner calls at once the messages that the former owner has in flight."""
     handover = ShardOwner.on_handover
 
     def nothing_out(self: ShardOwner, message: Handover, origin: str, respond: Responder) -> None:
         handover(self, replace(message, in_flight=()), origin, respond)
 
-    nothing_out.__dict__.update(handover.__dict__)  # the message that it handles
+    nothing_out.__dict__.update(handover.__dict__)  # its declared message type
     with patch.object(ShardOwner, "on_handover", nothing_out):
         yield
 
 
 def _order_again() -> AbstractContextManager[Any]:
-    """A command whose forwarding timed out is forwarded a second time."""
+    """A command whose outcome is unknown is forwarded a second time."""
     submit = CommandService.submit
 
     def twice(self: CommandService, command: SubmittedCommand, on_outcome: OutcomeCallback) -> None:
--- a/amberlug/cluster/simulation/mutations_frames.py
+++ b/amberlug/cluster/simulation/mutations_frames.py
@@ -1,4 +1,4 @@
-"""Faults put into how the log is sent, kept and read back."""
+"""Mutations of how the Raft log is sent, stored and read back."""
 
 from __future__ import annotations
 
@@ -24,14 +24,14 @@
 
 
 def _batch_unbounded() -> AbstractContextManager[Any]:
-    """A message takes so many entries, whatever their size."""
+    """A message holds a number of entries, whatever their size."""
     return _both(
         patch.object(chunk_sender, "CHUNK_BYTES", 1 << 40), patch.object(log, "CHUNK_BYTES", 1 << 40)
     )
 
 
 def _members_left_behind() -> AbstractContextManager[Any]:
-    """A snapshot keeps the membership of the one before."""
+    """A snapshot keeps the membership of the previous snapshot."""
 
     def members_until(self: Log, index: int) -> Members:
         return self.snapshot_members
@@ -40,7 +40,7 @@
 
 
 def _sum_unchecked() -> AbstractContextManager[Any]:
-    """What came in parts is taken whether or not it is what was sent."""
+    """The checksum of a transfer in chunks is not verified."""
 
     def verified(self: IncomingTransfer) -> bytes | None:
         return bytes(self.data)
@@ -49,7 +49,7 @@
 
 
 def _part_missing() -> AbstractContextManager[Any]:
-    """A part is put behind the others, whichever it is, and the sum is not looked at."""
+    """Chunks are appended in any order, and the checksum is not verified."""
 
     def add(self: IncomingTransfer, offset_bytes: int, data: bytes) -> None:
         self.data += data
@@ -58,7 +58,7 @@
 
 
 def _part_from_the_start() -> AbstractContextManager[Any]:
-    """What goes in parts begins anew after a connection was lost."""
+    """A transfer in chunks restarts from the beginning after a connection is lost."""
 
     def lost(self: OutgoingTransfer, number: int = 0) -> None:
         self._in_flight.clear()
@@ -73,7 +73,7 @@
 
 
 def _snapshot_unsynced() -> AbstractContextManager[Any]:
-    """A snapshot counts as being on disk as soon as it is on its way there."""
+    """A snapshot counts as synced as soon as its write is queued."""
     save = Log._save
 
     def early(self: Log, rows: Any, write: Any, snapshot_index: int = 0) -> None:
@@ -84,7 +84,7 @@
 
 
 def _last_forgotten() -> AbstractContextManager[Any]:
-    """A restarted member forgets the last entry that it acknowledged."""
+    """A restarted member loses the last entry that it acknowledged."""
     assemble = persistent_state.assemble
 
     def forget(saved: PersistentState, rows: Iterable[StoredEntry]) -> PersistentState | None:
@@ -97,7 +97,7 @@
 
 
 def _beat_after_work() -> AbstractContextManager[Any]:
-    """The next beat is set once all was sent, and an error for one peer ends it."""
+    """The next heartbeat is scheduled after all sends, and an error for one peer stops heartbeats."""
 
     def send_heartbeats(self: Replication) -> None:
         raft = self.raft
@@ -118,11 +118,11 @@
 
 
 def _cut_by_count_alone() -> AbstractContextManager[Any]:
-    """The log is cut after so many entries, whatever their size."""
+    """The log is compacted after a number of entries, whatever their size."""
     return patch.object(log, "SNAPSHOT_BYTES", 1 << 40)
 
 
-# By name: the fault, and the aim of the days in which it may be looked for as well.
+# By name: the mutation, and a scenario family in which it may be looked for as well.
 FAULTS: Mapping[str, tuple[Callable[[], AbstractContextManager[Any]], str]] = {
     "batch-unbounded": (_batch_unbounded, "core"),
     "members-left-behind": (_members_left_behind, "storage"),
--- a/amberlug/cluster/simulation/mutations_losses.py
+++ b/amberlug/cluster/simulation/mutations_losses.py
@@ -1,4 +1,4 @@
-"""Faults in what guards against a second loss: copies, drops of disks, and stores that join."""
+"""Mutations of the protection against a second loss: replicas, dropped disks, joining storage nodes."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 def _retire_short() -> AbstractContextManager[Any]:
-    """A store that is emptied counts as one of the copies of what it holds."""
+    """A retiring storage node still counts as a replica."""
 
     def is_write_quorum(self: Replicator, disks: Set[str]) -> bool:
         return self.is_quorum(
@@ -35,7 +35,7 @@
 
 
 def _last_short() -> AbstractContextManager[Any]:
-    """A disk is dropped though one message still lacks a copy."""
+    """A disk is dropped while one message is still under-replicated."""
     drop = Reconciler.drop_replaced_disks
 
     def early(self: Reconciler, edges: dict[str, Session]) -> None:
@@ -50,7 +50,7 @@
 
 
 def _one_zone() -> AbstractContextManager[Any]:
-    """Copies are counted by machines, wherever they stand."""
+    """Replicas are counted by machine, whatever their zones."""
 
     def hold(self: Replicator, disks: Set[str]) -> bool:
         names = {self.stores[disk].name for disk in disks if disk in self.stores}
@@ -61,7 +61,7 @@
 
 
 def _old_epoch() -> AbstractContextManager[Any]:
-    """A store that joins takes puts of whoever owned shards before."""
+    """A joining storage node accepts writes of former shard owners."""
 
     def fence_nobody(self: Enrollment, table_index: int) -> list[FenceRow]:
         return []
@@ -70,12 +70,12 @@
 
 
 def _unfenced_drop() -> AbstractContextManager[Any]:
-    """A take-over that serves counts as fenced everywhere."""
+    """A recovered shard counts as fenced on all storage nodes."""
     return patch.object(ShardOwner, "unfenced_recoveries", 0)
 
 
 def _blind_drop() -> AbstractContextManager[Any]:
-    """Owners say that nothing lacks a copy, before they have looked."""
+    """Shard owners report no under-replicated messages before they have checked."""
     progress = ReplicaRepair.progress
 
     def nothing_lacks(self: ReplicaRepair) -> EdgeAttributes:
--- a/amberlug/cluster/simulation/mutations_outcomes.py
+++ b/amberlug/cluster/simulation/mutations_outcomes.py
@@ -1,4 +1,4 @@
-"""Faults in what keeps the outcomes of messages, and in what look-ups may answer."""
+"""Mutations of how outcomes of messages are stored, and of what lookups may answer."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 def _outcomes_unrepaired() -> AbstractContextManager[Any]:
-    """Disks are dropped while outcomes are left on too few others."""
+    """Disks are dropped while outcomes are under-replicated."""
 
     def repair_nothing(self: OutcomeRepairs, shards: Iterable[int]) -> None:
         pass
@@ -26,7 +26,7 @@
 
 
 def _any_answer() -> AbstractContextManager[Any]:
-    """The first storage node that answers a look-up speaks for all."""
+    """The first storage node that answers decides a lookup."""
 
     def covers_all_messages(self: Replicator, disks: Set[str]) -> bool:
         return bool(disks)
@@ -35,7 +35,7 @@
 
 
 def _single_end() -> AbstractContextManager[Any]:
-    """A look-up tells an end that one disk alone knows."""
+    """A lookup reports an outcome that only one disk has."""
 
     def finish(self: _OutcomeQuery, ended: Acknowledgement) -> None:
         self._finish(ended.outcome)
@@ -44,17 +44,17 @@
 
 
 def _end_from_memory() -> AbstractContextManager[Any]:
-    """An owner tells an end before any storage node has learned it."""
+    """A shard owner reports an outcome before any storage node has stored it."""
     return patch.object(OutcomeDelivery, "is_unconfirmed", lambda self, message_id: False)
 
 
 def _unsynced_outcome() -> AbstractContextManager[Any]:
-    """A storage node tells outcomes, and takes them for written, before they are synced."""
+    """A storage node reports and acknowledges outcomes before they are synced."""
     return patch.object(StoredMessage, "durable_outcome", property(lambda self: self.outcome))
 
 
 def _recovered_counts() -> AbstractContextManager[Any]:
-    """A message that was recovered from one disk is acknowledged as if it were on enough."""
+    """A message recovered from one disk is acknowledged as if it had enough replicas."""
     return patch.object(MessageDelivery, "_is_safe", lambda self, message_id: True)
 
 
--- a/amberlug/cluster/simulation/mutations_partitions.py
+++ b/amberlug/cluster/simulation/mutations_partitions.py
@@ -1,4 +1,4 @@
-"""Faults of a core machine that is cut off, and of orders at both sides: days of `control` find them."""
+"""Mutations of partitioned control-plane nodes and of commands on both sides, for the family `control`."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 def _unconfirmed_refusal() -> AbstractContextManager[Any]:
-    """A relay that takes itself for the leader answers orders from its own book, without a majority."""
+    """A node that believes it leads answers commands from its own state, without a majority."""
 
     def at_once(self: CommandExecutor, action: Callable[[], None], on_outcome: OutcomeCallback) -> None:
         action()
@@ -27,7 +27,7 @@
 
 
 def _unconfirmed_edge() -> AbstractContextManager[Any]:
-    """An edge serves what it has heard from any control relay, confirmed or not."""
+    """An edge node serves state from any control-plane node, confirmed or not."""
 
     def take(self: SessionClient, epoch: int) -> None:
         self.is_confirmed = True
@@ -37,7 +37,7 @@
 
 @contextmanager
 def _session_alone() -> Iterator[None]:
-    """A control relay without a majority goes on answering hellos, beats and announcements with ok."""
+    """A control-plane node without a majority keeps accepting sessions, heartbeats and announcements."""
     with (
         patch.object(QuorumContact, "is_in_contact", PropertyMock(return_value=True)),
         patch.object(QuorumContact, "staleness_s", lambda self: 0.0),
@@ -46,7 +46,7 @@
 
 
 def _announce_alone() -> AbstractContextManager[Any]:
-    """A control relay without a majority acknowledges announcements, and names itself for later beats."""
+    """A node without a majority acknowledges announcements, and names itself for later heartbeats."""
     announce, heartbeat_address = EndpointApi.announce, EndpointApi.heartbeat_address
 
     def any_announce(self: EndpointApi, request: HttpRequest, name: str, respond: RespondHttp) -> None:
@@ -60,7 +60,7 @@
         return heartbeat_address(self, zone)
 
     return _both(
-        # The call's declaration stands on the function that is replaced.
+        # The route declaration is stored on the function that is replaced.
         patch.object(EndpointApi, "announce", _like(announce, any_announce)),
         patch.object(EndpointApi, "heartbeat_address", any_address),
     )
@@ -78,7 +78,7 @@
 
 
 def _same_number() -> AbstractContextManager[Any]:
-    """Whoever sends an edition's number is told that it was taken, whatever it holds."""
+    """A configuration with a known edition number is acknowledged, whatever its content."""
     check = ClusterState.check_config
 
     def by_number(self: ClusterState, base_version: int, version: int, call_hash: str) -> CommandResult:
@@ -89,13 +89,13 @@
 
 
 def _repeat_refused() -> AbstractContextManager[Any]:
-    """A snapshot leaves out which changes were taken: one that is sent again is refused."""
+    """Snapshots omit the hashes of accepted changes, so that a repeated change is rejected."""
     to_json = ClusterState.to_json
     return patch.object(ClusterState, "to_json", lambda self: {**to_json(self), "hashes": {}})
 
 
 def _old_read() -> AbstractContextManager[Any]:
-    """A relay answers reads of the configuration from its own book."""
+    """A node answers reads of the configuration from its own state."""
 
     def read(self: ConfigService, request: HttpRequest, name: str, respond: RespondHttp) -> None:
         config = self.cluster_state.config
@@ -104,7 +104,7 @@
     return patch.object(ConfigService, "read", _like(ConfigService.read, read))
 
 
-# By name: the fault, and the aim of the days in which it is looked for.
+# By name: the mutation, and the scenario family in which it is looked for.
 FAULTS: Mapping[str, tuple[Callable[[], AbstractContextManager[Any]], str]] = {
     "unconfirmed-refusal": (_unconfirmed_refusal, "control"),
     "unconfirmed-edge": (_unconfirmed_edge, "control"),
--- a/amberlug/cluster/simulation/mutations_voters.py
+++ b/amberlug/cluster/simulation/mutations_voters.py
@@ -1,4 +1,4 @@
-"""Faults put into the core's membership, and into what its book keeps."""
+"""Mutations of Raft membership, and of what the cluster state keeps."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 def _voters_in_one_zone() -> AbstractContextManager[Any]:
-    """Voters are chosen by name alone."""
+    """Voters are chosen by name, whatever their zones."""
 
     def by_name(members: Iterable[MemberStatus], tolerance: Tolerance, leader: str) -> list[MemberStatus]:
         candidates = [it for it in members if (it.is_alive if it.is_voter else it.is_eligible)]
@@ -33,7 +33,7 @@
 
 @contextmanager
 def _learner_votes() -> Iterator[None]:
-    """A learner's word counts as a voter's does, both for an election and for an entry."""
+    """Learners count as voters, both in elections and for commits."""
 
     def majority(self: RaftNode, names: set[str]) -> bool:
         return 2 * sum(1 for it in self.members if it in names) > len(self.members.voters)
@@ -58,19 +58,19 @@
 
 @contextmanager
 def _removal_before_copy() -> Iterator[None]:
-    """A member is removed as soon as its leader has written that down, whoever has its state."""
+    """A member is removed as soon as its leader has written the removal, whoever has its state."""
     agreed = patch.object(RaftNode, "is_membership_committed", property(lambda self: True))
     with agreed, patch.object(RaftNode, "change_members", _any_change):
         yield
 
 
 def _two_at_once() -> AbstractContextManager[Any]:
-    """A second change of the membership is begun before the first is committed."""
+    """A second membership change starts before the first is committed."""
     return patch.object(RaftNode, "change_members", _any_change)
 
 
 def _snapshot_old_members() -> AbstractContextManager[Any]:
-    """A snapshot loses the last membership that it covers."""
+    """A snapshot omits the newest membership that it covers."""
     compact = Log.compact
 
     def forget(self: Log, index: int, state: Json) -> None:
@@ -82,12 +82,12 @@
 
 
 def _put_back_votes() -> AbstractContextManager[Any]:
-    """A member whose folder was put back goes on as the one it was."""
+    """A member whose data folder was restored from an older copy continues as the same member."""
     return patch.object(RollbackGuard, "has_lost_entries", lambda self, acknowledged: False)
 
 
 def _editions_by_count() -> AbstractContextManager[Any]:
-    """The hashes of the newest 256 changes are kept, and no others."""
+    """Only the hashes of the newest 256 configuration changes are kept, whatever their age."""
     return patch.multiple(cluster_state, MIN_CONFIG_HASHES=256, MAX_CONFIG_HASHES=256)
 
 
--- a/amberlug/cluster/simulation/network.py
+++ b/amberlug/cluster/simulation/network.py
@@ -1,4 +1,4 @@
-"""Processes of simulated machines and their connections, as the transport and the kernel have them."""
+"""Simulated processes and their connections, with the behaviour of the peer transport and the kernel."""
 
 from __future__ import annotations
 
@@ -17,27 +17,27 @@
 from amberlug.cluster.simulation.boundary_digest import BoundaryDigest
 from amberlug.cluster.simulation.clock import Clock, Timer
 
-DIAL_S = 0.7  # until a connection that does not come up is given up
-GIVE_UP_S = 1.5  # until one whose bytes are not acknowledged is closed by the kernel
-AGAIN_S = (0.05, 0.6)  # after a cut, until the kernel sends again
-LOST_S = 0.2  # what a lost packet costs
-BETWEEN_REGIONS_S = 0.009  # more, one way
+DIAL_S = 0.7  # connect timeout
+GIVE_UP_S = 1.5  # until the kernel closes a connection with unacknowledged data
+AGAIN_S = (0.05, 0.6)  # after a partition, until the kernel retransmits
+LOST_S = 0.2  # delay of a lost packet, which is retransmitted
+BETWEEN_REGIONS_S = 0.009  # additional one-way delay
 
 
 class Host:
-    """A machine on the network, with the one process that may run on it."""
+    """A machine on the network, which runs at most one process."""
 
     def __init__(self, name: str, zone: str, address: str) -> None:
         self.name, self.zone, self.address = name, zone, address
         self.powered = True
         self.life: Incarnation | None = None
-        self.loss = 0.0  # part of its packets that are lost
-        self.rate = 0.0  # bytes a second that it sends and that it takes; 0: as many as there are
-        self.busy = [0.0, 0.0]  # until when it sends what is queued, and takes it
+        self.loss = 0.0  # fraction of its packets that are lost
+        self.rate = 0.0  # bytes per second that it sends, and receives; 0: unlimited
+        self.busy = [0.0, 0.0]  # when it has sent, and received, everything queued
 
 
 class Incarnation:
-    """One life of a process: what is to happen waits while it is frozen, and is dropped once it is over."""
+    """One incarnation of a process: events wait while it is frozen, and are dropped once it has ended."""
 
     def __init__(
         self, host: Host, number: int, failed: Callable[[Incarnation, AssertionError], None]
@@ -49,11 +49,12 @@
         self.frozen = False
         self.links: dict[str, Link] = {}
         self.incoming: dict[Link, None] = {}
-        self.calls: dict[Callable[[], None], None] = {}  # from outside and unanswered: what closes each
+        # Unanswered requests from outside: the function that closes each.
+        self.calls: dict[Callable[[], None], None] = {}
         self._waiting: list[Callable[[], None]] = []
 
     def do(self, act: Callable[[], None]) -> None:
-        """Have something happen in this process."""
+        """Run a callback in this process; a failed assertion ends the process."""
         if self.over:
             return
         if self.frozen:
@@ -65,7 +66,7 @@
             self._failed(self, error)
 
     def thaw(self, rng: random.Random) -> None:
-        """Run again: what has piled up happens, timers before or after what came from outside."""
+        """Resume: run the events that waited, with all timers either before or after all other events."""
         self.frozen = False
         waiting, self._waiting = self._waiting, []
         first = rng.random() < 0.5
@@ -75,24 +76,23 @@
 
 
 class Network:
-    """Addresses, delays, cuts and losses."""
+    """The network: addresses, delays, partitions and packet loss."""
 
     def __init__(self, clock: Clock, rng: random.Random, between_zones: float) -> None:
         self.clock, self.rng, self.between_zones = clock, rng, between_zones
         self.digest = BoundaryDigest(lambda: clock.now)
         self.hosts: dict[str, Host] = {}  # by address
-        self.regions: dict[str, str] = {}  # by zone; those of one region where there are none
+        self.regions: dict[str, str] = {}  # by zone; if empty, all zones are in one region
         self.numbers = itertools.count(1)
-        self.too_long = 0  # frames that were refused where they were packed
-        self._cuts: Counter[tuple[str, str]] = Counter()  # how many cuts hold each pair
+        self.too_long = 0  # frames that the sender rejected as too long
+        self._cuts: Counter[tuple[str, str]] = Counter()  # number of partitions that include each pair
         self._refused: Counter[tuple[str, str]] = Counter()
-        self.told: Callable[[frozenset[tuple[str, str]]], None] = (
-            lambda pairs: None
-        )  # hears of all that is cut
+        # Called with all partitioned pairs whenever they change.
+        self.told: Callable[[frozenset[tuple[str, str]]], None] = lambda pairs: None
         self._held: dict[Link, None] = {}
 
     def delay(self, a: Host, b: Host) -> float:
-        """How long a packet takes now."""
+        """Draw the one-way delay of a packet."""
         seconds = 0.0002 if a.zone == b.zone else self.between_zones
         if self.regions.get(a.zone) != self.regions.get(b.zone):
             seconds += BETWEEN_REGIONS_S
@@ -102,7 +102,7 @@
         return seconds + self.rng.expovariate(20000)
 
     def departure(self, a: Host, b: Host, size: int) -> float:
-        """When so many bytes have left the one machine and come in at the other, but for the delay."""
+        """When so many bytes have been sent and received at the hosts' rates, without the network delay."""
         at = self.clock.now
         for side, host in enumerate((a, b)):
             if host.rate:
@@ -110,20 +110,20 @@
         return at
 
     def is_cut(self, a: Host, b: Host) -> bool:
-        """Whether nothing gets from one to the other."""
+        """Whether packets from one host to the other are dropped."""
         return (a.name, b.name) in self._cuts
 
     def is_refused(self, a: Host, b: Host) -> bool:
-        """Whether what gets from one towards the other is answered by a reset."""
+        """Whether packets from one host to the other are answered by a reset."""
         return (a.name, b.name) in self._refused
 
     def cut(self, pairs: set[tuple[str, str]], refuse: bool = False) -> None:
-        """Nothing gets from the first to the second of each pair: it is silent, or what is sent is reset."""
+        """Partition pairs: packets from the first to the second host are dropped, or answered by a reset."""
         (self._refused if refuse else self._cuts).update(pairs)
         self._tell()
 
     def join(self, pairs: set[tuple[str, str]], refuse: bool = False) -> None:
-        """Undo a cut: what was held up arrives a little later, where its sender still waits."""
+        """End a partition: held data arrives a little later, unless its connection was closed meanwhile."""
         these = self._refused if refuse else self._cuts
         these.subtract(pairs)
         for pair in pairs:
@@ -141,14 +141,14 @@
         self._held[link] = None
 
     def link(self, source: Incarnation, to: str) -> Link:
-        """The connection of a process to an address; it is opened where there is none."""
+        """The connection of a process to an address, opened if there is none."""
         found = source.links.get(to)
         if found is None:
             found = source.links[to] = Link(self, source, to)
         return found
 
     def reset(self, host: Host, others: frozenset[str] | None = None) -> None:
-        """Reset the connections of a machine's process, all or those with these machines."""
+        """Reset the connections of a machine's process: all of them, or those with certain machines."""
         if host.life is not None:
             for link in [*host.life.links.values(), *host.life.incoming]:
                 if others is not None and not others & link.hosts:
@@ -158,13 +158,13 @@
 
 
 class Link:
-    """A connection that one process opened to another: words go out on it and replies come back."""
+    """A connection that one process opened to another: it carries messages there and replies back."""
 
     def __init__(self, net: Network, source: Incarnation, to: str) -> None:
         self.net, self.to = net, to
         self.ends: list[Incarnation | None] = [source, None]
         self.open = [True, False]
-        # What is said before it is up, with its size; None once it is up.
+        # Messages sent before the connection is open: number, size, delivery; None once it is open.
         self._waiting: list[tuple[int | None, int, Callable[[], None]]] | None = []
         self._asked: dict[int, tuple[ReplyCallback, Timer]] = {}
         self._last = [0.0, 0.0]
@@ -176,15 +176,15 @@
 
     @property
     def hosts(self) -> set[str]:
-        """The machines at its ends, as far as it is up."""
+        """The names of the machines that it connects; only the opener's until it is open."""
         return {it.host.name for it in self.ends if it is not None}
 
     def _host(self, side: int) -> Host:
         end = self.ends[side]
-        assert end is not None, "a connection that is up has two ends"
+        assert end is not None, "an open connection has two ends"
         return end.host
 
-    # -- coming up
+    # -- connecting
 
     def _not_up(self) -> None:
         if self._waiting is not None:
@@ -209,7 +209,7 @@
             for _, size, act in waiting:
                 self._transmit(0, size, act)
 
-    # -- words and replies
+    # -- messages and replies
 
     def send(self, message: RawMessage) -> None:
         """Send a notification."""
@@ -243,7 +243,7 @@
         self.net.digest.frame(here.name, target, number, word, text, blob)
 
     def _too_long(self, text: str, blob: bytes) -> bool:
-        """Whether a frame is refused where it is packed."""
+        """Whether the sender rejects a frame as too long; counts those."""
         if max(len(text), len(blob)) <= MAX_NETSTRING_BYTES:
             return False
         self.net.too_long += 1
@@ -266,8 +266,8 @@
 
     def _arrive(self, number: int | None, word: str, text: str, blob: bytes) -> None:
         life, source = self.ends[1], self.ends[0]
-        assert life is not None, "a word arrives somewhere"
-        assert source is not None, "a word comes from somewhere"
+        assert life is not None, "a message is delivered to a process"
+        assert source is not None, "a message has a sender"
 
         def respond(body: Json, blob: bytes = b"") -> None:
             if number is not None and self.open[1]:
@@ -318,7 +318,7 @@
         if not there.powered:
             self._await_acknowledgement(side)
         elif not self.open[1 - side]:
-            # Nobody holds this connection there: it is reset.
+            # No process has this connection at the other end: it is reset.
             net.clock.call_later(
                 net.delay(there, here), lambda: self.close(side, RequestFailure.CONNECTION_LOST, False)
             )
@@ -336,14 +336,14 @@
             self.close(side, RequestFailure.CONNECTION_LOST, True)
 
     def flush(self) -> None:
-        """What was held up by a cut that is over arrives."""
+        """Deliver the data that a partition, which is over now, has held up."""
         for side in (0, 1):
             held, self._held[side] = self._held[side], []
             for act in held:
                 self._land(side, act)
 
     def close(self, side: int, why: RequestFailure, tell: bool) -> None:
-        """One end is closed, and the other one hears of it if it is told."""
+        """Close one end; the other end is notified if `tell`."""
         if not self.open[side]:
             return
         self.open[side] = False
@@ -367,13 +367,13 @@
             self._transmit(side, 0, partial(self.close, 1 - side, RequestFailure.CONNECTION_LOST, False))
 
     def silence(self, side: int) -> None:
-        """One end is without power: nothing more comes from it."""
+        """Close one end without notice, as a power loss does."""
         self.open[side] = False
         self._held[side] = []
 
 
 class SimulatedRuntime:
-    """The world as one life of a process sees it."""
+    """The runtime of one incarnation of a process: clock, timers and messages."""
 
     def __init__(self, net: Network, life: Incarnation, rng: random.Random, wall: float) -> None:
         self.net, self.life, self.rng, self._wall = net, life, rng, wall
@@ -390,7 +390,7 @@
         return timer
 
     def send(self, address: str, message: RawMessage) -> None:
-        if not self.life.over:  # it may end in the midst of something
+        if not self.life.over:  # the process may end during the call that sends
             self.net.link(self.life, address).send(message)
 
     def request(self, address: str, message: RawMessage, timeout_s: float, on_reply: ReplyCallback) -> None:
--- a/amberlug/cluster/simulation/operator.py
+++ b/amberlug/cluster/simulation/operator.py
@@ -1,4 +1,4 @@
-"""The operator: configurations whole or by items, invalid ones, races; each is sent until it is clear."""
+"""The operator: submits configurations whole or by items, valid or not, until the result is clear."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
 
 WITHIN_S = 1.0
 PAUSE_S = (0.05, 0.8)
-INSIST_S = 8.0  # a call whose answer is unclear is sent again for so long
-HARD_S = 30.0  # the same for one that goes to one relay alone, again and again
+INSIST_S = 8.0  # a command without a definite response is retried for so long
+HARD_S = 30.0  # the same for a command that goes to a single node only
 HARD_PAUSE_S = 0.25
-MOST = 8  # orders under way at once
-REPEAT_S = (0.0, 7.0)  # after an acknowledgement, until the same order is sent again
+MOST = 8  # concurrent commands
+REPEAT_S = (0.0, 7.0)  # from an acknowledgement until the same command is repeated
 CLEAR = (200, 400, 404, 409, 412, 413, 422)
 
 
@@ -58,23 +58,24 @@
 
 
 class Operator:
-    """Sends configurations."""
+    """Submits and reads configurations, and retires storage nodes."""
 
     def __init__(self, deployment: Deployment, first: Json) -> None:
         self.deployment, self.history, self.clock = deployment, deployment.history, deployment.clock
         self.rng = deployment.draw("operator")
-        self.edition, self.config = 0, first  # the newest that is known to be in force
+        self.edition, self.config = 0, first  # the newest that the operator knows to be in force
         self.busy = False
         self.under_way = 0
-        self.lost = 0.0  # part of the acknowledgements that are lost on their way
-        self.repeats = 0.0  # part of the acknowledged changes that are sent again later
-        self.retiring = ""  # the store that is to be emptied
-        self.on_acked: Callable[[Machine], None] = lambda core: None  # as the acknowledgement is sent
+        self.lost = 0.0  # fraction of the acknowledgements that are lost
+        self.repeats = 0.0  # fraction of the acknowledged changes that are repeated later
+        self.retiring = ""  # the storage node that is being retired
+        # Called as the acknowledgement of a change is sent.
+        self.on_acked: Callable[[Machine], None] = lambda core: None
         self._numbers = 0
         self._extra = 0
 
     def begin(self) -> None:
-        """Send the first configuration until it is taken."""
+        """Submit the first configuration until it is accepted."""
         self._send(self._version(self.config, True), "replace", lambda ok: None if ok else self.begin())
 
     def _version(self, config: Json, valid: bool, number: int = 0) -> Version:
@@ -90,10 +91,10 @@
         self.history.versions.append(version)
         return version
 
-    # -- what is sent
+    # -- changes
 
     def _changed(self) -> Json:
-        """Another configuration: a timeout, a route more or less, or a route that goes elsewhere."""
+        """Draw a changed configuration: another timeout, or a route added, removed or redirected."""
         config, rng = deepcopy(self.config), self.rng
         routes = config["routeTable"]
         extra = [it for it in routes if it["pathPrefix"].startswith("/x")]
@@ -111,7 +112,7 @@
         return config
 
     def change(self) -> None:
-        """Change the configuration."""
+        """Change the configuration, unless a change is in progress."""
         if not self.busy and self.edition:
             self.busy = True
             self._send(self._version(self._changed(), True), self._word(), self._free)
@@ -123,7 +124,7 @@
         self.busy = False
 
     def race(self) -> None:
-        """Two changes on top of one version."""
+        """Submit two concurrent changes of one version."""
         if not self.busy and self.edition:
             self.busy = True
             left = 2
@@ -136,10 +137,10 @@
             for version in [self._version(self._changed(), True) for _ in range(2)]:
                 self._send(version, self._word(), done)
 
-    # -- several at once
+    # -- concurrent commands
 
     def _taken_up(self) -> Callable[[bool], None]:
-        """One more order is under way, until what this gives is called."""
+        """Count one more command as in progress, until the returned callback is called."""
         self.under_way += 1
 
         def done(ok: bool) -> None:
@@ -148,12 +149,12 @@
         return done
 
     def order(self, to: Machine | None = None, hard: bool = False) -> None:
-        """Change the configuration, whatever else is under way: first, or `hard` always, at one relay."""
+        """Change the configuration concurrently: first at node `to`, and with `hard` at that node only."""
         if self.edition and self.under_way < MOST:
             self._send(self._version(self._changed(), True), self._word(), self._taken_up(), to, hard)
 
     def pair(self, to: Machine | None = None, other: Machine | None = None) -> None:
-        """Two operators change one version at once, first at these relays; they may pick the same number."""
+        """Have two operators change one version, first at the given nodes; they may pick the same edition."""
         if not self.edition or self.under_way + 2 > MOST:
             return
         first = self._version(self._changed(), True)
@@ -165,13 +166,13 @@
             self._send(version, self._word(), self._taken_up(), relay)
 
     def many(self) -> None:
-        """As many orders at once as there may be."""
+        """Send commands until the limit of concurrent ones is reached."""
         acts: list[Callable[[], None]] = [self.order, self.pair, self.read, self.invalid, self.retire]
         for _ in range(MOST - self.under_way):
             self.rng.choice(acts)()
 
     def read(self) -> None:
-        """Read the configuration at any relay, once."""
+        """Read the configuration once, at any control-plane node."""
         self._ask(Call("read", "", self._any(), self.clock.now), "GET", "/-/Configuration.Read", self._adopt)
 
     def _any(self) -> str:
@@ -182,7 +183,7 @@
             self.edition, self.config = call.said["edition"], call.said
 
     def _learn(self, tries: int = 6) -> None:
-        """A change lost its race, or another one is in force: look what is."""
+        """Read the configuration in force, after a change conflicted with another."""
 
         def then(call: Call) -> None:
             if call.status == 200:
@@ -193,7 +194,7 @@
         self._ask(Call("read", "", self._any(), self.clock.now), "GET", "/-/Configuration.Read", then)
 
     def retire(self) -> None:
-        """Have a store emptied, or ask how far it is."""
+        """Retire a storage node, or query the progress."""
         stores = [it.name for it in self.deployment.stores]
         if len(stores) > 3:
             self.retiring = self.retiring or self.rng.choice(stores)
@@ -215,7 +216,7 @@
         self.deployment.control(core, method, target, body, WITHIN_S, hear)
 
     def invalid(self) -> None:
-        """A configuration that must be refused."""
+        """Submit a configuration that must be rejected."""
         if self.busy or not self.edition:
             return
         config = deepcopy(self.config)
@@ -235,7 +236,7 @@
         self._send(version, "replace", lambda ok: None)
 
     def _modify(self, version: Version) -> Json:
-        """The same change by named items."""
+        """Express a change as named items to upsert and remove."""
         upsert: Json = {}
         remove: Json = {}
         for table in ("routeTable", "serviceTable"):
@@ -245,7 +246,7 @@
             remove[table] = [name for name in old if name not in new]
         return {"edition": version.edition, "upsert": upsert, "remove": remove}
 
-    # -- until it is clear
+    # -- retries
 
     def _send(
         self,
@@ -319,7 +320,7 @@
         again()
 
     def read_back(self, tries: int) -> None:
-        """At the end of a day: what is in force."""
+        """At the end of a run, read the configuration in force."""
 
         def hear(status: int, said: Any) -> None:
             if status == 200:
--- a/amberlug/cluster/simulation/quorum_contact.py
+++ b/amberlug/cluster/simulation/quorum_contact.py
@@ -1,4 +1,4 @@
-"""Which machines were in touch, and when the core was settled: what rules with a time bound hold for."""
+"""When machines were in contact and the control plane was stable; checks with a time bound need both."""
 
 from __future__ import annotations
 
@@ -9,22 +9,22 @@
 from amberlug.cluster.simulation.machine import BOUNDS
 
 CONTACT_S = BOUNDS["contactMs"] / 1000
-SLACK_S = 0.02  # beyond a window, for moments that fall together
-UPSETS = frozenset(("core", "store"))  # kinds of machines whose troubles unsettle the core
+SLACK_S = 0.02  # margin around a time window, for events that nearly coincide
+UPSETS = frozenset(("core", "store"))  # kinds of machines whose faults disturb the control plane
 
 
 @dataclass(frozen=True, slots=True)
 class _Span:
-    """A time in which nothing happened to machines or links; it ends where the next one begins."""
+    """A period without any event at machines or links; it ends where the next one begins."""
 
     at: float
     running: frozenset[str]
     cut: frozenset[tuple[str, str]]
-    leading: frozenset[str]  # core machines that reach more than half of the core, where any do
+    leading: frozenset[str]  # control-plane nodes that reach a majority
 
 
 class Contact:
-    """One play's machines and links over time."""
+    """The state of the machines and links of one run over time."""
 
     def __init__(self, history: History) -> None:
         self.history = history
@@ -71,7 +71,7 @@
         return self._spans[first : bisect_right(self._starts, until)]
 
     def _untold(self, since: float, until: float) -> bool:
-        """Whether there was trouble that events do not tell of."""
+        """Whether there was a fault that the events do not fully record."""
         return self.history.lossy or any(
             it.at <= until + SLACK_S and it.until >= since - SLACK_S
             for it in self.history.troubles
@@ -83,16 +83,16 @@
         return bisect_left(times, since - SLACK_S) < bisect_right(times, until + SLACK_S)
 
     def led(self, since: float, until: float) -> bool:
-        """Whether more than half of the core ran and was connected all the while."""
+        """Whether a majority of the control plane was running and connected throughout."""
         return not self._untold(since, until) and all(it.leading for it in self._between(since, until))
 
     def settled(self, since: float, until: float) -> bool:
-        """Whether the core was settled all the while."""
+        """Whether the control plane was stable throughout."""
         before = since - CONTACT_S
         return self.led(before, until) and not self._any(self._upsets, before, until)
 
     def reaches(self, machine: str, since: float, until: float) -> bool:
-        """Whether all was well with a machine, with paths to all that reach more than half of the core."""
+        """Whether a machine had no faults, and reached every control-plane node that reached a majority."""
         before = since - CONTACT_S
         if self._any(self._own.get(machine, []), before, until) or self._untold(before, until):
             return False
@@ -104,5 +104,5 @@
         return True
 
     def in_touch(self, machine: str, since: float, until: float) -> bool:
-        """Whether a machine was in touch all the while."""
+        """Whether a machine was in contact with a stable control plane throughout."""
         return self.reaches(machine, since, until) and self.settled(since, until)
--- a/amberlug/cluster/simulation/scenario_context.py
+++ b/amberlug/cluster/simulation/scenario_context.py
@@ -1,4 +1,4 @@
-"""What fault schedules know of the scenario that they act on."""
+"""The part of a scenario that fault schedules use."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class ScenarioContext(Protocol):
-    """A day that is played: its parts, and acts that several schedules share."""
+    """A running scenario: its parts, and actions that several schedules share."""
 
     aim: str
     rng: random.Random
@@ -29,13 +29,13 @@
         """Partition a machine from others for a while; returns the seconds for which it counts as lost."""
 
     def kill_one(self, machine: Machine) -> float:
-        """Kill a process, which starts again; returns the seconds for which it counts as lost."""
+        """Kill and restart a process; returns the seconds for which it counts as lost."""
 
     def leader(self) -> Machine | None:
-        """The control-plane node that leads, as far as one does."""
+        """The control-plane node that leads, if any."""
 
     def look_at_routes(self) -> None:
-        """Have clients use the routes that were added or removed of late."""
+        """Have clients use recently added or removed routes."""
 
     def replace_endpoint(self) -> float:
-        """Have an endpoint leave as planned and another one take its place."""
+        """Shut down an endpoint as planned, and start another one in its place."""
--- a/amberlug/cluster/simulation/scenarios.py
+++ b/amberlug/cluster/simulation/scenarios.py
@@ -1,4 +1,4 @@
-"""Days drawn from a seed: a deployment, a load and troubles, never more at once than must be borne."""
+"""Scenarios drawn from a seed: a deployment, a load and faults, never more at once than it must tolerate."""
 
 from __future__ import annotations
 
@@ -20,17 +20,17 @@
 from amberlug.cluster.simulation.operator import Operator, route, service
 from amberlug.cluster.simulation.storage_faults import StorageFaults
 
-TRAFFIC_S = 3.5  # machines start so long before traffic does
-AFTER_S = 10.0  # for what was accepted to be done
+TRAFFIC_S = 3.5  # from the start of the machines until traffic starts
+AFTER_S = 10.0  # from the end of traffic, for accepted messages to end
 QUESTIONS_S = 6.0
-BACK_S = BOUNDS["catchUpS"]  # a machine counts as lost so long after it is back
-CORE_CUT_S = (4.0, 4.4)  # on ordinary days
+BACK_S = BOUNDS["catchUpS"]  # a machine still counts as lost for this long after it returns
+CORE_CUT_S = (4.0, 4.4)  # duration of control-plane partitions outside the family `control`
 MAX_ATTEMPTS = 3
 
 
 @dataclass(frozen=True, slots=True)
 class Size:
-    """A deployment's size and its traffic."""
+    """The size of a deployment and its traffic."""
 
     zones: int
     edges: int
@@ -41,7 +41,7 @@
 
 
 class Day:
-    """One play of one seed."""
+    """One run of one seed, in a scenario family."""
 
     def __init__(self, seed: int, aim: str = "") -> None:
         self.aim = aim
@@ -55,7 +55,7 @@
             rng.uniform(20.0, 40.0),
         )
         if aim in ("closing", "core"):
-            # The fault is all that counts: many messages are under way when it strikes, or few.
+            # Only the final fault matters: it strikes while many messages are in flight, or few.
             size = self.size = replace(size, seconds=6.5, rate=100.0 if aim == "closing" else 8.0)
         elif aim == "storage":
             size = self.size = replace(size, seconds=36.0, rate=20.0)
@@ -98,7 +98,7 @@
             "limits": {"maxHeaderBytes": 16384},
         }
         self.operator = Operator(self.deployment, first)
-        self.compact = log.SNAPSHOT_ENTRIES  # entries in the core's log until a snapshot takes their place
+        self.compact = log.SNAPSHOT_ENTRIES  # Raft log entries between snapshots
         self.storage_faults = Losses(self) if aim.startswith("losses") else StorageFaults(self)
         self.control = Control(self)
         if delayed > 0.1:
@@ -106,12 +106,12 @@
                 assert machine.disk is not None, "stores have a disk"
                 machine.disk.sync_s = self.deployment.sync_s = 0.05
         if aim in ("closing", "core"):
-            # Machines differ in what they have on disk at any moment.
+            # Different sync times, so that the disks differ in their content at any time.
             for machine in self.deployment.stores + self.deployment.cores:
                 assert machine.disk is not None, "stores and cores have a disk"
                 machine.disk.sync_s = rng.choice((0.002, 0.05, 0.1))
-        self.end = 0.0  # of the troubles
-        self.home = ""  # the zone of all endpoints, where they stand in one
+        self.end = 0.0  # of the faults
+        self.home = ""  # the zone of all endpoints, if they are in one
         if aim == "control":
             if rng.random() < 0.4:
                 self.home = rng.choice(self.deployment.cores).zone
@@ -126,7 +126,7 @@
             self.history.lossy = True
 
     def play(self) -> list[Broken]:
-        """Play the day; the rules that broke."""
+        """Run the scenario; returns the violations."""
         with patch.object(log, "SNAPSHOT_ENTRIES", self.compact):
             return self._play()
 
@@ -155,10 +155,10 @@
             machine.note_violations()
         return Checker(self.history, MAX_ATTEMPTS).check()
 
-    # -- what is done
+    # -- faults
 
     def _plan(self, start: float, end: float) -> None:
-        """Draw what happens when. Losses of counted machines stand apart by what it takes to catch up."""
+        """Schedule faults and operations; losses of machines are apart by the time it takes to catch up."""
         rng, self.end = self.rng, end
         free = {"system": start, "other": start}
         system: list[Callable[[], float]] = [
@@ -238,7 +238,7 @@
         return seconds
 
     def kill_one(self, machine: Machine) -> float:
-        """A process ends at once, and starts again."""
+        """Kill a process, and restart it."""
         self.history.trouble(f"{machine.name} is killed", RESTART_S, marked=True)
         machine.kill()
         return self._restart(machine)
@@ -269,7 +269,7 @@
         return self._freeze_one(self._any(self.deployment.edges))
 
     def _term(self, machine: Machine) -> float:
-        """A planned stop and start; that of a core or a store unsettles the core like any trouble."""
+        """Restart as planned; of a control-plane or storage node, this counts as a fault."""
         self.history.trouble(f"{machine.name} is told to end", 7.0, planned=machine.kind == "edge")
         machine.term()
 
@@ -290,7 +290,7 @@
         return self._term(self._any(self.deployment.edges))
 
     def cut_off(self, machine: Machine, seconds: float, reset: bool = False) -> float:
-        """Cut links of one machine, one way or both, for a while; its connections may be reset as it ends."""
+        """Partition a machine from others, one way or both; its connections may be reset at the end."""
         others = self.deployment.machines
         if self.rng.random() < 0.5:
             others = self.rng.sample(others, len(others) // 2)
@@ -310,7 +310,7 @@
         return seconds
 
     def _core_cut(self) -> float:
-        """A core machine is cut off from the others, where it counts as lost no more by the closing fault."""
+        """Partition a control-plane node, unless it would still count as lost at the final fault."""
         control = self.control
         if self.clock.now + CORE_CUT_S[1] + BACK_S > self.end + 1.0:
             return self._cut()
@@ -331,7 +331,7 @@
         return self.cut_off(self._any(self.deployment.edges), self.rng.uniform(0.3, 4.0))
 
     def _drop_links(self) -> float:
-        """Reset the connections of one machine, or lose a part of its packets for a while."""
+        """Reset the connections of one machine, or have it lose some packets for a while."""
         machine = self._any(self.deployment.machines)
         if self.rng.random() < 0.5:
             self.history.trouble(f"the connections of {machine.name} are reset")
@@ -347,7 +347,7 @@
         return 3.0
 
     def _stall(self) -> float:
-        """A disk stalls, or is full for a while."""
+        """Stall a disk for a while, or have it full."""
         machine = self._any(self.deployment.stores + self.deployment.cores)
         disk = machine.disk
         assert disk is not None, "stores and cores have a disk"
@@ -366,7 +366,7 @@
         return seconds
 
     def leader(self) -> Machine | None:
-        """The core machine that takes itself for the leader."""
+        """The control-plane node that believes it is the leader, if any."""
         return next(
             (
                 it
@@ -377,7 +377,7 @@
         )
 
     def _leader_acks(self) -> float:
-        """Kill the relay that acknowledges a configuration, or the leader, at that moment."""
+        """Kill the node that acknowledges a configuration, or the leader, at that moment."""
         which = self.rng.random() < 0.5
 
         def strike(core: Machine) -> None:
@@ -396,7 +396,7 @@
         self.deployment.endpoint_fleet.on_drained = lambda core: None
 
     def _leader_drains(self) -> float:
-        """Kill the relay that acknowledges a drain, or the leader, at that moment."""
+        """Kill the node that acknowledges a drain, or the leader, at that moment."""
         which = self.aim == "drain" or self.rng.random() < 0.5
 
         def strike(core: Machine) -> None:
@@ -411,9 +411,9 @@
         return 2.0
 
     def _close(self) -> float:
-        """A closing fault: right after a configuration is acknowledged."""
+        """Inject the final fault, which hits all machines, as a configuration is acknowledged."""
         rng = self.rng
-        # On control days, a machine that was cut off may still count as lost: no disk goes besides.
+        # In the family `control`, a partitioned machine may still count as lost: no disk may be lost as well.
         hows = ("power", "kill") if self.aim == "control" else ("power", "kill", "wipe")
         what = "wipe" if self.aim in ("closing", "core") else rng.choice(hows)
         by_aim = {"core": self.deployment.cores, "closing": self.deployment.stores}
@@ -460,7 +460,7 @@
         return 0.0
 
     def replace_endpoint(self) -> float:
-        """An endpoint leaves as planned, and another one takes its place."""
+        """Shut down an endpoint as planned, and start another one in its place."""
         endpoint_fleet = self.deployment.endpoint_fleet
         victim = self.rng.choice(endpoint_fleet.up())
         endpoint_fleet.start(victim.kind.name, victim.zone)
@@ -481,7 +481,7 @@
         return 0.0
 
     def _answers_garbled(self) -> float:
-        """Answers of a service are cut, late, nameless or doubled for a while."""
+        """For a while, cut off, delay or repeat responses of a service, or omit their attempt id."""
         kind = self.rng.choice(list(self.deployment.endpoint_fleet.kinds.values()))
         seconds = self.rng.uniform(0.5, 3.0)
         self.history.say(f"{kind.name} garbles answers for {seconds:.1f} s")
@@ -499,7 +499,7 @@
         return 0.0
 
     def _changes(self) -> float:
-        """Two changes, the second as soon as the first is acknowledged."""
+        """Submit two changes, the second as soon as the first is acknowledged."""
 
         def again(core: Machine) -> None:
             self.operator.on_acked = lambda it: None
@@ -518,7 +518,7 @@
         return 0.0
 
     def look_at_routes(self) -> None:
-        """Clients also use routes that were added or removed of late."""
+        """Have clients use recently added or removed routes."""
         recent = [
             prefix for it in self.history.versions[-4:] for prefix in it.services if prefix.startswith("/x")
         ]
@@ -526,5 +526,5 @@
 
 
 def play(seed: int, aim: str = "") -> list[Broken]:
-    """Play the day of a seed; the rules that broke."""
+    """Run the scenario of a seed; returns the violations."""
     return Day(seed, aim).play()
--- a/amberlug/cluster/simulation/seed_search.py
+++ b/amberlug/cluster/simulation/seed_search.py
@@ -1,4 +1,4 @@
-"""Many days in many processes, for what breaks a rule."""
+"""Searches many seeds, in several processes, for violations of invariants."""
 
 from __future__ import annotations
 
@@ -16,14 +16,14 @@
 
 
 def one(seed: int, aim: str = "", mutant: str = "") -> Found:
-    """Play one day, with the program as it is or with a fault put into it."""
+    """Run one seed, optionally with a mutation of the program."""
     logging.set_verbosity(logging.FATAL)
     with mutated(mutant):
         return seed, play(seed, aim)
 
 
 def hunt(seeds: range, aim: str = "", mutant: str = "", jobs: int = 6) -> Iterator[Found]:
-    """Play the days of these seeds; each with its broken rules, in the order of the seeds."""
+    """Run these seeds; yields each with its violations, in the order of the seeds."""
     if jobs == 1:
         yield from (one(seed, aim, mutant) for seed in seeds)
         return
--- a/amberlug/cluster/simulation/storage_faults.py
+++ b/amberlug/cluster/simulation/storage_faults.py
@@ -1,4 +1,4 @@
-"""Troubles of machines with a disk: lost, replaced, added, emptied, cut off, frozen, slow or full."""
+"""Faults and operations on machines with a disk: lost, replaced, added, retired, partitioned, slow, full."""
 
 from __future__ import annotations
 
@@ -11,21 +11,21 @@
 from amberlug.cluster.simulation.machine import BOUNDS, Machine
 from amberlug.cluster.simulation.scenario_context import ScenarioContext
 
-BACK_S = BOUNDS["catchUpS"]  # a machine counts as lost so long after it is back
-SETTINGS_S = (0.2, 3.0)  # until processes hear of a settings file that has changed
+BACK_S = BOUNDS["catchUpS"]  # a machine still counts as lost for this long after it returns
+SETTINGS_S = (0.2, 3.0)  # until processes reload a changed settings file
 WITHIN_S = 1.0
-ASK_S = 0.4  # between questions about a store that is emptied
-RETIRE_S = 8.0  # for a store to be emptied
-SLOWER = 25
+ASK_S = 0.4  # between queries of the progress of a retirement
+RETIRE_S = 8.0  # time limit of a retirement
+SLOWER = 25  # factor of the sync time of a slow disk
 
 
 class StorageFaults:
-    """What is done to stores and core machines, one at a time; each act says for how long the loss lasts."""
+    """Injects faults into storage and control-plane nodes, one at a time; each returns its duration."""
 
     def __init__(self, day: ScenarioContext) -> None:
         self.day, self.deployment, self.rng = day, day.deployment, day.rng
         self.history, self.clock = day.history, day.clock
-        self.retired: dict[str, float] = {}  # stores that were emptied, and when that was told
+        self.retired: dict[str, float] = {}  # storage nodes being retired, and when that was ordered
         self.acts: list[Callable[[], float]] = [
             self.wipe_after_put,
             self.wipe_after_put,
@@ -42,7 +42,7 @@
         ]
 
     def begin(self, start: float, end: float) -> None:
-        """One after another, each once the one before it no longer counts as a loss."""
+        """Schedule faults one after another, each once the previous one no longer counts as a loss."""
         self.clock.call_later(start - self.clock.now, lambda: self._next(end))
 
     def _next(self, end: float) -> None:
@@ -60,24 +60,24 @@
             machine.kill()
         machine.power_off()
 
-    # -- disks that are lost
+    # -- lost disks
 
     def lose_disk(self, machine: Machine, seconds: float) -> None:
-        """A machine loses its disk, and comes back with an empty one."""
+        """Wipe the disk of a machine, which returns with an empty one."""
         self._down(machine, "loses its disk", seconds)
         machine.wipe()
         self.clock.call_later(seconds, machine.start)
 
     def wipe_after_put(self) -> float:
-        """A store loses its disk right after it acknowledged a message."""
+        """Wipe the disk of a storage node right after it acknowledged a message."""
         store, seconds = self._any(self.deployment.stores), self.rng.uniform(0.3, 2.0)
         self.after_put(store, partial(self.lose_disk, store, seconds))
         return 1.0 + seconds
 
     def after_put(self, store: Machine, act: Callable[[], None]) -> None:
-        """Do something as a store's acknowledgement leaves, or a second later where it has none to give."""
+        """Call `act` as a storage node acknowledges a write, or after a second at the latest."""
         disk = store.disk
-        assert disk is not None, "stores have a disk"
+        assert disk is not None, "storage nodes have a disk"
         struck = False
 
         def strike() -> None:
@@ -91,7 +91,7 @@
         self.clock.call_later(1.0, strike)
 
     def wipe_core(self) -> float:
-        """A core machine loses its disk right after it acknowledged a configuration."""
+        """Wipe the disk of a control-plane node right after it acknowledged a configuration."""
         seconds = self.rng.uniform(0.3, 2.0)
         struck = False
 
@@ -107,10 +107,10 @@
         self.clock.call_later(1.0, lambda: strike(self._any(self.deployment.cores)))
         return 1.0 + seconds
 
-    # -- machines that go and come
+    # -- replaced and added machines
 
     def replace(self, machine: Machine, seconds: float) -> None:
-        """A machine is taken away; an empty one comes at another address, under its name or another."""
+        """Remove a machine; an empty one is added at another address, under the same name or a new one."""
         self._down(machine, "is taken away", seconds)
         self.deployment.remove(machine)
         name = machine.name if self.rng.random() < 0.5 else ""
@@ -126,13 +126,13 @@
         self.clock.call_later(seconds, come)
 
     def replace_store(self) -> float:
-        """A store is replaced by an empty one at another address."""
+        """Replace a storage node by an empty one at another address."""
         seconds = self.rng.uniform(0.5, 2.0)
         self.replace(self._any(self.deployment.stores), seconds)
         return seconds
 
     def replace_core(self) -> float:
-        """A core machine is replaced by an empty one at another address; the leader may be killed besides."""
+        """Replace a control-plane node by an empty one elsewhere; the leader may be killed as well."""
         seconds = self.rng.uniform(0.5, 2.0)
         leader = self.day.leader()
         machine = self._any(self.deployment.cores)
@@ -145,23 +145,23 @@
         return seconds
 
     def add_store(self) -> float:
-        """One or two stores are added."""
+        """Add one or two storage nodes."""
         for _ in range(self.rng.choice((1, 2))):
             self.history.trouble("a store is added")
             self._come("store", self.rng.choice(self.deployment.zones), 0.0)
         return 0.0
 
-    # -- a store that is emptied
+    # -- retirement
 
     def retire(self) -> float:
-        """A store is to be emptied; once it is, it is taken away with its disk."""
+        """Retire a storage node; once it is empty, it is removed with its disk."""
         if len(self.deployment.stores) < 3:
             return 0.0
         self.empty(self._any(self.deployment.stores))
         return RETIRE_S
 
     def empty(self, store: Machine) -> None:
-        """Order a store to be emptied, and look until it is."""
+        """Order a storage node to be retired, and poll until it is empty."""
         self.history.trouble(f"{store.name} is to be emptied", RETIRE_S, planned=True)
         self.history.calls.append(Call("retire", store.name, "", self.clock.now))
         self._ask(f"/-/Retire.Begin/{store.name}", b'{"durationS": 8}', "POST", partial(self._begun, store))
@@ -193,7 +193,10 @@
         self.deployment.remove(store)
 
     def check_copies(self, store: Machine, excused: Collection[Machine] = ()) -> None:
-        """Enough copies of what is open stand elsewhere; those excused may have lost theirs since."""
+        """Check that pending messages have enough replicas elsewhere.
+
+        `excused` nodes count as holders: they may have lost their copies too recently to be noticed.
+        """
         done, tolerance, regions = self.done(), self.deployment.tolerance, self.deployment.regions
         others = [it for it in self.deployment.stores if it is not store]
         for sent in self.history.sent.values():
@@ -211,13 +214,13 @@
                 )
 
     def done(self) -> set[str]:
-        """Messages that endpoints have ended, or may have."""
+        """Attempt ids of messages that endpoints have ended, or may have."""
         return {run.attempt for run in self.history.runs if run.what in ("done", "dead", "failed")}
 
-    # -- machines that are silent, disks that are slow
+    # -- unresponsive machines, slow disks
 
     def freeze_store(self) -> float:
-        """A store does nothing for 3 s, and wakes."""
+        """Freeze a storage node for 3 s."""
         store = self._any(self.deployment.stores)
         self.history.trouble(f"{store.name} is frozen for 3 s", 3.0)
         store.freeze()
@@ -225,12 +228,12 @@
         return 3.0
 
     def cut_off(self) -> float:
-        """A store or a core machine is cut off, one way or both, and its connections are reset."""
+        """Partition a storage or control-plane node; its connections may be reset at the end."""
         machine = self._any(self.deployment.stores + self.deployment.cores)
         return self.day.cut_off(machine, self.rng.uniform(4.0, 7.0), self.rng.random() < 0.5)
 
     def slow_disk(self) -> float:
-        """A disk is slow, stalls, or is full."""
+        """Have a disk slow, stalled or full for a while."""
         machine = self._any(self.deployment.stores + self.deployment.cores)
         disk, seconds = machine.disk, self.rng.uniform(1.0, 4.0)
         assert disk is not None, "stores and cores have a disk"
@@ -251,7 +254,7 @@
         disk.full, disk.sync_s = False, sync_s
 
     def split_core(self) -> float:
-        """Core machines are cut in two; the configuration is changed meanwhile on either side."""
+        """Partition the control plane into two sides; the configuration is changed on both meanwhile."""
         cores, seconds = self.deployment.cores, self.rng.uniform(2.0, 6.0)
         few = self.rng.sample(cores, 1 if len(cores) < 4 else self.rng.choice((1, len(cores) // 2)))
         others = [it for it in cores if it not in few]
--- a/tests/cluster/test_answers_days.py
+++ b/tests/cluster/test_answers_days.py
@@ -1,4 +1,4 @@
-"""Days on which endpoints cut, double, delay and lose their answers, and faults that these must find."""
+"""Scenarios whose endpoints cut off, repeat, delay and lose responses, and mutations they must detect."""
 
 import pytest
 
@@ -19,6 +19,6 @@
 )
 def test_a_mutation_is_detected(name: str, seed: int, rule: str) -> None:
     family = MUTANTS[name][1]
-    # A change of the program may move what a seed finds by a few days.
+    # A change of the program may shift which seed detects a mutation.
     found = (one(it, family, name)[1] for it in range(seed, seed + 20))
     assert any(rule in {it.rule for it in broken} for broken in found)
--- a/tests/cluster/test_control_days.py
+++ b/tests/cluster/test_control_days.py
@@ -1,4 +1,4 @@
-"""Days on which a control-plane node is partitioned, and commands come to both sides meanwhile."""
+"""Scenarios in which a control-plane node is partitioned while commands go to both sides."""
 
 from __future__ import annotations
 
@@ -20,9 +20,9 @@
 
 
 def play_with_plan(seed: int, plan: Plan) -> list[Broken]:
-    """Play a day on which a plan takes the place of random faults; returns the invariants that broke.
+    """Run a scenario with a plan in place of random faults; returns the violations.
 
-    All endpoints send heartbeats to one control-plane node, and the Raft logs are short between snapshots.
+    All endpoints send heartbeats to one control-plane node, and snapshots of the Raft logs are frequent.
     """
     day = Day(seed, "control")
     day.home, day.compact = day.deployment.cores[0].zone, 20
@@ -42,7 +42,7 @@
 
 
 def edges_start_during_partitions(day: Day, start: float, end: float) -> None:
-    """Again and again edge nodes start just as a control-plane node is partitioned, and changes are made."""
+    """Edge nodes repeatedly start just as a control-plane node is partitioned, during changes."""
 
     def act() -> None:
         day.control.cut_off(day.control.victim(), 2.0, "silent", False)
@@ -53,7 +53,7 @@
 
 
 def leader_partitioned(day: Day, start: float, end: float) -> None:
-    """Again and again the leader is partitioned: commands go to it, and to whoever leads next."""
+    """The leader is repeatedly partitioned; commands go to it and to its successor."""
 
     def act() -> None:
         leader = day.leader()
@@ -68,7 +68,7 @@
 
 
 def repeats_after_snapshots(day: Day, start: float, end: float) -> None:
-    """All changes are sent again, to control-plane nodes that began from a snapshot meanwhile."""
+    """All changes are repeated, at control-plane nodes that have restarted from a snapshot since."""
     day.operator.repeats = 1.0
 
     def act(number: int) -> None:
@@ -107,7 +107,7 @@
     ],
 )
 def test_a_mutation_of_a_control_node_without_quorum_is_detected(name: str, plan: Plan) -> None:
-    # One day finds each of them with a probability of a half at least.
+    # One run detects each of them with a probability of at least one half.
     with mutated(name):
         assert any(play_with_plan(seed, plan) for seed in range(1, 11))
 
@@ -132,11 +132,11 @@
     clock.run(30.0)
     contact = Contact(history)
     assert contact.in_touch("edge-0", 5.0, 9.9)
-    assert not contact.in_touch("edge-0", 13.0, 13.5)  # the cut is too fresh
+    assert not contact.in_touch("edge-0", 13.0, 13.5)  # the partition is too recent
     assert contact.in_touch("edge-0", 14.1, 15.9)
-    assert contact.in_touch("edge-1", 14.1, 15.9)  # what it can't reach reaches no majority itself
+    assert contact.in_touch("edge-1", 14.1, 15.9)  # the node that it can't reach reaches no majority either
     assert not contact.in_touch("core-0", 14.1, 15.9)
     assert contact.in_touch("core-1", 14.1, 15.9)
-    assert not contact.in_touch("edge-0", 18.0, 19.0)  # a core machine was restarted
+    assert not contact.in_touch("edge-0", 18.0, 19.0)  # a control-plane node was restarted
     assert contact.reaches("edge-0", 18.0, 19.0)
     assert contact.in_touch("edge-0", 20.1, 21.0)
--- a/tests/cluster/test_frame_mutations.py
+++ b/tests/cluster/test_frame_mutations.py
@@ -1,4 +1,4 @@
-"""Faults put into how the log is sent, kept and read back: each is found by a test that passes without it."""
+"""Mutations of how the Raft log is sent, stored and read: each fails a test that passes without it."""
 
 from collections.abc import Callable
 from functools import partial
--- a/tests/cluster/test_killed_steps.py
+++ b/tests/cluster/test_killed_steps.py
@@ -1,4 +1,4 @@
-"""A call to an endpoint whose edge is killed, or loses power, at each step of it."""
+"""A call to an endpoint whose edge node is killed, or loses power, at each stage of the call."""
 
 from dataclasses import replace
 
@@ -11,24 +11,12 @@
 
 pytestmark = pytest.mark.usefixtures("suppressed_logs")
 
-STEPS_MS = (
-    0,
-    2,
-    4,
-    6,
-    9,
-    15,
-    40,
-    64,
-    66,
-    69,
-    75,
-    95,
-)  # after the request: taken in, called, answered, marked
+# Milliseconds after the request; they span its acceptance, the call, the response and the stored outcome.
+STEPS_MS = (0, 2, 4, 6, 9, 15, 40, 64, 66, 69, 75, 95)
 
 
 class KilledAt(Day):
-    """Nothing else is done to any machine; all edges end so long after one message is sent."""
+    """All edge nodes end a given time after one message is sent; there are no other faults."""
 
     after_s, power = 0.0, False
 
--- a/tests/cluster/test_losses.py
+++ b/tests/cluster/test_losses.py
@@ -1,4 +1,4 @@
-"""Losses that follow repairs, and who may still write to stores then."""
+"""Losses right after repairs, and which owners may still write to storage nodes then."""
 
 from dataclasses import replace
 from functools import partial
@@ -25,7 +25,7 @@
 
 @pytest.mark.parametrize("name", ["", "old-epoch"])
 def test_a_fenced_owner_writes_nothing_to_nodes_that_joined_after_the_fence(name: str) -> None:
-    """It wakes after its shards were given away, and hears of two new stores before it hears of that."""
+    """It resumes after its shards were reassigned, and learns of two new nodes before the reassignment."""
     day = Day(5, "quiet")
     old, zone = day.deployment.edges[0], day.deployment.edges[0].zone
 
@@ -76,10 +76,10 @@
     rig.node.contents.enrolled_index = 0
     gossip = rig.node.gossip
     rig.put(1)
-    assert rig.replies.pop() == {"early": True}  # it is on no roster
+    assert rig.replies.pop() == {"early": True}  # the node is not on the roster yet
     gossip.offer("roster", [9], ROSTER)
     rig.put(2)
-    assert rig.replies.pop() == {"early": True}  # it does not know who owned what when it came
+    assert rig.replies.pop() == {"early": True}  # it does not know yet who owned the shards when it joined
     gossip.offer("shards", [7], {"owners": [], "shards": [[0, 3, -1], [0, 7, -1]], "roster": 4})
     rig.put(3)
     assert rig.replies.pop() == {"fenced": 7}
@@ -120,7 +120,7 @@
     (left,) = set(STORES) - {first, second}
     remaining = {disk: rig.roster[disk] for disk in STORES if disk != left}
     rig.replicator.update_roster(StorageRoster.from_wire(0, remaining))
-    rig.clock.run(0.5)  # long enough to ask a further store
+    rig.clock.run(0.5)  # long enough for a write to a further node
     rig.reply("put", {first: {}, second: {}})
     assert reply_body == [AdmissionOutcome.ACCEPTED]
 
@@ -128,7 +128,7 @@
 def test_a_replica_write_in_flight_while_its_disk_is_emptied_leaves_nothing() -> None:
     rig = Rig()
     rig.put(1)
-    rig.node.gossip.offer("roster", [9], {})  # others have taken its place
+    rig.node.gossip.offer("roster", [9], {})  # other nodes have replaced it
     while rig.disk.pending:
         rig.disk.finish_write(None)
     assert rig.replies == [{"early": True}]
@@ -136,14 +136,14 @@
 
 
 def _emptied(seed: int) -> list[Broken]:
-    """A store is emptied whose copies take their time."""
+    """Run a scenario in which a storage node is retired while replication is slow."""
     day = Day(seed, "quiet")
     store = day.deployment.stores[0]
     day.clients.load = replace(day.clients.load, delayed=0.9)
 
     def slow() -> None:
         for it in day.deployment.stores:
-            assert it.disk is not None, "stores have a disk"
+            assert it.disk is not None, "storage nodes have a disk"
             it.disk.sync_s = 0.3
 
     day.clock.call_later(7.2, slow)
@@ -186,7 +186,7 @@
 
 
 def test_a_lost_disk_that_is_there_again_is_not_dropped(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Owners may count it from now on: a drop that was proposed with its return would take it away."""
+    """Owners may count it from now on; a drop proposed together with its return would remove it."""
     rig = Leader(monkeypatch)
     rig.set_state("disk-c", StoreState.LOST)
     rig.reconcile_roster("a", "b", "c")
--- a/tests/cluster/test_measured_regressions.py
+++ b/tests/cluster/test_measured_regressions.py
@@ -1,4 +1,4 @@
-"""Faults that benchmarks have found: each test fails without the fix."""
+"""Regressions of faults that benchmarks found; each test fails without the fix."""
 
 import asyncio
 import random
@@ -20,7 +20,7 @@
 
 
 class FullAtFirst(OneEndpoint):
-    """Endpoints that are full for the first calls, and answer after that."""
+    """Endpoints that reject the first calls as full, and succeed after that."""
 
     full = 12
 
@@ -35,7 +35,7 @@
 
 
 def dispatch(endpoints: OneEndpoint, clock: Clock, slots: int) -> tuple[Dispatcher, list[str]]:
-    """A service with one endpoint, and what of it has been done."""
+    """Create the dispatcher of a service with one endpoint, and the list of completed message ids."""
     net = Network(clock, random.Random(1), 0.001)
     host = Host("edge", "z", "10.0.0.1:7300")
     world = SimulatedRuntime(net, Incarnation(host, 1, lambda life, error: None), net.rng, 0.0)
@@ -62,7 +62,7 @@
     for number in range(200):
         service.add(Message(f"m{number}", 0, f"{number}", "", "GET", "/", "r", "", 0.0, 0.0, service="s"))
     clock.run(4.0)
-    assert len(done) == 200  # 8 slots do 80 a second; a limit learned from 12 refusals let 100 through
+    assert len(done) == 200  # 8 slots serve 80 per second; a limit learned from 12 refusals let 100 through
 
 
 @pytest.mark.parametrize(
@@ -70,7 +70,7 @@
     [
         (["a", "a", "b", "b"], ["a", "b"], [], {}),
         (["a", "a", "b", "b"], ["b"], [], {"b": [0, 1]}),
-        (["a", "a", "b", "b"], ["b", "c"], ["a"], {"c": [3]}),  # what is kept is not counted for anyone
+        (["a", "a", "b", "b"], ["b", "c"], ["a"], {"c": [3]}),  # shards of kept owners count for no one
         (["", "", "", ""], ["a", "b"], [], {"a": [0, 1], "b": [2, 3]}),
     ],
 )
--- a/tests/cluster/test_model_checker.py
+++ b/tests/cluster/test_model_checker.py
@@ -1,4 +1,4 @@
-"""Raft in all interleavings to a small depth, and steps to faults that deeper searches have found."""
+"""Raft in all interleavings to a small depth, and step sequences to faults that deeper searches found."""
 
 import pytest
 
--- a/tests/cluster/test_simulation.py
+++ b/tests/cluster/test_simulation.py
@@ -1,4 +1,4 @@
-"""Whole deployments in virtual time: drawn days, and faults put into the program that they must find."""
+"""Simulated deployments: randomized scenarios, and mutations of the program that they must detect."""
 
 import pytest
 
@@ -41,6 +41,6 @@
 )
 def test_a_mutation_is_detected(name: str, seed: int) -> None:
     family = MUTANTS[name][1]
-    # A change of the program may move what a seed finds by a few days.
+    # A change of the program may shift which seed detects a mutation.
     found = next((it for it in range(seed, seed + 20) if one(it, family, name)[1]), None)
     assert found is not None
--- a/tests/cluster/test_simulation_regressions.py
+++ b/tests/cluster/test_simulation_regressions.py
@@ -1,4 +1,4 @@
-"""Faults that the simulation has found, each in the smallest scenario that shows it."""
+"""Regressions of faults that the simulation found, each in the smallest scenario that reproduces it."""
 
 from functools import partial
 
@@ -19,7 +19,7 @@
 
 
 class CutThenDark(Day):
-    """An edge is cut off for longer than a write is tried; later all machines lose power."""
+    """An edge node is partitioned for longer than writes are retried; later all machines lose power."""
 
     def _plan(self, start: float, end: float) -> None:
         deployment = self.deployment
@@ -46,7 +46,7 @@
 
 
 class Calm(Day):
-    """Nothing is done to any machine."""
+    """A scenario without faults."""
 
     def _plan(self, start: float, end: float) -> None:
         pass
@@ -78,7 +78,7 @@
 
 
 def call_in_flight(day: Day) -> tuple[EdgeNode, Message]:
-    """Play a day, and send a message: the edge that has a call of it in flight, and the message."""
+    """Run a scenario and send a message; returns the edge node with its call in flight, and the message."""
     day.play()
     day.clients.send("/plain/")
     edges: list[EdgeNode] = [machine.part for machine in day.deployment.edges]
