--- a/amberlug/cluster/simulation/__main__.py
+++ b/amberlug/cluster/simulation/__main__.py
@@ -13,11 +13,11 @@
 from amberlug.cluster.simulation.digest_record import differences, measure, record_frames, write_record
 from amberlug.cluster.simulation.model_checker import CHANGES, STARTS, explore, old_self, stranger
 from amberlug.cluster.simulation.mutations import MUTANTS, mutated
-from amberlug.cluster.simulation.scenarios import Day
+from amberlug.cluster.simulation.scenarios import Scenario
 from amberlug.cluster.simulation.seed_search import hunt
 
-AIM = click.option("--aim", default="", help="Scenario family: the kind of faults that are injected.")
-FRAME_AIMS = ("", "control", "storage", "losses-stores", "answers", "core")
+FAMILY = click.option("--aim", default="", help="Scenario family: the kind of faults that are injected.")
+FRAME_FAMILIES = ("", "control", "storage", "losses-stores", "answers", "core")
 RECORD = "tests/data/simulation_digests.json"
 MUTANT = click.option(
     "--mutant", default="", type=click.Choice(["", *MUTANTS]), help="Mutation applied to the program."
@@ -31,15 +31,15 @@
 
 @main.command("play")
 @click.argument("seed", type=int)
-@AIM
+@FAMILY
 @MUTANT
 @click.option("--trace", is_flag=True, help="Print the trace of the run.")
 @click.option("--log", is_flag=True, help="Print the log output of the simulated processes.")
-def play_one(seed: int, aim: str, mutant: str, trace: bool, log: bool) -> None:
+def play_command(seed: int, aim: str, mutant: str, trace: bool, log: bool) -> None:
     """Run the scenario of one seed."""
     logging.set_verbosity(logging.INFO if log else logging.FATAL)
     with mutated(mutant):
-        day = Day(seed, aim)
+        day = Scenario(seed, aim)
         broken = day.play()
     if trace:
         print("\n".join(day.history.lines))
@@ -51,10 +51,10 @@
 @main.command("hunt")
 @click.option("--first", default=1, help="First seed.")
 @click.option("--days", default=100, help="Number of seeds.")
-@AIM
+@FAMILY
 @MUTANT
 @click.option("--jobs", default=6, help="Number of worker processes.")
-def hunt_many(first: int, days: int, aim: str, mutant: str, jobs: int) -> None:
+def hunt_command(first: int, days: int, aim: str, mutant: str, jobs: int) -> None:
     """Run many seeds, and report those that violate an invariant."""
     bad = 0
     for seed, broken in hunt(range(first, first + days), aim, mutant, jobs):
@@ -70,7 +70,7 @@
 @click.option("--depth", default=7, help="Maximum number of steps from each initial state.")
 @click.option("--only", default="", help="Explore from this initial state only.")
 @MUTANT
-def explore_all(depth: int, only: str, mutant: str) -> None:
+def explore_command(depth: int, only: str, mutant: str) -> None:
     """Explore all interleavings of the Raft group to a bounded depth."""
     logging.set_verbosity(logging.FATAL)
     bad = 0
@@ -93,7 +93,7 @@
 @click.option("--record", is_flag=True, help="Write the file instead of comparing with it.")
 @click.option("--jobs", default=6, help="Number of worker processes.")
 @click.option("--every", default=1, help="Run only every n-th scenario; above 1, skip the explorations.")
-def digest_all(path: Path, record: bool, jobs: int, every: int) -> None:
+def digest_command(path: Path, record: bool, jobs: int, every: int) -> None:
     """Repeat the recorded scenarios and explorations, and report each digest that changed."""
     measured = measure(jobs, every)
     if record:
@@ -108,10 +108,10 @@
 
 @main.command("frames")
 @click.argument("path", type=click.Path(path_type=Path))
-def keep_frames(path: Path) -> None:
+def frames_command(path: Path) -> None:
     """Write one sample frame of each kind that a set of scenarios sends."""
     logging.set_verbosity(logging.FATAL)
-    days = [(seed, aim) for aim in FRAME_AIMS for seed in range(1, 7)]
+    days = [(seed, aim) for aim in FRAME_FAMILIES for seed in range(1, 7)]
     path.write_text(json.dumps(record_frames(days), indent=1) + "\n")
 
 
--- a/amberlug/cluster/simulation/digest_record.py
+++ b/amberlug/cluster/simulation/digest_record.py
@@ -13,9 +13,9 @@
 from absl import logging
 
 from amberlug.cluster.simulation.model_checker import CHANGES, STARTS, explore
-from amberlug.cluster.simulation.scenarios import Day
+from amberlug.cluster.simulation.scenarios import Scenario
 
-RECORDED_AIMS = {
+RECORDED_FAMILIES = {
     "": 6,
     "edges": 4,
     "roll": 4,
@@ -40,7 +40,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class PlayedDay:
+class RecordedRun:
     """The result of one recorded run."""
 
     seed: int
@@ -50,22 +50,22 @@
     broken: int
 
 
-def play_day(day: tuple[int, str]) -> PlayedDay:
+def run_recorded_seed(day: tuple[int, str]) -> RecordedRun:
     """Run the scenario of a seed and a family, and compute its digest."""
     logging.set_verbosity(logging.FATAL)
     seed, aim = day
-    played = Day(seed, aim)
+    played = Scenario(seed, aim)
     digest = played.deployment.digest
     digest.is_recording = True
     broken = played.play()
-    return PlayedDay(seed, aim, digest.hexdigest(), digest.crossings, len(broken))
+    return RecordedRun(seed, aim, digest.hexdigest(), digest.crossings, len(broken))
 
 
-def play_recorded(jobs: int, every: int = 1) -> Iterator[PlayedDay]:
+def run_recorded(jobs: int, every: int = 1) -> Iterator[RecordedRun]:
     """Run the recorded scenarios, or every n-th of them."""
-    days = [(seed, aim) for aim, count in RECORDED_AIMS.items() for seed in range(1, count + 1)][::every]
+    days = [(seed, aim) for aim, count in RECORDED_FAMILIES.items() for seed in range(1, count + 1)][::every]
     with ProcessPoolExecutor(jobs) as pool:
-        yield from pool.map(play_day, days)
+        yield from pool.map(run_recorded_seed, days)
 
 
 def explore_one(name: str, depth: int) -> tuple[str, int, int, str]:
@@ -90,7 +90,7 @@
     With `every` above 1 only every n-th scenario is run, and nothing is explored.
     """
     return {
-        "days": [asdict(day) for day in play_recorded(jobs, every)],
+        "days": [asdict(day) for day in run_recorded(jobs, every)],
         "explored": [list(explored) for explored in explore_recorded(jobs)] if every == 1 else [],
     }
 
@@ -147,7 +147,7 @@
             ask("/-/Foreman.Dead", b"", 1.0, read_bodies)
 
     for seed, aim in days:
-        played = Day(seed, aim)
+        played = Scenario(seed, aim)
         played.deployment.digest.on_frame = keep
         played.deployment.digest.is_recording = True
         played.clock.call_later(14.0, partial(look, played.deployment))
--- a/amberlug/cluster/simulation/scenarios.py
+++ b/amberlug/cluster/simulation/scenarios.py
@@ -40,7 +40,7 @@
     rate: float
 
 
-class Day:
+class Scenario:
     """One run of one seed, in a scenario family."""
 
     def __init__(self, seed: int, aim: str = "") -> None:
@@ -527,4 +527,4 @@
 
 def play(seed: int, aim: str = "") -> list[Broken]:
     """Run the scenario of a seed; returns the violations."""
-    return Day(seed, aim).play()
+    return Scenario(seed, aim).play()
--- a/amberlug/cluster/simulation/seed_search.py
+++ b/amberlug/cluster/simulation/seed_search.py
@@ -12,20 +12,20 @@
 from amberlug.cluster.simulation.mutations import mutated
 from amberlug.cluster.simulation.scenarios import play
 
-Found = tuple[int, list[Broken]]
+SeedResult = tuple[int, list[Broken]]
 
 
-def one(seed: int, aim: str = "", mutant: str = "") -> Found:
+def run_seed(seed: int, aim: str = "", mutant: str = "") -> SeedResult:
     """Run one seed, optionally with a mutation of the program."""
     logging.set_verbosity(logging.FATAL)
     with mutated(mutant):
         return seed, play(seed, aim)
 
 
-def hunt(seeds: range, aim: str = "", mutant: str = "", jobs: int = 6) -> Iterator[Found]:
+def hunt(seeds: range, aim: str = "", mutant: str = "", jobs: int = 6) -> Iterator[SeedResult]:
     """Run these seeds; yields each with its violations, in the order of the seeds."""
     if jobs == 1:
-        yield from (one(seed, aim, mutant) for seed in seeds)
+        yield from (run_seed(seed, aim, mutant) for seed in seeds)
         return
     with ProcessPoolExecutor(jobs) as pool:
-        yield from pool.map(partial(one, aim=aim, mutant=mutant), seeds, chunksize=2)
+        yield from pool.map(partial(run_seed, aim=aim, mutant=mutant), seeds, chunksize=2)
--- a/tests/cluster/test_answers_days.py
+++ b/tests/cluster/test_answers_days.py
@@ -4,7 +4,7 @@
 
 from amberlug.cluster.simulation.mutations import MUTANTS
 from amberlug.cluster.simulation.scenarios import play
-from amberlug.cluster.simulation.seed_search import one
+from amberlug.cluster.simulation.seed_search import run_seed
 
 pytestmark = pytest.mark.usefixtures("suppressed_logs")
 
@@ -20,5 +20,5 @@
 def test_a_mutation_is_detected(name: str, seed: int, rule: str) -> None:
     family = MUTANTS[name][1]
     # A change of the program may shift which seed detects a mutation.
-    found = (one(it, family, name)[1] for it in range(seed, seed + 20))
+    found = (run_seed(it, family, name)[1] for it in range(seed, seed + 20))
     assert any(rule in {it.rule for it in broken} for broken in found)
--- a/tests/cluster/test_contact.py
+++ b/tests/cluster/test_contact.py
@@ -22,7 +22,7 @@
 from amberlug.cluster.interfaces import OnWritten, Reply
 from amberlug.cluster.simulation.clock import Clock
 from amberlug.cluster.simulation.machine import Machine
-from amberlug.cluster.simulation.scenarios import Day
+from amberlug.cluster.simulation.scenarios import Scenario
 from amberlug.cluster.storage.outcomes import MessageOutcome
 from amberlug.cluster.storage.records import StoredMessage
 from tests.cluster.fakes import Alone, settings
@@ -43,7 +43,7 @@
     """A quiet deployment, one core machine of which is cut off from the other core machines."""
 
     def __init__(self, seed: int, which: str, way: str) -> None:
-        day = self.day = Day(seed, "quiet")
+        day = self.day = Scenario(seed, "quiet")
         self.deployment, self.clock = day.deployment, day.clock
         for machine in self.deployment.machines:
             machine.start()
@@ -212,7 +212,7 @@
         return found
 
     monkeypatch.setattr(store.GossipStore, "page_after", page)
-    day = Day(3, "quiet")
+    day = Scenario(3, "quiet")
     for machine in day.deployment.machines:
         machine.start()
     day.clock.call_later(0.6, day.operator.begin)
@@ -234,7 +234,7 @@
 
 
 def test_a_body_is_not_read_again_and_again_once_the_outcome_is_stored() -> None:
-    day = Day(2, "quiet")
+    day = Scenario(2, "quiet")
     for machine in day.deployment.machines:
         machine.start()
     day.clock.call_later(0.6, day.operator.begin)
@@ -253,9 +253,9 @@
     assert edge.delivery.outcomes.get(message.id) == MessageOutcome("done", "seal")
 
 
-def started(cores: int) -> Day:
+def started(cores: int) -> Scenario:
     """A quiet deployment with so many core machines, 6 s after its start."""
-    day = next(it for it in (Day(seed, "quiet") for seed in range(1, 99)) if it.size.cores == cores)
+    day = next(it for it in (Scenario(seed, "quiet") for seed in range(1, 99)) if it.size.cores == cores)
     for machine in day.deployment.machines:
         machine.start()
     day.clock.call_later(0.6, day.operator.begin)
--- a/tests/cluster/test_control_days.py
+++ b/tests/cluster/test_control_days.py
@@ -12,11 +12,11 @@
 from amberlug.cluster.simulation.history import Broken, History, Place, What
 from amberlug.cluster.simulation.mutations import mutated
 from amberlug.cluster.simulation.quorum_contact import Contact
-from amberlug.cluster.simulation.scenarios import Day, play
+from amberlug.cluster.simulation.scenarios import Scenario, play
 
 pytestmark = pytest.mark.usefixtures("suppressed_logs")
 
-Plan = Callable[[Day, float, float], None]
+Plan = Callable[[Scenario, float, float], None]
 
 
 def play_with_plan(seed: int, plan: Plan) -> list[Broken]:
@@ -24,13 +24,13 @@
 
     All endpoints send heartbeats to one control-plane node, and snapshots of the Raft logs are frequent.
     """
-    day = Day(seed, "control")
+    day = Scenario(seed, "control")
     day.home, day.compact = day.deployment.cores[0].zone, 20
     with patch.object(day.control, "begin", partial(plan, day)):
         return day.play()
 
 
-def control_node_partitioned(day: Day, start: float, end: float, form: str = "silent") -> None:
+def control_node_partitioned(day: Scenario, start: float, end: float, form: str = "silent") -> None:
     """One control-plane node is partitioned for 20 s; the others and the storage nodes are restarted."""
     control, later, first = day.control, day.clock.call_later, day.deployment.cores[0]
     later(start - day.clock.now, partial(control.cut_off, first, 20.0, form, False))
@@ -41,7 +41,7 @@
         later(start + 2.1 + number - day.clock.now, day.look_at_routes)
 
 
-def edges_start_during_partitions(day: Day, start: float, end: float) -> None:
+def edges_start_during_partitions(day: Scenario, start: float, end: float) -> None:
     """Edge nodes repeatedly start just as a control-plane node is partitioned, during changes."""
 
     def act() -> None:
@@ -52,7 +52,7 @@
     day.clock.call_later(start - day.clock.now, act)
 
 
-def leader_partitioned(day: Day, start: float, end: float) -> None:
+def leader_partitioned(day: Scenario, start: float, end: float) -> None:
     """The leader is repeatedly partitioned; commands go to it and to its successor."""
 
     def act() -> None:
@@ -67,7 +67,7 @@
     day.clock.call_later(start - day.clock.now, act)
 
 
-def repeats_after_snapshots(day: Day, start: float, end: float) -> None:
+def repeats_after_snapshots(day: Scenario, start: float, end: float) -> None:
     """All changes are repeated, at control-plane nodes that have restarted from a snapshot since."""
     day.operator.repeats = 1.0
 
--- a/tests/cluster/test_edge_node.py
+++ b/tests/cluster/test_edge_node.py
@@ -9,7 +9,7 @@
 from amberlug.cluster.simulation.clients import HOST
 from amberlug.cluster.simulation.clock import Clock
 from amberlug.cluster.simulation.deployment import Request
-from amberlug.cluster.simulation.scenarios import Day
+from amberlug.cluster.simulation.scenarios import Scenario
 from amberlug.cluster.storage.outcomes import MessageOutcome
 from tests.cluster.fakes import Alone, settings
 
@@ -39,7 +39,7 @@
 
 def test_submissions_are_rejected_at_once_while_too_few_storage_nodes_answer() -> None:
     # Without a check of availability, each submission would wait until its write times out.
-    day = Day(2, "quiet")
+    day = Scenario(2, "quiet")
     for machine in day.deployment.machines:
         machine.start()
     day.clock.call_later(0.6, day.operator.begin)
--- a/tests/cluster/test_ended_messages.py
+++ b/tests/cluster/test_ended_messages.py
@@ -12,7 +12,7 @@
 from amberlug.cluster.simulation.history import Standing
 from amberlug.cluster.simulation.machine import Machine
 from amberlug.cluster.simulation.mutations import mutated
-from amberlug.cluster.simulation.scenarios import TRAFFIC_S, Day
+from amberlug.cluster.simulation.scenarios import TRAFFIC_S, Scenario
 
 pytestmark = pytest.mark.usefixtures("suppressed_logs")
 
@@ -25,7 +25,7 @@
     """A simulated deployment in which all messages have ended."""
 
     def __init__(self, seed: int) -> None:
-        self.day = Day(seed, "quiet")
+        self.day = Scenario(seed, "quiet")
         self.deployment, self.clock = self.day.deployment, self.day.clock
         for machine in self.deployment.machines:
             machine.start()
--- a/tests/cluster/test_killed_steps.py
+++ b/tests/cluster/test_killed_steps.py
@@ -7,7 +7,7 @@
 from amberlug.cluster.dispatch.replica_write import ReplicationOutcome
 from amberlug.cluster.dispatch.replicator import Replicator
 from amberlug.cluster.simulation.history import Broken
-from amberlug.cluster.simulation.scenarios import TRAFFIC_S, Day
+from amberlug.cluster.simulation.scenarios import TRAFFIC_S, Scenario
 
 pytestmark = pytest.mark.usefixtures("suppressed_logs")
 
@@ -15,7 +15,7 @@
 STEPS_MS = (0, 2, 4, 6, 9, 15, 40, 64, 66, 69, 75, 95)
 
 
-class KilledAt(Day):
+class KilledAt(Scenario):
     """All edge nodes end a given time after one message is sent; there are no other faults."""
 
     after_s, power = 0.0, False
--- a/tests/cluster/test_losses.py
+++ b/tests/cluster/test_losses.py
@@ -14,8 +14,8 @@
 from amberlug.cluster.interfaces import Json, Reply
 from amberlug.cluster.simulation.history import Broken
 from amberlug.cluster.simulation.mutations import mutated
-from amberlug.cluster.simulation.scenarios import Day, play
-from amberlug.cluster.simulation.seed_search import one
+from amberlug.cluster.simulation.scenarios import Scenario, play
+from amberlug.cluster.simulation.seed_search import run_seed
 from tests.cluster.test_control_node import Rig as Leader
 from tests.cluster.test_shard_owner import STORES, OwnerRig, new_message, table_of_one_shard
 from tests.cluster.test_storage_node import Rig
@@ -26,7 +26,7 @@
 @pytest.mark.parametrize("name", ["", "old-epoch"])
 def test_a_fenced_owner_writes_nothing_to_nodes_that_joined_after_the_fence(name: str) -> None:
     """It resumes after its shards were reassigned, and learns of two new nodes before the reassignment."""
-    day = Day(5, "quiet")
+    day = Scenario(5, "quiet")
     old, zone = day.deployment.edges[0], day.deployment.edges[0].zone
 
     def come() -> None:
@@ -60,7 +60,7 @@
     offer(*item)
 
 
-def _send(day: Day, edge: Any) -> None:
+def _send(day: Scenario, edge: Any) -> None:
     day.clients.pick = lambda zone: edge  # type: ignore[method-assign]
     day.clients.send("/plain/")
     del day.clients.pick
@@ -137,7 +137,7 @@
 
 def _emptied(seed: int) -> list[Broken]:
     """Run a scenario in which a storage node is retired while replication is slow."""
-    day = Day(seed, "quiet")
+    day = Scenario(seed, "quiet")
     store = day.deployment.stores[0]
     day.clients.load = replace(day.clients.load, delayed=0.9)
 
@@ -212,4 +212,4 @@
 
 
 def test_replicas_in_one_zone_are_detected() -> None:
-    assert any(one(seed, "losses-stores-zone", "one-zone")[1] for seed in range(5, 20))
+    assert any(run_seed(seed, "losses-stores-zone", "one-zone")[1] for seed in range(5, 20))
--- a/tests/cluster/test_simulation.py
+++ b/tests/cluster/test_simulation.py
@@ -3,8 +3,8 @@
 import pytest
 
 from amberlug.cluster.simulation.mutations import MUTANTS
-from amberlug.cluster.simulation.scenarios import Day, play
-from amberlug.cluster.simulation.seed_search import one
+from amberlug.cluster.simulation.scenarios import Scenario, play
+from amberlug.cluster.simulation.seed_search import run_seed
 
 pytestmark = pytest.mark.usefixtures("suppressed_logs")
 
@@ -17,7 +17,7 @@
 
 
 def test_a_storage_node_that_loses_its_disk_during_retirement_is_retired() -> None:
-    day = Day(3, "quiet")
+    day = Scenario(3, "quiet")
     store = day.deployment.stores[0]
     day.clock.call_later(7.0, lambda: day.storage_faults.empty(store))
     day.clock.call_later(7.06, lambda: day.storage_faults.lose_disk(store, 0.05))
@@ -42,5 +42,5 @@
 def test_a_mutation_is_detected(name: str, seed: int) -> None:
     family = MUTANTS[name][1]
     # A change of the program may shift which seed detects a mutation.
-    found = next((it for it in range(seed, seed + 20) if one(it, family, name)[1]), None)
+    found = next((it for it in range(seed, seed + 20) if run_seed(it, family, name)[1]), None)
     assert found is not None
--- a/tests/cluster/test_simulation_regressions.py
+++ b/tests/cluster/test_simulation_regressions.py
@@ -8,7 +8,7 @@
 from amberlug.cluster.dispatch.messages import CallEnded
 from amberlug.cluster.edge.node import EdgeNode
 from amberlug.cluster.simulation.history import Broken
-from amberlug.cluster.simulation.scenarios import TRAFFIC_S, Day
+from amberlug.cluster.simulation.scenarios import TRAFFIC_S, Scenario
 from amberlug.cluster.storage.outcomes import MessageOutcome
 
 pytestmark = pytest.mark.usefixtures("suppressed_logs")
@@ -18,7 +18,7 @@
     return {it.rule for it in broken}
 
 
-class CutThenDark(Day):
+class CutThenDark(Scenario):
     """An edge node is partitioned for longer than writes are retried; later all machines lose power."""
 
     def _plan(self, start: float, end: float) -> None:
@@ -45,7 +45,7 @@
     assert rules(CutThenDark(seed).play()) == set()
 
 
-class Calm(Day):
+class Calm(Scenario):
     """A scenario without faults."""
 
     def _plan(self, start: float, end: float) -> None:
@@ -77,7 +77,7 @@
     assert positions == {(number, 3, 7)}
 
 
-def call_in_flight(day: Day) -> tuple[EdgeNode, Message]:
+def call_in_flight(day: Scenario) -> tuple[EdgeNode, Message]:
     """Run a scenario and send a message; returns the edge node with its call in flight, and the message."""
     day.play()
     day.clients.send("/plain/")
--- a/tests/features/steps/deployment.py
+++ b/tests/features/steps/deployment.py
@@ -5,14 +5,14 @@
 
 from behave import given, then, when  # type: ignore[import-untyped]
 
-from amberlug.cluster.simulation.scenarios import Day
+from amberlug.cluster.simulation.scenarios import Scenario
 
 AT_S = 6.0  # when it happens: traffic has begun
 
 
 @given("a deployment with traffic")
 def deployment(context: Any) -> None:
-    context.day = Day(3, "quiet")
+    context.day = Scenario(3, "quiet")
 
 
 @when("a store loses its disk as it acknowledges a message")
