--- a/amberlug/cluster/simulation/__main__.py
+++ b/amberlug/cluster/simulation/__main__.py
@@ -60,7 +60,9 @@
     for seed, broken in hunt(range(first, first + days), aim, mutant, jobs):
         if broken:
             bad += 1
-            rules = ", ".join(f"{rule} {count}" for rule, count in Counter(it.rule for it in broken).items())
+            rules = ", ".join(
+                f"{rule} {count}" for rule, count in Counter(it.invariant for it in broken).items()
+            )
             print(f"{seed}: {rules}: {broken[0]}", flush=True)
     print(f"{bad} of {days} days break a rule")
     sys.exit(bool(bad))
--- a/amberlug/cluster/simulation/clients.py
+++ b/amberlug/cluster/simulation/clients.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from amberlug.cluster.simulation.deployment import CLOSED, REFUSED, Deployment, Request
-from amberlug.cluster.simulation.history import Sent, Standing
+from amberlug.cluster.simulation.history import Sent, StatusReply
 from amberlug.cluster.simulation.machine import Machine
 from amberlug.cluster.simulation.network import Incarnation
 
@@ -160,21 +160,21 @@
                 recent = self._accepted[-60:]
                 self.ask(self.rng.choice(recent).name, lambda standing: None)
 
-    def ask(self, name: str, then: Callable[[Standing], None]) -> None:
+    def ask(self, name: str, then: Callable[[StatusReply], None]) -> None:
         """Query the status of a message at any edge node."""
         self._question(name, STATUS_PATH, then)
 
-    def ask_body(self, name: str, then: Callable[[Standing], None]) -> None:
+    def ask_body(self, name: str, then: Callable[[StatusReply], None]) -> None:
         """Request the body of a message at any edge node."""
         self._question(name, BODY_PATH, then)
 
-    def _question(self, name: str, path: str, then: Callable[[Standing], None]) -> None:
+    def _question(self, name: str, path: str, then: Callable[[StatusReply], None]) -> None:
         asked = self.clock.now
         edge = self.pick(self.rng.choice(self.deployment.zones))
 
         def hear(status: int, body: Any, headers: object = None, blob: bytes = b"", life: str = "") -> None:
             said = body if isinstance(body, dict) else {}
-            standing = Standing(
+            standing = StatusReply(
                 name,
                 asked,
                 self.clock.now,
@@ -185,7 +185,7 @@
                 path == BODY_PATH,
             )
             if status not in (REFUSED, CLOSED):
-                self.history.standings.append(standing)
+                self.history.status_replies.append(standing)
             then(standing)
 
         self.deployment.front(edge, Request("GET", f"{path}{name}", (("host", HOST),)), ASKED_S, hear)
@@ -200,7 +200,7 @@
             if tries > 1:
                 self.clock.call_later(0.5, lambda: self._insist(sent, tries - 1))
 
-        def hear(standing: Standing) -> None:
+        def hear(standing: StatusReply) -> None:
             if standing.status != 200:
                 again()
             elif standing.condition == "pending":
--- a/amberlug/cluster/simulation/control_faults.py
+++ b/amberlug/cluster/simulation/control_faults.py
@@ -99,11 +99,11 @@
             if it is not machine:
                 pairs |= {(machine.name, it.name)} if form != "to" else set()
                 pairs |= {(it.name, machine.name)} if form != "from" else set()
-        self.history.trouble(
+        self.history.record_disturbance(
             f"{machine.name} is cut off from {'core and stores' if stores_too else 'the core'} ({form})"
             f" for {seconds:.1f} s",
             seconds,
-            marked=True,
+            is_in_events=True,
         )
         cut = self.cut = Cut(machine, self.clock.now + seconds)
         refuse = form == "refuse"
@@ -112,7 +112,7 @@
             self._reset(cut, frozenset(it.name for it in others if it is not machine))
 
         def over() -> None:
-            self.history.say(f"{machine.name} is back")
+            self.history.trace(f"{machine.name} is back")
             self.deployment.net.join(pairs, refuse)
             if self.cut is cut:
                 self.cut = None
@@ -121,7 +121,7 @@
 
     def _reset(self, cut: Cut, others: frozenset[str]) -> None:
         if self.clock.now < cut.until:
-            self.history.mark(cut.machine.name, What.RESET)
+            self.history.record_event(cut.machine.name, What.RESET)
             self.deployment.net.reset(cut.machine, others)
             self.clock.call_later(self.rng.uniform(*RESETS_S), lambda: self._reset(cut, others))
 
@@ -149,7 +149,7 @@
     def restart(self, machine: Machine, seconds: float = 0.0) -> None:
         """Kill a process, and start it again after a downtime."""
         seconds = seconds or self.rng.choice(DOWN_S)
-        self.history.trouble(f"{machine.name} is restarted", seconds, marked=True)
+        self.history.record_disturbance(f"{machine.name} is restarted", seconds, is_in_events=True)
         machine.kill()
         self.clock.call_later(seconds, machine.start)
 
@@ -173,7 +173,7 @@
         others = [it for it in self.deployment.cores if it is not cut.machine]
         self.deployment.seeds = [cut.machine, *self.rng.sample(others, 2)]
         if self.rng.random() < 0.5:
-            self.history.say("settings files are told")
+            self.history.trace("settings files are told")
             self.deployment.tell_settings()
         some = self.rng.sample(self.deployment.edges, len(self.deployment.edges) // 2)
         some += self.rng.sample(self.deployment.stores, 1)
@@ -191,8 +191,8 @@
             struck = True
             self.operator.on_acked = lambda it: None
             counted, power = self.deployment.cores + self.deployment.stores, self.rng.random() < 0.5
-            self.history.trouble(
-                f"all that count {'lose power' if power else 'are killed'}", 1.2, marked=True
+            self.history.record_disturbance(
+                f"all that count {'lose power' if power else 'are killed'}", 1.2, is_in_events=True
             )
             for machine in counted:
                 machine.power_off() if power else machine.kill()
@@ -236,7 +236,9 @@
         if leader is None:
             return
         seconds = self.rng.uniform(0.7, 3.0)
-        self.history.trouble(f"{leader.name} is frozen for {seconds:.1f} s", seconds, marked=True)
+        self.history.record_disturbance(
+            f"{leader.name} is frozen for {seconds:.1f} s", seconds, is_in_events=True
+        )
         leader.freeze()
         self.clock.call_later(seconds, leader.thaw)
         self.storm(self.clock.now + seconds + 0.5)
@@ -247,7 +249,7 @@
     def _lose_packets(self) -> None:
         """Have a control-plane node lose some of its packets during a burst of commands."""
         machine, seconds = self.rng.choice(self.deployment.cores), self.rng.uniform(2.0, 5.0)
-        self.history.trouble(f"{machine.name} loses packets for {seconds:.1f} s", seconds)
+        self.history.record_disturbance(f"{machine.name} loses packets for {seconds:.1f} s", seconds)
         machine.loss = self.rng.choice((0.05, 0.2))
 
         def whole() -> None:
@@ -264,7 +266,7 @@
             at += self.rng.uniform(1.2, 2.5)
 
     def _term(self, machine: Machine) -> None:
-        self.history.trouble(f"{machine.name} is told to end", RESTART_S, marked=True)
+        self.history.record_disturbance(f"{machine.name} is told to end", RESTART_S, is_in_events=True)
         machine.term()
 
         def look() -> None:
@@ -301,7 +303,7 @@
         for it in endpoint_fleet.up():
             if it.zone == machine.zone and len(endpoint_fleet.up(it.kind.name)) > 1:
                 endpoint_fleet.start(it.kind.name, it.zone)
-                self.history.say(f"{it.name} of {it.kind.name} is to leave")
+                self.history.trace(f"{it.name} of {it.kind.name} is to leave")
                 it.leave(1.0, lambda: None)
 
     def _orders(self, end: float) -> None:
--- a/amberlug/cluster/simulation/deployment.py
+++ b/amberlug/cluster/simulation/deployment.py
@@ -13,7 +13,7 @@
 from amberlug.cluster.settings import Settings, Tolerance
 from amberlug.cluster.simulation.clock import Clock
 from amberlug.cluster.simulation.endpoints import EndpointClient, EndpointFleet, Kind
-from amberlug.cluster.simulation.history import Broken, History
+from amberlug.cluster.simulation.history import History, Violation
 from amberlug.cluster.simulation.machine import BOUNDS, OUTSIDE_S, RESTART_S, Machine
 from amberlug.cluster.simulation.network import Incarnation, Network
 
@@ -56,7 +56,7 @@
         self.heartbeat_s = heartbeat_s
         self.sync_s = 0.002
         self.net = Network(self.clock, self.draw("network"), self.rng.choice((0.0005, 0.0009, 0.003)))
-        self.net.told = self.history.links_are
+        self.net.told = self.history.record_partitions
         self.digest = self.net.digest
         self.seeds: list[Machine] = []  # of the settings file; if empty, the first three control-plane nodes
         self.zones = [f"z{number}" for number in range(zones)]
@@ -133,8 +133,8 @@
 
     def failed(self, life: Incarnation, error: AssertionError) -> None:
         """Record a failed assertion and restart its process, as the program does."""
-        self.history.say(f"{life.name} ends: {error}")
-        self.history.faults.append(Broken("FAULT", f"{life.name} at {self.clock.now:.3f}: {error}"))
+        self.history.trace(f"{life.name} ends: {error}")
+        self.history.faults.append(Violation("FAULT", f"{life.name} at {self.clock.now:.3f}: {error}"))
         if isinstance(life.host, Machine):
             self.clock.call_later(0.0, life.host.kill)
             self.clock.call_later(RESTART_S, life.host.start)
--- a/amberlug/cluster/simulation/endpoints.py
+++ b/amberlug/cluster/simulation/endpoints.py
@@ -261,7 +261,7 @@
         def drained(ok: bool) -> None:
             if ok:
                 deployment.history.drained.setdefault(self.name, deployment.clock.now)
-                deployment.history.say(f"{self.name} is acknowledged as draining")
+                deployment.history.trace(f"{self.name} is acknowledged as draining")
             deployment.clock.call_later(DRAIN_S + linger_s, say_gone)
 
         def say_gone() -> None:
@@ -305,7 +305,7 @@
         endpoint = Endpoint(self, f"i-{number:x}", self.kinds[service], address, zone)
         self.all.append(endpoint)
         self.at[address] = endpoint
-        self.deployment.history.say(f"{endpoint.name} of {service} starts at {address}")
+        self.deployment.history.trace(f"{endpoint.name} of {service} starts at {address}")
         self.deployment.clock.call_later(self.rng.uniform(0.0, 0.3), endpoint.begin)
         return endpoint
 
--- a/amberlug/cluster/simulation/history.py
+++ b/amberlug/cluster/simulation/history.py
@@ -59,22 +59,22 @@
     taken_at: float = 1e9  # first acknowledgement by a control-plane node, even if that response was lost
     refusals: list[tuple[float, int, str]] = field(default_factory=list)  # time, status, node name
     until: float = 1e9  # when the operator got a definite response, or gave up
-    proper: bool = True  # whether retries went to any control-plane node, not just to one
+    may_use_any_node: bool = True  # whether retries went to any control-plane node, not just to one
     services: dict[str, str] = field(default_factory=dict)  # service name by path prefix
 
     @property
-    def acked(self) -> bool:
+    def is_acknowledged(self) -> bool:
         return self.status == 200
 
 
 @dataclass(frozen=True, slots=True)
-class Trouble:
+class Disturbance:
     """A fault or planned operation on a machine."""
 
     at: float
     until: float
     planned: bool
-    marked: bool = False  # whether events record all of it: machine, links and times
+    is_in_events: bool = False  # whether events record all of it: machine, links and times
 
 
 class What(Enum):
@@ -98,7 +98,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Place:
+class MachineInfo:
     """A machine of the deployment, as the checks see it."""
 
     name: str
@@ -119,7 +119,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Standing:
+class StatusReply:
     """The response to a query for the status or the body of a message."""
 
     name: str
@@ -138,14 +138,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Broken:
+class Violation:
     """A violation of an invariant."""
 
-    rule: str
+    invariant: str
     what: str
 
     def __str__(self) -> str:
-        return f"{self.rule}: {self.what}"
+        return f"{self.invariant}: {self.what}"
 
 
 class History:
@@ -156,10 +156,10 @@
         self.sent: dict[str, Sent] = {}
         self.runs: list[Run] = []
         self.versions: list[Version] = []
-        self.troubles: list[Trouble] = []
-        self.standings: list[Standing] = []
+        self.disturbances: list[Disturbance] = []
+        self.status_replies: list[StatusReply] = []
         self.events: list[Event] = []
-        self.places: dict[str, Place] = {}  # all machines ever added
+        self.machine_infos: dict[str, MachineInfo] = {}  # all machines ever added
         self.cuts: list[tuple[float, frozenset[tuple[str, str]]]] = [(0.0, frozenset())]
         # Whether links lose packets throughout the run; then no machine counts as in contact.
         self.lossy = False
@@ -170,35 +170,38 @@
         self.drained: dict[str, float] = {}  # endpoint -> acknowledgement of draining
         self.drained_by: dict[str, str] = {}  # endpoint -> control-plane node that acknowledged draining
         self.rates: dict[str, float] = {}
-        self.faults: list[Broken] = []
+        self.faults: list[Violation] = []
         self.read_back: Json | None = None
-        self.over_at = 0.0  # when traffic ended
+        self.traffic_ended_at = 0.0  # when traffic ended
         self.lines: list[str] = []
 
-    def say(self, text: str) -> None:
+    def trace(self, text: str) -> None:
         """Add a line to the trace."""
         self.lines.append(f"{self.clock.now:8.3f}  {text}")
 
-    def trouble(self, what: str, seconds: float = 0.0, planned: bool = False, marked: bool = False) -> None:
+    def record_disturbance(
+        self, what: str, seconds: float = 0.0, planned: bool = False, is_in_events: bool = False
+    ) -> None:
         """Record a fault or a planned operation; `marked` if events record all of it."""
-        self.say(what)
-        self.troubles.append(Trouble(self.clock.now, self.clock.now + seconds, planned, marked))
+        self.trace(what)
+        self.disturbances.append(Disturbance(self.clock.now, self.clock.now + seconds, planned, is_in_events))
 
-    def mark(self, machine: str, what: What) -> None:
+    def record_event(self, machine: str, what: What) -> None:
         """Record an event at a machine, at the current time."""
         self.events.append(Event(self.clock.now, machine, what))
 
-    def store_emptied(self, store: str) -> None:
+    def record_emptied_store(self, store: str) -> None:
         """Record that a storage node has discarded the content of its disk."""
-        self.say(f"{store} gives up what it held")
+        self.trace(f"{store} gives up what it held")
         self.emptied.append((self.clock.now, store))
 
-    def links_are(self, cut: frozenset[tuple[str, str]]) -> None:
+    def record_partitions(self, cut: frozenset[tuple[str, str]]) -> None:
         """Record the current partitions: no packet gets from the first to the second machine of each pair."""
         self.cuts.append((self.clock.now, cut))
 
-    def calm(self, since: float, until: float, planned_too: bool = True) -> bool:
+    def is_undisturbed(self, since: float, until: float, planned_too: bool = True) -> bool:
         """Whether there was no fault, and optionally no planned operation, between these times."""
         return not any(
-            it.at <= until and it.until >= since and (planned_too or not it.planned) for it in self.troubles
+            it.at <= until and it.until >= since and (planned_too or not it.planned)
+            for it in self.disturbances
         )
--- a/amberlug/cluster/simulation/invariants.py
+++ b/amberlug/cluster/simulation/invariants.py
@@ -4,7 +4,7 @@
 
 from collections import Counter, defaultdict
 
-from amberlug.cluster.simulation.history import Broken, History, Run, Sent, Version, What
+from amberlug.cluster.simulation.history import History, Run, Sent, Version, Violation, What
 from amberlug.cluster.simulation.machine import BOUNDS
 from amberlug.cluster.simulation.quorum_contact import Contact
 
@@ -28,7 +28,7 @@
 
     def __init__(self, history: History, max_attempts: int) -> None:
         self.history, self.max_attempts = history, max_attempts
-        self.broken: list[Broken] = list(history.faults)
+        self.broken: list[Violation] = list(history.faults)
         self.runs: dict[str, list[Run]] = defaultdict(list)
         self._arrivals: dict[str, list[Run]] = defaultdict(list)
         for run in history.runs:
@@ -36,12 +36,12 @@
             if run.began is not None:
                 self.runs[run.attempt].append(run)
         self.contact = Contact(history)
-        acked = [it for it in history.versions if it.acked]
+        acked = [it for it in history.versions if it.is_acknowledged]
         won = {it.base: it for it in acked}
         self.in_force = [
             it
             for it in history.versions
-            if it.valid and it.status in (0, 200) and (it.acked or it.base not in won)
+            if it.valid and it.status in (0, 200) and (it.is_acknowledged or it.base not in won)
         ]
         self.ended = {name: self._ended(sent) for name, sent in history.sent.items()}
 
@@ -66,10 +66,10 @@
     def _prefix(sent: Sent) -> str:
         return sent.target[: sent.target.rindex("/") + 1]
 
-    def _say(self, rule: str, what: str) -> None:
-        self.broken.append(Broken(rule, what))
+    def _report(self, rule: str, what: str) -> None:
+        self.broken.append(Violation(rule, what))
 
-    def check(self) -> list[Broken]:
+    def check(self) -> list[Violation]:
         """Run all checks; returns the violations."""
         self._refused()
         self._unasked()
@@ -100,7 +100,9 @@
         for sent in self.history.sent.values():
             if sent.status in (429, 503) and self.runs.get(sent.attempt):
                 run = self.runs[sent.attempt][0]
-                self._say("REFUSED", f"{sent.attempt} was answered {sent.status}, and ran at {run.began:.3f}")
+                self._report(
+                    "REFUSED", f"{sent.attempt} was answered {sent.status}, and ran at {run.began:.3f}"
+                )
 
     def _unasked(self) -> None:
         services: dict[str, set[str]] = defaultdict(set)
@@ -111,11 +113,11 @@
             for run in runs:
                 sent = self.history.sent.get(run.attempt)
                 if sent is None or sent.body != run.body:
-                    self._say("UNASKED", f"{run.attempt} ran at {run.endpoint}, and nobody sent it so")
+                    self._report("UNASKED", f"{run.attempt} ran at {run.endpoint}, and nobody sent it so")
                 elif run.service not in services[self._prefix(sent)]:
-                    self._say("ROUTE", f"{run.attempt} for {sent.target} ran at {run.service}")
+                    self._report("ROUTE", f"{run.attempt} for {sent.target} ran at {run.service}")
                 elif run.began is not None and run.began < sent.due_at - 0.1:
-                    self._say(
+                    self._report(
                         "EARLY", f"{run.attempt} ran {sent.due_at - run.began:.3f} s before its delay's end"
                     )
 
@@ -131,7 +133,7 @@
                     assert run.began is not None, "self.runs holds started runs only"
                     for before in accepted:
                         if before.answered_at < later.at and self.ended[before.attempt] > run.began:
-                            self._say(
+                            self._report(
                                 "ORDER",
                                 f"{key}: {later.attempt} sent {later.at:.3f} began {run.began:.3f} by"
                                 f" {run.life} before {before.name}, accepted {before.answered_at:.3f}, ended",
@@ -147,10 +149,10 @@
                 for second in runs:
                     assert first.began is not None, "self.runs holds started runs only"
                     assert second.began is not None, "self.runs holds started runs only"
-                    if second.began > first.began and self.history.calm(
+                    if second.began > first.began and self.history.is_undisturbed(
                         first.began - CONTACT_S, second.arrived, planned_too=False
                     ):
-                        self._say(
+                        self._report(
                             "TWICE",
                             f"{attempt} succeeded at {first.ended:.3f} by {first.life}"
                             f" and ran at {second.began:.3f} by {second.life}",
@@ -158,15 +160,17 @@
 
     def _standings(self) -> None:
         by_name = {it.name: it for it in self.history.sent.values() if it.name}
-        for it in self.history.standings:
+        for it in self.history.status_replies:
             sent = by_name[it.name]
             seals = {run.seal for run in self.runs.get(sent.attempt, ()) if run.what == "done"}
             if it.condition == "completed" and it.seal not in seals:
-                self._say("MIXED", f"{it.name} is called completed with {it.seal!r} of no run that succeeded")
+                self._report(
+                    "MIXED", f"{it.name} is called completed with {it.seal!r} of no run that succeeded"
+                )
             if it.condition == "failed" and self.ended[sent.attempt] > it.told:
-                self._say("MIXED", f"{it.name} is called failed at {it.told:.3f} and has not ended")
+                self._report("MIXED", f"{it.name} is called failed at {it.told:.3f} and has not ended")
             if it.body is not None and it.body != sent.body:
-                self._say("MIXED", f"{it.name} comes back with other bytes")
+                self._report("MIXED", f"{it.name} comes back with other bytes")
 
     def _known(self) -> None:
         """An accepted message is never reported as unknown, nor as pending once it was reported as ended.
@@ -175,23 +179,27 @@
         """
         by_name = {it.name: it for it in self.history.sent.values() if it.name}
         told_ended: dict[str, float] = {}  # by message, when a client was first told so
-        for it in sorted(self.history.standings, key=lambda standing: standing.told):
+        for it in sorted(self.history.status_replies, key=lambda standing: standing.told):
             if it.says_ended:
                 told_ended.setdefault(it.name, it.told)
-        for it in self.history.standings:
+        for it in self.history.status_replies:
             sent = by_name[it.name]
             if it.status in (404, 410) and it.asked > sent.answered_at and not it.is_of_body:
-                self._say("LOST", f"{it.name}, accepted {sent.answered_at:.3f}, is unknown at {it.told:.3f}")
+                self._report(
+                    "LOST", f"{it.name}, accepted {sent.answered_at:.3f}, is unknown at {it.told:.3f}"
+                )
             elif it.status in (404, 410) and it.is_of_body and self.ended[sent.attempt] > it.told:
-                self._say("LOST", f"{it.name} is open, and has no body at {it.told:.3f}")
+                self._report("LOST", f"{it.name} is open, and has no body at {it.told:.3f}")
             elif it.condition == "pending" and told_ended.get(it.name, it.told) < it.asked:
                 ended_at = told_ended[it.name]
-                self._say("LOST", f"{it.name}, called ended at {ended_at:.3f}, is pending at {it.told:.3f}")
+                self._report(
+                    "LOST", f"{it.name}, called ended at {ended_at:.3f}, is pending at {it.told:.3f}"
+                )
 
     def _lost(self) -> None:
-        over = self.history.over_at
+        over = self.history.traffic_ended_at
         said = defaultdict(list)
-        for it in self.history.standings:
+        for it in self.history.status_replies:
             if it.asked > over:
                 said[it.name].append(it)
         for sent in self.history.sent.values():
@@ -204,13 +212,13 @@
                 for it in found
             ):
                 answers = [(round(it.asked, 2), it.status, it.condition) for it in found]
-                self._say(
+                self._report(
                     "LOST", f"{sent.name} accepted {sent.answered_at:.3f} does not come back: {answers[-4:]}"
                 )
             elif any(it.condition in ("completed", "failed") for it in found):
-                self._say("LOST", f"{sent.name} is called ended, and has not ended")
-            elif self.history.calm(over, self.history.clock.now) and not self._rated(sent):
-                self._say("STUCK", f"{sent.name} accepted {sent.answered_at:.3f} is still open")
+                self._report("LOST", f"{sent.name} is called ended, and has not ended")
+            elif self.history.is_undisturbed(over, self.history.clock.now) and not self._rated(sent):
+                self._report("STUCK", f"{sent.name} accepted {sent.answered_at:.3f} is still open")
 
     def _rated(self, sent: Sent) -> bool:
         """Whether its service may be rate-limited, so that the message may not be delivered in time."""
@@ -221,13 +229,17 @@
 
     def _allowed(self, since: float, until: float) -> list[Version]:
         """The versions that a machine in contact may use between these times."""
-        bound = max((it.edition for it in self.in_force if it.acked and it.answered_at < since), default=0)
+        bound = max(
+            (it.edition for it in self.in_force if it.is_acknowledged and it.answered_at < since), default=0
+        )
         return [it for it in self.in_force if it.edition >= bound and it.at <= until]
 
     def _slack(self, life: str, since: float, until: float) -> float | None:
         """Seconds within which a process must use an acknowledged version; None if no bound applies."""
         machine = life.partition("#")[0]
-        if self.history.calm(since - CONTACT_S, until) or self.contact.in_touch(machine, since, until):
+        if self.history.is_undisturbed(since - CONTACT_S, until) or self.contact.in_touch(
+            machine, since, until
+        ):
             return APPLY_S
         slack = APPLY_S + STRETCH_S
         if self.contact.reaches(machine, since, until) and self.contact.led(since - slack, until):
@@ -245,7 +257,7 @@
             allowed = self._allowed(sent.at - slack, sent.answered_at)
             there = {prefix in it.services for it in allowed}
             if allowed and (sent.status == 202) not in there:
-                self._say(
+                self._report(
                     "CONFIG",
                     f"{sent.attempt} for {prefix} was answered {sent.status} at {sent.answered_at:.3f}"
                     f" by {sent.life}",
@@ -262,7 +274,7 @@
                 allowed = self._allowed(run.sent - slack, run.arrived)
                 names = {it.services.get(self._prefix(sent)) for it in allowed}
                 if allowed and run.service not in names:
-                    self._say(
+                    self._report(
                         "CONFIG",
                         f"{run.attempt} ran at {run.service} at {run.began:.3f} by {run.life}, not {names}",
                     )
@@ -287,7 +299,7 @@
                 continue
             bound = max((low for at, low in floors[life] if at + REVERT_S < sent_at), default=0)
             if max(those) < bound:
-                self._say("CONFIG", f"{life} went back from {bound} to {max(those)} at {sent_at:.3f}")
+                self._report("CONFIG", f"{life} went back from {bound} to {max(those)} at {sent_at:.3f}")
             floors[life].append((seen_at, min(those)))
 
     def _config_fresh(self) -> None:
@@ -304,7 +316,7 @@
             allowed = self._allowed(begun[sent.life], sent.answered_at)
             there = {self._prefix(sent) in it.services for it in allowed}
             if allowed and (sent.status == 202) not in there:
-                self._say(
+                self._report(
                     "CONFIG",
                     f"{sent.attempt} was answered {sent.status} at {sent.answered_at:.3f} by {sent.life}"
                     f" by what was old as that began, at {begun[sent.life]:.3f}",
@@ -314,22 +326,22 @@
         versions = self.history.versions
         by_base: dict[int, list[int]] = defaultdict(list)
         for it in versions:
-            if it.acked and not it.valid:
-                self._say("CONFIG", f"an invalid edition {it.edition} was acknowledged")
-            if it.acked:
+            if it.is_acknowledged and not it.valid:
+                self._report("CONFIG", f"an invalid edition {it.edition} was acknowledged")
+            if it.is_acknowledged:
                 by_base[it.base].append(it.edition)
         for base, editions in by_base.items():
             if len(editions) > 1:
-                self._say("CONFIG", f"editions {sorted(editions)} were acknowledged on top of {base}")
-        newest = max((it.edition for it in versions if it.acked), default=0)
+                self._report("CONFIG", f"editions {sorted(editions)} were acknowledged on top of {base}")
+        newest = max((it.edition for it in versions if it.is_acknowledged), default=0)
         back = self.history.read_back
         if back is None:
-            self._say("CONFIG", "the configuration does not come back at the end")
+            self._report("CONFIG", "the configuration does not come back at the end")
             return
         if back["edition"] < newest:
-            self._say("CONFIG", f"edition {back['edition']} is read back, {newest} was acknowledged")
+            self._report("CONFIG", f"edition {back['edition']} is read back, {newest} was acknowledged")
         elif not any(self._same(it.config, back) for it in self.in_force):
-            self._say(
+            self._report(
                 "CONFIG", f"edition {back['edition']} is read back otherwise than it was sent, or was refused"
             )
 
@@ -338,7 +350,7 @@
         for it in self.history.versions:
             for at, status, core in it.refusals:
                 if at > it.taken_at:
-                    self._say(
+                    self._report(
                         "CONFIG",
                         f"edition {it.edition}, taken at {it.taken_at:.3f}, is refused with {status}"
                         f" by {core} at {at:.3f}",
@@ -346,7 +358,7 @@
                 elif it.valid and not any(
                     other.base >= it.base and other.at < at for other in self.in_force if other is not it
                 ):
-                    self._say(
+                    self._report(
                         "CONFIG",
                         f"edition {it.edition} on top of {it.base} is refused with {status} by {core}"
                         f" at {at:.3f}, and nothing else was under way",
@@ -354,16 +366,18 @@
 
     def _config_read(self) -> None:
         """A read returns a version in force, no older than any acknowledged or read before."""
-        seen = [(it.answered_at, it.edition) for it in self.in_force if it.acked]
+        seen = [(it.answered_at, it.edition) for it in self.in_force if it.is_acknowledged]
         reads = [it for it in self.history.calls if it.what == "read" and it.status in (200, 404)]
         seen += [(it.answered_at, it.said["edition"]) for it in reads if it.status == 200 and it.said]
         for call in reads:
             found = call.said["edition"] if call.status == 200 and call.said is not None else 0
             newest = max((edition for at, edition in seen if at < call.at), default=0)
             if found < newest:
-                self._say("CONFIG", f"{found} is read at {call.core} at {call.at:.3f}, {newest} was known")
+                self._report("CONFIG", f"{found} is read at {call.core} at {call.at:.3f}, {newest} was known")
             elif found and not any(self._same(it.config, call.said or {}) for it in self.in_force):
-                self._say("CONFIG", f"{found} is read at {call.core} at {call.at:.3f}, and is not in force")
+                self._report(
+                    "CONFIG", f"{found} is read at {call.core} at {call.at:.3f}, and is not in force"
+                )
 
     def _retire(self) -> None:
         """Control-plane nodes know each storage node and its retirement; only retired nodes are emptied."""
@@ -376,14 +390,16 @@
                 (call.what == "retire" and call.at > KNOWN_S)
                 or (call.what == "retire-read" and begun.get(call.name, 1e9) < call.at)
             ):
-                self._say("RETIRE", f"{call.core} does not know {call.name} at {call.at:.3f}")
+                self._report("RETIRE", f"{call.core} does not know {call.name} at {call.at:.3f}")
             if call.status == 409 and self.contact.settled(call.at, call.answered_at):
-                self._say("RETIRE", f"{call.core} refuses to empty {call.name} at {call.at:.3f}")
+                self._report("RETIRE", f"{call.core} refuses to empty {call.name} at {call.at:.3f}")
 
         for at, name in self.history.emptied:
             ordered = any(it.what == "retire" and it.name == name and it.at < at for it in self.history.calls)
             if not ordered and self.contact.in_touch(name, at, at):
-                self._say("RETIRE", f"{name}, in touch and not to be emptied, gives up its disk at {at:.3f}")
+                self._report(
+                    "RETIRE", f"{name}, in touch and not to be emptied, gives up its disk at {at:.3f}"
+                )
 
     def _acks(self) -> None:
         """A command that may go to any node is acknowledged in time while the control plane is stable."""
@@ -391,12 +407,14 @@
         for it in self.history.versions:
             others = [other for other in self.in_force if other is not it and other.base >= it.base]
             until = min(it.until, over)
-            if not it.valid or not it.proper or others or not it.base:
+            if not it.valid or not it.may_use_any_node or others or not it.base:
                 continue
             at = it.at
             while at + ACK_S < until:
                 if self.contact.settled(at, at + ACK_S):
-                    self._say("ACKS", f"edition {it.edition}, sent {it.at:.3f}, has no answer by {until:.3f}")
+                    self._report(
+                        "ACKS", f"edition {it.edition}, sent {it.at:.3f}, has no answer by {until:.3f}"
+                    )
                     break
                 at += STEP_S
         late, all_ = 0, 0
@@ -405,11 +423,11 @@
                 all_ += 1
                 late += self.history.drained.get(name, 1e9) > at + ACK_S
         if late >= 3 and 5 * late > all_:
-            self._say("ACKS", f"{late} of {all_} endpoints that leave are not acknowledged")
+            self._report("ACKS", f"{late} of {all_} endpoints that leave are not acknowledged")
 
     def _served(self) -> None:
         """Edge nodes in contact are ready, and accept messages."""
-        over = self.history.over_at
+        over = self.history.traffic_ended_at
         polls = [
             (at, name, ready)
             for at, name, ready in self.history.polls
@@ -417,7 +435,7 @@
         ]
         idle = [f"{name} at {at:.1f}" for at, name, ready in polls if not ready]
         if len(idle) >= 3 and len(idle) > (1 - READY) * len(polls):
-            self._say(
+            self._report(
                 "DUTY", f"{len(idle)} of {len(polls)} looks at edges in touch find them not ready: {idle[:3]}"
             )
         sent = [
@@ -430,17 +448,21 @@
         ]
         served = sum(1 for it in sent if it.status == 202)
         if len(sent) >= 20 and served < SERVED * len(sent):
-            self._say("RECOVER", f"{served} of {len(sent)} are accepted by edges in touch")
+            self._report("RECOVER", f"{served} of {len(sent)} are accepted by edges in touch")
 
     def _offered(self) -> None:
         """While all edge nodes are in contact, a due message reaches an endpoint in time."""
-        edges = [it.name for it in self.history.places.values() if it.kind == "edge"]
+        edges = [it.name for it in self.history.machine_infos.values() if it.kind == "edge"]
         late: list[str] = []
         all_ = 0
         for sent in self.history.sent.values():
             due = max(sent.due_at, sent.answered_at)
             until = due + OFFERED_S
-            if sent.status != 202 or not sent.target.startswith("/plain/") or until > self.history.over_at:
+            if (
+                sent.status != 202
+                or not sent.target.startswith("/plain/")
+                or until > self.history.traffic_ended_at
+            ):
                 continue
             if not all(self.contact.in_touch(name, sent.at, until) for name in edges):
                 continue
@@ -448,7 +470,7 @@
             if not any(it.arrived <= until for it in self._arrivals.get(sent.attempt, ())):
                 late.append(f"{sent.attempt} due {due:.3f}")
         if len(late) >= 5 and len(late) > (1 - SERVED) * all_:
-            self._say("RECOVER", f"{len(late)} of {all_} messages reach no endpoint in time: {late[:3]}")
+            self._report("RECOVER", f"{len(late)} of {all_} messages reach no endpoint in time: {late[:3]}")
 
     @staticmethod
     def _same(sent: dict[str, object], back: dict[str, object]) -> bool:
@@ -475,8 +497,8 @@
             in_touch = self.contact.in_touch(by, acked, acked) and self.contact.in_touch(
                 sender, run.sent, run.arrived
             )
-            if in_touch or self.history.calm(run.sent - CONTACT_S, run.arrived):
-                self._say(
+            if in_touch or self.history.is_undisturbed(run.sent - CONTACT_S, run.arrived):
+                self._report(
                     "DRAIN",
                     f"{run.endpoint}, acknowledged at {acked:.3f}, was sent {run.attempt} at {run.sent:.3f}",
                 )
@@ -490,12 +512,17 @@
                 while times[first] < time - WINDOW_S:
                     first += 1
                 if at - first + 1 > most:
-                    self._say("CEILING", f"{at - first + 1} arrivals at {name} within 5 s up to {time:.3f}")
+                    self._report(
+                        "CEILING", f"{at - first + 1} arrivals at {name} within 5 s up to {time:.3f}"
+                    )
                     break
 
     def _recover(self) -> None:
         """After all faults, most messages are accepted."""
-        over, calm_from = self.history.over_at, max((it.until for it in self.history.troubles), default=0.0)
+        over, calm_from = (
+            self.history.traffic_ended_at,
+            max((it.until for it in self.history.disturbances), default=0.0),
+        )
         late = [
             it
             for it in self.history.sent.values()
@@ -504,4 +531,4 @@
         late = [it for it in late if not it.target.startswith("/x")]
         served = sum(1 for it in late if it.status == 202)
         if len(late) >= 20 and served < SERVED * len(late):
-            self._say("RECOVER", f"{served} of {len(late)} are accepted after all troubles")
+            self._report("RECOVER", f"{served} of {len(late)} are accepted after all troubles")
--- a/amberlug/cluster/simulation/loss_schedule.py
+++ b/amberlug/cluster/simulation/loss_schedule.py
@@ -8,7 +8,7 @@
 from functools import partial
 
 from amberlug.cluster.settings import Tolerance
-from amberlug.cluster.simulation.history import Broken, Call
+from amberlug.cluster.simulation.history import Call, Violation
 from amberlug.cluster.simulation.machine import BOUNDS, Machine
 from amberlug.cluster.simulation.scenario_context import ScenarioContext
 from amberlug.cluster.simulation.storage_faults import ASK_S, BACK_S, RETIRE_S, StorageFaults
@@ -155,7 +155,7 @@
         self, unit: list[Machine], what: str, seconds: float, wipe: bool, then: Callable[[], None]
     ) -> None:
         unit = [it for it in unit if it in self.deployment.machines]
-        self.history.trouble(f"{self._names(unit)} {what}, back in {seconds:.2f} s", seconds)
+        self.history.record_disturbance(f"{self._names(unit)} {what}, back in {seconds:.2f} s", seconds)
         for machine in unit:
             if self.rng.random() < 0.5:
                 machine.kill()
@@ -209,7 +209,7 @@
         way = self.rng.choice(("to", "from", "both", "both"))
         pairs = {(a.name, b.name) for a in unit for b in others if way != "to"}
         pairs |= {(b.name, a.name) for a in unit for b in others if way != "from"}
-        self.history.trouble(f"{self._names(unit)} cut off ({way}) for {seconds:.1f} s", seconds)
+        self.history.record_disturbance(f"{self._names(unit)} cut off ({way}) for {seconds:.1f} s", seconds)
         self.deployment.net.cut(pairs)
         self.clock.call_later(seconds, partial(self.deployment.net.join, pairs))
         self.clock.call_later(seconds, then)
@@ -217,7 +217,7 @@
     def _still(self, unit: list[Machine], then: Callable[[], None]) -> None:
         """Freeze machines for a while."""
         seconds = self.rng.uniform(0.5, 4.0)
-        self.history.trouble(f"{self._names(unit)} frozen for {seconds:.1f} s", seconds)
+        self.history.record_disturbance(f"{self._names(unit)} frozen for {seconds:.1f} s", seconds)
         for machine in unit:
             machine.freeze()
             self.clock.call_later(seconds, machine.thaw)
@@ -228,7 +228,9 @@
         (machine,) = unit
         seconds = self.rng.uniform(0.3, 2.0)
         name = machine.name if self.rng.random() < 0.5 else ""
-        self.history.trouble(f"{machine.name} is gone for good, another in {seconds:.1f} s", seconds)
+        self.history.record_disturbance(
+            f"{machine.name} is gone for good, another in {seconds:.1f} s", seconds
+        )
         self._take_away(machine)
         self._come(machine.kind, machine.zone, seconds, name)
         self.clock.call_later(seconds, then)
@@ -241,7 +243,7 @@
             return
         seconds = self.rng.uniform(0.5, BACK_S)
         self.going[machine] = None
-        self.history.trouble(
+        self.history.record_disturbance(
             f"{machine.name} gets a successor, and goes in {seconds:.1f} s", seconds, planned=True
         )
         self._come(machine.kind, machine.zone, 0.0)
@@ -252,7 +254,7 @@
         if machine not in self.deployment.machines:
             self.going.pop(machine, None)
             return
-        self.history.trouble(f"{machine.name} is told to end, and taken away", 0.1)
+        self.history.record_disturbance(f"{machine.name} is told to end, and taken away", 0.1)
         machine.term()
         self.clock.call_later(0.1, partial(self._take_away, machine))
 
@@ -275,7 +277,7 @@
         count = len(self.deployment.stores if kind == "store" else self.deployment.cores)
         if count >= 9:
             return
-        self.history.say(f"a {kind} is added")
+        self.history.trace(f"a {kind} is added")
         self._come(kind, self.rng.choice(self.deployment.zones), 0.0)
         if self.rng.random() < 0.5:
             self.clock.call_later(self.rng.choice((0.05, 0.5, 1.0)), self._lose_now)
@@ -295,22 +297,26 @@
         whole = [it for it in others if it not in self.lost]
         remain = self.deployment.tolerance.holds([(it.zone, regions[it.zone]) for it in others])
         surely = self.deployment.tolerance.holds([(it.zone, regions[it.zone]) for it in whole])
-        if not remain and not self.history.calm(self.clock.now - BACK_S, self.clock.now):
+        if not remain and not self.history.is_undisturbed(self.clock.now - BACK_S, self.clock.now):
             return  # the system may not have noticed yet how few there are
-        self.history.say(f"{store.name} is to be emptied: {'enough' if remain else 'too few'} others remain")
+        self.history.trace(
+            f"{store.name} is to be emptied: {'enough' if remain else 'too few'} others remain"
+        )
         began = self.clock.now
 
         def hear(status: int, said: object) -> None:
-            calm = self.history.calm(began - BACK_S, self.clock.now)
+            calm = self.history.is_undisturbed(began - BACK_S, self.clock.now)
             if status == 200 and not remain and calm:
-                self.history.faults.append(Broken("RETIRE", f"{store.name} is emptied, and too few remain"))
+                self.history.faults.append(
+                    Violation("RETIRE", f"{store.name} is emptied, and too few remain")
+                )
             elif status == 200:
                 self._look(store, self.clock.now + RETIRE_S - 2.0)
             else:
                 self.retired.pop(store.name, None)
                 if status == 409 and surely and calm:
                     self.history.faults.append(
-                        Broken("RETIRE", f"{store.name}: 409, and enough others remain")
+                        Violation("RETIRE", f"{store.name}: 409, and enough others remain")
                     )
 
         self.retired[store.name] = began
@@ -325,18 +331,20 @@
                 self.retired.pop(store.name, None)
             elif status == 200 and isinstance(said, dict) and said["condition"] == "completed":
                 self._emptied(store)
-            elif self.clock.now < until or not self.history.calm(began, self.clock.now):
+            elif self.clock.now < until or not self.history.is_undisturbed(began, self.clock.now):
                 if self.clock.now < began + PATIENCE_S:
                     self.clock.call_later(ASK_S, lambda: self._look(store, until))
                 else:
-                    self.history.faults.append(Broken("RETIRE", f"{store.name} is not emptied: {status}"))
+                    self.history.faults.append(Violation("RETIRE", f"{store.name} is not emptied: {status}"))
             else:
-                self.history.faults.append(Broken("RETIRE", f"{store.name} is not emptied in time: {status}"))
+                self.history.faults.append(
+                    Violation("RETIRE", f"{store.name} is not emptied in time: {status}")
+                )
 
         self._ask(f"/-/Retire.Read/{store.name}", b"", "GET", hear)
 
     def _emptied(self, store: Machine) -> None:
-        self.history.say(f"{store.name} is emptied, and taken away")
+        self.history.trace(f"{store.name} is emptied, and taken away")
         self.retired.pop(store.name)
         # The system can't have noticed the latest losses yet: their copies still counted, and these are the
         # losses that it must tolerate.
@@ -353,18 +361,18 @@
 
     def _check_acks(self) -> None:
         """Each command gets a response within `ackMs` of time without faults."""
-        troubles = sorted(self.history.troubles, key=lambda it: it.at)
+        disturbances = sorted(self.history.disturbances, key=lambda it: it.at)
         for version in self.history.versions:
             if not version.valid or version.at > self._over:
                 continue
             due = version.at + ACK_S
-            for it in troubles:
+            for it in disturbances:
                 if it.until + CONTACT_S > version.at and it.at <= due:
                     due = max(due, it.until + CONTACT_S + ACK_S)
             answered = version.answered_at or 1e9
             if due <= min(answered, version.at + INSIST_S, self.clock.now):
                 self.history.faults.append(
-                    Broken(
+                    Violation(
                         "ACKS", f"edition {version.edition} of {version.at:.3f} has no answer by {due:.3f}"
                     )
                 )
--- a/amberlug/cluster/simulation/machine.py
+++ b/amberlug/cluster/simulation/machine.py
@@ -22,7 +22,7 @@
     ProcessMessageDisk,
     SimulatedDisk,
 )
-from amberlug.cluster.simulation.history import Broken, History, Place, What
+from amberlug.cluster.simulation.history import History, MachineInfo, Violation, What
 from amberlug.cluster.simulation.network import Host, Incarnation, Network, SimulatedRuntime
 from amberlug.cluster.storage.node import StorageNode
 
@@ -82,7 +82,7 @@
     ) -> None:
         super().__init__(name, zone, address)
         self.deployment, self.kind = deployment, kind
-        deployment.history.places[name] = Place(name, kind)
+        deployment.history.machine_infos[name] = MachineInfo(name, kind)
         self.ip = address.rpartition(":")[0]
         self.control: str = f"{self.ip}:7000"
         self.wall_clock = WALL_S + deployment.rng.uniform(-0.02, 0.02)
@@ -95,7 +95,7 @@
             self.disk = make(deployment.clock, rng, deployment.sync_s)
             self.disk.name, self.disk.digest = name, deployment.digest
             if isinstance(self.disk, MessageDisk):
-                self.disk.on_anew = partial(deployment.history.store_emptied, name)
+                self.disk.on_anew = partial(deployment.history.record_emptied_store, name)
 
     @property
     def up(self) -> bool:
@@ -114,7 +114,7 @@
         deployment = self.deployment
         self.powered = True
         self.lives += 1
-        deployment.history.mark(self.name, What.START)
+        deployment.history.record_event(self.name, What.START)
         life = self.life = Incarnation(self, self.lives, deployment.failed)
         rng = deployment.draw(f"{self.name} {self.lives}")
         world = SimulatedRuntime(deployment.net, life, rng, self.wall_clock)
@@ -139,7 +139,7 @@
     def _end(self, disk: Callable[[], None]) -> None:
         life = self.life
         assert life is not None, "no process runs on this machine"
-        self.deployment.history.mark(self.name, What.END)
+        self.deployment.history.record_event(self.name, What.END)
         self.note_violations()
         life.over = True
         disk()
@@ -157,7 +157,7 @@
         life = self.life
         if life is None or life.over:
             return
-        self.deployment.history.mark(self.name, What.END)
+        self.deployment.history.record_event(self.name, What.END)
         self.note_violations()
         life.over = True
         if self.disk is not None:
@@ -171,17 +171,17 @@
         """Record the invariant violations that the running process has counted itself."""
         for name, count in self.part.counters.items() if self.up else ():
             if name.startswith(VIOLATION_PREFIX):
-                self.deployment.history.faults.append(Broken("INVARIANT", f"{self.name}: {name}, {count}"))
+                self.deployment.history.faults.append(Violation("INVARIANT", f"{self.name}: {name}, {count}"))
 
     def freeze(self) -> None:
         if self.up and self.life is not None:
-            self.deployment.history.mark(self.name, What.FREEZE)
+            self.deployment.history.record_event(self.name, What.FREEZE)
             self.life.frozen = True
 
     def thaw(self) -> None:
         if self.life is not None:
             if self.up:
-                self.deployment.history.mark(self.name, What.THAW)
+                self.deployment.history.record_event(self.name, What.THAW)
             self.life.thaw(self.deployment.rng)
 
     def wipe(self) -> None:
@@ -195,7 +195,7 @@
         life = self.life
         if life is None or life.over:
             return
-        self.deployment.history.mark(self.name, What.TERM)
+        self.deployment.history.record_event(self.name, What.TERM)
         life.do(life.machine.begin_shutdown)
         clock = self.deployment.clock
         if self.kind != "edge":
--- a/amberlug/cluster/simulation/operator.py
+++ b/amberlug/cluster/simulation/operator.py
@@ -210,7 +210,7 @@
 
         def hear(status: int, said: Any) -> None:
             call.status, call.answered_at, call.said = status, self.clock.now, said
-            self.history.say(f"{call.what} {call.name}: {status} by {call.core}")
+            self.history.trace(f"{call.what} {call.name}: {status} by {call.core}")
             then(call)
 
         self.deployment.control(core, method, target, body, WITHIN_S, hear)
@@ -261,9 +261,9 @@
         body = json.dumps(data).encode()
         headers = (("amberlug-base-version", str(version.base)),)
         began, pause = self.clock.now, PAUSE_S[0]
-        version.proper = not hard
+        version.may_use_any_node = not hard
         where = f" to {to.name}" if to is not None else ""
-        self.history.say(f"edition {version.edition} on top of {version.base} is sent ({word}){where}")
+        self.history.trace(f"edition {version.edition} on top of {version.base} is sent ({word}){where}")
 
         def call(core: Machine, hear: Callable[[int, Any], None]) -> None:
             def leaves(status: int) -> None:
@@ -285,7 +285,7 @@
         def hear(core: Machine, status: int) -> None:
             nonlocal pause
             if status in CLEAR:
-                self.history.say(f"edition {version.edition}: {status} by {core.name}")
+                self.history.trace(f"edition {version.edition}: {status} by {core.name}")
                 if status != 200:
                     version.refusals.append((self.clock.now, status, core.name))
                     if status in (409, 412):
@@ -293,7 +293,7 @@
                 else:
                     version.taken_at = min(version.taken_at, self.clock.now)
                     if self.lost and self.rng.random() < self.lost:
-                        self.history.say("that answer is lost")
+                        self.history.trace("that answer is lost")
                         self.clock.call_later(WITHIN_S, again)
                         return
                 version.status = status
@@ -311,7 +311,7 @@
             core = self.rng.choice(self.deployment.cores)
 
             def told(status: int, said: Any) -> None:
-                self.history.say(f"edition {version.edition}, sent again: {status} by {core.name}")
+                self.history.trace(f"edition {version.edition}, sent again: {status} by {core.name}")
                 if status in CLEAR and status != 200:
                     version.refusals.append((self.clock.now, status, core.name))
 
--- a/amberlug/cluster/simulation/quorum_contact.py
+++ b/amberlug/cluster/simulation/quorum_contact.py
@@ -28,13 +28,13 @@
 
     def __init__(self, history: History) -> None:
         self.history = history
-        self._core = {name for name, it in history.places.items() if it.kind == "core"}
+        self._core = {name for name, it in history.machine_infos.items() if it.kind == "core"}
         self._upsets: list[float] = []
-        self._own: dict[str, list[float]] = {name: [] for name in history.places}
+        self._own: dict[str, list[float]] = {name: [] for name in history.machine_infos}
         for event in history.events:
             self._own[event.machine].append(event.at)
             # What machines do as the day begins is no trouble.
-            if history.places[event.machine].kind in UPSETS:
+            if history.machine_infos[event.machine].kind in UPSETS:
                 self._upsets.append(event.at)
         self._spans = self._cut_up()
         self._starts = [it.at for it in self._spans]
@@ -74,8 +74,8 @@
         """Whether there was a fault that the events do not fully record."""
         return self.history.lossy or any(
             it.at <= until + SLACK_S and it.until >= since - SLACK_S
-            for it in self.history.troubles
-            if not it.marked
+            for it in self.history.disturbances
+            if not it.is_in_events
         )
 
     @staticmethod
--- a/amberlug/cluster/simulation/scenarios.py
+++ b/amberlug/cluster/simulation/scenarios.py
@@ -13,7 +13,7 @@
 from amberlug.cluster.simulation.control_faults import FORMS, Control
 from amberlug.cluster.simulation.deployment import ONE_MACHINE, Deployment
 from amberlug.cluster.simulation.endpoints import Kind
-from amberlug.cluster.simulation.history import Broken
+from amberlug.cluster.simulation.history import Violation
 from amberlug.cluster.simulation.invariants import Checker
 from amberlug.cluster.simulation.loss_schedule import Losses, draw_site
 from amberlug.cluster.simulation.machine import BOUNDS, RESTART_S, Machine
@@ -125,12 +125,12 @@
                 machine.loss = 0.06
             self.history.lossy = True
 
-    def play(self) -> list[Broken]:
+    def play(self) -> list[Violation]:
         """Run the scenario; returns the violations."""
         with patch.object(log, "SNAPSHOT_ENTRIES", self.compact):
             return self._play()
 
-    def _play(self) -> list[Broken]:
+    def _play(self) -> list[Violation]:
         for machine in self.deployment.machines:
             self.clock.call_later(self.rng.uniform(0.0, 0.15), machine.start)
         for name, count in (("alpha", 4), ("beta", 3), ("gamma", 2)):
@@ -145,8 +145,8 @@
         self._plan(TRAFFIC_S + 1.0, over - 5.0)
         self.clock.run(over)
         self.clients.sending = False
-        self.history.over_at = over
-        self.history.say("traffic ends")
+        self.history.traffic_ended_at = over
+        self.history.trace("traffic ends")
         self.clock.run(over + AFTER_S)
         self.clients.ask_all(8)
         self.operator.read_back(10)
@@ -239,7 +239,7 @@
 
     def kill_one(self, machine: Machine) -> float:
         """Kill a process, and restart it."""
-        self.history.trouble(f"{machine.name} is killed", RESTART_S, marked=True)
+        self.history.record_disturbance(f"{machine.name} is killed", RESTART_S, is_in_events=True)
         machine.kill()
         return self._restart(machine)
 
@@ -251,13 +251,17 @@
 
     def _power(self) -> float:
         machine, seconds = self._any(self.deployment.machines), self.rng.uniform(0.5, 3.0)
-        self.history.trouble(f"{machine.name} loses power for {seconds:.1f} s", seconds, marked=True)
+        self.history.record_disturbance(
+            f"{machine.name} loses power for {seconds:.1f} s", seconds, is_in_events=True
+        )
         machine.power_off()
         return self._restart(machine, seconds)
 
     def _freeze_one(self, machine: Machine) -> float:
         seconds = self.rng.choice((0.5, 1.0, 2.0, 3.0))
-        self.history.trouble(f"{machine.name} is frozen for {seconds:.1f} s", seconds, marked=True)
+        self.history.record_disturbance(
+            f"{machine.name} is frozen for {seconds:.1f} s", seconds, is_in_events=True
+        )
         machine.freeze()
         self.clock.call_later(seconds, machine.thaw)
         return seconds
@@ -270,14 +274,14 @@
 
     def _term(self, machine: Machine) -> float:
         """Restart as planned; of a control-plane or storage node, this counts as a fault."""
-        self.history.trouble(f"{machine.name} is told to end", 7.0, planned=machine.kind == "edge")
+        self.history.record_disturbance(f"{machine.name} is told to end", 7.0, planned=machine.kind == "edge")
         machine.term()
 
         def look() -> None:
             if machine.up:
                 self.clock.call_later(0.1, look)
             else:
-                self.history.say(f"{machine.name} has ended")
+                self.history.trace(f"{machine.name} has ended")
                 self.clock.call_later(RESTART_S, machine.start)
 
         look()
@@ -300,7 +304,7 @@
             if it is not machine:
                 pairs |= {(machine.name, it.name)} if way != "to" else set()
                 pairs |= {(it.name, machine.name)} if way != "from" else set()
-        self.history.trouble(
+        self.history.record_disturbance(
             f"{machine.name} is cut from {len(others)} machines ({way}) for {seconds:.1f} s", seconds
         )
         self.deployment.net.cut(pairs)
@@ -334,10 +338,10 @@
         """Reset the connections of one machine, or have it lose some packets for a while."""
         machine = self._any(self.deployment.machines)
         if self.rng.random() < 0.5:
-            self.history.trouble(f"the connections of {machine.name} are reset")
+            self.history.record_disturbance(f"the connections of {machine.name} are reset")
             self.deployment.net.reset(machine)
             return 0.0
-        self.history.trouble(f"{machine.name} loses packets for 3 s", 3.0)
+        self.history.record_disturbance(f"{machine.name} loses packets for 3 s", 3.0)
         machine.loss = 0.05
 
         def whole() -> None:
@@ -353,10 +357,12 @@
         assert disk is not None, "stores and cores have a disk"
         seconds = self.rng.uniform(0.3, 3.0)
         if self.rng.random() < 0.5:
-            self.history.trouble(f"the disk of {machine.name} stalls for {seconds:.1f} s", seconds)
+            self.history.record_disturbance(f"the disk of {machine.name} stalls for {seconds:.1f} s", seconds)
             disk.stalled_until = self.clock.now + seconds
         elif machine.kind == "store":
-            self.history.trouble(f"the disk of {machine.name} is full for {seconds:.1f} s", seconds)
+            self.history.record_disturbance(
+                f"the disk of {machine.name} is full for {seconds:.1f} s", seconds
+            )
             disk.full = True
 
             def room() -> None:
@@ -427,13 +433,13 @@
                 return
             struck = True
             self.operator.on_acked = lambda it: None
-            self.history.trouble(f"the closing fault: {what}", seconds)
+            self.history.record_disturbance(f"the closing fault: {what}", seconds)
             for machine in self.deployment.machines:
                 machine.kill() if what == "kill" else machine.power_off()
                 self._restart(machine, seconds + rng.uniform(0.0, 2.0 if self.aim == "core" else 0.3))
             if what == "wipe":
                 lost = self._any(counted)
-                self.history.say(f"{lost.name} loses its disk")
+                self.history.trace(f"{lost.name} loses its disk")
                 lost.wipe()
 
         self.operator.on_acked = strike
@@ -448,7 +454,7 @@
         victim = self.rng.choice(ready)
         silent = self.rng.random() < 0.3
         if len(self.deployment.endpoint_fleet.up(victim.kind.name)) > 1:
-            self.history.say(f"{victim.name} crashes{' with its machine' if silent else ''}")
+            self.history.trace(f"{victim.name} crashes{' with its machine' if silent else ''}")
             victim.crash(silent)
             reuse = "" if self.rng.random() < 0.5 else victim.address
             names = list(self.deployment.endpoint_fleet.kinds)
@@ -465,13 +471,13 @@
         victim = self.rng.choice(endpoint_fleet.up())
         endpoint_fleet.start(victim.kind.name, victim.zone)
         linger = self.rng.uniform(2.0 if self.aim == "drain" else 0.3, 4.0)
-        self.history.say(f"{victim.name} of {victim.kind.name} is to leave")
-        victim.leave(linger, lambda: self.history.say(f"{victim.name} has ended"))
+        self.history.trace(f"{victim.name} of {victim.kind.name} is to leave")
+        victim.leave(linger, lambda: self.history.trace(f"{victim.name} has ended"))
         return 0.0
 
     def _answers_lost(self) -> float:
         kind = self.rng.choice(list(self.deployment.endpoint_fleet.kinds.values()))
-        self.history.say(f"{kind.name} loses answers for 1 s")
+        self.history.trace(f"{kind.name} loses answers for 1 s")
         kind.lost = 0.2
 
         def whole() -> None:
@@ -484,7 +490,7 @@
         """For a while, cut off, delay or repeat responses of a service, or omit their attempt id."""
         kind = self.rng.choice(list(self.deployment.endpoint_fleet.kinds.values()))
         seconds = self.rng.uniform(0.5, 3.0)
-        self.history.say(f"{kind.name} garbles answers for {seconds:.1f} s")
+        self.history.trace(f"{kind.name} garbles answers for {seconds:.1f} s")
         kind.garbled = 0.5
 
         def whole() -> None:
@@ -525,6 +531,6 @@
         self.clients.extra = sorted(set(recent))
 
 
-def play(seed: int, aim: str = "") -> list[Broken]:
+def play(seed: int, aim: str = "") -> list[Violation]:
     """Run the scenario of a seed; returns the violations."""
     return Scenario(seed, aim).play()
--- a/amberlug/cluster/simulation/seed_search.py
+++ b/amberlug/cluster/simulation/seed_search.py
@@ -8,11 +8,11 @@
 
 from absl import logging
 
-from amberlug.cluster.simulation.history import Broken
+from amberlug.cluster.simulation.history import Violation
 from amberlug.cluster.simulation.mutations import mutated
 from amberlug.cluster.simulation.scenarios import play
 
-SeedResult = tuple[int, list[Broken]]
+SeedResult = tuple[int, list[Violation]]
 
 
 def run_seed(seed: int, aim: str = "", mutant: str = "") -> SeedResult:
--- a/amberlug/cluster/simulation/storage_faults.py
+++ b/amberlug/cluster/simulation/storage_faults.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from amberlug.cluster.simulation.disk import MessageDisk, SimulatedDisk
-from amberlug.cluster.simulation.history import Broken, Call
+from amberlug.cluster.simulation.history import Call, Violation
 from amberlug.cluster.simulation.machine import BOUNDS, Machine
 from amberlug.cluster.simulation.scenario_context import ScenarioContext
 
@@ -55,7 +55,7 @@
         return self.rng.choice(machines)
 
     def _down(self, machine: Machine, what: str, seconds: float) -> None:
-        self.history.trouble(f"{machine.name} {what}, back in {seconds:.1f} s", seconds)
+        self.history.record_disturbance(f"{machine.name} {what}, back in {seconds:.1f} s", seconds)
         if self.rng.random() < 0.5:
             machine.kill()
         machine.power_off()
@@ -119,7 +119,7 @@
     def _come(self, kind: str, zone: str, seconds: float, name: str = "") -> None:
         def come() -> None:
             machine = self.deployment.add(kind, zone, name)
-            self.history.say(f"{machine.name} comes at {machine.address}")
+            self.history.trace(f"{machine.name} comes at {machine.address}")
             machine.start()
             self.clock.call_later(self.rng.uniform(*SETTINGS_S), self.deployment.tell_settings)
 
@@ -147,7 +147,7 @@
     def add_store(self) -> float:
         """Add one or two storage nodes."""
         for _ in range(self.rng.choice((1, 2))):
-            self.history.trouble("a store is added")
+            self.history.record_disturbance("a store is added")
             self._come("store", self.rng.choice(self.deployment.zones), 0.0)
         return 0.0
 
@@ -162,7 +162,7 @@
 
     def empty(self, store: Machine) -> None:
         """Order a storage node to be retired, and poll until it is empty."""
-        self.history.trouble(f"{store.name} is to be emptied", RETIRE_S, planned=True)
+        self.history.record_disturbance(f"{store.name} is to be emptied", RETIRE_S, planned=True)
         self.history.calls.append(Call("retire", store.name, "", self.clock.now))
         self._ask(f"/-/Retire.Begin/{store.name}", b'{"durationS": 8}', "POST", partial(self._begun, store))
 
@@ -174,7 +174,7 @@
         if status == 200:
             self._look(store, self.clock.now + RETIRE_S - 2.0)
         elif status not in (404, 409):
-            self.history.say(f"{store.name}: {status}, not to be emptied after all")
+            self.history.trace(f"{store.name}: {status}, not to be emptied after all")
 
     def _look(self, store: Machine, until: float) -> None:
         def hear(status: int, said: Any) -> None:
@@ -183,12 +183,12 @@
             elif self.clock.now < until:
                 self.clock.call_later(ASK_S, lambda: self._look(store, until))
             else:
-                self.history.faults.append(Broken("RETIRE", f"{store.name} is not emptied: {status}"))
+                self.history.faults.append(Violation("RETIRE", f"{store.name} is not emptied: {status}"))
 
         self._ask(f"/-/Retire.Read/{store.name}", b"", "GET", hear)
 
     def _emptied(self, store: Machine) -> None:
-        self.history.say(f"{store.name} is emptied, and taken away")
+        self.history.trace(f"{store.name} is emptied, and taken away")
         self.check_copies(store)
         self.deployment.remove(store)
 
@@ -207,7 +207,7 @@
             places = [(it.zone, regions[it.zone]) for it in holders]
             if not any(end for _, end in kept.values()) and not tolerance.holds(places):
                 self.history.faults.append(
-                    Broken(
+                    Violation(
                         "RETIRE",
                         f"{store.name} is called empty, and {sent.name} has too few copies elsewhere",
                     )
@@ -222,7 +222,7 @@
     def freeze_store(self) -> float:
         """Freeze a storage node for 3 s."""
         store = self._any(self.deployment.stores)
-        self.history.trouble(f"{store.name} is frozen for 3 s", 3.0)
+        self.history.record_disturbance(f"{store.name} is frozen for 3 s", 3.0)
         store.freeze()
         self.clock.call_later(3.0, store.thaw)
         return 3.0
@@ -238,7 +238,7 @@
         disk, seconds = machine.disk, self.rng.uniform(1.0, 4.0)
         assert disk is not None, "stores and cores have a disk"
         what = self.rng.choice(("slow", "stalled", "full"))
-        self.history.trouble(f"the disk of {machine.name} is {what} for {seconds:.1f} s", seconds)
+        self.history.record_disturbance(f"the disk of {machine.name} is {what} for {seconds:.1f} s", seconds)
         if what == "stalled":
             disk.stalled_until = self.clock.now + seconds
             return seconds
@@ -262,7 +262,7 @@
         pairs = {(a.name, b.name) for a in few for b in others}
         pairs |= {(b, a) for a, b in pairs}
         names = ", ".join(it.name for it in few)
-        self.history.trouble(f"{names} cut from the other core for {seconds:.1f} s", seconds)
+        self.history.record_disturbance(f"{names} cut from the other core for {seconds:.1f} s", seconds)
         if self.rng.random() < 0.5:
             aside = {(a.name, b.name) for a in beside for b in few}
             pairs |= aside | {(b, a) for a, b in aside}
--- a/tests/cluster/test_answers_days.py
+++ b/tests/cluster/test_answers_days.py
@@ -21,4 +21,4 @@
     family = MUTANTS[name][1]
     # A change of the program may shift which seed detects a mutation.
     found = (run_seed(it, family, name)[1] for it in range(seed, seed + 20))
-    assert any(rule in {it.rule for it in broken} for broken in found)
+    assert any(rule in {it.invariant for it in broken} for broken in found)
--- a/tests/cluster/test_control_days.py
+++ b/tests/cluster/test_control_days.py
@@ -9,7 +9,7 @@
 import pytest
 
 from amberlug.cluster.simulation.clock import Clock
-from amberlug.cluster.simulation.history import Broken, History, Place, What
+from amberlug.cluster.simulation.history import History, MachineInfo, Violation, What
 from amberlug.cluster.simulation.mutations import mutated
 from amberlug.cluster.simulation.quorum_contact import Contact
 from amberlug.cluster.simulation.scenarios import Scenario, play
@@ -19,7 +19,7 @@
 Plan = Callable[[Scenario, float, float], None]
 
 
-def play_with_plan(seed: int, plan: Plan) -> list[Broken]:
+def play_with_plan(seed: int, plan: Plan) -> list[Violation]:
     """Run a scenario with a plan in place of random faults; returns the violations.
 
     All endpoints send heartbeats to one control-plane node, and snapshots of the Raft logs are frequent.
@@ -121,14 +121,14 @@
     clock = Clock()
     history = History(clock)
     for name in ("edge-0", "edge-1", "core-0", "core-1", "core-2"):
-        history.places[name] = Place(name, name[:4])
-        history.mark(name, What.START)
+        history.machine_infos[name] = MachineInfo(name, name[:4])
+        history.record_event(name, What.START)
     clock.run(10.0)
     cut = {(a, b) for a in ("core-0",) for b in ("core-1", "core-2", "edge-1")}
-    history.links_are(frozenset(cut))
+    history.record_partitions(frozenset(cut))
     clock.run(16.0)
-    history.mark("core-2", What.END)
-    history.mark("core-2", What.START)
+    history.record_event("core-2", What.END)
+    history.record_event("core-2", What.START)
     clock.run(30.0)
     contact = Contact(history)
     assert contact.in_touch("edge-0", 5.0, 9.9)
--- a/tests/cluster/test_ended_messages.py
+++ b/tests/cluster/test_ended_messages.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from amberlug.cluster.simulation.history import Standing
+from amberlug.cluster.simulation.history import StatusReply
 from amberlug.cluster.simulation.machine import Machine
 from amberlug.cluster.simulation.mutations import mutated
 from amberlug.cluster.simulation.scenarios import TRAFFIC_S, Scenario
@@ -58,9 +58,9 @@
             machine.start()
         self.wait(DROPPED_S)
 
-    def statuses(self) -> dict[str, Standing]:
+    def statuses(self) -> dict[str, StatusReply]:
         """The current answer of some edge node about each message."""
-        found: dict[str, Standing] = {}
+        found: dict[str, StatusReply] = {}
         for name in self.names:
             self.day.clients.ask(name, partial(found.__setitem__, name))
         self.wait(ANSWERED_S)
--- a/tests/cluster/test_killed_steps.py
+++ b/tests/cluster/test_killed_steps.py
@@ -6,7 +6,7 @@
 
 from amberlug.cluster.dispatch.replica_write import ReplicationOutcome
 from amberlug.cluster.dispatch.replicator import Replicator
-from amberlug.cluster.simulation.history import Broken
+from amberlug.cluster.simulation.history import Violation
 from amberlug.cluster.simulation.scenarios import TRAFFIC_S, Scenario
 
 pytestmark = pytest.mark.usefixtures("suppressed_logs")
@@ -30,13 +30,13 @@
         self.clock.call_later(start - TRAFFIC_S, send)
 
     def strike(self) -> None:
-        self.history.trouble("all edges end", 1.0)
+        self.history.record_disturbance("all edges end", 1.0)
         for edge in self.deployment.edges:
             edge.power_off() if self.power else edge.kill()
             self.clock.call_later(0.8, edge.start)
 
 
-def killed(ms: int, power: bool) -> list[Broken]:
+def killed(ms: int, power: bool) -> list[Violation]:
     day = KilledAt(3, "quiet")
     day.after_s, day.power = ms / 1000, power
     return day.play()
@@ -51,4 +51,4 @@
     monkeypatch.setattr(
         Replicator, "replicate", lambda self, message, epoch, then: then(ReplicationOutcome.REPLICATED)
     )
-    assert "LOST" in {it.rule for ms in (15, 40) for it in killed(ms, False)}
+    assert "LOST" in {it.invariant for ms in (15, 40) for it in killed(ms, False)}
--- a/tests/cluster/test_losses.py
+++ b/tests/cluster/test_losses.py
@@ -12,7 +12,7 @@
 from amberlug.cluster.dispatch.messages import AdmissionOutcome
 from amberlug.cluster.gossip.store import GossipStore
 from amberlug.cluster.interfaces import Json, Reply
-from amberlug.cluster.simulation.history import Broken
+from amberlug.cluster.simulation.history import Violation
 from amberlug.cluster.simulation.mutations import mutated
 from amberlug.cluster.simulation.scenarios import Scenario, play
 from amberlug.cluster.simulation.seed_search import run_seed
@@ -47,13 +47,13 @@
         old.thaw()
 
     day.clock.call_later(6.0, old.freeze)
-    day.clock.call_later(6.0, lambda: day.history.trouble("an owner is frozen for 3 s", 3.0))
+    day.clock.call_later(6.0, lambda: day.history.record_disturbance("an owner is frozen for 3 s", 3.0))
     day.clock.call_later(8.0, come)
     day.clock.call_later(9.0, wake)
     for number in range(40):
         day.clock.call_later(9.0 + number * 0.01, partial(_send, day, old))
     with mutated(name):
-        assert {it.rule for it in day.play()} == ({"STUCK"} if name else set())
+        assert {it.invariant for it in day.play()} == ({"STUCK"} if name else set())
 
 
 def _offer(offer: Any, *item: Any) -> None:
@@ -135,7 +135,7 @@
     assert rig.open_messages() == []
 
 
-def _emptied(seed: int) -> list[Broken]:
+def _emptied(seed: int) -> list[Violation]:
     """Run a scenario in which a storage node is retired while replication is slow."""
     day = Scenario(seed, "quiet")
     store = day.deployment.stores[0]
--- a/tests/cluster/test_simulation_regressions.py
+++ b/tests/cluster/test_simulation_regressions.py
@@ -7,15 +7,15 @@
 from amberlug.cluster.dispatch.message import Message, SequencePosition
 from amberlug.cluster.dispatch.messages import CallEnded
 from amberlug.cluster.edge.node import EdgeNode
-from amberlug.cluster.simulation.history import Broken
+from amberlug.cluster.simulation.history import Violation
 from amberlug.cluster.simulation.scenarios import TRAFFIC_S, Scenario
 from amberlug.cluster.storage.outcomes import MessageOutcome
 
 pytestmark = pytest.mark.usefixtures("suppressed_logs")
 
 
-def rules(broken: list[Broken]) -> set[str]:
-    return {it.rule for it in broken}
+def rules(broken: list[Violation]) -> set[str]:
+    return {it.invariant for it in broken}
 
 
 class CutThenDark(Scenario):
@@ -28,13 +28,13 @@
             for it in deployment.machines
             for pair in ((deployment.edges[1].name, it.name), (it.name, deployment.edges[1].name))
         }
-        self.history.trouble(f"{deployment.edges[1].name} is to be cut off", 3.0)
+        self.history.record_disturbance(f"{deployment.edges[1].name} is to be cut off", 3.0)
         self.clock.call_later(start - TRAFFIC_S, partial(deployment.net.cut, pairs))
         self.clock.call_later(start - TRAFFIC_S + 1.9, partial(deployment.net.join, pairs))
         self.clock.call_later(end - TRAFFIC_S, self._dark)
 
     def _dark(self) -> None:
-        self.history.trouble("all machines lose power", 1.0)
+        self.history.record_disturbance("all machines lose power", 1.0)
         for machine in self.deployment.machines:
             machine.power_off()
             self.clock.call_later(1.0, machine.start)
--- a/tests/features/steps/deployment.py
+++ b/tests/features/steps/deployment.py
@@ -41,7 +41,7 @@
         if not out:
             day.clock.call_later(0.01, strike)
             return
-        day.history.trouble(f"{out[0].name} loses power", 1.0)
+        day.history.record_disturbance(f"{out[0].name} loses power", 1.0)
         out[0].power_off()
         day.clock.call_later(1.0, out[0].start)
 
