--- a/amberlug/cluster/simulation/invariants.py
+++ b/amberlug/cluster/simulation/invariants.py
@@ -43,9 +43,9 @@
             for it in history.versions
             if it.valid and it.status in (0, 200) and (it.is_acknowledged or it.base not in won)
         ]
-        self.ended = {name: self._ended(sent) for name, sent in history.sent.items()}
+        self.ended = {name: self._earliest_end(sent) for name, sent in history.sent.items()}
 
-    def _ended(self, sent: Sent) -> float:
+    def _earliest_end(self, sent: Sent) -> float:
         """The earliest time at which a message may have ended; 1e9 if it has not ended."""
         failures = []
         least = 1e9
@@ -57,7 +57,7 @@
                 failures.append(run.ended)
         if len(failures) >= self.max_attempts:
             least = min(least, sorted(failures)[self.max_attempts - 1])
-        for version in self._allowed(sent.at - APPLY_S, 1e9):
+        for version in self._allowed_versions(sent.at - APPLY_S, 1e9):
             if self._prefix(sent) not in version.services:
                 least = min(least, max(sent.at, version.at))
         return least
@@ -71,32 +71,32 @@
 
     def check(self) -> list[Violation]:
         """Run all checks; returns the violations."""
-        self._refused()
-        self._unasked()
-        self._order()
-        self._twice()
-        self._standings()
-        self._known()
-        self._lost()
-        self._config_answers()
-        self._config_runs()
-        self._config_back()
-        self._config_fresh()
-        self._config_in_force()
-        self._config_refused()
-        self._config_read()
-        self._retire()
-        self._acks()
-        self._served()
-        self._offered()
-        self._drain()
-        self._ceiling()
-        self._recover()
+        self._check_rejected_messages()
+        self._check_runs()
+        self._check_order()
+        self._check_repeated_successes()
+        self._check_reported_outcomes()
+        self._check_accepted_messages_known()
+        self._check_final_states()
+        self._check_config_of_answers()
+        self._check_config_of_runs()
+        self._check_config_never_reverts()
+        self._check_config_after_start()
+        self._check_config_in_force()
+        self._check_config_rejections()
+        self._check_config_reads()
+        self._check_retirements()
+        self._check_acknowledgement_times()
+        self._check_edges_serve()
+        self._check_delivery_times()
+        self._check_drained_endpoints()
+        self._check_rate_limits()
+        self._check_recovery()
         return self.broken
 
     # -- messages
 
-    def _refused(self) -> None:
+    def _check_rejected_messages(self) -> None:
         for sent in self.history.sent.values():
             if sent.status in (429, 503) and self.runs.get(sent.attempt):
                 run = self.runs[sent.attempt][0]
@@ -104,7 +104,7 @@
                     "REFUSED", f"{sent.attempt} was answered {sent.status}, and ran at {run.began:.3f}"
                 )
 
-    def _unasked(self) -> None:
+    def _check_runs(self) -> None:
         services: dict[str, set[str]] = defaultdict(set)
         for version in self.history.versions:
             for prefix, name in version.services.items():
@@ -121,7 +121,7 @@
                         "EARLY", f"{run.attempt} ran {sent.due_at - run.began:.3f} s before its delay's end"
                     )
 
-    def _order(self) -> None:
+    def _check_order(self) -> None:
         by_key: dict[str, list[Sent]] = defaultdict(list)
         for sent in self.history.sent.values():
             if sent.key:
@@ -140,7 +140,7 @@
                             )
                             break
 
-    def _twice(self) -> None:
+    def _check_repeated_successes(self) -> None:
         for attempt, runs in self.runs.items():
             for first in runs:
                 whole = first.ended is not None and first.ended - first.arrived <= first.seconds - MARGIN_S
@@ -158,7 +158,7 @@
                             f" and ran at {second.began:.3f} by {second.life}",
                         )
 
-    def _standings(self) -> None:
+    def _check_reported_outcomes(self) -> None:
         by_name = {it.name: it for it in self.history.sent.values() if it.name}
         for it in self.history.status_replies:
             sent = by_name[it.name]
@@ -172,7 +172,7 @@
             if it.body is not None and it.body != sent.body:
                 self._report("MIXED", f"{it.name} comes back with other bytes")
 
-    def _known(self) -> None:
+    def _check_accepted_messages_known(self) -> None:
         """An accepted message is never reported as unknown, nor as pending once it was reported as ended.
 
         This holds for all edge nodes, in contact or not: a node that can't be sure answers 503.
@@ -196,7 +196,7 @@
                     "LOST", f"{it.name}, called ended at {ended_at:.3f}, is pending at {it.told:.3f}"
                 )
 
-    def _lost(self) -> None:
+    def _check_final_states(self) -> None:
         over = self.history.traffic_ended_at
         said = defaultdict(list)
         for it in self.history.status_replies:
@@ -217,17 +217,19 @@
                 )
             elif any(it.condition in ("completed", "failed") for it in found):
                 self._report("LOST", f"{sent.name} is called ended, and has not ended")
-            elif self.history.is_undisturbed(over, self.history.clock.now) and not self._rated(sent):
+            elif self.history.is_undisturbed(over, self.history.clock.now) and not self._is_rate_limited(
+                sent
+            ):
                 self._report("STUCK", f"{sent.name} accepted {sent.answered_at:.3f} is still open")
 
-    def _rated(self, sent: Sent) -> bool:
+    def _is_rate_limited(self, sent: Sent) -> bool:
         """Whether its service may be rate-limited, so that the message may not be delivered in time."""
         names = {it.services.get(self._prefix(sent)) for it in self.in_force}
         return any(name in self.history.rates for name in names)
 
     # -- configuration
 
-    def _allowed(self, since: float, until: float) -> list[Version]:
+    def _allowed_versions(self, since: float, until: float) -> list[Version]:
         """The versions that a machine in contact may use between these times."""
         bound = max(
             (it.edition for it in self.in_force if it.is_acknowledged and it.answered_at < since), default=0
@@ -246,7 +248,7 @@
             return slack
         return None
 
-    def _config_answers(self) -> None:
+    def _check_config_of_answers(self) -> None:
         for sent in self.history.sent.values():
             prefix = self._prefix(sent)
             if sent.status not in (202, 404):
@@ -254,7 +256,7 @@
             slack = self._slack(sent.life, sent.at, sent.answered_at)
             if slack is None:
                 continue
-            allowed = self._allowed(sent.at - slack, sent.answered_at)
+            allowed = self._allowed_versions(sent.at - slack, sent.answered_at)
             there = {prefix in it.services for it in allowed}
             if allowed and (sent.status == 202) not in there:
                 self._report(
@@ -263,7 +265,7 @@
                     f" by {sent.life}",
                 )
 
-    def _config_runs(self) -> None:
+    def _check_config_of_runs(self) -> None:
         for runs in self.runs.values():
             for run in runs:
                 sent = self.history.sent.get(run.attempt)
@@ -271,7 +273,7 @@
                 slack = self._slack(run.life, run.sent, run.arrived)
                 if sent is None or slack is None:
                     continue
-                allowed = self._allowed(run.sent - slack, run.arrived)
+                allowed = self._allowed_versions(run.sent - slack, run.arrived)
                 names = {it.services.get(self._prefix(sent)) for it in allowed}
                 if allowed and run.service not in names:
                     self._report(
@@ -279,7 +281,7 @@
                         f"{run.attempt} ran at {run.service} at {run.began:.3f} by {run.life}, not {names}",
                     )
 
-    def _config_back(self) -> None:
+    def _check_config_never_reverts(self) -> None:
         """A process never goes back to a version older than one whose effect was observed."""
         floors: dict[str, list[tuple[float, int]]] = defaultdict(list)
         events: list[tuple[float, float, str, set[int]]] = []
@@ -302,7 +304,7 @@
                 self._report("CONFIG", f"{life} went back from {bound} to {max(those)} at {sent_at:.3f}")
             floors[life].append((seen_at, min(those)))
 
-    def _config_fresh(self) -> None:
+    def _check_config_after_start(self) -> None:
         """A process never serves a version older than one that was acknowledged before it started."""
         lives: Counter[str] = Counter()
         begun: dict[str, float] = {}
@@ -313,7 +315,7 @@
         for sent in self.history.sent.values():
             if sent.status not in (202, 404) or sent.life not in begun:
                 continue
-            allowed = self._allowed(begun[sent.life], sent.answered_at)
+            allowed = self._allowed_versions(begun[sent.life], sent.answered_at)
             there = {self._prefix(sent) in it.services for it in allowed}
             if allowed and (sent.status == 202) not in there:
                 self._report(
@@ -322,7 +324,7 @@
                     f" by what was old as that began, at {begun[sent.life]:.3f}",
                 )
 
-    def _config_in_force(self) -> None:
+    def _check_config_in_force(self) -> None:
         versions = self.history.versions
         by_base: dict[int, list[int]] = defaultdict(list)
         for it in versions:
@@ -340,12 +342,12 @@
             return
         if back["edition"] < newest:
             self._report("CONFIG", f"edition {back['edition']} is read back, {newest} was acknowledged")
-        elif not any(self._same(it.config, back) for it in self.in_force):
+        elif not any(self._is_same_config(it.config, back) for it in self.in_force):
             self._report(
                 "CONFIG", f"edition {back['edition']} is read back otherwise than it was sent, or was refused"
             )
 
-    def _config_refused(self) -> None:
+    def _check_config_rejections(self) -> None:
         """A valid change is rejected only if a concurrent one came first, and never after it was accepted."""
         for it in self.history.versions:
             for at, status, core in it.refusals:
@@ -364,7 +366,7 @@
                         f" at {at:.3f}, and nothing else was under way",
                     )
 
-    def _config_read(self) -> None:
+    def _check_config_reads(self) -> None:
         """A read returns a version in force, no older than any acknowledged or read before."""
         seen = [(it.answered_at, it.edition) for it in self.in_force if it.is_acknowledged]
         reads = [it for it in self.history.calls if it.what == "read" and it.status in (200, 404)]
@@ -374,12 +376,12 @@
             newest = max((edition for at, edition in seen if at < call.at), default=0)
             if found < newest:
                 self._report("CONFIG", f"{found} is read at {call.core} at {call.at:.3f}, {newest} was known")
-            elif found and not any(self._same(it.config, call.said or {}) for it in self.in_force):
+            elif found and not any(self._is_same_config(it.config, call.said or {}) for it in self.in_force):
                 self._report(
                     "CONFIG", f"{found} is read at {call.core} at {call.at:.3f}, and is not in force"
                 )
 
-    def _retire(self) -> None:
+    def _check_retirements(self) -> None:
         """Control-plane nodes know each storage node and its retirement; only retired nodes are emptied."""
         begun: dict[str, float] = {}
         for call in sorted(self.history.calls, key=lambda it: it.answered_at):
@@ -401,7 +403,7 @@
                     "RETIRE", f"{name}, in touch and not to be emptied, gives up its disk at {at:.3f}"
                 )
 
-    def _acks(self) -> None:
+    def _check_acknowledgement_times(self) -> None:
         """A command that may go to any node is acknowledged in time while the control plane is stable."""
         over = self.history.clock.now
         for it in self.history.versions:
@@ -425,7 +427,7 @@
         if late >= 3 and 5 * late > all_:
             self._report("ACKS", f"{late} of {all_} endpoints that leave are not acknowledged")
 
-    def _served(self) -> None:
+    def _check_edges_serve(self) -> None:
         """Edge nodes in contact are ready, and accept messages."""
         over = self.history.traffic_ended_at
         polls = [
@@ -450,7 +452,7 @@
         if len(sent) >= 20 and served < SERVED * len(sent):
             self._report("RECOVER", f"{served} of {len(sent)} are accepted by edges in touch")
 
-    def _offered(self) -> None:
+    def _check_delivery_times(self) -> None:
         """While all edge nodes are in contact, a due message reaches an endpoint in time."""
         edges = [it.name for it in self.history.machine_infos.values() if it.kind == "edge"]
         late: list[str] = []
@@ -473,7 +475,7 @@
             self._report("RECOVER", f"{len(late)} of {all_} messages reach no endpoint in time: {late[:3]}")
 
     @staticmethod
-    def _same(sent: dict[str, object], back: dict[str, object]) -> bool:
+    def _is_same_config(sent: dict[str, object], back: dict[str, object]) -> bool:
         def plain(config: dict[str, object]) -> dict[str, object]:
             tables = {}
             for name in ("routeTable", "serviceTable"):
@@ -486,7 +488,7 @@
 
     # -- endpoints
 
-    def _drain(self) -> None:
+    def _check_drained_endpoints(self) -> None:
         drained = self.history.drained
         for run in self.history.runs:
             acked = drained.get(run.endpoint)
@@ -503,7 +505,7 @@
                     f"{run.endpoint}, acknowledged at {acked:.3f}, was sent {run.attempt} at {run.sent:.3f}",
                 )
 
-    def _ceiling(self) -> None:
+    def _check_rate_limits(self) -> None:
         for name, rate in self.history.rates.items():
             times = sorted(it.arrived for it in self.history.runs if it.service == name)
             most = rate * WINDOW_S * BOUNDS["ceilingOver"] + 5
@@ -517,7 +519,7 @@
                     )
                     break
 
-    def _recover(self) -> None:
+    def _check_recovery(self) -> None:
         """After all faults, most messages are accepted."""
         over, calm_from = (
             self.history.traffic_ended_at,
