--- a/amberlug/cluster/simulation/invariants.py
+++ b/amberlug/cluster/simulation/invariants.py
@@ -6,7 +6,7 @@
 
 from amberlug.cluster.simulation.history import History, Run, Sent, Version, Violation, What
 from amberlug.cluster.simulation.machine import BOUNDS
-from amberlug.cluster.simulation.quorum_contact import Contact
+from amberlug.cluster.simulation.quorum_contact import ContactTimeline
 
 CONTACT_S = BOUNDS["contactMs"] / 1000
 APPLY_S = BOUNDS["configApplyMs"] / 1000
@@ -35,7 +35,7 @@
             self._arrivals[run.attempt].append(run)
             if run.began is not None:
                 self.runs[run.attempt].append(run)
-        self.contact = Contact(history)
+        self.contact = ContactTimeline(history)
         acked = [it for it in history.versions if it.is_acknowledged]
         won = {it.base: it for it in acked}
         self.in_force = [
@@ -239,12 +239,12 @@
     def _slack(self, life: str, since: float, until: float) -> float | None:
         """Seconds within which a process must use an acknowledged version; None if no bound applies."""
         machine = life.partition("#")[0]
-        if self.history.is_undisturbed(since - CONTACT_S, until) or self.contact.in_touch(
+        if self.history.is_undisturbed(since - CONTACT_S, until) or self.contact.in_contact(
             machine, since, until
         ):
             return APPLY_S
         slack = APPLY_S + STRETCH_S
-        if self.contact.reaches(machine, since, until) and self.contact.led(since - slack, until):
+        if self.contact.reaches(machine, since, until) and self.contact.had_majority(since - slack, until):
             return slack
         return None
 
@@ -393,12 +393,12 @@
                 or (call.what == "retire-read" and begun.get(call.name, 1e9) < call.at)
             ):
                 self._report("RETIRE", f"{call.core} does not know {call.name} at {call.at:.3f}")
-            if call.status == 409 and self.contact.settled(call.at, call.answered_at):
+            if call.status == 409 and self.contact.is_stable(call.at, call.answered_at):
                 self._report("RETIRE", f"{call.core} refuses to empty {call.name} at {call.at:.3f}")
 
         for at, name in self.history.emptied:
             ordered = any(it.what == "retire" and it.name == name and it.at < at for it in self.history.calls)
-            if not ordered and self.contact.in_touch(name, at, at):
+            if not ordered and self.contact.in_contact(name, at, at):
                 self._report(
                     "RETIRE", f"{name}, in touch and not to be emptied, gives up its disk at {at:.3f}"
                 )
@@ -413,7 +413,7 @@
                 continue
             at = it.at
             while at + ACK_S < until:
-                if self.contact.settled(at, at + ACK_S):
+                if self.contact.is_stable(at, at + ACK_S):
                     self._report(
                         "ACKS", f"edition {it.edition}, sent {it.at:.3f}, has no answer by {until:.3f}"
                     )
@@ -421,7 +421,7 @@
                 at += STEP_S
         late, all_ = 0, 0
         for name, at in self.history.leaving.items():
-            if at + ACK_S < over and self.contact.settled(at, at + ACK_S):
+            if at + ACK_S < over and self.contact.is_stable(at, at + ACK_S):
                 all_ += 1
                 late += self.history.drained.get(name, 1e9) > at + ACK_S
         if late >= 3 and 5 * late > all_:
@@ -433,7 +433,7 @@
         polls = [
             (at, name, ready)
             for at, name, ready in self.history.polls
-            if 2 * CONTACT_S < at < over and self.contact.in_touch(name, at, at)
+            if 2 * CONTACT_S < at < over and self.contact.in_contact(name, at, at)
         ]
         idle = [f"{name} at {at:.1f}" for at, name, ready in polls if not ready]
         if len(idle) >= 3 and len(idle) > (1 - READY) * len(polls):
@@ -446,7 +446,7 @@
             if it.status in (202, 404, 429, 503)
             and not it.target.startswith("/x")
             and 2 * CONTACT_S < it.at < over
-            and self.contact.in_touch(it.life.partition("#")[0], it.at, it.answered_at)
+            and self.contact.in_contact(it.life.partition("#")[0], it.at, it.answered_at)
         ]
         served = sum(1 for it in sent if it.status == 202)
         if len(sent) >= 20 and served < SERVED * len(sent):
@@ -466,7 +466,7 @@
                 or until > self.history.traffic_ended_at
             ):
                 continue
-            if not all(self.contact.in_touch(name, sent.at, until) for name in edges):
+            if not all(self.contact.in_contact(name, sent.at, until) for name in edges):
                 continue
             all_ += 1
             if not any(it.arrived <= until for it in self._arrivals.get(sent.attempt, ())):
@@ -496,10 +496,10 @@
                 continue
             by = self.history.drained_by.get(run.endpoint, "")
             sender = run.life.partition("#")[0]
-            in_touch = self.contact.in_touch(by, acked, acked) and self.contact.in_touch(
+            in_contact = self.contact.in_contact(by, acked, acked) and self.contact.in_contact(
                 sender, run.sent, run.arrived
             )
-            if in_touch or self.history.is_undisturbed(run.sent - CONTACT_S, run.arrived):
+            if in_contact or self.history.is_undisturbed(run.sent - CONTACT_S, run.arrived):
                 self._report(
                     "DRAIN",
                     f"{run.endpoint}, acknowledged at {acked:.3f}, was sent {run.attempt} at {run.sent:.3f}",
--- a/amberlug/cluster/simulation/quorum_contact.py
+++ b/amberlug/cluster/simulation/quorum_contact.py
@@ -10,55 +10,55 @@
 
 CONTACT_S = BOUNDS["contactMs"] / 1000
 SLACK_S = 0.02  # margin around a time window, for events that nearly coincide
-UPSETS = frozenset(("core", "store"))  # kinds of machines whose faults disturb the control plane
+DISTURBING_KINDS = frozenset(("core", "store"))  # kinds of machines whose faults disturb the control plane
 
 
 @dataclass(frozen=True, slots=True)
-class _Span:
+class _Period:
     """A period without any event at machines or links; it ends where the next one begins."""
 
     at: float
     running: frozenset[str]
     cut: frozenset[tuple[str, str]]
-    leading: frozenset[str]  # control-plane nodes that reach a majority
+    nodes_with_majority: frozenset[str]  # control-plane nodes that reach a majority
 
 
-class Contact:
+class ContactTimeline:
     """The state of the machines and links of one run over time."""
 
     def __init__(self, history: History) -> None:
         self.history = history
         self._core = {name for name, it in history.machine_infos.items() if it.kind == "core"}
-        self._upsets: list[float] = []
-        self._own: dict[str, list[float]] = {name: [] for name in history.machine_infos}
+        self._disturbance_times: list[float] = []
+        self._event_times: dict[str, list[float]] = {name: [] for name in history.machine_infos}
         for event in history.events:
-            self._own[event.machine].append(event.at)
+            self._event_times[event.machine].append(event.at)
             # What machines do as the day begins is no trouble.
-            if history.machine_infos[event.machine].kind in UPSETS:
-                self._upsets.append(event.at)
-        self._spans = self._cut_up()
-        self._starts = [it.at for it in self._spans]
-        self._upsets.sort()
+            if history.machine_infos[event.machine].kind in DISTURBING_KINDS:
+                self._disturbance_times.append(event.at)
+        self._periods = self._build_periods()
+        self._starts = [it.at for it in self._periods]
+        self._disturbance_times.sort()
 
-    def _cut_up(self) -> list[_Span]:
+    def _build_periods(self) -> list[_Period]:
         running: set[str] = set()
         cut: frozenset[tuple[str, str]] = frozenset()
-        spans: list[_Span] = []
+        periods: list[_Period] = []
         steps = [(it.at, 0, it) for it in self.history.events] + [(it[0], 1, it) for it in self.history.cuts]
         for at, _, it in sorted(steps, key=lambda step: step[:2]):
             if isinstance(it, tuple):
                 among = {pair for pair in cut ^ it[1] if self._core >= set(pair)}
                 cut = it[1]
                 if among:
-                    self._upsets.append(at)
+                    self._disturbance_times.append(at)
             elif it.what in (What.START, What.THAW):
                 running.add(it.machine)
             elif it.what in (What.END, What.FREEZE):
                 running.discard(it.machine)
-            spans.append(_Span(at, frozenset(running), cut, self._leading(running, cut)))
-        return spans
+            periods.append(_Period(at, frozenset(running), cut, self._nodes_with_majority(running, cut)))
+        return periods
 
-    def _leading(self, running: set[str], cut: frozenset[tuple[str, str]]) -> frozenset[str]:
+    def _nodes_with_majority(self, running: set[str], cut: frozenset[tuple[str, str]]) -> frozenset[str]:
         here = self._core & running
 
         def reached(name: str) -> int:
@@ -66,11 +66,11 @@
 
         return frozenset(name for name in here if 2 * reached(name) > len(self._core))
 
-    def _between(self, since: float, until: float) -> list[_Span]:
+    def _between(self, since: float, until: float) -> list[_Period]:
         first = max(0, bisect_right(self._starts, since) - 1)
-        return self._spans[first : bisect_right(self._starts, until)]
+        return self._periods[first : bisect_right(self._starts, until)]
 
-    def _untold(self, since: float, until: float) -> bool:
+    def _has_unrecorded_fault(self, since: float, until: float) -> bool:
         """Whether there was a fault that the events do not fully record."""
         return self.history.lossy or any(
             it.at <= until + SLACK_S and it.until >= since - SLACK_S
@@ -79,30 +79,39 @@
         )
 
     @staticmethod
-    def _any(times: list[float], since: float, until: float) -> bool:
+    def _any_within(times: list[float], since: float, until: float) -> bool:
         return bisect_left(times, since - SLACK_S) < bisect_right(times, until + SLACK_S)
 
-    def led(self, since: float, until: float) -> bool:
+    def had_majority(self, since: float, until: float) -> bool:
         """Whether a majority of the control plane was running and connected throughout."""
-        return not self._untold(since, until) and all(it.leading for it in self._between(since, until))
+        return not self._has_unrecorded_fault(since, until) and all(
+            it.nodes_with_majority for it in self._between(since, until)
+        )
 
-    def settled(self, since: float, until: float) -> bool:
+    def is_stable(self, since: float, until: float) -> bool:
         """Whether the control plane was stable throughout."""
         before = since - CONTACT_S
-        return self.led(before, until) and not self._any(self._upsets, before, until)
+        return self.had_majority(before, until) and not self._any_within(
+            self._disturbance_times, before, until
+        )
 
     def reaches(self, machine: str, since: float, until: float) -> bool:
         """Whether a machine had no faults, and reached every control-plane node that reached a majority."""
         before = since - CONTACT_S
-        if self._any(self._own.get(machine, []), before, until) or self._untold(before, until):
+        if self._any_within(self._event_times.get(machine, []), before, until) or self._has_unrecorded_fault(
+            before, until
+        ):
             return False
-        for span in self._between(before, until):
-            if machine not in span.running:
+        for period in self._between(before, until):
+            if machine not in period.running:
                 return False
-            if any((machine, it) in span.cut or (it, machine) in span.cut for it in span.leading):
+            if any(
+                (machine, it) in period.cut or (it, machine) in period.cut
+                for it in period.nodes_with_majority
+            ):
                 return False
         return True
 
-    def in_touch(self, machine: str, since: float, until: float) -> bool:
+    def in_contact(self, machine: str, since: float, until: float) -> bool:
         """Whether a machine was in contact with a stable control plane throughout."""
-        return self.reaches(machine, since, until) and self.settled(since, until)
+        return self.reaches(machine, since, until) and self.is_stable(since, until)
--- a/tests/cluster/test_control_days.py
+++ b/tests/cluster/test_control_days.py
@@ -11,7 +11,7 @@
 from amberlug.cluster.simulation.clock import Clock
 from amberlug.cluster.simulation.history import History, MachineInfo, Violation, What
 from amberlug.cluster.simulation.mutations import mutated
-from amberlug.cluster.simulation.quorum_contact import Contact
+from amberlug.cluster.simulation.quorum_contact import ContactTimeline
 from amberlug.cluster.simulation.scenarios import Scenario, play
 
 pytestmark = pytest.mark.usefixtures("suppressed_logs")
@@ -130,13 +130,13 @@
     history.record_event("core-2", What.END)
     history.record_event("core-2", What.START)
     clock.run(30.0)
-    contact = Contact(history)
-    assert contact.in_touch("edge-0", 5.0, 9.9)
-    assert not contact.in_touch("edge-0", 13.0, 13.5)  # the partition is too recent
-    assert contact.in_touch("edge-0", 14.1, 15.9)
-    assert contact.in_touch("edge-1", 14.1, 15.9)  # the node that it can't reach reaches no majority either
-    assert not contact.in_touch("core-0", 14.1, 15.9)
-    assert contact.in_touch("core-1", 14.1, 15.9)
-    assert not contact.in_touch("edge-0", 18.0, 19.0)  # a control-plane node was restarted
+    contact = ContactTimeline(history)
+    assert contact.in_contact("edge-0", 5.0, 9.9)
+    assert not contact.in_contact("edge-0", 13.0, 13.5)  # the partition is too recent
+    assert contact.in_contact("edge-0", 14.1, 15.9)
+    assert contact.in_contact("edge-1", 14.1, 15.9)  # the node that it can't reach reaches no majority either
+    assert not contact.in_contact("core-0", 14.1, 15.9)
+    assert contact.in_contact("core-1", 14.1, 15.9)
+    assert not contact.in_contact("edge-0", 18.0, 19.0)  # a control-plane node was restarted
     assert contact.reaches("edge-0", 18.0, 19.0)
-    assert contact.in_touch("edge-0", 20.1, 21.0)
+    assert contact.in_contact("edge-0", 20.1, 21.0)
