--- a/amberlug/cluster/simulation/control_faults.py
+++ b/amberlug/cluster/simulation/control_faults.py
@@ -12,29 +12,29 @@
 
 CUT_S = (2.0, 4.0, 8.0, 14.0, 20.0, 25.0)
 DOWN_S = (0.3, 0.8, 1.2)  # downtime of a restarted process
-BACK_S = BOUNDS["catchUpS"]  # a node still counts as lost for this long after it returns
+CATCH_UP_S = BOUNDS["catchUpS"]  # a node still counts as lost for this long after it returns
 RESETS_S = (2.0, 9.0)  # between resets of the connections of a partitioned node
-ORDERS_S = (0.3, 2.2)  # between commands
-STORM_S = (0.02, 0.2)  # between commands of a burst
-KNOCK_S = 0.03  # between client requests to new routes
-FORMS = ("silent", "silent", "to", "from", "reset", "refuse", "refuse")
+COMMANDS_S = (0.3, 2.2)  # between commands
+BURST_S = (0.02, 0.2)  # between commands of a burst
+NEW_ROUTE_REQUESTS_S = 0.03  # between client requests to new routes
+PARTITION_FORMS = ("silent", "silent", "to", "from", "reset", "refuse", "refuse")
 
 
 @dataclass(slots=True)
-class Cut:
+class Partition:
     """A partition of one machine."""
 
     machine: Machine
     until: float
 
 
-class Control:
+class ControlFaults:
     """Injects faults into the control plane, and sends it commands."""
 
     def __init__(self, day: ScenarioContext) -> None:
         self.day, self.deployment, self.rng = day, day.deployment, day.rng
         self.history, self.clock, self.operator = day.history, day.clock, day.operator
-        self.cut: Cut | None = None
+        self.cut: Partition | None = None
 
     def begin(self, start: float, end: float) -> None:
         """Schedule partitions one after another, and commands throughout.
@@ -42,40 +42,40 @@
         The next partition starts once the node of the previous one no longer counts as lost.
         """
         self.clock.call_later(start - self.clock.now, lambda: self._next(end))
-        self.clock.call_later(start - self.clock.now, lambda: self._orders(end))
+        self.clock.call_later(start - self.clock.now, lambda: self._send_commands(end))
 
     def _next(self, end: float) -> None:
         left = end - self.clock.now
         if left < CUT_S[0]:
             return
         seconds = self.rng.choice([it for it in CUT_S if it <= left])
-        self.cut_off(self.victim(), seconds, self.rng.choice(FORMS), self.rng.random() < 0.5)
+        self.partition(self.choose_node(), seconds, self.rng.choice(PARTITION_FORMS), self.rng.random() < 0.5)
         assert self.cut is not None, "a machine was just cut off"
         then = self.rng.choice(("both", "both", "seeds", "kill", "leader", "freeze", "roll", "loss", "none"))
         if then == "both":
-            self.both(seconds)
+            self.restart_all(seconds)
         elif then == "seeds":
-            self.new_seeds(seconds)
+            self.change_seeds(seconds)
         elif then != "none":
             act = {
                 "kill": self._kill_all,
                 "leader": self._kill_leader,
                 "freeze": self._freeze_leader,
-                "roll": self._roll,
+                "roll": self._restart_in_turn,
                 "loss": self._lose_packets,
             }[then]
             self.clock.call_later(self.rng.uniform(0.5, seconds), act)
         if self.rng.random() < 0.6:
-            self.storm(self.clock.now + self.rng.uniform(1.0, 3.0))
+            self.send_burst(self.clock.now + self.rng.uniform(1.0, 3.0))
         if self.rng.random() < 0.6:
-            self.start_beside()
+            self.restart_some_edges()
         if self.rng.random() < 0.6:
-            self.clock.call_later(seconds - 0.1, lambda: self.storm(self.clock.now + 2.0))
-        self.meet(self.cut)
-        pause = seconds + BACK_S + self.rng.uniform(0.1, 3.0)
+            self.clock.call_later(seconds - 0.1, lambda: self.send_burst(self.clock.now + 2.0))
+        self.send_to_partitioned(self.cut)
+        pause = seconds + CATCH_UP_S + self.rng.uniform(0.1, 3.0)
         self.clock.call_later(pause, lambda: self._next(end))
 
-    def victim(self) -> Machine:
+    def choose_node(self) -> Machine:
         """Choose the node to partition: the leader, a follower, or a seed of the settings files."""
         cores, leader = self.deployment.cores, self.day.leader()
         if self.day.home and self.rng.random() < 0.6:
@@ -87,7 +87,7 @@
             return self.rng.choice([it for it in cores if it is not leader])
         return self.rng.choice((self.deployment.seeds or cores)[:3])
 
-    def cut_off(self, machine: Machine, seconds: float, form: str, stores_too: bool) -> None:
+    def partition(self, machine: Machine, seconds: float, form: str, stores_too: bool) -> None:
         """Partition a control-plane node from the others, and optionally from the storage nodes.
 
         `form` is silent, to or from (one way), reset (connections are reset at the start and from time to
@@ -105,7 +105,7 @@
             seconds,
             is_in_events=True,
         )
-        cut = self.cut = Cut(machine, self.clock.now + seconds)
+        cut = self.cut = Partition(machine, self.clock.now + seconds)
         refuse = form == "refuse"
         self.deployment.net.cut(pairs, refuse)
         if form == "reset":
@@ -119,7 +119,7 @@
 
         self.clock.call_later(seconds, over)
 
-    def _reset(self, cut: Cut, others: frozenset[str]) -> None:
+    def _reset(self, cut: Partition, others: frozenset[str]) -> None:
         if self.clock.now < cut.until:
             self.history.record_event(cut.machine.name, What.RESET)
             self.deployment.net.reset(cut.machine, others)
@@ -127,7 +127,7 @@
 
     # -- restarts during a partition
 
-    def start_beside(self) -> None:
+    def restart_some_edges(self) -> None:
         """Restart half of the edge nodes just after a partition begins, while the configuration changes.
 
         They look for a control-plane node while the partitioned one has not noticed the partition yet.
@@ -135,16 +135,16 @@
         for machine in self.rng.sample(self.deployment.edges, len(self.deployment.edges) // 2):
             self.clock.call_later(self.rng.uniform(0.0, 0.5), partial(self.restart, machine, DOWN_S[0]))
         until = self.clock.now + 1.8
-        self.storm(until - 0.8)
-        self._knock(until)
+        self.send_burst(until - 0.8)
+        self._use_new_routes(until)
 
-    def _knock(self, until: float) -> None:
+    def _use_new_routes(self, until: float) -> None:
         """Send client requests to the newest routes until a time."""
         if self.clock.now < until:
-            self.day.look_at_routes()
+            self.day.use_recent_routes()
             if self.day.clients.extra:
                 self.day.clients.send(self.rng.choice(self.day.clients.extra))
-            self.clock.call_later(KNOCK_S, lambda: self._knock(until))
+            self.clock.call_later(NEW_ROUTE_REQUESTS_S, lambda: self._use_new_routes(until))
 
     def restart(self, machine: Machine, seconds: float = 0.0) -> None:
         """Kill a process, and start it again after a downtime."""
@@ -153,7 +153,7 @@
         machine.kill()
         self.clock.call_later(seconds, machine.start)
 
-    def both(self, seconds: float) -> None:
+    def restart_all(self, seconds: float) -> None:
         """Restart the partitioned node, then all other control-plane and storage nodes, at intervals."""
         cut = self.cut
         assert cut is not None, "a machine is cut off"
@@ -166,7 +166,7 @@
             self.clock.call_later(at, partial(self.restart, machine))
             at += gap
 
-    def new_seeds(self, seconds: float) -> None:
+    def change_seeds(self, seconds: float) -> None:
         """Make the partitioned node the first seed of the settings files, and restart some other machines."""
         cut = self.cut
         assert cut is not None, "a machine is cut off"
@@ -225,7 +225,7 @@
             struck = True
             self.operator.on_acked = lambda it: None
             self.restart(leader)
-            self.storm(self.clock.now + 2.5)
+            self.send_burst(self.clock.now + 2.5)
 
         self.operator.on_acked = strike
         self.clock.call_later(1.5, strike)
@@ -241,7 +241,7 @@
         )
         leader.freeze()
         self.clock.call_later(seconds, leader.thaw)
-        self.storm(self.clock.now + seconds + 0.5)
+        self.send_burst(self.clock.now + seconds + 0.5)
         for _ in range(3):
             at = max(0.0, seconds - self.rng.uniform(-0.01, 0.9))
             self.clock.call_later(at, partial(self.operator.order, to=leader))
@@ -256,9 +256,9 @@
             machine.loss = 0.0
 
         self.clock.call_later(seconds, whole)
-        self.storm(self.clock.now + 2.0)
+        self.send_burst(self.clock.now + 2.0)
 
-    def _roll(self) -> None:
+    def _restart_in_turn(self) -> None:
         """Stop and restart the control-plane nodes in an orderly way, one after the other."""
         at = 0.0
         for machine in self.deployment.cores:
@@ -276,14 +276,14 @@
 
     # -- commands
 
-    def storm(self, until: float) -> None:
+    def send_burst(self, until: float) -> None:
         """Send commands in quick succession until a time."""
         if self.clock.now < until:
             operator = self.operator
             self.rng.choice((operator.order, operator.order, operator.pair, operator.read, operator.retire))()
-            self.clock.call_later(self.rng.uniform(*STORM_S), lambda: self.storm(until))
+            self.clock.call_later(self.rng.uniform(*BURST_S), lambda: self.send_burst(until))
 
-    def meet(self, cut: Cut) -> None:
+    def send_to_partitioned(self, cut: Partition) -> None:
         """Send commands to the partitioned node, during the partition and as it ends."""
         left = cut.until - self.clock.now
         times = [self.rng.uniform(0.0, left), left + self.rng.uniform(-0.05, 0.3)]
@@ -295,9 +295,11 @@
                 how = partial(self.operator.pair, cut.machine, self.rng.choice((cut.machine, other)))
             self.clock.call_later(at, how)
         if self.rng.random() < 0.4:
-            self.clock.call_later(left + self.rng.uniform(0.1, 1.0), partial(self._leave_near, cut.machine))
+            self.clock.call_later(
+                left + self.rng.uniform(0.1, 1.0), partial(self._replace_endpoints_near, cut.machine)
+            )
 
-    def _leave_near(self, machine: Machine) -> None:
+    def _replace_endpoints_near(self, machine: Machine) -> None:
         """Replace the endpoints in the zone of a machine, except the last ready one of each service."""
         endpoint_fleet = self.deployment.endpoint_fleet
         for it in endpoint_fleet.up():
@@ -306,7 +308,7 @@
                 self.history.trace(f"{it.name} of {it.kind.name} is to leave")
                 it.leave(1.0, lambda: None)
 
-    def _orders(self, end: float) -> None:
+    def _send_commands(self, end: float) -> None:
         if self.clock.now > end:
             return
         rng, operator = self.rng, self.operator
@@ -321,5 +323,5 @@
             self.day.replace_endpoint,
         ]
         rng.choice(acts)()
-        self.day.look_at_routes()
-        self.clock.call_later(rng.uniform(*ORDERS_S), lambda: self._orders(end))
+        self.day.use_recent_routes()
+        self.clock.call_later(rng.uniform(*COMMANDS_S), lambda: self._send_commands(end))
--- a/amberlug/cluster/simulation/loss_schedule.py
+++ b/amberlug/cluster/simulation/loss_schedule.py
@@ -11,7 +11,7 @@
 from amberlug.cluster.simulation.history import Call, Violation
 from amberlug.cluster.simulation.machine import BOUNDS, Machine
 from amberlug.cluster.simulation.scenario_context import ScenarioContext
-from amberlug.cluster.simulation.storage_faults import ASK_S, BACK_S, RETIRE_S, StorageFaults
+from amberlug.cluster.simulation.storage_faults import ASK_S, CATCH_UP_S, RETIRE_S, StorageFaults
 
 ACK_S = BOUNDS["ackMs"] / 1000
 CONTACT_S = BOUNDS["contactMs"] / 1000
@@ -131,7 +131,7 @@
             pause = self.rng.choice((0.0, 0.0, 0.0, self.rng.uniform(0.0, 10.0)))
             self.clock.call_later(pause, partial(self._lose_if_free, line))
 
-        self.clock.call_later(BACK_S + 0.001, next_one)
+        self.clock.call_later(CATCH_UP_S + 0.001, next_one)
 
     def _lose_if_free(self, line: int) -> None:
         if line in self._free:
@@ -241,7 +241,7 @@
         if self.retired:
             self._dark(unit, then)
             return
-        seconds = self.rng.uniform(0.5, BACK_S)
+        seconds = self.rng.uniform(0.5, CATCH_UP_S)
         self.going[machine] = None
         self.history.record_disturbance(
             f"{machine.name} gets a successor, and goes in {seconds:.1f} s", seconds, planned=True
@@ -297,7 +297,7 @@
         whole = [it for it in others if it not in self.lost]
         remain = self.deployment.tolerance.holds([(it.zone, regions[it.zone]) for it in others])
         surely = self.deployment.tolerance.holds([(it.zone, regions[it.zone]) for it in whole])
-        if not remain and not self.history.is_undisturbed(self.clock.now - BACK_S, self.clock.now):
+        if not remain and not self.history.is_undisturbed(self.clock.now - CATCH_UP_S, self.clock.now):
             return  # the system may not have noticed yet how few there are
         self.history.trace(
             f"{store.name} is to be emptied: {'enough' if remain else 'too few'} others remain"
@@ -305,7 +305,7 @@
         began = self.clock.now
 
         def hear(status: int, said: object) -> None:
-            calm = self.history.is_undisturbed(began - BACK_S, self.clock.now)
+            calm = self.history.is_undisturbed(began - CATCH_UP_S, self.clock.now)
             if status == 200 and not remain and calm:
                 self.history.faults.append(
                     Violation("RETIRE", f"{store.name} is emptied, and too few remain")
--- a/amberlug/cluster/simulation/scenario_context.py
+++ b/amberlug/cluster/simulation/scenario_context.py
@@ -25,7 +25,7 @@
     home: str
     operator: Operator
 
-    def cut_off(self, machine: Machine, seconds: float, reset: bool = False) -> float:
+    def partition(self, machine: Machine, seconds: float, reset: bool = False) -> float:
         """Partition a machine from others for a while; returns the seconds for which it counts as lost."""
 
     def kill_one(self, machine: Machine) -> float:
@@ -34,7 +34,7 @@
     def leader(self) -> Machine | None:
         """The control-plane node that leads, if any."""
 
-    def look_at_routes(self) -> None:
+    def use_recent_routes(self) -> None:
         """Have clients use recently added or removed routes."""
 
     def replace_endpoint(self) -> float:
--- a/amberlug/cluster/simulation/scenarios.py
+++ b/amberlug/cluster/simulation/scenarios.py
@@ -10,7 +10,7 @@
 
 from amberlug.cluster.consensus import log
 from amberlug.cluster.simulation.clients import Clients, Load
-from amberlug.cluster.simulation.control_faults import FORMS, Control
+from amberlug.cluster.simulation.control_faults import PARTITION_FORMS, ControlFaults
 from amberlug.cluster.simulation.deployment import ONE_MACHINE, Deployment
 from amberlug.cluster.simulation.endpoints import Kind
 from amberlug.cluster.simulation.history import Violation
@@ -23,7 +23,7 @@
 TRAFFIC_S = 3.5  # from the start of the machines until traffic starts
 AFTER_S = 10.0  # from the end of traffic, for accepted messages to end
 QUESTIONS_S = 6.0
-BACK_S = BOUNDS["catchUpS"]  # a machine still counts as lost for this long after it returns
+CATCH_UP_S = BOUNDS["catchUpS"]  # a machine still counts as lost for this long after it returns
 CORE_CUT_S = (4.0, 4.4)  # duration of control-plane partitions outside the family `control`
 MAX_ATTEMPTS = 3
 
@@ -100,7 +100,7 @@
         self.operator = Operator(self.deployment, first)
         self.compact = log.SNAPSHOT_ENTRIES  # Raft log entries between snapshots
         self.storage_faults = Losses(self) if aim.startswith("losses") else StorageFaults(self)
-        self.control = Control(self)
+        self.control = ControlFaults(self)
         if delayed > 0.1:
             for machine in self.deployment.stores:
                 assert machine.disk is not None, "stores have a disk"
@@ -217,7 +217,9 @@
             at = free[which]
             self.clock.call_later(at - self.clock.now, partial(self._do, act))
             free[which] = at + (
-                rng.uniform(BACK_S + 3.5, BACK_S + 6.0) if which == "system" else rng.uniform(0.4, 3.0)
+                rng.uniform(CATCH_UP_S + 3.5, CATCH_UP_S + 6.0)
+                if which == "system"
+                else rng.uniform(0.4, 3.0)
             )
         often = {"": 0.25, "control": 0.4}.get(self.aim, 0.0)
         if self.aim in ("closing", "core") or (often and rng.random() < often):
@@ -293,7 +295,7 @@
     def _edge_roll(self) -> float:
         return self._term(self._any(self.deployment.edges))
 
-    def cut_off(self, machine: Machine, seconds: float, reset: bool = False) -> float:
+    def partition(self, machine: Machine, seconds: float, reset: bool = False) -> float:
         """Partition a machine from others, one way or both; its connections may be reset at the end."""
         others = self.deployment.machines
         if self.rng.random() < 0.5:
@@ -316,23 +318,23 @@
     def _core_cut(self) -> float:
         """Partition a control-plane node, unless it would still count as lost at the final fault."""
         control = self.control
-        if self.clock.now + CORE_CUT_S[1] + BACK_S > self.end + 1.0:
+        if self.clock.now + CORE_CUT_S[1] + CATCH_UP_S > self.end + 1.0:
             return self._cut()
-        control.cut_off(
+        control.partition(
             self._any(self.deployment.cores),
             self.rng.uniform(*CORE_CUT_S),
-            self.rng.choice(FORMS),
+            self.rng.choice(PARTITION_FORMS),
             self.rng.random() < 0.5,
         )
         assert control.cut is not None, "a machine was just cut off"
-        control.meet(control.cut)
+        control.send_to_partitioned(control.cut)
         return CORE_CUT_S[1]
 
     def _cut(self) -> float:
-        return self.cut_off(self._any(self.deployment.machines), self.rng.uniform(0.3, 4.0))
+        return self.partition(self._any(self.deployment.machines), self.rng.uniform(0.3, 4.0))
 
     def _edge_cut(self) -> float:
-        return self.cut_off(self._any(self.deployment.edges), self.rng.uniform(0.3, 4.0))
+        return self.partition(self._any(self.deployment.edges), self.rng.uniform(0.3, 4.0))
 
     def _drop_links(self) -> float:
         """Reset the connections of one machine, or have it lose some packets for a while."""
@@ -501,7 +503,7 @@
 
     def _change(self) -> float:
         self.operator.change()
-        self.look_at_routes()
+        self.use_recent_routes()
         return 0.0
 
     def _changes(self) -> float:
@@ -516,14 +518,14 @@
 
     def _race(self) -> float:
         self.operator.race()
-        self.look_at_routes()
+        self.use_recent_routes()
         return 0.0
 
     def _invalid(self) -> float:
         self.operator.invalid()
         return 0.0
 
-    def look_at_routes(self) -> None:
+    def use_recent_routes(self) -> None:
         """Have clients use recently added or removed routes."""
         recent = [
             prefix for it in self.history.versions[-4:] for prefix in it.services if prefix.startswith("/x")
--- a/amberlug/cluster/simulation/storage_faults.py
+++ b/amberlug/cluster/simulation/storage_faults.py
@@ -11,7 +11,7 @@
 from amberlug.cluster.simulation.machine import BOUNDS, Machine
 from amberlug.cluster.simulation.scenario_context import ScenarioContext
 
-BACK_S = BOUNDS["catchUpS"]  # a machine still counts as lost for this long after it returns
+CATCH_UP_S = BOUNDS["catchUpS"]  # a machine still counts as lost for this long after it returns
 SETTINGS_S = (0.2, 3.0)  # until processes reload a changed settings file
 WITHIN_S = 1.0
 ASK_S = 0.4  # between queries of the progress of a retirement
@@ -36,7 +36,7 @@
             self.retire,
             self.retire,
             self.freeze_store,
-            self.cut_off,
+            self.partition,
             self.slow_disk,
             self.split_core,
         ]
@@ -48,7 +48,7 @@
     def _next(self, end: float) -> None:
         if self.clock.now < end:
             seconds = self.rng.choice(self.acts)()
-            pause = seconds + (BACK_S if seconds else 0.0) + self.rng.uniform(0.1, 3.0)
+            pause = seconds + (CATCH_UP_S if seconds else 0.0) + self.rng.uniform(0.1, 3.0)
             self.clock.call_later(pause, lambda: self._next(end))
 
     def _any(self, machines: list[Machine]) -> Machine:
@@ -227,10 +227,10 @@
         self.clock.call_later(3.0, store.thaw)
         return 3.0
 
-    def cut_off(self) -> float:
+    def partition(self) -> float:
         """Partition a storage or control-plane node; its connections may be reset at the end."""
         machine = self._any(self.deployment.stores + self.deployment.cores)
-        return self.day.cut_off(machine, self.rng.uniform(4.0, 7.0), self.rng.random() < 0.5)
+        return self.day.partition(machine, self.rng.uniform(4.0, 7.0), self.rng.random() < 0.5)
 
     def slow_disk(self) -> float:
         """Have a disk slow, stalled or full for a while."""
--- a/tests/cluster/test_control_days.py
+++ b/tests/cluster/test_control_days.py
@@ -33,20 +33,20 @@
 def control_node_partitioned(day: Scenario, start: float, end: float, form: str = "silent") -> None:
     """One control-plane node is partitioned for 20 s; the others and the storage nodes are restarted."""
     control, later, first = day.control, day.clock.call_later, day.deployment.cores[0]
-    later(start - day.clock.now, partial(control.cut_off, first, 20.0, form, False))
+    later(start - day.clock.now, partial(control.partition, first, 20.0, form, False))
     for machine in day.deployment.cores[1:] + day.deployment.stores:
         later(start + 9.0 - day.clock.now, partial(control.restart, machine))
     for number in range(24):
         later(start + 2.0 + number - day.clock.now, day.operator.order)
-        later(start + 2.1 + number - day.clock.now, day.look_at_routes)
+        later(start + 2.1 + number - day.clock.now, day.use_recent_routes)
 
 
 def edges_start_during_partitions(day: Scenario, start: float, end: float) -> None:
     """Edge nodes repeatedly start just as a control-plane node is partitioned, during changes."""
 
     def act() -> None:
-        day.control.cut_off(day.control.victim(), 2.0, "silent", False)
-        day.control.start_beside()
+        day.control.partition(day.control.choose_node(), 2.0, "silent", False)
+        day.control.restart_some_edges()
         day.clock.call_later(3.2, act if day.clock.now < end else lambda: None)
 
     day.clock.call_later(start - day.clock.now, act)
@@ -58,8 +58,8 @@
     def act() -> None:
         leader = day.leader()
         if leader is not None:
-            day.control.cut_off(leader, 2.5, "silent", False)
-            day.control.storm(day.clock.now + 3.5)
+            day.control.partition(leader, 2.5, "silent", False)
+            day.control.send_burst(day.clock.now + 3.5)
             for number in range(8):
                 day.clock.call_later(0.3 * number, partial(day.operator.order, to=leader))
         day.clock.call_later(4.0, act if day.clock.now < end else lambda: None)
