--- a/amberlug/cluster/simulation/loss_schedule.py
+++ b/amberlug/cluster/simulation/loss_schedule.py
@@ -18,7 +18,7 @@
 INSIST_S = 8.0  # a command is retried for so long before the operator gives up
 PATIENCE_S = 25.0  # limit for a retirement while other nodes are lost
 NOTICED_S = 2.5  # within which the system must notice a silent storage node or a lost disk
-SPREADS = (
+TOLERANCE_WEIGHTS = (
     (Tolerance(1, 0, 0), 4),
     (Tolerance(2, 0, 0), 2),
     (Tolerance(0, 1, 0), 3),
@@ -29,7 +29,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Site:
+class DeploymentPlan:
     """The size of a deployment, and the losses that it must tolerate."""
 
     tolerance: Tolerance
@@ -41,15 +41,15 @@
     backlog: bool  # many messages are pending at any time, and replication is slow
 
 
-def draw_site(rng: random.Random, aim: str) -> Site:
+def draw_plan(rng: random.Random, aim: str) -> DeploymentPlan:
     """Draw zones and node counts; at times only just as many nodes as the tolerance needs."""
     by_aim = {"zone": Tolerance(0, 1, 0), "region": Tolerance(0, 0, 1)}
-    tolerance = by_aim.get(aim.rpartition("-")[2]) or rng.choices(*zip(*SPREADS, strict=True))[0]
+    tolerance = by_aim.get(aim.rpartition("-")[2]) or rng.choices(*zip(*TOLERANCE_WEIGHTS, strict=True))[0]
     zones = rng.choice((3, 3, 4, 5))
     regions = min(zones, 3) if tolerance.regions else 1
     least = 5 if tolerance.machines == 2 else 3
     stores = rng.choice((zones, zones, 2 * zones, zones + 1))
-    return Site(
+    return DeploymentPlan(
         tolerance,
         zones,
         regions,
@@ -60,7 +60,7 @@
     )
 
 
-class Losses(StorageFaults):
+class LossSchedule(StorageFaults):
     """Injects concurrent sequences of losses, one for each machine that may be lost at once.
 
     Operators retire and add nodes meanwhile.
@@ -74,23 +74,23 @@
         self.lost: dict[Machine, None] = {}  # also those that returned too recently to lose another
         self.wiped: dict[Machine, float] = {}
         self.gone: dict[Machine, float] = {}
-        self.going: dict[Machine, None] = {}  # those whose replacement has already started
+        self.being_replaced: dict[Machine, None] = {}  # those whose replacement has already started
         self._free: list[int] = []  # sequences that wait for their next loss
-        self._over = 0.0
+        self._end = 0.0
         self._kinds = tuple(it for it in ("core", "store") if it in day.aim) or ("core", "store")
-        self.works: list[Callable[[], None]] = [self._retire, self._add]
+        self.operations: list[Callable[[], None]] = [self._retire, self._add]
 
     def begin(self, start: float, end: float) -> None:
-        self._over = end
+        self._end = end
         for line in range(self.lines):
             self.clock.call_later(start - self.clock.now + line * 0.7, partial(self._lose, line))
-        self.clock.call_later(start - self.clock.now, self._work)
+        self.clock.call_later(start - self.clock.now, self._run_operation)
         # The last command that is checked has had its full time by then.
         self.clock.call_later(end + CONTACT_S + ACK_S + 1.5 - self.clock.now, self._check_acks)
 
     # -- sequences of losses
 
-    def _unit(self) -> list[Machine]:
+    def _choose_unit(self) -> list[Machine]:
         """Choose what is lost next: one machine, or machines of one zone or region that may fail together."""
         tolerance, rng, regions = self.deployment.tolerance, self.rng, self.deployment.regions
         counted = [it for it in self.deployment.stores + self.deployment.cores if it not in self.lost]
@@ -112,16 +112,23 @@
         """Inject the next loss of a sequence; the one after it follows once this one no longer counts."""
         if line in self._free:
             self._free.remove(line)
-        unit = self._unit()
-        if self.clock.now > self._over or not unit:
+        unit = self._choose_unit()
+        if self.clock.now > self._end or not unit:
             return
-        acts = [self._wipe, self._wipe, self._dark, self._dark, self._cut, self._still]
+        acts = [
+            self._wipe_unit,
+            self._wipe_unit,
+            self._power_off_unit,
+            self._power_off_unit,
+            self._partition_unit,
+            self._freeze_unit,
+        ]
         if len(unit) == 1:
-            acts += [self._replaced, self._replaced, self._planned]
+            acts += [self._replace_lost, self._replace_lost, self._replace_as_planned]
         self.lost |= dict.fromkeys(unit)
-        self.rng.choice(acts)(unit, partial(self._over_with, line, unit))
+        self.rng.choice(acts)(unit, partial(self._on_unit_back, line, unit))
 
-    def _over_with(self, line: int, unit: list[Machine]) -> None:
+    def _on_unit_back(self, line: int, unit: list[Machine]) -> None:
         """All lost machines, or their replacements, are back: after `catchUpS` the next loss may follow."""
 
         def next_one() -> None:
@@ -166,7 +173,7 @@
             self.clock.call_later(seconds, partial(self._start, machine))
         self.clock.call_later(seconds, then)
 
-    def _wipe(self, unit: list[Machine], then: Callable[[], None]) -> None:
+    def _wipe_unit(self, unit: list[Machine], then: Callable[[], None]) -> None:
         """Wipe disks right after one of the machines acknowledged a write."""
         seconds = self.rng.uniform(0.3, 2.0)
         act = partial(self._down_all, unit, "lose their disks", seconds, True, then)
@@ -191,7 +198,7 @@
         self.day.operator.change()
         self.clock.call_later(1.0, strike)
 
-    def _dark(self, unit: list[Machine], then: Callable[[], None]) -> None:
+    def _power_off_unit(self, unit: list[Machine], then: Callable[[], None]) -> None:
         """Power off machines for a while; at times the edge nodes of their zones as well."""
         seconds = self.rng.uniform(0.5, 3.0)
         zones = {it.zone for it in unit}
@@ -200,7 +207,7 @@
             unit = unit + edges
         self._down_all(unit, "lose power", seconds, False, then)
 
-    def _cut(self, unit: list[Machine], then: Callable[[], None]) -> None:
+    def _partition_unit(self, unit: list[Machine], then: Callable[[], None]) -> None:
         """Partition machines from all others, or from the control plane, one way or both."""
         seconds = self.rng.uniform(1.0, 6.0)
         others = [it for it in self.deployment.machines if it not in unit]
@@ -214,7 +221,7 @@
         self.clock.call_later(seconds, partial(self.deployment.net.join, pairs))
         self.clock.call_later(seconds, then)
 
-    def _still(self, unit: list[Machine], then: Callable[[], None]) -> None:
+    def _freeze_unit(self, unit: list[Machine], then: Callable[[], None]) -> None:
         """Freeze machines for a while."""
         seconds = self.rng.uniform(0.5, 4.0)
         self.history.record_disturbance(f"{self._names(unit)} frozen for {seconds:.1f} s", seconds)
@@ -223,7 +230,7 @@
             self.clock.call_later(seconds, machine.thaw)
         self.clock.call_later(seconds, then)
 
-    def _replaced(self, unit: list[Machine], then: Callable[[], None]) -> None:
+    def _replace_lost(self, unit: list[Machine], then: Callable[[], None]) -> None:
         """Remove a machine; an empty one is added at another address, under the same name or a new one."""
         (machine,) = unit
         seconds = self.rng.uniform(0.3, 2.0)
@@ -231,45 +238,45 @@
         self.history.record_disturbance(
             f"{machine.name} is gone for good, another in {seconds:.1f} s", seconds
         )
-        self._take_away(machine)
-        self._come(machine.kind, machine.zone, seconds, name)
+        self._remove(machine)
+        self._add_machine(machine.kind, machine.zone, seconds, name)
         self.clock.call_later(seconds, then)
 
-    def _planned(self, unit: list[Machine], then: Callable[[], None]) -> None:
+    def _replace_as_planned(self, unit: list[Machine], then: Callable[[], None]) -> None:
         """Replace a machine as planned: add the new one, then shut down and remove the old one."""
         (machine,) = unit
         if self.retired:
-            self._dark(unit, then)
+            self._power_off_unit(unit, then)
             return
         seconds = self.rng.uniform(0.5, CATCH_UP_S)
-        self.going[machine] = None
+        self.being_replaced[machine] = None
         self.history.record_disturbance(
             f"{machine.name} gets a successor, and goes in {seconds:.1f} s", seconds, planned=True
         )
-        self._come(machine.kind, machine.zone, 0.0)
-        self.clock.call_later(seconds, partial(self._goes, machine))
+        self._add_machine(machine.kind, machine.zone, 0.0)
+        self.clock.call_later(seconds, partial(self._shut_down_replaced, machine))
         self.clock.call_later(0.0, then)
 
-    def _goes(self, machine: Machine) -> None:
+    def _shut_down_replaced(self, machine: Machine) -> None:
         if machine not in self.deployment.machines:
-            self.going.pop(machine, None)
+            self.being_replaced.pop(machine, None)
             return
         self.history.record_disturbance(f"{machine.name} is told to end, and taken away", 0.1)
         machine.term()
-        self.clock.call_later(0.1, partial(self._take_away, machine))
+        self.clock.call_later(0.1, partial(self._remove, machine))
 
-    def _take_away(self, machine: Machine) -> None:
-        self.going.pop(machine, None)
+    def _remove(self, machine: Machine) -> None:
+        self.being_replaced.pop(machine, None)
         if machine in self.deployment.machines:
             self.deployment.remove(machine)
             self.gone[machine] = self.clock.now
 
     # -- operations
 
-    def _work(self) -> None:
-        if self.clock.now < self._over:
-            self.rng.choice(self.works)()
-            self.clock.call_later(self.rng.uniform(2.0, 12.0), self._work)
+    def _run_operation(self) -> None:
+        if self.clock.now < self._end:
+            self.rng.choice(self.operations)()
+            self.clock.call_later(self.rng.uniform(2.0, 12.0), self._run_operation)
 
     def _add(self) -> None:
         """Add a storage or control-plane node; the next losses may follow right after."""
@@ -278,7 +285,7 @@
         if count >= 9:
             return
         self.history.trace(f"a {kind} is added")
-        self._come(kind, self.rng.choice(self.deployment.zones), 0.0)
+        self._add_machine(kind, self.rng.choice(self.deployment.zones), 0.0)
         if self.rng.random() < 0.5:
             self.clock.call_later(self.rng.choice((0.05, 0.5, 1.0)), self._lose_now)
 
@@ -290,7 +297,7 @@
 
     def empty(self, store: Machine) -> None:
         """Order a storage node to be retired; the order must be rejected if too few others remain."""
-        if self.retired or self.going:
+        if self.retired or self.being_replaced:
             return  # operators remove only one node at a time
         others = [it for it in self.deployment.stores if it is not store]
         regions = self.deployment.regions
@@ -311,7 +318,7 @@
                     Violation("RETIRE", f"{store.name} is emptied, and too few remain")
                 )
             elif status == 200:
-                self._look(store, self.clock.now + RETIRE_S - 2.0)
+                self._poll_retirement(store, self.clock.now + RETIRE_S - 2.0)
             else:
                 self.retired.pop(store.name, None)
                 if status == 409 and surely and calm:
@@ -323,17 +330,17 @@
         self.history.calls.append(Call("retire", store.name, "", began))
         self._ask(f"/-/Retire.Begin/{store.name}", b'{"durationS": 8}', "POST", hear)
 
-    def _look(self, store: Machine, until: float) -> None:
+    def _poll_retirement(self, store: Machine, until: float) -> None:
         began = self.retired[store.name]
 
         def hear(status: int, said: object) -> None:
             if store not in self.deployment.stores:
                 self.retired.pop(store.name, None)
             elif status == 200 and isinstance(said, dict) and said["condition"] == "completed":
-                self._emptied(store)
+                self._on_retired(store)
             elif self.clock.now < until or not self.history.is_undisturbed(began, self.clock.now):
                 if self.clock.now < began + PATIENCE_S:
-                    self.clock.call_later(ASK_S, lambda: self._look(store, until))
+                    self.clock.call_later(ASK_S, lambda: self._poll_retirement(store, until))
                 else:
                     self.history.faults.append(Violation("RETIRE", f"{store.name} is not emptied: {status}"))
             else:
@@ -343,7 +350,7 @@
 
         self._ask(f"/-/Retire.Read/{store.name}", b"", "GET", hear)
 
-    def _emptied(self, store: Machine) -> None:
+    def _on_retired(self, store: Machine) -> None:
         self.history.trace(f"{store.name} is emptied, and taken away")
         self.retired.pop(store.name)
         # The system can't have noticed the latest losses yet: their copies still counted, and these are the
@@ -363,7 +370,7 @@
         """Each command gets a response within `ackMs` of time without faults."""
         disturbances = sorted(self.history.disturbances, key=lambda it: it.at)
         for version in self.history.versions:
-            if not version.valid or version.at > self._over:
+            if not version.valid or version.at > self._end:
                 continue
             due = version.at + ACK_S
             for it in disturbances:
--- a/amberlug/cluster/simulation/scenarios.py
+++ b/amberlug/cluster/simulation/scenarios.py
@@ -15,7 +15,7 @@
 from amberlug.cluster.simulation.endpoints import Kind
 from amberlug.cluster.simulation.history import Violation
 from amberlug.cluster.simulation.invariants import Checker
-from amberlug.cluster.simulation.loss_schedule import Losses, draw_site
+from amberlug.cluster.simulation.loss_schedule import LossSchedule, draw_plan
 from amberlug.cluster.simulation.machine import BOUNDS, RESTART_S, Machine
 from amberlug.cluster.simulation.operator import Operator, route, service
 from amberlug.cluster.simulation.storage_faults import StorageFaults
@@ -63,10 +63,10 @@
             size = self.size = replace(size, seconds=38.0, rate=10.0)
         tolerance, regions, delayed = ONE_MACHINE, 1, 0.1
         if aim.startswith("losses"):
-            site = draw_site(random.Random(f"{seed} site"), aim)
-            tolerance, regions = site.tolerance, site.regions
-            rate, delayed = (50.0, 0.7) if site.backlog else (20.0, 0.1)
-            size = self.size = Size(site.zones, site.edges, site.stores, site.cores, 50.0, rate)
+            plan = draw_plan(random.Random(f"{seed} site"), aim)
+            tolerance, regions = plan.tolerance, plan.regions
+            rate, delayed = (50.0, 0.7) if plan.backlog else (20.0, 0.1)
+            size = self.size = Size(plan.zones, plan.edges, plan.stores, plan.cores, 50.0, rate)
         dedup = rng.random() < 0.4
         kinds = [
             Kind("alpha", 4, 0.06, False),
@@ -99,7 +99,7 @@
         }
         self.operator = Operator(self.deployment, first)
         self.compact = log.SNAPSHOT_ENTRIES  # Raft log entries between snapshots
-        self.storage_faults = Losses(self) if aim.startswith("losses") else StorageFaults(self)
+        self.storage_faults = LossSchedule(self) if aim.startswith("losses") else StorageFaults(self)
         self.control = ControlFaults(self)
         if delayed > 0.1:
             for machine in self.deployment.stores:
--- a/amberlug/cluster/simulation/storage_faults.py
+++ b/amberlug/cluster/simulation/storage_faults.py
@@ -114,9 +114,9 @@
         self._down(machine, "is taken away", seconds)
         self.deployment.remove(machine)
         name = machine.name if self.rng.random() < 0.5 else ""
-        self._come(machine.kind, machine.zone, seconds, name)
+        self._add_machine(machine.kind, machine.zone, seconds, name)
 
-    def _come(self, kind: str, zone: str, seconds: float, name: str = "") -> None:
+    def _add_machine(self, kind: str, zone: str, seconds: float, name: str = "") -> None:
         def come() -> None:
             machine = self.deployment.add(kind, zone, name)
             self.history.trace(f"{machine.name} comes at {machine.address}")
@@ -148,7 +148,7 @@
         """Add one or two storage nodes."""
         for _ in range(self.rng.choice((1, 2))):
             self.history.record_disturbance("a store is added")
-            self._come("store", self.rng.choice(self.deployment.zones), 0.0)
+            self._add_machine("store", self.rng.choice(self.deployment.zones), 0.0)
         return 0.0
 
     # -- retirement
@@ -164,30 +164,35 @@
         """Order a storage node to be retired, and poll until it is empty."""
         self.history.record_disturbance(f"{store.name} is to be emptied", RETIRE_S, planned=True)
         self.history.calls.append(Call("retire", store.name, "", self.clock.now))
-        self._ask(f"/-/Retire.Begin/{store.name}", b'{"durationS": 8}', "POST", partial(self._begun, store))
+        self._ask(
+            f"/-/Retire.Begin/{store.name}",
+            b'{"durationS": 8}',
+            "POST",
+            partial(self._on_retirement_ordered, store),
+        )
 
     def _ask(self, target: str, body: bytes, method: str, hear: Callable[[int, Any], None]) -> None:
         core = self._any(self.deployment.cores)
         self.deployment.control(core, method, target, body, WITHIN_S, hear)
 
-    def _begun(self, store: Machine, status: int, said: Any) -> None:
+    def _on_retirement_ordered(self, store: Machine, status: int, said: Any) -> None:
         if status == 200:
-            self._look(store, self.clock.now + RETIRE_S - 2.0)
+            self._poll_retirement(store, self.clock.now + RETIRE_S - 2.0)
         elif status not in (404, 409):
             self.history.trace(f"{store.name}: {status}, not to be emptied after all")
 
-    def _look(self, store: Machine, until: float) -> None:
+    def _poll_retirement(self, store: Machine, until: float) -> None:
         def hear(status: int, said: Any) -> None:
             if status == 200 and said["condition"] == "completed":
-                self._emptied(store)
+                self._on_retired(store)
             elif self.clock.now < until:
-                self.clock.call_later(ASK_S, lambda: self._look(store, until))
+                self.clock.call_later(ASK_S, lambda: self._poll_retirement(store, until))
             else:
                 self.history.faults.append(Violation("RETIRE", f"{store.name} is not emptied: {status}"))
 
         self._ask(f"/-/Retire.Read/{store.name}", b"", "GET", hear)
 
-    def _emptied(self, store: Machine) -> None:
+    def _on_retired(self, store: Machine) -> None:
         self.history.trace(f"{store.name} is emptied, and taken away")
         self.check_copies(store)
         self.deployment.remove(store)
@@ -246,11 +251,11 @@
         disk.full = what == "full"
         disk.sync_s = usual if disk.full else SLOWER * usual
 
-        self.clock.call_later(seconds, partial(self._well, disk, usual))
+        self.clock.call_later(seconds, partial(self._repair_disk, disk, usual))
         return seconds
 
     @staticmethod
-    def _well(disk: SimulatedDisk, sync_s: float) -> None:
+    def _repair_disk(disk: SimulatedDisk, sync_s: float) -> None:
         disk.full, disk.sync_s = False, sync_s
 
     def split_core(self) -> float:
