--- a/amberlug/cluster/simulation/__main__.py
+++ b/amberlug/cluster/simulation/__main__.py
@@ -11,7 +11,13 @@
 from absl import logging
 
 from amberlug.cluster.simulation.digest_record import differences, measure, record_frames, write_record
-from amberlug.cluster.simulation.model_checker import CHANGES, STARTS, explore, old_self, stranger
+from amberlug.cluster.simulation.model_checker import (
+    INITIAL_STATES,
+    MEMBERSHIP_STATES,
+    explore,
+    same_identity,
+    stranger,
+)
 from amberlug.cluster.simulation.mutations import MUTANTS, mutated
 from amberlug.cluster.simulation.scenarios import Scenario
 from amberlug.cluster.simulation.seed_search import hunt
@@ -76,8 +82,8 @@
     """Explore all interleavings of the Raft group to a bounded depth."""
     logging.set_verbosity(logging.FATAL)
     bad = 0
-    blank = old_self if mutant == "old-vote" else stranger
-    starts = STARTS | {name: start for name, (start, _) in CHANGES.items()}
+    blank = same_identity if mutant == "old-vote" else stranger
+    starts = INITIAL_STATES | {name: start for name, (start, _) in MEMBERSHIP_STATES.items()}
     for name, start in starts.items():
         if only not in ("", name):
             continue
--- a/amberlug/cluster/simulation/digest_record.py
+++ b/amberlug/cluster/simulation/digest_record.py
@@ -12,7 +12,7 @@
 
 from absl import logging
 
-from amberlug.cluster.simulation.model_checker import CHANGES, STARTS, explore
+from amberlug.cluster.simulation.model_checker import INITIAL_STATES, MEMBERSHIP_STATES, explore
 from amberlug.cluster.simulation.scenarios import Scenario
 
 RECORDED_FAMILIES = {
@@ -71,15 +71,18 @@
 def explore_one(name: str, depth: int) -> tuple[str, int, int, str]:
     """Explore one initial state; returns its name, the counts of states and steps, and the violation."""
     logging.set_verbosity(logging.FATAL)
-    starts = STARTS | {name: start for name, (start, _) in CHANGES.items()}
+    starts = INITIAL_STATES | {name: start for name, (start, _) in MEMBERSHIP_STATES.items()}
     explored = explore(starts[name], depth)
     return name, explored.states, explored.steps, explored.found
 
 
 def explore_recorded(jobs: int) -> Iterator[tuple[str, int, int, str]]:
     """Explore every initial state to the recorded depth."""
-    names = [*STARTS, *CHANGES]
-    depths = [min(EXPLORED_DEPTH, CHANGES[name][1]) if name in CHANGES else EXPLORED_DEPTH for name in names]
+    names = [*INITIAL_STATES, *MEMBERSHIP_STATES]
+    depths = [
+        min(EXPLORED_DEPTH, MEMBERSHIP_STATES[name][1]) if name in MEMBERSHIP_STATES else EXPLORED_DEPTH
+        for name in names
+    ]
     with ProcessPoolExecutor(jobs) as pool:
         yield from pool.map(explore_one, names, depths)
 
--- a/amberlug/cluster/simulation/model_checker.py
+++ b/amberlug/cluster/simulation/model_checker.py
@@ -45,62 +45,62 @@
 Rows = list[tuple[str, tuple[Any, ...]]]
 
 
-class FoundError(Exception):
+class InvariantError(Exception):
     """An invariant is violated."""
 
 
 @dataclass(frozen=True, slots=True)
-class Start:
+class InitialState:
     """An initial state: the contents of the members' disks, and how often each kind of step may be taken."""
 
     disks: dict[str, tuple[int, str, list[int]]]  # by member: term, vote, terms of the log entries
-    stands: int
+    elections: int
     losses: int  # power losses
     wipes: int
     first: tuple[tuple[str, str, str], ...] = ()  # steps taken before: action, member, message prefix
     writes: int = 0
     changes: int = 0  # membership changes
-    cuts: int = 0  # log compactions
-    away: int = 0  # removed members that are taken away with their disks
-    plan: Callable[[Play], None] | None = None  # further setup, after those steps
+    compactions: int = 0  # log compactions
+    departures: int = 0  # removed members that are taken away with their disks
+    plan: Callable[[Execution], None] | None = None  # further setup, after those steps
 
 
-def _led(play: Play) -> None:
+def _elect_first(play: Execution) -> None:
     """Elect the first member, and replicate its first entry to all."""
     play.take(("stand", "a", 0))
-    play.settle()
+    play.deliver_all()
 
 
-def _change(play: Play, leader: str, name: str, voter: bool | None) -> None:
+def _change(play: Execution, leader: str, name: str, voter: bool | None) -> None:
     """Add a member, make it a voter or learner, or remove it (`voter` is None); all members learn of it."""
     for at, after in enumerate(play.changes(leader)):
         before = play.members[leader].raft.members.get(name)
         if after.get(name) != before and (after[name].is_voter if name in after else None) is voter:
             play.take(("change", leader, at))
-            play.settle()
+            play.deliver_all()
             return
     raise AssertionError("the leader has no such membership change")
 
 
-def _with_learner(play: Play) -> None:
-    _led(play)
+def _with_learner(play: Execution) -> None:
+    _elect_first(play)
     _change(play, "a", NEW, False)
 
 
-def _with_four(play: Play) -> None:
+def _with_four(play: Execution) -> None:
     _with_learner(play)
     _change(play, "a", NEW, True)
 
 
-def _without_c(play: Play) -> None:
-    _led(play)
+def _without_c(play: Execution) -> None:
+    _elect_first(play)
     _change(play, "a", "c", None)
 
 
 # Empty disks; and a leader with an entry of an older term, while another member has one of a newer term.
-STARTS = {
-    "fresh": Start({name: (0, "", []) for name in NAMES}, 2, 1, 1),
-    "older": Start(
+INITIAL_STATES = {
+    "fresh": InitialState({name: (0, "", []) for name in NAMES}, 2, 1, 1),
+    "older": InitialState(
         {"a": (2, "", [1]), "b": (2, "b", [2]), "c": (2, "b", [])},
         2,
         1,
@@ -119,13 +119,16 @@
 
 # With a fourth member, starting from an elected leader; and the depth to which the tests explore.
 _EMPTY: dict[str, tuple[int, str, list[int]]] = {name: (0, "", []) for name in (*NAMES, NEW)}
-CHANGES = {
-    "learner": (Start(_EMPTY, 1, 0, 0, writes=1, plan=_with_learner), 6),
-    "removed": (Start(_EMPTY, 2, 1, 0, plan=_without_c), 6),
-    "leaving": (Start(_EMPTY, 0, 0, 1, writes=1, changes=1, away=1, plan=_led), 5),
-    "changes": (Start(_EMPTY, 2, 0, 0, changes=2, plan=_with_learner), 4),
-    "snapshots": (Start(_EMPTY, 1, 0, 0, changes=1, cuts=2, plan=_led), 5),
-    "all of it": (Start(_EMPTY, 1, 1, 1, writes=1, changes=2, cuts=1, away=1, plan=_with_four), 3),
+MEMBERSHIP_STATES = {
+    "learner": (InitialState(_EMPTY, 1, 0, 0, writes=1, plan=_with_learner), 6),
+    "removed": (InitialState(_EMPTY, 2, 1, 0, plan=_without_c), 6),
+    "leaving": (InitialState(_EMPTY, 0, 0, 1, writes=1, changes=1, departures=1, plan=_elect_first), 5),
+    "changes": (InitialState(_EMPTY, 2, 0, 0, changes=2, plan=_with_learner), 4),
+    "snapshots": (InitialState(_EMPTY, 1, 0, 0, changes=1, compactions=2, plan=_elect_first), 5),
+    "all of it": (
+        InitialState(_EMPTY, 1, 1, 1, writes=1, changes=2, compactions=1, departures=1, plan=_with_four),
+        3,
+    ),
 }
 
 
@@ -161,7 +164,7 @@
 class _ModelRuntime:
     """The runtime of one incarnation of a member; nothing happens but through explicit steps."""
 
-    def __init__(self, play: Play, name: str) -> None:
+    def __init__(self, play: Execution, name: str) -> None:
         self.play, self.name, self.rng = play, name, RNG
         self.life = play.members[name].life
 
@@ -196,21 +199,21 @@
         play.post(address, f"{name} {text}", arrive)
 
 
-class Play:
+class Execution:
     """One sequence of steps from an initial state."""
 
     def __init__(
-        self, start: Start, blank: Callable[[str, int], PersistentState], like: Play | None = None
+        self, start: InitialState, blank: Callable[[str, int], PersistentState], like: Execution | None = None
     ) -> None:
         self.blank, self.now = blank, 0.0
         self.left = {
-            "stand": start.stands,
+            "stand": start.elections,
             "power": start.losses,
             "wipe": start.wipes,
             "write": start.writes,
             "change": start.changes,
-            "cut": start.cuts,
-            "away": start.away,
+            "cut": start.compactions,
+            "away": start.departures,
         }
         self.messages: dict[int, _Message] = {}
         self._numbers = 0
@@ -236,7 +239,7 @@
             start.plan(self)
             self.left = left
 
-    def _copy(self, like: Play) -> None:
+    def _copy(self, like: Execution) -> None:
         """Copy the state of another run of the same start without messages in flight or unsynced writes."""
         assert not like.messages, "messages can't be copied"
         self.now, self._numbers = like.now, like._numbers
@@ -304,7 +307,7 @@
                 if self.left["change"]:
                     found += [("change", name, at) for at in range(len(self.changes(name)))]
                 if self.left["away"] and member.raft.is_membership_committed:
-                    gone = [it for it in self.members if self._let_go(member.raft, it)]
+                    gone = [it for it in self.members if self._may_be_taken_away(member.raft, it)]
                     found += [("away", it, 0) for it in gone]
             if self.left["cut"] and member.raft.last_applied > member.raft.log.base_index:
                 found.append(("cut", name, 0))
@@ -319,7 +322,7 @@
             after.append(members.with_member(NEW, Member.from_wire({"addr": NEW, "voter": False})))
         return [it for it in after if it.voters]
 
-    def _let_go(self, raft: Any, name: str) -> bool:
+    def _may_be_taken_away(self, raft: Any, name: str) -> bool:
         """Whether operators may take away a member, since this leader reports its removal as complete."""
         told = (
             raft.role is Role.LEADER
@@ -366,7 +369,7 @@
                 self._begin(name)
         self._check()
 
-    def settle(self) -> None:
+    def deliver_all(self) -> None:
         """Deliver all messages, and those sent in response, until none is left."""
         while self.messages:
             number, message = next(iter(self.messages.items()))
@@ -377,7 +380,7 @@
         waiting, member.waiting = member.waiting, []
         for rows, _ in waiting:
             for kind, values in rows:
-                _keep(member.saved, kind, values)
+                _apply_row(member.saved, kind, values)
         for _, then in waiting:
             then(None)
 
@@ -386,21 +389,21 @@
     def _check(self) -> None:
         for name, member in self.members.items():
             raft = member.raft
-            self._check_book(name, member)
+            self._check_snapshot(name, member)
             if raft.role is Role.LEADER:
                 if self.leaders.setdefault(raft.term, f"{name}#{member.life}") != f"{name}#{member.life}":
-                    raise FoundError(f"two leaders in term {raft.term}")
+                    raise InvariantError(f"two leaders in term {raft.term}")
                 for index, entry in self.committed.items():
                     at = index - raft.log.base_index - 1
                     if raft.term <= self.committed_in[index]:
                         continue  # a leader that has not noticed a newer one may lack it
                     if index > raft.log.last_index or (at >= 0 and raft.log.entries[at] != entry):
-                        raise FoundError(f"{name} leads without the entry that was committed at {index}")
+                        raise InvariantError(f"{name} leads without the entry that was committed at {index}")
             for index in range(raft.log.base_index + 1, raft.commit_index + 1):
                 entry = raft.log.entries[index - raft.log.base_index - 1]
                 self.committed_in.setdefault(index, raft.term)
                 if self.committed.setdefault(index, entry) != entry:
-                    raise FoundError(f"two entries are committed at {index}")
+                    raise InvariantError(f"two entries are committed at {index}")
         self._check_majorities()
 
     def _membership(self, upto: int) -> Members:
@@ -411,16 +414,16 @@
                 return members
         return VOTERS
 
-    def _check_book(self, name: str, member: _Member) -> None:
+    def _check_snapshot(self, name: str, member: _Member) -> None:
         """A snapshot holds only committed commands, and the newest membership at its index."""
         raft = member.raft
         for index, command in member.cluster_state.items():
             if int(index) <= raft.log.snapshot_index and self.committed[int(index)][1] != command:
-                raise FoundError(f"{name} holds a snapshot of what was not committed at {index}")
+                raise InvariantError(f"{name} holds a snapshot of what was not committed at {index}")
         # A new member does not know the founding members, which no entry lists; a later entry added it.
         snap = raft.log.snapshot_index
         if snap and raft.log.snapshot_members and raft.log.snapshot_members != self._membership(snap):
-            raise FoundError(f"{name} holds a snapshot with members that were not the newest")
+            raise InvariantError(f"{name} holds a snapshot with members that were not the newest")
 
     def _check_majorities(self) -> None:
         """Majorities of the newest leader's voters and of the newest committed voters always overlap."""
@@ -432,11 +435,11 @@
             theirs = set(self._membership(raft.commit_index).voters)
             ours = set(raft.members.voters)
             if len(theirs) // 2 + len(ours) // 2 + 2 <= len(theirs | ours):
-                raise FoundError(f"majorities of {sorted(theirs)} and {sorted(ours)} can be disjoint")
+                raise InvariantError(f"majorities of {sorted(theirs)} and {sorted(ours)} can be disjoint")
 
     def _check_copies(self, name: str) -> None:
         """As a member is taken away, a majority of the rest, minus lost disks, has all committed entries."""
-        raft = next(it.raft for it in self.members.values() if self._let_go(it.raft, name))
+        raft = next(it.raft for it in self.members.values() if self._may_be_taken_away(it.raft, name))
         saved = [self.members[it].saved for it in raft.members.voters]
         lost = sum(1 for key, it in zip(raft.members.voters, saved, strict=True) if it.member_id != key)
 
@@ -447,7 +450,7 @@
         for index, entry in self.committed.items():
             held = sum(1 for it in saved if has(it, index, entry))
             if held < len(saved) // 2 + 1 - lost:
-                raise FoundError(f"{name} is taken away and leaves {held} copies of the entry at {index}")
+                raise InvariantError(f"{name} is taken away and leaves {held} copies of the entry at {index}")
 
     def state(self) -> int:
         """A hash of everything that later steps depend on."""
@@ -504,7 +507,7 @@
         raft.log.compact(raft.last_applied, raft.state_machine.snapshot())
 
 
-def _keep(saved: PersistentState, kind: str, values: tuple[Any, ...]) -> None:
+def _apply_row(saved: PersistentState, kind: str, values: tuple[Any, ...]) -> None:
     match row_from(kind, values):
         case TermRow(term, voted_for):
             saved.term, saved.voted_for = term, voted_for
@@ -539,13 +542,13 @@
     return PersistentState(f"{name}/{life}", members=Members())
 
 
-def old_self(name: str, life: int) -> PersistentState:
+def same_identity(name: str, life: int) -> PersistentState:
     """A faulty state of a wiped member: it returns with the id that it had."""
     return PersistentState(name, members=VOTERS)
 
 
 @dataclass(frozen=True, slots=True)
-class Explored:
+class ExplorationResult:
     """The result of an exploration: its size, and the first violation with the steps to it."""
 
     states: int
@@ -556,14 +559,17 @@
 
 
 def explore(
-    start: Start, depth: int, blank: Callable[[str, int], PersistentState] = stranger, most: int = 1_000_000
-) -> Explored:
+    start: InitialState,
+    depth: int,
+    blank: Callable[[str, int], PersistentState] = stranger,
+    most: int = 1_000_000,
+) -> ExplorationResult:
     """Visit all states within `depth` steps of an initial state, but no more than `most` states."""
     seen: dict[int, int] = {}
     taken = 0
     path: list[Step] = []
-    play = Play(start, blank)
-    like = None if play.messages else Play(start, blank)
+    play = Execution(start, blank)
+    like = None if play.messages else Execution(start, blank)
     todo: list[Iterable[Step]] = [iter(play.steps())]
     stale = False  # whether the run has gone beyond `path` and must be rebuilt
     while todo:
@@ -575,14 +581,14 @@
             stale = True
             continue
         if stale:
-            play, stale = Play(start, blank, like), False
+            play, stale = Execution(start, blank, like), False
             for it in path:
                 play.take(it)
         taken += 1
         try:
             play.take(step)
-        except (FoundError, AssertionError) as error:
-            return Explored(len(seen), taken, False, str(error), (*path, step))
+        except (InvariantError, AssertionError) as error:
+            return ExplorationResult(len(seen), taken, False, str(error), (*path, step))
         key, left = play.state(), depth - len(path) - 1
         if left <= 0 or seen.get(key, -1) >= left:
             seen.setdefault(key, left)
@@ -591,4 +597,4 @@
         seen[key] = left
         path.append(step)
         todo.append(iter(play.steps()))
-    return Explored(len(seen), taken, len(seen) < most)
+    return ExplorationResult(len(seen), taken, len(seen) < most)
--- a/tests/cluster/test_model_checker.py
+++ b/tests/cluster/test_model_checker.py
@@ -3,13 +3,13 @@
 import pytest
 
 from amberlug.cluster.simulation.model_checker import (
-    CHANGES,
-    STARTS,
-    FoundError,
-    Play,
+    INITIAL_STATES,
+    MEMBERSHIP_STATES,
+    Execution,
+    InvariantError,
     Step,
     explore,
-    old_self,
+    same_identity,
     stranger,
 )
 from amberlug.cluster.simulation.mutations import mutated
@@ -34,20 +34,20 @@
 ]
 
 
-@pytest.mark.parametrize("start", list(STARTS))
+@pytest.mark.parametrize("start", list(INITIAL_STATES))
 def test_the_invariants_hold_in_all_states_to_a_small_depth(start: str) -> None:
-    explored = explore(STARTS[start], 3)
+    explored = explore(INITIAL_STATES[start], 3)
     assert (explored.found, explored.whole) == ("", True)
     assert explored.states > 100
 
 
 def test_a_wiped_voter_that_keeps_its_name_breaks_election_safety() -> None:
-    play = Play(STARTS["fresh"], old_self)
+    play = Execution(INITIAL_STATES["fresh"], same_identity)
     for step in TWO_LEADERS[:-1]:
         play.take(step)
-    with pytest.raises(FoundError, match="two leaders in term 1"):
+    with pytest.raises(InvariantError, match="two leaders in term 1"):
         play.take(TWO_LEADERS[-1])
-    play = Play(STARTS["fresh"], stranger)
+    play = Execution(INITIAL_STATES["fresh"], stranger)
     for step in TWO_LEADERS[:4]:
         play.take(step)
     assert ("stand", "a", 0) not in play.steps()
@@ -55,20 +55,20 @@
 
 def test_committing_an_entry_of_an_older_term_by_counting_replicas_breaks_leader_completeness() -> None:
     with mutated("older-term"):
-        play = Play(STARTS["older"], stranger)
+        play = Execution(INITIAL_STATES["older"], stranger)
         for step in REPLACED[:-1]:
             play.take(step)
-        with pytest.raises(FoundError, match="without the entry that was committed"):
+        with pytest.raises(InvariantError, match="without the entry that was committed"):
             play.take(REPLACED[-1])
-    play = Play(STARTS["older"], stranger)
+    play = Execution(INITIAL_STATES["older"], stranger)
     for step in REPLACED[:2]:
         play.take(step)
     assert play.members["a"].raft.commit_index == 0
 
 
-@pytest.mark.parametrize("name", list(CHANGES))
+@pytest.mark.parametrize("name", list(MEMBERSHIP_STATES))
 def test_membership_changes_keep_the_invariants(name: str) -> None:
-    start, depth = CHANGES[name]
+    start, depth = MEMBERSHIP_STATES[name]
     explored = explore(start, depth)
     assert (explored.found, explored.whole) == ("", True)
     assert explored.states > 800
@@ -86,4 +86,4 @@
 )
 def test_a_mutation_of_membership_changes_breaks_an_invariant(mutation: str, name: str, message: str) -> None:
     with mutated(mutation):
-        assert message in explore(*CHANGES[name]).found
+        assert message in explore(*MEMBERSHIP_STATES[name]).found
