--- a/amberlug/cluster/simulation/disk.py
+++ b/amberlug/cluster/simulation/disk.py
@@ -51,7 +51,7 @@
         self.clock, self.rng, self.sync_s = clock, rng, sync_s
         self.stalled_until = 0.0
         self.full = False
-        self.on_kept: Callable[[], None] = lambda: None  # called once a message or log entry is durable
+        self.on_durable: Callable[[], None] = lambda: None  # called once a message or log entry is durable
         self._queue: list[tuple[list[Row] | None, Callable[[Any], None]]] = []
         self._batch: list[tuple[list[Row] | None, Callable[[Any], None]]] = []
         self._number = 0
@@ -60,12 +60,12 @@
     def put(self, rows: list[Row] | None, then: Callable[[Any], None]) -> None:
         """Queue a write, or with None a read that sees all writes before it."""
         if rows is not None:
-            rows = [self.copied(row) for row in rows]
+            rows = [self.copy_row(row) for row in rows]
         self._queue.append((rows, then))
         if not self._batch:
-            self._begin()
+            self._start_batch()
 
-    def _begin(self) -> None:
+    def _start_batch(self) -> None:
         if not self._queue:
             return
         looks = [at for at, (rows, _) in enumerate(self._queue) if rows is None]
@@ -74,9 +74,9 @@
         seconds = READ_S if self._batch[0][0] is None else self.sync_s * self.rng.uniform(0.8, 1.6)
         seconds += max(0.0, self.stalled_until - self.clock.now)
         self._number += 1
-        self.clock.call_later(seconds, partial(self._done, self._number))
+        self.clock.call_later(seconds, partial(self._finish_batch, self._number))
 
-    def _done(self, number: int) -> None:
+    def _finish_batch(self, number: int) -> None:
         if number != self._number or not self._batch:
             return
         batch, self._batch = self._batch, []
@@ -84,12 +84,12 @@
             if self.full and any(self.needs_space(row) for row in rows or ()):
                 then(OUT_OF_SPACE)
                 continue
-            self._keep_all(rows or [])
+            self._commit(rows or [])
             then(None)
         if not self.full and any(self.needs_space(row) for rows, _ in batch for row in rows or ()):
-            self.on_kept()
+            self.on_durable()
         if not self._batch:  # otherwise a callback has already started the next batch
-            self._begin()
+            self._start_batch()
 
     def lose(self) -> None:
         """Simulate a crash: the batch in progress is committed or lost, and queued writes are lost."""
@@ -97,16 +97,16 @@
         self._number += 1
         if self.rng.random() < 0.5 and not self.full:
             for rows, _ in batch:
-                self._keep_all(rows or [])
+                self._commit(rows or [])
 
     def close(self) -> None:
         """Close in an orderly way: commit the batch in progress and all queued writes."""
         for rows, _ in self._batch + self._queue:
-            self._keep_all(rows or [])
+            self._commit(rows or [])
         self._batch, self._queue = [], []
         self._number += 1
 
-    def _keep_all(self, rows: list[Row]) -> None:
+    def _commit(self, rows: list[Row]) -> None:
         self.digest.commit(self.name, self.execute, rows)
         for row in rows:
             self.apply(row)
@@ -115,7 +115,7 @@
         """Execute the SQL statements that write these rows, as the program does."""
         raise NotImplementedError
 
-    def copied(self, row: Row) -> Row:
+    def copy_row(self, row: Row) -> Row:
         """Copy a row as it is now: objects that it refers to may change before the commit."""
         raise NotImplementedError
 
@@ -176,7 +176,7 @@
         self._saved = None
         self._rows.clear()
 
-    def copied(self, row: Row) -> Row:
+    def copy_row(self, row: Row) -> Row:
         kind, values = row
         return kind, tuple(json.loads(json.dumps(values)))
 
@@ -213,7 +213,7 @@
     def __init__(self, clock: Clock, rng: random.Random, sync_s: float) -> None:
         super().__init__(clock, rng, sync_s)
         # Called when the storage node empties the disk and gives it a new id.
-        self.on_anew: Callable[[], None] = lambda: None
+        self.on_disk_reset: Callable[[], None] = lambda: None
         self.wipe()
 
     def execute(self, base: Any, rows: list[Row]) -> None:
@@ -234,7 +234,7 @@
         }
         return StoredContents(self._disk_id, dict(self._fencing_tokens), messages, self._enrolled_index)
 
-    def copied(self, row: StorageRow) -> StorageRow:
+    def copy_row(self, row: StorageRow) -> StorageRow:
         return row
 
     def needs_space(self, row: StorageRow) -> bool:
@@ -254,7 +254,7 @@
                 self._disk_id, self._enrolled_index = disk_id, 0
                 self._messages.clear()
                 self._contents.clear()
-                self.on_anew()
+                self.on_disk_reset()
             case DeletionRow(message_id):
                 self._messages.pop(message_id, None)
                 self._contents.pop(message_id, None)
--- a/amberlug/cluster/simulation/machine.py
+++ b/amberlug/cluster/simulation/machine.py
@@ -95,7 +95,7 @@
             self.disk = make(deployment.clock, rng, deployment.sync_s)
             self.disk.name, self.disk.digest = name, deployment.digest
             if isinstance(self.disk, MessageDisk):
-                self.disk.on_anew = partial(deployment.history.record_emptied_store, name)
+                self.disk.on_disk_reset = partial(deployment.history.record_emptied_store, name)
 
     @property
     def up(self) -> bool:
--- a/amberlug/cluster/simulation/storage_faults.py
+++ b/amberlug/cluster/simulation/storage_faults.py
@@ -84,10 +84,10 @@
             nonlocal struck
             if not struck:
                 struck = True
-                disk.on_kept = lambda: None
+                disk.on_durable = lambda: None
                 act()
 
-        disk.on_kept = lambda: self.clock.call_later(self.rng.choice((0.0, 0.0, 0.002)), strike)
+        disk.on_durable = lambda: self.clock.call_later(self.rng.choice((0.0, 0.0, 0.002)), strike)
         self.clock.call_later(1.0, strike)
 
     def wipe_core(self) -> float:
