--- a/amberlug/cluster/simulation/control_faults.py
+++ b/amberlug/cluster/simulation/control_faults.py
@@ -113,7 +113,7 @@
 
         def over() -> None:
             self.history.trace(f"{machine.name} is back")
-            self.deployment.net.join(pairs, refuse)
+            self.deployment.net.heal(pairs, refuse)
             if self.cut is cut:
                 self.cut = None
 
--- a/amberlug/cluster/simulation/loss_schedule.py
+++ b/amberlug/cluster/simulation/loss_schedule.py
@@ -218,7 +218,7 @@
         pairs |= {(b.name, a.name) for a in unit for b in others if way != "from"}
         self.history.record_disturbance(f"{self._names(unit)} cut off ({way}) for {seconds:.1f} s", seconds)
         self.deployment.net.cut(pairs)
-        self.clock.call_later(seconds, partial(self.deployment.net.join, pairs))
+        self.clock.call_later(seconds, partial(self.deployment.net.heal, pairs))
         self.clock.call_later(seconds, then)
 
     def _freeze_unit(self, unit: list[Machine], then: Callable[[], None]) -> None:
--- a/amberlug/cluster/simulation/machine.py
+++ b/amberlug/cluster/simulation/machine.py
@@ -163,9 +163,9 @@
         if self.disk is not None:
             self.disk.lose()
         for link in life.links.values():
-            link.silence(0)
+            link.close_silently(0)
         for link in life.incoming:
-            link.silence(1)
+            link.close_silently(1)
 
     def note_violations(self) -> None:
         """Record the invariant violations that the running process has counted itself."""
--- a/amberlug/cluster/simulation/network.py
+++ b/amberlug/cluster/simulation/network.py
@@ -17,10 +17,10 @@
 from amberlug.cluster.simulation.boundary_digest import BoundaryDigest
 from amberlug.cluster.simulation.clock import Clock, Timer
 
-DIAL_S = 0.7  # connect timeout
+CONNECT_TIMEOUT_S = 0.7
 GIVE_UP_S = 1.5  # until the kernel closes a connection with unacknowledged data
-AGAIN_S = (0.05, 0.6)  # after a partition, until the kernel retransmits
-LOST_S = 0.2  # delay of a lost packet, which is retransmitted
+RETRANSMIT_S = (0.05, 0.6)  # after a partition, until the kernel retransmits
+LOST_PACKET_S = 0.2  # delay of a lost packet, which is retransmitted
 BETWEEN_REGIONS_S = 0.009  # additional one-way delay
 
 
@@ -98,7 +98,7 @@
             seconds += BETWEEN_REGIONS_S
         loss = a.loss + b.loss
         if loss and self.rng.random() < loss:
-            seconds += LOST_S
+            seconds += LOST_PACKET_S
         return seconds + self.rng.expovariate(20000)
 
     def departure(self, a: Host, b: Host, size: int) -> float:
@@ -122,7 +122,7 @@
         (self._refused if refuse else self._cuts).update(pairs)
         self._tell()
 
-    def join(self, pairs: set[tuple[str, str]], refuse: bool = False) -> None:
+    def heal(self, pairs: set[tuple[str, str]], refuse: bool = False) -> None:
         """End a partition: held data arrives a little later, unless its connection was closed meanwhile."""
         these = self._refused if refuse else self._cuts
         these.subtract(pairs)
@@ -132,7 +132,7 @@
         self._tell()
         held, self._held = self._held, {}
         for link in held:
-            self.clock.call_later(self.rng.uniform(*AGAIN_S), link.flush)
+            self.clock.call_later(self.rng.uniform(*RETRANSMIT_S), link.flush)
 
     def _tell(self) -> None:
         self.told(frozenset(self._cuts) | frozenset(self._refused))
@@ -166,13 +166,13 @@
         self.open = [True, False]
         # Messages sent before the connection is open: number, size, delivery; None once it is open.
         self._waiting: list[tuple[int | None, int, Callable[[], None]]] | None = []
-        self._asked: dict[int, tuple[ReplyCallback, Timer]] = {}
+        self._pending_requests: dict[int, tuple[ReplyCallback, Timer]] = {}
         self._last = [0.0, 0.0]
         self._held: list[list[Callable[[], None]]] = [[], []]
         host = net.hosts.get(to)
-        net.clock.call_later(DIAL_S, self._not_up)
+        net.clock.call_later(CONNECT_TIMEOUT_S, self._on_connect_failed)
         if host is not None:
-            net.clock.call_later(net.delay(source.host, host), partial(self._knock, host))
+            net.clock.call_later(net.delay(source.host, host), partial(self._connect, host))
 
     @property
     def hosts(self) -> set[str]:
@@ -186,24 +186,24 @@
 
     # -- connecting
 
-    def _not_up(self) -> None:
+    def _on_connect_failed(self) -> None:
         if self._waiting is not None:
             self.close(0, RequestFailure.NOT_SENT, False)
 
-    def _knock(self, host: Host) -> None:
+    def _connect(self, host: Host) -> None:
         net, here = self.net, self._host(0)
         if not host.powered or net.is_cut(here, host) or net.is_cut(host, here) or not self.open[0]:
             return
         back = net.delay(host, here)
         refused = net.is_refused(here, host) or net.is_refused(host, here)
         if refused or host.life is None or host.life.over:
-            net.clock.call_later(back, self._not_up)
+            net.clock.call_later(back, self._on_connect_failed)
             return
         self.ends[1], self.open[1] = host.life, True
         host.life.incoming[self] = None
-        net.clock.call_later(back, self._up)
+        net.clock.call_later(back, self._on_connected)
 
-    def _up(self) -> None:
+    def _on_connected(self) -> None:
         waiting, self._waiting = self._waiting or [], None
         if self.open[0]:
             for _, size, act in waiting:
@@ -213,15 +213,15 @@
 
     def send(self, message: RawMessage) -> None:
         """Send a notification."""
-        word, blob = message.tag, message.payload
+        tag, blob = message.tag, message.payload
         text = json.dumps(message.body)
         if not self._too_long(text, blob):
-            self._record(None, word, text, blob)
-            self._send(None, len(text) + len(blob), partial(self._arrive, None, word, text, blob))
+            self._record(None, tag, text, blob)
+            self._send(None, len(text) + len(blob), partial(self._arrive, None, tag, text, blob))
 
     def request(self, message: RawMessage, timeout_s: float, on_reply: ReplyCallback) -> None:
         """Send a request; `on_reply` is called once."""
-        word, blob = message.tag, message.payload
+        tag, blob = message.tag, message.payload
         number = next(self.net.numbers)
         source = self.ends[0]
         assert source is not None, "a connection has an opener"
@@ -230,17 +230,17 @@
             not_sent = partial(on_reply, Err(RequestFailure.NOT_SENT))
             self.net.clock.call_later(0.0, partial(source.do, not_sent))
             return
-        timer = Timer(partial(self._late, number))
-        self._asked[number] = on_reply, timer
+        timer = Timer(partial(self._on_timeout, number))
+        self._pending_requests[number] = on_reply, timer
         self.net.clock.call_later(timeout_s, partial(source.do, timer.fire))
-        self._record(number, word, text, blob)
-        self._send(number, len(text) + len(blob), partial(self._arrive, number, word, text, blob))
+        self._record(number, tag, text, blob)
+        self._send(number, len(text) + len(blob), partial(self._arrive, number, tag, text, blob))
 
-    def _record(self, number: int | None, word: str, text: str, blob: bytes, side: int = 0) -> None:
+    def _record(self, number: int | None, tag: str, text: str, blob: bytes, side: int = 0) -> None:
         here, there = self.ends[side], self.ends[1 - side]
         assert here is not None, "a frame has a sender"
         target = there.name if side and there is not None else self.to
-        self.net.digest.frame(here.name, target, number, word, text, blob)
+        self.net.digest.frame(here.name, target, number, tag, text, blob)
 
     def _too_long(self, text: str, blob: bytes) -> bool:
         """Whether the sender rejects a frame as too long; counts those."""
@@ -255,8 +255,8 @@
         else:
             self._transmit(0, size, act)
 
-    def _late(self, number: int) -> None:
-        found = self._asked.pop(number, None)
+    def _on_timeout(self, number: int) -> None:
+        found = self._pending_requests.pop(number, None)
         if found is None:
             return
         unsent = self._waiting is not None and any(it[0] == number for it in self._waiting)
@@ -264,7 +264,7 @@
             self._waiting = [it for it in self._waiting if it[0] != number]
         found[0](Err(RequestFailure.NOT_SENT if unsent else RequestFailure.TIMED_OUT))
 
-    def _arrive(self, number: int | None, word: str, text: str, blob: bytes) -> None:
+    def _arrive(self, number: int | None, tag: str, text: str, blob: bytes) -> None:
         life, source = self.ends[1], self.ends[0]
         assert life is not None, "a message is delivered to a process"
         assert source is not None, "a message has a sender"
@@ -273,11 +273,11 @@
             if number is not None and self.open[1]:
                 text = json.dumps(body)
                 if not self._too_long(text, blob):
-                    self._record(number, f"{word}/reply", text, blob, side=1)
+                    self._record(number, f"{tag}/reply", text, blob, side=1)
                     self._transmit(1, len(text) + len(blob), partial(self._replied, number, text, blob))
 
         def hear() -> None:
-            handler = life.machine.handlers.get(word)
+            handler = life.machine.handlers.get(tag)
             if handler is not None:
                 handler(json.loads(text), blob, source.host.address, respond)
 
@@ -288,7 +288,7 @@
         assert source is not None, "a connection has an opener"
 
         def hear() -> None:
-            found = self._asked.pop(number, None)
+            found = self._pending_requests.pop(number, None)
             if found is not None:
                 found[1].cancel()
                 found[0](Ok(Reply(json.loads(text), blob)))
@@ -301,9 +301,9 @@
         net, here, there = self.net, self._host(side), self._host(1 - side)
         arrival = max(self._last[side], net.departure(here, there, size) + net.delay(here, there))
         self._last[side] = arrival
-        net.clock.call_later(arrival - net.clock.now, partial(self._land, side, act))
+        net.clock.call_later(arrival - net.clock.now, partial(self._receive, side, act))
 
-    def _land(self, side: int, act: Callable[[], None]) -> None:
+    def _receive(self, side: int, act: Callable[[], None]) -> None:
         net, here, there = self.net, self._host(side), self._host(1 - side)
         if self._held[side] or net.is_cut(here, there):
             self._held[side].append(act)
@@ -340,7 +340,7 @@
         for side in (0, 1):
             held, self._held[side] = self._held[side], []
             for act in held:
-                self._land(side, act)
+                self._receive(side, act)
 
     def close(self, side: int, why: RequestFailure, tell: bool) -> None:
         """Close one end; the other end is notified if `tell`."""
@@ -353,7 +353,7 @@
         if side == 0:
             if me.links.get(self.to) is self:
                 del me.links[self.to]
-            asked, self._asked = self._asked, {}
+            asked, self._pending_requests = self._pending_requests, {}
             for then, timer in asked.values():
                 timer.cancel()
                 me.do(partial(then, Err(why)))
@@ -366,7 +366,7 @@
         if tell and other is not None:
             self._transmit(side, 0, partial(self.close, 1 - side, RequestFailure.CONNECTION_LOST, False))
 
-    def silence(self, side: int) -> None:
+    def close_silently(self, side: int) -> None:
         """Close one end without notice, as a power loss does."""
         self.open[side] = False
         self._held[side] = []
--- a/amberlug/cluster/simulation/scenarios.py
+++ b/amberlug/cluster/simulation/scenarios.py
@@ -310,7 +310,7 @@
             f"{machine.name} is cut from {len(others)} machines ({way}) for {seconds:.1f} s", seconds
         )
         self.deployment.net.cut(pairs)
-        self.clock.call_later(seconds, partial(self.deployment.net.join, pairs))
+        self.clock.call_later(seconds, partial(self.deployment.net.heal, pairs))
         if reset:
             self.clock.call_later(seconds, partial(self.deployment.net.reset, machine))
         return seconds
--- a/amberlug/cluster/simulation/storage_faults.py
+++ b/amberlug/cluster/simulation/storage_faults.py
@@ -272,7 +272,7 @@
             aside = {(a.name, b.name) for a in beside for b in few}
             pairs |= aside | {(b, a) for a, b in aside}
         self.deployment.net.cut(pairs)
-        self.clock.call_later(seconds, partial(self.deployment.net.join, pairs))
+        self.clock.call_later(seconds, partial(self.deployment.net.heal, pairs))
         for _ in range(3):
             self.clock.call_later(self.rng.uniform(0.1, seconds), self.day.operator.race)
         return seconds
--- a/tests/cluster/group.py
+++ b/tests/cluster/group.py
@@ -51,9 +51,9 @@
         self.life.over = True
         self.disk.lose()
         for link in self.life.links.values():
-            link.silence(0)
+            link.close_silently(0)
         for link in self.life.incoming:
-            link.silence(1)
+            link.close_silently(1)
 
     def wipe(self) -> None:
         self.disk.wipe()
--- a/tests/cluster/test_contact.py
+++ b/tests/cluster/test_contact.py
@@ -57,7 +57,7 @@
         pairs = {(self.cut.name, it.name) for it in self.others} if way != "to" else set()
         pairs |= {(it.name, self.cut.name) for it in self.others} if way != "from" else set()
         self.deployment.net.cut(pairs)
-        self.clock.call_later(CUT_S, partial(self.deployment.net.join, pairs))
+        self.clock.call_later(CUT_S, partial(self.deployment.net.heal, pairs))
 
     def restart_others(self) -> None:
         """All sessions are moved to the one that is cut off, where it takes them."""
--- a/tests/cluster/test_replication.py
+++ b/tests/cluster/test_replication.py
@@ -196,7 +196,7 @@
         pairs = {(name, member.name) for name in others} | {(member.name, name) for name in others}
         pairs = {pair for pair in pairs if rng.random() < 0.8}
         group.net.cut(pairs)
-        later(partial(group.net.join, pairs))
+        later(partial(group.net.heal, pairs))
     elif fault == "reset":
         member.rate = SLOW
         for at in range(10):
--- a/tests/cluster/test_simulation_regressions.py
+++ b/tests/cluster/test_simulation_regressions.py
@@ -30,7 +30,7 @@
         }
         self.history.record_disturbance(f"{deployment.edges[1].name} is to be cut off", 3.0)
         self.clock.call_later(start - TRAFFIC_S, partial(deployment.net.cut, pairs))
-        self.clock.call_later(start - TRAFFIC_S + 1.9, partial(deployment.net.join, pairs))
+        self.clock.call_later(start - TRAFFIC_S + 1.9, partial(deployment.net.heal, pairs))
         self.clock.call_later(end - TRAFFIC_S, self._dark)
 
     def _dark(self) -> None:
