--- a/amberlug/cluster/simulation/control_faults.py
+++ b/amberlug/cluster/simulation/control_faults.py
@@ -189,7 +189,7 @@
             if struck:
                 return
             struck = True
-            self.operator.on_acked = lambda it: None
+            self.operator.on_acknowledged = lambda it: None
             counted, power = self.deployment.cores + self.deployment.stores, self.rng.random() < 0.5
             self.history.record_disturbance(
                 f"all that count {'lose power' if power else 'are killed'}", 1.2, is_in_events=True
@@ -198,7 +198,7 @@
                 machine.power_off() if power else machine.kill()
                 self.clock.call_later(self.rng.uniform(0.5, 1.2), machine.start)
 
-        self.operator.on_acked = strike
+        self.operator.on_acknowledged = strike
         self.clock.call_later(2.0, strike)
 
     def _leader(self) -> Machine | None:
@@ -223,11 +223,11 @@
             if struck or leader is None:
                 return
             struck = True
-            self.operator.on_acked = lambda it: None
+            self.operator.on_acknowledged = lambda it: None
             self.restart(leader)
             self.send_burst(self.clock.now + 2.5)
 
-        self.operator.on_acked = strike
+        self.operator.on_acknowledged = strike
         self.clock.call_later(1.5, strike)
 
     def _freeze_leader(self) -> None:
@@ -288,8 +288,8 @@
         left = cut.until - self.clock.now
         times = [self.rng.uniform(0.0, left), left + self.rng.uniform(-0.05, 0.3)]
         for at in times:
-            hard = self.rng.random() < 0.3
-            how: Callable[[], None] = partial(self.operator.order, to=cut.machine, hard=hard)
+            same_node = self.rng.random() < 0.3
+            how: Callable[[], None] = partial(self.operator.order, to=cut.machine, same_node=same_node)
             if self.rng.random() < 0.4:
                 other = self.rng.choice([it for it in self.deployment.cores if it is not cut.machine])
                 how = partial(self.operator.pair, cut.machine, self.rng.choice((cut.machine, other)))
--- a/amberlug/cluster/simulation/loss_schedule.py
+++ b/amberlug/cluster/simulation/loss_schedule.py
@@ -191,10 +191,10 @@
             nonlocal struck
             if not struck:
                 struck = True
-                self.day.operator.on_acked = lambda it: None
+                self.day.operator.on_acknowledged = lambda it: None
                 act()
 
-        self.day.operator.on_acked = strike
+        self.day.operator.on_acknowledged = strike
         self.day.operator.change()
         self.clock.call_later(1.0, strike)
 
--- a/amberlug/cluster/simulation/operator.py
+++ b/amberlug/cluster/simulation/operator.py
@@ -16,11 +16,11 @@
 WITHIN_S = 1.0
 PAUSE_S = (0.05, 0.8)
 INSIST_S = 8.0  # a command without a definite response is retried for so long
-HARD_S = 30.0  # the same for a command that goes to a single node only
-HARD_PAUSE_S = 0.25
-MOST = 8  # concurrent commands
+SAME_NODE_INSIST_S = 30.0  # the same for a command that goes to a single node only
+SAME_NODE_PAUSE_S = 0.25
+MAX_CONCURRENT_COMMANDS = 8
 REPEAT_S = (0.0, 7.0)  # from an acknowledgement until the same command is repeated
-CLEAR = (200, 400, 404, 409, 412, 413, 422)
+DEFINITE_STATUSES = (200, 400, 404, 409, 412, 413, 422)
 
 
 def service(name: str, rate: float = 0.0, dedup: bool = False) -> Json:
@@ -65,12 +65,12 @@
         self.rng = deployment.draw("operator")
         self.edition, self.config = 0, first  # the newest that the operator knows to be in force
         self.busy = False
-        self.under_way = 0
+        self.in_progress = 0
         self.lost = 0.0  # fraction of the acknowledgements that are lost
         self.repeats = 0.0  # fraction of the acknowledged changes that are repeated later
         self.retiring = ""  # the storage node that is being retired
         # Called as the acknowledgement of a change is sent.
-        self.on_acked: Callable[[Machine], None] = lambda core: None
+        self.on_acknowledged: Callable[[Machine], None] = lambda core: None
         self._numbers = 0
         self._extra = 0
 
@@ -115,12 +115,12 @@
         """Change the configuration, unless a change is in progress."""
         if not self.busy and self.edition:
             self.busy = True
-            self._send(self._version(self._changed(), True), self._word(), self._free)
+            self._send(self._version(self._changed(), True), self._draw_method(), self._on_change_finished)
 
-    def _word(self) -> str:
+    def _draw_method(self) -> str:
         return self.rng.choice(("replace", "modify"))
 
-    def _free(self, ok: bool) -> None:
+    def _on_change_finished(self, ok: bool) -> None:
         self.busy = False
 
     def race(self) -> None:
@@ -135,27 +135,33 @@
                 self.busy = left > 0
 
             for version in [self._version(self._changed(), True) for _ in range(2)]:
-                self._send(version, self._word(), done)
+                self._send(version, self._draw_method(), done)
 
     # -- concurrent commands
 
-    def _taken_up(self) -> Callable[[bool], None]:
+    def _begin_command(self) -> Callable[[bool], None]:
         """Count one more command as in progress, until the returned callback is called."""
-        self.under_way += 1
+        self.in_progress += 1
 
         def done(ok: bool) -> None:
-            self.under_way -= 1
+            self.in_progress -= 1
 
         return done
 
-    def order(self, to: Machine | None = None, hard: bool = False) -> None:
-        """Change the configuration concurrently: first at node `to`, and with `hard` at that node only."""
-        if self.edition and self.under_way < MOST:
-            self._send(self._version(self._changed(), True), self._word(), self._taken_up(), to, hard)
+    def order(self, to: Machine | None = None, same_node: bool = False) -> None:
+        """Change the configuration concurrently; first at node `to`, with `same_node` only there."""
+        if self.edition and self.in_progress < MAX_CONCURRENT_COMMANDS:
+            self._send(
+                self._version(self._changed(), True),
+                self._draw_method(),
+                self._begin_command(),
+                to,
+                same_node,
+            )
 
     def pair(self, to: Machine | None = None, other: Machine | None = None) -> None:
         """Have two operators change one version, first at the given nodes; they may pick the same edition."""
-        if not self.edition or self.under_way + 2 > MOST:
+        if not self.edition or self.in_progress + 2 > MAX_CONCURRENT_COMMANDS:
             return
         first = self._version(self._changed(), True)
         config = self._changed()
@@ -163,12 +169,12 @@
             config = self._changed()
         number = first.edition if self.rng.random() < 0.6 else 0
         for version, relay in ((first, to), (self._version(config, True, number), other)):
-            self._send(version, self._word(), self._taken_up(), relay)
+            self._send(version, self._draw_method(), self._begin_command(), relay)
 
     def many(self) -> None:
         """Send commands until the limit of concurrent ones is reached."""
         acts: list[Callable[[], None]] = [self.order, self.pair, self.read, self.invalid, self.retire]
-        for _ in range(MOST - self.under_way):
+        for _ in range(MAX_CONCURRENT_COMMANDS - self.in_progress):
             self.rng.choice(acts)()
 
     def read(self) -> None:
@@ -182,14 +188,14 @@
         if call.status == 200 and call.said is not None and call.said["edition"] > self.edition:
             self.edition, self.config = call.said["edition"], call.said
 
-    def _learn(self, tries: int = 6) -> None:
+    def _read_in_force(self, tries: int = 6) -> None:
         """Read the configuration in force, after a change conflicted with another."""
 
         def then(call: Call) -> None:
             if call.status == 200:
                 self._adopt(call)
             elif tries > 1:
-                self.clock.call_later(PAUSE_S[1], lambda: self._learn(tries - 1))
+                self.clock.call_later(PAUSE_S[1], lambda: self._read_in_force(tries - 1))
 
         self._ask(Call("read", "", self._any(), self.clock.now), "GET", "/-/Configuration.Read", then)
 
@@ -254,42 +260,42 @@
         word: str,
         then: Callable[[bool], None],
         to: Machine | None = None,
-        hard: bool = False,
+        same_node: bool = False,
     ) -> None:
         path = f"/-/Configuration.{word.capitalize()}"
         data = version.config if word == "replace" else self._modify(version)
         body = json.dumps(data).encode()
         headers = (("amberlug-base-version", str(version.base)),)
         began, pause = self.clock.now, PAUSE_S[0]
-        version.may_use_any_node = not hard
+        version.may_use_any_node = not same_node
         where = f" to {to.name}" if to is not None else ""
         self.history.trace(f"edition {version.edition} on top of {version.base} is sent ({word}){where}")
 
         def call(core: Machine, hear: Callable[[int, Any], None]) -> None:
             def leaves(status: int) -> None:
                 if status == 200:
-                    self.on_acked(core)
+                    self.on_acknowledged(core)
 
             self.deployment.control(core, "POST", path, body, WITHIN_S, hear, headers, leaves)
 
         def again() -> None:
             nonlocal to
-            if self.clock.now - began > (HARD_S if hard else INSIST_S) and version.base:
+            if self.clock.now - began > (SAME_NODE_INSIST_S if same_node else INSIST_S) and version.base:
                 version.until = self.clock.now
                 then(False)
                 return
             core = to if to is not None else self.rng.choice(self.deployment.cores)
-            to = core if hard else None
+            to = core if same_node else None
             call(core, lambda status, said: hear(core, status))
 
         def hear(core: Machine, status: int) -> None:
             nonlocal pause
-            if status in CLEAR:
+            if status in DEFINITE_STATUSES:
                 self.history.trace(f"edition {version.edition}: {status} by {core.name}")
                 if status != 200:
                     version.refusals.append((self.clock.now, status, core.name))
                     if status in (409, 412):
-                        self._learn()
+                        self._read_in_force()
                 else:
                     version.taken_at = min(version.taken_at, self.clock.now)
                     if self.lost and self.rng.random() < self.lost:
@@ -301,18 +307,18 @@
                 if status == 200 and version.edition > self.edition:
                     self.edition, self.config = version.edition, version.config
                 if status == 200 and self.repeats and self.rng.random() < self.repeats:
-                    self.clock.call_later(self.rng.uniform(*REPEAT_S), once_more)
+                    self.clock.call_later(self.rng.uniform(*REPEAT_S), repeat)
                 then(status == 200)
                 return
-            self.clock.call_later(HARD_PAUSE_S if hard else pause, again)
+            self.clock.call_later(SAME_NODE_PAUSE_S if same_node else pause, again)
             pause = min(PAUSE_S[1], 2 * pause)
 
-        def once_more() -> None:
+        def repeat() -> None:
             core = self.rng.choice(self.deployment.cores)
 
             def told(status: int, said: Any) -> None:
                 self.history.trace(f"edition {version.edition}, sent again: {status} by {core.name}")
-                if status in CLEAR and status != 200:
+                if status in DEFINITE_STATUSES and status != 200:
                     version.refusals.append((self.clock.now, status, core.name))
 
             call(core, told)
--- a/amberlug/cluster/simulation/scenarios.py
+++ b/amberlug/cluster/simulation/scenarios.py
@@ -389,18 +389,18 @@
         which = self.rng.random() < 0.5
 
         def strike(core: Machine) -> None:
-            self.operator.on_acked = lambda it: None
+            self.operator.on_acknowledged = lambda it: None
             machine = core if which else self.leader()
             if machine is not None:
                 self.kill_one(machine)
 
-        self.operator.on_acked = strike
+        self.operator.on_acknowledged = strike
         self.operator.change()
         self.clock.call_later(2.0, self._no_strike)
         return 2.0
 
     def _no_strike(self) -> None:
-        self.operator.on_acked = lambda core: None
+        self.operator.on_acknowledged = lambda core: None
         self.deployment.endpoint_fleet.on_drained = lambda core: None
 
     def _leader_drains(self) -> float:
@@ -434,7 +434,7 @@
             if struck:
                 return
             struck = True
-            self.operator.on_acked = lambda it: None
+            self.operator.on_acknowledged = lambda it: None
             self.history.record_disturbance(f"the closing fault: {what}", seconds)
             for machine in self.deployment.machines:
                 machine.kill() if what == "kill" else machine.power_off()
@@ -444,7 +444,7 @@
                 self.history.trace(f"{lost.name} loses its disk")
                 lost.wipe()
 
-        self.operator.on_acked = strike
+        self.operator.on_acknowledged = strike
         self.operator.change()
         self.clock.call_later(1.5, strike)
         return seconds
@@ -510,10 +510,10 @@
         """Submit two changes, the second as soon as the first is acknowledged."""
 
         def again(core: Machine) -> None:
-            self.operator.on_acked = lambda it: None
+            self.operator.on_acknowledged = lambda it: None
             self.clock.call_later(0.01, partial(self._do, self._change))
 
-        self.operator.on_acked = again
+        self.operator.on_acknowledged = again
         return self._change()
 
     def _race(self) -> float:
--- a/amberlug/cluster/simulation/storage_faults.py
+++ b/amberlug/cluster/simulation/storage_faults.py
@@ -99,10 +99,10 @@
             nonlocal struck
             if not struck:
                 struck = True
-                self.day.operator.on_acked = lambda it: None
+                self.day.operator.on_acknowledged = lambda it: None
                 self.lose_disk(core, seconds)
 
-        self.day.operator.on_acked = strike
+        self.day.operator.on_acknowledged = strike
         self.day.operator.change()
         self.clock.call_later(1.0, lambda: strike(self._any(self.deployment.cores)))
         return 1.0 + seconds
