--- a/amberlug/cluster/simulation/clients.py
+++ b/amberlug/cluster/simulation/clients.py
@@ -42,7 +42,7 @@
         self.rng = deployment.draw("clients")
         self.sending = False
         self.extra: list[str] = []  # paths of routes that were added or removed recently
-        self._misses: dict[str, int] = {it.name: 2 for it in deployment.edges}
+        self._failed_polls: dict[str, int] = {it.name: 2 for it in deployment.edges}
         self._accepted: list[Sent] = []
 
     def begin(self) -> None:
@@ -54,7 +54,7 @@
         """Start sending messages and status queries."""
         self.sending = True
         self._next()
-        self._next_question()
+        self._schedule_query()
 
     # -- the virtual address
 
@@ -64,23 +64,23 @@
 
         def hear(status: int, *rest: object) -> None:
             self.history.polls.append((self.clock.now, edge.name, status == 200))
-            self._misses[edge.name] = 0 if status == 200 else self._misses[edge.name] + 1
+            self._failed_polls[edge.name] = 0 if status == 200 else self._failed_polls[edge.name] + 1
 
         self.deployment.call(edge, ask, POLL_S - 0.01, hear)
         self.clock.call_later(POLL_S, lambda: self._poll(edge))
 
-    def pick(self, zone: str) -> Machine:
+    def choose_edge(self, zone: str) -> Machine:
         """Choose the edge node for a new connection from a zone, as the virtual address does.
 
         An edge node that failed its last two readiness polls gets no connections. If fewer than half of a
         zone's edge nodes are left, all nodes of the zone are used; if none is, ready nodes of other zones.
         """
         here = [it for it in self.deployment.edges if it.zone == zone]
-        into = [it for it in here if self._misses[it.name] < 2]
+        into = [it for it in here if self._failed_polls[it.name] < 2]
         if into and 2 * len(into) < len(here):
             into = here
         if not into:
-            into = [it for it in self.deployment.edges if self._misses[it.name] < 2]
+            into = [it for it in self.deployment.edges if self._failed_polls[it.name] < 2]
         return self.rng.choice(into or self.deployment.edges)
 
     # -- messages
@@ -149,28 +149,28 @@
                 again(0.01)
 
         request = Request("POST", sent.target, tuple(headers), body)
-        self.deployment.front(self.pick(zone), request, left + PATIENCE_S, hear)
+        self.deployment.front(self.choose_edge(zone), request, left + PATIENCE_S, hear)
 
     # -- status queries
 
-    def _next_question(self) -> None:
+    def _schedule_query(self) -> None:
         if self.sending and self.load.asks:
-            self.clock.call_later(self.rng.expovariate(self.load.asks), self._next_question)
+            self.clock.call_later(self.rng.expovariate(self.load.asks), self._schedule_query)
             if self._accepted:
                 recent = self._accepted[-60:]
                 self.ask(self.rng.choice(recent).name, lambda standing: None)
 
     def ask(self, name: str, then: Callable[[StatusReply], None]) -> None:
         """Query the status of a message at any edge node."""
-        self._question(name, STATUS_PATH, then)
+        self._query(name, STATUS_PATH, then)
 
     def ask_body(self, name: str, then: Callable[[StatusReply], None]) -> None:
         """Request the body of a message at any edge node."""
-        self._question(name, BODY_PATH, then)
+        self._query(name, BODY_PATH, then)
 
-    def _question(self, name: str, path: str, then: Callable[[StatusReply], None]) -> None:
+    def _query(self, name: str, path: str, then: Callable[[StatusReply], None]) -> None:
         asked = self.clock.now
-        edge = self.pick(self.rng.choice(self.deployment.zones))
+        edge = self.choose_edge(self.rng.choice(self.deployment.zones))
 
         def hear(status: int, body: Any, headers: object = None, blob: bytes = b"", life: str = "") -> None:
             said = body if isinstance(body, dict) else {}
@@ -193,12 +193,12 @@
     def ask_all(self, tries: int) -> None:
         """At the end of a run, query the status of accepted messages, and the bodies of pending ones."""
         for sent in self._accepted:
-            self._insist(sent, tries)
+            self._query_until_final(sent, tries)
 
-    def _insist(self, sent: Sent, tries: int) -> None:
+    def _query_until_final(self, sent: Sent, tries: int) -> None:
         def again() -> None:
             if tries > 1:
-                self.clock.call_later(0.5, lambda: self._insist(sent, tries - 1))
+                self.clock.call_later(0.5, lambda: self._query_until_final(sent, tries - 1))
 
         def hear(standing: StatusReply) -> None:
             if standing.status != 200:
--- a/amberlug/cluster/simulation/endpoints.py
+++ b/amberlug/cluster/simulation/endpoints.py
@@ -85,7 +85,7 @@
         self.up, self.silent = True, False
         self.condition = "ready"
         self._sequence = 0
-        self._beat_at = ""
+        self._heartbeat_address = ""
         self._runs: dict[Run, tuple[Incarnation, Answer]] = {}
         self._queue: list[tuple[Run, EndpointCall, Incarnation, Answer]] = []
 
@@ -119,9 +119,9 @@
             answer(CallResult(CallVerdict.ANSWERED, 503, (about, NOT_RUN)))
         else:
             self._queue.append((run, delivery, life, answer))
-            self._pump()
+            self._start_queued()
 
-    def _pump(self) -> None:
+    def _start_queued(self) -> None:
         clock, rng = self.deployment.clock, self.endpoint_fleet.rng
         while self._queue and len(self._runs) < self.kind.slots:
             run, delivery, life, answer = self._queue.pop(0)
@@ -166,7 +166,7 @@
             self._garble(called, answer)
         else:
             answer(called)
-        self._pump()
+        self._start_queued()
 
     def _garble(self, called: CallResult, answer: Answer) -> None:
         """Cut off a response, send it too late, omit its attempt id, or repeat it a little later."""
@@ -188,7 +188,7 @@
         for run, (by, _) in list(self._runs.items()):
             if by is life and self.endpoint_fleet.rng.random() < DROPPED:
                 self._stop(run)
-        self._pump()
+        self._start_queued()
 
     def _stop(self, run: Run) -> None:
         del self._runs[run]
@@ -231,15 +231,15 @@
 
     def _call(self, target: str, body: bytes, tries: int, then: Callable[[bool], None]) -> None:
         deployment = self.deployment
-        named = [it for it in deployment.cores if it.control == self._beat_at]
+        named = [it for it in deployment.cores if it.control == self._heartbeat_address]
         to = named[0] if named else self.endpoint_fleet.rng.choice(deployment.cores)
-        self._beat_at = ""
+        self._heartbeat_address = ""
 
         def hear(status: int, said: object) -> None:
             if status // 100 == 2:
                 if self.condition == "draining":
                     deployment.history.drained_by.setdefault(self.name, to.name)
-                self._beat_at = said.get("heartbeatUri", "") if isinstance(said, dict) else ""
+                self._heartbeat_address = said.get("heartbeatUri", "") if isinstance(said, dict) else ""
                 then(True)
             elif tries > 1 and self.up:
                 deployment.clock.call_later(PAUSE_S, lambda: self._call(target, body, tries - 1, then))
--- a/tests/cluster/test_losses.py
+++ b/tests/cluster/test_losses.py
@@ -61,9 +61,9 @@
 
 
 def _send(day: Scenario, edge: Any) -> None:
-    day.clients.pick = lambda zone: edge  # type: ignore[method-assign]
+    day.clients.choose_edge = lambda zone: edge  # type: ignore[method-assign]
     day.clients.send("/plain/")
-    del day.clients.pick
+    del day.clients.choose_edge
 
 
 ROSTER = {
