--- a/amberlug/cluster/simulation/__main__.py
+++ b/amberlug/cluster/simulation/__main__.py
@@ -50,7 +50,7 @@
     if trace:
         print("\n".join(day.history.lines))
     print(f"{day.size}: {len(day.history.sent)} messages sent, {len(day.history.runs)} arrivals")
-    print("\n".join(map(str, broken)) or "no rule is broken")
+    print("\n".join(map(str, broken)) or "no invariant is violated")
     sys.exit(bool(broken))
 
 
@@ -70,7 +70,7 @@
                 f"{rule} {count}" for rule, count in Counter(it.invariant for it in broken).items()
             )
             print(f"{seed}: {rules}: {broken[0]}", flush=True)
-    print(f"{bad} of {days} days break a rule")
+    print(f"{bad} of {days} days violate an invariant")
     sys.exit(bool(bad))
 
 
--- a/amberlug/cluster/simulation/control_faults.py
+++ b/amberlug/cluster/simulation/control_faults.py
@@ -100,8 +100,8 @@
                 pairs |= {(machine.name, it.name)} if form != "to" else set()
                 pairs |= {(it.name, machine.name)} if form != "from" else set()
         self.history.record_disturbance(
-            f"{machine.name} is cut off from {'core and stores' if stores_too else 'the core'} ({form})"
-            f" for {seconds:.1f} s",
+            f"{machine.name} is partitioned from the control plane{' and storage' if stores_too else ''}"
+            f" ({form}) for {seconds:.1f} s",
             seconds,
             is_in_events=True,
         )
@@ -112,7 +112,7 @@
             self._reset(cut, frozenset(it.name for it in others if it is not machine))
 
         def over() -> None:
-            self.history.trace(f"{machine.name} is back")
+            self.history.trace(f"{machine.name} is connected again")
             self.deployment.net.heal(pairs, refuse)
             if self.cut is cut:
                 self.cut = None
@@ -173,7 +173,7 @@
         others = [it for it in self.deployment.cores if it is not cut.machine]
         self.deployment.seeds = [cut.machine, *self.rng.sample(others, 2)]
         if self.rng.random() < 0.5:
-            self.history.trace("settings files are told")
+            self.history.trace("settings files are reloaded")
             self.deployment.tell_settings()
         some = self.rng.sample(self.deployment.edges, len(self.deployment.edges) // 2)
         some += self.rng.sample(self.deployment.stores, 1)
@@ -192,7 +192,9 @@
             self.operator.on_acknowledged = lambda it: None
             counted, power = self.deployment.cores + self.deployment.stores, self.rng.random() < 0.5
             self.history.record_disturbance(
-                f"all that count {'lose power' if power else 'are killed'}", 1.2, is_in_events=True
+                f"all control-plane and storage nodes {'lose power' if power else 'are killed'}",
+                1.2,
+                is_in_events=True,
             )
             for machine in counted:
                 machine.power_off() if power else machine.kill()
@@ -266,7 +268,7 @@
             at += self.rng.uniform(1.2, 2.5)
 
     def _term(self, machine: Machine) -> None:
-        self.history.record_disturbance(f"{machine.name} is told to end", RESTART_S, is_in_events=True)
+        self.history.record_disturbance(f"{machine.name} is shut down", RESTART_S, is_in_events=True)
         machine.term()
 
         def look() -> None:
@@ -305,7 +307,7 @@
         for it in endpoint_fleet.up():
             if it.zone == machine.zone and len(endpoint_fleet.up(it.kind.name)) > 1:
                 endpoint_fleet.start(it.kind.name, it.zone)
-                self.history.trace(f"{it.name} of {it.kind.name} is to leave")
+                self.history.trace(f"{it.name} of {it.kind.name} starts to drain")
                 it.leave(1.0, lambda: None)
 
     def _send_commands(self, end: float) -> None:
--- a/amberlug/cluster/simulation/history.py
+++ b/amberlug/cluster/simulation/history.py
@@ -182,7 +182,7 @@
     def record_disturbance(
         self, what: str, seconds: float = 0.0, planned: bool = False, is_in_events: bool = False
     ) -> None:
-        """Record a fault or a planned operation; `marked` if events record all of it."""
+        """Record a fault or a planned operation; `is_in_events` if events record all of it."""
         self.trace(what)
         self.disturbances.append(Disturbance(self.clock.now, self.clock.now + seconds, planned, is_in_events))
 
@@ -192,7 +192,7 @@
 
     def record_emptied_store(self, store: str) -> None:
         """Record that a storage node has discarded the content of its disk."""
-        self.trace(f"{store} gives up what it held")
+        self.trace(f"{store} discards the content of its disk")
         self.emptied.append((self.clock.now, store))
 
     def record_partitions(self, cut: frozenset[tuple[str, str]]) -> None:
--- a/amberlug/cluster/simulation/invariants.py
+++ b/amberlug/cluster/simulation/invariants.py
@@ -101,7 +101,7 @@
             if sent.status in (429, 503) and self.runs.get(sent.attempt):
                 run = self.runs[sent.attempt][0]
                 self._report(
-                    "REFUSED", f"{sent.attempt} was answered {sent.status}, and ran at {run.began:.3f}"
+                    "REFUSED", f"{sent.attempt} was answered {sent.status}, but ran at {run.began:.3f}"
                 )
 
     def _check_runs(self) -> None:
@@ -113,12 +113,16 @@
             for run in runs:
                 sent = self.history.sent.get(run.attempt)
                 if sent is None or sent.body != run.body:
-                    self._report("UNASKED", f"{run.attempt} ran at {run.endpoint}, and nobody sent it so")
+                    self._report(
+                        "UNASKED",
+                        f"{run.attempt} ran at {run.endpoint}, but no client sent it with this body",
+                    )
                 elif run.service not in services[self._prefix(sent)]:
                     self._report("ROUTE", f"{run.attempt} for {sent.target} ran at {run.service}")
                 elif run.began is not None and run.began < sent.due_at - 0.1:
                     self._report(
-                        "EARLY", f"{run.attempt} ran {sent.due_at - run.began:.3f} s before its delay's end"
+                        "EARLY",
+                        f"{run.attempt} ran {sent.due_at - run.began:.3f} s before its delay had passed",
                     )
 
     def _check_order(self) -> None:
@@ -165,12 +169,13 @@
             seals = {run.seal for run in self.runs.get(sent.attempt, ()) if run.what == "done"}
             if it.condition == "completed" and it.seal not in seals:
                 self._report(
-                    "MIXED", f"{it.name} is called completed with {it.seal!r} of no run that succeeded"
+                    "MIXED",
+                    f"{it.name} is reported as completed with {it.seal!r}, the seal of no successful run",
                 )
             if it.condition == "failed" and self.ended[sent.attempt] > it.told:
-                self._report("MIXED", f"{it.name} is called failed at {it.told:.3f} and has not ended")
+                self._report("MIXED", f"{it.name} is reported as failed at {it.told:.3f}, but has not ended")
             if it.body is not None and it.body != sent.body:
-                self._report("MIXED", f"{it.name} comes back with other bytes")
+                self._report("MIXED", f"{it.name} is returned with a different body")
 
     def _check_accepted_messages_known(self) -> None:
         """An accepted message is never reported as unknown, nor as pending once it was reported as ended.
@@ -186,14 +191,15 @@
             sent = by_name[it.name]
             if it.status in (404, 410) and it.asked > sent.answered_at and not it.is_of_body:
                 self._report(
-                    "LOST", f"{it.name}, accepted {sent.answered_at:.3f}, is unknown at {it.told:.3f}"
+                    "LOST",
+                    f"{it.name}, accepted {sent.answered_at:.3f}, is reported as unknown at {it.told:.3f}",
                 )
             elif it.status in (404, 410) and it.is_of_body and self.ended[sent.attempt] > it.told:
-                self._report("LOST", f"{it.name} is open, and has no body at {it.told:.3f}")
+                self._report("LOST", f"{it.name} is pending, but has no body at {it.told:.3f}")
             elif it.condition == "pending" and told_ended.get(it.name, it.told) < it.asked:
                 ended_at = told_ended[it.name]
                 self._report(
-                    "LOST", f"{it.name}, called ended at {ended_at:.3f}, is pending at {it.told:.3f}"
+                    "LOST", f"{it.name}, reported as ended at {ended_at:.3f}, is pending at {it.told:.3f}"
                 )
 
     def _check_final_states(self) -> None:
@@ -213,14 +219,14 @@
             ):
                 answers = [(round(it.asked, 2), it.status, it.condition) for it in found]
                 self._report(
-                    "LOST", f"{sent.name} accepted {sent.answered_at:.3f} does not come back: {answers[-4:]}"
+                    "LOST", f"{sent.name} accepted {sent.answered_at:.3f} is not returned: {answers[-4:]}"
                 )
             elif any(it.condition in ("completed", "failed") for it in found):
-                self._report("LOST", f"{sent.name} is called ended, and has not ended")
+                self._report("LOST", f"{sent.name} is reported as ended, but has not ended")
             elif self.history.is_undisturbed(over, self.history.clock.now) and not self._is_rate_limited(
                 sent
             ):
-                self._report("STUCK", f"{sent.name} accepted {sent.answered_at:.3f} is still open")
+                self._report("STUCK", f"{sent.name} accepted {sent.answered_at:.3f} is still pending")
 
     def _is_rate_limited(self, sent: Sent) -> bool:
         """Whether its service may be rate-limited, so that the message may not be delivered in time."""
@@ -321,7 +327,7 @@
                 self._report(
                     "CONFIG",
                     f"{sent.attempt} was answered {sent.status} at {sent.answered_at:.3f} by {sent.life}"
-                    f" by what was old as that began, at {begun[sent.life]:.3f}",
+                    f" with a version older than the process, started at {begun[sent.life]:.3f}",
                 )
 
     def _check_config_in_force(self) -> None:
@@ -338,13 +344,14 @@
         newest = max((it.edition for it in versions if it.is_acknowledged), default=0)
         back = self.history.read_back
         if back is None:
-            self._report("CONFIG", "the configuration does not come back at the end")
+            self._report("CONFIG", "the configuration can't be read at the end")
             return
         if back["edition"] < newest:
-            self._report("CONFIG", f"edition {back['edition']} is read back, {newest} was acknowledged")
+            self._report("CONFIG", f"edition {back['edition']} is read back, but {newest} was acknowledged")
         elif not any(self._is_same_config(it.config, back) for it in self.in_force):
             self._report(
-                "CONFIG", f"edition {back['edition']} is read back otherwise than it was sent, or was refused"
+                "CONFIG",
+                f"edition {back['edition']} is read back with different content, or had been rejected",
             )
 
     def _check_config_rejections(self) -> None:
@@ -354,7 +361,7 @@
                 if at > it.taken_at:
                     self._report(
                         "CONFIG",
-                        f"edition {it.edition}, taken at {it.taken_at:.3f}, is refused with {status}"
+                        f"edition {it.edition}, accepted at {it.taken_at:.3f}, is rejected with {status}"
                         f" by {core} at {at:.3f}",
                     )
                 elif it.valid and not any(
@@ -362,8 +369,8 @@
                 ):
                     self._report(
                         "CONFIG",
-                        f"edition {it.edition} on top of {it.base} is refused with {status} by {core}"
-                        f" at {at:.3f}, and nothing else was under way",
+                        f"edition {it.edition} on top of {it.base} is rejected with {status} by {core}"
+                        f" at {at:.3f}, but no other change was in progress",
                     )
 
     def _check_config_reads(self) -> None:
@@ -375,10 +382,12 @@
             found = call.said["edition"] if call.status == 200 and call.said is not None else 0
             newest = max((edition for at, edition in seen if at < call.at), default=0)
             if found < newest:
-                self._report("CONFIG", f"{found} is read at {call.core} at {call.at:.3f}, {newest} was known")
+                self._report(
+                    "CONFIG", f"{found} is read at {call.core} at {call.at:.3f}, but {newest} was known"
+                )
             elif found and not any(self._is_same_config(it.config, call.said or {}) for it in self.in_force):
                 self._report(
-                    "CONFIG", f"{found} is read at {call.core} at {call.at:.3f}, and is not in force"
+                    "CONFIG", f"{found} is read at {call.core} at {call.at:.3f}, but is not in force"
                 )
 
     def _check_retirements(self) -> None:
@@ -394,14 +403,12 @@
             ):
                 self._report("RETIRE", f"{call.core} does not know {call.name} at {call.at:.3f}")
             if call.status == 409 and self.contact.is_stable(call.at, call.answered_at):
-                self._report("RETIRE", f"{call.core} refuses to empty {call.name} at {call.at:.3f}")
+                self._report("RETIRE", f"{call.core} rejects the retirement of {call.name} at {call.at:.3f}")
 
         for at, name in self.history.emptied:
             ordered = any(it.what == "retire" and it.name == name and it.at < at for it in self.history.calls)
             if not ordered and self.contact.in_contact(name, at, at):
-                self._report(
-                    "RETIRE", f"{name}, in touch and not to be emptied, gives up its disk at {at:.3f}"
-                )
+                self._report("RETIRE", f"{name}, in contact and not retired, discards its disk at {at:.3f}")
 
     def _check_acknowledgement_times(self) -> None:
         """A command that may go to any node is acknowledged in time while the control plane is stable."""
@@ -415,7 +422,7 @@
             while at + ACK_S < until:
                 if self.contact.is_stable(at, at + ACK_S):
                     self._report(
-                        "ACKS", f"edition {it.edition}, sent {it.at:.3f}, has no answer by {until:.3f}"
+                        "ACKS", f"edition {it.edition}, sent {it.at:.3f}, has no response by {until:.3f}"
                     )
                     break
                 at += STEP_S
@@ -425,7 +432,7 @@
                 all_ += 1
                 late += self.history.drained.get(name, 1e9) > at + ACK_S
         if late >= 3 and 5 * late > all_:
-            self._report("ACKS", f"{late} of {all_} endpoints that leave are not acknowledged")
+            self._report("ACKS", f"{late} of {all_} draining endpoints are not acknowledged")
 
     def _check_edges_serve(self) -> None:
         """Edge nodes in contact are ready, and accept messages."""
@@ -438,7 +445,8 @@
         idle = [f"{name} at {at:.1f}" for at, name, ready in polls if not ready]
         if len(idle) >= 3 and len(idle) > (1 - READY) * len(polls):
             self._report(
-                "DUTY", f"{len(idle)} of {len(polls)} looks at edges in touch find them not ready: {idle[:3]}"
+                "DUTY",
+                f"{len(idle)} of {len(polls)} polls of edge nodes in contact find them not ready: {idle[:3]}",
             )
         sent = [
             it
@@ -450,7 +458,7 @@
         ]
         served = sum(1 for it in sent if it.status == 202)
         if len(sent) >= 20 and served < SERVED * len(sent):
-            self._report("RECOVER", f"{served} of {len(sent)} are accepted by edges in touch")
+            self._report("RECOVER", f"{served} of {len(sent)} are accepted by edge nodes in contact")
 
     def _check_delivery_times(self) -> None:
         """While all edge nodes are in contact, a due message reaches an endpoint in time."""
@@ -533,4 +541,4 @@
         late = [it for it in late if not it.target.startswith("/x")]
         served = sum(1 for it in late if it.status == 202)
         if len(late) >= 20 and served < SERVED * len(late):
-            self._report("RECOVER", f"{served} of {len(late)} are accepted after all troubles")
+            self._report("RECOVER", f"{served} of {len(late)} are accepted after all faults")
--- a/amberlug/cluster/simulation/loss_schedule.py
+++ b/amberlug/cluster/simulation/loss_schedule.py
@@ -162,7 +162,7 @@
         self, unit: list[Machine], what: str, seconds: float, wipe: bool, then: Callable[[], None]
     ) -> None:
         unit = [it for it in unit if it in self.deployment.machines]
-        self.history.record_disturbance(f"{self._names(unit)} {what}, back in {seconds:.2f} s", seconds)
+        self.history.record_disturbance(f"{self._names(unit)} {what}, return in {seconds:.2f} s", seconds)
         for machine in unit:
             if self.rng.random() < 0.5:
                 machine.kill()
@@ -216,7 +216,9 @@
         way = self.rng.choice(("to", "from", "both", "both"))
         pairs = {(a.name, b.name) for a in unit for b in others if way != "to"}
         pairs |= {(b.name, a.name) for a in unit for b in others if way != "from"}
-        self.history.record_disturbance(f"{self._names(unit)} cut off ({way}) for {seconds:.1f} s", seconds)
+        self.history.record_disturbance(
+            f"{self._names(unit)} partitioned ({way}) for {seconds:.1f} s", seconds
+        )
         self.deployment.net.cut(pairs)
         self.clock.call_later(seconds, partial(self.deployment.net.heal, pairs))
         self.clock.call_later(seconds, then)
@@ -236,7 +238,7 @@
         seconds = self.rng.uniform(0.3, 2.0)
         name = machine.name if self.rng.random() < 0.5 else ""
         self.history.record_disturbance(
-            f"{machine.name} is gone for good, another in {seconds:.1f} s", seconds
+            f"{machine.name} is lost for good, replaced in {seconds:.1f} s", seconds
         )
         self._remove(machine)
         self._add_machine(machine.kind, machine.zone, seconds, name)
@@ -251,7 +253,7 @@
         seconds = self.rng.uniform(0.5, CATCH_UP_S)
         self.being_replaced[machine] = None
         self.history.record_disturbance(
-            f"{machine.name} gets a successor, and goes in {seconds:.1f} s", seconds, planned=True
+            f"{machine.name} is replaced, and removed in {seconds:.1f} s", seconds, planned=True
         )
         self._add_machine(machine.kind, machine.zone, 0.0)
         self.clock.call_later(seconds, partial(self._shut_down_replaced, machine))
@@ -261,7 +263,7 @@
         if machine not in self.deployment.machines:
             self.being_replaced.pop(machine, None)
             return
-        self.history.record_disturbance(f"{machine.name} is told to end, and taken away", 0.1)
+        self.history.record_disturbance(f"{machine.name} is shut down and removed", 0.1)
         machine.term()
         self.clock.call_later(0.1, partial(self._remove, machine))
 
@@ -307,7 +309,7 @@
         if not remain and not self.history.is_undisturbed(self.clock.now - CATCH_UP_S, self.clock.now):
             return  # the system may not have noticed yet how few there are
         self.history.trace(
-            f"{store.name} is to be emptied: {'enough' if remain else 'too few'} others remain"
+            f"{store.name} is to be retired: {'enough' if remain else 'too few'} others remain"
         )
         began = self.clock.now
 
@@ -315,7 +317,7 @@
             calm = self.history.is_undisturbed(began - CATCH_UP_S, self.clock.now)
             if status == 200 and not remain and calm:
                 self.history.faults.append(
-                    Violation("RETIRE", f"{store.name} is emptied, and too few remain")
+                    Violation("RETIRE", f"{store.name} is retired, but too few others remain")
                 )
             elif status == 200:
                 self._poll_retirement(store, self.clock.now + RETIRE_S - 2.0)
@@ -323,7 +325,9 @@
                 self.retired.pop(store.name, None)
                 if status == 409 and surely and calm:
                     self.history.faults.append(
-                        Violation("RETIRE", f"{store.name}: 409, and enough others remain")
+                        Violation(
+                            "RETIRE", f"{store.name}: retirement rejected with 409, but enough others remain"
+                        )
                     )
 
         self.retired[store.name] = began
@@ -342,16 +346,16 @@
                 if self.clock.now < began + PATIENCE_S:
                     self.clock.call_later(ASK_S, lambda: self._poll_retirement(store, until))
                 else:
-                    self.history.faults.append(Violation("RETIRE", f"{store.name} is not emptied: {status}"))
+                    self.history.faults.append(Violation("RETIRE", f"{store.name} is not retired: {status}"))
             else:
                 self.history.faults.append(
-                    Violation("RETIRE", f"{store.name} is not emptied in time: {status}")
+                    Violation("RETIRE", f"{store.name} is not retired in time: {status}")
                 )
 
         self._ask(f"/-/Retire.Read/{store.name}", b"", "GET", hear)
 
     def _on_retired(self, store: Machine) -> None:
-        self.history.trace(f"{store.name} is emptied, and taken away")
+        self.history.trace(f"{store.name} is retired, and removed")
         self.retired.pop(store.name)
         # The system can't have noticed the latest losses yet: their copies still counted, and these are the
         # losses that it must tolerate.
@@ -380,6 +384,6 @@
             if due <= min(answered, version.at + INSIST_S, self.clock.now):
                 self.history.faults.append(
                     Violation(
-                        "ACKS", f"edition {version.edition} of {version.at:.3f} has no answer by {due:.3f}"
+                        "ACKS", f"edition {version.edition} of {version.at:.3f} has no response by {due:.3f}"
                     )
                 )
--- a/amberlug/cluster/simulation/operator.py
+++ b/amberlug/cluster/simulation/operator.py
@@ -269,7 +269,7 @@
         began, pause = self.clock.now, PAUSE_S[0]
         version.may_use_any_node = not same_node
         where = f" to {to.name}" if to is not None else ""
-        self.history.trace(f"edition {version.edition} on top of {version.base} is sent ({word}){where}")
+        self.history.trace(f"edition {version.edition} on top of {version.base} is submitted ({word}){where}")
 
         def call(core: Machine, hear: Callable[[int, Any], None]) -> None:
             def leaves(status: int) -> None:
@@ -299,7 +299,7 @@
                 else:
                     version.taken_at = min(version.taken_at, self.clock.now)
                     if self.lost and self.rng.random() < self.lost:
-                        self.history.trace("that answer is lost")
+                        self.history.trace("that response is lost")
                         self.clock.call_later(WITHIN_S, again)
                         return
                 version.status = status
@@ -317,7 +317,7 @@
             core = self.rng.choice(self.deployment.cores)
 
             def told(status: int, said: Any) -> None:
-                self.history.trace(f"edition {version.edition}, sent again: {status} by {core.name}")
+                self.history.trace(f"edition {version.edition}, submitted again: {status} by {core.name}")
                 if status in DEFINITE_STATUSES and status != 200:
                     version.refusals.append((self.clock.now, status, core.name))
 
--- a/amberlug/cluster/simulation/scenarios.py
+++ b/amberlug/cluster/simulation/scenarios.py
@@ -276,7 +276,7 @@
 
     def _term(self, machine: Machine) -> float:
         """Restart as planned; of a control-plane or storage node, this counts as a fault."""
-        self.history.record_disturbance(f"{machine.name} is told to end", 7.0, planned=machine.kind == "edge")
+        self.history.record_disturbance(f"{machine.name} is shut down", 7.0, planned=machine.kind == "edge")
         machine.term()
 
         def look() -> None:
@@ -307,7 +307,7 @@
                 pairs |= {(machine.name, it.name)} if way != "to" else set()
                 pairs |= {(it.name, machine.name)} if way != "from" else set()
         self.history.record_disturbance(
-            f"{machine.name} is cut from {len(others)} machines ({way}) for {seconds:.1f} s", seconds
+            f"{machine.name} is partitioned from {len(others)} machines ({way}) for {seconds:.1f} s", seconds
         )
         self.deployment.net.cut(pairs)
         self.clock.call_later(seconds, partial(self.deployment.net.heal, pairs))
@@ -435,7 +435,7 @@
                 return
             struck = True
             self.operator.on_acknowledged = lambda it: None
-            self.history.record_disturbance(f"the closing fault: {what}", seconds)
+            self.history.record_disturbance(f"final fault: {what}", seconds)
             for machine in self.deployment.machines:
                 machine.kill() if what == "kill" else machine.power_off()
                 self._restart(machine, seconds + rng.uniform(0.0, 2.0 if self.aim == "core" else 0.3))
@@ -473,13 +473,13 @@
         victim = self.rng.choice(endpoint_fleet.up())
         endpoint_fleet.start(victim.kind.name, victim.zone)
         linger = self.rng.uniform(2.0 if self.aim == "drain" else 0.3, 4.0)
-        self.history.trace(f"{victim.name} of {victim.kind.name} is to leave")
+        self.history.trace(f"{victim.name} of {victim.kind.name} starts to drain")
         victim.leave(linger, lambda: self.history.trace(f"{victim.name} has ended"))
         return 0.0
 
     def _answers_lost(self) -> float:
         kind = self.rng.choice(list(self.deployment.endpoint_fleet.kinds.values()))
-        self.history.trace(f"{kind.name} loses answers for 1 s")
+        self.history.trace(f"{kind.name} loses responses for 1 s")
         kind.lost = 0.2
 
         def whole() -> None:
@@ -492,7 +492,7 @@
         """For a while, cut off, delay or repeat responses of a service, or omit their attempt id."""
         kind = self.rng.choice(list(self.deployment.endpoint_fleet.kinds.values()))
         seconds = self.rng.uniform(0.5, 3.0)
-        self.history.trace(f"{kind.name} garbles answers for {seconds:.1f} s")
+        self.history.trace(f"{kind.name} garbles responses for {seconds:.1f} s")
         kind.garbled = 0.5
 
         def whole() -> None:
--- a/amberlug/cluster/simulation/storage_faults.py
+++ b/amberlug/cluster/simulation/storage_faults.py
@@ -55,7 +55,7 @@
         return self.rng.choice(machines)
 
     def _down(self, machine: Machine, what: str, seconds: float) -> None:
-        self.history.record_disturbance(f"{machine.name} {what}, back in {seconds:.1f} s", seconds)
+        self.history.record_disturbance(f"{machine.name} {what}, returns in {seconds:.1f} s", seconds)
         if self.rng.random() < 0.5:
             machine.kill()
         machine.power_off()
@@ -111,7 +111,7 @@
 
     def replace(self, machine: Machine, seconds: float) -> None:
         """Remove a machine; an empty one is added at another address, under the same name or a new one."""
-        self._down(machine, "is taken away", seconds)
+        self._down(machine, "is removed", seconds)
         self.deployment.remove(machine)
         name = machine.name if self.rng.random() < 0.5 else ""
         self._add_machine(machine.kind, machine.zone, seconds, name)
@@ -119,7 +119,7 @@
     def _add_machine(self, kind: str, zone: str, seconds: float, name: str = "") -> None:
         def come() -> None:
             machine = self.deployment.add(kind, zone, name)
-            self.history.trace(f"{machine.name} comes at {machine.address}")
+            self.history.trace(f"{machine.name} is added at {machine.address}")
             machine.start()
             self.clock.call_later(self.rng.uniform(*SETTINGS_S), self.deployment.tell_settings)
 
@@ -147,7 +147,7 @@
     def add_store(self) -> float:
         """Add one or two storage nodes."""
         for _ in range(self.rng.choice((1, 2))):
-            self.history.record_disturbance("a store is added")
+            self.history.record_disturbance("a storage node is added")
             self._add_machine("store", self.rng.choice(self.deployment.zones), 0.0)
         return 0.0
 
@@ -162,7 +162,7 @@
 
     def empty(self, store: Machine) -> None:
         """Order a storage node to be retired, and poll until it is empty."""
-        self.history.record_disturbance(f"{store.name} is to be emptied", RETIRE_S, planned=True)
+        self.history.record_disturbance(f"{store.name} is being retired", RETIRE_S, planned=True)
         self.history.calls.append(Call("retire", store.name, "", self.clock.now))
         self._ask(
             f"/-/Retire.Begin/{store.name}",
@@ -179,7 +179,7 @@
         if status == 200:
             self._poll_retirement(store, self.clock.now + RETIRE_S - 2.0)
         elif status not in (404, 409):
-            self.history.trace(f"{store.name}: {status}, not to be emptied after all")
+            self.history.trace(f"{store.name}: {status}, retirement was not accepted")
 
     def _poll_retirement(self, store: Machine, until: float) -> None:
         def hear(status: int, said: Any) -> None:
@@ -188,12 +188,14 @@
             elif self.clock.now < until:
                 self.clock.call_later(ASK_S, lambda: self._poll_retirement(store, until))
             else:
-                self.history.faults.append(Violation("RETIRE", f"{store.name} is not emptied: {status}"))
+                self.history.faults.append(
+                    Violation("RETIRE", f"{store.name} is not retired in time: {status}")
+                )
 
         self._ask(f"/-/Retire.Read/{store.name}", b"", "GET", hear)
 
     def _on_retired(self, store: Machine) -> None:
-        self.history.trace(f"{store.name} is emptied, and taken away")
+        self.history.trace(f"{store.name} is retired, and removed")
         self.check_copies(store)
         self.deployment.remove(store)
 
@@ -214,7 +216,7 @@
                 self.history.faults.append(
                     Violation(
                         "RETIRE",
-                        f"{store.name} is called empty, and {sent.name} has too few copies elsewhere",
+                        f"{store.name} is reported as empty, but {sent.name} has too few replicas elsewhere",
                     )
                 )
 
@@ -267,7 +269,9 @@
         pairs = {(a.name, b.name) for a in few for b in others}
         pairs |= {(b, a) for a, b in pairs}
         names = ", ".join(it.name for it in few)
-        self.history.record_disturbance(f"{names} cut from the other core for {seconds:.1f} s", seconds)
+        self.history.record_disturbance(
+            f"{names} partitioned from the other control-plane nodes for {seconds:.1f} s", seconds
+        )
         if self.rng.random() < 0.5:
             aside = {(a.name, b.name) for a in beside for b in few}
             pairs |= aside | {(b, a) for a, b in aside}
