--- a/amberlug/cluster/simulation/scenarios.py
+++ b/amberlug/cluster/simulation/scenarios.py
@@ -21,10 +21,10 @@
 from amberlug.cluster.simulation.storage_faults import StorageFaults
 
 TRAFFIC_S = 3.5  # from the start of the machines until traffic starts
-AFTER_S = 10.0  # from the end of traffic, for accepted messages to end
-QUESTIONS_S = 6.0
+DELIVERY_S = 10.0  # from the end of traffic, for accepted messages to end
+FINAL_QUERIES_S = 6.0
 CATCH_UP_S = BOUNDS["catchUpS"]  # a machine still counts as lost for this long after it returns
-CORE_CUT_S = (4.0, 4.4)  # duration of control-plane partitions outside the family `control`
+CONTROL_PARTITION_S = (4.0, 4.4)  # duration of control-plane partitions outside the family `control`
 MAX_ATTEMPTS = 3
 
 
@@ -147,10 +147,10 @@
         self.clients.sending = False
         self.history.traffic_ended_at = over
         self.history.trace("traffic ends")
-        self.clock.run(over + AFTER_S)
+        self.clock.run(over + DELIVERY_S)
         self.clients.ask_all(8)
         self.operator.read_back(10)
-        self.clock.run(over + AFTER_S + QUESTIONS_S)
+        self.clock.run(over + DELIVERY_S + FINAL_QUERIES_S)
         for machine in self.deployment.machines:
             machine.note_violations()
         return Checker(self.history, MAX_ATTEMPTS).check()
@@ -162,51 +162,62 @@
         rng, self.end = self.rng, end
         free = {"system": start, "other": start}
         system: list[Callable[[], float]] = [
-            self._kill,
-            self._power,
-            self._freeze,
-            self._roll,
-            self._cut,
-            self._leader_acks,
-            self._drop_links,
-            self._stall,
-            self._leader_drains,
-            self._core_cut,
+            self._kill_any,
+            self._power_off_any,
+            self._freeze_any,
+            self._restart_any,
+            self._partition_any,
+            self._kill_acknowledging_node,
+            self._disturb_connections,
+            self._stall_or_fill_disk,
+            self._kill_node_acknowledging_drain,
+            self._partition_control_node,
         ]
         aims: dict[str, list[Callable[[], float]]] = {
-            "edges": [self._edge_freeze, self._edge_kill, self._edge_roll, self._edge_cut],
-            "roll": [self._edge_roll],
-            "drain": [self._leader_drains],
+            "edges": [self._freeze_edge, self._kill_edge, self._restart_edge, self._partition_edge],
+            "roll": [self._restart_edge],
+            "drain": [self._kill_node_acknowledging_drain],
             "closing": [lambda: 0.0],
             "core": [lambda: 0.0],
             "config": [lambda: 0.0],
-            "rate": [self._edge_kill, self._edge_roll],
-            "freeze": [self._edge_freeze],
+            "rate": [self._kill_edge, self._restart_edge],
+            "freeze": [self._freeze_edge],
             "quiet": [lambda: 0.0],
-            "answers": [self._edge_kill, self._edge_roll, self._edge_freeze, self._edge_cut],
+            "answers": [self._kill_edge, self._restart_edge, self._freeze_edge, self._partition_edge],
             "storage": [lambda: 0.0],
             "control": [lambda: 0.0],
         }
         others = [
-            self._crash,
+            self._crash_endpoint,
             self.replace_endpoint,
-            self._answers_lost,
-            self._change,
-            self._change,
-            self._race,
-            self._invalid,
+            self._lose_responses,
+            self._change_config,
+            self._change_config,
+            self._change_config_concurrently,
+            self._submit_invalid_config,
         ]
         system = aims.get(self.aim, system)
         if self.aim == "config":
-            others = [self._changes]
+            others = [self._change_config_twice]
         if self.aim.startswith("losses"):
             system = [lambda: 0.0]
-            others = [self._change, self._change, self._race, self.replace_endpoint, self._crash]
+            others = [
+                self._change_config,
+                self._change_config,
+                self._change_config_concurrently,
+                self.replace_endpoint,
+                self._crash_endpoint,
+            ]
             self.storage_faults.begin(start, end - 2.0)
         if self.aim == "answers":
-            others = [self._answers_garbled, self._answers_garbled, self._answers_lost, self._crash]
+            others = [
+                self._garble_responses,
+                self._garble_responses,
+                self._lose_responses,
+                self._crash_endpoint,
+            ]
         if self.aim == "storage":
-            others = [*others, self._edge_kill, self._edge_roll, self._edge_freeze]
+            others = [*others, self._kill_edge, self._restart_edge, self._freeze_edge]
             self.storage_faults.begin(start, end - 2.0)
         if self.aim == "control":
             others = [lambda: 0.0]
@@ -215,7 +226,7 @@
             which = min(free, key=lambda name: free[name])
             act = rng.choice(system if which == "system" else others)
             at = free[which]
-            self.clock.call_later(at - self.clock.now, partial(self._do, act))
+            self.clock.call_later(at - self.clock.now, partial(self._run_action, act))
             free[which] = at + (
                 rng.uniform(CATCH_UP_S + 3.5, CATCH_UP_S + 6.0)
                 if which == "system"
@@ -223,10 +234,12 @@
             )
         often = {"": 0.25, "control": 0.4}.get(self.aim, 0.0)
         if self.aim in ("closing", "core") or (often and rng.random() < often):
-            self.clock.call_later(end + 1.0 - self.clock.now, partial(self._do, self._close))
+            self.clock.call_later(
+                end + 1.0 - self.clock.now, partial(self._run_action, self._inject_final_fault)
+            )
 
     @staticmethod
-    def _do(act: Callable[[], float]) -> None:
+    def _run_action(act: Callable[[], float]) -> None:
         act()
 
     def _start(self, service: str, zone: str, address: str = "") -> None:
@@ -245,13 +258,13 @@
         machine.kill()
         return self._restart(machine)
 
-    def _kill(self) -> float:
+    def _kill_any(self) -> float:
         return self.kill_one(self._any(self.deployment.machines))
 
-    def _edge_kill(self) -> float:
+    def _kill_edge(self) -> float:
         return self.kill_one(self._any(self.deployment.edges))
 
-    def _power(self) -> float:
+    def _power_off_any(self) -> float:
         machine, seconds = self._any(self.deployment.machines), self.rng.uniform(0.5, 3.0)
         self.history.record_disturbance(
             f"{machine.name} loses power for {seconds:.1f} s", seconds, is_in_events=True
@@ -268,13 +281,13 @@
         self.clock.call_later(seconds, machine.thaw)
         return seconds
 
-    def _freeze(self) -> float:
+    def _freeze_any(self) -> float:
         return self._freeze_one(self._any(self.deployment.machines))
 
-    def _edge_freeze(self) -> float:
+    def _freeze_edge(self) -> float:
         return self._freeze_one(self._any(self.deployment.edges))
 
-    def _term(self, machine: Machine) -> float:
+    def _restart_as_planned(self, machine: Machine) -> float:
         """Restart as planned; of a control-plane or storage node, this counts as a fault."""
         self.history.record_disturbance(f"{machine.name} is shut down", 7.0, planned=machine.kind == "edge")
         machine.term()
@@ -289,11 +302,11 @@
         look()
         return 7.0
 
-    def _roll(self) -> float:
-        return self._term(self._any(self.deployment.machines))
+    def _restart_any(self) -> float:
+        return self._restart_as_planned(self._any(self.deployment.machines))
 
-    def _edge_roll(self) -> float:
-        return self._term(self._any(self.deployment.edges))
+    def _restart_edge(self) -> float:
+        return self._restart_as_planned(self._any(self.deployment.edges))
 
     def partition(self, machine: Machine, seconds: float, reset: bool = False) -> float:
         """Partition a machine from others, one way or both; its connections may be reset at the end."""
@@ -315,28 +328,28 @@
             self.clock.call_later(seconds, partial(self.deployment.net.reset, machine))
         return seconds
 
-    def _core_cut(self) -> float:
+    def _partition_control_node(self) -> float:
         """Partition a control-plane node, unless it would still count as lost at the final fault."""
         control = self.control
-        if self.clock.now + CORE_CUT_S[1] + CATCH_UP_S > self.end + 1.0:
-            return self._cut()
+        if self.clock.now + CONTROL_PARTITION_S[1] + CATCH_UP_S > self.end + 1.0:
+            return self._partition_any()
         control.partition(
             self._any(self.deployment.cores),
-            self.rng.uniform(*CORE_CUT_S),
+            self.rng.uniform(*CONTROL_PARTITION_S),
             self.rng.choice(PARTITION_FORMS),
             self.rng.random() < 0.5,
         )
         assert control.cut is not None, "a machine was just cut off"
         control.send_to_partitioned(control.cut)
-        return CORE_CUT_S[1]
+        return CONTROL_PARTITION_S[1]
 
-    def _cut(self) -> float:
+    def _partition_any(self) -> float:
         return self.partition(self._any(self.deployment.machines), self.rng.uniform(0.3, 4.0))
 
-    def _edge_cut(self) -> float:
+    def _partition_edge(self) -> float:
         return self.partition(self._any(self.deployment.edges), self.rng.uniform(0.3, 4.0))
 
-    def _drop_links(self) -> float:
+    def _disturb_connections(self) -> float:
         """Reset the connections of one machine, or have it lose some packets for a while."""
         machine = self._any(self.deployment.machines)
         if self.rng.random() < 0.5:
@@ -352,7 +365,7 @@
         self.clock.call_later(3.0, whole)
         return 3.0
 
-    def _stall(self) -> float:
+    def _stall_or_fill_disk(self) -> float:
         """Stall a disk for a while, or have it full."""
         machine = self._any(self.deployment.stores + self.deployment.cores)
         disk = machine.disk
@@ -384,7 +397,7 @@
             None,
         )
 
-    def _leader_acks(self) -> float:
+    def _kill_acknowledging_node(self) -> float:
         """Kill the node that acknowledges a configuration, or the leader, at that moment."""
         which = self.rng.random() < 0.5
 
@@ -396,14 +409,14 @@
 
         self.operator.on_acknowledged = strike
         self.operator.change()
-        self.clock.call_later(2.0, self._no_strike)
+        self.clock.call_later(2.0, self._cancel_strikes)
         return 2.0
 
-    def _no_strike(self) -> None:
+    def _cancel_strikes(self) -> None:
         self.operator.on_acknowledged = lambda core: None
         self.deployment.endpoint_fleet.on_drained = lambda core: None
 
-    def _leader_drains(self) -> float:
+    def _kill_node_acknowledging_drain(self) -> float:
         """Kill the node that acknowledges a drain, or the leader, at that moment."""
         which = self.aim == "drain" or self.rng.random() < 0.5
 
@@ -415,10 +428,10 @@
 
         self.deployment.endpoint_fleet.on_drained = strike
         self.replace_endpoint()
-        self.clock.call_later(2.0, self._no_strike)
+        self.clock.call_later(2.0, self._cancel_strikes)
         return 2.0
 
-    def _close(self) -> float:
+    def _inject_final_fault(self) -> float:
         """Inject the final fault, which hits all machines, as a configuration is acknowledged."""
         rng = self.rng
         # In the family `control`, a partitioned machine may still count as lost: no disk may be lost as well.
@@ -451,7 +464,7 @@
 
     # -- endpoints and configuration
 
-    def _crash(self) -> float:
+    def _crash_endpoint(self) -> float:
         ready = self.deployment.endpoint_fleet.up()
         victim = self.rng.choice(ready)
         silent = self.rng.random() < 0.3
@@ -477,7 +490,7 @@
         victim.leave(linger, lambda: self.history.trace(f"{victim.name} has ended"))
         return 0.0
 
-    def _answers_lost(self) -> float:
+    def _lose_responses(self) -> float:
         kind = self.rng.choice(list(self.deployment.endpoint_fleet.kinds.values()))
         self.history.trace(f"{kind.name} loses responses for 1 s")
         kind.lost = 0.2
@@ -488,7 +501,7 @@
         self.clock.call_later(1.0, whole)
         return 0.0
 
-    def _answers_garbled(self) -> float:
+    def _garble_responses(self) -> float:
         """For a while, cut off, delay or repeat responses of a service, or omit their attempt id."""
         kind = self.rng.choice(list(self.deployment.endpoint_fleet.kinds.values()))
         seconds = self.rng.uniform(0.5, 3.0)
@@ -501,27 +514,27 @@
         self.clock.call_later(seconds, whole)
         return 0.0
 
-    def _change(self) -> float:
+    def _change_config(self) -> float:
         self.operator.change()
         self.use_recent_routes()
         return 0.0
 
-    def _changes(self) -> float:
+    def _change_config_twice(self) -> float:
         """Submit two changes, the second as soon as the first is acknowledged."""
 
         def again(core: Machine) -> None:
             self.operator.on_acknowledged = lambda it: None
-            self.clock.call_later(0.01, partial(self._do, self._change))
+            self.clock.call_later(0.01, partial(self._run_action, self._change_config))
 
         self.operator.on_acknowledged = again
-        return self._change()
+        return self._change_config()
 
-    def _race(self) -> float:
+    def _change_config_concurrently(self) -> float:
         self.operator.race()
         self.use_recent_routes()
         return 0.0
 
-    def _invalid(self) -> float:
+    def _submit_invalid_config(self) -> float:
         self.operator.invalid()
         return 0.0
 
