--- a/amberlug/cluster/simulation/clients.py
+++ b/amberlug/cluster/simulation/clients.py
@@ -39,7 +39,7 @@
     def __init__(self, deployment: Deployment, load: Load) -> None:
         self.deployment, self.load = deployment, load
         self.clock, self.history = deployment.clock, deployment.history
-        self.rng = deployment.draw("clients")
+        self.rng = deployment.random_for("clients")
         self.sending = False
         self.extra: list[str] = []  # paths of routes that were added or removed recently
         self._failed_polls: dict[str, int] = {it.name: 2 for it in deployment.edges}
--- a/amberlug/cluster/simulation/control_faults.py
+++ b/amberlug/cluster/simulation/control_faults.py
@@ -174,7 +174,7 @@
         self.deployment.seeds = [cut.machine, *self.rng.sample(others, 2)]
         if self.rng.random() < 0.5:
             self.history.trace("settings files are reloaded")
-            self.deployment.tell_settings()
+            self.deployment.reload_settings()
         some = self.rng.sample(self.deployment.edges, len(self.deployment.edges) // 2)
         some += self.rng.sample(self.deployment.stores, 1)
         for machine in some:
--- a/amberlug/cluster/simulation/deployment.py
+++ b/amberlug/cluster/simulation/deployment.py
@@ -50,12 +50,12 @@
         regions: int = 1,
     ) -> None:
         self.seed = seed
-        self.rng = self.draw("deployment")
+        self.rng = self.random_for("deployment")
         self.clock = Clock()
         self.history = History(self.clock)
         self.heartbeat_s = heartbeat_s
         self.sync_s = 0.002
-        self.net = Network(self.clock, self.draw("network"), self.rng.choice((0.0005, 0.0009, 0.003)))
+        self.net = Network(self.clock, self.random_for("network"), self.rng.choice((0.0005, 0.0009, 0.003)))
         self.net.told = self.history.record_partitions
         self.digest = self.net.digest
         self.seeds: list[Machine] = []  # of the settings file; if empty, the first three control-plane nodes
@@ -69,7 +69,7 @@
         self.stores = self._make("store", stores)
         self.cores = self._make("core", cores)
 
-    def draw(self, what: str) -> random.Random:
+    def random_for(self, what: str) -> random.Random:
         """Create a random number generator for one part, so that draws of one part do not affect another."""
         return random.Random(f"{self.seed} {what}")
 
@@ -99,7 +99,7 @@
         {"edge": self.edges, "store": self.stores, "core": self.cores}[machine.kind].remove(machine)
         del self.net.hosts[machine.address]
 
-    def tell_settings(self) -> None:
+    def reload_settings(self) -> None:
         """Have all running processes reload the settings file."""
         for machine in self.machines:
             if machine.up and machine.life is not None:
--- a/amberlug/cluster/simulation/disk.py
+++ b/amberlug/cluster/simulation/disk.py
@@ -136,7 +136,7 @@
         self._saved: PersistentState | None = None
         self._rows: dict[int, Entry] = {}
 
-    def begun(self, blank: Callable[[], PersistentState]) -> PersistentState:
+    def load(self, blank: Callable[[], PersistentState]) -> PersistentState:
         """Read the state that a starting process finds; a gap in the log makes it start with a blank one."""
         found = None
         if self._saved is not None:
@@ -226,7 +226,7 @@
         self._messages: dict[str, StoredMessage] = {}
         self._contents: dict[str, bytes] = {}
 
-    def begun(self) -> StoredContents:
+    def load(self) -> StoredContents:
         """Read the state that a starting process finds."""
         messages = {
             message_id: replace(message, metadata=dict(message.metadata))
--- a/amberlug/cluster/simulation/endpoints.py
+++ b/amberlug/cluster/simulation/endpoints.py
@@ -53,7 +53,7 @@
     heartbeat_s: float
     cores: list[Machine]
 
-    def draw(self, what: str) -> random.Random:
+    def random_for(self, what: str) -> random.Random:
         """Create a random number generator for one part."""
 
     def control(
@@ -280,7 +280,7 @@
     """All endpoints of a deployment."""
 
     def __init__(self, deployment: EndpointHost, kinds: list[Kind]) -> None:
-        self.deployment, self.rng = deployment, deployment.draw("endpoints")
+        self.deployment, self.rng = deployment, deployment.random_for("endpoints")
         self.kinds = {it.name: it for it in kinds}
         self.all: list[Endpoint] = []
         self.at: dict[str, Endpoint] = {}
--- a/amberlug/cluster/simulation/machine.py
+++ b/amberlug/cluster/simulation/machine.py
@@ -58,7 +58,7 @@
     net: Network
     sync_s: float
 
-    def draw(self, what: str) -> random.Random:
+    def random_for(self, what: str) -> random.Random:
         """Create a random number generator for one part."""
 
     def settings(self, machine: Machine) -> Settings:
@@ -91,7 +91,7 @@
         self.disk: SimulatedDisk | None = None
         if kind != "edge":
             make = ControlDisk if kind == "core" else MessageDisk
-            rng = deployment.draw(f"disk {name} {address}")
+            rng = deployment.random_for(f"disk {name} {address}")
             self.disk = make(deployment.clock, rng, deployment.sync_s)
             self.disk.name, self.disk.digest = name, deployment.digest
             if isinstance(self.disk, MessageDisk):
@@ -116,15 +116,15 @@
         self.lives += 1
         deployment.history.record_event(self.name, What.START)
         life = self.life = Incarnation(self, self.lives, deployment.failed)
-        rng = deployment.draw(f"{self.name} {self.lives}")
+        rng = deployment.random_for(f"{self.name} {self.lives}")
         world = SimulatedRuntime(deployment.net, life, rng, self.wall_clock)
         settings = deployment.settings(self)
         if isinstance(self.disk, ControlDisk):
-            saved = self.disk.begun(lambda: blank(settings, rng.getrandbits))
+            saved = self.disk.load(lambda: blank(settings, rng.getrandbits))
             life.machine = ControlNode(world, settings, self.address, ProcessDisk(life, self.disk), saved)
         elif isinstance(self.disk, MessageDisk):
             message_store = ProcessMessageDisk(life, self.disk)
-            life.machine = StorageNode(world, settings, self.address, message_store, self.disk.begun())
+            life.machine = StorageNode(world, settings, self.address, message_store, self.disk.load())
         else:
             life.machine = EdgeNode(world, settings, self.address, deployment.endpoint_client(life))
         self.first = False
--- a/amberlug/cluster/simulation/operator.py
+++ b/amberlug/cluster/simulation/operator.py
@@ -62,7 +62,7 @@
 
     def __init__(self, deployment: Deployment, first: Json) -> None:
         self.deployment, self.history, self.clock = deployment, deployment.history, deployment.clock
-        self.rng = deployment.draw("operator")
+        self.rng = deployment.random_for("operator")
         self.edition, self.config = 0, first  # the newest that the operator knows to be in force
         self.busy = False
         self.in_progress = 0
--- a/amberlug/cluster/simulation/storage_faults.py
+++ b/amberlug/cluster/simulation/storage_faults.py
@@ -121,7 +121,7 @@
             machine = self.deployment.add(kind, zone, name)
             self.history.trace(f"{machine.name} is added at {machine.address}")
             machine.start()
-            self.clock.call_later(self.rng.uniform(*SETTINGS_S), self.deployment.tell_settings)
+            self.clock.call_later(self.rng.uniform(*SETTINGS_S), self.deployment.reload_settings)
 
         self.clock.call_later(seconds, come)
 
--- a/tests/cluster/group.py
+++ b/tests/cluster/group.py
@@ -38,7 +38,7 @@
         incarnation.machine = RecordingStateMachine(
             runtime,
             ProcessDisk(incarnation, self.disk),
-            self.disk.begun(lambda: PersistentState(member_id, members=members)),
+            self.disk.load(lambda: PersistentState(member_id, members=members)),
         )
         self.raft: RaftNode = incarnation.machine.raft
         self.state_machine: RecordingStateMachine = incarnation.machine
--- a/tests/cluster/test_raft.py
+++ b/tests/cluster/test_raft.py
@@ -80,7 +80,7 @@
         self.start()
 
     def start(self) -> None:
-        saved = self.disk.begun(lambda: PersistentState("d"))
+        saved = self.disk.load(lambda: PersistentState("d"))
         self.raft = RaftNode(
             Alone(self.clock),
             _ProcessDisk(self.disk),
