--- a/amberlug/cluster/simulation/invariants.py
+++ b/amberlug/cluster/simulation/invariants.py
@@ -23,8 +23,8 @@
 KNOWN_S = 3.0  # from the start of a run until storage nodes are on the roster
 
 
-class Checker:
-    """Checks one history."""
+class InvariantChecker:
+    """Checks the invariants of one history."""
 
     def __init__(self, history: History, max_attempts: int) -> None:
         self.history, self.max_attempts = history, max_attempts
--- a/amberlug/cluster/simulation/scenarios.py
+++ b/amberlug/cluster/simulation/scenarios.py
@@ -14,7 +14,7 @@
 from amberlug.cluster.simulation.deployment import ONE_MACHINE, Deployment
 from amberlug.cluster.simulation.endpoints import Kind
 from amberlug.cluster.simulation.history import Violation
-from amberlug.cluster.simulation.invariants import Checker
+from amberlug.cluster.simulation.invariants import InvariantChecker
 from amberlug.cluster.simulation.loss_schedule import LossSchedule, draw_plan
 from amberlug.cluster.simulation.machine import BOUNDS, RESTART_S, Machine
 from amberlug.cluster.simulation.operator import Operator, route, service
@@ -153,7 +153,7 @@
         self.clock.run(over + DELIVERY_S + FINAL_QUERIES_S)
         for machine in self.deployment.machines:
             machine.note_violations()
-        return Checker(self.history, MAX_ATTEMPTS).check()
+        return InvariantChecker(self.history, MAX_ATTEMPTS).check()
 
     # -- faults
 
