--- a/amberlug/cluster/simulation/clients.py
+++ b/amberlug/cluster/simulation/clients.py
@@ -59,8 +59,8 @@
     # -- the virtual address
 
     def _poll(self, edge: Machine) -> None:
-        def ask(life: Incarnation, answer: Callable[..., None]) -> None:
-            answer(200 if life.machine.ready else 503, None)
+        def ask(incarnation: Incarnation, answer: Callable[..., None]) -> None:
+            answer(200 if incarnation.machine.ready else 503, None)
 
         def hear(status: int, *rest: object) -> None:
             self.history.polls.append((self.clock.now, edge.name, status == 200))
@@ -138,8 +138,10 @@
                     lambda: self._try(path, key, delay, fate, body, zone, first, number + 1),
                 )
 
-        def hear(status: int, body: object, headers: Any = None, blob: bytes = b"", life: str = "") -> None:
-            sent.status, sent.answered_at, sent.life = status, clock.now, life
+        def hear(
+            status: int, body: object, headers: Any = None, blob: bytes = b"", process: str = ""
+        ) -> None:
+            sent.status, sent.answered_at, sent.process = status, clock.now, process
             if status == 202:
                 sent.name = headers["Amberlug-Message-Name"]
                 self._accepted.append(sent)
@@ -172,7 +174,9 @@
         asked = self.clock.now
         edge = self.choose_edge(self.rng.choice(self.deployment.zones))
 
-        def hear(status: int, body: Any, headers: object = None, blob: bytes = b"", life: str = "") -> None:
+        def hear(
+            status: int, body: Any, headers: object = None, blob: bytes = b"", process: str = ""
+        ) -> None:
             said = body if isinstance(body, dict) else {}
             standing = StatusReply(
                 name,
--- a/amberlug/cluster/simulation/deployment.py
+++ b/amberlug/cluster/simulation/deployment.py
@@ -102,8 +102,8 @@
     def reload_settings(self) -> None:
         """Have all running processes reload the settings file."""
         for machine in self.machines:
-            if machine.up and machine.life is not None:
-                machine.life.do(partial(machine.part.update_settings, self.settings(machine)))
+            if machine.up and machine.incarnation is not None:
+                machine.incarnation.do(partial(machine.part.update_settings, self.settings(machine)))
 
     @property
     def machines(self) -> list[Machine]:
@@ -131,21 +131,21 @@
             BOUNDS,
         )
 
-    def failed(self, life: Incarnation, error: AssertionError) -> None:
+    def failed(self, incarnation: Incarnation, error: AssertionError) -> None:
         """Record a failed assertion and restart its process, as the program does."""
-        self.history.trace(f"{life.name} ends: {error}")
-        self.history.faults.append(Violation("FAULT", f"{life.name} at {self.clock.now:.3f}: {error}"))
-        if isinstance(life.host, Machine):
-            self.clock.call_later(0.0, life.host.kill)
-            self.clock.call_later(RESTART_S, life.host.start)
+        self.history.trace(f"{incarnation.name} ends: {error}")
+        self.history.faults.append(Violation("FAULT", f"{incarnation.name} at {self.clock.now:.3f}: {error}"))
+        if isinstance(incarnation.host, Machine):
+            self.clock.call_later(0.0, incarnation.host.kill)
+            self.clock.call_later(RESTART_S, incarnation.host.start)
 
-    def endpoint_client(self, life: Incarnation) -> EndpointClient:
+    def endpoint_client(self, incarnation: Incarnation) -> EndpointClient:
         """Create the endpoint client of a process."""
-        return EndpointClient(self.endpoint_fleet, life)
+        return EndpointClient(self.endpoint_fleet, incarnation)
 
-    def on_process_ended(self, life: Incarnation) -> None:
+    def on_process_ended(self, incarnation: Incarnation) -> None:
         """Close the connections from a process that has ended to endpoints."""
-        self.endpoint_fleet.closed(life)
+        self.endpoint_fleet.closed(incarnation)
 
     # -- requests from outside
 
@@ -167,10 +167,10 @@
                 then(*said)
 
         def arrive() -> None:
-            life = machine.life
+            incarnation = machine.incarnation
             if not machine.powered:
                 return
-            if life is None or life.over:
+            if incarnation is None or incarnation.over:
                 clock.call_later(OUTSIDE_S, lambda: end(REFUSED, None))
                 return
 
@@ -179,13 +179,13 @@
 
             def answer(*said: Any) -> None:
                 self.digest.add("answer", machine.name, *said)
-                life.calls.pop(close, None)
-                if not life.over:
+                incarnation.calls.pop(close, None)
+                if not incarnation.over:
                     clock.call_later(OUTSIDE_S, lambda: end(*said))
 
-            life.calls[close] = None
-            clock.call_later(within, lambda: life.calls.pop(close, None))
-            life.do(lambda: ask(life, answer))
+            incarnation.calls[close] = None
+            clock.call_later(within, lambda: incarnation.calls.pop(close, None))
+            incarnation.do(lambda: ask(incarnation, answer))
 
         clock.call_later(OUTSIDE_S, arrive)
         clock.call_later(within, lambda: end(SILENT, None))
@@ -205,12 +205,12 @@
         request = Request(method, target, headers, body)
         self.digest.add("request", core.name, method, target, headers, body)
 
-        def ask(life: Incarnation, answer: Callable[..., None]) -> None:
+        def ask(incarnation: Incarnation, answer: Callable[..., None]) -> None:
             def say(said: HttpResponse) -> None:
                 answer(said.status, said.body)
                 leaves(said.status)
 
-            life.machine.admin_api.handle(request, say)
+            incarnation.machine.admin_api.handle(request, say)
 
         self.call(core, ask, within, then)
 
@@ -224,10 +224,12 @@
         """Send a request to an edge node; `then` gets status, body, headers, payload and process name."""
         self.digest.add("request", edge.name, request.method, request.target, request.headers, request.body)
 
-        def ask(life: Incarnation, answer: Callable[..., None]) -> None:
+        def ask(incarnation: Incarnation, answer: Callable[..., None]) -> None:
             def respond(response: ClientResponse) -> None:
-                answer(response.status, response.body, dict(response.headers), response.payload, life.name)
+                answer(
+                    response.status, response.body, dict(response.headers), response.payload, incarnation.name
+                )
 
-            life.machine.handle(request, respond)
+            incarnation.machine.handle(request, respond)
 
         self.call(edge, ask, within, then)
--- a/amberlug/cluster/simulation/disk.py
+++ b/amberlug/cluster/simulation/disk.py
@@ -287,20 +287,22 @@
 class ProcessDisk:
     """A disk as one incarnation of a process uses it."""
 
-    def __init__(self, life: Incarnation, disk_model: SimulatedDisk) -> None:
-        self.life, self.disk_model = life, disk_model
+    def __init__(self, incarnation: Incarnation, disk_model: SimulatedDisk) -> None:
+        self.incarnation, self.disk_model = incarnation, disk_model
 
     def write(self, rows: Sequence[Row], then: OnWritten) -> None:
-        if not self.life.over:  # the process may end during the call that writes
-            self.disk_model.put(list(rows), lambda error: self.life.do(partial(then, error)))
+        if not self.incarnation.over:  # the process may end during the call that writes
+            self.disk_model.put(list(rows), lambda error: self.incarnation.do(partial(then, error)))
 
 
 class ProcessMessageDisk(ProcessDisk):
     """The disk of a storage node, which can also read message bodies."""
 
-    def __init__(self, life: Incarnation, message_disk: MessageDisk) -> None:
-        super().__init__(life, message_disk)
+    def __init__(self, incarnation: Incarnation, message_disk: MessageDisk) -> None:
+        super().__init__(incarnation, message_disk)
         self.message_disk = message_disk
 
     def read(self, names: Sequence[str], then: Callable[[dict[str, bytes]], None]) -> None:
-        self.disk_model.put(None, lambda _: self.life.do(lambda: then(self.message_disk.bodies(names))))
+        self.disk_model.put(
+            None, lambda _: self.incarnation.do(lambda: then(self.message_disk.bodies(names)))
+        )
--- a/amberlug/cluster/simulation/endpoints.py
+++ b/amberlug/cluster/simulation/endpoints.py
@@ -91,7 +91,7 @@
 
     # -- messages
 
-    def take(self, delivery: EndpointCall, life: Incarnation, sent: float, answer: Answer) -> None:
+    def take(self, delivery: EndpointCall, incarnation: Incarnation, sent: float, answer: Answer) -> None:
         """Receive a call: run it, queue it, or reject it."""
         names = {name.lower(): value for name, value in delivery.headers}
         about = ("amberlug-attempt-id", delivery.attempt_id)
@@ -103,7 +103,7 @@
             delivery.attempt_id,
             self.name,
             self.kind.name,
-            life.name,
+            incarnation.name,
             sent,
             now,
             int(names["amberlug-time-remaining"]) / 1000,
@@ -118,18 +118,18 @@
         elif len(self._runs) + len(self._queue) >= self.kind.slots + QUEUE:
             answer(CallResult(CallVerdict.ANSWERED, 503, (about, NOT_RUN)))
         else:
-            self._queue.append((run, delivery, life, answer))
+            self._queue.append((run, delivery, incarnation, answer))
             self._start_queued()
 
     def _start_queued(self) -> None:
         clock, rng = self.deployment.clock, self.endpoint_fleet.rng
         while self._queue and len(self._runs) < self.kind.slots:
-            run, delivery, life, answer = self._queue.pop(0)
+            run, delivery, incarnation, answer = self._queue.pop(0)
             left = run.seconds - (clock.now - run.arrived)
-            if life.over or left <= 0:
+            if incarnation.over or left <= 0:
                 continue
             run.began = clock.now
-            self._runs[run] = life, answer
+            self._runs[run] = incarnation, answer
             if self.kind.dedup:
                 self.endpoint_fleet.done[run.attempt] = ""
             work = self.kind.work_s * rng.uniform(0.5, 1.6)
@@ -182,11 +182,11 @@
             answer(called)
             clock.call_later(rng.choice((0.0, rng.uniform(0.0, 0.3))), lambda: answer(called))
 
-    def closed(self, life: Incarnation) -> None:
+    def closed(self, incarnation: Incarnation) -> None:
         """Drop the queued calls of an edge process that has ended, and stop most of its runs."""
-        self._queue = [it for it in self._queue if it[2] is not life]
+        self._queue = [it for it in self._queue if it[2] is not incarnation]
         for run, (by, _) in list(self._runs.items()):
-            if by is life and self.endpoint_fleet.rng.random() < DROPPED:
+            if by is incarnation and self.endpoint_fleet.rng.random() < DROPPED:
                 self._stop(run)
         self._start_queued()
 
@@ -313,10 +313,10 @@
         """The ready endpoints, of one service or of all."""
         return [it for it in self.all if it.up and it.condition == "ready" and service in ("", it.kind.name)]
 
-    def closed(self, life: Incarnation) -> None:
+    def closed(self, incarnation: Incarnation) -> None:
         for endpoint in self.all:
             if endpoint.up:
-                endpoint.closed(life)
+                endpoint.closed(incarnation)
 
 
 @dataclass(slots=True, eq=False)
@@ -331,8 +331,8 @@
 class EndpointClient:
     """Calls endpoints for one edge process; the program's own endpoint client matches responses to calls."""
 
-    def __init__(self, endpoint_fleet: EndpointFleet, life: Incarnation) -> None:
-        self.endpoint_fleet, self.life = endpoint_fleet, life
+    def __init__(self, endpoint_fleet: EndpointFleet, incarnation: Incarnation) -> None:
+        self.endpoint_fleet, self.incarnation = endpoint_fleet, incarnation
         self._kept: set[str] = set()
         self._idle: dict[str, list[Connection]] = {}
 
@@ -359,13 +359,15 @@
             connection.open = False  # a response on an idle connection belongs to no call
 
     def call(self, delivery: EndpointCall, then: Callable[[CallResult], None]) -> None:
-        clock, life, digest = (
+        clock, incarnation, digest = (
             self.endpoint_fleet.deployment.clock,
-            self.life,
+            self.incarnation,
             self.endpoint_fleet.deployment.digest,
         )
         sent = clock.now
-        digest.add("call", life.name, delivery.address, delivery.method, delivery.target, delivery.headers)
+        digest.add(
+            "call", incarnation.name, delivery.address, delivery.method, delivery.target, delivery.headers
+        )
         digest.add("call body", delivery.body, delivery.instance, delivery.attempt_id, delivery.timeout_s)
         over = False
 
@@ -401,16 +403,18 @@
 
         def back(called: CallResult) -> None:
             digest.add("call answer", delivery.address, called.verdict.value, called.status, called.headers)
-            clock.call_later(DELAY_S, lambda: life.do(partial(self._arrived, connection, called)))
+            clock.call_later(DELAY_S, lambda: incarnation.do(partial(self._arrived, connection, called)))
 
         def arrive() -> None:
             endpoint = self.endpoint_fleet.at.get(delivery.address)
-            if life.over:
+            if incarnation.over:
                 return
             if endpoint is not None and endpoint.up:
-                endpoint.take(delivery, life, sent, back)
+                endpoint.take(delivery, incarnation, sent, back)
             elif endpoint is None or not endpoint.silent:
                 back(CallResult(CallVerdict.NOT_CONNECTED))
 
-        clock.call_later(delivery.timeout_s, lambda: life.do(partial(end, CallResult(CallVerdict.TIMED_OUT))))
+        clock.call_later(
+            delivery.timeout_s, lambda: incarnation.do(partial(end, CallResult(CallVerdict.TIMED_OUT)))
+        )
         clock.call_later(DELAY_S, arrive)
--- a/amberlug/cluster/simulation/history.py
+++ b/amberlug/cluster/simulation/history.py
@@ -20,7 +20,7 @@
     at: float
     first_at: float  # time of the first attempt for the same message
     due_at: float
-    life: str = ""  # the edge process that answered
+    process: str = ""  # the edge process that answered
     status: int = 0
     answered_at: float = 0.0
     name: str = ""  # message id, once accepted
@@ -33,7 +33,7 @@
     attempt: str
     endpoint: str
     service: str
-    life: str  # the edge process that sent it
+    process: str  # the edge process that sent it
     sent: float
     arrived: float
     seconds: float  # time remaining, as told to the endpoint
--- a/amberlug/cluster/simulation/invariants.py
+++ b/amberlug/cluster/simulation/invariants.py
@@ -140,7 +140,8 @@
                             self._report(
                                 "ORDER",
                                 f"{key}: {later.attempt} sent {later.at:.3f} began {run.began:.3f} by"
-                                f" {run.life} before {before.name}, accepted {before.answered_at:.3f}, ended",
+                                f" {run.process} before {before.name}, accepted {before.answered_at:.3f},"
+                                " ended",
                             )
                             break
 
@@ -158,8 +159,8 @@
                     ):
                         self._report(
                             "TWICE",
-                            f"{attempt} succeeded at {first.ended:.3f} by {first.life}"
-                            f" and ran at {second.began:.3f} by {second.life}",
+                            f"{attempt} succeeded at {first.ended:.3f} by {first.process}"
+                            f" and ran at {second.began:.3f} by {second.process}",
                         )
 
     def _check_reported_outcomes(self) -> None:
@@ -242,9 +243,9 @@
         )
         return [it for it in self.in_force if it.edition >= bound and it.at <= until]
 
-    def _slack(self, life: str, since: float, until: float) -> float | None:
+    def _slack(self, process: str, since: float, until: float) -> float | None:
         """Seconds within which a process must use an acknowledged version; None if no bound applies."""
-        machine = life.partition("#")[0]
+        machine = process.partition("#")[0]
         if self.history.is_undisturbed(since - CONTACT_S, until) or self.contact.in_contact(
             machine, since, until
         ):
@@ -259,7 +260,7 @@
             prefix = self._prefix(sent)
             if sent.status not in (202, 404):
                 continue
-            slack = self._slack(sent.life, sent.at, sent.answered_at)
+            slack = self._slack(sent.process, sent.at, sent.answered_at)
             if slack is None:
                 continue
             allowed = self._allowed_versions(sent.at - slack, sent.answered_at)
@@ -268,7 +269,7 @@
                 self._report(
                     "CONFIG",
                     f"{sent.attempt} for {prefix} was answered {sent.status} at {sent.answered_at:.3f}"
-                    f" by {sent.life}",
+                    f" by {sent.process}",
                 )
 
     def _check_config_of_runs(self) -> None:
@@ -276,7 +277,7 @@
             for run in runs:
                 sent = self.history.sent.get(run.attempt)
                 assert run.began is not None, "self.runs holds started runs only"
-                slack = self._slack(run.life, run.sent, run.arrived)
+                slack = self._slack(run.process, run.sent, run.arrived)
                 if sent is None or slack is None:
                     continue
                 allowed = self._allowed_versions(run.sent - slack, run.arrived)
@@ -284,7 +285,8 @@
                 if allowed and run.service not in names:
                     self._report(
                         "CONFIG",
-                        f"{run.attempt} ran at {run.service} at {run.began:.3f} by {run.life}, not {names}",
+                        f"{run.attempt} ran at {run.service} at {run.began:.3f} by {run.process},"
+                        f" not {names}",
                     )
 
     def _check_config_never_reverts(self) -> None:
@@ -296,19 +298,19 @@
             if sent is not None:
                 prefix = self._prefix(sent)
                 those = {it.edition for it in self.in_force if it.services.get(prefix) == run.service}
-                events.append((run.sent, run.arrived, run.life, those))
+                events.append((run.sent, run.arrived, run.process, those))
         for sent in self.history.sent.values():
             if sent.status == 404:
                 those = {it.edition for it in self.in_force if self._prefix(sent) not in it.services}
-                events.append((sent.at, sent.answered_at, sent.life, those))
+                events.append((sent.at, sent.answered_at, sent.process, those))
         events.sort(key=lambda it: it[0])
-        for sent_at, seen_at, life, those in events:
+        for sent_at, seen_at, process, those in events:
             if not those:
                 continue
-            bound = max((low for at, low in floors[life] if at + REVERT_S < sent_at), default=0)
+            bound = max((low for at, low in floors[process] if at + REVERT_S < sent_at), default=0)
             if max(those) < bound:
-                self._report("CONFIG", f"{life} went back from {bound} to {max(those)} at {sent_at:.3f}")
-            floors[life].append((seen_at, min(those)))
+                self._report("CONFIG", f"{process} went back from {bound} to {max(those)} at {sent_at:.3f}")
+            floors[process].append((seen_at, min(those)))
 
     def _check_config_after_start(self) -> None:
         """A process never serves a version older than one that was acknowledged before it started."""
@@ -319,15 +321,15 @@
                 lives[event.machine] += 1
                 begun[f"{event.machine}#{lives[event.machine]}"] = event.at
         for sent in self.history.sent.values():
-            if sent.status not in (202, 404) or sent.life not in begun:
+            if sent.status not in (202, 404) or sent.process not in begun:
                 continue
-            allowed = self._allowed_versions(begun[sent.life], sent.answered_at)
+            allowed = self._allowed_versions(begun[sent.process], sent.answered_at)
             there = {self._prefix(sent) in it.services for it in allowed}
             if allowed and (sent.status == 202) not in there:
                 self._report(
                     "CONFIG",
-                    f"{sent.attempt} was answered {sent.status} at {sent.answered_at:.3f} by {sent.life}"
-                    f" with a version older than the process, started at {begun[sent.life]:.3f}",
+                    f"{sent.attempt} was answered {sent.status} at {sent.answered_at:.3f} by {sent.process}"
+                    f" with a version older than the process, started at {begun[sent.process]:.3f}",
                 )
 
     def _check_config_in_force(self) -> None:
@@ -454,7 +456,7 @@
             if it.status in (202, 404, 429, 503)
             and not it.target.startswith("/x")
             and 2 * CONTACT_S < it.at < over
-            and self.contact.in_contact(it.life.partition("#")[0], it.at, it.answered_at)
+            and self.contact.in_contact(it.process.partition("#")[0], it.at, it.answered_at)
         ]
         served = sum(1 for it in sent if it.status == 202)
         if len(sent) >= 20 and served < SERVED * len(sent):
@@ -503,7 +505,7 @@
             if acked is None or run.arrived <= acked + DRAIN_S:
                 continue
             by = self.history.drained_by.get(run.endpoint, "")
-            sender = run.life.partition("#")[0]
+            sender = run.process.partition("#")[0]
             in_contact = self.contact.in_contact(by, acked, acked) and self.contact.in_contact(
                 sender, run.sent, run.arrived
             )
--- a/amberlug/cluster/simulation/machine.py
+++ b/amberlug/cluster/simulation/machine.py
@@ -64,13 +64,13 @@
     def settings(self, machine: Machine) -> Settings:
         """The current settings file of a machine."""
 
-    def failed(self, life: Incarnation, error: AssertionError) -> None:
+    def failed(self, incarnation: Incarnation, error: AssertionError) -> None:
         """Handle a failed assertion in a process, which ends it."""
 
-    def endpoint_client(self, life: Incarnation) -> Endpoints:
+    def endpoint_client(self, incarnation: Incarnation) -> Endpoints:
         """Create the endpoint client of a process."""
 
-    def on_process_ended(self, life: Incarnation) -> None:
+    def on_process_ended(self, incarnation: Incarnation) -> None:
         """Close the connections from a process that has ended to endpoints."""
 
 
@@ -99,13 +99,13 @@
 
     @property
     def up(self) -> bool:
-        return self.life is not None and not self.life.over
+        return self.incarnation is not None and not self.incarnation.over
 
     @property
     def part(self) -> Any:
         """The node that runs here: an EdgeNode, StorageNode or ControlNode."""
-        assert self.life is not None, "no process runs on this machine"
-        return self.life.machine
+        assert self.incarnation is not None, "no process runs on this machine"
+        return self.incarnation.machine
 
     def start(self) -> None:
         """Power on, and start the process unless it runs already."""
@@ -115,21 +115,25 @@
         self.powered = True
         self.lives += 1
         deployment.history.record_event(self.name, What.START)
-        life = self.life = Incarnation(self, self.lives, deployment.failed)
+        incarnation = self.incarnation = Incarnation(self, self.lives, deployment.failed)
         rng = deployment.random_for(f"{self.name} {self.lives}")
-        world = SimulatedRuntime(deployment.net, life, rng, self.wall_clock)
+        world = SimulatedRuntime(deployment.net, incarnation, rng, self.wall_clock)
         settings = deployment.settings(self)
         if isinstance(self.disk, ControlDisk):
             saved = self.disk.load(lambda: blank(settings, rng.getrandbits))
-            life.machine = ControlNode(world, settings, self.address, ProcessDisk(life, self.disk), saved)
+            incarnation.machine = ControlNode(
+                world, settings, self.address, ProcessDisk(incarnation, self.disk), saved
+            )
         elif isinstance(self.disk, MessageDisk):
-            message_store = ProcessMessageDisk(life, self.disk)
-            life.machine = StorageNode(world, settings, self.address, message_store, self.disk.load())
+            message_store = ProcessMessageDisk(incarnation, self.disk)
+            incarnation.machine = StorageNode(world, settings, self.address, message_store, self.disk.load())
         else:
-            life.machine = EdgeNode(world, settings, self.address, deployment.endpoint_client(life))
+            incarnation.machine = EdgeNode(
+                world, settings, self.address, deployment.endpoint_client(incarnation)
+            )
         self.first = False
-        part: Any = life.machine
-        life.do(part.begin)
+        part: Any = incarnation.machine
+        incarnation.do(part.begin)
 
     def kill(self) -> None:
         """Kill the process; its connections are reset."""
@@ -137,34 +141,34 @@
             self._end(self.disk.lose if self.disk is not None else lambda: None)
 
     def _end(self, disk: Callable[[], None]) -> None:
-        life = self.life
-        assert life is not None, "no process runs on this machine"
+        incarnation = self.incarnation
+        assert incarnation is not None, "no process runs on this machine"
         self.deployment.history.record_event(self.name, What.END)
         self.note_violations()
-        life.over = True
+        incarnation.over = True
         disk()
-        for link in list(life.links.values()):
+        for link in list(incarnation.links.values()):
             link.close(0, RequestFailure.CONNECTION_LOST, True)
-        for link in list(life.incoming):
+        for link in list(incarnation.incoming):
             link.close(1, RequestFailure.CONNECTION_LOST, True)
-        for close in list(life.calls):
+        for close in list(incarnation.calls):
             self.deployment.clock.call_later(OUTSIDE_S, close)
-        self.deployment.on_process_ended(life)
+        self.deployment.on_process_ended(incarnation)
 
     def power_off(self) -> None:
         """Power off: the process ends, and its connections stay silent instead of being reset."""
         self.powered = False
-        life = self.life
-        if life is None or life.over:
+        incarnation = self.incarnation
+        if incarnation is None or incarnation.over:
             return
         self.deployment.history.record_event(self.name, What.END)
         self.note_violations()
-        life.over = True
+        incarnation.over = True
         if self.disk is not None:
             self.disk.lose()
-        for link in life.links.values():
+        for link in incarnation.links.values():
             link.close_silently(0)
-        for link in life.incoming:
+        for link in incarnation.incoming:
             link.close_silently(1)
 
     def note_violations(self) -> None:
@@ -174,15 +178,15 @@
                 self.deployment.history.faults.append(Violation("INVARIANT", f"{self.name}: {name}, {count}"))
 
     def freeze(self) -> None:
-        if self.up and self.life is not None:
+        if self.up and self.incarnation is not None:
             self.deployment.history.record_event(self.name, What.FREEZE)
-            self.life.frozen = True
+            self.incarnation.frozen = True
 
     def thaw(self) -> None:
-        if self.life is not None:
+        if self.incarnation is not None:
             if self.up:
                 self.deployment.history.record_event(self.name, What.THAW)
-            self.life.thaw(self.deployment.rng)
+            self.incarnation.thaw(self.deployment.rng)
 
     def wipe(self) -> None:
         """Empty the disk; the process must not be running."""
@@ -192,35 +196,35 @@
 
     def term(self) -> None:
         """Request an orderly shutdown; the process ends once idle, an edge node also after its grace."""
-        life = self.life
-        if life is None or life.over:
+        incarnation = self.incarnation
+        if incarnation is None or incarnation.over:
             return
         self.deployment.history.record_event(self.name, What.TERM)
-        life.do(life.machine.begin_shutdown)
+        incarnation.do(incarnation.machine.begin_shutdown)
         clock = self.deployment.clock
         if self.kind != "edge":
-            clock.call_later(STOP_S, partial(self._end_when_idle, life))
+            clock.call_later(STOP_S, partial(self._end_when_idle, incarnation))
             return
         grace = BOUNDS["graceS"]
-        self._wind_up(life, clock.now + STILL_ROUTED_S, clock.now + grace - GRACE_MARGIN_S)
+        self._wind_up(incarnation, clock.now + STILL_ROUTED_S, clock.now + grace - GRACE_MARGIN_S)
 
-    def _end_when_idle(self, life: Incarnation) -> None:
-        if life.over:
+    def _end_when_idle(self, incarnation: Incarnation) -> None:
+        if incarnation.over:
             return
-        if life.machine.is_idle:
-            self._finish(life)
+        if incarnation.machine.is_idle:
+            self._finish(incarnation)
         else:
-            self.deployment.clock.call_later(STOP_S, partial(self._end_when_idle, life))
+            self.deployment.clock.call_later(STOP_S, partial(self._end_when_idle, incarnation))
 
-    def _wind_up(self, life: Incarnation, served_until: float, until: float) -> None:
-        if life.over:
+    def _wind_up(self, incarnation: Incarnation, served_until: float, until: float) -> None:
+        if incarnation.over:
             return
         now = self.deployment.clock.now
-        if now >= until or (now >= served_until and not life.calls and life.machine.is_idle):
-            self._finish(life)
+        if now >= until or (now >= served_until and not incarnation.calls and incarnation.machine.is_idle):
+            self._finish(incarnation)
         else:
-            self.deployment.clock.call_later(0.05, partial(self._wind_up, life, served_until, until))
+            self.deployment.clock.call_later(0.05, partial(self._wind_up, incarnation, served_until, until))
 
-    def _finish(self, life: Incarnation) -> None:
-        if not life.over:
+    def _finish(self, incarnation: Incarnation) -> None:
+        if not incarnation.over:
             self._end(self.disk.close if self.disk is not None else lambda: None)
--- a/amberlug/cluster/simulation/model_checker.py
+++ b/amberlug/cluster/simulation/model_checker.py
@@ -148,7 +148,7 @@
     handlers: dict[str, Callable[..., None]] = field(default_factory=dict)
     cluster_state: Json = field(default_factory=dict)  # applied commands by index
     waiting: list[tuple[Rows, OnWritten]] = field(default_factory=list)
-    life: int = 0
+    incarnation: int = 0
 
     def apply(self, index: int, command: Json) -> Json:
         self.cluster_state[str(index)] = command
@@ -166,7 +166,7 @@
 
     def __init__(self, play: Execution, name: str) -> None:
         self.play, self.name, self.rng = play, name, RNG
-        self.life = play.members[name].life
+        self.incarnation = play.members[name].incarnation
 
     def now(self) -> float:
         return self.play.now
@@ -181,12 +181,12 @@
         self.request(address, message, 0.0, lambda reply: None)
 
     def request(self, address: str, message: RawMessage, timeout_s: float, on_reply: ReplyCallback) -> None:
-        play, name, life = self.play, self.name, self.life
+        play, name, incarnation = self.play, self.name, self.incarnation
         tag, payload = message.tag, message.payload
         text = json.dumps([tag, message.body, payload.decode()])
 
         def back(said: Json) -> None:
-            if play.members[name].life == life:
+            if play.members[name].incarnation == incarnation:
                 on_reply(Ok(Reply(said, b"")))
 
         def respond(said: Json, blob: bytes = b"") -> None:
@@ -266,12 +266,12 @@
 
     def _begin(self, name: str) -> None:
         member, saved = self.members[name], self.members[name].saved
-        member.life += 1
+        member.incarnation += 1
         member.waiting = []
         member.cluster_state = {}
         member.raft = RaftNode(
             _ModelRuntime(self, name),
-            _Disk(member, member.life),
+            _Disk(member, member.incarnation),
             replace(saved, entries=list(saved.entries)),
             StateMachine(member.apply, member.snapshot, member.restore),
         )
@@ -363,7 +363,7 @@
                 member.saved = PersistentState(f"{name}/away", members=Members())
                 self._begin(name)
             elif what == "wipe":
-                member.saved = self.blank(name, member.life)
+                member.saved = self.blank(name, member.incarnation)
                 self._begin(name)
             else:
                 self._begin(name)
@@ -391,7 +391,10 @@
             raft = member.raft
             self._check_snapshot(name, member)
             if raft.role is Role.LEADER:
-                if self.leaders.setdefault(raft.term, f"{name}#{member.life}") != f"{name}#{member.life}":
+                if (
+                    self.leaders.setdefault(raft.term, f"{name}#{member.incarnation}")
+                    != f"{name}#{member.incarnation}"
+                ):
                     raise InvariantError(f"two leaders in term {raft.term}")
                 for index, entry in self.committed.items():
                     at = index - raft.log.base_index - 1
@@ -529,20 +532,20 @@
 class _Disk:
     """A disk whose writes wait until a step syncs them."""
 
-    def __init__(self, member: _Member, life: int) -> None:
-        self.member, self.life = member, life
+    def __init__(self, member: _Member, incarnation: int) -> None:
+        self.member, self.incarnation = member, incarnation
 
     def write(self, rows: Rows, then: OnWritten) -> None:
-        if self.member.life == self.life:
+        if self.member.incarnation == self.incarnation:
             self.member.waiting.append((rows, then))
 
 
-def stranger(name: str, life: int) -> PersistentState:
+def stranger(name: str, incarnation: int) -> PersistentState:
     """The state of a wiped member: it returns with a new id and no members."""
-    return PersistentState(f"{name}/{life}", members=Members())
+    return PersistentState(f"{name}/{incarnation}", members=Members())
 
 
-def same_identity(name: str, life: int) -> PersistentState:
+def same_identity(name: str, incarnation: int) -> PersistentState:
     """A faulty state of a wiped member: it returns with the id that it had."""
     return PersistentState(name, members=VOTERS)
 
--- a/amberlug/cluster/simulation/network.py
+++ b/amberlug/cluster/simulation/network.py
@@ -30,7 +30,7 @@
     def __init__(self, name: str, zone: str, address: str) -> None:
         self.name, self.zone, self.address = name, zone, address
         self.powered = True
-        self.life: Incarnation | None = None
+        self.incarnation: Incarnation | None = None
         self.loss = 0.0  # fraction of its packets that are lost
         self.rate = 0.0  # bytes per second that it sends, and receives; 0: unlimited
         self.busy = [0.0, 0.0]  # when it has sent, and received, everything queued
@@ -149,8 +149,8 @@
 
     def reset(self, host: Host, others: frozenset[str] | None = None) -> None:
         """Reset the connections of a machine's process: all of them, or those with certain machines."""
-        if host.life is not None:
-            for link in [*host.life.links.values(), *host.life.incoming]:
+        if host.incarnation is not None:
+            for link in [*host.incarnation.links.values(), *host.incarnation.incoming]:
                 if others is not None and not others & link.hosts:
                     continue
                 link.close(0, RequestFailure.CONNECTION_LOST, False)
@@ -196,11 +196,11 @@
             return
         back = net.delay(host, here)
         refused = net.is_refused(here, host) or net.is_refused(host, here)
-        if refused or host.life is None or host.life.over:
+        if refused or host.incarnation is None or host.incarnation.over:
             net.clock.call_later(back, self._on_connect_failed)
             return
-        self.ends[1], self.open[1] = host.life, True
-        host.life.incoming[self] = None
+        self.ends[1], self.open[1] = host.incarnation, True
+        host.incarnation.incoming[self] = None
         net.clock.call_later(back, self._on_connected)
 
     def _on_connected(self) -> None:
@@ -265,8 +265,8 @@
         found[0](Err(RequestFailure.NOT_SENT if unsent else RequestFailure.TIMED_OUT))
 
     def _arrive(self, number: int | None, tag: str, text: str, blob: bytes) -> None:
-        life, source = self.ends[1], self.ends[0]
-        assert life is not None, "a message is delivered to a process"
+        incarnation, source = self.ends[1], self.ends[0]
+        assert incarnation is not None, "a message is delivered to a process"
         assert source is not None, "a message has a sender"
 
         def respond(body: Json, blob: bytes = b"") -> None:
@@ -277,11 +277,11 @@
                     self._transmit(1, len(text) + len(blob), partial(self._replied, number, text, blob))
 
         def hear() -> None:
-            handler = life.machine.handlers.get(tag)
+            handler = incarnation.machine.handlers.get(tag)
             if handler is not None:
                 handler(json.loads(text), blob, source.host.address, respond)
 
-        life.do(hear)
+        incarnation.do(hear)
 
     def _replied(self, number: int, text: str, blob: bytes) -> None:
         source = self.ends[0]
@@ -375,8 +375,8 @@
 class SimulatedRuntime:
     """The runtime of one incarnation of a process: clock, timers and messages."""
 
-    def __init__(self, net: Network, life: Incarnation, rng: random.Random, wall: float) -> None:
-        self.net, self.life, self.rng, self._wall = net, life, rng, wall
+    def __init__(self, net: Network, incarnation: Incarnation, rng: random.Random, wall: float) -> None:
+        self.net, self.incarnation, self.rng, self._wall = net, incarnation, rng, wall
 
     def now(self) -> float:
         return self.net.clock.now
@@ -386,13 +386,13 @@
 
     def call_later(self, seconds: float, act: Callable[[], None]) -> Timer:
         timer = Timer(act)
-        self.net.clock.call_later(seconds, partial(self.life.do, timer.fire))
+        self.net.clock.call_later(seconds, partial(self.incarnation.do, timer.fire))
         return timer
 
     def send(self, address: str, message: RawMessage) -> None:
-        if not self.life.over:  # the process may end during the call that sends
-            self.net.link(self.life, address).send(message)
+        if not self.incarnation.over:  # the process may end during the call that sends
+            self.net.link(self.incarnation, address).send(message)
 
     def request(self, address: str, message: RawMessage, timeout_s: float, on_reply: ReplyCallback) -> None:
-        if not self.life.over:
-            self.net.link(self.life, address).request(message, timeout_s, on_reply)
+        if not self.incarnation.over:
+            self.net.link(self.incarnation, address).request(message, timeout_s, on_reply)
--- a/tests/cluster/group.py
+++ b/tests/cluster/group.py
@@ -29,7 +29,7 @@
         group = self.group
         self.powered = True
         self.incarnations += 1
-        incarnation = self.life = Incarnation(self, self.incarnations, group.on_failed_assertion)
+        incarnation = self.incarnation = Incarnation(self, self.incarnations, group.on_failed_assertion)
         runtime = SimulatedRuntime(
             group.net, incarnation, random.Random(f"{self.name} {self.incarnations}"), 0.0
         )
@@ -46,13 +46,13 @@
 
     def stop(self) -> None:
         """Lose power, with what is not on disk yet."""
-        assert self.life is not None
+        assert self.incarnation is not None
         self.powered = False
-        self.life.over = True
+        self.incarnation.over = True
         self.disk.lose()
-        for link in self.life.links.values():
+        for link in self.incarnation.links.values():
             link.close_silently(0)
-        for link in self.life.incoming:
+        for link in self.incarnation.incoming:
             link.close_silently(1)
 
     def wipe(self) -> None:
@@ -61,7 +61,7 @@
 
     @property
     def up(self) -> bool:
-        return self.life is not None and not self.life.over
+        return self.incarnation is not None and not self.incarnation.over
 
 
 class RecordingStateMachine:
@@ -125,7 +125,7 @@
         if number in self.committed:
             return
         leader = self.leader
-        if leader is None or leader.life is None:
+        if leader is None or leader.incarnation is None:
             retry()
             return
 
@@ -137,7 +137,7 @@
                 self.latencies_s.append(self.clock.now - since)
 
         command = {"number": number, "config": "x" * size}
-        leader.life.do(lambda: leader.raft.propose(command, on_outcome))
+        leader.incarnation.do(lambda: leader.raft.propose(command, on_outcome))
         self.clock.call_later(1.5, partial(self.submit, number, size, since))  # its leader may have failed
 
     def admit(self, member: GroupMember) -> None:
--- a/tests/cluster/test_gossip.py
+++ b/tests/cluster/test_gossip.py
@@ -20,7 +20,7 @@
 
     def __init__(self, net: Network, name: str, peer: str, replicated: tuple[str, ...] = ()) -> None:
         host = Host(name, "z", name)
-        incarnation = host.life = Incarnation(host, 1, lambda life, error: None)
+        incarnation = host.incarnation = Incarnation(host, 1, lambda incarnation, error: None)
         incarnation.machine = self
         net.hosts[name] = host
         runtime = SimulatedRuntime(net, incarnation, random.Random(name), 0.0)
--- a/tests/cluster/test_measured_regressions.py
+++ b/tests/cluster/test_measured_regressions.py
@@ -38,7 +38,7 @@
     """Create the dispatcher of a service with one endpoint, and the list of completed message ids."""
     net = Network(clock, random.Random(1), 0.001)
     host = Host("edge", "z", "10.0.0.1:7300")
-    world = SimulatedRuntime(net, Incarnation(host, 1, lambda life, error: None), net.rng, 0.0)
+    world = SimulatedRuntime(net, Incarnation(host, 1, lambda incarnation, error: None), net.rng, 0.0)
     pool = EndpointPool("z", net.rng, lambda address: 1)
     pool.update("i", PublishedEndpoint("s", "a", "z", slots, "", 0, "ready"), 0.0)
     done: list[str] = []
--- a/tests/cluster/test_rollback_guard.py
+++ b/tests/cluster/test_rollback_guard.py
@@ -42,9 +42,9 @@
         """Have the leader commit an entry, and time for all that are connected to receive it."""
         leader = self.leader()
         assert leader is not None
-        assert leader.life is not None
+        assert leader.incarnation is not None
         name = f"e{len(self.committed)}"
-        leader.life.do(
+        leader.incarnation.do(
             lambda: leader.part.raft.propose({"do": "drain", "ids": [[name, 1, 0]]}, lambda result: None)
         )
         self.run(0.3)
--- a/tests/cluster/test_voter_selection.py
+++ b/tests/cluster/test_voter_selection.py
@@ -120,8 +120,8 @@
             confirmed.append(machine)
 
     for machine in deployment.cores:
-        if machine.up and machine.life is not None:
-            machine.life.do(partial(machine.part.raft.confirm_read, partial(on_confirmed, machine)))
+        if machine.up and machine.incarnation is not None:
+            machine.incarnation.do(partial(machine.part.raft.confirm_read, partial(on_confirmed, machine)))
     deployment.clock.run(deployment.clock.now + 0.2)
     return confirmed[0] if confirmed else None
 
