--- a/amberlug/cluster/simulation/clients.py
+++ b/amberlug/cluster/simulation/clients.py
@@ -1,4 +1,4 @@
-"""Clients: an open load in each zone through a virtual address, and questions about what was accepted."""
+"""Simulated clients: an open-loop load through a virtual address, and status queries for messages."""
 
 from __future__ import annotations
 
@@ -7,12 +7,12 @@
 from typing import Any
 
 from amberlug.cluster.simulation.deployment import CLOSED, REFUSED, Deployment, Request
-from amberlug.cluster.simulation.history import Sent, Standing
+from amberlug.cluster.simulation.history import Sent, StatusReply
 from amberlug.cluster.simulation.machine import Machine
 from amberlug.cluster.simulation.network import Incarnation
 
 DEADLINE_S = 1.5
-PATIENCE_S = 0.3  # beyond the deadline, until a connection is closed
+PATIENCE_S = 0.3  # after the deadline, before the client closes its connection
 TRIES = 3
 POLL_S = 1.0
 ASKED_S = 2.0
@@ -22,61 +22,65 @@
 
 @dataclass(frozen=True, slots=True)
 class Load:
-    """What clients send."""
+    """The traffic that clients generate."""
 
-    rate: float  # messages a second
-    paths: tuple[str, ...]  # each as likely as its share of the tuple
+    rate: float  # messages per second
+    paths: tuple[str, ...]  # chosen uniformly; a repeated path is chosen more often
     in_sequence: frozenset[str]
     keys: int
-    delayed: float = 0.1  # part with Amberlug-Not-Before
-    never: float = 0.02  # part that can never be done
-    asks: float = 3.0  # questions a second about what was accepted
+    delayed: float = 0.1  # fraction of messages with Amberlug-Not-Before
+    never: float = 0.02  # fraction of messages that no endpoint ever completes
+    asks: float = 3.0  # status queries per second for accepted messages
 
 
 class Clients:
-    """All clients."""
+    """All clients of a deployment, and the health checks of the virtual address."""
 
     def __init__(self, deployment: Deployment, load: Load) -> None:
         self.deployment, self.load = deployment, load
         self.clock, self.history = deployment.clock, deployment.history
-        self.rng = deployment.draw("clients")
+        self.rng = deployment.random_for("clients")
         self.sending = False
-        self.extra: list[str] = []  # further paths that were just added or removed
-        self._misses: dict[str, int] = {it.name: 2 for it in deployment.edges}
+        self.extra: list[str] = []  # paths of routes that were added or removed recently
+        self._failed_polls: dict[str, int] = {it.name: 2 for it in deployment.edges}
         self._accepted: list[Sent] = []
 
     def begin(self) -> None:
-        """Poll readiness from now on."""
+        """Start polling the readiness of the edge nodes."""
         for edge in self.deployment.edges:
             self._poll(edge)
 
     def open(self) -> None:
-        """Begin to send."""
+        """Start sending messages and status queries."""
         self.sending = True
         self._next()
-        self._next_question()
+        self._schedule_query()
 
     # -- the virtual address
 
     def _poll(self, edge: Machine) -> None:
-        def ask(life: Incarnation, answer: Callable[..., None]) -> None:
-            answer(200 if life.machine.ready else 503, None)
+        def ask(incarnation: Incarnation, answer: Callable[..., None]) -> None:
+            answer(200 if incarnation.machine.ready else 503, None)
 
         def hear(status: int, *rest: object) -> None:
             self.history.polls.append((self.clock.now, edge.name, status == 200))
-            self._misses[edge.name] = 0 if status == 200 else self._misses[edge.name] + 1
+            self._failed_polls[edge.name] = 0 if status == 200 else self._failed_polls[edge.name] + 1
 
         self.deployment.call(edge, ask, POLL_S - 0.01, hear)
         self.clock.call_later(POLL_S, lambda: self._poll(edge))
 
-    def pick(self, zone: str) -> Machine:
-        """The edge that a new connection from a zone is passed to."""
+    def choose_edge(self, zone: str) -> Machine:
+        """Choose the edge node for a new connection from a zone, as the virtual address does.
+
+        An edge node that failed its last two readiness polls gets no connections. If fewer than half of a
+        zone's edge nodes are left, all nodes of the zone are used; if none is, ready nodes of other zones.
+        """
         here = [it for it in self.deployment.edges if it.zone == zone]
-        into = [it for it in here if self._misses[it.name] < 2]
+        into = [it for it in here if self._failed_polls[it.name] < 2]
         if into and 2 * len(into) < len(here):
             into = here
         if not into:
-            into = [it for it in self.deployment.edges if self._misses[it.name] < 2]
+            into = [it for it in self.deployment.edges if self._failed_polls[it.name] < 2]
         return self.rng.choice(into or self.deployment.edges)
 
     # -- messages
@@ -134,8 +138,10 @@
                     lambda: self._try(path, key, delay, fate, body, zone, first, number + 1),
                 )
 
-        def hear(status: int, body: object, headers: Any = None, blob: bytes = b"", life: str = "") -> None:
-            sent.status, sent.answered_at, sent.life = status, clock.now, life
+        def hear(
+            status: int, body: object, headers: Any = None, blob: bytes = b"", process: str = ""
+        ) -> None:
+            sent.status, sent.answered_at, sent.process = status, clock.now, process
             if status == 202:
                 sent.name = headers["Amberlug-Message-Name"]
                 self._accepted.append(sent)
@@ -145,32 +151,34 @@
                 again(0.01)
 
         request = Request("POST", sent.target, tuple(headers), body)
-        self.deployment.front(self.pick(zone), request, left + PATIENCE_S, hear)
+        self.deployment.front(self.choose_edge(zone), request, left + PATIENCE_S, hear)
 
-    # -- questions
+    # -- status queries
 
-    def _next_question(self) -> None:
+    def _schedule_query(self) -> None:
         if self.sending and self.load.asks:
-            self.clock.call_later(self.rng.expovariate(self.load.asks), self._next_question)
+            self.clock.call_later(self.rng.expovariate(self.load.asks), self._schedule_query)
             if self._accepted:
                 recent = self._accepted[-60:]
                 self.ask(self.rng.choice(recent).name, lambda standing: None)
 
-    def ask(self, name: str, then: Callable[[Standing], None]) -> None:
-        """Ask any edge how a message stands."""
-        self._question(name, STATUS_PATH, then)
+    def ask(self, name: str, then: Callable[[StatusReply], None]) -> None:
+        """Query the status of a message at any edge node."""
+        self._query(name, STATUS_PATH, then)
 
-    def ask_body(self, name: str, then: Callable[[Standing], None]) -> None:
-        """Ask any edge for a message's bytes."""
-        self._question(name, BODY_PATH, then)
+    def ask_body(self, name: str, then: Callable[[StatusReply], None]) -> None:
+        """Request the body of a message at any edge node."""
+        self._query(name, BODY_PATH, then)
 
-    def _question(self, name: str, path: str, then: Callable[[Standing], None]) -> None:
+    def _query(self, name: str, path: str, then: Callable[[StatusReply], None]) -> None:
         asked = self.clock.now
-        edge = self.pick(self.rng.choice(self.deployment.zones))
+        edge = self.choose_edge(self.rng.choice(self.deployment.zones))
 
-        def hear(status: int, body: Any, headers: object = None, blob: bytes = b"", life: str = "") -> None:
+        def hear(
+            status: int, body: Any, headers: object = None, blob: bytes = b"", process: str = ""
+        ) -> None:
             said = body if isinstance(body, dict) else {}
-            standing = Standing(
+            standing = StatusReply(
                 name,
                 asked,
                 self.clock.now,
@@ -181,22 +189,22 @@
                 path == BODY_PATH,
             )
             if status not in (REFUSED, CLOSED):
-                self.history.standings.append(standing)
+                self.history.status_replies.append(standing)
             then(standing)
 
         self.deployment.front(edge, Request("GET", f"{path}{name}", (("host", HOST),)), ASKED_S, hear)
 
     def ask_all(self, tries: int) -> None:
-        """At the end of a day: ask how all stands that was accepted, and for the bytes of what is open."""
+        """At the end of a run, query the status of accepted messages, and the bodies of pending ones."""
         for sent in self._accepted:
-            self._insist(sent, tries)
+            self._query_until_final(sent, tries)
 
-    def _insist(self, sent: Sent, tries: int) -> None:
+    def _query_until_final(self, sent: Sent, tries: int) -> None:
         def again() -> None:
             if tries > 1:
-                self.clock.call_later(0.5, lambda: self._insist(sent, tries - 1))
+                self.clock.call_later(0.5, lambda: self._query_until_final(sent, tries - 1))
 
-        def hear(standing: Standing) -> None:
+        def hear(standing: StatusReply) -> None:
             if standing.status != 200:
                 again()
             elif standing.condition == "pending":
--- a/amberlug/cluster/simulation/control_faults.py
+++ b/amberlug/cluster/simulation/control_faults.py
@@ -1,4 +1,4 @@
-"""Troubles of the core: a machine of it that is cut off, and orders that come to both sides meanwhile."""
+"""Faults of the control plane: a node is partitioned while operators send commands to both sides."""
 
 from __future__ import annotations
 
@@ -11,72 +11,75 @@
 from amberlug.cluster.simulation.scenario_context import ScenarioContext
 
 CUT_S = (2.0, 4.0, 8.0, 14.0, 20.0, 25.0)
-DOWN_S = (0.3, 0.8, 1.2)  # a machine that is restarted is down for so long
-BACK_S = BOUNDS["catchUpS"]  # a machine counts as lost so long after it is back
-RESETS_S = (2.0, 9.0)  # between resets of connections that are cut
-ORDERS_S = (0.3, 2.2)  # between orders
-STORM_S = (0.02, 0.2)  # the same where they come in quick succession
-KNOCK_S = 0.03  # between clients' uses of new routes
-FORMS = ("silent", "silent", "to", "from", "reset", "refuse", "refuse")
+DOWN_S = (0.3, 0.8, 1.2)  # downtime of a restarted process
+CATCH_UP_S = BOUNDS["catchUpS"]  # a node still counts as lost for this long after it returns
+RESETS_S = (2.0, 9.0)  # between resets of the connections of a partitioned node
+COMMANDS_S = (0.3, 2.2)  # between commands
+BURST_S = (0.02, 0.2)  # between commands of a burst
+NEW_ROUTE_REQUESTS_S = 0.03  # between client requests to new routes
+PARTITION_FORMS = ("silent", "silent", "to", "from", "reset", "refuse", "refuse")
 
 
 @dataclass(slots=True)
-class Cut:
-    """One machine that is cut off."""
+class Partition:
+    """A partition of one machine."""
 
     machine: Machine
     until: float
 
 
-class Control:
-    """What is done to the core and asked of it."""
+class ControlFaults:
+    """Injects faults into the control plane, and sends it commands."""
 
     def __init__(self, day: ScenarioContext) -> None:
         self.day, self.deployment, self.rng = day, day.deployment, day.rng
         self.history, self.clock, self.operator = day.history, day.clock, day.operator
-        self.cut: Cut | None = None
+        self.cut: Partition | None = None
 
     def begin(self, start: float, end: float) -> None:
-        """Cut after cut, each once the one before no longer counts as a loss, and orders all the while."""
+        """Schedule partitions one after another, and commands throughout.
+
+        The next partition starts once the node of the previous one no longer counts as lost.
+        """
         self.clock.call_later(start - self.clock.now, lambda: self._next(end))
-        self.clock.call_later(start - self.clock.now, lambda: self._orders(end))
+        self.clock.call_later(start - self.clock.now, lambda: self._send_commands(end))
 
     def _next(self, end: float) -> None:
         left = end - self.clock.now
         if left < CUT_S[0]:
             return
         seconds = self.rng.choice([it for it in CUT_S if it <= left])
-        self.cut_off(self.victim(), seconds, self.rng.choice(FORMS), self.rng.random() < 0.5)
+        self.partition(self.choose_node(), seconds, self.rng.choice(PARTITION_FORMS), self.rng.random() < 0.5)
         assert self.cut is not None, "a machine was just cut off"
         then = self.rng.choice(("both", "both", "seeds", "kill", "leader", "freeze", "roll", "loss", "none"))
         if then == "both":
-            self.both(seconds)
+            self.restart_all(seconds)
         elif then == "seeds":
-            self.new_seeds(seconds)
+            self.change_seeds(seconds)
         elif then != "none":
             act = {
                 "kill": self._kill_all,
                 "leader": self._kill_leader,
                 "freeze": self._freeze_leader,
-                "roll": self._roll,
+                "roll": self._restart_in_turn,
                 "loss": self._lose_packets,
             }[then]
             self.clock.call_later(self.rng.uniform(0.5, seconds), act)
         if self.rng.random() < 0.6:
-            self.storm(self.clock.now + self.rng.uniform(1.0, 3.0))
+            self.send_burst(self.clock.now + self.rng.uniform(1.0, 3.0))
         if self.rng.random() < 0.6:
-            self.start_beside()
+            self.restart_some_edges()
         if self.rng.random() < 0.6:
-            self.clock.call_later(seconds - 0.1, lambda: self.storm(self.clock.now + 2.0))
-        self.meet(self.cut)
-        pause = seconds + BACK_S + self.rng.uniform(0.1, 3.0)
+            self.clock.call_later(seconds - 0.1, lambda: self.send_burst(self.clock.now + 2.0))
+        self.send_to_partitioned(self.cut)
+        pause = seconds + CATCH_UP_S + self.rng.uniform(0.1, 3.0)
         self.clock.call_later(pause, lambda: self._next(end))
 
-    def victim(self) -> Machine:
-        """The leader, one of those who follow it, or one that settings files name."""
+    def choose_node(self) -> Machine:
+        """Choose the node to partition: the leader, a follower, or a seed of the settings files."""
         cores, leader = self.deployment.cores, self.day.leader()
         if self.day.home and self.rng.random() < 0.6:
-            return next(it for it in cores if it.zone == self.day.home)  # the endpoints' beats go there
+            return next(it for it in cores if it.zone == self.day.home)  # gets all endpoint heartbeats
         which = self.rng.choice(("leader", "follower", "seed"))
         if which == "leader" and leader is not None:
             return leader
@@ -84,11 +87,11 @@
             return self.rng.choice([it for it in cores if it is not leader])
         return self.rng.choice((self.deployment.seeds or cores)[:3])
 
-    def cut_off(self, machine: Machine, seconds: float, form: str, stores_too: bool) -> None:
-        """Cut a core machine off from the others that count, or from the other core machines alone.
+    def partition(self, machine: Machine, seconds: float, form: str, stores_too: bool) -> None:
+        """Partition a control-plane node from the others, and optionally from the storage nodes.
 
-        `form` is silent, to or from (one way), reset (connections are reset as it begins, and now and
-        then), or refuse (what is sent between the two sides is answered by a reset).
+        `form` is silent, to or from (one way), reset (connections are reset at the start and from time to
+        time), or refuse (packets between the two sides are answered by a reset).
         """
         others = [*self.deployment.cores, *(self.deployment.stores if stores_too else [])]
         pairs = set()
@@ -96,59 +99,62 @@
             if it is not machine:
                 pairs |= {(machine.name, it.name)} if form != "to" else set()
                 pairs |= {(it.name, machine.name)} if form != "from" else set()
-        self.history.trouble(
-            f"{machine.name} is cut off from {'core and stores' if stores_too else 'the core'} ({form})"
-            f" for {seconds:.1f} s",
+        self.history.record_disturbance(
+            f"{machine.name} is partitioned from the control plane{' and storage' if stores_too else ''}"
+            f" ({form}) for {seconds:.1f} s",
             seconds,
-            marked=True,
+            is_in_events=True,
         )
-        cut = self.cut = Cut(machine, self.clock.now + seconds)
+        cut = self.cut = Partition(machine, self.clock.now + seconds)
         refuse = form == "refuse"
         self.deployment.net.cut(pairs, refuse)
         if form == "reset":
             self._reset(cut, frozenset(it.name for it in others if it is not machine))
 
         def over() -> None:
-            self.history.say(f"{machine.name} is back")
-            self.deployment.net.join(pairs, refuse)
+            self.history.trace(f"{machine.name} is connected again")
+            self.deployment.net.heal(pairs, refuse)
             if self.cut is cut:
                 self.cut = None
 
         self.clock.call_later(seconds, over)
 
-    def _reset(self, cut: Cut, others: frozenset[str]) -> None:
+    def _reset(self, cut: Partition, others: frozenset[str]) -> None:
         if self.clock.now < cut.until:
-            self.history.mark(cut.machine.name, What.RESET)
+            self.history.record_event(cut.machine.name, What.RESET)
             self.deployment.net.reset(cut.machine, others)
             self.clock.call_later(self.rng.uniform(*RESETS_S), lambda: self._reset(cut, others))
 
-    # -- restarts meanwhile
+    # -- restarts during a partition
+
+    def restart_some_edges(self) -> None:
+        """Restart half of the edge nodes just after a partition begins, while the configuration changes.
 
-    def start_beside(self) -> None:
-        """Edges look for a relay while one does not know yet that it is cut off, and changes are made."""
+        They look for a control-plane node while the partitioned one has not noticed the partition yet.
+        """
         for machine in self.rng.sample(self.deployment.edges, len(self.deployment.edges) // 2):
             self.clock.call_later(self.rng.uniform(0.0, 0.5), partial(self.restart, machine, DOWN_S[0]))
         until = self.clock.now + 1.8
-        self.storm(until - 0.8)
-        self._knock(until)
+        self.send_burst(until - 0.8)
+        self._use_new_routes(until)
 
-    def _knock(self, until: float) -> None:
-        """Clients use the routes that came last."""
+    def _use_new_routes(self, until: float) -> None:
+        """Send client requests to the newest routes until a time."""
         if self.clock.now < until:
-            self.day.look_at_routes()
+            self.day.use_recent_routes()
             if self.day.clients.extra:
                 self.day.clients.send(self.rng.choice(self.day.clients.extra))
-            self.clock.call_later(KNOCK_S, lambda: self._knock(until))
+            self.clock.call_later(NEW_ROUTE_REQUESTS_S, lambda: self._use_new_routes(until))
 
     def restart(self, machine: Machine, seconds: float = 0.0) -> None:
-        """A process is killed, and starts again."""
+        """Kill a process, and start it again after a downtime."""
         seconds = seconds or self.rng.choice(DOWN_S)
-        self.history.trouble(f"{machine.name} is restarted", seconds, marked=True)
+        self.history.record_disturbance(f"{machine.name} is restarted", seconds, is_in_events=True)
         machine.kill()
         self.clock.call_later(seconds, machine.start)
 
-    def both(self, seconds: float) -> None:
-        """Who is cut off is restarted, then all others that count, in turn or at once."""
+    def restart_all(self, seconds: float) -> None:
+        """Restart the partitioned node, then all other control-plane and storage nodes, at intervals."""
         cut = self.cut
         assert cut is not None, "a machine is cut off"
         at = self.rng.uniform(0.1, 0.5) * seconds
@@ -160,22 +166,22 @@
             self.clock.call_later(at, partial(self.restart, machine))
             at += gap
 
-    def new_seeds(self, seconds: float) -> None:
-        """Settings files name the machine that is cut off first; some other machines are restarted."""
+    def change_seeds(self, seconds: float) -> None:
+        """Make the partitioned node the first seed of the settings files, and restart some other machines."""
         cut = self.cut
         assert cut is not None, "a machine is cut off"
         others = [it for it in self.deployment.cores if it is not cut.machine]
         self.deployment.seeds = [cut.machine, *self.rng.sample(others, 2)]
         if self.rng.random() < 0.5:
-            self.history.say("settings files are told")
-            self.deployment.tell_settings()
+            self.history.trace("settings files are reloaded")
+            self.deployment.reload_settings()
         some = self.rng.sample(self.deployment.edges, len(self.deployment.edges) // 2)
         some += self.rng.sample(self.deployment.stores, 1)
         for machine in some:
             self.clock.call_later(self.rng.uniform(0.1, 0.6) * seconds, partial(self.restart, machine))
 
     def _kill_all(self) -> None:
-        """All machines that count are killed or lose power, just as a configuration was acknowledged."""
+        """Kill or power off all control-plane and storage nodes as a configuration is acknowledged."""
         struck = False
 
         def strike(core: Machine | None = None) -> None:
@@ -183,20 +189,22 @@
             if struck:
                 return
             struck = True
-            self.operator.on_acked = lambda it: None
+            self.operator.on_acknowledged = lambda it: None
             counted, power = self.deployment.cores + self.deployment.stores, self.rng.random() < 0.5
-            self.history.trouble(
-                f"all that count {'lose power' if power else 'are killed'}", 1.2, marked=True
+            self.history.record_disturbance(
+                f"all control-plane and storage nodes {'lose power' if power else 'are killed'}",
+                1.2,
+                is_in_events=True,
             )
             for machine in counted:
                 machine.power_off() if power else machine.kill()
                 self.clock.call_later(self.rng.uniform(0.5, 1.2), machine.start)
 
-        self.operator.on_acked = strike
+        self.operator.on_acknowledged = strike
         self.clock.call_later(2.0, strike)
 
     def _leader(self) -> Machine | None:
-        """Who leads on the side of the majority."""
+        """The leader on the majority side of the partition."""
         cut_off = self.cut.machine if self.cut is not None else None
         return next(
             (
@@ -208,7 +216,7 @@
         )
 
     def _kill_leader(self) -> None:
-        """The leader is killed just as a configuration was acknowledged, and orders come at once."""
+        """Kill the leader as a configuration is acknowledged, and send a burst of commands."""
         struck = False
 
         def strike(core: Machine | None = None) -> None:
@@ -217,48 +225,50 @@
             if struck or leader is None:
                 return
             struck = True
-            self.operator.on_acked = lambda it: None
+            self.operator.on_acknowledged = lambda it: None
             self.restart(leader)
-            self.storm(self.clock.now + 2.5)
+            self.send_burst(self.clock.now + 2.5)
 
-        self.operator.on_acked = strike
+        self.operator.on_acknowledged = strike
         self.clock.call_later(1.5, strike)
 
     def _freeze_leader(self) -> None:
-        """The leader does nothing for a while: as it wakes, it does not know yet that another one leads."""
+        """Freeze the leader for a while: when it resumes, it does not know yet that another node leads."""
         leader = self._leader()
         if leader is None:
             return
         seconds = self.rng.uniform(0.7, 3.0)
-        self.history.trouble(f"{leader.name} is frozen for {seconds:.1f} s", seconds, marked=True)
+        self.history.record_disturbance(
+            f"{leader.name} is frozen for {seconds:.1f} s", seconds, is_in_events=True
+        )
         leader.freeze()
         self.clock.call_later(seconds, leader.thaw)
-        self.storm(self.clock.now + seconds + 0.5)
+        self.send_burst(self.clock.now + seconds + 0.5)
         for _ in range(3):
             at = max(0.0, seconds - self.rng.uniform(-0.01, 0.9))
             self.clock.call_later(at, partial(self.operator.order, to=leader))
 
     def _lose_packets(self) -> None:
-        """A core machine loses a part of its packets, and orders come."""
+        """Have a control-plane node lose some of its packets during a burst of commands."""
         machine, seconds = self.rng.choice(self.deployment.cores), self.rng.uniform(2.0, 5.0)
-        self.history.trouble(f"{machine.name} loses packets for {seconds:.1f} s", seconds)
+        self.history.record_disturbance(f"{machine.name} loses packets for {seconds:.1f} s", seconds)
         machine.loss = self.rng.choice((0.05, 0.2))
 
         def whole() -> None:
             machine.loss = 0.0
 
         self.clock.call_later(seconds, whole)
-        self.storm(self.clock.now + 2.0)
+        self.send_burst(self.clock.now + 2.0)
 
-    def _roll(self) -> None:
-        """Core machines are told to end, one after the other."""
+    def _restart_in_turn(self) -> None:
+        """Stop and restart the control-plane nodes in an orderly way, one after the other."""
         at = 0.0
         for machine in self.deployment.cores:
             self.clock.call_later(at, partial(self._term, machine))
             at += self.rng.uniform(1.2, 2.5)
 
     def _term(self, machine: Machine) -> None:
-        self.history.trouble(f"{machine.name} is told to end", RESTART_S, marked=True)
+        self.history.record_disturbance(f"{machine.name} is shut down", RESTART_S, is_in_events=True)
         machine.term()
 
         def look() -> None:
@@ -266,39 +276,41 @@
 
         look()
 
-    # -- orders
+    # -- commands
 
-    def storm(self, until: float) -> None:
-        """Orders in quick succession."""
+    def send_burst(self, until: float) -> None:
+        """Send commands in quick succession until a time."""
         if self.clock.now < until:
             operator = self.operator
             self.rng.choice((operator.order, operator.order, operator.pair, operator.read, operator.retire))()
-            self.clock.call_later(self.rng.uniform(*STORM_S), lambda: self.storm(until))
+            self.clock.call_later(self.rng.uniform(*BURST_S), lambda: self.send_burst(until))
 
-    def meet(self, cut: Cut) -> None:
-        """Orders to the very machine that is cut off, meanwhile and as it returns."""
+    def send_to_partitioned(self, cut: Partition) -> None:
+        """Send commands to the partitioned node, during the partition and as it ends."""
         left = cut.until - self.clock.now
         times = [self.rng.uniform(0.0, left), left + self.rng.uniform(-0.05, 0.3)]
         for at in times:
-            hard = self.rng.random() < 0.3
-            how: Callable[[], None] = partial(self.operator.order, to=cut.machine, hard=hard)
+            same_node = self.rng.random() < 0.3
+            how: Callable[[], None] = partial(self.operator.order, to=cut.machine, same_node=same_node)
             if self.rng.random() < 0.4:
                 other = self.rng.choice([it for it in self.deployment.cores if it is not cut.machine])
                 how = partial(self.operator.pair, cut.machine, self.rng.choice((cut.machine, other)))
             self.clock.call_later(at, how)
         if self.rng.random() < 0.4:
-            self.clock.call_later(left + self.rng.uniform(0.1, 1.0), partial(self._leave_near, cut.machine))
+            self.clock.call_later(
+                left + self.rng.uniform(0.1, 1.0), partial(self._replace_endpoints_near, cut.machine)
+            )
 
-    def _leave_near(self, machine: Machine) -> None:
-        """Endpoints of a machine's zone leave."""
+    def _replace_endpoints_near(self, machine: Machine) -> None:
+        """Replace the endpoints in the zone of a machine, except the last ready one of each service."""
         endpoint_fleet = self.deployment.endpoint_fleet
         for it in endpoint_fleet.up():
             if it.zone == machine.zone and len(endpoint_fleet.up(it.kind.name)) > 1:
                 endpoint_fleet.start(it.kind.name, it.zone)
-                self.history.say(f"{it.name} of {it.kind.name} is to leave")
+                self.history.trace(f"{it.name} of {it.kind.name} starts to drain")
                 it.leave(1.0, lambda: None)
 
-    def _orders(self, end: float) -> None:
+    def _send_commands(self, end: float) -> None:
         if self.clock.now > end:
             return
         rng, operator = self.rng, self.operator
@@ -313,5 +325,5 @@
             self.day.replace_endpoint,
         ]
         rng.choice(acts)()
-        self.day.look_at_routes()
-        self.clock.call_later(rng.uniform(*ORDERS_S), lambda: self._orders(end))
+        self.day.use_recent_routes()
+        self.clock.call_later(rng.uniform(*COMMANDS_S), lambda: self._send_commands(end))
--- a/amberlug/cluster/simulation/deployment.py
+++ b/amberlug/cluster/simulation/deployment.py
@@ -1,4 +1,4 @@
-"""A simulated deployment: its machines, endpoints, network and settings, with calls to them from outside."""
+"""A simulated deployment: its machines, endpoints, network and settings, and requests from outside."""
 
 from __future__ import annotations
 
@@ -13,17 +13,17 @@
 from amberlug.cluster.settings import Settings, Tolerance
 from amberlug.cluster.simulation.clock import Clock
 from amberlug.cluster.simulation.endpoints import EndpointClient, EndpointFleet, Kind
-from amberlug.cluster.simulation.history import Broken, History
+from amberlug.cluster.simulation.history import History, Violation
 from amberlug.cluster.simulation.machine import BOUNDS, OUTSIDE_S, RESTART_S, Machine
 from amberlug.cluster.simulation.network import Incarnation, Network
 
 ONE_MACHINE = Tolerance(1, 0, 0)
-REFUSED, CLOSED, SILENT = 0, -1, -2  # instead of an answer's status
+REFUSED, CLOSED, SILENT = 0, -1, -2  # reported in place of an HTTP status
 
 
 @dataclass(frozen=True, slots=True)
 class Request:
-    """A request from outside; names of headers in small letters."""
+    """A request from outside; header names are in lower case."""
 
     method: str
     target: str
@@ -35,7 +35,7 @@
 
 
 class Deployment:
-    """All of it, from one seed."""
+    """A whole deployment, built from one seed."""
 
     def __init__(
         self,
@@ -50,15 +50,15 @@
         regions: int = 1,
     ) -> None:
         self.seed = seed
-        self.rng = self.draw("deployment")
+        self.rng = self.random_for("deployment")
         self.clock = Clock()
         self.history = History(self.clock)
         self.heartbeat_s = heartbeat_s
         self.sync_s = 0.002
-        self.net = Network(self.clock, self.draw("network"), self.rng.choice((0.0005, 0.0009, 0.003)))
-        self.net.told = self.history.links_are
+        self.net = Network(self.clock, self.random_for("network"), self.rng.choice((0.0005, 0.0009, 0.003)))
+        self.net.told = self.history.record_partitions
         self.digest = self.net.digest
-        self.seeds: list[Machine] = []  # the settings file's; the first core machines where there are none
+        self.seeds: list[Machine] = []  # of the settings file; if empty, the first three control-plane nodes
         self.zones = [f"z{number}" for number in range(zones)]
         self.regions = {zone: f"r{number % regions}" for number, zone in enumerate(self.zones)}
         self.net.regions = self.regions
@@ -69,8 +69,8 @@
         self.stores = self._make("store", stores)
         self.cores = self._make("core", cores)
 
-    def draw(self, what: str) -> random.Random:
-        """Chance of its own for one part, so that parts do not disturb each other's draws."""
+    def random_for(self, what: str) -> random.Random:
+        """Create a random number generator for one part, so that draws of one part do not affect another."""
         return random.Random(f"{self.seed} {what}")
 
     def _make(self, kind: str, count: int) -> list[Machine]:
@@ -85,7 +85,7 @@
         return made
 
     def add(self, kind: str, zone: str, name: str = "") -> Machine:
-        """A further machine, empty and at an address of its own; its process is not started yet."""
+        """Add a machine with an empty disk and a new address; its process is not started yet."""
         self._added += 1
         address = f"10.{self.zones.index(zone)}.9.{self._added}:7300"
         machine = Machine(self, kind, name or f"{kind}-n{self._added}", zone, address, first=False)
@@ -94,23 +94,23 @@
         return machine
 
     def remove(self, machine: Machine) -> None:
-        """A machine is taken away, with its disk."""
+        """Remove a machine and its disk."""
         machine.power_off()
         {"edge": self.edges, "store": self.stores, "core": self.cores}[machine.kind].remove(machine)
         del self.net.hosts[machine.address]
 
-    def tell_settings(self) -> None:
-        """All processes take the settings file as it is by now."""
+    def reload_settings(self) -> None:
+        """Have all running processes reload the settings file."""
         for machine in self.machines:
-            if machine.up and machine.life is not None:
-                machine.life.do(partial(machine.part.update_settings, self.settings(machine)))
+            if machine.up and machine.incarnation is not None:
+                machine.incarnation.do(partial(machine.part.update_settings, self.settings(machine)))
 
     @property
     def machines(self) -> list[Machine]:
         return self.edges + self.stores + self.cores
 
     def settings(self, machine: Machine) -> Settings:
-        """The settings file of a machine."""
+        """The current settings file of a machine."""
         serves = {"edge": "edge", "store": "storage", "core": "control_plane"}[machine.kind]
         return Settings(
             machine.name,
@@ -131,23 +131,23 @@
             BOUNDS,
         )
 
-    def failed(self, life: Incarnation, error: AssertionError) -> None:
-        """A broken invariant ends its process, as it does in the program."""
-        self.history.say(f"{life.name} ends: {error}")
-        self.history.faults.append(Broken("FAULT", f"{life.name} at {self.clock.now:.3f}: {error}"))
-        if isinstance(life.host, Machine):
-            self.clock.call_later(0.0, life.host.kill)
-            self.clock.call_later(RESTART_S, life.host.start)
+    def failed(self, incarnation: Incarnation, error: AssertionError) -> None:
+        """Record a failed assertion and restart its process, as the program does."""
+        self.history.trace(f"{incarnation.name} ends: {error}")
+        self.history.faults.append(Violation("FAULT", f"{incarnation.name} at {self.clock.now:.3f}: {error}"))
+        if isinstance(incarnation.host, Machine):
+            self.clock.call_later(0.0, incarnation.host.kill)
+            self.clock.call_later(RESTART_S, incarnation.host.start)
 
-    def endpoint_client(self, life: Incarnation) -> EndpointClient:
-        """What a process calls endpoints by."""
-        return EndpointClient(self.endpoint_fleet, life)
+    def endpoint_client(self, incarnation: Incarnation) -> EndpointClient:
+        """Create the endpoint client of a process."""
+        return EndpointClient(self.endpoint_fleet, incarnation)
 
-    def on_process_ended(self, life: Incarnation) -> None:
-        """Have endpoints see the connections of a process closed."""
-        self.endpoint_fleet.closed(life)
+    def on_process_ended(self, incarnation: Incarnation) -> None:
+        """Close the connections from a process that has ended to endpoints."""
+        self.endpoint_fleet.closed(incarnation)
 
-    # -- from outside
+    # -- requests from outside
 
     def call(
         self,
@@ -156,7 +156,7 @@
         within: float,
         then: Callable[..., None],
     ) -> None:
-        """Call a machine; `then` hears what was answered, or REFUSED, CLOSED or SILENT."""
+        """Send a request to a machine; `then` gets the response, or REFUSED, CLOSED or SILENT."""
         clock = self.clock
         over = False
 
@@ -167,10 +167,10 @@
                 then(*said)
 
         def arrive() -> None:
-            life = machine.life
+            incarnation = machine.incarnation
             if not machine.powered:
                 return
-            if life is None or life.over:
+            if incarnation is None or incarnation.over:
                 clock.call_later(OUTSIDE_S, lambda: end(REFUSED, None))
                 return
 
@@ -179,13 +179,13 @@
 
             def answer(*said: Any) -> None:
                 self.digest.add("answer", machine.name, *said)
-                life.calls.pop(close, None)
-                if not life.over:
+                incarnation.calls.pop(close, None)
+                if not incarnation.over:
                     clock.call_later(OUTSIDE_S, lambda: end(*said))
 
-            life.calls[close] = None
-            clock.call_later(within, lambda: life.calls.pop(close, None))
-            life.do(lambda: ask(life, answer))
+            incarnation.calls[close] = None
+            clock.call_later(within, lambda: incarnation.calls.pop(close, None))
+            incarnation.do(lambda: ask(incarnation, answer))
 
         clock.call_later(OUTSIDE_S, arrive)
         clock.call_later(within, lambda: end(SILENT, None))
@@ -201,16 +201,16 @@
         headers: tuple[tuple[str, str], ...] = (),
         leaves: Callable[[int], None] = lambda status: None,
     ) -> None:
-        """Call a control relay; `leaves` hears of its answer at the moment at which it is sent."""
+        """Send a request to a control-plane node; `leaves` gets the status as the response is sent."""
         request = Request(method, target, headers, body)
         self.digest.add("request", core.name, method, target, headers, body)
 
-        def ask(life: Incarnation, answer: Callable[..., None]) -> None:
+        def ask(incarnation: Incarnation, answer: Callable[..., None]) -> None:
             def say(said: HttpResponse) -> None:
                 answer(said.status, said.body)
                 leaves(said.status)
 
-            life.machine.admin_api.handle(request, say)
+            incarnation.machine.admin_api.handle(request, say)
 
         self.call(core, ask, within, then)
 
@@ -221,13 +221,15 @@
         within: float,
         then: Callable[..., None],
     ) -> None:
-        """Call an edge's front; `then` hears status, body, headers, bytes and the process that was asked."""
+        """Send a request to an edge node; `then` gets status, body, headers, payload and process name."""
         self.digest.add("request", edge.name, request.method, request.target, request.headers, request.body)
 
-        def ask(life: Incarnation, answer: Callable[..., None]) -> None:
+        def ask(incarnation: Incarnation, answer: Callable[..., None]) -> None:
             def respond(response: ClientResponse) -> None:
-                answer(response.status, response.body, dict(response.headers), response.payload, life.name)
+                answer(
+                    response.status, response.body, dict(response.headers), response.payload, incarnation.name
+                )
 
-            life.machine.handle(request, respond)
+            incarnation.machine.handle(request, respond)
 
         self.call(edge, ask, within, then)
--- a/amberlug/cluster/simulation/disk.py
+++ b/amberlug/cluster/simulation/disk.py
@@ -1,4 +1,4 @@
-"""Disks as models of what lasts: a control-plane node's log and a storage node's messages, by rows."""
+"""Models of durable storage, row by row: a control-plane node's log and a storage node's messages."""
 
 from __future__ import annotations
 
@@ -39,33 +39,33 @@
     StoredMessage,
 )
 
-Row = Any  # a disk model has rows of its own kind
+Row = Any  # each disk model has its own row type
 OUT_OF_SPACE = WriteFailure(WriteFailureReason.OUT_OF_SPACE)
 READ_S = 0.0005
 
 
 class SimulatedDisk:
-    """One machine's disk: what piles up is committed together, and a commit is there whole or not at all."""
+    """The disk of one machine: queued writes are committed in one batch, and each commit is atomic."""
 
     def __init__(self, clock: Clock, rng: random.Random, sync_s: float) -> None:
         self.clock, self.rng, self.sync_s = clock, rng, sync_s
         self.stalled_until = 0.0
         self.full = False
-        self.on_kept: Callable[[], None] = lambda: None  # as a message or an entry lasts and is acknowledged
+        self.on_durable: Callable[[], None] = lambda: None  # called once a message or log entry is durable
         self._queue: list[tuple[list[Row] | None, Callable[[Any], None]]] = []
         self._batch: list[tuple[list[Row] | None, Callable[[Any], None]]] = []
         self._number = 0
         self.name, self.digest = "", BoundaryDigest(lambda: clock.now)
 
     def put(self, rows: list[Row] | None, then: Callable[[Any], None]) -> None:
-        """Queue a write, or with None a look behind the writes before it."""
+        """Queue a write, or with None a read that sees all writes before it."""
         if rows is not None:
-            rows = [self.copied(row) for row in rows]
+            rows = [self.copy_row(row) for row in rows]
         self._queue.append((rows, then))
         if not self._batch:
-            self._begin()
+            self._start_batch()
 
-    def _begin(self) -> None:
+    def _start_batch(self) -> None:
         if not self._queue:
             return
         looks = [at for at, (rows, _) in enumerate(self._queue) if rows is None]
@@ -74,9 +74,9 @@
         seconds = READ_S if self._batch[0][0] is None else self.sync_s * self.rng.uniform(0.8, 1.6)
         seconds += max(0.0, self.stalled_until - self.clock.now)
         self._number += 1
-        self.clock.call_later(seconds, partial(self._done, self._number))
+        self.clock.call_later(seconds, partial(self._finish_batch, self._number))
 
-    def _done(self, number: int) -> None:
+    def _finish_batch(self, number: int) -> None:
         if number != self._number or not self._batch:
             return
         batch, self._batch = self._batch, []
@@ -84,39 +84,39 @@
             if self.full and any(self.needs_space(row) for row in rows or ()):
                 then(OUT_OF_SPACE)
                 continue
-            self._keep_all(rows or [])
+            self._commit(rows or [])
             then(None)
         if not self.full and any(self.needs_space(row) for rows, _ in batch for row in rows or ()):
-            self.on_kept()
-        if not self._batch:  # else what was told has asked for more already
-            self._begin()
+            self.on_durable()
+        if not self._batch:  # otherwise a callback has already started the next batch
+            self._start_batch()
 
     def lose(self) -> None:
-        """The process or the power is gone: what is under way is there or not, what waits is not."""
+        """Simulate a crash: the batch in progress is committed or lost, and queued writes are lost."""
         batch, self._batch, self._queue = self._batch, [], []
         self._number += 1
         if self.rng.random() < 0.5 and not self.full:
             for rows, _ in batch:
-                self._keep_all(rows or [])
+                self._commit(rows or [])
 
     def close(self) -> None:
-        """An orderly end: what is queued is written."""
+        """Close in an orderly way: commit the batch in progress and all queued writes."""
         for rows, _ in self._batch + self._queue:
-            self._keep_all(rows or [])
+            self._commit(rows or [])
         self._batch, self._queue = [], []
         self._number += 1
 
-    def _keep_all(self, rows: list[Row]) -> None:
+    def _commit(self, rows: list[Row]) -> None:
         self.digest.commit(self.name, self.execute, rows)
         for row in rows:
             self.apply(row)
 
     def execute(self, base: Any, rows: list[Row]) -> None:
-        """Execute the statements that write these rows, as the program does."""
+        """Execute the SQL statements that write these rows, as the program does."""
         raise NotImplementedError
 
-    def copied(self, row: Row) -> Row:
-        """A row as it is when it is written: what it refers to may change afterwards."""
+    def copy_row(self, row: Row) -> Row:
+        """Copy a row as it is now: objects that it refers to may change before the commit."""
         raise NotImplementedError
 
     def needs_space(self, row: Row) -> bool:
@@ -124,20 +124,20 @@
         raise NotImplementedError
 
     def apply(self, row: Row) -> None:
-        """A row is durable."""
+        """Apply a committed row to the durable state."""
         raise NotImplementedError
 
 
 class ControlDisk(SimulatedDisk):
-    """A core machine's part of the log: a snapshot, and rows by index as the file has them."""
+    """The disk of a control-plane node: a snapshot, and log rows by index, as in the database file."""
 
     def __init__(self, clock: Clock, rng: random.Random, sync_s: float) -> None:
         super().__init__(clock, rng, sync_s)
         self._saved: PersistentState | None = None
         self._rows: dict[int, Entry] = {}
 
-    def begun(self, blank: Callable[[], PersistentState]) -> PersistentState:
-        """What a process that starts reads; a gap spoils it."""
+    def load(self, blank: Callable[[], PersistentState]) -> PersistentState:
+        """Read the state that a starting process finds; a gap in the log makes it start with a blank one."""
         found = None
         if self._saved is not None:
             it = self._saved
@@ -176,7 +176,7 @@
         self._saved = None
         self._rows.clear()
 
-    def copied(self, row: Row) -> Row:
+    def copy_row(self, row: Row) -> Row:
         kind, values = row
         return kind, tuple(json.loads(json.dumps(values)))
 
@@ -208,32 +208,33 @@
 
 
 class MessageDisk(SimulatedDisk):
-    """A store's messages."""
+    """The disk of a storage node."""
 
     def __init__(self, clock: Clock, rng: random.Random, sync_s: float) -> None:
         super().__init__(clock, rng, sync_s)
-        self.on_anew: Callable[[], None] = lambda: None  # its store empties it and begins as another disk
+        # Called when the storage node empties the disk and gives it a new id.
+        self.on_disk_reset: Callable[[], None] = lambda: None
         self.wipe()
 
     def execute(self, base: Any, rows: list[Row]) -> None:
         message_store.execute_rows(base, rows)
 
     def wipe(self) -> None:
-        """Replace the disk by an empty one."""
+        """Replace the disk by an empty one with a new id."""
         self._disk_id, self._enrolled_index = f"{self.rng.getrandbits(64):x}", 0
         self._fencing_tokens: dict[int, int] = {}
         self._messages: dict[str, StoredMessage] = {}
         self._contents: dict[str, bytes] = {}
 
-    def begun(self) -> StoredContents:
-        """What a process that starts reads."""
+    def load(self) -> StoredContents:
+        """Read the state that a starting process finds."""
         messages = {
             message_id: replace(message, metadata=dict(message.metadata))
             for message_id, message in self._messages.items()
         }
         return StoredContents(self._disk_id, dict(self._fencing_tokens), messages, self._enrolled_index)
 
-    def copied(self, row: StorageRow) -> StorageRow:
+    def copy_row(self, row: StorageRow) -> StorageRow:
         return row
 
     def needs_space(self, row: StorageRow) -> bool:
@@ -253,7 +254,7 @@
                 self._disk_id, self._enrolled_index = disk_id, 0
                 self._messages.clear()
                 self._contents.clear()
-                self.on_anew()
+                self.on_disk_reset()
             case DeletionRow(message_id):
                 self._messages.pop(message_id, None)
                 self._contents.pop(message_id, None)
@@ -271,7 +272,7 @@
             self._contents.pop(row.message_id, None)
 
     def holds(self, name: str) -> tuple[bool, bool]:
-        """Whether a message is durable here as an open one, and whether its outcome is."""
+        """Whether a message is durable here without an outcome, and whether it is with one."""
         message = self._messages.get(name)
         return (
             message is not None and message.outcome.is_open,
@@ -279,27 +280,29 @@
         )
 
     def bodies(self, names: Sequence[str]) -> dict[str, bytes]:
-        """The bodies of messages, as far as they are here."""
+        """The bodies of those messages whose body is stored here."""
         return {name: self._contents[name] for name in names if name in self._contents}
 
 
 class ProcessDisk:
-    """A disk as one life of a process uses it."""
+    """A disk as one incarnation of a process uses it."""
 
-    def __init__(self, life: Incarnation, disk_model: SimulatedDisk) -> None:
-        self.life, self.disk_model = life, disk_model
+    def __init__(self, incarnation: Incarnation, disk_model: SimulatedDisk) -> None:
+        self.incarnation, self.disk_model = incarnation, disk_model
 
     def write(self, rows: Sequence[Row], then: OnWritten) -> None:
-        if not self.life.over:  # it may end in the midst of something
-            self.disk_model.put(list(rows), lambda error: self.life.do(partial(then, error)))
+        if not self.incarnation.over:  # the process may end during the call that writes
+            self.disk_model.put(list(rows), lambda error: self.incarnation.do(partial(then, error)))
 
 
 class ProcessMessageDisk(ProcessDisk):
-    """A store's disk, whose bodies can be read."""
+    """The disk of a storage node, which can also read message bodies."""
 
-    def __init__(self, life: Incarnation, message_disk: MessageDisk) -> None:
-        super().__init__(life, message_disk)
+    def __init__(self, incarnation: Incarnation, message_disk: MessageDisk) -> None:
+        super().__init__(incarnation, message_disk)
         self.message_disk = message_disk
 
     def read(self, names: Sequence[str], then: Callable[[dict[str, bytes]], None]) -> None:
-        self.disk_model.put(None, lambda _: self.life.do(lambda: then(self.message_disk.bodies(names))))
+        self.disk_model.put(
+            None, lambda _: self.incarnation.do(lambda: then(self.message_disk.bodies(names)))
+        )
--- a/amberlug/cluster/simulation/machine.py
+++ b/amberlug/cluster/simulation/machine.py
@@ -1,4 +1,4 @@
-"""A simulated machine: its process is started, killed, frozen, rolled and wiped; its disk outlasts it."""
+"""A simulated machine: its process can be started, killed, frozen and shut down; its disk outlasts it."""
 
 from __future__ import annotations
 
@@ -22,14 +22,14 @@
     ProcessMessageDisk,
     SimulatedDisk,
 )
-from amberlug.cluster.simulation.history import Broken, History, Place, What
+from amberlug.cluster.simulation.history import History, MachineInfo, Violation, What
 from amberlug.cluster.simulation.network import Host, Incarnation, Network, SimulatedRuntime
 from amberlug.cluster.storage.node import StorageNode
 
-OUTSIDE_S = 0.001  # from outside to a machine, one way
+OUTSIDE_S = 0.001  # one-way delay between a machine and its clients
 RESTART_S = 0.8
 WALL_S = 1.79e9
-STOP_S = 0.02  # a core's or a store's planned end
+STOP_S = 0.02  # between checks whether a control-plane or storage node may end
 BOUNDS = {
     "seedLagS": 3.0,
     "reuseAfterS": 2.0,
@@ -49,7 +49,7 @@
 
 
 class MachineHost(Protocol):
-    """The deployment that a machine belongs to, as far as the machine knows it."""
+    """What a machine needs of the deployment that it belongs to."""
 
     rng: random.Random
     clock: Clock
@@ -58,20 +58,20 @@
     net: Network
     sync_s: float
 
-    def draw(self, what: str) -> random.Random:
-        """A random number generator of its own for one part."""
+    def random_for(self, what: str) -> random.Random:
+        """Create a random number generator for one part."""
 
     def settings(self, machine: Machine) -> Settings:
-        """The settings file of a machine, as it is by now."""
+        """The current settings file of a machine."""
 
-    def failed(self, life: Incarnation, error: AssertionError) -> None:
-        """An invariant is broken in a process: it ends."""
+    def failed(self, incarnation: Incarnation, error: AssertionError) -> None:
+        """Handle a failed assertion in a process, which ends it."""
 
-    def endpoint_client(self, life: Incarnation) -> Endpoints:
-        """What a process calls endpoints by."""
+    def endpoint_client(self, incarnation: Incarnation) -> Endpoints:
+        """Create the endpoint client of a process."""
 
-    def on_process_ended(self, life: Incarnation) -> None:
-        """A process has ended: endpoints see its connections closed."""
+    def on_process_ended(self, incarnation: Incarnation) -> None:
+        """Close the connections from a process that has ended to endpoints."""
 
 
 class Machine(Host):
@@ -82,7 +82,7 @@
     ) -> None:
         super().__init__(name, zone, address)
         self.deployment, self.kind = deployment, kind
-        deployment.history.places[name] = Place(name, kind)
+        deployment.history.machine_infos[name] = MachineInfo(name, kind)
         self.ip = address.rpartition(":")[0]
         self.control: str = f"{self.ip}:7000"
         self.wall_clock = WALL_S + deployment.rng.uniform(-0.02, 0.02)
@@ -91,136 +91,140 @@
         self.disk: SimulatedDisk | None = None
         if kind != "edge":
             make = ControlDisk if kind == "core" else MessageDisk
-            rng = deployment.draw(f"disk {name} {address}")
+            rng = deployment.random_for(f"disk {name} {address}")
             self.disk = make(deployment.clock, rng, deployment.sync_s)
             self.disk.name, self.disk.digest = name, deployment.digest
             if isinstance(self.disk, MessageDisk):
-                self.disk.on_anew = partial(deployment.history.store_emptied, name)
+                self.disk.on_disk_reset = partial(deployment.history.record_emptied_store, name)
 
     @property
     def up(self) -> bool:
-        return self.life is not None and not self.life.over
+        return self.incarnation is not None and not self.incarnation.over
 
     @property
     def part(self) -> Any:
-        """What runs here: an Edge, a Store or a Core."""
-        assert self.life is not None, "nothing runs here"
-        return self.life.machine
+        """The node that runs here: an EdgeNode, StorageNode or ControlNode."""
+        assert self.incarnation is not None, "no process runs on this machine"
+        return self.incarnation.machine
 
     def start(self) -> None:
-        """Start the process, where none runs."""
+        """Power on, and start the process unless it runs already."""
         if self.up:
             return
         deployment = self.deployment
         self.powered = True
         self.lives += 1
-        deployment.history.mark(self.name, What.START)
-        life = self.life = Incarnation(self, self.lives, deployment.failed)
-        rng = deployment.draw(f"{self.name} {self.lives}")
-        world = SimulatedRuntime(deployment.net, life, rng, self.wall_clock)
+        deployment.history.record_event(self.name, What.START)
+        incarnation = self.incarnation = Incarnation(self, self.lives, deployment.failed)
+        rng = deployment.random_for(f"{self.name} {self.lives}")
+        world = SimulatedRuntime(deployment.net, incarnation, rng, self.wall_clock)
         settings = deployment.settings(self)
         if isinstance(self.disk, ControlDisk):
-            saved = self.disk.begun(lambda: blank(settings, rng.getrandbits))
-            life.machine = ControlNode(world, settings, self.address, ProcessDisk(life, self.disk), saved)
+            saved = self.disk.load(lambda: blank(settings, rng.getrandbits))
+            incarnation.machine = ControlNode(
+                world, settings, self.address, ProcessDisk(incarnation, self.disk), saved
+            )
         elif isinstance(self.disk, MessageDisk):
-            message_store = ProcessMessageDisk(life, self.disk)
-            life.machine = StorageNode(world, settings, self.address, message_store, self.disk.begun())
+            message_store = ProcessMessageDisk(incarnation, self.disk)
+            incarnation.machine = StorageNode(world, settings, self.address, message_store, self.disk.load())
         else:
-            life.machine = EdgeNode(world, settings, self.address, deployment.endpoint_client(life))
+            incarnation.machine = EdgeNode(
+                world, settings, self.address, deployment.endpoint_client(incarnation)
+            )
         self.first = False
-        part: Any = life.machine
-        life.do(part.begin)
+        part: Any = incarnation.machine
+        incarnation.do(part.begin)
 
     def kill(self) -> None:
-        """The process ends at once; its connections are reset."""
+        """Kill the process; its connections are reset."""
         if self.up:
             self._end(self.disk.lose if self.disk is not None else lambda: None)
 
     def _end(self, disk: Callable[[], None]) -> None:
-        life = self.life
-        assert life is not None, "nothing runs here"
-        self.deployment.history.mark(self.name, What.END)
+        incarnation = self.incarnation
+        assert incarnation is not None, "no process runs on this machine"
+        self.deployment.history.record_event(self.name, What.END)
         self.note_violations()
-        life.over = True
+        incarnation.over = True
         disk()
-        for link in list(life.links.values()):
+        for link in list(incarnation.links.values()):
             link.close(0, RequestFailure.CONNECTION_LOST, True)
-        for link in list(life.incoming):
+        for link in list(incarnation.incoming):
             link.close(1, RequestFailure.CONNECTION_LOST, True)
-        for close in list(life.calls):
+        for close in list(incarnation.calls):
             self.deployment.clock.call_later(OUTSIDE_S, close)
-        self.deployment.on_process_ended(life)
+        self.deployment.on_process_ended(incarnation)
 
     def power_off(self) -> None:
-        """The machine is without power: all of it is silent."""
+        """Power off: the process ends, and its connections stay silent instead of being reset."""
         self.powered = False
-        life = self.life
-        if life is None or life.over:
+        incarnation = self.incarnation
+        if incarnation is None or incarnation.over:
             return
-        self.deployment.history.mark(self.name, What.END)
+        self.deployment.history.record_event(self.name, What.END)
         self.note_violations()
-        life.over = True
+        incarnation.over = True
         if self.disk is not None:
             self.disk.lose()
-        for link in life.links.values():
-            link.silence(0)
-        for link in life.incoming:
-            link.silence(1)
+        for link in incarnation.links.values():
+            link.close_silently(0)
+        for link in incarnation.incoming:
+            link.close_silently(1)
 
     def note_violations(self) -> None:
-        """Count as broken what the process that runs here has found broken itself."""
+        """Record the invariant violations that the running process has counted itself."""
         for name, count in self.part.counters.items() if self.up else ():
             if name.startswith(VIOLATION_PREFIX):
-                self.deployment.history.faults.append(Broken("INVARIANT", f"{self.name}: {name}, {count}"))
+                self.deployment.history.faults.append(Violation("INVARIANT", f"{self.name}: {name}, {count}"))
 
     def freeze(self) -> None:
-        if self.up and self.life is not None:
-            self.deployment.history.mark(self.name, What.FREEZE)
-            self.life.frozen = True
+        if self.up and self.incarnation is not None:
+            self.deployment.history.record_event(self.name, What.FREEZE)
+            self.incarnation.frozen = True
 
     def thaw(self) -> None:
-        if self.life is not None:
+        if self.incarnation is not None:
             if self.up:
-                self.deployment.history.mark(self.name, What.THAW)
-            self.life.thaw(self.deployment.rng)
+                self.deployment.history.record_event(self.name, What.THAW)
+            self.incarnation.thaw(self.deployment.rng)
 
     def wipe(self) -> None:
-        """The disk is empty from now on; nothing runs here."""
-        assert not self.up, "a disk is wiped while its machine is down"
+        """Empty the disk; the process must not be running."""
+        assert not self.up, "a disk is wiped only while its machine is down"
         if isinstance(self.disk, ControlDisk | MessageDisk):
             self.disk.wipe()
 
     def term(self) -> None:
-        """The process is told to end, winds up as the program does and ends."""
-        life = self.life
-        if life is None or life.over:
+        """Request an orderly shutdown; the process ends once idle, an edge node also after its grace."""
+        incarnation = self.incarnation
+        if incarnation is None or incarnation.over:
             return
-        self.deployment.history.mark(self.name, What.TERM)
-        life.do(life.machine.begin_shutdown)
+        self.deployment.history.record_event(self.name, What.TERM)
+        incarnation.do(incarnation.machine.begin_shutdown)
         clock = self.deployment.clock
         if self.kind != "edge":
-            clock.call_later(STOP_S, partial(self._end_when_idle, life))
+            clock.call_later(STOP_S, partial(self._end_when_idle, incarnation))
             return
         grace = BOUNDS["graceS"]
-        self._wind_up(life, clock.now + ROUTE_REMOVAL_DELAY_S, clock.now + grace - GRACE_MARGIN_S)
+        self._wind_up(incarnation, clock.now + ROUTE_REMOVAL_DELAY_S, clock.now + grace - GRACE_MARGIN_S)
 
-    def _end_when_idle(self, life: Incarnation) -> None:
-        if life.over:
+    def _end_when_idle(self, incarnation: Incarnation) -> None:
+        if incarnation.over:
             return
-        if life.machine.is_idle:
-            self._finish(life)
+        if incarnation.machine.is_idle:
+            self._finish(incarnation)
         else:
-            self.deployment.clock.call_later(STOP_S, partial(self._end_when_idle, life))
+            self.deployment.clock.call_later(STOP_S, partial(self._end_when_idle, incarnation))
 
-    def _wind_up(self, life: Incarnation, served_until: float, until: float) -> None:
-        if life.over:
+    def _wind_up(self, incarnation: Incarnation, served_until: float, until: float) -> None:
+        if incarnation.over:
             return
         now = self.deployment.clock.now
-        if now >= until or (now >= served_until and not life.calls and life.machine.is_idle):
-            self._finish(life)
+        if now >= until or (now >= served_until and not incarnation.calls and incarnation.machine.is_idle):
+            self._finish(incarnation)
         else:
-            self.deployment.clock.call_later(0.05, partial(self._wind_up, life, served_until, until))
+            self.deployment.clock.call_later(0.05, partial(self._wind_up, incarnation, served_until, until))
 
-    def _finish(self, life: Incarnation) -> None:
-        if not life.over:
+    def _finish(self, incarnation: Incarnation) -> None:
+        if not incarnation.over:
             self._end(self.disk.close if self.disk is not None else lambda: None)
--- a/amberlug/cluster/simulation/model_checker.py
+++ b/amberlug/cluster/simulation/model_checker.py
@@ -1,11 +1,11 @@
-"""All interleavings of the core's agreement among three members and a newcomer, to some depth.
-
-A step is one of: a member's patience ends and it stands for election; a message is delivered, and its disk
-syncs or waits; a disk syncs what waits; a member loses power with what was not synced, or all of its disk; a
-leader is given a command, or makes any change of the membership by one member (let in, made a voter, made a
-learner, removed); a member cuts its log and keeps a snapshot; one whose removal its leader takes for done is
-taken away with its disk. What is never delivered is lost. A branch ends where the same state was seen with as
-many steps left.
+"""Explores all interleavings of Raft among three members and a fourth that may join, to a bounded depth.
+
+A step is one of: a member's election timeout expires and it starts an election; a message is delivered, and
+the receiver's disk syncs or delays its writes; a disk syncs delayed writes; a member loses power with its
+unsynced writes, or loses its whole disk; a leader gets a command, or changes the membership by one member
+(added, made a voter, made a learner, removed); a member compacts its log into a snapshot; a member whose
+removal its leader reports as complete is taken away with its disk. A message that is never delivered is lost.
+A branch ends where the same state was already visited with at least as many steps left.
 """
 
 from __future__ import annotations
@@ -38,69 +38,69 @@
 
 NAMES = ("a", "b", "c")
 VOTERS = Members.from_wire({name: {"addr": name, "voter": True} for name in NAMES})
-NEW = "d"  # the newcomer: no member at first
-RNG = random.Random(1)  # decides nothing here: no timer fires
-STEP_S = 1.0  # what was heard before a step is heard no more after it
-Step = tuple[str, str, int]  # what, whose, which message
+NEW = "d"  # not a member at first
+RNG = random.Random(1)  # has no effect here, since timers never fire
+STEP_S = 1.0  # long enough that contact with a leader before a step has expired after it
+Step = tuple[str, str, int]  # action, member, number of a message or change
 Rows = list[tuple[str, tuple[Any, ...]]]
 
 
-class FoundError(Exception):
-    """An invariant does not hold."""
+class InvariantError(Exception):
+    """An invariant is violated."""
 
 
 @dataclass(frozen=True, slots=True)
-class Start:
-    """What the members' disks hold at first, and how often what may happen."""
+class InitialState:
+    """An initial state: the contents of the members' disks, and how often each kind of step may be taken."""
 
-    disks: dict[str, tuple[int, str, list[int]]]  # by member: term, vote, the terms of its entries
-    stands: int
-    losses: int  # of power
+    disks: dict[str, tuple[int, str, list[int]]]  # by member: term, vote, terms of the log entries
+    elections: int
+    losses: int  # power losses
     wipes: int
-    first: tuple[tuple[str, str, str], ...] = ()  # steps taken before: what, whose, which message begins so
+    first: tuple[tuple[str, str, str], ...] = ()  # steps taken before: action, member, message prefix
     writes: int = 0
-    changes: int = 0  # of the membership
-    cuts: int = 0  # of logs
-    away: int = 0  # members that are taken away once they are removed
-    plan: Callable[[Play], None] | None = None  # what is done before, after that
+    changes: int = 0  # membership changes
+    compactions: int = 0  # log compactions
+    departures: int = 0  # removed members that are taken away with their disks
+    plan: Callable[[Execution], None] | None = None  # further setup, after those steps
 
 
-def _led(play: Play) -> None:
-    """The first leads, and all have its first entry."""
+def _elect_first(play: Execution) -> None:
+    """Elect the first member, and replicate its first entry to all."""
     play.take(("stand", "a", 0))
-    play.settle()
+    play.deliver_all()
 
 
-def _change(play: Play, leader: str, name: str, voter: bool | None) -> None:
-    """A member is let in, made a voter or a learner, or removed (None), and all hear of it."""
+def _change(play: Execution, leader: str, name: str, voter: bool | None) -> None:
+    """Add a member, make it a voter or learner, or remove it (`voter` is None); all members learn of it."""
     for at, after in enumerate(play.changes(leader)):
         before = play.members[leader].raft.members.get(name)
         if after.get(name) != before and (after[name].is_voter if name in after else None) is voter:
             play.take(("change", leader, at))
-            play.settle()
+            play.deliver_all()
             return
-    raise AssertionError("no such change")
+    raise AssertionError("the leader has no such membership change")
 
 
-def _with_learner(play: Play) -> None:
-    _led(play)
+def _with_learner(play: Execution) -> None:
+    _elect_first(play)
     _change(play, "a", NEW, False)
 
 
-def _with_four(play: Play) -> None:
+def _with_four(play: Execution) -> None:
     _with_learner(play)
     _change(play, "a", NEW, True)
 
 
-def _without_c(play: Play) -> None:
-    _led(play)
+def _without_c(play: Execution) -> None:
+    _elect_first(play)
     _change(play, "a", "c", None)
 
 
-# Fresh disks; and a leader with an entry of an older term, while another has one of its own of a newer term.
-STARTS = {
-    "fresh": Start({name: (0, "", []) for name in NAMES}, 2, 1, 1),
-    "older": Start(
+# Empty disks; and a leader with an entry of an older term, while another member has one of a newer term.
+INITIAL_STATES = {
+    "fresh": InitialState({name: (0, "", []) for name in NAMES}, 2, 1, 1),
+    "older": InitialState(
         {"a": (2, "", [1]), "b": (2, "b", [2]), "c": (2, "b", [])},
         2,
         1,
@@ -117,15 +117,18 @@
 }
 
 
-# With a newcomer, from a leader that all follow; the depth to which the tests look at all.
+# With a fourth member, starting from an elected leader; and the depth to which the tests explore.
 _EMPTY: dict[str, tuple[int, str, list[int]]] = {name: (0, "", []) for name in (*NAMES, NEW)}
-CHANGES = {
-    "learner": (Start(_EMPTY, 1, 0, 0, writes=1, plan=_with_learner), 6),
-    "removed": (Start(_EMPTY, 2, 1, 0, plan=_without_c), 6),
-    "leaving": (Start(_EMPTY, 0, 0, 1, writes=1, changes=1, away=1, plan=_led), 5),
-    "changes": (Start(_EMPTY, 2, 0, 0, changes=2, plan=_with_learner), 4),
-    "snapshots": (Start(_EMPTY, 1, 0, 0, changes=1, cuts=2, plan=_led), 5),
-    "all of it": (Start(_EMPTY, 1, 1, 1, writes=1, changes=2, cuts=1, away=1, plan=_with_four), 3),
+MEMBERSHIP_STATES = {
+    "learner": (InitialState(_EMPTY, 1, 0, 0, writes=1, plan=_with_learner), 6),
+    "removed": (InitialState(_EMPTY, 2, 1, 0, plan=_without_c), 6),
+    "leaving": (InitialState(_EMPTY, 0, 0, 1, writes=1, changes=1, departures=1, plan=_elect_first), 5),
+    "changes": (InitialState(_EMPTY, 2, 0, 0, changes=2, plan=_with_learner), 4),
+    "snapshots": (InitialState(_EMPTY, 1, 0, 0, changes=1, compactions=2, plan=_elect_first), 5),
+    "all of it": (
+        InitialState(_EMPTY, 1, 1, 1, writes=1, changes=2, compactions=1, departures=1, plan=_with_four),
+        3,
+    ),
 }
 
 
@@ -138,14 +141,14 @@
 
 @dataclass(slots=True)
 class _Member:
-    """One member: its process, its disk, and what its disk was asked to write."""
+    """One member: its process, its disk, and the writes that are not synced yet."""
 
     saved: PersistentState
     raft: Any = None
     handlers: dict[str, Callable[..., None]] = field(default_factory=dict)
-    cluster_state: Json = field(default_factory=dict)  # what was applied
+    cluster_state: Json = field(default_factory=dict)  # applied commands by index
     waiting: list[tuple[Rows, OnWritten]] = field(default_factory=list)
-    life: int = 0
+    incarnation: int = 0
 
     def apply(self, index: int, command: Json) -> Json:
         self.cluster_state[str(index)] = command
@@ -159,11 +162,11 @@
 
 
 class _ModelRuntime:
-    """The world as one life of a member sees it; only explicit steps make anything happen."""
+    """The runtime of one incarnation of a member; nothing happens but through explicit steps."""
 
-    def __init__(self, play: Play, name: str) -> None:
+    def __init__(self, play: Execution, name: str) -> None:
         self.play, self.name, self.rng = play, name, RNG
-        self.life = play.members[name].life
+        self.incarnation = play.members[name].incarnation
 
     def now(self) -> float:
         return self.play.now
@@ -178,12 +181,12 @@
         self.request(address, message, 0.0, lambda reply: None)
 
     def request(self, address: str, message: RawMessage, timeout_s: float, on_reply: ReplyCallback) -> None:
-        play, name, life = self.play, self.name, self.life
+        play, name, incarnation = self.play, self.name, self.incarnation
         tag, payload = message.tag, message.payload
         text = json.dumps([tag, message.body, payload.decode()])
 
         def back(said: Json) -> None:
-            if play.members[name].life == life:
+            if play.members[name].incarnation == incarnation:
                 on_reply(Ok(Reply(said, b"")))
 
         def respond(said: Json, blob: bytes = b"") -> None:
@@ -196,27 +199,27 @@
         play.post(address, f"{name} {text}", arrive)
 
 
-class Play:
-    """One sequence of steps, from a start."""
+class Execution:
+    """One sequence of steps from an initial state."""
 
     def __init__(
-        self, start: Start, blank: Callable[[str, int], PersistentState], like: Play | None = None
+        self, start: InitialState, blank: Callable[[str, int], PersistentState], like: Execution | None = None
     ) -> None:
         self.blank, self.now = blank, 0.0
         self.left = {
-            "stand": start.stands,
+            "stand": start.elections,
             "power": start.losses,
             "wipe": start.wipes,
             "write": start.writes,
             "change": start.changes,
-            "cut": start.cuts,
-            "away": start.away,
+            "cut": start.compactions,
+            "away": start.departures,
         }
         self.messages: dict[int, _Message] = {}
         self._numbers = 0
         self.leaders: dict[int, str] = {}
         self.committed: dict[int, Entry] = {}
-        self.committed_in: dict[int, int] = {}  # the term of the leader that committed an entry
+        self.committed_in: dict[int, int] = {}  # by index, the term of the leader that committed the entry
         self.members: dict[str, _Member] = {}
         for name, (term, vote, entries) in start.disks.items():
             rows = [Entry(it, None) for it in entries]
@@ -236,8 +239,8 @@
             start.plan(self)
             self.left = left
 
-    def _copy(self, like: Play) -> None:
-        """Be as another play of this start whose messages have all come and whose disks have synced."""
+    def _copy(self, like: Execution) -> None:
+        """Copy the state of another run of the same start without messages in flight or unsynced writes."""
         assert not like.messages, "messages can't be copied"
         self.now, self._numbers = like.now, like._numbers
         self.leaders, self.committed = dict(like.leaders), dict(like.committed)
@@ -263,12 +266,12 @@
 
     def _begin(self, name: str) -> None:
         member, saved = self.members[name], self.members[name].saved
-        member.life += 1
+        member.incarnation += 1
         member.waiting = []
         member.cluster_state = {}
         member.raft = RaftNode(
             _ModelRuntime(self, name),
-            _Disk(member, member.life),
+            _Disk(member, member.incarnation),
             replace(saved, entries=list(saved.entries)),
             StateMachine(member.apply, member.snapshot, member.restore),
         )
@@ -276,7 +279,7 @@
         member.raft.leader_contact_at = -1e9
 
     def post(self, to: str, text: str, act: Callable[[], None]) -> None:
-        """A message is under way; one that says the same to the same does nothing new."""
+        """Put a message in flight, unless an identical one to the same member is already."""
         if any(it.to == to and it.text == text for it in self.messages.values()):
             return
         self._numbers += 1
@@ -285,9 +288,9 @@
     # -- steps
 
     def steps(self) -> list[Step]:
-        """What may happen next."""
+        """List all steps that are possible now."""
         found: list[Step] = []
-        late = self.left["power"] > 0  # what is not synced matters to who may lose it
+        late = self.left["power"] > 0  # unsynced writes matter only if they can be lost
         for number, message in self.messages.items():
             found.append(("deliver", message.to, number))
             if late:
@@ -304,14 +307,14 @@
                 if self.left["change"]:
                     found += [("change", name, at) for at in range(len(self.changes(name)))]
                 if self.left["away"] and member.raft.is_membership_committed:
-                    gone = [it for it in self.members if self._let_go(member.raft, it)]
+                    gone = [it for it in self.members if self._may_be_taken_away(member.raft, it)]
                     found += [("away", it, 0) for it in gone]
             if self.left["cut"] and member.raft.last_applied > member.raft.log.base_index:
                 found.append(("cut", name, 0))
         return found
 
     def changes(self, leader: str) -> list[Members]:
-        """All memberships that a leader could go to from its own by one member."""
+        """All memberships that differ from a leader's by one member."""
         members: Members = self.members[leader].raft.members
         after = [members.with_member(name, it.with_vote(not it.is_voter)) for name, it in members.items()]
         after += [members.without(name) for name in members]
@@ -319,8 +322,8 @@
             after.append(members.with_member(NEW, Member.from_wire({"addr": NEW, "voter": False})))
         return [it for it in after if it.voters]
 
-    def _let_go(self, raft: Any, name: str) -> bool:
-        """Whether operators may take away a member: this leader says that it is removed."""
+    def _may_be_taken_away(self, raft: Any, name: str) -> bool:
+        """Whether operators may take away a member, since this leader reports its removal as complete."""
         told = (
             raft.role is Role.LEADER
             and raft.is_membership_committed
@@ -331,7 +334,7 @@
         )
 
     def take(self, step: Step) -> None:
-        """Have it happen, and look whether all is still well."""
+        """Take a step, and check the invariants."""
         what, name, number = step
         self.now += STEP_S
         member = self.members[name]
@@ -345,7 +348,7 @@
             self.left[what] -= 1
             if what == "stand":
                 member.raft.election.start(member.raft.term + 1, True)
-                self._sync(member)  # what it may have lost before is lost in another step
+                self._sync(member)  # a power loss before this sync is explored as another step
             elif what == "write":
                 member.raft.propose({"n": self.left[what]}, lambda result: None)
                 self._sync(member)
@@ -360,14 +363,14 @@
                 member.saved = PersistentState(f"{name}/away", members=Members())
                 self._begin(name)
             elif what == "wipe":
-                member.saved = self.blank(name, member.life)
+                member.saved = self.blank(name, member.incarnation)
                 self._begin(name)
             else:
                 self._begin(name)
         self._check()
 
-    def settle(self) -> None:
-        """Take the steps that bring all messages, and those that they bring about."""
+    def deliver_all(self) -> None:
+        """Deliver all messages, and those sent in response, until none is left."""
         while self.messages:
             number, message = next(iter(self.messages.items()))
             self.take(("deliver", message.to, number))
@@ -377,53 +380,56 @@
         waiting, member.waiting = member.waiting, []
         for rows, _ in waiting:
             for kind, values in rows:
-                _keep(member.saved, kind, values)
+                _apply_row(member.saved, kind, values)
         for _, then in waiting:
             then(None)
 
-    # -- what must hold
+    # -- invariants
 
     def _check(self) -> None:
         for name, member in self.members.items():
             raft = member.raft
-            self._check_book(name, member)
+            self._check_snapshot(name, member)
             if raft.role is Role.LEADER:
-                if self.leaders.setdefault(raft.term, f"{name}#{member.life}") != f"{name}#{member.life}":
-                    raise FoundError(f"two leaders in term {raft.term}")
+                if (
+                    self.leaders.setdefault(raft.term, f"{name}#{member.incarnation}")
+                    != f"{name}#{member.incarnation}"
+                ):
+                    raise InvariantError(f"two leaders in term {raft.term}")
                 for index, entry in self.committed.items():
                     at = index - raft.log.base_index - 1
                     if raft.term <= self.committed_in[index]:
-                        continue  # one that does not know yet that it leads no more may lack it
+                        continue  # a leader that has not noticed a newer one may lack it
                     if index > raft.log.last_index or (at >= 0 and raft.log.entries[at] != entry):
-                        raise FoundError(f"{name} leads without the entry that was committed at {index}")
+                        raise InvariantError(f"{name} leads without the entry that was committed at {index}")
             for index in range(raft.log.base_index + 1, raft.commit_index + 1):
                 entry = raft.log.entries[index - raft.log.base_index - 1]
                 self.committed_in.setdefault(index, raft.term)
                 if self.committed.setdefault(index, entry) != entry:
-                    raise FoundError(f"two entries are committed at {index}")
+                    raise InvariantError(f"two entries are committed at {index}")
         self._check_majorities()
 
     def _membership(self, upto: int) -> Members:
-        """The newest one that is committed up to an entry."""
+        """The newest membership that is committed up to an index."""
         for index in range(upto, 0, -1):
             members = self.committed[index].members
             if members is not None:
                 return members
         return VOTERS
 
-    def _check_book(self, name: str, member: _Member) -> None:
-        """What a snapshot holds is what was committed, and its members are the newest of then."""
+    def _check_snapshot(self, name: str, member: _Member) -> None:
+        """A snapshot holds only committed commands, and the newest membership at its index."""
         raft = member.raft
         for index, command in member.cluster_state.items():
             if int(index) <= raft.log.snapshot_index and self.committed[int(index)][1] != command:
-                raise FoundError(f"{name} holds a snapshot of what was not committed at {index}")
-        # A newcomer does not know the founders, who stand in no entry; its own coming is a later one.
+                raise InvariantError(f"{name} holds a snapshot of what was not committed at {index}")
+        # A new member does not know the founding members, which no entry lists; a later entry added it.
         snap = raft.log.snapshot_index
         if snap and raft.log.snapshot_members and raft.log.snapshot_members != self._membership(snap):
-            raise FoundError(f"{name} holds a snapshot with members that were not the newest")
+            raise InvariantError(f"{name} holds a snapshot with members that were not the newest")
 
     def _check_majorities(self) -> None:
-        """No majority of the newest leader's voters is disjoint from one of the newest agreed voters."""
+        """Majorities of the newest leader's voters and of the newest committed voters always overlap."""
         leaders = [it.raft for it in self.members.values() if it.raft.role is Role.LEADER]
         if not leaders:
             return
@@ -432,11 +438,11 @@
             theirs = set(self._membership(raft.commit_index).voters)
             ours = set(raft.members.voters)
             if len(theirs) // 2 + len(ours) // 2 + 2 <= len(theirs | ours):
-                raise FoundError(f"majorities of {sorted(theirs)} and {sorted(ours)} can be disjoint")
+                raise InvariantError(f"majorities of {sorted(theirs)} and {sorted(ours)} can be disjoint")
 
     def _check_copies(self, name: str) -> None:
-        """As a member is taken away a majority of the rest has what is committed, but for lost disks."""
-        raft = next(it.raft for it in self.members.values() if self._let_go(it.raft, name))
+        """As a member is taken away, a majority of the rest, minus lost disks, has all committed entries."""
+        raft = next(it.raft for it in self.members.values() if self._may_be_taken_away(it.raft, name))
         saved = [self.members[it].saved for it in raft.members.voters]
         lost = sum(1 for key, it in zip(raft.members.voters, saved, strict=True) if it.member_id != key)
 
@@ -447,10 +453,10 @@
         for index, entry in self.committed.items():
             held = sum(1 for it in saved if has(it, index, entry))
             if held < len(saved) // 2 + 1 - lost:
-                raise FoundError(f"{name} is taken away and leaves {held} copies of the entry at {index}")
+                raise InvariantError(f"{name} is taken away and leaves {held} copies of the entry at {index}")
 
     def state(self) -> int:
-        """What the future depends on."""
+        """A hash of everything that later steps depend on."""
         members = []
         for name, it in self.members.items():
             raft = it.raft
@@ -485,7 +491,7 @@
 
 
 def _parts_of(raft: RaftNode) -> tuple[object, ...]:
-    """The objects that make up a member's state in memory."""
+    """The objects that hold the in-memory state of a member."""
     return (
         raft,
         raft.log,
@@ -499,12 +505,12 @@
 
 
 def _compact(raft: RaftNode) -> None:
-    """Have a member keep a snapshot and no entry that it covers."""
+    """Compact the log of a member into a snapshot that leaves no entry behind."""
     with patch.object(log, "TAIL_ENTRIES", 0):
         raft.log.compact(raft.last_applied, raft.state_machine.snapshot())
 
 
-def _keep(saved: PersistentState, kind: str, values: tuple[Any, ...]) -> None:
+def _apply_row(saved: PersistentState, kind: str, values: tuple[Any, ...]) -> None:
     match row_from(kind, values):
         case TermRow(term, voted_for):
             saved.term, saved.voted_for = term, voted_for
@@ -520,52 +526,55 @@
             offset = index - saved.snapshot_index - 1
             saved.entries[offset : offset + 1] = [Entry(term, command)]
         case row:
-            raise AssertionError(f"no member starts a new incarnation here: {row}")
+            raise AssertionError(f"unexpected row: no member starts a new incarnation here: {row}")
 
 
 class _Disk:
-    """Writes wait for a step."""
+    """A disk whose writes wait until a step syncs them."""
 
-    def __init__(self, member: _Member, life: int) -> None:
-        self.member, self.life = member, life
+    def __init__(self, member: _Member, incarnation: int) -> None:
+        self.member, self.incarnation = member, incarnation
 
     def write(self, rows: Rows, then: OnWritten) -> None:
-        if self.member.life == self.life:
+        if self.member.incarnation == self.incarnation:
             self.member.waiting.append((rows, then))
 
 
-def stranger(name: str, life: int) -> PersistentState:
-    """What a wiped member comes back as: another one."""
-    return PersistentState(f"{name}/{life}", members=Members())
+def stranger(name: str, incarnation: int) -> PersistentState:
+    """The state of a wiped member: it returns with a new id and no members."""
+    return PersistentState(f"{name}/{incarnation}", members=Members())
 
 
-def old_self(name: str, life: int) -> PersistentState:
-    """A fault: a wiped member comes back under the name that it had."""
+def same_identity(name: str, incarnation: int) -> PersistentState:
+    """A faulty state of a wiped member: it returns with the id that it had."""
     return PersistentState(name, members=VOTERS)
 
 
 @dataclass(frozen=True, slots=True)
-class Explored:
-    """What was looked at, and the first steps that break an invariant."""
+class ExplorationResult:
+    """The result of an exploration: its size, and the first violation with the steps to it."""
 
     states: int
     steps: int
-    whole: bool  # whether all states to this depth were looked at
+    whole: bool  # whether all states to this depth were visited
     found: str = ""
     path: tuple[Step, ...] = ()
 
 
 def explore(
-    start: Start, depth: int, blank: Callable[[str, int], PersistentState] = stranger, most: int = 1_000_000
-) -> Explored:
-    """Look at all states that so many steps lead to; at `most` of them, if there are more."""
+    start: InitialState,
+    depth: int,
+    blank: Callable[[str, int], PersistentState] = stranger,
+    most: int = 1_000_000,
+) -> ExplorationResult:
+    """Visit all states within `depth` steps of an initial state, but no more than `most` states."""
     seen: dict[int, int] = {}
     taken = 0
     path: list[Step] = []
-    play = Play(start, blank)
-    like = None if play.messages else Play(start, blank)
+    play = Execution(start, blank)
+    like = None if play.messages else Execution(start, blank)
     todo: list[Iterable[Step]] = [iter(play.steps())]
-    stale = False  # whether the play has gone on beyond the path
+    stale = False  # whether the run has gone beyond `path` and must be rebuilt
     while todo:
         step = next(iter(todo[-1]), None)
         if step is None or len(seen) >= most:
@@ -575,14 +584,14 @@
             stale = True
             continue
         if stale:
-            play, stale = Play(start, blank, like), False
+            play, stale = Execution(start, blank, like), False
             for it in path:
                 play.take(it)
         taken += 1
         try:
             play.take(step)
-        except (FoundError, AssertionError) as error:
-            return Explored(len(seen), taken, False, str(error), (*path, step))
+        except (InvariantError, AssertionError) as error:
+            return ExplorationResult(len(seen), taken, False, str(error), (*path, step))
         key, left = play.state(), depth - len(path) - 1
         if left <= 0 or seen.get(key, -1) >= left:
             seen.setdefault(key, left)
@@ -591,4 +600,4 @@
         seen[key] = left
         path.append(step)
         todo.append(iter(play.steps()))
-    return Explored(len(seen), taken, len(seen) < most)
+    return ExplorationResult(len(seen), taken, len(seen) < most)
--- a/amberlug/cluster/simulation/scenarios.py
+++ b/amberlug/cluster/simulation/scenarios.py
@@ -1,4 +1,4 @@
-"""Days drawn from a seed: a deployment, a load and troubles, never more at once than must be borne."""
+"""Scenarios drawn from a seed: a deployment, a load and faults, never more at once than it must tolerate."""
 
 from __future__ import annotations
 
@@ -10,27 +10,27 @@
 
 from amberlug.cluster.consensus import log
 from amberlug.cluster.simulation.clients import Clients, Load
-from amberlug.cluster.simulation.control_faults import FORMS, Control
+from amberlug.cluster.simulation.control_faults import PARTITION_FORMS, ControlFaults
 from amberlug.cluster.simulation.deployment import ONE_MACHINE, Deployment
 from amberlug.cluster.simulation.endpoints import Kind
-from amberlug.cluster.simulation.history import Broken
-from amberlug.cluster.simulation.invariants import Checker
-from amberlug.cluster.simulation.loss_schedule import Losses, draw_site
+from amberlug.cluster.simulation.history import Violation
+from amberlug.cluster.simulation.invariants import InvariantChecker
+from amberlug.cluster.simulation.loss_schedule import LossSchedule, draw_plan
 from amberlug.cluster.simulation.machine import BOUNDS, RESTART_S, Machine
 from amberlug.cluster.simulation.operator import Operator, route, service
 from amberlug.cluster.simulation.storage_faults import StorageFaults
 
-TRAFFIC_S = 3.5  # machines start so long before traffic does
-AFTER_S = 10.0  # for what was accepted to be done
-QUESTIONS_S = 6.0
-BACK_S = BOUNDS["catchUpS"]  # a machine counts as lost so long after it is back
-CORE_CUT_S = (4.0, 4.4)  # on ordinary days
+TRAFFIC_S = 3.5  # from the start of the machines until traffic starts
+DELIVERY_S = 10.0  # from the end of traffic, for accepted messages to end
+FINAL_QUERIES_S = 6.0
+CATCH_UP_S = BOUNDS["catchUpS"]  # a machine still counts as lost for this long after it returns
+CONTROL_PARTITION_S = (4.0, 4.4)  # duration of control-plane partitions outside the family `control`
 MAX_ATTEMPTS = 3
 
 
 @dataclass(frozen=True, slots=True)
 class Size:
-    """A deployment's size and its traffic."""
+    """The size of a deployment and its traffic."""
 
     zones: int
     edges: int
@@ -40,8 +40,8 @@
     rate: float
 
 
-class Day:
-    """One play of one seed."""
+class Scenario:
+    """One run of one seed, in a scenario family."""
 
     def __init__(self, seed: int, aim: str = "") -> None:
         self.aim = aim
@@ -55,7 +55,7 @@
             rng.uniform(20.0, 40.0),
         )
         if aim in ("closing", "core"):
-            # The fault is all that counts: many messages are under way when it strikes, or few.
+            # Only the final fault matters: it strikes while many messages are in flight, or few.
             size = self.size = replace(size, seconds=6.5, rate=100.0 if aim == "closing" else 8.0)
         elif aim == "storage":
             size = self.size = replace(size, seconds=36.0, rate=20.0)
@@ -63,10 +63,10 @@
             size = self.size = replace(size, seconds=38.0, rate=10.0)
         tolerance, regions, delayed = ONE_MACHINE, 1, 0.1
         if aim.startswith("losses"):
-            site = draw_site(random.Random(f"{seed} site"), aim)
-            tolerance, regions = site.tolerance, site.regions
-            rate, delayed = (50.0, 0.7) if site.backlog else (20.0, 0.1)
-            size = self.size = Size(site.zones, site.edges, site.stores, site.cores, 50.0, rate)
+            plan = draw_plan(random.Random(f"{seed} site"), aim)
+            tolerance, regions = plan.tolerance, plan.regions
+            rate, delayed = (50.0, 0.7) if plan.backlog else (20.0, 0.1)
+            size = self.size = Size(plan.zones, plan.edges, plan.stores, plan.cores, 50.0, rate)
         dedup = rng.random() < 0.4
         kinds = [
             Kind("alpha", 4, 0.06, False),
@@ -98,20 +98,20 @@
             "limits": {"maxHeaderBytes": 16384},
         }
         self.operator = Operator(self.deployment, first)
-        self.compact = log.SNAPSHOT_ENTRIES  # entries in the core's log until a snapshot takes their place
-        self.storage_faults = Losses(self) if aim.startswith("losses") else StorageFaults(self)
-        self.control = Control(self)
+        self.compact = log.SNAPSHOT_ENTRIES  # Raft log entries between snapshots
+        self.storage_faults = LossSchedule(self) if aim.startswith("losses") else StorageFaults(self)
+        self.control = ControlFaults(self)
         if delayed > 0.1:
             for machine in self.deployment.stores:
                 assert machine.disk is not None, "stores have a disk"
                 machine.disk.sync_s = self.deployment.sync_s = 0.05
         if aim in ("closing", "core"):
-            # Machines differ in what they have on disk at any moment.
+            # Different sync times, so that the disks differ in their content at any time.
             for machine in self.deployment.stores + self.deployment.cores:
                 assert machine.disk is not None, "stores and cores have a disk"
                 machine.disk.sync_s = rng.choice((0.002, 0.05, 0.1))
-        self.end = 0.0  # of the troubles
-        self.home = ""  # the zone of all endpoints, where they stand in one
+        self.end = 0.0  # of the faults
+        self.home = ""  # the zone of all endpoints, if they are in one
         if aim == "control":
             if rng.random() < 0.4:
                 self.home = rng.choice(self.deployment.cores).zone
@@ -125,12 +125,12 @@
                 machine.loss = 0.06
             self.history.lossy = True
 
-    def play(self) -> list[Broken]:
-        """Play the day; the rules that broke."""
+    def play(self) -> list[Violation]:
+        """Run the scenario; returns the violations."""
         with patch.object(log, "SNAPSHOT_ENTRIES", self.compact):
             return self._play()
 
-    def _play(self) -> list[Broken]:
+    def _play(self) -> list[Violation]:
         for machine in self.deployment.machines:
             self.clock.call_later(self.rng.uniform(0.0, 0.15), machine.start)
         for name, count in (("alpha", 4), ("beta", 3), ("gamma", 2)):
@@ -145,68 +145,79 @@
         self._plan(TRAFFIC_S + 1.0, over - 5.0)
         self.clock.run(over)
         self.clients.sending = False
-        self.history.over_at = over
-        self.history.say("traffic ends")
-        self.clock.run(over + AFTER_S)
+        self.history.traffic_ended_at = over
+        self.history.trace("traffic ends")
+        self.clock.run(over + DELIVERY_S)
         self.clients.ask_all(8)
         self.operator.read_back(10)
-        self.clock.run(over + AFTER_S + QUESTIONS_S)
+        self.clock.run(over + DELIVERY_S + FINAL_QUERIES_S)
         for machine in self.deployment.machines:
             machine.note_violations()
-        return Checker(self.history, MAX_ATTEMPTS).check()
+        return InvariantChecker(self.history, MAX_ATTEMPTS).check()
 
-    # -- what is done
+    # -- faults
 
     def _plan(self, start: float, end: float) -> None:
-        """Draw what happens when. Losses of counted machines stand apart by what it takes to catch up."""
+        """Schedule faults and operations; losses of machines are apart by the time it takes to catch up."""
         rng, self.end = self.rng, end
         free = {"system": start, "other": start}
         system: list[Callable[[], float]] = [
-            self._kill,
-            self._power,
-            self._freeze,
-            self._roll,
-            self._cut,
-            self._leader_acks,
-            self._drop_links,
-            self._stall,
-            self._leader_drains,
-            self._core_cut,
+            self._kill_any,
+            self._power_off_any,
+            self._freeze_any,
+            self._restart_any,
+            self._partition_any,
+            self._kill_acknowledging_node,
+            self._disturb_connections,
+            self._stall_or_fill_disk,
+            self._kill_node_acknowledging_drain,
+            self._partition_control_node,
         ]
         aims: dict[str, list[Callable[[], float]]] = {
-            "edges": [self._edge_freeze, self._edge_kill, self._edge_roll, self._edge_cut],
-            "roll": [self._edge_roll],
-            "drain": [self._leader_drains],
+            "edges": [self._freeze_edge, self._kill_edge, self._restart_edge, self._partition_edge],
+            "roll": [self._restart_edge],
+            "drain": [self._kill_node_acknowledging_drain],
             "closing": [lambda: 0.0],
             "core": [lambda: 0.0],
             "config": [lambda: 0.0],
-            "rate": [self._edge_kill, self._edge_roll],
-            "freeze": [self._edge_freeze],
+            "rate": [self._kill_edge, self._restart_edge],
+            "freeze": [self._freeze_edge],
             "quiet": [lambda: 0.0],
-            "answers": [self._edge_kill, self._edge_roll, self._edge_freeze, self._edge_cut],
+            "answers": [self._kill_edge, self._restart_edge, self._freeze_edge, self._partition_edge],
             "storage": [lambda: 0.0],
             "control": [lambda: 0.0],
         }
         others = [
-            self._crash,
+            self._crash_endpoint,
             self.replace_endpoint,
-            self._answers_lost,
-            self._change,
-            self._change,
-            self._race,
-            self._invalid,
+            self._lose_responses,
+            self._change_config,
+            self._change_config,
+            self._change_config_concurrently,
+            self._submit_invalid_config,
         ]
         system = aims.get(self.aim, system)
         if self.aim == "config":
-            others = [self._changes]
+            others = [self._change_config_twice]
         if self.aim.startswith("losses"):
             system = [lambda: 0.0]
-            others = [self._change, self._change, self._race, self.replace_endpoint, self._crash]
+            others = [
+                self._change_config,
+                self._change_config,
+                self._change_config_concurrently,
+                self.replace_endpoint,
+                self._crash_endpoint,
+            ]
             self.storage_faults.begin(start, end - 2.0)
         if self.aim == "answers":
-            others = [self._answers_garbled, self._answers_garbled, self._answers_lost, self._crash]
+            others = [
+                self._garble_responses,
+                self._garble_responses,
+                self._lose_responses,
+                self._crash_endpoint,
+            ]
         if self.aim == "storage":
-            others = [*others, self._edge_kill, self._edge_roll, self._edge_freeze]
+            others = [*others, self._kill_edge, self._restart_edge, self._freeze_edge]
             self.storage_faults.begin(start, end - 2.0)
         if self.aim == "control":
             others = [lambda: 0.0]
@@ -215,16 +226,20 @@
             which = min(free, key=lambda name: free[name])
             act = rng.choice(system if which == "system" else others)
             at = free[which]
-            self.clock.call_later(at - self.clock.now, partial(self._do, act))
+            self.clock.call_later(at - self.clock.now, partial(self._run_action, act))
             free[which] = at + (
-                rng.uniform(BACK_S + 3.5, BACK_S + 6.0) if which == "system" else rng.uniform(0.4, 3.0)
+                rng.uniform(CATCH_UP_S + 3.5, CATCH_UP_S + 6.0)
+                if which == "system"
+                else rng.uniform(0.4, 3.0)
             )
         often = {"": 0.25, "control": 0.4}.get(self.aim, 0.0)
         if self.aim in ("closing", "core") or (often and rng.random() < often):
-            self.clock.call_later(end + 1.0 - self.clock.now, partial(self._do, self._close))
+            self.clock.call_later(
+                end + 1.0 - self.clock.now, partial(self._run_action, self._inject_final_fault)
+            )
 
     @staticmethod
-    def _do(act: Callable[[], float]) -> None:
+    def _run_action(act: Callable[[], float]) -> None:
         act()
 
     def _start(self, service: str, zone: str, address: str = "") -> None:
@@ -238,59 +253,63 @@
         return seconds
 
     def kill_one(self, machine: Machine) -> float:
-        """A process ends at once, and starts again."""
-        self.history.trouble(f"{machine.name} is killed", RESTART_S, marked=True)
+        """Kill a process, and restart it."""
+        self.history.record_disturbance(f"{machine.name} is killed", RESTART_S, is_in_events=True)
         machine.kill()
         return self._restart(machine)
 
-    def _kill(self) -> float:
+    def _kill_any(self) -> float:
         return self.kill_one(self._any(self.deployment.machines))
 
-    def _edge_kill(self) -> float:
+    def _kill_edge(self) -> float:
         return self.kill_one(self._any(self.deployment.edges))
 
-    def _power(self) -> float:
+    def _power_off_any(self) -> float:
         machine, seconds = self._any(self.deployment.machines), self.rng.uniform(0.5, 3.0)
-        self.history.trouble(f"{machine.name} loses power for {seconds:.1f} s", seconds, marked=True)
+        self.history.record_disturbance(
+            f"{machine.name} loses power for {seconds:.1f} s", seconds, is_in_events=True
+        )
         machine.power_off()
         return self._restart(machine, seconds)
 
     def _freeze_one(self, machine: Machine) -> float:
         seconds = self.rng.choice((0.5, 1.0, 2.0, 3.0))
-        self.history.trouble(f"{machine.name} is frozen for {seconds:.1f} s", seconds, marked=True)
+        self.history.record_disturbance(
+            f"{machine.name} is frozen for {seconds:.1f} s", seconds, is_in_events=True
+        )
         machine.freeze()
         self.clock.call_later(seconds, machine.thaw)
         return seconds
 
-    def _freeze(self) -> float:
+    def _freeze_any(self) -> float:
         return self._freeze_one(self._any(self.deployment.machines))
 
-    def _edge_freeze(self) -> float:
+    def _freeze_edge(self) -> float:
         return self._freeze_one(self._any(self.deployment.edges))
 
-    def _term(self, machine: Machine) -> float:
-        """A planned stop and start; that of a core or a store unsettles the core like any trouble."""
-        self.history.trouble(f"{machine.name} is told to end", 7.0, planned=machine.kind == "edge")
+    def _restart_as_planned(self, machine: Machine) -> float:
+        """Restart as planned; of a control-plane or storage node, this counts as a fault."""
+        self.history.record_disturbance(f"{machine.name} is shut down", 7.0, planned=machine.kind == "edge")
         machine.term()
 
         def look() -> None:
             if machine.up:
                 self.clock.call_later(0.1, look)
             else:
-                self.history.say(f"{machine.name} has ended")
+                self.history.trace(f"{machine.name} has ended")
                 self.clock.call_later(RESTART_S, machine.start)
 
         look()
         return 7.0
 
-    def _roll(self) -> float:
-        return self._term(self._any(self.deployment.machines))
+    def _restart_any(self) -> float:
+        return self._restart_as_planned(self._any(self.deployment.machines))
 
-    def _edge_roll(self) -> float:
-        return self._term(self._any(self.deployment.edges))
+    def _restart_edge(self) -> float:
+        return self._restart_as_planned(self._any(self.deployment.edges))
 
-    def cut_off(self, machine: Machine, seconds: float, reset: bool = False) -> float:
-        """Cut links of one machine, one way or both, for a while; its connections may be reset as it ends."""
+    def partition(self, machine: Machine, seconds: float, reset: bool = False) -> float:
+        """Partition a machine from others, one way or both; its connections may be reset at the end."""
         others = self.deployment.machines
         if self.rng.random() < 0.5:
             others = self.rng.sample(others, len(others) // 2)
@@ -300,44 +319,44 @@
             if it is not machine:
                 pairs |= {(machine.name, it.name)} if way != "to" else set()
                 pairs |= {(it.name, machine.name)} if way != "from" else set()
-        self.history.trouble(
-            f"{machine.name} is cut from {len(others)} machines ({way}) for {seconds:.1f} s", seconds
+        self.history.record_disturbance(
+            f"{machine.name} is partitioned from {len(others)} machines ({way}) for {seconds:.1f} s", seconds
         )
         self.deployment.net.cut(pairs)
-        self.clock.call_later(seconds, partial(self.deployment.net.join, pairs))
+        self.clock.call_later(seconds, partial(self.deployment.net.heal, pairs))
         if reset:
             self.clock.call_later(seconds, partial(self.deployment.net.reset, machine))
         return seconds
 
-    def _core_cut(self) -> float:
-        """A core machine is cut off from the others, where it counts as lost no more by the closing fault."""
+    def _partition_control_node(self) -> float:
+        """Partition a control-plane node, unless it would still count as lost at the final fault."""
         control = self.control
-        if self.clock.now + CORE_CUT_S[1] + BACK_S > self.end + 1.0:
-            return self._cut()
-        control.cut_off(
+        if self.clock.now + CONTROL_PARTITION_S[1] + CATCH_UP_S > self.end + 1.0:
+            return self._partition_any()
+        control.partition(
             self._any(self.deployment.cores),
-            self.rng.uniform(*CORE_CUT_S),
-            self.rng.choice(FORMS),
+            self.rng.uniform(*CONTROL_PARTITION_S),
+            self.rng.choice(PARTITION_FORMS),
             self.rng.random() < 0.5,
         )
         assert control.cut is not None, "a machine was just cut off"
-        control.meet(control.cut)
-        return CORE_CUT_S[1]
+        control.send_to_partitioned(control.cut)
+        return CONTROL_PARTITION_S[1]
 
-    def _cut(self) -> float:
-        return self.cut_off(self._any(self.deployment.machines), self.rng.uniform(0.3, 4.0))
+    def _partition_any(self) -> float:
+        return self.partition(self._any(self.deployment.machines), self.rng.uniform(0.3, 4.0))
 
-    def _edge_cut(self) -> float:
-        return self.cut_off(self._any(self.deployment.edges), self.rng.uniform(0.3, 4.0))
+    def _partition_edge(self) -> float:
+        return self.partition(self._any(self.deployment.edges), self.rng.uniform(0.3, 4.0))
 
-    def _drop_links(self) -> float:
-        """Reset the connections of one machine, or lose a part of its packets for a while."""
+    def _disturb_connections(self) -> float:
+        """Reset the connections of one machine, or have it lose some packets for a while."""
         machine = self._any(self.deployment.machines)
         if self.rng.random() < 0.5:
-            self.history.trouble(f"the connections of {machine.name} are reset")
+            self.history.record_disturbance(f"the connections of {machine.name} are reset")
             self.deployment.net.reset(machine)
             return 0.0
-        self.history.trouble(f"{machine.name} loses packets for 3 s", 3.0)
+        self.history.record_disturbance(f"{machine.name} loses packets for 3 s", 3.0)
         machine.loss = 0.05
 
         def whole() -> None:
@@ -346,17 +365,19 @@
         self.clock.call_later(3.0, whole)
         return 3.0
 
-    def _stall(self) -> float:
-        """A disk stalls, or is full for a while."""
+    def _stall_or_fill_disk(self) -> float:
+        """Stall a disk for a while, or have it full."""
         machine = self._any(self.deployment.stores + self.deployment.cores)
         disk = machine.disk
         assert disk is not None, "stores and cores have a disk"
         seconds = self.rng.uniform(0.3, 3.0)
         if self.rng.random() < 0.5:
-            self.history.trouble(f"the disk of {machine.name} stalls for {seconds:.1f} s", seconds)
+            self.history.record_disturbance(f"the disk of {machine.name} stalls for {seconds:.1f} s", seconds)
             disk.stalled_until = self.clock.now + seconds
         elif machine.kind == "store":
-            self.history.trouble(f"the disk of {machine.name} is full for {seconds:.1f} s", seconds)
+            self.history.record_disturbance(
+                f"the disk of {machine.name} is full for {seconds:.1f} s", seconds
+            )
             disk.full = True
 
             def room() -> None:
@@ -366,7 +387,7 @@
         return seconds
 
     def leader(self) -> Machine | None:
-        """The core machine that takes itself for the leader."""
+        """The control-plane node that believes it is the leader, if any."""
         return next(
             (
                 it
@@ -376,27 +397,27 @@
             None,
         )
 
-    def _leader_acks(self) -> float:
-        """Kill the relay that acknowledges a configuration, or the leader, at that moment."""
+    def _kill_acknowledging_node(self) -> float:
+        """Kill the node that acknowledges a configuration, or the leader, at that moment."""
         which = self.rng.random() < 0.5
 
         def strike(core: Machine) -> None:
-            self.operator.on_acked = lambda it: None
+            self.operator.on_acknowledged = lambda it: None
             machine = core if which else self.leader()
             if machine is not None:
                 self.kill_one(machine)
 
-        self.operator.on_acked = strike
+        self.operator.on_acknowledged = strike
         self.operator.change()
-        self.clock.call_later(2.0, self._no_strike)
+        self.clock.call_later(2.0, self._cancel_strikes)
         return 2.0
 
-    def _no_strike(self) -> None:
-        self.operator.on_acked = lambda core: None
+    def _cancel_strikes(self) -> None:
+        self.operator.on_acknowledged = lambda core: None
         self.deployment.endpoint_fleet.on_drained = lambda core: None
 
-    def _leader_drains(self) -> float:
-        """Kill the relay that acknowledges a drain, or the leader, at that moment."""
+    def _kill_node_acknowledging_drain(self) -> float:
+        """Kill the node that acknowledges a drain, or the leader, at that moment."""
         which = self.aim == "drain" or self.rng.random() < 0.5
 
         def strike(core: Machine) -> None:
@@ -407,13 +428,13 @@
 
         self.deployment.endpoint_fleet.on_drained = strike
         self.replace_endpoint()
-        self.clock.call_later(2.0, self._no_strike)
+        self.clock.call_later(2.0, self._cancel_strikes)
         return 2.0
 
-    def _close(self) -> float:
-        """A closing fault: right after a configuration is acknowledged."""
+    def _inject_final_fault(self) -> float:
+        """Inject the final fault, which hits all machines, as a configuration is acknowledged."""
         rng = self.rng
-        # On control days, a machine that was cut off may still count as lost: no disk goes besides.
+        # In the family `control`, a partitioned machine may still count as lost: no disk may be lost as well.
         hows = ("power", "kill") if self.aim == "control" else ("power", "kill", "wipe")
         what = "wipe" if self.aim in ("closing", "core") else rng.choice(hows)
         by_aim = {"core": self.deployment.cores, "closing": self.deployment.stores}
@@ -426,29 +447,29 @@
             if struck:
                 return
             struck = True
-            self.operator.on_acked = lambda it: None
-            self.history.trouble(f"the closing fault: {what}", seconds)
+            self.operator.on_acknowledged = lambda it: None
+            self.history.record_disturbance(f"final fault: {what}", seconds)
             for machine in self.deployment.machines:
                 machine.kill() if what == "kill" else machine.power_off()
                 self._restart(machine, seconds + rng.uniform(0.0, 2.0 if self.aim == "core" else 0.3))
             if what == "wipe":
                 lost = self._any(counted)
-                self.history.say(f"{lost.name} loses its disk")
+                self.history.trace(f"{lost.name} loses its disk")
                 lost.wipe()
 
-        self.operator.on_acked = strike
+        self.operator.on_acknowledged = strike
         self.operator.change()
         self.clock.call_later(1.5, strike)
         return seconds
 
     # -- endpoints and configuration
 
-    def _crash(self) -> float:
+    def _crash_endpoint(self) -> float:
         ready = self.deployment.endpoint_fleet.up()
         victim = self.rng.choice(ready)
         silent = self.rng.random() < 0.3
         if len(self.deployment.endpoint_fleet.up(victim.kind.name)) > 1:
-            self.history.say(f"{victim.name} crashes{' with its machine' if silent else ''}")
+            self.history.trace(f"{victim.name} crashes{' with its machine' if silent else ''}")
             victim.crash(silent)
             reuse = "" if self.rng.random() < 0.5 else victim.address
             names = list(self.deployment.endpoint_fleet.kinds)
@@ -460,18 +481,18 @@
         return 0.0
 
     def replace_endpoint(self) -> float:
-        """An endpoint leaves as planned, and another one takes its place."""
+        """Shut down an endpoint as planned, and start another one in its place."""
         endpoint_fleet = self.deployment.endpoint_fleet
         victim = self.rng.choice(endpoint_fleet.up())
         endpoint_fleet.start(victim.kind.name, victim.zone)
         linger = self.rng.uniform(2.0 if self.aim == "drain" else 0.3, 4.0)
-        self.history.say(f"{victim.name} of {victim.kind.name} is to leave")
-        victim.leave(linger, lambda: self.history.say(f"{victim.name} has ended"))
+        self.history.trace(f"{victim.name} of {victim.kind.name} starts to drain")
+        victim.leave(linger, lambda: self.history.trace(f"{victim.name} has ended"))
         return 0.0
 
-    def _answers_lost(self) -> float:
+    def _lose_responses(self) -> float:
         kind = self.rng.choice(list(self.deployment.endpoint_fleet.kinds.values()))
-        self.history.say(f"{kind.name} loses answers for 1 s")
+        self.history.trace(f"{kind.name} loses responses for 1 s")
         kind.lost = 0.2
 
         def whole() -> None:
@@ -480,11 +501,11 @@
         self.clock.call_later(1.0, whole)
         return 0.0
 
-    def _answers_garbled(self) -> float:
-        """Answers of a service are cut, late, nameless or doubled for a while."""
+    def _garble_responses(self) -> float:
+        """For a while, cut off, delay or repeat responses of a service, or omit their attempt id."""
         kind = self.rng.choice(list(self.deployment.endpoint_fleet.kinds.values()))
         seconds = self.rng.uniform(0.5, 3.0)
-        self.history.say(f"{kind.name} garbles answers for {seconds:.1f} s")
+        self.history.trace(f"{kind.name} garbles responses for {seconds:.1f} s")
         kind.garbled = 0.5
 
         def whole() -> None:
@@ -493,38 +514,38 @@
         self.clock.call_later(seconds, whole)
         return 0.0
 
-    def _change(self) -> float:
+    def _change_config(self) -> float:
         self.operator.change()
-        self.look_at_routes()
+        self.use_recent_routes()
         return 0.0
 
-    def _changes(self) -> float:
-        """Two changes, the second as soon as the first is acknowledged."""
+    def _change_config_twice(self) -> float:
+        """Submit two changes, the second as soon as the first is acknowledged."""
 
         def again(core: Machine) -> None:
-            self.operator.on_acked = lambda it: None
-            self.clock.call_later(0.01, partial(self._do, self._change))
+            self.operator.on_acknowledged = lambda it: None
+            self.clock.call_later(0.01, partial(self._run_action, self._change_config))
 
-        self.operator.on_acked = again
-        return self._change()
+        self.operator.on_acknowledged = again
+        return self._change_config()
 
-    def _race(self) -> float:
+    def _change_config_concurrently(self) -> float:
         self.operator.race()
-        self.look_at_routes()
+        self.use_recent_routes()
         return 0.0
 
-    def _invalid(self) -> float:
+    def _submit_invalid_config(self) -> float:
         self.operator.invalid()
         return 0.0
 
-    def look_at_routes(self) -> None:
-        """Clients also use routes that were added or removed of late."""
+    def use_recent_routes(self) -> None:
+        """Have clients use recently added or removed routes."""
         recent = [
             prefix for it in self.history.versions[-4:] for prefix in it.services if prefix.startswith("/x")
         ]
         self.clients.extra = sorted(set(recent))
 
 
-def play(seed: int, aim: str = "") -> list[Broken]:
-    """Play the day of a seed; the rules that broke."""
-    return Day(seed, aim).play()
+def play(seed: int, aim: str = "") -> list[Violation]:
+    """Run the scenario of a seed; returns the violations."""
+    return Scenario(seed, aim).play()
--- a/amberlug/cluster/simulation/seed_search.py
+++ b/amberlug/cluster/simulation/seed_search.py
@@ -1,4 +1,4 @@
-"""Many days in many processes, for what breaks a rule."""
+"""Searches many seeds, in several processes, for violations of invariants."""
 
 from __future__ import annotations
 
@@ -8,24 +8,24 @@
 
 from absl import logging
 
-from amberlug.cluster.simulation.history import Broken
+from amberlug.cluster.simulation.history import Violation
 from amberlug.cluster.simulation.mutations import mutated
 from amberlug.cluster.simulation.scenarios import play
 
-Found = tuple[int, list[Broken]]
+SeedResult = tuple[int, list[Violation]]
 
 
-def one(seed: int, aim: str = "", mutant: str = "") -> Found:
-    """Play one day, with the program as it is or with a fault put into it."""
+def run_seed(seed: int, aim: str = "", mutant: str = "") -> SeedResult:
+    """Run one seed, optionally with a mutation of the program."""
     logging.set_verbosity(logging.FATAL)
     with mutated(mutant):
         return seed, play(seed, aim)
 
 
-def hunt(seeds: range, aim: str = "", mutant: str = "", jobs: int = 6) -> Iterator[Found]:
-    """Play the days of these seeds; each with its broken rules, in the order of the seeds."""
+def hunt(seeds: range, aim: str = "", mutant: str = "", jobs: int = 6) -> Iterator[SeedResult]:
+    """Run these seeds; yields each with its violations, in the order of the seeds."""
     if jobs == 1:
-        yield from (one(seed, aim, mutant) for seed in seeds)
+        yield from (run_seed(seed, aim, mutant) for seed in seeds)
         return
     with ProcessPoolExecutor(jobs) as pool:
-        yield from pool.map(partial(one, aim=aim, mutant=mutant), seeds, chunksize=2)
+        yield from pool.map(partial(run_seed, aim=aim, mutant=mutant), seeds, chunksize=2)
--- a/tests/cluster/test_contact.py
+++ b/tests/cluster/test_contact.py
@@ -25,7 +25,7 @@
 from amberlug.cluster.interfaces import OnWritten, Reply
 from amberlug.cluster.simulation.clock import Clock
 from amberlug.cluster.simulation.machine import Machine
-from amberlug.cluster.simulation.scenarios import Day
+from amberlug.cluster.simulation.scenarios import Scenario
 from amberlug.cluster.storage.outcomes import MessageOutcome
 from amberlug.cluster.storage.records import StoredMessage
 from tests.cluster.fakes import UnresponsiveRuntime, settings
@@ -50,7 +50,7 @@
     """
 
     def __init__(self, seed: int, raft_role: str, direction: str) -> None:
-        day = self.day = Day(seed, "quiet")
+        day = self.day = Scenario(seed, "quiet")
         self.deployment, self.clock = day.deployment, day.clock
         for machine in self.deployment.machines:
             machine.start()
@@ -66,7 +66,7 @@
         pairs = {(name, other.name) for other in self.others} if direction != "to" else set()
         pairs |= {(other.name, name) for other in self.others} if direction != "from" else set()
         self.deployment.net.cut(pairs)
-        self.clock.call_later(PARTITION_S, partial(self.deployment.net.join, pairs))
+        self.clock.call_later(PARTITION_S, partial(self.deployment.net.heal, pairs))
 
     def restart_others(self) -> None:
         """Restart the other control-plane nodes, so that sessions move to the partitioned one if possible."""
@@ -221,7 +221,7 @@
         return found
 
     monkeypatch.setattr(store.GossipStore, "page_after", page)
-    day = Day(3, "quiet")
+    day = Scenario(3, "quiet")
     for machine in day.deployment.machines:
         machine.start()
     day.clock.call_later(0.6, day.operator.begin)
@@ -243,7 +243,7 @@
 
 
 def test_a_body_is_not_read_again_and_again_once_the_outcome_is_stored() -> None:
-    day = Day(2, "quiet")
+    day = Scenario(2, "quiet")
     for machine in day.deployment.machines:
         machine.start()
     day.clock.call_later(0.6, day.operator.begin)
@@ -262,9 +262,9 @@
     assert edge.delivery.outcomes.get(message.id) == MessageOutcome("done", "seal")
 
 
-def start_deployment(cores: int) -> Day:
+def start_deployment(cores: int) -> Scenario:
     """Return a fault-free deployment with `cores` control-plane nodes, `WARM_UP_S` after its start."""
-    day = next(day for day in (Day(seed, "quiet") for seed in range(1, 99)) if day.size.cores == cores)
+    day = next(day for day in (Scenario(seed, "quiet") for seed in range(1, 99)) if day.size.cores == cores)
     for machine in day.deployment.machines:
         machine.start()
     day.clock.call_later(0.6, day.operator.begin)
--- a/tests/cluster/test_ended_messages.py
+++ b/tests/cluster/test_ended_messages.py
@@ -9,10 +9,10 @@
 
 import pytest
 
-from amberlug.cluster.simulation.history import Standing
+from amberlug.cluster.simulation.history import StatusReply
 from amberlug.cluster.simulation.machine import Machine
 from amberlug.cluster.simulation.mutations import mutated
-from amberlug.cluster.simulation.scenarios import TRAFFIC_S, Day
+from amberlug.cluster.simulation.scenarios import TRAFFIC_S, Scenario
 
 pytestmark = pytest.mark.usefixtures("suppressed_logs")
 
@@ -25,7 +25,7 @@
     """A simulated deployment in which all messages have ended."""
 
     def __init__(self, seed: int) -> None:
-        self.day = Day(seed, "quiet")
+        self.day = Scenario(seed, "quiet")
         self.deployment, self.clock = self.day.deployment, self.day.clock
         for machine in self.deployment.machines:
             machine.start()
@@ -58,9 +58,9 @@
             machine.start()
         self.wait(DROPPED_S)
 
-    def statuses(self) -> dict[str, Standing]:
+    def statuses(self) -> dict[str, StatusReply]:
         """The current answer of some edge node about each message."""
-        found: dict[str, Standing] = {}
+        found: dict[str, StatusReply] = {}
         for name in self.names:
             self.day.clients.ask(name, partial(found.__setitem__, name))
         self.wait(ANSWERED_S)
--- a/tests/cluster/test_killed_steps.py
+++ b/tests/cluster/test_killed_steps.py
@@ -1,4 +1,4 @@
-"""A call to an endpoint whose edge is killed, or loses power, at each step of it."""
+"""A call to an endpoint whose edge node is killed, or loses power, at each stage of the call."""
 
 from dataclasses import replace
 
@@ -6,29 +6,17 @@
 
 from amberlug.cluster.dispatch.replica_write import ReplicationOutcome
 from amberlug.cluster.dispatch.replicator import Replicator
-from amberlug.cluster.simulation.history import Broken
-from amberlug.cluster.simulation.scenarios import TRAFFIC_S, Day
+from amberlug.cluster.simulation.history import Violation
+from amberlug.cluster.simulation.scenarios import TRAFFIC_S, Scenario
 
 pytestmark = pytest.mark.usefixtures("suppressed_logs")
 
-STEPS_MS = (
-    0,
-    2,
-    4,
-    6,
-    9,
-    15,
-    40,
-    64,
-    66,
-    69,
-    75,
-    95,
-)  # after the request: taken in, called, answered, marked
-
-
-class KilledAt(Day):
-    """Nothing else is done to any machine; all edges end so long after one message is sent."""
+# Milliseconds after the request; they span its acceptance, the call, the response and the stored outcome.
+STEPS_MS = (0, 2, 4, 6, 9, 15, 40, 64, 66, 69, 75, 95)
+
+
+class KilledAt(Scenario):
+    """All edge nodes end a given time after one message is sent; there are no other faults."""
 
     after_s, power = 0.0, False
 
@@ -42,13 +30,13 @@
         self.clock.call_later(start - TRAFFIC_S, send)
 
     def strike(self) -> None:
-        self.history.trouble("all edges end", 1.0)
+        self.history.record_disturbance("all edges end", 1.0)
         for edge in self.deployment.edges:
             edge.power_off() if self.power else edge.kill()
             self.clock.call_later(0.8, edge.start)
 
 
-def killed(ms: int, power: bool) -> list[Broken]:
+def killed(ms: int, power: bool) -> list[Violation]:
     day = KilledAt(3, "quiet")
     day.after_s, day.power = ms / 1000, power
     return day.play()
@@ -63,4 +51,4 @@
     monkeypatch.setattr(
         Replicator, "replicate", lambda self, message, epoch, then: then(ReplicationOutcome.REPLICATED)
     )
-    assert "LOST" in {it.rule for ms in (15, 40) for it in killed(ms, False)}
+    assert "LOST" in {it.invariant for ms in (15, 40) for it in killed(ms, False)}
--- a/tests/cluster/test_simulation_regressions.py
+++ b/tests/cluster/test_simulation_regressions.py
@@ -1,4 +1,4 @@
-"""Faults that the simulation has found, each in the smallest scenario that shows it."""
+"""Regressions of faults that the simulation found, each in the smallest scenario that reproduces it."""
 
 from functools import partial
 
@@ -7,19 +7,19 @@
 from amberlug.cluster.dispatch.message import Message, SequencePosition
 from amberlug.cluster.dispatch.messages import CallEnded
 from amberlug.cluster.edge.node import EdgeNode
-from amberlug.cluster.simulation.history import Broken
-from amberlug.cluster.simulation.scenarios import TRAFFIC_S, Day
+from amberlug.cluster.simulation.history import Violation
+from amberlug.cluster.simulation.scenarios import TRAFFIC_S, Scenario
 from amberlug.cluster.storage.outcomes import MessageOutcome
 
 pytestmark = pytest.mark.usefixtures("suppressed_logs")
 
 
-def rules(broken: list[Broken]) -> set[str]:
-    return {it.rule for it in broken}
+def rules(broken: list[Violation]) -> set[str]:
+    return {it.invariant for it in broken}
 
 
-class CutThenDark(Day):
-    """An edge is cut off for longer than a write is tried; later all machines lose power."""
+class CutThenDark(Scenario):
+    """An edge node is partitioned for longer than writes are retried; later all machines lose power."""
 
     def _plan(self, start: float, end: float) -> None:
         deployment = self.deployment
@@ -28,13 +28,13 @@
             for it in deployment.machines
             for pair in ((deployment.edges[1].name, it.name), (it.name, deployment.edges[1].name))
         }
-        self.history.trouble(f"{deployment.edges[1].name} is to be cut off", 3.0)
+        self.history.record_disturbance(f"{deployment.edges[1].name} is to be cut off", 3.0)
         self.clock.call_later(start - TRAFFIC_S, partial(deployment.net.cut, pairs))
-        self.clock.call_later(start - TRAFFIC_S + 1.9, partial(deployment.net.join, pairs))
+        self.clock.call_later(start - TRAFFIC_S + 1.9, partial(deployment.net.heal, pairs))
         self.clock.call_later(end - TRAFFIC_S, self._dark)
 
     def _dark(self) -> None:
-        self.history.trouble("all machines lose power", 1.0)
+        self.history.record_disturbance("all machines lose power", 1.0)
         for machine in self.deployment.machines:
             machine.power_off()
             self.clock.call_later(1.0, machine.start)
@@ -45,8 +45,8 @@
     assert rules(CutThenDark(seed).play()) == set()
 
 
-class Calm(Day):
-    """Nothing is done to any machine."""
+class Calm(Scenario):
+    """A scenario without faults."""
 
     def _plan(self, start: float, end: float) -> None:
         pass
@@ -77,8 +77,8 @@
     assert positions == {(number, 3, 7)}
 
 
-def call_in_flight(day: Day) -> tuple[EdgeNode, Message]:
-    """Play a day, and send a message: the edge that has a call of it in flight, and the message."""
+def call_in_flight(day: Scenario) -> tuple[EdgeNode, Message]:
+    """Run a scenario and send a message; returns the edge node with its call in flight, and the message."""
     day.play()
     day.clients.send("/plain/")
     edges: list[EdgeNode] = [machine.part for machine in day.deployment.edges]
--- a/tests/features/steps/deployment.py
+++ b/tests/features/steps/deployment.py
@@ -5,14 +5,14 @@
 
 from behave import given, then, when  # type: ignore[import-untyped]
 
-from amberlug.cluster.simulation.scenarios import Day
+from amberlug.cluster.simulation.scenarios import Scenario
 
 AT_S = 6.0  # when it happens: traffic has begun
 
 
 @given("a deployment with traffic")
 def deployment(context: Any) -> None:
-    context.day = Day(3, "quiet")
+    context.day = Scenario(3, "quiet")
 
 
 @when("a store loses its disk as it acknowledges a message")
@@ -41,7 +41,7 @@
         if not out:
             day.clock.call_later(0.01, strike)
             return
-        day.history.trouble(f"{out[0].name} loses power", 1.0)
+        day.history.record_disturbance(f"{out[0].name} loses power", 1.0)
         out[0].power_off()
         day.clock.call_later(1.0, out[0].start)
 
