--- a/amberlug/mqtt/__init__.py
+++ b/amberlug/mqtt/__init__.py
@@ -1,1 +1,1 @@
-"""MQTT on the relay's core: from a broker, from publishers without one, and to topics of partners."""
+"""MQTT support: receives messages from brokers and direct publishers, publishes to partners' topics."""
--- a/amberlug/mqtt/ends.py
+++ b/amberlug/mqtt/ends.py
@@ -1,4 +1,4 @@
-"""Tells the ends of messages that came by MQTT, at least once, until they are acknowledged."""
+"""Publishes the outcomes of messages received over MQTT, at least once, until they are acknowledged."""
 
 from __future__ import annotations
 
@@ -15,35 +15,35 @@
 from amberlug.mqtt.replies import Reply
 from amberlug.mqtt.sessions import Fate
 
-LOOK = 5.0  # seconds between looks for ends that nobody has acknowledged for too long
-TELLING_MOST = 200  # ends that are on their way at once, over all
+LOOK = 5.0  # seconds between checks for outcomes that were not acknowledged within `keep_ends_s`
+TELLING_MOST = 200  # outcomes published and not yet acknowledged, over all sources
 
 QUOTA = 0x97
-AGAIN = 1.0  # seconds after which an end is told again that had no room there
-Told = Callable[[Fate, int], None]  # how, and the reason code
+AGAIN = 1.0  # seconds before an outcome refused with "quota exceeded" is published again
+Told = Callable[[Fate, int], None]  # called with the result of the publish and its reason code
 
 
 class Front(Protocol):
-    """Whoever can publish at one front."""
+    """A message source that outcomes can be published to: a broker, or the listener."""
 
     def tell(self, packet: Publish, done: Told) -> bool | None:
-        """Publish at QoS 1; None where nobody is there to hear it, False where no more is taken now."""
+        """Publish at QoS 1. Returns None without a recipient, False while the send window is full."""
 
 
 class MqttEnds:
     """The core's `OutcomeNotifier`.
 
-    Each goes where its message came from, and to the platform where that is told.
+    Sends each outcome to the source of its message, and to the platform if the platform is to be notified.
     """
 
     def __init__(self, notices: OutcomeNotifier, keep_s: int) -> None:
         self._notices, self._keep = notices, keep_s
         self.fronts: dict[str, Front] = {}
-        self._pending: dict[str, tuple[End, float]] = {}  # by message, and since when
-        self._places: dict[tuple[str, str], dict[str, None]] = {}  # messages by front and topic
+        self._pending: dict[str, tuple[End, float]] = {}  # by message; when it was added
+        self._places: dict[tuple[str, str], dict[str, None]] = {}  # messages by source and topic
         self._telling: set[str] = set()
-        self._queued: dict[str, dict[str, None]] = {}  # by front, those that found no room
-        self._noticing: set[str] = set()  # of which the platform has not acknowledged a notice
+        self._queued: dict[str, dict[str, None]] = {}  # by source, messages that wait for a free place
+        self._noticing: set[str] = set()  # messages whose notice the platform has not acknowledged
         self._look: asyncio.TimerHandle | None = None
 
     @property
@@ -58,7 +58,7 @@
         return bool(end.reply) or (end.noticed and self._notices.owed(end))
 
     def tell(self, end: End) -> None:
-        """Take an end, to be told with others of its round; one that is told again replaces the first."""
+        """Queue an outcome for publishing; a repeat for the same message replaces the earlier one."""
         if end.noticed and self._notices.owed(end):
             self._noticing.add(end.message)
             self._notices.tell(end)
@@ -66,7 +66,7 @@
             try:
                 reply = replies.decode(end.reply)
             except ValueError:
-                log(f"mqtt: where message {end.message} is to be told can't be read: dropped")
+                log(f"mqtt: dropping the outcome of message {end.message}: its reply address can't be parsed")
                 self._over(end.message)
                 return
             self._pending[end.message] = end, asyncio.get_running_loop().time()
@@ -77,18 +77,18 @@
         self._notices.send()
 
     def start(self) -> None:
-        """Begin to look for what nobody acknowledges."""
+        """Start the periodic check for outcomes that are not acknowledged."""
         self._look = asyncio.get_running_loop().call_later(LOOK, self._forget)
 
     def stop(self) -> None:
-        """Tell nothing any more; what is not acknowledged is told by the next life."""
+        """Stop publishing; unacknowledged outcomes are published after the next start."""
         if self._look is not None:
             self._look.cancel()
         self._pending.clear()
         self._places.clear()
 
     def listening(self, front: str, hears: Callable[[str], bool]) -> None:
-        """Somebody listens at a front again: tell what waits for those topics."""
+        """Publish the pending outcomes that a source has subscribers for again."""
         for place in [it for it in self._places if it[0] == front and hears(it[1])]:
             for name in list(self._places.get(place, ())):
                 self._publish(name)
@@ -102,13 +102,13 @@
         reply = replies.decode(end.reply)
         front = self.fronts.get(reply.front)
         if front is None:
-            return  # the file no longer names it; kept for its time, in case it does again
+            return  # no longer configured; kept until it expires, in case it is configured again
         if len(self._telling) < TELLING_MOST:
             self._telling.add(name)
             how = front.tell(replies.publish(end, reply), partial(self._told, name, reply))
             if how is not False:
                 if how is None:
-                    self._telling.discard(name)  # told when somebody listens
+                    self._telling.discard(name)  # published once there is a recipient
                 return
             self._telling.discard(name)
         self._queued.setdefault(reply.front, {})[name] = None
@@ -118,11 +118,11 @@
         if fate is Fate.REFUSED and code == QUOTA:
             asyncio.get_running_loop().call_later(AGAIN, self._publish, name)
         elif fate is Fate.REFUSED:
-            log(f"mqtt: the end of {name} was refused at {reply.front} with 0x{code:02x}: dropped")
+            log(f"mqtt: {reply.front} refused the outcome of {name} with 0x{code:02x}: dropped")
             self._done(name, reply)
         elif fate is Fate.ACKNOWLEDGED:
             self._done(name, reply)
-        # One place is free: the first that waits for one at this front, or at another.
+        # One place is free: publish the first queued outcome, those of this source before others.
         for front in (reply.front, *self._queued):
             if queued := self._queued.get(front):
                 first = next(iter(queued))
@@ -133,7 +133,7 @@
     def _done(self, name: str, reply: Reply) -> None:
         pending = self._pending.get(name)
         if pending is None or replies.decode(pending[0].reply) != reply:
-            return  # told anew meanwhile, at another place
+            return  # replaced meanwhile by an outcome with another reply address
         del self._pending[name]
         self._leave(name, reply)
         if name not in self._noticing:
@@ -155,11 +155,11 @@
         self._acknowledged(name)
 
     def _forget(self) -> None:
-        """Give up on those that nobody has acknowledged for too long: they would fill the journal."""
+        """Drop outcomes that were not acknowledged in time, because they would fill the journal."""
         loop = asyncio.get_running_loop()
         late = [name for name, (_, since) in self._pending.items() if since + self._keep <= loop.time()]
         for name in late:
             end, _ = self._pending[name]
-            log(f"mqtt: nobody acknowledged the end of {name} for {self._keep} s: dropped")
+            log(f"mqtt: dropping the outcome of {name}: not acknowledged within {self._keep} s")
             self._done(name, replies.decode(end.reply))
         self._look = loop.call_later(LOOK, self._forget)
--- a/amberlug/mqtt/fields.py
+++ b/amberlug/mqtt/fields.py
@@ -1,15 +1,15 @@
-"""The fields that MQTT packets are made of: OASIS MQTT 5.0, section 1.5, and 3.1.1, section 1.5."""
+"""Data types of MQTT packet fields: OASIS MQTT 5.0, section 1.5, and 3.1.1, section 1.5."""
 
 from __future__ import annotations
 
 import struct
 
-VARIABLE_MOST = 268_435_455  # largest number in a variable byte integer
+VARIABLE_MOST = 268_435_455  # largest value of a variable byte integer
 _U16, _U32 = struct.Struct(">H"), struct.Struct(">I")
 
 
 class MqttError(ValueError):
-    """What the other side sent breaks the protocol; `code` is the reason code that 5.0 has for it."""
+    """The peer violated the protocol; `code` is the MQTT 5.0 reason code."""
 
     def __init__(self, code: int, text: str) -> None:
         super().__init__(text)
@@ -20,30 +20,30 @@
 
 
 def malformed(text: str) -> MqttError:
-    """Say that a packet can't be read."""
+    """Return the error for a malformed packet."""
     return MqttError(MALFORMED, text)
 
 
 class Reader:
-    """Reads the fields of one packet; `MqttError` where one does not fit into it."""
+    """Reads the fields of one packet; raises `MqttError` where a field exceeds it."""
 
     def __init__(self, data: bytes) -> None:
         self._data, self._at = data, 0
 
     @property
     def left(self) -> int:
-        """Bytes not yet read."""
+        """Number of unread bytes."""
         return len(self._data) - self._at
 
     def take(self, count: int) -> bytes:
-        """The next bytes, so many of them."""
+        """Read the next `count` bytes."""
         if count > self.left:
-            raise malformed("a packet ends within a field")
+            raise malformed("packet truncated within a field")
         self._at += count
         return self._data[self._at - count : self._at]
 
     def rest(self) -> bytes:
-        """All that is left."""
+        """Read all remaining bytes."""
         return self.take(self.left)
 
     def u8(self) -> int:
@@ -56,50 +56,50 @@
         return int(_U32.unpack(self.take(4))[0])
 
     def variable(self) -> int:
-        """A variable byte integer, in as few bytes as it can have."""
+        """Read a variable byte integer; it must use the minimum number of bytes."""
         value = 0
         for count in range(4):
             byte = self.u8()
             value |= (byte & 0x7F) << 7 * count
             if not byte & 0x80:
                 if count and not byte:
-                    raise malformed("a number with more bytes than it needs")
+                    raise malformed("variable byte integer is not in its shortest form")
                 return value
-        raise malformed("a number of more than four bytes")
+        raise malformed("variable byte integer is longer than four bytes")
 
     def binary(self) -> bytes:
         return self.take(self.u16())
 
     def text(self) -> str:
-        """A string; one that is no UTF-8, or holds U+0000, breaks the protocol."""
+        """Read a string; invalid UTF-8 and U+0000 are protocol violations."""
         try:
             value = self.binary().decode("utf-8")
         except UnicodeDecodeError:
-            raise malformed("a string that is no UTF-8") from None
+            raise malformed("string is not valid UTF-8") from None
         if "\0" in value:
-            raise malformed("a string with U+0000")
+            raise malformed("string contains U+0000")
         return value
 
     def finish(self) -> None:
-        """See that nothing is left."""
+        """Check that all bytes were read."""
         if self.left:
-            raise malformed("a packet goes on behind its fields")
+            raise malformed("trailing bytes after the last field")
 
 
 def u16(value: int) -> bytes:
-    """A two byte integer."""
+    """Encode a two byte integer."""
     return _U16.pack(value)
 
 
 def u32(value: int) -> bytes:
-    """A four byte integer."""
+    """Encode a four byte integer."""
     return _U32.pack(value)
 
 
 def variable(value: int) -> bytes:
-    """A variable byte integer."""
+    """Encode a variable byte integer."""
     if not 0 <= value <= VARIABLE_MOST:
-        raise ValueError(f"no variable byte integer: {value}")
+        raise ValueError(f"out of range for a variable byte integer: {value}")
     out = bytearray()
     while True:
         value, low = value >> 7, value & 0x7F
@@ -109,12 +109,12 @@
 
 
 def binary(value: bytes) -> bytes:
-    """Binary data with its length."""
+    """Encode binary data with its length prefix."""
     if len(value) > 0xFFFF:
-        raise ValueError("binary data of more than 65,535 bytes")
+        raise ValueError("binary data is longer than 65,535 bytes")
     return _U16.pack(len(value)) + value
 
 
 def text(value: str) -> bytes:
-    """A string with its length."""
+    """Encode a string with its length prefix."""
     return binary(value.encode())
--- a/amberlug/mqtt/front.py
+++ b/amberlug/mqtt/front.py
@@ -1,4 +1,4 @@
-"""MQTT as a front of the daemon: wires its parts by an operator's file."""
+"""Assembles the daemon's MQTT components from the operator's configuration file."""
 
 from __future__ import annotations
 
@@ -16,9 +16,9 @@
 
 
 class Mqtt:
-    """All of it, beside a node that others have made.
+    """The MQTT components of a daemon; the node is created elsewhere and passed to `start`.
 
-    Raises `ValueError` with the first problem of the file, `OSError` where it can't be read.
+    Raises `ValueError` with the first problem in the file, `OSError` if it can't be read.
     """
 
     def __init__(self, path: Path, settings: Settings, clock: Clock) -> None:
@@ -34,12 +34,12 @@
         self._intake = Intake(self._mapped, settings, clock)
 
     def transport(self, others: Transport) -> Transport:
-        """A transport that publishes where the file says so, and passes on the rest."""
+        """Wrap a transport: publish for the configured endpoint kinds, delegate all others."""
         self._publisher = Publisher(others, self._mapped.targets, self._clock)
         return self._publisher
 
     def ends(self, notices: OutcomeNotifier) -> OutcomeNotifier:
-        """Ends that go where their messages came from."""
+        """Wrap a notifier: send outcomes to the sources of their messages as well."""
         self._ends = MqttEnds(notices, self._mapped.keep_ends_s)
         self._subscribers = [
             Subscriber(login, self._mapped, self._intake, self._ends)
@@ -50,7 +50,7 @@
         return self._ends
 
     async def start(self, node: Node) -> None:
-        """Begin to take messages on; `OSError` where the listener's address can't be used."""
+        """Start accepting messages; raises `OSError` if the listener's address can't be bound."""
         self._intake.node = node
         if self._listener is not None:
             await self._listener.start()
@@ -59,13 +59,13 @@
             subscriber.start()
 
     def close(self) -> None:
-        """Take nothing on from now on; calls and ends go on."""
+        """Stop accepting messages; calls and outcome notifications continue."""
         for subscriber in self._subscribers:
             subscriber.close()
         if self._listener is not None:
             self._listener.close()
 
     def stop(self) -> None:
-        """Let go of all connections."""
+        """Close all connections."""
         self._ends.stop()
         self._publisher.stop()
--- a/amberlug/mqtt/intake.py
+++ b/amberlug/mqtt/intake.py
@@ -1,4 +1,4 @@
-"""Publishes become messages: what is taken on, refused, or has to wait. No I/O of its own."""
+"""Converts PUBLISH packets to messages, and accepts, refuses or defers them. Does no I/O of its own."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
 from amberlug.mqtt.replies import Reply
 from amberlug.policy.interface import Effect, Settings
 
-REPLY_MOST = 512  # bytes of a response topic with its correlation data: they are kept with the message
+REPLY_MOST = 512  # bytes of response topic and correlation data: both are stored with the message
 
 
 class Node(Protocol):
-    """What the intake wants of the relay."""
+    """The part of the relay that the intake uses."""
 
     ready: bool
 
@@ -32,7 +32,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Verdict:
-    """What became of a publish: taken on (code 0), or why not and in how many milliseconds to come again."""
+    """Result of a publish: accepted (code 0), or a reason and the delay before a retry."""
 
     code: int = 0
     text: str = ""
@@ -43,18 +43,18 @@
 
 
 class Offer:
-    """One publish that waits to hear whether it was taken on."""
+    """One publish that waits until the core accepts or refuses it."""
 
     def __init__(self, done: Done) -> None:
         self._done: Done | None = done
 
     @property
     def settled(self) -> bool:
-        """Whether it has heard, or wants to hear nothing any more."""
+        """Whether the result is known, or was withdrawn."""
         return self._done is None
 
     def settle(self, refusal: Refusal | None) -> None:
-        """Hear it from the core."""
+        """Take the core's decision and pass it on."""
         done, self._done = self._done, None
         if done is None:
             return
@@ -64,20 +64,23 @@
             done(Verdict(QUOTA, refusal.reason.value, max(1, refusal.retry_us // 1000)))
 
     def withdraw(self) -> None:
-        """Want to hear nothing any more."""
+        """Ignore any later decision."""
         self._done = None
 
 
 class Intake:
-    """Reads publishes by the operator's mapping, and hands them in."""
+    """Maps publishes to messages as configured, and submits them to the core."""
 
     def __init__(self, mapped: Mapped, settings: Settings, clock: Clock) -> None:
         self._mapped, self._settings, self._clock = mapped, settings, clock
         self.node: Node | None = None
-        self.passed_over = 0  # retained, or at QoS 0 without room: nobody can be told
+        self.passed_over = 0  # retained, or refused at QoS 0, where the sender can't be informed
 
     def offer(self, front: str, packet: Publish, default_topic: str, done: Done) -> Offer | None:
-        """Hand a publish in; `done` is called once, maybe before this returns. What can be withdrawn."""
+        """Submit a publish; `done` is called once, possibly before this returns.
+
+        Returns what `withdraw` takes, or None if the publish was refused at once.
+        """
         try:
             message, left_us = self._read(front, packet, default_topic)
         except BadPublishError as error:
@@ -90,17 +93,17 @@
 
     @property
     def crowded(self) -> bool:
-        """Whether what can wait where it is should: taken on, it may soon be handed back."""
+        """Whether senders that can wait should: an accepted message might soon be handed back."""
         return self.node is None or self.node.crowded
 
     def withdraw(self, offer: Offer) -> None:
-        """Its sender has gone: what was not taken on by now is not."""
+        """Withdraw a publish whose sender disconnected; it is not accepted any more."""
         offer.withdraw()
         assert self.node is not None
         self.node.client_disconnected(offer)
 
     def reply(self, front: str, packet: Publish, default_topic: str) -> Reply | None:
-        """Where the end of a message is told; None where nobody asked for it."""
+        """Return where the outcome of a message is to be sent; None if none was requested."""
         found = self._mapped.route(front, packet.topic)
         topic = ""
         if found is not None:
@@ -115,16 +118,16 @@
             raise BadPublishError(INVALID_TOPIC, "no route for this topic")
         route, levels = found
         if route.effect is Effect.UNSAFE and packet.qos == 0:
-            # Guards against a payment of which nobody can be told that it was not taken on.
-            raise BadPublishError(INVALID_TOPIC, f"{route.message_class} is not taken on at QoS 0")
+            # Guards against a payment whose sender can't be informed that it was not accepted.
+            raise BadPublishError(INVALID_TOPIC, f"{route.message_class} is not accepted at QoS 0")
         message, left_us = route.read(Heard(packet, levels), self._settings, self._clock.wall_ms())
         assert self.node is not None
         if not self.node.serves(message.destination):
             raise BadPublishError(INVALID_TOPIC, f"no such destination: {message.destination}")
         if (reply := self.reply(front, packet, default_topic)) is not None:
             if self._mapped.route(reply.front, reply.topic) is not None:
-                # Guards against an end that is brought here again as a message, and has an end itself.
-                raise BadPublishError(INVALID_TOPIC, "messages come from the response topic")
+                # Guards against a loop: the outcome would be received as a message with an outcome itself.
+                raise BadPublishError(INVALID_TOPIC, "the response topic matches an inbound route")
             message.reply = reply.encode()
             if len(message.reply) > REPLY_MOST:
                 raise BadPublishError(INVALID_TOPIC, "response topic and correlation data are too long")
@@ -132,7 +135,7 @@
         return message, left_us
 
     def pass_over(self, front: str, packet: Publish, why: str) -> None:
-        """Count a publish that is not taken on and of which nobody can be told; say so now and then."""
+        """Count a publish that is dropped without informing its sender; log at powers of two."""
         self.passed_over += 1
         if self.passed_over & (self.passed_over - 1) == 0:  # the first, second, fourth, eighth ...
-            log(f"mqtt: {front}: {packet.topic[:80]!r} {why}: not taken on ({self.passed_over} so far)")
+            log(f"mqtt: {front}: {packet.topic[:80]!r} {why}: dropped ({self.passed_over} so far)")
--- a/amberlug/mqtt/link.py
+++ b/amberlug/mqtt/link.py
@@ -1,4 +1,4 @@
-"""A connection to a broker that comes up again: one session, whatever becomes of the sockets below it."""
+"""A reconnecting client connection to a broker: one session over successive sockets."""
 
 from __future__ import annotations
 
@@ -30,25 +30,25 @@
 from amberlug.mqtt.sessions import Incoming, Outgoing
 from amberlug.mqtt.wire import PACKET_MOST, Wire
 
-DIAL = 2.0  # seconds for a connection, and for its CONNACK
-PAUSE = 0.1, 5.0  # first and longest pause before a further try, drawn between half and all of it
-STEADY = 10.0  # seconds after which a connection that is lost counts as a first failure
-WINDOW_3 = 20  # publishes at once to a broker of 3.1.1, which can't tell how many it takes
+DIAL = 2.0  # seconds to connect, and again to receive the CONNACK
+PAUSE = 0.1, 5.0  # first and longest reconnect delay in seconds; jittered to between half and all of it
+STEADY = 10.0  # seconds after which losing a connection resets the reconnect delay
+WINDOW_3 = 20  # in-flight publishes to a 3.1.1 broker, which can't announce a receive maximum
 
 
 @dataclass(frozen=True, slots=True)
 class Session:
-    """What a broker said in its CONNACK."""
+    """Session state from a broker's CONNACK."""
 
     present: bool
     window: int
 
 
 class Link:
-    """A session with one broker. `publish` is told each publish that comes, and returns at once.
+    """A session with one broker. `publish` is called with each received publish and must not block.
 
-    With `filters` it connects by itself, and again whenever it is lost; without, only while somebody waits
-    for it. `up` is called with each connection that stands.
+    With `filters` it stays connected and reconnects after each loss; without, it connects only while a
+    publish waits for it. `up` is called after each accepted connection.
     """
 
     def __init__(
@@ -68,17 +68,17 @@
         self._over: asyncio.Future[str] | None = None
         self._task: asyncio.Task[None] | None = None
         self._rooms: deque[asyncio.Future[bool]] = deque()
-        self._before = False  # whether a connection of this process stood before
+        self._before = False  # whether this process has been connected before
         self._stopped = False
         self.connected = False
 
     def start(self) -> None:
-        """Begin to connect."""
+        """Start connecting."""
         if self._task is None and not self._stopped:
             self._task = asyncio.get_running_loop().create_task(self._run())
 
     def stop(self) -> None:
-        """Say goodbye and let go; what is out is not told."""
+        """Send DISCONNECT and close; in-flight publishes get no result."""
         self._stopped = True
         if self._wire is not None:
             self._wire.write(Disconnect())
@@ -88,17 +88,17 @@
         self._turn_away()
 
     def abort(self, why: str) -> None:
-        """Give the connection up; another one follows where it is wanted."""
+        """Close the connection at once; it is reestablished if it is still needed."""
         if self._wire is not None:
             self._wire.abort(why)
 
     @property
     def last_heard(self) -> float:
-        """When something last came, by the loop's clock."""
+        """When data was last received, by the loop's clock."""
         return self._wire.last_heard if self._wire is not None else 0.0
 
     async def room(self) -> bool:
-        """Wait until a publish may leave, and keep its place; False where no connection is to be had."""
+        """Wait for and reserve a place in the send window; False if there is no connection."""
         if self.outgoing.room and not self._rooms:
             self.outgoing.reserve()
             return True
@@ -115,12 +115,12 @@
             raise
 
     def leave(self) -> None:
-        """Give up the place of a publish that does not leave."""
+        """Release a reserved place without publishing."""
         self.outgoing.free()
         self._give_rooms()
 
     def send(self, packet: Publish, done: Callable[..., None]) -> None:
-        """Publish in the place that was kept."""
+        """Publish, using the reserved place."""
         self.outgoing.free()
         self.outgoing.publish(packet, done)
         self._give_rooms()
@@ -165,7 +165,7 @@
             self._turn_away()
 
     async def _live(self) -> str:
-        """Connect once, and stay until that is over: why it is."""
+        """Connect once and serve the connection until it ends; return the reason for the end."""
         loop = asyncio.get_running_loop()
         session, over = loop.create_future(), loop.create_future()
         self._session, self._over = session, over
@@ -207,14 +207,14 @@
         )
 
     def _stand(self, session: Session) -> None:
-        """Go on with a connection that the broker has accepted."""
-        # Guards against a broker that tells of a session which this process never had: what it still knows
-        # of an earlier life's packet ids would be taken for this one's.
+        """Resume work on a connection that the broker has accepted."""
+        # Guards against a broker that reports a session which this process never had: packet ids that it
+        # still holds from an earlier process would be mistaken for this one's.
         self.incoming.connected(session.present)
         self.outgoing.connected(session.present and self._before, session.window)
         self._before = True
         self.connected = True
-        log(f"mqtt: {self.login.name}: connected, session {'kept' if session.present else 'new'}")
+        log(f"mqtt: {self.login.name}: connected, session {'resumed' if session.present else 'new'}")
         if self._filters:
             self._write(Subscribe(1, self._filters))
         self._give_rooms()
@@ -222,7 +222,7 @@
             self._up()
 
     async def _stay(self, wire: Wire, over: asyncio.Future[str]) -> str:
-        """Wait until it is over; ask for a sign of life where it is silent."""
+        """Wait until the connection ends; send PINGREQ, and abort it if the broker stays silent."""
         loop, every = asyncio.get_running_loop(), self.login.keep_alive / 2
         while not over.done():
             await asyncio.wait({over}, timeout=every)
@@ -242,12 +242,12 @@
             self._wire.write(packet)
 
     def answer(self, packet_id: int, code: int = 0, told: Properties | None = None) -> None:
-        """Answer a publish that came."""
+        """Acknowledge a received publish."""
         if (ack := self.incoming.answer(packet_id, code, told or {})) is not None:
             self._write(ack)
 
     def hold(self, held: bool) -> None:
-        """Read nothing for now, or again."""
+        """Pause reading, or resume it."""
         if self._wire is not None:
             if held:
                 self._wire.hold()
@@ -268,21 +268,21 @@
             case Granted(Kind.SUBACK, _, codes):
                 for wanted, code in zip(self._filters, codes, strict=False):
                     if code >= 0x80:
-                        log(f"mqtt: {self.login.name}: {wanted.filter} was refused with 0x{code:02x}")
+                        log(f"mqtt: {self.login.name}: subscription to {wanted.filter} refused: 0x{code:02x}")
             case Ping(Kind.PINGRESP) | Granted():
                 pass
             case Disconnect(code):
                 if self._wire is not None:
-                    self._wire.close(f"sent away with 0x{code:02x}")
+                    self._wire.close(f"disconnected by the broker with 0x{code:02x}")
             case _:
-                raise MqttError(PROTOCOL_ERROR, f"a broker sent {type(packet).__name__}")
+                raise MqttError(PROTOCOL_ERROR, f"unexpected {type(packet).__name__} from a broker")
 
     def _accepted(self, packet: Connack) -> None:
         assert self._session is not None
         if self._session.done():
-            raise MqttError(PROTOCOL_ERROR, "a second CONNACK")
+            raise MqttError(PROTOCOL_ERROR, "second CONNACK on a connection")
         if packet.code:
-            self._session.set_exception(ConnectionError(f"refused with 0x{packet.code:02x}"))
+            self._session.set_exception(ConnectionError(f"connection refused: 0x{packet.code:02x}"))
             return
         if self.login.version == V5:
             window = int(packet.properties.get(P.RECEIVE_MAXIMUM, 0xFFFF))
@@ -290,11 +290,11 @@
             window = WINDOW_3
         session = Session(packet.session_present, min(window, self.login.window))
         self._session.set_result(session)
-        self._stand(session)  # at once: what the broker brings again may have come with it
+        self._stand(session)  # synchronously: redelivered publishes may follow in the same read
 
     def _came(self, packet: Publish) -> None:
         if not packet.topic:
-            raise MqttError(PROTOCOL_ERROR, "a topic alias, which was not offered")
+            raise MqttError(PROTOCOL_ERROR, "topic alias used, but the topic alias maximum is 0")
         offered, ack = self.incoming.came(packet)
         if ack is not None:
             self._write(ack)
--- a/amberlug/mqtt/listener.py
+++ b/amberlug/mqtt/listener.py
@@ -1,4 +1,4 @@
-"""Publishers that have no broker: they connect here, publish, and hear the ends of what they published."""
+"""MQTT server for publishers without a broker: takes their publishes and sends them the outcomes."""
 
 from __future__ import annotations
 
@@ -34,24 +34,30 @@
 from amberlug.mqtt.topics import matches
 from amberlug.mqtt.wire import PACKET_MOST, Wire
 
-GREETING = 2.0  # seconds for a whole CONNECT
-READING = 5.0  # seconds for a packet that has begun
-SWEEP = 0.25  # seconds between looks for connections whose time is up
+GREETING = 2.0  # seconds until the whole CONNECT must have arrived
+READING = 5.0  # seconds from the first byte of a packet to its last
+SWEEP = 0.25  # seconds between checks for connections that have timed out
 BACKLOG, ACCEPTS = 512, 16
-ENDS = "ends"  # what topics for ends begin with; a client's own go on with its id
-FILTERS_MOST = 8  # that one connection may listen to
-TELLING_MOST = 20  # ends on their way at once to a client of 3.1.1
+ENDS = "ends"  # first level of outcome topics; the client id is the second
+FILTERS_MOST = 8  # subscriptions per connection
+TELLING_MOST = 20  # in-flight outcomes to a 3.1.1 client, which can't announce a receive maximum
 BAD_LOGIN, BUSY, TAKEN_OVER, SHUTTING_DOWN, SILENT, NO_RETAIN = 0x86, 0x89, 0x8E, 0x8B, 0x8D, 0x9A
-RETURN_CODES = {BAD_LOGIN: 4, BUSY: 3, 0x84: 1, 0x85: 2, NOT_AUTHORIZED: 5}  # of 3.1.1, for those of 5.0
+RETURN_CODES = {
+    BAD_LOGIN: 4,
+    BUSY: 3,
+    0x84: 1,
+    0x85: 2,
+    NOT_AUTHORIZED: 5,
+}  # 5.0 reason code to 3.1.1 return code
 
 
 def own_topic(client_id: str) -> str:
-    """Where a client's ends are told unless it asks for a topic below that."""
+    """Return the topic for a client's outcomes, unless a publish names a response topic below it."""
     return f"{ENDS}/{client_id}"
 
 
 class Phase(Enum):
-    """What is waited for on a connection."""
+    """State of a connection."""
 
     GREETING = "connect"
     OPEN = "open"
@@ -59,7 +65,7 @@
 
 
 class Session:
-    """One connection of a publisher. It has no session that outlasts it, and says so."""
+    """One connection of a publisher. No session state outlasts it, and the CONNACK says so."""
 
     def __init__(self, listener: Listener) -> None:
         self._listener = listener
@@ -73,24 +79,24 @@
         self.filters: set[str] = set()
         self._keep_alive = 0.0
 
-    # What is due.
+    # Timeouts.
 
     def late(self, now: float) -> tuple[int, str] | None:
-        """Why it is to be ended, if its time is up."""
+        """Return the reason code and text if the connection has timed out."""
         if self.phase is Phase.GREETING:
             return (SILENT, "no CONNECT in time") if now - self.since > GREETING else None
         if now - self.wire.last_heard > self._keep_alive:
             return SILENT, "silent for longer than its keep-alive"
         if self.wire.begun_for(now) > READING:
-            return SILENT, "a packet did not come in time"
+            return SILENT, "incomplete packet timed out"
         return None
 
-    # What comes.
+    # Received packets.
 
     def _heard(self, packet: Packet) -> None:
         if self.phase is Phase.GREETING:
             if not isinstance(packet, Connect):
-                raise MqttError(PROTOCOL_ERROR, "a packet ahead of CONNECT")
+                raise MqttError(PROTOCOL_ERROR, "packet before CONNECT")
             self._greet(packet)
             return
         match packet:
@@ -110,13 +116,13 @@
             case Disconnect():
                 self.wire.close("it left")
             case _:
-                raise MqttError(PROTOCOL_ERROR, f"a client sent {type(packet).__name__}")
+                raise MqttError(PROTOCOL_ERROR, f"unexpected {type(packet).__name__} from a client")
 
     def _greet(self, packet: Connect) -> None:
         code = self._listener.admits(packet)
         if code:
             self.wire.write(Connack(code if packet.version == V5 else RETURN_CODES.get(code, 3)))
-            self.wire.close(f"refused with 0x{code:02x}")
+            self.wire.close(f"connection refused: 0x{code:02x}")
             return
         allowed = self._listener.allowed
         most = allowed.keep_alive
@@ -143,9 +149,9 @@
 
     def _publish(self, packet: Publish) -> None:
         if packet.retain and self.wire.version == V5:
-            raise MqttError(NO_RETAIN, "nothing is retained here")
+            raise MqttError(NO_RETAIN, "retained messages are not supported")
         if not packet.topic:
-            raise MqttError(0x94, "a topic alias, which was not offered")
+            raise MqttError(0x94, "topic alias used, but the topic alias maximum is 0")
         offered, ack = self._incoming.came(packet)
         if ack is not None:
             self.wire.write(ack)
@@ -153,7 +159,7 @@
             return
         topic = packet.properties.get(P.RESPONSE_TOPIC, "")
         if topic and not self._may_hear(topic):
-            self._judged(packet, Verdict(NOT_AUTHORIZED, f"ends go to {own_topic(self.client_id)} alone"))
+            self._judged(packet, Verdict(NOT_AUTHORIZED, f"outcomes go only to {own_topic(self.client_id)}"))
             return
         listens = any(matches(it, own_topic(self.client_id)) for it in self.filters)
         default = own_topic(self.client_id) if listens else ""
@@ -171,15 +177,15 @@
                 self._offers[offer] = None
 
     def _judged(self, packet: Publish, verdict: Verdict) -> None:
-        """Answer a publish: by reason code in 5.0; 3.1.1 has no way to refuse but to close."""
+        """Answer a publish: by reason code in 5.0; 3.1.1 can refuse only by closing the connection."""
         if not packet.qos:
             if verdict.code:
                 self._listener.intake.pass_over(LISTENER, packet, verdict.text)
             return
         if verdict.code and self.wire.version != V5:
-            # An acknowledgement would say that it was taken on. The client connects again after a pause of
-            # its own, and brings what was not acknowledged.
-            self.wire.close(f"{packet.topic[:80]!r} can't be refused otherwise in 3.1.1: {verdict.text}")
+            # An acknowledgement would mean acceptance. The client reconnects after its own delay and
+            # publishes again what was not acknowledged.
+            self.wire.close(f"{packet.topic[:80]!r} refused by closing the 3.1.1 connection: {verdict.text}")
             return
         told: dict[P, object] = {}
         if verdict.code:
@@ -209,21 +215,21 @@
         own = own_topic(self.client_id)
         return topic == own or topic.startswith(own + "/")
 
-    # What goes.
+    # Sent packets.
 
     def hears(self, topic: str) -> bool:
-        """Whether it listens there."""
+        """Whether the client has subscribed to a topic."""
         return any(matches(it, topic) for it in self.filters)
 
     def tell(self, packet: Publish, done: Told) -> bool:
-        """Publish an end; False where it takes no more for now."""
+        """Publish an outcome; False while the send window is full."""
         if not self._outgoing.room:
             return False
         self._outgoing.publish(packet, lambda fate, code, told: done(fate, code))
         return True
 
     def send_away(self, code: int, why: str) -> None:
-        """End it from this side."""
+        """Disconnect the client with a reason code."""
         self.wire.fail(code, why)
 
     def _lost(self, why: str) -> None:
@@ -239,7 +245,7 @@
 
 
 class Listener:
-    """Accepts publishers, within bounds, and tells them their ends."""
+    """Accepts connections up to a limit, and sends publishers the outcomes of their messages."""
 
     def __init__(self, allowed: Allowed, intake: Intake, ends: MqttEnds) -> None:
         self.allowed, self.intake, self._ends = allowed, intake, ends
@@ -251,12 +257,12 @@
         ends.fronts[LISTENER] = self
 
     async def start(self) -> None:
-        """Listen; `OSError` where the address can't be used."""
+        """Start listening; raises `OSError` if the address can't be bound."""
         loop = asyncio.get_running_loop()
         host = self.allowed.address[0]
         family = socket.AF_INET6 if ":" in host else socket.AF_INET
         sock = socket.create_server(self.allowed.address, family=family)
-        # asyncio accepts as many in one turn as its backlog tells.
+        # asyncio accepts up to `backlog` connections per loop iteration, so the socket's own is set after.
         self._server = await loop.create_server(self._accept, sock=sock, backlog=ACCEPTS)
         sock.listen(BACKLOG)
         self._look()
@@ -265,13 +271,13 @@
         session = Session(self)
         self._sessions[session] = None
         if len(self._sessions) > self.allowed.connections:
-            # Guards against hundreds that connect and say nothing: the oldest of those makes room.
+            # Guards against hundreds of connections without a CONNECT: the oldest of those is closed.
             silent = next((it for it in self._sessions if it.phase is Phase.GREETING), session)
             asyncio.get_running_loop().call_soon(silent.wire.abort, "too many connections")
         return session.wire
 
     def admits(self, packet: Connect) -> int:
-        """The reason code for a CONNECT; 0 where it is welcome."""
+        """Return the reason code for a CONNECT; 0 if it is accepted."""
         if self._closing:
             return SHUTTING_DOWN
         if self.intake.node is None or not self.intake.node.ready:
@@ -287,7 +293,7 @@
         return 0
 
     def greeted(self, session: Session) -> None:
-        """A client is known now; an older connection of the same one goes."""
+        """Register a client after its CONNECT; an older connection with the same id is closed."""
         older = self._clients.get(session.client_id)
         self._clients[session.client_id] = session
         if older is not None:
@@ -317,11 +323,11 @@
         self._sweep = loop.call_later(SWEEP, self._look)
 
     def close(self) -> None:
-        """Take no more connections, and send those away that are open."""
+        """Stop accepting connections, and disconnect the open ones."""
         self._closing = True
         if self._server is not None:
             self._server.close()
         if self._sweep is not None:
             self._sweep.cancel()
         for session in list(self._sessions):
-            session.send_away(SHUTTING_DOWN, "closing")
+            session.send_away(SHUTTING_DOWN, "server shutting down")
--- a/amberlug/mqtt/mapping.py
+++ b/amberlug/mqtt/mapping.py
@@ -1,7 +1,7 @@
-"""What an operator's file says of MQTT: where messages come from, what makes one, and where they go.
+"""The operator's MQTT configuration: brokers, inbound routes, and the topics that messages are published to.
 
-Nothing here does I/O: `read` checks a table that TOML's reader gave, all its errors at once, and `Route.read`
-makes a message of a publish.
+Does no I/O: `read` validates a parsed TOML table and reports all its errors at once, and `Route.read`
+converts a publish to a message.
 """
 
 from __future__ import annotations
@@ -24,38 +24,38 @@
 from amberlug.platform.checking import Problem
 from amberlug.policy.interface import Effect, Settings
 
-NOT_VALID = 0x99  # payload format invalid: what is to be read from a publish is not there
+NOT_VALID = 0x99  # payload format invalid: a configured value is missing from the publish
 NOT_AUTHORIZED = 0x87
 QUOTA = 0x97
 DESTINATION_MOST = 10**9
 LEFT_MOST_MS = 10**9
-LISTENER = "listener"  # what publishers without a broker are called in `from`
+LISTENER = "listener"  # the name in `from` for publishers without a broker
 
 
 class BadPublishError(ValueError):
-    """A publish that can be no message, with the reason code of 5.0 for it."""
+    """A publish that can't be converted to a message, with the MQTT 5.0 reason code."""
 
     def __init__(self, code: int, text: str) -> None:
         super().__init__(text)
         self.code = code
 
 
-# Where a value stands in a publish.
+# Extracting values from a publish.
 
 
 @dataclass(frozen=True, slots=True)
 class Heard:
-    """A publish as sources read it: `levels` are those that the filter's `+` stand for."""
+    """A publish as value sources read it; `levels` are the topic levels that the filter's `+` matched."""
 
     packet: Publish
     levels: tuple[str, ...]
 
     def payload(self) -> Any:
-        """The payload as JSON; `BadPublishError` where it is none."""
+        """Parse the payload as JSON; raises `BadPublishError` if it is invalid."""
         try:
             return json.loads(self.packet.payload)
         except (ValueError, RecursionError):
-            raise BadPublishError(NOT_VALID, "the payload is no JSON") from None
+            raise BadPublishError(NOT_VALID, "the payload is not valid JSON") from None
 
 
 Source = Callable[[Heard], str | None]
@@ -80,7 +80,7 @@
             return None
         value = value[name]
     if isinstance(value, bool) or not isinstance(value, str | int):
-        return None  # a number with a fraction, a list or an object names nothing for sure
+        return None  # fractions, lists and objects have no unambiguous text form
     return str(value)
 
 
@@ -89,11 +89,11 @@
 
 
 def _digest(parts: tuple[Source, ...], heard: Heard) -> str | None:
-    """A digest of named values; none where one of them is missing."""
+    """Digest several values; None if one of them is missing."""
     values = [part(heard) for part in parts]
     if None in values:
         return None
-    # As JSON, so that no two lists of values run together into the same bytes.
+    # Encoded as JSON, so that different lists of values never give the same bytes.
     return hashlib.blake2b(json.dumps(values).encode(), digest_size=20).hexdigest()
 
 
@@ -101,14 +101,14 @@
 
 
 def source(value: Any, levels: int) -> Source:
-    """Read where a value stands; `ValueError` where that can't be. The filter has so many `levels` as +."""
+    """Parse a value source; raises `ValueError`. `levels` is the number of `+` in the filter."""
     if isinstance(value, dict):
         parts = value.get("digest")
         if set(value) != {"digest"} or not isinstance(parts, list) or not parts:
-            raise ValueError('neither a text nor { digest = ["...", ...] }')
+            raise ValueError('neither a string nor { digest = ["...", ...] }')
         return partial(_digest, tuple(source(part, levels) for part in parts))
     if not isinstance(value, str):
-        raise ValueError(f"no place in a publish: {value!r}")
+        raise ValueError(f"not a value source: {value!r}")
     if value == "topic":
         return _topic
     match = _SOURCE.fullmatch(value)
@@ -117,43 +117,43 @@
     where, name = match.groups()
     if where == "level":
         if not (name.isascii() and name.isdigit() and 1 <= int(name) <= levels):
-            raise ValueError(f"{value!r}: the filter has {levels} levels that are +")
+            raise ValueError(f"{value!r}: the filter has {levels} levels with a + wildcard")
         return partial(_level, int(name))
     return partial(_property, name) if where == "property" else partial(_field, tuple(name.split(".")))
 
 
-# What a file holds.
+# The configuration.
 
 
 @dataclass(frozen=True, slots=True)
 class Login:
-    """A broker, and how the relay presents itself there."""
+    """A broker, and the relay's client id, credentials and connection parameters there."""
 
     name: str
     address: Address
     client_id: str
     version: int = V5
     keep_alive: int = 30  # seconds
-    session_expiry: int = 86_400  # seconds that the broker keeps what it could not bring
-    window: int = 64  # publishes that may be on their way at once, in either direction
+    session_expiry: int = 86_400  # seconds for which the broker keeps undelivered messages
+    window: int = 64  # in-flight publishes in each direction
     username: str | None = None
     password: str | None = None
 
 
 @dataclass(frozen=True, slots=True)
 class Listener:
-    """Where publishers without a broker connect, and how much they may take."""
+    """Address and limits of the listener for publishers without a broker."""
 
     address: Address
     connections: int = 256
-    keep_alive: int = 60  # seconds at most that a connection may be silent for
+    keep_alive: int = 60  # longest keep-alive in seconds
     window: int = 16
-    users: Mapping[str, str] = field(default_factory=dict)  # name to password; nobody is asked where empty
+    users: Mapping[str, str] = field(default_factory=dict)  # name to password; no authentication if empty
 
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """What makes a message of a publish."""
+    """An inbound route: which publishes it matches, and how they become messages."""
 
     filter: str
     sources: frozenset[str]
@@ -165,17 +165,17 @@
     key: Source | None
     deadline_ms: int
     deadline: Source | None
-    ends: str  # a topic for ends where a publish names none; {1} is the first level that is +
+    ends: str  # outcome topic without a response topic; {1} is the first + level
     qos: int
     share: str
 
     @property
     def subscription(self) -> str:
-        """The filter that is subscribed to."""
+        """The filter to subscribe to, including a shared subscription's prefix."""
         return f"$share/{self.share}/{self.filter}" if self.share else self.filter
 
     def read(self, heard: Heard, settings: Settings, now_ms: int) -> tuple[Message, int]:
-        """The message, and how long it has left, in microseconds; `BadPublishError` where it is none."""
+        """Return the message and its remaining time in microseconds; raises `BadPublishError`."""
         body = heard.packet.payload
         if len(body) > MAX_BODY_BYTES:
             raise BadPublishError(TOO_LARGE, "the payload is over 64 KiB")
@@ -194,20 +194,20 @@
         return message, left_ms * 1000
 
     def _name(self, heard: Heard, key: str | None, destination: int) -> str:
-        """What the message is known again by."""
+        """Return the message's name, by which repeats are recognized."""
         name = None if self.id is None else self.id(heard)
         if name is None and self.effect is Effect.KEYED:
-            # Its key tells it from others of its class for the same destination.
+            # The key identifies the message within its class and destination.
             whole = json.dumps([self.message_class, destination, key]).encode()
             return hashlib.blake2b(whole, digest_size=20).hexdigest()
         if name is None and self.effect is Effect.SAFE and self.id is None:
-            # Each is one of its own: what the broker brings twice goes twice, which does no harm. The same
-            # bytes once more may be meant so, and must not be taken for a repeat.
+            # Each publish gets a new name: a redelivery by the broker is sent twice, which is harmless for
+            # this class. Identical bytes may be intentional and must not be taken for a repeat.
             return uuid4().hex
         return _word(name, "id", True) or ""
 
     def end_topic(self, heard: Heard) -> str:
-        """Where its end is told; empty where nobody asked."""
+        """Return the topic for the outcome; empty if none was requested."""
         topic = heard.packet.properties.get(P.RESPONSE_TOPIC, "")
         if topic or not self.ends:
             return str(topic)
@@ -216,29 +216,29 @@
 
 @dataclass(frozen=True, slots=True)
 class Target:
-    """Where messages go whose endpoints are of one kind."""
+    """Where messages for endpoints of one kind are published."""
 
-    topic: str  # {destination} and {endpoint} are filled in
-    login: Login  # as whom; the address is the endpoint's
-    qos: Mapping[str, int]  # by class; 1 for others
+    topic: str  # with placeholders {destination} and {endpoint}
+    login: Login  # its address is not used: the endpoint's is
+    qos: Mapping[str, int]  # by message class; 1 for classes not listed
 
     def topic_of(self, destination: int, endpoint: str) -> str:
-        """The topic of one endpoint."""
+        """Return the topic of one endpoint."""
         return _filled(self.topic, {"destination": str(destination), "endpoint": endpoint})
 
 
 @dataclass(frozen=True, slots=True)
 class Mapped:
-    """All that a file says."""
+    """The whole configuration file."""
 
     brokers: Mapping[str, Login] = field(default_factory=dict)
     listener: Listener | None = None
     routes: tuple[Route, ...] = ()
     targets: Mapping[str, Target] = field(default_factory=dict)
-    keep_ends_s: int = 86_400  # how long an end that nobody acknowledges is kept
+    keep_ends_s: int = 86_400  # how long an unacknowledged outcome is kept
 
     def route(self, come_from: str, topic: str) -> tuple[Route, tuple[str, ...]] | None:
-        """The first route for a topic, in the order of the file, and the levels that are +."""
+        """Return the first matching route in file order, and the topic levels that its `+` matched."""
         for route in self.routes:
             if come_from in route.sources and (levels := captured(route.filter, topic)) is not None:
                 return route, levels
@@ -263,24 +263,24 @@
     return re.sub(r"\{(\w+)\}", lambda match: values.get(match[1], match[0]), template)
 
 
-# Reading a file.
+# Validation.
 
 
 class _Table:
-    """One table of the file: reads its keys, and notes what is wrong with them."""
+    """One table of the file: reads its keys and collects the problems found."""
 
     def __init__(self, where: str, data: Any, problems: list[Problem]) -> None:
         self.where, self._problems = where, problems
         self._data: dict[str, Any] = data if isinstance(data, dict) else {}
         self._read: set[str] = set()
         if not isinstance(data, dict):
-            problems.append(Problem(where, "no table"))
+            problems.append(Problem(where, "not a table"))
 
     def wrong(self, key: str, what: str) -> None:
         self._problems.append(Problem(f"{self.where}.{key}" if self.where else key, what))
 
     def get(self, key: str, kind: type, default: Any = None, wanted: bool = False) -> Any:
-        """A value of one type; the default where it is missing or of another."""
+        """Return a value of one type; the default if it is missing or has another type."""
         self._read.add(key)
         value = self._data.get(key)
         if value is None:
@@ -288,7 +288,7 @@
                 self.wrong(key, "missing")
             return default
         if not isinstance(value, kind) or (kind is int and isinstance(value, bool)):
-            self.wrong(key, f"no {_NAMES[kind]}: {value!r}")
+            self.wrong(key, f"not a {_NAMES[kind]}: {value!r}")
             return default
         return value
 
@@ -331,13 +331,13 @@
                 self.wrong(key, f"unknown; known are {', '.join(sorted(self._read))}")
 
 
-_NAMES = {str: "text", int: "whole number", dict: "table", list: "list"}
+_NAMES = {str: "string", int: "whole number", dict: "table", list: "list"}
 
 
 def read(data: Any, settings: Settings | None = None) -> tuple[Mapped, list[Problem]]:
-    """Read a file's table: what it says, and all that is wrong with it, each with its place.
+    """Read a parsed file: the configuration, and all problems found, each with its location.
 
-    Without `settings` (a relay's own) classes, kinds and tenants are not checked against anything.
+    Without the relay's `settings`, message classes, kinds and tenants are not validated.
     """
     problems: list[Problem] = []
     whole = _Table("", data, problems)
@@ -345,7 +345,7 @@
     for name, table in whole.get("broker", dict, {}).items():
         brokers[name] = _login(_Table(f"broker.{name}", table, problems), name, needs_address=True)
         if name == LISTENER:
-            problems.append(Problem(f"broker.{name}", "a broker can't be called so"))
+            problems.append(Problem(f"broker.{name}", "reserved name"))
     listener = None
     if (table := whole.get("listener", dict)) is not None:
         listener = _listener(_Table("listener", table, problems))
@@ -367,17 +367,17 @@
 
 
 def _loops(mapped: Mapped, problems: list[Problem]) -> None:
-    """Guard against ends that are brought here again as messages, and have ends themselves."""
+    """Guard against loops: outcomes that are received as messages, and have outcomes themselves."""
     for route in mapped.routes:
         topic = re.sub(r"\{\d+\}", "x", route.ends)
         for front in sorted(route.sources):
             if topic and (found := mapped.route(front, topic)) is not None:
-                what = f"ends there come back as messages, by the filter {found[0].filter!r}"
+                what = f"outcomes published there match the inbound filter {found[0].filter!r}"
                 problems.append(Problem(f"ends {route.ends!r}", what))
 
 
 def _twins(brokers: Mapping[str, Login], targets: Mapping[str, Target], problems: list[Problem]) -> None:
-    """Guard against two connections that take one session from each other, again and again."""
+    """Guard against two connections that share a client id and keep taking over each other's session."""
     seen: dict[str, str] = {}
     logins = [(f"broker.{name}", it) for name, it in brokers.items()]
     logins += [(f"out.{kind}", it.login) for kind, it in targets.items()]
@@ -416,7 +416,7 @@
     users = table.get("users", dict, {})
     for name, secret in users.items():
         if not isinstance(secret, str):
-            table.wrong(f"users.{name}", "its password is no text")
+            table.wrong(f"users.{name}", "the password is not a string")
     listener = Listener(
         table.address("address"),
         table.number("connections", 256, 1, 10_000),
@@ -431,9 +431,9 @@
 def _route(table: _Table, known: Collection[str], settings: Settings | None) -> Route | None:
     name = table.get("filter", str, "", wanted=True)
     if name and not is_filter(name):
-        table.wrong("filter", f"no topic filter: {name!r}")
+        table.wrong("filter", f"not a topic filter: {name!r}")
     elif name.startswith("$share/"):
-        table.wrong("filter", "name the group in `share` instead")
+        table.wrong("filter", "set `share` instead of a $share/ prefix")
     levels = name.split("/").count("+")
     sources = _sources(table, known)
     message_class = table.get("class", str, "", wanted=True)
@@ -443,23 +443,23 @@
     destination = _destination(table, levels)
     identity, key = table.source("id", levels), table.source("key", levels)
     if kind is not None and kind.effect is Effect.UNSAFE and table.raw("id") is None:
-        # The rule on effects: without it, what the broker brings twice would be done twice.
+        # Without an id, a redelivery by the broker would take effect a second time.
         table.wrong("id", f"missing: {message_class} may not take effect twice, so each message needs an id")
     if kind is not None and kind.effect is Effect.KEYED and table.raw("key") is None:
-        table.wrong("key", f"missing: messages of {message_class} are told apart by it")
+        table.wrong("key", f"missing: messages of {message_class} are identified by their key")
     deadline_ms, deadline = _deadline(table, levels)
     tenant = _tenant(table, levels, settings)
     ends, share = table.get("ends", str, ""), table.get("share", str, "")
     holes = re.findall(r"\{(\w+)\}", ends)
     if ends and not is_topic(re.sub(r"[{}]", "", ends)):
-        table.wrong("ends", f"no topic: {ends!r}")
+        table.wrong("ends", f"not a topic: {ends!r}")
     if any(not (it.isdigit() and 1 <= int(it) <= levels) for it in holes):
-        table.wrong("ends", f"names a level that the filter does not have as +: {ends!r}")
+        table.wrong("ends", f"refers to a + level that the filter does not have: {ends!r}")
     if share and ("/" in share or not is_filter(f"$share/{share}/x")):
-        table.wrong("share", f"no name of a group: {share!r}")
+        table.wrong("share", f"not a valid group name: {share!r}")
     qos = table.number("qos", 1, 0, 2)
     if qos == 0 and kind is not None and kind.effect is Effect.UNSAFE:
-        table.wrong("qos", f"0 may lose messages of {message_class}, and nobody would be told")
+        table.wrong("qos", f"QoS 0 may lose messages of {message_class} without notice")
     table.finish()
     if destination is None:
         return None
@@ -485,7 +485,7 @@
     sources = table.get("from", list, [], wanted=True)
     for name in sources:
         if name not in known:
-            table.wrong("from", f"no such broker, and no listener: {name!r}")
+            table.wrong("from", f"no such broker or listener: {name!r}")
     return [str(it) for it in sources]
 
 
@@ -505,7 +505,7 @@
             table.wrong("tenant", f"unknown: {value!r}")
         return partial(_constant, value)
     if value is None and settings is not None and settings.tenants:
-        table.wrong("tenant", "missing: the settings tell tenants apart")
+        table.wrong("tenant", "missing: the settings define tenants")
     return table.source("tenant", levels)
 
 
@@ -521,21 +521,21 @@
 
 def _target(table: _Table, kind: str, settings: Settings | None) -> Target:
     if settings is not None and kind not in settings.kinds:
-        table.wrong("", f"the settings know no such kind: {', '.join(sorted(settings.kinds))}")
+        table.wrong("", f"no such kind in the settings; known are {', '.join(sorted(settings.kinds))}")
     elif settings is not None and settings.kinds[kind].bundle_max > 1:
-        table.wrong("", "a kind that bundles: a publish is one message")
+        table.wrong("", "this kind bundles messages, but a publish carries one message")
     topic = table.get("topic", str, "", wanted=True)
     holes = re.findall(r"\{(\w*)\}", topic)
     if topic and not is_topic(topic):
-        table.wrong("topic", f"no topic: {topic!r}")
+        table.wrong("topic", f"not a topic: {topic!r}")
     if any(it not in ("destination", "endpoint") for it in holes):
-        table.wrong("topic", f"only {{destination}} and {{endpoint}} are filled in: {topic!r}")
+        table.wrong("topic", f"placeholder other than {{destination}} and {{endpoint}}: {topic!r}")
     login = _login(table, f"out.{kind}", needs_address=False)
     qos = table.get("qos", dict, {})
     for name, value in qos.items():
         if settings is not None and name not in settings.classes:
             table.wrong(f"qos.{name}", "no such class")
         if value not in (1, 2):
-            table.wrong(f"qos.{name}", f"neither 1 nor 2: {value!r}; at 0 nobody tells that it arrived")
+            table.wrong(f"qos.{name}", f"neither 1 nor 2: {value!r}; QoS 0 has no acknowledgement")
     table.finish()
     return Target(topic, login, qos)
--- a/amberlug/mqtt/packets.py
+++ b/amberlug/mqtt/packets.py
@@ -1,6 +1,6 @@
-"""MQTT control packets, of 5.0 and 3.1.1, as values: read from bytes and written to them, without I/O.
+"""MQTT 5.0 and 3.1.1 control packets: data classes, encoding and decoding, without I/O.
 
-Source: OASIS MQTT 5.0 and 3.1.1, section 3 of each. A packet that breaks the protocol raises `MqttError`.
+Source: OASIS MQTT 5.0 and 3.1.1, section 3 of each. A packet that violates the protocol raises `MqttError`.
 """
 
 from __future__ import annotations
@@ -98,7 +98,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Connect:
-    """A client's first packet. A will is read and not kept: nothing here publishes one."""
+    """CONNECT. A will message is parsed and discarded, since the relay never publishes one."""
 
     client_id: str
     version: int = V5
@@ -112,7 +112,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Connack:
-    """The answer to it. `code` is a reason code of 5.0, or a return code of 3.1.1."""
+    """CONNACK. `code` is a 5.0 reason code or a 3.1.1 return code."""
 
     code: int = 0
     session_present: bool = False
@@ -121,7 +121,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Publish:
-    """A message; `packet_id` is 0 at QoS 0."""
+    """PUBLISH; `packet_id` is 0 at QoS 0."""
 
     topic: str
     payload: bytes
@@ -144,7 +144,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Wanted:
-    """One filter of a SUBSCRIBE; `retain` tells when retained messages are wanted (0 always, 2 never)."""
+    """One filter of a SUBSCRIBE with its options; `retain` is the retain handling (0 always, 2 never)."""
 
     filter: str
     qos: int
@@ -155,7 +155,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Subscribe:
-    """What a client wants to hear."""
+    """SUBSCRIBE."""
 
     packet_id: int
     wanted: tuple[Wanted, ...]
@@ -164,7 +164,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Unsubscribe:
-    """What it no longer wants to hear."""
+    """UNSUBSCRIBE."""
 
     packet_id: int
     filters: tuple[str, ...]
@@ -173,7 +173,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Granted:
-    """SUBACK or UNSUBACK: a code for each filter."""
+    """SUBACK or UNSUBACK, with a code for each filter."""
 
     kind: Kind
     packet_id: int
@@ -190,7 +190,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Disconnect:
-    """The last packet of either side; of a client's alone in 3.1.1."""
+    """DISCONNECT; in 3.1.1 only clients send it."""
 
     code: int = 0
     properties: Properties = field(default_factory=dict)
@@ -199,11 +199,11 @@
 Packet = Connect | Connack | Publish | Ack | Subscribe | Unsubscribe | Granted | Ping | Disconnect
 
 
-# Writing.
+# Encoding.
 
 
 def encode(packet: Packet, version: int) -> bytes:
-    """The bytes of a packet for a connection of that version."""
+    """Encode a packet for a connection of the given version."""
     flags, body = 0, b""
     match packet:
         case Publish():
@@ -270,13 +270,13 @@
     return wanted.qos | wanted.no_local << 2 | wanted.as_published << 3 | wanted.retain << 4
 
 
-# Reading.
+# Decoding.
 
 
 class Decoder:
-    """Cuts bytes into packets. `version` is that of the connection, which a server learns by CONNECT.
+    """Splits a byte stream into packets. `version` is the connection's, which a server learns from CONNECT.
 
-    `most` bounds a whole packet, in bytes. Packets that came before one that breaks the protocol are read.
+    `most` limits the size of a whole packet, in bytes. Packets ahead of an invalid one are still returned.
     """
 
     def __init__(self, most: int, version: int = 0) -> None:
@@ -286,15 +286,15 @@
 
     @property
     def begun(self) -> bool:
-        """Whether a packet has begun and not ended."""
+        """Whether a part of a packet is buffered."""
         return bool(self._data)
 
     def feed(self, data: bytes) -> None:
-        """Take in what has come."""
+        """Buffer received bytes."""
         self._data += data
 
     def next(self) -> Packet | None:
-        """The next whole packet; None where more must come first."""
+        """Return the next whole packet; None if more data is needed."""
         if (found := self._size()) is None:
             return None
         head, size = found
@@ -308,16 +308,16 @@
         return packet
 
     def _size(self) -> tuple[int, int] | None:
-        """How long the packet's head is, and how much follows it."""
+        """Return the length of the fixed header and the remaining length."""
         size = 0
         for count, byte in enumerate(self._data[1:5]):
             size |= (byte & 0x7F) << 7 * count
             if size + 2 > self._most:
-                raise MqttError(TOO_LARGE, f"a packet of more than {self._most} bytes")
+                raise MqttError(TOO_LARGE, f"packet exceeds {self._most} bytes")
             if not byte & 0x80:
                 return count + 2, size
         if len(self._data) >= 5:
-            raise malformed("a length of more than four bytes")
+            raise malformed("remaining length is longer than four bytes")
         return None
 
     def _read(self, first: int, reader: Reader) -> Packet:
@@ -326,11 +326,11 @@
             raise malformed("packet type 0")
         kind = Kind(number)
         if not self.version and kind is not K.CONNECT:
-            raise MqttError(PROTOCOL_ERROR, "a packet ahead of CONNECT")
+            raise MqttError(PROTOCOL_ERROR, "packet before CONNECT")
         if kind is K.PUBLISH:
             return self._publish(flags, reader)
         if flags != 2 * (kind in (K.PUBREL, K.SUBSCRIBE, K.UNSUBSCRIBE)):
-            raise malformed(f"flags {flags:#x} of a {kind.name}")
+            raise malformed(f"invalid {kind.name} flags {flags:#x}")
         packet = self._other(kind, reader)
         reader.finish()
         return packet
@@ -342,7 +342,7 @@
             case K.CONNACK:
                 flags, code = reader.u8(), reader.u8()
                 if flags > 1:
-                    raise malformed("flags of a CONNACK")
+                    raise malformed("invalid CONNACK flags")
                 return Connack(code, bool(flags), self._own(kind, reader))
             case K.PUBACK | K.PUBREC | K.PUBREL | K.PUBCOMP:
                 packet_id = _packet_id(reader)
@@ -364,7 +364,7 @@
             case K.PINGREQ | K.PINGRESP:
                 return Ping(kind)
             case _:
-                raise MqttError(PROTOCOL_ERROR, f"{kind.name} was not asked for")
+                raise MqttError(PROTOCOL_ERROR, f"unexpected {kind.name}")
 
     def _own(self, kind: Kind, reader: Reader) -> Properties:
         return properties.read(reader, _ALLOWED[kind]) if self.version == V5 else NONE
@@ -378,16 +378,16 @@
     def _publish(self, flags: int, reader: Reader) -> Publish:
         qos, dup, retain = flags >> 1 & 3, bool(flags & 8), bool(flags & 1)
         if qos == 3 or (dup and not qos):
-            raise malformed("flags of a PUBLISH")
+            raise malformed("invalid PUBLISH flags")
         topic = reader.text()
         packet_id = _packet_id(reader) if qos else 0
         own = self._own(K.PUBLISH, reader)
         if topic and not is_topic(topic):
-            raise MqttError(INVALID_TOPIC, "a topic with a wildcard")
+            raise MqttError(INVALID_TOPIC, "invalid topic name")
         if not topic and P.TOPIC_ALIAS not in own:
-            raise MqttError(PROTOCOL_ERROR, "a PUBLISH without a topic")
+            raise MqttError(PROTOCOL_ERROR, "PUBLISH has neither a topic nor a topic alias")
         if P.RESPONSE_TOPIC in own and not is_topic(own[P.RESPONSE_TOPIC]):
-            raise MqttError(PROTOCOL_ERROR, "a response topic with a wildcard, or an empty one")
+            raise MqttError(PROTOCOL_ERROR, "response topic is empty or has a wildcard")
         return Publish(topic, reader.rest(), qos, packet_id, dup, retain, own)
 
     def _subscribe(self, reader: Reader) -> Subscribe:
@@ -396,33 +396,33 @@
         while reader.left or not wanted:
             name, options = _filter(reader), reader.u8()
             if options & 3 == 3 or options >> 4 == 3 or options & (0xC0 if self.version == V5 else 0xFC):
-                raise malformed("options of a SUBSCRIBE")
+                raise malformed("invalid subscription options")
             wanted.append(Wanted(name, options & 3, bool(options & 4), bool(options & 8), options >> 4 & 3))
         return Subscribe(packet_id, tuple(wanted), own)
 
 
 def _packet_id(reader: Reader) -> int:
     if not (packet_id := reader.u16()):
-        raise MqttError(PROTOCOL_ERROR, "packet id 0")
+        raise MqttError(PROTOCOL_ERROR, "packet id is 0")
     return packet_id
 
 
 def _filter(reader: Reader) -> str:
     name = reader.text()
     if not is_filter(name):
-        raise MqttError(0x8F, f"no topic filter: {name[:40]!r}")
+        raise MqttError(0x8F, f"invalid topic filter: {name[:40]!r}")
     return name
 
 
 def _read_connect(reader: Reader) -> Connect:
     if reader.text() != "MQTT":
-        raise MqttError(UNSUPPORTED_VERSION, "another protocol")
+        raise MqttError(UNSUPPORTED_VERSION, "protocol name is not MQTT")
     version, flags = reader.u8(), reader.u8()
     if version not in (V3, V5):
-        raise MqttError(UNSUPPORTED_VERSION, f"protocol level {version}")
+        raise MqttError(UNSUPPORTED_VERSION, f"unsupported protocol level {version}")
     will, named, secret = bool(flags & 4), bool(flags & 0x80), bool(flags & 0x40)
     if flags & 1 or flags >> 3 & 3 == 3 or (not will and flags & 0x38) or (version == V3 and secret > named):
-        raise malformed("flags of a CONNECT")
+        raise malformed("invalid CONNECT flags")
     keep_alive = reader.u16()
     own = properties.read(reader, _ALLOWED[K.CONNECT]) if version == V5 else NONE
     client_id = reader.text()
@@ -430,7 +430,7 @@
         if version == V5:
             properties.read(reader, _WILL)
         if not is_topic(reader.text()):
-            raise MqttError(INVALID_TOPIC, "a will's topic with a wildcard")
+            raise MqttError(INVALID_TOPIC, "invalid will topic")
         reader.binary()
     username = reader.text() if named else None
     password = reader.binary() if secret else None
--- a/amberlug/mqtt/properties.py
+++ b/amberlug/mqtt/properties.py
@@ -13,7 +13,7 @@
 
 
 class Property(IntEnum):
-    """Identifiers of those that are read or written here, and of all others that may come."""
+    """Property identifiers; includes those that are only parsed."""
 
     PAYLOAD_FORMAT = 0x01
     MESSAGE_EXPIRY = 0x02
@@ -44,8 +44,8 @@
     SHARED_AVAILABLE = 0x2A
 
 
-P = Property  # as it is called where it is used
-Properties = Mapping[Property, Any]  # `USER` holds pairs of strings, `SUBSCRIPTION_ID` numbers
+P = Property
+Properties = Mapping[Property, Any]  # `USER` holds a list of string pairs, `SUBSCRIPTION_ID` of numbers
 NONE: Properties = {}
 
 _FLAGS = {
@@ -66,14 +66,14 @@
 
 
 def read(reader: Reader, allowed: Iterable[Property]) -> dict[Property, Any]:
-    """Read a packet's properties; `MqttError` for one that it may not have, or that is there twice."""
+    """Decode a packet's properties; raises `MqttError` for one that is not allowed or repeated."""
     inner = Reader(reader.take(reader.variable()))
     found: dict[Property, Any] = {}
     may = frozenset(allowed)
     while inner.left:
         number = inner.variable()
         if number not in may:
-            raise malformed(f"property 0x{number:02x} in a packet that can't have it")
+            raise malformed(f"property 0x{number:02x} is not allowed in this packet")
         name = Property(number)
         value = _value(inner, name)
         if name in _NOT_ZERO and not value:
@@ -81,7 +81,7 @@
         if name in _MANY:
             found.setdefault(name, []).append(value)
         elif name in found:
-            raise MqttError(PROTOCOL_ERROR, f"property 0x{number:02x} twice")
+            raise MqttError(PROTOCOL_ERROR, f"property 0x{number:02x} is repeated")
         else:
             found[name] = value
     return found
@@ -107,7 +107,7 @@
 
 
 def encode(values: Properties) -> bytes:
-    """Properties as they are written, with their length."""
+    """Encode properties with their length prefix."""
     parts = []
     for name, value in values.items():
         for one in value if name in _MANY else (value,):
@@ -133,5 +133,5 @@
 
 
 def user(values: Properties, name: str) -> str | None:
-    """The first user property of that name."""
+    """Return the first user property with a name."""
     return next((value for key, value in values.get(P.USER, ()) if key == name), None)
--- a/amberlug/mqtt/publisher.py
+++ b/amberlug/mqtt/publisher.py
@@ -1,4 +1,4 @@
-"""Calls to endpoints that are a topic at a broker, beside those over HTTP."""
+"""Transport for endpoints that are broker topics; delegates all other endpoints to the HTTP transport."""
 
 from __future__ import annotations
 
@@ -17,14 +17,14 @@
 from amberlug.mqtt.sessions import Fate
 from amberlug.policy.interface import Result
 
-WAIT_MOST_MS = 3_600_000  # longest told wait that is kept
-NEVER_RAN = frozenset((0x87, 0x90, 0x91, 0x95, 0x99))  # not taken, and for this message never will be
+WAIT_MOST_MS = 3_600_000  # upper bound for a retry delay that a broker asks for
+NEVER_RAN = frozenset((0x87, 0x90, 0x91, 0x95, 0x99))  # permanent refusals of this message: it had no effect
 QUOTA = 0x97
-Place = tuple[str, Address]  # a kind, and the broker's address
+Place = tuple[str, Address]  # endpoint kind and broker address
 
 
 def ending(fate: Fate, code: int, told: Properties) -> AttemptResult:
-    """What became of an attempt, by what became of its publish."""
+    """Map the result of a publish to the result of its attempt."""
     if fate is Fate.ACKNOWLEDGED:
         return AttemptResult(Result.DONE)
     if fate is Fate.DROPPED:
@@ -37,7 +37,7 @@
 
 
 def wait_us(told: Properties) -> int:
-    """The told wait; one that can't be read is none."""
+    """Return the retry delay that the broker asked for; 0 if it is missing or malformed."""
     text = user(told, RETRY) or ""
     if not (text.isascii() and text.isdigit()):
         return 0
@@ -45,13 +45,13 @@
 
 
 class Publisher:
-    """The core's transport: publishes to kinds that the operator's file names, and passes on all others."""
+    """The core's transport: publishes to endpoints of the configured kinds, and delegates all others."""
 
     def __init__(self, others: Transport, targets: Mapping[str, Target], clock: Clock) -> None:
         self._others, self._targets, self._clock = others, targets, clock
-        self._places: dict[str, Place] = {}  # of endpoints that are topics
+        self._places: dict[str, Place] = {}  # of endpoints that are topics, by endpoint id
         self._links: dict[Place, Link] = {}
-        self._used: Counter[Place] = Counter()  # by endpoints that are there, and by calls that are out
+        self._used: Counter[Place] = Counter()  # reference counts: listed endpoints and open calls
         self._out: dict[Attempt, asyncio.Future[AttemptResult]] = {}
         self._tasks: set[asyncio.Task[None]] = set()
 
@@ -64,7 +64,7 @@
         self._others.bind(calls)
 
     def locate(self, endpoint: str, address: Address | None, kind: str = "") -> None:
-        """Learn where an endpoint's broker is; of the other kinds, pass it on."""
+        """Set the broker address of an endpoint; other kinds are delegated."""
         was = self._places.pop(endpoint, None)
         if kind in self._targets and address is not None:
             self._places[endpoint] = kind, address
@@ -75,7 +75,7 @@
             self._leave(was)
 
     def _leave(self, place: Place) -> None:
-        """Let go of a connection to where nothing goes any more, once no call is out there."""
+        """Drop one reference to a broker connection; the last one closes it."""
         self._used[place] -= 1
         if not self._used[place]:
             del self._used[place]
@@ -83,7 +83,7 @@
                 link.stop()
 
     def close_idle(self, endpoint: str) -> None:
-        """Leave the one connection to a broker open: it serves all endpoints there."""
+        """Keep a broker's connection open, because all its endpoints share it; delegate other kinds."""
         if endpoint not in self._places:
             self._others.close_idle(endpoint)
 
@@ -113,11 +113,11 @@
         if endpoint not in self._places:
             self._others.probe(endpoint, ended)
             return
-        # There is nothing to ask of a topic: only a publish tells.
+        # A topic can't be probed: only a publish shows whether it is available.
         asyncio.get_running_loop().call_soon(ended, AttemptResult(Result.UNSENT))
 
     def stop(self) -> None:
-        """Let go of the connections to brokers."""
+        """Close the broker connections."""
         for link in self._links.values():
             link.stop()
 
@@ -129,7 +129,7 @@
         try:
             how = await self._attempt(self._targets[place[0]], link, attempt)
         finally:
-            # Guards against an error that leaves an attempt without an outcome, and its slot taken for good.
+            # Guards against an error that leaves an attempt without a result, which would leak its slot.
             del self._out[attempt]
             attempt.ended = True
             self._leave(place)
@@ -141,12 +141,12 @@
             async with asyncio.timeout(self._left(attempt)):
                 room = await link.room()
         except TimeoutError:
-            return AttemptResult(Result.UNCONNECTED)  # it never left
+            return AttemptResult(Result.UNCONNECTED)  # it was never sent
         if not room:
             return AttemptResult(Result.UNCONNECTED)
         left = False
         try:
-            # A connection takes time: what a drain, a wait or an end forbids by now is not sent.
+            # Connecting takes time: meanwhile a drain, a wait or an outcome may have ruled the attempt out.
             if called_off.done() or not await clear_attempts(self._calls, [attempt]):
                 return AttemptResult(Result.CALLED_OFF if called_off.done() else Result.UNSENT)
             left = True
@@ -159,7 +159,7 @@
         if called_off.done():
             return called_off.result()
         if link.last_heard < written:
-            link.abort("silent")  # nothing has come since: it would hold its places for good
+            link.abort("silent")  # nothing received since: a dead connection would hold its places forever
         return AttemptResult(Result.TIMED_OUT)
 
     def _packet(self, target: Target, attempt: Attempt) -> Publish:
--- a/amberlug/mqtt/replies.py
+++ b/amberlug/mqtt/replies.py
@@ -1,4 +1,4 @@
-"""Where the end of a message that came by MQTT is told, and how an end looks there. No I/O."""
+"""Reply addresses of messages received over MQTT, and the format of published outcomes. Does no I/O."""
 
 from __future__ import annotations
 
@@ -9,30 +9,30 @@
 from amberlug.mqtt.packets import Publish
 from amberlug.mqtt.properties import P
 
-RETRY = "retry-in-ms"  # user property: milliseconds after which to come again
+RETRY = "retry-in-ms"  # user property: milliseconds before the message may be sent again
 
 
 @dataclass(frozen=True, slots=True)
 class Reply:
-    """Where an end is told: a front (a broker's name, or the listener), a topic there, what to give back."""
+    """A reply address: the source (a broker's name, or the listener), a topic there, correlation data."""
 
     front: str
     topic: str
     correlation: bytes = b""
 
     def encode(self) -> bytes:
-        """As it stands in the journal."""
+        """Encode it for the journal."""
         return f"{self.front}\0{self.topic}\0".encode() + self.correlation
 
 
 def decode(data: bytes) -> Reply:
-    """Read what `encode` wrote; `ValueError` where that is no such thing."""
+    """Decode what `Reply.encode` returned; raises `ValueError` if malformed."""
     front, topic, correlation = data.split(b"\0", 2)
     return Reply(front.decode(), topic.decode(), correlation)
 
 
 def publish(end: End, reply: Reply) -> Publish:
-    """An end as it is published, at QoS 1."""
+    """Build the QoS 1 PUBLISH for an outcome."""
     fields: dict[str, str | int] = {"message": end.message, "outcome": end.outcome.value}
     told = [("outcome", end.outcome.value)]
     if end.retry_ms > 0:
@@ -42,7 +42,7 @@
 
 
 def refusal(reply: Reply, text: str) -> Publish:
-    """A publish that is no message, as it is told where its sender listens."""
+    """Build the PUBLISH that tells a sender that its publish was refused."""
     return _publish(reply, {"outcome": "refused", "reason": text}, [("outcome", "refused")])
 
 
--- a/amberlug/mqtt/sessions.py
+++ b/amberlug/mqtt/sessions.py
@@ -1,7 +1,7 @@
-"""What one side of an MQTT session remembers of publishes on their way, without I/O.
+"""In-flight state of one side of an MQTT session, without I/O.
 
-`Incoming` answers for what the other side publishes, `Outgoing` for what this one does. Both outlast a
-connection where the session does. Source: OASIS MQTT 5.0, sections 4.3, 4.4 and 4.9.
+`Incoming` tracks publishes from the peer, `Outgoing` this side's own. Both outlast a connection if the
+session does. Source: OASIS MQTT 5.0, sections 4.3, 4.4 and 4.9.
 """
 
 from __future__ import annotations
@@ -20,32 +20,32 @@
 
 
 class Incoming:
-    """Publishes that have come: each is answered once what becomes of it is known.
+    """Received publishes: each is acknowledged once it is accepted or refused.
 
-    At QoS 2 a packet id whose PUBREC said yes stays until its PUBREL; a publish with it until then is the
-    same one, and is answered again without being offered to anybody.
+    At QoS 2 a packet id stays in use from a successful PUBREC until its PUBREL; a publish with that id is a
+    duplicate until then, and is acknowledged again without being processed.
     """
 
     def __init__(self, window: int) -> None:
         self._window = window
-        self._open: dict[int, int] = {}  # packet ids that wait for an answer, and their QoS
-        self._received: set[int] = set()  # that wait for their PUBREL
+        self._open: dict[int, int] = {}  # unacknowledged packet ids and their QoS
+        self._received: set[int] = set()  # packet ids that wait for PUBREL
 
     def came(self, packet: Publish) -> tuple[bool, Ack | None]:
-        """Whether a publish is to be offered, and what goes out at once; `MqttError` if it is too many."""
+        """Return whether to process a publish, and any immediate answer; raises `MqttError` if too many."""
         if not packet.qos:
             return True, None
         if packet.packet_id in self._received and packet.qos == 2:
             return False, Ack(Kind.PUBREC, packet.packet_id)
         if packet.packet_id in self._open:
-            return False, None  # the one that is being dealt with
+            return False, None  # duplicate of a publish in progress
         if len(self._open) + len(self._received) >= self._window:
-            raise MqttError(TOO_MANY, f"more than {self._window} publishes at once")
+            raise MqttError(TOO_MANY, f"more than {self._window} publishes in flight")
         self._open[packet.packet_id] = packet.qos
         return True, None
 
     def answer(self, packet_id: int, code: int = 0, told: Properties = NONE) -> Ack | None:
-        """The answer to a publish; None where the connection that it came on was lost meanwhile."""
+        """Return the acknowledgement of a publish; None if its connection was lost meanwhile."""
         qos = self._open.pop(packet_id, 0)
         if not qos:
             return None
@@ -56,20 +56,20 @@
         return Ack(Kind.PUBREC, packet_id, code, told)
 
     def released(self, packet_id: int) -> Ack:
-        """The answer to a PUBREL."""
+        """Return the answer to a PUBREL."""
         known = packet_id in self._received
         self._received.discard(packet_id)
         return Ack(Kind.PUBCOMP, packet_id, 0 if known else NOT_FOUND)
 
     def connected(self, session_present: bool) -> None:
-        """Begin on a new connection: what was not answered comes again, or never."""
+        """Start on a new connection: the peer may redeliver publishes that were not acknowledged."""
         self._open.clear()
         if not session_present:
             self._received.clear()
 
 
 class Stage(Enum):
-    """What an own publish waits for."""
+    """The packet that an own publish waits for."""
 
     PUBACK = "puback"
     PUBREC = "pubrec"
@@ -77,32 +77,32 @@
 
 
 class Fate(Enum):
-    """What became of an own publish."""
+    """The result of an own publish."""
 
     ACKNOWLEDGED = "acknowledged"
     REFUSED = "refused"  # by a reason code
-    LOST = "lost"  # it left, and nothing more will be heard of it
-    DROPPED = "dropped"  # it never left
+    LOST = "lost"  # sent, but its acknowledgement will never arrive
+    DROPPED = "dropped"  # never sent
 
 
-Done = Callable[[Fate, int, Properties], None]  # how, the reason code, what stood with it
+Done = Callable[[Fate, int, Properties], None]  # result, reason code, properties
 
 
 @dataclass(slots=True)
 class _Out:
-    """An own publish on its way."""
+    """An own publish in flight."""
 
     done: Done
     stage: Stage
 
 
 class Outgoing:
-    """Own publishes: packet ids, the other side's window, and answers.
+    """Own publishes: packet ids, the peer's receive maximum, and acknowledgements.
 
-    Nothing is published again from here: what was lost with a connection is told so, and whoever asked
-    decides. Only at QoS 2, once PUBREC has come, it goes on with PUBREL where the session is still there.
-    A packet id that was lost at QoS 2 is not used again in the same session: the other side may still know
-    it, and would take another message for the same.
+    Never retransmits a PUBLISH: one that was lost with its connection is reported as lost, and the caller
+    decides. Only at QoS 2 after PUBREC does the exchange continue with PUBREL if the session still exists.
+    A packet id lost at QoS 2 is not reused in the same session: the peer may still hold it, and would take a
+    new message for a duplicate.
     """
 
     def __init__(self, write: Callable[[Publish | Ack], None]) -> None:
@@ -111,28 +111,28 @@
         self._burnt: set[int] = set()
         self._last = 0
         self._reserved = 0
-        self._window = 0  # of the other side; 0 while there is no connection
+        self._window = 0  # the peer's receive maximum; 0 while disconnected
 
     @property
     def room(self) -> bool:
-        """Whether a further publish may leave."""
+        """Whether the send window has a free place."""
         return len(self._out) + self._reserved < self._window
 
     @property
     def unreleased(self) -> bool:
-        """Whether the session is worth keeping: a PUBREL is to be sent or answered."""
+        """Whether the session must be kept, because a PUBREL is to be sent or answered."""
         return any(it.stage is Stage.PUBCOMP for it in self._out.values())
 
     def reserve(self) -> None:
-        """Keep room for a publish that is about to leave."""
+        """Reserve a place in the send window."""
         self._reserved += 1
 
     def free(self) -> None:
-        """Give up what was reserved."""
+        """Release a reserved place."""
         self._reserved -= 1
 
     def publish(self, packet: Publish, done: Done) -> None:
-        """Publish now, at QoS 1 or 2; `DROPPED` where there is no connection any more."""
+        """Publish now, at QoS 1 or 2; reports `DROPPED` if disconnected."""
         if not self._window:
             done(Fate.DROPPED, 0, NONE)
             return
@@ -141,14 +141,14 @@
         self._write(replace(packet, packet_id=packet_id))
 
     def _free_id(self) -> int:
-        """One that is not in use: a window and what is burnt are far fewer than there are."""
+        """Return an unused packet id; those in flight or blocked are far fewer than the 65,535 that exist."""
         while True:
             self._last = self._last % IDS + 1
             if self._last not in self._out and self._last not in self._burnt:
                 return self._last
 
     def came(self, ack: Ack) -> None:
-        """Take an answer in. One that nothing waits for is passed over, a PUBREC of that kind told so."""
+        """Process an acknowledgement. Unexpected ones are ignored, except that a PUBREC gets a PUBREL."""
         out = self._out.get(ack.packet_id)
         if out is None or out.stage is not _STAGES[ack.kind]:
             if ack.kind is Kind.PUBREC and (out is None or out.stage is Stage.PUBCOMP):
@@ -161,12 +161,12 @@
         del self._out[ack.packet_id]
         fate = Fate.ACKNOWLEDGED
         if ack.code >= 0x80:
-            # A PUBCOMP that does not know the packet id: the other side released it before, or lost it.
+            # A PUBCOMP with "packet identifier not found": the peer released it before, or lost it.
             fate = Fate.LOST if ack.kind is Kind.PUBCOMP else Fate.REFUSED
         out.done(fate, ack.code, ack.properties)
 
     def lost(self) -> None:
-        """The connection is gone: what left and was not answered is lost, but for what waits for PUBCOMP."""
+        """Handle a lost connection: unacknowledged publishes are lost, except those waiting for PUBCOMP."""
         self._window = 0
         gone = {number: it for number, it in self._out.items() if it.stage is not Stage.PUBCOMP}
         for number, it in gone.items():
@@ -177,7 +177,7 @@
             it.done(Fate.LOST, 0, NONE)
 
     def connected(self, session_present: bool, window: int) -> None:
-        """Go on upon a new connection, whose other side takes so many publishes at once."""
+        """Resume on a new connection; `window` is the peer's receive maximum."""
         self._window = window
         if not session_present:
             self._burnt.clear()
@@ -186,7 +186,7 @@
             self._write(Ack(Kind.PUBREL, number))
 
     def abandon(self) -> None:
-        """Wait for nothing any more: the session is gone."""
+        """Report everything in flight as lost, because the session no longer exists."""
         gone, self._out = self._out, {}
         for it in gone.values():
             it.done(Fate.LOST, 0, NONE)
--- a/amberlug/mqtt/subscriber.py
+++ b/amberlug/mqtt/subscriber.py
@@ -1,4 +1,4 @@
-"""Messages from a broker: subscribed to, and acknowledged once the journal has them."""
+"""Subscribes to a broker's messages, and acknowledges each once it is in the journal."""
 
 from __future__ import annotations
 
@@ -13,27 +13,27 @@
 from amberlug.mqtt.packets import V5, Publish, Wanted
 from amberlug.mqtt.properties import P
 
-CROWDED_MS = 100  # until the next look for room
-AGAIN_MOST = 5.0  # seconds at most after which what had no room is offered again
+CROWDED_MS = 100  # retry delay while the relay is near its limits
+AGAIN_MOST = 5.0  # longest delay in seconds before a refused publish is submitted again
 
 
 class Subscriber:
-    """One broker's messages.
+    """Receives one broker's messages.
 
-    What finds no room is not acknowledged, and offered again when it was told to: the broker brings no more
-    than the window meanwhile, so that nothing is dropped and memory is bounded. Of 3.1.1, which has no
-    window, no more is read than that.
+    A publish that the relay has no capacity for stays unacknowledged and is submitted again after the given
+    delay. The broker sends no more than the receive maximum meanwhile, so nothing is dropped and memory is
+    bounded. For 3.1.1, which has no receive maximum, reading pauses at that number.
     """
 
     def __init__(self, login: Login, mapped: Mapped, intake: Intake, ends: MqttEnds) -> None:
         self._login, self._intake, self._ends = login, intake, ends
         routes = [it for it in mapped.routes if login.name in it.sources]
-        never = 2 * (login.version == V5)  # no retained messages, where that can be asked for
+        never = 2 * (login.version == V5)  # retain handling "never", an option of 5.0 only
         wanted = {it.subscription: Wanted(it.subscription, it.qos, retain=never) for it in routes}
         self.link = Link(login, login.address, tuple(wanted.values()), self._came, self._up)
         self._offers: set[Offer] = set()
-        self._life = 0  # of the connection: what an earlier one brought comes again
-        self._waiting = 0  # publishes that are not answered yet
+        self._life = 0  # connection counter: publishes of earlier connections are redelivered
+        self._waiting = 0  # publishes that are not acknowledged yet
         self._closing = False
         ends.fronts[login.name] = self
 
@@ -41,7 +41,7 @@
         self.link.start()
 
     def close(self) -> None:
-        """Take nothing more on, and let the broker keep what was not acknowledged."""
+        """Stop accepting messages; the broker keeps what was not acknowledged."""
         self._closing = True
         for offer in list(self._offers):
             self._intake.withdraw(offer)
@@ -52,13 +52,13 @@
         self._life += 1
         self._waiting = 0
         for offer in list(self._offers):
-            self._intake.withdraw(offer)  # the broker brings it again, or another relay has it by now
+            self._intake.withdraw(offer)  # redelivered here, or to another relay
         self._offers.clear()
         self._ends.listening(self._login.name, lambda topic: True)
 
     def _came(self, packet: Publish) -> None:
         if packet.retain:
-            # What a broker has kept is no news: it may be days old, and was brought when it was new.
+            # A retained message may be days old, and was already delivered when it was new.
             self._intake.pass_over(self._login.name, packet, "is retained")
             self._answer(packet, Verdict())
             return
@@ -71,7 +71,8 @@
         if life != self._life or self._closing:
             return
         if packet.qos and self._intake.crowded:
-            # A publisher behind a broker may never hear that its message was handed back. It waits there.
+            # A publisher behind a broker might never learn that its message was handed back, so the message
+            # waits at the broker instead.
             self._judged(packet, Verdict(QUOTA, "no room", CROWDED_MS), life)
             return
         offers: list[Offer] = []
@@ -104,8 +105,8 @@
         self._answer(packet, verdict)
 
     def _refused(self, packet: Publish, verdict: Verdict) -> None:
-        """Tell that a publish is no message: to whoever listens for its end, and in the log."""
-        log(f"mqtt: {self._login.name}: {packet.topic[:80]!r} is refused: {verdict.text}")
+        """Report a refused publish in the log, and to the reply address if there is one."""
+        log(f"mqtt: {self._login.name}: {packet.topic[:80]!r} refused: {verdict.text}")
         reply = self._intake.reply(self._login.name, packet, "")
         if reply is not None:
             self.tell(replies.refusal(reply, verdict.text), lambda fate, code: None)
@@ -116,7 +117,7 @@
             self.link.answer(packet.packet_id, verdict.code, told)
 
     def tell(self, packet: Publish, done: Told) -> bool | None:
-        """Publish an end; None where the broker is not there, False where it takes no more for now."""
+        """Publish an outcome. Returns None while disconnected, False while the send window is full."""
         if not self.link.connected:
             return None
         if not self.link.outgoing.room:
--- a/amberlug/mqtt/topics.py
+++ b/amberlug/mqtt/topics.py
@@ -6,12 +6,12 @@
 
 
 def is_topic(topic: str) -> bool:
-    """Whether a message may be published there: no wildcards, no U+0000, not empty, 65,535 bytes at most."""
+    """Whether a topic name is valid: no wildcards, no U+0000, not empty, at most 65,535 bytes."""
     return bool(topic) and not any(sign in topic for sign in "+#\0") and len(topic.encode()) <= 0xFFFF
 
 
 def is_filter(name: str) -> bool:
-    """Whether it can be subscribed to: wildcards only as whole levels, `#` only as the last one."""
+    """Whether a topic filter is valid: wildcards only as whole levels, `#` only as the last one."""
     if name.startswith(SHARED):
         group, _, rest = name[len(SHARED) :].partition("/")
         return bool(group) and not any(sign in group for sign in "+#") and is_filter(rest)
@@ -25,13 +25,13 @@
 
 
 def matches(name: str, topic: str) -> bool:
-    """Whether a filter, without what makes it shared, matches a topic."""
+    """Whether a filter without a `$share` prefix matches a topic."""
     return captured(name, topic) is not None
 
 
 def captured(name: str, topic: str) -> tuple[str, ...] | None:
-    """The levels that the filter's `+` stand for, in their order; None where it does not match."""
-    # Topics that begin with $ are the broker's own: wildcards at the beginning don't match them.
+    """Return the topic levels that the filter's `+` matched, in order; None if it does not match."""
+    # Topics that begin with $ are reserved for the broker: leading wildcards don't match them.
     if topic.startswith("$") and name[:1] in ("+", "#"):
         return None
     found: list[str] = []
--- a/amberlug/mqtt/wire.py
+++ b/amberlug/mqtt/wire.py
@@ -1,4 +1,4 @@
-"""One MQTT connection on a socket: bytes to packets and back, bounded in both directions."""
+"""An MQTT connection on a socket: encodes and decodes packets, with bounded buffers in both directions."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 from amberlug.mqtt.fields import MqttError
 from amberlug.mqtt.packets import V5, Decoder, Disconnect, Packet, encode
 
-PACKET_MOST = MAX_BODY_BYTES + 8192  # the longest payload, its topic and properties
-UNSENT_MOST = 1 << 18  # bytes that the other side may leave unread
+PACKET_MOST = MAX_BODY_BYTES + 8192  # the largest payload, with topic and properties
+UNSENT_MOST = 1 << 18  # high-water mark of the write buffer in bytes
 
 
 class Wire(asyncio.Protocol):
-    """A connection: `heard` is told each packet, `lost` once that it is over and why."""
+    """A connection: `heard` is called with each packet, `lost` once with the reason when it ends."""
 
     def __init__(
         self, heard: Callable[[Packet], None], lost: Callable[[str], None], version: int = 0
@@ -31,11 +31,11 @@
 
     @property
     def version(self) -> int:
-        """The protocol level; 0 until it is known."""
+        """The protocol level; 0 until known."""
         return self._decoder.version
 
     def begun_for(self, now: float) -> float:
-        """Seconds since a packet began that has not ended; 0 without one."""
+        """Seconds since the first byte of an incomplete packet; 0 if there is none."""
         return 0.0 if self._begun_at is None else now - self._begun_at
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -43,7 +43,7 @@
         self._transport = transport
         transport.set_write_buffer_limits(UNSENT_MOST)
         self.last_heard = asyncio.get_running_loop().time()
-        if self.closing:  # it was given up before it stood
+        if self.closing:  # closed before the connection was made
             transport.abort()
 
     def connection_lost(self, error: Exception | None) -> None:
@@ -60,7 +60,7 @@
             try:
                 packet = self._decoder.next()
                 if packet is None:
-                    # Guards against a packet that comes byte by byte, for ever: it counts from its first one.
+                    # Guards against a packet sent byte by byte forever: its time counts from the first byte.
                     begun = self._begun_at if self._begun_at is not None else self.last_heard
                     self._begun_at = begun if self._decoder.begun else None
                     return
@@ -70,27 +70,27 @@
                 self.fail(error.code, str(error))
 
     def pause_writing(self) -> None:
-        """Guard against answers that pile up for a side that sends and does not read."""
+        """Guard against responses that pile up for a peer that sends but does not read."""
         self.hold()
 
     def resume_writing(self) -> None:
         self.go_on()
 
     def hold(self) -> None:
-        """Read nothing for now: what has come is too much."""
+        """Pause reading: too much is pending."""
         self.held = True
         if self._transport is not None:
             self._transport.pause_reading()
 
     def go_on(self) -> None:
-        """Read again."""
+        """Resume reading."""
         if self.held and not self.closing and self._transport is not None:
             self.held = False
             self._transport.resume_reading()
             asyncio.get_running_loop().call_soon(self._read)
 
     def write(self, packet: Packet) -> None:
-        """Send a packet, with others of the same turn of the loop."""
+        """Queue a packet; all packets of one loop iteration are sent together."""
         if self.closing or self._transport is None:
             return
         if not self._out:
@@ -98,20 +98,20 @@
         self._out.append(encode(packet, self.version))
 
     def flush(self) -> None:
-        """Send now what was written."""
+        """Send all queued packets now."""
         out, self._out = self._out, []
         if out and self._transport is not None:
             self._transport.write(b"".join(out))
 
     def fail(self, code: int, why: str) -> None:
-        """End it because of what the other side did, and say so where its version has a way."""
+        """Close the connection because of an error, with a DISCONNECT in 5.0."""
         if not self.closing:
             if self.version == V5:
                 self.write(Disconnect(code))
             self.close(why)
 
     def close(self, why: str) -> None:
-        """Close it once what was written is sent."""
+        """Close the connection after sending what is queued."""
         if not self.closing:
             self._why = why
             self.flush()
@@ -120,7 +120,7 @@
                 self._transport.close()
 
     def abort(self, why: str) -> None:
-        """Close it at once."""
+        """Close the connection at once."""
         self._why, self.closing = why, True
         if self._transport is not None:
             self._transport.abort()
--- a/tests/test_mqtt_mapping.py
+++ b/tests/test_mqtt_mapping.py
@@ -1,4 +1,4 @@
-"""The operator's mapping: what it makes of a publish, and every mistake in a file with its place."""
+"""The MQTT configuration: how publishes become messages, and that each error in a file is reported."""
 
 import json
 import tomllib
@@ -106,7 +106,7 @@
         return str(read("hall", publish("results/x", RESULT | changes))[0].name)
 
     assert name() == name(score="2:1")
-    # Neither another value, nor the same signs parted in another way, nor another topic.
+    # Another value, the same characters split differently, or another topic give different names.
     names = {name(), name(minute=91), name(match="m79", minute=0), name(match="m", minute=790)}
     assert len(names) == 4
     assert read("hall", publish("results/y", RESULT))[0].name != name()
@@ -172,17 +172,17 @@
 
 
 BAD_FILES = {
-    ('client_id = "relay-1"', "client_id = 7"): ("broker.hall.client_id", "no text"),
+    ('client_id = "relay-1"', "client_id = 7"): ("broker.hall.client_id", "not a string"),
     ('client_id = "relay-1"', ""): ("broker.hall.client_id", "missing"),
     ("127.0.0.1:1883", "broker.example:1883"): ("broker.hall.address", "not an IP address"),
     ('client_id = "relay-1"', 'client_id = "a"\nversion = "4"'): ("broker.hall.version", "neither"),
     ('client_id = "relay-1"', 'client_id = "a"\nwindow = 0'): ("broker.hall.window", "not from 1"),
     ('client_id = "relay-1"', 'client_id = "a"\npassword = "x"'): ("broker.hall.password", "username"),
     ('client_id = "relay-1"', 'client_id = "a"\nclean = true'): ("broker.hall.clean", "unknown"),
-    ("[broker.hall]", "[broker.listener]"): ("broker.listener", "can't be called so"),
+    ("[broker.hall]", "[broker.listener]"): ("broker.listener", "reserved name"),
     ("127.0.0.1:1884", "127.0.0.1"): ("listener.address", "not an IP address"),
     ('["hall"]', '["hell"]'): ("in[0].from", "no such broker"),
-    ("fees/+/paid", "fees/#/paid"): ("in[0].filter", "no topic filter"),
+    ("fees/+/paid", "fees/#/paid"): ("in[0].filter", "not a topic filter"),
     ("fees/+/paid", "$share/g/fees/+"): ("in[0].filter", "share"),
     ("fees/+/paid", "fees/paid"): ("in[0].destination", "0 levels"),
     ('"level:1"', '"level:2"'): ("in[0].destination", "1 levels"),
@@ -190,18 +190,18 @@
     ('destination = "level:1"', ""): ("in[0].destination", "missing"),
     ('class = "fee-payment"', 'class = "fees"'): ("in[0].class", "known are"),
     ('id = "property:id"', ""): ("in[0].id", "may not take effect twice"),
-    ("deadline_ms = 20000\nqos = 2", "deadline_ms = 20000\nqos = 0"): ("in[0].qos", "nobody would be told"),
+    ("deadline_ms = 20000\nqos = 2", "deadline_ms = 20000\nqos = 0"): ("in[0].qos", "without notice"),
     ("deadline_ms = 20000", "deadline_ms = 0"): ("in[0].deadline_ms", "not from 1"),
     ("deadline_ms = 20000", ""): ("in[0].deadline_ms", "missing"),
     ('tenant = "north"', 'tenant = "south"'): ("in[0].tenant", "unknown"),
-    ('tenant = "north"', ""): ("in[0].tenant", "tell tenants apart"),
-    ('share = "relays"', 'share = "a/+"'): ("in[1].share", "no name of a group"),
+    ('tenant = "north"', ""): ("in[0].tenant", "define tenants"),
+    ('share = "relays"', 'share = "a/+"'): ("in[1].share", "not a valid group name"),
     ("ends/{1}", "ends/{2}"): ("in[1].ends", "does not have"),
-    ("ends/{1}", "ends/#"): ("in[1].ends", "no topic"),
-    ("ends/{1}", "results/{1}/end"): ("ends 'results/{1}/end'", "come back as messages"),
+    ("ends/{1}", "ends/#"): ("in[1].ends", "not a topic"),
+    ("ends/{1}", "results/{1}/end"): ("ends 'results/{1}/end'", "match the inbound filter"),
     ("{ digest = [", "{ hash = ["): ("in[1].id", "digest"),
     ('"field:match"', '"match"'): ("in[1].id", "none of topic"),
-    ('key = "field:key"', ""): ("in[2].key", "told apart"),
+    ('key = "field:key"', ""): ("in[2].key", "identified by their key"),
     ("destination = 7", "destination = -7"): ("in[2].destination", "not from 0"),
     ("[listener]", "[lisener]"): ("lisener", "unknown; known are"),
 }
@@ -209,8 +209,8 @@
 BAD_OUTS = {
     ("scoreboard", "telex"): ("out.telex", "no such kind"),
     ("scoreboard", "bundled"): ("out.bundled", "bundles"),
-    ("{destination}", "{club}"): ("out.scoreboard.topic", "only {destination}"),
-    ("clubs/", "clubs/+/"): ("out.scoreboard.topic", "no topic"),
+    ("{destination}", "{club}"): ("out.scoreboard.topic", "other than {destination}"),
+    ("clubs/", "clubs/+/"): ("out.scoreboard.topic", "not a topic"),
     ("payment = 2", "payment = 0"): ("out.scoreboard.qos.fee-payment", "neither 1 nor 2"),
     ("{ fee-payment", "{ fees"): ("out.scoreboard.qos.fees", "no such class"),
     ('"out"', '"relay-1"'): ("out.scoreboard.client_id", "the same as in broker.hall"),
