--- a/amberlug/standin/__init__.py
+++ b/amberlug/standin/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins for clients, partners and the platform, and a checker that reads only their wires."""
+"""Test doubles for clients, partners and the platform, and a checker that uses only their network traffic."""
--- a/amberlug/standin/broker.py
+++ b/amberlug/standin/broker.py
@@ -1,8 +1,8 @@
-"""A stand-in MQTT broker on loopback, with a script of faults, and a bare client for tests.
+"""A test MQTT broker on loopback with scripted faults, and a scripted client.
 
-Written from the standard (OASIS MQTT 5.0 and 3.1.1) without any part of the relay, so that a mistake there is
-not made here again: packets are cut and built by hand, and kept as plain dicts. It brings QoS 1 and 2 to
-subscribers, keeps sessions, and shares subscriptions in turns.
+Written from the standard (OASIS MQTT 5.0 and 3.1.1) without any code of the relay, so that it does not repeat
+the relay's mistakes: packets are parsed and built by hand, and kept as plain dicts. It delivers QoS 1 and 2
+to subscribers, keeps sessions, and serves shared subscriptions round-robin.
 """
 
 from __future__ import annotations
@@ -39,7 +39,8 @@
         1,
     )
 )
-# How each property is written: b byte, h two bytes, i four, v variable, s string, d data, p pair of strings.
+# Property encodings: b byte, h two bytes, i four bytes, v variable byte integer, s string, d binary data,
+# p string pair.
 FORMS = {
     1: "b",
     2: "i",
@@ -73,7 +74,7 @@
 Packet = dict[str, Any]
 
 
-# Bytes.
+# Encoding and decoding.
 
 
 def _variable(number: int) -> bytes:
@@ -90,7 +91,7 @@
 
 
 def props(values: dict[int, Any] | None) -> bytes:
-    """Properties as bytes; a user property's value is a list of pairs."""
+    """Encode properties; the value of the user property is a list of pairs."""
     out = b""
     for number, value in (values or {}).items():
         form = FORMS[number]
@@ -108,21 +109,21 @@
 
 
 def frame(kind: int, body: bytes, flags: int = 0) -> bytes:
-    """A whole packet."""
+    """Encode a packet from its type, flags and body."""
     return bytes([kind * 16 + flags]) + _variable(len(body)) + body
 
 
 def publish(
     topic: str, payload: bytes, qos: int = 0, packet_id: int = 0, v5: bool = True, **more: Any
 ) -> bytes:
-    """A PUBLISH; `more` may give dup, retain and properties."""
+    """Encode a PUBLISH; `more` may hold dup, retain and properties."""
     body = _string(topic) + (struct.pack("!H", packet_id) if qos else b"")
     body += (props(more.get("properties")) if v5 else b"") + payload
     return frame(PUBLISH, body, 8 * bool(more.get("dup")) + 2 * qos + bool(more.get("retain")))
 
 
 def ack(kind: int, packet_id: int, code: int = 0, v5: bool = True, properties: Any = None) -> bytes:
-    """A PUBACK, PUBREC, PUBREL or PUBCOMP."""
+    """Encode a PUBACK, PUBREC, PUBREL or PUBCOMP."""
     body = struct.pack("!H", packet_id)
     if v5 and (code or properties):
         body += bytes([code]) + props(properties)
@@ -130,7 +131,7 @@
 
 
 class Cutter:
-    """Cuts bytes into packets."""
+    """Splits a byte stream into packets."""
 
     def __init__(self) -> None:
         self.data = b""
@@ -212,7 +213,7 @@
                 value: Any = int.from_bytes(inner[:width], "big")
                 inner = inner[width:]
             elif form == "v":
-                value, inner = inner[0], inner[1:]  # tests use small ones
+                value, inner = inner[0], inner[1:]  # one byte is enough for the values in tests
             else:
                 value, inner = self._text(inner)
                 value = value if form == "d" else value.decode()
@@ -233,7 +234,7 @@
 
 
 class Bare:
-    """A scripted client: it sends what it is told to, and keeps all that comes."""
+    """A scripted client: sends what a test asks for, and records all received packets."""
 
     def __init__(self, v5: bool = True) -> None:
         self.v5 = v5
@@ -246,7 +247,7 @@
     async def connect(
         self, port: int, client: str = "c", properties: Any = None, clean: bool = True, **more: Any
     ) -> Packet:
-        """Open a connection and greet; the CONNACK."""
+        """Open a connection, send CONNECT, and return the CONNACK."""
         await self.open(port)
         flags = 2 * clean + 128 * ("user" in more) + 64 * ("password" in more)
         body = (
@@ -259,7 +260,7 @@
         return await self.until(CONNACK)
 
     async def open(self, port: int) -> None:
-        """Open a connection and say nothing."""
+        """Open a connection without sending anything."""
         self._reader, self._writer = await asyncio.open_connection("127.0.0.1", port)
         self._task = asyncio.ensure_future(self._read())
 
@@ -277,7 +278,7 @@
             self._news.notify_all()
 
     def send(self, data: bytes) -> None:
-        """Send bytes as they are."""
+        """Send raw bytes."""
         self._writer.write(data)
 
     def publish(self, topic: str, payload: bytes, qos: int = 1, packet_id: int = 1, **more: Any) -> None:
@@ -285,12 +286,12 @@
         self.send(publish(topic, payload, qos, packet_id, self.v5, **more))
 
     def subscribe(self, *filters: str, packet_id: int = 99) -> None:
-        """Ask for topics, at QoS 1."""
+        """Send a SUBSCRIBE with QoS 1."""
         body = struct.pack("!H", packet_id) + (b"\0" if self.v5 else b"")
         self.send(frame(SUBSCRIBE, body + b"".join(_string(it) + b"\x01" for it in filters), 2))
 
     async def until(self, kind: int, count: int = 1) -> Packet:
-        """The packet of that kind that is so many-th to come; raises where it is closed before."""
+        """Wait for the `count`-th packet of a kind; raises `ConnectionError` if closed before."""
         async with asyncio.timeout(PATIENCE), self._news:
             await self._news.wait_for(lambda: len(self.of(kind)) >= count or self.closed)
         if len(self.of(kind)) < count:
@@ -298,16 +299,16 @@
         return self.of(kind)[count - 1]
 
     async def gone(self) -> None:
-        """Wait until it is closed."""
+        """Wait until the connection is closed."""
         async with asyncio.timeout(PATIENCE), self._news:
             await self._news.wait_for(lambda: self.closed)
 
     def of(self, kind: int) -> list[Packet]:
-        """All packets of one kind that have come."""
+        """Return all received packets of a kind."""
         return [it for it in self.seen if it["kind"] == kind]
 
     def close(self) -> None:
-        """Close without a word."""
+        """Close without DISCONNECT."""
         self._writer.transport.abort()
         self._task.cancel()
 
@@ -317,14 +318,14 @@
 
 @dataclass(eq=False)
 class Session:
-    """What the broker keeps of a client."""
+    """The broker's session state of a client."""
 
     client: str
     filters: dict[str, int] = field(default_factory=dict)
-    queue: deque[Packet] = field(default_factory=deque)  # to be brought
-    flying: dict[int, Packet] = field(default_factory=dict)  # brought, and not acknowledged
-    released: set[int] = field(default_factory=set)  # brought at QoS 2, PUBREC seen, PUBREL sent
-    received: dict[int, Packet] = field(default_factory=dict)  # came at QoS 2, waits for PUBREL
+    queue: deque[Packet] = field(default_factory=deque)  # not sent yet
+    flying: dict[int, Packet] = field(default_factory=dict)  # sent, and not acknowledged
+    released: set[int] = field(default_factory=set)  # sent at QoS 2, PUBREC received, PUBREL sent
+    received: dict[int, Packet] = field(default_factory=dict)  # received at QoS 2, waiting for PUBREL
     last: int = 0
     window: int = 65535
     writer: asyncio.StreamWriter | None = None
@@ -332,13 +333,13 @@
     connects: int = 0
 
 
-Fault = Callable[["Broker", Session, Packet], bool]  # whether it has dealt with a packet
+Fault = Callable[["Broker", Session, Packet], bool]  # returns whether it has handled the packet
 
 
 class Broker:
-    """The broker. `faults` see each packet from a client first, the first that deals with it wins.
+    """The broker. `faults` are tried in order on each packet from a client; the first to handle it wins.
 
-    `taken` are all messages that it has taken on, each once, in order; `packets` all that came, by client.
+    `taken` holds all accepted messages, each once, in order; `packets` all received ones with their client.
     """
 
     def __init__(self) -> None:
@@ -346,9 +347,9 @@
         self.taken: list[Packet] = []
         self.packets: list[tuple[str, Packet]] = []
         self.faults: list[Fault] = []
-        self.connack: dict[int, Any] = {}  # properties of each CONNACK
+        self.connack: dict[int, Any] = {}  # properties of every CONNACK
         self.lie_about_session: bool | None = None
-        self.refuse_connects = 0  # with this code, while it is not 0
+        self.refuse_connects = 0  # reason code for refusing CONNECTs; 0 to accept them
         self.port = 0
         self._turn = 0
         self._news = asyncio.Condition()
@@ -372,20 +373,20 @@
             writer.transport.abort()
 
     async def until(self, true: Callable[[], bool]) -> None:
-        """Wait until that holds; looked at after each packet."""
+        """Wait until a condition holds; it is checked after each packet."""
         async with asyncio.timeout(PATIENCE), self._news:
             await self._news.wait_for(true)
 
     def of(self, kind: int, client: str | None = None) -> list[Packet]:
-        """All packets of a kind that came."""
+        """Return all received packets of a kind."""
         return [it for who, it in self.packets if it["kind"] == kind and client in (None, who)]
 
     def session(self, client: str) -> Session:
-        """What is kept of a client."""
+        """Return the session of a client."""
         return self.sessions[client]
 
     async def subscribed(self, client: str, count: int = 1) -> None:
-        """Wait until a client has subscribed so many times."""
+        """Wait until a client has subscribed `count` times."""
         await self.until(lambda: len(self.of(SUBSCRIBE, client)) >= count)
 
     # Serving.
@@ -434,7 +435,7 @@
         return session
 
     def deal(self, session: Session, packet: Packet) -> None:
-        """Do what the standard says."""
+        """Handle a packet as the standard requires."""
         kind = packet["kind"]
         if kind == CONNECT:
             self._resume(session)
@@ -465,7 +466,7 @@
             self.write(session, frame(PINGRESP, b""))
 
     def _resume(self, session: Session) -> None:
-        """Bring again what was not acknowledged, with its packet ids."""
+        """Resend unacknowledged packets under their packet ids."""
         for packet_id, message in session.flying.items():
             if packet_id in session.released:
                 self.write(session, ack(PUBREL, packet_id, 0, session.v5))
@@ -483,7 +484,7 @@
             self.write(session, ack(PUBACK, packet["id"], 0, session.v5))
 
     def take(self, message: Packet) -> None:
-        """Take a message on, and bring it to whoever subscribed."""
+        """Accept a message, and deliver it to its subscribers."""
         self.taken.append(message)
         shared: dict[str, list[tuple[Session, int]]] = {}
         for session in self.sessions.values():
@@ -532,17 +533,17 @@
         )
 
     def write(self, session: Session, data: bytes) -> None:
-        """Write to a client, if it is there."""
+        """Write to a client if it is connected."""
         if session.writer is not None:
             session.writer.write(data)
 
     def offer(self, topic: str, payload: bytes, qos: int = 1, **more: Any) -> None:
-        """Take a message on as if a publisher had brought it; `more`: properties, kept."""
+        """Accept a message as if a publisher had sent it; `more`: properties, and kept for a retained one."""
         message = {"topic": topic, "payload": payload, "qos": qos, "properties": more.get("properties", {})}
         self.take(message | {"kept": more.get("kept", False)})
 
     def cut_off(self, session: Session, keep: bool = True) -> None:
-        """Reset a client's connection, and forget its session unless told to keep it."""
+        """Reset a client's connection, and discard its session unless `keep`."""
         if session.writer is not None:
             session.writer.transport.abort()
             session.writer = None
@@ -564,7 +565,7 @@
 
 
 def once(kind: int, deal: Callable[[Broker, Session, Packet], None], after: int = 0) -> Fault:
-    """Deal with one packet of a kind in another way, after so many that are dealt with as usual."""
+    """Return a fault that handles one packet of a kind with `deal`, after `after` handled normally."""
     left = [after]
 
     def fault(broker: Broker, session: Session, packet: Packet) -> bool:
--- a/amberlug/standin/checker.py
+++ b/amberlug/standin/checker.py
@@ -1,7 +1,7 @@
-"""Checks the relay's rules by what passes on the wires alone: no part of the relay is asked.
+"""Checks the relay's rules from network traffic alone, without access to the relay's state.
 
-Times are seconds of one clock, which whoever watches the wires gives. A call has begun when its last byte has
-come, and is over when its answer is written or its connection ends.
+Times are in seconds of a single clock supplied by the observers of the traffic. A call begins when its last
+byte has been received, and ends when its response is written or its connection closes.
 """
 
 from __future__ import annotations
@@ -9,15 +9,15 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-LATE = 0.35  # seconds after its time that a message may still get its end
-WAIT_SLACK = 0.15  # seconds after a told wait is written that a call may still cross it
-CROSSING = 0.15  # seconds that an answer may take to its relay: an end that it tells meanwhile does no harm
-DRAIN_GRACE = 2.05  # seconds after a drain is told that a call may still begin
+LATE = 0.35  # seconds after its deadline in which a message may still get its outcome
+WAIT_SLACK = 0.15  # seconds after a retry delay is written in which a call may still cross it
+CROSSING = 0.15  # seconds in which a response may reach the relay; outcomes reported meanwhile are harmless
+DRAIN_GRACE = 2.05  # seconds after a drain is announced in which a call may still begin
 MOST_CALLS = 12
 
 
 class Repeat(Enum):
-    """What a repeat of a message may do."""
+    """Whether a message may be repeated."""
 
     SAFE = "safe"
     KEYED = "keyed"
@@ -25,7 +25,7 @@
 
 
 class Ran(Enum):
-    """Whether a call took effect, as its partner knows; the relay can know it of an answer alone."""
+    """Whether a call took effect, as its partner knows; the relay learns it only from a response."""
 
     NEVER = "never"
     MAY = "may"
@@ -44,7 +44,7 @@
 
 @dataclass(slots=True)
 class Track:
-    """All that passed on the wires about one message."""
+    """All observed traffic about one message."""
 
     name: str
     destination: int
@@ -54,41 +54,41 @@
     until: float
     taken: float | None = None
     calls: list[Call] = field(default_factory=list)
-    ends: list[tuple[float, str]] = field(default_factory=list)  # when and how it was told to be over
+    ends: list[tuple[float, str]] = field(default_factory=list)  # reported outcomes with their times
 
     @property
     def delivered(self) -> float | None:
-        """When the first call that was answered 200 was over."""
+        """When the first call that was answered 200 ended."""
         return min((it.ended for it in self.calls if it.delivered and it.ended is not None), default=None)
 
 
 @dataclass(slots=True)
 class Checker:
-    """Takes in what passes, and tells which rules were broken."""
+    """Records observed traffic, and reports broken rules."""
 
     tracks: dict[str, Track] = field(default_factory=dict)
     broken: list[str] = field(default_factory=list)
     _drained: dict[str, float] = field(default_factory=dict)
-    _waits: dict[int, list[tuple[float, float]]] = field(default_factory=dict)  # told at, until
+    _waits: dict[int, list[tuple[float, float]]] = field(default_factory=dict)  # reported at, valid until
 
     def handed_in(self, track: Track) -> None:
-        """A client sends a message."""
+        """Record that a client submits a message."""
         self.tracks[track.name] = track
 
     def taken(self, name: str, at: float) -> None:
-        """Its client is told that it was taken on."""
+        """Record that the client is told that its message was accepted."""
         self.tracks[name].taken = at
 
     def drained(self, endpoint: str, at: float) -> None:
-        """The relay is told that an endpoint drains or is gone."""
+        """Record that the relay is told that an endpoint is draining or gone."""
         self._drained.setdefault(endpoint, at)
 
     def told_wait(self, destination: int, at: float, seconds: float) -> None:
-        """An answer with a wait is written to the relay."""
+        """Record that a response with a retry delay is written to the relay."""
         self._waits.setdefault(destination, []).append((at, at + seconds))
 
     def began(self, name: str, endpoint: str, at: float) -> Call | None:
-        """A call with a message has come; None where nobody handed that in."""
+        """Record that a call is received; returns None if its message was never submitted."""
         track = self.tracks.get(name)
         if track is None:
             self.broken.append(f"{name}: a call with a message that nobody handed in")
@@ -102,12 +102,12 @@
         return call
 
     def ended(self, call: Call, at: float, ran: Ran, delivered: bool = False) -> None:
-        """A call is over; the first word on it counts."""
+        """Record the end of a call; only the first report counts."""
         if call.ended is None:
             call.ended, call.ran, call.delivered = at, ran, delivered
 
     def told_end(self, name: str, outcome: str, at: float) -> None:
-        """The platform is told how a message ended that was not delivered."""
+        """Record the reported outcome of a message that was not delivered."""
         track = self.tracks.get(name)
         if track is None:
             self.broken.append(f"{name}: an end of a message that nobody handed in")
@@ -122,7 +122,7 @@
         track.ends.append((at, outcome))
 
     def finish(self, now: float) -> list[str]:
-        """All rules that were broken, once each message that is out of time must have its end."""
+        """Return all broken rules, including messages past their deadline without an outcome."""
         lost = [
             f"{it.name}: lost, with {len(it.calls)} calls"
             for it in self.tracks.values()
--- a/amberlug/standin/crowd.py
+++ b/amberlug/standin/crowd.py
@@ -1,9 +1,9 @@
-"""Tens of thousands of stand-in endpoints in one process, and clients fast enough to wake many at once.
+"""Tens of thousands of simulated endpoints in one process, and clients fast enough to wake many at once.
 
-Endpoints share a few listeners on loopback, so that descriptors are taken by calls, not by endpoints: which
-endpoint a call is for is told by its message's name, `<destination>-<anything>`. What is handed back comes
-again under a new id, `<name>~<times>`. Reading and writing is as plain as can be, since this side must not be
-what is slow.
+Endpoints share a few listeners on loopback, so that file descriptors are used by calls and not by endpoints:
+the message name, `<destination>-<anything>`, tells which endpoint a call is for. A message that is handed
+back is submitted again under a new id, `<name>~<times>`. HTTP parsing is minimal, so that this process is not
+the bottleneck.
 """
 
 from __future__ import annotations
@@ -19,49 +19,49 @@
 from amberlug.standin.wire import Platform, Seen
 
 BODY = b"x" * 300
-PASSING = 0.1  # seconds after a wait was told in which calls were already on their way
+PASSING = 0.1  # seconds after a retry delay was sent in which calls may already have been in flight
 OK = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
 
 
 class Mood(Enum):
-    """How an endpoint of the crowd answers."""
+    """How an endpoint answers."""
 
     WELL = "well"
     SLOW = "slow"  # after the crowd's `slow` seconds
-    REFUSES = "refuses"  # the first call, with a wait
-    SILENT = "silent"  # never
-    DEAD = "dead"  # the connection is reset
+    REFUSES = "refuses"  # refuses the first call with a retry delay
+    SILENT = "silent"  # never answers
+    DEAD = "dead"  # resets the connection
 
 
 @dataclass(slots=True)
 class Called:
-    """What one destination has seen; times by the loop's clock, in seconds."""
+    """Call statistics of one destination; times by the loop's clock, in seconds."""
 
     first: float = 0.0
     calls: int = 0
     out: int = 0
-    most: int = 0  # calls out at once
-    told: float = 0.0  # when the last wait was
+    most: int = 0  # maximum of concurrent calls
+    told: float = 0.0  # when the last retry delay was sent
     wait_until: float = 0.0
-    early: int = 0  # calls that came before a told wait was over
+    early: int = 0  # calls received before a retry delay was over
 
 
 @dataclass(slots=True)
 class Crowd:
     """Endpoints of any number of destinations, on `listeners` ports of 127.0.0.1.
 
-    `mood` tells how a destination answers; `gone` are those to which nothing may be sent any more.
+    `mood` returns how a destination answers; `gone` holds removed destinations that must get no more calls.
     """
 
     mood: Callable[[int], Mood] = lambda destination: Mood.WELL
     listeners: int = 16
-    quick: float = 0.02  # seconds to an answer
+    quick: float = 0.02  # seconds until a normal response
     slow: float = 1.5
     wait_ms: int = 1500
     called: dict[int, Called] = field(default_factory=dict)
-    delivered: dict[str, float] = field(default_factory=dict)  # when, by name
+    delivered: dict[str, float] = field(default_factory=dict)  # delivery time by message name
     gone: set[int] = field(default_factory=set)
-    late: int = 0  # calls to what is gone
+    late: int = 0  # calls to removed destinations
     _servers: list[asyncio.Server] = field(default_factory=list)
     _ports: list[int] = field(default_factory=list)
 
@@ -78,7 +78,7 @@
             server.close()
 
     def member(self, destination: int, phase: str = "in_service", life: int = 0) -> dict[str, Any]:
-        """An endpoint as discovery lists it; each `life` has an id of its own."""
+        """Return an endpoint as discovery lists it; each `life` has a different endpoint id."""
         port = self._ports[destination % self.listeners]
         return {
             "id": f"s-{destination:06x}-{life}",
@@ -95,7 +95,7 @@
         return [self.member(destination, life=life) for destination in destinations]
 
     def call(self, name: str, served: _Served) -> None:
-        """Take a call in, and answer it as its destination's mood says."""
+        """Record a call, and answer it according to its destination's mood."""
         loop = asyncio.get_running_loop()
         now, destination = loop.time(), int(name.partition("-")[0])
         it = self.called.setdefault(destination, Called(now))
@@ -123,7 +123,7 @@
 
 
 class _Served(asyncio.Protocol):
-    """One connection to the crowd."""
+    """One connection to the simulated endpoints."""
 
     def __init__(self, crowd: Crowd) -> None:
         self._crowd, self._rest = crowd, b""
@@ -140,7 +140,7 @@
         self._transport.abort()
 
     def write(self, data: bytes) -> bool:
-        """Write, if there is still somebody to read it."""
+        """Write if the connection is still open; return whether it is."""
         if self._open:
             self._transport.write(data)
         return self._open
@@ -153,7 +153,7 @@
 
 
 def _request(data: bytes) -> tuple[str, bytes] | None:
-    """The name in a whole request, and what follows it."""
+    """Return the message name of a complete request, and the remaining bytes."""
     head, end, rest = data.partition(b"\r\n\r\n")
     if not end:
         return None
@@ -164,19 +164,19 @@
 
 @dataclass(slots=True)
 class Told:
-    """How a hand-in was answered: when it was first made, its status, and how often it was made."""
+    """A submitted message: when it was first submitted, its latest status, and how often it was repeated."""
 
     made: float
     message_class: str
-    deadline: float  # seconds from when it was made
+    deadline: float  # seconds after `made`
     client: Client
     status: int = 0
-    lives: int = 0  # how often it was handed back, each time to come again under a new id
-    ended: str = ""  # the last end that was told
+    lives: int = 0  # how often it was handed back; each time it is submitted under a new id
+    ended: str = ""  # the latest reported outcome
 
 
 class Client(asyncio.Protocol):
-    """One kept connection of a client; what is refused comes again when it was told to."""
+    """A client with one persistent connection; refused messages are submitted again after the given delay."""
 
     def __init__(self, told: dict[str, Told]) -> None:
         self._told, self._rest = told, b""
@@ -191,12 +191,12 @@
         self._ready = False
 
     def hand_in(self, name: str, message_class: str, deadline: float) -> None:
-        """Hand a message in after those before it, and again when told to; `deadline` in seconds."""
+        """Queue a new message, and submit it again whenever it is refused; `deadline` in seconds."""
         self._told[name] = Told(asyncio.get_running_loop().time(), message_class, deadline, self)
         self.ask(name)
 
     def ask(self, name: str) -> None:
-        """Hand a message in, once more or for the first time, if there is time left for it."""
+        """Submit a message for the first time or again, unless its deadline has passed."""
         told = self._told[name]
         left_ms = int((told.made + told.deadline - asyncio.get_running_loop().time()) * 1000)
         if left_ms < 1 or not self._ready:
@@ -225,7 +225,7 @@
 
 
 def _response(data: bytes) -> tuple[int, float, bytes] | None:
-    """Status of a whole answer, seconds to come again after, and what follows it."""
+    """Return the status of a complete response, its retry delay in seconds, and the remaining bytes."""
     head, end, rest = data.partition(b"\r\n\r\n")
     if not end:
         return None
@@ -238,12 +238,12 @@
 
 
 def ends(told: Iterable[Told]) -> Counter[int]:
-    """How many hand-ins were answered with each status."""
+    """Count submitted messages by status."""
     return Counter(it.status for it in told)
 
 
 class Directory(Platform):
-    """The platform: streams lists and changes, and has clients come again with what is handed back."""
+    """The platform: streams endpoint lists, and has clients submit again what was handed back."""
 
     def __init__(self, told: dict[str, Told]) -> None:
         super().__init__()
@@ -252,7 +252,7 @@
         self.on_request = self._requested
 
     def whole(self, members: list[dict[str, Any]]) -> None:
-        """Tell a whole list: what is not in it is gone."""
+        """Send a complete list, which removes all endpoints not in it."""
         self.revision += 1
         news = {"revision": self.revision, "complete": True, "members": members}
         self.tell(json.dumps(news).encode())
@@ -267,7 +267,7 @@
         name, _, life = notice["message"].partition("~")
         told = self._handed_in.get(name)
         if told is None or int(life or 0) != told.lives:
-            return  # nobody here handed it in, or it was told before
+            return  # submitted by another client, or reported before
         told.ended = notice["outcome"]
         if told.ended == "handed_back":
             told.lives += 1
--- a/amberlug/standin/deployment.py
+++ b/amberlug/standin/deployment.py
@@ -1,4 +1,4 @@
-"""A small deployment on loopback: the real relay in a process of its own, its platform and its partners."""
+"""A small deployment on loopback: the real relay in its own process, with test platform and partners."""
 
 from __future__ import annotations
 
@@ -21,11 +21,11 @@
 KEY_LIFE = 6.0
 WANTED, DEADLINE = 1.0, 4.0  # seconds
 CLASSES = {"result": Repeat.SAFE, "entry": Repeat.KEYED, "payment": Repeat.UNSAFE}
-ANSWER = 2.0  # seconds that a client waits for the relay's answer
+ANSWER = 2.0  # seconds for which a client waits for the relay's response
 
 
 def settings() -> dict[str, Any]:
-    """The settings object that the platform would give."""
+    """Return the settings object as the platform would provide it."""
     classes = [
         {
             "Name": name,
@@ -79,7 +79,7 @@
 
 @dataclass(slots=True)
 class Tally:
-    """How many messages came to what."""
+    """Counts of messages by the response to their submission."""
 
     handed_in: int = 0
     taken: int = 0
@@ -88,7 +88,7 @@
 
 
 class Deployment:
-    """All of it; used as an async context."""
+    """The whole deployment, as an async context manager."""
 
     def __init__(self, folder: Path, moods: dict[int, list[Mood]]) -> None:
         self._folder, self._moods = folder, moods
@@ -100,7 +100,7 @@
         self.process: asyncio.subprocess.Process | None = None
 
     def clock(self) -> float:
-        """Read the one clock of all wires."""
+        """Read the clock shared by all observers."""
         return self._loop.time()
 
     async def __aenter__(self) -> Deployment:
@@ -152,11 +152,11 @@
         async with asyncio.timeout(PATIENCE):
             while b"ready on" not in (line := await self.process.stderr.readline()):
                 if not line:
-                    raise OSError("the relay ended before it was ready")
+                    raise OSError("the relay exited before it was ready")
         self._log = asyncio.ensure_future(self.process.stderr.read())
 
     async def replace(self, partner: Partner) -> None:
-        """Drain one endpoint, and list another in its place."""
+        """Drain one endpoint, and list a replacement."""
         added = await self._add(f"{partner.endpoint}-next", partner.destination, partner.mood)
         self._revision += 1
         members = [member(partner, "terminating"), member(added)]
@@ -166,7 +166,7 @@
         )
 
     async def hand_in(self, name: str, message_class: str, destination: int, body: bytes) -> None:
-        """Hand a message in as a client does, on a kept connection where one is idle."""
+        """Submit a message as a client does, reusing an idle connection if there is one."""
         now, repeat = self.clock(), CLASSES[message_class]
         self.checker.handed_in(Track(name, destination, repeat, KEY_LIFE, now, now + DEADLINE))
         self.tally.handed_in += 1
@@ -200,12 +200,12 @@
 
     @property
     def unended(self) -> int:
-        """How many messages that were taken on have no end yet."""
+        """Number of accepted messages without an outcome."""
         tracks = self.checker.tracks.values()
         return sum(it.taken is not None and it.delivered is None and not it.ends for it in tracks)
 
     async def stop_relay(self) -> int:
-        """End the relay as a planned restart does; its exit code."""
+        """Stop the relay with SIGTERM, as in a planned restart; return its exit code."""
         assert self.process is not None
         self.process.send_signal(signal.SIGTERM)
         async with asyncio.timeout(PATIENCE):
@@ -213,7 +213,7 @@
 
 
 class _Watched(Platform):
-    """The platform, whose notices the checker hears."""
+    """The platform; passes its notices on to the checker."""
 
     def __init__(self, deployment: Deployment) -> None:
         super().__init__()
@@ -230,7 +230,7 @@
 
 
 def member(partner: Partner, phase: str = "in_service") -> dict[str, Any]:
-    """An endpoint as discovery lists it."""
+    """Return an endpoint as discovery lists it."""
     return {
         "id": partner.endpoint,
         "host_port": f"127.0.0.1:{partner.port}",
--- a/amberlug/standin/drill.py
+++ b/amberlug/standin/drill.py
@@ -1,7 +1,8 @@
-"""A drill: a fleet of processes under load, and faults drawn from a seed; what became of each promise.
+"""Fault injection drill: a fleet of processes under load, with faults drawn from a seed.
 
-The same seed gives the same faults at the same times. No more machines are lost with their disks than there
-are copies, until those that came back hold what is new.
+The same seed gives the same faults at the same times. At most `copies` machines are lost with their disks
+at a time; the next loss follows once the restarted ones hold the new data. Reports whether accepted messages
+kept the relay's guarantees.
 """
 
 from __future__ import annotations
@@ -16,14 +17,14 @@
 from amberlug.standin.fleet import DEADLINE, Fleet, Relay
 
 PER_SECOND = 60.0
-RECOVER = 3.0  # seconds from a relay's return until it holds what is new: `replace_s` and a bit
-LATE = 3.0  # seconds after its time by which a lost relay's message has its end: suspicion, take-over
+RECOVER = 3.0  # seconds from a relay's restart until it holds the new data: `replace_s` plus a margin
+LATE = 3.0  # seconds past the deadline for the outcome of a lost relay's message: failure detection, takeover
 GENTLE = "cut", "one way", "pause", "reset", "flip", "delay", "restart", "close"
 
 
 @dataclass(frozen=True, slots=True)
 class Fault:
-    """Something that is done at a time, seconds from the start, to some relays for a while."""
+    """A fault that strikes some relays `at` seconds after the start, for `lasts` seconds."""
 
     at: float
     what: str
@@ -33,7 +34,7 @@
 
 @dataclass(slots=True)
 class Verdict:
-    """What came of a drill."""
+    """The result of a drill."""
 
     seed: int
     relays: int
@@ -45,16 +46,16 @@
     unanswered: int = 0
     delivered: int = 0
     late: int = 0
-    lost: int = 0  # relays, with their disks
+    lost: int = 0  # relays lost with their disks
     broken: list[str] = field(default_factory=list)
 
     def packed(self) -> dict[str, Any]:
-        """As it goes into JSON."""
+        """Return it as a dict for JSON."""
         return asdict(self)
 
 
 def draw(seed: int, relays: int, copies: int, seconds: float) -> list[Fault]:
-    """The faults of a drill: at least one loss where copies allow one, and gentler ones between."""
+    """Draw the faults of a drill: at least one loss if `copies` allows it, with milder faults between."""
     chance = random.Random(f"{seed} {relays} {copies}")
     faults: list[Fault] = []
     at = chance.uniform(0.8, 1.5)
@@ -82,7 +83,7 @@
     seconds: float,
     shown: Callable[[Fleet, str], None] = lambda fleet, doing: None,
 ) -> Verdict:
-    """Play a drill to its end, and until each promise had its time; `shown` is told what is going on."""
+    """Run a drill until every accepted message is past its deadline; `shown` is called with the progress."""
     verdict = Verdict(seed, relays, copies, draw(seed, relays, copies, seconds))
     async with Fleet(folder, relays, seed, copies=copies) as rig:
         shown(rig, "under load")
@@ -90,7 +91,7 @@
         strikes = [asyncio.ensure_future(_strike(rig, it, shown, verdict)) for it in verdict.faults]
         await asyncio.gather(load, *strikes)
         rig.heal()
-        shown(rig, "waiting for what is open")
+        shown(rig, "waiting for outcomes")
         verdict.broken = await rig.ended(DEADLINE + LATE)
         tracks = rig.promises.tracks.values()
         verdict.handed_in, verdict.promised = len(tracks), len(rig.promises.promised)
--- a/amberlug/standin/fleet.py
+++ b/amberlug/standin/fleet.py
@@ -1,7 +1,7 @@
-"""Several relays as processes, with platform, partners and clients, and a proxy on each link between them.
+"""A fleet of relay processes with platform, partner and clients, and a proxy on each link between relays.
 
-What is done to them comes as calls: links are cut, delayed, spoilt or reset, processes are killed or stopped,
-folders are emptied or put back.
+Methods inject faults: links are cut, delayed, corrupted or reset, processes are killed or stopped, state
+folders are deleted or restored.
 """
 
 from __future__ import annotations
@@ -25,13 +25,13 @@
 from amberlug.standin.proxy import Proxy
 from amberlug.standin.wire import OK, PATIENCE, Platform, Seen, StandIn
 
-DEADLINE = 12.0  # seconds: longer than it takes to find a lost relay out and to follow it
-PATIENT = 0.4  # seconds that a client waits for its answer
+DEADLINE = 12.0  # seconds: longer than it takes to detect a lost relay and to take over its messages
+PATIENT = 0.4  # seconds for which a client waits for its response
 UNSAFE = "payment"
 
 
 class Relay:
-    """One relay's process and folder; it may be ended and started again."""
+    """One relay's process and folder; the process can be stopped and restarted."""
 
     def __init__(self, rig: Fleet, number: int) -> None:
         self.name, self._rig = f"n{number}", rig
@@ -44,16 +44,16 @@
 
     @property
     def state(self) -> Path:
-        """The folder that lasts."""
+        """The folder with the persistent state."""
         return self.folder / "state"
 
     @property
     def up(self) -> bool:
-        """Whether its process runs."""
+        """Whether the process is running."""
         return self.process is not None and self.process.returncode is None
 
     async def start(self) -> None:
-        """Start the process on what the folder holds, and wait until it serves."""
+        """Start the process on the folder's present state, and wait until it is ready."""
         self.state.mkdir(parents=True, exist_ok=True)
         config, fleet = self.folder / "config.json", self.folder / "fleet.toml"
         config.write_text(json.dumps(self._rig.config(self)), encoding="utf-8")
@@ -80,7 +80,7 @@
             self._said.notify_all()
 
     async def said(self, text: str, since: int = 0) -> None:
-        """Wait for a line of its log; `OSError` where it ends before."""
+        """Wait for a log line that contains `text`; raises `OSError` if the process exits before."""
 
         def heard() -> bool:
             return any(text in line for line in self.log[since:]) or not self.up
@@ -88,10 +88,10 @@
         async with asyncio.timeout(PATIENCE), self._said:
             await self._said.wait_for(heard)
         if not any(text in line for line in self.log[since:]):
-            raise OSError(f"{self.name} ended before it said {text!r}: {self.log[-5:]}")
+            raise OSError(f"{self.name} exited before it logged {text!r}: {self.log[-5:]}")
 
     async def kill(self, empty: bool = False) -> None:
-        """End it with SIGKILL; its folder may go with it."""
+        """Kill the process with SIGKILL; `empty` also deletes its state."""
         if self.up and self.process is not None:
             self.process.kill()
             await self.process.wait()
@@ -99,37 +99,37 @@
             shutil.rmtree(self.state)
 
     async def close(self) -> int:
-        """End it with SIGTERM; its exit code."""
+        """Stop the process with SIGTERM; return its exit code."""
         assert self.process is not None
         self.process.send_signal(signal.SIGTERM)
         async with asyncio.timeout(PATIENCE):
             return await self.process.wait()
 
     def pause(self) -> None:
-        """Stop it where it stands."""
+        """Suspend the process with SIGSTOP."""
         assert self.process is not None
         self.process.send_signal(signal.SIGSTOP)
 
     def resume(self) -> None:
-        """Let it go on as if nothing had been."""
+        """Resume the process with SIGCONT."""
         assert self.process is not None
         self.process.send_signal(signal.SIGCONT)
 
     def keep_folder(self) -> Path:
-        """Make a copy of its folder."""
+        """Copy the state folder."""
         kept = self.folder / "kept"
         shutil.rmtree(kept, ignore_errors=True)
         shutil.copytree(self.state, kept)
         return kept
 
     def put_back(self, kept: Path) -> None:
-        """Put a copy in the place of its folder."""
+        """Replace the state folder with a copy."""
         shutil.rmtree(self.state)
         shutil.copytree(kept, self.state)
 
 
 class Fleet:
-    """All of it; used as an async context. `options` go into the fleet's file of each."""
+    """The whole fleet, as an async context manager. `options` are written to each relay's fleet file."""
 
     def __init__(self, folder: Path, relays: int, seed: int = 1, **options: Any) -> None:
         self.folder, self._seed = folder, seed
@@ -137,14 +137,14 @@
         self.promises, self.platform = Promises(), _Platform(self)
         self.partner = StandIn(None)
         self.partner.on_request = self.called
-        self.holding = False  # whether the partner leaves calls without an answer
+        self.holding = False  # whether the partner leaves calls unanswered
         self.waiting: list[Seen] = []
         self.relays = [Relay(self, number) for number in range(relays)]
         self.links: dict[tuple[str, str], Proxy] = {}
         self._names = 0
 
     def clock(self) -> float:
-        """Read the one clock of all wires."""
+        """Read the clock shared by all observers."""
         return asyncio.get_running_loop().time()
 
     async def __aenter__(self) -> Fleet:
@@ -157,7 +157,7 @@
                     self.links[one.name, other.name] = await proxy.start()
         await asyncio.gather(*(it.start() for it in self.relays))
         await self.linked()
-        await self.ended()  # what showed that they are linked is over before anything is done to them
+        await self.ended()  # the probe messages of `linked` must be over before any fault is injected
         return self
 
     async def __aexit__(self, *error: object) -> None:
@@ -171,7 +171,7 @@
             await peer.stop()
 
     def config(self, relay: Relay) -> dict[str, Any]:
-        """What the platform would tell a relay."""
+        """Return a relay's configuration as the platform would provide it."""
         told = usual_settings()
         for kind in told["Categories"]:
             kind["DeadlineUs"] = int(2 * DEADLINE * SECOND)
@@ -188,7 +188,7 @@
         }
 
     def endpoint(self) -> dict[str, Any]:
-        """The partner as discovery lists it."""
+        """Return the partner as discovery lists it."""
         return {
             "id": "partner",
             "host_port": f"127.0.0.1:{self.partner.port}",
@@ -201,7 +201,7 @@
         }
 
     def fleet_file(self, relay: Relay) -> str:
-        """The operator's file as a relay has it: each link of its goes through a proxy."""
+        """Return a relay's fleet file; each link to another relay goes through a proxy."""
         lines = [f'name = "{relay.name}"', f'listen = "127.0.0.1:{relay.link_port}"']
         lines += [f"{name} = {json.dumps(value)}" for name, value in self.options.items()]
         named = {it.name: it for it in self.relays}
@@ -218,7 +218,7 @@
     # Clients.
 
     async def hand_in(self, relay: Relay, kind: str = UNSAFE, name: str = "", wait: float = PATIENT) -> int:
-        """Hand a message in; the answer's status, 0 where none came in time."""
+        """Submit a message; return the response status, 0 if none arrived in time."""
         self._names += 1
         name = name or f"m{self._names}"
         self.promises.handed_in(name, kind == UNSAFE, self.clock() + DEADLINE)
@@ -244,7 +244,7 @@
         return reply.status
 
     async def load(self, per_second: float, seconds: float, *relays: Relay) -> None:
-        """Hand messages of all classes in at an even pace, at some relays in turn or at all."""
+        """Submit messages of all classes at a constant rate, round-robin at the given relays or at all."""
         loop, out = asyncio.get_running_loop(), set()
         kinds = itertools.cycle((UNSAFE, "result", "entry"))
         to, began = itertools.cycle(relays or self.relays), loop.time()
@@ -254,7 +254,7 @@
         await asyncio.wait(out)
 
     async def linked(self) -> None:
-        """Wait until each relay takes messages on."""
+        """Wait until each relay accepts messages."""
         async with asyncio.timeout(PATIENCE):
             for relay in self.relays:
                 while relay.up and await self.hand_in(relay, "result") != 202:
@@ -263,7 +263,7 @@
     # Partners.
 
     def called(self, seen: Seen) -> bool:
-        """Serve a call, or leave it open while partners hold."""
+        """Answer a call, or leave it open while `holding`."""
         if self.holding:
             self.waiting.append(seen)
             self.promises.called(seen.name, True, False, self.clock())
@@ -274,7 +274,7 @@
         return True
 
     def release(self) -> None:
-        """Answer what was held."""
+        """Answer the calls left open, and stop holding."""
         self.holding = False
         for seen in self.waiting:
             if not seen.writer.transport.is_closing():
@@ -286,7 +286,7 @@
     # Networks.
 
     def between(self, some: Iterable[Relay], others: Iterable[Relay], both: bool = True) -> list[Proxy]:
-        """The links from some relays to others, and back."""
+        """Return the links from some relays to others, and back if `both`."""
         names, far = [it.name for it in some], [it.name for it in others]
         pairs = [(one, other) for one in names for other in far if one != other]
         if both:
@@ -294,17 +294,17 @@
         return [self.links[pair] for pair in pairs]
 
     def sever(self, some: Iterable[Relay], others: Iterable[Relay], both: bool = True) -> None:
-        """Have nothing pass between some relays and others."""
+        """Cut the links between some relays and others."""
         for proxy in self.between(some, others, both):
             proxy.sever()
 
     def heal(self) -> None:
-        """End all that networks do."""
+        """End all link faults."""
         for proxy in self.links.values():
             proxy.heal()
 
     async def ended(self, seconds: float = DEADLINE + 4) -> list[str]:
-        """Wait until all that was taken on has its end, for so long at the most; what is broken."""
+        """Wait until all accepted messages have an outcome, at most `seconds`; return broken guarantees."""
         until = self.clock() + seconds
         while self.promises.open and self.clock() < until:
             await asyncio.sleep(0.05)
@@ -312,7 +312,7 @@
 
 
 class _Platform(Platform):
-    """The platform of all relays, whose notices the checker hears."""
+    """The platform of all relays; passes its notices on to `Promises`."""
 
     def __init__(self, fleet: Fleet) -> None:
         super().__init__()
@@ -332,9 +332,9 @@
 
 
 def _free_port() -> int:
-    """Find a port below the ephemeral ones: no connection takes it while its relay is down.
+    """Find a port below the ephemeral range, so that no connection takes it while its relay is down.
 
-    Its UDP side is kept, so that no other rig takes it either.
+    The UDP port of the same number stays bound, so that no other fleet picks it either.
     """
     for port in _ports:
         kept = socket.socket(type=socket.SOCK_DGRAM)
@@ -347,4 +347,4 @@
                 continue
         _taken.append(kept)
         return port
-    raise OSError("no port is free")
+    raise OSError("no free port")
--- a/amberlug/standin/partners.py
+++ b/amberlug/standin/partners.py
@@ -1,4 +1,4 @@
-"""Partners of different moods, whose every call the checker sees."""
+"""Test partners with different behaviors; every call is reported to the checker."""
 
 from __future__ import annotations
 
@@ -15,13 +15,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Mood:
-    """How a partner behaves; shares are of its calls."""
+    """How a partner behaves; shares are fractions of its calls."""
 
     name: str
-    seconds: tuple[float, float] = (0.01, 0.04)  # least and most time to an answer
-    drops: float = 0.0  # share that it resets unanswered, having run or not
-    errors: float = 0.0  # share that it answers 500
-    per_second: float = 0.0  # calls a second above which it turns away with a wait; 0: any number
+    seconds: tuple[float, float] = (0.01, 0.04)  # shortest and longest response time
+    drops: float = 0.0  # share of calls reset without a response, whether or not they took effect
+    errors: float = 0.0  # share of calls answered 500
+    per_second: float = 0.0  # rate limit above which calls are refused with a retry delay; 0 for no limit
     wait_ms: int = 0
 
 
@@ -79,7 +79,7 @@
     def _answer(self, seen: Seen, answer: Answer, ran: Ran) -> None:
         call = self._out.pop(seen.writer, None)
         if call is None:
-            return  # given up meanwhile
+            return  # connection closed meanwhile
         self._checker.ended(call, self._clock(), ran, delivered=ran is Ran.YES)
         seen.answer(answer)
 
--- a/amberlug/standin/promises.py
+++ b/amberlug/standin/promises.py
@@ -1,7 +1,8 @@
-"""Checks what a fleet promised by the wires of its clients, partners and platform alone, over all relays.
+"""Checks a fleet's guarantees from the traffic of clients, partners and platform alone, over all relays.
 
-A message that any relay took on gets an end, whatever became of that relay; an unsafe one takes effect once
-at the most; nobody is told that one was handed back which took effect. No part of a relay is asked.
+A message that any relay accepted gets an outcome, whatever happens to that relay; an unsafe message takes
+effect at most once; a message that took effect is never reported as handed back. The relays' state is not
+used.
 """
 
 from __future__ import annotations
@@ -11,31 +12,31 @@
 
 @dataclass(slots=True)
 class Track:
-    """All that passed about one message."""
+    """All observed traffic about one message."""
 
     name: str
     unsafe: bool
     until: float  # by the checker's clock
-    taken: list[tuple[float, str]] = field(default_factory=list)  # when, and by which relay
+    taken: list[tuple[float, str]] = field(default_factory=list)  # time and relay of each acceptance
     refused: int = 0
-    effects: int = 0  # calls that took effect, or may have
+    effects: int = 0  # calls that took or may have taken effect
     delivered: bool = False
     ends: list[tuple[float, str]] = field(default_factory=list)
 
 
 @dataclass(slots=True)
 class Promises:
-    """Takes in what passes, and tells what was broken."""
+    """Records observed traffic, and reports broken guarantees."""
 
     tracks: dict[str, Track] = field(default_factory=dict)
     strange: list[str] = field(default_factory=list)
 
     def handed_in(self, name: str, unsafe: bool, until: float) -> None:
-        """A client sends a message."""
+        """Record that a client submits a message."""
         self.tracks.setdefault(name, Track(name, unsafe, until))
 
     def answered(self, name: str, relay: str, taken: bool, at: float) -> None:
-        """It is told that a relay took it on, or refused it."""
+        """Record that a relay accepted or refused a message."""
         track = self.tracks[name]
         if taken:
             track.taken.append((at, relay))
@@ -43,7 +44,7 @@
             track.refused += 1
 
     def called(self, name: str, took_effect: bool, delivered: bool, at: float) -> None:
-        """A partner served a call, or turned it away."""
+        """Record that a partner served or refused a call."""
         track = self.tracks.get(name)
         if track is None:
             self.strange.append(f"{name}: a call with a message that nobody handed in")
@@ -54,7 +55,7 @@
             track.ends.append((at, "delivered"))
 
     def told(self, name: str, outcome: str, at: float) -> None:
-        """The platform is told an end."""
+        """Record an outcome reported to the platform."""
         track = self.tracks.get(name)
         if track is None:
             self.strange.append(f"{name}: an end of a message that nobody handed in")
@@ -63,16 +64,16 @@
 
     @property
     def promised(self) -> list[Track]:
-        """What was taken on, and not only refused."""
+        """Accepted messages."""
         return [it for it in self.tracks.values() if it.taken]
 
     @property
     def open(self) -> list[Track]:
-        """What was taken on and has no end yet."""
+        """Accepted messages without an outcome."""
         return [it for it in self.promised if not it.ends]
 
     def broken(self) -> list[str]:
-        """All that was broken, once everything has had its time."""
+        """Return all broken guarantees; call it once every deadline has passed."""
         found = list(self.strange)
         for it in self.tracks.values():
             if it.taken and not it.ends:
@@ -84,5 +85,5 @@
         return found
 
     def late(self, slack: float) -> list[Track]:
-        """What got its end later than so many seconds after its time."""
+        """Return messages whose outcome came more than `slack` seconds after their deadline."""
         return [it for it in self.promised if it.ends and min(at for at, _ in it.ends) > it.until + slack]
--- a/amberlug/standin/proxy.py
+++ b/amberlug/standin/proxy.py
@@ -1,4 +1,4 @@
-"""A loopback proxy for one direction between two relays, which does to it what networks do."""
+"""A loopback proxy that injects network faults into connections from one relay to another."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 
 
 class Proxy:
-    """Takes connections for an address and passes them on, as it is told to at the time."""
+    """Forwards connections to a port, subject to the faults set at the time."""
 
     def __init__(self, to: int, seed: int) -> None:
         self._to, self._chance = to, random.Random(seed)
         self.port = 0
         self.delay = self.spread = 0.0  # seconds
-        self.rate = 0.0  # bytes a second; 0: any number
-        self.flips = 0  # bytes to be spoilt
+        self.rate = 0.0  # bytes per second; 0 for no limit
+        self.flips = 0  # number of chunks to corrupt by one flipped bit
         self._writers: set[asyncio.StreamWriter] = set()
         self._open = asyncio.Event()
         self._server: asyncio.Server | None = None
@@ -39,16 +39,16 @@
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
     def sever(self) -> None:
-        """Have nothing pass from now on; connections stay open, and silent."""
+        """Stop forwarding; connections stay open but silent."""
         self._open.clear()
 
     def heal(self) -> None:
-        """Have all pass again, with what was under way before."""
+        """Resume forwarding without delays or rate limit, including data held back meanwhile."""
         self.delay = self.spread = self.rate = 0.0
         self._open.set()
 
     def reset(self) -> None:
-        """Break all connections, in the middle of whatever is under way."""
+        """Reset all connections, even in the middle of a transfer."""
         for writer in list(self._writers):
             writer.transport.abort()
 
--- a/amberlug/standin/wire.py
+++ b/amberlug/standin/wire.py
@@ -1,4 +1,4 @@
-"""Stand-ins on loopback for the other side of the relay's wires: endpoints, and the platform."""
+"""Test HTTP servers on loopback for the relay's peers: endpoints and the platform."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 import h11
 
-PATIENCE = 20.0  # seconds after which whoever waits for an event has waited in vain
+PATIENCE = 20.0  # timeout in seconds for an expected event
 
 Answer = tuple[int, list[tuple[str, str]], bytes]
 OK: Answer = (200, [], b"")
@@ -19,7 +19,7 @@
 
 @dataclass
 class Seen:
-    """A request as a stand-in saw it, with the means to answer it."""
+    """A received request, with methods to answer it."""
 
     method: str
     path: str
@@ -47,7 +47,7 @@
 
 
 class StandIn:
-    """A peer: `answers` are used up in order, then `usual`; None leaves the request unanswered."""
+    """A test HTTP server: sends each of `answers` once, in order, then `usual`; None sends no response."""
 
     def __init__(self, usual: Answer | None = OK, *answers: Answer | None) -> None:
         self.usual, self.answers = usual, list(answers)
@@ -117,7 +117,10 @@
                 if not data and http.their_state is not h11.SEND_BODY:
                     return None
                 http.receive_data(data)
-                if http.states == {h11.CLIENT: h11.DONE, h11.SERVER: h11.DONE}:  # answered meanwhile
+                if http.states == {
+                    h11.CLIENT: h11.DONE,
+                    h11.SERVER: h11.DONE,
+                }:  # the response was sent meanwhile
                     http.start_next_cycle()
             elif isinstance(event, h11.Request):
                 head = event
@@ -132,12 +135,12 @@
 
 
 class Platform(StandIn):
-    """Discovery: holds watches open, takes notices."""
+    """The platform: keeps discovery watches open, and accepts notices."""
 
     def __init__(self) -> None:
         super().__init__((204, [], b""))
         self.watches: list[Seen] = []
-        self.first = b""  # what each watch is told at first; by default, that nothing has changed
+        self.first = b""  # first line of each watch; by default an empty update
         self.on_request = self._watch
 
     def _watch(self, seen: Seen) -> bool:
@@ -151,7 +154,7 @@
         return True
 
     def silent(self, seen: Seen) -> bool:
-        """Answer nothing, as discovery that is down."""
+        """Leave a request unanswered, as if discovery were down."""
         return True
 
     def tell(self, line: bytes) -> None:
--- a/tests/test_checker.py
+++ b/tests/test_checker.py
@@ -1,4 +1,4 @@
-"""The checker finds each broken rule in a record of the wires, and none in one that keeps them."""
+"""The checker reports each broken rule in recorded traffic, and nothing if all rules are kept."""
 
 import pytest
 
@@ -75,7 +75,7 @@
 def test_ends_that_contradict_each_other() -> None:
     it = checker()
     it.told_end("m", "given_up", 1.0)
-    it.told_end("m", "given_up", 1.1)  # told again: no harm
+    it.told_end("m", "given_up", 1.1)  # a repeated report is allowed
     assert it.finish(100.0) == []
     it.told_end("m", "handed_back", 1.2)
     assert it.finish(100.0) == ["m: told given_up, then handed_back"]
--- a/tests/test_crowd.py
+++ b/tests/test_crowd.py
@@ -1,4 +1,4 @@
-"""The real program, thousands of destinations listed: many that wake, a long list under load, a restart."""
+"""The real daemon with thousands of destinations: many that wake, a long list under load, a restart."""
 
 import asyncio
 from collections.abc import AsyncIterator, Callable
@@ -15,8 +15,8 @@
 
 MOODS = [Mood.WELL, Mood.SLOW, Mood.WELL, Mood.REFUSES, Mood.WELL, Mood.DEAD, Mood.WELL, Mood.SILENT]
 BUSY = 10
-PACE = 0.02  # seconds between two messages for the busy
-LIVES_S = 10.0  # how long a message has
+PACE = 0.02  # seconds between two messages for the busy destinations
+LIVES_S = 10.0  # deadline of a message
 
 
 @asynccontextmanager
@@ -52,7 +52,7 @@
 
 
 async def busy(relay: Relay, told: dict[str, Told], stop: asyncio.Event) -> set[str]:
-    """Hand in for a few destinations, steadily, until told to stop; the names."""
+    """Submit messages for a few destinations at a steady rate until `stop`; return their names."""
     own, names = await clients(relay, 4, told), set[str]()
     while not stop.is_set():
         name = f"{len(names) % BUSY}-b{len(names)}"
@@ -88,21 +88,21 @@
             slow = await held_up
             await until(lambda: went <= crowd.delivered.keys())
         first = max(crowd.called[number].first - told[f"{number}-w0"].made for number in woken)
-        assert first < LIVES_S  # 1 s, and 6 s if half are bad, where nothing else runs
+        assert first < LIVES_S  # 1 s on an idle machine, 6 s if half are bad
         late = [name for name in went if crowd.delivered[name] > told[name].made + 1.0 + slow]
         assert len(late) <= len(went) * 0.1
-        assert not any(it.early for it in crowd.called.values())  # none in a told wait
+        assert not any(it.early for it in crowd.called.values())  # no call before a retry delay was over
 
     run(scenario())
 
 
 async def hold_ups(stop: asyncio.Event) -> float:
-    """Seconds by which this process, which shares the machine, was late in all until then."""
+    """Return the total event loop lag of this process until `stop`; it shares the machine with the relay."""
     loop, late = asyncio.get_running_loop(), 0.0
     while not stop.is_set():
         due = loop.time() + 0.01
         await asyncio.sleep(0.01)
-        late += max(0.0, loop.time() - due - 0.02)  # a turn of its own takes as long
+        late += max(0.0, loop.time() - due - 0.02)  # 20 ms: an own loop iteration may take as long
     return late
 
 
@@ -118,12 +118,12 @@
             own = await clients(relay, 1, told)
             gone, new = range(listed - 50, listed), range(listed, listed + 50)
             crowd.gone.update(gone)
-            for revision in (2, 3):  # the second finds all replaced once more
+            for revision in (2, 3):  # the second list replaces them all once more
                 members = crowd.members(range(kept))
                 members += crowd.members(range(kept, listed - 50), life=revision)
                 members += crowd.members(new, life=revision)
                 platform.whole(members)
-                for number in new:  # each is listed once its message is taken
+                for number in new:  # the list has been applied once the message is accepted
                     name = f"{number}-r{revision}"
                     while told.get(name) is None or told[name].status != 202:
                         own[0].hand_in(name, "safe", LIVES_S)
@@ -164,11 +164,11 @@
             loop = asyncio.get_running_loop()
             start = loop.time()
             await relay.start()
-            assert loop.time() - start < LIVES_S  # 2 s where nothing else runs
-            assert memory_mb(relay) < 60  # 47 where this was written
+            assert loop.time() - start < LIVES_S  # 2 s on an idle machine
+            assert memory_mb(relay) < 60  # measured: 47
             await until(lambda: safe <= crowd.delivered.keys())
             ended = {it["message"] for it in await platform.noticed(len(unsafe))}
-            assert ended == unsafe  # given up at once: each may have run
+            assert ended == unsafe  # given up at once: each may have taken effect
             assert all(crowd.called[int(it.partition("-")[0])].calls == 1 for it in unsafe)
             reply = await relay.hand_in("4711-x", Envelope="dest=4711")
             assert reply.status == 202
--- a/tests/test_mqtt.py
+++ b/tests/test_mqtt.py
@@ -1,4 +1,4 @@
-"""MQTT on the real program: in from a broker and direct, out to topics, ends, and what breaks meanwhile."""
+"""MQTT with the real daemon: inbound from a broker and direct, outbound to topics, outcomes, and faults."""
 
 import asyncio
 import json
@@ -93,7 +93,7 @@
         return self.published()
 
     async def ends(self, count: int = 1) -> list[dict[str, Any]]:
-        """Ends as the broker was told them."""
+        """Outcomes published to the broker."""
         found: list[dict[str, Any]] = []
 
         def enough() -> bool:
@@ -163,7 +163,7 @@
     return {mqtt.RESPONSE: topic, mqtt.CORRELATION: correlation} | user(**pairs)
 
 
-# In, from a broker.
+# Inbound from a broker.
 
 
 @pytest.mark.parametrize("version", ["5.0", "3.1.1"])
@@ -197,7 +197,7 @@
             }
             assert ends["p1"]["packet"]["topic"] == "ends/a"
             assert ends["p1"]["packet"]["properties"][mqtt.CORRELATION] == b"\x01\xff"
-            assert it.platform.notices == []  # which are for messages that came by HTTP
+            assert it.platform.notices == []  # notices are only for messages submitted over HTTP
 
     run(scenario())
 
@@ -223,9 +223,9 @@
     async def scenario() -> None:
         async with world(tmp_path) as it:
             it.broker.offer("pay/1", b"x", 1, properties=asked("ends/a", b"7"))  # unsafe, and no id
-            it.broker.offer("pay/9", b"x", 1, properties=user(id="p9"))  # nobody serves that
+            it.broker.offer("pay/9", b"x", 1, properties=user(id="p9"))  # no endpoint serves it
             it.broker.offer("pay/x", b"x", 1, properties=user(id="px"))
-            it.broker.offer("pay/1", b"x", 0, properties=user(id="p0"))  # nobody could be told
+            it.broker.offer("pay/1", b"x", 0, properties=user(id="p0"))  # QoS 0: the sender can't be informed
             it.broker.offer("result/1/a", b"old", 1, kept=True)  # retained
             await it.broker.until(lambda: len(it.broker.of(mqtt.PUBACK)) >= 4)
             codes = [one["code"] for one in it.broker.of(mqtt.PUBACK)]
@@ -248,7 +248,7 @@
                 it.broker.offer("pay/1", b"x", 1, properties=user(id=f"p{number}"))
             session = it.broker.session("relay-in")
             await it.partner.requests(2)
-            await asyncio.sleep(0.3)  # time in which what has no room could be acknowledged
+            await asyncio.sleep(0.3)  # time for a wrong acknowledgement of what exceeds the capacity
             assert len(it.broker.of(mqtt.PUBACK)) == 2
             assert (len(session.flying), len(session.queue)) == (3, 4)
             partner.usual = OK
@@ -270,7 +270,7 @@
                 cut.append(packet["name"])
                 broker.cut_off(session)
 
-            # The acknowledgements of both are lost: they are in the journal, and come again.
+            # Both acknowledgements are lost after the messages are in the journal, so the broker redelivers.
             it.broker.faults += [once(mqtt.PUBACK, lose)]
             it.broker.offer("pay/1", b"x", 1, properties=user(id="p1"))
             await it.partner.requests(1)
@@ -281,7 +281,8 @@
             it.broker.faults = [once(mqtt.PUBREC, lose)]
             it.broker.offer("pay/1", b"x", 2, properties=user(id="p2"))
             await it.broker.until(lambda: cut == ["puback", "pubrec"])
-            await it.partner.requests(2)  # one recorded and not made may have run
+            # A restart takes a recorded call for one that may have run, so wait until it was made.
+            await it.partner.requests(2)
             await it.relay.kill()
             await it.relay.start()
             await it.broker.until(lambda: bool(it.broker.of(mqtt.PUBCOMP)))
@@ -296,7 +297,7 @@
         async with world(tmp_path) as it:
 
             def hold(broker: Broker, session: mqtt.Session, packet: Packet) -> None:
-                session.released.add(packet["id"])  # its PUBREL does not go out
+                session.released.add(packet["id"])  # suppress its PUBREL
 
             it.broker.faults.append(once(mqtt.PUBREC, hold))
             it.broker.offer("pay/1", b"x", 2, properties=user(id="p1"))
@@ -317,10 +318,10 @@
             it.broker.cut_off(it.broker.session("relay-in"), keep=False)
             await it.broker.subscribed("relay-in", 2)
             other = Bare()
-            await other.connect(it.broker.port, "relay-in")  # sends the relay away
+            await other.connect(it.broker.port, "relay-in")  # takes the relay's session over
             await it.broker.subscribed("relay-in", 3)
             await other.gone()
-            it.broker.lie_about_session = True  # there is none, whatever it says
+            it.broker.lie_about_session = True  # claims a session that does not exist
             it.broker.cut_off(it.broker.session("relay-in"), keep=False)
             await it.broker.subscribed("relay-in", 4)
             it.broker.offer("pay/1", b"x", 1, properties=user(id="p1"))
@@ -329,7 +330,7 @@
     run(scenario())
 
 
-# In, direct.
+# Inbound from direct publishers.
 
 
 def test_a_publisher_is_answered_once_the_journal_has_it(tmp_path: Path) -> None:
@@ -365,7 +366,7 @@
             await it.partner.requests(1)
             await it.relay.kill()
             await it.relay.start()
-            for _ in range(2):  # not acknowledged the first time, so told again
+            for _ in range(2):  # not acknowledged the first time, so published again
                 client = await it.client()
                 client.subscribe("ends/board/#")
                 end = await client.until(mqtt.PUBLISH)
@@ -412,7 +413,7 @@
                 again.publish("pay/1", b"x", 1, number, dup=dup, properties=properties)
                 assert (await again.until(mqtt.PUBACK))["code"] == 0
             partner.seen[0].answer((500, [], b""))
-            if how == "through the broker":  # the end goes where it was last asked for
+            if how == "through the broker":  # the outcome goes to the latest reply address
                 (end,) = await it.ends()
                 assert (end["message"], end["outcome"]) == ("p1", "given_up")
             else:
@@ -465,7 +466,7 @@
             told = dict(client.of(mqtt.PUBACK)[1]["properties"][mqtt.USER])
             assert int(told["retry-in-ms"]) >= 100
             older = await it.client("old", v5=False)
-            older.publish("pay/1", b"x", 1, 1)  # 3.1.1 has no way to refuse but to close
+            older.publish("pay/1", b"x", 1, 1)  # 3.1.1 can refuse only by closing the connection
             await older.gone()
             assert older.of(mqtt.PUBACK) == []
 
@@ -589,7 +590,7 @@
     run(scenario())
 
 
-# Out.
+# Outbound to topics.
 
 
 async def give(it: World, name: str, kind: str, destination: int) -> int:
@@ -616,7 +617,7 @@
 
 
 def silent(broker: Broker, session: mqtt.Session, packet: Packet) -> None:
-    """Take it in and say nothing."""
+    """Drop the packet without an answer."""
 
 
 def cut(broker: Broker, session: mqtt.Session, packet: Packet) -> None:
@@ -626,7 +627,7 @@
 def taken_and_dropped(broker: Broker, session: mqtt.Session, packet: Packet) -> None:
     broker.deal(session, packet)
     assert session.writer is not None
-    session.writer.close()  # what was acknowledged goes out first
+    session.writer.close()  # after flushing the acknowledgement
     session.writer = None
     broker.sessions.pop(session.client)
 
@@ -682,7 +683,7 @@
                 assert await it.platform.noticed() == [{"message": "a", "outcome": end}]
             else:
                 await it.delivered(1)
-            assert await give(it, "b", kind, 2) == 202  # and the next one goes through
+            assert await give(it, "b", kind, 2) == 202  # and the next message is not affected
             await it.broker.until(
                 lambda: any(dict(one["properties"][mqtt.USER])["id"] == "b" for one in it.published())
             )
@@ -721,7 +722,7 @@
             await it.delivered(1)
             await it.broker.until(lambda: len(it.broker.of(mqtt.PUBREL)) == 2)
             assert len(it.broker.of(mqtt.PUBLISH, "relay-out")) == 1
-            # Where the session is gone nobody knows whether it was passed on: nothing is sent again.
+            # Without the session it is unknown whether the message was passed on, so it is not sent again.
             it.broker.faults.append(once(mqtt.PUBREL, drop))
             assert await give(it, "b", "unsafe", 2) == 202
             assert await it.platform.noticed() == [{"message": "b", "outcome": "given_up"}]
@@ -761,8 +762,9 @@
             await it.delivered(1)
             port = it.broker.port
             await it.broker.stop()
-            await it.relay.said("no connection")  # it has heard so: a publish that is cut off may have run
-            assert await give(it, "b", "unsafe", 2) == 202  # could not connect: it never ran
+            # Only then can no publish be cut off in flight, which might have taken effect.
+            await it.relay.said("no connection")
+            assert await give(it, "b", "unsafe", 2) == 202  # can't connect, so it can't take effect
             await it.broker.start(port)
             await it.delivered(2)
 
@@ -817,7 +819,7 @@
                 return False
 
             it.broker.faults.append(note)
-            while not it.partner.seen:  # whichever of the two is chosen
+            while not it.partner.seen:  # until the HTTP endpoint is chosen
                 await give(it, f"m{len(it.published())}", "safe", 3)
                 await asyncio.sleep(0.05)
             told = loop.time()
@@ -825,7 +827,7 @@
             await give(it, "later", "safe", 3)
             it.partner.usual = OK
             await asyncio.sleep(0.4)
-            assert len(first) == count  # the wait that HTTP told holds for the topic, too
+            assert len(first) == count  # the retry delay from HTTP also holds for the topic
             assert loop.time() - told < 0.6
             drained = [member(it.broker.port, "topic-3", "terminating", "topic") | {"cell": 3}]
             it.platform.tell(json.dumps({"revision": 2, "complete": False, "members": drained}).encode())
@@ -850,7 +852,7 @@
             partner.seen[0].answer(OK)
             assert await it.relay.ended() == 0
             assert it.names() == ["p1"]
-            assert len(it.broker.session("relay-in").queue) == 1  # the broker has it still
+            assert len(it.broker.session("relay-in").queue) == 1  # still queued at the broker
 
     run(scenario())
 
--- a/tests/test_mqtt_packets.py
+++ b/tests/test_mqtt_packets.py
@@ -1,4 +1,4 @@
-"""MQTT packets: what is written is read again, in any pieces; what breaks the protocol is an error."""
+"""MQTT packets: encoding round trips for any chunking, and protocol violations are errors."""
 
 from typing import Any
 
@@ -136,7 +136,7 @@
 
 
 def test_bytes_are_those_of_the_standard() -> None:
-    """Examples worked out by hand from the sections named."""
+    """Compares with byte strings derived by hand from the named sections."""
     connect = bytes.fromhex("10 10 00 04 4d515454 05 02 003c 03 21 0014 00 00")  # 3.1: receive maximum 20
     assert read(connect, 0) == [Connect("", V5, True, 60, properties={P.RECEIVE_MAXIMUM: 20})]
     assert packets.encode(Publish("a/b", b"hi", 1, 10), V5) == bytes.fromhex("32 0a 0003 612f62 000a 00 6869")
--- a/tests/test_mqtt_paho.py
+++ b/tests/test_mqtt_paho.py
@@ -1,4 +1,4 @@
-"""A client that others have written: against the listener, and why the relay does not use it."""
+"""The paho client: interoperates with the listener, and why the relay itself does not use it."""
 
 import asyncio
 import json
@@ -58,7 +58,7 @@
 
 
 def test_its_pubrec_goes_out_before_anybody_could_have_kept_the_message() -> None:
-    """Why the relay does not use it: a death between the two would lose a message at QoS 2."""
+    """paho sends PUBREC before the application has the message: a crash between loses it at QoS 2."""
 
     async def scenario() -> None:
         broker = await Broker().start()
@@ -69,7 +69,7 @@
         client.on_message = lambda client, data, message: kept.set()
 
         def hold(broker: Broker, session: mqtt.Session, packet: mqtt.Packet) -> bool:
-            return bool(packet["kind"] == mqtt.PUBREC)  # its PUBREL never comes
+            return bool(packet["kind"] == mqtt.PUBREC)  # suppress the PUBREL
 
         broker.faults.append(hold)
         client.connect("127.0.0.1", broker.port)
@@ -87,7 +87,7 @@
 
 
 def test_it_publishes_again_by_itself_what_was_lost() -> None:
-    """Why the relay does not use it on the way out: of a payment that is a second attempt."""
+    """paho retransmits lost publishes by itself: for a payment that would be a second attempt."""
 
     async def scenario() -> None:
         broker = await Broker().start()
--- a/tests/test_mqtt_sessions.py
+++ b/tests/test_mqtt_sessions.py
@@ -1,4 +1,4 @@
-"""Sessions and ends without sockets: packet ids, windows, QoS 2, ends that wait for room or a listener."""
+"""MQTT sessions and outcomes without sockets: packet ids, windows, QoS 2, outcomes that wait."""
 
 import asyncio
 from collections.abc import Callable
@@ -22,7 +22,7 @@
 
 @dataclass
 class Side:
-    """An `Outgoing` with all that it wrote, and what became of each publish."""
+    """An `Outgoing` that records what it wrote and the result of each publish."""
 
     written: list[Publish | Ack] = field(default_factory=list)
     fates: dict[str, Fate] = field(default_factory=dict)
@@ -49,7 +49,7 @@
     side = Side()
     number = side.publish("a")
     side.out.came(Ack(Kind.PUBACK, number))  # the wrong kind
-    side.out.came(Ack(Kind.PUBREC, number + 1))  # nobody's: told that it is not known
+    side.out.came(Ack(Kind.PUBREC, number + 1))  # unknown id: answered with "packet identifier not found"
     assert side.written[-1] == Ack(Kind.PUBREL, number + 1, 0x92)
     side.out.came(Ack(Kind.PUBREC, number))
     assert side.fates == {}
@@ -65,12 +65,12 @@
     side.out.lost()
     assert side.fates == {"a": Fate.LOST}
     side.out.connected(True, 10)
-    side.out._last = 0  # as after all ids have gone round
+    side.out._last = 0  # as after the ids have wrapped around
     assert side.publish("b") != lost
     side.out.lost()
     side.out.connected(False, 10)
     side.out._last = 0
-    assert side.publish("c") == lost  # another session knows nothing of it
+    assert side.publish("c") == lost  # a new session does not know the id
 
 
 def test_what_waits_for_pubcomp_goes_on_in_its_session_alone() -> None:
@@ -130,14 +130,14 @@
     assert all(1 <= it <= 0xFFFF for it in published)
     side.out.lost()
     side.out.connected(False, 4)
-    assert len(side.fates) == names  # and `publish` saw that none has two
+    assert len(side.fates) == names  # `publish` asserts that none has two
 
 
 def test_publishes_are_answered_once_and_repeats_at_qos_2_without_being_offered() -> None:
     side = Incoming(2)
     first = Publish("a", b"", 2, 1)
     assert side.came(first) == (True, None)
-    assert side.came(first) == (False, None)  # it is being dealt with
+    assert side.came(first) == (False, None)  # still in progress
     assert side.answer(1) == Ack(Kind.PUBREC, 1)
     assert side.answer(1) is None
     assert side.came(first) == (False, Ack(Kind.PUBREC, 1))
@@ -146,16 +146,16 @@
         side.came(Publish("a", b"", 1, 3))
     assert error.value.code == 0x93
     side.connected(True)
-    assert side.answer(2) is None  # it comes again
+    assert side.answer(2) is None  # the broker redelivers it
     assert side.released(1) == Ack(Kind.PUBCOMP, 1)
     assert side.released(1) == Ack(Kind.PUBCOMP, 1, 0x92)
     assert side.came(first) == (True, None)
     assert side.answer(1, 0x97) == Ack(Kind.PUBREC, 1, 0x97)
-    assert side.came(first) == (True, None)  # refused, so it is a new one
+    assert side.came(first) == (True, None)  # refused before, so it is a new publish
 
 
 class Pipe(asyncio.Transport):
-    """A transport that goes nowhere."""
+    """A transport without a socket; records pauses and aborts."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -184,7 +184,7 @@
         for _ in range(3):
             wire.data_received(b"")
         assert wire.begun_for(began + 9) >= 9
-        wire.data_received(b"\0" + b"\xc0")  # that one is whole, and another has begun
+        wire.data_received(b"\0" + b"\xc0")  # completes that packet and begins another
         assert wire.begun_for(loop.time()) < 1
         wire.data_received(b"\0")
         assert wire.begun_for(loop.time() + 9) == 0.0
@@ -231,11 +231,11 @@
     assert {case: ending(*case, {}).result for case in results} == results
 
 
-# Ends.
+# Outcomes.
 
 
 class Front:
-    """A front with room for so many, and topics that somebody listens to."""
+    """A message source with a limited send window and a set of subscribed topics."""
 
     def __init__(self, room: int) -> None:
         self.room, self.heard = room, set[str]()
@@ -333,7 +333,7 @@
         assert over == []
         notices.acknowledged("m")
         assert over == ["m"]
-        ends.tell(End("h", Outcome.GIVEN_UP))  # by HTTP alone
+        ends.tell(End("h", Outcome.GIVEN_UP))  # over HTTP only
         notices.acknowledged("h")
         assert over == ["m", "h"]
         assert ends.owed(End("h", Outcome.DELIVERED)) is False
@@ -348,7 +348,7 @@
         front.heard = {"t", "u"}
         ends.tell(end("m", "t"))
         ends.tell(end("m", "u"))
-        front.finish("m")  # the old place has it; that is not what was asked for last
+        front.finish("m")  # acknowledged at the old reply address, which the later one replaced
         assert over == []
         ends.listening("hall", lambda topic: topic == "u")
         front.finish("m")
