--- a/amberlug/mqtt/ends.py
+++ b/amberlug/mqtt/ends.py
@@ -13,14 +13,14 @@
 from amberlug.mqtt import replies
 from amberlug.mqtt.packets import Publish
 from amberlug.mqtt.replies import Reply
-from amberlug.mqtt.sessions import Fate
+from amberlug.mqtt.sessions import PublishResult
 
 LOOK = 5.0  # seconds between checks for outcomes that were not acknowledged within `keep_ends_s`
 TELLING_MOST = 200  # outcomes published and not yet acknowledged, over all sources
 
 QUOTA = 0x97
 AGAIN = 1.0  # seconds before an outcome refused with "quota exceeded" is published again
-Told = Callable[[Fate, int], None]  # called with the result of the publish and its reason code
+Told = Callable[[PublishResult, int], None]  # called with the result of the publish and its reason code
 
 
 class Front(Protocol):
@@ -113,14 +113,14 @@
             self._telling.discard(name)
         self._queued.setdefault(reply.front, {})[name] = None
 
-    def _told(self, name: str, reply: Reply, fate: Fate, code: int) -> None:
+    def _told(self, name: str, reply: Reply, result: PublishResult, code: int) -> None:
         self._telling.discard(name)
-        if fate is Fate.REFUSED and code == QUOTA:
+        if result is PublishResult.REFUSED and code == QUOTA:
             asyncio.get_running_loop().call_later(AGAIN, self._publish, name)
-        elif fate is Fate.REFUSED:
+        elif result is PublishResult.REFUSED:
             log(f"mqtt: {reply.front} refused the outcome of {name} with 0x{code:02x}: dropped")
             self._done(name, reply)
-        elif fate is Fate.ACKNOWLEDGED:
+        elif result is PublishResult.ACKNOWLEDGED:
             self._done(name, reply)
         # One place is free: publish the first queued outcome, those of this source before others.
         for front in (reply.front, *self._queued):
--- a/amberlug/mqtt/intake.py
+++ b/amberlug/mqtt/intake.py
@@ -31,7 +31,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Verdict:
+class Decision:
     """Result of a publish: accepted (code 0), or a reason and the delay before a retry."""
 
     code: int = 0
@@ -39,7 +39,7 @@
     retry_ms: int = 0
 
 
-Done = Callable[[Verdict], None]
+Done = Callable[[Decision], None]
 
 
 class Offer:
@@ -59,9 +59,9 @@
         if done is None:
             return
         if refusal is None:
-            done(Verdict())
+            done(Decision())
         else:
-            done(Verdict(QUOTA, refusal.reason.value, max(1, refusal.retry_us // 1000)))
+            done(Decision(QUOTA, refusal.reason.value, max(1, refusal.retry_us // 1000)))
 
     def withdraw(self) -> None:
         """Ignore any later decision."""
@@ -84,7 +84,7 @@
         try:
             message, left_us = self._read(front, packet, default_topic)
         except BadPublishError as error:
-            done(Verdict(error.code, str(error)))
+            done(Decision(error.code, str(error)))
             return None
         assert self.node is not None
         offer = Offer(done)
--- a/amberlug/mqtt/listener.py
+++ b/amberlug/mqtt/listener.py
@@ -11,7 +11,7 @@
 from amberlug.core.log import log
 from amberlug.mqtt.ends import MqttEnds, Told
 from amberlug.mqtt.fields import MqttError
-from amberlug.mqtt.intake import Intake, Offer, Verdict
+from amberlug.mqtt.intake import Decision, Intake, Offer
 from amberlug.mqtt.mapping import LISTENER, NOT_AUTHORIZED
 from amberlug.mqtt.mapping import Listener as Allowed
 from amberlug.mqtt.packets import (
@@ -159,16 +159,17 @@
             return
         topic = packet.properties.get(P.RESPONSE_TOPIC, "")
         if topic and not self._may_hear(topic):
-            self._judged(packet, Verdict(NOT_AUTHORIZED, f"outcomes go only to {own_topic(self.client_id)}"))
+            text = f"outcomes go only to {own_topic(self.client_id)}"
+            self._on_decision(packet, Decision(NOT_AUTHORIZED, text))
             return
         listens = any(matches(it, own_topic(self.client_id)) for it in self.filters)
         default = own_topic(self.client_id) if listens else ""
         offers: list[Offer] = []
 
-        def done(verdict: Verdict) -> None:
+        def done(decision: Decision) -> None:
             for offer in offers:
                 self._offers.pop(offer, None)
-            self._judged(packet, verdict)
+            self._on_decision(packet, decision)
 
         offer = self._listener.intake.offer(LISTENER, packet, default, done)
         if offer is not None:
@@ -176,23 +177,23 @@
             if not offer.settled:
                 self._offers[offer] = None
 
-    def _judged(self, packet: Publish, verdict: Verdict) -> None:
+    def _on_decision(self, packet: Publish, decision: Decision) -> None:
         """Answer a publish: by reason code in 5.0; 3.1.1 can refuse only by closing the connection."""
         if not packet.qos:
-            if verdict.code:
-                self._listener.intake.pass_over(LISTENER, packet, verdict.text)
+            if decision.code:
+                self._listener.intake.pass_over(LISTENER, packet, decision.text)
             return
-        if verdict.code and self.wire.version != V5:
+        if decision.code and self.wire.version != V5:
             # An acknowledgement would mean acceptance. The client reconnects after its own delay and
             # publishes again what was not acknowledged.
-            self.wire.close(f"{packet.topic[:80]!r} refused by closing the 3.1.1 connection: {verdict.text}")
+            self.wire.close(f"{packet.topic[:80]!r} refused by closing the 3.1.1 connection: {decision.text}")
             return
         told: dict[P, object] = {}
-        if verdict.code:
-            told[P.REASON_STRING] = verdict.text
-        if verdict.retry_ms:
-            told[P.USER] = [(RETRY, str(verdict.retry_ms))]
-        if (ack := self._incoming.answer(packet.packet_id, verdict.code, told)) is not None:
+        if decision.code:
+            told[P.REASON_STRING] = decision.text
+        if decision.retry_ms:
+            told[P.USER] = [(RETRY, str(decision.retry_ms))]
+        if (ack := self._incoming.answer(packet.packet_id, decision.code, told)) is not None:
             self.wire.write(ack)
 
     def _subscribe(self, packet: Subscribe) -> None:
@@ -225,7 +226,7 @@
         """Publish an outcome; False while the send window is full."""
         if not self._outgoing.room:
             return False
-        self._outgoing.publish(packet, lambda fate, code, told: done(fate, code))
+        self._outgoing.publish(packet, lambda result, code, told: done(result, code))
         return True
 
     def send_away(self, code: int, why: str) -> None:
--- a/amberlug/mqtt/publisher.py
+++ b/amberlug/mqtt/publisher.py
@@ -14,7 +14,7 @@
 from amberlug.mqtt.packets import Publish
 from amberlug.mqtt.properties import P, Properties, user
 from amberlug.mqtt.replies import RETRY
-from amberlug.mqtt.sessions import Fate
+from amberlug.mqtt.sessions import PublishResult
 from amberlug.policy.interface import Result
 
 WAIT_MOST_MS = 3_600_000  # upper bound for a retry delay that a broker asks for
@@ -23,13 +23,13 @@
 Place = tuple[str, Address]  # endpoint kind and broker address
 
 
-def ending(fate: Fate, code: int, told: Properties) -> AttemptResult:
+def ending(result: PublishResult, code: int, told: Properties) -> AttemptResult:
     """Map the result of a publish to the result of its attempt."""
-    if fate is Fate.ACKNOWLEDGED:
+    if result is PublishResult.ACKNOWLEDGED:
         return AttemptResult(Result.DONE)
-    if fate is Fate.DROPPED:
+    if result is PublishResult.DROPPED:
         return AttemptResult(Result.UNCONNECTED)
-    if fate is Fate.LOST:
+    if result is PublishResult.LOST:
         return AttemptResult(Result.RESET)
     if code == QUOTA:
         return AttemptResult(Result.REFUSED, wait_us(told))
--- a/amberlug/mqtt/sessions.py
+++ b/amberlug/mqtt/sessions.py
@@ -76,7 +76,7 @@
     PUBCOMP = "pubcomp"
 
 
-class Fate(Enum):
+class PublishResult(Enum):
     """The result of an own publish."""
 
     ACKNOWLEDGED = "acknowledged"
@@ -85,7 +85,7 @@
     DROPPED = "dropped"  # never sent
 
 
-Done = Callable[[Fate, int, Properties], None]  # result, reason code, properties
+Done = Callable[[PublishResult, int, Properties], None]  # result, reason code, properties
 
 
 @dataclass(slots=True)
@@ -134,7 +134,7 @@
     def publish(self, packet: Publish, done: Done) -> None:
         """Publish now, at QoS 1 or 2; reports `DROPPED` if disconnected."""
         if not self._window:
-            done(Fate.DROPPED, 0, NONE)
+            done(PublishResult.DROPPED, 0, NONE)
             return
         packet_id = self._free_id()
         self._out[packet_id] = _Out(done, Stage.PUBACK if packet.qos == 1 else Stage.PUBREC)
@@ -159,11 +159,11 @@
             self._write(Ack(Kind.PUBREL, ack.packet_id))
             return
         del self._out[ack.packet_id]
-        fate = Fate.ACKNOWLEDGED
+        result = PublishResult.ACKNOWLEDGED
         if ack.code >= 0x80:
             # A PUBCOMP with "packet identifier not found": the peer released it before, or lost it.
-            fate = Fate.LOST if ack.kind is Kind.PUBCOMP else Fate.REFUSED
-        out.done(fate, ack.code, ack.properties)
+            result = PublishResult.LOST if ack.kind is Kind.PUBCOMP else PublishResult.REFUSED
+        out.done(result, ack.code, ack.properties)
 
     def lost(self) -> None:
         """Handle a lost connection: unacknowledged publishes are lost, except those waiting for PUBCOMP."""
@@ -174,7 +174,7 @@
             if it.stage is Stage.PUBREC:
                 self._burnt.add(number)
         for it in gone.values():
-            it.done(Fate.LOST, 0, NONE)
+            it.done(PublishResult.LOST, 0, NONE)
 
     def connected(self, session_present: bool, window: int) -> None:
         """Resume on a new connection; `window` is the peer's receive maximum."""
@@ -189,7 +189,7 @@
         """Report everything in flight as lost, because the session no longer exists."""
         gone, self._out = self._out, {}
         for it in gone.values():
-            it.done(Fate.LOST, 0, NONE)
+            it.done(PublishResult.LOST, 0, NONE)
 
 
 _STAGES = {Kind.PUBACK: Stage.PUBACK, Kind.PUBREC: Stage.PUBREC, Kind.PUBCOMP: Stage.PUBCOMP}
--- a/amberlug/mqtt/subscriber.py
+++ b/amberlug/mqtt/subscriber.py
@@ -7,7 +7,7 @@
 from amberlug.core.log import log
 from amberlug.mqtt import replies
 from amberlug.mqtt.ends import MqttEnds, Told
-from amberlug.mqtt.intake import Intake, Offer, Verdict
+from amberlug.mqtt.intake import Decision, Intake, Offer
 from amberlug.mqtt.link import Link
 from amberlug.mqtt.mapping import QUOTA, Login, Mapped
 from amberlug.mqtt.packets import V5, Publish, Wanted
@@ -60,7 +60,7 @@
         if packet.retain:
             # A retained message may be days old, and was already delivered when it was new.
             self._intake.pass_over(self._login.name, packet, "is retained")
-            self._answer(packet, Verdict())
+            self._answer(packet, Decision())
             return
         self._waiting += 1
         if self._login.version != V5 and self._waiting >= self._login.window:
@@ -73,48 +73,48 @@
         if packet.qos and self._intake.crowded:
             # A publisher behind a broker might never learn that its message was handed back, so the message
             # waits at the broker instead.
-            self._judged(packet, Verdict(QUOTA, "no room", CROWDED_MS), life)
+            self._on_decision(packet, Decision(QUOTA, "no room", CROWDED_MS), life)
             return
         offers: list[Offer] = []
 
-        def done(verdict: Verdict) -> None:
+        def done(decision: Decision) -> None:
             self._offers.difference_update(offers)
-            self._judged(packet, verdict, life)
+            self._on_decision(packet, decision, life)
 
         offer = self._intake.offer(self._login.name, packet, "", done)
         if offer is not None and not offer.settled:
             offers.append(offer)
             self._offers.add(offer)
 
-    def _judged(self, packet: Publish, verdict: Verdict, life: int) -> None:
+    def _on_decision(self, packet: Publish, decision: Decision, life: int) -> None:
         if life != self._life or self._closing:
             return
-        if verdict.retry_ms and packet.qos:
-            pause = min(verdict.retry_ms / 1000, AGAIN_MOST)
+        if decision.retry_ms and packet.qos:
+            pause = min(decision.retry_ms / 1000, AGAIN_MOST)
             asyncio.get_running_loop().call_later(pause, self._offer, packet, life)
             return
         self._waiting -= 1
         if self._waiting < self._login.window:
             self.link.hold(False)
         if not packet.qos:
-            if verdict.code:
-                self._intake.pass_over(self._login.name, packet, verdict.text)
+            if decision.code:
+                self._intake.pass_over(self._login.name, packet, decision.text)
             return
-        if verdict.code:
-            self._refused(packet, verdict)
-        self._answer(packet, verdict)
+        if decision.code:
+            self._refused(packet, decision)
+        self._answer(packet, decision)
 
-    def _refused(self, packet: Publish, verdict: Verdict) -> None:
+    def _refused(self, packet: Publish, decision: Decision) -> None:
         """Report a refused publish in the log, and to the reply address if there is one."""
-        log(f"mqtt: {self._login.name}: {packet.topic[:80]!r} refused: {verdict.text}")
+        log(f"mqtt: {self._login.name}: {packet.topic[:80]!r} refused: {decision.text}")
         reply = self._intake.reply(self._login.name, packet, "")
         if reply is not None:
-            self.tell(replies.refusal(reply, verdict.text), lambda fate, code: None)
+            self.tell(replies.refusal(reply, decision.text), lambda result, code: None)
 
-    def _answer(self, packet: Publish, verdict: Verdict) -> None:
+    def _answer(self, packet: Publish, decision: Decision) -> None:
         if packet.qos:
-            told: dict[P, object] = {P.REASON_STRING: verdict.text} if verdict.code else {}
-            self.link.answer(packet.packet_id, verdict.code, told)
+            told: dict[P, object] = {P.REASON_STRING: decision.text} if decision.code else {}
+            self.link.answer(packet.packet_id, decision.code, told)
 
     def tell(self, packet: Publish, done: Told) -> bool | None:
         """Publish an outcome. Returns None while disconnected, False while the send window is full."""
@@ -122,5 +122,5 @@
             return None
         if not self.link.outgoing.room:
             return False
-        self.link.outgoing.publish(packet, lambda fate, code, told: done(fate, code))
+        self.link.outgoing.publish(packet, lambda result, code, told: done(result, code))
         return True
--- a/tests/test_mqtt_sessions.py
+++ b/tests/test_mqtt_sessions.py
@@ -15,7 +15,7 @@
 from amberlug.mqtt.packets import V5, Ack, Kind, Publish
 from amberlug.mqtt.publisher import ending
 from amberlug.mqtt.replies import Reply, decode
-from amberlug.mqtt.sessions import Fate, Incoming, Outgoing
+from amberlug.mqtt.sessions import Incoming, Outgoing, PublishResult
 from amberlug.mqtt.wire import Wire
 from amberlug.policy.interface import Result
 
@@ -25,16 +25,16 @@
     """An `Outgoing` that records what it wrote and the result of each publish."""
 
     written: list[Publish | Ack] = field(default_factory=list)
-    fates: dict[str, Fate] = field(default_factory=dict)
+    results: dict[str, PublishResult] = field(default_factory=dict)
 
     def __post_init__(self) -> None:
         self.out = Outgoing(self.written.append)
         self.out.connected(False, 10)
 
     def publish(self, name: str, qos: int = 2) -> int:
-        def done(fate: Fate, code: int, told: object) -> None:
-            assert name not in self.fates
-            self.fates[name] = fate
+        def done(result: PublishResult, code: int, told: object) -> None:
+            assert name not in self.results
+            self.results[name] = result
 
         self.out.publish(Publish(name, b"", qos), done)
         packet = self.written[-1]
@@ -52,18 +52,18 @@
     side.out.came(Ack(Kind.PUBREC, number + 1))  # unknown id: answered with "packet identifier not found"
     assert side.written[-1] == Ack(Kind.PUBREL, number + 1, 0x92)
     side.out.came(Ack(Kind.PUBREC, number))
-    assert side.fates == {}
+    assert side.results == {}
     side.out.came(Ack(Kind.PUBREC, number))  # twice
     side.out.came(Ack(Kind.PUBCOMP, number))
     side.out.came(Ack(Kind.PUBCOMP, number))
-    assert side.fates == {"a": Fate.ACKNOWLEDGED}
+    assert side.results == {"a": PublishResult.ACKNOWLEDGED}
 
 
 def test_a_lost_packet_id_is_not_used_again_in_its_session() -> None:
     side = Side()
     lost = side.publish("a")
     side.out.lost()
-    assert side.fates == {"a": Fate.LOST}
+    assert side.results == {"a": PublishResult.LOST}
     side.out.connected(True, 10)
     side.out._last = 0  # as after the ids have wrapped around
     assert side.publish("b") != lost
@@ -78,12 +78,12 @@
     numbers = [side.publish("a"), side.publish("b")]
     side.out.came(Ack(Kind.PUBREC, numbers[0]))
     side.out.lost()
-    assert (side.fates, side.out.unreleased, side.out.room) == ({"b": Fate.LOST}, True, False)
+    assert (side.results, side.out.unreleased, side.out.room) == ({"b": PublishResult.LOST}, True, False)
     side.out.connected(True, 10)
     assert side.released() == [numbers[0]] * 2
     side.out.lost()
     side.out.connected(False, 10)
-    assert side.fates == {"b": Fate.LOST, "a": Fate.LOST}
+    assert side.results == {"b": PublishResult.LOST, "a": PublishResult.LOST}
     assert side.out.unreleased is False
 
 
@@ -96,8 +96,8 @@
     side.out.free()
     assert side.out.room is True
     side.out.lost()
-    side.out.publish(Publish("b", b"", 1), lambda fate, code, told: side.fates.update(b=fate))
-    assert side.fates["b"] is Fate.DROPPED
+    side.out.publish(Publish("b", b"", 1), lambda result, code, told: side.results.update(b=result))
+    assert side.results["b"] is PublishResult.DROPPED
 
 
 @given(
@@ -110,7 +110,7 @@
         max_size=40,
     )
 )
-def test_each_publish_has_one_fate_whatever_comes(steps: list[tuple[str, int, int]]) -> None:
+def test_each_publish_has_one_result_whatever_comes(steps: list[tuple[str, int, int]]) -> None:
     side, names, up = Side(), 0, True
     kinds = {"puback": Kind.PUBACK, "pubrec": Kind.PUBREC, "pubcomp": Kind.PUBCOMP}
     for step, number, code in steps:
@@ -130,7 +130,7 @@
     assert all(1 <= it <= 0xFFFF for it in published)
     side.out.lost()
     side.out.connected(False, 4)
-    assert len(side.fates) == names  # `publish` asserts that none has two
+    assert len(side.results) == names  # `publish` asserts that none has two
 
 
 def test_publishes_are_answered_once_and_repeats_at_qos_2_without_being_offered() -> None:
@@ -217,16 +217,16 @@
     asyncio.run(scenario())
 
 
-def test_what_a_fate_means_for_an_attempt() -> None:
+def test_what_a_publish_result_means_for_an_attempt() -> None:
     results = {
-        (Fate.ACKNOWLEDGED, 0): Result.DONE,
-        (Fate.ACKNOWLEDGED, 0x10): Result.DONE,
-        (Fate.DROPPED, 0): Result.UNCONNECTED,
-        (Fate.LOST, 0): Result.RESET,
-        (Fate.REFUSED, 0x97): Result.REFUSED,
-        (Fate.REFUSED, 0x87): Result.UNSENT,
-        (Fate.REFUSED, 0x80): Result.ERROR,
-        (Fate.REFUSED, 0xFF): Result.ERROR,
+        (PublishResult.ACKNOWLEDGED, 0): Result.DONE,
+        (PublishResult.ACKNOWLEDGED, 0x10): Result.DONE,
+        (PublishResult.DROPPED, 0): Result.UNCONNECTED,
+        (PublishResult.LOST, 0): Result.RESET,
+        (PublishResult.REFUSED, 0x97): Result.REFUSED,
+        (PublishResult.REFUSED, 0x87): Result.UNSENT,
+        (PublishResult.REFUSED, 0x80): Result.ERROR,
+        (PublishResult.REFUSED, 0xFF): Result.ERROR,
     }
     assert {case: ending(*case, {}).result for case in results} == results
 
@@ -253,8 +253,8 @@
         self.told.append(name)
         return True
 
-    def finish(self, name: str, fate: Fate = Fate.ACKNOWLEDGED, code: int = 0) -> None:
-        self.out.pop(name)(fate, code)
+    def finish(self, name: str, result: PublishResult = PublishResult.ACKNOWLEDGED, code: int = 0) -> None:
+        self.out.pop(name)(result, code)
 
 
 class NoNotices:
@@ -312,7 +312,7 @@
         ends.listening("other", lambda topic: True)
         assert front.told == []
         ends.listening("hall", lambda topic: topic == "t")
-        front.finish("m", Fate.LOST)
+        front.finish("m", PublishResult.LOST)
         assert (front.told, over) == (["m"], [])
         ends.listening("hall", lambda topic: True)
         front.finish("m")
@@ -364,8 +364,8 @@
         front.heard = {"t"}
         ends.tell(end("a"))
         ends.tell(end("b"))
-        front.finish("a", Fate.REFUSED, 0x87)
-        front.finish("b", Fate.REFUSED, 0x97)
+        front.finish("a", PublishResult.REFUSED, 0x87)
+        front.finish("b", PublishResult.REFUSED, 0x97)
         assert over == ["a"]
         await asyncio.sleep(0.01)
         front.finish("b")
