--- a/amberlug/mqtt/intake.py
+++ b/amberlug/mqtt/intake.py
@@ -42,14 +42,14 @@
 Done = Callable[[Decision], None]
 
 
-class Offer:
+class PendingPublish:
     """One publish that waits until the core accepts or refuses it."""
 
     def __init__(self, done: Done) -> None:
         self._done: Done | None = done
 
     @property
-    def settled(self) -> bool:
+    def decided(self) -> bool:
         """Whether the result is known, or was withdrawn."""
         return self._done is None
 
@@ -74,9 +74,9 @@
     def __init__(self, mapped: Mapped, settings: Settings, clock: Clock) -> None:
         self._mapped, self._settings, self._clock = mapped, settings, clock
         self.node: Node | None = None
-        self.passed_over = 0  # retained, or refused at QoS 0, where the sender can't be informed
+        self.dropped = 0  # retained, or refused at QoS 0, where the sender can't be informed
 
-    def offer(self, front: str, packet: Publish, default_topic: str, done: Done) -> Offer | None:
+    def submit(self, front: str, packet: Publish, default_topic: str, done: Done) -> PendingPublish | None:
         """Submit a publish; `done` is called once, possibly before this returns.
 
         Returns what `withdraw` takes, or None if the publish was refused at once.
@@ -87,20 +87,20 @@
             done(Decision(error.code, str(error)))
             return None
         assert self.node is not None
-        offer = Offer(done)
-        self.node.hand_in(message, left_us, 0, offer)
-        return offer
+        publish = PendingPublish(done)
+        self.node.hand_in(message, left_us, 0, publish)
+        return publish
 
     @property
     def crowded(self) -> bool:
         """Whether senders that can wait should: an accepted message might soon be handed back."""
         return self.node is None or self.node.crowded
 
-    def withdraw(self, offer: Offer) -> None:
+    def withdraw(self, publish: PendingPublish) -> None:
         """Withdraw a publish whose sender disconnected; it is not accepted any more."""
-        offer.withdraw()
+        publish.withdraw()
         assert self.node is not None
-        self.node.client_disconnected(offer)
+        self.node.client_disconnected(publish)
 
     def reply(self, front: str, packet: Publish, default_topic: str) -> Reply | None:
         """Return where the outcome of a message is to be sent; None if none was requested."""
@@ -134,8 +134,8 @@
         message.noticed, message.replies = False, 1
         return message, left_us
 
-    def pass_over(self, front: str, packet: Publish, why: str) -> None:
+    def count_dropped(self, front: str, packet: Publish, why: str) -> None:
         """Count a publish that is dropped without informing its sender; log at powers of two."""
-        self.passed_over += 1
-        if self.passed_over & (self.passed_over - 1) == 0:  # the first, second, fourth, eighth ...
-            log(f"mqtt: {front}: {packet.topic[:80]!r} {why}: dropped ({self.passed_over} so far)")
+        self.dropped += 1
+        if self.dropped & (self.dropped - 1) == 0:  # the first, second, fourth, eighth ...
+            log(f"mqtt: {front}: {packet.topic[:80]!r} {why}: dropped ({self.dropped} so far)")
--- a/amberlug/mqtt/link.py
+++ b/amberlug/mqtt/link.py
@@ -295,8 +295,8 @@
     def _came(self, packet: Publish) -> None:
         if not packet.topic:
             raise MqttError(PROTOCOL_ERROR, "topic alias used, but the topic alias maximum is 0")
-        offered, ack = self.incoming.came(packet)
+        is_new, ack = self.incoming.came(packet)
         if ack is not None:
             self._write(ack)
-        if offered and self._publish is not None:
+        if is_new and self._publish is not None:
             self._publish(packet)
--- a/amberlug/mqtt/listener.py
+++ b/amberlug/mqtt/listener.py
@@ -11,7 +11,7 @@
 from amberlug.core.log import log
 from amberlug.mqtt.ends import MqttEnds, Told
 from amberlug.mqtt.fields import MqttError
-from amberlug.mqtt.intake import Decision, Intake, Offer
+from amberlug.mqtt.intake import Decision, Intake, PendingPublish
 from amberlug.mqtt.mapping import LISTENER, NOT_AUTHORIZED
 from amberlug.mqtt.mapping import Listener as Allowed
 from amberlug.mqtt.packets import (
@@ -75,7 +75,7 @@
         self.since = asyncio.get_running_loop().time()
         self._incoming = Incoming(listener.allowed.window)
         self._outgoing = Outgoing(self.wire.write)
-        self._offers: dict[Offer, None] = {}
+        self._pending: dict[PendingPublish, None] = {}
         self.filters: set[str] = set()
         self._keep_alive = 0.0
 
@@ -152,10 +152,10 @@
             raise MqttError(NO_RETAIN, "retained messages are not supported")
         if not packet.topic:
             raise MqttError(0x94, "topic alias used, but the topic alias maximum is 0")
-        offered, ack = self._incoming.came(packet)
+        is_new, ack = self._incoming.came(packet)
         if ack is not None:
             self.wire.write(ack)
-        if not offered:
+        if not is_new:
             return
         topic = packet.properties.get(P.RESPONSE_TOPIC, "")
         if topic and not self._may_hear(topic):
@@ -164,24 +164,24 @@
             return
         listens = any(matches(it, own_topic(self.client_id)) for it in self.filters)
         default = own_topic(self.client_id) if listens else ""
-        offers: list[Offer] = []
+        pending: list[PendingPublish] = []
 
         def done(decision: Decision) -> None:
-            for offer in offers:
-                self._offers.pop(offer, None)
+            for publish in pending:
+                self._pending.pop(publish, None)
             self._on_decision(packet, decision)
 
-        offer = self._listener.intake.offer(LISTENER, packet, default, done)
-        if offer is not None:
-            offers.append(offer)
-            if not offer.settled:
-                self._offers[offer] = None
+        publish = self._listener.intake.submit(LISTENER, packet, default, done)
+        if publish is not None:
+            pending.append(publish)
+            if not publish.decided:
+                self._pending[publish] = None
 
     def _on_decision(self, packet: Publish, decision: Decision) -> None:
         """Answer a publish: by reason code in 5.0; 3.1.1 can refuse only by closing the connection."""
         if not packet.qos:
             if decision.code:
-                self._listener.intake.pass_over(LISTENER, packet, decision.text)
+                self._listener.intake.count_dropped(LISTENER, packet, decision.text)
             return
         if decision.code and self.wire.version != V5:
             # An acknowledgement would mean acceptance. The client reconnects after its own delay and
@@ -237,9 +237,9 @@
         greeted = self.phase is Phase.OPEN
         self.phase = Phase.CLOSED
         self._listener.closed(self)
-        for offer in list(self._offers):
-            self._listener.intake.withdraw(offer)
-        self._offers.clear()
+        for publish in list(self._pending):
+            self._listener.intake.withdraw(publish)
+        self._pending.clear()
         self._outgoing.lost()
         if greeted and why not in ("it left", "closed by the other side"):
             log(f"mqtt: {self.client_id[:80]!r}: {why}")
--- a/amberlug/mqtt/subscriber.py
+++ b/amberlug/mqtt/subscriber.py
@@ -7,7 +7,7 @@
 from amberlug.core.log import log
 from amberlug.mqtt import replies
 from amberlug.mqtt.ends import MqttEnds, Told
-from amberlug.mqtt.intake import Decision, Intake, Offer
+from amberlug.mqtt.intake import Decision, Intake, PendingPublish
 from amberlug.mqtt.link import Link
 from amberlug.mqtt.mapping import QUOTA, Login, Mapped
 from amberlug.mqtt.packets import V5, Publish, Wanted
@@ -31,7 +31,7 @@
         never = 2 * (login.version == V5)  # retain handling "never", an option of 5.0 only
         wanted = {it.subscription: Wanted(it.subscription, it.qos, retain=never) for it in routes}
         self.link = Link(login, login.address, tuple(wanted.values()), self._came, self._up)
-        self._offers: set[Offer] = set()
+        self._pending: set[PendingPublish] = set()
         self._life = 0  # connection counter: publishes of earlier connections are redelivered
         self._waiting = 0  # publishes that are not acknowledged yet
         self._closing = False
@@ -43,31 +43,31 @@
     def close(self) -> None:
         """Stop accepting messages; the broker keeps what was not acknowledged."""
         self._closing = True
-        for offer in list(self._offers):
-            self._intake.withdraw(offer)
-        self._offers.clear()
+        for publish in list(self._pending):
+            self._intake.withdraw(publish)
+        self._pending.clear()
         self.link.stop()
 
     def _up(self) -> None:
         self._life += 1
         self._waiting = 0
-        for offer in list(self._offers):
-            self._intake.withdraw(offer)  # redelivered here, or to another relay
-        self._offers.clear()
+        for publish in list(self._pending):
+            self._intake.withdraw(publish)  # redelivered here, or to another relay
+        self._pending.clear()
         self._ends.listening(self._login.name, lambda topic: True)
 
     def _came(self, packet: Publish) -> None:
         if packet.retain:
             # A retained message may be days old, and was already delivered when it was new.
-            self._intake.pass_over(self._login.name, packet, "is retained")
+            self._intake.count_dropped(self._login.name, packet, "is retained")
             self._answer(packet, Decision())
             return
         self._waiting += 1
         if self._login.version != V5 and self._waiting >= self._login.window:
             self.link.hold(True)
-        self._offer(packet, self._life)
+        self._submit(packet, self._life)
 
-    def _offer(self, packet: Publish, life: int) -> None:
+    def _submit(self, packet: Publish, life: int) -> None:
         if life != self._life or self._closing:
             return
         if packet.qos and self._intake.crowded:
@@ -75,30 +75,30 @@
             # waits at the broker instead.
             self._on_decision(packet, Decision(QUOTA, "no room", CROWDED_MS), life)
             return
-        offers: list[Offer] = []
+        pending: list[PendingPublish] = []
 
         def done(decision: Decision) -> None:
-            self._offers.difference_update(offers)
+            self._pending.difference_update(pending)
             self._on_decision(packet, decision, life)
 
-        offer = self._intake.offer(self._login.name, packet, "", done)
-        if offer is not None and not offer.settled:
-            offers.append(offer)
-            self._offers.add(offer)
+        publish = self._intake.submit(self._login.name, packet, "", done)
+        if publish is not None and not publish.decided:
+            pending.append(publish)
+            self._pending.add(publish)
 
     def _on_decision(self, packet: Publish, decision: Decision, life: int) -> None:
         if life != self._life or self._closing:
             return
         if decision.retry_ms and packet.qos:
             pause = min(decision.retry_ms / 1000, AGAIN_MOST)
-            asyncio.get_running_loop().call_later(pause, self._offer, packet, life)
+            asyncio.get_running_loop().call_later(pause, self._submit, packet, life)
             return
         self._waiting -= 1
         if self._waiting < self._login.window:
             self.link.hold(False)
         if not packet.qos:
             if decision.code:
-                self._intake.pass_over(self._login.name, packet, decision.text)
+                self._intake.count_dropped(self._login.name, packet, decision.text)
             return
         if decision.code:
             self._refused(packet, decision)
