--- a/amberlug/mqtt/ends.py
+++ b/amberlug/mqtt/ends.py
@@ -15,18 +15,18 @@
 from amberlug.mqtt.replies import Reply
 from amberlug.mqtt.sessions import PublishResult
 
-LOOK = 5.0  # seconds between checks for outcomes that were not acknowledged within `keep_ends_s`
-TELLING_MOST = 200  # outcomes published and not yet acknowledged, over all sources
+EXPIRY_CHECK_INTERVAL = 5.0  # seconds between checks for outcomes not acknowledged in `keep_ends_s`
+MAX_IN_FLIGHT = 200  # outcomes published and not yet acknowledged, over all sources
 
-QUOTA = 0x97
-AGAIN = 1.0  # seconds before an outcome refused with "quota exceeded" is published again
-Told = Callable[[PublishResult, int], None]  # called with the result of the publish and its reason code
+QUOTA_EXCEEDED = 0x97
+QUOTA_RETRY_DELAY = 1.0  # seconds before an outcome refused with "quota exceeded" is published again
+PublishDone = Callable[[PublishResult, int], None]  # called with the result and its reason code
 
 
 class Front(Protocol):
     """A message source that outcomes can be published to: a broker, or the listener."""
 
-    def tell(self, packet: Publish, done: Told) -> bool | None:
+    def tell(self, packet: Publish, done: PublishDone) -> bool | None:
         """Publish at QoS 1. Returns None without a recipient, False while the send window is full."""
 
 
@@ -40,19 +40,19 @@
         self._notices, self._keep = notices, keep_s
         self.fronts: dict[str, Front] = {}
         self._pending: dict[str, tuple[End, float]] = {}  # by message; when it was added
-        self._places: dict[tuple[str, str], dict[str, None]] = {}  # messages by source and topic
-        self._telling: set[str] = set()
+        self._by_address: dict[tuple[str, str], dict[str, None]] = {}  # messages by source and topic
+        self._in_flight: set[str] = set()
         self._queued: dict[str, dict[str, None]] = {}  # by source, messages that wait for a free place
-        self._noticing: set[str] = set()  # messages whose notice the platform has not acknowledged
-        self._look: asyncio.TimerHandle | None = None
+        self._unacknowledged_notices: set[str] = set()  # message names
+        self._expiry_timer: asyncio.TimerHandle | None = None
 
     @property
     def waiting(self) -> bool:
-        return self._notices.waiting or bool(self._telling)
+        return self._notices.waiting or bool(self._in_flight)
 
     def bind(self, acknowledged: Callable[[str], None]) -> None:
         self._acknowledged = acknowledged
-        self._notices.bind(self._noticed)
+        self._notices.bind(self._notice_acknowledged)
 
     def owed(self, end: End) -> bool:
         return bool(end.reply) or (end.noticed and self._notices.owed(end))
@@ -60,17 +60,17 @@
     def tell(self, end: End) -> None:
         """Queue an outcome for publishing; a repeat for the same message replaces the earlier one."""
         if end.noticed and self._notices.owed(end):
-            self._noticing.add(end.message)
+            self._unacknowledged_notices.add(end.message)
             self._notices.tell(end)
         if end.reply:
             try:
                 reply = replies.decode(end.reply)
             except ValueError:
                 log(f"mqtt: dropping the outcome of message {end.message}: its reply address can't be parsed")
-                self._over(end.message)
+                self._report_acknowledged(end.message)
                 return
             self._pending[end.message] = end, asyncio.get_running_loop().time()
-            self._places.setdefault((reply.front, reply.topic), {})[end.message] = None
+            self._by_address.setdefault((reply.front, reply.topic), {})[end.message] = None
             self._publish(end.message)
 
     def send(self) -> None:
@@ -78,50 +78,50 @@
 
     def start(self) -> None:
         """Start the periodic check for outcomes that are not acknowledged."""
-        self._look = asyncio.get_running_loop().call_later(LOOK, self._forget)
+        self._expiry_timer = asyncio.get_running_loop().call_later(EXPIRY_CHECK_INTERVAL, self._drop_expired)
 
     def stop(self) -> None:
         """Stop publishing; unacknowledged outcomes are published after the next start."""
-        if self._look is not None:
-            self._look.cancel()
+        if self._expiry_timer is not None:
+            self._expiry_timer.cancel()
         self._pending.clear()
-        self._places.clear()
+        self._by_address.clear()
 
-    def listening(self, front: str, hears: Callable[[str], bool]) -> None:
+    def subscribed(self, front: str, hears: Callable[[str], bool]) -> None:
         """Publish the pending outcomes that a source has subscribers for again."""
-        for place in [it for it in self._places if it[0] == front and hears(it[1])]:
-            for name in list(self._places.get(place, ())):
+        for address in [it for it in self._by_address if it[0] == front and hears(it[1])]:
+            for name in list(self._by_address.get(address, ())):
                 self._publish(name)
         for name in self._queued.pop(front, {}):
             self._publish(name)
 
     def _publish(self, name: str) -> None:
-        if name in self._telling or name not in self._pending:
+        if name in self._in_flight or name not in self._pending:
             return
         end, _ = self._pending[name]
         reply = replies.decode(end.reply)
         front = self.fronts.get(reply.front)
         if front is None:
             return  # no longer configured; kept until it expires, in case it is configured again
-        if len(self._telling) < TELLING_MOST:
-            self._telling.add(name)
-            how = front.tell(replies.publish(end, reply), partial(self._told, name, reply))
+        if len(self._in_flight) < MAX_IN_FLIGHT:
+            self._in_flight.add(name)
+            how = front.tell(replies.publish(end, reply), partial(self._on_published, name, reply))
             if how is not False:
                 if how is None:
-                    self._telling.discard(name)  # published once there is a recipient
+                    self._in_flight.discard(name)  # published once there is a recipient
                 return
-            self._telling.discard(name)
+            self._in_flight.discard(name)
         self._queued.setdefault(reply.front, {})[name] = None
 
-    def _told(self, name: str, reply: Reply, result: PublishResult, code: int) -> None:
-        self._telling.discard(name)
-        if result is PublishResult.REFUSED and code == QUOTA:
-            asyncio.get_running_loop().call_later(AGAIN, self._publish, name)
+    def _on_published(self, name: str, reply: Reply, result: PublishResult, code: int) -> None:
+        self._in_flight.discard(name)
+        if result is PublishResult.REFUSED and code == QUOTA_EXCEEDED:
+            asyncio.get_running_loop().call_later(QUOTA_RETRY_DELAY, self._publish, name)
         elif result is PublishResult.REFUSED:
             log(f"mqtt: {reply.front} refused the outcome of {name} with 0x{code:02x}: dropped")
-            self._done(name, reply)
+            self._finish(name, reply)
         elif result is PublishResult.ACKNOWLEDGED:
-            self._done(name, reply)
+            self._finish(name, reply)
         # One place is free: publish the first queued outcome, those of this source before others.
         for front in (reply.front, *self._queued):
             if queued := self._queued.get(front):
@@ -130,36 +130,36 @@
                 self._publish(first)
                 return
 
-    def _done(self, name: str, reply: Reply) -> None:
+    def _finish(self, name: str, reply: Reply) -> None:
         pending = self._pending.get(name)
         if pending is None or replies.decode(pending[0].reply) != reply:
             return  # replaced meanwhile by an outcome with another reply address
         del self._pending[name]
-        self._leave(name, reply)
-        if name not in self._noticing:
-            self._over(name)
+        self._remove_address(name, reply)
+        if name not in self._unacknowledged_notices:
+            self._report_acknowledged(name)
 
-    def _leave(self, name: str, reply: Reply) -> None:
-        place = reply.front, reply.topic
-        names = self._places.get(place, {})
+    def _remove_address(self, name: str, reply: Reply) -> None:
+        address = reply.front, reply.topic
+        names = self._by_address.get(address, {})
         names.pop(name, None)
         if not names:
-            self._places.pop(place, None)
+            self._by_address.pop(address, None)
 
-    def _noticed(self, name: str) -> None:
-        self._noticing.discard(name)
+    def _notice_acknowledged(self, name: str) -> None:
+        self._unacknowledged_notices.discard(name)
         if name not in self._pending:
-            self._over(name)
+            self._report_acknowledged(name)
 
-    def _over(self, name: str) -> None:
+    def _report_acknowledged(self, name: str) -> None:
         self._acknowledged(name)
 
-    def _forget(self) -> None:
+    def _drop_expired(self) -> None:
         """Drop outcomes that were not acknowledged in time, because they would fill the journal."""
         loop = asyncio.get_running_loop()
         late = [name for name, (_, since) in self._pending.items() if since + self._keep <= loop.time()]
         for name in late:
             end, _ = self._pending[name]
             log(f"mqtt: dropping the outcome of {name}: not acknowledged within {self._keep} s")
-            self._done(name, replies.decode(end.reply))
-        self._look = loop.call_later(LOOK, self._forget)
+            self._finish(name, replies.decode(end.reply))
+        self._expiry_timer = loop.call_later(EXPIRY_CHECK_INTERVAL, self._drop_expired)
--- a/amberlug/mqtt/listener.py
+++ b/amberlug/mqtt/listener.py
@@ -9,7 +9,7 @@
 from uuid import uuid4
 
 from amberlug.core.log import log
-from amberlug.mqtt.ends import MqttEnds, Told
+from amberlug.mqtt.ends import MqttEnds, PublishDone
 from amberlug.mqtt.fields import MqttError
 from amberlug.mqtt.intake import Decision, Intake, PendingPublish
 from amberlug.mqtt.mapping import LISTENER, NOT_AUTHORIZED
@@ -207,7 +207,7 @@
             else:
                 codes.append(self._refused(0x97))
         self.wire.write(Granted(Kind.SUBACK, packet.packet_id, tuple(codes)))
-        self._listener.listening(self)
+        self._listener.subscribed(self)
 
     def _refused(self, code: int) -> int:
         return code if self.wire.version == V5 else 0x80
@@ -222,7 +222,7 @@
         """Whether the client has subscribed to a topic."""
         return any(matches(it, topic) for it in self.filters)
 
-    def tell(self, packet: Publish, done: Told) -> bool:
+    def tell(self, packet: Publish, done: PublishDone) -> bool:
         """Publish an outcome; False while the send window is full."""
         if not self._outgoing.room:
             return False
@@ -305,10 +305,10 @@
         if self._clients.get(session.client_id) is session:
             del self._clients[session.client_id]
 
-    def listening(self, session: Session) -> None:
-        self._ends.listening(LISTENER, session.hears)
+    def subscribed(self, session: Session) -> None:
+        self._ends.subscribed(LISTENER, session.hears)
 
-    def tell(self, packet: Publish, done: Told) -> bool | None:
+    def tell(self, packet: Publish, done: PublishDone) -> bool | None:
         client = packet.topic.split("/")[1] if packet.topic.startswith(f"{ENDS}/") else ""
         session = self._clients.get(client)
         if session is None or session.phase is not Phase.OPEN or not session.hears(packet.topic):
--- a/amberlug/mqtt/subscriber.py
+++ b/amberlug/mqtt/subscriber.py
@@ -6,7 +6,7 @@
 
 from amberlug.core.log import log
 from amberlug.mqtt import replies
-from amberlug.mqtt.ends import MqttEnds, Told
+from amberlug.mqtt.ends import MqttEnds, PublishDone
 from amberlug.mqtt.intake import Decision, Intake, PendingPublish
 from amberlug.mqtt.link import Link
 from amberlug.mqtt.mapping import QUOTA, Login, Mapped
@@ -54,7 +54,7 @@
         for publish in list(self._pending):
             self._intake.withdraw(publish)  # redelivered here, or to another relay
         self._pending.clear()
-        self._ends.listening(self._login.name, lambda topic: True)
+        self._ends.subscribed(self._login.name, lambda topic: True)
 
     def _came(self, packet: Publish) -> None:
         if packet.retain:
@@ -116,7 +116,7 @@
             told: dict[P, object] = {P.REASON_STRING: decision.text} if decision.code else {}
             self.link.answer(packet.packet_id, decision.code, told)
 
-    def tell(self, packet: Publish, done: Told) -> bool | None:
+    def tell(self, packet: Publish, done: PublishDone) -> bool | None:
         """Publish an outcome. Returns None while disconnected, False while the send window is full."""
         if not self.link.connected:
             return None
--- a/tests/test_mqtt_sessions.py
+++ b/tests/test_mqtt_sessions.py
@@ -10,7 +10,7 @@
 
 from amberlug.core.messages import End, Outcome
 from amberlug.mqtt import ends as ends_module
-from amberlug.mqtt.ends import MqttEnds, Told
+from amberlug.mqtt.ends import MqttEnds, PublishDone
 from amberlug.mqtt.fields import MqttError
 from amberlug.mqtt.packets import V5, Ack, Kind, Publish
 from amberlug.mqtt.publisher import ending
@@ -45,7 +45,7 @@
         return [it.packet_id for it in self.written if isinstance(it, Ack) and it.kind is Kind.PUBREL]
 
 
-def test_at_qos_2_delivered_is_what_pubcomp_says() -> None:
+def test_a_qos_2_publish_is_acknowledged_by_pubcomp() -> None:
     side = Side()
     number = side.publish("a")
     side.out.came(Ack(Kind.PUBACK, number))  # the wrong kind
@@ -73,7 +73,7 @@
     assert side.publish("c") == lost  # a new session does not know the id
 
 
-def test_what_waits_for_pubcomp_goes_on_in_its_session_alone() -> None:
+def test_an_exchange_after_pubrec_continues_only_in_its_session() -> None:
     side = Side()
     numbers = [side.publish("a"), side.publish("b")]
     side.out.came(Ack(Kind.PUBREC, numbers[0]))
@@ -87,7 +87,7 @@
     assert side.out.unreleased is False
 
 
-def test_a_window_bounds_what_is_out_and_what_is_reserved() -> None:
+def test_the_window_limits_in_flight_and_reserved_publishes() -> None:
     side = Side()
     side.out.connected(False, 2)
     side.publish("a", 1)
@@ -239,10 +239,10 @@
 
     def __init__(self, room: int) -> None:
         self.room, self.heard = room, set[str]()
-        self.out: dict[str, Told] = {}
+        self.out: dict[str, PublishDone] = {}
         self.told: list[str] = []
 
-    def tell(self, packet: Publish, done: Told) -> bool | None:
+    def tell(self, packet: Publish, done: PublishDone) -> bool | None:
         if packet.topic not in self.heard:
             return None
         if len(self.out) >= self.room:
@@ -280,117 +280,117 @@
     return End(name, Outcome.GIVEN_UP, reply=Reply(front, topic, b"\0c").encode(), noticed=noticed)
 
 
-def desk(room: int = 2, keep_s: int = 100) -> tuple[MqttEnds, Front, NoNotices, list[str]]:
-    notices, front, over = NoNotices(), Front(room), list[str]()
+def notifier(room: int = 2, keep_s: int = 100) -> tuple[MqttEnds, Front, NoNotices, list[str]]:
+    notices, front, acknowledged = NoNotices(), Front(room), list[str]()
     ends = MqttEnds(notices, keep_s)
-    ends.bind(over.append)
+    ends.bind(acknowledged.append)
     ends.fronts["hall"] = front
-    return ends, front, notices, over
+    return ends, front, notices, acknowledged
 
 
-def test_ends_that_find_no_room_go_as_others_are_acknowledged() -> None:
+def test_outcomes_over_the_window_are_sent_as_others_are_acknowledged() -> None:
     async def scenario() -> None:
-        ends, front, _, over = desk(room=2)
+        ends, front, _, acknowledged = notifier(room=2)
         front.heard = {f"t{number}" for number in range(7)}
         for number in range(7):
             ends.tell(end(f"m{number}", f"t{number}"))
         assert front.told == ["m0", "m1"]
         while front.out:
             front.finish(next(iter(front.out)))
-        assert front.told == over == [f"m{number}" for number in range(7)]
+        assert front.told == acknowledged == [f"m{number}" for number in range(7)]
         assert not ends.waiting
 
     asyncio.run(scenario())
 
 
-def test_an_end_waits_for_who_listens_and_is_told_again_when_it_was_lost() -> None:
+def test_an_outcome_waits_for_a_subscriber_and_is_resent_when_lost() -> None:
     async def scenario() -> None:
-        ends, front, _, over = desk()
+        ends, front, _, acknowledged = notifier()
         ends.tell(end("m"))
         assert front.told == []
         front.heard = {"t"}
-        ends.listening("other", lambda topic: True)
+        ends.subscribed("other", lambda topic: True)
         assert front.told == []
-        ends.listening("hall", lambda topic: topic == "t")
+        ends.subscribed("hall", lambda topic: topic == "t")
         front.finish("m", PublishResult.LOST)
-        assert (front.told, over) == (["m"], [])
-        ends.listening("hall", lambda topic: True)
+        assert (front.told, acknowledged) == (["m"], [])
+        ends.subscribed("hall", lambda topic: True)
         front.finish("m")
-        assert (front.told, over) == (["m", "m"], ["m"])
-        ends.listening("hall", lambda topic: True)
+        assert (front.told, acknowledged) == (["m", "m"], ["m"])
+        ends.subscribed("hall", lambda topic: True)
         assert front.told == ["m", "m"]
 
     asyncio.run(scenario())
 
 
-def test_an_end_that_is_told_twice_over_counts_once_both_have_it() -> None:
+def test_an_outcome_with_a_notice_is_done_once_both_are_acknowledged() -> None:
     async def scenario() -> None:
-        ends, front, notices, over = desk()
+        ends, front, notices, acknowledged = notifier()
         front.heard = {"t"}
         ends.tell(end("m", noticed=True))
         assert notices.told == ["m"]
         front.finish("m")
-        assert over == []
+        assert acknowledged == []
         notices.acknowledged("m")
-        assert over == ["m"]
+        assert acknowledged == ["m"]
         ends.tell(End("h", Outcome.GIVEN_UP))  # over HTTP only
         notices.acknowledged("h")
-        assert over == ["m", "h"]
+        assert acknowledged == ["m", "h"]
         assert ends.owed(End("h", Outcome.DELIVERED)) is False
         assert ends.owed(End("m", Outcome.DELIVERED, reply=b"x")) is True
 
     asyncio.run(scenario())
 
 
-def test_an_end_that_moves_while_it_is_told_is_told_at_the_new_place() -> None:
+def test_an_outcome_replaced_in_flight_is_sent_to_the_new_address() -> None:
     async def scenario() -> None:
-        ends, front, _, over = desk()
+        ends, front, _, acknowledged = notifier()
         front.heard = {"t", "u"}
         ends.tell(end("m", "t"))
         ends.tell(end("m", "u"))
         front.finish("m")  # acknowledged at the old reply address, which the later one replaced
-        assert over == []
-        ends.listening("hall", lambda topic: topic == "u")
+        assert acknowledged == []
+        ends.subscribed("hall", lambda topic: topic == "u")
         front.finish("m")
-        assert over == ["m"]
+        assert acknowledged == ["m"]
 
     asyncio.run(scenario())
 
 
-def test_refused_ends_are_dropped_those_without_quota_told_again(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_refused_outcomes_are_dropped_and_those_over_quota_resent(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario() -> None:
-        monkeypatch.setattr(ends_module, "AGAIN", 0.0)
-        ends, front, _, over = desk()
+        monkeypatch.setattr(ends_module, "QUOTA_RETRY_DELAY", 0.0)
+        ends, front, _, acknowledged = notifier()
         front.heard = {"t"}
         ends.tell(end("a"))
         ends.tell(end("b"))
         front.finish("a", PublishResult.REFUSED, 0x87)
         front.finish("b", PublishResult.REFUSED, 0x97)
-        assert over == ["a"]
+        assert acknowledged == ["a"]
         await asyncio.sleep(0.01)
         front.finish("b")
-        assert over == ["a", "b"]
+        assert acknowledged == ["a", "b"]
 
     asyncio.run(scenario())
 
 
-def test_nobody_waits_for_an_end_for_ever(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_unacknowledged_outcomes_expire(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario() -> None:
-        monkeypatch.setattr(ends_module, "LOOK", 0.001)
-        ends, _, _, over = desk(keep_s=0)
+        monkeypatch.setattr(ends_module, "EXPIRY_CHECK_INTERVAL", 0.001)
+        ends, _, _, acknowledged = notifier(keep_s=0)
         ends.start()
         ends.tell(end("m"))
         ends.tell(end("gone", front="no longer in the file"))
         ends.tell(End("bad", Outcome.GIVEN_UP, reply=b"no address", noticed=False))
-        assert over == ["bad"]
+        assert acknowledged == ["bad"]
         await asyncio.sleep(0.02)
-        assert set(over) == {"bad", "m", "gone"}
+        assert set(acknowledged) == {"bad", "m", "gone"}
         ends.stop()
 
     asyncio.run(scenario())
 
 
-def test_an_address_is_read_as_it_was_written() -> None:
+def test_a_reply_address_round_trips() -> None:
     reply = Reply("hall", "ends/é", b"\0\xff\0")
     assert decode(reply.encode()) == reply
     with pytest.raises(ValueError, match="."):
