--- a/amberlug/mqtt/fields.py
+++ b/amberlug/mqtt/fields.py
@@ -4,7 +4,7 @@
 
 import struct
 
-VARIABLE_MOST = 268_435_455  # largest value of a variable byte integer
+MAX_VARIABLE_INT = 268_435_455  # largest value of a variable byte integer
 _U16, _U32 = struct.Struct(">H"), struct.Struct(">I")
 
 
@@ -98,7 +98,7 @@
 
 def variable(value: int) -> bytes:
     """Encode a variable byte integer."""
-    if not 0 <= value <= VARIABLE_MOST:
+    if not 0 <= value <= MAX_VARIABLE_INT:
         raise ValueError(f"out of range for a variable byte integer: {value}")
     out = bytearray()
     while True:
--- a/amberlug/mqtt/intake.py
+++ b/amberlug/mqtt/intake.py
@@ -9,13 +9,13 @@
 from amberlug.core.log import log
 from amberlug.core.messages import Message, PendingRequest, Refusal
 from amberlug.core.ports import Clock
-from amberlug.mqtt.mapping import QUOTA, BadPublishError, Heard, Mapped
-from amberlug.mqtt.packets import INVALID_TOPIC, Publish
+from amberlug.mqtt.mapping import QUOTA_EXCEEDED, BadPublishError, Heard, Mapped
+from amberlug.mqtt.packets import TOPIC_NAME_INVALID, Publish
 from amberlug.mqtt.properties import P
 from amberlug.mqtt.replies import Reply
 from amberlug.policy.interface import Effect, Settings
 
-REPLY_MOST = 512  # bytes of response topic and correlation data: both are stored with the message
+MAX_REPLY_BYTES = 512  # bytes of response topic and correlation data: both are stored with the message
 
 
 class Node(Protocol):
@@ -61,7 +61,7 @@
         if refusal is None:
             done(Decision())
         else:
-            done(Decision(QUOTA, refusal.reason.value, max(1, refusal.retry_us // 1000)))
+            done(Decision(QUOTA_EXCEEDED, refusal.reason.value, max(1, refusal.retry_us // 1000)))
 
     def withdraw(self) -> None:
         """Ignore any later decision."""
@@ -115,22 +115,22 @@
     def _read(self, front: str, packet: Publish, default_topic: str) -> tuple[Message, int]:
         found = self._mapped.route(front, packet.topic)
         if found is None:
-            raise BadPublishError(INVALID_TOPIC, "no route for this topic")
+            raise BadPublishError(TOPIC_NAME_INVALID, "no route for this topic")
         route, levels = found
         if route.effect is Effect.UNSAFE and packet.qos == 0:
             # Guards against a payment whose sender can't be informed that it was not accepted.
-            raise BadPublishError(INVALID_TOPIC, f"{route.message_class} is not accepted at QoS 0")
+            raise BadPublishError(TOPIC_NAME_INVALID, f"{route.message_class} is not accepted at QoS 0")
         message, left_us = route.read(Heard(packet, levels), self._settings, self._clock.wall_ms())
         assert self.node is not None
         if not self.node.serves(message.destination):
-            raise BadPublishError(INVALID_TOPIC, f"no such destination: {message.destination}")
+            raise BadPublishError(TOPIC_NAME_INVALID, f"no such destination: {message.destination}")
         if (reply := self.reply(front, packet, default_topic)) is not None:
             if self._mapped.route(reply.front, reply.topic) is not None:
                 # Guards against a loop: the outcome would be received as a message with an outcome itself.
-                raise BadPublishError(INVALID_TOPIC, "the response topic matches an inbound route")
+                raise BadPublishError(TOPIC_NAME_INVALID, "the response topic matches an inbound route")
             message.reply = reply.encode()
-            if len(message.reply) > REPLY_MOST:
-                raise BadPublishError(INVALID_TOPIC, "response topic and correlation data are too long")
+            if len(message.reply) > MAX_REPLY_BYTES:
+                raise BadPublishError(TOPIC_NAME_INVALID, "response topic and correlation data are too long")
         message.noticed, message.replies = False, 1
         return message, left_us
 
--- a/amberlug/mqtt/link.py
+++ b/amberlug/mqtt/link.py
@@ -28,12 +28,15 @@
 )
 from amberlug.mqtt.properties import PROTOCOL_ERROR, P, Properties
 from amberlug.mqtt.sessions import Incoming, Outgoing
-from amberlug.mqtt.wire import PACKET_MOST, Wire
+from amberlug.mqtt.wire import MAX_PACKET_BYTES, Wire
 
-DIAL = 2.0  # seconds to connect, and again to receive the CONNACK
-PAUSE = 0.1, 5.0  # first and longest reconnect delay in seconds; jittered to between half and all of it
-STEADY = 10.0  # seconds after which losing a connection resets the reconnect delay
-WINDOW_3 = 20  # in-flight publishes to a 3.1.1 broker, which can't announce a receive maximum
+CONNECT_TIMEOUT = 2.0  # seconds to connect, and again to receive the CONNACK
+RECONNECT_DELAY = (
+    0.1,
+    5.0,
+)  # first and longest reconnect delay in seconds; jittered to between half and all of it
+STABLE_AFTER = 10.0  # seconds after which losing a connection resets the reconnect delay
+DEFAULT_WINDOW_V3 = 20  # in-flight publishes to a 3.1.1 broker, which can't announce a receive maximum
 
 
 @dataclass(frozen=True, slots=True)
@@ -145,7 +148,7 @@
         return bool(self._filters or self._rooms or self.outgoing.unreleased)
 
     async def _run(self) -> None:
-        pause, loop = PAUSE[0], asyncio.get_running_loop()
+        pause, loop = RECONNECT_DELAY[0], asyncio.get_running_loop()
         try:
             while self._wanted and not self._stopped:
                 start = loop.time()
@@ -157,7 +160,11 @@
                 log(f"mqtt: {self.login.name}: {why}")
                 if not self.outgoing.unreleased:
                     self._turn_away()
-                pause = PAUSE[0] if loop.time() - start > STEADY else min(2 * pause, PAUSE[1])
+                pause = (
+                    RECONNECT_DELAY[0]
+                    if loop.time() - start > STABLE_AFTER
+                    else min(2 * pause, RECONNECT_DELAY[1])
+                )
                 if self._wanted:
                     await asyncio.sleep(pause * random.uniform(0.5, 1.0))
         finally:
@@ -171,14 +178,16 @@
         self._session, self._over = session, over
         wire = Wire(self._heard, self._gone, self.login.version)
         try:
-            async with asyncio.timeout(DIAL):
+            async with asyncio.timeout(CONNECT_TIMEOUT):
                 await loop.create_connection(lambda: wire, *self._address)
         except (OSError, TimeoutError) as error:
             return f"no connection: {error or 'timed out'}"
         self._wire = wire
         try:
             self._greet(wire)
-            done, _ = await asyncio.wait({session, over}, timeout=DIAL, return_when=asyncio.FIRST_COMPLETED)
+            done, _ = await asyncio.wait(
+                {session, over}, timeout=CONNECT_TIMEOUT, return_when=asyncio.FIRST_COMPLETED
+            )
             if not session.done():
                 return str(over.result()) if over in done else "no CONNACK in time"
             if session.exception() is not None:
@@ -190,7 +199,7 @@
 
     def _greet(self, wire: Wire) -> None:
         keep = bool(self._filters) or self.outgoing.unreleased
-        own: dict[P, object] = {P.RECEIVE_MAXIMUM: self.login.window, P.MAXIMUM_PACKET_SIZE: PACKET_MOST}
+        own: dict[P, object] = {P.RECEIVE_MAXIMUM: self.login.window, P.MAXIMUM_PACKET_SIZE: MAX_PACKET_BYTES}
         own[P.SESSION_EXPIRY] = self.login.session_expiry
         login = self.login
         password = None if login.password is None else login.password.encode()
@@ -287,7 +296,7 @@
         if self.login.version == V5:
             window = int(packet.properties.get(P.RECEIVE_MAXIMUM, 0xFFFF))
         else:
-            window = WINDOW_3
+            window = DEFAULT_WINDOW_V3
         session = Session(packet.session_present, min(window, self.login.window))
         self._session.set_result(session)
         self._stand(session)  # synchronously: redelivered publishes may follow in the same read
--- a/amberlug/mqtt/listener.py
+++ b/amberlug/mqtt/listener.py
@@ -32,19 +32,26 @@
 from amberlug.mqtt.replies import RETRY
 from amberlug.mqtt.sessions import Incoming, Outgoing
 from amberlug.mqtt.topics import matches
-from amberlug.mqtt.wire import PACKET_MOST, Wire
-
-GREETING = 2.0  # seconds until the whole CONNECT must have arrived
-READING = 5.0  # seconds from the first byte of a packet to its last
-SWEEP = 0.25  # seconds between checks for connections that have timed out
-BACKLOG, ACCEPTS = 512, 16
-ENDS = "ends"  # first level of outcome topics; the client id is the second
-FILTERS_MOST = 8  # subscriptions per connection
-TELLING_MOST = 20  # in-flight outcomes to a 3.1.1 client, which can't announce a receive maximum
-BAD_LOGIN, BUSY, TAKEN_OVER, SHUTTING_DOWN, SILENT, NO_RETAIN = 0x86, 0x89, 0x8E, 0x8B, 0x8D, 0x9A
+from amberlug.mqtt.wire import MAX_PACKET_BYTES, Wire
+
+CONNECT_TIMEOUT = 2.0  # seconds until the whole CONNECT must have arrived
+PACKET_TIMEOUT = 5.0  # seconds from the first byte of a packet to its last
+TIMEOUT_CHECK_INTERVAL = 0.25  # seconds between checks for connections that have timed out
+BACKLOG, ACCEPTS_PER_ITERATION = 512, 16
+OUTCOME_TOPICS = "ends"  # first level of outcome topics; the client id is the second
+MAX_FILTERS = 8  # subscriptions per connection
+DEFAULT_WINDOW_V3 = 20  # in-flight outcomes to a 3.1.1 client, which can't announce a receive maximum
+(
+    BAD_CREDENTIALS,
+    SERVER_BUSY,
+    SESSION_TAKEN_OVER,
+    SERVER_SHUTTING_DOWN,
+    KEEP_ALIVE_TIMEOUT,
+    RETAIN_NOT_SUPPORTED,
+) = 0x86, 0x89, 0x8E, 0x8B, 0x8D, 0x9A
 RETURN_CODES = {
-    BAD_LOGIN: 4,
-    BUSY: 3,
+    BAD_CREDENTIALS: 4,
+    SERVER_BUSY: 3,
     0x84: 1,
     0x85: 2,
     NOT_AUTHORIZED: 5,
@@ -53,13 +60,13 @@
 
 def own_topic(client_id: str) -> str:
     """Return the topic for a client's outcomes, unless a publish names a response topic below it."""
-    return f"{ENDS}/{client_id}"
+    return f"{OUTCOME_TOPICS}/{client_id}"
 
 
 class Phase(Enum):
     """State of a connection."""
 
-    GREETING = "connect"
+    AWAITING_CONNECT = "connect"
     OPEN = "open"
     CLOSED = "closed"
 
@@ -70,7 +77,7 @@
     def __init__(self, listener: Listener) -> None:
         self._listener = listener
         self.wire = Wire(self._heard, self._lost)
-        self.phase = Phase.GREETING
+        self.phase = Phase.AWAITING_CONNECT
         self.client_id = ""
         self.since = asyncio.get_running_loop().time()
         self._incoming = Incoming(listener.allowed.window)
@@ -83,18 +90,18 @@
 
     def late(self, now: float) -> tuple[int, str] | None:
         """Return the reason code and text if the connection has timed out."""
-        if self.phase is Phase.GREETING:
-            return (SILENT, "no CONNECT in time") if now - self.since > GREETING else None
+        if self.phase is Phase.AWAITING_CONNECT:
+            return (KEEP_ALIVE_TIMEOUT, "no CONNECT in time") if now - self.since > CONNECT_TIMEOUT else None
         if now - self.wire.last_heard > self._keep_alive:
-            return SILENT, "silent for longer than its keep-alive"
-        if self.wire.begun_for(now) > READING:
-            return SILENT, "incomplete packet timed out"
+            return KEEP_ALIVE_TIMEOUT, "silent for longer than its keep-alive"
+        if self.wire.begun_for(now) > PACKET_TIMEOUT:
+            return KEEP_ALIVE_TIMEOUT, "incomplete packet timed out"
         return None
 
     # Received packets.
 
     def _heard(self, packet: Packet) -> None:
-        if self.phase is Phase.GREETING:
+        if self.phase is Phase.AWAITING_CONNECT:
             if not isinstance(packet, Connect):
                 raise MqttError(PROTOCOL_ERROR, "packet before CONNECT")
             self._greet(packet)
@@ -129,7 +136,7 @@
         keep_alive = min(packet.keep_alive or most, most)
         told: dict[P, object] = {
             P.RECEIVE_MAXIMUM: allowed.window,
-            P.MAXIMUM_PACKET_SIZE: PACKET_MOST,
+            P.MAXIMUM_PACKET_SIZE: MAX_PACKET_BYTES,
             P.SESSION_EXPIRY: 0,
             P.RETAIN_AVAILABLE: 0,
             P.SHARED_AVAILABLE: 0,
@@ -142,14 +149,16 @@
             self.client_id = told[P.ASSIGNED_CLIENT_ID] = uuid4().hex
         self._keep_alive = (packet.keep_alive if packet.version != V5 else keep_alive) * 1.5 or most * 1.5
         self.phase = Phase.OPEN
-        window = packet.properties.get(P.RECEIVE_MAXIMUM, 0xFFFF) if packet.version == V5 else TELLING_MOST
+        window = (
+            packet.properties.get(P.RECEIVE_MAXIMUM, 0xFFFF) if packet.version == V5 else DEFAULT_WINDOW_V3
+        )
         self._outgoing.connected(False, window)
         self._listener.greeted(self)
         self.wire.write(Connack(0, False, told))
 
     def _publish(self, packet: Publish) -> None:
         if packet.retain and self.wire.version == V5:
-            raise MqttError(NO_RETAIN, "retained messages are not supported")
+            raise MqttError(RETAIN_NOT_SUPPORTED, "retained messages are not supported")
         if not packet.topic:
             raise MqttError(0x94, "topic alias used, but the topic alias maximum is 0")
         is_new, ack = self._incoming.came(packet)
@@ -199,7 +208,7 @@
     def _subscribe(self, packet: Subscribe) -> None:
         codes = []
         for wanted in packet.wanted:
-            if wanted.filter in self.filters or len(self.filters) < FILTERS_MOST:
+            if wanted.filter in self.filters or len(self.filters) < MAX_FILTERS:
                 good = self._may_hear(wanted.filter.removesuffix("/#")) and "+" not in wanted.filter
                 if good:
                     self.filters.add(wanted.filter)
@@ -264,7 +273,7 @@
         family = socket.AF_INET6 if ":" in host else socket.AF_INET
         sock = socket.create_server(self.allowed.address, family=family)
         # asyncio accepts up to `backlog` connections per loop iteration, so the socket's own is set after.
-        self._server = await loop.create_server(self._accept, sock=sock, backlog=ACCEPTS)
+        self._server = await loop.create_server(self._accept, sock=sock, backlog=ACCEPTS_PER_ITERATION)
         sock.listen(BACKLOG)
         self._look()
 
@@ -273,16 +282,16 @@
         self._sessions[session] = None
         if len(self._sessions) > self.allowed.connections:
             # Guards against hundreds of connections without a CONNECT: the oldest of those is closed.
-            silent = next((it for it in self._sessions if it.phase is Phase.GREETING), session)
+            silent = next((it for it in self._sessions if it.phase is Phase.AWAITING_CONNECT), session)
             asyncio.get_running_loop().call_soon(silent.wire.abort, "too many connections")
         return session.wire
 
     def admits(self, packet: Connect) -> int:
         """Return the reason code for a CONNECT; 0 if it is accepted."""
         if self._closing:
-            return SHUTTING_DOWN
+            return SERVER_SHUTTING_DOWN
         if self.intake.node is None or not self.intake.node.ready:
-            return BUSY
+            return SERVER_BUSY
         if any(sign in packet.client_id for sign in "/+#") or len(packet.client_id) > 128:
             return 0x85
         users = self.allowed.users
@@ -290,7 +299,7 @@
             secret = users.get(packet.username or "")
             given = packet.password or b""
             if secret is None or not hmac.compare_digest(secret.encode(), given):
-                return BAD_LOGIN
+                return BAD_CREDENTIALS
         return 0
 
     def greeted(self, session: Session) -> None:
@@ -298,7 +307,7 @@
         older = self._clients.get(session.client_id)
         self._clients[session.client_id] = session
         if older is not None:
-            older.send_away(TAKEN_OVER, "taken over by another connection")
+            older.send_away(SESSION_TAKEN_OVER, "taken over by another connection")
 
     def closed(self, session: Session) -> None:
         self._sessions.pop(session, None)
@@ -309,7 +318,7 @@
         self._ends.subscribed(LISTENER, session.hears)
 
     def tell(self, packet: Publish, done: PublishDone) -> bool | None:
-        client = packet.topic.split("/")[1] if packet.topic.startswith(f"{ENDS}/") else ""
+        client = packet.topic.split("/")[1] if packet.topic.startswith(f"{OUTCOME_TOPICS}/") else ""
         session = self._clients.get(client)
         if session is None or session.phase is not Phase.OPEN or not session.hears(packet.topic):
             return None
@@ -321,7 +330,7 @@
         for session in list(self._sessions):
             if (late := session.late(now)) is not None:
                 session.send_away(*late)
-        self._sweep = loop.call_later(SWEEP, self._look)
+        self._sweep = loop.call_later(TIMEOUT_CHECK_INTERVAL, self._look)
 
     def close(self) -> None:
         """Stop accepting connections, and disconnect the open ones."""
@@ -331,4 +340,4 @@
         if self._sweep is not None:
             self._sweep.cancel()
         for session in list(self._sessions):
-            session.send_away(SHUTTING_DOWN, "server shutting down")
+            session.send_away(SERVER_SHUTTING_DOWN, "server shutting down")
--- a/amberlug/mqtt/mapping.py
+++ b/amberlug/mqtt/mapping.py
@@ -18,17 +18,17 @@
 from amberlug.core.endpoint_list import parse_address
 from amberlug.core.messages import MAX_BODY_BYTES, Message, is_valid_name
 from amberlug.core.ports import Address
-from amberlug.mqtt.packets import TOO_LARGE, V3, V5, Publish
+from amberlug.mqtt.packets import PACKET_TOO_LARGE, V3, V5, Publish
 from amberlug.mqtt.properties import P, user
 from amberlug.mqtt.topics import captured, is_filter, is_topic
 from amberlug.platform.checking import Problem
 from amberlug.policy.interface import Effect, Settings
 
-NOT_VALID = 0x99  # payload format invalid: a configured value is missing from the publish
+PAYLOAD_FORMAT_INVALID = 0x99  # a configured value is missing from the publish
 NOT_AUTHORIZED = 0x87
-QUOTA = 0x97
-DESTINATION_MOST = 10**9
-LEFT_MOST_MS = 10**9
+QUOTA_EXCEEDED = 0x97
+MAX_DESTINATION = 10**9
+MAX_DEADLINE_MS = 10**9
 LISTENER = "listener"  # the name in `from` for publishers without a broker
 
 
@@ -55,7 +55,7 @@
         try:
             return json.loads(self.packet.payload)
         except (ValueError, RecursionError):
-            raise BadPublishError(NOT_VALID, "the payload is not valid JSON") from None
+            raise BadPublishError(PAYLOAD_FORMAT_INVALID, "the payload is not valid JSON") from None
 
 
 Source = Callable[[Heard], str | None]
@@ -178,11 +178,11 @@
         """Return the message and its remaining time in microseconds; raises `BadPublishError`."""
         body = heard.packet.payload
         if len(body) > MAX_BODY_BYTES:
-            raise BadPublishError(TOO_LARGE, "the payload is over 64 KiB")
-        destination = _number(self.destination(heard), "destination", DESTINATION_MOST)
+            raise BadPublishError(PACKET_TOO_LARGE, "the payload is over 64 KiB")
+        destination = _number(self.destination(heard), "destination", MAX_DESTINATION)
         left_ms = self.deadline_ms
         if self.deadline is not None and (told := self.deadline(heard)) is not None:
-            left_ms = _number(told, "deadline", LEFT_MOST_MS)
+            left_ms = _number(told, "deadline", MAX_DEADLINE_MS)
         if (expiry := heard.packet.properties.get(P.MESSAGE_EXPIRY)) is not None:
             left_ms = min(left_ms, expiry * 1000)
         tenant = None if self.tenant is None else self.tenant(heard)
@@ -247,7 +247,7 @@
 
 def _number(text: str | None, what: str, most: int) -> int:
     if text is None or not (text.isascii() and text.isdigit() and len(text) <= 18 and int(text) <= most):
-        raise BadPublishError(NOT_VALID, f"the {what} is missing or malformed")
+        raise BadPublishError(PAYLOAD_FORMAT_INVALID, f"the {what} is missing or malformed")
     return int(text)
 
 
@@ -255,7 +255,7 @@
     if not wanted:
         return None
     if text is None or not is_valid_name(text):
-        raise BadPublishError(NOT_VALID, f"the {what} is missing or malformed")
+        raise BadPublishError(PAYLOAD_FORMAT_INVALID, f"the {what} is missing or malformed")
     return text
 
 
@@ -492,8 +492,8 @@
 def _destination(table: _Table, levels: int) -> Source | None:
     value = table.raw("destination")
     if isinstance(value, int) and not isinstance(value, bool):
-        if not 0 <= value <= DESTINATION_MOST:
-            table.wrong("destination", f"not from 0 to {DESTINATION_MOST}: {value}")
+        if not 0 <= value <= MAX_DESTINATION:
+            table.wrong("destination", f"not from 0 to {MAX_DESTINATION}: {value}")
         return partial(_constant, str(value))
     return table.source("destination", levels, wanted=True)
 
@@ -512,11 +512,11 @@
 def _deadline(table: _Table, levels: int) -> tuple[int, Source | None]:
     value = table.raw("deadline_ms")
     if isinstance(value, int) and not isinstance(value, bool):
-        if not 1 <= value <= LEFT_MOST_MS:
-            table.wrong("deadline_ms", f"not from 1 to {LEFT_MOST_MS}: {value}")
+        if not 1 <= value <= MAX_DEADLINE_MS:
+            table.wrong("deadline_ms", f"not from 1 to {MAX_DEADLINE_MS}: {value}")
         return value, None
     deadline = table.source("deadline_ms", levels, wanted=True)
-    return table.number("deadline_default_ms", 10_000, 1, LEFT_MOST_MS), deadline
+    return table.number("deadline_default_ms", 10_000, 1, MAX_DEADLINE_MS), deadline
 
 
 def _target(table: _Table, kind: str, settings: Settings | None) -> Target:
--- a/amberlug/mqtt/packets.py
+++ b/amberlug/mqtt/packets.py
@@ -14,9 +14,9 @@
 from amberlug.mqtt.topics import is_filter, is_topic
 
 V3, V5 = 4, 5  # protocol levels of 3.1.1 and 5.0
-UNSUPPORTED_VERSION = 0x84
-INVALID_TOPIC = 0x90
-TOO_LARGE = 0x95
+UNSUPPORTED_PROTOCOL_VERSION = 0x84
+TOPIC_NAME_INVALID = 0x90
+PACKET_TOO_LARGE = 0x95
 
 
 class Kind(IntEnum):
@@ -313,7 +313,7 @@
         for count, byte in enumerate(self._data[1:5]):
             size |= (byte & 0x7F) << 7 * count
             if size + 2 > self._most:
-                raise MqttError(TOO_LARGE, f"packet exceeds {self._most} bytes")
+                raise MqttError(PACKET_TOO_LARGE, f"packet exceeds {self._most} bytes")
             if not byte & 0x80:
                 return count + 2, size
         if len(self._data) >= 5:
@@ -383,7 +383,7 @@
         packet_id = _packet_id(reader) if qos else 0
         own = self._own(K.PUBLISH, reader)
         if topic and not is_topic(topic):
-            raise MqttError(INVALID_TOPIC, "invalid topic name")
+            raise MqttError(TOPIC_NAME_INVALID, "invalid topic name")
         if not topic and P.TOPIC_ALIAS not in own:
             raise MqttError(PROTOCOL_ERROR, "PUBLISH has neither a topic nor a topic alias")
         if P.RESPONSE_TOPIC in own and not is_topic(own[P.RESPONSE_TOPIC]):
@@ -416,10 +416,10 @@
 
 def _read_connect(reader: Reader) -> Connect:
     if reader.text() != "MQTT":
-        raise MqttError(UNSUPPORTED_VERSION, "protocol name is not MQTT")
+        raise MqttError(UNSUPPORTED_PROTOCOL_VERSION, "protocol name is not MQTT")
     version, flags = reader.u8(), reader.u8()
     if version not in (V3, V5):
-        raise MqttError(UNSUPPORTED_VERSION, f"unsupported protocol level {version}")
+        raise MqttError(UNSUPPORTED_PROTOCOL_VERSION, f"unsupported protocol level {version}")
     will, named, secret = bool(flags & 4), bool(flags & 0x80), bool(flags & 0x40)
     if flags & 1 or flags >> 3 & 3 == 3 or (not will and flags & 0x38) or (version == V3 and secret > named):
         raise malformed("invalid CONNECT flags")
@@ -430,7 +430,7 @@
         if version == V5:
             properties.read(reader, _WILL)
         if not is_topic(reader.text()):
-            raise MqttError(INVALID_TOPIC, "invalid will topic")
+            raise MqttError(TOPIC_NAME_INVALID, "invalid will topic")
         reader.binary()
     username = reader.text() if named else None
     password = reader.binary() if secret else None
--- a/amberlug/mqtt/publisher.py
+++ b/amberlug/mqtt/publisher.py
@@ -17,9 +17,10 @@
 from amberlug.mqtt.sessions import PublishResult
 from amberlug.policy.interface import Result
 
-WAIT_MOST_MS = 3_600_000  # upper bound for a retry delay that a broker asks for
-NEVER_RAN = frozenset((0x87, 0x90, 0x91, 0x95, 0x99))  # permanent refusals of this message: it had no effect
-QUOTA = 0x97
+MAX_WAIT_MS = 3_600_000  # upper bound for a retry delay that a broker asks for
+# Reason codes that refuse this message for good; it had no effect.
+PERMANENT_REFUSALS = frozenset((0x87, 0x90, 0x91, 0x95, 0x99))
+QUOTA_EXCEEDED = 0x97
 Place = tuple[str, Address]  # endpoint kind and broker address
 
 
@@ -31,9 +32,9 @@
         return AttemptResult(Result.UNCONNECTED)
     if result is PublishResult.LOST:
         return AttemptResult(Result.RESET)
-    if code == QUOTA:
+    if code == QUOTA_EXCEEDED:
         return AttemptResult(Result.REFUSED, wait_us(told))
-    return AttemptResult(Result.UNSENT if code in NEVER_RAN else Result.ERROR)
+    return AttemptResult(Result.UNSENT if code in PERMANENT_REFUSALS else Result.ERROR)
 
 
 def wait_us(told: Properties) -> int:
@@ -41,7 +42,7 @@
     text = user(told, RETRY) or ""
     if not (text.isascii() and text.isdigit()):
         return 0
-    return min(int(text[:18]), WAIT_MOST_MS) * 1000
+    return min(int(text[:18]), MAX_WAIT_MS) * 1000
 
 
 class Publisher:
--- a/amberlug/mqtt/sessions.py
+++ b/amberlug/mqtt/sessions.py
@@ -14,9 +14,9 @@
 from amberlug.mqtt.packets import Ack, Kind, Publish
 from amberlug.mqtt.properties import NONE, Properties
 
-TOO_MANY = 0x93  # receive maximum exceeded
-NOT_FOUND = 0x92  # packet id not found
-IDS = 0xFFFF
+RECEIVE_MAXIMUM_EXCEEDED = 0x93
+PACKET_ID_NOT_FOUND = 0x92
+MAX_PACKET_ID = 0xFFFF
 
 
 class Incoming:
@@ -40,7 +40,7 @@
         if packet.packet_id in self._open:
             return False, None  # duplicate of a publish in progress
         if len(self._open) + len(self._received) >= self._window:
-            raise MqttError(TOO_MANY, f"more than {self._window} publishes in flight")
+            raise MqttError(RECEIVE_MAXIMUM_EXCEEDED, f"more than {self._window} publishes in flight")
         self._open[packet.packet_id] = packet.qos
         return True, None
 
@@ -59,7 +59,7 @@
         """Return the answer to a PUBREL."""
         known = packet_id in self._received
         self._received.discard(packet_id)
-        return Ack(Kind.PUBCOMP, packet_id, 0 if known else NOT_FOUND)
+        return Ack(Kind.PUBCOMP, packet_id, 0 if known else PACKET_ID_NOT_FOUND)
 
     def connected(self, session_present: bool) -> None:
         """Start on a new connection: the peer may redeliver publishes that were not acknowledged."""
@@ -143,7 +143,7 @@
     def _free_id(self) -> int:
         """Return an unused packet id; those in flight or blocked are far fewer than the 65,535 that exist."""
         while True:
-            self._last = self._last % IDS + 1
+            self._last = self._last % MAX_PACKET_ID + 1
             if self._last not in self._out and self._last not in self._burnt:
                 return self._last
 
@@ -152,7 +152,7 @@
         out = self._out.get(ack.packet_id)
         if out is None or out.stage is not _STAGES[ack.kind]:
             if ack.kind is Kind.PUBREC and (out is None or out.stage is Stage.PUBCOMP):
-                self._write(Ack(Kind.PUBREL, ack.packet_id, NOT_FOUND if out is None else 0))
+                self._write(Ack(Kind.PUBREL, ack.packet_id, PACKET_ID_NOT_FOUND if out is None else 0))
             return
         if ack.kind is Kind.PUBREC and ack.code < 0x80:
             out.stage = Stage.PUBCOMP
--- a/amberlug/mqtt/subscriber.py
+++ b/amberlug/mqtt/subscriber.py
@@ -9,12 +9,12 @@
 from amberlug.mqtt.ends import MqttEnds, PublishDone
 from amberlug.mqtt.intake import Decision, Intake, PendingPublish
 from amberlug.mqtt.link import Link
-from amberlug.mqtt.mapping import QUOTA, Login, Mapped
+from amberlug.mqtt.mapping import QUOTA_EXCEEDED, Login, Mapped
 from amberlug.mqtt.packets import V5, Publish, Wanted
 from amberlug.mqtt.properties import P
 
-CROWDED_MS = 100  # retry delay while the relay is near its limits
-AGAIN_MOST = 5.0  # longest delay in seconds before a refused publish is submitted again
+BUSY_RETRY_MS = 100  # retry delay while the relay is near its limits
+MAX_RETRY_DELAY = 5.0  # longest delay in seconds before a refused publish is submitted again
 
 
 class Subscriber:
@@ -73,7 +73,7 @@
         if packet.qos and self._intake.crowded:
             # A publisher behind a broker might never learn that its message was handed back, so the message
             # waits at the broker instead.
-            self._on_decision(packet, Decision(QUOTA, "no room", CROWDED_MS), life)
+            self._on_decision(packet, Decision(QUOTA_EXCEEDED, "no room", BUSY_RETRY_MS), life)
             return
         pending: list[PendingPublish] = []
 
@@ -90,7 +90,7 @@
         if life != self._life or self._closing:
             return
         if decision.retry_ms and packet.qos:
-            pause = min(decision.retry_ms / 1000, AGAIN_MOST)
+            pause = min(decision.retry_ms / 1000, MAX_RETRY_DELAY)
             asyncio.get_running_loop().call_later(pause, self._submit, packet, life)
             return
         self._waiting -= 1
--- a/amberlug/mqtt/wire.py
+++ b/amberlug/mqtt/wire.py
@@ -9,8 +9,8 @@
 from amberlug.mqtt.fields import MqttError
 from amberlug.mqtt.packets import V5, Decoder, Disconnect, Packet, encode
 
-PACKET_MOST = MAX_BODY_BYTES + 8192  # the largest payload, with topic and properties
-UNSENT_MOST = 1 << 18  # high-water mark of the write buffer in bytes
+MAX_PACKET_BYTES = MAX_BODY_BYTES + 8192  # the largest payload, with topic and properties
+WRITE_BUFFER_LIMIT = 1 << 18  # high-water mark of the write buffer in bytes
 
 
 class Wire(asyncio.Protocol):
@@ -20,7 +20,7 @@
         self, heard: Callable[[Packet], None], lost: Callable[[str], None], version: int = 0
     ) -> None:
         self._heard, self._lost = heard, lost
-        self._decoder = Decoder(PACKET_MOST, version)
+        self._decoder = Decoder(MAX_PACKET_BYTES, version)
         self._transport: asyncio.Transport | None = None
         self._out: list[bytes] = []
         self._why = "closed by the other side"
@@ -41,7 +41,7 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
-        transport.set_write_buffer_limits(UNSENT_MOST)
+        transport.set_write_buffer_limits(WRITE_BUFFER_LIMIT)
         self.last_heard = asyncio.get_running_loop().time()
         if self.closing:  # closed before the connection was made
             transport.abort()
--- a/tests/test_mqtt_packets.py
+++ b/tests/test_mqtt_packets.py
@@ -217,7 +217,7 @@
     decoder.feed(b"\x30\xff\x01")
     with pytest.raises(MqttError, match="100 bytes") as error:
         decoder.next()
-    assert error.value.code == packets.TOO_LARGE
+    assert error.value.code == packets.PACKET_TOO_LARGE
 
 
 @given(st.binary(max_size=40), st.sampled_from([0, V3, V5]))
