--- a/amberlug/mqtt/link.py
+++ b/amberlug/mqtt/link.py
@@ -31,10 +31,7 @@
 from amberlug.mqtt.wire import MAX_PACKET_BYTES, Wire
 
 CONNECT_TIMEOUT = 2.0  # seconds to connect, and again to receive the CONNACK
-RECONNECT_DELAY = (
-    0.1,
-    5.0,
-)  # first and longest reconnect delay in seconds; jittered to between half and all of it
+BACKOFF = 0.1, 5.0  # first and longest reconnect delay in seconds; jittered to between half and all of it
 STABLE_AFTER = 10.0  # seconds after which losing a connection resets the reconnect delay
 DEFAULT_WINDOW_V3 = 20  # in-flight publishes to a 3.1.1 broker, which can't announce a receive maximum
 
@@ -148,7 +145,7 @@
         return bool(self._filters or self._rooms or self.outgoing.unreleased)
 
     async def _run(self) -> None:
-        pause, loop = RECONNECT_DELAY[0], asyncio.get_running_loop()
+        pause, loop = BACKOFF[0], asyncio.get_running_loop()
         try:
             while self._wanted and not self._stopped:
                 start = loop.time()
@@ -160,11 +157,7 @@
                 log(f"mqtt: {self.login.name}: {why}")
                 if not self.outgoing.unreleased:
                     self._turn_away()
-                pause = (
-                    RECONNECT_DELAY[0]
-                    if loop.time() - start > STABLE_AFTER
-                    else min(2 * pause, RECONNECT_DELAY[1])
-                )
+                pause = BACKOFF[0] if loop.time() - start > STABLE_AFTER else min(2 * pause, BACKOFF[1])
                 if self._wanted:
                     await asyncio.sleep(pause * random.uniform(0.5, 1.0))
         finally:
--- a/amberlug/mqtt/listener.py
+++ b/amberlug/mqtt/listener.py
@@ -41,21 +41,10 @@
 OUTCOME_TOPICS = "ends"  # first level of outcome topics; the client id is the second
 MAX_FILTERS = 8  # subscriptions per connection
 DEFAULT_WINDOW_V3 = 20  # in-flight outcomes to a 3.1.1 client, which can't announce a receive maximum
-(
-    BAD_CREDENTIALS,
-    SERVER_BUSY,
-    SESSION_TAKEN_OVER,
-    SERVER_SHUTTING_DOWN,
-    KEEP_ALIVE_TIMEOUT,
-    RETAIN_NOT_SUPPORTED,
-) = 0x86, 0x89, 0x8E, 0x8B, 0x8D, 0x9A
-RETURN_CODES = {
-    BAD_CREDENTIALS: 4,
-    SERVER_BUSY: 3,
-    0x84: 1,
-    0x85: 2,
-    NOT_AUTHORIZED: 5,
-}  # 5.0 reason code to 3.1.1 return code
+BAD_CREDENTIALS, SERVER_BUSY, SESSION_TAKEN_OVER = 0x86, 0x89, 0x8E
+SERVER_SHUTTING_DOWN, KEEP_ALIVE_TIMEOUT, RETAIN_NOT_SUPPORTED = 0x8B, 0x8D, 0x9A
+# 5.0 reason code to 3.1.1 return code.
+RETURN_CODES = {BAD_CREDENTIALS: 4, SERVER_BUSY: 3, 0x84: 1, 0x85: 2, NOT_AUTHORIZED: 5}
 
 
 def own_topic(client_id: str) -> str:
@@ -149,10 +138,8 @@
             self.client_id = told[P.ASSIGNED_CLIENT_ID] = uuid4().hex
         self._keep_alive = (packet.keep_alive if packet.version != V5 else keep_alive) * 1.5 or most * 1.5
         self.phase = Phase.OPEN
-        window = (
-            packet.properties.get(P.RECEIVE_MAXIMUM, 0xFFFF) if packet.version == V5 else DEFAULT_WINDOW_V3
-        )
-        self._outgoing.connected(False, window)
+        receive_maximum = packet.properties.get(P.RECEIVE_MAXIMUM, 0xFFFF)
+        self._outgoing.connected(False, receive_maximum if packet.version == V5 else DEFAULT_WINDOW_V3)
         self._listener.greeted(self)
         self.wire.write(Connack(0, False, told))
 
