--- a/amberlug/mqtt/front.py
+++ b/amberlug/mqtt/front.py
@@ -26,26 +26,26 @@
             table = tomllib.loads(path.read_text(encoding="utf-8"))
         except tomllib.TOMLDecodeError as error:
             raise ValueError(f"{path}: {error}") from None
-        self._mapped, problems = mapping.read(table, settings)
+        self._config, problems = mapping.read(table, settings)
         if problems:
             more = f" (and {len(problems) - 1} more: see `amberlug check`)" if len(problems) > 1 else ""
             raise ValueError(f"{path}: {problems[0].where}: {problems[0].what}{more}")
         self._clock = clock
-        self._intake = Intake(self._mapped, settings, clock)
+        self._intake = Intake(self._config, settings, clock)
 
     def transport(self, others: Transport) -> Transport:
         """Wrap a transport: publish for the configured endpoint kinds, delegate all others."""
-        self._publisher = Publisher(others, self._mapped.targets, self._clock)
+        self._publisher = Publisher(others, self._config.targets, self._clock)
         return self._publisher
 
     def ends(self, notices: OutcomeNotifier) -> OutcomeNotifier:
         """Wrap a notifier: send outcomes to the sources of their messages as well."""
-        self._ends = MqttEnds(notices, self._mapped.keep_ends_s)
+        self._ends = MqttEnds(notices, self._config.keep_ends_s)
         self._subscribers = [
-            Subscriber(login, self._mapped, self._intake, self._ends)
-            for login in self._mapped.brokers.values()
+            Subscriber(login, self._config, self._intake, self._ends)
+            for login in self._config.brokers.values()
         ]
-        listener = self._mapped.listener
+        listener = self._config.listener
         self._listener = None if listener is None else Listener(listener, self._intake, self._ends)
         return self._ends
 
--- a/amberlug/mqtt/intake.py
+++ b/amberlug/mqtt/intake.py
@@ -9,7 +9,7 @@
 from amberlug.core.log import log
 from amberlug.core.messages import Message, PendingRequest, Refusal
 from amberlug.core.ports import Clock
-from amberlug.mqtt.mapping import QUOTA_EXCEEDED, BadPublishError, Heard, Mapped
+from amberlug.mqtt.mapping import QUOTA_EXCEEDED, BadPublishError, MqttConfig, ReceivedPublish
 from amberlug.mqtt.packets import TOPIC_NAME_INVALID, Publish
 from amberlug.mqtt.properties import P
 from amberlug.mqtt.replies import Reply
@@ -71,8 +71,8 @@
 class Intake:
     """Maps publishes to messages as configured, and submits them to the core."""
 
-    def __init__(self, mapped: Mapped, settings: Settings, clock: Clock) -> None:
-        self._mapped, self._settings, self._clock = mapped, settings, clock
+    def __init__(self, config: MqttConfig, settings: Settings, clock: Clock) -> None:
+        self._config, self._settings, self._clock = config, settings, clock
         self.node: Node | None = None
         self.dropped = 0  # retained, or refused at QoS 0, where the sender can't be informed
 
@@ -104,28 +104,28 @@
 
     def reply(self, front: str, packet: Publish, default_topic: str) -> Reply | None:
         """Return where the outcome of a message is to be sent; None if none was requested."""
-        found = self._mapped.route(front, packet.topic)
+        found = self._config.route(front, packet.topic)
         topic = ""
         if found is not None:
-            topic = found[0].end_topic(Heard(packet, found[1]))
+            topic = found[0].end_topic(ReceivedPublish(packet, found[1]))
         if not (topic := topic or default_topic):
             return None
         return Reply(front, topic, packet.properties.get(P.CORRELATION_DATA, b""))
 
     def _read(self, front: str, packet: Publish, default_topic: str) -> tuple[Message, int]:
-        found = self._mapped.route(front, packet.topic)
+        found = self._config.route(front, packet.topic)
         if found is None:
             raise BadPublishError(TOPIC_NAME_INVALID, "no route for this topic")
         route, levels = found
         if route.effect is Effect.UNSAFE and packet.qos == 0:
             # Guards against a payment whose sender can't be informed that it was not accepted.
             raise BadPublishError(TOPIC_NAME_INVALID, f"{route.message_class} is not accepted at QoS 0")
-        message, left_us = route.read(Heard(packet, levels), self._settings, self._clock.wall_ms())
+        message, left_us = route.read(ReceivedPublish(packet, levels), self._settings, self._clock.wall_ms())
         assert self.node is not None
         if not self.node.serves(message.destination):
             raise BadPublishError(TOPIC_NAME_INVALID, f"no such destination: {message.destination}")
         if (reply := self.reply(front, packet, default_topic)) is not None:
-            if self._mapped.route(reply.front, reply.topic) is not None:
+            if self._config.route(reply.front, reply.topic) is not None:
                 # Guards against a loop: the outcome would be received as a message with an outcome itself.
                 raise BadPublishError(TOPIC_NAME_INVALID, "the response topic matches an inbound route")
             message.reply = reply.encode()
--- a/amberlug/mqtt/mapping.py
+++ b/amberlug/mqtt/mapping.py
@@ -20,7 +20,7 @@
 from amberlug.core.ports import Address
 from amberlug.mqtt.packets import PACKET_TOO_LARGE, V3, V5, Publish
 from amberlug.mqtt.properties import P, user
-from amberlug.mqtt.topics import captured, is_filter, is_topic
+from amberlug.mqtt.topics import captured_levels, is_filter, is_topic
 from amberlug.platform.checking import Problem
 from amberlug.policy.interface import Effect, Settings
 
@@ -44,7 +44,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Heard:
+class ReceivedPublish:
     """A publish as value sources read it; `levels` are the topic levels that the filter's `+` matched."""
 
     packet: Publish
@@ -58,23 +58,23 @@
             raise BadPublishError(PAYLOAD_FORMAT_INVALID, "the payload is not valid JSON") from None
 
 
-Source = Callable[[Heard], str | None]
+Source = Callable[[ReceivedPublish], str | None]
 
 
-def _constant(value: str, heard: Heard) -> str | None:
+def _constant(value: str, received: ReceivedPublish) -> str | None:
     return value
 
 
-def _level(number: int, heard: Heard) -> str | None:
-    return heard.levels[number - 1]
+def _level(number: int, received: ReceivedPublish) -> str | None:
+    return received.levels[number - 1]
 
 
-def _property(name: str, heard: Heard) -> str | None:
-    return user(heard.packet.properties, name)
+def _property(name: str, received: ReceivedPublish) -> str | None:
+    return user(received.packet.properties, name)
 
 
-def _field(path: tuple[str, ...], heard: Heard) -> str | None:
-    value = heard.payload()
+def _field(path: tuple[str, ...], received: ReceivedPublish) -> str | None:
+    value = received.payload()
     for name in path:
         if not isinstance(value, dict) or name not in value:
             return None
@@ -84,13 +84,13 @@
     return str(value)
 
 
-def _topic(heard: Heard) -> str | None:
-    return heard.packet.topic
+def _topic(received: ReceivedPublish) -> str | None:
+    return received.packet.topic
 
 
-def _digest(parts: tuple[Source, ...], heard: Heard) -> str | None:
+def _digest(parts: tuple[Source, ...], received: ReceivedPublish) -> str | None:
     """Digest several values; None if one of them is missing."""
-    values = [part(heard) for part in parts]
+    values = [part(received) for part in parts]
     if None in values:
         return None
     # Encoded as JSON, so that different lists of values never give the same bytes.
@@ -174,28 +174,28 @@
         """The filter to subscribe to, including a shared subscription's prefix."""
         return f"$share/{self.share}/{self.filter}" if self.share else self.filter
 
-    def read(self, heard: Heard, settings: Settings, now_ms: int) -> tuple[Message, int]:
+    def read(self, received: ReceivedPublish, settings: Settings, now_ms: int) -> tuple[Message, int]:
         """Return the message and its remaining time in microseconds; raises `BadPublishError`."""
-        body = heard.packet.payload
+        body = received.packet.payload
         if len(body) > MAX_BODY_BYTES:
             raise BadPublishError(PACKET_TOO_LARGE, "the payload is over 64 KiB")
-        destination = _number(self.destination(heard), "destination", MAX_DESTINATION)
+        destination = _number(self.destination(received), "destination", MAX_DESTINATION)
         left_ms = self.deadline_ms
-        if self.deadline is not None and (told := self.deadline(heard)) is not None:
+        if self.deadline is not None and (told := self.deadline(received)) is not None:
             left_ms = _number(told, "deadline", MAX_DEADLINE_MS)
-        if (expiry := heard.packet.properties.get(P.MESSAGE_EXPIRY)) is not None:
+        if (expiry := received.packet.properties.get(P.MESSAGE_EXPIRY)) is not None:
             left_ms = min(left_ms, expiry * 1000)
-        tenant = None if self.tenant is None else self.tenant(heard)
+        tenant = None if self.tenant is None else self.tenant(received)
         if settings.tenants and tenant not in settings.tenants:
             raise BadPublishError(NOT_AUTHORIZED, "the tenant is unknown")
-        key = _word(None if self.key is None else self.key(heard), "key", self.key is not None)
-        name = self._name(heard, key, destination)
+        key = _checked_name(None if self.key is None else self.key(received), "key", self.key is not None)
+        name = self._name(received, key, destination)
         message = Message(name, self.message_class, tenant, destination, key, body, now_ms + left_ms)
         return message, left_ms * 1000
 
-    def _name(self, heard: Heard, key: str | None, destination: int) -> str:
+    def _name(self, received: ReceivedPublish, key: str | None, destination: int) -> str:
         """Return the message's name, by which repeats are recognized."""
-        name = None if self.id is None else self.id(heard)
+        name = None if self.id is None else self.id(received)
         if name is None and self.effect is Effect.KEYED:
             # The key identifies the message within its class and destination.
             whole = json.dumps([self.message_class, destination, key]).encode()
@@ -204,14 +204,14 @@
             # Each publish gets a new name: a redelivery by the broker is sent twice, which is harmless for
             # this class. Identical bytes may be intentional and must not be taken for a repeat.
             return uuid4().hex
-        return _word(name, "id", True) or ""
+        return _checked_name(name, "id", True) or ""
 
-    def end_topic(self, heard: Heard) -> str:
+    def end_topic(self, received: ReceivedPublish) -> str:
         """Return the topic for the outcome; empty if none was requested."""
-        topic = heard.packet.properties.get(P.RESPONSE_TOPIC, "")
+        topic = received.packet.properties.get(P.RESPONSE_TOPIC, "")
         if topic or not self.ends:
             return str(topic)
-        return _filled(self.ends, {str(at): it for at, it in enumerate(heard.levels, 1)})
+        return _fill_placeholders(self.ends, {str(at): it for at, it in enumerate(received.levels, 1)})
 
 
 @dataclass(frozen=True, slots=True)
@@ -224,11 +224,11 @@
 
     def topic_of(self, destination: int, endpoint: str) -> str:
         """Return the topic of one endpoint."""
-        return _filled(self.topic, {"destination": str(destination), "endpoint": endpoint})
+        return _fill_placeholders(self.topic, {"destination": str(destination), "endpoint": endpoint})
 
 
 @dataclass(frozen=True, slots=True)
-class Mapped:
+class MqttConfig:
     """The whole configuration file."""
 
     brokers: Mapping[str, Login] = field(default_factory=dict)
@@ -237,10 +237,10 @@
     targets: Mapping[str, Target] = field(default_factory=dict)
     keep_ends_s: int = 86_400  # how long an unacknowledged outcome is kept
 
-    def route(self, come_from: str, topic: str) -> tuple[Route, tuple[str, ...]] | None:
+    def route(self, origin: str, topic: str) -> tuple[Route, tuple[str, ...]] | None:
         """Return the first matching route in file order, and the topic levels that its `+` matched."""
         for route in self.routes:
-            if come_from in route.sources and (levels := captured(route.filter, topic)) is not None:
+            if origin in route.sources and (levels := captured_levels(route.filter, topic)) is not None:
                 return route, levels
         return None
 
@@ -251,7 +251,7 @@
     return int(text)
 
 
-def _word(text: str | None, what: str, wanted: bool) -> str | None:
+def _checked_name(text: str | None, what: str, wanted: bool) -> str | None:
     if not wanted:
         return None
     if text is None or not is_valid_name(text):
@@ -259,7 +259,7 @@
     return text
 
 
-def _filled(template: str, values: Mapping[str, str]) -> str:
+def _fill_placeholders(template: str, values: Mapping[str, str]) -> str:
     return re.sub(r"\{(\w+)\}", lambda match: values.get(match[1], match[0]), template)
 
 
@@ -288,7 +288,7 @@
                 self.wrong(key, "missing")
             return default
         if not isinstance(value, kind) or (kind is int and isinstance(value, bool)):
-            self.wrong(key, f"not a {_NAMES[kind]}: {value!r}")
+            self.wrong(key, f"not a {_TYPE_NAMES[kind]}: {value!r}")
             return default
         return value
 
@@ -331,10 +331,10 @@
                 self.wrong(key, f"unknown; known are {', '.join(sorted(self._read))}")
 
 
-_NAMES = {str: "string", int: "whole number", dict: "table", list: "list"}
+_TYPE_NAMES = {str: "string", int: "whole number", dict: "table", list: "list"}
 
 
-def read(data: Any, settings: Settings | None = None) -> tuple[Mapped, list[Problem]]:
+def read(data: Any, settings: Settings | None = None) -> tuple[MqttConfig, list[Problem]]:
     """Read a parsed file: the configuration, and all problems found, each with its location.
 
     Without the relay's `settings`, message classes, kinds and tenants are not validated.
@@ -360,23 +360,25 @@
         targets[kind] = _target(_Table(f"out.{kind}", table, problems), kind, settings)
     keep = whole.number("keep_ends_s", 86_400, 1, 30 * 86_400)
     whole.finish()
-    _twins(brokers, targets, problems)
-    mapped = Mapped(brokers, listener, tuple(routes), targets, keep)
-    _loops(mapped, problems)
-    return mapped, problems
+    _check_client_ids(brokers, targets, problems)
+    config = MqttConfig(brokers, listener, tuple(routes), targets, keep)
+    _check_reply_loops(config, problems)
+    return config, problems
 
 
-def _loops(mapped: Mapped, problems: list[Problem]) -> None:
+def _check_reply_loops(config: MqttConfig, problems: list[Problem]) -> None:
     """Guard against loops: outcomes that are received as messages, and have outcomes themselves."""
-    for route in mapped.routes:
+    for route in config.routes:
         topic = re.sub(r"\{\d+\}", "x", route.ends)
         for front in sorted(route.sources):
-            if topic and (found := mapped.route(front, topic)) is not None:
+            if topic and (found := config.route(front, topic)) is not None:
                 what = f"outcomes published there match the inbound filter {found[0].filter!r}"
                 problems.append(Problem(f"ends {route.ends!r}", what))
 
 
-def _twins(brokers: Mapping[str, Login], targets: Mapping[str, Target], problems: list[Problem]) -> None:
+def _check_client_ids(
+    brokers: Mapping[str, Login], targets: Mapping[str, Target], problems: list[Problem]
+) -> None:
     """Guard against two connections that share a client id and keep taking over each other's session."""
     seen: dict[str, str] = {}
     logins = [(f"broker.{name}", it) for name, it in brokers.items()]
@@ -450,10 +452,10 @@
     deadline_ms, deadline = _deadline(table, levels)
     tenant = _tenant(table, levels, settings)
     ends, share = table.get("ends", str, ""), table.get("share", str, "")
-    holes = re.findall(r"\{(\w+)\}", ends)
+    placeholders = re.findall(r"\{(\w+)\}", ends)
     if ends and not is_topic(re.sub(r"[{}]", "", ends)):
         table.wrong("ends", f"not a topic: {ends!r}")
-    if any(not (it.isdigit() and 1 <= int(it) <= levels) for it in holes):
+    if any(not (it.isdigit() and 1 <= int(it) <= levels) for it in placeholders):
         table.wrong("ends", f"refers to a + level that the filter does not have: {ends!r}")
     if share and ("/" in share or not is_filter(f"$share/{share}/x")):
         table.wrong("share", f"not a valid group name: {share!r}")
@@ -525,10 +527,10 @@
     elif settings is not None and settings.kinds[kind].bundle_max > 1:
         table.wrong("", "this kind bundles messages, but a publish carries one message")
     topic = table.get("topic", str, "", wanted=True)
-    holes = re.findall(r"\{(\w*)\}", topic)
+    placeholders = re.findall(r"\{(\w*)\}", topic)
     if topic and not is_topic(topic):
         table.wrong("topic", f"not a topic: {topic!r}")
-    if any(it not in ("destination", "endpoint") for it in holes):
+    if any(it not in ("destination", "endpoint") for it in placeholders):
         table.wrong("topic", f"placeholder other than {{destination}} and {{endpoint}}: {topic!r}")
     login = _login(table, f"out.{kind}", needs_address=False)
     qos = table.get("qos", dict, {})
--- a/amberlug/mqtt/subscriber.py
+++ b/amberlug/mqtt/subscriber.py
@@ -9,7 +9,7 @@
 from amberlug.mqtt.ends import MqttEnds, PublishDone
 from amberlug.mqtt.intake import Decision, Intake, PendingPublish
 from amberlug.mqtt.link import Link
-from amberlug.mqtt.mapping import QUOTA_EXCEEDED, Login, Mapped
+from amberlug.mqtt.mapping import QUOTA_EXCEEDED, Login, MqttConfig
 from amberlug.mqtt.packets import V5, Publish, Wanted
 from amberlug.mqtt.properties import P
 
@@ -25,9 +25,9 @@
     bounded. For 3.1.1, which has no receive maximum, reading pauses at that number.
     """
 
-    def __init__(self, login: Login, mapped: Mapped, intake: Intake, ends: MqttEnds) -> None:
+    def __init__(self, login: Login, config: MqttConfig, intake: Intake, ends: MqttEnds) -> None:
         self._login, self._intake, self._ends = login, intake, ends
-        routes = [it for it in mapped.routes if login.name in it.sources]
+        routes = [it for it in config.routes if login.name in it.sources]
         never = 2 * (login.version == V5)  # retain handling "never", an option of 5.0 only
         wanted = {it.subscription: Wanted(it.subscription, it.qos, retain=never) for it in routes}
         self.link = Link(login, login.address, tuple(wanted.values()), self._came, self._up)
--- a/amberlug/mqtt/topics.py
+++ b/amberlug/mqtt/topics.py
@@ -26,10 +26,10 @@
 
 def matches(name: str, topic: str) -> bool:
     """Whether a filter without a `$share` prefix matches a topic."""
-    return captured(name, topic) is not None
+    return captured_levels(name, topic) is not None
 
 
-def captured(name: str, topic: str) -> tuple[str, ...] | None:
+def captured_levels(name: str, topic: str) -> tuple[str, ...] | None:
     """Return the topic levels that the filter's `+` matched, in order; None if it does not match."""
     # Topics that begin with $ are reserved for the broker: leading wildcards don't match them.
     if topic.startswith("$") and name[:1] in ("+", "#"):
--- a/tests/test_mqtt_mapping.py
+++ b/tests/test_mqtt_mapping.py
@@ -9,7 +9,7 @@
 
 from amberlug.cli.main import main
 from amberlug.mqtt import mapping
-from amberlug.mqtt.mapping import BadPublishError, Heard, Mapped
+from amberlug.mqtt.mapping import BadPublishError, MqttConfig, ReceivedPublish
 from amberlug.mqtt.packets import Publish
 from amberlug.mqtt.properties import P
 from amberlug.policy.settings import read_settings
@@ -69,7 +69,7 @@
 """
 
 
-def mapped() -> Mapped:
+def config() -> MqttConfig:
     found, problems = mapping.read(tomllib.loads(FILE), SETTINGS)
     assert problems == []
     return found
@@ -82,9 +82,9 @@
 
 
 def read(front: str, packet: Publish) -> tuple[Any, int]:
-    found = mapped().route(front, packet.topic)
+    found = config().route(front, packet.topic)
     assert found is not None
-    return found[0].read(Heard(packet, found[1]), SETTINGS, NOW_MS)
+    return found[0].read(ReceivedPublish(packet, found[1]), SETTINGS, NOW_MS)
 
 
 RESULT = {"venue": {"cell": 12}, "club": "north", "match": "m7", "minute": 90}
@@ -127,15 +127,15 @@
 
 
 def test_ends_go_to_the_response_topic_or_the_file_s() -> None:
-    route, levels = mapped().route("hall", "results/x/y") or pytest.fail("no route")
-    assert route.end_topic(Heard(publish("results/x/y"), levels)) == "ends/x"
+    route, levels = config().route("hall", "results/x/y") or pytest.fail("no route")
+    assert route.end_topic(ReceivedPublish(publish("results/x/y"), levels)) == "ends/x"
     told = Publish("results/x/y", b"", 1, 1, properties={P.RESPONSE_TOPIC: "mine"})
-    assert route.end_topic(Heard(told, levels)) == "mine"
+    assert route.end_topic(ReceivedPublish(told, levels)) == "mine"
     assert route.subscription == "$share/relays/results/+/#"
 
 
 def test_the_first_route_that_matches_counts_and_each_front_has_its_own() -> None:
-    found = mapped()
+    found = config()
     assert found.route("hall", "entry") is None
     assert found.route("listener", "results/x")[0].message_class == "game-result"  # type: ignore[index]
     assert found.route("listener", "fees/3/paid") is None
--- a/tests/test_mqtt_packets.py
+++ b/tests/test_mqtt_packets.py
@@ -26,7 +26,7 @@
     Wanted,
 )
 from amberlug.mqtt.properties import P
-from amberlug.mqtt.topics import captured, is_filter, is_topic
+from amberlug.mqtt.topics import captured_levels, is_filter, is_topic
 
 TEXT = st.text(st.characters(exclude_categories=["Cs"], exclude_characters="\0"), max_size=8)
 TOPIC = st.text(st.sampled_from("ab/é$"), min_size=1, max_size=8)
@@ -249,7 +249,7 @@
     ],
 )
 def test_filters_match_as_the_standard_says(name: str, topic: str, levels: Any) -> None:
-    assert captured(name, topic) == levels
+    assert captured_levels(name, topic) == levels
 
 
 def test_topics_and_filters() -> None:
