--- a/amberlug/mqtt/ends.py
+++ b/amberlug/mqtt/ends.py
@@ -16,15 +16,15 @@
 from amberlug.mqtt.sessions import PublishResult
 
 EXPIRY_CHECK_INTERVAL = 5.0  # seconds between checks for outcomes not acknowledged in `keep_ends_s`
-MAX_IN_FLIGHT = 200  # outcomes published and not yet acknowledged, over all sources
+MAX_IN_FLIGHT = 200  # outcomes published and not yet acknowledged, over all origins
 
 QUOTA_EXCEEDED = 0x97
 QUOTA_RETRY_DELAY = 1.0  # seconds before an outcome refused with "quota exceeded" is published again
 PublishDone = Callable[[PublishResult, int], None]  # called with the result and its reason code
 
 
-class Front(Protocol):
-    """A message source that outcomes can be published to: a broker, or the listener."""
+class Origin(Protocol):
+    """An origin of messages, to which outcomes can be published: a broker, or the listener."""
 
     def tell(self, packet: Publish, done: PublishDone) -> bool | None:
         """Publish at QoS 1. Returns None without a recipient, False while the send window is full."""
@@ -33,16 +33,16 @@
 class MqttEnds:
     """The core's `OutcomeNotifier`.
 
-    Sends each outcome to the source of its message, and to the platform if the platform is to be notified.
+    Sends each outcome to the origin of its message, and to the platform if the platform is to be notified.
     """
 
     def __init__(self, notices: OutcomeNotifier, keep_s: int) -> None:
         self._notices, self._keep = notices, keep_s
-        self.fronts: dict[str, Front] = {}
+        self.origins: dict[str, Origin] = {}
         self._pending: dict[str, tuple[End, float]] = {}  # by message; when it was added
-        self._by_address: dict[tuple[str, str], dict[str, None]] = {}  # messages by source and topic
+        self._by_address: dict[tuple[str, str], dict[str, None]] = {}  # messages by origin and topic
         self._in_flight: set[str] = set()
-        self._queued: dict[str, dict[str, None]] = {}  # by source, messages that wait for a free place
+        self._queued: dict[str, dict[str, None]] = {}  # by origin, messages that wait for a free place
         self._unacknowledged_notices: set[str] = set()  # message names
         self._expiry_timer: asyncio.TimerHandle | None = None
 
@@ -70,7 +70,7 @@
                 self._report_acknowledged(end.message)
                 return
             self._pending[end.message] = end, asyncio.get_running_loop().time()
-            self._by_address.setdefault((reply.front, reply.topic), {})[end.message] = None
+            self._by_address.setdefault((reply.origin, reply.topic), {})[end.message] = None
             self._publish(end.message)
 
     def send(self) -> None:
@@ -87,12 +87,12 @@
         self._pending.clear()
         self._by_address.clear()
 
-    def subscribed(self, front: str, hears: Callable[[str], bool]) -> None:
-        """Publish the pending outcomes that a source has subscribers for again."""
-        for address in [it for it in self._by_address if it[0] == front and hears(it[1])]:
+    def subscribed(self, origin: str, hears: Callable[[str], bool]) -> None:
+        """Publish the pending outcomes that an origin has subscribers for again."""
+        for address in [it for it in self._by_address if it[0] == origin and hears(it[1])]:
             for name in list(self._by_address.get(address, ())):
                 self._publish(name)
-        for name in self._queued.pop(front, {}):
+        for name in self._queued.pop(origin, {}):
             self._publish(name)
 
     def _publish(self, name: str) -> None:
@@ -100,31 +100,31 @@
             return
         end, _ = self._pending[name]
         reply = replies.decode(end.reply)
-        front = self.fronts.get(reply.front)
-        if front is None:
+        origin = self.origins.get(reply.origin)
+        if origin is None:
             return  # no longer configured; kept until it expires, in case it is configured again
         if len(self._in_flight) < MAX_IN_FLIGHT:
             self._in_flight.add(name)
-            how = front.tell(replies.publish(end, reply), partial(self._on_published, name, reply))
+            how = origin.tell(replies.publish(end, reply), partial(self._on_published, name, reply))
             if how is not False:
                 if how is None:
                     self._in_flight.discard(name)  # published once there is a recipient
                 return
             self._in_flight.discard(name)
-        self._queued.setdefault(reply.front, {})[name] = None
+        self._queued.setdefault(reply.origin, {})[name] = None
 
     def _on_published(self, name: str, reply: Reply, result: PublishResult, code: int) -> None:
         self._in_flight.discard(name)
         if result is PublishResult.REFUSED and code == QUOTA_EXCEEDED:
             asyncio.get_running_loop().call_later(QUOTA_RETRY_DELAY, self._publish, name)
         elif result is PublishResult.REFUSED:
-            log(f"mqtt: {reply.front} refused the outcome of {name} with 0x{code:02x}: dropped")
+            log(f"mqtt: {reply.origin} refused the outcome of {name} with 0x{code:02x}: dropped")
             self._finish(name, reply)
         elif result is PublishResult.ACKNOWLEDGED:
             self._finish(name, reply)
-        # One place is free: publish the first queued outcome, those of this source before others.
-        for front in (reply.front, *self._queued):
-            if queued := self._queued.get(front):
+        # One place is free: publish the first queued outcome, those of this origin before others.
+        for origin in (reply.origin, *self._queued):
+            if queued := self._queued.get(origin):
                 first = next(iter(queued))
                 del queued[first]
                 self._publish(first)
@@ -140,7 +140,7 @@
             self._report_acknowledged(name)
 
     def _remove_address(self, name: str, reply: Reply) -> None:
-        address = reply.front, reply.topic
+        address = reply.origin, reply.topic
         names = self._by_address.get(address, {})
         names.pop(name, None)
         if not names:
--- a/amberlug/mqtt/front.py
+++ b/amberlug/mqtt/front.py
@@ -39,7 +39,7 @@
         return self._publisher
 
     def ends(self, notices: OutcomeNotifier) -> OutcomeNotifier:
-        """Wrap a notifier: send outcomes to the sources of their messages as well."""
+        """Wrap a notifier: send outcomes to the origins of their messages as well."""
         self._ends = MqttEnds(notices, self._config.keep_ends_s)
         self._subscribers = [
             Subscriber(login, self._config, self._intake, self._ends)
--- a/amberlug/mqtt/intake.py
+++ b/amberlug/mqtt/intake.py
@@ -76,13 +76,13 @@
         self.node: Node | None = None
         self.dropped = 0  # retained, or refused at QoS 0, where the sender can't be informed
 
-    def submit(self, front: str, packet: Publish, default_topic: str, done: Done) -> PendingPublish | None:
+    def submit(self, origin: str, packet: Publish, default_topic: str, done: Done) -> PendingPublish | None:
         """Submit a publish; `done` is called once, possibly before this returns.
 
         Returns what `withdraw` takes, or None if the publish was refused at once.
         """
         try:
-            message, left_us = self._read(front, packet, default_topic)
+            message, left_us = self._read(origin, packet, default_topic)
         except BadPublishError as error:
             done(Decision(error.code, str(error)))
             return None
@@ -102,18 +102,18 @@
         assert self.node is not None
         self.node.client_disconnected(publish)
 
-    def reply(self, front: str, packet: Publish, default_topic: str) -> Reply | None:
+    def reply(self, origin: str, packet: Publish, default_topic: str) -> Reply | None:
         """Return where the outcome of a message is to be sent; None if none was requested."""
-        found = self._config.route(front, packet.topic)
+        found = self._config.route(origin, packet.topic)
         topic = ""
         if found is not None:
             topic = found[0].end_topic(ReceivedPublish(packet, found[1]))
         if not (topic := topic or default_topic):
             return None
-        return Reply(front, topic, packet.properties.get(P.CORRELATION_DATA, b""))
+        return Reply(origin, topic, packet.properties.get(P.CORRELATION_DATA, b""))
 
-    def _read(self, front: str, packet: Publish, default_topic: str) -> tuple[Message, int]:
-        found = self._config.route(front, packet.topic)
+    def _read(self, origin: str, packet: Publish, default_topic: str) -> tuple[Message, int]:
+        found = self._config.route(origin, packet.topic)
         if found is None:
             raise BadPublishError(TOPIC_NAME_INVALID, "no route for this topic")
         route, levels = found
@@ -124,8 +124,8 @@
         assert self.node is not None
         if not self.node.serves(message.destination):
             raise BadPublishError(TOPIC_NAME_INVALID, f"no such destination: {message.destination}")
-        if (reply := self.reply(front, packet, default_topic)) is not None:
-            if self._config.route(reply.front, reply.topic) is not None:
+        if (reply := self.reply(origin, packet, default_topic)) is not None:
+            if self._config.route(reply.origin, reply.topic) is not None:
                 # Guards against a loop: the outcome would be received as a message with an outcome itself.
                 raise BadPublishError(TOPIC_NAME_INVALID, "the response topic matches an inbound route")
             message.reply = reply.encode()
@@ -134,8 +134,8 @@
         message.noticed, message.replies = False, 1
         return message, left_us
 
-    def count_dropped(self, front: str, packet: Publish, why: str) -> None:
+    def count_dropped(self, origin: str, packet: Publish, why: str) -> None:
         """Count a publish that is dropped without informing its sender; log at powers of two."""
         self.dropped += 1
         if self.dropped & (self.dropped - 1) == 0:  # the first, second, fourth, eighth ...
-            log(f"mqtt: {front}: {packet.topic[:80]!r} {why}: dropped ({self.dropped} so far)")
+            log(f"mqtt: {origin}: {packet.topic[:80]!r} {why}: dropped ({self.dropped} so far)")
--- a/amberlug/mqtt/listener.py
+++ b/amberlug/mqtt/listener.py
@@ -251,7 +251,7 @@
         self._server: asyncio.Server | None = None
         self._sweep: asyncio.TimerHandle | None = None
         self._closing = False
-        ends.fronts[LISTENER] = self
+        ends.origins[LISTENER] = self
 
     async def start(self) -> None:
         """Start listening; raises `OSError` if the address can't be bound."""
--- a/amberlug/mqtt/mapping.py
+++ b/amberlug/mqtt/mapping.py
@@ -370,8 +370,8 @@
     """Guard against loops: outcomes that are received as messages, and have outcomes themselves."""
     for route in config.routes:
         topic = re.sub(r"\{\d+\}", "x", route.ends)
-        for front in sorted(route.sources):
-            if topic and (found := config.route(front, topic)) is not None:
+        for origin in sorted(route.sources):
+            if topic and (found := config.route(origin, topic)) is not None:
                 what = f"outcomes published there match the inbound filter {found[0].filter!r}"
                 problems.append(Problem(f"ends {route.ends!r}", what))
 
--- a/amberlug/mqtt/replies.py
+++ b/amberlug/mqtt/replies.py
@@ -14,21 +14,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Reply:
-    """A reply address: the source (a broker's name, or the listener), a topic there, correlation data."""
+    """A reply address: the origin (a broker's name, or the listener), a topic there, correlation data."""
 
-    front: str
+    origin: str
     topic: str
     correlation: bytes = b""
 
     def encode(self) -> bytes:
         """Encode it for the journal."""
-        return f"{self.front}\0{self.topic}\0".encode() + self.correlation
+        return f"{self.origin}\0{self.topic}\0".encode() + self.correlation
 
 
 def decode(data: bytes) -> Reply:
     """Decode what `Reply.encode` returned; raises `ValueError` if malformed."""
-    front, topic, correlation = data.split(b"\0", 2)
-    return Reply(front.decode(), topic.decode(), correlation)
+    origin, topic, correlation = data.split(b"\0", 2)
+    return Reply(origin.decode(), topic.decode(), correlation)
 
 
 def publish(end: End, reply: Reply) -> Publish:
--- a/amberlug/mqtt/subscriber.py
+++ b/amberlug/mqtt/subscriber.py
@@ -35,7 +35,7 @@
         self._life = 0  # connection counter: publishes of earlier connections are redelivered
         self._waiting = 0  # publishes that are not acknowledged yet
         self._closing = False
-        ends.fronts[login.name] = self
+        ends.origins[login.name] = self
 
     def start(self) -> None:
         self.link.start()
--- a/tests/test_mqtt_mapping.py
+++ b/tests/test_mqtt_mapping.py
@@ -81,8 +81,8 @@
     return Publish(topic, payload, 1, 1, properties={P.USER: user})
 
 
-def read(front: str, packet: Publish) -> tuple[Any, int]:
-    found = config().route(front, packet.topic)
+def read(origin: str, packet: Publish) -> tuple[Any, int]:
+    found = config().route(origin, packet.topic)
     assert found is not None
     return found[0].read(ReceivedPublish(packet, found[1]), SETTINGS, NOW_MS)
 
@@ -134,7 +134,7 @@
     assert route.subscription == "$share/relays/results/+/#"
 
 
-def test_the_first_route_that_matches_counts_and_each_front_has_its_own() -> None:
+def test_the_first_matching_route_of_an_origin_applies() -> None:
     found = config()
     assert found.route("hall", "entry") is None
     assert found.route("listener", "results/x")[0].message_class == "game-result"  # type: ignore[index]
@@ -165,9 +165,9 @@
 
 @pytest.mark.parametrize("number", range(len(BAD_PUBLISHES)))
 def test_what_is_no_message_is_refused_with_a_code(number: int) -> None:
-    front, packet, code = BAD_PUBLISHES[number]
+    origin, packet, code = BAD_PUBLISHES[number]
     with pytest.raises(BadPublishError) as error:
-        read(front, packet)
+        read(origin, packet)
     assert error.value.code == code
 
 
--- a/tests/test_mqtt_sessions.py
+++ b/tests/test_mqtt_sessions.py
@@ -234,8 +234,8 @@
 # Outcomes.
 
 
-class Front:
-    """A message source with a limited send window and a set of subscribed topics."""
+class Origin:
+    """An origin with a limited send window and a set of subscribed topics."""
 
     def __init__(self, room: int) -> None:
         self.room, self.heard = room, set[str]()
@@ -276,28 +276,28 @@
         pass
 
 
-def end(name: str, topic: str = "t", noticed: bool = False, front: str = "hall") -> End:
-    return End(name, Outcome.GIVEN_UP, reply=Reply(front, topic, b"\0c").encode(), noticed=noticed)
+def end(name: str, topic: str = "t", noticed: bool = False, origin: str = "hall") -> End:
+    return End(name, Outcome.GIVEN_UP, reply=Reply(origin, topic, b"\0c").encode(), noticed=noticed)
 
 
-def notifier(room: int = 2, keep_s: int = 100) -> tuple[MqttEnds, Front, NoNotices, list[str]]:
-    notices, front, acknowledged = NoNotices(), Front(room), list[str]()
+def notifier(room: int = 2, keep_s: int = 100) -> tuple[MqttEnds, Origin, NoNotices, list[str]]:
+    notices, origin, acknowledged = NoNotices(), Origin(room), list[str]()
     ends = MqttEnds(notices, keep_s)
     ends.bind(acknowledged.append)
-    ends.fronts["hall"] = front
-    return ends, front, notices, acknowledged
+    ends.origins["hall"] = origin
+    return ends, origin, notices, acknowledged
 
 
 def test_outcomes_over_the_window_are_sent_as_others_are_acknowledged() -> None:
     async def scenario() -> None:
-        ends, front, _, acknowledged = notifier(room=2)
-        front.heard = {f"t{number}" for number in range(7)}
+        ends, origin, _, acknowledged = notifier(room=2)
+        origin.heard = {f"t{number}" for number in range(7)}
         for number in range(7):
             ends.tell(end(f"m{number}", f"t{number}"))
-        assert front.told == ["m0", "m1"]
-        while front.out:
-            front.finish(next(iter(front.out)))
-        assert front.told == acknowledged == [f"m{number}" for number in range(7)]
+        assert origin.told == ["m0", "m1"]
+        while origin.out:
+            origin.finish(next(iter(origin.out)))
+        assert origin.told == acknowledged == [f"m{number}" for number in range(7)]
         assert not ends.waiting
 
     asyncio.run(scenario())
@@ -305,31 +305,31 @@
 
 def test_an_outcome_waits_for_a_subscriber_and_is_resent_when_lost() -> None:
     async def scenario() -> None:
-        ends, front, _, acknowledged = notifier()
+        ends, origin, _, acknowledged = notifier()
         ends.tell(end("m"))
-        assert front.told == []
-        front.heard = {"t"}
+        assert origin.told == []
+        origin.heard = {"t"}
         ends.subscribed("other", lambda topic: True)
-        assert front.told == []
+        assert origin.told == []
         ends.subscribed("hall", lambda topic: topic == "t")
-        front.finish("m", PublishResult.LOST)
-        assert (front.told, acknowledged) == (["m"], [])
+        origin.finish("m", PublishResult.LOST)
+        assert (origin.told, acknowledged) == (["m"], [])
         ends.subscribed("hall", lambda topic: True)
-        front.finish("m")
-        assert (front.told, acknowledged) == (["m", "m"], ["m"])
+        origin.finish("m")
+        assert (origin.told, acknowledged) == (["m", "m"], ["m"])
         ends.subscribed("hall", lambda topic: True)
-        assert front.told == ["m", "m"]
+        assert origin.told == ["m", "m"]
 
     asyncio.run(scenario())
 
 
 def test_an_outcome_with_a_notice_is_done_once_both_are_acknowledged() -> None:
     async def scenario() -> None:
-        ends, front, notices, acknowledged = notifier()
-        front.heard = {"t"}
+        ends, origin, notices, acknowledged = notifier()
+        origin.heard = {"t"}
         ends.tell(end("m", noticed=True))
         assert notices.told == ["m"]
-        front.finish("m")
+        origin.finish("m")
         assert acknowledged == []
         notices.acknowledged("m")
         assert acknowledged == ["m"]
@@ -344,14 +344,14 @@
 
 def test_an_outcome_replaced_in_flight_is_sent_to_the_new_address() -> None:
     async def scenario() -> None:
-        ends, front, _, acknowledged = notifier()
-        front.heard = {"t", "u"}
+        ends, origin, _, acknowledged = notifier()
+        origin.heard = {"t", "u"}
         ends.tell(end("m", "t"))
         ends.tell(end("m", "u"))
-        front.finish("m")  # acknowledged at the old reply address, which the later one replaced
+        origin.finish("m")  # acknowledged at the old reply address, which the later one replaced
         assert acknowledged == []
         ends.subscribed("hall", lambda topic: topic == "u")
-        front.finish("m")
+        origin.finish("m")
         assert acknowledged == ["m"]
 
     asyncio.run(scenario())
@@ -360,15 +360,15 @@
 def test_refused_outcomes_are_dropped_and_those_over_quota_resent(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario() -> None:
         monkeypatch.setattr(ends_module, "QUOTA_RETRY_DELAY", 0.0)
-        ends, front, _, acknowledged = notifier()
-        front.heard = {"t"}
+        ends, origin, _, acknowledged = notifier()
+        origin.heard = {"t"}
         ends.tell(end("a"))
         ends.tell(end("b"))
-        front.finish("a", PublishResult.REFUSED, 0x87)
-        front.finish("b", PublishResult.REFUSED, 0x97)
+        origin.finish("a", PublishResult.REFUSED, 0x87)
+        origin.finish("b", PublishResult.REFUSED, 0x97)
         assert acknowledged == ["a"]
         await asyncio.sleep(0.01)
-        front.finish("b")
+        origin.finish("b")
         assert acknowledged == ["a", "b"]
 
     asyncio.run(scenario())
@@ -380,7 +380,7 @@
         ends, _, _, acknowledged = notifier(keep_s=0)
         ends.start()
         ends.tell(end("m"))
-        ends.tell(end("gone", front="no longer in the file"))
+        ends.tell(end("gone", origin="no longer in the file"))
         ends.tell(End("bad", Outcome.GIVEN_UP, reply=b"no address", noticed=False))
         assert acknowledged == ["bad"]
         await asyncio.sleep(0.02)
