--- a/amberlug/mqtt/link.py
+++ b/amberlug/mqtt/link.py
@@ -65,10 +65,10 @@
         self.outgoing = Outgoing(self._write)
         self._wire: Wire | None = None
         self._session: asyncio.Future[Session] | None = None
-        self._over: asyncio.Future[str] | None = None
+        self._ended: asyncio.Future[str] | None = None
         self._task: asyncio.Task[None] | None = None
-        self._rooms: deque[asyncio.Future[bool]] = deque()
-        self._before = False  # whether this process has been connected before
+        self._window_waiters: deque[asyncio.Future[bool]] = deque()
+        self._was_connected = False  # whether this process has been connected before
         self._stopped = False
         self.connected = False
 
@@ -85,7 +85,7 @@
             self._wire.close("stopped")
         if self._task is not None:
             self._task.cancel()
-        self._turn_away()
+        self._fail_waiters()
 
     def abort(self, why: str) -> None:
         """Close the connection at once; it is reestablished if it is still needed."""
@@ -93,83 +93,83 @@
             self._wire.abort(why)
 
     @property
-    def last_heard(self) -> float:
+    def last_received(self) -> float:
         """When data was last received, by the loop's clock."""
-        return self._wire.last_heard if self._wire is not None else 0.0
+        return self._wire.last_received if self._wire is not None else 0.0
 
-    async def room(self) -> bool:
+    async def reserve(self) -> bool:
         """Wait for and reserve a place in the send window; False if there is no connection."""
-        if self.outgoing.room and not self._rooms:
+        if self.outgoing.has_room and not self._window_waiters:
             self.outgoing.reserve()
             return True
         if self._stopped:
             return False
         self.start()
         waiter: asyncio.Future[bool] = asyncio.get_running_loop().create_future()
-        self._rooms.append(waiter)
+        self._window_waiters.append(waiter)
         try:
             return await waiter
         except asyncio.CancelledError:
             if waiter.done() and not waiter.cancelled() and waiter.result():
-                self.leave()
+                self.release()
             raise
 
-    def leave(self) -> None:
+    def release(self) -> None:
         """Release a reserved place without publishing."""
-        self.outgoing.free()
-        self._give_rooms()
+        self.outgoing.release()
+        self._wake_waiters()
 
     def send(self, packet: Publish, done: Callable[..., None]) -> None:
         """Publish, using the reserved place."""
-        self.outgoing.free()
+        self.outgoing.release()
         self.outgoing.publish(packet, done)
-        self._give_rooms()
+        self._wake_waiters()
 
-    def _give_rooms(self) -> None:
-        while self._rooms and self.outgoing.room:
-            waiter = self._rooms.popleft()
+    def _wake_waiters(self) -> None:
+        while self._window_waiters and self.outgoing.has_room:
+            waiter = self._window_waiters.popleft()
             if not waiter.done():
                 self.outgoing.reserve()
                 waiter.set_result(True)
 
-    def _turn_away(self) -> None:
-        while self._rooms:
-            waiter = self._rooms.popleft()
+    def _fail_waiters(self) -> None:
+        while self._window_waiters:
+            waiter = self._window_waiters.popleft()
             if not waiter.done():
                 waiter.set_result(False)
 
     # The connection.
 
     @property
-    def _wanted(self) -> bool:
-        return bool(self._filters or self._rooms or self.outgoing.unreleased)
+    def _needed(self) -> bool:
+        return bool(self._filters or self._window_waiters or self.outgoing.awaiting_pubcomp)
 
     async def _run(self) -> None:
         pause, loop = BACKOFF[0], asyncio.get_running_loop()
         try:
-            while self._wanted and not self._stopped:
+            while self._needed and not self._stopped:
                 start = loop.time()
-                why = await self._live()
+                why = await self._serve_connection()
                 self.connected = False
-                self.outgoing.lost()
+                self.outgoing.connection_lost()
                 if self._stopped:
                     return
                 log(f"mqtt: {self.login.name}: {why}")
-                if not self.outgoing.unreleased:
-                    self._turn_away()
+                if not self.outgoing.awaiting_pubcomp:
+                    self._fail_waiters()
                 pause = BACKOFF[0] if loop.time() - start > STABLE_AFTER else min(2 * pause, BACKOFF[1])
-                if self._wanted:
+                if self._needed:
                     await asyncio.sleep(pause * random.uniform(0.5, 1.0))
         finally:
             self._task = None
-            self._turn_away()
+            self._fail_waiters()
 
-    async def _live(self) -> str:
+    async def _serve_connection(self) -> str:
         """Connect once and serve the connection until it ends; return the reason for the end."""
         loop = asyncio.get_running_loop()
-        session, over = loop.create_future(), loop.create_future()
-        self._session, self._over = session, over
-        wire = Wire(self._heard, self._gone, self.login.version)
+        session, ended = loop.create_future(), loop.create_future()
+        self._session, self._ended = session, ended
+        wire = Wire(self._on_packet, self._on_lost, self.login.version)
         try:
             async with asyncio.timeout(CONNECT_TIMEOUT):
                 await loop.create_connection(lambda: wire, *self._address)
@@ -177,21 +177,21 @@
             return f"no connection: {error or 'timed out'}"
         self._wire = wire
         try:
-            self._greet(wire)
+            self._send_connect(wire)
             done, _ = await asyncio.wait(
-                {session, over}, timeout=CONNECT_TIMEOUT, return_when=asyncio.FIRST_COMPLETED
+                {session, ended}, timeout=CONNECT_TIMEOUT, return_when=asyncio.FIRST_COMPLETED
             )
             if not session.done():
-                return str(over.result()) if over in done else "no CONNACK in time"
+                return str(ended.result()) if ended in done else "no CONNACK in time"
             if session.exception() is not None:
                 return str(session.exception())
-            return await self._stay(wire, over)
+            return await self._keep_alive(wire, ended)
         finally:
             wire.abort("left")
             self._wire = None
 
-    def _greet(self, wire: Wire) -> None:
-        keep = bool(self._filters) or self.outgoing.unreleased
+    def _send_connect(self, wire: Wire) -> None:
+        keep = bool(self._filters) or self.outgoing.awaiting_pubcomp
         own: dict[P, object] = {P.RECEIVE_MAXIMUM: self.login.window, P.MAXIMUM_PACKET_SIZE: MAX_PACKET_BYTES}
         own[P.SESSION_EXPIRY] = self.login.session_expiry
         login = self.login
@@ -208,36 +208,36 @@
             )
         )
 
-    def _stand(self, session: Session) -> None:
+    def _on_accepted(self, session: Session) -> None:
         """Resume work on a connection that the broker has accepted."""
         # Guards against a broker that reports a session which this process never had: packet ids that it
         # still holds from an earlier process would be mistaken for this one's.
         self.incoming.connected(session.present)
-        self.outgoing.connected(session.present and self._before, session.window)
-        self._before = True
+        self.outgoing.connected(session.present and self._was_connected, session.window)
+        self._was_connected = True
         self.connected = True
         log(f"mqtt: {self.login.name}: connected, session {'resumed' if session.present else 'new'}")
         if self._filters:
             self._write(Subscribe(1, self._filters))
-        self._give_rooms()
+        self._wake_waiters()
         if self._up is not None:
             self._up()
 
-    async def _stay(self, wire: Wire, over: asyncio.Future[str]) -> str:
+    async def _keep_alive(self, wire: Wire, ended: asyncio.Future[str]) -> str:
         """Wait until the connection ends; send PINGREQ, and abort it if the broker stays silent."""
         loop, every = asyncio.get_running_loop(), self.login.keep_alive / 2
-        while not over.done():
-            await asyncio.wait({over}, timeout=every)
-            silent = loop.time() - wire.last_heard > self.login.keep_alive * 1.5
-            if not over.done() and silent and not wire.held:
+        while not ended.done():
+            await asyncio.wait({ended}, timeout=every)
+            silent = loop.time() - wire.last_received > self.login.keep_alive * 1.5
+            if not ended.done() and silent and not wire.reading_paused:
                 wire.abort("silent")
-            elif not over.done():
+            elif not ended.done():
                 wire.write(Ping(Kind.PINGREQ))
-        return over.result()
+        return ended.result()
 
-    def _gone(self, why: str) -> None:
-        if self._over is not None and not self._over.done():
-            self._over.set_result(why)
+    def _on_lost(self, why: str) -> None:
+        if self._ended is not None and not self._ended.done():
+            self._ended.set_result(why)
 
     def _write(self, packet: Packet) -> None:
         if self._wire is not None:
@@ -248,25 +248,25 @@
         if (ack := self.incoming.answer(packet_id, code, told or {})) is not None:
             self._write(ack)
 
-    def hold(self, held: bool) -> None:
+    def set_reading_paused(self, paused: bool) -> None:
         """Pause reading, or resume it."""
         if self._wire is not None:
-            if held:
-                self._wire.hold()
+            if paused:
+                self._wire.pause_reading()
             else:
-                self._wire.go_on()
+                self._wire.resume_reading()
 
-    def _heard(self, packet: Packet) -> None:
+    def _on_packet(self, packet: Packet) -> None:
         match packet:
             case Connack():
-                self._accepted(packet)
+                self._on_connack(packet)
             case Publish() if self.connected:
-                self._came(packet)
+                self._on_publish(packet)
             case Ack(Kind.PUBREL, packet_id):
-                self._write(self.incoming.released(packet_id))
+                self._write(self.incoming.release(packet_id))
             case Ack():
-                self.outgoing.came(packet)
-                self._give_rooms()
+                self.outgoing.handle_ack(packet)
+                self._wake_waiters()
             case Granted(Kind.SUBACK, _, codes):
                 for wanted, code in zip(self._filters, codes, strict=False):
                     if code >= 0x80:
@@ -279,7 +279,7 @@
             case _:
                 raise MqttError(PROTOCOL_ERROR, f"unexpected {type(packet).__name__} from a broker")
 
-    def _accepted(self, packet: Connack) -> None:
+    def _on_connack(self, packet: Connack) -> None:
         assert self._session is not None
         if self._session.done():
             raise MqttError(PROTOCOL_ERROR, "second CONNACK on a connection")
@@ -292,12 +292,12 @@
             window = DEFAULT_WINDOW_V3
         session = Session(packet.session_present, min(window, self.login.window))
         self._session.set_result(session)
-        self._stand(session)  # synchronously: redelivered publishes may follow in the same read
+        self._on_accepted(session)  # synchronously: redelivered publishes may follow in the same read
 
-    def _came(self, packet: Publish) -> None:
+    def _on_publish(self, packet: Publish) -> None:
         if not packet.topic:
             raise MqttError(PROTOCOL_ERROR, "topic alias used, but the topic alias maximum is 0")
-        is_new, ack = self.incoming.came(packet)
+        is_new, ack = self.incoming.receive(packet)
         if ack is not None:
             self._write(ack)
         if is_new and self._publish is not None:
--- a/amberlug/mqtt/listener.py
+++ b/amberlug/mqtt/listener.py
@@ -65,7 +65,7 @@
 
     def __init__(self, listener: Listener) -> None:
         self._listener = listener
-        self.wire = Wire(self._heard, self._lost)
+        self.wire = Wire(self._on_packet, self._on_lost)
         self.phase = Phase.AWAITING_CONNECT
         self.client_id = ""
         self.since = asyncio.get_running_loop().time()
@@ -77,33 +77,33 @@
 
     # Timeouts.
 
-    def late(self, now: float) -> tuple[int, str] | None:
+    def timeout(self, now: float) -> tuple[int, str] | None:
         """Return the reason code and text if the connection has timed out."""
         if self.phase is Phase.AWAITING_CONNECT:
             return (KEEP_ALIVE_TIMEOUT, "no CONNECT in time") if now - self.since > CONNECT_TIMEOUT else None
-        if now - self.wire.last_heard > self._keep_alive:
+        if now - self.wire.last_received > self._keep_alive:
             return KEEP_ALIVE_TIMEOUT, "silent for longer than its keep-alive"
-        if self.wire.begun_for(now) > PACKET_TIMEOUT:
+        if self.wire.incomplete_for(now) > PACKET_TIMEOUT:
             return KEEP_ALIVE_TIMEOUT, "incomplete packet timed out"
         return None
 
     # Received packets.
 
-    def _heard(self, packet: Packet) -> None:
+    def _on_packet(self, packet: Packet) -> None:
         if self.phase is Phase.AWAITING_CONNECT:
             if not isinstance(packet, Connect):
                 raise MqttError(PROTOCOL_ERROR, "packet before CONNECT")
-            self._greet(packet)
+            self._on_connect(packet)
             return
         match packet:
             case Publish():
-                self._publish(packet)
+                self._on_publish(packet)
             case Ack(Kind.PUBREL, packet_id):
-                self.wire.write(self._incoming.released(packet_id))
+                self.wire.write(self._incoming.release(packet_id))
             case Ack():
-                self._outgoing.came(packet)
+                self._outgoing.handle_ack(packet)
             case Subscribe():
-                self._subscribe(packet)
+                self._on_subscribe(packet)
             case Unsubscribe(packet_id, filters):
                 self.filters.difference_update(filters)
                 self.wire.write(Granted(Kind.UNSUBACK, packet_id, (0,) * len(filters)))
@@ -114,8 +114,8 @@
             case _:
                 raise MqttError(PROTOCOL_ERROR, f"unexpected {type(packet).__name__} from a client")
 
-    def _greet(self, packet: Connect) -> None:
-        code = self._listener.admits(packet)
+    def _on_connect(self, packet: Connect) -> None:
+        code = self._listener.check_connect(packet)
         if code:
             self.wire.write(Connack(code if packet.version == V5 else RETURN_CODES.get(code, 3)))
             self.wire.close(f"connection refused: 0x{code:02x}")
@@ -140,21 +140,21 @@
         self.phase = Phase.OPEN
         receive_maximum = packet.properties.get(P.RECEIVE_MAXIMUM, 0xFFFF)
         self._outgoing.connected(False, receive_maximum if packet.version == V5 else DEFAULT_WINDOW_V3)
-        self._listener.greeted(self)
+        self._listener.register(self)
         self.wire.write(Connack(0, False, told))
 
-    def _publish(self, packet: Publish) -> None:
+    def _on_publish(self, packet: Publish) -> None:
         if packet.retain and self.wire.version == V5:
             raise MqttError(RETAIN_NOT_SUPPORTED, "retained messages are not supported")
         if not packet.topic:
             raise MqttError(0x94, "topic alias used, but the topic alias maximum is 0")
-        is_new, ack = self._incoming.came(packet)
+        is_new, ack = self._incoming.receive(packet)
         if ack is not None:
             self.wire.write(ack)
         if not is_new:
             return
         topic = packet.properties.get(P.RESPONSE_TOPIC, "")
-        if topic and not self._may_hear(topic):
+        if topic and not self._may_subscribe(topic):
             text = f"outcomes go only to {own_topic(self.client_id)}"
             self._on_decision(packet, Decision(NOT_AUTHORIZED, text))
             return
@@ -192,52 +192,52 @@
         if (ack := self._incoming.answer(packet.packet_id, decision.code, told)) is not None:
             self.wire.write(ack)
 
-    def _subscribe(self, packet: Subscribe) -> None:
+    def _on_subscribe(self, packet: Subscribe) -> None:
         codes = []
         for wanted in packet.wanted:
             if wanted.filter in self.filters or len(self.filters) < MAX_FILTERS:
-                good = self._may_hear(wanted.filter.removesuffix("/#")) and "+" not in wanted.filter
+                good = self._may_subscribe(wanted.filter.removesuffix("/#")) and "+" not in wanted.filter
                 if good:
                     self.filters.add(wanted.filter)
-                codes.append(min(wanted.qos, 1) if good else self._refused(NOT_AUTHORIZED))
+                codes.append(min(wanted.qos, 1) if good else self._suback_code(NOT_AUTHORIZED))
             else:
-                codes.append(self._refused(0x97))
+                codes.append(self._suback_code(0x97))
         self.wire.write(Granted(Kind.SUBACK, packet.packet_id, tuple(codes)))
         self._listener.subscribed(self)
 
-    def _refused(self, code: int) -> int:
+    def _suback_code(self, code: int) -> int:
         return code if self.wire.version == V5 else 0x80
 
-    def _may_hear(self, topic: str) -> bool:
+    def _may_subscribe(self, topic: str) -> bool:
         own = own_topic(self.client_id)
         return topic == own or topic.startswith(own + "/")
 
     # Sent packets.
 
-    def hears(self, topic: str) -> bool:
+    def is_subscribed(self, topic: str) -> bool:
         """Whether the client has subscribed to a topic."""
         return any(matches(it, topic) for it in self.filters)
 
     def tell(self, packet: Publish, done: PublishDone) -> bool:
         """Publish an outcome; False while the send window is full."""
-        if not self._outgoing.room:
+        if not self._outgoing.has_room:
             return False
         self._outgoing.publish(packet, lambda result, code, told: done(result, code))
         return True
 
-    def send_away(self, code: int, why: str) -> None:
+    def disconnect(self, code: int, why: str) -> None:
         """Disconnect the client with a reason code."""
         self.wire.fail(code, why)
 
-    def _lost(self, why: str) -> None:
-        greeted = self.phase is Phase.OPEN
+    def _on_lost(self, why: str) -> None:
+        was_open = self.phase is Phase.OPEN
         self.phase = Phase.CLOSED
         self._listener.closed(self)
         for publish in list(self._pending):
             self._listener.intake.withdraw(publish)
         self._pending.clear()
-        self._outgoing.lost()
-        if greeted and why not in ("it left", "closed by the other side"):
+        self._outgoing.connection_lost()
+        if was_open and why not in ("it left", "closed by the other side"):
             log(f"mqtt: {self.client_id[:80]!r}: {why}")
 
 
@@ -249,7 +249,7 @@
         self._sessions: dict[Session, None] = {}  # the oldest first
         self._clients: dict[str, Session] = {}
         self._server: asyncio.Server | None = None
-        self._sweep: asyncio.TimerHandle | None = None
+        self._timeout_timer: asyncio.TimerHandle | None = None
         self._closing = False
         ends.origins[LISTENER] = self
 
@@ -262,7 +262,7 @@
         # asyncio accepts up to `backlog` connections per loop iteration, so the socket's own is set after.
         self._server = await loop.create_server(self._accept, sock=sock, backlog=ACCEPTS_PER_ITERATION)
         sock.listen(BACKLOG)
-        self._look()
+        self._close_timed_out()
 
     def _accept(self) -> Wire:
         session = Session(self)
@@ -273,7 +273,7 @@
             asyncio.get_running_loop().call_soon(silent.wire.abort, "too many connections")
         return session.wire
 
-    def admits(self, packet: Connect) -> int:
+    def check_connect(self, packet: Connect) -> int:
         """Return the reason code for a CONNECT; 0 if it is accepted."""
         if self._closing:
             return SERVER_SHUTTING_DOWN
@@ -289,12 +289,12 @@
                 return BAD_CREDENTIALS
         return 0
 
-    def greeted(self, session: Session) -> None:
+    def register(self, session: Session) -> None:
         """Register a client after its CONNECT; an older connection with the same id is closed."""
         older = self._clients.get(session.client_id)
         self._clients[session.client_id] = session
         if older is not None:
-            older.send_away(SESSION_TAKEN_OVER, "taken over by another connection")
+            older.disconnect(SESSION_TAKEN_OVER, "taken over by another connection")
 
     def closed(self, session: Session) -> None:
         self._sessions.pop(session, None)
@@ -302,29 +302,29 @@
             del self._clients[session.client_id]
 
     def subscribed(self, session: Session) -> None:
-        self._ends.subscribed(LISTENER, session.hears)
+        self._ends.subscribed(LISTENER, session.is_subscribed)
 
     def tell(self, packet: Publish, done: PublishDone) -> bool | None:
         client = packet.topic.split("/")[1] if packet.topic.startswith(f"{OUTCOME_TOPICS}/") else ""
         session = self._clients.get(client)
-        if session is None or session.phase is not Phase.OPEN or not session.hears(packet.topic):
+        if session is None or session.phase is not Phase.OPEN or not session.is_subscribed(packet.topic):
             return None
         return session.tell(packet, done)
 
-    def _look(self) -> None:
+    def _close_timed_out(self) -> None:
         loop = asyncio.get_running_loop()
         now = loop.time()
         for session in list(self._sessions):
-            if (late := session.late(now)) is not None:
-                session.send_away(*late)
-        self._sweep = loop.call_later(TIMEOUT_CHECK_INTERVAL, self._look)
+            if (timeout := session.timeout(now)) is not None:
+                session.disconnect(*timeout)
+        self._timeout_timer = loop.call_later(TIMEOUT_CHECK_INTERVAL, self._close_timed_out)
 
     def close(self) -> None:
         """Stop accepting connections, and disconnect the open ones."""
         self._closing = True
         if self._server is not None:
             self._server.close()
-        if self._sweep is not None:
-            self._sweep.cancel()
+        if self._timeout_timer is not None:
+            self._timeout_timer.cancel()
         for session in list(self._sessions):
-            session.send_away(SERVER_SHUTTING_DOWN, "server shutting down")
+            session.disconnect(SERVER_SHUTTING_DOWN, "server shutting down")
--- a/amberlug/mqtt/packets.py
+++ b/amberlug/mqtt/packets.py
@@ -285,7 +285,7 @@
         self._data = bytearray()
 
     @property
-    def begun(self) -> bool:
+    def has_partial(self) -> bool:
         """Whether a part of a packet is buffered."""
         return bool(self._data)
 
--- a/amberlug/mqtt/publisher.py
+++ b/amberlug/mqtt/publisher.py
@@ -140,7 +140,7 @@
         called_off = self._out[attempt]
         try:
             async with asyncio.timeout(self._left(attempt)):
-                room = await link.room()
+                room = await link.reserve()
         except TimeoutError:
             return AttemptResult(Result.UNCONNECTED)  # it was never sent
         if not room:
@@ -153,13 +153,13 @@
             left = True
         finally:
             if not left:
-                link.leave()
+                link.release()
         written = asyncio.get_running_loop().time()
         link.send(self._packet(target, attempt), lambda *told: _set(called_off, ending(*told)))
         await asyncio.wait({called_off}, timeout=self._left(attempt))
         if called_off.done():
             return called_off.result()
-        if link.last_heard < written:
+        if link.last_received < written:
             link.abort("silent")  # nothing received since: a dead connection would hold its places forever
         return AttemptResult(Result.TIMED_OUT)
 
--- a/amberlug/mqtt/sessions.py
+++ b/amberlug/mqtt/sessions.py
@@ -31,7 +31,7 @@
         self._open: dict[int, int] = {}  # unacknowledged packet ids and their QoS
         self._received: set[int] = set()  # packet ids that wait for PUBREL
 
-    def came(self, packet: Publish) -> tuple[bool, Ack | None]:
+    def receive(self, packet: Publish) -> tuple[bool, Ack | None]:
         """Return whether to process a publish, and any immediate answer; raises `MqttError` if too many."""
         if not packet.qos:
             return True, None
@@ -55,7 +55,7 @@
             self._received.add(packet_id)
         return Ack(Kind.PUBREC, packet_id, code, told)
 
-    def released(self, packet_id: int) -> Ack:
+    def release(self, packet_id: int) -> Ack:
         """Return the answer to a PUBREL."""
         known = packet_id in self._received
         self._received.discard(packet_id)
@@ -89,7 +89,7 @@
 
 
 @dataclass(slots=True)
-class _Out:
+class _InFlight:
     """An own publish in flight."""
 
     done: Done
@@ -107,27 +107,27 @@
 
     def __init__(self, write: Callable[[Publish | Ack], None]) -> None:
         self._write = write
-        self._out: dict[int, _Out] = {}
-        self._burnt: set[int] = set()
+        self._in_flight: dict[int, _InFlight] = {}
+        self._blocked_ids: set[int] = set()
         self._last = 0
         self._reserved = 0
         self._window = 0  # the peer's receive maximum; 0 while disconnected
 
     @property
-    def room(self) -> bool:
+    def has_room(self) -> bool:
         """Whether the send window has a free place."""
-        return len(self._out) + self._reserved < self._window
+        return len(self._in_flight) + self._reserved < self._window
 
     @property
-    def unreleased(self) -> bool:
+    def awaiting_pubcomp(self) -> bool:
         """Whether the session must be kept, because a PUBREL is to be sent or answered."""
-        return any(it.stage is Stage.PUBCOMP for it in self._out.values())
+        return any(it.stage is Stage.PUBCOMP for it in self._in_flight.values())
 
     def reserve(self) -> None:
         """Reserve a place in the send window."""
         self._reserved += 1
 
-    def free(self) -> None:
+    def release(self) -> None:
         """Release a reserved place."""
         self._reserved -= 1
 
@@ -136,20 +136,20 @@
         if not self._window:
             done(PublishResult.DROPPED, 0, NONE)
             return
-        packet_id = self._free_id()
-        self._out[packet_id] = _Out(done, Stage.PUBACK if packet.qos == 1 else Stage.PUBREC)
+        packet_id = self._next_id()
+        self._in_flight[packet_id] = _InFlight(done, Stage.PUBACK if packet.qos == 1 else Stage.PUBREC)
         self._write(replace(packet, packet_id=packet_id))
 
-    def _free_id(self) -> int:
+    def _next_id(self) -> int:
         """Return an unused packet id; those in flight or blocked are far fewer than the 65,535 that exist."""
         while True:
             self._last = self._last % MAX_PACKET_ID + 1
-            if self._last not in self._out and self._last not in self._burnt:
+            if self._last not in self._in_flight and self._last not in self._blocked_ids:
                 return self._last
 
-    def came(self, ack: Ack) -> None:
+    def handle_ack(self, ack: Ack) -> None:
         """Process an acknowledgement. Unexpected ones are ignored, except that a PUBREC gets a PUBREL."""
-        out = self._out.get(ack.packet_id)
+        out = self._in_flight.get(ack.packet_id)
         if out is None or out.stage is not _STAGES[ack.kind]:
             if ack.kind is Kind.PUBREC and (out is None or out.stage is Stage.PUBCOMP):
                 self._write(Ack(Kind.PUBREL, ack.packet_id, PACKET_ID_NOT_FOUND if out is None else 0))
@@ -158,37 +158,37 @@
             out.stage = Stage.PUBCOMP
             self._write(Ack(Kind.PUBREL, ack.packet_id))
             return
-        del self._out[ack.packet_id]
+        del self._in_flight[ack.packet_id]
         result = PublishResult.ACKNOWLEDGED
         if ack.code >= 0x80:
             # A PUBCOMP with "packet identifier not found": the peer released it before, or lost it.
             result = PublishResult.LOST if ack.kind is Kind.PUBCOMP else PublishResult.REFUSED
         out.done(result, ack.code, ack.properties)
 
-    def lost(self) -> None:
+    def connection_lost(self) -> None:
         """Handle a lost connection: unacknowledged publishes are lost, except those waiting for PUBCOMP."""
         self._window = 0
-        gone = {number: it for number, it in self._out.items() if it.stage is not Stage.PUBCOMP}
-        for number, it in gone.items():
-            del self._out[number]
+        lost = {number: it for number, it in self._in_flight.items() if it.stage is not Stage.PUBCOMP}
+        for number, it in lost.items():
+            del self._in_flight[number]
             if it.stage is Stage.PUBREC:
-                self._burnt.add(number)
-        for it in gone.values():
+                self._blocked_ids.add(number)
+        for it in lost.values():
             it.done(PublishResult.LOST, 0, NONE)
 
     def connected(self, session_present: bool, window: int) -> None:
         """Resume on a new connection; `window` is the peer's receive maximum."""
         self._window = window
         if not session_present:
-            self._burnt.clear()
+            self._blocked_ids.clear()
             self.abandon()
-        for number in self._out:
+        for number in self._in_flight:
             self._write(Ack(Kind.PUBREL, number))
 
     def abandon(self) -> None:
         """Report everything in flight as lost, because the session no longer exists."""
-        gone, self._out = self._out, {}
-        for it in gone.values():
+        lost, self._in_flight = self._in_flight, {}
+        for it in lost.values():
             it.done(PublishResult.LOST, 0, NONE)
 
 
--- a/amberlug/mqtt/subscriber.py
+++ b/amberlug/mqtt/subscriber.py
@@ -30,10 +30,10 @@
         routes = [it for it in config.routes if login.name in it.sources]
         never = 2 * (login.version == V5)  # retain handling "never", an option of 5.0 only
         wanted = {it.subscription: Wanted(it.subscription, it.qos, retain=never) for it in routes}
-        self.link = Link(login, login.address, tuple(wanted.values()), self._came, self._up)
+        self.link = Link(login, login.address, tuple(wanted.values()), self._on_publish, self._on_connected)
         self._pending: set[PendingPublish] = set()
-        self._life = 0  # connection counter: publishes of earlier connections are redelivered
-        self._waiting = 0  # publishes that are not acknowledged yet
+        self._connection_number = 0  # connection counter: publishes of earlier connections are redelivered
+        self._unacknowledged = 0  # publishes that are not acknowledged yet
         self._closing = False
         ends.origins[login.name] = self
 
@@ -48,63 +48,63 @@
         self._pending.clear()
         self.link.stop()
 
-    def _up(self) -> None:
-        self._life += 1
-        self._waiting = 0
+    def _on_connected(self) -> None:
+        self._connection_number += 1
+        self._unacknowledged = 0
         for publish in list(self._pending):
             self._intake.withdraw(publish)  # redelivered here, or to another relay
         self._pending.clear()
         self._ends.subscribed(self._login.name, lambda topic: True)
 
-    def _came(self, packet: Publish) -> None:
+    def _on_publish(self, packet: Publish) -> None:
         if packet.retain:
             # A retained message may be days old, and was already delivered when it was new.
             self._intake.count_dropped(self._login.name, packet, "is retained")
             self._answer(packet, Decision())
             return
-        self._waiting += 1
-        if self._login.version != V5 and self._waiting >= self._login.window:
-            self.link.hold(True)
-        self._submit(packet, self._life)
+        self._unacknowledged += 1
+        if self._login.version != V5 and self._unacknowledged >= self._login.window:
+            self.link.set_reading_paused(True)
+        self._submit(packet, self._connection_number)
 
-    def _submit(self, packet: Publish, life: int) -> None:
-        if life != self._life or self._closing:
+    def _submit(self, packet: Publish, connection: int) -> None:
+        if connection != self._connection_number or self._closing:
             return
         if packet.qos and self._intake.crowded:
             # A publisher behind a broker might never learn that its message was handed back, so the message
             # waits at the broker instead.
-            self._on_decision(packet, Decision(QUOTA_EXCEEDED, "no room", BUSY_RETRY_MS), life)
+            self._on_decision(packet, Decision(QUOTA_EXCEEDED, "no room", BUSY_RETRY_MS), connection)
             return
         pending: list[PendingPublish] = []
 
         def done(decision: Decision) -> None:
             self._pending.difference_update(pending)
-            self._on_decision(packet, decision, life)
+            self._on_decision(packet, decision, connection)
 
         publish = self._intake.submit(self._login.name, packet, "", done)
         if publish is not None and not publish.decided:
             pending.append(publish)
             self._pending.add(publish)
 
-    def _on_decision(self, packet: Publish, decision: Decision, life: int) -> None:
-        if life != self._life or self._closing:
+    def _on_decision(self, packet: Publish, decision: Decision, connection: int) -> None:
+        if connection != self._connection_number or self._closing:
             return
         if decision.retry_ms and packet.qos:
             pause = min(decision.retry_ms / 1000, MAX_RETRY_DELAY)
-            asyncio.get_running_loop().call_later(pause, self._submit, packet, life)
+            asyncio.get_running_loop().call_later(pause, self._submit, packet, connection)
             return
-        self._waiting -= 1
-        if self._waiting < self._login.window:
-            self.link.hold(False)
+        self._unacknowledged -= 1
+        if self._unacknowledged < self._login.window:
+            self.link.set_reading_paused(False)
         if not packet.qos:
             if decision.code:
                 self._intake.count_dropped(self._login.name, packet, decision.text)
             return
         if decision.code:
-            self._refused(packet, decision)
+            self._report_refusal(packet, decision)
         self._answer(packet, decision)
 
-    def _refused(self, packet: Publish, decision: Decision) -> None:
+    def _report_refusal(self, packet: Publish, decision: Decision) -> None:
         """Report a refused publish in the log, and to the reply address if there is one."""
         log(f"mqtt: {self._login.name}: {packet.topic[:80]!r} refused: {decision.text}")
         reply = self._intake.reply(self._login.name, packet, "")
@@ -120,7 +120,7 @@
         """Publish an outcome. Returns None while disconnected, False while the send window is full."""
         if not self.link.connected:
             return None
-        if not self.link.outgoing.room:
+        if not self.link.outgoing.has_room:
             return False
         self.link.outgoing.publish(packet, lambda result, code, told: done(result, code))
         return True
--- a/amberlug/mqtt/wire.py
+++ b/amberlug/mqtt/wire.py
@@ -14,78 +14,78 @@
 
 
 class Wire(asyncio.Protocol):
-    """A connection: `heard` is called with each packet, `lost` once with the reason when it ends."""
+    """A connection: `on_packet` is called with each packet, `on_lost` once with the reason when it ends."""
 
     def __init__(
-        self, heard: Callable[[Packet], None], lost: Callable[[str], None], version: int = 0
+        self, on_packet: Callable[[Packet], None], on_lost: Callable[[str], None], version: int = 0
     ) -> None:
-        self._heard, self._lost = heard, lost
+        self._on_packet, self._on_lost = on_packet, on_lost
         self._decoder = Decoder(MAX_PACKET_BYTES, version)
         self._transport: asyncio.Transport | None = None
         self._out: list[bytes] = []
         self._why = "closed by the other side"
-        self._begun_at: float | None = None
-        self.held = False
+        self._partial_since: float | None = None
+        self.reading_paused = False
         self.closing = False
-        self.last_heard = 0.0
+        self.last_received = 0.0
 
     @property
     def version(self) -> int:
         """The protocol level; 0 until known."""
         return self._decoder.version
 
-    def begun_for(self, now: float) -> float:
+    def incomplete_for(self, now: float) -> float:
         """Seconds since the first byte of an incomplete packet; 0 if there is none."""
-        return 0.0 if self._begun_at is None else now - self._begun_at
+        return 0.0 if self._partial_since is None else now - self._partial_since
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
         transport.set_write_buffer_limits(WRITE_BUFFER_LIMIT)
-        self.last_heard = asyncio.get_running_loop().time()
+        self.last_received = asyncio.get_running_loop().time()
         if self.closing:  # closed before the connection was made
             transport.abort()
 
     def connection_lost(self, error: Exception | None) -> None:
         self.closing = True
-        self._lost(self._why if error is None else f"{self._why}: {error}")
+        self._on_lost(self._why if error is None else f"{self._why}: {error}")
 
     def data_received(self, data: bytes) -> None:
-        self.last_heard = asyncio.get_running_loop().time()
+        self.last_received = asyncio.get_running_loop().time()
         self._decoder.feed(data)
         self._read()
 
     def _read(self) -> None:
-        while not self.closing and not self.held:
+        while not self.closing and not self.reading_paused:
             try:
                 packet = self._decoder.next()
                 if packet is None:
                     # Guards against a packet sent byte by byte forever: its time counts from the first byte.
-                    begun = self._begun_at if self._begun_at is not None else self.last_heard
-                    self._begun_at = begun if self._decoder.begun else None
+                    since = self._partial_since if self._partial_since is not None else self.last_received
+                    self._partial_since = since if self._decoder.has_partial else None
                     return
-                self._begun_at = None
-                self._heard(packet)
+                self._partial_since = None
+                self._on_packet(packet)
             except MqttError as error:
                 self.fail(error.code, str(error))
 
     def pause_writing(self) -> None:
         """Guard against responses that pile up for a peer that sends but does not read."""
-        self.hold()
+        self.pause_reading()
 
     def resume_writing(self) -> None:
-        self.go_on()
+        self.resume_reading()
 
-    def hold(self) -> None:
+    def pause_reading(self) -> None:
         """Pause reading: too much is pending."""
-        self.held = True
+        self.reading_paused = True
         if self._transport is not None:
             self._transport.pause_reading()
 
-    def go_on(self) -> None:
+    def resume_reading(self) -> None:
         """Resume reading."""
-        if self.held and not self.closing and self._transport is not None:
-            self.held = False
+        if self.reading_paused and not self.closing and self._transport is not None:
+            self.reading_paused = False
             self._transport.resume_reading()
             asyncio.get_running_loop().call_soon(self._read)
 
--- a/tests/test_mqtt_packets.py
+++ b/tests/test_mqtt_packets.py
@@ -113,7 +113,7 @@
         decoder.feed(data[at : at + piece])
         while (packet := decoder.next()) is not None:
             found.append(packet)
-    assert not decoder.begun
+    assert not decoder.has_partial
     return found
 
 
--- a/tests/test_mqtt_sessions.py
+++ b/tests/test_mqtt_sessions.py
@@ -48,26 +48,26 @@
 def test_a_qos_2_publish_is_acknowledged_by_pubcomp() -> None:
     side = Side()
     number = side.publish("a")
-    side.out.came(Ack(Kind.PUBACK, number))  # the wrong kind
-    side.out.came(Ack(Kind.PUBREC, number + 1))  # unknown id: answered with "packet identifier not found"
+    side.out.handle_ack(Ack(Kind.PUBACK, number))  # the wrong kind
+    side.out.handle_ack(Ack(Kind.PUBREC, number + 1))  # an unknown packet id
     assert side.written[-1] == Ack(Kind.PUBREL, number + 1, 0x92)
-    side.out.came(Ack(Kind.PUBREC, number))
+    side.out.handle_ack(Ack(Kind.PUBREC, number))
     assert side.results == {}
-    side.out.came(Ack(Kind.PUBREC, number))  # twice
-    side.out.came(Ack(Kind.PUBCOMP, number))
-    side.out.came(Ack(Kind.PUBCOMP, number))
+    side.out.handle_ack(Ack(Kind.PUBREC, number))  # twice
+    side.out.handle_ack(Ack(Kind.PUBCOMP, number))
+    side.out.handle_ack(Ack(Kind.PUBCOMP, number))
     assert side.results == {"a": PublishResult.ACKNOWLEDGED}
 
 
-def test_a_lost_packet_id_is_not_used_again_in_its_session() -> None:
+def test_a_lost_packet_id_is_not_reused_in_its_session() -> None:
     side = Side()
     lost = side.publish("a")
-    side.out.lost()
+    side.out.connection_lost()
     assert side.results == {"a": PublishResult.LOST}
     side.out.connected(True, 10)
     side.out._last = 0  # as after the ids have wrapped around
     assert side.publish("b") != lost
-    side.out.lost()
+    side.out.connection_lost()
     side.out.connected(False, 10)
     side.out._last = 0
     assert side.publish("c") == lost  # a new session does not know the id
@@ -76,15 +76,16 @@
 def test_an_exchange_after_pubrec_continues_only_in_its_session() -> None:
     side = Side()
     numbers = [side.publish("a"), side.publish("b")]
-    side.out.came(Ack(Kind.PUBREC, numbers[0]))
-    side.out.lost()
-    assert (side.results, side.out.unreleased, side.out.room) == ({"b": PublishResult.LOST}, True, False)
+    side.out.handle_ack(Ack(Kind.PUBREC, numbers[0]))
+    side.out.connection_lost()
+    assert side.results == {"b": PublishResult.LOST}
+    assert (side.out.awaiting_pubcomp, side.out.has_room) == (True, False)
     side.out.connected(True, 10)
     assert side.released() == [numbers[0]] * 2
-    side.out.lost()
+    side.out.connection_lost()
     side.out.connected(False, 10)
     assert side.results == {"b": PublishResult.LOST, "a": PublishResult.LOST}
-    assert side.out.unreleased is False
+    assert side.out.awaiting_pubcomp is False
 
 
 def test_the_window_limits_in_flight_and_reserved_publishes() -> None:
@@ -92,10 +93,10 @@
     side.out.connected(False, 2)
     side.publish("a", 1)
     side.out.reserve()
-    assert side.out.room is False
-    side.out.free()
-    assert side.out.room is True
-    side.out.lost()
+    assert side.out.has_room is False
+    side.out.release()
+    assert side.out.has_room is True
+    side.out.connection_lost()
     side.out.publish(Publish("b", b"", 1), lambda result, code, told: side.results.update(b=result))
     assert side.results["b"] is PublishResult.DROPPED
 
@@ -115,43 +116,43 @@
     kinds = {"puback": Kind.PUBACK, "pubrec": Kind.PUBREC, "pubcomp": Kind.PUBCOMP}
     for step, number, code in steps:
         if step == "publish":
-            if up and side.out.room:
+            if up and side.out.has_room:
                 side.publish(f"{names}", 1 + number % 2)
                 names += 1
         elif step in kinds and up:
-            side.out.came(Ack(kinds[step], number, code))
+            side.out.handle_ack(Ack(kinds[step], number, code))
         elif step == "lost" and up:
-            side.out.lost()
+            side.out.connection_lost()
             up = False
         elif step in ("kept", "new") and not up:
             side.out.connected(step == "kept", 4)
             up = True
     published = [it.packet_id for it in side.written if isinstance(it, Publish)]
     assert all(1 <= it <= 0xFFFF for it in published)
-    side.out.lost()
+    side.out.connection_lost()
     side.out.connected(False, 4)
     assert len(side.results) == names  # `publish` asserts that none has two
 
 
-def test_publishes_are_answered_once_and_repeats_at_qos_2_without_being_offered() -> None:
+def test_publishes_are_answered_once_and_qos_2_duplicates_not_processed() -> None:
     side = Incoming(2)
     first = Publish("a", b"", 2, 1)
-    assert side.came(first) == (True, None)
-    assert side.came(first) == (False, None)  # still in progress
+    assert side.receive(first) == (True, None)
+    assert side.receive(first) == (False, None)  # still in progress
     assert side.answer(1) == Ack(Kind.PUBREC, 1)
     assert side.answer(1) is None
-    assert side.came(first) == (False, Ack(Kind.PUBREC, 1))
-    assert side.came(Publish("a", b"", 1, 2)) == (True, None)
+    assert side.receive(first) == (False, Ack(Kind.PUBREC, 1))
+    assert side.receive(Publish("a", b"", 1, 2)) == (True, None)
     with pytest.raises(MqttError) as error:
-        side.came(Publish("a", b"", 1, 3))
+        side.receive(Publish("a", b"", 1, 3))
     assert error.value.code == 0x93
     side.connected(True)
     assert side.answer(2) is None  # the broker redelivers it
-    assert side.released(1) == Ack(Kind.PUBCOMP, 1)
-    assert side.released(1) == Ack(Kind.PUBCOMP, 1, 0x92)
-    assert side.came(first) == (True, None)
+    assert side.release(1) == Ack(Kind.PUBCOMP, 1)
+    assert side.release(1) == Ack(Kind.PUBCOMP, 1, 0x92)
+    assert side.receive(first) == (True, None)
     assert side.answer(1, 0x97) == Ack(Kind.PUBREC, 1, 0x97)
-    assert side.came(first) == (True, None)  # refused before, so it is a new publish
+    assert side.receive(first) == (True, None)  # refused before, so it is a new publish
 
 
 class Pipe(asyncio.Transport):
@@ -159,7 +160,7 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.reading, self.gone = True, False
+        self.reading, self.aborted = True, False
 
     def set_write_buffer_limits(self, high: int | None = None, low: int | None = None) -> None:
         pass
@@ -171,28 +172,28 @@
         self.reading = True
 
     def abort(self) -> None:
-        self.gone = True
+        self.aborted = True
 
 
-def test_a_packet_is_late_from_its_first_byte_on() -> None:
+def test_a_packet_timeout_counts_from_its_first_byte() -> None:
     async def scenario() -> None:
         wire, loop = Wire(lambda packet: None, lambda why: None, V5), asyncio.get_running_loop()
         wire.connection_made(Pipe())
-        assert wire.begun_for(loop.time() + 9) == 0.0
+        assert wire.incomplete_for(loop.time() + 9) == 0.0
         wire.data_received(b"\xc0")
         began = loop.time()
         for _ in range(3):
             wire.data_received(b"")
-        assert wire.begun_for(began + 9) >= 9
+        assert wire.incomplete_for(began + 9) >= 9
         wire.data_received(b"\0" + b"\xc0")  # completes that packet and begins another
-        assert wire.begun_for(loop.time()) < 1
+        assert wire.incomplete_for(loop.time()) < 1
         wire.data_received(b"\0")
-        assert wire.begun_for(loop.time() + 9) == 0.0
+        assert wire.incomplete_for(loop.time() + 9) == 0.0
 
     asyncio.run(scenario())
 
 
-def test_of_a_side_that_does_not_read_nothing_more_is_read() -> None:
+def test_reading_pauses_while_the_peer_does_not_read() -> None:
     async def scenario() -> None:
         heard, pipe = list[object](), Pipe()
         wire = Wire(heard.append, lambda why: None, V5)
@@ -207,12 +208,12 @@
     asyncio.run(scenario())
 
 
-def test_a_connection_given_up_before_it_stood_is_closed() -> None:
+def test_a_connection_closed_before_it_is_made_is_aborted() -> None:
     async def scenario() -> None:
         wire, pipe = Wire(lambda packet: None, lambda why: None), Pipe()
         wire.abort("too many")
         wire.connection_made(pipe)
-        assert pipe.gone
+        assert pipe.aborted
 
     asyncio.run(scenario())
 
@@ -380,11 +381,11 @@
         ends, _, _, acknowledged = notifier(keep_s=0)
         ends.start()
         ends.tell(end("m"))
-        ends.tell(end("gone", origin="no longer in the file"))
+        ends.tell(end("aborted", origin="no longer in the file"))
         ends.tell(End("bad", Outcome.GIVEN_UP, reply=b"no address", noticed=False))
         assert acknowledged == ["bad"]
         await asyncio.sleep(0.02)
-        assert set(acknowledged) == {"bad", "m", "gone"}
+        assert set(acknowledged) == {"bad", "m", "aborted"}
         ends.stop()
 
     asyncio.run(scenario())
