--- a/amberlug/mqtt/link.py
+++ b/amberlug/mqtt/link.py
@@ -18,13 +18,13 @@
     Connack,
     Connect,
     Disconnect,
-    Granted,
     Kind,
     Packet,
     Ping,
     Publish,
     Subscribe,
-    Wanted,
+    SubscriptionAck,
+    TopicSubscription,
 )
 from amberlug.mqtt.properties import PROTOCOL_ERROR, P, Properties
 from amberlug.mqtt.sessions import Incoming, Outgoing
@@ -55,7 +55,7 @@
         self,
         login: Login,
         address: Address,
-        filters: tuple[Wanted, ...] = (),
+        filters: tuple[TopicSubscription, ...] = (),
         publish: Callable[[Publish], None] | None = None,
         up: Callable[[], None] | None = None,
     ) -> None:
@@ -267,11 +267,11 @@
             case Ack():
                 self.outgoing.handle_ack(packet)
                 self._wake_waiters()
-            case Granted(Kind.SUBACK, _, codes):
-                for wanted, code in zip(self._filters, codes, strict=False):
+            case SubscriptionAck(Kind.SUBACK, _, codes):
+                for it, code in zip(self._filters, codes, strict=False):
                     if code >= 0x80:
-                        log(f"mqtt: {self.login.name}: subscription to {wanted.filter} refused: 0x{code:02x}")
-            case Ping(Kind.PINGRESP) | Granted():
+                        log(f"mqtt: {self.login.name}: subscription to {it.filter} refused: 0x{code:02x}")
+            case Ping(Kind.PINGRESP) | SubscriptionAck():
                 pass
             case Disconnect(code):
                 if self._wire is not None:
--- a/amberlug/mqtt/listener.py
+++ b/amberlug/mqtt/listener.py
@@ -20,12 +20,12 @@
     Connack,
     Connect,
     Disconnect,
-    Granted,
     Kind,
     Packet,
     Ping,
     Publish,
     Subscribe,
+    SubscriptionAck,
     Unsubscribe,
 )
 from amberlug.mqtt.properties import PROTOCOL_ERROR, P
@@ -106,7 +106,7 @@
                 self._on_subscribe(packet)
             case Unsubscribe(packet_id, filters):
                 self.filters.difference_update(filters)
-                self.wire.write(Granted(Kind.UNSUBACK, packet_id, (0,) * len(filters)))
+                self.wire.write(SubscriptionAck(Kind.UNSUBACK, packet_id, (0,) * len(filters)))
             case Ping(Kind.PINGREQ):
                 self.wire.write(Ping(Kind.PINGRESP))
             case Disconnect():
@@ -194,15 +194,16 @@
 
     def _on_subscribe(self, packet: Subscribe) -> None:
         codes = []
-        for wanted in packet.wanted:
-            if wanted.filter in self.filters or len(self.filters) < MAX_FILTERS:
-                good = self._may_subscribe(wanted.filter.removesuffix("/#")) and "+" not in wanted.filter
+        for subscription in packet.subscriptions:
+            if subscription.filter in self.filters or len(self.filters) < MAX_FILTERS:
+                name = subscription.filter
+                good = self._may_subscribe(name.removesuffix("/#")) and "+" not in name
                 if good:
-                    self.filters.add(wanted.filter)
-                codes.append(min(wanted.qos, 1) if good else self._suback_code(NOT_AUTHORIZED))
+                    self.filters.add(subscription.filter)
+                codes.append(min(subscription.qos, 1) if good else self._suback_code(NOT_AUTHORIZED))
             else:
                 codes.append(self._suback_code(0x97))
-        self.wire.write(Granted(Kind.SUBACK, packet.packet_id, tuple(codes)))
+        self.wire.write(SubscriptionAck(Kind.SUBACK, packet.packet_id, tuple(codes)))
         self._listener.subscribed(self)
 
     def _suback_code(self, code: int) -> int:
--- a/amberlug/mqtt/packets.py
+++ b/amberlug/mqtt/packets.py
@@ -143,7 +143,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Wanted:
+class TopicSubscription:
     """One filter of a SUBSCRIBE with its options; `retain` is the retain handling (0 always, 2 never)."""
 
     filter: str
@@ -158,7 +158,7 @@
     """SUBSCRIBE."""
 
     packet_id: int
-    wanted: tuple[Wanted, ...]
+    subscriptions: tuple[TopicSubscription, ...]
     properties: Properties = field(default_factory=dict)
 
 
@@ -172,7 +172,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Granted:
+class SubscriptionAck:
     """SUBACK or UNSUBACK, with a code for each filter."""
 
     kind: Kind
@@ -196,7 +196,7 @@
     properties: Properties = field(default_factory=dict)
 
 
-Packet = Connect | Connack | Publish | Ack | Subscribe | Unsubscribe | Granted | Ping | Disconnect
+Packet = Connect | Connack | Publish | Ack | Subscribe | Unsubscribe | SubscriptionAck | Ping | Disconnect
 
 
 # Encoding.
@@ -215,17 +215,17 @@
             kind, body = K.CONNECT, _connect(packet)
         case Connack():
             kind = K.CONNACK
-            body = bytes((packet.session_present, packet.code)) + _own(packet.properties, version)
+            body = bytes((packet.session_present, packet.code)) + _properties(packet.properties, version)
         case Subscribe():
             kind, flags = K.SUBSCRIBE, 2
-            filters = (fields.text(it.filter) + bytes((_options(it),)) for it in packet.wanted)
-            body = fields.u16(packet.packet_id) + _own(packet.properties, version) + b"".join(filters)
+            filters = (fields.text(it.filter) + bytes((_options(it),)) for it in packet.subscriptions)
+            body = fields.u16(packet.packet_id) + _properties(packet.properties, version) + b"".join(filters)
         case Unsubscribe():
             kind, flags = K.UNSUBSCRIBE, 2
-            body = fields.u16(packet.packet_id) + _own(packet.properties, version)
+            body = fields.u16(packet.packet_id) + _properties(packet.properties, version)
             body += b"".join(map(fields.text, packet.filters))
-        case Granted():
-            kind, body = packet.kind, fields.u16(packet.packet_id) + _own(packet.properties, version)
+        case SubscriptionAck():
+            kind, body = packet.kind, fields.u16(packet.packet_id) + _properties(packet.properties, version)
             body += bytes(packet.codes) if version == V5 or kind is K.SUBACK else b""
         case Ping():
             kind = packet.kind
@@ -234,7 +234,7 @@
     return bytes((kind << 4 | flags,)) + fields.variable(len(body)) + body
 
 
-def _own(values: Properties, version: int) -> bytes:
+def _properties(values: Properties, version: int) -> bytes:
     return properties.encode(values) if version == V5 else b""
 
 
@@ -258,7 +258,7 @@
 def _connect(packet: Connect) -> bytes:
     flags = packet.clean << 1 | (packet.username is not None) << 7 | (packet.password is not None) << 6
     body = fields.text("MQTT") + bytes((packet.version, flags)) + fields.u16(packet.keep_alive)
-    body += _own(packet.properties, packet.version) + fields.text(packet.client_id)
+    body += _properties(packet.properties, packet.version) + fields.text(packet.client_id)
     if packet.username is not None:
         body += fields.text(packet.username)
     if packet.password is not None:
@@ -266,8 +266,8 @@
     return body
 
 
-def _options(wanted: Wanted) -> int:
-    return wanted.qos | wanted.no_local << 2 | wanted.as_published << 3 | wanted.retain << 4
+def _options(it: TopicSubscription) -> int:
+    return it.qos | it.no_local << 2 | it.as_published << 3 | it.retain << 4
 
 
 # Decoding.
@@ -343,14 +343,14 @@
                 flags, code = reader.u8(), reader.u8()
                 if flags > 1:
                     raise malformed("invalid CONNACK flags")
-                return Connack(code, bool(flags), self._own(kind, reader))
+                return Connack(code, bool(flags), self._properties(kind, reader))
             case K.PUBACK | K.PUBREC | K.PUBREL | K.PUBCOMP:
                 packet_id = _packet_id(reader)
                 return Ack(kind, packet_id, *self._reason(_ANY, reader))
             case K.SUBSCRIBE:
                 return self._subscribe(reader)
             case K.UNSUBSCRIBE:
-                packet_id, own = _packet_id(reader), self._own(kind, reader)
+                packet_id, own = _packet_id(reader), self._properties(kind, reader)
                 filters: list[str] = []
                 while reader.left or not filters:
                     filters.append(_filter(reader))
@@ -358,7 +358,7 @@
             case K.SUBACK | K.UNSUBACK:
                 packet_id = _packet_id(reader)
                 own = properties.read(reader, _ANY) if self.version == V5 else NONE
-                return Granted(kind, packet_id, tuple(reader.rest()), own)
+                return SubscriptionAck(kind, packet_id, tuple(reader.rest()), own)
             case K.DISCONNECT:
                 return Disconnect(*self._reason(_ALLOWED[K.DISCONNECT], reader))
             case K.PINGREQ | K.PINGRESP:
@@ -366,7 +366,7 @@
             case _:
                 raise MqttError(PROTOCOL_ERROR, f"unexpected {kind.name}")
 
-    def _own(self, kind: Kind, reader: Reader) -> Properties:
+    def _properties(self, kind: Kind, reader: Reader) -> Properties:
         return properties.read(reader, _ALLOWED[kind]) if self.version == V5 else NONE
 
     def _reason(self, allowed: set[P], reader: Reader) -> tuple[int, Properties]:
@@ -381,7 +381,7 @@
             raise malformed("invalid PUBLISH flags")
         topic = reader.text()
         packet_id = _packet_id(reader) if qos else 0
-        own = self._own(K.PUBLISH, reader)
+        own = self._properties(K.PUBLISH, reader)
         if topic and not is_topic(topic):
             raise MqttError(TOPIC_NAME_INVALID, "invalid topic name")
         if not topic and P.TOPIC_ALIAS not in own:
@@ -391,14 +391,17 @@
         return Publish(topic, reader.rest(), qos, packet_id, dup, retain, own)
 
     def _subscribe(self, reader: Reader) -> Subscribe:
-        packet_id, own = _packet_id(reader), self._own(K.SUBSCRIBE, reader)
-        wanted: list[Wanted] = []
-        while reader.left or not wanted:
+        packet_id, own = _packet_id(reader), self._properties(K.SUBSCRIBE, reader)
+        subscriptions: list[TopicSubscription] = []
+        while reader.left or not subscriptions:
             name, options = _filter(reader), reader.u8()
             if options & 3 == 3 or options >> 4 == 3 or options & (0xC0 if self.version == V5 else 0xFC):
                 raise malformed("invalid subscription options")
-            wanted.append(Wanted(name, options & 3, bool(options & 4), bool(options & 8), options >> 4 & 3))
-        return Subscribe(packet_id, tuple(wanted), own)
+            no_local, as_published = bool(options & 4), bool(options & 8)
+            subscriptions.append(
+                TopicSubscription(name, options & 3, no_local, as_published, options >> 4 & 3)
+            )
+        return Subscribe(packet_id, tuple(subscriptions), own)
 
 
 def _packet_id(reader: Reader) -> int:
--- a/amberlug/mqtt/publisher.py
+++ b/amberlug/mqtt/publisher.py
@@ -21,10 +21,10 @@
 # Reason codes that refuse this message for good; it had no effect.
 PERMANENT_REFUSALS = frozenset((0x87, 0x90, 0x91, 0x95, 0x99))
 QUOTA_EXCEEDED = 0x97
-Place = tuple[str, Address]  # endpoint kind and broker address
+BrokerKey = tuple[str, Address]  # endpoint kind and broker address
 
 
-def ending(result: PublishResult, code: int, told: Properties) -> AttemptResult:
+def attempt_result(result: PublishResult, code: int, told: Properties) -> AttemptResult:
     """Map the result of a publish to the result of its attempt."""
     if result is PublishResult.ACKNOWLEDGED:
         return AttemptResult(Result.DONE)
@@ -33,11 +33,11 @@
     if result is PublishResult.LOST:
         return AttemptResult(Result.RESET)
     if code == QUOTA_EXCEEDED:
-        return AttemptResult(Result.REFUSED, wait_us(told))
+        return AttemptResult(Result.REFUSED, retry_delay_us(told))
     return AttemptResult(Result.UNSENT if code in PERMANENT_REFUSALS else Result.ERROR)
 
 
-def wait_us(told: Properties) -> int:
+def retry_delay_us(told: Properties) -> int:
     """Return the retry delay that the broker asked for; 0 if it is missing or malformed."""
     text = user(told, RETRY) or ""
     if not (text.isascii() and text.isdigit()):
@@ -50,10 +50,10 @@
 
     def __init__(self, others: Transport, targets: Mapping[str, Target], clock: Clock) -> None:
         self._others, self._targets, self._clock = others, targets, clock
-        self._places: dict[str, Place] = {}  # of endpoints that are topics, by endpoint id
-        self._links: dict[Place, Link] = {}
-        self._used: Counter[Place] = Counter()  # reference counts: listed endpoints and open calls
-        self._out: dict[Attempt, asyncio.Future[AttemptResult]] = {}
+        self._broker_keys: dict[str, BrokerKey] = {}  # of endpoints that are topics, by endpoint id
+        self._links: dict[BrokerKey, Link] = {}
+        self._references: Counter[BrokerKey] = Counter()  # reference counts: listed endpoints and open calls
+        self._calls_in_flight: dict[Attempt, asyncio.Future[AttemptResult]] = {}
         self._tasks: set[asyncio.Task[None]] = set()
 
     @property
@@ -66,52 +66,52 @@
 
     def locate(self, endpoint: str, address: Address | None, kind: str = "") -> None:
         """Set the broker address of an endpoint; other kinds are delegated."""
-        was = self._places.pop(endpoint, None)
+        was = self._broker_keys.pop(endpoint, None)
         if kind in self._targets and address is not None:
-            self._places[endpoint] = kind, address
-            self._used[kind, address] += 1
+            self._broker_keys[endpoint] = kind, address
+            self._references[kind, address] += 1
         elif was is None:
             self._others.locate(endpoint, address, kind)
         if was is not None:
-            self._leave(was)
+            self._release(was)
 
-    def _leave(self, place: Place) -> None:
+    def _release(self, key: BrokerKey) -> None:
         """Drop one reference to a broker connection; the last one closes it."""
-        self._used[place] -= 1
-        if not self._used[place]:
-            del self._used[place]
-            if (link := self._links.pop(place, None)) is not None:
+        self._references[key] -= 1
+        if not self._references[key]:
+            del self._references[key]
+            if (link := self._links.pop(key, None)) is not None:
                 link.stop()
 
     def close_idle(self, endpoint: str) -> None:
         """Keep a broker's connection open, because all its endpoints share it; delegate other kinds."""
-        if endpoint not in self._places:
+        if endpoint not in self._broker_keys:
             self._others.close_idle(endpoint)
 
     def call(self, endpoint: str, attempts: list[Attempt], fresh: bool) -> None:
-        place = self._places.get(endpoint)
-        if place is None:
+        key = self._broker_keys.get(endpoint)
+        if key is None:
             self._others.call(endpoint, attempts, fresh)
             return
-        if (link := self._links.get(place)) is None:
-            link = self._links[place] = Link(self._targets[place[0]].login, place[1])
+        if (link := self._links.get(key)) is None:
+            link = self._links[key] = Link(self._targets[key[0]].login, key[1])
         for attempt in attempts:
-            self._out[attempt] = asyncio.get_running_loop().create_future()
-            self._used[place] += 1
-            task = asyncio.get_running_loop().create_task(self._call(place, link, attempt))
+            self._calls_in_flight[attempt] = asyncio.get_running_loop().create_future()
+            self._references[key] += 1
+            task = asyncio.get_running_loop().create_task(self._call(key, link, attempt))
             self._tasks.add(task)
             task.add_done_callback(self._tasks.discard)
 
     def call_off(self, attempt: Attempt) -> None:
-        waits = self._out.get(attempt)
+        waits = self._calls_in_flight.get(attempt)
         if waits is None:
             self._others.call_off(attempt)
             return
         attempt.called_off = True
-        _set(waits, AttemptResult(Result.CALLED_OFF))
+        _set_result(waits, AttemptResult(Result.CALLED_OFF))
 
     def probe(self, endpoint: str, ended: Callable[[AttemptResult], None]) -> None:
-        if endpoint not in self._places:
+        if endpoint not in self._broker_keys:
             self._others.probe(endpoint, ended)
             return
         # A topic can't be probed: only a publish shows whether it is available.
@@ -122,24 +122,24 @@
         for link in self._links.values():
             link.stop()
 
-    def _left(self, attempt: Attempt) -> float:
+    def _remaining(self, attempt: Attempt) -> float:
         return max(0.0, (attempt.until_us - self._clock.now_us()) / 1e6)
 
-    async def _call(self, place: Place, link: Link, attempt: Attempt) -> None:
+    async def _call(self, key: BrokerKey, link: Link, attempt: Attempt) -> None:
         how = AttemptResult(Result.RESET)
         try:
-            how = await self._attempt(self._targets[place[0]], link, attempt)
+            how = await self._attempt(self._targets[key[0]], link, attempt)
         finally:
             # Guards against an error that leaves an attempt without a result, which would leak its slot.
-            del self._out[attempt]
+            del self._calls_in_flight[attempt]
             attempt.ended = True
-            self._leave(place)
+            self._release(key)
             self._calls.ended(attempt, how)
 
     async def _attempt(self, target: Target, link: Link, attempt: Attempt) -> AttemptResult:
-        called_off = self._out[attempt]
+        called_off = self._calls_in_flight[attempt]
         try:
-            async with asyncio.timeout(self._left(attempt)):
+            async with asyncio.timeout(self._remaining(attempt)):
                 room = await link.reserve()
         except TimeoutError:
             return AttemptResult(Result.UNCONNECTED)  # it was never sent
@@ -155,8 +155,8 @@
             if not left:
                 link.release()
         written = asyncio.get_running_loop().time()
-        link.send(self._packet(target, attempt), lambda *told: _set(called_off, ending(*told)))
-        await asyncio.wait({called_off}, timeout=self._left(attempt))
+        link.send(self._packet(target, attempt), lambda *told: _set_result(called_off, attempt_result(*told)))
+        await asyncio.wait({called_off}, timeout=self._remaining(attempt))
         if called_off.done():
             return called_off.result()
         if link.last_received < written:
@@ -174,6 +174,6 @@
         return Publish(topic, message.body, target.qos.get(message.message_class, 1), properties=properties)
 
 
-def _set(future: asyncio.Future[AttemptResult], how: AttemptResult) -> None:
+def _set_result(future: asyncio.Future[AttemptResult], how: AttemptResult) -> None:
     if not future.done():
         future.set_result(how)
--- a/amberlug/mqtt/subscriber.py
+++ b/amberlug/mqtt/subscriber.py
@@ -10,7 +10,7 @@
 from amberlug.mqtt.intake import Decision, Intake, PendingPublish
 from amberlug.mqtt.link import Link
 from amberlug.mqtt.mapping import QUOTA_EXCEEDED, Login, MqttConfig
-from amberlug.mqtt.packets import V5, Publish, Wanted
+from amberlug.mqtt.packets import V5, Publish, TopicSubscription
 from amberlug.mqtt.properties import P
 
 BUSY_RETRY_MS = 100  # retry delay while the relay is near its limits
@@ -29,8 +29,12 @@
         self._login, self._intake, self._ends = login, intake, ends
         routes = [it for it in config.routes if login.name in it.sources]
         never = 2 * (login.version == V5)  # retain handling "never", an option of 5.0 only
-        wanted = {it.subscription: Wanted(it.subscription, it.qos, retain=never) for it in routes}
-        self.link = Link(login, login.address, tuple(wanted.values()), self._on_publish, self._on_connected)
+        subscriptions = {
+            it.subscription: TopicSubscription(it.subscription, it.qos, retain=never) for it in routes
+        }
+        self.link = Link(
+            login, login.address, tuple(subscriptions.values()), self._on_publish, self._on_connected
+        )
         self._pending: set[PendingPublish] = set()
         self._connection_number = 0  # connection counter: publishes of earlier connections are redelivered
         self._unacknowledged = 0  # publishes that are not acknowledged yet
--- a/tests/test_mqtt_packets.py
+++ b/tests/test_mqtt_packets.py
@@ -16,14 +16,14 @@
     Connect,
     Decoder,
     Disconnect,
-    Granted,
     Kind,
     Packet,
     Ping,
     Publish,
     Subscribe,
+    SubscriptionAck,
+    TopicSubscription,
     Unsubscribe,
-    Wanted,
 )
 from amberlug.mqtt.properties import P
 from amberlug.mqtt.topics import captured_levels, is_filter, is_topic
@@ -85,7 +85,7 @@
         PACKET_ID,
         st.tuples(
             st.builds(
-                Wanted,
+                TopicSubscription,
                 st.sampled_from(["a/+", "#", "$share/g/a"]),
                 st.integers(0, 2),
                 st.booleans(),
@@ -97,7 +97,7 @@
     ),
     st.builds(Unsubscribe, PACKET_ID, st.tuples(st.just("a/#"), st.just("b"))),
     st.builds(
-        Granted,
+        SubscriptionAck,
         st.sampled_from([Kind.SUBACK, Kind.UNSUBACK]),
         PACKET_ID,
         st.lists(st.integers(0, 255), min_size=1, max_size=3).map(tuple),
@@ -132,7 +132,9 @@
     assert packets.encode(Disconnect(0x97), V3) == b"\xe0\0"
     connect = Connect("me", V3, username="u", password=b"p")
     assert read(packets.encode(connect, V3), 0) == [connect]
-    assert read(packets.encode(Granted(Kind.UNSUBACK, 7, (0,)), V3), V3) == [Granted(Kind.UNSUBACK, 7, ())]
+    assert read(packets.encode(SubscriptionAck(Kind.UNSUBACK, 7, (0,)), V3), V3) == [
+        SubscriptionAck(Kind.UNSUBACK, 7, ())
+    ]
 
 
 def test_bytes_are_those_of_the_standard() -> None:
--- a/tests/test_mqtt_sessions.py
+++ b/tests/test_mqtt_sessions.py
@@ -13,7 +13,7 @@
 from amberlug.mqtt.ends import MqttEnds, PublishDone
 from amberlug.mqtt.fields import MqttError
 from amberlug.mqtt.packets import V5, Ack, Kind, Publish
-from amberlug.mqtt.publisher import ending
+from amberlug.mqtt.publisher import attempt_result
 from amberlug.mqtt.replies import Reply, decode
 from amberlug.mqtt.sessions import Incoming, Outgoing, PublishResult
 from amberlug.mqtt.wire import Wire
@@ -229,7 +229,7 @@
         (PublishResult.REFUSED, 0x80): Result.ERROR,
         (PublishResult.REFUSED, 0xFF): Result.ERROR,
     }
-    assert {case: ending(*case, {}).result for case in results} == results
+    assert {case: attempt_result(*case, {}).result for case in results} == results
 
 
 # Outcomes.
