--- a/amberlug/standin/broker.py
+++ b/amberlug/standin/broker.py
@@ -41,7 +41,7 @@
 )
 # Property encodings: b byte, h two bytes, i four bytes, v variable byte integer, s string, d binary data,
 # p string pair.
-FORMS = {
+PROPERTY_ENCODINGS = {
     1: "b",
     2: "i",
     3: "s",
@@ -94,7 +94,7 @@
     """Encode properties; the value of the user property is a list of pairs."""
     out = b""
     for number, value in (values or {}).items():
-        form = FORMS[number]
+        form = PROPERTY_ENCODINGS[number]
         for one in value if form == "p" else [value]:
             out += bytes([number])
             if form in "bhi":
@@ -130,14 +130,14 @@
     return frame(kind, body, 2 * (kind == PUBREL))
 
 
-class Cutter:
+class PacketDecoder:
     """Splits a byte stream into packets."""
 
     def __init__(self) -> None:
         self.data = b""
         self.v5 = True
 
-    def cut(self, data: bytes) -> Iterator[Packet]:
+    def decode(self, data: bytes) -> Iterator[Packet]:
         self.data += data
         while len(self.data) >= 2:
             size, shift, at = 0, 0, 1
@@ -207,7 +207,7 @@
         inner, rest, found = body[at : at + size], body[at + size :], dict[int, Any]()
         while inner:
             number, inner = inner[0], inner[1:]
-            form = FORMS[number]
+            form = PROPERTY_ENCODINGS[number]
             if form in "bhi":
                 width = {"b": 1, "h": 2, "i": 4}[form]
                 value: Any = int.from_bytes(inner[:width], "big")
@@ -233,16 +233,16 @@
 # The client.
 
 
-class Bare:
+class ScriptedClient:
     """A scripted client: sends what a test asks for, and records all received packets."""
 
     def __init__(self, v5: bool = True) -> None:
         self.v5 = v5
         self.seen: list[Packet] = []
         self.closed = False
-        self._news = asyncio.Condition()
-        self._cutter = Cutter()
-        self._cutter.v5 = v5
+        self._changed = asyncio.Condition()
+        self._decoder = PacketDecoder()
+        self._decoder.v5 = v5
 
     async def connect(
         self, port: int, client: str = "c", properties: Any = None, clean: bool = True, **more: Any
@@ -267,15 +267,15 @@
     async def _read(self) -> None:
         try:
             while data := await self._reader.read(65536):
-                for packet in self._cutter.cut(data):
+                for packet in self._decoder.decode(data):
                     self.seen.append(packet)
-                async with self._news:
-                    self._news.notify_all()
+                async with self._changed:
+                    self._changed.notify_all()
         except ConnectionError:
             pass
         self.closed = True
-        async with self._news:
-            self._news.notify_all()
+        async with self._changed:
+            self._changed.notify_all()
 
     def send(self, data: bytes) -> None:
         """Send raw bytes."""
@@ -292,16 +292,16 @@
 
     async def until(self, kind: int, count: int = 1) -> Packet:
         """Wait for the `count`-th packet of a kind; raises `ConnectionError` if closed before."""
-        async with asyncio.timeout(PATIENCE), self._news:
-            await self._news.wait_for(lambda: len(self.of(kind)) >= count or self.closed)
+        async with asyncio.timeout(PATIENCE), self._changed:
+            await self._changed.wait_for(lambda: len(self.of(kind)) >= count or self.closed)
         if len(self.of(kind)) < count:
             raise ConnectionError(f"closed before {NAMES[kind]} {count}; seen {self.seen}")
         return self.of(kind)[count - 1]
 
-    async def gone(self) -> None:
+    async def wait_closed(self) -> None:
         """Wait until the connection is closed."""
-        async with asyncio.timeout(PATIENCE), self._news:
-            await self._news.wait_for(lambda: self.closed)
+        async with asyncio.timeout(PATIENCE), self._changed:
+            await self._changed.wait_for(lambda: self.closed)
 
     def of(self, kind: int) -> list[Packet]:
         """Return all received packets of a kind."""
@@ -323,7 +323,7 @@
     client: str
     filters: dict[str, int] = field(default_factory=dict)
     queue: deque[Packet] = field(default_factory=deque)  # not sent yet
-    flying: dict[int, Packet] = field(default_factory=dict)  # sent, and not acknowledged
+    in_flight: dict[int, Packet] = field(default_factory=dict)  # sent, and not acknowledged
     released: set[int] = field(default_factory=set)  # sent at QoS 2, PUBREC received, PUBREL sent
     received: dict[int, Packet] = field(default_factory=dict)  # received at QoS 2, waiting for PUBREL
     last: int = 0
@@ -348,11 +348,11 @@
         self.packets: list[tuple[str, Packet]] = []
         self.faults: list[Fault] = []
         self.connack: dict[int, Any] = {}  # properties of every CONNACK
-        self.lie_about_session: bool | None = None
+        self.forced_session_present: bool | None = None
         self.refuse_connects = 0  # reason code for refusing CONNECTs; 0 to accept them
         self.port = 0
-        self._turn = 0
-        self._news = asyncio.Condition()
+        self._next_member = 0
+        self._changed = asyncio.Condition()
         self._writers: set[asyncio.StreamWriter] = set()
         self._server: asyncio.Server | None = None
 
@@ -374,8 +374,8 @@
 
     async def until(self, true: Callable[[], bool]) -> None:
         """Wait until a condition holds; it is checked after each packet."""
-        async with asyncio.timeout(PATIENCE), self._news:
-            await self._news.wait_for(true)
+        async with asyncio.timeout(PATIENCE), self._changed:
+            await self._changed.wait_for(true)
 
     def of(self, kind: int, client: str | None = None) -> list[Packet]:
         """Return all received packets of a kind."""
@@ -392,19 +392,19 @@
     # Serving.
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        cutter, session = Cutter(), None
+        decoder, session = PacketDecoder(), None
         self._writers.add(writer)
         try:
             while data := await reader.read(65536):
-                for packet in cutter.cut(data):
+                for packet in decoder.decode(data):
                     if packet["kind"] == CONNECT:
-                        session = self._greet(packet, writer)
+                        session = self._on_connect(packet, writer)
                     if session is not None:
                         self.packets.append((session.client, packet))
                         if not any(fault(self, session, packet) for fault in self.faults):
-                            self.deal(session, packet)
-                async with self._news:
-                    self._news.notify_all()
+                            self.handle(session, packet)
+                async with self._changed:
+                    self._changed.notify_all()
         except ConnectionError:
             pass
         finally:
@@ -413,7 +413,7 @@
             if session is not None and session.writer is writer:
                 session.writer = None
 
-    def _greet(self, packet: Packet, writer: asyncio.StreamWriter) -> Session | None:
+    def _on_connect(self, packet: Packet, writer: asyncio.StreamWriter) -> Session | None:
         v5, client = packet["v5"], packet["client"]
         if self.refuse_connects:
             writer.write(frame(CONNACK, bytes([0, self.refuse_connects]) + (b"\0" if v5 else b"")))
@@ -430,30 +430,30 @@
         self.sessions[client] = session
         session.writer, session.v5 = writer, v5
         session.window = packet["properties"].get(RECEIVE_MAXIMUM, 65535) if v5 else 65535
-        present = kept if self.lie_about_session is None else self.lie_about_session
+        present = kept if self.forced_session_present is None else self.forced_session_present
         writer.write(frame(CONNACK, bytes([present, 0]) + (props(self.connack) if v5 else b"")))
         return session
 
-    def deal(self, session: Session, packet: Packet) -> None:
+    def handle(self, session: Session, packet: Packet) -> None:
         """Handle a packet as the standard requires."""
         kind = packet["kind"]
         if kind == CONNECT:
             self._resume(session)
         elif kind == PUBLISH:
-            self._came(session, packet)
+            self._on_publish(session, packet)
         elif kind == PUBREL:
             message = session.received.pop(packet["id"], None)
             if message is not None:
                 self.take(message)
             self.write(session, ack(PUBCOMP, packet["id"], 0 if message else 0x92, session.v5))
         elif kind in (PUBACK, PUBCOMP):
-            session.flying.pop(packet["id"], None)
+            session.in_flight.pop(packet["id"], None)
             session.released.discard(packet["id"])
-            self._bring(session)
+            self._deliver(session)
         elif kind == PUBREC:
             if packet["code"] >= 0x80:
-                session.flying.pop(packet["id"], None)
-                self._bring(session)
+                session.in_flight.pop(packet["id"], None)
+                self._deliver(session)
             else:
                 session.released.add(packet["id"])
                 self.write(session, ack(PUBREL, packet["id"], 0, session.v5))
@@ -467,14 +467,14 @@
 
     def _resume(self, session: Session) -> None:
         """Resend unacknowledged packets under their packet ids."""
-        for packet_id, message in session.flying.items():
+        for packet_id, message in session.in_flight.items():
             if packet_id in session.released:
                 self.write(session, ack(PUBREL, packet_id, 0, session.v5))
             else:
-                self._fly(session, packet_id, message, dup=True)
-        self._bring(session)
+                self._send_publish(session, packet_id, message, dup=True)
+        self._deliver(session)
 
-    def _came(self, session: Session, packet: Packet) -> None:
+    def _on_publish(self, session: Session, packet: Packet) -> None:
         if packet["qos"] == 2:
             session.received.setdefault(packet["id"], packet)
             self.write(session, ack(PUBREC, packet["id"], 0, session.v5))
@@ -497,27 +497,27 @@
                     shared.setdefault(group, []).append((session, qos))
         for members in shared.values():
             online = [it for it in members if it[0].writer is not None] or members
-            self._turn += 1
-            session, qos = online[self._turn % len(online)]
+            self._next_member += 1
+            session, qos = online[self._next_member % len(online)]
             self._put(session, message, qos)
 
     def _put(self, session: Session, message: Packet, qos: int) -> None:
         session.queue.append(message | {"qos": min(qos, message["qos"])})
-        self._bring(session)
+        self._deliver(session)
 
-    def _bring(self, session: Session) -> None:
-        while session.queue and session.writer is not None and len(session.flying) < session.window:
+    def _deliver(self, session: Session) -> None:
+        while session.queue and session.writer is not None and len(session.in_flight) < session.window:
             message = session.queue.popleft()
             if not message["qos"]:
-                self._fly(session, 0, message)
+                self._send_publish(session, 0, message)
                 continue
             session.last = session.last % 65535 + 1
-            while session.last in session.flying:
+            while session.last in session.in_flight:
                 session.last = session.last % 65535 + 1
-            session.flying[session.last] = message
-            self._fly(session, session.last, message)
+            session.in_flight[session.last] = message
+            self._send_publish(session, session.last, message)
 
-    def _fly(self, session: Session, packet_id: int, message: Packet, dup: bool = False) -> None:
+    def _send_publish(self, session: Session, packet_id: int, message: Packet, dup: bool = False) -> None:
         self.write(
             session,
             publish(
--- a/benchmarks/mqtt.py
+++ b/benchmarks/mqtt.py
@@ -14,7 +14,7 @@
 from typing import Any
 
 from amberlug.standin import broker as mqtt
-from amberlug.standin.broker import Bare, Broker, Packet
+from amberlug.standin.broker import Broker, Packet, ScriptedClient
 from amberlug.standin.deployment import settings
 from amberlug.standin.wire import Platform
 from benchmarks.cost import ROOT, cpu_seconds, free_port
@@ -187,7 +187,7 @@
         return hand_in
 
     async def _direct(self, destination: int) -> HandIn:
-        clients = [Bare() for _ in range(CLIENTS)]
+        clients = [ScriptedClient() for _ in range(CLIENTS)]
         for number, client in enumerate(clients):
             await client.connect(self.listener, f"c{number}")
         count = 0
--- a/tests/test_mqtt.py
+++ b/tests/test_mqtt.py
@@ -12,7 +12,7 @@
 import pytest
 
 from amberlug.standin import broker as mqtt
-from amberlug.standin.broker import Bare, Broker, Packet, once
+from amberlug.standin.broker import Broker, Packet, ScriptedClient, once
 from amberlug.standin.wire import OK, Platform, StandIn
 from tests.conftest import setup
 from tests.rig import Relay, free_port, hand_in, member, run
@@ -77,8 +77,8 @@
     partner: StandIn
     port: int  # of the listener
 
-    async def client(self, name: str = "board", v5: bool = True, **more: Any) -> Bare:
-        client = Bare(v5)
+    async def client(self, name: str = "board", v5: bool = True, **more: Any) -> ScriptedClient:
+        client = ScriptedClient(v5)
         assert (await client.connect(self.port, name, **more))["code"] == 0
         return client
 
@@ -176,7 +176,7 @@
             assert {one.body for one in seen} == {b'{"id": "p1"}', b"2:1"}
             assert "p1" in it.names()
             session = it.broker.session("relay-in")
-            await it.broker.until(lambda: not session.flying)
+            await it.broker.until(lambda: not session.in_flight)
             assert {one["kind"] for _, one in it.broker.packets} >= {mqtt.PUBACK, mqtt.PUBREC, mqtt.PUBCOMP}
             (end,) = await it.ends()
             assert (end["outcome"], end["packet"]["topic"]) == ("delivered", "ends/of/1")
@@ -250,11 +250,11 @@
             await it.partner.requests(2)
             await asyncio.sleep(0.3)  # time for a wrong acknowledgement of what exceeds the capacity
             assert len(it.broker.of(mqtt.PUBACK)) == 2
-            assert (len(session.flying), len(session.queue)) == (3, 4)
+            assert (len(session.in_flight), len(session.queue)) == (3, 4)
             partner.usual = OK
             for seen in list(partner.seen):
                 seen.answer(OK)
-            await it.broker.until(lambda: not session.flying and not session.queue)
+            await it.broker.until(lambda: not session.in_flight and not session.queue)
             await it.partner.until(lambda: len(set(it.names())) == 9)
             assert len(it.names()) == 9
 
@@ -306,7 +306,7 @@
             await it.relay.kill()
             await it.relay.start()
             await it.broker.until(lambda: bool(it.broker.of(mqtt.PUBCOMP)))
-            assert not it.broker.session("relay-in").flying
+            assert not it.broker.session("relay-in").in_flight
             assert it.names() == ["p1"]
 
     run(scenario())
@@ -317,11 +317,11 @@
         async with world(tmp_path) as it:
             it.broker.cut_off(it.broker.session("relay-in"), keep=False)
             await it.broker.subscribed("relay-in", 2)
-            other = Bare()
+            other = ScriptedClient()
             await other.connect(it.broker.port, "relay-in")  # takes the relay's session over
             await it.broker.subscribed("relay-in", 3)
-            await other.gone()
-            it.broker.lie_about_session = True  # claims a session that does not exist
+            await other.wait_closed()
+            it.broker.forced_session_present = True  # claims a session that does not exist
             it.broker.cut_off(it.broker.session("relay-in"), keep=False)
             await it.broker.subscribed("relay-in", 4)
             it.broker.offer("pay/1", b"x", 1, properties=user(id="p1"))
@@ -467,7 +467,7 @@
             assert int(told["retry-in-ms"]) >= 100
             older = await it.client("old", v5=False)
             older.publish("pay/1", b"x", 1, 1)  # 3.1.1 can refuse only by closing the connection
-            await older.gone()
+            await older.wait_closed()
             assert older.of(mqtt.PUBACK) == []
 
     run(scenario())
@@ -512,14 +512,14 @@
         async with world(tmp_path) as it:
             good = await it.client("good")
             for make in BAD.values():
-                bare = Bare()
+                bare = ScriptedClient()
                 await bare.open(it.port)
                 bare.send(make())
-                await bare.gone()
+                await bare.wait_closed()
             for data in AFTER.values():
                 bare = await it.client("bad")
                 bare.send(data)
-                await bare.gone()
+                await bare.wait_closed()
                 assert bare.of(mqtt.DISCONNECT)[0]["code"] >= 0x80
                 assert bare.of(mqtt.PUBACK) == []
             good.publish("pay/1", b"x", 1, 1, properties=user(id="p1"))
@@ -539,7 +539,7 @@
             quiet = await it.client("quiet", alive=1)
             loop = asyncio.get_running_loop()
             start = loop.time()
-            await quiet.gone()
+            await quiet.wait_closed()
             assert loop.time() - start >= 1.4
             assert quiet.of(mqtt.DISCONNECT)[0]["code"] == 0x8D
             assert it.names() == []
@@ -552,9 +552,9 @@
     async def scenario() -> None:
         async with world(tmp_path, users='users = { board = "secret" }') as it:
             for name, secret in (("board", "no"), ("x", "secret")):
-                bare = Bare(v5)
+                bare = ScriptedClient(v5)
                 assert (await bare.connect(it.port, "b", user=name, password=secret))["code"] == code
-                await bare.gone()
+                await bare.wait_closed()
             good = await it.client(v5=v5, user="board", password="secret")
             good.publish("entry/1", b'{"entry": {"key": "k"}}', 1, 1)
             await good.until(mqtt.PUBACK)
@@ -565,14 +565,14 @@
 def test_many_that_say_nothing_make_room_for_who_speaks(tmp_path: Path) -> None:
     async def scenario() -> None:
         async with world(tmp_path) as it:
-            silent = [Bare() for _ in range(300)]
+            silent = [ScriptedClient() for _ in range(300)]
             for bare in silent:
                 await bare.open(it.port)
             client = await it.client()
             client.publish("pay/1", b"x", 1, 1, properties=user(id="p1"))
             await client.until(mqtt.PUBACK)
             for bare in silent:
-                await bare.gone()
+                await bare.wait_closed()
 
     run(scenario())
 
@@ -582,7 +582,7 @@
         async with world(tmp_path) as it:
             first = await it.client()
             second = await it.client()
-            await first.gone()
+            await first.wait_closed()
             assert first.of(mqtt.DISCONNECT)[0]["code"] == 0x8E
             second.publish("pay/1", b"x", 1, 1, properties=user(id="p1"))
             await second.until(mqtt.PUBACK)
@@ -625,7 +625,7 @@
 
 
 def taken_and_dropped(broker: Broker, session: mqtt.Session, packet: Packet) -> None:
-    broker.deal(session, packet)
+    broker.handle(session, packet)
     assert session.writer is not None
     session.writer.close()  # after flushing the acknowledgement
     session.writer = None
@@ -633,7 +633,7 @@
 
 
 def twice(broker: Broker, session: mqtt.Session, packet: Packet) -> None:
-    broker.deal(session, packet)
+    broker.handle(session, packet)
     if packet["qos"] == 1:
         broker.write(session, mqtt.ack(mqtt.PUBACK, packet["id"]))
     else:
@@ -643,7 +643,7 @@
 def other_id(broker: Broker, session: mqtt.Session, packet: Packet) -> None:
     broker.write(session, mqtt.ack(mqtt.PUBACK, packet["id"] + 1000))
     broker.write(session, mqtt.ack(mqtt.PUBCOMP, packet["id"]))
-    broker.deal(session, packet)
+    broker.handle(session, packet)
 
 
 def refuse(code: int, wait_ms: int = 0) -> Callable[[Broker, mqtt.Session, Packet], None]:
@@ -787,7 +787,7 @@
                     def answer() -> None:
                         nonlocal open_now
                         open_now -= 1
-                        broker.deal(session, packet)
+                        broker.handle(session, packet)
 
                     asyncio.get_running_loop().call_later(0.005, answer)
                     return True
@@ -846,7 +846,7 @@
             await client.until(mqtt.PUBACK)
             await partner.requests(1)
             it.relay.signal(signal.SIGTERM)
-            await client.gone()
+            await client.wait_closed()
             assert client.of(mqtt.DISCONNECT)[0]["code"] == 0x8B
             it.broker.offer("pay/1", b"x", 1, properties=user(id="p2"))
             partner.seen[0].answer(OK)
