--- a/amberlug/cli/trial.py
+++ b/amberlug/cli/trial.py
@@ -15,7 +15,13 @@
 from amberlug.standin.deployment import CLASSES, DEADLINE, Deployment
 from amberlug.standin.partners import DRAINING, DROPPING, LIMITED, SLOW, STEADY
 
-MOODS = {1: [STEADY, STEADY], 2: [SLOW, SLOW], 3: [LIMITED], 4: [DROPPING, DROPPING], 5: [DRAINING, DRAINING]}
+BEHAVIORS = {
+    1: [STEADY, STEADY],
+    2: [SLOW, SLOW],
+    3: [LIMITED],
+    4: [DROPPING, DROPPING],
+    5: [DRAINING, DRAINING],
+}
 MESSAGES = 300
 SECONDS = 5.0  # over which they are handed in
 REDRAW = 0.2
@@ -26,15 +32,17 @@
     """Play it; what came of it, as plain figures."""
     chance = random.Random(7)
     with tempfile.TemporaryDirectory() as folder:
-        async with Deployment(Path(folder), MOODS) as deployment:
+        async with Deployment(Path(folder), BEHAVIORS) as deployment:
             drawing = asyncio.ensure_future(_draw(deployment, messages, screen))
             started = deployment.clock()
             sent: set[asyncio.Task[None]] = set()
             for number in range(messages):
                 await asyncio.sleep(started + number * seconds / messages - deployment.clock())
                 if number == messages // 2:
-                    await deployment.replace(next(it for it in deployment.partners if it.mood is DRAINING))
-                kind, destination = chance.choice(list(CLASSES)), chance.choice(list(MOODS))
+                    await deployment.replace(
+                        next(it for it in deployment.partners if it.behavior is DRAINING)
+                    )
+                kind, destination = chance.choice(list(CLASSES)), chance.choice(list(BEHAVIORS))
                 body = f"message {number}".encode()
                 sent.add(asyncio.ensure_future(deployment.hand_in(f"m{number:05d}", kind, destination, body)))
             await asyncio.gather(*sent)
@@ -62,7 +70,9 @@
         broken.append(f"the relay ended with code {code}")
     partners: dict[int, dict[str, Any]] = {}
     for partner in deployment.partners:
-        row = partners.setdefault(partner.destination, {"partner": partner.mood.name, "calls": 0, "waits": 0})
+        row = partners.setdefault(
+            partner.destination, {"partner": partner.behavior.name, "calls": 0, "waits": 0}
+        )
         row["calls"] += partner.calls
         row["waits"] += partner.waits
     for destination, row in partners.items():
--- a/amberlug/standin/crowd.py
+++ b/amberlug/standin/crowd.py
@@ -23,7 +23,7 @@
 OK = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
 
 
-class Mood(Enum):
+class Behavior(Enum):
     """How an endpoint answers."""
 
     WELL = "well"
@@ -50,10 +50,10 @@
 class Crowd:
     """Endpoints of any number of destinations, on `listeners` ports of 127.0.0.1.
 
-    `mood` returns how a destination answers; `gone` holds removed destinations that must get no more calls.
+    `behavior` returns how a destination answers; `gone` holds removed ones that must get no more calls.
     """
 
-    mood: Callable[[int], Mood] = lambda destination: Mood.WELL
+    behavior: Callable[[int], Behavior] = lambda destination: Behavior.WELL
     listeners: int = 16
     quick: float = 0.02  # seconds until a normal response
     slow: float = 1.5
@@ -95,7 +95,7 @@
         return [self.member(destination, life=life) for destination in destinations]
 
     def call(self, name: str, served: _Served) -> None:
-        """Record a call, and answer it according to its destination's mood."""
+        """Record a call, and answer it according to its destination's behavior."""
         loop = asyncio.get_running_loop()
         now, destination = loop.time(), int(name.partition("-")[0])
         it = self.called.setdefault(destination, Called(now))
@@ -103,17 +103,17 @@
         it.most = max(it.most, it.out)
         it.early += now < it.wait_until and now > it.told + PASSING
         self.late += destination in self.gone
-        mood = self.mood(destination)
-        if mood is Mood.DEAD:
+        behavior = self.behavior(destination)
+        if behavior is Behavior.DEAD:
             it.out -= 1
             served.abort()
-        elif mood is Mood.REFUSES and it.calls == 1:
+        elif behavior is Behavior.REFUSES and it.calls == 1:
             it.told = now + self.quick
             it.wait_until = it.told + self.wait_ms / 1000
             head = f"HTTP/1.1 429 Later\r\nWait-Ms: {self.wait_ms}\r\nContent-Length: 0\r\n\r\n"
             loop.call_later(self.quick, self._answer, it, served, None, head.encode())
-        elif mood is not Mood.SILENT:
-            seconds = self.slow if mood is Mood.SLOW else self.quick
+        elif behavior is not Behavior.SILENT:
+            seconds = self.slow if behavior is Behavior.SLOW else self.quick
             loop.call_later(seconds, self._answer, it, served, name, OK)
 
     def _answer(self, it: Called, served: _Served, name: str | None, answer: bytes) -> None:
--- a/amberlug/standin/deployment.py
+++ b/amberlug/standin/deployment.py
@@ -14,7 +14,7 @@
 
 from amberlug.http.link import Link, LinkLostError, dial
 from amberlug.standin.checker import Checker, Repeat, Track
-from amberlug.standin.partners import Mood, Partner
+from amberlug.standin.partners import Behavior, Partner
 from amberlug.standin.wire import PATIENCE, Platform
 
 SECOND = 1_000_000
@@ -90,8 +90,8 @@
 class Deployment:
     """The whole deployment, as an async context manager."""
 
-    def __init__(self, folder: Path, moods: dict[int, list[Mood]]) -> None:
-        self._folder, self._moods = folder, moods
+    def __init__(self, folder: Path, behaviors: dict[int, list[Behavior]]) -> None:
+        self._folder, self._behaviors = folder, behaviors
         self._loop = asyncio.get_running_loop()
         self.checker, self.platform, self.tally = Checker(), _Watched(self), Tally()
         self.partners: list[Partner] = []
@@ -105,9 +105,9 @@
 
     async def __aenter__(self) -> Deployment:
         await self.platform.start()
-        for destination, moods in self._moods.items():
-            for number, mood in enumerate(moods):
-                await self._add(f"{mood.name}-{destination}{'abcdef'[number]}", destination, mood)
+        for destination, behaviors in self._behaviors.items():
+            for number, behavior in enumerate(behaviors):
+                await self._add(f"{behavior.name}-{destination}{'abcdef'[number]}", destination, behavior)
         await self._start_relay()
         return self
 
@@ -120,8 +120,8 @@
         for peer in (self.platform, *self.partners):
             await peer.stop()
 
-    async def _add(self, endpoint: str, destination: int, mood: Mood) -> Partner:
-        partner = Partner(endpoint, destination, mood, self.checker, self.clock)
+    async def _add(self, endpoint: str, destination: int, behavior: Behavior) -> Partner:
+        partner = Partner(endpoint, destination, behavior, self.checker, self.clock)
         await partner.start()
         self.partners.append(partner)
         return partner
@@ -157,7 +157,7 @@
 
     async def replace(self, partner: Partner) -> None:
         """Drain one endpoint, and list a replacement."""
-        added = await self._add(f"{partner.endpoint}-next", partner.destination, partner.mood)
+        added = await self._add(f"{partner.endpoint}-next", partner.destination, partner.behavior)
         self._revision += 1
         members = [member(partner, "terminating"), member(added)]
         self.checker.drained(partner.endpoint, self.clock())
--- a/amberlug/standin/drill.py
+++ b/amberlug/standin/drill.py
@@ -19,7 +19,7 @@
 PER_SECOND = 60.0
 RECOVER = 3.0  # seconds from a relay's restart until it holds the new data: `replace_s` plus a margin
 LATE = 3.0  # seconds past the deadline for the outcome of a lost relay's message: failure detection, takeover
-GENTLE = "cut", "one way", "pause", "reset", "flip", "delay", "restart", "close"
+MILD_FAULTS = "cut", "one way", "pause", "reset", "flip", "delay", "restart", "close"
 
 
 @dataclass(frozen=True, slots=True)
@@ -56,22 +56,22 @@
 
 def draw(seed: int, relays: int, copies: int, seconds: float) -> list[Fault]:
     """Draw the faults of a drill: at least one loss if `copies` allows it, with milder faults between."""
-    chance = random.Random(f"{seed} {relays} {copies}")
+    rng = random.Random(f"{seed} {relays} {copies}")
     faults: list[Fault] = []
-    at = chance.uniform(0.8, 1.5)
+    at = rng.uniform(0.8, 1.5)
     while at < seconds - 1:
-        if copies and (not faults or chance.random() < 0.5):
-            struck = tuple(chance.sample(range(relays), chance.randint(1, copies)))
-            lasts = chance.uniform(0.5, 2.0)
-            faults.append(Fault(at, "lose", struck, lasts))
-            beside = [it for it in range(relays) if it not in struck]
-            if chance.random() < 0.4:
-                faults.append(Fault(at + 0.05, "reset", (chance.choice(beside),), 0.0))
-            at += lasts + RECOVER + chance.uniform(0.5, 1.5)
+        if copies and (not faults or rng.random() < 0.5):
+            affected = tuple(rng.sample(range(relays), rng.randint(1, copies)))
+            lasts = rng.uniform(0.5, 2.0)
+            faults.append(Fault(at, "lose", affected, lasts))
+            beside = [it for it in range(relays) if it not in affected]
+            if rng.random() < 0.4:
+                faults.append(Fault(at + 0.05, "reset", (rng.choice(beside),), 0.0))
+            at += lasts + RECOVER + rng.uniform(0.5, 1.5)
         else:
-            lasts = chance.uniform(0.3, 2.5)
-            faults.append(Fault(at, chance.choice(GENTLE), (chance.randrange(relays),), lasts))
-            at += lasts + chance.uniform(0.5, 2.0)
+            lasts = rng.uniform(0.3, 2.5)
+            faults.append(Fault(at, rng.choice(MILD_FAULTS), (rng.randrange(relays),), lasts))
+            at += lasts + rng.uniform(0.5, 2.0)
     return faults
 
 
@@ -81,17 +81,17 @@
     relays: int,
     copies: int,
     seconds: float,
-    shown: Callable[[Fleet, str], None] = lambda fleet, doing: None,
+    on_progress: Callable[[Fleet, str], None] = lambda fleet, doing: None,
 ) -> Verdict:
-    """Run a drill until every accepted message is past its deadline; `shown` is called with the progress."""
+    """Run a drill until every accepted message is past its deadline; `on_progress` reports progress."""
     verdict = Verdict(seed, relays, copies, draw(seed, relays, copies, seconds))
     async with Fleet(folder, relays, seed, copies=copies) as rig:
-        shown(rig, "under load")
+        on_progress(rig, "under load")
         load = asyncio.ensure_future(rig.load(PER_SECOND, seconds))
-        strikes = [asyncio.ensure_future(_strike(rig, it, shown, verdict)) for it in verdict.faults]
-        await asyncio.gather(load, *strikes)
+        injections = [asyncio.ensure_future(_inject(rig, it, on_progress, verdict)) for it in verdict.faults]
+        await asyncio.gather(load, *injections)
         rig.heal()
-        shown(rig, "waiting for outcomes")
+        on_progress(rig, "waiting for outcomes")
         verdict.broken = await rig.ended(DEADLINE + LATE)
         tracks = rig.promises.tracks.values()
         verdict.handed_in, verdict.promised = len(tracks), len(rig.promises.promised)
@@ -102,17 +102,19 @@
     return verdict
 
 
-async def _strike(rig: Fleet, fault: Fault, shown: Callable[[Fleet, str], None], verdict: Verdict) -> None:
+async def _inject(
+    rig: Fleet, fault: Fault, on_progress: Callable[[Fleet, str], None], verdict: Verdict
+) -> None:
     await asyncio.sleep(fault.at)
-    struck = [rig.relays[it] for it in fault.relays]
-    names = ", ".join(it.name for it in struck)
-    shown(rig, f"{fault.what}: {names}")
-    for relay in struck:
+    affected = [rig.relays[it] for it in fault.relays]
+    names = ", ".join(it.name for it in affected)
+    on_progress(rig, f"{fault.what}: {names}")
+    for relay in affected:
         await _begin(rig, fault.what, relay, verdict)
     await asyncio.sleep(fault.lasts)
-    for relay in struck:
+    for relay in affected:
         await _end(rig, fault.what, relay)
-    shown(rig, f"over: {fault.what} of {names}")
+    on_progress(rig, f"over: {fault.what} of {names}")
 
 
 async def _begin(rig: Fleet, what: str, relay: Relay, verdict: Verdict) -> None:
--- a/amberlug/standin/partners.py
+++ b/amberlug/standin/partners.py
@@ -14,7 +14,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Mood:
+class Behavior:
     """How a partner behaves; shares are fractions of its calls."""
 
     name: str
@@ -25,22 +25,24 @@
     wait_ms: int = 0
 
 
-STEADY = Mood("steady")
-SLOW = Mood("slow", seconds=(0.2, 0.5))
-LIMITED = Mood("limited", per_second=8.0, wait_ms=300)
-DROPPING = Mood("dropping", drops=0.12, errors=0.05)
-DRAINING = Mood("draining")
+STEADY = Behavior("steady")
+SLOW = Behavior("slow", seconds=(0.2, 0.5))
+LIMITED = Behavior("limited", per_second=8.0, wait_ms=300)
+DROPPING = Behavior("dropping", drops=0.12, errors=0.05)
+DRAINING = Behavior("draining")
 
 
 class Partner(StandIn):
     """One endpoint."""
 
-    def __init__(self, endpoint: str, destination: int, mood: Mood, checker: Checker, clock: Clock) -> None:
+    def __init__(
+        self, endpoint: str, destination: int, behavior: Behavior, checker: Checker, clock: Clock
+    ) -> None:
         super().__init__(None)
-        self.endpoint, self.destination, self.mood = endpoint, destination, mood
+        self.endpoint, self.destination, self.behavior = endpoint, destination, behavior
         self.calls = self.waits = 0
         self._checker, self._clock = checker, clock
-        self._chance = random.Random(endpoint)
+        self._rng = random.Random(endpoint)
         self._out: dict[asyncio.StreamWriter, Call] = {}
         self._window: tuple[float, int] = 0.0, 0
         self.on_request, self.on_close = self._called, self._closed
@@ -54,27 +56,27 @@
         self._out[seen.writer] = call
         if self._over_limit():
             self.waits += 1
-            self._checker.told_wait(self.destination, self._clock(), self.mood.wait_ms / 1000)
-            self._answer(seen, (429, [("Wait-Ms", str(self.mood.wait_ms))], b""), Ran.NEVER)
+            self._checker.told_wait(self.destination, self._clock(), self.behavior.wait_ms / 1000)
+            self._answer(seen, (429, [("Wait-Ms", str(self.behavior.wait_ms))], b""), Ran.NEVER)
             return True
-        drawn = self._chance.random()
-        seconds = self._chance.uniform(*self.mood.seconds)
+        drawn = self._rng.random()
+        seconds = self._rng.uniform(*self.behavior.seconds)
         loop = asyncio.get_running_loop()
-        if drawn < self.mood.drops:
+        if drawn < self.behavior.drops:
             loop.call_later(seconds, self._drop, seen)
-        elif drawn < self.mood.drops + self.mood.errors:
+        elif drawn < self.behavior.drops + self.behavior.errors:
             loop.call_later(seconds, self._answer, seen, (500, [], b""), Ran.MAY)
         else:
             loop.call_later(seconds, self._answer, seen, OK, Ran.YES)
         return True
 
     def _over_limit(self) -> bool:
-        if not self.mood.per_second:
+        if not self.behavior.per_second:
             return False
         second, count = self._window
         now = self._clock()
         self._window = (second, count + 1) if now < second + 1 else (now, 1)
-        return self._window[1] > self.mood.per_second
+        return self._window[1] > self.behavior.per_second
 
     def _answer(self, seen: Seen, answer: Answer, ran: Ran) -> None:
         call = self._out.pop(seen.writer, None)
--- a/amberlug/standin/proxy.py
+++ b/amberlug/standin/proxy.py
@@ -13,7 +13,7 @@
     """Forwards connections to a port, subject to the faults set at the time."""
 
     def __init__(self, to: int, seed: int) -> None:
-        self._to, self._chance = to, random.Random(seed)
+        self._to, self._rng = to, random.Random(seed)
         self.port = 0
         self.delay = self.spread = 0.0  # seconds
         self.rate = 0.0  # bytes per second; 0 for no limit
@@ -79,13 +79,13 @@
             while data := await reader.read(READ):
                 await self._open.wait()
                 if self.delay:
-                    await asyncio.sleep(self.delay + self._chance.random() * self.spread)
+                    await asyncio.sleep(self.delay + self._rng.random() * self.spread)
                 if self.rate:
                     await asyncio.sleep(len(data) / self.rate)
                 if self.flips:
                     self.flips -= 1
-                    spoilt = bytearray(data)
-                    spoilt[self._chance.randrange(len(spoilt))] ^= 1 << self._chance.randrange(8)
-                    data = bytes(spoilt)
+                    corrupted = bytearray(data)
+                    corrupted[self._rng.randrange(len(corrupted))] ^= 1 << self._rng.randrange(8)
+                    data = bytes(corrupted)
                 writer.write(data)
                 await writer.drain()
--- a/benchmarks/sleeping.py
+++ b/benchmarks/sleeping.py
@@ -25,7 +25,7 @@
 from amberlug.platform.notices import Notices
 from amberlug.platform.pauses import Pauses
 from amberlug.policy.settings import read_settings
-from amberlug.standin.crowd import Client, Crowd, Directory, Mood, Told, ends
+from amberlug.standin.crowd import Behavior, Client, Crowd, Directory, Told, ends
 from amberlug.standin.deployment import settings
 from amberlug.standin.wire import PATIENCE
 from benchmarks.cost import ROOT, cpu_seconds, free_port
@@ -256,8 +256,17 @@
 async def event(listed: int, woken: int, each: int, bad: bool) -> Woken:
     """Wake many at once while the busy go on: first calls, the busy ones' aims, memory."""
     seen = Woken([])
-    moods = [Mood.WELL, Mood.SLOW, Mood.WELL, Mood.REFUSES, Mood.WELL, Mood.DEAD, Mood.WELL, Mood.SILENT]
-    crowd = Crowd(lambda number: moods[number % 8] if bad and number >= BUSY else Mood.WELL)
+    behaviors = [
+        Behavior.WELL,
+        Behavior.SLOW,
+        Behavior.WELL,
+        Behavior.REFUSES,
+        Behavior.WELL,
+        Behavior.DEAD,
+        Behavior.WELL,
+        Behavior.SILENT,
+    ]
+    crowd = Crowd(lambda number: behaviors[number % 8] if bad and number >= BUSY else Behavior.WELL)
 
     async def work(daemon: Daemon) -> None:
         told, loop, memory = daemon.told, asyncio.get_running_loop(), daemon.memory
@@ -290,7 +299,9 @@
         names = [name for name in told if "-b" in name]
         took = [crowd.delivered[name] - told[name].made for name in names if name in crowd.delivered]
         kept = sum(wait <= 1.0 for wait in took) / len(names)
-        well = {it for it in told if "-w" in it and crowd.mood(int(it.partition("-")[0])) is Mood.WELL}
+        well = {
+            it for it in told if "-w" in it and crowd.behavior(int(it.partition("-")[0])) is Behavior.WELL
+        }
         print(
             f"{woken} woken with {each} each in 2 s{', half of them slow, refusing, dead or silent' * bad}: "
             f"first calls to {len(firsts)}, after median {statistics.median(firsts):.2f}, "
--- a/tests/test_crowd.py
+++ b/tests/test_crowd.py
@@ -7,13 +7,22 @@
 
 import pytest
 
-from amberlug.standin.crowd import Client, Crowd, Directory, Mood, Told
+from amberlug.standin.crowd import Behavior, Client, Crowd, Directory, Told
 from amberlug.standin.wire import PATIENCE
 from tests.conftest import setup
 from tests.rig import Relay, run
 from tests.test_clients import memory_mb
 
-MOODS = [Mood.WELL, Mood.SLOW, Mood.WELL, Mood.REFUSES, Mood.WELL, Mood.DEAD, Mood.WELL, Mood.SILENT]
+BEHAVIORS = [
+    Behavior.WELL,
+    Behavior.SLOW,
+    Behavior.WELL,
+    Behavior.REFUSES,
+    Behavior.WELL,
+    Behavior.DEAD,
+    Behavior.WELL,
+    Behavior.SILENT,
+]
 BUSY = 10
 PACE = 0.02  # seconds between two messages for the busy destinations
 LIVES_S = 10.0  # deadline of a message
@@ -65,7 +74,7 @@
 @pytest.mark.parametrize("bad", [False, True])
 def test_many_that_wake_are_each_called_soon_and_the_busy_go_on(tmp_path: Path, bad: bool) -> None:
     woken, each = range(BUSY, BUSY + 200), 5
-    crowd = Crowd(lambda number: MOODS[number % 8] if bad and number >= BUSY else Mood.WELL)
+    crowd = Crowd(lambda number: BEHAVIORS[number % 8] if bad and number >= BUSY else Behavior.WELL)
 
     async def scenario() -> None:
         told: dict[str, Told] = {}
@@ -79,7 +88,7 @@
                 crowding[count % 30].hand_in(name, "safe", LIVES_S)
                 if count % 10 == 9:
                     await asyncio.sleep(0.01)
-            well = {it for it in names if crowd.mood(int(it.partition("-")[0])) is Mood.WELL}
+            well = {it for it in names if crowd.behavior(int(it.partition("-")[0])) is Behavior.WELL}
             least = len(well) * (0.9 if bad else 1.0)
             await until(lambda: crowd.called.keys() >= set(woken))
             await until(lambda: len(well & crowd.delivered.keys()) >= least)
@@ -146,8 +155,8 @@
 
 def test_a_kill_with_fifty_thousand_listed_loses_nothing_and_repeats_nothing_unsafe(tmp_path: Path) -> None:
     listed, asked = 50_000, range(100, 50_000, 1_000)
-    moods = dict.fromkeys(asked, Mood.SILENT)
-    crowd = Crowd(lambda number: moods.get(number, Mood.WELL))
+    behaviors = dict.fromkeys(asked, Behavior.SILENT)
+    crowd = Crowd(lambda number: behaviors.get(number, Behavior.WELL))
 
     async def scenario() -> None:
         told: dict[str, Told] = {}
@@ -160,7 +169,7 @@
             await until(lambda: all(number in crowd.called for number in asked))
             assert all(told[name].status == 202 for name in safe | unsafe)
             await relay.kill()
-            moods.clear()
+            behaviors.clear()
             loop = asyncio.get_running_loop()
             start = loop.time()
             await relay.start()
