--- a/tests/test_mqtt_sessions.py
+++ b/tests/test_mqtt_sessions.py
@@ -381,11 +381,11 @@
         ends, _, _, acknowledged = notifier(keep_s=0)
         ends.start()
         ends.tell(end("m"))
-        ends.tell(end("aborted", origin="no longer in the file"))
+        ends.tell(end("gone", origin="no longer in the file"))
         ends.tell(End("bad", Outcome.GIVEN_UP, reply=b"no address", noticed=False))
         assert acknowledged == ["bad"]
         await asyncio.sleep(0.02)
-        assert set(acknowledged) == {"bad", "m", "aborted"}
+        assert set(acknowledged) == {"bad", "m", "gone"}
         ends.stop()
 
     asyncio.run(scenario())
