--- a/amberlug/cli/trial.py
+++ b/amberlug/cli/trial.py
@@ -39,7 +39,9 @@
             for number in range(messages):
                 await asyncio.sleep(started + number * seconds / messages - deployment.clock())
                 if number == messages // 2:
-                    await deployment.replace(next(it for it in deployment.partners if it.mood is DRAINING))
+                    await deployment.replace(
+                        next(it for it in deployment.partners if it.behavior is DRAINING)
+                    )
                 kind, destination = rng.choice(list(CLASSES)), rng.choice(list(PARTNERS))
                 body = f"message {number}".encode()
                 sent.add(asyncio.ensure_future(deployment.hand_in(f"m{number:05d}", kind, destination, body)))
@@ -68,7 +70,9 @@
         broken.append(f"the relay ended with code {code}")
     partners: dict[int, dict[str, Any]] = {}
     for partner in deployment.partners:
-        row = partners.setdefault(partner.destination, {"partner": partner.mood.name, "calls": 0, "waits": 0})
+        row = partners.setdefault(
+            partner.destination, {"partner": partner.behavior.name, "calls": 0, "waits": 0}
+        )
         row["calls"] += partner.calls
         row["waits"] += partner.waits
     for destination, row in partners.items():
--- a/amberlug/mqtt/intake.py
+++ b/amberlug/mqtt/intake.py
@@ -1,4 +1,4 @@
-"""Publishes become messages: what is taken on, refused, or has to wait. No I/O of its own."""
+"""Converts PUBLISH packets to messages, and accepts, refuses or defers them. Does no I/O of its own."""
 
 from __future__ import annotations
 
@@ -9,17 +9,17 @@
 from amberlug.core.log import log
 from amberlug.core.messages import Message, PendingRequest, Refusal
 from amberlug.core.ports import Clock
-from amberlug.mqtt.mapping import QUOTA, BadPublishError, Heard, Mapped
-from amberlug.mqtt.packets import INVALID_TOPIC, Publish
+from amberlug.mqtt.mapping import QUOTA_EXCEEDED, BadPublishError, MqttConfig, ReceivedPublish
+from amberlug.mqtt.packets import TOPIC_NAME_INVALID, Publish
 from amberlug.mqtt.properties import P
 from amberlug.mqtt.replies import Reply
 from amberlug.policy.interface import Effect, Settings
 
-REPLY_MOST = 512  # bytes of a response topic with its correlation data: they are kept with the message
+MAX_REPLY_BYTES = 512  # bytes of response topic and correlation data: both are stored with the message
 
 
 class Node(Protocol):
-    """What the intake wants of the relay."""
+    """The part of the relay that the intake uses."""
 
     ready: bool
 
@@ -31,108 +31,111 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Verdict:
-    """What became of a publish: taken on (code 0), or why not and in how many milliseconds to come again."""
+class Decision:
+    """Result of a publish: accepted (code 0), or a reason and the delay before a retry."""
 
     code: int = 0
     text: str = ""
     retry_ms: int = 0
 
 
-Done = Callable[[Verdict], None]
+Done = Callable[[Decision], None]
 
 
-class Offer:
-    """One publish that waits to hear whether it was taken on."""
+class PendingPublish:
+    """One publish that waits until the core accepts or refuses it."""
 
     def __init__(self, done: Done) -> None:
         self._done: Done | None = done
 
     @property
-    def settled(self) -> bool:
-        """Whether it has heard, or wants to hear nothing any more."""
+    def decided(self) -> bool:
+        """Whether the result is known, or was withdrawn."""
         return self._done is None
 
     def settle(self, refusal: Refusal | None) -> None:
-        """Hear it from the core."""
+        """Take the core's decision and pass it on."""
         done, self._done = self._done, None
         if done is None:
             return
         if refusal is None:
-            done(Verdict())
+            done(Decision())
         else:
-            done(Verdict(QUOTA, refusal.reason.value, max(1, refusal.retry_us // 1000)))
+            done(Decision(QUOTA_EXCEEDED, refusal.reason.value, max(1, refusal.retry_us // 1000)))
 
     def withdraw(self) -> None:
-        """Want to hear nothing any more."""
+        """Ignore any later decision."""
         self._done = None
 
 
 class Intake:
-    """Reads publishes by the operator's mapping, and hands them in."""
+    """Maps publishes to messages as configured, and submits them to the core."""
 
-    def __init__(self, mapped: Mapped, settings: Settings, clock: Clock) -> None:
-        self._mapped, self._settings, self._clock = mapped, settings, clock
+    def __init__(self, config: MqttConfig, settings: Settings, clock: Clock) -> None:
+        self._config, self._settings, self._clock = config, settings, clock
         self.node: Node | None = None
-        self.passed_over = 0  # retained, or at QoS 0 without room: nobody can be told
+        self.dropped = 0  # retained, or refused at QoS 0, where the sender can't be informed
 
-    def offer(self, front: str, packet: Publish, default_topic: str, done: Done) -> Offer | None:
-        """Hand a publish in; `done` is called once, maybe before this returns. What can be withdrawn."""
+    def submit(self, origin: str, packet: Publish, default_topic: str, done: Done) -> PendingPublish | None:
+        """Submit a publish; `done` is called once, possibly before this returns.
+
+        Returns what `withdraw` takes, or None if the publish was refused at once.
+        """
         try:
-            message, left_us = self._read(front, packet, default_topic)
+            message, left_us = self._read(origin, packet, default_topic)
         except BadPublishError as error:
-            done(Verdict(error.code, str(error)))
+            done(Decision(error.code, str(error)))
             return None
         assert self.node is not None
-        offer = Offer(done)
-        self.node.hand_in(message, left_us, 0, offer)
-        return offer
+        publish = PendingPublish(done)
+        self.node.hand_in(message, left_us, 0, publish)
+        return publish
 
     @property
     def crowded(self) -> bool:
-        """Whether what can wait where it is should: taken on, it may soon be handed back."""
+        """Whether senders that can wait should: an accepted message might soon be handed back."""
         return self.node is None or self.node.crowded
 
-    def withdraw(self, offer: Offer) -> None:
-        """Its sender has gone: what was not taken on by now is not."""
-        offer.withdraw()
+    def withdraw(self, publish: PendingPublish) -> None:
+        """Withdraw a publish whose sender disconnected; it is not accepted any more."""
+        publish.withdraw()
         assert self.node is not None
-        self.node.client_disconnected(offer)
+        self.node.client_disconnected(publish)
 
-    def reply(self, front: str, packet: Publish, default_topic: str) -> Reply | None:
-        """Where the end of a message is told; None where nobody asked for it."""
-        found = self._mapped.route(front, packet.topic)
+    def reply(self, origin: str, packet: Publish, default_topic: str) -> Reply | None:
+        """Return where the outcome of a message is to be sent; None if none was requested."""
+        found = self._config.route(origin, packet.topic)
         topic = ""
         if found is not None:
-            topic = found[0].end_topic(Heard(packet, found[1]))
+            topic = found[0].end_topic(ReceivedPublish(packet, found[1]))
         if not (topic := topic or default_topic):
             return None
-        return Reply(front, topic, packet.properties.get(P.CORRELATION_DATA, b""))
+        return Reply(origin, topic, packet.properties.get(P.CORRELATION_DATA, b""))
 
-    def _read(self, front: str, packet: Publish, default_topic: str) -> tuple[Message, int]:
-        found = self._mapped.route(front, packet.topic)
+    def _read(self, origin: str, packet: Publish, default_topic: str) -> tuple[Message, int]:
+        found = self._config.route(origin, packet.topic)
         if found is None:
-            raise BadPublishError(INVALID_TOPIC, "no route for this topic")
+            raise BadPublishError(TOPIC_NAME_INVALID, "no route for this topic")
         route, levels = found
         if route.effect is Effect.UNSAFE and packet.qos == 0:
-            # Guards against a payment of which nobody can be told that it was not taken on.
-            raise BadPublishError(INVALID_TOPIC, f"{route.message_class} is not taken on at QoS 0")
-        message, left_us = route.read(Heard(packet, levels), self._settings, self._clock.wall_ms())
+            # Guards against a payment whose sender can't be informed that it was not accepted.
+            raise BadPublishError(TOPIC_NAME_INVALID, f"{route.message_class} is not accepted at QoS 0")
+        message, left_us = route.read(ReceivedPublish(packet, levels), self._settings, self._clock.wall_ms())
         assert self.node is not None
         if not self.node.serves(message.destination):
-            raise BadPublishError(INVALID_TOPIC, f"no such destination: {message.destination}")
-        if (reply := self.reply(front, packet, default_topic)) is not None:
-            if self._mapped.route(reply.front, reply.topic) is not None:
-                # Guards against an end that is brought here again as a message, and has an end itself.
-                raise BadPublishError(INVALID_TOPIC, "messages come from the response topic")
+            raise BadPublishError(TOPIC_NAME_INVALID, f"no such destination: {message.destination}")
+        if (reply := self.reply(origin, packet, default_topic)) is not None:
+            if self._config.route(reply.origin, reply.topic) is not None:
+                # Guards against a loop: the outcome would be received as a message with an outcome itself.
+                raise BadPublishError(TOPIC_NAME_INVALID, "the response topic matches an inbound route")
             message.reply = reply.encode()
-            if len(message.reply) > REPLY_MOST:
-                raise BadPublishError(INVALID_TOPIC, "response topic and correlation data are too long")
+            if len(message.reply) > MAX_REPLY_BYTES:
+                raise BadPublishError(TOPIC_NAME_INVALID, "response topic and correlation data are too long")
         message.noticed, message.replies = False, 1
         return message, left_us
 
-    def pass_over(self, front: str, packet: Publish, why: str) -> None:
-        """Count a publish that is not taken on and of which nobody can be told; say so now and then."""
-        self.passed_over += 1
-        if self.passed_over & (self.passed_over - 1) == 0:  # the first, second, fourth, eighth ...
-            log(f"mqtt: {front}: {packet.topic[:80]!r} {why}: not taken on ({self.passed_over} so far)")
+    def count_dropped(self, origin: str, packet: Publish, why: str) -> None:
+        """Count a publish that is dropped without informing its sender; log at powers of two."""
+        self.dropped += 1
+        if self.dropped & (self.dropped - 1) == 0:  # the first, second, fourth, eighth ...
+            log(f"mqtt: {origin}: {packet.topic[:80]!r} {why}: dropped ({self.dropped} so far)")
--- a/amberlug/mqtt/publisher.py
+++ b/amberlug/mqtt/publisher.py
@@ -1,4 +1,4 @@
-"""Calls to endpoints that are a topic at a broker, beside those over HTTP."""
+"""Transport for endpoints that are broker topics; delegates all other endpoints to the HTTP transport."""
 
 from __future__ import annotations
 
@@ -14,45 +14,46 @@
 from amberlug.mqtt.packets import Publish
 from amberlug.mqtt.properties import P, Properties, user
 from amberlug.mqtt.replies import RETRY
-from amberlug.mqtt.sessions import Fate
+from amberlug.mqtt.sessions import PublishResult
 from amberlug.policy.interface import Result
 
-WAIT_MOST_MS = 3_600_000  # longest told wait that is kept
-NEVER_RAN = frozenset((0x87, 0x90, 0x91, 0x95, 0x99))  # not taken, and for this message never will be
-QUOTA = 0x97
-Place = tuple[str, Address]  # a kind, and the broker's address
+MAX_WAIT_MS = 3_600_000  # upper bound for a retry delay that a broker asks for
+# Reason codes that refuse this message for good; it had no effect.
+PERMANENT_REFUSALS = frozenset((0x87, 0x90, 0x91, 0x95, 0x99))
+QUOTA_EXCEEDED = 0x97
+BrokerKey = tuple[str, Address]  # endpoint kind and broker address
 
 
-def ending(fate: Fate, code: int, told: Properties) -> AttemptResult:
-    """What became of an attempt, by what became of its publish."""
-    if fate is Fate.ACKNOWLEDGED:
+def attempt_result(result: PublishResult, code: int, told: Properties) -> AttemptResult:
+    """Map the result of a publish to the result of its attempt."""
+    if result is PublishResult.ACKNOWLEDGED:
         return AttemptResult(Result.DONE)
-    if fate is Fate.DROPPED:
+    if result is PublishResult.DROPPED:
         return AttemptResult(Result.UNCONNECTED)
-    if fate is Fate.LOST:
+    if result is PublishResult.LOST:
         return AttemptResult(Result.RESET)
-    if code == QUOTA:
-        return AttemptResult(Result.REFUSED, wait_us(told))
-    return AttemptResult(Result.UNSENT if code in NEVER_RAN else Result.ERROR)
+    if code == QUOTA_EXCEEDED:
+        return AttemptResult(Result.REFUSED, retry_delay_us(told))
+    return AttemptResult(Result.UNSENT if code in PERMANENT_REFUSALS else Result.ERROR)
 
 
-def wait_us(told: Properties) -> int:
-    """The told wait; one that can't be read is none."""
+def retry_delay_us(told: Properties) -> int:
+    """Return the retry delay that the broker asked for; 0 if it is missing or malformed."""
     text = user(told, RETRY) or ""
     if not (text.isascii() and text.isdigit()):
         return 0
-    return min(int(text[:18]), WAIT_MOST_MS) * 1000
+    return min(int(text[:18]), MAX_WAIT_MS) * 1000
 
 
 class Publisher:
-    """The core's transport: publishes to kinds that the operator's file names, and passes on all others."""
+    """The core's transport: publishes to endpoints of the configured kinds, and delegates all others."""
 
     def __init__(self, others: Transport, targets: Mapping[str, Target], clock: Clock) -> None:
         self._others, self._targets, self._clock = others, targets, clock
-        self._places: dict[str, Place] = {}  # of endpoints that are topics
-        self._links: dict[Place, Link] = {}
-        self._used: Counter[Place] = Counter()  # by endpoints that are there, and by calls that are out
-        self._out: dict[Attempt, asyncio.Future[AttemptResult]] = {}
+        self._broker_keys: dict[str, BrokerKey] = {}  # of endpoints that are topics, by endpoint id
+        self._links: dict[BrokerKey, Link] = {}
+        self._references: Counter[BrokerKey] = Counter()  # reference counts: listed endpoints and open calls
+        self._calls_in_flight: dict[Attempt, asyncio.Future[AttemptResult]] = {}
         self._tasks: set[asyncio.Task[None]] = set()
 
     @property
@@ -64,102 +65,102 @@
         self._others.bind(calls)
 
     def locate(self, endpoint: str, address: Address | None, kind: str = "") -> None:
-        """Learn where an endpoint's broker is; of the other kinds, pass it on."""
-        was = self._places.pop(endpoint, None)
+        """Set the broker address of an endpoint; other kinds are delegated."""
+        was = self._broker_keys.pop(endpoint, None)
         if kind in self._targets and address is not None:
-            self._places[endpoint] = kind, address
-            self._used[kind, address] += 1
+            self._broker_keys[endpoint] = kind, address
+            self._references[kind, address] += 1
         elif was is None:
             self._others.locate(endpoint, address, kind)
         if was is not None:
-            self._leave(was)
-
-    def _leave(self, place: Place) -> None:
-        """Let go of a connection to where nothing goes any more, once no call is out there."""
-        self._used[place] -= 1
-        if not self._used[place]:
-            del self._used[place]
-            if (link := self._links.pop(place, None)) is not None:
+            self._release(was)
+
+    def _release(self, key: BrokerKey) -> None:
+        """Drop one reference to a broker connection; the last one closes it."""
+        self._references[key] -= 1
+        if not self._references[key]:
+            del self._references[key]
+            if (link := self._links.pop(key, None)) is not None:
                 link.stop()
 
     def close_idle(self, endpoint: str) -> None:
-        """Leave the one connection to a broker open: it serves all endpoints there."""
-        if endpoint not in self._places:
+        """Keep a broker's connection open, because all its endpoints share it; delegate other kinds."""
+        if endpoint not in self._broker_keys:
             self._others.close_idle(endpoint)
 
     def call(self, endpoint: str, attempts: list[Attempt], fresh: bool) -> None:
-        place = self._places.get(endpoint)
-        if place is None:
+        key = self._broker_keys.get(endpoint)
+        if key is None:
             self._others.call(endpoint, attempts, fresh)
             return
-        if (link := self._links.get(place)) is None:
-            link = self._links[place] = Link(self._targets[place[0]].login, place[1])
+        if (link := self._links.get(key)) is None:
+            link = self._links[key] = Link(self._targets[key[0]].login, key[1])
         for attempt in attempts:
-            self._out[attempt] = asyncio.get_running_loop().create_future()
-            self._used[place] += 1
-            task = asyncio.get_running_loop().create_task(self._call(place, link, attempt))
+            self._calls_in_flight[attempt] = asyncio.get_running_loop().create_future()
+            self._references[key] += 1
+            task = asyncio.get_running_loop().create_task(self._call(key, link, attempt))
             self._tasks.add(task)
             task.add_done_callback(self._tasks.discard)
 
     def call_off(self, attempt: Attempt) -> None:
-        waits = self._out.get(attempt)
+        waits = self._calls_in_flight.get(attempt)
         if waits is None:
             self._others.call_off(attempt)
             return
         attempt.called_off = True
-        _set(waits, AttemptResult(Result.CALLED_OFF))
+        _set_result(waits, AttemptResult(Result.CALLED_OFF))
 
     def probe(self, endpoint: str, ended: Callable[[AttemptResult], None]) -> None:
-        if endpoint not in self._places:
+        if endpoint not in self._broker_keys:
             self._others.probe(endpoint, ended)
             return
-        # There is nothing to ask of a topic: only a publish tells.
+        # A topic can't be probed: only a publish shows whether it is available.
         asyncio.get_running_loop().call_soon(ended, AttemptResult(Result.UNSENT))
 
     def stop(self) -> None:
-        """Let go of the connections to brokers."""
+        """Close the broker connections."""
         for link in self._links.values():
             link.stop()
 
-    def _left(self, attempt: Attempt) -> float:
+    def _remaining(self, attempt: Attempt) -> float:
         return max(0.0, (attempt.until_us - self._clock.now_us()) / 1e6)
 
-    async def _call(self, place: Place, link: Link, attempt: Attempt) -> None:
+    async def _call(self, key: BrokerKey, link: Link, attempt: Attempt) -> None:
         how = AttemptResult(Result.RESET)
         try:
-            how = await self._attempt(self._targets[place[0]], link, attempt)
+            how = await self._attempt(self._targets[key[0]], link, attempt)
         finally:
-            # Guards against an error that leaves an attempt without an outcome, and its slot taken for good.
-            del self._out[attempt]
+            # Guards against an error that leaves an attempt without a result, which would leak its slot.
+            del self._calls_in_flight[attempt]
             attempt.ended = True
-            self._leave(place)
+            self._release(key)
             self._calls.ended(attempt, how)
 
     async def _attempt(self, target: Target, link: Link, attempt: Attempt) -> AttemptResult:
-        called_off = self._out[attempt]
+        called_off = self._calls_in_flight[attempt]
         try:
-            async with asyncio.timeout(self._left(attempt)):
-                room = await link.room()
+            async with asyncio.timeout(self._remaining(attempt)):
+                room = await link.reserve()
         except TimeoutError:
-            return AttemptResult(Result.UNCONNECTED)  # it never left
+            return AttemptResult(Result.UNCONNECTED)  # it was never sent
         if not room:
             return AttemptResult(Result.UNCONNECTED)
         left = False
         try:
-            # A connection takes time: what a drain, a wait or an end forbids by now is not sent.
+            # Connecting takes time: meanwhile a drain, a wait or an outcome may have ruled the attempt out.
             if called_off.done() or not await clear_attempts(self._calls, [attempt]):
                 return AttemptResult(Result.CALLED_OFF if called_off.done() else Result.UNSENT)
             left = True
         finally:
             if not left:
-                link.leave()
+                link.release()
         written = asyncio.get_running_loop().time()
-        link.send(self._packet(target, attempt), lambda *told: _set(called_off, ending(*told)))
-        await asyncio.wait({called_off}, timeout=self._left(attempt))
+        link.send(self._packet(target, attempt), lambda *told: _set_result(called_off, attempt_result(*told)))
+        await asyncio.wait({called_off}, timeout=self._remaining(attempt))
         if called_off.done():
             return called_off.result()
-        if link.last_heard < written:
-            link.abort("silent")  # nothing has come since: it would hold its places for good
+        if link.last_received < written:
+            link.abort("silent")  # nothing received since: a dead connection would hold its places forever
         return AttemptResult(Result.TIMED_OUT)
 
     def _packet(self, target: Target, attempt: Attempt) -> Publish:
@@ -173,6 +174,6 @@
         return Publish(topic, message.body, target.qos.get(message.message_class, 1), properties=properties)
 
 
-def _set(future: asyncio.Future[AttemptResult], how: AttemptResult) -> None:
+def _set_result(future: asyncio.Future[AttemptResult], how: AttemptResult) -> None:
     if not future.done():
         future.set_result(how)
--- a/amberlug/mqtt/subscriber.py
+++ b/amberlug/mqtt/subscriber.py
@@ -1,4 +1,4 @@
-"""Messages from a broker: subscribed to, and acknowledged once the journal has them."""
+"""Subscribes to a broker's messages, and acknowledges each once it is in the journal."""
 
 from __future__ import annotations
 
@@ -6,120 +6,125 @@
 
 from amberlug.core.log import log
 from amberlug.mqtt import replies
-from amberlug.mqtt.ends import MqttEnds, Told
-from amberlug.mqtt.intake import Intake, Offer, Verdict
+from amberlug.mqtt.ends import MqttEnds, PublishDone
+from amberlug.mqtt.intake import Decision, Intake, PendingPublish
 from amberlug.mqtt.link import Link
-from amberlug.mqtt.mapping import QUOTA, Login, Mapped
-from amberlug.mqtt.packets import V5, Publish, Wanted
+from amberlug.mqtt.mapping import QUOTA_EXCEEDED, Login, MqttConfig
+from amberlug.mqtt.packets import V5, Publish, TopicSubscription
 from amberlug.mqtt.properties import P
 
-CROWDED_MS = 100  # until the next look for room
-AGAIN_MOST = 5.0  # seconds at most after which what had no room is offered again
+BUSY_RETRY_MS = 100  # retry delay while the relay is near its limits
+MAX_RETRY_DELAY = 5.0  # longest delay in seconds before a refused publish is submitted again
 
 
 class Subscriber:
-    """One broker's messages.
+    """Receives one broker's messages.
 
-    What finds no room is not acknowledged, and offered again when it was told to: the broker brings no more
-    than the window meanwhile, so that nothing is dropped and memory is bounded. Of 3.1.1, which has no
-    window, no more is read than that.
+    A publish that the relay has no capacity for stays unacknowledged and is submitted again after the given
+    delay. The broker sends no more than the receive maximum meanwhile, so nothing is dropped and memory is
+    bounded. For 3.1.1, which has no receive maximum, reading pauses at that number.
     """
 
-    def __init__(self, login: Login, mapped: Mapped, intake: Intake, ends: MqttEnds) -> None:
+    def __init__(self, login: Login, config: MqttConfig, intake: Intake, ends: MqttEnds) -> None:
         self._login, self._intake, self._ends = login, intake, ends
-        routes = [it for it in mapped.routes if login.name in it.sources]
-        never = 2 * (login.version == V5)  # no retained messages, where that can be asked for
-        wanted = {it.subscription: Wanted(it.subscription, it.qos, retain=never) for it in routes}
-        self.link = Link(login, login.address, tuple(wanted.values()), self._came, self._up)
-        self._offers: set[Offer] = set()
-        self._life = 0  # of the connection: what an earlier one brought comes again
-        self._waiting = 0  # publishes that are not answered yet
+        routes = [it for it in config.routes if login.name in it.sources]
+        never = 2 * (login.version == V5)  # retain handling "never", an option of 5.0 only
+        subscriptions = {
+            it.subscription: TopicSubscription(it.subscription, it.qos, retain=never) for it in routes
+        }
+        self.link = Link(
+            login, login.address, tuple(subscriptions.values()), self._on_publish, self._on_connected
+        )
+        self._pending: set[PendingPublish] = set()
+        self._connection_number = 0  # connection counter: publishes of earlier connections are redelivered
+        self._unacknowledged = 0  # publishes that are not acknowledged yet
         self._closing = False
-        ends.fronts[login.name] = self
+        ends.origins[login.name] = self
 
     def start(self) -> None:
         self.link.start()
 
     def close(self) -> None:
-        """Take nothing more on, and let the broker keep what was not acknowledged."""
+        """Stop accepting messages; the broker keeps what was not acknowledged."""
         self._closing = True
-        for offer in list(self._offers):
-            self._intake.withdraw(offer)
-        self._offers.clear()
+        for publish in list(self._pending):
+            self._intake.withdraw(publish)
+        self._pending.clear()
         self.link.stop()
 
-    def _up(self) -> None:
-        self._life += 1
-        self._waiting = 0
-        for offer in list(self._offers):
-            self._intake.withdraw(offer)  # the broker brings it again, or another relay has it by now
-        self._offers.clear()
-        self._ends.listening(self._login.name, lambda topic: True)
+    def _on_connected(self) -> None:
+        self._connection_number += 1
+        self._unacknowledged = 0
+        for publish in list(self._pending):
+            self._intake.withdraw(publish)  # redelivered here, or to another relay
+        self._pending.clear()
+        self._ends.subscribed(self._login.name, lambda topic: True)
 
-    def _came(self, packet: Publish) -> None:
+    def _on_publish(self, packet: Publish) -> None:
         if packet.retain:
-            # What a broker has kept is no news: it may be days old, and was brought when it was new.
-            self._intake.pass_over(self._login.name, packet, "is retained")
-            self._answer(packet, Verdict())
+            # A retained message may be days old, and was already delivered when it was new.
+            self._intake.count_dropped(self._login.name, packet, "is retained")
+            self._answer(packet, Decision())
             return
-        self._waiting += 1
-        if self._login.version != V5 and self._waiting >= self._login.window:
-            self.link.hold(True)
-        self._offer(packet, self._life)
+        self._unacknowledged += 1
+        if self._login.version != V5 and self._unacknowledged >= self._login.window:
+            self.link.set_reading_paused(True)
+        self._submit(packet, self._connection_number)
 
-    def _offer(self, packet: Publish, life: int) -> None:
-        if life != self._life or self._closing:
+    def _submit(self, packet: Publish, connection: int) -> None:
+        if connection != self._connection_number or self._closing:
             return
         if packet.qos and self._intake.crowded:
-            # A publisher behind a broker may never hear that its message was handed back. It waits there.
-            self._judged(packet, Verdict(QUOTA, "no room", CROWDED_MS), life)
+            # A publisher behind a broker might never learn that its message was handed back, so the message
+            # waits at the broker instead.
+            self._on_decision(packet, Decision(QUOTA_EXCEEDED, "no room", BUSY_RETRY_MS), connection)
             return
-        offers: list[Offer] = []
+        pending: list[PendingPublish] = []
 
-        def done(verdict: Verdict) -> None:
-            self._offers.difference_update(offers)
-            self._judged(packet, verdict, life)
+        def done(decision: Decision) -> None:
+            self._pending.difference_update(pending)
+            self._on_decision(packet, decision, connection)
 
-        offer = self._intake.offer(self._login.name, packet, "", done)
-        if offer is not None and not offer.settled:
-            offers.append(offer)
-            self._offers.add(offer)
+        publish = self._intake.submit(self._login.name, packet, "", done)
+        if publish is not None and not publish.decided:
+            pending.append(publish)
+            self._pending.add(publish)
 
-    def _judged(self, packet: Publish, verdict: Verdict, life: int) -> None:
-        if life != self._life or self._closing:
+    def _on_decision(self, packet: Publish, decision: Decision, connection: int) -> None:
+        if connection != self._connection_number or self._closing:
             return
-        if verdict.retry_ms and packet.qos:
-            pause = min(verdict.retry_ms / 1000, AGAIN_MOST)
-            asyncio.get_running_loop().call_later(pause, self._offer, packet, life)
+        if decision.retry_ms and packet.qos:
+            pause = min(decision.retry_ms / 1000, MAX_RETRY_DELAY)
+            asyncio.get_running_loop().call_later(pause, self._submit, packet, connection)
             return
-        self._waiting -= 1
-        if self._waiting < self._login.window:
-            self.link.hold(False)
+        self._unacknowledged -= 1
+        if self._unacknowledged < self._login.window:
+            self.link.set_reading_paused(False)
         if not packet.qos:
-            if verdict.code:
-                self._intake.pass_over(self._login.name, packet, verdict.text)
+            if decision.code:
+                self._intake.count_dropped(self._login.name, packet, decision.text)
             return
-        if verdict.code:
-            self._refused(packet, verdict)
-        self._answer(packet, verdict)
+        if decision.code:
+            self._report_refusal(packet, decision)
+        self._answer(packet, decision)
 
-    def _refused(self, packet: Publish, verdict: Verdict) -> None:
-        """Tell that a publish is no message: to whoever listens for its end, and in the log."""
-        log(f"mqtt: {self._login.name}: {packet.topic[:80]!r} is refused: {verdict.text}")
+    def _report_refusal(self, packet: Publish, decision: Decision) -> None:
+        """Report a refused publish in the log, and to the reply address if there is one."""
+        log(f"mqtt: {self._login.name}: {packet.topic[:80]!r} refused: {decision.text}")
         reply = self._intake.reply(self._login.name, packet, "")
         if reply is not None:
-            self.tell(replies.refusal(reply, verdict.text), lambda fate, code: None)
+            self.tell(replies.refusal(reply, decision.text), lambda result, code: None)
 
-    def _answer(self, packet: Publish, verdict: Verdict) -> None:
+    def _answer(self, packet: Publish, decision: Decision) -> None:
         if packet.qos:
-            told: dict[P, object] = {P.REASON_STRING: verdict.text} if verdict.code else {}
-            self.link.answer(packet.packet_id, verdict.code, told)
+            told: dict[P, object] = {P.REASON_STRING: decision.text} if decision.code else {}
+            self.link.answer(packet.packet_id, decision.code, told)
 
-    def tell(self, packet: Publish, done: Told) -> bool | None:
-        """Publish an end; None where the broker is not there, False where it takes no more for now."""
+    def tell(self, packet: Publish, done: PublishDone) -> bool | None:
+        """Publish an outcome. Returns None while disconnected, False while the send window is full."""
         if not self.link.connected:
             return None
-        if not self.link.outgoing.room:
+        if not self.link.outgoing.has_room:
             return False
-        self.link.outgoing.publish(packet, lambda fate, code, told: done(fate, code))
+        self.link.outgoing.publish(packet, lambda result, code, told: done(result, code))
         return True
--- a/amberlug/standin/broker.py
+++ b/amberlug/standin/broker.py
@@ -1,8 +1,8 @@
-"""A stand-in MQTT broker on loopback, with a script of faults, and a bare client for tests.
+"""A test MQTT broker on loopback with scripted faults, and a scripted client.
 
-Written from the standard (OASIS MQTT 5.0 and 3.1.1) without any part of the relay, so that a mistake there is
-not made here again: packets are cut and built by hand, and kept as plain dicts. It brings QoS 1 and 2 to
-subscribers, keeps sessions, and shares subscriptions in turns.
+Written from the standard (OASIS MQTT 5.0 and 3.1.1) without any code of the relay, so that it does not repeat
+the relay's mistakes: packets are parsed and built by hand, and kept as plain dicts. It delivers QoS 1 and 2
+to subscribers, keeps sessions, and serves shared subscriptions round-robin.
 """
 
 from __future__ import annotations
@@ -39,8 +39,9 @@
         1,
     )
 )
-# How each property is written: b byte, h two bytes, i four, v variable, s string, d data, p pair of strings.
-FORMS = {
+# Property encodings: b byte, h two bytes, i four bytes, v variable byte integer, s string, d binary data,
+# p string pair.
+PROPERTY_ENCODINGS = {
     1: "b",
     2: "i",
     3: "s",
@@ -73,7 +74,7 @@
 Packet = dict[str, Any]
 
 
-# Bytes.
+# Encoding and decoding.
 
 
 def _variable(number: int) -> bytes:
@@ -90,10 +91,10 @@
 
 
 def props(values: dict[int, Any] | None) -> bytes:
-    """Properties as bytes; a user property's value is a list of pairs."""
+    """Encode properties; the value of the user property is a list of pairs."""
     out = b""
     for number, value in (values or {}).items():
-        form = FORMS[number]
+        form = PROPERTY_ENCODINGS[number]
         for one in value if form == "p" else [value]:
             out += bytes([number])
             if form in "bhi":
@@ -108,35 +109,35 @@
 
 
 def frame(kind: int, body: bytes, flags: int = 0) -> bytes:
-    """A whole packet."""
+    """Encode a packet from its type, flags and body."""
     return bytes([kind * 16 + flags]) + _variable(len(body)) + body
 
 
 def publish(
     topic: str, payload: bytes, qos: int = 0, packet_id: int = 0, v5: bool = True, **more: Any
 ) -> bytes:
-    """A PUBLISH; `more` may give dup, retain and properties."""
+    """Encode a PUBLISH; `more` may hold dup, retain and properties."""
     body = _string(topic) + (struct.pack("!H", packet_id) if qos else b"")
     body += (props(more.get("properties")) if v5 else b"") + payload
     return frame(PUBLISH, body, 8 * bool(more.get("dup")) + 2 * qos + bool(more.get("retain")))
 
 
 def ack(kind: int, packet_id: int, code: int = 0, v5: bool = True, properties: Any = None) -> bytes:
-    """A PUBACK, PUBREC, PUBREL or PUBCOMP."""
+    """Encode a PUBACK, PUBREC, PUBREL or PUBCOMP."""
     body = struct.pack("!H", packet_id)
     if v5 and (code or properties):
         body += bytes([code]) + props(properties)
     return frame(kind, body, 2 * (kind == PUBREL))
 
 
-class Cutter:
-    """Cuts bytes into packets."""
+class PacketDecoder:
+    """Splits a byte stream into packets."""
 
     def __init__(self) -> None:
         self.data = b""
         self.v5 = True
 
-    def cut(self, data: bytes) -> Iterator[Packet]:
+    def decode(self, data: bytes) -> Iterator[Packet]:
         self.data += data
         while len(self.data) >= 2:
             size, shift, at = 0, 0, 1
@@ -206,13 +207,13 @@
         inner, rest, found = body[at : at + size], body[at + size :], dict[int, Any]()
         while inner:
             number, inner = inner[0], inner[1:]
-            form = FORMS[number]
+            form = PROPERTY_ENCODINGS[number]
             if form in "bhi":
                 width = {"b": 1, "h": 2, "i": 4}[form]
                 value: Any = int.from_bytes(inner[:width], "big")
                 inner = inner[width:]
             elif form == "v":
-                value, inner = inner[0], inner[1:]  # tests use small ones
+                value, inner = inner[0], inner[1:]  # one byte is enough for the values in tests
             else:
                 value, inner = self._text(inner)
                 value = value if form == "d" else value.decode()
@@ -232,21 +233,21 @@
 # The client.
 
 
-class Bare:
-    """A scripted client: it sends what it is told to, and keeps all that comes."""
+class ScriptedClient:
+    """A scripted client: sends what a test asks for, and records all received packets."""
 
     def __init__(self, v5: bool = True) -> None:
         self.v5 = v5
         self.seen: list[Packet] = []
         self.closed = False
-        self._news = asyncio.Condition()
-        self._cutter = Cutter()
-        self._cutter.v5 = v5
+        self._changed = asyncio.Condition()
+        self._decoder = PacketDecoder()
+        self._decoder.v5 = v5
 
     async def connect(
         self, port: int, client: str = "c", properties: Any = None, clean: bool = True, **more: Any
     ) -> Packet:
-        """Open a connection and greet; the CONNACK."""
+        """Open a connection, send CONNECT, and return the CONNACK."""
         await self.open(port)
         flags = 2 * clean + 128 * ("user" in more) + 64 * ("password" in more)
         body = (
@@ -259,25 +260,25 @@
         return await self.until(CONNACK)
 
     async def open(self, port: int) -> None:
-        """Open a connection and say nothing."""
+        """Open a connection without sending anything."""
         self._reader, self._writer = await asyncio.open_connection("127.0.0.1", port)
         self._task = asyncio.ensure_future(self._read())
 
     async def _read(self) -> None:
         try:
             while data := await self._reader.read(65536):
-                for packet in self._cutter.cut(data):
+                for packet in self._decoder.decode(data):
                     self.seen.append(packet)
-                async with self._news:
-                    self._news.notify_all()
+                async with self._changed:
+                    self._changed.notify_all()
         except ConnectionError:
             pass
         self.closed = True
-        async with self._news:
-            self._news.notify_all()
+        async with self._changed:
+            self._changed.notify_all()
 
     def send(self, data: bytes) -> None:
-        """Send bytes as they are."""
+        """Send raw bytes."""
         self._writer.write(data)
 
     def publish(self, topic: str, payload: bytes, qos: int = 1, packet_id: int = 1, **more: Any) -> None:
@@ -285,29 +286,29 @@
         self.send(publish(topic, payload, qos, packet_id, self.v5, **more))
 
     def subscribe(self, *filters: str, packet_id: int = 99) -> None:
-        """Ask for topics, at QoS 1."""
+        """Send a SUBSCRIBE with QoS 1."""
         body = struct.pack("!H", packet_id) + (b"\0" if self.v5 else b"")
         self.send(frame(SUBSCRIBE, body + b"".join(_string(it) + b"\x01" for it in filters), 2))
 
     async def until(self, kind: int, count: int = 1) -> Packet:
-        """The packet of that kind that is so many-th to come; raises where it is closed before."""
-        async with asyncio.timeout(PATIENCE), self._news:
-            await self._news.wait_for(lambda: len(self.of(kind)) >= count or self.closed)
+        """Wait for the `count`-th packet of a kind; raises `ConnectionError` if closed before."""
+        async with asyncio.timeout(PATIENCE), self._changed:
+            await self._changed.wait_for(lambda: len(self.of(kind)) >= count or self.closed)
         if len(self.of(kind)) < count:
             raise ConnectionError(f"closed before {NAMES[kind]} {count}; seen {self.seen}")
         return self.of(kind)[count - 1]
 
-    async def gone(self) -> None:
-        """Wait until it is closed."""
-        async with asyncio.timeout(PATIENCE), self._news:
-            await self._news.wait_for(lambda: self.closed)
+    async def wait_closed(self) -> None:
+        """Wait until the connection is closed."""
+        async with asyncio.timeout(PATIENCE), self._changed:
+            await self._changed.wait_for(lambda: self.closed)
 
     def of(self, kind: int) -> list[Packet]:
-        """All packets of one kind that have come."""
+        """Return all received packets of a kind."""
         return [it for it in self.seen if it["kind"] == kind]
 
     def close(self) -> None:
-        """Close without a word."""
+        """Close without DISCONNECT."""
         self._writer.transport.abort()
         self._task.cancel()
 
@@ -317,14 +318,14 @@
 
 @dataclass(eq=False)
 class Session:
-    """What the broker keeps of a client."""
+    """The broker's session state of a client."""
 
     client: str
     filters: dict[str, int] = field(default_factory=dict)
-    queue: deque[Packet] = field(default_factory=deque)  # to be brought
-    flying: dict[int, Packet] = field(default_factory=dict)  # brought, and not acknowledged
-    released: set[int] = field(default_factory=set)  # brought at QoS 2, PUBREC seen, PUBREL sent
-    received: dict[int, Packet] = field(default_factory=dict)  # came at QoS 2, waits for PUBREL
+    queue: deque[Packet] = field(default_factory=deque)  # not sent yet
+    in_flight: dict[int, Packet] = field(default_factory=dict)  # sent, and not acknowledged
+    released: set[int] = field(default_factory=set)  # sent at QoS 2, PUBREC received, PUBREL sent
+    received: dict[int, Packet] = field(default_factory=dict)  # received at QoS 2, waiting for PUBREL
     last: int = 0
     window: int = 65535
     writer: asyncio.StreamWriter | None = None
@@ -332,13 +333,13 @@
     connects: int = 0
 
 
-Fault = Callable[["Broker", Session, Packet], bool]  # whether it has dealt with a packet
+Fault = Callable[["Broker", Session, Packet], bool]  # returns whether it has handled the packet
 
 
 class Broker:
-    """The broker. `faults` see each packet from a client first, the first that deals with it wins.
+    """The broker. `faults` are tried in order on each packet from a client; the first to handle it wins.
 
-    `taken` are all messages that it has taken on, each once, in order; `packets` all that came, by client.
+    `taken` holds all accepted messages, each once, in order; `packets` all received ones with their client.
     """
 
     def __init__(self) -> None:
@@ -346,12 +347,12 @@
         self.taken: list[Packet] = []
         self.packets: list[tuple[str, Packet]] = []
         self.faults: list[Fault] = []
-        self.connack: dict[int, Any] = {}  # properties of each CONNACK
-        self.lie_about_session: bool | None = None
-        self.refuse_connects = 0  # with this code, while it is not 0
+        self.connack: dict[int, Any] = {}  # properties of every CONNACK
+        self.forced_session_present: bool | None = None
+        self.refuse_connects = 0  # reason code for refusing CONNECTs; 0 to accept them
         self.port = 0
-        self._turn = 0
-        self._news = asyncio.Condition()
+        self._next_member = 0
+        self._changed = asyncio.Condition()
         self._writers: set[asyncio.StreamWriter] = set()
         self._server: asyncio.Server | None = None
 
@@ -372,38 +373,38 @@
             writer.transport.abort()
 
     async def until(self, true: Callable[[], bool]) -> None:
-        """Wait until that holds; looked at after each packet."""
-        async with asyncio.timeout(PATIENCE), self._news:
-            await self._news.wait_for(true)
+        """Wait until a condition holds; it is checked after each packet."""
+        async with asyncio.timeout(PATIENCE), self._changed:
+            await self._changed.wait_for(true)
 
     def of(self, kind: int, client: str | None = None) -> list[Packet]:
-        """All packets of a kind that came."""
+        """Return all received packets of a kind."""
         return [it for who, it in self.packets if it["kind"] == kind and client in (None, who)]
 
     def session(self, client: str) -> Session:
-        """What is kept of a client."""
+        """Return the session of a client."""
         return self.sessions[client]
 
     async def subscribed(self, client: str, count: int = 1) -> None:
-        """Wait until a client has subscribed so many times."""
+        """Wait until a client has subscribed `count` times."""
         await self.until(lambda: len(self.of(SUBSCRIBE, client)) >= count)
 
     # Serving.
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        cutter, session = Cutter(), None
+        decoder, session = PacketDecoder(), None
         self._writers.add(writer)
         try:
             while data := await reader.read(65536):
-                for packet in cutter.cut(data):
+                for packet in decoder.decode(data):
                     if packet["kind"] == CONNECT:
-                        session = self._greet(packet, writer)
+                        session = self._on_connect(packet, writer)
                     if session is not None:
                         self.packets.append((session.client, packet))
                         if not any(fault(self, session, packet) for fault in self.faults):
-                            self.deal(session, packet)
-                async with self._news:
-                    self._news.notify_all()
+                            self.handle(session, packet)
+                async with self._changed:
+                    self._changed.notify_all()
         except ConnectionError:
             pass
         finally:
@@ -412,7 +413,7 @@
             if session is not None and session.writer is writer:
                 session.writer = None
 
-    def _greet(self, packet: Packet, writer: asyncio.StreamWriter) -> Session | None:
+    def _on_connect(self, packet: Packet, writer: asyncio.StreamWriter) -> Session | None:
         v5, client = packet["v5"], packet["client"]
         if self.refuse_connects:
             writer.write(frame(CONNACK, bytes([0, self.refuse_connects]) + (b"\0" if v5 else b"")))
@@ -429,30 +430,30 @@
         self.sessions[client] = session
         session.writer, session.v5 = writer, v5
         session.window = packet["properties"].get(RECEIVE_MAXIMUM, 65535) if v5 else 65535
-        present = kept if self.lie_about_session is None else self.lie_about_session
+        present = kept if self.forced_session_present is None else self.forced_session_present
         writer.write(frame(CONNACK, bytes([present, 0]) + (props(self.connack) if v5 else b"")))
         return session
 
-    def deal(self, session: Session, packet: Packet) -> None:
-        """Do what the standard says."""
+    def handle(self, session: Session, packet: Packet) -> None:
+        """Handle a packet as the standard requires."""
         kind = packet["kind"]
         if kind == CONNECT:
             self._resume(session)
         elif kind == PUBLISH:
-            self._came(session, packet)
+            self._on_publish(session, packet)
         elif kind == PUBREL:
             message = session.received.pop(packet["id"], None)
             if message is not None:
                 self.take(message)
             self.write(session, ack(PUBCOMP, packet["id"], 0 if message else 0x92, session.v5))
         elif kind in (PUBACK, PUBCOMP):
-            session.flying.pop(packet["id"], None)
+            session.in_flight.pop(packet["id"], None)
             session.released.discard(packet["id"])
-            self._bring(session)
+            self._deliver(session)
         elif kind == PUBREC:
             if packet["code"] >= 0x80:
-                session.flying.pop(packet["id"], None)
-                self._bring(session)
+                session.in_flight.pop(packet["id"], None)
+                self._deliver(session)
             else:
                 session.released.add(packet["id"])
                 self.write(session, ack(PUBREL, packet["id"], 0, session.v5))
@@ -465,15 +466,15 @@
             self.write(session, frame(PINGRESP, b""))
 
     def _resume(self, session: Session) -> None:
-        """Bring again what was not acknowledged, with its packet ids."""
-        for packet_id, message in session.flying.items():
+        """Resend unacknowledged packets under their packet ids."""
+        for packet_id, message in session.in_flight.items():
             if packet_id in session.released:
                 self.write(session, ack(PUBREL, packet_id, 0, session.v5))
             else:
-                self._fly(session, packet_id, message, dup=True)
-        self._bring(session)
+                self._send_publish(session, packet_id, message, dup=True)
+        self._deliver(session)
 
-    def _came(self, session: Session, packet: Packet) -> None:
+    def _on_publish(self, session: Session, packet: Packet) -> None:
         if packet["qos"] == 2:
             session.received.setdefault(packet["id"], packet)
             self.write(session, ack(PUBREC, packet["id"], 0, session.v5))
@@ -483,7 +484,7 @@
             self.write(session, ack(PUBACK, packet["id"], 0, session.v5))
 
     def take(self, message: Packet) -> None:
-        """Take a message on, and bring it to whoever subscribed."""
+        """Accept a message, and deliver it to its subscribers."""
         self.taken.append(message)
         shared: dict[str, list[tuple[Session, int]]] = {}
         for session in self.sessions.values():
@@ -496,27 +497,27 @@
                     shared.setdefault(group, []).append((session, qos))
         for members in shared.values():
             online = [it for it in members if it[0].writer is not None] or members
-            self._turn += 1
-            session, qos = online[self._turn % len(online)]
+            self._next_member += 1
+            session, qos = online[self._next_member % len(online)]
             self._put(session, message, qos)
 
     def _put(self, session: Session, message: Packet, qos: int) -> None:
         session.queue.append(message | {"qos": min(qos, message["qos"])})
-        self._bring(session)
+        self._deliver(session)
 
-    def _bring(self, session: Session) -> None:
-        while session.queue and session.writer is not None and len(session.flying) < session.window:
+    def _deliver(self, session: Session) -> None:
+        while session.queue and session.writer is not None and len(session.in_flight) < session.window:
             message = session.queue.popleft()
             if not message["qos"]:
-                self._fly(session, 0, message)
+                self._send_publish(session, 0, message)
                 continue
             session.last = session.last % 65535 + 1
-            while session.last in session.flying:
+            while session.last in session.in_flight:
                 session.last = session.last % 65535 + 1
-            session.flying[session.last] = message
-            self._fly(session, session.last, message)
+            session.in_flight[session.last] = message
+            self._send_publish(session, session.last, message)
 
-    def _fly(self, session: Session, packet_id: int, message: Packet, dup: bool = False) -> None:
+    def _send_publish(self, session: Session, packet_id: int, message: Packet, dup: bool = False) -> None:
         self.write(
             session,
             publish(
@@ -532,17 +533,17 @@
         )
 
     def write(self, session: Session, data: bytes) -> None:
-        """Write to a client, if it is there."""
+        """Write to a client if it is connected."""
         if session.writer is not None:
             session.writer.write(data)
 
     def offer(self, topic: str, payload: bytes, qos: int = 1, **more: Any) -> None:
-        """Take a message on as if a publisher had brought it; `more`: properties, kept."""
+        """Accept a message as if a publisher had sent it; `more`: properties, and kept for a retained one."""
         message = {"topic": topic, "payload": payload, "qos": qos, "properties": more.get("properties", {})}
         self.take(message | {"kept": more.get("kept", False)})
 
     def cut_off(self, session: Session, keep: bool = True) -> None:
-        """Reset a client's connection, and forget its session unless told to keep it."""
+        """Reset a client's connection, and discard its session unless `keep`."""
         if session.writer is not None:
             session.writer.transport.abort()
             session.writer = None
@@ -564,7 +565,7 @@
 
 
 def once(kind: int, deal: Callable[[Broker, Session, Packet], None], after: int = 0) -> Fault:
-    """Deal with one packet of a kind in another way, after so many that are dealt with as usual."""
+    """Return a fault that handles one packet of a kind with `deal`, after `after` handled normally."""
     left = [after]
 
     def fault(broker: Broker, session: Session, packet: Packet) -> bool:
--- a/amberlug/standin/drill.py
+++ b/amberlug/standin/drill.py
@@ -1,7 +1,8 @@
-"""A drill: a fleet of processes under load, and faults drawn from a seed; what became of each promise.
+"""Fault injection drill: a fleet of processes under load, with faults drawn from a seed.
 
-The same seed gives the same faults at the same times. No more machines are lost with their disks than there
-are copies, until those that came back hold what is new.
+The same seed gives the same faults at the same times. At most `copies` machines are lost with their disks
+at a time; the next loss follows once the restarted ones hold the new data. Reports whether accepted messages
+kept the relay's guarantees.
 """
 
 from __future__ import annotations
@@ -16,14 +17,14 @@
 from amberlug.standin.fleet import DEADLINE, Fleet, Relay
 
 PER_SECOND = 60.0
-RECOVER = 3.0  # seconds from a relay's return until it holds what is new: `replace_s` and a bit
-LATE = 3.0  # seconds after its time by which a lost relay's message has its end: suspicion, take-over
-GENTLE = "cut", "one way", "pause", "reset", "flip", "delay", "restart", "close"
+RECOVER = 3.0  # seconds from a relay's restart until it holds the new data: `replace_s` plus a margin
+LATE = 3.0  # seconds past the deadline for the outcome of a lost relay's message: failure detection, takeover
+MILD_FAULTS = "cut", "one way", "pause", "reset", "flip", "delay", "restart", "close"
 
 
 @dataclass(frozen=True, slots=True)
 class Fault:
-    """Something that is done at a time, seconds from the start, to some relays for a while."""
+    """A fault that strikes some relays `at` seconds after the start, for `lasts` seconds."""
 
     at: float
     what: str
@@ -33,7 +34,7 @@
 
 @dataclass(slots=True)
 class Verdict:
-    """What came of a drill."""
+    """The result of a drill."""
 
     seed: int
     relays: int
@@ -45,32 +46,32 @@
     unanswered: int = 0
     delivered: int = 0
     late: int = 0
-    lost: int = 0  # relays, with their disks
+    lost: int = 0  # relays lost with their disks
     broken: list[str] = field(default_factory=list)
 
     def packed(self) -> dict[str, Any]:
-        """As it goes into JSON."""
+        """Return it as a dict for JSON."""
         return asdict(self)
 
 
 def draw(seed: int, relays: int, copies: int, seconds: float) -> list[Fault]:
-    """The faults of a drill: at least one loss where copies allow one, and gentler ones between."""
-    chance = random.Random(f"{seed} {relays} {copies}")
+    """Draw the faults of a drill: at least one loss if `copies` allows it, with milder faults between."""
+    rng = random.Random(f"{seed} {relays} {copies}")
     faults: list[Fault] = []
-    at = chance.uniform(0.8, 1.5)
+    at = rng.uniform(0.8, 1.5)
     while at < seconds - 1:
-        if copies and (not faults or chance.random() < 0.5):
-            struck = tuple(chance.sample(range(relays), chance.randint(1, copies)))
-            lasts = chance.uniform(0.5, 2.0)
-            faults.append(Fault(at, "lose", struck, lasts))
-            beside = [it for it in range(relays) if it not in struck]
-            if chance.random() < 0.4:
-                faults.append(Fault(at + 0.05, "reset", (chance.choice(beside),), 0.0))
-            at += lasts + RECOVER + chance.uniform(0.5, 1.5)
+        if copies and (not faults or rng.random() < 0.5):
+            affected = tuple(rng.sample(range(relays), rng.randint(1, copies)))
+            lasts = rng.uniform(0.5, 2.0)
+            faults.append(Fault(at, "lose", affected, lasts))
+            beside = [it for it in range(relays) if it not in affected]
+            if rng.random() < 0.4:
+                faults.append(Fault(at + 0.05, "reset", (rng.choice(beside),), 0.0))
+            at += lasts + RECOVER + rng.uniform(0.5, 1.5)
         else:
-            lasts = chance.uniform(0.3, 2.5)
-            faults.append(Fault(at, chance.choice(GENTLE), (chance.randrange(relays),), lasts))
-            at += lasts + chance.uniform(0.5, 2.0)
+            lasts = rng.uniform(0.3, 2.5)
+            faults.append(Fault(at, rng.choice(MILD_FAULTS), (rng.randrange(relays),), lasts))
+            at += lasts + rng.uniform(0.5, 2.0)
     return faults
 
 
@@ -80,17 +81,17 @@
     relays: int,
     copies: int,
     seconds: float,
-    shown: Callable[[Fleet, str], None] = lambda fleet, doing: None,
+    on_progress: Callable[[Fleet, str], None] = lambda fleet, doing: None,
 ) -> Verdict:
-    """Play a drill to its end, and until each promise had its time; `shown` is told what is going on."""
+    """Run a drill until every accepted message is past its deadline; `on_progress` reports progress."""
     verdict = Verdict(seed, relays, copies, draw(seed, relays, copies, seconds))
     async with Fleet(folder, relays, seed, copies=copies) as rig:
-        shown(rig, "under load")
+        on_progress(rig, "under load")
         load = asyncio.ensure_future(rig.load(PER_SECOND, seconds))
-        strikes = [asyncio.ensure_future(_strike(rig, it, shown, verdict)) for it in verdict.faults]
-        await asyncio.gather(load, *strikes)
+        injections = [asyncio.ensure_future(_inject(rig, it, on_progress, verdict)) for it in verdict.faults]
+        await asyncio.gather(load, *injections)
         rig.heal()
-        shown(rig, "waiting for what is open")
+        on_progress(rig, "waiting for outcomes")
         verdict.broken = await rig.ended(DEADLINE + LATE)
         tracks = rig.promises.tracks.values()
         verdict.handed_in, verdict.promised = len(tracks), len(rig.promises.promised)
@@ -101,17 +102,19 @@
     return verdict
 
 
-async def _strike(rig: Fleet, fault: Fault, shown: Callable[[Fleet, str], None], verdict: Verdict) -> None:
+async def _inject(
+    rig: Fleet, fault: Fault, on_progress: Callable[[Fleet, str], None], verdict: Verdict
+) -> None:
     await asyncio.sleep(fault.at)
-    struck = [rig.relays[it] for it in fault.relays]
-    names = ", ".join(it.name for it in struck)
-    shown(rig, f"{fault.what}: {names}")
-    for relay in struck:
+    affected = [rig.relays[it] for it in fault.relays]
+    names = ", ".join(it.name for it in affected)
+    on_progress(rig, f"{fault.what}: {names}")
+    for relay in affected:
         await _begin(rig, fault.what, relay, verdict)
     await asyncio.sleep(fault.lasts)
-    for relay in struck:
+    for relay in affected:
         await _end(rig, fault.what, relay)
-    shown(rig, f"over: {fault.what} of {names}")
+    on_progress(rig, f"over: {fault.what} of {names}")
 
 
 async def _begin(rig: Fleet, what: str, relay: Relay, verdict: Verdict) -> None:
--- a/tests/test_mqtt_packets.py
+++ b/tests/test_mqtt_packets.py
@@ -1,4 +1,4 @@
-"""MQTT packets: what is written is read again, in any pieces; what breaks the protocol is an error."""
+"""MQTT packets: encoding round trips for any chunking, and protocol violations are errors."""
 
 from typing import Any
 
@@ -16,17 +16,17 @@
     Connect,
     Decoder,
     Disconnect,
-    Granted,
     Kind,
     Packet,
     Ping,
     Publish,
     Subscribe,
+    SubscriptionAck,
+    TopicSubscription,
     Unsubscribe,
-    Wanted,
 )
 from amberlug.mqtt.properties import P
-from amberlug.mqtt.topics import captured, is_filter, is_topic
+from amberlug.mqtt.topics import captured_levels, is_filter, is_topic
 
 TEXT = st.text(st.characters(exclude_categories=["Cs"], exclude_characters="\0"), max_size=8)
 TOPIC = st.text(st.sampled_from("ab/é$"), min_size=1, max_size=8)
@@ -85,7 +85,7 @@
         PACKET_ID,
         st.tuples(
             st.builds(
-                Wanted,
+                TopicSubscription,
                 st.sampled_from(["a/+", "#", "$share/g/a"]),
                 st.integers(0, 2),
                 st.booleans(),
@@ -97,7 +97,7 @@
     ),
     st.builds(Unsubscribe, PACKET_ID, st.tuples(st.just("a/#"), st.just("b"))),
     st.builds(
-        Granted,
+        SubscriptionAck,
         st.sampled_from([Kind.SUBACK, Kind.UNSUBACK]),
         PACKET_ID,
         st.lists(st.integers(0, 255), min_size=1, max_size=3).map(tuple),
@@ -113,7 +113,7 @@
         decoder.feed(data[at : at + piece])
         while (packet := decoder.next()) is not None:
             found.append(packet)
-    assert not decoder.begun
+    assert not decoder.has_partial
     return found
 
 
@@ -132,11 +132,13 @@
     assert packets.encode(Disconnect(0x97), V3) == b"\xe0\0"
     connect = Connect("me", V3, username="u", password=b"p")
     assert read(packets.encode(connect, V3), 0) == [connect]
-    assert read(packets.encode(Granted(Kind.UNSUBACK, 7, (0,)), V3), V3) == [Granted(Kind.UNSUBACK, 7, ())]
+    assert read(packets.encode(SubscriptionAck(Kind.UNSUBACK, 7, (0,)), V3), V3) == [
+        SubscriptionAck(Kind.UNSUBACK, 7, ())
+    ]
 
 
 def test_bytes_are_those_of_the_standard() -> None:
-    """Examples worked out by hand from the sections named."""
+    """Compares with byte strings derived by hand from the named sections."""
     connect = bytes.fromhex("10 10 00 04 4d515454 05 02 003c 03 21 0014 00 00")  # 3.1: receive maximum 20
     assert read(connect, 0) == [Connect("", V5, True, 60, properties={P.RECEIVE_MAXIMUM: 20})]
     assert packets.encode(Publish("a/b", b"hi", 1, 10), V5) == bytes.fromhex("32 0a 0003 612f62 000a 00 6869")
@@ -217,7 +219,7 @@
     decoder.feed(b"\x30\xff\x01")
     with pytest.raises(MqttError, match="100 bytes") as error:
         decoder.next()
-    assert error.value.code == packets.TOO_LARGE
+    assert error.value.code == packets.PACKET_TOO_LARGE
 
 
 @given(st.binary(max_size=40), st.sampled_from([0, V3, V5]))
@@ -249,7 +251,7 @@
     ],
 )
 def test_filters_match_as_the_standard_says(name: str, topic: str, levels: Any) -> None:
-    assert captured(name, topic) == levels
+    assert captured_levels(name, topic) == levels
 
 
 def test_topics_and_filters() -> None:
--- a/tests/test_mqtt_sessions.py
+++ b/tests/test_mqtt_sessions.py
@@ -1,4 +1,4 @@
-"""Sessions and ends without sockets: packet ids, windows, QoS 2, ends that wait for room or a listener."""
+"""MQTT sessions and outcomes without sockets: packet ids, windows, QoS 2, outcomes that wait."""
 
 import asyncio
 from collections.abc import Callable
@@ -10,31 +10,31 @@
 
 from amberlug.core.messages import End, Outcome
 from amberlug.mqtt import ends as ends_module
-from amberlug.mqtt.ends import MqttEnds, Told
+from amberlug.mqtt.ends import MqttEnds, PublishDone
 from amberlug.mqtt.fields import MqttError
 from amberlug.mqtt.packets import V5, Ack, Kind, Publish
-from amberlug.mqtt.publisher import ending
+from amberlug.mqtt.publisher import attempt_result
 from amberlug.mqtt.replies import Reply, decode
-from amberlug.mqtt.sessions import Fate, Incoming, Outgoing
+from amberlug.mqtt.sessions import Incoming, Outgoing, PublishResult
 from amberlug.mqtt.wire import Wire
 from amberlug.policy.interface import Result
 
 
 @dataclass
 class Side:
-    """An `Outgoing` with all that it wrote, and what became of each publish."""
+    """An `Outgoing` that records what it wrote and the result of each publish."""
 
     written: list[Publish | Ack] = field(default_factory=list)
-    fates: dict[str, Fate] = field(default_factory=dict)
+    results: dict[str, PublishResult] = field(default_factory=dict)
 
     def __post_init__(self) -> None:
         self.out = Outgoing(self.written.append)
         self.out.connected(False, 10)
 
     def publish(self, name: str, qos: int = 2) -> int:
-        def done(fate: Fate, code: int, told: object) -> None:
-            assert name not in self.fates
-            self.fates[name] = fate
+        def done(result: PublishResult, code: int, told: object) -> None:
+            assert name not in self.results
+            self.results[name] = result
 
         self.out.publish(Publish(name, b"", qos), done)
         packet = self.written[-1]
@@ -45,59 +45,60 @@
         return [it.packet_id for it in self.written if isinstance(it, Ack) and it.kind is Kind.PUBREL]
 
 
-def test_at_qos_2_delivered_is_what_pubcomp_says() -> None:
+def test_a_qos_2_publish_is_acknowledged_by_pubcomp() -> None:
     side = Side()
     number = side.publish("a")
-    side.out.came(Ack(Kind.PUBACK, number))  # the wrong kind
-    side.out.came(Ack(Kind.PUBREC, number + 1))  # nobody's: told that it is not known
+    side.out.handle_ack(Ack(Kind.PUBACK, number))  # the wrong kind
+    side.out.handle_ack(Ack(Kind.PUBREC, number + 1))  # an unknown packet id
     assert side.written[-1] == Ack(Kind.PUBREL, number + 1, 0x92)
-    side.out.came(Ack(Kind.PUBREC, number))
-    assert side.fates == {}
-    side.out.came(Ack(Kind.PUBREC, number))  # twice
-    side.out.came(Ack(Kind.PUBCOMP, number))
-    side.out.came(Ack(Kind.PUBCOMP, number))
-    assert side.fates == {"a": Fate.ACKNOWLEDGED}
+    side.out.handle_ack(Ack(Kind.PUBREC, number))
+    assert side.results == {}
+    side.out.handle_ack(Ack(Kind.PUBREC, number))  # twice
+    side.out.handle_ack(Ack(Kind.PUBCOMP, number))
+    side.out.handle_ack(Ack(Kind.PUBCOMP, number))
+    assert side.results == {"a": PublishResult.ACKNOWLEDGED}
 
 
-def test_a_lost_packet_id_is_not_used_again_in_its_session() -> None:
+def test_a_lost_packet_id_is_not_reused_in_its_session() -> None:
     side = Side()
     lost = side.publish("a")
-    side.out.lost()
-    assert side.fates == {"a": Fate.LOST}
+    side.out.connection_lost()
+    assert side.results == {"a": PublishResult.LOST}
     side.out.connected(True, 10)
-    side.out._last = 0  # as after all ids have gone round
+    side.out._last = 0  # as after the ids have wrapped around
     assert side.publish("b") != lost
-    side.out.lost()
+    side.out.connection_lost()
     side.out.connected(False, 10)
     side.out._last = 0
-    assert side.publish("c") == lost  # another session knows nothing of it
+    assert side.publish("c") == lost  # a new session does not know the id
 
 
-def test_what_waits_for_pubcomp_goes_on_in_its_session_alone() -> None:
+def test_an_exchange_after_pubrec_continues_only_in_its_session() -> None:
     side = Side()
     numbers = [side.publish("a"), side.publish("b")]
-    side.out.came(Ack(Kind.PUBREC, numbers[0]))
-    side.out.lost()
-    assert (side.fates, side.out.unreleased, side.out.room) == ({"b": Fate.LOST}, True, False)
+    side.out.handle_ack(Ack(Kind.PUBREC, numbers[0]))
+    side.out.connection_lost()
+    assert side.results == {"b": PublishResult.LOST}
+    assert (side.out.awaiting_pubcomp, side.out.has_room) == (True, False)
     side.out.connected(True, 10)
     assert side.released() == [numbers[0]] * 2
-    side.out.lost()
+    side.out.connection_lost()
     side.out.connected(False, 10)
-    assert side.fates == {"b": Fate.LOST, "a": Fate.LOST}
-    assert side.out.unreleased is False
+    assert side.results == {"b": PublishResult.LOST, "a": PublishResult.LOST}
+    assert side.out.awaiting_pubcomp is False
 
 
-def test_a_window_bounds_what_is_out_and_what_is_reserved() -> None:
+def test_the_window_limits_in_flight_and_reserved_publishes() -> None:
     side = Side()
     side.out.connected(False, 2)
     side.publish("a", 1)
     side.out.reserve()
-    assert side.out.room is False
-    side.out.free()
-    assert side.out.room is True
-    side.out.lost()
-    side.out.publish(Publish("b", b"", 1), lambda fate, code, told: side.fates.update(b=fate))
-    assert side.fates["b"] is Fate.DROPPED
+    assert side.out.has_room is False
+    side.out.release()
+    assert side.out.has_room is True
+    side.out.connection_lost()
+    side.out.publish(Publish("b", b"", 1), lambda result, code, told: side.results.update(b=result))
+    assert side.results["b"] is PublishResult.DROPPED
 
 
 @given(
@@ -110,56 +111,56 @@
         max_size=40,
     )
 )
-def test_each_publish_has_one_fate_whatever_comes(steps: list[tuple[str, int, int]]) -> None:
+def test_each_publish_has_one_result_whatever_comes(steps: list[tuple[str, int, int]]) -> None:
     side, names, up = Side(), 0, True
     kinds = {"puback": Kind.PUBACK, "pubrec": Kind.PUBREC, "pubcomp": Kind.PUBCOMP}
     for step, number, code in steps:
         if step == "publish":
-            if up and side.out.room:
+            if up and side.out.has_room:
                 side.publish(f"{names}", 1 + number % 2)
                 names += 1
         elif step in kinds and up:
-            side.out.came(Ack(kinds[step], number, code))
+            side.out.handle_ack(Ack(kinds[step], number, code))
         elif step == "lost" and up:
-            side.out.lost()
+            side.out.connection_lost()
             up = False
         elif step in ("kept", "new") and not up:
             side.out.connected(step == "kept", 4)
             up = True
     published = [it.packet_id for it in side.written if isinstance(it, Publish)]
     assert all(1 <= it <= 0xFFFF for it in published)
-    side.out.lost()
+    side.out.connection_lost()
     side.out.connected(False, 4)
-    assert len(side.fates) == names  # and `publish` saw that none has two
+    assert len(side.results) == names  # `publish` asserts that none has two
 
 
-def test_publishes_are_answered_once_and_repeats_at_qos_2_without_being_offered() -> None:
+def test_publishes_are_answered_once_and_qos_2_duplicates_not_processed() -> None:
     side = Incoming(2)
     first = Publish("a", b"", 2, 1)
-    assert side.came(first) == (True, None)
-    assert side.came(first) == (False, None)  # it is being dealt with
+    assert side.receive(first) == (True, None)
+    assert side.receive(first) == (False, None)  # still in progress
     assert side.answer(1) == Ack(Kind.PUBREC, 1)
     assert side.answer(1) is None
-    assert side.came(first) == (False, Ack(Kind.PUBREC, 1))
-    assert side.came(Publish("a", b"", 1, 2)) == (True, None)
+    assert side.receive(first) == (False, Ack(Kind.PUBREC, 1))
+    assert side.receive(Publish("a", b"", 1, 2)) == (True, None)
     with pytest.raises(MqttError) as error:
-        side.came(Publish("a", b"", 1, 3))
+        side.receive(Publish("a", b"", 1, 3))
     assert error.value.code == 0x93
     side.connected(True)
-    assert side.answer(2) is None  # it comes again
-    assert side.released(1) == Ack(Kind.PUBCOMP, 1)
-    assert side.released(1) == Ack(Kind.PUBCOMP, 1, 0x92)
-    assert side.came(first) == (True, None)
+    assert side.answer(2) is None  # the broker redelivers it
+    assert side.release(1) == Ack(Kind.PUBCOMP, 1)
+    assert side.release(1) == Ack(Kind.PUBCOMP, 1, 0x92)
+    assert side.receive(first) == (True, None)
     assert side.answer(1, 0x97) == Ack(Kind.PUBREC, 1, 0x97)
-    assert side.came(first) == (True, None)  # refused, so it is a new one
+    assert side.receive(first) == (True, None)  # refused before, so it is a new publish
 
 
 class Pipe(asyncio.Transport):
-    """A transport that goes nowhere."""
+    """A transport without a socket; records pauses and aborts."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.reading, self.gone = True, False
+        self.reading, self.aborted = True, False
 
     def set_write_buffer_limits(self, high: int | None = None, low: int | None = None) -> None:
         pass
@@ -171,28 +172,28 @@
         self.reading = True
 
     def abort(self) -> None:
-        self.gone = True
+        self.aborted = True
 
 
-def test_a_packet_is_late_from_its_first_byte_on() -> None:
+def test_a_packet_timeout_counts_from_its_first_byte() -> None:
     async def scenario() -> None:
         wire, loop = Wire(lambda packet: None, lambda why: None, V5), asyncio.get_running_loop()
         wire.connection_made(Pipe())
-        assert wire.begun_for(loop.time() + 9) == 0.0
+        assert wire.incomplete_for(loop.time() + 9) == 0.0
         wire.data_received(b"\xc0")
         began = loop.time()
         for _ in range(3):
             wire.data_received(b"")
-        assert wire.begun_for(began + 9) >= 9
-        wire.data_received(b"\0" + b"\xc0")  # that one is whole, and another has begun
-        assert wire.begun_for(loop.time()) < 1
+        assert wire.incomplete_for(began + 9) >= 9
+        wire.data_received(b"\0" + b"\xc0")  # completes that packet and begins another
+        assert wire.incomplete_for(loop.time()) < 1
         wire.data_received(b"\0")
-        assert wire.begun_for(loop.time() + 9) == 0.0
+        assert wire.incomplete_for(loop.time() + 9) == 0.0
 
     asyncio.run(scenario())
 
 
-def test_of_a_side_that_does_not_read_nothing_more_is_read() -> None:
+def test_reading_pauses_while_the_peer_does_not_read() -> None:
     async def scenario() -> None:
         heard, pipe = list[object](), Pipe()
         wire = Wire(heard.append, lambda why: None, V5)
@@ -207,42 +208,42 @@
     asyncio.run(scenario())
 
 
-def test_a_connection_given_up_before_it_stood_is_closed() -> None:
+def test_a_connection_closed_before_it_is_made_is_aborted() -> None:
     async def scenario() -> None:
         wire, pipe = Wire(lambda packet: None, lambda why: None), Pipe()
         wire.abort("too many")
         wire.connection_made(pipe)
-        assert pipe.gone
+        assert pipe.aborted
 
     asyncio.run(scenario())
 
 
-def test_what_a_fate_means_for_an_attempt() -> None:
+def test_what_a_publish_result_means_for_an_attempt() -> None:
     results = {
-        (Fate.ACKNOWLEDGED, 0): Result.DONE,
-        (Fate.ACKNOWLEDGED, 0x10): Result.DONE,
-        (Fate.DROPPED, 0): Result.UNCONNECTED,
-        (Fate.LOST, 0): Result.RESET,
-        (Fate.REFUSED, 0x97): Result.REFUSED,
-        (Fate.REFUSED, 0x87): Result.UNSENT,
-        (Fate.REFUSED, 0x80): Result.ERROR,
-        (Fate.REFUSED, 0xFF): Result.ERROR,
+        (PublishResult.ACKNOWLEDGED, 0): Result.DONE,
+        (PublishResult.ACKNOWLEDGED, 0x10): Result.DONE,
+        (PublishResult.DROPPED, 0): Result.UNCONNECTED,
+        (PublishResult.LOST, 0): Result.RESET,
+        (PublishResult.REFUSED, 0x97): Result.REFUSED,
+        (PublishResult.REFUSED, 0x87): Result.UNSENT,
+        (PublishResult.REFUSED, 0x80): Result.ERROR,
+        (PublishResult.REFUSED, 0xFF): Result.ERROR,
     }
-    assert {case: ending(*case, {}).result for case in results} == results
+    assert {case: attempt_result(*case, {}).result for case in results} == results
 
 
-# Ends.
+# Outcomes.
 
 
-class Front:
-    """A front with room for so many, and topics that somebody listens to."""
+class Origin:
+    """An origin with a limited send window and a set of subscribed topics."""
 
     def __init__(self, room: int) -> None:
         self.room, self.heard = room, set[str]()
-        self.out: dict[str, Told] = {}
+        self.out: dict[str, PublishDone] = {}
         self.told: list[str] = []
 
-    def tell(self, packet: Publish, done: Told) -> bool | None:
+    def tell(self, packet: Publish, done: PublishDone) -> bool | None:
         if packet.topic not in self.heard:
             return None
         if len(self.out) >= self.room:
@@ -253,8 +254,8 @@
         self.told.append(name)
         return True
 
-    def finish(self, name: str, fate: Fate = Fate.ACKNOWLEDGED, code: int = 0) -> None:
-        self.out.pop(name)(fate, code)
+    def finish(self, name: str, result: PublishResult = PublishResult.ACKNOWLEDGED, code: int = 0) -> None:
+        self.out.pop(name)(result, code)
 
 
 class NoNotices:
@@ -276,121 +277,121 @@
         pass
 
 
-def end(name: str, topic: str = "t", noticed: bool = False, front: str = "hall") -> End:
-    return End(name, Outcome.GIVEN_UP, reply=Reply(front, topic, b"\0c").encode(), noticed=noticed)
+def end(name: str, topic: str = "t", noticed: bool = False, origin: str = "hall") -> End:
+    return End(name, Outcome.GIVEN_UP, reply=Reply(origin, topic, b"\0c").encode(), noticed=noticed)
 
 
-def desk(room: int = 2, keep_s: int = 100) -> tuple[MqttEnds, Front, NoNotices, list[str]]:
-    notices, front, over = NoNotices(), Front(room), list[str]()
+def notifier(room: int = 2, keep_s: int = 100) -> tuple[MqttEnds, Origin, NoNotices, list[str]]:
+    notices, origin, acknowledged = NoNotices(), Origin(room), list[str]()
     ends = MqttEnds(notices, keep_s)
-    ends.bind(over.append)
-    ends.fronts["hall"] = front
-    return ends, front, notices, over
+    ends.bind(acknowledged.append)
+    ends.origins["hall"] = origin
+    return ends, origin, notices, acknowledged
 
 
-def test_ends_that_find_no_room_go_as_others_are_acknowledged() -> None:
+def test_outcomes_over_the_window_are_sent_as_others_are_acknowledged() -> None:
     async def scenario() -> None:
-        ends, front, _, over = desk(room=2)
-        front.heard = {f"t{number}" for number in range(7)}
+        ends, origin, _, acknowledged = notifier(room=2)
+        origin.heard = {f"t{number}" for number in range(7)}
         for number in range(7):
             ends.tell(end(f"m{number}", f"t{number}"))
-        assert front.told == ["m0", "m1"]
-        while front.out:
-            front.finish(next(iter(front.out)))
-        assert front.told == over == [f"m{number}" for number in range(7)]
+        assert origin.told == ["m0", "m1"]
+        while origin.out:
+            origin.finish(next(iter(origin.out)))
+        assert origin.told == acknowledged == [f"m{number}" for number in range(7)]
         assert not ends.waiting
 
     asyncio.run(scenario())
 
 
-def test_an_end_waits_for_who_listens_and_is_told_again_when_it_was_lost() -> None:
+def test_an_outcome_waits_for_a_subscriber_and_is_resent_when_lost() -> None:
     async def scenario() -> None:
-        ends, front, _, over = desk()
+        ends, origin, _, acknowledged = notifier()
         ends.tell(end("m"))
-        assert front.told == []
-        front.heard = {"t"}
-        ends.listening("other", lambda topic: True)
-        assert front.told == []
-        ends.listening("hall", lambda topic: topic == "t")
-        front.finish("m", Fate.LOST)
-        assert (front.told, over) == (["m"], [])
-        ends.listening("hall", lambda topic: True)
-        front.finish("m")
-        assert (front.told, over) == (["m", "m"], ["m"])
-        ends.listening("hall", lambda topic: True)
-        assert front.told == ["m", "m"]
+        assert origin.told == []
+        origin.heard = {"t"}
+        ends.subscribed("other", lambda topic: True)
+        assert origin.told == []
+        ends.subscribed("hall", lambda topic: topic == "t")
+        origin.finish("m", PublishResult.LOST)
+        assert (origin.told, acknowledged) == (["m"], [])
+        ends.subscribed("hall", lambda topic: True)
+        origin.finish("m")
+        assert (origin.told, acknowledged) == (["m", "m"], ["m"])
+        ends.subscribed("hall", lambda topic: True)
+        assert origin.told == ["m", "m"]
 
     asyncio.run(scenario())
 
 
-def test_an_end_that_is_told_twice_over_counts_once_both_have_it() -> None:
+def test_an_outcome_with_a_notice_is_done_once_both_are_acknowledged() -> None:
     async def scenario() -> None:
-        ends, front, notices, over = desk()
-        front.heard = {"t"}
+        ends, origin, notices, acknowledged = notifier()
+        origin.heard = {"t"}
         ends.tell(end("m", noticed=True))
         assert notices.told == ["m"]
-        front.finish("m")
-        assert over == []
+        origin.finish("m")
+        assert acknowledged == []
         notices.acknowledged("m")
-        assert over == ["m"]
-        ends.tell(End("h", Outcome.GIVEN_UP))  # by HTTP alone
+        assert acknowledged == ["m"]
+        ends.tell(End("h", Outcome.GIVEN_UP))  # over HTTP only
         notices.acknowledged("h")
-        assert over == ["m", "h"]
+        assert acknowledged == ["m", "h"]
         assert ends.owed(End("h", Outcome.DELIVERED)) is False
         assert ends.owed(End("m", Outcome.DELIVERED, reply=b"x")) is True
 
     asyncio.run(scenario())
 
 
-def test_an_end_that_moves_while_it_is_told_is_told_at_the_new_place() -> None:
+def test_an_outcome_replaced_in_flight_is_sent_to_the_new_address() -> None:
     async def scenario() -> None:
-        ends, front, _, over = desk()
-        front.heard = {"t", "u"}
+        ends, origin, _, acknowledged = notifier()
+        origin.heard = {"t", "u"}
         ends.tell(end("m", "t"))
         ends.tell(end("m", "u"))
-        front.finish("m")  # the old place has it; that is not what was asked for last
-        assert over == []
-        ends.listening("hall", lambda topic: topic == "u")
-        front.finish("m")
-        assert over == ["m"]
+        origin.finish("m")  # acknowledged at the old reply address, which the later one replaced
+        assert acknowledged == []
+        ends.subscribed("hall", lambda topic: topic == "u")
+        origin.finish("m")
+        assert acknowledged == ["m"]
 
     asyncio.run(scenario())
 
 
-def test_refused_ends_are_dropped_those_without_quota_told_again(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_refused_outcomes_are_dropped_and_those_over_quota_resent(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario() -> None:
-        monkeypatch.setattr(ends_module, "AGAIN", 0.0)
-        ends, front, _, over = desk()
-        front.heard = {"t"}
+        monkeypatch.setattr(ends_module, "QUOTA_RETRY_DELAY", 0.0)
+        ends, origin, _, acknowledged = notifier()
+        origin.heard = {"t"}
         ends.tell(end("a"))
         ends.tell(end("b"))
-        front.finish("a", Fate.REFUSED, 0x87)
-        front.finish("b", Fate.REFUSED, 0x97)
-        assert over == ["a"]
+        origin.finish("a", PublishResult.REFUSED, 0x87)
+        origin.finish("b", PublishResult.REFUSED, 0x97)
+        assert acknowledged == ["a"]
         await asyncio.sleep(0.01)
-        front.finish("b")
-        assert over == ["a", "b"]
+        origin.finish("b")
+        assert acknowledged == ["a", "b"]
 
     asyncio.run(scenario())
 
 
-def test_nobody_waits_for_an_end_for_ever(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_unacknowledged_outcomes_expire(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario() -> None:
-        monkeypatch.setattr(ends_module, "LOOK", 0.001)
-        ends, _, _, over = desk(keep_s=0)
+        monkeypatch.setattr(ends_module, "EXPIRY_CHECK_INTERVAL", 0.001)
+        ends, _, _, acknowledged = notifier(keep_s=0)
         ends.start()
         ends.tell(end("m"))
-        ends.tell(end("gone", front="no longer in the file"))
+        ends.tell(end("gone", origin="no longer in the file"))
         ends.tell(End("bad", Outcome.GIVEN_UP, reply=b"no address", noticed=False))
-        assert over == ["bad"]
+        assert acknowledged == ["bad"]
         await asyncio.sleep(0.02)
-        assert set(over) == {"bad", "m", "gone"}
+        assert set(acknowledged) == {"bad", "m", "gone"}
         ends.stop()
 
     asyncio.run(scenario())
 
 
-def test_an_address_is_read_as_it_was_written() -> None:
+def test_a_reply_address_round_trips() -> None:
     reply = Reply("hall", "ends/é", b"\0\xff\0")
     assert decode(reply.encode()) == reply
     with pytest.raises(ValueError, match="."):
