--- a/amberlug/mqtt/intake.py
+++ b/amberlug/mqtt/intake.py
@@ -119,7 +119,7 @@
         route, levels = found
         if route.effect is Effect.UNSAFE and packet.qos == 0:
             # Guards against a payment whose sender can't be informed that it was not accepted.
-            raise BadPublishError(TOPIC_NAME_INVALID, f"{route.message_class} is not accepted at QoS 0")
+            raise BadPublishError(TOPIC_NAME_INVALID, f"{route.message_class} is not taken on at QoS 0")
         message, left_us = route.read(ReceivedPublish(packet, levels), self._settings, self._clock.wall_ms())
         assert self.node is not None
         if not self.node.serves(message.destination):
@@ -127,7 +127,7 @@
         if (reply := self.reply(origin, packet, default_topic)) is not None:
             if self._config.route(reply.origin, reply.topic) is not None:
                 # Guards against a loop: the outcome would be received as a message with an outcome itself.
-                raise BadPublishError(TOPIC_NAME_INVALID, "the response topic matches an inbound route")
+                raise BadPublishError(TOPIC_NAME_INVALID, "messages come from the response topic")
             message.reply = reply.encode()
             if len(message.reply) > MAX_REPLY_BYTES:
                 raise BadPublishError(TOPIC_NAME_INVALID, "response topic and correlation data are too long")
--- a/amberlug/mqtt/mapping.py
+++ b/amberlug/mqtt/mapping.py
@@ -55,7 +55,7 @@
         try:
             return json.loads(self.packet.payload)
         except (ValueError, RecursionError):
-            raise BadPublishError(PAYLOAD_FORMAT_INVALID, "the payload is not valid JSON") from None
+            raise BadPublishError(PAYLOAD_FORMAT_INVALID, "the payload is no JSON") from None
 
 
 Source = Callable[[ReceivedPublish], str | None]
