--- a/amberlug/lab/clock.py
+++ b/amberlug/lab/clock.py
@@ -24,41 +24,41 @@
         self.callback = None
 
 
-class Time:
+class EventQueue:
     """Event queue of a simulation. Callbacks due at the same microsecond run in the order of scheduling."""
 
     def __init__(self) -> None:
-        self.us = START_US
+        self.now_us = START_US
         self._due: list[tuple[int, int, Timer]] = []
         self._order = itertools.count()
-        self.happened = 0
+        self.executed = 0
 
     def at(self, when_us: int, callback: Callable[..., object], *args: object) -> Timer:
         """Schedule a callback at a time; one in the past runs after the current callback."""
         timer = Timer(partial(callback, *args) if args else callback)
-        heapq.heappush(self._due, (max(self.us, when_us), next(self._order), timer))
+        heapq.heappush(self._due, (max(self.now_us, when_us), next(self._order), timer))
         return timer
 
     def after(self, us: float, callback: Callable[..., object], *args: object) -> Timer:
         """Schedule a callback after a delay in microseconds."""
-        return self.at(self.us + int(us), callback, *args)
+        return self.at(self.now_us + int(us), callback, *args)
 
     def run(self, until_us: int) -> None:
         """Run all callbacks that are due up to a time, and advance the clock to it."""
         while self._due and self._due[0][0] <= until_us:
             when_us, _, timer = heapq.heappop(self._due)
             if timer.callback is not None:
-                self.us, callback = when_us, timer.callback
+                self.now_us, callback = when_us, timer.callback
                 timer.callback = None
-                self.happened += 1
+                self.executed += 1
                 callback()
-        self.us = until_us
+        self.now_us = until_us
 
 
-class LifeClock:
+class ProcessClock:
     """Clock of one process lifetime of a relay; its pending timers are dropped when the process ends."""
 
-    def __init__(self, time: Time) -> None:
+    def __init__(self, time: EventQueue) -> None:
         self._time, self.boot, self._ended = time, "lab", False
 
     def end(self) -> None:
@@ -66,14 +66,14 @@
         self._ended = True
 
     def now_us(self) -> int:
-        return self._time.us
+        return self._time.now_us
 
     def wall_ms(self) -> int:
-        return START_MS + (self._time.us - START_US) // 1000
+        return START_MS + (self._time.now_us - START_US) // 1000
 
     def at(self, when_us: int, callback: Callable[..., object], *args: object) -> Timer:
         def alive() -> None:
             if not self._ended:
                 callback(*args)
 
-        return self._time.at(max(when_us, self._time.us + 1), alive)
+        return self._time.at(max(when_us, self._time.now_us + 1), alive)
--- a/amberlug/lab/partners.py
+++ b/amberlug/lab/partners.py
@@ -8,7 +8,7 @@
 
 import numpy as np
 
-from amberlug.lab.clock import SECOND, Time
+from amberlug.lab.clock import SECOND, EventQueue
 from amberlug.lab.scenario import Partner
 from amberlug.policy.interface import Result
 from amberlug.standin.checker import Call, Checker, Ran
@@ -64,7 +64,7 @@
         name: str,
         of: Destination,
         told: Partner,
-        time: Time,
+        time: EventQueue,
         seed: np.random.SeedSequence,
     ) -> None:
         self.name, self.of, self._told, self._time = name, of, told, time
@@ -89,7 +89,7 @@
     def recover(self) -> None:
         """End a fault; after an outage the endpoint starts cold."""
         if self.state in OUTAGES:
-            self.back_us = self._time.us
+            self.back_us = self._time.now_us
             self._loads.clear()
         self.state = "well"
 
@@ -97,13 +97,15 @@
         """Present capacity as a fraction of full capacity."""
         if self.back_us is None:
             return 1.0
-        return min(1.0, COLD_SHARE + (1 - COLD_SHARE) * (self._time.us - self.back_us) / (WARM_S * SECOND))
+        return min(
+            1.0, COLD_SHARE + (1 - COLD_SHARE) * (self._time.now_us - self.back_us) / (WARM_S * SECOND)
+        )
 
     def arrive(
         self, checker: Checker, names: list[str], reused: bool, answer: Callable[[Answer], None]
     ) -> Pending | None:
         """Receive a call and report it to the relay's checker; None if the connection fails."""
-        now = self._time.us
+        now = self._time.now_us
         if self.state in OUTAGES and self.state != "silent":
             self._knew.add(id(checker))
         if self.state == "down" or self.fell_over:
@@ -140,7 +142,7 @@
         if self.state in OUTAGES:
             self._knew.add(id(checker))
         elif not self.fell_over:
-            self._note_load(self._time.us, checker)
+            self._note_load(self._time.now_us, checker)
         return self.state in ("well", "slow") and not self.fell_over
 
     def _note_load(self, now: int, checker: Checker) -> None:
@@ -176,14 +178,14 @@
         pending.gone = True
         delivered = answer.result is Result.DONE
         for call in pending.calls:
-            pending.checker.ended(call, self._time.us / SECOND, ran, delivered)
+            pending.checker.ended(call, self._time.now_us / SECOND, ran, delivered)
         pending.answer(answer)
 
     def forsake(self, pending: Pending) -> None:
         """Handle a call abandoned by the relay during a partition: the endpoint still executes it."""
         for call in pending.calls:
             call.delivered = False  # a response in flight reaches nobody
-            pending.checker.ended(call, self._time.us / SECOND, Ran.MAY)
+            pending.checker.ended(call, self._time.now_us / SECOND, Ran.MAY)
 
     def hang_up(self, pending: Pending) -> None:
         """Handle a closed connection: queued calls are dropped, calls being served may complete."""
@@ -192,5 +194,5 @@
         for call in pending.calls:
             call.delivered = False  # a response in flight reaches nobody
             if not pending.gone:
-                pending.checker.ended(call, self._time.us / SECOND, Ran.MAY)
+                pending.checker.ended(call, self._time.now_us / SECOND, Ran.MAY)
         pending.gone = True
--- a/amberlug/lab/play.py
+++ b/amberlug/lab/play.py
@@ -11,7 +11,7 @@
 import numpy as np
 
 from amberlug.core.messages import End, Message, Refusal
-from amberlug.lab.clock import SECOND, START_MS, START_US, Time
+from amberlug.lab.clock import SECOND, START_MS, START_US, EventQueue
 from amberlug.lab.partners import Destination, Endpoint
 from amberlug.lab.relay import Relay
 from amberlug.lab.scenario import Fault, Scenario
@@ -108,7 +108,7 @@
     """One run of a scenario with a seed."""
 
     def __init__(self, scenario: Scenario, seed: int) -> None:
-        self.scenario, self.seed, self.time = scenario, seed, Time()
+        self.scenario, self.seed, self.time = scenario, seed, EventQueue()
         world = scenario.world
         self._trace = hashlib.blake2b(digest_size=16)
         self.endpoints: dict[str, Endpoint] = {}
@@ -161,20 +161,20 @@
 
     def _arrive_later(self) -> None:
         gap = float(self._gaps.exponential(1.0)) / (self.scenario.load.per_second * self._factor)
-        if self.time.us + gap * SECOND < START_US + self.scenario.world.seconds * SECOND:
+        if self.time.now_us + gap * SECOND < START_US + self.scenario.world.seconds * SECOND:
             self.time.after(gap * SECOND, self._arrive)
 
     def _arrive(self) -> None:
         drawn = self._chance.random(3)
         kind = KINDS[int(np.searchsorted(self._classes, drawn[0]))]
         number = int(np.searchsorted(self._wanted, drawn[1])) + 1
-        wish = Wish(kind, self.time.us)
+        wish = Wish(kind, self.time.now_us)
         self._wishes.append(wish)
         self._hand_in(f"m{len(self._wishes):07d}", wish, number, int(np.searchsorted(self._shares, drawn[2])))
         self._arrive_later()
 
     def _hand_in(self, name: str, wish: Wish, number: int, place: int) -> None:
-        now, kind = self.time.us, wish.kind
+        now, kind = self.time.now_us, wish.kind
         until_us = wish.began_us + int(kind.deadline_s * SECOND)
         relay = self.relays[place % len(self.relays)]
         track = Track(name, number, kind.repeat, KEY_LIFE_S, now / SECOND, until_us / SECOND)
@@ -193,7 +193,7 @@
     def answered(self, request: Request, refusal: Refusal | None) -> None:
         """Handle the relay's response to a client: accepted or rejected."""
         if refusal is None:
-            request.relay.checker.taken(request.name, self.time.us / SECOND)
+            request.relay.checker.taken(request.name, self.time.now_us / SECOND)
             self._note("taken", request.name)
         else:
             self._note("refused", request.name)
@@ -206,7 +206,7 @@
 
     def _again(self, request: Request, seconds: float) -> None:
         seconds, wish = seconds or AGAIN_S, request.wish
-        left = wish.began_us + wish.kind.deadline_s * SECOND - self.time.us - seconds * SECOND
+        left = wish.began_us + wish.kind.deadline_s * SECOND - self.time.now_us - seconds * SECOND
         if wish.tries < self.scenario.load.returns and left > 0 and wish.delivered_us is None:
             wish.tries += 1
             first, _, _ = request.name.partition("~")
@@ -214,13 +214,13 @@
             self.time.after(seconds * SECOND, self._hand_in, again, wish, request.number, place)
 
     def _told_end(self, relay: Relay, end: End) -> None:
-        relay.checker.told_end(end.message, end.outcome.value, self.time.us / SECOND)
+        relay.checker.told_end(end.message, end.outcome.value, self.time.now_us / SECOND)
         self._note(end.outcome.value, end.message)
         if end.outcome.value == "handed_back" and end.message in self._requests:
             self._again(self._requests[end.message], end.retry_ms / 1000)
 
     def _note(self, what: str, name: str) -> None:
-        self._trace.update(f"{self.time.us} {what} {name}\n".encode())
+        self._trace.update(f"{self.time.now_us} {what} {name}\n".encode())
 
     # Faults.
 
@@ -252,10 +252,10 @@
         elif fault.what == "restart":
             relay.restart()
         elif fault.what == "cut":
-            until_us = self.time.us + int(fault.lasts * SECOND)
+            until_us = self.time.now_us + int(fault.lasts * SECOND)
             relay.cut |= {to.number: until_us for to in self._destinations[: fault.destinations]}
         else:
-            relay.deaf_until_us = self.time.us + int(fault.lasts * SECOND)
+            relay.deaf_until_us = self.time.now_us + int(fault.lasts * SECOND)
             self.time.at(relay.deaf_until_us, relay.hear)
 
     def _burst_over(self, part: float) -> None:
@@ -272,7 +272,7 @@
         """Mark an endpoint as draining; relays count as informed after `TOLD_BY_S` at the latest."""
         self._entries[name] = replace(self._entries[name], state=api.State.DRAINING)
         for relay in self.relays:
-            told_us = min(max(self.time.us, relay.deaf_until_us), self.time.us + TOLD_BY_S * SECOND)
+            told_us = min(max(self.time.now_us, relay.deaf_until_us), self.time.now_us + TOLD_BY_S * SECOND)
             relay.checker.drained(name, told_us / SECOND)
             relay.hear()
 
@@ -288,7 +288,7 @@
                 at_us = int(track.delivered * SECOND)
                 wish.delivered_us = min(at_us, wish.delivered_us or at_us)
                 self._trace.update(f"{at_us} delivered {name} {len(track.calls)}\n".encode())
-        broken = [line for relay in self.relays for line in relay.checker.finish(self.time.us / SECOND)]
+        broken = [line for relay in self.relays for line in relay.checker.finish(self.time.now_us / SECOND)]
         broken += [f"{it.name} was pushed over" for it in self.endpoints.values() if it.pushed]
         done = [(it, it.delivered_us) for it in self._wishes if it.delivered_us is not None]
         took = sorted((at_us - it.began_us) / SECOND for it, at_us in done)
@@ -314,7 +314,7 @@
             "MB written": round(sum(it.written for it in self.relays) / 1e6, 3),
             "fell over": sum(it.fell_over for it in self.endpoints.values()),
             "lives": sum(it.lives for it in self.relays),
-            "events": self.time.happened,
+            "events": self.time.executed,
             "broken": broken,
             "trace": self._trace.hexdigest(),
         }
--- a/amberlug/lab/relay.py
+++ b/amberlug/lab/relay.py
@@ -8,7 +8,7 @@
 from amberlug.core.messages import End, Message, Outcome, PendingRequest, Reason, Refusal
 from amberlug.core.node import CLOSED_RETRY_US, Node
 from amberlug.core.ports import EndpointListUpdate
-from amberlug.lab.clock import SECOND, LifeClock, Time
+from amberlug.lab.clock import SECOND, EventQueue, ProcessClock
 from amberlug.lab.disk import MemoryDisk
 from amberlug.lab.partners import Endpoint
 from amberlug.lab.scenario import World
@@ -38,7 +38,7 @@
 class ModelEnds:
     """Simulated receiver of outcomes: gets each one after the network delay and acknowledges it."""
 
-    def __init__(self, clock: LifeClock, network_us: int, told: ToldEnd) -> None:
+    def __init__(self, clock: ProcessClock, network_us: int, told: ToldEnd) -> None:
         self._clock, self._network_us, self._told = clock, network_us, told
         self._waiting: set[str] = set()
 
@@ -75,7 +75,7 @@
 
     def __init__(
         self,
-        time: Time,
+        time: EventQueue,
         settings: api.Settings,
         world: World,
         seed: int,
@@ -108,7 +108,7 @@
     def start(self) -> None:
         """Start a process on the present contents of the disk."""
         self.lives += 1
-        self._clock = clock = LifeClock(self._time)
+        self._clock = clock = ProcessClock(self._time)
         room = int(self._world.disk_mb * 1e6 * DISK_SHARE)
         if not self._world.remembers:
             for name in [name for name in self._disk.files() if generation_number(name) is not None]:
@@ -130,34 +130,34 @@
         self.node = Node(self._settings, self._seed, journal, learner, self._transport, ends, clock)
         self._learner = learner
         self.node.listed(EndpointListUpdate(self._known, 1, True))
-        age_s = None if self._heard_us is None else (self._time.us - self._heard_us) / SECOND
+        age_s = None if self._heard_us is None else (self._time.now_us - self._heard_us) / SECOND
         self.node.current(self._pauses.initial_list_validity_s(self.lives > 1, age_s))
-        if self._time.us >= self.deaf_until_us:
+        if self._time.now_us >= self.deaf_until_us:
             self._confirm()
         self.node.restore()
         self.up = True
-        self._clock.at(self._time.us + CONFIRMS_US, self._confirm_later, clock)
+        self._clock.at(self._time.now_us + CONFIRMS_US, self._confirm_later, clock)
 
     def work(self, job: Callable[[], None]) -> None:
         """Run a job once the CPU is free; each job occupies it for the scenario's `cpu_us`."""
         if not self._world.cpu_us:
             job()
             return
-        self._free_us = max(self._free_us, self._time.us) + int(self._world.cpu_us)
+        self._free_us = max(self._free_us, self._time.now_us) + int(self._world.cpu_us)
         self._clock.at(self._free_us, job)
 
     def _cut_off(self, endpoint: str) -> bool:
-        return self.cut.get(self._endpoints[endpoint].of.number, 0) > self._time.us
+        return self.cut.get(self._endpoints[endpoint].of.number, 0) > self._time.now_us
 
     def hand_in(self, message: Message, deadline_us: int, exchange: PendingRequest) -> None:
         """Receive a request from a client."""
         if not self.up:
             exchange.settle(Refusal(Reason.CLOSING, CLOSED_RETRY_US))
             return
-        came_us = self._time.us
+        came_us = self._time.now_us
 
         def read() -> None:
-            now = self._time.us
+            now = self._time.now_us
             self.node.hand_in(message, max(0, deadline_us - now), now - came_us, exchange)
 
         self.work(read)
@@ -174,36 +174,36 @@
 
     def hear(self) -> None:
         """Receive the current endpoint list, unless discovery is unreachable."""
-        if self.up and self._time.us >= self.deaf_until_us:
+        if self.up and self._time.now_us >= self.deaf_until_us:
             self._confirm()
 
     def _confirm(self) -> None:
-        self._known, self._heard_us = self._listed(), self._time.us
+        self._known, self._heard_us = self._listed(), self._time.now_us
         self.node.listed(EndpointListUpdate(self._known, 2, True))
         self.node.current(self._pauses.list_validity_s())
 
-    def _confirm_later(self, clock: LifeClock) -> None:
-        if self._time.us >= self.deaf_until_us:
+    def _confirm_later(self, clock: ProcessClock) -> None:
+        if self._time.now_us >= self.deaf_until_us:
             self._confirm()
-        clock.at(self._time.us + CONFIRMS_US, self._confirm_later, clock)
+        clock.at(self._time.now_us + CONFIRMS_US, self._confirm_later, clock)
 
     def kill(self) -> None:
         """Kill the process without cleanup, and schedule its restart."""
         if self.up:
-            self._closing_us = self._time.us
+            self._closing_us = self._time.now_us
             self._end()
 
     def restart(self) -> None:
         """Restart gracefully: close, then wait for the calls in progress."""
         if self.up:
-            self._closing_us = self._time.us
+            self._closing_us = self._time.now_us
             self.node.close()
-            self._collect(self._clock, self._time.us + COLLECT_US)
+            self._collect(self._clock, self._time.now_us + COLLECT_US)
 
-    def _collect(self, clock: LifeClock, until_us: int) -> None:
+    def _collect(self, clock: ProcessClock, until_us: int) -> None:
         if clock is not self._clock or not self.up:
             return  # killed in the meantime
-        if self._time.us < until_us and self.node.busy:
+        if self._time.now_us < until_us and self.node.busy:
             self._time.after(LOOK_US, self._collect, clock, until_us)
             return
         self.node.save_learned()
@@ -214,6 +214,6 @@
         self.up = False
         self._clock.end()
         self._transport.abandon()
-        ready_us = self._time.us + AWAY_US + READY_US
+        ready_us = self._time.now_us + AWAY_US + READY_US
         self.away.append((self._closing_us, ready_us + GRACE_US))
         self._time.at(ready_us, self.start)
--- a/amberlug/lab/transport.py
+++ b/amberlug/lab/transport.py
@@ -8,7 +8,7 @@
 
 from amberlug.core.messages import Attempt, AttemptResult
 from amberlug.core.ports import Address, Calls
-from amberlug.lab.clock import LifeClock, Timer
+from amberlug.lab.clock import ProcessClock, Timer
 from amberlug.lab.partners import Answer, Endpoint, Pending
 from amberlug.policy.interface import Result
 from amberlug.standin.checker import Checker
@@ -33,7 +33,7 @@
     def __init__(
         self,
         endpoints: Mapping[str, Endpoint],
-        clock: LifeClock,
+        clock: ProcessClock,
         network_us: int,
         idle_us: int,
         work: Callable[[Callable[[], None]], None],
--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -11,7 +11,7 @@
 from amberlug.core.messages import Attempt, AttemptResult, End, Message, Outcome, Refusal
 from amberlug.core.node import Node
 from amberlug.core.ports import Address, Calls, EndpointListUpdate
-from amberlug.lab.clock import SECOND, START_US, LifeClock, Time
+from amberlug.lab.clock import SECOND, START_US, EventQueue, ProcessClock
 from amberlug.lab.disk import MemoryDisk
 from amberlug.lab.play import KINDS, settings_of
 from amberlug.lab.relay import ModelEnds
@@ -32,7 +32,7 @@
 class Answers:
     """A transport that answers each call after 40 ms, occasionally with a failure."""
 
-    def __init__(self, clock: LifeClock) -> None:
+    def __init__(self, clock: ProcessClock) -> None:
         self._clock, self.in_flight, self.calls = clock, 0, 0
 
     @property
@@ -84,8 +84,8 @@
     A single sample is not enough: the journal's compaction and the allocator's arenas move it by 0.9 MB
     either way.
     """
-    time, ends = Time(), dict.fromkeys(Outcome, 0)
-    clock = LifeClock(time)
+    time, ends = EventQueue(), dict.fromkeys(Outcome, 0)
+    clock = ProcessClock(time)
 
     def told(end: End) -> None:
         ends[end.outcome] += 1
