--- a/amberlug/lab/play.py
+++ b/amberlug/lab/play.py
@@ -134,7 +134,15 @@
         self._requests: dict[str, Request] = {}
         read = settings_of(scenario)
         self.relays = [
-            Relay(self.time, read, world, seed * 1000 + number, self.endpoints, self._listed, self._told_end)
+            Relay(
+                self.time,
+                read,
+                world,
+                seed * 1000 + number,
+                self.endpoints,
+                self._list_endpoints,
+                self._told_end,
+            )
             for number in range(world.relays)
         ]
 
@@ -144,7 +152,7 @@
         rate = self.scenario.partner.rate
         self._entries[name] = api.Entry(name, "a", "plain", to.number, api.State.IN, rate, "127.0.0.1:1")
 
-    def _listed(self) -> list[api.Entry]:
+    def _list_endpoints(self) -> list[api.Entry]:
         return list(self._entries.values())
 
     def run(self) -> dict[str, Any]:
@@ -185,7 +193,7 @@
         message = Message(name, kind.name, None, number, key, b"x" * 100, deadline_ms)
         network_us = self.scenario.world.network_ms * 1000
         if self.scenario.load.garbage and float(self._spoilt.random()) < self.scenario.load.garbage:
-            self.time.after(network_us, relay.read_garbage)
+            self.time.after(network_us, relay.receive_truncated)
         else:
             self.time.after(network_us, relay.hand_in, message, until_us, request)
         self.time.after(LEAVE_S * SECOND, request.leave)
@@ -255,8 +263,8 @@
             until_us = self.time.now_us + int(fault.lasts * SECOND)
             relay.cut |= {to.number: until_us for to in self._destinations[: fault.destinations]}
         else:
-            relay.deaf_until_us = self.time.now_us + int(fault.lasts * SECOND)
-            self.time.at(relay.deaf_until_us, relay.hear)
+            relay.list_blocked_until_us = self.time.now_us + int(fault.lasts * SECOND)
+            self.time.at(relay.list_blocked_until_us, relay.receive_list)
 
     def _burst_over(self, part: float) -> None:
         self._factor /= part
@@ -272,16 +280,18 @@
         """Mark an endpoint as draining; relays count as informed after `TOLD_BY_S` at the latest."""
         self._entries[name] = replace(self._entries[name], state=api.State.DRAINING)
         for relay in self.relays:
-            told_us = min(max(self.time.now_us, relay.deaf_until_us), self.time.now_us + TOLD_BY_S * SECOND)
+            told_us = min(
+                max(self.time.now_us, relay.list_blocked_until_us), self.time.now_us + TOLD_BY_S * SECOND
+            )
             relay.checker.drained(name, told_us / SECOND)
-            relay.hear()
+            relay.receive_list()
 
     # Results.
 
     def _figures(self) -> dict[str, Any]:
         for name, request in self._requests.items():
             track, wish = request.relay.checker.tracks[name], request.wish
-            for began_us, over_us in request.relay.away:  # an outcome due meanwhile may come after it
+            for began_us, over_us in request.relay.downtimes:  # an outcome due meanwhile may come after it
                 if began_us <= (track.until + LATE) * SECOND <= over_us + LATE * SECOND:
                     track.until = over_us / SECOND
             if track.delivered is not None and track.taken is not None:  # accepted, and the client was told
--- a/amberlug/lab/relay.py
+++ b/amberlug/lab/relay.py
@@ -22,23 +22,23 @@
 from amberlug.standin.checker import Checker
 
 DISK_SHARE = 0.9  # usable part of the directory's size, as in the daemon
-COLLECT_US = 3 * SECOND  # how long a closing relay waits for its calls
-AWAY_US = 600_000  # from the end of a process to the start of the next
-READY_US = 400_000  # from the start of a process until it accepts messages
-GRACE_US = 1_500_000  # after which a restart no longer excuses a late outcome
-LOOK_US = 20_000  # poll interval while closing
-CONFIRMS_US = 2 * SECOND  # longest interval at which discovery confirms the list as current
-ToldEnd = Callable[[End], None]
+CLOSE_TIMEOUT_US = 3 * SECOND  # how long a closing relay waits for its calls
+RESTART_DELAY_US = 600_000  # from the end of a process to the start of the next
+STARTUP_US = 400_000  # from the start of a process until it accepts messages
+LATE_OUTCOME_GRACE_US = 1_500_000  # after which a restart no longer excuses a late outcome
+CLOSE_POLL_US = 20_000  # poll interval while closing
+LIST_CONFIRM_INTERVAL_US = 2 * SECOND  # longest interval at which discovery confirms the list as current
+OutcomeCallback = Callable[[End], None]
 
 
-def _nothing() -> None:
+def _discard() -> None:
     """Handle a truncated request: CPU time is spent, but nothing is submitted."""
 
 
-class ModelEnds:
+class SimulatedOutcomeChannel:
     """Simulated receiver of outcomes: gets each one after the network delay and acknowledges it."""
 
-    def __init__(self, clock: ProcessClock, network_us: int, told: ToldEnd) -> None:
+    def __init__(self, clock: ProcessClock, network_us: int, told: OutcomeCallback) -> None:
         self._clock, self._network_us, self._told = clock, network_us, told
         self._waiting: set[str] = set()
 
@@ -56,13 +56,13 @@
         if not self.owed(end) or end.message in self._waiting:
             return
         self._waiting.add(end.message)
-        self._clock.at(self._clock.now_us() + self._network_us, self._hear, end)
+        self._clock.at(self._clock.now_us() + self._network_us, self._receive, end)
 
-    def _hear(self, end: End) -> None:
+    def _receive(self, end: End) -> None:
         self._told(end)
-        self._clock.at(self._clock.now_us() + self._network_us, self._heard, end.message)
+        self._clock.at(self._clock.now_us() + self._network_us, self._acknowledge, end.message)
 
-    def _heard(self, name: str) -> None:
+    def _acknowledge(self, name: str) -> None:
         self._waiting.discard(name)
         self._acknowledged(name)
 
@@ -84,20 +84,22 @@
         told: Callable[[Relay, End], None],
     ) -> None:
         self._time, self._settings, self._world, self._seed = time, settings, world, seed
-        self._endpoints, self._listed = endpoints, listed
-        self._told: ToldEnd = lambda end: told(self, end)
+        self._endpoints, self._list_endpoints = endpoints, listed
+        self._told: OutcomeCallback = lambda end: told(self, end)
         self.checker = Checker()  # checks this relay's own traffic
         self._disk = MemoryDisk(int(world.disk_mb * 1e6))
         self._network_us = int(world.network_ms * 1000)
-        self._free_us = 0  # when its CPU finishes the queued work
+        self._cpu_free_us = 0  # when its CPU finishes the queued work
         self.up, self.lives = False, 0
-        self._closing_us = 0  # when it began to close or was killed
-        self._pauses = DiscoveryBackoff(settings.relays, settings.drain_grace_us / SECOND)
-        self._known = listed()  # last received endpoint list
-        self._heard_us: int | None = None  # when that list was last confirmed
-        self.deaf_until_us = 0  # it receives no list updates until then
+        self._down_since_us = 0  # when it began to close or was killed
+        self._discovery_backoff = DiscoveryBackoff(settings.relays, settings.drain_grace_us / SECOND)
+        self._endpoint_list = listed()  # last received endpoint list
+        self._list_confirmed_us: int | None = None  # when that list was last confirmed
+        self.list_blocked_until_us = 0  # it receives no list updates until then
         self.cut: dict[int, int] = {}  # per destination, the end of its network partition
-        self.away: list[tuple[int, int]] = []  # intervals in which outcomes may be late because it was down
+        self.downtimes: list[
+            tuple[int, int]
+        ] = []  # intervals in which outcomes may be late because it was down
         self.start()
 
     @property
@@ -124,29 +126,33 @@
             self.work,
             self.checker,
             self._settings.dial_us,
-            self._cut_off,
+            self._is_partitioned,
         )
-        ends = ModelEnds(clock, self._network_us, self._told)
+        ends = SimulatedOutcomeChannel(clock, self._network_us, self._told)
         self.node = Node(self._settings, self._seed, journal, learner, self._transport, ends, clock)
         self._learner = learner
-        self.node.listed(EndpointListUpdate(self._known, 1, True))
-        age_s = None if self._heard_us is None else (self._time.now_us - self._heard_us) / SECOND
-        self.node.current(self._pauses.initial_list_validity_s(self.lives > 1, age_s))
-        if self._time.now_us >= self.deaf_until_us:
+        self.node.listed(EndpointListUpdate(self._endpoint_list, 1, True))
+        age_s = (
+            None
+            if self._list_confirmed_us is None
+            else (self._time.now_us - self._list_confirmed_us) / SECOND
+        )
+        self.node.current(self._discovery_backoff.initial_list_validity_s(self.lives > 1, age_s))
+        if self._time.now_us >= self.list_blocked_until_us:
             self._confirm()
         self.node.restore()
         self.up = True
-        self._clock.at(self._time.now_us + CONFIRMS_US, self._confirm_later, clock)
+        self._clock.at(self._time.now_us + LIST_CONFIRM_INTERVAL_US, self._confirm_later, clock)
 
     def work(self, job: Callable[[], None]) -> None:
         """Run a job once the CPU is free; each job occupies it for the scenario's `cpu_us`."""
         if not self._world.cpu_us:
             job()
             return
-        self._free_us = max(self._free_us, self._time.now_us) + int(self._world.cpu_us)
-        self._clock.at(self._free_us, job)
+        self._cpu_free_us = max(self._cpu_free_us, self._time.now_us) + int(self._world.cpu_us)
+        self._clock.at(self._cpu_free_us, job)
 
-    def _cut_off(self, endpoint: str) -> bool:
+    def _is_partitioned(self, endpoint: str) -> bool:
         return self.cut.get(self._endpoints[endpoint].of.number, 0) > self._time.now_us
 
     def hand_in(self, message: Message, deadline_us: int, exchange: PendingRequest) -> None:
@@ -154,57 +160,57 @@
         if not self.up:
             exchange.settle(Refusal(Reason.CLOSING, CLOSED_RETRY_US))
             return
-        came_us = self._time.now_us
+        arrived_us = self._time.now_us
 
         def read() -> None:
             now = self._time.now_us
-            self.node.hand_in(message, max(0, deadline_us - now), now - came_us, exchange)
+            self.node.hand_in(message, max(0, deadline_us - now), now - arrived_us, exchange)
 
         self.work(read)
 
-    def read_garbage(self) -> None:
+    def receive_truncated(self) -> None:
         """Receive a request that is cut off by the end of its connection."""
         if self.up:
-            self.work(_nothing)
+            self.work(_discard)
 
     def client_disconnected(self, exchange: PendingRequest) -> None:
         """Handle a client that closes its connection before the response."""
         if self.up:
             self.node.client_disconnected(exchange)
 
-    def hear(self) -> None:
+    def receive_list(self) -> None:
         """Receive the current endpoint list, unless discovery is unreachable."""
-        if self.up and self._time.now_us >= self.deaf_until_us:
+        if self.up and self._time.now_us >= self.list_blocked_until_us:
             self._confirm()
 
     def _confirm(self) -> None:
-        self._known, self._heard_us = self._listed(), self._time.now_us
-        self.node.listed(EndpointListUpdate(self._known, 2, True))
-        self.node.current(self._pauses.list_validity_s())
+        self._endpoint_list, self._list_confirmed_us = self._list_endpoints(), self._time.now_us
+        self.node.listed(EndpointListUpdate(self._endpoint_list, 2, True))
+        self.node.current(self._discovery_backoff.list_validity_s())
 
     def _confirm_later(self, clock: ProcessClock) -> None:
-        if self._time.now_us >= self.deaf_until_us:
+        if self._time.now_us >= self.list_blocked_until_us:
             self._confirm()
-        clock.at(self._time.now_us + CONFIRMS_US, self._confirm_later, clock)
+        clock.at(self._time.now_us + LIST_CONFIRM_INTERVAL_US, self._confirm_later, clock)
 
     def kill(self) -> None:
         """Kill the process without cleanup, and schedule its restart."""
         if self.up:
-            self._closing_us = self._time.now_us
+            self._down_since_us = self._time.now_us
             self._end()
 
     def restart(self) -> None:
         """Restart gracefully: close, then wait for the calls in progress."""
         if self.up:
-            self._closing_us = self._time.now_us
+            self._down_since_us = self._time.now_us
             self.node.close()
-            self._collect(self._clock, self._time.now_us + COLLECT_US)
+            self._wait_for_calls(self._clock, self._time.now_us + CLOSE_TIMEOUT_US)
 
-    def _collect(self, clock: ProcessClock, until_us: int) -> None:
+    def _wait_for_calls(self, clock: ProcessClock, until_us: int) -> None:
         if clock is not self._clock or not self.up:
             return  # killed in the meantime
         if self._time.now_us < until_us and self.node.busy:
-            self._time.after(LOOK_US, self._collect, clock, until_us)
+            self._time.after(CLOSE_POLL_US, self._wait_for_calls, clock, until_us)
             return
         self.node.save_learned()
         self._learner.close()
@@ -214,6 +220,6 @@
         self.up = False
         self._clock.end()
         self._transport.abandon()
-        ready_us = self._time.now_us + AWAY_US + READY_US
-        self.away.append((self._closing_us, ready_us + GRACE_US))
+        ready_us = self._time.now_us + RESTART_DELAY_US + STARTUP_US
+        self.downtimes.append((self._down_since_us, ready_us + LATE_OUTCOME_GRACE_US))
         self._time.at(ready_us, self.start)
--- a/amberlug/lab/transport.py
+++ b/amberlug/lab/transport.py
@@ -39,10 +39,13 @@
         work: Callable[[Callable[[], None]], None],
         checker: Checker,
         dial_us: int,
-        cut_off: Callable[[str], bool],
+        is_partitioned: Callable[[str], bool],
     ) -> None:
         self._endpoints, self._clock, self._work, self._checker = endpoints, clock, work, checker
-        self._dial_us, self._cut_off = dial_us, cut_off  # whether a partition blocks the endpoint
+        self._dial_us, self._is_partitioned = (
+            dial_us,
+            is_partitioned,
+        )  # whether a partition blocks the endpoint
         self._network_us, self._idle_us = network_us, idle_us
         self._idle: dict[str, deque[int]] = {}
         self._out: dict[Attempt, Out] = {}
@@ -86,7 +89,7 @@
     def _arrive(self, out: Out, reused: bool) -> None:
         if out.over:
             return
-        if self._cut_off(out.endpoint):
+        if self._is_partitioned(out.endpoint):
             if not reused:  # a new connection fails; an established one stays silent
                 self._clock.at(self._clock.now_us() + self._dial_us, self._answer, out, UNCONNECTED)
             return
@@ -94,7 +97,7 @@
         names = [it.message.name for it in out.attempts]
 
         def answered(answer: Answer) -> None:
-            if self._cut_off(out.endpoint):
+            if self._is_partitioned(out.endpoint):
                 return
             at_us = self._clock.now_us() + self._network_us
             self._clock.at(at_us, self._work, lambda: self._answer(out, answer))
@@ -117,7 +120,7 @@
     def _give_up(self, out: Out, how: AttemptResult) -> None:
         if out.pending is not None:
             endpoint = self._endpoints[out.endpoint]
-            (endpoint.forsake if self._cut_off(out.endpoint) else endpoint.hang_up)(out.pending)
+            (endpoint.forsake if self._is_partitioned(out.endpoint) else endpoint.hang_up)(out.pending)
         self._finish(out, how)
 
     def _finish(self, out: Out, how: AttemptResult) -> None:
@@ -146,7 +149,7 @@
                 self._endpoints[out.endpoint].hang_up(out.pending)
 
     def probe(self, endpoint: str, ended: Callable[[AttemptResult], None]) -> None:
-        well = not self._cut_off(endpoint) and self._endpoints[endpoint].probed(self._checker)
+        well = not self._is_partitioned(endpoint) and self._endpoints[endpoint].probed(self._checker)
         self._clock.at(
             self._clock.now_us() + 2 * self._network_us,
             ended,
--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -14,7 +14,7 @@
 from amberlug.lab.clock import SECOND, START_US, EventQueue, ProcessClock
 from amberlug.lab.disk import MemoryDisk
 from amberlug.lab.play import KINDS, settings_of
-from amberlug.lab.relay import ModelEnds
+from amberlug.lab.relay import SimulatedOutcomeChannel
 from amberlug.lab.scenario import Scenario, World
 from amberlug.learning.learner import Learner
 from amberlug.learning.store import Store
@@ -98,7 +98,7 @@
         Journal(disk, 2_500_000, clock.wall_ms(), clock.now_us),
         Learner(Store(disk, 160_000, clock.now_us), clock),
         transport,
-        ModelEnds(clock, 300, told),
+        SimulatedOutcomeChannel(clock, 300, told),
         clock,
     )
     entries = [
