--- a/amberlug/lab/partners.py
+++ b/amberlug/lab/partners.py
@@ -13,11 +13,11 @@
 from amberlug.policy.interface import Result
 from amberlug.standin.checker import Call, Checker, Ran
 
-SLACK = 3  # calls above the overload threshold that random arrivals may cause
-KNEW = 2 / 3  # fraction of an overload, from relays that knew of the outage, that makes it a violation
+OVERLOAD_SLACK_CALLS = 3  # calls above the overload threshold that random arrivals may cause
+AWARE_SHARE = 2 / 3  # fraction of an overload, from relays that knew of the outage, that makes it a violation
 OUTAGES = "down", "silent", "shut", "errors"
 COLD_SHARE, WARM_S = 0.15, 12.0  # initial capacity after an outage, and time to full capacity
-OVERLOAD, OVERLOAD_S = 2.5, 2.0  # overload factor and duration at which a cold endpoint fails
+OVERLOAD_FACTOR, OVERLOAD_S = 2.5, 2.0  # overload factor and duration at which a cold endpoint fails
 
 
 @dataclass(slots=True)
@@ -69,101 +69,107 @@
     ) -> None:
         self.name, self.of, self._told, self._time = name, of, told, time
         self._chance = np.random.Generator(np.random.PCG64(seed))
-        self._pace = float(np.exp(self._chance.normal(0, told.pace_spread)))
+        self._service_time_factor = float(np.exp(self._chance.normal(0, told.pace_spread)))
         self._serving = 0
         self._queue: deque[Pending] = deque()
         self.state = "well"  # or one of: down, silent, shut, errors, slow
         self.part = 0.0
-        self.back_us: int | None = None  # when the last outage ended
+        self.recovered_us: int | None = None  # when the last outage ended
         self._loads: deque[tuple[int, bool]] = deque()  # arrival time, relay knew of the outage
-        self._knew: set[int] = set()  # ids of the checkers of relays whose calls failed in this outage
-        self.fell_over = self.pushed = False
+        self._aware_relays: set[int] = (
+            set()
+        )  # ids of the checkers of relays whose calls failed in this outage
+        self.overloaded = self.overload_violation = False
         self.calls = self.refused = 0
 
     def fail(self, state: str, part: float) -> None:
         """Begin a fault."""
         if state in OUTAGES and self.state not in OUTAGES:
-            self._knew.clear()
+            self._aware_relays.clear()
         self.state, self.part = state, part
 
     def recover(self) -> None:
         """End a fault; after an outage the endpoint starts cold."""
         if self.state in OUTAGES:
-            self.back_us = self._time.now_us
+            self.recovered_us = self._time.now_us
             self._loads.clear()
         self.state = "well"
 
-    def warmth(self) -> float:
+    def capacity_fraction(self) -> float:
         """Present capacity as a fraction of full capacity."""
-        if self.back_us is None:
+        if self.recovered_us is None:
             return 1.0
         return min(
-            1.0, COLD_SHARE + (1 - COLD_SHARE) * (self._time.now_us - self.back_us) / (WARM_S * SECOND)
+            1.0, COLD_SHARE + (1 - COLD_SHARE) * (self._time.now_us - self.recovered_us) / (WARM_S * SECOND)
         )
 
-    def arrive(
+    def receive_call(
         self, checker: Checker, names: list[str], reused: bool, answer: Callable[[Answer], None]
     ) -> Pending | None:
         """Receive a call and report it to the relay's checker; None if the connection fails."""
         now = self._time.now_us
         if self.state in OUTAGES and self.state != "silent":
-            self._knew.add(id(checker))
-        if self.state == "down" or self.fell_over:
+            self._aware_relays.add(id(checker))
+        if self.state == "down" or self.overloaded:
             return None
         began = [checker.began(name, self.name, now / SECOND) for name in names]
         pending = Pending(checker, [call for call in began if call is not None], answer)
         self.calls += 1
-        self._note_load(now, checker)
-        drawn, wants = self._chance.random(4), self._told
+        self._record_arrival(now, checker)
+        drawn, profile = self._chance.random(4), self._told
         if self.state == "silent":
             return pending
-        if self.state == "shut" or self.of.over_limit(now) or len(self._queue) >= wants.queue:
+        if self.state == "shut" or self.of.over_limit(now) or len(self._queue) >= profile.queue:
             self.refused += 1
-            wait_us = int(wants.wait_ms * 1000) if drawn[0] < wants.tells_wait else 0
+            wait_us = int(profile.wait_ms * 1000) if drawn[0] < profile.tells_wait else 0
             if wait_us:
                 checker.told_wait(self.of.number, now / SECOND, wait_us / SECOND)
             self._end(pending, Answer(Result.REFUSED, wait_us), Ran.NEVER)
-        elif reused and drawn[1] < wants.resets:
+        elif reused and drawn[1] < profile.resets:
             self._end(pending, Answer(Result.RESET), Ran.MAY)
-        elif drawn[2] < (self.part if self.state == "errors" else wants.errors):
+        elif drawn[2] < (self.part if self.state == "errors" else profile.errors):
             self._end(pending, Answer(Result.ERROR), Ran.MAY)
-        elif drawn[3] < wants.lost:
+        elif drawn[3] < profile.lost:
             self._end(pending, Answer(Result.RESET), Ran.YES)
-        elif drawn[3] < wants.lost + wants.garbage:  # an unparsable response ends the connection
-            served = drawn[3] < wants.lost + wants.garbage / 2
+        elif drawn[3] < profile.lost + profile.garbage:  # an unparsable response ends the connection
+            served = drawn[3] < profile.lost + profile.garbage / 2
             self._end(pending, Answer(Result.RESET), Ran.YES if served else Ran.MAY)
         else:
             self._queue.append(pending)
             self._serve()
         return pending
 
-    def probed(self, checker: Checker) -> bool:
+    def receive_probe(self, checker: Checker) -> bool:
         """Receive a probe, which counts as a call for the load; returns whether the endpoint is healthy."""
         if self.state in OUTAGES:
-            self._knew.add(id(checker))
-        elif not self.fell_over:
-            self._note_load(self._time.now_us, checker)
-        return self.state in ("well", "slow") and not self.fell_over
+            self._aware_relays.add(id(checker))
+        elif not self.overloaded:
+            self._record_arrival(self._time.now_us, checker)
+        return self.state in ("well", "slow") and not self.overloaded
 
-    def _note_load(self, now: int, checker: Checker) -> None:
+    def _record_arrival(self, now: int, checker: Checker) -> None:
         """Record an arrival; a cold endpoint fails when it is overloaded for too long."""
-        self._loads.append((now, id(checker) in self._knew))
+        self._loads.append((now, id(checker) in self._aware_relays))
         while self._loads and self._loads[0][0] < now - OVERLOAD_S * SECOND:
             self._loads.popleft()
-        can = self._told.concurrency / (self._told.answer_ms / 1000 * self._pace) * self.warmth()
-        back = self.back_us is not None and self.state not in OUTAGES and self.warmth() < 1
-        if back and len(self._loads) > can * OVERLOAD * OVERLOAD_S + SLACK:
-            self.fell_over = True
-            self.pushed = sum(knew for _, knew in self._loads) >= KNEW * len(self._loads)
+        capacity = (
+            self._told.concurrency
+            / (self._told.answer_ms / 1000 * self._service_time_factor)
+            * self.capacity_fraction()
+        )
+        back = self.recovered_us is not None and self.state not in OUTAGES and self.capacity_fraction() < 1
+        if back and len(self._loads) > capacity * OVERLOAD_FACTOR * OVERLOAD_S + OVERLOAD_SLACK_CALLS:
+            self.overloaded = True
+            self.overload_violation = sum(aware for _, aware in self._loads) >= AWARE_SHARE * len(self._loads)
 
     def _serve(self) -> None:
-        while self._queue and self._serving < max(1, int(self._told.concurrency * self.warmth())):
+        while self._queue and self._serving < max(1, int(self._told.concurrency * self.capacity_fraction())):
             pending = self._queue.popleft()
             if pending.gone:
                 continue
             self._serving += 1
             slower = self.part if self.state == "slow" else 1.0
-            took = self._told.answer_ms * 1000 * self._pace * slower
+            took = self._told.answer_ms * 1000 * self._service_time_factor * slower
             took *= float(np.exp(self._chance.normal(0, self._told.spread)))
             self._time.after(took, self._done, pending)
 
@@ -181,16 +187,16 @@
             pending.checker.ended(call, self._time.now_us / SECOND, ran, delivered)
         pending.answer(answer)
 
-    def forsake(self, pending: Pending) -> None:
+    def call_abandoned(self, pending: Pending) -> None:
         """Handle a call abandoned by the relay during a partition: the endpoint still executes it."""
         for call in pending.calls:
             call.delivered = False  # a response in flight reaches nobody
             pending.checker.ended(call, self._time.now_us / SECOND, Ran.MAY)
 
-    def hang_up(self, pending: Pending) -> None:
+    def connection_closed(self, pending: Pending) -> None:
         """Handle a closed connection: queued calls are dropped, calls being served may complete."""
         if self.state == "silent":
-            self._knew.add(id(pending.checker))
+            self._aware_relays.add(id(pending.checker))
         for call in pending.calls:
             call.delivered = False  # a response in flight reaches nobody
             if not pending.gone:
--- a/amberlug/lab/play.py
+++ b/amberlug/lab/play.py
@@ -299,7 +299,7 @@
                 wish.delivered_us = min(at_us, wish.delivered_us or at_us)
                 self._trace.update(f"{at_us} delivered {name} {len(track.calls)}\n".encode())
         broken = [line for relay in self.relays for line in relay.checker.finish(self.time.now_us / SECOND)]
-        broken += [f"{it.name} was pushed over" for it in self.endpoints.values() if it.pushed]
+        broken += [f"{it.name} was pushed over" for it in self.endpoints.values() if it.overload_violation]
         done = [(it, it.delivered_us) for it in self._wishes if it.delivered_us is not None]
         took = sorted((at_us - it.began_us) / SECOND for it, at_us in done)
         served: dict[str, list[float]] = defaultdict(lambda: [0.0, 0.0])
@@ -322,7 +322,7 @@
             "calls a message": round(calls / max(1, len(self._wishes)), 4),
             "calls refused": sum(it.refused for it in self.endpoints.values()),
             "MB written": round(sum(it.written for it in self.relays) / 1e6, 3),
-            "fell over": sum(it.fell_over for it in self.endpoints.values()),
+            "fell over": sum(it.overloaded for it in self.endpoints.values()),
             "lives": sum(it.lives for it in self.relays),
             "events": self.time.executed,
             "broken": broken,
--- a/amberlug/lab/transport.py
+++ b/amberlug/lab/transport.py
@@ -102,7 +102,7 @@
             at_us = self._clock.now_us() + self._network_us
             self._clock.at(at_us, self._work, lambda: self._answer(out, answer))
 
-        out.pending = endpoint.arrive(self._checker, names, reused, answered)
+        out.pending = endpoint.receive_call(self._checker, names, reused, answered)
         if out.pending is None:
             answered(UNCONNECTED)
 
@@ -120,7 +120,9 @@
     def _give_up(self, out: Out, how: AttemptResult) -> None:
         if out.pending is not None:
             endpoint = self._endpoints[out.endpoint]
-            (endpoint.forsake if self._is_partitioned(out.endpoint) else endpoint.hang_up)(out.pending)
+            (endpoint.call_abandoned if self._is_partitioned(out.endpoint) else endpoint.connection_closed)(
+                out.pending
+            )
         self._finish(out, how)
 
     def _finish(self, out: Out, how: AttemptResult) -> None:
@@ -146,10 +148,10 @@
         for out in set(self._out.values()):
             out.over = True
             if out.pending is not None:
-                self._endpoints[out.endpoint].hang_up(out.pending)
+                self._endpoints[out.endpoint].connection_closed(out.pending)
 
     def probe(self, endpoint: str, ended: Callable[[AttemptResult], None]) -> None:
-        well = not self._is_partitioned(endpoint) and self._endpoints[endpoint].probed(self._checker)
+        well = not self._is_partitioned(endpoint) and self._endpoints[endpoint].receive_probe(self._checker)
         self._clock.at(
             self._clock.now_us() + 2 * self._network_us,
             ended,
