--- a/amberlug/lab/transport.py
+++ b/amberlug/lab/transport.py
@@ -17,7 +17,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Out:
+class ActiveCall:
     """One call in progress."""
 
     endpoint: str
@@ -48,19 +48,19 @@
         )  # whether a partition blocks the endpoint
         self._network_us, self._idle_us = network_us, idle_us
         self._idle: dict[str, deque[int]] = {}
-        self._out: dict[Attempt, Out] = {}
+        self._active_calls: dict[Attempt, ActiveCall] = {}
 
     @property
     def busy(self) -> bool:
-        return bool(self._out)
+        return bool(self._active_calls)
 
     def bind(self, calls: Calls) -> None:
         self._calls = calls
 
     def call(self, endpoint: str, attempts: list[Attempt], fresh: bool) -> None:
-        out, idle, now = Out(endpoint, attempts), self._idle.get(endpoint), self._clock.now_us()
+        out, idle, now = ActiveCall(endpoint, attempts), self._idle.get(endpoint), self._clock.now_us()
         for attempt in attempts:
-            self._out[attempt] = out
+            self._active_calls[attempt] = out
         while idle and idle[0] <= now - self._idle_us:
             idle.popleft()
         reused = bool(idle) and not fresh
@@ -68,11 +68,11 @@
             idled_us = now - idle.pop()
             for attempt in attempts:
                 attempt.idle_us = idled_us
-            self._clock.at(now + 1, self._leave, out, True)
+            self._clock.at(now + 1, self._send, out, True)
         else:
-            self._clock.at(now + 2 * self._network_us, self._leave, out, False)
+            self._clock.at(now + 2 * self._network_us, self._send, out, False)
 
-    def _leave(self, out: Out, reused: bool) -> None:
+    def _send(self, out: ActiveCall, reused: bool) -> None:
         cleared = self._calls.clear(out.attempts)
         for attempt in out.attempts:
             if attempt not in cleared:
@@ -83,10 +83,10 @@
         for attempt in cleared:
             attempt.reused = reused
         until_us = min(it.until_us for it in cleared)
-        out.timer = self._clock.at(until_us, self._late, out)
-        self._clock.at(self._clock.now_us() + self._network_us, self._arrive, out, reused)
+        out.timer = self._clock.at(until_us, self._time_out, out)
+        self._clock.at(self._clock.now_us() + self._network_us, self._deliver, out, reused)
 
-    def _arrive(self, out: Out, reused: bool) -> None:
+    def _deliver(self, out: ActiveCall, reused: bool) -> None:
         if out.over:
             return
         if self._is_partitioned(out.endpoint):
@@ -106,18 +106,18 @@
         if out.pending is None:
             answered(UNCONNECTED)
 
-    def _answer(self, out: Out, answer: Answer) -> None:
+    def _answer(self, out: ActiveCall, answer: Answer) -> None:
         if out.over or answer.result is None:
             return
         if answer.result is not Result.RESET and answer.result is not Result.UNCONNECTED:
             self._idle.setdefault(out.endpoint, deque()).append(self._clock.now_us())
         self._finish(out, AttemptResult(answer.result, answer.wait_us))
 
-    def _late(self, out: Out) -> None:
+    def _time_out(self, out: ActiveCall) -> None:
         if not out.over:
             self._give_up(out, AttemptResult(Result.TIMED_OUT))
 
-    def _give_up(self, out: Out, how: AttemptResult) -> None:
+    def _give_up(self, out: ActiveCall, how: AttemptResult) -> None:
         if out.pending is not None:
             endpoint = self._endpoints[out.endpoint]
             (endpoint.call_abandoned if self._is_partitioned(out.endpoint) else endpoint.connection_closed)(
@@ -125,7 +125,7 @@
             )
         self._finish(out, how)
 
-    def _finish(self, out: Out, how: AttemptResult) -> None:
+    def _finish(self, out: ActiveCall, how: AttemptResult) -> None:
         out.over = True
         if out.timer is not None:
             out.timer.cancel()
@@ -135,17 +135,17 @@
     def _ended(self, attempt: Attempt, how: AttemptResult) -> None:
         if not attempt.ended:
             attempt.ended = True
-            del self._out[attempt]
+            del self._active_calls[attempt]
             self._calls.ended(attempt, how)
 
     def call_off(self, attempt: Attempt) -> None:
         attempt.called_off = True
-        if (out := self._out.get(attempt)) is not None and all(it.called_off for it in out.attempts):
+        if (out := self._active_calls.get(attempt)) is not None and all(it.called_off for it in out.attempts):
             self._give_up(out, AttemptResult(Result.CALLED_OFF))
 
     def abandon(self) -> None:
         """Close all connections when the process ends, without reporting results."""
-        for out in set(self._out.values()):
+        for out in set(self._active_calls.values()):
             out.over = True
             if out.pending is not None:
                 self._endpoints[out.endpoint].connection_closed(out.pending)
