--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -52,8 +52,8 @@
     """Common random numbers: the client load does not depend on how it is served."""
     plays = [Play(library("calm", 8.0, slots=slots), 4) for slots in (2, 32)]
     services = [play.run()["service"] for play in plays]
-    wishes = [[(it.began_us, it.kind.name) for it in play._wishes] for play in plays]
-    assert wishes[0] == wishes[1]
+    client_messages = [[(it.began_us, it.kind.name) for it in play._client_messages] for play in plays]
+    assert client_messages[0] == client_messages[1]
     assert services[0] < services[1]
 
 
