--- a/amberlug/lab/copies.py
+++ b/amberlug/lab/copies.py
@@ -105,7 +105,7 @@
         for other, seen in disk.seen.items():
             self.machine.peers[other].watermark = dict(seen)
             self.machine.peers[other].incarnation = next(iter(seen))
-        self.doing: dict[str, str] = {}  # per message, the next step once its records are committed
+        self.next_steps: dict[str, str] = {}  # per message, the next step once its records are committed
         self.log_of: dict[str, str] = dict(disk.log_of)
         newest = next(reversed(disk.metas), "")
         by_log: dict[str, dict[str, MessageState]] = defaultdict(dict)
@@ -129,7 +129,7 @@
         self.disk.seen[name] = {incarnation: watermark}
 
     def outdated_directory(self) -> None:
-        self.world.old.append(self.name)
+        self.world.outdated.append(self.name)
 
     def wall_ms(self) -> int:
         return START_MS + self.world.now_us // 1000
@@ -144,9 +144,9 @@
         self.disk.metas[meta.log] = meta
 
     def committed(self, log: str, name: str) -> None:
-        what = self.doing.get(name, "")
+        what = self.next_steps.get(name, "")
         if what != "answer":  # a state that is recorded again is reported as committed again
-            self.doing.pop(name, None)
+            self.next_steps.pop(name, None)
         if what == "take":
             self.world.checker.promised.add(name)
             self._attempt(log, name)
@@ -166,7 +166,7 @@
 
     def superseded(self, log: str, names: list[str], kept: bool) -> None:
         for name in names:
-            self.doing.pop(name, None)
+            self.next_steps.pop(name, None)
             self.log_of.pop(name, None)
             if kept and name in self.disk.journal:
                 self.disk.journal[name].ended = (0, "", ""), 0
@@ -182,7 +182,7 @@
             return
         log = owner.meta.log
         self.log_of[name] = self.disk.log_of[name] = log
-        self.doing[name] = "take"
+        self.next_steps[name] = "take"
         until_ms = self.wall_ms() + LIFE_MS
         self._record(log, name, Kind.TAKEN, ["payment", None, 1, None, b"x", until_ms, self.wall_ms()])
 
@@ -197,21 +197,21 @@
         owner.flush(self.world.now_us)
 
     def _attempt(self, log: str, name: str) -> None:
-        self.doing[name] = "call"
+        self.next_steps[name] = "call"
         self._record(log, name, Kind.ATTEMPT, [0, self.wall_ms(), "e"])
 
     def _resume(self, name: str, it: MessageState) -> None:
         """Continue a message that a previous process or another relay began."""
         log = self.log_of[name]
         if it.owed is not None:
-            self.doing[name] = f"tell {it.owed[1][0]}"
+            self.next_steps[name] = f"tell {it.owed[1][0]}"
         elif it.tried:  # the call may have been executed, and a repeat is unsafe
             self._end(log, name, "given_up")
         else:
-            self.doing[name] = "go on"
+            self.next_steps[name] = "go on"
 
     def _end(self, log: str, name: str, how: str) -> None:
-        self.doing[name] = f"tell {how}"
+        self.next_steps[name] = f"tell {how}"
         self._record(log, name, Kind.OWED, [how, 0])
 
     def answered(self, name: str) -> None:
@@ -221,7 +221,7 @@
 
     def settled(self) -> bool:
         """Whether no message waits for a further step here."""
-        return not self.doing
+        return not self.next_steps
 
 
 class World:
@@ -240,11 +240,11 @@
         self.disks = {name: Disk(f"{name}-0") for name in self._fleets}
         self.checker = Checker()
         self.relays: dict[str, Relay] = {}
-        self.flying: dict[tuple[str, str], list[tuple[str, bytes]]] = defaultdict(list)
+        self.frames_in_flight: dict[tuple[str, str], list[tuple[str, bytes]]] = defaultdict(list)
         self.cut: set[tuple[str, str]] = set()  # blocked (sender, receiver) pairs
         self.paused: set[str] = set()
         self.lost_disks = self.folders = 0
-        self.old: list[str] = []  # relays that detected a directory restored from an older copy
+        self.outdated: list[str] = []  # relays that detected a directory restored from an older copy
         self.kept: dict[str, Disk] = {}  # per relay, an older copy of its directory
         self._names = 0
         for name in self._fleets:
@@ -268,8 +268,8 @@
         """Crash a relay; without `disk`, its disk is lost as well."""
         self.relays.pop(name)
         self.paused.discard(name)
-        for pair in [pair for pair in self.flying if name in pair]:
-            del self.flying[pair]
+        for pair in [pair for pair in self.frames_in_flight if name in pair]:
+            del self.frames_in_flight[pair]
         for other in self.relays.values():
             other.machine.disconnected(name, self.now_us)
         if not disk:
@@ -281,7 +281,7 @@
         """Back up a relay's directory."""
         self.kept[name] = copy.deepcopy(self.disks[name])
 
-    def put_back(self, name: str) -> None:
+    def restore_backup(self, name: str) -> None:
         """Crash a relay and restore its directory from the backup."""
         self.end(name, disk=True)
         self.lost_disks += 1
@@ -290,14 +290,14 @@
     def call(self, relay: Relay, name: str) -> None:
         """Call a partner; the response arrives later, if the caller still runs."""
         self.checker.called(name)
-        relay.doing[name] = "answer"
+        relay.next_steps[name] = "answer"
 
     # The network.
 
     def collect(self) -> None:
         """Send the relays' outgoing frames; a relay's frames to itself are delivered at once."""
-        while self.old:  # such a relay restarts with an empty directory
-            if (name := self.old.pop()) in self.relays:
+        while self.outdated:  # such a relay restarts with an empty directory
+            if (name := self.outdated.pop()) in self.relays:
                 self.end(name, disk=False)
                 self.start(name)
         for name, relay in list(self.relays.items()):
@@ -308,7 +308,7 @@
                     if to == name:
                         self._arrive(name, to, msgpack.packb([watermark, message]))
                     elif (name, to) not in self.cut and to in self.relays:
-                        self.flying[name, to].append(
+                        self.frames_in_flight[name, to].append(
                             (self.disks[name].incarnation, msgpack.packb([watermark, message]))
                         )
 
@@ -319,18 +319,18 @@
 
     def deliver(self, pair: tuple[str, str], at: int = 0, keep: bool = False) -> None:
         """Deliver one frame of a link, the first by default; with `keep` it stays queued as a duplicate."""
-        frames = self.flying[pair]
+        frames = self.frames_in_flight[pair]
         incarnation, frame = frames[at] if keep else frames.pop(at)
         if not frames:
-            self.flying.pop(pair, None)
+            self.frames_in_flight.pop(pair, None)
         if pair not in self.cut and pair[1] in self.relays:
             self._arrive(*pair, frame, incarnation)
         self.collect()
 
-    def sever(self, name: str, other: str) -> None:
+    def block_direction(self, name: str, other: str) -> None:
         """Block one direction between two relays: frames in flight are lost, and the sender is notified."""
         self.cut.add((name, other))
-        self.flying.pop((name, other), None)
+        self.frames_in_flight.pop((name, other), None)
         if name in self.relays:
             self.relays[name].machine.disconnected(other, self.now_us)
 
@@ -363,20 +363,20 @@
             if name not in self.relays:
                 self.start(name)
         for _ in range(most):
-            for pair in list(self.flying):
-                while pair in self.flying:
+            for pair in list(self.frames_in_flight):
+                while pair in self.frames_in_flight:
                     self.deliver(pair)
             for relay in self.relays.values():
-                for name, what in list(relay.doing.items()):
+                for name, what in list(relay.next_steps.items()):
                     if what == "answer":
                         relay.answered(name)
             self.tick()
-            if self._quiet():
+            if self._is_settled():
                 return
 
-    def _quiet(self) -> bool:
+    def _is_settled(self) -> bool:
         resting = all(it.settled() and not it.machine.takeovers for it in self.relays.values())
-        return resting and not self.flying and not (self.checker.promised - self._ended())
+        return resting and not self.frames_in_flight and not (self.checker.promised - self._ended())
 
     def _ended(self) -> set[str]:
         return {name for name, ends in self.checker.ends.items() if ends}
@@ -389,9 +389,9 @@
     world = World(relays, copies, seed)
     chance = world.chance
     world.collect()
-    restless = chance.random() < 0.5  # frequent restarts in addition to partitions
+    frequent_restarts = chance.random() < 0.5  # frequent restarts in addition to partitions
     for _ in range(steps):
-        if restless and chance.random() < 0.04:
+        if frequent_restarts and chance.random() < 0.04:
             _restart(world, chance)
         else:
             _step(world, chance, losses)
@@ -401,14 +401,14 @@
 
 def _step(world: World, chance: random.Random, losses: int) -> None:
     drawn, up = chance.random(), sorted(set(world.relays) - world.paused)
-    pairs = sorted(pair for pair in world.flying if pair[1] not in world.paused)
+    pairs = sorted(pair for pair in world.frames_in_flight if pair[1] not in world.paused)
     if drawn < 0.55 and pairs:
         pair = chance.choice(pairs)
-        odd, frames = chance.random(), len(world.flying[pair])
+        odd, frames = chance.random(), len(world.frames_in_flight[pair])
         if odd < 0.03:
-            world.flying[pair].pop(chance.randrange(frames))  # lost
-            if not world.flying[pair]:
-                del world.flying[pair]
+            world.frames_in_flight[pair].pop(chance.randrange(frames))  # lost
+            if not world.frames_in_flight[pair]:
+                del world.frames_in_flight[pair]
         else:
             world.deliver(pair, chance.randrange(frames) if odd < 0.15 else 0, keep=odd > 0.95)
     elif drawn < 0.72:
@@ -417,7 +417,7 @@
         world.hand_in(chance.choice(up))
     elif drawn < 0.92 and up:
         relay = world.relays[chance.choice(up)]
-        waiting = sorted(name for name, what in relay.doing.items() if what == "answer")
+        waiting = sorted(name for name, what in relay.next_steps.items() if what == "answer")
         if waiting:
             relay.answered(chance.choice(waiting))
             world.collect()
@@ -436,12 +436,12 @@
         name = chance.choice(up)
         for other in up:
             if other != name and chance.random() < 0.8:
-                world.sever(name, other)
-                world.sever(other, name)
+                world.block_direction(name, other)
+                world.block_direction(other, name)
         for _ in range(50):
             world.tick()
-            for pair in [pair for pair in world.flying if chance.random() < 0.9]:
-                if pair in world.flying:
+            for pair in [pair for pair in world.frames_in_flight if chance.random() < 0.9]:
+                if pair in world.frames_in_flight:
                     world.deliver(pair)
     world.collect()
 
@@ -455,14 +455,14 @@
     elif drawn < 0.18 and up:
         world.keep(chance.choice(up))
     elif drawn < 0.22 and world.lost_disks < losses and set(up) & set(world.kept):
-        world.put_back(chance.choice(sorted(set(up) & set(world.kept))))
+        world.restore_backup(chance.choice(sorted(set(up) & set(world.kept))))
     elif drawn < 0.45 and down:
         world.start(chance.choice(down))
     elif drawn < 0.6 and len(up) > 1:
         name, other = chance.sample(up, 2)
-        world.sever(name, other)
+        world.block_direction(name, other)
         if chance.random() < 0.6:
-            world.sever(other, name)
+            world.block_direction(other, name)
     elif drawn < 0.75:
         world.heal()
     elif drawn < 0.85 and up:
--- a/amberlug/lab/explore.py
+++ b/amberlug/lab/explore.py
@@ -57,8 +57,8 @@
     more = True
     while more:
         more = False
-        for pair in sorted(world.flying):
-            for at, (_, frame) in enumerate(world.flying.get(pair, ())):
+        for pair in sorted(world.frames_in_flight):
+            for at, (_, frame) in enumerate(world.frames_in_flight.get(pair, ())):
                 if msgpack.unpackb(frame)[1][0] in URGENT:
                     world.deliver(pair, at)
                     more = True
@@ -68,16 +68,16 @@
 def actions(small: Small) -> Iterator[Action]:
     """List the actions possible in a state."""
     world, left = small.world, small.left
-    for pair in sorted(world.flying):
+    for pair in sorted(world.frames_in_flight):
         yield "arrives", *pair
         if "lose frame" in left:
             yield "lose frame", *pair
         if "double" in left:
             yield "double", *pair
-        if "overtake" in left and len(world.flying[pair]) > 1:
+        if "overtake" in left and len(world.frames_in_flight[pair]) > 1:
             yield "overtake", *pair
     for name, relay in sorted(world.relays.items()):
-        for message, what in sorted(relay.doing.items()):
+        for message, what in sorted(relay.next_steps.items()):
             if what == "answer":
                 yield "answered", name, message
     if "lost" in left and "n0" in world.relays:
@@ -101,10 +101,10 @@
     if what in ("arrives", "double", "overtake"):
         world.deliver((more[0], more[1]), 1 if what == "overtake" else 0, keep=what == "double")
     elif what == "lose frame":
-        frames = world.flying[more[0], more[1]]
+        frames = world.frames_in_flight[more[0], more[1]]
         frames.pop(0)
         if not frames:
-            del world.flying[more[0], more[1]]
+            del world.frames_in_flight[more[0], more[1]]
     elif what == "answered":
         world.relays[more[0]].answered(more[1])
     elif what == "lost":
@@ -117,8 +117,8 @@
         small.down = ""
     elif what == "cut":
         for other in ("n1", "n2"):
-            world.sever("n0", other)
-            world.sever(other, "n0")
+            world.block_direction("n0", other)
+            world.block_direction(other, "n0")
     elif what == "heals":
         world.heal()
     else:
@@ -151,8 +151,8 @@
             told.append((log, of.promised, of.owner_left, of.opened_by_owner, copies))
         follows = [(log, it.ballot, sorted(it._progress)) for log, it in sorted(machine.takeovers.items())]
         near = [(it.incarnation, it.linked, it.heard_us) for _, it in sorted(machine.peers.items())]
-        told.append((name, sorted(relay.doing.items()), machine.confirmed, follows, near))
-    told.append((sorted(world.flying.items()), sorted(world.cut), world.now_us))
+        told.append((name, sorted(relay.next_steps.items()), machine.confirmed, follows, near))
+    told.append((sorted(world.frames_in_flight.items()), sorted(world.cut), world.now_us))
     told.append((sorted(world.checker.promised), sorted(world.checker.calls.items())))
     told.append((sorted(small.left), small.ticks, small.down))
     return hashlib.blake2b(repr(told).encode(), digest_size=16).digest()
