--- a/amberlug/lab/explore.py
+++ b/amberlug/lab/explore.py
@@ -22,13 +22,13 @@
 from amberlug.lab.copies import World
 
 TICK = 20  # clock steps per time action; four actions exceed the time after which a silent peer is suspected
-URGENT = "water", "live", "opened", "open", "drop"
-TROUBLES = "lose frame", "double", "overtake", "lost", "dies", "cut"
+URGENT_FRAMES = "water", "live", "opened", "open", "drop"
+FAULTS = "lose frame", "double", "overtake", "lost", "dies", "cut"
 Action = tuple[str, ...]
 
 
 @dataclass
-class Small:
+class ExplorationState:
     """The world and the faults that may still happen."""
 
     world: World
@@ -37,37 +37,37 @@
     down: str = ""
 
 
-def begin(troubles: Sequence[str] = TROUBLES) -> Small:
+def initial_state(faults: Sequence[str] = FAULTS) -> ExplorationState:
     """Build the initial state: two messages submitted and not yet accepted."""
     world = World(3, 1, seed=1)
-    small = Small(world, set(troubles))
+    state = ExplorationState(world, set(faults))
     world.collect()
     for _ in range(3):
         world.hand_in("n0")  # the first submission creates the log, which is opened afterwards
-        _rush(world)
+        _deliver_urgent(world)
     world.checker.promised.clear()
     for name in ("n0", "n0"):
         world.hand_in(name)
-    _rush(world)
-    return small
+    _deliver_urgent(world)
+    return state
 
 
-def _rush(world: World) -> None:
+def _deliver_urgent(world: World) -> None:
     """Deliver the frames whose order is not explored."""
     more = True
     while more:
         more = False
         for pair in sorted(world.frames_in_flight):
             for at, (_, frame) in enumerate(world.frames_in_flight.get(pair, ())):
-                if msgpack.unpackb(frame)[1][0] in URGENT:
+                if msgpack.unpackb(frame)[1][0] in URGENT_FRAMES:
                     world.deliver(pair, at)
                     more = True
                     break
 
 
-def actions(small: Small) -> Iterator[Action]:
+def actions(state: ExplorationState) -> Iterator[Action]:
     """List the actions possible in a state."""
-    world, left = small.world, small.left
+    world, left = state.world, state.left
     for pair in sorted(world.frames_in_flight):
         yield "arrives", *pair
         if "lose frame" in left:
@@ -82,22 +82,22 @@
                 yield "answered", name, message
     if "lost" in left and "n0" in world.relays:
         yield ("lost",)
-    if "dies" in left and not small.down:
+    if "dies" in left and not state.down:
         yield ("dies",)
-    if small.down:
+    if state.down:
         yield ("comes back",)
     if "cut" in left:
         yield ("cut",)
     if world.cut:
         yield ("heals",)
-    if small.ticks:
+    if state.ticks:
         yield ("time",)
 
 
-def act(small: Small, action: Action) -> None:
+def act(state: ExplorationState, action: Action) -> None:
     """Apply one action."""
-    world, (what, *more) = small.world, action
-    small.left.discard(what)
+    world, (what, *more) = state.world, action
+    state.left.discard(what)
     if what in ("arrives", "double", "overtake"):
         world.deliver((more[0], more[1]), 1 if what == "overtake" else 0, keep=what == "double")
     elif what == "lose frame":
@@ -110,11 +110,11 @@
     elif what == "lost":
         world.end("n0", disk=False)
     elif what == "dies":
-        small.down = "n1"
+        state.down = "n1"
         world.end("n1", disk=True)
     elif what == "comes back":
-        world.start(small.down)
-        small.down = ""
+        world.start(state.down)
+        state.down = ""
     elif what == "cut":
         for other in ("n1", "n2"):
             world.block_direction("n0", other)
@@ -122,17 +122,17 @@
     elif what == "heals":
         world.heal()
     else:
-        small.ticks -= 1
+        state.ticks -= 1
         for _ in range(TICK):
             world.tick()
-            _rush(world)
+            _deliver_urgent(world)
     world.collect()
-    _rush(world)
+    _deliver_urgent(world)
 
 
-def digest(small: Small) -> bytes:
+def digest(state: ExplorationState) -> bytes:
     """Hash everything in a state that can affect its future."""
-    world = small.world
+    world = state.world
     told: list[object] = []
     for name, relay in sorted(world.relays.items()):
         machine = relay.machine
@@ -154,12 +154,12 @@
         told.append((name, sorted(relay.next_steps.items()), machine.confirmed, follows, near))
     told.append((sorted(world.frames_in_flight.items()), sorted(world.cut), world.now_us))
     told.append((sorted(world.checker.promised), sorted(world.checker.calls.items())))
-    told.append((sorted(small.left), small.ticks, small.down))
+    told.append((sorted(state.left), state.ticks, state.down))
     return hashlib.blake2b(repr(told).encode(), digest_size=16).digest()
 
 
 @dataclass(slots=True)
-class Explored:
+class ExplorationResult:
     """Result of an exploration."""
 
     states: int = 0
@@ -167,33 +167,33 @@
     broken: list[tuple[list[str], list[Action]]] = field(default_factory=list)
 
 
-def explore(most: int, settle_each: int = 50, troubles: Sequence[str] = TROUBLES) -> Explored:
+def explore(most: int, settle_each: int = 50, faults: Sequence[str] = FAULTS) -> ExplorationResult:
     """Explore up to `most` states breadth-first, and stop at the first violation.
 
     The history of each state is checked. From every `settle_each`-th state, and from states without further
     actions, all faults are ended and the world has to settle without losing an accepted message.
     """
-    found, first = Explored(), begin(troubles)
+    found, first = ExplorationResult(), initial_state(faults)
     front: list[tuple[bytes, list[Action]]] = [(pickle.dumps(first), [])]
     seen = {digest(first)}
     while front and found.states < most:
         following = []
         for packed, path in front:
             for action in actions(pickle.loads(packed)):
-                small: Small = pickle.loads(packed)
-                act(small, action)
-                if (mark := digest(small)) in seen:
+                state: ExplorationState = pickle.loads(packed)
+                act(state, action)
+                if (mark := digest(state)) in seen:
                     continue
                 seen.add(mark)
                 found.states += 1
-                way = [*path, action]
-                broken = list(small.world.checker.broken)
-                following.append((pickle.dumps(small), way))
-                if not broken and (found.states % settle_each == 0 or not any(actions(small))):
-                    small.world.settle()
-                    broken = small.world.checker.finish()
+                next_path = [*path, action]
+                broken = list(state.world.checker.broken)
+                following.append((pickle.dumps(state), next_path))
+                if not broken and (found.states % settle_each == 0 or not any(actions(state))):
+                    state.world.settle()
+                    broken = state.world.checker.finish()
                 if broken:
-                    found.broken.append((broken, way))
+                    found.broken.append((broken, next_path))
                     return found
             if found.states >= most:
                 return found
--- a/tests/test_copies_machine.py
+++ b/tests/test_copies_machine.py
@@ -11,7 +11,7 @@
 from amberlug.copies.states import Kind, MessageState
 from amberlug.lab import copies as lab
 from amberlug.lab.copies import play
-from amberlug.lab.explore import TROUBLES, explore
+from amberlug.lab.explore import FAULTS, explore
 
 # Relays, copies, machines lost with their disks, and the number of random schedules.
 WORLDS = [(3, 1, 1, 500), (4, 1, 1, 500), (5, 2, 2, 200)]
@@ -29,11 +29,11 @@
     assert promised > count / 2  # guards against schedules in which nothing is accepted
 
 
-@pytest.mark.parametrize("troubles", [TROUBLES, ("cut",), ("lost", "dies")], ids=["all", "cut", "lost"])
-def test_all_schedules_of_a_small_model_up_to_a_depth(troubles: tuple[str, ...]) -> None:
-    exploration = explore(2500, troubles=troubles)
+@pytest.mark.parametrize("faults", [FAULTS, ("cut",), ("lost", "dies")], ids=["all", "cut", "lost"])
+def test_all_schedules_of_a_small_model_up_to_a_depth(faults: tuple[str, ...]) -> None:
+    exploration = explore(2500, faults=faults)
     assert exploration.broken == []
-    assert exploration.depth >= (3 if troubles == TROUBLES else 5)
+    assert exploration.depth >= (3 if faults == FAULTS else 5)
 
 
 # Mutations: each replaces one safety check.
