--- a/amberlug/lab/fleet.py
+++ b/amberlug/lab/fleet.py
@@ -27,14 +27,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Shared:
+class SharedDestination:
     """One destination, its callers and its faults; times in seconds from the start."""
 
     relays: int = 40
     seconds: float = 30.0
     rate: float = 40.0  # listed rate limit in calls per second
     load: float = 0.7  # offered messages per second as a fraction of the rate limit
-    clumps: float = 0.1  # fraction that arrives in bursts, each of two seconds of the rate
+    burst_share: float = 0.1  # fraction that arrives in bursts, each of two seconds of the rate
     uneven: float = 0.5  # standard deviation of the logarithm of each relay's share of the load
     refused_count: bool = True  # whether rejected calls count towards the limit
     tells_wait: float = 0.3  # fraction of rejections that carry a Retry-After
@@ -49,7 +49,7 @@
 
 
 @dataclass(slots=True)
-class Tally:
+class RunTotals:
     """Results of a run over all relays."""
 
     offered: int = 0
@@ -58,8 +58,8 @@
     calls: int = 0
     refused: int = 0  # by the rate limit
     ends: Counter[str] = field(default_factory=Counter)
-    served: Counter[int] = field(default_factory=Counter)  # accepted calls per second of the run
-    turned_away: Counter[int] = field(default_factory=Counter)  # by the rate limit, per second
+    accepted_by_second: Counter[int] = field(default_factory=Counter)  # accepted calls per second of the run
+    rejected_by_second: Counter[int] = field(default_factory=Counter)  # by the rate limit, per second
 
     @property
     def share(self) -> float:
@@ -68,7 +68,7 @@
 
 
 @dataclass(slots=True)
-class _Wanted:
+class _ClientMessage:
     """A client's message, which may be resubmitted under a new reference."""
 
     kind: api.MessageClass
@@ -86,7 +86,7 @@
         api.MessageClass("payment", Effect.UNSAFE, 2 * SECOND, 20 * SECOND, 4.0, 0.4, Group.ALL, 0, False),
     )
 }
-_PARTS = {"result": 0.56, "entry": 0.22, "payment": 0.22}
+_CLASS_SHARES = {"result": 0.56, "entry": 0.22, "payment": 0.22}
 
 
 def settings(relays: int, bundle: int = 1) -> api.Settings:
@@ -132,7 +132,7 @@
 class _Limit:
     """The destination's rate limit as a token bucket."""
 
-    def __init__(self, told: Shared) -> None:
+    def __init__(self, told: SharedDestination) -> None:
         self._told, self._most = told, max(1.0, told.rate * BUCKET_S)
         self._held, self._at = self._most, 0
 
@@ -159,20 +159,20 @@
 class _Relay:
     """One relay with its timers and connections; each event is processed at once."""
 
-    def __init__(self, of: _Play, seed: int) -> None:
+    def __init__(self, of: _Run, seed: int) -> None:
         self._of, self._refs = of, count(1)
         self.begin(seed)
 
     def begin(self, seed: int) -> None:
         """Start with no state but the endpoint list."""
         self.sender = LastingSender(settings(self._of.told.relays, self._of.told.bundle), seed)
-        self.held: dict[int, _Wanted] = {}
+        self.held: dict[int, _ClientMessage] = {}
         self.attempts: Counter[int] = Counter()
         self.idle = 0
         entry = api.Entry("it", "here", "plain", 1, api.State.IN, self._of.told.rate)
         self.step(api.Listed(api.ListKind.WHOLE, (entry,)))
 
-    def hand_in(self, wanted: _Wanted) -> None:
+    def hand_in(self, wanted: _ClientMessage) -> None:
         """Accept a message."""
         ref, left_us = next(self._refs), wanted.at_us + wanted.kind.deadline_us - self._of.now
         self.held[ref] = wanted
@@ -249,9 +249,9 @@
                 self.hand_in(wanted)
 
 
-class _Play:
-    def __init__(self, told: Shared, seed: int) -> None:
-        self.told, self.now, self.tally = told, 0, Tally()
+class _Run:
+    def __init__(self, told: SharedDestination, seed: int) -> None:
+        self.told, self.now, self.tally = told, 0, RunTotals()
         self.connections = 0
         self._queue: list[tuple[int, int, Callable[..., None], tuple[object, ...]]] = []
         self._order = count()
@@ -278,16 +278,16 @@
         pace = told.rate * told.load
         size = max(1, int(told.rate * 2))
         for rate, batch, span in (
-            (pace * (1 - told.clumps), 1, 0.0),
-            (pace * told.clumps / size, size, 1.0),
+            (pace * (1 - told.burst_share), 1, 0.0),
+            (pace * told.burst_share / size, size, 1.0),
         ):
             for at_s in self._clients.uniform(0, told.seconds, self._clients.poisson(rate * told.seconds)):
                 for later in self._clients.uniform(0, span, batch):
-                    name = str(self._clients.choice(list(_PARTS), p=list(_PARTS.values())))
+                    name = str(self._clients.choice(list(_CLASS_SHARES), p=list(_CLASS_SHARES.values())))
                     at_us = int((at_s + later) * SECOND)
-                    self.at(at_us, self._hand_in, _Wanted(_KINDS[name], at_us, told.returns), True)
+                    self.at(at_us, self._hand_in, _ClientMessage(_KINDS[name], at_us, told.returns), True)
 
-    def _hand_in(self, wanted: _Wanted, first: bool) -> None:
+    def _hand_in(self, wanted: _ClientMessage, first: bool) -> None:
         if first:
             self.tally.offered += 1
             self.tally.worth += wanted.kind.worth
@@ -295,7 +295,7 @@
             number = int(self._clients.choice(self.told.relays, p=self._weights))
             self.relays[number].hand_in(wanted)
 
-    def handed_back(self, wanted: _Wanted | None, advice_us: int) -> None:
+    def handed_back(self, wanted: _ClientMessage | None, advice_us: int) -> None:
         """Count a rejected message and let its client retry; one already ended counts as ended twice."""
         self.tally.ends["handed back" if wanted else "twice"] += 1
         if wanted and wanted.returns:
@@ -303,7 +303,7 @@
             later_us = max(advice_us, int(self._clients.uniform(0.4, 2.0) * SECOND))
             self.at(self.now + later_us, self._hand_in, wanted, False)
 
-    def delivered(self, wanted: _Wanted) -> None:
+    def delivered(self, wanted: _ClientMessage) -> None:
         """Count a delivery and its value."""
         self.tally.ends["delivered"] += 1
         kind, over = wanted.kind, self.now - wanted.at_us - wanted.kind.aim_us
@@ -320,15 +320,15 @@
         second, (down_s, lasts_s) = self.now // SECOND, told.down
         down = down_s <= self.now / SECOND < down_s + lasts_s
         if not down and self._limit.takes(self.now):
-            tally.served[second] += 1
+            tally.accepted_by_second[second] += 1
             return Result.DONE, took_us + int(self._partner.exponential(told.answer_ms) * 1000), 0
         tally.refused += 1
-        tally.turned_away[second] += 1
+        tally.rejected_by_second[second] += 1
         tells = self._partner.random() < told.tells_wait
         wait_us = int((down_s + lasts_s) * SECOND) - self.now if down else self._limit.wait_us()
         return Result.REFUSED, took_us, wait_us if tells else 0
 
-    def run(self) -> Tally:
+    def run(self) -> RunTotals:
         """Run until 25 seconds after the last arrival, or until no event is left."""
         until_us = int((self.told.seconds + 25) * SECOND)
         while self._queue and self._queue[0][0] <= until_us:
@@ -337,6 +337,6 @@
         return self.tally
 
 
-def play(told: Shared, seed: int) -> Tally:
+def play(told: SharedDestination, seed: int) -> RunTotals:
     """Run the simulation; it is deterministic for a seed."""
-    return _Play(told, seed).run()
+    return _Run(told, seed).run()
--- a/benchmarks/fleet_model.py
+++ b/benchmarks/fleet_model.py
@@ -19,11 +19,11 @@
 
 import numpy as np
 
-from amberlug.lab.fleet import Shared, play
+from amberlug.lab.fleet import SharedDestination, play
 
 ROOT = Path(__file__).parents[1]
-SMALL = Shared(rate=30.0, load=0.75, clumps=0.15, table=20)
-LARGE = Shared(rate=72.0, load=1.4, clumps=0.12, bundle=5, tells_wait=0.7, wait_s=0.45)
+SMALL = SharedDestination(rate=30.0, load=0.75, burst_share=0.15, table=20)
+LARGE = SharedDestination(rate=72.0, load=1.4, burst_share=0.12, bundle=5, tells_wait=0.7, wait_s=0.45)
 SCENARIOS = {
     "small 13, over": replace(SMALL, rate=13.0, load=1.25),
     "small 13, quiet": replace(SMALL, rate=13.0, load=0.5),
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -4,14 +4,14 @@
 
 import pytest
 
-from amberlug.lab.fleet import Shared, Tally, play
+from amberlug.lab.fleet import RunTotals, SharedDestination, play
 
 SEEDS = 4
-SMALL = Shared(rate=30.0, load=0.75, clumps=0.15, table=20)
-LARGE = Shared(rate=72.0, load=1.4, clumps=0.12, bundle=5, tells_wait=0.7, wait_s=0.45)
+SMALL = SharedDestination(rate=30.0, load=0.75, burst_share=0.15, table=20)
+LARGE = SharedDestination(rate=72.0, load=1.4, burst_share=0.12, bundle=5, tells_wait=0.7, wait_s=0.45)
 
 
-def plays(told: Shared) -> list[Tally]:
+def plays(told: SharedDestination) -> list[RunTotals]:
     tallies = [play(told, seed) for seed in range(SEEDS)]
     assert not any(it.ends["twice"] for it in tallies)
     return tallies
@@ -23,20 +23,22 @@
 
 @pytest.mark.parametrize("table", [0, 20])
 def test_forty_senders_use_a_shared_limit_and_seldom_overrun_it(table: int) -> None:
-    for it in plays(Shared(seconds=60, table=table)):
+    for it in plays(SharedDestination(seconds=60, table=table)):
         assert it.refused < 0.12 * it.calls
-        assert sum(it.served.values()) > 0.9 * it.offered
+        assert sum(it.accepted_by_second.values()) > 0.9 * it.offered
         assert it.share > 0.85
 
 
 def test_forty_senders_that_want_all_of_a_limit_get_most_of_it() -> None:
-    for it in plays(Shared(seconds=60, rate=18.0, load=0.9, table=20)):
-        assert sum(it.served.values()) > 0.8 * it.offered  # rejected calls count, so pauses are needed
+    for it in plays(SharedDestination(seconds=60, rate=18.0, load=0.9, table=20)):
+        assert (
+            sum(it.accepted_by_second.values()) > 0.8 * it.offered
+        )  # rejected calls count, so pauses are needed
         assert it.refused < 0.25 * it.calls
 
 
 def test_one_sender_alone_keeps_to_its_limit() -> None:
-    for it in plays(Shared(relays=1, rate=8.0, load=0.6, clumps=0.0)):
+    for it in plays(SharedDestination(relays=1, rate=8.0, load=0.6, burst_share=0.0)):
         assert it.share > 0.95
         assert it.refused < 0.25 * it.calls
 
@@ -44,28 +46,32 @@
 def test_a_limit_that_is_cut_is_learned_by_all_and_used_again_when_it_is_back() -> None:
     few, large = plays(replace(SMALL, cut=(6, 9, 0.25))), plays(replace(LARGE, cut=(6, 9, 0.5)))
     for it, rate, part in [(it, 30, 0.25) for it in few] + [(it, 72, 0.5) for it in large]:
-        late = sum(it.turned_away[second] for second in range(9, 15))  # after three seconds of learning
+        late = sum(
+            it.rejected_by_second[second] for second in range(9, 15)
+        )  # after three seconds of learning
         assert late < 2.7 * 6 * rate * part
-        assert sum(it.served[second] for second in range(18, 24)) > 0.45 * 6 * rate
+        assert sum(it.accepted_by_second[second] for second in range(18, 24)) > 0.45 * 6 * rate
     assert mean([it.share for it in large]) > 0.88  # 0.79 if each relay keeps to its share of the listed rate
-    assert mean([sum(it.served[second] for second in range(9, 15)) for it in large]) > 0.4 * 6 * 36
+    assert (
+        mean([sum(it.accepted_by_second[second] for second in range(9, 15)) for it in large]) > 0.4 * 6 * 36
+    )
 
 
 def test_where_most_restart_at_once_the_first_seconds_are_not_refused() -> None:
     quiet, restarted = (plays(replace(SMALL, restarted=(8, many))) for many in (0, 36))
     for before, after in zip(quiet, restarted, strict=True):
-        assert sum(after.turned_away[second] for second in (8, 9, 10)) < 30
+        assert sum(after.rejected_by_second[second] for second in (8, 9, 10)) < 30
         assert after.share > before.share - 0.15
 
 
 def test_what_was_shut_is_called_little_and_is_soon_in_full_use_again() -> None:
     for it in plays(replace(SMALL, down=(6, 5))):
-        assert sum(it.turned_away[second] for second in range(8, 11)) < 60
-        assert sum(it.served[second] for second in range(13, 18)) > 0.5 * 5 * 30
+        assert sum(it.rejected_by_second[second] for second in range(8, 11)) < 60
+        assert sum(it.accepted_by_second[second] for second in range(13, 18)) > 0.5 * 5 * 30
 
 
 def test_the_same_seed_gives_the_same_play() -> None:
-    told = Shared(seconds=5, table=10, restarted=(2, 36), down=(3, 1))
+    told = SharedDestination(seconds=5, table=10, restarted=(2, 36), down=(3, 1))
     first, again, other = play(told, 1), play(told, 1), play(told, 2)
     assert first == again
     assert first != other
