--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -83,7 +83,7 @@
 
 SLOW = replace(FLEET.partner, answer_ms=700)
 # Expected violation; guards to disable, and their replacement; scenario.
-SPOILT: list[tuple[str, list[tuple[object, str]], Callable[..., Any], Scenario]] = [
+DISABLED_GUARDS: list[tuple[str, list[tuple[object, str]], Callable[..., Any], Scenario]] = [
     (
         "drains",
         [(Node, "current")],
@@ -120,12 +120,12 @@
 ]
 
 
-@pytest.mark.parametrize("number", range(len(SPOILT)))
+@pytest.mark.parametrize("number", range(len(DISABLED_GUARDS)))
 def test_a_guard_that_is_taken_out_is_found(number: int, monkeypatch: pytest.MonkeyPatch) -> None:
-    what, guards, instead, scenario = SPOILT[number]
+    what, guards, replacement, scenario = DISABLED_GUARDS[number]
     assert broken(scenario) == []
     for of, name in guards:
-        monkeypatch.setattr(of, name, instead)
+        monkeypatch.setattr(of, name, replacement)
     assert any(what in line for line in broken(scenario))
 
 
