--- a/amberlug/lab/partners.py
+++ b/amberlug/lab/partners.py
@@ -76,9 +76,8 @@
         self.part = 0.0
         self.recovered_us: int | None = None  # when the last outage ended
         self._loads: deque[tuple[int, bool]] = deque()  # arrival time, relay knew of the outage
-        self._aware_relays: set[int] = (
-            set()
-        )  # ids of the checkers of relays whose calls failed in this outage
+        # Ids of the checkers of relays whose calls failed in this outage.
+        self._aware_relays: set[int] = set()
         self.overloaded = self.overload_violation = False
         self.calls = self.refused = 0
 
--- a/amberlug/lab/relay.py
+++ b/amberlug/lab/relay.py
@@ -97,9 +97,8 @@
         self._list_confirmed_us: int | None = None  # when that list was last confirmed
         self.list_blocked_until_us = 0  # it receives no list updates until then
         self.cut: dict[int, int] = {}  # per destination, the end of its network partition
-        self.downtimes: list[
-            tuple[int, int]
-        ] = []  # intervals in which outcomes may be late because it was down
+        # Intervals in which outcomes may be late because the relay was down.
+        self.downtimes: list[tuple[int, int]] = []
         self.start()
 
     @property
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -31,9 +31,8 @@
 
 def test_forty_senders_that_want_all_of_a_limit_get_most_of_it() -> None:
     for it in plays(SharedDestination(seconds=60, rate=18.0, load=0.9, table=20)):
-        assert (
-            sum(it.accepted_by_second.values()) > 0.8 * it.offered
-        )  # rejected calls count, so pauses are needed
+        # Rejected calls use up the limit, so pauses are needed.
+        assert sum(it.accepted_by_second.values()) > 0.8 * it.offered
         assert it.refused < 0.25 * it.calls
 
 
@@ -46,9 +45,8 @@
 def test_a_limit_that_is_cut_is_learned_by_all_and_used_again_when_it_is_back() -> None:
     few, large = plays(replace(SMALL, cut=(6, 9, 0.25))), plays(replace(LARGE, cut=(6, 9, 0.5)))
     for it, rate, part in [(it, 30, 0.25) for it in few] + [(it, 72, 0.5) for it in large]:
-        late = sum(
-            it.rejected_by_second[second] for second in range(9, 15)
-        )  # after three seconds of learning
+        # From 9 s on, after three seconds of learning.
+        late = sum(it.rejected_by_second[second] for second in range(9, 15))
         assert late < 2.7 * 6 * rate * part
         assert sum(it.accepted_by_second[second] for second in range(18, 24)) > 0.45 * 6 * rate
     assert mean([it.share for it in large]) > 0.88  # 0.79 if each relay keeps to its share of the listed rate
