--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -33,7 +33,7 @@
     return list(Play(scenario, seed).run()["broken"])
 
 
-def test_days_of_the_command_line_tell_what_broke(
+def test_days_command_reports_violations(
     capsys: pytest.CaptureFixture[str], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     call = ["lab", "days", "--first", "7", "--count", "1", "--relays", "10", "--jobs", "1"]
@@ -48,13 +48,13 @@
 
 @settings(max_examples=12)
 @given(st.integers(0, 10**6))
-def test_drawn_days_break_no_rule(seed: int) -> None:
+def test_random_scenarios_have_no_violations(seed: int) -> None:
     # Overloads of cold endpoints are counted by `amberlug lab days`: with small partners they still occur.
     lines = broken(draw(seed, RELAYS, seconds=10.0), seed)
     assert [it for it in lines if "pushed over" not in it] == []
 
 
-def test_a_day_on_which_relays_hear_no_list_and_restart_keeps_drains() -> None:
+def test_drains_hold_after_restart_without_list_updates() -> None:
     """A process without list updates for 6 s restarted, and the next one took its list for 5 s old."""
     lines = broken(draw(9128, 200), 9128)
     assert [it for it in lines if "drains" in it] == []
@@ -121,7 +121,7 @@
 
 
 @pytest.mark.parametrize("number", range(len(DISABLED_GUARDS)))
-def test_a_guard_that_is_taken_out_is_found(number: int, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_disabled_guard_is_detected(number: int, monkeypatch: pytest.MonkeyPatch) -> None:
     what, guards, replacement, scenario = DISABLED_GUARDS[number]
     assert broken(scenario) == []
     for of, name in guards:
@@ -129,7 +129,7 @@
     assert any(what in line for line in broken(scenario))
 
 
-def test_two_hundred_at_one_cold_endpoint_stay_under_what_it_can_take() -> None:
+def test_200_relays_do_not_overload_one_cold_endpoint() -> None:
     """With and without a restart of 70% of the relays during the outage, losing state not on disk."""
     scenario = Scenario(
         "cold",
@@ -143,7 +143,7 @@
 
 
 @pytest.mark.parametrize("rate", [2.0, 10.0, 50.0])
-def test_seven_in_ten_of_two_hundred_that_restart_in_a_second_ask_for_no_more(rate: float) -> None:
+def test_restart_of_most_relays_does_not_raise_rejections(rate: float) -> None:
     """Also when killed again soon: pending messages continue, and the shared rate limits are not overrun."""
     calm = Scenario(
         "restarts",
@@ -168,7 +168,7 @@
     assert herd["service"] > quiet["service"] - 0.12
 
 
-def test_a_message_that_the_journal_refuses_costs_its_round_nothing_else(
+def test_journal_failure_affects_only_its_own_message(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Its own call is not made, calls decided in the same round are made, and its slot is released."""
@@ -201,7 +201,7 @@
     return found
 
 
-def test_nothing_grows_with_messages_of_ever_new_ids_and_keys() -> None:
+def test_containers_do_not_grow_with_new_ids_and_keys() -> None:
     world = World(seconds=60, relays=1, destinations=5, slots=40)
     play, seen = Play(Scenario("long", world, Load(per_second=200), Partner(answer_ms=40)), 1), []
     for at_s in (25, 58):
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -22,27 +22,27 @@
 
 
 @pytest.mark.parametrize("table", [0, 20])
-def test_forty_senders_use_a_shared_limit_and_seldom_overrun_it(table: int) -> None:
+def test_forty_relays_use_a_shared_limit_and_seldom_exceed_it(table: int) -> None:
     for it in plays(SharedDestination(seconds=60, table=table)):
         assert it.refused < 0.12 * it.calls
         assert sum(it.accepted_by_second.values()) > 0.9 * it.offered
         assert it.share > 0.85
 
 
-def test_forty_senders_that_want_all_of_a_limit_get_most_of_it() -> None:
+def test_forty_relays_near_the_limit_use_most_of_it() -> None:
     for it in plays(SharedDestination(seconds=60, rate=18.0, load=0.9, table=20)):
         # Rejected calls use up the limit, so pauses are needed.
         assert sum(it.accepted_by_second.values()) > 0.8 * it.offered
         assert it.refused < 0.25 * it.calls
 
 
-def test_one_sender_alone_keeps_to_its_limit() -> None:
+def test_single_relay_keeps_to_the_limit() -> None:
     for it in plays(SharedDestination(relays=1, rate=8.0, load=0.6, burst_share=0.0)):
         assert it.share > 0.95
         assert it.refused < 0.25 * it.calls
 
 
-def test_a_limit_that_is_cut_is_learned_by_all_and_used_again_when_it_is_back() -> None:
+def test_reduced_limit_is_learned_and_used_again_after_recovery() -> None:
     few, large = plays(replace(SMALL, cut=(6, 9, 0.25))), plays(replace(LARGE, cut=(6, 9, 0.5)))
     for it, rate, part in [(it, 30, 0.25) for it in few] + [(it, 72, 0.5) for it in large]:
         # From 9 s on, after three seconds of learning.
@@ -55,20 +55,20 @@
     )
 
 
-def test_where_most_restart_at_once_the_first_seconds_are_not_refused() -> None:
+def test_restart_of_most_relays_causes_few_rejections() -> None:
     quiet, restarted = (plays(replace(SMALL, restarted=(8, many))) for many in (0, 36))
     for before, after in zip(quiet, restarted, strict=True):
         assert sum(after.rejected_by_second[second] for second in (8, 9, 10)) < 30
         assert after.share > before.share - 0.15
 
 
-def test_what_was_shut_is_called_little_and_is_soon_in_full_use_again() -> None:
+def test_outage_gets_few_calls_and_is_followed_by_full_use() -> None:
     for it in plays(replace(SMALL, down=(6, 5))):
         assert sum(it.rejected_by_second[second] for second in range(8, 11)) < 60
         assert sum(it.accepted_by_second[second] for second in range(13, 18)) > 0.5 * 5 * 30
 
 
-def test_the_same_seed_gives_the_same_play() -> None:
+def test_run_is_deterministic_for_a_seed() -> None:
     told = SharedDestination(seconds=5, table=10, restarted=(2, 36), down=(3, 1))
     first, again, other = play(told, 1), play(told, 1), play(told, 2)
     assert first == again
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -26,13 +26,13 @@
 
 
 @pytest.mark.parametrize("name", sorted(path.stem for path in LIBRARY.glob("*.toml")))
-def test_the_librarys_scenarios_break_no_rule(name: str) -> None:
+def test_library_scenarios_have_no_violations(name: str) -> None:
     figures = Play(library(name), 3).run()
     assert figures["broken"] == []
     assert figures["service"] > 0.75
 
 
-def test_the_same_seed_gives_the_same_trace_whatever_the_hashes() -> None:
+def test_trace_is_deterministic_across_hash_seeds() -> None:
     code = (
         "from amberlug.lab.play import Play\nfrom tests.test_lab import library\n"
         "print(Play(library('limits-and-kills', 10.0), 5).run()['trace'])"
@@ -48,7 +48,7 @@
     assert Play(library("limits-and-kills", 10.0), 6).run()["trace"] not in traces
 
 
-def test_a_change_in_the_world_shifts_no_arrival() -> None:
+def test_arrivals_do_not_depend_on_relay_settings() -> None:
     """Common random numbers: the client load does not depend on how it is served."""
     plays = [Play(library("calm", 8.0, slots=slots), 4) for slots in (2, 32)]
     services = [play.run()["service"] for play in plays]
@@ -57,26 +57,26 @@
     assert services[0] < services[1]
 
 
-def test_a_core_that_is_too_slow_shows() -> None:
+def test_slow_cpu_lowers_service() -> None:
     scenario = replace(library("calm", 8.0), load=Load(per_second=120))
     slow = replace(scenario, world=replace(scenario.world, cpu_us=15_000))
     assert Play(slow, 1).run()["service"] < 0.7 < Play(scenario, 1).run()["service"]
 
 
-def test_waits_that_are_forgotten_over_a_kill_are_found(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_detects_retry_after_forgotten_on_kill(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(Learner, "told", lambda self, wait: None)
     plays = [Play(library("limits-and-kills", 18.0), seed).run() for seed in range(3)]
     broken = [line for figures in plays for line in figures["broken"]]
     assert any("told wait" in line for line in broken)
 
 
-def test_a_send_into_a_drain_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_detects_calls_to_a_draining_endpoint(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(LastingSender, "remove_endpoints", lambda self, news: {})
     broken = Play(library("drains"), 3).run()["broken"]
     assert any("drain" in line for line in broken)
 
 
-def test_all_that_is_wrong_with_a_scenario_is_told_with_its_place() -> None:
+def test_all_scenario_errors_are_reported_with_location() -> None:
     data = {
         "world": {"seconds": -1, "relays": 1.5, "colour": 3},
         "load": 7,
@@ -99,7 +99,7 @@
     ]
 
 
-def test_runs_are_kept_and_never_played_twice(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
+def test_stored_runs_are_not_repeated(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
     scenario, store = tmp_path / "short.toml", tmp_path / "runs.db"
     scenario.write_text("[world]\nseconds = 2\n")
     call = ["lab", "run", str(scenario), "--seeds", "3", "--jobs", "2", "--store", str(store)]
