--- a/amberlug/lab/scenario.py
+++ b/amberlug/lab/scenario.py
@@ -122,7 +122,7 @@
 
 def scenario_of(name: str, data: Mapping[str, Any]) -> Scenario:
     """Validate parsed TOML data and build a scenario from it."""
-    problems = [f"{key}: no such section" for key in data if key not in (*PARTS, "fault")]
+    problems = [f"{key}: no such part" for key in data if key not in (*PARTS, "fault")]
     parts = {key: _part(kind, data.get(key, {}), key, problems) for key, kind in PARTS.items()}
     listed = data.get("fault", [])
     if not isinstance(listed, list):
@@ -130,7 +130,7 @@
         listed = []
     faults = tuple(_part(Fault, it, f"fault[{number}]", problems) for number, it in enumerate(listed))
     problems += [
-        f"fault[{number}].what: {it.what!r} is not one of {', '.join(FAULTS)}"
+        f"fault[{number}].what: {it.what!r} is none of {', '.join(FAULTS)}"
         for number, it in enumerate(faults)
         if it.what not in FAULTS
     ]
@@ -151,7 +151,7 @@
         elif want is str and isinstance(value, str):
             given[name] = value
         elif want is str or isinstance(value, bool) or not isinstance(value, int | float):
-            problems.append(f"{where}.{name}: {value!r} is not a {'string' if want is str else 'number'}")
+            problems.append(f"{where}.{name}: {value!r} is not {'text' if want is str else 'a number'}")
         elif not 0 <= value < 1e9 or (want is int and value != int(value)):
             problems.append(f"{where}.{name}: {value!r} is out of bounds")
         else:
--- a/amberlug/lab/transport.py
+++ b/amberlug/lab/transport.py
@@ -42,8 +42,8 @@
         is_partitioned: Callable[[str], bool],
     ) -> None:
         self._endpoints, self._clock, self._work, self._checker = endpoints, clock, work, checker
-        self._dial_us = dial_us
-        self._is_partitioned = is_partitioned  # whether a partition blocks the endpoint
+        # `is_partitioned` tells whether a network partition blocks an endpoint.
+        self._dial_us, self._is_partitioned = dial_us, is_partitioned
         self._network_us, self._idle_us = network_us, idle_us
         self._idle: dict[str, deque[int]] = {}
         self._active_calls: dict[Attempt, ActiveCall] = {}
