--- a/amberlug/lab/explore.py
+++ b/amberlug/lab/explore.py
@@ -1,12 +1,13 @@
-"""Copies in a small world, all schedules up to a depth: three relays, one copy, two unsafe messages.
+"""Bounded model checking of replication: three relays, one copy, two messages that are unsafe to repeat.
 
-What may happen next is each of: a frame arrives, is lost, doubled or overtaken; a partner's answer comes; the
-relay that took them on is lost with its disk; another one dies and comes back on its folder; it is cut off
-from the others and they from it, and that heals; time passes. Each trouble happens once at the most. Two ways
-to the same state are one. What bounds it is the number of steps: `explore` says how many states there were,
-and up to which depth all of them were seen. With fewer troubles it sees deeper.
+The possible next actions are: a frame arrives, is lost, duplicated or reordered; a partner responds; the
+relay that accepted the messages is lost with its disk; another one crashes and restarts on its disk; the
+accepting relay is partitioned from the others in both directions, and the partition heals; time passes. Each
+fault happens at most once. Equal states are explored once. The search is breadth-first and bounded by the
+number of states: `explore` reports how many it saw and the depth up to which all were seen. With fewer faults
+it gets deeper.
 
-How much disks have kept is told by frames of their own, which arrive at once: their order says nothing new.
+Frames that only report how much a disk has stored are delivered at once: their order adds no new behaviour.
 """
 
 from __future__ import annotations
@@ -20,15 +21,15 @@
 
 from amberlug.lab.copies import World
 
-TICK = 20  # steps of the world's clock in one: four of them are longer than silence is borne
-URGENT = "water", "live", "opened", "open", "drop"
-TROUBLES = "lose frame", "double", "overtake", "lost", "dies", "cut"
+TICK = 20  # clock steps per time action; four actions exceed the time after which a silent peer is suspected
+URGENT_FRAMES = "water", "live", "opened", "open", "drop"
+FAULTS = "lose frame", "double", "overtake", "lost", "dies", "cut"
 Action = tuple[str, ...]
 
 
 @dataclass
-class Small:
-    """The world, and which troubles are still to come."""
+class ExplorationState:
+    """The world and the faults that may still happen."""
 
     world: World
     left: set[str]
@@ -36,102 +37,102 @@
     down: str = ""
 
 
-def begin(troubles: Sequence[str] = TROUBLES) -> Small:
-    """The world with two messages on their way to being taken on."""
+def initial_state(faults: Sequence[str] = FAULTS) -> ExplorationState:
+    """Build the initial state: two messages submitted and not yet accepted."""
     world = World(3, 1, seed=1)
-    small = Small(world, set(troubles))
+    state = ExplorationState(world, set(faults))
     world.collect()
     for _ in range(3):
-        world.hand_in("n0")  # the first one has the log made, which then is opened
-        _rush(world)
+        world.hand_in("n0")  # the first submission creates the log, which is opened afterwards
+        _deliver_urgent(world)
     world.checker.promised.clear()
     for name in ("n0", "n0"):
         world.hand_in(name)
-    _rush(world)
-    return small
+    _deliver_urgent(world)
+    return state
 
 
-def _rush(world: World) -> None:
-    """Have what is not explored arrive at once."""
+def _deliver_urgent(world: World) -> None:
+    """Deliver the frames whose order is not explored."""
     more = True
     while more:
         more = False
-        for pair in sorted(world.flying):
-            for at, (_, frame) in enumerate(world.flying.get(pair, ())):
-                if msgpack.unpackb(frame)[1][0] in URGENT:
+        for pair in sorted(world.frames_in_flight):
+            for at, (_, frame) in enumerate(world.frames_in_flight.get(pair, ())):
+                if msgpack.unpackb(frame)[1][0] in URGENT_FRAMES:
                     world.deliver(pair, at)
                     more = True
                     break
 
 
-def actions(small: Small) -> Iterator[Action]:
-    """All that may happen next."""
-    world, left = small.world, small.left
-    for pair in sorted(world.flying):
+def actions(state: ExplorationState) -> Iterator[Action]:
+    """List the actions possible in a state."""
+    world, left = state.world, state.left
+    for pair in sorted(world.frames_in_flight):
         yield "arrives", *pair
         if "lose frame" in left:
             yield "lose frame", *pair
         if "double" in left:
             yield "double", *pair
-        if "overtake" in left and len(world.flying[pair]) > 1:
+        if "overtake" in left and len(world.frames_in_flight[pair]) > 1:
             yield "overtake", *pair
     for name, relay in sorted(world.relays.items()):
-        for message, what in sorted(relay.doing.items()):
+        for message, what in sorted(relay.next_steps.items()):
             if what == "answer":
                 yield "answered", name, message
     if "lost" in left and "n0" in world.relays:
         yield ("lost",)
-    if "dies" in left and not small.down:
+    if "dies" in left and not state.down:
         yield ("dies",)
-    if small.down:
+    if state.down:
         yield ("comes back",)
     if "cut" in left:
         yield ("cut",)
     if world.cut:
         yield ("heals",)
-    if small.ticks:
+    if state.ticks:
         yield ("time",)
 
 
-def act(small: Small, action: Action) -> None:
-    """Have one thing happen."""
-    world, (what, *more) = small.world, action
-    small.left.discard(what)
+def act(state: ExplorationState, action: Action) -> None:
+    """Apply one action."""
+    world, (what, *more) = state.world, action
+    state.left.discard(what)
     if what in ("arrives", "double", "overtake"):
         world.deliver((more[0], more[1]), 1 if what == "overtake" else 0, keep=what == "double")
     elif what == "lose frame":
-        frames = world.flying[more[0], more[1]]
+        frames = world.frames_in_flight[more[0], more[1]]
         frames.pop(0)
         if not frames:
-            del world.flying[more[0], more[1]]
+            del world.frames_in_flight[more[0], more[1]]
     elif what == "answered":
         world.relays[more[0]].answered(more[1])
     elif what == "lost":
         world.end("n0", disk=False)
     elif what == "dies":
-        small.down = "n1"
+        state.down = "n1"
         world.end("n1", disk=True)
     elif what == "comes back":
-        world.start(small.down)
-        small.down = ""
+        world.start(state.down)
+        state.down = ""
     elif what == "cut":
         for other in ("n1", "n2"):
-            world.sever("n0", other)
-            world.sever(other, "n0")
+            world.block_direction("n0", other)
+            world.block_direction(other, "n0")
     elif what == "heals":
         world.heal()
     else:
-        small.ticks -= 1
+        state.ticks -= 1
         for _ in range(TICK):
             world.tick()
-            _rush(world)
+            _deliver_urgent(world)
     world.collect()
-    _rush(world)
+    _deliver_urgent(world)
 
 
-def digest(small: Small) -> bytes:
-    """What tells two states apart: all that may have a part in what happens next."""
-    world = small.world
+def digest(state: ExplorationState) -> bytes:
+    """Hash everything in a state that can affect its future."""
+    world = state.world
     told: list[object] = []
     for name, relay in sorted(world.relays.items()):
         machine = relay.machine
@@ -150,49 +151,49 @@
             told.append((log, of.promised, of.owner_left, of.opened_by_owner, copies))
         follows = [(log, it.ballot, sorted(it._progress)) for log, it in sorted(machine.takeovers.items())]
         near = [(it.incarnation, it.linked, it.heard_us) for _, it in sorted(machine.peers.items())]
-        told.append((name, sorted(relay.doing.items()), machine.confirmed, follows, near))
-    told.append((sorted(world.flying.items()), sorted(world.cut), world.now_us))
+        told.append((name, sorted(relay.next_steps.items()), machine.confirmed, follows, near))
+    told.append((sorted(world.frames_in_flight.items()), sorted(world.cut), world.now_us))
     told.append((sorted(world.checker.promised), sorted(world.checker.calls.items())))
-    told.append((sorted(small.left), small.ticks, small.down))
+    told.append((sorted(state.left), state.ticks, state.down))
     return hashlib.blake2b(repr(told).encode(), digest_size=16).digest()
 
 
 @dataclass(slots=True)
-class Explored:
-    """What was seen."""
+class ExplorationResult:
+    """Result of an exploration."""
 
     states: int = 0
-    depth: int = 0  # up to which every state was seen
+    depth: int = 0  # depth up to which every state was seen
     broken: list[tuple[list[str], list[Action]]] = field(default_factory=list)
 
 
-def explore(most: int, settle_each: int = 50, troubles: Sequence[str] = TROUBLES) -> Explored:
-    """See all states up to so many, the nearest first; the first that breaks a promise ends it.
+def explore(most: int, settle_each: int = 50, faults: Sequence[str] = FAULTS) -> ExplorationResult:
+    """Explore up to `most` states breadth-first, and stop at the first violation.
 
-    Each state's own history is checked. Of every `settle_each`-th, and of those at which nothing more can
-    happen, all is brought back and has to come to rest with each promise kept.
+    The history of each state is checked. From every `settle_each`-th state, and from states without further
+    actions, all faults are ended and the world has to settle without losing an accepted message.
     """
-    found, first = Explored(), begin(troubles)
+    found, first = ExplorationResult(), initial_state(faults)
     front: list[tuple[bytes, list[Action]]] = [(pickle.dumps(first), [])]
     seen = {digest(first)}
     while front and found.states < most:
         following = []
         for packed, path in front:
             for action in actions(pickle.loads(packed)):
-                small: Small = pickle.loads(packed)
-                act(small, action)
-                if (mark := digest(small)) in seen:
+                state: ExplorationState = pickle.loads(packed)
+                act(state, action)
+                if (mark := digest(state)) in seen:
                     continue
                 seen.add(mark)
                 found.states += 1
-                way = [*path, action]
-                broken = list(small.world.checker.broken)
-                following.append((pickle.dumps(small), way))
-                if not broken and (found.states % settle_each == 0 or not any(actions(small))):
-                    small.world.settle()
-                    broken = small.world.checker.finish()
+                next_path = [*path, action]
+                broken = list(state.world.checker.broken)
+                following.append((pickle.dumps(state), next_path))
+                if not broken and (found.states % settle_each == 0 or not any(actions(state))):
+                    state.world.settle()
+                    broken = state.world.checker.finish()
                 if broken:
-                    found.broken.append((broken, way))
+                    found.broken.append((broken, next_path))
                     return found
             if found.states >= most:
                 return found
--- a/amberlug/lab/relay.py
+++ b/amberlug/lab/relay.py
@@ -1,4 +1,4 @@
-"""One relay of the service: the real core on a disk in memory, through its lives."""
+"""One simulated relay: the real core on an in-memory disk, across process restarts."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from amberlug.core.messages import End, Message, Outcome, PendingRequest, Reason, Refusal
 from amberlug.core.node import CLOSED_RETRY_US, Node
 from amberlug.core.ports import EndpointListUpdate
-from amberlug.lab.clock import SECOND, LifeClock, Time
+from amberlug.lab.clock import SECOND, EventQueue, ProcessClock
 from amberlug.lab.disk import MemoryDisk
 from amberlug.lab.partners import Endpoint
 from amberlug.lab.scenario import World
@@ -21,24 +21,24 @@
 from amberlug.policy import interface as api
 from amberlug.standin.checker import Checker
 
-DISK_SHARE = 0.9  # of the folder's room, as the daemon has it
-COLLECT_US = 3 * SECOND  # that one which closes waits for its calls
-AWAY_US = 600_000  # from the end of a process to the next one's start
-READY_US = 400_000  # and from that until it serves
-GRACE_US = 1_500_000  # after which no end is overdue any more
-LOOK_US = 20_000
-CONFIRMS_US = 2 * SECOND  # discovery says so often at the least that the list is the newest
-ToldEnd = Callable[[End], None]
+DISK_SHARE = 0.9  # usable part of the directory's size, as in the daemon
+CLOSE_TIMEOUT_US = 3 * SECOND  # how long a closing relay waits for its calls
+RESTART_DELAY_US = 600_000  # from the end of a process to the start of the next
+STARTUP_US = 400_000  # from the start of a process until it accepts messages
+LATE_OUTCOME_GRACE_US = 1_500_000  # after which a restart no longer excuses a late outcome
+CLOSE_POLL_US = 20_000  # poll interval while closing
+LIST_CONFIRM_INTERVAL_US = 2 * SECOND  # longest interval at which discovery confirms the list as current
+OutcomeCallback = Callable[[End], None]
 
 
-def _nothing() -> None:
-    """What a part of a request comes to."""
+def _discard() -> None:
+    """Handle a truncated request: CPU time is spent, but nothing is submitted."""
 
 
-class ModelEnds:
-    """The platform's side: it hears each end a little later, and acknowledges it."""
+class SimulatedOutcomeChannel:
+    """Simulated receiver of outcomes: gets each one after the network delay and acknowledges it."""
 
-    def __init__(self, clock: LifeClock, network_us: int, told: ToldEnd) -> None:
+    def __init__(self, clock: ProcessClock, network_us: int, told: OutcomeCallback) -> None:
         self._clock, self._network_us, self._told = clock, network_us, told
         self._waiting: set[str] = set()
 
@@ -56,26 +56,26 @@
         if not self.owed(end) or end.message in self._waiting:
             return
         self._waiting.add(end.message)
-        self._clock.at(self._clock.now_us() + self._network_us, self._hear, end)
+        self._clock.at(self._clock.now_us() + self._network_us, self._receive, end)
 
-    def _hear(self, end: End) -> None:
+    def _receive(self, end: End) -> None:
         self._told(end)
-        self._clock.at(self._clock.now_us() + self._network_us, self._heard, end.message)
+        self._clock.at(self._clock.now_us() + self._network_us, self._acknowledge, end.message)
 
-    def _heard(self, name: str) -> None:
+    def _acknowledge(self, name: str) -> None:
         self._waiting.discard(name)
         self._acknowledged(name)
 
     def send(self) -> None:
-        """Nothing waits for others here."""
+        """Do nothing: outcomes are not batched here."""
 
 
 class Relay:
-    """A relay; `up` while it takes messages."""
+    """A relay; `up` while it accepts messages."""
 
     def __init__(
         self,
-        time: Time,
+        time: EventQueue,
         settings: api.Settings,
         world: World,
         seed: int,
@@ -84,20 +84,21 @@
         told: Callable[[Relay, End], None],
     ) -> None:
         self._time, self._settings, self._world, self._seed = time, settings, world, seed
-        self._endpoints, self._listed = endpoints, listed
-        self._told: ToldEnd = lambda end: told(self, end)
-        self.checker = Checker()  # of what passes on its own wires
+        self._endpoints, self._list_endpoints = endpoints, listed
+        self._told: OutcomeCallback = lambda end: told(self, end)
+        self.checker = Checker()  # checks this relay's own traffic
         self._disk = MemoryDisk(int(world.disk_mb * 1e6))
         self._network_us = int(world.network_ms * 1000)
-        self._free_us = 0  # when its core has done what waits for it
+        self._cpu_free_us = 0  # when its CPU finishes the queued work
         self.up, self.lives = False, 0
-        self._closing_us = 0  # when its end began
-        self._pauses = DiscoveryBackoff(settings.relays, settings.drain_grace_us / SECOND)
-        self._known = listed()  # what this relay was last told
-        self._heard_us: int | None = None  # when that was last confirmed
-        self.deaf_until_us = 0  # it hears nothing of the list until then
-        self.cut: dict[int, int] = {}  # until when the network lets nothing through to a destination
-        self.away: list[tuple[int, int]] = []  # from when until when ends may come late: it was not there
+        self._down_since_us = 0  # when it began to close or was killed
+        self._discovery_backoff = DiscoveryBackoff(settings.relays, settings.drain_grace_us / SECOND)
+        self._endpoint_list = listed()  # last received endpoint list
+        self._list_confirmed_us: int | None = None  # when that list was last confirmed
+        self.list_blocked_until_us = 0  # it receives no list updates until then
+        self.cut: dict[int, int] = {}  # per destination, the end of its network partition
+        # Intervals in which outcomes may be late because the relay was down.
+        self.downtimes: list[tuple[int, int]] = []
         self.start()
 
     @property
@@ -106,9 +107,9 @@
         return self._disk.written
 
     def start(self) -> None:
-        """Begin a life on what the disk holds."""
+        """Start a process on the present contents of the disk."""
         self.lives += 1
-        self._clock = clock = LifeClock(self._time)
+        self._clock = clock = ProcessClock(self._time)
         room = int(self._world.disk_mb * 1e6 * DISK_SHARE)
         if not self._world.remembers:
             for name in [name for name in self._disk.files() if generation_number(name) is not None]:
@@ -124,87 +125,91 @@
             self.work,
             self.checker,
             self._settings.dial_us,
-            self._cut_off,
+            self._is_partitioned,
         )
-        ends = ModelEnds(clock, self._network_us, self._told)
+        ends = SimulatedOutcomeChannel(clock, self._network_us, self._told)
         self.node = Node(self._settings, self._seed, journal, learner, self._transport, ends, clock)
         self._learner = learner
-        self.node.listed(EndpointListUpdate(self._known, 1, True))
-        age_s = None if self._heard_us is None else (self._time.us - self._heard_us) / SECOND
-        self.node.current(self._pauses.initial_list_validity_s(self.lives > 1, age_s))
-        if self._time.us >= self.deaf_until_us:
+        self.node.listed(EndpointListUpdate(self._endpoint_list, 1, True))
+        age_s = (
+            None
+            if self._list_confirmed_us is None
+            else (self._time.now_us - self._list_confirmed_us) / SECOND
+        )
+        self.node.current(self._discovery_backoff.initial_list_validity_s(self.lives > 1, age_s))
+        if self._time.now_us >= self.list_blocked_until_us:
             self._confirm()
         self.node.restore()
         self.up = True
-        self._clock.at(self._time.us + CONFIRMS_US, self._confirm_later, clock)
+        self._clock.at(self._time.now_us + LIST_CONFIRM_INTERVAL_US, self._confirm_later, clock)
 
     def work(self, job: Callable[[], None]) -> None:
-        """Do a job once the core is free; it takes what the scenario says."""
+        """Run a job once the CPU is free; each job occupies it for the scenario's `cpu_us`."""
         if not self._world.cpu_us:
             job()
             return
-        self._free_us = max(self._free_us, self._time.us) + int(self._world.cpu_us)
-        self._clock.at(self._free_us, job)
+        self._cpu_free_us = max(self._cpu_free_us, self._time.now_us) + int(self._world.cpu_us)
+        self._clock.at(self._cpu_free_us, job)
 
-    def _cut_off(self, endpoint: str) -> bool:
-        return self.cut.get(self._endpoints[endpoint].of.number, 0) > self._time.us
+    def _is_partitioned(self, endpoint: str) -> bool:
+        return self.cut.get(self._endpoints[endpoint].of.number, 0) > self._time.now_us
 
     def hand_in(self, message: Message, deadline_us: int, exchange: PendingRequest) -> None:
-        """Take a request off the wire."""
+        """Receive a request from a client."""
         if not self.up:
             exchange.settle(Refusal(Reason.CLOSING, CLOSED_RETRY_US))
             return
-        came_us = self._time.us
+        arrived_us = self._time.now_us
 
         def read() -> None:
-            now = self._time.us
-            self.node.hand_in(message, max(0, deadline_us - now), now - came_us, exchange)
+            now = self._time.now_us
+            self.node.hand_in(message, max(0, deadline_us - now), now - arrived_us, exchange)
 
         self.work(read)
 
-    def read_garbage(self) -> None:
-        """Read a part of a request that ends with its connection."""
+    def receive_truncated(self) -> None:
+        """Receive a request that is cut off by the end of its connection."""
         if self.up:
-            self.work(_nothing)
+            self.work(_discard)
 
     def client_disconnected(self, exchange: PendingRequest) -> None:
-        """See a client close its connection before it was answered."""
+        """Handle a client that closes its connection before the response."""
         if self.up:
             self.node.client_disconnected(exchange)
 
-    def hear(self) -> None:
-        """Hear the list as it is, unless discovery is out of reach."""
-        if self.up and self._time.us >= self.deaf_until_us:
+    def receive_list(self) -> None:
+        """Receive the current endpoint list, unless discovery is unreachable."""
+        if self.up and self._time.now_us >= self.list_blocked_until_us:
             self._confirm()
 
     def _confirm(self) -> None:
-        self._known, self._heard_us = self._listed(), self._time.us
-        self.node.listed(EndpointListUpdate(self._known, 2, True))
-        self.node.current(self._pauses.list_validity_s())
+        self._endpoint_list, self._list_confirmed_us = self._list_endpoints(), self._time.now_us
+        self.node.listed(EndpointListUpdate(self._endpoint_list, 2, True))
+        self.node.current(self._discovery_backoff.list_validity_s())
 
-    def _confirm_later(self, clock: LifeClock) -> None:
-        if self._time.us >= self.deaf_until_us:
+    def _confirm_later(self, clock: ProcessClock) -> None:
+        if self._time.now_us >= self.list_blocked_until_us:
             self._confirm()
-        clock.at(self._time.us + CONFIRMS_US, self._confirm_later, clock)
+        clock.at(self._time.now_us + LIST_CONFIRM_INTERVAL_US, self._confirm_later, clock)
 
     def kill(self) -> None:
-        """End the process as it is, and start it again a little later."""
+        """Kill the process without cleanup, and schedule its restart."""
         if self.up:
-            self._closing_us = self._time.us
+            self._down_since_us = self._time.now_us
             self._end()
 
     def restart(self) -> None:
-        """Have it close, as a planned restart does."""
+        """Restart gracefully: close, then wait for the calls in progress."""
         if self.up:
-            self._closing_us = self._time.us
+            self._down_since_us = self._time.now_us
             self.node.close()
-            self._collect(self._clock, self._time.us + COLLECT_US)
+            self._wait_for_calls(self._clock, self._time.now_us + CLOSE_TIMEOUT_US)
 
-    def _collect(self, clock: LifeClock, until_us: int) -> None:
+    def _wait_for_calls(self, clock: ProcessClock, until_us: int) -> None:
         if clock is not self._clock or not self.up:
-            return  # it was killed meanwhile
-        if self._time.us < until_us and self.node.busy:
-            self._time.after(LOOK_US, self._collect, clock, until_us)
+            return  # killed in the meantime
+        if self._time.now_us < until_us and self.node.busy:
+            self._time.after(CLOSE_POLL_US, self._wait_for_calls, clock, until_us)
             return
         self.node.save_learned()
         self._learner.close()
@@ -214,6 +219,6 @@
         self.up = False
         self._clock.end()
         self._transport.abandon()
-        ready_us = self._time.us + AWAY_US + READY_US
-        self.away.append((self._closing_us, ready_us + GRACE_US))
+        ready_us = self._time.now_us + RESTART_DELAY_US + STARTUP_US
+        self.downtimes.append((self._down_since_us, ready_us + LATE_OUTCOME_GRACE_US))
         self._time.at(ready_us, self.start)
--- a/amberlug/lab/transport.py
+++ b/amberlug/lab/transport.py
@@ -1,4 +1,4 @@
-"""The core's transport over a modelled network: dials, idle connections, delays, answers, time-outs."""
+"""Simulated transport for the core: connection setup, idle connections, latency, responses, timeouts."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 from amberlug.core.messages import Attempt, AttemptResult
 from amberlug.core.ports import Address, Calls
-from amberlug.lab.clock import LifeClock, Timer
+from amberlug.lab.clock import ProcessClock, Timer
 from amberlug.lab.partners import Answer, Endpoint, Pending
 from amberlug.policy.interface import Result
 from amberlug.standin.checker import Checker
@@ -17,8 +17,8 @@
 
 
 @dataclass(slots=True, eq=False)
-class Out:
-    """One call that is out."""
+class ActiveCall:
+    """One call in progress."""
 
     endpoint: str
     attempts: list[Attempt]
@@ -28,36 +28,37 @@
 
 
 class ModelTransport:
-    """Calls of one life of a relay. `work` has its events wait for the relay's core."""
+    """Calls of one relay process. `work` queues response handling until the relay's CPU is free."""
 
     def __init__(
         self,
         endpoints: Mapping[str, Endpoint],
-        clock: LifeClock,
+        clock: ProcessClock,
         network_us: int,
         idle_us: int,
         work: Callable[[Callable[[], None]], None],
         checker: Checker,
         dial_us: int,
-        cut_off: Callable[[str], bool],
+        is_partitioned: Callable[[str], bool],
     ) -> None:
         self._endpoints, self._clock, self._work, self._checker = endpoints, clock, work, checker
-        self._dial_us, self._cut_off = dial_us, cut_off  # whether nothing comes through to an endpoint
+        # `is_partitioned` tells whether a network partition blocks an endpoint.
+        self._dial_us, self._is_partitioned = dial_us, is_partitioned
         self._network_us, self._idle_us = network_us, idle_us
         self._idle: dict[str, deque[int]] = {}
-        self._out: dict[Attempt, Out] = {}
+        self._active_calls: dict[Attempt, ActiveCall] = {}
 
     @property
     def busy(self) -> bool:
-        return bool(self._out)
+        return bool(self._active_calls)
 
     def bind(self, calls: Calls) -> None:
         self._calls = calls
 
     def call(self, endpoint: str, attempts: list[Attempt], fresh: bool) -> None:
-        out, idle, now = Out(endpoint, attempts), self._idle.get(endpoint), self._clock.now_us()
+        out, idle, now = ActiveCall(endpoint, attempts), self._idle.get(endpoint), self._clock.now_us()
         for attempt in attempts:
-            self._out[attempt] = out
+            self._active_calls[attempt] = out
         while idle and idle[0] <= now - self._idle_us:
             idle.popleft()
         reused = bool(idle) and not fresh
@@ -65,11 +66,11 @@
             idled_us = now - idle.pop()
             for attempt in attempts:
                 attempt.idle_us = idled_us
-            self._clock.at(now + 1, self._leave, out, True)
+            self._clock.at(now + 1, self._send, out, True)
         else:
-            self._clock.at(now + 2 * self._network_us, self._leave, out, False)
+            self._clock.at(now + 2 * self._network_us, self._send, out, False)
 
-    def _leave(self, out: Out, reused: bool) -> None:
+    def _send(self, out: ActiveCall, reused: bool) -> None:
         cleared = self._calls.clear(out.attempts)
         for attempt in out.attempts:
             if attempt not in cleared:
@@ -80,47 +81,49 @@
         for attempt in cleared:
             attempt.reused = reused
         until_us = min(it.until_us for it in cleared)
-        out.timer = self._clock.at(until_us, self._late, out)
-        self._clock.at(self._clock.now_us() + self._network_us, self._arrive, out, reused)
+        out.timer = self._clock.at(until_us, self._time_out, out)
+        self._clock.at(self._clock.now_us() + self._network_us, self._deliver, out, reused)
 
-    def _arrive(self, out: Out, reused: bool) -> None:
+    def _deliver(self, out: ActiveCall, reused: bool) -> None:
         if out.over:
             return
-        if self._cut_off(out.endpoint):
-            if not reused:  # a connection does not come up; one that was there says nothing
+        if self._is_partitioned(out.endpoint):
+            if not reused:  # a new connection fails; an established one stays silent
                 self._clock.at(self._clock.now_us() + self._dial_us, self._answer, out, UNCONNECTED)
             return
         endpoint = self._endpoints[out.endpoint]
         names = [it.message.name for it in out.attempts]
 
         def answered(answer: Answer) -> None:
-            if self._cut_off(out.endpoint):
+            if self._is_partitioned(out.endpoint):
                 return
             at_us = self._clock.now_us() + self._network_us
             self._clock.at(at_us, self._work, lambda: self._answer(out, answer))
 
-        out.pending = endpoint.arrive(self._checker, names, reused, answered)
+        out.pending = endpoint.receive_call(self._checker, names, reused, answered)
         if out.pending is None:
             answered(UNCONNECTED)
 
-    def _answer(self, out: Out, answer: Answer) -> None:
+    def _answer(self, out: ActiveCall, answer: Answer) -> None:
         if out.over or answer.result is None:
             return
         if answer.result is not Result.RESET and answer.result is not Result.UNCONNECTED:
             self._idle.setdefault(out.endpoint, deque()).append(self._clock.now_us())
         self._finish(out, AttemptResult(answer.result, answer.wait_us))
 
-    def _late(self, out: Out) -> None:
+    def _time_out(self, out: ActiveCall) -> None:
         if not out.over:
             self._give_up(out, AttemptResult(Result.TIMED_OUT))
 
-    def _give_up(self, out: Out, how: AttemptResult) -> None:
+    def _give_up(self, out: ActiveCall, how: AttemptResult) -> None:
         if out.pending is not None:
             endpoint = self._endpoints[out.endpoint]
-            (endpoint.forsake if self._cut_off(out.endpoint) else endpoint.hang_up)(out.pending)
+            (endpoint.call_abandoned if self._is_partitioned(out.endpoint) else endpoint.connection_closed)(
+                out.pending
+            )
         self._finish(out, how)
 
-    def _finish(self, out: Out, how: AttemptResult) -> None:
+    def _finish(self, out: ActiveCall, how: AttemptResult) -> None:
         out.over = True
         if out.timer is not None:
             out.timer.cancel()
@@ -130,23 +133,23 @@
     def _ended(self, attempt: Attempt, how: AttemptResult) -> None:
         if not attempt.ended:
             attempt.ended = True
-            del self._out[attempt]
+            del self._active_calls[attempt]
             self._calls.ended(attempt, how)
 
     def call_off(self, attempt: Attempt) -> None:
         attempt.called_off = True
-        if (out := self._out.get(attempt)) is not None and all(it.called_off for it in out.attempts):
+        if (out := self._active_calls.get(attempt)) is not None and all(it.called_off for it in out.attempts):
             self._give_up(out, AttemptResult(Result.CALLED_OFF))
 
     def abandon(self) -> None:
-        """The process is gone: its connections end, and nobody hears of it."""
-        for out in set(self._out.values()):
+        """Close all connections when the process ends, without reporting results."""
+        for out in set(self._active_calls.values()):
             out.over = True
             if out.pending is not None:
-                self._endpoints[out.endpoint].hang_up(out.pending)
+                self._endpoints[out.endpoint].connection_closed(out.pending)
 
     def probe(self, endpoint: str, ended: Callable[[AttemptResult], None]) -> None:
-        well = not self._cut_off(endpoint) and self._endpoints[endpoint].probed(self._checker)
+        well = not self._is_partitioned(endpoint) and self._endpoints[endpoint].receive_probe(self._checker)
         self._clock.at(
             self._clock.now_us() + 2 * self._network_us,
             ended,
--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -1,4 +1,4 @@
-"""Whole fleets in virtual time: drawn days break no rule, and each guard that is taken out is found."""
+"""Fleets in virtual time: random scenarios violate no rule, and disabling a guard is detected."""
 
 from __future__ import annotations
 
@@ -26,14 +26,14 @@
 from amberlug.policy.lasting import LastingSender
 from amberlug.policy.state import RelayState
 
-RELAYS = 40  # `amberlug lab days` plays 200
+RELAYS = 40  # `amberlug lab days` runs 200
 
 
 def broken(scenario: Scenario, seed: int = 1) -> list[str]:
     return list(Play(scenario, seed).run()["broken"])
 
 
-def test_days_of_the_command_line_tell_what_broke(
+def test_days_command_reports_violations(
     capsys: pytest.CaptureFixture[str], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     call = ["lab", "days", "--first", "7", "--count", "1", "--relays", "10", "--jobs", "1"]
@@ -48,14 +48,15 @@
 
 @settings(max_examples=12)
 @given(st.integers(0, 10**6))
-def test_drawn_days_break_no_rule(seed: int) -> None:
-    # Pushes are counted by `amberlug lab days`: where partners are small they can't be ruled out yet.
+def test_random_scenarios_have_no_violations(seed: int) -> None:
+    # Overloads of cold endpoints are left to `amberlug lab days`, which counts them: with small partners
+    # they can't be ruled out yet.
     lines = broken(draw(seed, RELAYS, seconds=10.0), seed)
     assert [it for it in lines if "pushed over" not in it] == []
 
 
-def test_a_day_on_which_relays_hear_no_list_and_restart_keeps_drains() -> None:
-    """A life that had heard nothing for six seconds ended, and the next one took its list for five old."""
+def test_drains_hold_after_restart_without_list_updates() -> None:
+    """A process without list updates for 6 s restarted, and the next one took its list for 5 s old."""
     lines = broken(draw(9128, 200), 9128)
     assert [it for it in lines if "drains" in it] == []
 
@@ -82,8 +83,8 @@
 
 
 SLOW = replace(FLEET.partner, answer_ms=700)
-# What is found; which guards are taken out, and what stands in their place; the day.
-SPOILT: list[tuple[str, list[tuple[object, str]], Callable[..., Any], Scenario]] = [
+# Expected violation; guards to disable, and their replacement; scenario.
+DISABLED_GUARDS: list[tuple[str, list[tuple[object, str]], Callable[..., Any], Scenario]] = [
     (
         "drains",
         [(Node, "current")],
@@ -120,17 +121,17 @@
 ]
 
 
-@pytest.mark.parametrize("number", range(len(SPOILT)))
-def test_a_guard_that_is_taken_out_is_found(number: int, monkeypatch: pytest.MonkeyPatch) -> None:
-    what, guards, instead, scenario = SPOILT[number]
+@pytest.mark.parametrize("number", range(len(DISABLED_GUARDS)))
+def test_disabled_guard_is_detected(number: int, monkeypatch: pytest.MonkeyPatch) -> None:
+    what, guards, replacement, scenario = DISABLED_GUARDS[number]
     assert broken(scenario) == []
     for of, name in guards:
-        monkeypatch.setattr(of, name, instead)
+        monkeypatch.setattr(of, name, replacement)
     assert any(what in line for line in broken(scenario))
 
 
-def test_two_hundred_at_one_cold_endpoint_stay_under_what_it_can_take() -> None:
-    """With and without seven in ten that are restarted while it is down, and forget what they do not keep."""
+def test_200_relays_do_not_overload_one_cold_endpoint() -> None:
+    """With and without a restart of 70% of the relays during the outage, losing state not on disk."""
     scenario = Scenario(
         "cold",
         World(seconds=10, relays=200, destinations=1, endpoints=1, uneven=0.8, network_ms=10),
@@ -143,8 +144,8 @@
 
 
 @pytest.mark.parametrize("rate", [2.0, 10.0, 50.0])
-def test_seven_in_ten_of_two_hundred_that_restart_in_a_second_ask_for_no_more(rate: float) -> None:
-    """Also killed again at once: what they held goes on, and limits that all share are not run over."""
+def test_restart_of_most_relays_does_not_raise_rejections(rate: float) -> None:
+    """Also when killed again soon: pending messages continue, and the shared rate limits are not overrun."""
     calm = Scenario(
         "restarts",
         World(
@@ -168,10 +169,10 @@
     assert herd["service"] > quiet["service"] - 0.12
 
 
-def test_a_message_that_the_journal_refuses_costs_its_round_nothing_else(
+def test_journal_failure_affects_only_its_own_message(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Its own call is not made, the calls that were decided on with it are, and its slot is free again."""
+    """Its own call is not made, calls decided in the same round are made, and its slot is released."""
     real = Journal.take
 
     def take(journal: Journal, message: Message, now_ms: int) -> None:
@@ -187,7 +188,7 @@
 
 
 def held(relay: Any) -> dict[str, int]:
-    """How much each container of a relay's core holds."""
+    """Size of each container in a relay's core."""
     found = {}
     for of in (relay.node, relay.node._sender, relay.node._journal, relay.node._learning):
         names = {
@@ -201,7 +202,7 @@
     return found
 
 
-def test_nothing_grows_with_messages_of_ever_new_ids_and_keys() -> None:
+def test_containers_do_not_grow_with_new_ids_and_keys() -> None:
     world = World(seconds=60, relays=1, destinations=5, slots=40)
     play, seen = Play(Scenario("long", world, Load(per_second=200), Partner(answer_ms=40)), 1), []
     for at_s in (25, 58):
--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -11,10 +11,10 @@
 from amberlug.core.messages import Attempt, AttemptResult, End, Message, Outcome, Refusal
 from amberlug.core.node import Node
 from amberlug.core.ports import Address, Calls, EndpointListUpdate
-from amberlug.lab.clock import SECOND, START_US, LifeClock, Time
+from amberlug.lab.clock import SECOND, START_US, EventQueue, ProcessClock
 from amberlug.lab.disk import MemoryDisk
 from amberlug.lab.play import KINDS, settings_of
-from amberlug.lab.relay import ModelEnds
+from amberlug.lab.relay import SimulatedOutcomeChannel
 from amberlug.lab.scenario import Scenario, World
 from amberlug.learning.learner import Learner
 from amberlug.learning.store import Store
@@ -32,7 +32,7 @@
 class Answers:
     """A transport that answers each call after 40 ms, occasionally with a failure."""
 
-    def __init__(self, clock: LifeClock) -> None:
+    def __init__(self, clock: ProcessClock) -> None:
         self._clock, self.in_flight, self.calls = clock, 0, 0
 
     @property
@@ -84,8 +84,8 @@
     A single sample is not enough: the journal's compaction and the allocator's arenas move it by 0.9 MB
     either way.
     """
-    time, ends = Time(), dict.fromkeys(Outcome, 0)
-    clock = LifeClock(time)
+    time, ends = EventQueue(), dict.fromkeys(Outcome, 0)
+    clock = ProcessClock(time)
 
     def told(end: End) -> None:
         ends[end.outcome] += 1
@@ -98,7 +98,7 @@
         Journal(disk, 2_500_000, clock.wall_ms(), clock.now_us),
         Learner(Store(disk, 160_000, clock.now_us), clock),
         transport,
-        ModelEnds(clock, 300, told),
+        SimulatedOutcomeChannel(clock, 300, told),
         clock,
     )
     entries = [
