--- a/amberlug/cli/learnings.py
+++ b/amberlug/cli/learnings.py
@@ -32,12 +32,15 @@
         self.boot = boot_of(self.now_us())
 
     def now_us(self) -> int:
+        """Return the monotonic time in microseconds."""
         return time.monotonic_ns() // 1000
 
     def wall_ms(self) -> int:
+        """Return the Unix time in milliseconds."""
         return time.time_ns() // 1_000_000
 
     def at(self, when_us: int, callback: Callable[..., object], *args: object) -> Handle:
+        """Raise `NotImplementedError`: timers are not supported."""
         raise NotImplementedError
 
 
@@ -48,15 +51,19 @@
         super().__init__(folder, writable=False)
 
     def create(self, name: str) -> None:
+        """Raise `OSError`: files can't be created in a read-only folder."""
         raise OSError(errno.EROFS, "the folder is opened read-only")
 
     def append(self, name: str, data: bytes) -> int:
+        """Raise `OSError`: files in a read-only folder can't be written."""
         raise OSError(errno.EROFS, "the folder is opened read-only")
 
     def truncate(self, name: str, size: int) -> None:
+        """Raise `OSError`: files in a read-only folder can't be truncated."""
         raise OSError(errno.EROFS, "the folder is opened read-only")
 
     def remove(self, name: str) -> None:
+        """Raise `OSError`: files in a read-only folder can't be deleted."""
         raise OSError(errno.EROFS, "the folder is opened read-only")
 
 
--- a/amberlug/cluster/consensus/chunk_sender.py
+++ b/amberlug/cluster/consensus/chunk_sender.py
@@ -71,6 +71,7 @@
 
     def _send(self, name: str, peer: PeerProgress, transfer: OutgoingTransfer, chunk: Chunk | None) -> None:
         def on_reply(reply: FollowerReply) -> bool:
+            """Handle the reply to a chunk or status request; returns whether more may be sent immediately."""
             if peer.transfer is not transfer:
                 return False
             if reply.success:
--- a/amberlug/cluster/consensus/election.py
+++ b/amberlug/cluster/consensus/election.py
@@ -79,6 +79,7 @@
         raft.term, raft.voted_for = term, raft.member_id
 
         def on_saved() -> None:
+            """Request votes once the own vote is durable, unless the term has changed."""
             if raft.term == term:
                 self._request_votes(term, is_pre_vote=False, is_leadership_transfer=is_leadership_transfer)
 
--- a/amberlug/cluster/consensus/log.py
+++ b/amberlug/cluster/consensus/log.py
@@ -239,6 +239,7 @@
         """
 
         def on_written(failure: WriteFailure | None) -> None:
+            """Advance the synced indexes after a write, or schedule a retry if it failed."""
             if self._is_closed:
                 return
             if write in self._pending_writes:
--- a/amberlug/cluster/consensus/raft.py
+++ b/amberlug/cluster/consensus/raft.py
@@ -184,6 +184,7 @@
         self.log.close()
 
         def on_written(failure: WriteFailure | None) -> None:
+            """Restart with an empty log once the new incarnation is durable; retry if the write failed."""
             if failure is not None:
                 self.runtime.call_later(WRITE_RETRY_S, write)
                 return
@@ -193,6 +194,7 @@
             self.start()
 
         def write() -> None:
+            """Persist the new incarnation."""
             self.disk.write(raw_rows([NewIncarnationRow(member_id)]), on_written)
 
         write()
--- a/amberlug/cluster/consensus/replication.py
+++ b/amberlug/cluster/consensus/replication.py
@@ -166,6 +166,7 @@
         last_index = previous_index + len(entries)
 
         def on_reply(reply: FollowerReply) -> bool:
+            """Update the peer's match or next index; returns that more may be sent immediately."""
             if reply.success:
                 self.on_matched(peer, last_index)
             else:
@@ -198,6 +199,7 @@
         peer.pending[kind] = PendingRequest(number, now + leader_request.timeout_s)
 
         def on_outcome(outcome: Result[FollowerReply, RequestFailure]) -> None:
+            """Handle the reply or failure, unless the peer, the term or the role has changed."""
             if self.peers.get(name) is not peer or raft.term != term or not raft.is_leader:
                 return
             if kind in peer.pending and peer.pending[kind].number == number:
--- a/amberlug/cluster/consensus/voter_selection.py
+++ b/amberlug/cluster/consensus/voter_selection.py
@@ -117,6 +117,7 @@
     regions: Counter[str] = Counter()
 
     def load(member: MemberStatus) -> _Load:
+        """Count the chosen voters in the member's region (0 if no region loss is tolerated) and zone."""
         in_region = regions[member.region_key] if tolerance.regions else 0
         return _Load(in_region, zones[member.zone_key])
 
@@ -154,6 +155,7 @@
     """Choose the best change of a single voter towards the wanted voters."""
 
     def margin_of(names: Set[str]) -> int:
+        """Return the loss margin of a set of voters, given by name."""
         return loss_margin((by_name[name] for name in names), tolerance)
 
     # Margins above 0 are not worth a change, so they are capped at 0.
--- a/amberlug/cluster/control/command_service.py
+++ b/amberlug/cluster/control/command_service.py
@@ -82,6 +82,7 @@
         """
 
         def receive(index: int | None) -> None:
+            """Run the action once the confirmed index is applied here; reject if no majority confirmed it."""
             if index is None:
                 on_outcome(Err(self._raft.rejection(RejectionReason.NOT_LEADER)))
             else:
@@ -178,6 +179,7 @@
             return
 
         def receive(reply: Result[CommandReply, RequestFailure]) -> None:
+            """Report the outcome of the forwarded command."""
             on_outcome(_outcome_of(reply, self._raft.leader_id))
 
         request(self._runtime, leader, ForwardCommand(command), FORWARD_TIMEOUT_S, receive)
@@ -187,6 +189,7 @@
         """Execute a command that another control-plane node forwards."""
 
         def reply(outcome: Result[CommandOutcome, ProposalRejected]) -> None:
+            """Reply to the forwarding node, without a result if the command was rejected."""
             respond(CommandReply(outcome.ok_value if isinstance(outcome, Ok) else None))
 
         if self._raft.role is Role.LEADER:
--- a/amberlug/cluster/control/config_service.py
+++ b/amberlug/cluster/control/config_service.py
@@ -38,6 +38,7 @@
         """Reply with the current configuration as confirmed by a majority."""
 
         def receive(result: Result[ConfirmedState, ProposalRejected]) -> None:
+            """Respond with the configuration; 404 if there is none, or an error if it is unconfirmed."""
             if isinstance(result, Err):
                 respond(unconfirmed())
             elif result.ok_value.config is None:
@@ -60,6 +61,7 @@
         version = document.ok_value.get("edition")
 
         def receive(result: Result[CommandResult, ProposalRejected]) -> None:
+            """Respond with the result of the change; 503 if no majority confirmed it."""
             if isinstance(result, Err):
                 # The change may or may not have been committed: the caller repeats the call unchanged.
                 cause = f"no answer of a majority: {result.err_value.reason.value}"
--- a/amberlug/cluster/control/dead_messages.py
+++ b/amberlug/cluster/control/dead_messages.py
@@ -39,6 +39,7 @@
         limit = message.ok_value.limit
 
         def receive(replies: Replies[DeadMessagesReply]) -> None:
+            """Respond with the merged page; 503 if no storage node replied."""
             unresponsive = sorted(disk for disk, reply in replies.items() if isinstance(reply, Err))
             if len(unresponsive) == len(replies):
                 respond(HttpResponse(503, {"cause": "no store answers"}, 1))
@@ -53,6 +54,7 @@
         """Reply with one message and its body."""
 
         def receive(replies: Replies[DeadMessagesReply]) -> None:
+            """Read the body of the message found; else respond with 404, or 503 if replies are missing."""
             messages = merge_pages(replies, 1).messages
             is_incomplete = not replies or any(isinstance(reply, Err) for reply in replies.values())
             if messages:
@@ -79,6 +81,7 @@
         """Reply with a message and its body, read from any storage node that has it."""
 
         def receive(replies: Replies[ContentReply]) -> None:
+            """Respond with the message and the first body received; 503 if there is none."""
             for reply in replies.values():
                 if isinstance(reply, Ok) and reply.ok_value.content is not None:
                     text = base64.b64encode(reply.ok_value.content).decode()
--- a/amberlug/cluster/control/endpoint_api.py
+++ b/amberlug/cluster/control/endpoint_api.py
@@ -93,6 +93,7 @@
         self.registry.depart(name, departure, announcement)
 
         def receive(result: Result[CommandResult, ProposalRejected]) -> None:
+            """Acknowledge the departure if it was committed."""
             if isinstance(result, Ok):
                 is_leaving = departure.rank == EndpointRank.LEAVING
                 logging.info("endpoint %s %s", name, "is leaving" if is_leaving else "has left")
--- a/amberlug/cluster/control/membership.py
+++ b/amberlug/cluster/control/membership.py
@@ -131,6 +131,7 @@
         self._is_changing = True
 
         def receive(result: ProposalResult) -> None:
+            """Allow the next change, and log this one if it was committed."""
             self._is_changing = False
             if isinstance(result, Ok):
                 logging.info("control-plane membership changed: %s", reason)
--- a/amberlug/cluster/control/peer_query.py
+++ b/amberlug/cluster/control/peer_query.py
@@ -41,6 +41,7 @@
         waiting = [self._finish_one]
 
         def finish() -> None:
+            """Stop waiting for the event; further calls have no effect."""
             if waiting:
                 waiting.pop()()
 
--- a/amberlug/cluster/control/quorum_contact.py
+++ b/amberlug/cluster/control/quorum_contact.py
@@ -69,6 +69,7 @@
             return
 
         def receive(reply: Result[ConfirmedIndex, RequestFailure]) -> None:
+            """Report the confirmed index, or None if the request failed."""
             on_confirmed(reply.ok_value.index if isinstance(reply, Ok) else None)
 
         request(self._runtime, leader, ConfirmIndex(), CONFIRM_TIMEOUT_S, receive)
@@ -83,6 +84,7 @@
         requested_at_s = self._runtime.now()
 
         def receive(index: int | None) -> None:
+            """Renew the contact once the confirmed index is applied here."""
             if index is not None:
                 self.call_when_applied(index, lambda: self._renew(requested_at_s))
 
--- a/amberlug/cluster/control/retirement_api.py
+++ b/amberlug/cluster/control/retirement_api.py
@@ -39,6 +39,7 @@
             return
 
         def receive(result: Result[CommandResult, ProposalRejected]) -> None:
+            """Respond with the result of the command, or an error if it was not confirmed."""
             if isinstance(result, Err):
                 respond(unconfirmed())
             elif result.ok_value.is_rejected:
@@ -54,6 +55,7 @@
         """Reply with the progress of a retirement as confirmed by a majority."""
 
         def receive(result: Result[ConfirmedState, ProposalRejected]) -> None:
+            """Respond with the progress; 404 if the storage node is not being retired."""
             if isinstance(result, Err):
                 respond(unconfirmed())
             elif (retirement := result.ok_value.retirements.get(name)) is None:
--- a/amberlug/cluster/control/session_service.py
+++ b/amberlug/cluster/control/session_service.py
@@ -74,10 +74,12 @@
         """Reply with a page of all gossip entries once they are confirmed to be as recent as a majority's."""
 
         def reply() -> None:
+            """Reply with the page of gossip entries."""
             items, next_key = self._gossip.page_after(message.after_key)
             respond(CurrentStateReply(True, items, next_key))
 
         def receive(index: int | None) -> None:
+            """Reply once the confirmed index is applied here; without entries if no majority confirmed it."""
             if index is None:
                 respond(CurrentStateReply(False, []))
             else:
--- a/amberlug/cluster/control/status.py
+++ b/amberlug/cluster/control/status.py
@@ -51,6 +51,7 @@
         is_confirmed = False
 
         def receive(replies: Replies[NodeStatusReport]) -> None:
+            """Respond with the status, including nodes that did not reply."""
             reports = {
                 node: reply.ok_value if isinstance(reply, Ok) else None for node, reply in replies.items()
             }
@@ -63,6 +64,7 @@
         finish_waiting = query.wait()
 
         def receive_index(index: int | None) -> None:
+            """Note whether a majority confirmed the state, and stop waiting for that."""
             nonlocal is_confirmed
             is_confirmed = index is not None
             finish_waiting()
--- a/amberlug/cluster/dispatch/replica_write.py
+++ b/amberlug/cluster/dispatch/replica_write.py
@@ -172,6 +172,7 @@
         timeout_s = max(MIN_REQUEST_TIMEOUT_S, self._deadline - runtime.now())
 
         def on_reply(reply: Result[ReplicaWriteReply, RequestFailure]) -> None:
+            """Record a response of the disk, then handle the end of the request."""
             if isinstance(reply, Ok):
                 health.response_received(disk, sent_at)
             self.on_reply(disk, reply)
--- a/amberlug/cluster/dispatch/replicator.py
+++ b/amberlug/cluster/dispatch/replicator.py
@@ -116,6 +116,7 @@
         sent_at = self.runtime.now()
 
         def on_reply(reply: Result[AcknowledgeReply, RequestFailure]) -> None:
+            """Record the response if the disk acknowledged durably; else probe again after an interval."""
             if isinstance(reply, Ok) and reply.ok_value.durable:
                 self.health.response_received(disk, sent_at)
             else:
--- a/amberlug/cluster/edge/lookup.py
+++ b/amberlug/cluster/edge/lookup.py
@@ -34,6 +34,7 @@
         """Respond with the status of a message."""
 
         def answer(outcome: MessageOutcome | None) -> None:
+            """Respond with the status; "not found" is unknown without a control-plane connection."""
             if outcome == NOT_FOUND and not self._context.session.control_address:
                 outcome = (
                     None  # the roster may have changed; only nodes in contact with a majority learn of it
@@ -87,6 +88,7 @@
             return
 
         def on_reply(reply: Result[StandingReply, RequestFailure]) -> None:
+            """Report the outcome received from the owner, or else look it up at the storage nodes."""
             if isinstance(reply, Ok) and reply.ok_value.outcome is not None:
                 on_outcome(reply.ok_value.outcome)
                 return
--- a/amberlug/cluster/edge/storage_reads.py
+++ b/amberlug/cluster/edge/storage_reads.py
@@ -53,6 +53,7 @@
         replicas = [disk for disk in sorted(message.holders) if disk in storage_nodes] or list(storage_nodes)
 
         def receive(reply: Result[ContentReply, RequestFailure]) -> None:
+            """Store the received body and outcome in the message, and report whether there was a body."""
             if not isinstance(reply, Ok):
                 on_done(False)
                 return
@@ -77,6 +78,7 @@
         finished = False
 
         def receive(disk: str, reply: Result[ContentReply, RequestFailure]) -> None:
+            """Report the first body received, or after the last reply that none was found."""
             nonlocal unanswered, finished
             unanswered -= 1
             if finished:
--- a/amberlug/cluster/frontends.py
+++ b/amberlug/cluster/frontends.py
@@ -34,6 +34,7 @@
         """Pass a client request to the node."""
 
         def send(response: ClientResponse) -> None:
+            """Send the response: its body as JSON if there is one, else its payload."""
             if response.body is not None:
                 respond(
                     Response(response.status, response.headers + JSON_CONTENT, encode_json(response.body))
--- a/amberlug/cluster/http/api.py
+++ b/amberlug/cluster/http/api.py
@@ -69,6 +69,7 @@
     """
 
     def declare(handler: Handler) -> Handler:
+        """Attach the call's method and path to the handler."""
         handler.__dict__[_API_CALL_ATTRIBUTE] = ApiCall(method, path)
         return handler
 
--- a/amberlug/cluster/local_deployment/commands.py
+++ b/amberlug/cluster/local_deployment/commands.py
@@ -92,12 +92,15 @@
     load = TrialLoad(rate, seconds)
 
     def report_progress(text: str) -> None:
+        """Print progress to stderr."""
         click.echo(text, err=True)
 
     async def run_trial(folder: Path) -> TrialReport:
+        """Run the trial in a folder."""
         return await Trial(Deployment(folder.resolve(), net), load, rng, report_progress).run()
 
     def run(folder: Path) -> int:
+        """Run the trial in a folder and print its report; returns the exit code."""
         return _print_report(asyncio.run(_run_until_interrupted(run_trial(folder))), as_json)
 
     sys.exit(_run_in_folder(keep, run))
--- a/amberlug/cluster/process.py
+++ b/amberlug/cluster/process.py
@@ -157,6 +157,7 @@
         node = self._node = ControlNode(runtime, settings, self.transport.address, writer, state)
 
         def handle(request: Request, respond: RespondCallback) -> None:
+            """Pass an operator's request to the node."""
             node.admin_api.handle(request, partial(respond_to_operator, respond))
 
         await self._serve(settings.control, handle)
@@ -181,6 +182,7 @@
         frontend = EdgeFrontend(node)
 
         def sweep() -> None:
+            """Close stale idle connections to endpoints, and reschedule the sweep."""
             endpoint_client.sweep()
             runtime.call_later(SWEEP_INTERVAL_S, sweep)
 
@@ -280,6 +282,7 @@
     loop = asyncio.get_running_loop()
 
     def post(callback: Callable[[], None]) -> None:
+        """Schedule a callback on the loop; does nothing if the loop is closed."""
         with contextlib.suppress(RuntimeError):  # the loop is closed: nothing waits for the outcome
             loop.call_soon_threadsafe(callback)
 
@@ -301,6 +304,7 @@
     settings = found.ok_value
 
     async def serve() -> int:
+        """Run the node until it exits; returns the exit code."""
         return await NodeProcess(settings, path, transport_type).run()
 
     return asyncio.run(serve())
--- a/amberlug/cluster/rpc/messages.py
+++ b/amberlug/cluster/rpc/messages.py
@@ -101,6 +101,7 @@
     reply_type: type[ReplyT] = message.reply_type
 
     def decode(reply: Result[Reply, RequestFailure]) -> None:
+        """Pass on the decoded reply, or the reason for the failure."""
         if isinstance(reply, Err):
             on_reply(Err(reply.err_value))
         else:
@@ -118,6 +119,7 @@
     """Mark a method as the handler of a message type: `(message, origin_address, respond)`."""
 
     def declare(handler: Callable[..., None]) -> Callable[..., None]:
+        """Attach the message type to the handler."""
         handler.__dict__[_DECLARED] = message_type
         return handler
 
@@ -128,7 +130,10 @@
     """Wrap a typed handler: decodes the message and encodes the reply."""
 
     def handle(body: Json, payload: bytes, origin: str, respond: Respond) -> None:
+        """Decode a message and pass it to the typed handler."""
+
         def answer(reply: WireBody) -> None:
+            """Encode and send the reply."""
             respond(reply.to_wire(), reply.payload)
 
         handler(message_type.from_wire(body, payload), origin, answer)
--- a/amberlug/cluster/rpc/server_connection.py
+++ b/amberlug/cluster/rpc/server_connection.py
@@ -77,6 +77,7 @@
         """Return the function that replies to a request; without a number, no reply is expected."""
 
         def respond(body: Json, payload: bytes = b"") -> None:
+            """Send the reply; it is dropped if the connection is closing or the peer does not read."""
             transport = self.transport
             if number is None or transport is None or transport.is_closing():
                 return
--- a/amberlug/cluster/values.py
+++ b/amberlug/cluster/values.py
@@ -33,11 +33,13 @@
     read_hashed_fields = _tuple_getter(tuple(each.name for each in fields(cls) if each.hash is not False))
 
     def is_equal(self: Any, other: object) -> bool:
+        """Compare all fields; `NotImplemented` for objects of other types."""
         if type(self) is not type(other):
             return NotImplemented
         return read_fields(self) == read_fields(other)
 
     def hash_fields(self: Any) -> int:
+        """Return the hash of the fields declared as hashed."""
         return hash(read_hashed_fields(self))
 
     cls.__eq__, cls.__hash__ = is_equal, hash_fields
--- a/amberlug/copies/journal.py
+++ b/amberlug/copies/journal.py
@@ -181,17 +181,21 @@
         return self._inner.earlier
 
     def knows(self, name: str) -> bool:
+        """Whether the message is known here: held, ended, relinquished, or ended for another relay."""
         known = name in self._log_of or name in self._ended_for_others or name in self._relinquished
         known = known or self._inner.knows(name)
         return known or self._held_for_other(name, live=False)
 
     def ended(self, name: str) -> End | None:
+        """Return the outcome of an ended message from this relay's own journal, if it is remembered there."""
         return self._inner.ended(name)
 
     def fits(self, size: int) -> bool:
+        """Whether this relay's own journal has space for a message with a body of `size` bytes."""
         return self._inner.fits(size)
 
     def retry_us(self, size: int) -> int:
+        """Microseconds after which a message that did not fit may be retried."""
         return self._inner.retry_us(size)
 
     def refuses(self, message: Message) -> Refusal | None:
@@ -217,6 +221,7 @@
         return owner is None or owner.short
 
     def take(self, message: Message, now_ms: int) -> None:
+        """Record a message here and at holders; `OSError` if not recorded or holders are too few."""
         copies = self._fleet.copies_of(message.message_class)
         short = self._too_few_holders(message)
         if short and self._fleet.when_short is WhenShort.REFUSE:
@@ -237,6 +242,7 @@
         self._record(message.name, Kind.TAKEN, fields)
 
     def promise(self, message: Message, kept: Callback, broken: Callable[[bool], object]) -> None:
+        """Run `kept` once an accepted message is committed; it is withdrawn if that takes too long."""
         if not self._waits(message.name):
             self._inner.after(kept)
             return
@@ -244,11 +250,13 @@
         self._pending_hand_ins[message.name] = PendingHandIn(message, kept, broken, deadline_us)
 
     def reply(self, message: Message) -> None:
+        """Record a message's reply address here and at its holders; `OSError` if it was not recorded."""
         if not self._other_origin(message.name):
             self._inner.reply(message)
         self._record(message.name, Kind.REPLY, [message.replies, message.noticed, message.reply])
 
     def attempt(self, attempt: Attempt, now_ms: int) -> None:
+        """Record an attempt; it is not replicated if a repeated attempt is harmless."""
         message = attempt.message
         if not self._other_origin(message.name):
             self._inner.attempt(attempt, now_ms)
@@ -256,6 +264,7 @@
             self._record(message.name, Kind.ATTEMPT, [attempt.number, now_ms, attempt.endpoint])
 
     def outcome(self, attempt: Attempt, how: AttemptResult) -> None:
+        """Record how an attempt ended; not replicated if a repeated attempt is harmless."""
         message = attempt.message
         if not self._other_origin(message.name):
             self._inner.outcome(attempt, how)
@@ -268,11 +277,13 @@
         return kind is not None and kind.effect is Effect.SAFE
 
     def owe(self, message: Message, end: End) -> None:
+        """Record an outcome that has yet to be acknowledged."""
         if not self._other_origin(message.name):
             self._inner.owe(message, end)
         self._record(message.name, Kind.OWED, [end.outcome.value, end.retry_ms])
 
     def end(self, name: str, until_ms: int, now_ms: int, how: End | None = None) -> None:
+        """Record that a message has ended; its name is remembered until `until_ms` (Unix time)."""
         if self._other_origin(name):
             self._ended_for_others[name] = until_ms
         else:
@@ -296,9 +307,11 @@
 
     @property
     def waits(self) -> bool:
+        """Always true: records are complete only once they are stored at enough holders."""
         return True
 
     def after(self, callback: Callback, name: str = "", never: Callback | None = None) -> None:
+        """Run a callback once a message's records are durable; `never` if another relay took it over."""
         if self._waits(name):
             self._callbacks[name].append((callback, never))
         elif name in self._log_of and self._log_of[name] not in self.machine.owners:
@@ -312,32 +325,40 @@
         return owner is not None and owner.waits(name)
 
     def work(self) -> int | None:
+        """Run one slice of background work; returns the microseconds until the next call, or None."""
         return self._inner.work()
 
     # Callbacks from the replication state machine.
 
     def watermark(self) -> Watermark:
+        """How much this relay's disk has ever stored; the value at startup until it is confirmed."""
         # A restored directory: writes of this process must not make up for the difference that reveals it.
         if not self.machine.confirmed:
             return self._startup_watermark
         return (*_as_watermark(self._inner.water), self._store.sequence)
 
     def wall_ms(self) -> int:
+        """Unix time in milliseconds."""
         return self._clock.wall_ms()
 
     def random_fraction(self) -> float:
+        """A random number from 0 to 1, from the operating system's source."""
         return random.SystemRandom().random()
 
     def watermark_observed(self, name: str, incarnation: str, watermark: Watermark) -> None:
+        """Mark another relay's watermark as changed, to be persisted later."""
         self._changed_watermarks.add(name)
 
     def outdated_directory(self) -> None:
+        """Require a restart: the directory is older than other relays have seen it."""
         self.restart_required()
 
     def until_ms(self, name: str) -> int:
+        """Expiry of a message's name as Unix time in milliseconds; if not ended here, counted from now."""
         return self._ended.get(name, self._clock.wall_ms() + int(self._fleet.remember_s * 1000))
 
     def opened(self, meta: LogMetadata, older: dict[str, list[str]]) -> None:
+        """Persist that a log is the newest, and which messages are in older ones; `OSError` if that fails."""
         self._metas[meta.log] = meta
         self._older_logs = older
         self._save()
@@ -373,6 +394,7 @@
             del self._log_of[name]
 
     def adopted(self, log: str, copies: dict[str, MessageState]) -> None:
+        """Resume the messages of a log that this relay has taken over, except those already known."""
         taken_over: list[PendingMessage] = []
         for name, copy in copies.items():
             relinquished = self._relinquished.pop(name, None) is not None
@@ -388,6 +410,7 @@
         self.outgoing_ready()
 
     def superseded(self, log: str, names: list[str], kept: bool) -> None:
+        """Stop work on messages that another relay has taken over, and run their `never` callbacks."""
         mine = [name for name in names if self._log_of.get(name) == log]
         self.relinquish(mine)
         now_ms = self._clock.wall_ms()
--- a/amberlug/copies/store.py
+++ b/amberlug/copies/store.py
@@ -107,9 +107,11 @@
     # Storage for `Holder`.
 
     def promise(self, meta: LogMetadata, ballot: Ballot) -> None:
+        """Persist the ballot to which a log is promised; `OSError` if nothing was written."""
         self._append(PROMISE, "", [meta.encoded(), ballot])
 
     def record(self, log: str, name: str, kind: str, ballot: Ballot, fields: list[Any]) -> None:
+        """Persist one record; `OSError` if nothing was written or its origin's space is used up."""
         origin = self.logs[log].meta.origin if log in self.logs else log.split(".")[0]
         before = self.logs[log].copies.get(name) if log in self.logs else None
         size = 120 + (len(fields[4]) if kind == Kind.TAKEN else 60)
@@ -124,6 +126,7 @@
         self._live_bytes[origin] = self._live_bytes.get(origin, 0) + (size if before is None else 60)
 
     def drop(self, log: str) -> None:
+        """Delete a log and everything held for it; a failure is logged."""
         try:
             self._append(DROP, "", [log])
         except OSError as error:
--- a/amberlug/core/attempt_clearance.py
+++ b/amberlug/core/attempt_clearance.py
@@ -17,6 +17,7 @@
     recorded: asyncio.Future[None] = asyncio.get_running_loop().create_future()
 
     def wake() -> None:
+        """Signal that the records are durable or can't become so."""
         if not recorded.done():
             recorded.set_result(None)
 
--- a/amberlug/core/clock.py
+++ b/amberlug/core/clock.py
@@ -37,8 +37,10 @@
         return self._last_us
 
     def wall_ms(self) -> int:
+        """Unix time in milliseconds."""
         return int(time.time() * 1000)
 
     def at(self, when_us: int, callback: Callable[..., object], *args: object) -> asyncio.TimerHandle:
+        """Run a callback at or shortly after that time in microseconds, never earlier."""
         # Add one microsecond: the division may round down, and the timer must never fire early.
         return self._loop.call_at(when_us / SECOND + 1e-6, callback, *args)
--- a/amberlug/core/endpoint_list.py
+++ b/amberlug/core/endpoint_list.py
@@ -74,6 +74,7 @@
         self.kinds: dict[str, None] = {}
 
     def add(self, entry: Entry) -> None:
+        """Append an entry to the buffer."""
         self.kinds[entry.kind] = None
         row = b"" if entry.state is State.GONE else pack(entry)  # of a removed endpoint only the name matters
         for part in (entry.endpoint.encode(), row):
--- a/amberlug/core/journal/log.py
+++ b/amberlug/core/journal/log.py
@@ -237,9 +237,11 @@
         return self._space.retry_us(self._usage, size)
 
     def take(self, message: Message, now_ms: int) -> None:
+        """Record a message before its acceptance is confirmed; `OSError` if it was not recorded."""
         self._write(records.TAKEN, message.name, self._take_record(message, now_ms))
 
     def reply(self, message: Message) -> None:
+        """Record a message's reply address; `OSError` if it does not fit or was not recorded."""
         if not self.fits(len(message.reply)):  # must not use the space reserved for held messages
             raise OSError(errno.ENOSPC, "no room in the journal")
         self._write(records.REPLY, message.name, _reply_record(message))
@@ -256,14 +258,17 @@
         return header + fields.encode() + b"]\n" + message.body
 
     def attempt(self, attempt: Attempt, now_ms: int) -> None:
+        """Record an attempt before its first byte is sent; `OSError` if it was not recorded."""
         rest = ATTEMPT.pack(attempt.number, now_ms) + attempt.endpoint.encode()
         self._write(records.ATTEMPT, attempt.message.name, rest)
 
     def outcome(self, attempt: Attempt, how: AttemptResult) -> None:
+        """Record how an attempt ended."""
         rest = OUTCOME.pack(attempt.number) + how.result.value.encode()
         self._record_event(records.OUTCOME, attempt.message.name, rest)
 
     def owe(self, message: Message, end: End) -> None:
+        """Record an outcome that has yet to be acknowledged; deferred if the write fails."""
         try:
             self._owe(message, end)
         except OSError as error:
@@ -281,6 +286,7 @@
         return record + (_reply_record(message) if message.replies else b"")
 
     def end(self, name: str, until_ms: int, now_ms: int, how: End | None = None) -> None:
+        """Record that a message has ended; its name is remembered until `until_ms` (Unix time)."""
         self._remove_message(name)
         now_us, until_ms = self._clock_us(), max(0, until_ms)
         ended = _EndedMessage(now_us + max(0, until_ms - now_ms) * 1000, until_ms, now_ms, how)
--- a/amberlug/core/journal/threads.py
+++ b/amberlug/core/journal/threads.py
@@ -15,10 +15,12 @@
         self._executor = ThreadPoolExecutor(1, "amberlug-sync")
 
     def start(self, job: Callable[[], None], done: Callable[[OSError | None], None]) -> None:
+        """Run a job in the thread, then call `done` in the event loop with its error, if any."""
         future = self._loop.run_in_executor(self._executor, _run_job, job)
         future.add_done_callback(lambda it: None if it.cancelled() else done(it.result()))
 
     def close(self) -> None:
+        """Wait for the running job and stop the thread."""
         self._executor.shutdown(wait=True)
 
 
--- a/amberlug/core/node.py
+++ b/amberlug/core/node.py
@@ -476,6 +476,7 @@
         left = {it.message.name for it in attempts}
 
         def done(name: str) -> None:
+            """Note that a message's records are settled; run the callback after the last message."""
             left.discard(name)
             if not left:
                 callback()
@@ -492,6 +493,7 @@
         self._addresses.locate(endpoint)
 
         def ended(how: AttemptResult) -> None:
+            """Post the result of the probe to the delivery policy."""
             self._post_event(api.ProbeResult(endpoint, how.result, self.now_us() - start, how.report))
 
         self._transport.probe(endpoint, ended)
--- a/amberlug/http/calls.py
+++ b/amberlug/http/calls.py
@@ -197,6 +197,7 @@
 
     @property
     def busy(self) -> bool:
+        """Whether a call is in progress."""
         return bool(self._wakeups)
 
     def abandon(self) -> None:
--- a/amberlug/http/link.py
+++ b/amberlug/http/link.py
@@ -77,6 +77,7 @@
         return bool(poll.poll(0))
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Store the transport, and disable write buffering so that unwritten bytes are detected."""
         assert isinstance(transport, asyncio.Transport)
         # With a zero-size buffer, a pause means that bytes are unwritten. This shows on a reset whether the
         # request had been written.
@@ -84,9 +85,11 @@
         self._transport = transport
 
     def pause_writing(self) -> None:
+        """Note that bytes are unwritten."""
         self._unwritten = True
 
     def resume_writing(self) -> None:
+        """Note that all bytes have been written."""
         self._unwritten = False
 
     def request(
@@ -123,6 +126,7 @@
             self._transport.abort()
 
     def data_received(self, data: bytes) -> None:
+        """Process response data; closes the connection if no request is outstanding."""
         if self._waiter is None or self._waiter.done():
             self.close()  # an unsolicited response would be taken for that of the next request
             return
@@ -134,11 +138,13 @@
         self._process_events()
 
     def eof_received(self) -> None:
+        """Process the end of the stream, which completes a response without a declared length."""
         with contextlib.suppress(h11.RemoteProtocolError):
             self._http.receive_data(b"")
         self._process_events()
 
     def connection_lost(self, error: Exception | None) -> None:
+        """Fail an outstanding request with `ConnectionLostError` and report the loss."""
         if self._timer is not None:
             self._timer.cancel()
         if self._waiter is not None and not self._waiter.done():
--- a/amberlug/http/server.py
+++ b/amberlug/http/server.py
@@ -47,9 +47,14 @@
 
     ready: bool
 
-    def serves(self, destination: int) -> bool: ...
-    def hand_in(self, message: Message, left_us: int, waited_us: int, exchange: PendingRequest) -> None: ...
-    def client_disconnected(self, exchange: PendingRequest) -> None: ...
+    def serves(self, destination: int) -> bool:
+        """Whether the endpoint list contains that destination."""
+
+    def hand_in(self, message: Message, left_us: int, waited_us: int, exchange: PendingRequest) -> None:
+        """Process a message; `left_us`: time until its deadline, `waited_us`: wait before it was read."""
+
+    def client_disconnected(self, exchange: PendingRequest) -> None:
+        """Withdraw the message of a request whose client disconnected before it was accepted or refused."""
 
 
 class Connection(asyncio.Protocol):
@@ -66,11 +71,13 @@
         self.phase = Phase.READING
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Register the connection with the server."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
         self._server.opened(self)
 
     def data_received(self, data: bytes) -> None:
+        """Process received data; beyond a limit of data ahead of an open request it is dropped."""
         if self.phase in (Phase.DISCARDING, Phase.RESPONDING):
             self._ahead += len(data)
         if self.phase is Phase.DISCARDING:
@@ -87,6 +94,7 @@
         self._process_events()
 
     def connection_lost(self, error: Exception | None) -> None:
+        """Unregister the connection, and report the disconnect if a request awaits its response."""
         responding = self.phase is Phase.RESPONDING
         self._server.closed(self)
         if responding:
@@ -99,6 +107,7 @@
             self._transport.pause_reading()
 
     def resume_writing(self) -> None:
+        """Resume reading once the client has read its responses."""
         self._write_blocked = False
         self._resume()
 
@@ -113,6 +122,7 @@
             self._transport.close()
 
     def abort(self) -> None:
+        """Close the connection immediately."""
         if self._transport is not None:
             self._transport.abort()
 
@@ -258,11 +268,13 @@
             connection.abort()
 
     def enter(self, connection: Connection, phase: Phase) -> None:
+        """Set the phase of a connection and restart its timeout."""
         self._due[connection.phase].pop(connection, None)
         connection.phase = phase
         self._due[phase][connection] = asyncio.get_running_loop().time() + phase.value
 
     def closed(self, connection: Connection) -> None:
+        """Unregister a closed connection."""
         self._due[connection.phase].pop(connection, None)
 
     def _sweep(self) -> None:
@@ -285,6 +297,7 @@
     def dispatch(
         self, connection: Connection, method: str, path: str, headers: Mapping[str, str], body: bytes
     ) -> None:
+        """Handle the readiness check or a submission; `BadRequestError` if the request is invalid."""
         if path == "/up":
             if method != "GET":
                 raise BadRequestError(405, "use GET")
--- a/amberlug/learning/learner.py
+++ b/amberlug/learning/learner.py
@@ -448,6 +448,7 @@
     """Shift all times, to convert them to another clock."""
 
     def shifted_time(at_us: int) -> int:
+        """Shift a time in microseconds; `NEVER` is kept, and no other time becomes `NEVER`."""
         return at_us if at_us == NEVER else max(NEVER + 1, at_us + by_us)
 
     return replace(
--- a/amberlug/learning/store.py
+++ b/amberlug/learning/store.py
@@ -266,6 +266,7 @@
         file = self._next
 
         def done(error: OSError | None) -> None:
+            """Continue after the sync, or handle its error; ignored if the generation has been replaced."""
             self._syncing = False
             if self._closed or file is not self._next:
                 return
--- a/amberlug/library/blocking.py
+++ b/amberlug/library/blocking.py
@@ -117,6 +117,7 @@
         task: list[asyncio.Task[T]] = []
 
         def start() -> None:
+            """Start the coroutine as a task in the relay's thread."""
             task.append(loop.create_task(work))
             task[0].add_done_callback(lambda it: _copy_result(it, done))
 
--- a/amberlug/library/endpoints.py
+++ b/amberlug/library/endpoints.py
@@ -60,12 +60,14 @@
         self._kinds: frozenset[str] = frozenset()
 
     def start(self, settings: Settings, listed: UpdateHandler) -> None:
+        """Report the list; `ValueError` if it is invalid."""
         self._kinds = frozenset(settings.kinds)
         news = self._news(self._endpoints)
         self._listed = listed
         run_to_end(listed(news))
 
     def stop(self) -> None:
+        """Stop reporting changes."""
         self._listed = None
         self._slices.clear()
 
@@ -102,11 +104,13 @@
         self._slices = SlicedQueue(self._log_error)
 
     def start(self, settings: Settings, listed: UpdateHandler) -> None:
+        """Report the file's list, then each change; `ValueError` or `OSError` if it can't be read now."""
         self._fingerprint = self._read_fingerprint()
         run_to_end(listed(self._read(settings)))
         self._schedule_check(settings, listed)
 
     def stop(self) -> None:
+        """Stop checking the file and reporting changes."""
         self._slices.clear()
         if self._timer is not None:
             self._timer.cancel()
@@ -179,6 +183,7 @@
             await self._watch.wait_attempted(seconds)
 
     def start(self, settings: Settings, listed: UpdateHandler) -> None:
+        """Report the initial list, if there is one, then follow the changes from discovery."""
         if self._known is not None:
             run_to_end(listed(self._known))
         revision = self._known.revision if self._known is not None else 0
@@ -187,6 +192,7 @@
         self._on_confirmed(pauses.initial_list_validity_s(True, age_s))
 
         def confirmed() -> None:
+            """Extend the validity of the list and store the time of its confirmation."""
             self._on_confirmed(pauses.list_validity_s())
             if self._heard is not None:
                 self._heard.record()
@@ -195,5 +201,6 @@
         self._watch.start()
 
     def stop(self) -> None:
+        """Stop following the list."""
         if self._watch is not None:
             self._watch.stop()
--- a/amberlug/library/outcomes.py
+++ b/amberlug/library/outcomes.py
@@ -34,6 +34,7 @@
     waiting = False
 
     def bind(self, acknowledged: Callable[[str], None]) -> None:
+        """Set the callback for acknowledged outcomes; its argument is the message's name."""
         self._acknowledged = acknowledged
 
     @property
@@ -54,6 +55,7 @@
         return list(self._unclaimed.values())
 
     def owed(self, end: End) -> bool:
+        """Whether this outcome must be reported until it is acknowledged: not if the host has waived it."""
         taken = self._taken.get(end.message)
         return taken is None or not taken.waived
 
--- a/amberlug/library/relay.py
+++ b/amberlug/library/relay.py
@@ -224,6 +224,7 @@
         told: asyncio.Future[Refusal | None] = self._loop.create_future()
 
         def tell(refusal: Refusal | None) -> None:
+            """Wake the submitter with the refusal, or with None if the message was accepted."""
             if not told.done():  # done if cancelled and not yet withdrawn: an accepted message stays
                 told.set_result(refusal)
 
@@ -264,6 +265,7 @@
 
     @property
     def is_open(self) -> bool:
+        """Whether the relay is open."""
         return self._state is _State.OPEN
 
     def admit(self, message: core.Message, left_us: int, tell: DecisionCallback) -> Submission:
--- a/amberlug/library/transport.py
+++ b/amberlug/library/transport.py
@@ -73,17 +73,21 @@
 
     @property
     def busy(self) -> bool:
+        """Whether a call is in progress."""
         return bool(self._tasks)
 
     def bind(self, calls: Calls) -> None:
+        """Set the core, which clears attempts to be sent and receives their results."""
         self._calls = calls
 
     def call(self, endpoint: str, attempts: list[Attempt], fresh: bool) -> None:
+        """Start the host's coroutine for one call with one or more messages."""
         task = asyncio.get_running_loop().create_task(self._call(endpoint, attempts))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
     def call_off(self, attempt: Attempt) -> None:
+        """Cancel the host's coroutine for an attempt."""
         attempt.called_off = True
         if (task := self._outstanding.get(attempt)) is not None:
             task.cancel()
--- a/amberlug/platform/daemon.py
+++ b/amberlug/platform/daemon.py
@@ -116,6 +116,7 @@
     node.current(backoff.initial_list_validity_s(restarted, confirmation.age_s()))
 
     def confirmed() -> None:
+        """Extend the validity of the list and store the time of its confirmation."""
         node.current(backoff.list_validity_s())
         confirmation.record()
 
--- a/amberlug/platform/loop_lag.py
+++ b/amberlug/platform/loop_lag.py
@@ -13,6 +13,7 @@
         self._work_s = 0.0
 
     def select(self, timeout: float | None = None) -> list[tuple[selectors.SelectorKey, int]]:
+        """Poll the sockets, and measure the seconds that the loop worked since the poll before."""
         self._work_s = time.monotonic() - self._last_poll
         ready = super().select(timeout)
         self._last_poll = time.monotonic()
--- a/amberlug/platform/notices.py
+++ b/amberlug/platform/notices.py
@@ -42,9 +42,11 @@
 
     @property
     def waiting(self) -> bool:
+        """Whether an unanswered notice is outstanding."""
         return bool(self._waiting)
 
     def bind(self, acknowledged: Callable[[str], None]) -> None:
+        """Set the callback for acknowledged notices; its argument is the message's name."""
         self._acknowledged = acknowledged
 
     def owed(self, end: End) -> bool:
--- a/amberlug/policy/account.py
+++ b/amberlug/policy/account.py
@@ -50,7 +50,8 @@
     """A call in flight, compared by identity; only its start time is used here."""
 
     @property
-    def start_us(self) -> int: ...
+    def start_us(self) -> int:
+        """When the call started, in microseconds."""
 
 
 @dataclass(slots=True, eq=False)
@@ -62,6 +63,7 @@
     units: dict[int, tuple[int, int]] = field(default_factory=dict)
 
     def add(self, at_us: int, unit: int, taken_on: int) -> None:
+        """Add consumed and accepted units to the bucket of a time; drop the oldest beyond `kept`."""
         number = at_us // self.bucket_us
         had = self.units.get(number, (0, 0))
         self.units[number] = had[0] + unit, had[1] + taken_on
@@ -107,11 +109,13 @@
         self.buckets = Buckets(self.window // WINDOW_STEPS, HISTORY_SIZE)
 
     def limit(self, at_us: int) -> float:
+        """Return the limit M in units per window: by the rate or by the last refusal, whichever is lower."""
         quiet = (at_us - self.learned_us) // self.stretched_window
         learned = self.learned * LIMIT_GROWTH**quiet if quiet < LIMIT_LIFETIME_WINDOWS else UNLIMITED
         return min(self.units, learned)
 
     def patience_us(self) -> int:
+        """Return the microseconds after which a call without an answer is overdue."""
         return max(MIN_PATIENCE_US, OVERDUE_FACTOR * self.usual_us)
 
     def overdue(self, at_us: int) -> int:
@@ -125,6 +129,7 @@
         return len(self.reserved) >= max(1, self.settings.slots * share)
 
     def buckets_in_window(self, at_us: int) -> Iterator[tuple[int, int, int]]:
+        """Yield the time at which each bucket leaves the window, earliest first, with its units."""
         # w is longer if M is below one
         return self.buckets.buckets_in_window(at_us, int(self.window / min(1.0, self.limit(at_us))))
 
--- a/amberlug/policy/decide.py
+++ b/amberlug/policy/decide.py
@@ -89,6 +89,7 @@
         return self.actions
 
     def on_timer(self, target: Message | Endpoint | int | None) -> None:
+        """Handle a timer of a message, an endpoint, a destination (its number) or the subscription (None)."""
         if target is None:
             self.subscribe()
         elif isinstance(target, Endpoint):
@@ -116,6 +117,7 @@
             self.pause_us = min(2 * self.pause_us, self.settings.ask_within_us // 4)
 
     def listed(self, event: api.Listed) -> None:
+        """Apply a list update and end the messages of removed destinations; resubscribe if broken."""
         if event.kind is ListKind.BROKEN:
             if self.subscribed:
                 self.subscribed, self.pause_us = False, RESUBSCRIBE_US
@@ -126,6 +128,7 @@
             self.finish(message)
 
     def take(self, event: api.Taken) -> None:
+        """Accept a message, and refuse others close to the limit; `ValueError` if it was accepted before."""
         if event.ref in self.messages:
             raise ValueError(f"message {event.ref} was taken before")
         destination = self.load_destination(event.destination)
@@ -158,6 +161,7 @@
         self.discard_message(message)
 
     def outcome(self, event: api.Outcome) -> None:
+        """Process the end of an attempt: its message has ended, is queued again, or is given up."""
         if (found := self.calls.pop((event.ref, event.attempt), None)) is None:
             return  # reported before
         message, call = found
@@ -303,6 +307,7 @@
         return self.no_slot(endpoint), failed, fee, endpoint.out - bool(endpoint.idle), endpoint.out
 
     def eligible(self, message: Message) -> bool:
+        """Whether a message may be sent now; sets a timer if its key is in its quiet time."""
         rest = 0 if message.key is None or message.attempts else self.key_quiet_until.get(message.key, 0)
         if rest > self.now:
             self.set_destination_timer(message.destination, rest)
@@ -310,6 +315,7 @@
         return first and may_repeat(message, self.now) and message.attempts < self.settings.most_attempts
 
     def value_loss(self, message: Message, delay_us: int = SECOND) -> float:
+        """Return the value that a message loses if it is delayed by `delay_us` microseconds."""
         soon, halving = self.now + INITIAL_ANSWER_US, self.settings.halving
         return message.worth_at(soon, halving) - message.worth_at(soon + delay_us, halving)
 
@@ -364,6 +370,7 @@
             self.send(choice, (message for message in left if self.usable(choice, message)))
 
     def wait_for_slot(self, destination: Destination) -> None:
+        """Queue a destination for a free slot; overdue calls are cancelled to free one."""
         self.waiting_for_slot[destination] = None
         if len(self.waiting_for_slot) > MAX_COMPETING:
             return  # destinations queued before it handle this, and slots are given in turn
--- a/amberlug/policy/destinations.py
+++ b/amberlug/policy/destinations.py
@@ -85,6 +85,7 @@
         self.affected[to] = None
 
     def listed_rate(self, entry: api.Entry) -> float | None:
+        """Return an endpoint's listed rate in calls per second; None if absent or not to be used."""
         return entry.rate if self.settings.rates_listed and entry.rate > 0 else None
 
     def apply_listed_rates(self, to: Destination) -> None:
@@ -119,6 +120,7 @@
         return to
 
     def schedule_eviction_check(self, to: Destination) -> None:
+        """Schedule the next check whether a destination can be evicted."""
         to.eviction_check_us = self.now + self.idle_before_eviction_us
         self.eviction_checks.append((to.eviction_check_us, to.number))
 
@@ -139,6 +141,7 @@
                 self.expire_summary(number)
 
     def evict_if_idle(self, to: Destination) -> None:
+        """Evict a destination if it is idle, with a summary if it is still listed; else check again later."""
         if eviction.can_evict(to, self.now, self.settings):
             self.evict(to, b"" if to.gone else eviction.serialize(to, self.now, self.settings))
         else:
--- a/amberlug/policy/lasting.py
+++ b/amberlug/policy/lasting.py
@@ -152,6 +152,7 @@
         return found
 
     def answered(self, call: Call, result: Result, wait_us: int, report: tuple[float, ...]) -> None:
+        """Process an answer; mark state as unsaved, urgently if the endpoint's health or limit changed."""
         endpoint, number = call.endpoint, call.endpoint.entry.destination
         before = endpoint.cold, endpoint.recovered_us is None, endpoint.account.learned_us
         super().answered(call, result, wait_us, report)
@@ -207,6 +208,7 @@
         return not endpoint.cold and endpoint.failure_rate < (REUSED_RATE if self.reused else ISOLATED_RATE)
 
     def outcome(self, event: api.Outcome) -> None:
+        """Process the end of an attempt; updates the rate of resets on reused connections."""
         self.reused = event.reused
         if self.reused:
             self.reset_rate += ((event.result is Result.RESET) - self.reset_rate) * RESET_WEIGHT
