--- a/amberlug/cluster/simulation/boundary_digest.py
+++ b/amberlug/cluster/simulation/boundary_digest.py
@@ -47,6 +47,7 @@
             return
 
         def statement(sql: str, values: object = ()) -> SimpleNamespace:
+            """Add one SQL statement with its whitespace normalized; reports one changed row."""
             self.add("commit", disk, " ".join(sql.split()), values)
             return SimpleNamespace(rowcount=1)
 
--- a/amberlug/cluster/simulation/clients.py
+++ b/amberlug/cluster/simulation/clients.py
@@ -60,9 +60,11 @@
 
     def _poll(self, edge: Machine) -> None:
         def ask(incarnation: Incarnation, answer: Callable[..., None]) -> None:
+            """Answer 200 if the edge node is ready, 503 if it is not."""
             answer(200 if incarnation.machine.ready else 503, None)
 
         def hear(status: int, *rest: object) -> None:
+            """Record the result of the poll; any status but 200 counts as a failed poll."""
             self.history.polls.append((self.clock.now, edge.name, status == 200))
             self._failed_polls[edge.name] = 0 if status == 200 else self._failed_polls[edge.name] + 1
 
@@ -132,6 +134,7 @@
             headers.append(("amberlug-not-before", str(delay)))
 
         def again(seconds: float) -> None:
+            """Submit the message again in so many seconds, unless all tries are used up."""
             if number < TRIES:
                 clock.call_later(
                     seconds,
@@ -141,6 +144,7 @@
         def hear(
             status: int, body: object, headers: Any = None, blob: bytes = b"", process: str = ""
         ) -> None:
+            """Record the response; retry after 429, 503 or a refused connection."""
             sent.status, sent.answered_at, sent.process = status, clock.now, process
             if status == 202:
                 sent.name = headers["Amberlug-Message-Name"]
@@ -177,6 +181,7 @@
         def hear(
             status: int, body: Any, headers: object = None, blob: bytes = b"", process: str = ""
         ) -> None:
+            """Record the response and pass it on; refused and closed connections are passed on only."""
             said = body if isinstance(body, dict) else {}
             standing = StatusReply(
                 name,
@@ -201,10 +206,12 @@
 
     def _query_until_final(self, sent: Sent, tries: int) -> None:
         def again() -> None:
+            """Query again in 0.5 s, unless all tries are used up."""
             if tries > 1:
                 self.clock.call_later(0.5, lambda: self._query_until_final(sent, tries - 1))
 
         def hear(standing: StatusReply) -> None:
+            """Query again after a failure; if the message is pending, request its body."""
             if standing.status != 200:
                 again()
             elif standing.condition == "pending":
--- a/amberlug/cluster/simulation/clock.py
+++ b/amberlug/cluster/simulation/clock.py
@@ -16,6 +16,7 @@
         self.act: Callable[[], None] | None = act
 
     def cancel(self) -> None:
+        """Cancel the callback; has no effect if it has already run."""
         self.act = None
 
     def fire(self) -> None:
--- a/amberlug/cluster/simulation/control_faults.py
+++ b/amberlug/cluster/simulation/control_faults.py
@@ -112,6 +112,7 @@
             self._reset(cut, frozenset(it.name for it in others if it is not machine))
 
         def over() -> None:
+            """End the partition."""
             self.history.trace(f"{machine.name} is connected again")
             self.deployment.net.heal(pairs, refuse)
             if self.cut is cut:
@@ -185,6 +186,7 @@
         struck = False
 
         def strike(core: Machine | None = None) -> None:
+            """Kill or power off the nodes; only the first call has an effect."""
             nonlocal struck
             if struck:
                 return
@@ -220,6 +222,7 @@
         struck = False
 
         def strike(core: Machine | None = None) -> None:
+            """Kill the leader and send the burst, once; does nothing while no leader is known."""
             nonlocal struck
             leader = self._leader()
             if struck or leader is None:
@@ -255,6 +258,7 @@
         machine.loss = self.rng.choice((0.05, 0.2))
 
         def whole() -> None:
+            """End the packet loss."""
             machine.loss = 0.0
 
         self.clock.call_later(seconds, whole)
@@ -272,6 +276,7 @@
         machine.term()
 
         def look() -> None:
+            """Check every 0.05 s whether the process has ended; once it has, schedule its restart."""
             self.clock.call_later(*((0.05, look) if machine.up else (RESTART_S, machine.start)))
 
         look()
--- a/amberlug/cluster/simulation/deployment.py
+++ b/amberlug/cluster/simulation/deployment.py
@@ -31,6 +31,7 @@
     body: bytes = b""
 
     def header(self, name: str) -> str | None:
+        """Return the first value of a header, whose name must be in lower case; None if it is missing."""
         return next((value for key, value in self.headers if key == name), None)
 
 
@@ -107,6 +108,7 @@
 
     @property
     def machines(self) -> list[Machine]:
+        """All machines: edge nodes, storage nodes, control-plane nodes."""
         return self.edges + self.stores + self.cores
 
     def settings(self, machine: Machine) -> Settings:
@@ -161,12 +163,14 @@
         over = False
 
         def end(*said: Any) -> None:
+            """Report the result to `then`; only the first call has an effect."""
             nonlocal over
             if not over:
                 over = True
                 then(*said)
 
         def arrive() -> None:
+            """Deliver the request to the process; without one it is refused, without power it is dropped."""
             incarnation = machine.incarnation
             if not machine.powered:
                 return
@@ -175,9 +179,11 @@
                 return
 
             def close() -> None:
+                """Report that the process has closed the connection."""
                 end(CLOSED, None)
 
             def answer(*said: Any) -> None:
+                """Send the response, unless the process has ended."""
                 self.digest.add("answer", machine.name, *said)
                 incarnation.calls.pop(close, None)
                 if not incarnation.over:
@@ -206,7 +212,10 @@
         self.digest.add("request", core.name, method, target, headers, body)
 
         def ask(incarnation: Incarnation, answer: Callable[..., None]) -> None:
+            """Have the admin API of the node handle the request."""
+
             def say(said: HttpResponse) -> None:
+                """Send the status and body of the response, and report the status to `leaves`."""
                 answer(said.status, said.body)
                 leaves(said.status)
 
@@ -225,7 +234,10 @@
         self.digest.add("request", edge.name, request.method, request.target, request.headers, request.body)
 
         def ask(incarnation: Incarnation, answer: Callable[..., None]) -> None:
+            """Have the edge node handle the request."""
+
             def respond(response: ClientResponse) -> None:
+                """Send the response, with the name of the edge process that answered."""
                 answer(
                     response.status, response.body, dict(response.headers), response.payload, incarnation.name
                 )
--- a/amberlug/cluster/simulation/digest_record.py
+++ b/amberlug/cluster/simulation/digest_record.py
@@ -129,20 +129,24 @@
     found: dict[str, dict[str, str]] = {}
 
     def gaps(body: str) -> int:
+        """Count the empty fields of a body."""
         # An empty list or map, or a flag that is not set, shows less of the format than one with content.
         return sum(body.count(gap) for gap in ("[]", "{}", ": false"))
 
     def keep(tag: str, body: str, blob: bytes) -> None:
+        """Keep a frame if it is a better sample of its kind than the known one."""
         known = found.get(tag)
         rank = gaps(body), len(body) + 2 * len(blob)
         if known is None or rank < (gaps(known["body"]), len(known["body"]) + len(known["blob"])):
             found[tag] = {"body": body, "blob": blob.hex()}
 
     def look(deployment: Any) -> None:
+        """Request the status and the dead messages of every control-plane node."""
         for core in deployment.cores:
             ask = partial(deployment.control, core, "GET")
 
             def read_bodies(status: int, page: Any, ask: Callable[..., None] = ask) -> None:
+                """Request each dead message of a listed page."""
                 for row in page["rows"] if status == 200 else []:
                     ask(f"/-/Foreman.Dead/{row['id']}", b"", 1.0, lambda status, body: None)
 
--- a/amberlug/cluster/simulation/disk.py
+++ b/amberlug/cluster/simulation/disk.py
@@ -170,23 +170,29 @@
         return found
 
     def execute(self, base: Any, rows: list[Row]) -> None:
+        """Execute the SQL statements that write these log rows, as the program does."""
         storage.execute_rows(base, rows)
 
     def wipe(self) -> None:
+        """Empty the disk: the next process that starts finds no state."""
         self._saved = None
         self._rows.clear()
 
     def copy_row(self, row: Row) -> Row:
+        """Copy a row through JSON, as the database file stores it."""
         kind, values = row
         return kind, tuple(json.loads(json.dumps(values)))
 
     def needs_space(self, row: Row) -> bool:
+        """Whether a full disk rejects a row: only log entries are rejected."""
         return bool(row[0] == "entry")
 
     def apply(self, row: Row) -> None:
+        """Apply a committed row to the durable state."""
         self.keep(*row)
 
     def keep(self, kind: str, values: tuple[Any, ...]) -> None:
+        """Apply a row, given as its kind and values; raises AssertionError if the disk was not loaded."""
         saved = self._saved
         assert saved is not None, "a disk is begun before it is written to"
         match row_from(kind, values):
@@ -217,6 +223,7 @@
         self.wipe()
 
     def execute(self, base: Any, rows: list[Row]) -> None:
+        """Execute the SQL statements that write these message rows, as the program does."""
         message_store.execute_rows(base, rows)
 
     def wipe(self) -> None:
@@ -235,12 +242,15 @@
         return StoredContents(self._disk_id, dict(self._fencing_tokens), messages, self._enrolled_index)
 
     def copy_row(self, row: StorageRow) -> StorageRow:
+        """Return the row itself, without copying it."""
         return row
 
     def needs_space(self, row: StorageRow) -> bool:
+        """Whether a full disk rejects a row: only replicas are rejected."""
         return isinstance(row, ReplicaRow)
 
     def apply(self, row: StorageRow) -> None:
+        """Apply a committed row to the stored messages, fencing tokens and disk id."""
         match row:
             case ReplicaRow():
                 self._apply_replica(row)
@@ -291,6 +301,7 @@
         self.incarnation, self.disk_model = incarnation, disk_model
 
     def write(self, rows: Sequence[Row], then: OnWritten) -> None:
+        """Queue rows; `then` gets None once they are durable, or the failure, unless the process ends."""
         if not self.incarnation.over:  # the process may end during the call that writes
             self.disk_model.put(list(rows), lambda error: self.incarnation.do(partial(then, error)))
 
@@ -303,6 +314,7 @@
         self.message_disk = message_disk
 
     def read(self, names: Sequence[str], then: Callable[[dict[str, bytes]], None]) -> None:
+        """Read the bodies of these messages, after all earlier writes; names without a body are omitted."""
         self.disk_model.put(
             None, lambda _: self.incarnation.do(lambda: then(self.message_disk.bodies(names)))
         )
--- a/amberlug/cluster/simulation/endpoints.py
+++ b/amberlug/cluster/simulation/endpoints.py
@@ -236,6 +236,7 @@
         self._heartbeat_address = ""
 
         def hear(status: int, said: object) -> None:
+            """Report success on a 2xx status; otherwise retry in PAUSE_S, or report failure at the end."""
             if status // 100 == 2:
                 if self.condition == "draining":
                     deployment.history.drained_by.setdefault(self.name, to.name)
@@ -247,6 +248,7 @@
                 then(False)
 
         def leaves(status: int) -> None:
+            """Report to the fleet that the drain is acknowledged, as that response is sent."""
             if status == 200 and self.condition == "draining":
                 self.endpoint_fleet.on_drained(to)
 
@@ -259,16 +261,19 @@
         deployment.history.leaving.setdefault(self.name, deployment.clock.now)
 
         def drained(ok: bool) -> None:
+            """Record an acknowledged drain, and deregister after the drain time and `linger_s`."""
             if ok:
                 deployment.history.drained.setdefault(self.name, deployment.clock.now)
                 deployment.history.trace(f"{self.name} is acknowledged as draining")
             deployment.clock.call_later(DRAIN_S + linger_s, say_gone)
 
         def say_gone() -> None:
+            """Deregister, unless the endpoint has already ended."""
             if self.up:
                 self._call(f"/-/Instances.Deregister/{self.name}", b"{}", 3, end)
 
         def end(ok: bool) -> None:
+            """End the endpoint and report it, whether deregistration succeeded or not."""
             if self.up:
                 self.crash(False)
                 gone()
@@ -292,10 +297,12 @@
         self._numbers = 0
 
     def next_number(self) -> int:
+        """Return the next number, from 1; instance names and seals share one sequence."""
         self._numbers += 1
         return self._numbers
 
     def fate(self, delivery: EndpointCall) -> str:
+        """Return `dead` or `fails` for a message that never succeeds, and an empty string for others."""
         return self.fates.get(delivery.attempt_id, "")
 
     def start(self, service: str, zone: str, address: str = "") -> Endpoint:
@@ -314,6 +321,7 @@
         return [it for it in self.all if it.up and it.condition == "ready" and service in ("", it.kind.name)]
 
     def closed(self, incarnation: Incarnation) -> None:
+        """Have endpoints drop the queued calls of an ended edge process, and stop most of its runs."""
         for endpoint in self.all:
             if endpoint.up:
                 endpoint.closed(incarnation)
@@ -337,9 +345,11 @@
         self._idle: dict[str, list[Connection]] = {}
 
     def available_connections(self, address: str) -> int:
+        """Return 1 if the last finished call to an address was answered, otherwise 0."""
         return int(address in self._kept)
 
     def close_idle_connections(self, address: str) -> None:
+        """Stop counting the connection to an address as available."""
         self._kept.discard(address)
 
     def _connection(self, delivery: EndpointCall) -> Connection:
@@ -359,6 +369,7 @@
             connection.open = False  # a response on an idle connection belongs to no call
 
     def call(self, delivery: EndpointCall, then: Callable[[CallResult], None]) -> None:
+        """Call an endpoint; `then` gets one result, TIMED_OUT at the timeout, unless the process ends."""
         clock, incarnation, digest = (
             self.endpoint_fleet.deployment.clock,
             self.incarnation,
@@ -372,6 +383,7 @@
         over = False
 
         def end(called: CallResult) -> None:
+            """Report the result, and keep the connection if it was answered; only the first call counts."""
             nonlocal over
             if over:
                 return
@@ -392,6 +404,7 @@
             then(called)
 
         def hear(called: CallResult) -> None:
+            """End the call; a response that belongs to another call counts as a lost connection."""
             reply = Reply(called.status, dict(called.headers))
             theirs = called.verdict is CallVerdict.ANSWERED and not RealEndpointClient.is_response_to(
                 delivery, reply
@@ -402,10 +415,12 @@
         connection.hear = hear
 
         def back(called: CallResult) -> None:
+            """Send a result back to the edge process, after the network delay."""
             digest.add("call answer", delivery.address, called.verdict.value, called.status, called.headers)
             clock.call_later(DELAY_S, lambda: incarnation.do(partial(self._arrived, connection, called)))
 
         def arrive() -> None:
+            """Deliver the call; if no endpoint is up, fail to connect, or be silent if its machine failed."""
             endpoint = self.endpoint_fleet.at.get(delivery.address)
             if incarnation.over:
                 return
--- a/amberlug/cluster/simulation/history.py
+++ b/amberlug/cluster/simulation/history.py
@@ -64,6 +64,7 @@
 
     @property
     def is_acknowledged(self) -> bool:
+        """Whether the operator got a 200 for this version."""
         return self.status == 200
 
 
--- a/amberlug/cluster/simulation/invariants.py
+++ b/amberlug/cluster/simulation/invariants.py
@@ -487,6 +487,7 @@
     @staticmethod
     def _is_same_config(sent: dict[str, object], back: dict[str, object]) -> bool:
         def plain(config: dict[str, object]) -> dict[str, object]:
+            """Copy a configuration with sorted tables; raises AssertionError if one is not a list."""
             tables = {}
             for name in ("routeTable", "serviceTable"):
                 items = config[name]
--- a/amberlug/cluster/simulation/loss_schedule.py
+++ b/amberlug/cluster/simulation/loss_schedule.py
@@ -81,6 +81,7 @@
         self.operations: list[Callable[[], None]] = [self._retire, self._add]
 
     def begin(self, start: float, end: float) -> None:
+        """Schedule loss sequences and operations from `start` to `end`, in seconds of virtual time."""
         self._end = end
         for line in range(self.lines):
             self.clock.call_later(start - self.clock.now + line * 0.7, partial(self._lose, line))
@@ -132,6 +133,7 @@
         """All lost machines, or their replacements, are back: after `catchUpS` the next loss may follow."""
 
         def next_one() -> None:
+            """Stop counting the machines as lost, and schedule the next loss of the sequence."""
             for it in unit:
                 self.lost.pop(it, None)
             self._free.append(line)
@@ -188,6 +190,7 @@
         struck = False
 
         def strike(core: Machine | None = None) -> None:
+            """Call `act`, once."""
             nonlocal struck
             if not struck:
                 struck = True
@@ -314,6 +317,7 @@
         began = self.clock.now
 
         def hear(status: int, said: object) -> None:
+            """Poll an accepted retirement; record a violation if it was wrongly accepted or rejected."""
             calm = self.history.is_undisturbed(began - CATCH_UP_S, self.clock.now)
             if status == 200 and not remain and calm:
                 self.history.faults.append(
@@ -338,6 +342,7 @@
         began = self.retired[store.name]
 
         def hear(status: int, said: object) -> None:
+            """Poll until the retirement is completed; record a violation if it takes too long."""
             if store not in self.deployment.stores:
                 self.retired.pop(store.name, None)
             elif status == 200 and isinstance(said, dict) and said["condition"] == "completed":
--- a/amberlug/cluster/simulation/machine.py
+++ b/amberlug/cluster/simulation/machine.py
@@ -99,6 +99,7 @@
 
     @property
     def up(self) -> bool:
+        """Whether a process runs here; a frozen one counts as running."""
         return self.incarnation is not None and not self.incarnation.over
 
     @property
@@ -178,11 +179,13 @@
                 self.deployment.history.faults.append(Violation("INVARIANT", f"{self.name}: {name}, {count}"))
 
     def freeze(self) -> None:
+        """Freeze the process, if one runs: its events wait until `thaw`."""
         if self.up and self.incarnation is not None:
             self.deployment.history.record_event(self.name, What.FREEZE)
             self.incarnation.frozen = True
 
     def thaw(self) -> None:
+        """Resume the process, which then handles the events that waited."""
         if self.incarnation is not None:
             if self.up:
                 self.deployment.history.record_event(self.name, What.THAW)
--- a/amberlug/cluster/simulation/model_checker.py
+++ b/amberlug/cluster/simulation/model_checker.py
@@ -151,13 +151,16 @@
     incarnation: int = 0
 
     def apply(self, index: int, command: Json) -> Json:
+        """Record a committed command at its index; the result is always empty."""
         self.cluster_state[str(index)] = command
         return {}
 
     def snapshot(self) -> Json:
+        """Copy the applied commands for a snapshot."""
         return dict(self.cluster_state)
 
     def restore(self, state: Json) -> None:
+        """Replace the applied commands by those of a snapshot."""
         self.cluster_state = dict(state)
 
 
@@ -169,31 +172,39 @@
         self.incarnation = play.members[name].incarnation
 
     def now(self) -> float:
+        """Return the time of the execution in seconds; each step adds STEP_S."""
         return self.play.now
 
     def wall_clock(self) -> float:
+        """Return the same time as `now`: wall clocks do not differ here."""
         return self.play.now
 
     def call_later(self, seconds: float, act: Callable[[], None]) -> Timer:
+        """Return a timer that never fires: an election timeout is a step of its own."""
         return Timer(act)
 
     def send(self, address: str, message: RawMessage) -> None:
+        """Put a notification in flight; its reply is ignored."""
         self.request(address, message, 0.0, lambda reply: None)
 
     def request(self, address: str, message: RawMessage, timeout_s: float, on_reply: ReplyCallback) -> None:
+        """Put a request in flight; `timeout_s` has no effect, and a reply is delivered by another step."""
         play, name, incarnation = self.play, self.name, self.incarnation
         tag, payload = message.tag, message.payload
         text = json.dumps([tag, message.body, payload.decode()])
 
         def back(said: Json) -> None:
+            """Pass the reply on, unless the requesting member has restarted since."""
             if play.members[name].incarnation == incarnation:
                 on_reply(Ok(Reply(said, b"")))
 
         def respond(said: Json, blob: bytes = b"") -> None:
+            """Put the reply in flight, as JSON text; its payload is dropped."""
             reply = json.dumps(said)
             play.post(name, f"{address} {text} {reply}", lambda: back(json.loads(reply)))
 
         def arrive() -> None:
+            """Have the current incarnation of the receiver handle the request."""
             play.members[address].handlers[tag](json.loads(text)[1], payload, name, respond)
 
         play.post(address, f"{name} {text}", arrive)
@@ -447,6 +458,7 @@
         lost = sum(1 for key, it in zip(raft.members.voters, saved, strict=True) if it.member_id != key)
 
         def has(it: PersistentState, index: int, entry: Entry) -> bool:
+            """Whether a disk has a committed entry, in its log or covered by its snapshot."""
             rest = it.entries[max(0, index - it.snapshot_index - 1) :]
             return index <= it.snapshot_index or (bool(rest) and rest[0] == entry)
 
@@ -536,6 +548,7 @@
         self.member, self.incarnation = member, incarnation
 
     def write(self, rows: Rows, then: OnWritten) -> None:
+        """Queue rows until a step syncs them; writes of an earlier incarnation are dropped."""
         if self.member.incarnation == self.incarnation:
             self.member.waiting.append((rows, then))
 
--- a/amberlug/cluster/simulation/mutations.py
+++ b/amberlug/cluster/simulation/mutations.py
@@ -55,6 +55,7 @@
     on_reply = ReplicaWrite.on_reply
 
     def first(self: ReplicaWrite, disk: str, reply: Result[ReplicaWriteReply, RequestFailure]) -> None:
+        """Complete the write as replicated when the first storage node has stored it."""
         if isinstance(reply, Ok) and reply.ok_value.result is ReplicaWriteResult.STORED:
             self.message.holders.add(disk)
             self.complete(ReplicationOutcome.REPLICATED)
@@ -68,6 +69,7 @@
     """A wiped voter returns with its old member id, and is not told that it has lost entries."""
 
     def blank(settings: Settings, rng: Callable[[int], int]) -> PersistentState:
+        """Create the state of an empty disk with a member id that is the same after each wipe."""
         return PersistentState(f"{settings.ip}/0", members=founding_members(settings))
 
     untold = patch.object(RollbackGuard, "has_lost_entries", lambda self, acknowledged: False)
@@ -89,6 +91,7 @@
         announcement: EndpointAnnouncement | None,
         respond: RespondHttp,
     ) -> None:
+        """Record the departure in the registry of this node alone, and respond with 200."""
         self.registry.depart(name, departure, announcement)
         respond(HttpResponse(200, {}))
 
@@ -100,6 +103,7 @@
     offer, apply_routes = GossipStore.offer, EdgeNode.apply_routes
 
     def any_offer(self: GossipStore, key: str, version: list[int], value: Any) -> bool:
+        """Apply a configuration even if it is older than the known one."""
         known = self.items.get(key)
         if key == "config" and known is not None and known.version > version:
             self._on_update(key, value)
@@ -107,6 +111,7 @@
         return offer(self, key, version, value)
 
     def any_config(self: EdgeNode, routes: Any) -> None:
+        """Discard the current routes first, so that the check against older versions passes."""
         self._context.routes = RoutingTable()
         apply_routes(self, routes)
 
@@ -126,6 +131,7 @@
     recovered = ShardOwner.recovered
 
     def by_name(self: ShardOwner, recovery: ShardRecovery) -> None:
+        """Replace the recovered sequence positions by the order of the message names."""
         found = recovery.open_messages
         for number, name in enumerate(sorted(found, key=lambda it: it.partition("-")[2])):
             found[name].position = SequencePosition(0, number)
@@ -139,6 +145,7 @@
     finish = _Submission._finish
 
     def reject(self: _Submission, outcome: AdmissionOutcome) -> None:
+        """Finish a submission of unknown outcome as rejected."""
         finish(self, AdmissionOutcome.REJECTED if outcome is AdmissionOutcome.OUTCOME_UNKNOWN else outcome)
 
     return patch.object(_Submission, "_finish", reject)
@@ -149,6 +156,7 @@
     call_finished = MessageDelivery._call_finished
 
     def forget(self: MessageDelivery, message: Message, result: CallResult) -> None:
+        """Discard the result of a call whose shard has been released."""
         if message in self._in_flight_of_released_shards:
             self._in_flight_of_released_shards.discard(message)
         else:
@@ -162,6 +170,7 @@
     local_outcome = MessageLookup.local_outcome
 
     def failed(self: MessageLookup, message_id: str) -> MessageOutcome | None:
+        """Report a message as dead after its first failed attempt."""
         message = self._delivery.queue.messages.get(message_id)
         if message is not None and message.failures:
             return MessageOutcome("dead")
@@ -174,6 +183,7 @@
     """Each edge node uses the whole rate limit of a service."""
 
     def use_all(self: ServiceDispatchers, share: float) -> None:
+        """Set the rate of each service to its whole limit, whatever the share of this node."""
         self._rate_share = share
         for name, destination in self._context.routes.services.items():
             if name in self.by_service:
@@ -186,6 +196,7 @@
     """Entries of an older term are committed by counting replicas."""
 
     def advance(self: Replication) -> None:
+        """Commit what a majority of voters has, without comparing its term with the current one."""
         raft = self.raft
         matched = self.match_indexes()
         indexes = sorted((matched.get(name, 0) for name in raft.members.voters), reverse=True)
@@ -200,6 +211,7 @@
     """A removed voter still counts as agreeing until the log is compacted."""
 
     def majority(self: RaftNode, names: set[str]) -> bool:
+        """Count members of the last snapshot that were removed since as agreeing."""
         voters = self.members.voters
         gone = [name for name in self.log.snapshot_members if name not in self.members]
         return 2 * (sum(1 for it in voters if it in names) + len(gone)) > len(voters)
@@ -211,6 +223,7 @@
     """A lost disk is dropped before the shard owners report that they no longer need it."""
 
     def drop(self: Reconciler, edges: dict[str, Session]) -> None:
+        """Drop every retiring or lost disk, without waiting for the shard owners."""
         roster = self.cluster_state.roster
         leaving = [disk for disk, store in roster.items() if store.state is not StoreState.FULL]
         if leaving:
--- a/amberlug/cluster/simulation/mutations_answers.py
+++ b/amberlug/cluster/simulation/mutations_answers.py
@@ -59,6 +59,7 @@
     attempt = EndpointClient._try
 
     async def again(self: EndpointClient, delivery: EndpointCall) -> CallResult:
+        """Repeat a call with the same attempt id if its connection is lost."""
         called = await attempt(self, delivery)
         return await attempt(self, delivery) if called.verdict is CallVerdict.CONNECTION_LOST else called
 
@@ -70,6 +71,7 @@
     """A connection is reused although it received unsolicited data."""
 
     def finish(self: OutgoingConnection) -> None:
+        """Finish a response and keep the connection, whatever surplus bytes arrived."""
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
@@ -80,6 +82,7 @@
     received = OutgoingConnection.data_received
 
     def skip(self: OutgoingConnection, data: bytes) -> None:
+        """Ignore data that arrives while no call waits for a response."""
         if self._waiter is not None and not self._waiter.done():
             received(self, data)
 
@@ -98,6 +101,7 @@
     received = ClientConnection.data_received
 
     def in_order(self: ClientConnection, data: bytes) -> None:
+        """Match each received reply to the oldest pending request."""
         self.pending = _Oldest(self.pending)
         received(self, data)
         self.pending = dict(self.pending)
@@ -110,6 +114,7 @@
     """A dict whose `pop` returns the oldest item for any key."""
 
     def pop(self, key: int, *default: Any) -> Any:
+        """Remove and return the oldest item, whatever the key; raises KeyError if empty without a default."""
         return super().pop(next(iter(self), key), *default)
 
 
@@ -120,15 +125,18 @@
     newest: dict[tuple[ConnectionOwner, str], ServerConnection] = {}
 
     def numbered(self: PeerTransport, address: str, *rest: Any, **more: Any) -> None:
+        """Number the requests of each connection from 1, instead of those of all connections."""
         connection = self._connection_to(address)
         self._request_numbers = itertools.count(1 + len(connection.__dict__.setdefault("numbered", [])))
         connection.__dict__["numbered"].append(address)
         request(self, address, *rest, **more)
 
     def on_newest(self: ServerConnection, number: object) -> Respond:
+        """Remember the connection as the newest from its sender, and reply on the newest one."""
         newest[self.owner, self.origin] = self
 
         def respond(body: Json, payload: bytes = b"") -> None:
+            """Send the reply on the newest connection from the sender."""
             respond_to(newest[self.owner, self.origin], number)(body, payload)
 
         return respond
@@ -154,6 +162,7 @@
     """A request is marked as answered only after its connection has started the next one."""
 
     def respond(self: HttpResponder, response: Response) -> None:
+        """Mark the request as answered after its response; raises RuntimeError on a second response."""
         if self.is_used:
             raise RuntimeError("a request has one response")
         self._connection.respond(response, self._is_head)
@@ -167,6 +176,7 @@
     """Any response on a connection ends the message whose call is in flight there."""
 
     def believe(message: Message, called: CallResult, max_attempts: int) -> CallOutcome:
+        """Evaluate a response as if it had the attempt id of the message."""
         rest = tuple(it for it in called.headers if it[0] != "amberlug-attempt-id")
         named = (("amberlug-attempt-id", message.attempt_id), *rest)
         return evaluate_result(message, CallResult(called.verdict, called.status, named), max_attempts)
@@ -181,6 +191,7 @@
     handover = ShardOwner.on_handover
 
     def nothing_out(self: ShardOwner, message: Handover, origin: str, respond: Responder) -> None:
+        """Handle a handover without its list of calls in flight."""
         handover(self, replace(message, in_flight=()), origin, respond)
 
     nothing_out.__dict__.update(handover.__dict__)  # its declared message type
@@ -193,7 +204,10 @@
     submit = CommandService.submit
 
     def twice(self: CommandService, command: SubmittedCommand, on_outcome: OutcomeCallback) -> None:
+        """Submit a command, and submit it again if its outcome is unknown."""
+
         def receive(outcome: Result[CommandOutcome, ProposalRejected]) -> None:
+            """Submit the command again if its outcome is unknown; otherwise pass the outcome on."""
             if isinstance(outcome, Err) and outcome.err_value.reason is RejectionReason.OUTCOME_UNKNOWN:
                 submit(self, command, on_outcome)
             else:
--- a/amberlug/cluster/simulation/mutations_frames.py
+++ b/amberlug/cluster/simulation/mutations_frames.py
@@ -34,6 +34,7 @@
     """A snapshot keeps the membership of the previous snapshot."""
 
     def members_until(self: Log, index: int) -> Members:
+        """Return the membership of the previous snapshot for any index."""
         return self.snapshot_members
 
     return patch.object(Log, "members_until", members_until)
@@ -43,6 +44,7 @@
     """The checksum of a transfer in chunks is not verified."""
 
     def verified(self: IncomingTransfer) -> bytes | None:
+        """Return the received data without verifying its checksum."""
         return bytes(self.data)
 
     return patch.object(IncomingTransfer, "verified", verified)
@@ -52,6 +54,7 @@
     """Chunks are appended in any order, and the checksum is not verified."""
 
     def add(self: IncomingTransfer, offset_bytes: int, data: bytes) -> None:
+        """Append a chunk without checking its offset."""
         self.data += data
 
     return patch.multiple(IncomingTransfer, add=add, verified=lambda self: bytes(self.data))
@@ -61,6 +64,7 @@
     """A transfer in chunks restarts from the beginning after a connection is lost."""
 
     def lost(self: OutgoingTransfer, number: int = 0) -> None:
+        """Restart the transfer from its first byte."""
         self._in_flight.clear()
         self.sent_bytes = self.received_bytes = 0
 
@@ -77,6 +81,7 @@
     save = Log._save
 
     def early(self: Log, rows: Any, write: Any, snapshot_index: int = 0) -> None:
+        """Count a snapshot as synced before its write is queued."""
         self.synced_index = max(self.synced_index, snapshot_index)
         save(self, rows, write, snapshot_index)
 
@@ -88,6 +93,7 @@
     assemble = persistent_state.assemble
 
     def forget(saved: PersistentState, rows: Iterable[StoredEntry]) -> PersistentState | None:
+        """Drop the last entry of the log that was read."""
         found = assemble(saved, rows)
         if found is not None:
             del found.entries[-1:]
@@ -100,6 +106,7 @@
     """The next heartbeat is scheduled after all sends, and an error for one peer stops heartbeats."""
 
     def send_heartbeats(self: Replication) -> None:
+        """Schedule the next heartbeat last; a ValueError for one peer ends the heartbeats."""
         raft = self.raft
         if not raft.is_leader or raft.is_stopped:
             return
--- a/amberlug/cluster/simulation/mutations_losses.py
+++ b/amberlug/cluster/simulation/mutations_losses.py
@@ -23,6 +23,7 @@
     """A retiring storage node still counts as a replica."""
 
     def is_write_quorum(self: Replicator, disks: Set[str]) -> bool:
+        """Count replicas on retiring storage nodes as well."""
         return self.is_quorum(
             {
                 disk
@@ -39,6 +40,7 @@
     drop = Reconciler.drop_replaced_disks
 
     def early(self: Reconciler, edges: dict[str, Session]) -> None:
+        """Hide one under-replicated message per edge node while disks are dropped."""
         short = {name: it.details.get("short", 0) for name, it in edges.items()}
         for it in edges.values():
             it.details["short"] = max(0, it.details.get("short", 0) - 1)
@@ -53,6 +55,7 @@
     """Replicas are counted by machine, whatever their zones."""
 
     def hold(self: Replicator, disks: Set[str]) -> bool:
+        """Compare the number of machines with the tolerance, without comparing their zones and regions."""
         names = {self.stores[disk].name for disk in disks if disk in self.stores}
         tolerance = self.tolerance
         return len(names) > max(tolerance.machines, tolerance.zones, tolerance.regions)
@@ -64,6 +67,7 @@
     """A joining storage node accepts writes of former shard owners."""
 
     def fence_nobody(self: Enrollment, table_index: int) -> list[FenceRow]:
+        """Return no fence rows, so that former shard owners can still write."""
         return []
 
     return patch.object(Enrollment, "_fence_earlier_owners", fence_nobody)
@@ -79,6 +83,7 @@
     progress = ReplicaRepair.progress
 
     def nothing_lacks(self: ReplicaRepair) -> EdgeAttributes:
+        """Report that no message is under-replicated."""
         return replace(progress(self), under_replicated_messages=0)
 
     return patch.object(ReplicaRepair, "progress", nothing_lacks)
--- a/amberlug/cluster/simulation/mutations_outcomes.py
+++ b/amberlug/cluster/simulation/mutations_outcomes.py
@@ -20,6 +20,7 @@
     """Disks are dropped while outcomes are under-replicated."""
 
     def repair_nothing(self: OutcomeRepairs, shards: Iterable[int]) -> None:
+        """Leave under-replicated outcomes as they are."""
         pass
 
     return patch.object(OutcomeRepairs, "repair", repair_nothing)
@@ -29,6 +30,7 @@
     """The first storage node that answers decides a lookup."""
 
     def covers_all_messages(self: Replicator, disks: Set[str]) -> bool:
+        """Count the answer of any one storage node as covering all messages."""
         return bool(disks)
 
     return patch.object(Replicator, "covers_all_messages", covers_all_messages)
@@ -38,6 +40,7 @@
     """A lookup reports an outcome that only one disk has."""
 
     def finish(self: _OutcomeQuery, ended: Acknowledgement) -> None:
+        """Report the outcome at once, without waiting until enough disks have it."""
         self._finish(ended.outcome)
 
     return patch.object(_OutcomeQuery, "_finish_if_ended", finish)
--- a/amberlug/cluster/simulation/mutations_partitions.py
+++ b/amberlug/cluster/simulation/mutations_partitions.py
@@ -21,6 +21,7 @@
     """A node that believes it leads answers commands from its own state, without a majority."""
 
     def at_once(self: CommandExecutor, action: Callable[[], None], on_outcome: OutcomeCallback) -> None:
+        """Run the action without confirming leadership by a majority."""
         action()
 
     return patch.object(CommandExecutor, "when_confirmed", at_once)
@@ -30,6 +31,7 @@
     """An edge node serves state from any control-plane node, confirmed or not."""
 
     def take(self: SessionClient, epoch: int) -> None:
+        """Count the state as confirmed, whatever the epoch."""
         self.is_confirmed = True
 
     return patch.object(SessionClient, "_read_current_state", take)
@@ -50,10 +52,12 @@
     announce, heartbeat_address = EndpointApi.announce, EndpointApi.heartbeat_address
 
     def any_announce(self: EndpointApi, request: HttpRequest, name: str, respond: RespondHttp) -> None:
+        """Handle an announcement as if the node were in contact with a majority."""
         with patch.object(QuorumContact, "is_in_contact", PropertyMock(return_value=True)):
             announce(self, request, name, respond)
 
     def any_address(self: EndpointApi, zone: str) -> str:
+        """Return this node's own address to endpoints in its zone, without checking its contact."""
         member = self.raft.members.get(self.raft.member_id)
         if member is not None and member.zone == zone:
             return member.control_address
@@ -82,6 +86,7 @@
     check = ClusterState.check_config
 
     def by_number(self: ClusterState, base_version: int, version: int, call_hash: str) -> CommandResult:
+        """Replace the hash of a submitted configuration by the one known for its edition."""
         known = self.config_hashes.get(version)
         return check(self, base_version, version, known.call_hash if known is not None else call_hash)
 
@@ -98,6 +103,7 @@
     """A node answers reads of the configuration from its own state."""
 
     def read(self: ConfigService, request: HttpRequest, name: str, respond: RespondHttp) -> None:
+        """Respond with the node's own configuration, or with 503 if it has none."""
         config = self.cluster_state.config
         respond(HttpResponse(200, config) if config is not None else HttpResponse(503, {}, 1))
 
--- a/amberlug/cluster/simulation/mutations_voters.py
+++ b/amberlug/cluster/simulation/mutations_voters.py
@@ -23,6 +23,7 @@
     """Voters are chosen by name, whatever their zones."""
 
     def by_name(members: Iterable[MemberStatus], tolerance: Tolerance, leader: str) -> list[MemberStatus]:
+        """Choose voters by name, whatever their zones; the leader and present voters come first."""
         candidates = [it for it in members if (it.is_alive if it.is_voter else it.is_eligible)]
         wanted = max(3, 2 * max(tolerance.machines, tolerance.zones, tolerance.regions) + 1)
         ordered = sorted(candidates, key=lambda it: (it.name != leader, not it.is_voter, it.name))
@@ -36,9 +37,11 @@
     """Learners count as voters, both in elections and for commits."""
 
     def majority(self: RaftNode, names: set[str]) -> bool:
+        """Count learners that agree, against a majority of the voters."""
         return 2 * sum(1 for it in self.members if it in names) > len(self.members.voters)
 
     def advance(self: Replication) -> None:
+        """Commit an entry of the current term that enough members have, learners included."""
         raft = self.raft
         matched = self.match_indexes()
         indexes = sorted((matched.get(name, 0) for name in raft.members), reverse=True)
@@ -74,6 +77,7 @@
     compact = Log.compact
 
     def forget(self: Log, index: int, state: Json) -> None:
+        """Compact the log, but keep the membership of the previous snapshot."""
         members = self.snapshot_members
         compact(self, index, state)
         self.snapshot_members = members
--- a/amberlug/cluster/simulation/network.py
+++ b/amberlug/cluster/simulation/network.py
@@ -138,6 +138,7 @@
         self.told(frozenset(self._cuts) | frozenset(self._refused))
 
     def hold(self, link: Link) -> None:
+        """Note that a connection holds data that is sent again when a partition ends."""
         self._held[link] = None
 
     def link(self, source: Incarnation, to: str) -> Link:
@@ -270,6 +271,7 @@
         assert source is not None, "a message has a sender"
 
         def respond(body: Json, blob: bytes = b"") -> None:
+            """Send a reply, unless it is too long, or to a notification, or the connection is closed."""
             if number is not None and self.open[1]:
                 text = json.dumps(body)
                 if not self._too_long(text, blob):
@@ -277,6 +279,7 @@
                     self._transmit(1, len(text) + len(blob), partial(self._replied, number, text, blob))
 
         def hear() -> None:
+            """Have the receiving process handle the message; unknown tags are ignored."""
             handler = incarnation.machine.handlers.get(tag)
             if handler is not None:
                 handler(json.loads(text), blob, source.host.address, respond)
@@ -288,6 +291,7 @@
         assert source is not None, "a connection has an opener"
 
         def hear() -> None:
+            """Pass the reply on, unless the request has timed out or the connection was closed."""
             found = self._pending_requests.pop(number, None)
             if found is not None:
                 found[1].cancel()
@@ -379,20 +383,25 @@
         self.net, self.incarnation, self.rng, self._wall = net, incarnation, rng, wall
 
     def now(self) -> float:
+        """Return the virtual time in seconds."""
         return self.net.clock.now
 
     def wall_clock(self) -> float:
+        """Return the wall clock of the machine in seconds."""
         return self._wall + self.net.clock.now
 
     def call_later(self, seconds: float, act: Callable[[], None]) -> Timer:
+        """Run a callback in this process in so many seconds, unless the timer is cancelled."""
         timer = Timer(act)
         self.net.clock.call_later(seconds, partial(self.incarnation.do, timer.fire))
         return timer
 
     def send(self, address: str, message: RawMessage) -> None:
+        """Send a notification; does nothing once the process has ended."""
         if not self.incarnation.over:  # the process may end during the call that sends
             self.net.link(self.incarnation, address).send(message)
 
     def request(self, address: str, message: RawMessage, timeout_s: float, on_reply: ReplyCallback) -> None:
+        """Send a request; `on_reply` is called once, but never after the process has ended."""
         if not self.incarnation.over:
             self.net.link(self.incarnation, address).request(message, timeout_s, on_reply)
--- a/amberlug/cluster/simulation/operator.py
+++ b/amberlug/cluster/simulation/operator.py
@@ -130,6 +130,7 @@
             left = 2
 
             def done(ok: bool) -> None:
+                """Count one change as finished; the operator is free again after both."""
                 nonlocal left
                 left -= 1
                 self.busy = left > 0
@@ -144,6 +145,7 @@
         self.in_progress += 1
 
         def done(ok: bool) -> None:
+            """Count the command as finished."""
             self.in_progress -= 1
 
         return done
@@ -192,6 +194,7 @@
         """Read the configuration in force, after a change conflicted with another."""
 
         def then(call: Call) -> None:
+            """Adopt the configuration that was read; after a failure, read again after a pause."""
             if call.status == 200:
                 self._adopt(call)
             elif tries > 1:
@@ -215,6 +218,7 @@
         body = b'{"durationS": 8}' if method == "POST" else b""
 
         def hear(status: int, said: Any) -> None:
+            """Record the response of the call, and pass the call on."""
             call.status, call.answered_at, call.said = status, self.clock.now, said
             self.history.trace(f"{call.what} {call.name}: {status} by {call.core}")
             then(call)
@@ -272,13 +276,17 @@
         self.history.trace(f"edition {version.edition} on top of {version.base} is submitted ({word}){where}")
 
         def call(core: Machine, hear: Callable[[int, Any], None]) -> None:
+            """Send the command to a control-plane node; `hear` gets the response."""
+
             def leaves(status: int) -> None:
+                """Call `on_acknowledged` as a response with 200 is sent."""
                 if status == 200:
                     self.on_acknowledged(core)
 
             self.deployment.control(core, "POST", path, body, WITHIN_S, hear, headers, leaves)
 
         def again() -> None:
+            """Send the command, or give up after the time limit; the first configuration has no limit."""
             nonlocal to
             if self.clock.now - began > (SAME_NODE_INSIST_S if same_node else INSIST_S) and version.base:
                 version.until = self.clock.now
@@ -289,6 +297,7 @@
             call(core, lambda status, said: hear(core, status))
 
         def hear(core: Machine, status: int) -> None:
+            """End the command on a definite response; if there is none, or it is lost, send it again."""
             nonlocal pause
             if status in DEFINITE_STATUSES:
                 self.history.trace(f"edition {version.edition}: {status} by {core.name}")
@@ -314,9 +323,11 @@
             pause = min(PAUSE_S[1], 2 * pause)
 
         def repeat() -> None:
+            """Submit the acknowledged command once more, at any control-plane node."""
             core = self.rng.choice(self.deployment.cores)
 
             def told(status: int, said: Any) -> None:
+                """Record a rejection of the repeated command."""
                 self.history.trace(f"edition {version.edition}, submitted again: {status} by {core.name}")
                 if status in DEFINITE_STATUSES and status != 200:
                     version.refusals.append((self.clock.now, status, core.name))
@@ -329,6 +340,7 @@
         """At the end of a run, read the configuration in force."""
 
         def hear(status: int, said: Any) -> None:
+            """Record the configuration in force; after a failure, read again in 0.5 s."""
             if status == 200:
                 self.history.read_back = said
             elif tries > 1:
--- a/amberlug/cluster/simulation/quorum_contact.py
+++ b/amberlug/cluster/simulation/quorum_contact.py
@@ -62,6 +62,7 @@
         here = self._core & running
 
         def reached(name: str) -> int:
+            """Count the running control-plane nodes in contact with a node both ways, itself included."""
             return sum(1 for it in here if (name, it) not in cut and (it, name) not in cut)
 
         return frozenset(name for name in here if 2 * reached(name) > len(self._core))
--- a/amberlug/cluster/simulation/scenarios.py
+++ b/amberlug/cluster/simulation/scenarios.py
@@ -293,6 +293,7 @@
         machine.term()
 
         def look() -> None:
+            """Check every 0.1 s whether the process has ended; once it has, schedule its restart."""
             if machine.up:
                 self.clock.call_later(0.1, look)
             else:
@@ -360,6 +361,7 @@
         machine.loss = 0.05
 
         def whole() -> None:
+            """End the packet loss."""
             machine.loss = 0.0
 
         self.clock.call_later(3.0, whole)
@@ -381,6 +383,7 @@
             disk.full = True
 
             def room() -> None:
+                """Make space on the disk again."""
                 disk.full = False
 
             self.clock.call_later(seconds, room)
@@ -402,6 +405,7 @@
         which = self.rng.random() < 0.5
 
         def strike(core: Machine) -> None:
+            """Kill the acknowledging node or the leader, at the first acknowledgement only."""
             self.operator.on_acknowledged = lambda it: None
             machine = core if which else self.leader()
             if machine is not None:
@@ -421,6 +425,7 @@
         which = self.aim == "drain" or self.rng.random() < 0.5
 
         def strike(core: Machine) -> None:
+            """Kill the acknowledging node or the leader, at the first acknowledgement only."""
             self.deployment.endpoint_fleet.on_drained = lambda it: None
             machine = core if which else self.leader()
             if machine is not None:
@@ -443,6 +448,7 @@
         struck = False
 
         def strike(core: Machine | None = None) -> None:
+            """Kill or power off all machines, and wipe one disk if drawn; only the first call counts."""
             nonlocal struck
             if struck:
                 return
@@ -496,6 +502,7 @@
         kind.lost = 0.2
 
         def whole() -> None:
+            """Stop losing responses."""
             kind.lost = 0.0
 
         self.clock.call_later(1.0, whole)
@@ -509,6 +516,7 @@
         kind.garbled = 0.5
 
         def whole() -> None:
+            """Stop garbling responses."""
             kind.garbled = 0.0
 
         self.clock.call_later(seconds, whole)
@@ -523,6 +531,7 @@
         """Submit two changes, the second as soon as the first is acknowledged."""
 
         def again(core: Machine) -> None:
+            """Submit the second change 10 ms after the first acknowledgement."""
             self.operator.on_acknowledged = lambda it: None
             self.clock.call_later(0.01, partial(self._run_action, self._change_config))
 
--- a/amberlug/cluster/simulation/storage_faults.py
+++ b/amberlug/cluster/simulation/storage_faults.py
@@ -81,6 +81,7 @@
         struck = False
 
         def strike() -> None:
+            """Call `act`, once."""
             nonlocal struck
             if not struck:
                 struck = True
@@ -96,6 +97,7 @@
         struck = False
 
         def strike(core: Machine) -> None:
+            """Wipe the disk of a node, once."""
             nonlocal struck
             if not struck:
                 struck = True
@@ -118,6 +120,7 @@
 
     def _add_machine(self, kind: str, zone: str, seconds: float, name: str = "") -> None:
         def come() -> None:
+            """Add the machine, start it, and later have all processes reload their settings."""
             machine = self.deployment.add(kind, zone, name)
             self.history.trace(f"{machine.name} is added at {machine.address}")
             machine.start()
@@ -183,6 +186,7 @@
 
     def _poll_retirement(self, store: Machine, until: float) -> None:
         def hear(status: int, said: Any) -> None:
+            """Poll until the retirement is completed; record a violation if it takes too long."""
             if status == 200 and said["condition"] == "completed":
                 self._on_retired(store)
             elif self.clock.now < until:
