--- a/amberlug/cluster/consensus/rollback_guard.py
+++ b/amberlug/cluster/consensus/rollback_guard.py
@@ -2,9 +2,10 @@
 
 Raft assumes that whatever a member has acknowledged stays on its disk (section 5.1: servers update stable
 storage before they respond). Restoring a folder violates that assumption. A leader knows up to which
-committed entry each member has acknowledged the log. Committed entries are never removed, so a member whose
-log ends before its acknowledged index has lost entries, and perhaps a vote. All members store these indexes
-and share them: a leader with its messages, other members when a member that has just started asks.
+committed entry each member has acknowledged the log. Committed entries are never truncated from the end of a
+log, so a member whose log ends before its acknowledged index has lost entries, and perhaps a vote. All
+members store these indexes and share them: a leader with its messages, candidates with vote requests, other
+members when a member that has just started asks.
 
 Invariant: after a start, a member votes only once it has replies from enough members to form a majority with
 it, or has heard from a leader. A member that has lost acknowledged entries thus helps to elect no leader.
@@ -34,8 +35,8 @@
 # Interval between messages to a member that carry all indexes, while they change: one in five heartbeats
 # carries them, since they have as many fields as there are members.
 CHANGED_INTERVAL_S = 0.5
-# The same interval while no index changes, and between writes to disk: each write costs a sync, and running
-# members repeat what a crash loses.
+# The same interval while no index changes, and between writes to disk: each write costs a sync, and the
+# other members send again what a crash lost.
 UNCHANGED_INTERVAL_S = 5.0
 
 
@@ -53,12 +54,14 @@
 
 
 class RollbackGuard:
-    """The acknowledged indexes known to a member, by member."""
+    """Keeps the acknowledged index of each member, and whether this member may vote."""
 
     def __init__(self, raft: MemberContext, acknowledged: Mapping[str, int]) -> None:
         self._raft = raft
         self.acknowledged: dict[str, int] = dict(acknowledged)
-        self.may_vote = True  # False after a start until it is known that nothing was lost
+        # False after a start, until a majority (with this member) or a leader has reported this member's
+        # index.
+        self.may_vote = True
         self._replied: set[str] = set()  # members that have reported this member's index since the start
         self._sent: dict[str, _LastPublished] = {}  # by member
         self._saved = _LastPublished(self._index_sum, NEVER)
@@ -96,10 +99,10 @@
         self._sent[name] = _LastPublished(index_sum, now)
         return AcknowledgedIndexes(of_target, self.acknowledged)
 
-    # -- as a starting member
+    # -- as a follower or voter
 
     def has_lost_entries(self, acknowledged: AcknowledgedIndexes) -> bool:
-        """Merge the indexes that another member has sent.
+        """Merge the indexes that another member has sent, and check this member's log against its own.
 
         :returns: whether this member's log ends before an index that it had acknowledged.
         """
--- a/amberlug/cluster/control/membership.py
+++ b/amberlug/cluster/control/membership.py
@@ -25,7 +25,7 @@
 LEADER_TIMEOUT_S = 1.5
 REPLACEMENT_TIMEOUT_S = 0.8  # for another node to replace a voter that is shutting down
 LEAVING_INTERVAL_S = 0.05  # between announcements that this node is leaving
-LEAVING_TIMEOUT_S = 2.0  # since the last announcement, after which a node is no longer considered leaving
+LEAVING_TIMEOUT_S = 2.0  # a node counts as leaving for this time after its last announcement
 
 
 class MembershipService:
@@ -65,7 +65,10 @@
         self._runtime.call_later(LEAVING_INTERVAL_S, self._announce_leaving)
 
     def join(self) -> None:
-        """Keep this node's membership entry up to date; a node without a leader may have been removed."""
+        """Ask periodically to join, if necessary.
+
+        Asks if this node's entry is outdated, or if no leader was heard from: it may have been removed.
+        """
         self._runtime.call_later(JOIN_INTERVAL_S, self.join)
         is_leader = self._raft.role is Role.LEADER
         has_leader = is_leader or self._runtime.now() - self._raft.leader_contact_at < LEADER_TIMEOUT_S
@@ -113,7 +116,10 @@
             send(self._runtime, leader, forwarded)
 
     def _admit(self, message: JoinCluster) -> None:
-        """Add a node as a learner, and mark earlier incarnations at its address as superseded."""
+        """Add a node as a learner, or update its entry and keep its vote.
+
+        Marks other members at its address as superseded.
+        """
         joining, current = message.member_id, self._raft.members
         members = current
         for name, member in current.items():
@@ -125,7 +131,7 @@
             self._change(members, f"{joining} joined")
 
     def _change(self, members: Members, reason: str) -> None:
-        """Propose a membership, provided that the previous one is committed."""
+        """Propose a membership if the previous one is committed and no change is in flight; else return."""
         if self._is_changing or not self._raft.is_membership_committed:
             return
         self._is_changing = True
@@ -138,7 +144,7 @@
         self._raft.change_members(members, receive)
 
     def adjust_voters(self) -> None:
-        """Promote or demote one voter, or remove one member, if the placement of voters requires it."""
+        """Promote a learner, demote a voter, or remove a superseded or unresponsive learner, if necessary."""
         tolerance = self._settings().tolerance
         statuses = self._member_statuses()
         voters = (status for status in statuses if status.is_voter)
--- a/amberlug/cluster/control/reconciler.py
+++ b/amberlug/cluster/control/reconciler.py
@@ -20,10 +20,13 @@
 from amberlug.cluster.control.state_entries import OwnerEntry, Retirement, Roster, StoreEntry, StoreState
 
 RECONCILE_INTERVAL_S = 0.1
-SETTLING_S = 1.5  # for a new leader to receive session reports before it treats any member as gone
-OWNER_TIMEOUT_S = 0.15  # without a session until an owner's shards are assigned to others
-STORE_TIMEOUT_S = 1.5  # without a session until a disk is marked lost and its messages are re-replicated
-JOIN_BATCH_WAIT_S = 0.4  # without a further new edge node until the new ones are assigned shards together
+# Time for a new leader to receive session reports before it treats missing sessions as lost members.
+SETTLING_S = 1.5
+OWNER_TIMEOUT_S = 0.15  # time without a session after which an owner's shards are assigned to others
+# Time without a session after which a disk is marked lost and its messages are re-replicated.
+STORE_TIMEOUT_S = 1.5
+# Time without another new edge node after which the new ones are assigned shards together.
+JOIN_BATCH_WAIT_S = 0.4
 
 
 class LeaderTask(Enum):
@@ -99,6 +102,8 @@
     def update_roster(self, stores: Mapping[str, Session], now_s: float) -> None:
         """Add new disks, and mark lost ones, so that their messages are re-replicated.
 
+        Also updates addresses and states, and restores disks that have returned.
+
         This is suspended while disks are being dropped: a dropped disk that returned would be added again
         after its drop, with messages that have ended in the meantime.
 
@@ -123,7 +128,9 @@
         attributes, node = StorageAttributes.from_wire(session.details), session.node
         disk, current = attributes.disk_id, roster.get(attributes.disk_id)
         if current is None and (attributes.is_enrolled or retirement is Retirement.COMPLETED):
-            return {}  # its disk was dropped or retired before: the node has to use a new one
+            # Its disk was dropped, so it needs a new one; or the node was retired, and none of its disks is
+            # added.
+            return {}
         # A node that lost its disk during its retirement returns as one that is still to be retired.
         state = StoreState.RETIRING if retirement is Retirement.IN_PROGRESS else StoreState.FULL
         entry = StoreEntry(node.name, node.address, node.zone, node.region, state)
@@ -147,8 +154,9 @@
         self._absent_disks = set(absent)
         for disk in present:
             self._disk_missing_since_s.pop(disk, None)
-        # A leader partitioned from other control-plane nodes sees none of their sessions. If more disks are
-        # absent than the tolerance allows to be lost, it is assumed that the leader is partitioned.
+        # A leader partitioned from other control-plane nodes sees none of their sessions. If the full disks
+        # that are present do not suffice for the replicas that messages require, the leader is assumed to be
+        # partitioned.
         if not self._has_settled(now_s) or not self.can_hold_messages(present):
             return {}
         return {
@@ -168,7 +176,9 @@
         if not leaving or not self.can_hold_messages(state.roster):
             return  # owners may report no missing replicas just because nothing can be replicated
         if self._is_full_disk_absent():
-            return  # its replicas count, but may be lost: it returns, or its messages are re-replicated first
+            # Its replicas are counted but may be lost. Wait until it returns, or is marked lost and its
+            # messages are re-replicated.
+            return
         progress = self._owner_progress_reports(edges)
         if not progress:
             return
@@ -208,7 +218,7 @@
     # -- owners of shards
 
     def reassign_shards(self, edges: Mapping[str, Session], now_s: float) -> None:
-        """Assign shards to new edge nodes, and reassign those of departed ones.
+        """Assign shards to new edge nodes, and reassign those of owners that are leaving, restarted or lost.
 
         :param edges: sessions of edge nodes, by incarnation.
         """
@@ -232,7 +242,7 @@
     def _departed_owners(
         self, owners: Sequence[str], edges: Mapping[str, Session], now_s: float
     ) -> list[str]:
-        """Return owners that are leaving, have restarted, or have had no session for too long."""
+        """Return owners that are leaving (with a session), have restarted, or lack a session for too long."""
         names = {session.name for session in edges.values()}
         departed = []
         for owner in owners:
--- a/amberlug/cluster/dispatch/replicator.py
+++ b/amberlug/cluster/dispatch/replicator.py
@@ -1,7 +1,7 @@
 """Replicates messages and their outcomes to storage nodes on behalf of a shard owner. No I/O.
 
-A write quorum is defined over failure domains: it is a set of full members of the roster of which at least
-one survives the loss of any tolerated number of machines, zones or regions.
+A write quorum is defined over failure domains: it is a set of disks in state `FULL` of which at least one
+survives the loss of any tolerated number of machines, zones or regions.
 """
 
 from __future__ import annotations
@@ -35,7 +35,7 @@
 
 
 class Replicator:
-    """The storage nodes of the roster, each known by the id of its disk.
+    """Places replicas and outcomes on the roster's storage nodes, which are identified by disk id.
 
     :param zone: the zone of this edge; its storage nodes are preferred, then those of the region.
     :param outcome_retention_s: seconds for which the outcome of a message is kept.
@@ -64,7 +64,7 @@
 
     @property
     def writable_disks(self) -> list[str]:
-        """The disks that accept replicas."""
+        """The disks in state `FULL`, which accept replicas."""
         return [disk for disk, store in self.stores.items() if store.state is StoreState.FULL]
 
     @property
@@ -82,13 +82,15 @@
         return self.tolerance.holds(list(domains.values()))
 
     def is_write_quorum(self, disks: Set[str]) -> bool:
-        """Whether replicas on these disks survive the tolerated losses; only full members count."""
+        """Whether replicas on these disks survive the tolerated losses; only disks in state `FULL` count."""
         return self.is_quorum(
             {disk for disk in disks if disk in self.stores and self.stores[disk].state is StoreState.FULL}
         )
 
     def covers_all_messages(self, disks: Set[str]) -> bool:
-        """Whether these disks are a read quorum, which has every message with enough replicas.
+        """Whether these disks are a read quorum.
+
+        A read quorum holds at least one replica of every message that is on a write quorum.
 
         Read and write quorums intersect: the remaining disks are too few to form a quorum of their own.
         """
@@ -99,7 +101,8 @@
     def is_unavailable(self) -> bool:
         """Whether too few storage nodes respond and have space, so that a write would only time out.
 
-        Unresponsive nodes are probed until enough of them respond, even while no message arrives.
+        Sends probes to unresponsive nodes, until the responsive disks form a write quorum, even while no
+        message arrives.
         """
         writable = self.writable_disks
         unresponsive = {disk for disk in writable if self.health.is_unresponsive(disk)}
@@ -188,8 +191,8 @@
     ) -> None:
         """Record on the storage nodes how a message ended.
 
-        All disks that may have a replica are notified, so that none reports the message as open later, and
-        further ones if needed for the outcome to survive the tolerated losses.
+        All disks that may have a replica, except lost ones, are notified, so that none reports the message as
+        open later, and further ones if needed for the outcome to survive the tolerated losses.
 
         :param on_durable: called once the outcome is on enough disks.
         """
@@ -210,7 +213,7 @@
         on_durable: OnDurable,
         responsive: Set[str] = frozenset(),
     ) -> None:
-        """Record an outcome that too few disks have on further ones.
+        """Record on further disks an outcome that too few disks have.
 
         :param holders: the disks on which it is durable.
         :param on_durable: called once the outcome is on enough disks.
@@ -233,5 +236,9 @@
 
     @property
     def pending_outcomes(self) -> int:
-        """The number of outcomes on too few disks, or not acknowledged by responsive storage nodes."""
+        """0 if every outcome is on enough disks and none is pending at a disk that is not suspect.
+
+        Otherwise the larger of the number of outcomes on too few disks and that of outcomes pending at such
+        disks, counted per disk.
+        """
         return max(self._outcomes.unconfirmed_count, self._outcomes.count_at_responsive())
--- a/amberlug/cluster/edge/intake.py
+++ b/amberlug/cluster/edge/intake.py
@@ -19,7 +19,7 @@
 from amberlug.cluster.interfaces import Headers, Json
 from amberlug.cluster.values import value
 
-DEFAULT_CLIENT_TIMEOUT_S = 1.5  # if the client does not specify a timeout
+DEFAULT_CLIENT_TIMEOUT_S = 1.5  # if the client specifies no valid timeout
 MAX_BODIES_MEMORY_FRACTION = 0.35  # of the node's memory; the rest is for connections and the process
 MAX_ATTEMPT_ID_CHARACTERS = 58  # a message id, made of shard and attempt id, is limited to 64
 MAX_NOT_BEFORE_DIGITS = 12  # milliseconds: about 30 years
@@ -79,7 +79,7 @@
 
 
 def _is_number(text: str) -> bool:
-    """Whether `int` can parse the digits; `isdigit` alone also accepts superscripts."""
+    """Whether the text consists of ASCII digits only; `isdigit` alone also accepts superscripts."""
     return text.isascii() and text.isdigit()
 
 
--- a/amberlug/cluster/session_client.py
+++ b/amberlug/cluster/session_client.py
@@ -1,8 +1,8 @@
 """Client side of the session between an edge or storage node and one control-plane node. No I/O.
 
-The session is a lease: heartbeats renew it, and the control plane drops a node whose session has expired. A
-control-plane node that cannot reach a majority of its peers rejects sessions, so that nodes move to one that
-can.
+The session is a lease: heartbeats renew it, and the control plane treats a node whose session has expired
+as gone. A control-plane node that cannot reach a majority of its peers rejects sessions, so that nodes move
+to one that can.
 """
 
 from __future__ import annotations
@@ -33,10 +33,10 @@
 
 HEARTBEAT_TIMEOUT_S = 0.4
 OPEN_TIMEOUT_S = 0.8
-HEDGE_DELAY_S = 0.25  # without a reply, until another control-plane node is tried in parallel
+HEDGE_DELAY_S = 0.25  # time without a reply after which another control-plane node is tried in parallel
 CURRENT_STATE_TIMEOUT_S = 5.0  # per page: a large page takes seconds over a slow link
 MIN_RETRY_DELAY_S = 0.1
-MAX_RETRY_DELAY_S = 0.5  # the control plane may be without a majority for a long time
+MAX_RETRY_DELAY_S = 0.5  # before jitter; the control plane may be without a majority for a long time
 RETRY_BACKOFF = 1.3
 RETRY_JITTER = (0.8, 1.2)  # factors; keep nodes that lost the same control-plane node from retrying in step
 MAX_COUNTED_FAILURES = 20  # bounds the exponent of the backoff; the delay reaches its maximum long before
@@ -44,7 +44,10 @@
 
 
 def seed_addresses(settings: Settings) -> list[str]:
-    """Return the peer addresses of the seed nodes; all nodes of a deployment use the same port range."""
+    """Return the peer addresses of the seed nodes.
+
+    Assumes that each seed listens on the first port of the range, which is the same for all nodes.
+    """
     return [f"{host}:{settings.ports.start}" for host, _ in settings.seeds]
 
 
@@ -60,6 +63,7 @@
     """The node that the session is for.
 
     :param address: where it listens for peers.
+    :param machine_class: `edge` or `storage`.
     :param attributes: returns the attributes that are specific to this kind of node.
     """
 
@@ -87,12 +91,13 @@
     def __init__(self, runtime: Runtime, settings: Settings, node: LocalNode, gossip: GossipStore) -> None:
         self.runtime, self.settings, self.node, self.gossip = runtime, settings, node, gossip
         self.incarnation = f"{int(runtime.wall_clock() * 1000):x}{runtime.rng.getrandbits(16):04x}"
-        self.state = "up"
+        self.state = "up"  # `up` or `leaving`
         self.control_address = ""  # of the control-plane node of the session; empty without a session
-        self.is_confirmed = False  # whether a majority has confirmed the announcements once
+        # Whether all gossip entries confirmed by a majority have been read once; stays True.
+        self.is_confirmed = False
         self._candidates: list[str] = seed_addresses(settings)
         self._attempts = 0  # selects the next candidate
-        self._failures = 0  # since the last session
+        self._failures = 0  # failures since a session was last opened
         self._epoch = 0
 
     @property
--- a/amberlug/learning/decay.py
+++ b/amberlug/learning/decay.py
@@ -17,14 +17,19 @@
 DAY = 24 * HOUR
 
 FAILURE_RATE_HALF_LIFE_US = 15 * SECOND  # failure rate of an endpoint, towards the baseline of its kind
-OUTAGE_MAX_US = 30 * MINUTE  # an outage whose end was not observed is assumed to last this long
-LIMIT_HALF_LIFE_US = 30 * MINUTE  # a learned limit doubles in each, until the listed rate is stricter
+# An outage whose end was not observed is assumed to last until this long after its last failure.
+OUTAGE_MAX_US = 30 * MINUTE
+# A learned limit doubles in this time, and is dropped beyond LIMIT_MAX_GROWTH; the listed rate applies where
+# it is stricter.
+LIMIT_HALF_LIFE_US = 30 * MINUTE
 RESPONSE_TIME_HALF_LIFE_US = 7 * DAY  # response times, towards the baseline of the kind
-PACE_HALF_LIFE_US = 30 * MINUTE  # this relay's own completed calls per second
-BASELINE_HALF_LIFE_US = 7 * DAY  # baselines of kinds and tenants, and activity by hour of the week
+PACE_HALF_LIFE_US = 30 * MINUTE  # this relay's own completed calls per second, towards 1
+# Response-time and reuse counts; activity by hour of the week has twice this. Also used for the weight that
+# is shown for baselines of kinds and tenants; the stored baselines never decay.
+BASELINE_HALF_LIFE_US = 7 * DAY
 RETENTION_US = 60 * DAY  # records not updated for so long are deleted
-MIN_WEIGHT = 0.05  # weight below which a value is ignored
-LIMIT_MAX_GROWTH = 16.0  # a limit that has grown by this factor is dropped
+MIN_WEIGHT = 0.05  # weight below which response times and reuse counts are ignored
+LIMIT_MAX_GROWTH = 16.0  # a limit that has grown by more than this factor is dropped
 OUTAGE_MIN_FAILURE_RATE = 0.5  # lowest failure rate assumed of an endpoint in an outage
 
 
@@ -59,10 +64,11 @@
 
 
 def decayed_limit(it: api.KnownRoute, now_us: int, gap_us: int) -> tuple[float, int]:
-    """Return a decayed limit, and the time from which it may rise.
+    """Return a decayed limit, and the time from which windows without a refusal count.
 
     A limit rises in each window without a refusal. While nothing was sent, no refusal was possible: a pause
-    must count for less than such windows, or each restart would begin with more than was ever accepted.
+    must raise the limit by less than as many windows without a refusal, or each restart would begin with more
+    than was ever accepted.
     """
     growth = 1.0 / max(weight(gap_us, LIMIT_HALF_LIFE_US), 1e-9)
     if it.learned == UNLIMITED or growth > LIMIT_MAX_GROWTH:
@@ -71,7 +77,13 @@
 
 
 def decayed_endpoint(it: api.KnownEndpoint, now_us: int, gap_us: int, usual_rate: float) -> api.KnownEndpoint:
-    """Return an endpoint's decayed state: an outage lasts until it expires, a cold-start limit until warm."""
+    """Return an endpoint's decayed state.
+
+    An outage is kept until `OUTAGE_MAX_US` after its last failure. After a recovery the cold state is kept,
+    whatever the gap, since the cold-start limit lasts until the endpoint is warm. Otherwise the endpoint is
+    no longer cold, and after a gap longer than the half-life of the failure rate, its failure history is
+    cleared.
+    """
     rate = interpolate(it.failure_rate, usual_rate, weight(gap_us, FAILURE_RATE_HALF_LIFE_US))
     if it.cold and (it.recovered_us is not None or now_us - it.last_failure_us < OUTAGE_MAX_US):
         return replace(
@@ -92,7 +104,10 @@
 
 
 def hour_weight(last_active: tuple[int, float] | None, week: int) -> float:
-    """Return how regularly a destination is active in an hour of the week; decays by weeks without any."""
+    """Return how regularly a destination is active in an hour of the week; decays by weeks without activity.
+
+    :param last_active: the week of the last activity, and the weight then.
+    """
     if last_active is None:
         return 0.0
     return last_active[1] * weight((week - last_active[0]) * 7 * DAY, 2 * BASELINE_HALF_LIFE_US)
