--- a/amberlug/platform/backoff.py
+++ b/amberlug/platform/backoff.py
@@ -34,7 +34,7 @@
         # spread over 10 s.
         self._first_spread_s = min(self._spread_s, FIRST_RECONNECT_FRACTION * drain_grace_s)
         self._drain_grace_s, self._random_fraction = drain_grace_s, random_fraction
-        self._failed = self._refused = 0
+        self._failure_count = self._refusal_count = 0
 
     def next_delay_s(self, received_data: bool, refused: bool = False) -> float:
         """Return the seconds until the next attempt, after one that had data, was refused or not answered.
@@ -43,14 +43,14 @@
         """
         # Unanswered attempts cost discovery nothing, and what it has when it is back counts as announced: the
         # delay stays short.
-        self._failed = 0 if received_data else self._failed + 1
-        self._refused = 0 if received_data else self._refused + refused
-        single_relay_s: float = min(MAX_DELAY_S, FIRST_DELAY_S * 2.0 ** min(self._failed, 10))
+        self._failure_count = 0 if received_data else self._failure_count + 1
+        self._refusal_count = 0 if received_data else self._refusal_count + refused
+        single_relay_s: float = min(MAX_DELAY_S, FIRST_DELAY_S * 2.0 ** min(self._failure_count, 10))
         # After refusals, attempts must be spread as far as the fleet's size requires: with 200 relays and a
         # discovery that takes 0.15 s per call, a spread of at most 8 s would leave all of them unanswered. A
         # relay whose wait exceeds the validity of its list does not use that list.
-        spread_s: float = self._spread_s * 2.0 ** min(self._refused, MAX_SPREAD_DOUBLINGS)
-        fleet_s = spread_s if self._refused else self._first_spread_s
+        spread_s: float = self._spread_s * 2.0 ** min(self._refusal_count, MAX_SPREAD_DOUBLINGS)
+        fleet_s = spread_s if self._refusal_count else self._first_spread_s
         return max(single_relay_s, fleet_s) * (0.5 + self._random_fraction() / 2)
 
     def list_validity_s(self) -> float:
