--- a/amberlug/cli/learnings.py
+++ b/amberlug/cli/learnings.py
@@ -146,7 +146,7 @@
                 "limit": None if it.learned == UNLIMITED else round(it.learned, 3),
                 "weights": {
                     "answer_s": round(decay.weight(gap_us, decay.RESPONSE_TIME_HALF_LIFE_US), 3),
-                    "limit": round(decay.weight(gap_us, decay.LIMIT_HALF_LIFE_US), 3),
+                    "limit": round(decay.weight(gap_us, decay.LIMIT_DOUBLING_TIME_US), 3),
                 },
             }
         )
--- a/amberlug/learning/decay.py
+++ b/amberlug/learning/decay.py
@@ -21,7 +21,7 @@
 OUTAGE_MAX_US = 30 * MINUTE
 # A learned limit doubles in this time, and is dropped beyond LIMIT_MAX_GROWTH; the listed rate applies where
 # it is stricter.
-LIMIT_HALF_LIFE_US = 30 * MINUTE
+LIMIT_DOUBLING_TIME_US = 30 * MINUTE
 RESPONSE_TIME_HALF_LIFE_US = 7 * DAY  # response times, towards the baseline of the kind
 PACE_HALF_LIFE_US = 30 * MINUTE  # this relay's own completed calls per second, towards 1
 # Response-time and reuse counts; activity by hour of the week has twice this. Also used for the weight that
@@ -70,7 +70,7 @@
     must raise the limit by less than as many windows without a refusal, or each restart would begin with more
     than was ever accepted.
     """
-    growth = 1.0 / max(weight(gap_us, LIMIT_HALF_LIFE_US), 1e-9)
+    growth = 1.0 / max(weight(gap_us, LIMIT_DOUBLING_TIME_US), 1e-9)
     if it.learned == UNLIMITED or growth > LIMIT_MAX_GROWTH:
         return UNLIMITED, 0
     return it.learned * growth, min(now_us, it.learned_us + gap_us)
--- a/benchmarks/learning.py
+++ b/benchmarks/learning.py
@@ -169,7 +169,7 @@
     "failure rate": (failures, decay.FAILURE_RATE_HALF_LIFE_US),
     "answer time": (answers, decay.RESPONSE_TIME_HALF_LIFE_US),
     "pace": (paces, decay.PACE_HALF_LIFE_US),
-    "limit": (limits, decay.LIMIT_HALF_LIFE_US),
+    "limit": (limits, decay.LIMIT_DOUBLING_TIME_US),
 }
 PAUSES = {"1 s": 1.0, "1 minute": MINUTE, "1 hour": HOUR, "1 week": WEEK}
 HALVES = [15, 30, 60, 120, 300, 600, 1800, 2 * 3600, 6 * 3600, 86400, 7 * 86400]
--- a/tests/test_learning.py
+++ b/tests/test_learning.py
@@ -512,7 +512,7 @@
     [
         (0, True, 0.9, 3.0, 250_000),
         (decay.FAILURE_RATE_HALF_LIFE_US, True, 0.5, 3.0, 250_000),
-        (decay.LIMIT_HALF_LIFE_US, False, 0.0, 6.0, 250_000),
+        (decay.LIMIT_DOUBLING_TIME_US, False, 0.0, 6.0, 250_000),
         (decay.RESPONSE_TIME_HALF_LIFE_US, False, 0.0, UNLIMITED, (250_000 + INITIAL_ANSWER_US) // 2),
         (60 * decay.DAY, False, 0.0, UNLIMITED, INITIAL_ANSWER_US),
     ],
