--- a/amberlug/learning/decay.py
+++ b/amberlug/learning/decay.py
@@ -43,27 +43,27 @@
     return prior + (value - prior) * weight_of_value
 
 
-def decayed_route(it: api.KnownRoute, now_us: int, gap_us: int, usual_us: float) -> api.KnownRoute:
+def decayed_route(route: api.KnownRoute, now_us: int, gap_us: int, baseline_us: float) -> api.KnownRoute:
     """Return the decayed state of a route or destination that was last observed `gap_us` ago.
 
-    `usual_us` is the baseline response time of its kind, 0 if unknown.
+    `baseline_us` is the baseline response time of its kind, 0 if unknown.
     """
-    prior_us = usual_us or INITIAL_ANSWER_US
+    prior_us = baseline_us or INITIAL_ANSWER_US
     response_weight = weight(gap_us, RESPONSE_TIME_HALF_LIFE_US)
-    learned, learned_us = decayed_limit(it, now_us, gap_us)
+    learned, learned_us = decayed_limit(route, now_us, gap_us)
     pace_weight = weight(gap_us, PACE_HALF_LIFE_US)
     return replace(
-        it,
-        usual_us=int(interpolate(it.usual_us, prior_us, response_weight))
+        route,
+        usual_us=int(interpolate(route.usual_us, prior_us, response_weight))
         if response_weight >= MIN_WEIGHT
         else int(prior_us),
-        throughput=interpolate(it.throughput, 1.0, pace_weight),
+        throughput=interpolate(route.throughput, 1.0, pace_weight),
         learned=learned,
         learned_us=learned_us,
     )
 
 
-def decayed_limit(it: api.KnownRoute, now_us: int, gap_us: int) -> tuple[float, int]:
+def decayed_limit(route: api.KnownRoute, now_us: int, gap_us: int) -> tuple[float, int]:
     """Return a decayed limit, and the time from which windows without a refusal count.
 
     A limit rises in each window without a refusal. While nothing was sent, no refusal was possible: a pause
@@ -71,12 +71,14 @@
     than was ever accepted.
     """
     growth = 1.0 / max(weight(gap_us, LIMIT_DOUBLING_TIME_US), 1e-9)
-    if it.learned == UNLIMITED or growth > LIMIT_MAX_GROWTH:
+    if route.learned == UNLIMITED or growth > LIMIT_MAX_GROWTH:
         return UNLIMITED, 0
-    return it.learned * growth, min(now_us, it.learned_us + gap_us)
+    return route.learned * growth, min(now_us, route.learned_us + gap_us)
 
 
-def decayed_endpoint(it: api.KnownEndpoint, now_us: int, gap_us: int, usual_rate: float) -> api.KnownEndpoint:
+def decayed_endpoint(
+    endpoint: api.KnownEndpoint, now_us: int, gap_us: int, baseline_rate: float
+) -> api.KnownEndpoint:
     """Return an endpoint's decayed state.
 
     An outage is kept until `OUTAGE_MAX_US` after its last failure. After a recovery the cold state is kept,
@@ -84,14 +86,17 @@
     no longer cold, and after a gap longer than the half-life of the failure rate, its failure history is
     cleared.
     """
-    rate = interpolate(it.failure_rate, usual_rate, weight(gap_us, FAILURE_RATE_HALF_LIFE_US))
-    if it.cold and (it.recovered_us is not None or now_us - it.last_failure_us < OUTAGE_MAX_US):
+    rate = interpolate(endpoint.failure_rate, baseline_rate, weight(gap_us, FAILURE_RATE_HALF_LIFE_US))
+    if endpoint.cold and (
+        endpoint.recovered_us is not None or now_us - endpoint.last_failure_us < OUTAGE_MAX_US
+    ):
         return replace(
-            it, failure_rate=max(rate, OUTAGE_MIN_FAILURE_RATE) if it.recovered_us is None else rate
+            endpoint,
+            failure_rate=max(rate, OUTAGE_MIN_FAILURE_RATE) if endpoint.recovered_us is None else rate,
         )
     if gap_us > FAILURE_RATE_HALF_LIFE_US:
         return replace(
-            it,
+            endpoint,
             cold=False,
             recovered_us=None,
             may_have_run=False,
@@ -100,7 +105,7 @@
             outage_since_us=NEVER,
             starts=(),
         )
-    return replace(it, cold=False, recovered_us=None, failure_rate=rate, starts=())
+    return replace(endpoint, cold=False, recovered_us=None, failure_rate=rate, starts=())
 
 
 def hour_weight(last_active: tuple[int, float] | None, week: int) -> float:
