--- a/amberlug/cluster/dispatch/replicator.py
+++ b/amberlug/cluster/dispatch/replicator.py
@@ -26,7 +26,7 @@
 PROBE_TIMEOUT_S = 0.5
 
 
-class _Distance(NamedTuple):
+class _PlacementRank(NamedTuple):
     """Sort key of a disk for replica placement; False sorts before True, in field order."""
 
     is_suspect: bool
@@ -148,7 +148,7 @@
     def _ranked_disks(self, turn: int) -> list[str]:
         disks = sorted(self.writable_disks)
         offset = turn % max(1, len(disks))
-        return sorted(disks[offset:] + disks[:offset], key=self._distance)
+        return sorted(disks[offset:] + disks[:offset], key=self._placement_rank)
 
     def disks_to_add(self, disks: Set[str], turn: int) -> list[str]:
         """The disks to add to these for a write quorum; fewer if there are not enough.
@@ -169,9 +169,11 @@
                 extended.add(disk)
         return added
 
-    def _distance(self, disk: str) -> _Distance:
+    def _placement_rank(self, disk: str) -> _PlacementRank:
         store = self.stores[disk]
-        return _Distance(self.health.is_suspect(disk), store.zone != self._zone, store.region != self._region)
+        return _PlacementRank(
+            self.health.is_suspect(disk), store.zone != self._zone, store.region != self._region
+        )
 
     def replicate(
         self, message: Message, epoch: int, on_complete: Callable[[ReplicationOutcome], None]
