--- a/amberlug/cluster/dispatch/replicator.py
+++ b/amberlug/cluster/dispatch/replicator.py
@@ -98,7 +98,7 @@
 
     # -- availability
 
-    def is_unavailable(self) -> bool:
+    def check_unavailable(self) -> bool:
         """Whether too few storage nodes respond and have space, so that a write would only time out.
 
         Sends probes to unresponsive nodes, until the responsive disks form a write quorum, even while no
@@ -127,7 +127,7 @@
         request(self.runtime, self.stores[disk].address, AcknowledgeRequest(), PROBE_TIMEOUT_S, on_reply)
 
     def _probe_again(self) -> None:
-        self.is_unavailable()
+        self.check_unavailable()
 
     def connection_lost(self, address: str) -> None:
         """Suspect the storage nodes at an address for a short time after its connection was lost."""
--- a/amberlug/cluster/edge/forwarding.py
+++ b/amberlug/cluster/edge/forwarding.py
@@ -38,7 +38,7 @@
         self.context.count("forwarded by others")
         if message.config_index > self.context.routes.index:
             self.context.gossip.compare_with(origin)
-        if message.shard in self.shard_owner.owned and self.context.replicator.is_unavailable():
+        if message.shard in self.shard_owner.owned and self.context.replicator.check_unavailable():
             respond(OfferReply(AdmissionOutcome.REJECTED, is_unavailable=True))
             return
         self.shard_owner.accept(message, lambda outcome: respond(OfferReply(outcome)))
--- a/amberlug/cluster/edge/intake.py
+++ b/amberlug/cluster/edge/intake.py
@@ -148,7 +148,7 @@
         if shard is None:
             self._reject(respond, 503, "no shard has an owner")
             return
-        if shard in self._delivery.shard_owner.owned and self._context.replicator.is_unavailable():
+        if shard in self._delivery.shard_owner.owned and self._context.replicator.check_unavailable():
             self._reject(respond, 503, "too few stores answer")
             return
         message = self._new_message(request, parsed.ok_value, route, shard, key)
--- a/amberlug/cluster/edge/node.py
+++ b/amberlug/cluster/edge/node.py
@@ -148,7 +148,7 @@
             and self.session.is_confirmed
             and self._context.has_routes
             and bool(self.shard_owner.table)
-            and not self.replicator.is_unavailable()
+            and not self.replicator.check_unavailable()
         )
         if ready != self._was_ready:
             self._was_ready = ready
