--- a/amberlug/cluster/dispatch/replicator.py
+++ b/amberlug/cluster/dispatch/replicator.py
@@ -106,8 +106,8 @@
         """
         writable = self.writable_disks
         unresponsive = {disk for disk in writable if self.health.is_unresponsive(disk)}
-        full = {disk for disk in writable if self.health.is_full(disk)}
-        if self.is_write_quorum(set(writable) - unresponsive - full):
+        without_space = {disk for disk in writable if self.health.is_full(disk)}
+        if self.is_write_quorum(set(writable) - unresponsive - without_space):
             return False
         for disk in sorted(unresponsive):
             self._probe(disk)
