--- a/amberlug/cluster/edge/intake.py
+++ b/amberlug/cluster/edge/intake.py
@@ -74,7 +74,7 @@
     """The parsed headers of a submission."""
 
     attempt_id: str
-    not_before_ms: int  # delay after arrival
+    delay_ms: int  # after arrival
     timeout_s: float
 
 
@@ -189,7 +189,7 @@
             route=route.name,
             sequence_key=key,
             accepted_at=accepted_at,
-            due_at=accepted_at + submission.not_before_ms / 1000,
+            due_at=accepted_at + submission.delay_ms / 1000,
             headers=tuple(
                 (name, text) for name, text in request.headers if name not in HEADERS_NOT_FORWARDED
             ),
