--- a/amberlug/cluster/edge/intake.py
+++ b/amberlug/cluster/edge/intake.py
@@ -170,10 +170,10 @@
         serving = [number for number, shard in shard_owner.owned.items() if shard.serving]
         if serving:
             return self._context.runtime.rng.choice(serving)
-        owned = [
+        with_owner = [
             number for number in range(len(shard_owner.table)) if shard_owner.owner_of(number) is not None
         ]
-        return self._context.runtime.rng.choice(owned) if owned else None
+        return self._context.runtime.rng.choice(with_owner) if with_owner else None
 
     def _new_message(
         self, request: ClientRequest, submission: SubmissionHeaders, route: Route, shard: int, key: str
