--- a/amberlug/cluster/control/reconciler.py
+++ b/amberlug/cluster/control/reconciler.py
@@ -150,14 +150,14 @@
         """Return full disks whose storage nodes have had no session for too long, marked as lost."""
         roster = self.cluster_state.roster
         absent = {disk: store for disk, store in roster.items() if store.name not in stores}
-        present = {disk: store for disk, store in roster.items() if disk not in absent}
+        with_session = {disk: store for disk, store in roster.items() if disk not in absent}
         self._absent_disks = set(absent)
-        for disk in present:
+        for disk in with_session:
             self._disk_missing_since_s.pop(disk, None)
         # A leader partitioned from other control-plane nodes sees none of their sessions. If the full disks
         # that are present do not suffice for the replicas that messages require, the leader is assumed to be
         # partitioned.
-        if not self._has_settled(now_s) or not self.can_hold_messages(present):
+        if not self._has_settled(now_s) or not self.can_hold_messages(with_session):
             return {}
         return {
             disk: store.with_state(StoreState.LOST)
