--- a/amberlug/cluster/control/reconciler.py
+++ b/amberlug/cluster/control/reconciler.py
@@ -227,36 +227,36 @@
             return
         current = [shard.owner for shard in self.cluster_state.shards]
         owners = sorted(set(current))
-        departed = self._departed_owners(owners, edges, now_s)
-        if not departed and not self._is_join_batch_complete(live, owners, now_s):
+        to_replace = self._owners_to_replace(owners, edges, now_s)
+        if not to_replace and not self._is_join_batch_complete(live, owners, now_s):
             return
-        retained = [name for name in owners if name and name not in departed and name not in live]
+        retained = [name for name in owners if name and name not in to_replace and name not in live]
         assignments = assign_shards(current, live, len(current) or SHARD_COUNT, retained)
         assignments = {name: numbers for name, numbers in assignments.items() if numbers}
         if not assignments:
             return
         logging.info("shards assigned: %s", {name: len(numbers) for name, numbers in assignments.items()})
-        entries = self._owner_entries(owners, departed, edges)
+        entries = self._owner_entries(owners, to_replace, edges)
         self.propose(LeaderTask.ASSIGN_SHARDS, AssignShards(entries, assignments))
 
-    def _departed_owners(
+    def _owners_to_replace(
         self, owners: Sequence[str], edges: Mapping[str, Session], now_s: float
     ) -> list[str]:
         """Return owners that are leaving (with a session), have restarted, or lack a session for too long."""
         names = {session.name for session in edges.values()}
-        departed = []
+        to_replace = []
         for owner in owners:
             if owner in edges:
                 self._owner_missing_since_s.pop(owner, None)
                 if not edges[owner].is_up:
-                    departed.append(owner)
+                    to_replace.append(owner)
             elif owner:
                 missing_s = now_s - self._owner_missing_since_s.setdefault(owner, now_s)
                 # The new incarnation of a node replaces all earlier ones.
                 is_restarted = owner.rpartition("/")[0] in names
                 if is_restarted or (missing_s >= OWNER_TIMEOUT_S and self._has_settled(now_s)):
-                    departed.append(owner)
-        return departed
+                    to_replace.append(owner)
+        return to_replace
 
     def _is_join_batch_complete(self, live: Sequence[str], owners: Sequence[str], now_s: float) -> bool:
         """Whether there are edge nodes without shards, and no further one has joined recently."""
@@ -267,7 +267,7 @@
         return bool(joined) and now_s - newest_s > JOIN_BATCH_WAIT_S
 
     def _owner_entries(
-        self, owners: Sequence[str], departed: Sequence[str], edges: Mapping[str, Session]
+        self, owners: Sequence[str], to_replace: Sequence[str], edges: Mapping[str, Session]
     ) -> dict[str, OwnerEntry]:
         """Return the owners after the assignment: remaining ones, and all edge nodes with a session."""
         current = self.cluster_state.owners
@@ -275,7 +275,7 @@
         for name, session in edges.items():
             node = session.node
             entries[name] = OwnerEntry(node.name, node.address, node.zone, node.region)
-        for name in departed:
+        for name in to_replace:
             if name not in edges:
                 entries.pop(name, None)
         return entries
