--- a/amberlug/cluster/consensus/voter_selection.py
+++ b/amberlug/cluster/consensus/voter_selection.py
@@ -84,7 +84,7 @@
 
     name: str
     kind: ChangeKind
-    reason: str  # for the process log
+    description: str  # for the process log
 
 
 def loss_margin(voters: Iterable[MemberStatus], tolerance: Tolerance) -> int:
@@ -176,8 +176,8 @@
     name = max(allowed, key=lambda candidate: margin_of(voters ^ {candidate}))
     if name not in voters:
         return MembershipChange(name, ChangeKind.PROMOTE, "becomes a voter")
-    reason = "is demoted to learner" if by_name[name].is_alive else "is unresponsive: demoted to learner"
-    return MembershipChange(name, ChangeKind.DEMOTE, reason)
+    description = "is demoted to learner" if by_name[name].is_alive else "is unresponsive: demoted to learner"
+    return MembershipChange(name, ChangeKind.DEMOTE, description)
 
 
 def _next_removal(by_name: Mapping[str, MemberStatus], leader: str) -> MembershipChange | None:
--- a/amberlug/cluster/control/membership.py
+++ b/amberlug/cluster/control/membership.py
@@ -130,7 +130,7 @@
         if members != current:
             self._change(members, f"{joining} joined")
 
-    def _change(self, members: Members, reason: str) -> None:
+    def _change(self, members: Members, description: str) -> None:
         """Propose a membership if the previous one is committed and no change is in flight; else return."""
         if self._is_changing or not self._raft.is_membership_committed:
             return
@@ -139,7 +139,7 @@
         def receive(result: ProposalResult) -> None:
             self._is_changing = False
             if isinstance(result, Ok):
-                logging.info("control-plane membership changed: %s", reason)
+                logging.info("control-plane membership changed: %s", description)
 
         self._raft.change_members(members, receive)
 
@@ -151,7 +151,7 @@
         self._report_shortage(loss_margin(voters, tolerance) < 0)
         change = next_change(statuses, tolerance, self._raft.member_id)
         if change is not None:
-            self._change(self._members_after(change), f"{change.name} {change.reason}")
+            self._change(self._members_after(change), f"{change.name} {change.description}")
 
     def _members_after(self, change: MembershipChange) -> Members:
         members = self._raft.members
