--- a/amberlug/cluster/control/membership.py
+++ b/amberlug/cluster/control/membership.py
@@ -38,7 +38,7 @@
         self._committed = 0  # the commit index at the last check of the voters
         self._is_short_of_voters = False
         self._leave_deadline_s = 0.0
-        self._leaving_at_s: dict[str, float] = {}  # by member: time of its last announcement
+        self._leaving_announced_at_s: dict[str, float] = {}  # by member: time of its last announcement
 
     # -- this node's own membership
 
@@ -104,7 +104,7 @@
     @handles(AnnounceLeaving)
     def on_leaving(self, message: AnnounceLeaving, origin: str, respond: Responder) -> None:
         """Record that a voter is about to stop."""
-        self._leaving_at_s[message.member_id] = self._runtime.now()
+        self._leaving_announced_at_s[message.member_id] = self._runtime.now()
 
     @handles(JoinCluster)
     def on_join(self, message: JoinCluster, origin: str, respond: Responder) -> None:
@@ -174,7 +174,7 @@
                 raft.has_replicated(name, min(committed, raft.commit_index)),
                 raft.unresponsive_s(name),
                 member.is_superseded,
-                now_s - self._leaving_at_s.get(name, NEVER_S) < LEAVING_TIMEOUT_S,
+                now_s - self._leaving_announced_at_s.get(name, NEVER_S) < LEAVING_TIMEOUT_S,
             )
             for name, member in raft.members.items()
         ]
