--- a/amberlug/cluster/consensus/rollback_guard.py
+++ b/amberlug/cluster/consensus/rollback_guard.py
@@ -40,7 +40,7 @@
 UNCHANGED_INTERVAL_S = 5.0
 
 
-class _LastPublished(NamedTuple):
+class _LastRecorded(NamedTuple):
     """The acknowledged indexes as last sent to a member or written to disk.
 
     Indexes only increase while the membership stays the same, so their sum shows whether any has changed.
@@ -50,7 +50,7 @@
     at: float  # seconds of the monotonic clock
 
 
-_NEVER_PUBLISHED = _LastPublished(-1, NEVER)
+_NEVER_RECORDED = _LastRecorded(-1, NEVER)
 
 
 class RollbackGuard:
@@ -63,8 +63,8 @@
         # index.
         self.may_vote = True
         self._replied: set[str] = set()  # members that have reported this member's index since the start
-        self._sent: dict[str, _LastPublished] = {}  # by member
-        self._saved = _LastPublished(self._index_sum, NEVER)
+        self._sent: dict[str, _LastRecorded] = {}  # by member
+        self._saved = _LastRecorded(self._index_sum, NEVER)
 
     @property
     def _index_sum(self) -> int:
@@ -79,7 +79,7 @@
             del self.acknowledged[name]  # removed from the group; it can only return as another incarnation
         now = raft.runtime.now()
         if self._index_sum != self._saved.index_sum and now - self._saved.at >= UNCHANGED_INTERVAL_S:
-            self._saved = _LastPublished(self._index_sum, now)
+            self._saved = _LastRecorded(self._index_sum, now)
             raft.disk.write(raw_rows([AcknowledgedRow(dict(self.acknowledged))]), lambda error: None)
 
     # -- as a leader
@@ -91,12 +91,12 @@
     def indexes_for(self, name: str) -> AcknowledgedIndexes:
         """Return the indexes to send with a message: periodically all of them, else only the target's."""
         now, index_sum = self._raft.runtime.now(), self._index_sum
-        sent = self._sent.get(name, _NEVER_PUBLISHED)
+        sent = self._sent.get(name, _NEVER_RECORDED)
         interval_s = UNCHANGED_INTERVAL_S if sent.index_sum == index_sum else CHANGED_INTERVAL_S
         of_target = self.acknowledged.get(name, 0)
         if now - sent.at < interval_s:
             return AcknowledgedIndexes(of_target)
-        self._sent[name] = _LastPublished(index_sum, now)
+        self._sent[name] = _LastRecorded(index_sum, now)
         return AcknowledgedIndexes(of_target, self.acknowledged)
 
     # -- as a follower or voter
