--- a/amberlug/cluster/session_client.py
+++ b/amberlug/cluster/session_client.py
@@ -78,7 +78,7 @@
 
     epoch: int
     address: str
-    was_continued: bool = False
+    is_settled: bool = False  # it succeeded, or a further attempt has been started or scheduled
 
 
 class SessionClient:
@@ -169,18 +169,18 @@
         self.runtime.call_later(HEDGE_DELAY_S, partial(self._hedge, attempt))
 
     def _hedge(self, attempt: _Attempt) -> None:
-        if not attempt.was_continued:
-            attempt.was_continued = True
+        if not attempt.is_settled:
+            attempt.is_settled = True
             self._try_next(attempt.epoch)
 
     def _on_open_reply(self, attempt: _Attempt, reply: Result[SessionReply, RequestFailure]) -> None:
         if attempt.epoch != self._epoch or self.control_address:
             return  # another attempt succeeded first
         if _is_in_contact(reply):
-            attempt.was_continued = True
+            attempt.is_settled = True
             self._start_session(attempt)
-        elif not attempt.was_continued:
-            attempt.was_continued = True
+        elif not attempt.is_settled:
+            attempt.is_settled = True
             self._retry_later()
 
     def _start_session(self, attempt: _Attempt) -> None:
