--- a/amberlug/cluster/session_client.py
+++ b/amberlug/cluster/session_client.py
@@ -51,7 +51,7 @@
     return [f"{host}:{settings.ports.start}" for host, _ in settings.seeds]
 
 
-def _is_in_contact(reply: Result[SessionReply, RequestFailure]) -> bool:
+def _is_usable(reply: Result[SessionReply, RequestFailure]) -> bool:
     """Whether the control-plane node accepts the session and is up to date with a majority."""
     if isinstance(reply, Err):
         return False
@@ -176,7 +176,7 @@
     def _on_open_reply(self, attempt: _Attempt, reply: Result[SessionReply, RequestFailure]) -> None:
         if attempt.epoch != self._epoch or self.control_address:
             return  # another attempt succeeded first
-        if _is_in_contact(reply):
+        if _is_usable(reply):
             attempt.is_settled = True
             self._start_session(attempt)
         elif not attempt.is_settled:
@@ -235,7 +235,7 @@
     ) -> None:
         if epoch != self._epoch:
             return
-        if not _is_in_contact(reply):
+        if not _is_usable(reply):
             self._lose_session()
             return
         delay_s = max(0.0, HEARTBEAT_INTERVAL_S - (self.runtime.now() - sent_at_s))
