--- a/amberlug/cluster/edge/intake.py
+++ b/amberlug/cluster/edge/intake.py
@@ -86,6 +86,8 @@
 def parse_submission_headers(request: ClientRequest) -> Result[SubmissionHeaders, str]:
     """Parse the headers of a submission.
 
+    Without a valid timeout, `DEFAULT_CLIENT_TIMEOUT_S` applies.
+
     :returns: the headers, or a description of what is wrong with them.
     """
     attempt_id = request.header("amberlug-attempt-id")
