--- a/amberlug/cluster/consensus/rollback_guard.py
+++ b/amberlug/cluster/consensus/rollback_guard.py
@@ -2,9 +2,10 @@
 
 Raft assumes that whatever a member has acknowledged stays on its disk (section 5.1: servers update stable
 storage before they respond). Restoring a folder violates that assumption. A leader knows up to which
-committed entry each member has acknowledged the log. Committed entries are never removed, so a member whose
-log ends before its acknowledged index has lost entries, and perhaps a vote. All members store these indexes
-and share them: a leader with its messages, other members when a member that has just started asks.
+committed entry each member has acknowledged the log. Committed entries are never truncated from the end of a
+log, so a member whose log ends before its acknowledged index has lost entries, and perhaps a vote. All
+members store these indexes and share them: a leader with its messages, candidates with vote requests, other
+members when a member that has just started asks.
 
 Invariant: after a start, a member votes only once it has replies from enough members to form a majority with
 it, or has heard from a leader. A member that has lost acknowledged entries thus helps to elect no leader.
@@ -34,12 +35,12 @@
 # Interval between messages to a member that carry all indexes, while they change: one in five heartbeats
 # carries them, since they have as many fields as there are members.
 CHANGED_INTERVAL_S = 0.5
-# The same interval while no index changes, and between writes to disk: each write costs a sync, and running
-# members repeat what a crash loses.
+# The same interval while no index changes, and between writes to disk: each write costs a sync, and the
+# other members send again what a crash lost.
 UNCHANGED_INTERVAL_S = 5.0
 
 
-class _LastPublished(NamedTuple):
+class _LastRecorded(NamedTuple):
     """The acknowledged indexes as last sent to a member or written to disk.
 
     Indexes only increase while the membership stays the same, so their sum shows whether any has changed.
@@ -49,19 +50,21 @@
     at: float  # seconds of the monotonic clock
 
 
-_NEVER_PUBLISHED = _LastPublished(-1, NEVER)
+_NEVER_RECORDED = _LastRecorded(-1, NEVER)
 
 
 class RollbackGuard:
-    """The acknowledged indexes known to a member, by member."""
+    """Keeps the acknowledged index of each member, and whether this member may vote."""
 
     def __init__(self, raft: MemberContext, acknowledged: Mapping[str, int]) -> None:
         self._raft = raft
         self.acknowledged: dict[str, int] = dict(acknowledged)
-        self.may_vote = True  # False after a start until it is known that nothing was lost
+        # False after a start, until a majority (with this member) or a leader has reported this member's
+        # index.
+        self.may_vote = True
         self._replied: set[str] = set()  # members that have reported this member's index since the start
-        self._sent: dict[str, _LastPublished] = {}  # by member
-        self._saved = _LastPublished(self._index_sum, NEVER)
+        self._sent: dict[str, _LastRecorded] = {}  # by member
+        self._saved = _LastRecorded(self._index_sum, NEVER)
 
     @property
     def _index_sum(self) -> int:
@@ -76,7 +79,7 @@
             del self.acknowledged[name]  # removed from the group; it can only return as another incarnation
         now = raft.runtime.now()
         if self._index_sum != self._saved.index_sum and now - self._saved.at >= UNCHANGED_INTERVAL_S:
-            self._saved = _LastPublished(self._index_sum, now)
+            self._saved = _LastRecorded(self._index_sum, now)
             raft.disk.write(raw_rows([AcknowledgedRow(dict(self.acknowledged))]), lambda error: None)
 
     # -- as a leader
@@ -88,18 +91,18 @@
     def indexes_for(self, name: str) -> AcknowledgedIndexes:
         """Return the indexes to send with a message: periodically all of them, else only the target's."""
         now, index_sum = self._raft.runtime.now(), self._index_sum
-        sent = self._sent.get(name, _NEVER_PUBLISHED)
+        sent = self._sent.get(name, _NEVER_RECORDED)
         interval_s = UNCHANGED_INTERVAL_S if sent.index_sum == index_sum else CHANGED_INTERVAL_S
         of_target = self.acknowledged.get(name, 0)
         if now - sent.at < interval_s:
             return AcknowledgedIndexes(of_target)
-        self._sent[name] = _LastPublished(index_sum, now)
+        self._sent[name] = _LastRecorded(index_sum, now)
         return AcknowledgedIndexes(of_target, self.acknowledged)
 
-    # -- as a starting member
+    # -- as a follower or voter
 
     def has_lost_entries(self, acknowledged: AcknowledgedIndexes) -> bool:
-        """Merge the indexes that another member has sent.
+        """Merge the indexes that another member has sent, and check this member's log against its own.
 
         :returns: whether this member's log ends before an index that it had acknowledged.
         """
--- a/amberlug/cluster/edge/intake.py
+++ b/amberlug/cluster/edge/intake.py
@@ -19,7 +19,7 @@
 from amberlug.cluster.interfaces import Headers, Json
 from amberlug.cluster.values import value
 
-DEFAULT_CLIENT_TIMEOUT_S = 1.5  # if the client does not specify a timeout
+DEFAULT_CLIENT_TIMEOUT_S = 1.5  # if the client specifies no valid timeout
 MAX_BODIES_MEMORY_FRACTION = 0.35  # of the node's memory; the rest is for connections and the process
 MAX_ATTEMPT_ID_CHARACTERS = 58  # a message id, made of shard and attempt id, is limited to 64
 MAX_NOT_BEFORE_DIGITS = 12  # milliseconds: about 30 years
@@ -74,18 +74,20 @@
     """The parsed headers of a submission."""
 
     attempt_id: str
-    not_before_ms: int  # delay after arrival
+    delay_ms: int  # after arrival
     timeout_s: float
 
 
 def _is_number(text: str) -> bool:
-    """Whether `int` can parse the digits; `isdigit` alone also accepts superscripts."""
+    """Whether the text consists of ASCII digits only; `isdigit` alone also accepts superscripts."""
     return text.isascii() and text.isdigit()
 
 
 def parse_submission_headers(request: ClientRequest) -> Result[SubmissionHeaders, str]:
     """Parse the headers of a submission.
 
+    Without a valid timeout, `DEFAULT_CLIENT_TIMEOUT_S` applies.
+
     :returns: the headers, or a description of what is wrong with them.
     """
     attempt_id = request.header("amberlug-attempt-id")
@@ -148,7 +150,7 @@
         if shard is None:
             self._reject(respond, 503, "no shard has an owner")
             return
-        if shard in self._delivery.shard_owner.owned and self._context.replicator.is_unavailable():
+        if shard in self._delivery.shard_owner.owned and self._context.replicator.check_unavailable():
             self._reject(respond, 503, "too few stores answer")
             return
         message = self._new_message(request, parsed.ok_value, route, shard, key)
@@ -170,10 +172,10 @@
         serving = [number for number, shard in shard_owner.owned.items() if shard.serving]
         if serving:
             return self._context.runtime.rng.choice(serving)
-        owned = [
+        with_owner = [
             number for number in range(len(shard_owner.table)) if shard_owner.owner_of(number) is not None
         ]
-        return self._context.runtime.rng.choice(owned) if owned else None
+        return self._context.runtime.rng.choice(with_owner) if with_owner else None
 
     def _new_message(
         self, request: ClientRequest, submission: SubmissionHeaders, route: Route, shard: int, key: str
@@ -189,7 +191,7 @@
             route=route.name,
             sequence_key=key,
             accepted_at=accepted_at,
-            due_at=accepted_at + submission.not_before_ms / 1000,
+            due_at=accepted_at + submission.delay_ms / 1000,
             headers=tuple(
                 (name, text) for name, text in request.headers if name not in HEADERS_NOT_FORWARDED
             ),
--- a/amberlug/mqtt/listener.py
+++ b/amberlug/mqtt/listener.py
@@ -155,7 +155,7 @@
             return
         topic = packet.properties.get(P.RESPONSE_TOPIC, "")
         if topic and not self._may_subscribe(topic):
-            text = f"outcomes go only to {own_topic(self.client_id)}"
+            text = f"ends go to {own_topic(self.client_id)} alone"
             self._on_decision(packet, Decision(NOT_AUTHORIZED, text))
             return
         listens = any(matches(it, own_topic(self.client_id)) for it in self.filters)
