--- a/amberlug/policy/account.py
+++ b/amberlug/policy/account.py
@@ -1,8 +1,9 @@
 """Client-side rate limiting per destination: a sliding window whose limit adapts to refusals.
 
-An `Account` allows M units in a window w that slides in steps of s. Each call takes one unit: it is reserved
-while the call is in flight (r) and consumed in the bucket of the call's start time once answered (c). A call
-may start if c + r + 1 <= M, else at the computed opening.
+An `Account` allows M units in a window w that slides in steps of s; if M is below 1, one unit in a longer w.
+A call's unit is reserved while the call is in flight and not overdue (r), and consumed in the bucket of its
+start time once answered (c), unless it was unsent or refused by a full connection table. A call may start if
+c + r + 1 <= max(1, M), else at the computed opening.
 """
 
 import itertools
@@ -14,9 +15,11 @@
 
 SECOND = 1_000_000
 UNLIMITED = float("inf")
-WINDOW_US = SECOND  # minimum w: longer delays bursts that the limit allows, shorter overruns it at the edges
-WINDOW_STEPS = 50  # s = w / WINDOW_STEPS; fewer are cheaper but open later
-MIN_UNITS = 2  # minimum M from a rate: of many relays few send at once, and refusals correct the rest
+WINDOW_US = SECOND  # minimum w: longer delays bursts that the limit allows, shorter exceeds the limit
+WINDOW_STEPS = 50  # s = w / WINDOW_STEPS; fewer steps cost less time, but openings come later
+# Minimum M from a rate, and in a large fleet the upper bound of that minimum: of many relays few send at
+# once, and refusals correct the rest.
+MIN_UNITS = 2
 # M relative to an even share of the rate: traffic is uneven, and refusals correct an excess.
 RATE_HEADROOM = 2.5
 LIMIT_GROWTH = 1.25  # growth of a learned M per window without a refusal
@@ -26,21 +29,23 @@
 HISTORY_SIZE = 128  # buckets, and call starts for the cold-start limit, that are kept: bounds memory
 # w is at most the longest message deadline over this; fewer attempts leave more to other relays.
 MIN_ATTEMPTS = 2
-MIN_LEARNED_SHARE = 0.7  # of an even share of the rate, for a learned M: less leaves the limit underused
+MIN_LEARNED_SHARE = 0.7  # of an even share, for M after further refusals: less leaves the limit underused
 # From this many relays on, refusals reflect the load of all relays and the rules for large fleets apply.
 LARGE_FLEET_RELAYS = 5
 # Replaces RATE_HEADROOM in a large fleet, except for small rates: an excess at many relays is refused.
 LARGE_FLEET_HEADROOM = 1.5
-# Minimum M in a large fleet: of hundreds few have messages, and less would delay a second message.
+# Minimum M from a rate in a large fleet: of hundreds of relays few have messages, and less would delay a
+# second message.
 LARGE_FLEET_MIN_UNITS = 0.5
-# Factor of M learned from the first refusal in a large fleet: all relays over the limit learn it at once.
+# Factor of M learned in a large fleet from a refusal while M is above max(1, even share): all relays over the
+# limit learn it at once.
 FIRST_REFUSAL_FACTOR = 0.6
-# Maximum initial pause after a refusal in a large fleet, doubled with each consecutive one.
+# Maximum initial pause after a refusal in a large fleet, doubled with each of the next two consecutive ones.
 MAX_FIRST_PAUSE_US = SECOND
-PAUSE_LENGTHS = 3  # distinct pause lengths: longer ones leave a limit unused that has capacity again
+PAUSE_LENGTHS = 3  # each twice the one before: longer ones leave a limit unused that has capacity again
 # M is divided by the number of relays to this power: more of them may be waiting unseen.
 FLEET_SIZE_EXPONENT = 0.25
-OVERDUE_FACTOR = 10  # usual answer times after which a call is overdue; less abandons useful work
+OVERDUE_FACTOR = 10  # number of usual answer times after which a call is overdue; less abandons useful work
 MIN_PATIENCE_US = 3 * SECOND  # a few fast answers must not make a slow one overdue
 INITIAL_ANSWER_US = SECOND // 2  # usual answer time assumed before the first answer
 MAX_SLOT_SHARE = 0.5  # share of the slots that one account may hold, so that others can send
@@ -82,12 +87,10 @@
         self.settings, self.large_fleet = settings, settings.relays >= LARGE_FLEET_RELAYS
         self.reserved: dict[StartedCall, None] = {}  # oldest first
         self.blocked_until, self.usual_us = 0, INITIAL_ANSWER_US
-        self.last_retry_after_us = 0  # the last Retry-After wait before a restart
+        self.last_retry_after_us = 0  # length of the last Retry-After wait, from persisted state
         self.learned, self.learned_us = UNLIMITED, 0  # M learned from the last refusal, and its time
-        self.consecutive_refusals, self.paused_until = (
-            0,
-            0,
-        )  # since a call was last accepted; end of the pause
+        self.consecutive_refusals = 0  # since a call was last accepted
+        self.paused_until = 0  # end of the pause after a refusal
         self.throughput, self.throughput_us = 1.0, 0  # own successful calls per second, and its last update
         self.listed = rate  # rate from the endpoint list, regardless of rates reported later
         self.set_rate(rate)
@@ -102,7 +105,7 @@
             if self.large_fleet:
                 few = max(LARGE_FLEET_MIN_UNITS, room) if room <= 1 else round(min(room, MIN_UNITS))
                 self.units = max(few, LARGE_FLEET_HEADROOM * self.even_share)
-        self.stretched_window = self.window
+        self.stretched_window = self.window  # w for the learned M
         self.max_window_us = max(kind.deadline_us for kind in self.settings.classes.values()) // MIN_ATTEMPTS
         self.buckets = Buckets(self.window // WINDOW_STEPS, HISTORY_SIZE)
 
@@ -120,7 +123,7 @@
         return sum(1 for _ in itertools.takewhile(lambda call: call.start_us <= late, self.reserved))
 
     def at_slot_limit(self, now_us: int) -> bool:
-        """Whether a destination holds its maximum of slots; keeps a silent or slow one from taking all."""
+        """Whether an account holds its maximum of slots; keeps a silent or slow one from taking all."""
         share = MAX_SLOT_SHARE / (5 if self.overdue(now_us) else 1)
         return len(self.reserved) >= max(1, self.settings.slots * share)
 
@@ -129,12 +132,12 @@
         return self.buckets.buckets_in_window(at_us, int(self.window / min(1.0, self.limit(at_us))))
 
     def excess(self, at_us: int) -> float:
-        """Return by how much one more call exceeds the limit: c + r + 1 - M; not positive if it may start."""
+        """Return c + r + 1 - max(1, M), without overdue reservations; a call may start if not positive."""
         consumed = sum(units for _, units, _ in self.buckets_in_window(at_us))
         return consumed + len(self.reserved) - self.overdue(at_us) + 1 - max(1.0, self.limit(at_us))
 
     def opening(self, now_us: int) -> int:
-        """When the next unit is free, after any Retry-After wait; at most a window ahead or when M rises."""
+        """When a call may start: after waits and pauses, as units leave the window or the learned M grows."""
         at = max(now_us, self.blocked_until, self.paused_until)
         if (excess := self.excess(at)) <= 0:
             return at
@@ -157,8 +160,8 @@
         self.learned = first if limit > least else lower
         self.learned_us, self.stretched_window = now_us, int(self.window / min(1.0, self.learned))
         if self.large_fleet:
-            # Prevents a fleet from staying slightly over a limit that refused calls consume too, so that no
-            # call is accepted any more. Cost: a delay of up to a second after a single chance refusal.
+            # Prevents a fleet from staying slightly over a limit that refused calls consume too: otherwise no
+            # call would be accepted any more. Cost: a delay of up to a second after a single chance refusal.
             doublings = min(self.consecutive_refusals, PAUSE_LENGTHS - 1)
             self.paused_until = now_us + int(MAX_FIRST_PAUSE_US * part * 2**doublings)
             self.consecutive_refusals += 1
--- a/amberlug/policy/destinations.py
+++ b/amberlug/policy/destinations.py
@@ -1,7 +1,7 @@
 """Lifecycle of destinations: list updates, creation at the first message, and eviction when idle.
 
-Only list updates and destinations in use take time. An idle destination is a row of `membership.py` and at
-most a short summary made by `eviction.py`.
+Apart from a few checks per step, only list updates and destinations in use take time. An evicted destination
+has only its endpoints' rows in `membership.py` and at most a short summary made by `eviction.py`.
 """
 
 from collections import deque
@@ -28,11 +28,11 @@
         self.initial_idle_keep_us = eviction.initial_idle_keep_us(settings)
 
     def apply_list(self, event: api.Listed) -> list[Message]:
-        """Apply a list update; returns the messages whose destination has no endpoint any more."""
+        """Apply a list update; returns queued messages of destinations without endpoints, even draining."""
         for entry in event.entries:  # evicted destinations are restored, to be updated as the others are
             if entry.destination in self.summaries:
                 self.load_destination(entry.destination)
-        left = self.remove_endpoints(event)  # draining: no new calls from the moment this relay learns of it
+        left = self.remove_endpoints(event)  # no new calls to draining, gone or moved ones
         altered = [self.destinations[number] for number in left if number in self.destinations]
         for entry in (entry for entry in event.entries if entry.state is State.IN):
             self.members.put(entry)
@@ -48,7 +48,7 @@
         return ended
 
     def remove_endpoints(self, news: api.Listed) -> dict[int, None]:
-        """Remove endpoints that drain, are gone or have moved; returns the destinations they served."""
+        """Remove endpoints gone, moved or missing in a whole list; returns destinations, drains included."""
         new_entries, left = {entry.endpoint: entry for entry in news.entries}, dict[int, None]()
         names = new_entries if news.kind is ListKind.PATCH else [*self.members, *new_entries]
         for name in dict.fromkeys(names):
@@ -68,7 +68,8 @@
     def add_endpoint(self, to: Destination, entry: api.Entry) -> None:
         """Add or update a listed endpoint at a destination in use."""
         name = entry.endpoint
-        for it in to.accounts.values() if to.gone else ():  # calls in flight reported about removed ones
+        # Results of calls in flight since `mark_gone` may have changed these again.
+        for it in to.accounts.values() if to.gone else ():
             eviction.reset_learned(it)
         where = name if self.settings.kinds[entry.kind].apart else ""
         account = to.accounts.get(where) or Account(self.settings, self.listed_rate(entry))
@@ -88,7 +89,7 @@
         return entry.rate if self.settings.rates_listed and entry.rate > 0 else None
 
     def apply_listed_rates(self, to: Destination) -> None:
-        """Set each account's rate from the list; if its endpoints' rates differ, the first one applies."""
+        """Set the rate of accounts whose listed rate changed; of endpoints that differ, the first applies."""
         rates: dict[Account, float | None] = {}
         for it in to.endpoints.values():
             rates.setdefault(it.account, self.listed_rate(it.entry))
@@ -98,7 +99,10 @@
                 account.set_rate(rate)
 
     def mark_gone(self, to: Destination) -> list[Message]:
-        """Schedule removal of a destination no longer listed; returns its queued messages, to be ended."""
+        """Reset what was learned of a destination no longer listed; returns its queued messages, to be ended.
+
+        Its eviction check is due at once.
+        """
         to.gone, to.eviction_check_us = True, self.now
         self.eviction_checks.appendleft((to.eviction_check_us, to.number))
         for account in to.accounts.values():
@@ -154,7 +158,7 @@
             self.summary_expiries.append((self.now + eviction.OUTDATED_US, to.number))
 
     def expire_summary(self, number: int) -> None:
-        """Discard the summary of a destination if the next message would reset all of it as outdated."""
+        """Discard a summary that the next message would reset as a whole; else keep it OUTDATED_US longer."""
         kept, to = self.summaries[number][1], self.load_destination(number)
         eviction.reset_outdated(to, self.now)
         self.evict(to, kept if eviction.serialize(to, self.now, self.settings) else b"")
--- a/amberlug/policy/eviction.py
+++ b/amberlug/policy/eviction.py
@@ -69,7 +69,7 @@
 
 
 def reset_outdated(to: Destination, now_us: int) -> None:
-    """Reset outdated state of a destination that was not used for FORGET_US."""
+    """Reset outdated state of a destination that was not used for OUTDATED_US."""
     # Keeps answer times and failures of weeks ago from deciding today's first calls. Possible cost: at a slow
     # destination the first call is overdue too early, and counts as a reservation for a shorter time.
     for account in to.accounts.values():
--- a/amberlug/policy/lasting.py
+++ b/amberlug/policy/lasting.py
@@ -238,7 +238,8 @@
         start_us = self.now - attempt.ago_us
         if attempt.result is None and attempt.endpoint in self.endpoints:
             # The process may have ended before it could read a Retry-After in the answer. Possible cost: if
-            # there was none, messages for that destination wait as long as the last one, up to UNHEARD_US.
+            # there was none, messages for that destination wait as long as the last one, up to
+            # MAX_LOST_WAIT_US.
             account = self.endpoints[attempt.endpoint].account
             until_us = self.now + min(account.last_retry_after_us, MAX_LOST_WAIT_US)
             account.blocked_until = max(account.blocked_until, until_us)
