--- a/amberlug/core/journal/space.py
+++ b/amberlug/core/journal/space.py
@@ -5,11 +5,13 @@
 from dataclasses import dataclass
 
 BLOCK = 512  # file sizes are rounded up to whole blocks
-SEGMENT_COUNT = 16  # number of segments: with fewer, more of the space is tied up in the one being compacted
+# Segment size = limit / this, within the bounds below; with fewer, more of the space is tied up in the
+# segment being compacted.
+SEGMENT_COUNT = 16
 MIN_SEGMENT_BYTES, MAX_SEGMENT_BYTES = 4096, 8 << 20
-MIN_COMPACTION_BYTES = 1 << 18  # bytes below which compaction is not worthwhile
+MIN_COMPACTION_BYTES = 1 << 18  # used bytes up to which the garbage ratio alone is no reason to compact
 MAX_USED_TO_LIVE_RATIO = 2.0  # lower means more copying, higher more disk space
-MAX_FILES = 48  # number of files above which it is compacted regardless of size, as after many restarts
+MAX_FILES = 48  # number of files above which the journal is compacted in any case, as after many restarts
 RESERVED_PER_MESSAGE = 256  # bytes for the later records of a held message: attempts, results, outcome
 SLICE_US = 1_000  # event loop time per compaction slice
 RATE_WEIGHT = 0.3  # weight of the last freed segment in the moving average of the freeing rate
@@ -23,11 +25,11 @@
 
 @dataclass(slots=True)
 class DiskUsage:
-    """Disk usage of a journal in bytes; `used` counts whole blocks, `live` what compaction would keep."""
+    """Disk usage of a journal in bytes; `used` counts whole blocks, `live` the records of held messages."""
 
     used: int = 0
     live: int = 0
-    held_messages: int = 0  # messages whose outcome has yet to be recorded
+    held_messages: int = 0  # messages not ended, or whose outcome is not acknowledged
     files: int = 0
 
     def add_file(self, size: int) -> None:
@@ -51,7 +53,7 @@
         self._last_freed_us: int | None = None
 
     def needs_new_segment(self, size: int, record: int) -> bool:
-        """Whether the next record does not fit into a segment of that size."""
+        """Whether a record of `record` bytes does not fit into a segment that holds `size` bytes."""
         return size + record > self.segment_bytes
 
     def reserve(self, held_messages: int) -> int:
@@ -85,7 +87,10 @@
         self._last_freed_us = now_us
 
     def retry_us(self, usage: DiskUsage, size: int) -> int:
-        """Estimate when a message that did not fit may be retried, from the rate at which space is freed."""
+        """Estimate after how many microseconds a message that did not fit may be retried.
+
+        The estimate is based on the rate at which space is freed.
+        """
         excess = (
             usage.used
             + size
@@ -94,6 +99,6 @@
             + self.reserve(usage.held_messages)
             - self.max_bytes
         )
-        if not self._rate or excess <= 0:  # not out of space: the disk fails
+        if not self._rate or excess <= 0:  # no rate known yet, or not out of space: a write or sync failed
             return DEFAULT_RETRY_US
         return int(min(max(excess / self._rate, MIN_RETRY_US), MAX_RETRY_US))
--- a/amberlug/core/node.py
+++ b/amberlug/core/node.py
@@ -38,9 +38,9 @@
 from amberlug.policy.lasting import LastingSender
 from amberlug.policy.membership import BATCH, Comparison
 
-BUSY_RETRY_US = SECOND  # retry delay for clients refused because the relay is full
+BUSY_RETRY_US = SECOND  # default retry delay of a refusal
 MAX_REPLY_CHANGES = 100  # limit on changes of a message's reply address: each writes a record
-# Fraction of the message limit open to front ends whose senders can't be told of a hand-back.
+# Fraction of the message limit open to front ends whose senders can't be told of the outcome HANDED_BACK.
 CROWDED_FRACTION = 0.8
 SAVE_INTERVAL_US = 5 * SECOND  # interval between saves of learned state, except for urgent changes
 SAVE_BATCH_SIZE = 32  # destinations saved per loop iteration; takes a millisecond or two
@@ -74,7 +74,8 @@
         self._messages: dict[int, Message] = {}
         self._names: dict[str, Message] = {}
         self._attempts: dict[tuple[int, int], Attempt] = {}
-        # For each unacknowledged outcome: how long its message's name counts as used, and the outcome.
+        # For each unacknowledged outcome: the deadline (Unix ms) until which its message's name counts as
+        # used, and the outcome.
         self._owed: dict[str, tuple[int, End]] = {}
         self._events: list[api.Event] = []
         self._round_at: Handle | None = None
@@ -166,13 +167,13 @@
         )
 
     def knows(self, name: str) -> bool:
-        """Whether a message with that name was taken on, and its time may not be up."""
+        """Whether a message with that name was accepted and may not have reached its deadline."""
         known = self._names.get(name)
         return known.taken if known is not None else self._journal.knows(name)
 
     @property
     def crowded(self) -> bool:
-        """Whether so many messages are held that the policy will soon have to hand some back."""
+        """Whether so many messages are held that the policy will soon have to end some as HANDED_BACK."""
         return len(self._messages) + 1 > self._settings.max_open * CROWDED_FRACTION
 
     def serves(self, destination: int) -> bool:
@@ -207,7 +208,7 @@
             self._post_event(self._taken_event(message, left_us, waited_us))
 
     def _handle_duplicate(self, message: Message, exchange: PendingRequest) -> None:
-        """Confirm a message that was accepted before and send its outcome to the new reply address too."""
+        """Confirm a message that was accepted before; its outcome goes to the new reply address, if any."""
         known = self._names.get(message.name)
         before = (known.reply, known.noticed, known.replies) if known is not None else (b"", True, 0)
         if known is not None and _add_reply_address(known, message):
@@ -266,7 +267,7 @@
         self._post_event(api.ListConfirmed(int(seconds * SECOND)))
 
     def ended(self, attempt: Attempt, how: AttemptResult) -> None:
-        """Process the end of an attempt; a delivered message is complete at once."""
+        """Process the end of an attempt; a message delivered, or reported as over, is complete at once."""
         message = attempt.message
         del self._attempts[message.ref, attempt.number]
         now = self.now_us()
@@ -307,14 +308,14 @@
         self._learning.told(wait)
 
     def _acknowledged(self, name: str) -> None:
-        if (owed := self._owed.pop(name, None)) is not None:  # else acknowledged before
+        if (owed := self._owed.pop(name, None)) is not None:  # else acknowledged before, or relinquished
             until_ms, end = owed
             self._journal.end(name, until_ms, self._clock.wall_ms(), end)
 
     # Rounds.
 
     def _post_event(self, event: api.Event) -> None:
-        """Queue an event for the next round, together with all others of the same tick."""
+        """Queue an event for the next round, together with all others of the same `granularity_us`."""
         self._events.append(event)
         if self._round_at is None and not self._stopped:
             due_us = max(self.now_us(), self._last_round_us + self._settings.granularity_us)
@@ -334,7 +335,8 @@
         for event in events:
             if isinstance(event, api.Taken) and event.ref in self._messages:
                 self._settle_request(self._messages[event.ref], ends.get(event.ref))
-        if self._sender.unsaved_urgent:  # saved before a call that it counts is sent
+        if self._sender.unsaved_urgent:
+            # Saved before this round's calls are sent: it includes their start times.
             self._learning.observe(self._sender.learned(SAVE_BATCH_SIZE, urgent=True))
         self._execute_actions(actions)
         self._timers.reschedule()
@@ -415,8 +417,8 @@
                 case api.Log(text):
                     log(text)
                 case api.Refuse() | api.Fail() | api.Subscribe() | api.Fetch() | api.SendToPeer():
-                    # Outcomes were handled before, the list is always watched, and relays can't message
-                    # each other.
+                    # Outcomes were handled before, the list is always watched, and the node does not carry
+                    # the policy's notes to other relays.
                     pass
         self._send(sends)
 
@@ -431,7 +433,7 @@
             self._transport.call(endpoint, [self._attempt(send) for send in bundle], bundle[0].fresh)
 
     def _report_unsent(self, send: api.Send) -> bool:
-        """Report to the policy that a first call was not made, which frees its slot."""
+        """Report to the policy that a message's first attempt was not made, which frees its slot."""
         self._post_event(api.Outcome(send.ref, 0, send.endpoint, Result.UNSENT, True, 0, 0, ()))
         return False
 
@@ -457,7 +459,11 @@
         return cleared
 
     def still(self, attempts: Sequence[Attempt]) -> list[Attempt]:
-        """Return the attempts that no drain, pause or outcome forbids by now."""
+        """Return the attempts that may be sent now.
+
+        Excluded are those that closing, a cancellation, an outcome, the time limit, a drain, a pause, the age
+        of the endpoint list or the expiry of an idempotency key forbids by now.
+        """
         now = self.now_us()
         return [
             it
@@ -484,7 +490,7 @@
             self._journal.after(partial(done, name), name, partial(done, name))
 
     def left_s(self, attempts: Sequence[Attempt]) -> float:
-        """Seconds until the earliest deadline among these attempts."""
+        """Seconds until the earliest time limit among these attempts."""
         return max(0.0, (min(it.until_us for it in attempts) - self.now_us()) / SECOND)
 
     def _probe(self, endpoint: str) -> None:
@@ -523,7 +529,7 @@
         self._journal.after(partial(self._report_outcome, end), message.name)
 
     def _report_outcome(self, end: End) -> None:
-        """Report a durable outcome: with the others of its round, or now if it had to wait for a sync."""
+        """Report a durable outcome: with the others of its round, or now if records become durable later."""
         self._ends.tell(end)
         if self._journal.waits:
             self._ends.send()
@@ -535,7 +541,7 @@
 
 
 def _add_reply_address(known: Message, again: Message) -> bool:
-    """Add the reply address of a repeated submission; return whether that changed anything."""
+    """Replace the reply address by that of a repeated submission; return whether anything changed."""
     reply, noticed = again.reply or known.reply, known.noticed or again.noticed
     if (reply, noticed) == (known.reply, known.noticed):
         return False
--- a/amberlug/core/ports.py
+++ b/amberlug/core/ports.py
@@ -56,7 +56,7 @@
         """
 
     def left_s(self, attempts: Sequence[Attempt]) -> float:
-        """Seconds until the earliest deadline among these attempts."""
+        """Seconds until the earliest time limit among these attempts."""
 
     def still(self, attempts: Sequence[Attempt]) -> list[Attempt]:
         """Return which of these recorded attempts may be sent now."""
