--- a/amberlug/copies/machine.py
+++ b/amberlug/copies/machine.py
@@ -1,8 +1,8 @@
 """The replication state machine of one relay: holder, owner and successor. No I/O.
 
 Outgoing messages are queued in `out` until the driver sends them; whatever must survive the process is
-written through the store at once. Each call passes the monotonic time in microseconds; deadlines count in
-`wall_ms`. Results are reported to the `Host`.
+written through the store at once. Each call passes the monotonic time in microseconds; expiry times of
+messages count in `wall_ms`. Results are reported to the `Host`.
 """
 
 from __future__ import annotations
@@ -28,10 +28,10 @@
     """The environment of the state machine."""
 
     def watermark(self) -> Watermark:
-        """How much this relay's disk has ever stored, as counters that never decrease for one directory."""
+        """How much this relay's state directory has ever stored, as counters that never decrease."""
 
     def outdated_directory(self) -> None:
-        """The directory is older than other relays have seen it: nothing in it may be relied on."""
+        """The state directory is older than other relays have seen it: nothing in it may be relied on."""
 
     def wall_ms(self) -> int:
         """Wall-clock time."""
@@ -40,10 +40,10 @@
         """A random number from 0 to 1."""
 
     def committed(self, log: str, name: str) -> None:
-        """All records of a message have been committed so far."""
+        """All records made so far of a message are committed."""
 
     def adopted(self, log: str, copies: dict[str, MessageState]) -> None:
-        """Resume the messages of a log that this relay has taken over."""
+        """Resume the messages of a log that this relay has taken over, once their state is committed."""
 
     def superseded(self, log: str, names: list[str], kept: bool) -> None:
         """Stop work on the messages of a log that another relay has taken over.
@@ -85,14 +85,14 @@
         self.takeovers: dict[str, Takeover] = {}
         self.newest: dict[int, str] = {}  # by write quorum: the log that accepts new messages
         self.out: list[tuple[str, WireMessage]] = []
-        self.confirmed = fresh  # whether no other relay has seen more of this directory than it holds
+        # Of this relay's state directory:
+        self.confirmed = fresh  # whether enough other relays have reported that they saw no more of it
         self._confirming: set[str] = set()
         self._retry_us: dict[str, int] = {}  # by log: earliest time of the next take-over attempt
-        self._lost_to_ballot: dict[
-            str, int
-        ] = {}  # by log: the highest ballot number that this relay's lost against
+        # By log: the highest ballot number that this relay's ballot lost against.
+        self._lost_to_ballot: dict[str, int] = {}
         self._started_us = self._beat_us = now_us
-        self.outdated = False  # the directory was found to be outdated: all input is ignored
+        self.outdated = False  # the state directory was found to be outdated: all input is ignored
 
     @property
     def _most_copies(self) -> int:
@@ -112,7 +112,7 @@
         newest: bool,
         now_us: int,
     ) -> None:
-        """Reopen a log of an earlier process with what this relay's journal holds and knows of it."""
+        """Reopen a log of an earlier process, with its live messages and the expiry of ended ones."""
         owner = self.own(meta)
         owner.ended = ended
         if newest:
@@ -137,7 +137,11 @@
         return owner
 
     def log_for(self, copies: int, now_us: int) -> Owner | None:
-        """The log for messages that `copies` other relays must hold; None if too few are reachable."""
+        """The log for messages that `copies` other relays must hold.
+
+        None if too few are reachable, and while this relay's state directory is unconfirmed. If a new log
+        could not be created, the previous one, if any.
+        """
         if not self.confirmed:
             return None
         owner = self.owners.get(self.newest.get(copies + 1, ""))
@@ -149,7 +153,7 @@
         serves = owner is not None and owner.state is not State.FENCED
         if not names or (serves and not present.issuperset(names)):
             return owner if serves else None  # replacing a lost holder by an unreachable one gains nothing
-        # Random: a directory restored from a copy must not reuse a number.
+        # Random: a state directory restored from a copy must not reuse a number.
         serial = int(self._host.random_fraction() * (1 << 52))
         others = tuple((name, self.peers[name].incarnation) for name in names)
         ensemble = ((self.name, self.incarnation), *others)
@@ -162,7 +166,7 @@
         try:
             self._host.opened(meta, older)
         except OSError as error:
-            log_line(f"copies: could not create a new log: {error}")
+            log_line(f"copies: could not create a new replication log: {error}")
             return owner
         self.newest[meta.write_quorum] = meta.log
         return self.own(meta)
@@ -190,12 +194,12 @@
     # Links.
 
     def connected(self, name: str, incarnation: str, now_us: int) -> None:
-        """A link to another relay is up; `incarnation` identifies its disk."""
+        """A link to another relay is up; `incarnation` identifies its state directory."""
         peer = self.peers.get(name)
         if peer is None:
             return
         if peer.incarnation and peer.incarnation != incarnation:
-            log_line(f"copies: {name} has another directory than before")
+            log_line(f"copies: {name} has another state directory than before")
             self.disconnected(name, now_us)
         peer.incarnation, peer.linked = incarnation, True
         self._send_watermark(name)
@@ -207,7 +211,7 @@
                 takeover.ask(name)
 
     def _send_watermark(self, name: str) -> None:
-        """Tell another relay the highest watermark observed of its disk."""
+        """Tell another relay the highest watermark observed of its state directory."""
         peer = self.peers[name]
         self._send(name, ["water", list(peer.watermark.get(peer.incarnation, ()))])
 
@@ -239,7 +243,7 @@
             peer.heard_us = now_us
             if not peer.linked:
                 peer.incarnation = incarnation
-            # Sent with every message, not periodically: a record's holder has seen the disk it came from.
+            # Every frame carries it, so whoever holds a record knows a watermark that includes it.
             self._note_watermark(name, incarnation, watermark)
         elif name != self.name:
             raise ValueError(f"unknown relay {name!r}")
@@ -254,10 +258,10 @@
         except TypeError as error:
             raise ValueError(f"malformed message: {error}") from None
 
-    # Messages for the holder.
+    # Watermarks, and messages for the holder.
 
     def _on_watermark(self, name: str, peer_incarnation: str, now_us: int, observed: list[int]) -> None:
-        """A relay reports the highest watermark that it has observed of this one's disk."""
+        """A relay reports the highest watermark it has observed of this one's state directory."""
         if any(mine < highest for mine, highest in zip(self._host.watermark(), observed, strict=False)):
             # Guards against a restored backup: what this relay accepted, did and promised since is missing.
             log_line(f"copies: this state directory is outdated: {name} has seen newer data of it")
@@ -268,7 +272,7 @@
         self._confirm(now_us)
 
     def _confirm(self, now_us: int) -> None:
-        """Rely on this relay's directory once enough other relays have not seen more of it than it holds."""
+        """Rely on this relay's state directory once enough other relays have seen no more than it holds."""
         # One more relay than must hold a record: any that many of the possible holders include one that saw
         # the last record. If a machine is lost while this one restarts, this waits, at most `confirm_s`.
         patient = now_us - self._started_us < int(self.fleet.confirm_s * 1e6)
@@ -323,10 +327,10 @@
             return None if meta.log in self.owners else 0
         peer = self.peers.get(name)
         if peer is None or (peer.incarnation and peer.incarnation != incarnation):
-            return 0  # its disk is gone
+            return 0  # its state directory is gone
         # After a restart, silence counts from the start: no relay could be heard before.
         heard = max(peer.heard_us or 0, self._started_us)
-        # A successor that got the promise and gave up.
+        # The relay this log is promised to has not opened it here: it counts as silent since the promise.
         if held_log is not None and not held_log.opened_by_owner:
             return max(min(heard, held_log.since_us), self._started_us)
         return None if now_us - heard < BEAT_US else heard
@@ -404,7 +408,7 @@
             self._finish_takeover(takeover, now_us)
 
     def _takeover_for(self, log: str, ballot: Any, name: str, peer_incarnation: str) -> Takeover | None:
-        """The take-over attempt that an answer belongs to, if its sender has the disk that the log names."""
+        """The take-over attempt that an answer belongs to, if its sender's incarnation is the log's."""
         takeover = self.takeovers.get(log)
         if takeover is None or takeover.ballot != decode_ballot(ballot):
             return None
@@ -416,7 +420,7 @@
         takeover = self.takeovers.get(log)
         if takeover is None or takeover.ballot != decode_ballot(ballot):
             return
-        if why == "followed":
+        if why == "followed":  # promised to a higher ballot
             del self.takeovers[log]
             self._delay_takeover(log, now_us)
             if more is not None:
--- a/amberlug/copies/owner.py
+++ b/amberlug/copies/owner.py
@@ -1,8 +1,9 @@
 """The owner of one log: sends records to holders and commits them by quorum. No I/O.
 
-A record is committed once `write_quorum` relays of the log's ensemble store it, whichever they are. So any
-`read_quorum` relays of the ensemble know of it, and a successor needs the promise of that many before it
-proceeds. An owner that was replaced meets at least one of them with each new record, and stops.
+A record is committed once `write_quorum` relays of the log's ensemble store it, whichever they are. So among
+any `read_quorum` relays of the ensemble at least one stores it, and a successor needs the promise of that
+many before it proceeds. If an owner was replaced, each new record of it reaches at least one relay that
+promised to the successor and rejects it; the owner then stops.
 """
 
 from __future__ import annotations
@@ -17,17 +18,17 @@
 
 HEDGE_US = 60_000  # an unanswered record then goes to one more holder; many turns on a local network
 FULL_HOLDER_BACKOFF_US = 1_000_000  # how long a holder that reported a full disk is not asked again
-RESEND_US = 1_000_000  # a batch unanswered for so long by a reachable holder is sent to it again
+RESEND_US = 1_000_000  # a batch unanswered for so long by a reachable holder is queued again, for any holder
 WINDOW_BYTES = 1 << 20  # bytes in flight to one holder; bounds the queue for a slow one
-MESSAGE_BYTES = 64 << 10  # bytes of records per message
+MESSAGE_BYTES = 64 << 10  # bytes of records per wire message
 
 
 class State(Enum):
-    """Whether an owner may record."""
+    """Whether an owner may send records."""
 
     OPENING = "opening"  # too few holders have confirmed yet that no other relay has taken over
     OPEN = "open"
-    FENCED = "fenced"  # another relay took over, or holders saw a newer state of this directory
+    FENCED = "fenced"  # another relay took over
 
 
 @dataclass(slots=True, eq=False)
@@ -100,9 +101,9 @@
     """One log owned by this relay.
 
     Callbacks: `send` queues a message for a holder; `on_committed` gets the name of a message once all its
-    records are committed; `on_superseded` gets the ballot of the relay that took over, after which nothing
-    recorded here is committed. `kept` is this relay's name if it stores each record itself before recording
-    it here, as an origin does in its own journal.
+    records are committed; `on_superseded` gets this owner and the ballot of the relay that took over, after
+    which nothing recorded here is committed. `kept` is this relay's name if it stores each record itself
+    before recording it here, as an origin does in its own journal.
     """
 
     def __init__(
@@ -168,7 +169,10 @@
         self._unsent.append(entry)
 
     def withdraw(self, name: str, until_ms: int, now_us: int) -> None:
-        """Remove an unaccepted message from every holder; calls `on_committed` once none stores it."""
+        """Record a message that was not accepted as ended at every holder it may have reached.
+
+        `on_committed` is called once all of them store that; at once if there are none.
+        """
         reached = (frozenset(self.holders_sent(name)) | frozenset(self.stored_at.pop(name, ()))) - self._kept
         self.copies.pop(name, None)
         for entry in self._waiting.pop(name, ()):
@@ -242,7 +246,7 @@
     # Replies from holders.
 
     def linked(self, name: str) -> None:
-        """A link is up to a holder with the disk that this log names."""
+        """A link is up to a holder with the state directory that this log names."""
         holder = self.holders[name]
         holder.away_since_us, holder.opened, holder.settled = None, False, False
         self._send_open(name)
@@ -271,7 +275,7 @@
         holder = self.holders.get(name)
         if holder is None or self.state is State.FENCED or holder.away_since_us is not None:
             return
-        if why == "followed" and by is not None:
+        if why == "followed" and by is not None:  # promised to a higher ballot
             self._fence(by)
         elif why == "no room":
             holder.full_until_us = now_us + FULL_HOLDER_BACKOFF_US
@@ -308,7 +312,7 @@
         holder = self.holders.get(name)
         if holder is None or self.state is State.FENCED:
             return
-        if why == "followed" and by is not None:
+        if why == "followed" and by is not None:  # promised to a higher ballot
             self._fence(by)
             return
         if (batch := holder.in_flight.pop(number, None)) is not None:
@@ -366,7 +370,7 @@
         self.flush(now_us)
 
     def expire(self, before_ms: int) -> None:
-        """Remove messages that ended before a time; insertion order is roughly by age."""
+        """Forget ended messages whose names expired before a time."""
         for name in [name for name, until_ms in self.ended.items() if until_ms < before_ms]:
             del self.ended[name]
 
@@ -376,7 +380,7 @@
         return all(holder.opened and holder.settled for holder in self.holders.values())
 
     def settle(self, names: list[str], until_ms: Callable[[str], int], now_us: int) -> None:
-        """Handle a holder's list of live messages: those that ended here are reported to it as ended."""
+        """Handle a holder's list of live messages: any not live here are reported to it as ended."""
         for name in names:
             if name not in self.copies and name not in self._waiting:
                 entry = PendingRecord(name, Kind.ENDED, [until_ms(name)], now_us, acked_by=set(self._kept))
