--- a/amberlug/peers/links.py
+++ b/amberlug/peers/links.py
@@ -1,7 +1,7 @@
 """Connections between relays: one for each direction, opened by the sending side.
 
 After a handshake of names and incarnations, frames flow one way only. Each carries its number, the highest
-frame number received from the other side, the sender's watermark, and all messages of one event loop turn.
+frame number received from the other side, the sender's watermark, and messages of one event loop turn.
 So each side knows whether the other receives its frames: a link without acknowledgements for a while counts
 as down, whether it was closed, has stalled or is cut in one direction.
 """
@@ -29,7 +29,8 @@
 )
 
 CONNECT_TIMEOUT_S = 1.0  # seconds for connecting and the handshake
-ACK_TIMEOUT_S = 0.9  # without an acknowledgement a link then counts as down: just over three heartbeats
+# Without an acknowledgement a link then counts as down: more than three heartbeats (`machine.BEAT_US`).
+ACK_TIMEOUT_S = 0.9
 RECONNECT_DELAY_S = 0.1, 1.0  # least and greatest delay between connection attempts, in seconds; randomized
 MAX_WRITE_BUFFER_BYTES = 8 << 20  # bytes waiting to be written to one relay; the link is reset above it
 TARGET_FRAME_BYTES = 256 << 10  # approximate size of the messages in one frame
@@ -37,7 +38,7 @@
 
 
 class DropCounter:
-    """Counts dropped input and messages by reason, and logs some of them."""
+    """Counts dropped input and messages, and links reset for slow reading, by reason; logs some of them."""
 
     def __init__(self) -> None:
         self.counts: Counter[str] = Counter()
@@ -46,11 +47,11 @@
         """Count one event; the first of a reason and every hundredth after it are logged."""
         self.counts[reason] += 1
         if self.counts[reason] % 100 == 1:
-            log(f"peers: {peer_name}: {reason} ({self.counts[reason]} so far)")
+            log(f"peers: {peer_name}: {reason} ({self.counts[reason]} so far from all relays)")
 
 
 class Peer:
-    """Another relay: the outgoing link and what the incoming one says about it."""
+    """Another relay: the outgoing link, and the acknowledgements that arrive on the incoming one."""
 
     def __init__(self, member: Member) -> None:
         self.member = member
@@ -154,7 +155,7 @@
     async def _handshake(
         self, peer: Peer, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        """Exchange names and nonces, then switch to this connection's peer_name key."""
+        """Exchange names and nonces, then switch to this connection's own key."""
         nonce = secrets.token_bytes(16)
         handshake_key = derive_key(self._fleet.key)
         hello = [self._fleet.name, self._incarnation, list(VERSIONS), nonce, peer.member.name]
@@ -232,7 +233,7 @@
             peer.writer.write(peer.encoder.encode(FrameKind.MESSAGES, content))
         except ValueError as error:
             self.drops.count(peer.member.name, f"not sent: {error}")
-        # Bounds the memory used for a slow relay; its owner sends the records again.
+        # Bounds the memory used for a slow relay; this relay, as owner, sends the records again.
         if peer.writer.transport.get_write_buffer_size() > MAX_WRITE_BUFFER_BYTES:
             self.drops.count(peer.member.name, "reads too slowly; resetting the link")
             self._disconnect(peer)
@@ -292,7 +293,7 @@
         version = negotiate_version(_fields(versions, 2))
         before = self._inbound.get(name)
         if before is not None and before[0] != incarnation:
-            log(f"peers: two relays call themselves {name}, or its folder changed; using the newest link")
+            log(f"peers: two relays call themselves {name}, or its state directory changed; newest link wins")
         if before is not None:
             before[1].close()
         self._inbound[name] = str(incarnation), writer
