--- a/amberlug/cluster/dispatch/dispatcher.py
+++ b/amberlug/cluster/dispatch/dispatcher.py
@@ -28,7 +28,7 @@
 )
 from amberlug.cluster.values import value
 from amberlug.core.default_settings import message_class, settings
-from amberlug.policy.account import SECOND, WINDOW_US, Account
+from amberlug.policy.account import MIN_WINDOW_US, SECOND, Account
 from amberlug.policy.interface import Effect
 
 MAX_CALLS = 1024  # calls in flight for one service at one edge
@@ -83,10 +83,10 @@
         """
         units = rate * quota_share if rate > 0 else float("inf")
         account = self._account
-        account.window = WINDOW_US
+        account.window = MIN_WINDOW_US
         if 1.0 < units < float("inf"):
             # Only whole units are consumed: 1.6 per second would round down to 1, so use 2 per 1.25 s.
-            account.window = int(WINDOW_US * math.ceil(units) / units)
+            account.window = int(MIN_WINDOW_US * math.ceil(units) / units)
             units = math.ceil(units)
         account.units = units
         account.stretched_window = int(account.window / min(1.0, units))
--- a/amberlug/policy/account.py
+++ b/amberlug/policy/account.py
@@ -15,7 +15,7 @@
 
 SECOND = 1_000_000
 UNLIMITED = float("inf")
-WINDOW_US = SECOND  # minimum w: longer delays bursts that the limit allows, shorter exceeds the limit
+MIN_WINDOW_US = SECOND  # minimum w: longer delays bursts that the limit allows, shorter exceeds the limit
 WINDOW_STEPS = 50  # s = w / WINDOW_STEPS; fewer steps cost less time, but openings come later
 # Minimum M from a rate, and in a large fleet the upper bound of that minimum: of many relays few send at
 # once, and refusals correct the rest.
@@ -97,7 +97,7 @@
 
     def set_rate(self, rate: float | None) -> None:
         """Set M and w from a listed or reported rate for all relays; without a rate M is unlimited."""
-        self.rate, self.units, self.window, self.even_share = rate, UNLIMITED, WINDOW_US, 0.0
+        self.rate, self.units, self.window, self.even_share = rate, UNLIMITED, MIN_WINDOW_US, 0.0
         if rate is not None:
             self.even_share = rate * self.window / SECOND / self.settings.relays
             room = self.even_share * min(self.settings.relays, RATE_HEADROOM)
