--- a/amberlug/policy/account.py
+++ b/amberlug/policy/account.py
@@ -66,10 +66,10 @@
     kept: int
     units: dict[int, tuple[int, int]] = field(default_factory=dict)
 
-    def add(self, at_us: int, unit: int, taken_on: int) -> None:
+    def add(self, at_us: int, unit: int, delivered: int) -> None:
         number = at_us // self.bucket_us
         had = self.units.get(number, (0, 0))
-        self.units[number] = had[0] + unit, had[1] + taken_on
+        self.units[number] = had[0] + unit, had[1] + delivered
         if len(self.units) > self.kept:
             del self.units[min(self.units)]
 
@@ -100,11 +100,11 @@
         self.rate, self.units, self.window, self.even_share = rate, UNLIMITED, MIN_WINDOW_US, 0.0
         if rate is not None:
             self.even_share = rate * self.window / SECOND / self.settings.relays
-            room = self.even_share * min(self.settings.relays, RATE_HEADROOM)
-            self.units = max(MIN_UNITS, room)
+            share = self.even_share * min(self.settings.relays, RATE_HEADROOM)  # with headroom
+            self.units = max(MIN_UNITS, share)
             if self.large_fleet:
-                few = max(LARGE_FLEET_MIN_UNITS, room) if room <= 1 else round(min(room, MIN_UNITS))
-                self.units = max(few, LARGE_FLEET_HEADROOM * self.even_share)
+                minimum = max(LARGE_FLEET_MIN_UNITS, share) if share <= 1 else round(min(share, MIN_UNITS))
+                self.units = max(minimum, LARGE_FLEET_HEADROOM * self.even_share)
         self.stretched_window = self.window  # w for the learned M
         self.max_window_us = max(kind.deadline_us for kind in self.settings.classes.values()) // MIN_ATTEMPTS
         self.buckets = Buckets(self.window // WINDOW_STEPS, HISTORY_SIZE)
@@ -151,13 +151,13 @@
         """Learn M from a refusal: the accepted calls in the window, or less with each further refusal."""
         # M below one allows one unit in a longer w: refused calls consume the limit too, so many relays with
         # one unit each would exceed it.
-        limit, least = self.limit(now_us), max(1.0, self.even_share)
-        taken_on = sum(done for *_, done in self.buckets.buckets_in_window(now_us, self.window))
+        limit, first_threshold = self.limit(now_us), max(1.0, self.even_share)
+        delivered = sum(done for *_, done in self.buckets.buckets_in_window(now_us, self.window))
         floor = max(MIN_LEARNED_SHARE * self.even_share, self.window / self.max_window_us)
         lowest = min(self.even_share or UNLIMITED, floor)
         lower = max(limit * part / self.settings.relays**FLEET_SIZE_EXPONENT, lowest)
-        first = max(least, taken_on) * (FIRST_REFUSAL_FACTOR if self.large_fleet else 1.0)
-        self.learned = first if limit > least else lower
+        first = max(first_threshold, delivered) * (FIRST_REFUSAL_FACTOR if self.large_fleet else 1.0)
+        self.learned = first if limit > first_threshold else lower
         self.learned_us, self.stretched_window = now_us, int(self.window / min(1.0, self.learned))
         if self.large_fleet:
             # Prevents a fleet from staying slightly over a limit that refused calls consume too: otherwise no
