--- a/amberlug/learning/codec.py
+++ b/amberlug/learning/codec.py
@@ -148,9 +148,14 @@
         tuple(
             [
                 api.KnownRoute(
-                    route, usual_us, pace, pace_us, UNLIMITED if learned is None else learned, learned_us
+                    route,
+                    usual_us,
+                    throughput,
+                    throughput_us,
+                    UNLIMITED if learned is None else learned,
+                    learned_us,
                 )
-                for route, usual_us, pace, pace_us, learned, learned_us in routes
+                for route, usual_us, throughput, throughput_us, learned, learned_us in routes
             ]
         ),
         tuple([_known_endpoint(number, row) for row in endpoints]),
@@ -177,17 +182,17 @@
         valid = type(number) is int and type(updated_us) is int and NEVER <= updated_us <= latest_us
         valid = valid and type(routes) is list and type(endpoints) is list
         valid = valid and len(routes) <= MAX_ITEMS and len(endpoints) <= MAX_ITEMS
-        for route, usual_us, pace, pace_us, learned, learned_us in routes:
+        for route, usual_us, throughput, throughput_us, learned, learned_us in routes:
             valid = (
                 valid
                 and type(route) is str
                 and len(route) <= MAX_NAME_CHARS
                 and type(usual_us) is int
                 and 0 <= usual_us <= MAX_WAIT_US
-                and type(pace) in _NUMBER
-                and 0 <= pace <= MAX_RATE
-                and type(pace_us) is int
-                and NEVER <= pace_us <= latest_us
+                and type(throughput) in _NUMBER
+                and 0 <= throughput <= MAX_RATE
+                and type(throughput_us) is int
+                and NEVER <= throughput_us <= latest_us
                 and (learned is None or (type(learned) in _NUMBER and 1e-9 <= learned <= MAX_RATE))
                 and type(learned_us) is int
                 and NEVER <= learned_us <= latest_us
--- a/amberlug/learning/decay.py
+++ b/amberlug/learning/decay.py
@@ -20,7 +20,7 @@
 OUTAGE_MAX_US = 30 * MINUTE  # an outage whose end was not observed is assumed to last this long
 LIMIT_HALF_LIFE_US = 30 * MINUTE  # a learned limit doubles in each, until the listed rate is stricter
 RESPONSE_TIME_HALF_LIFE_US = 7 * DAY  # response times, towards the baseline of the kind
-PACE_HALF_LIFE_US = 30 * MINUTE  # this relay's own completed calls per second
+THROUGHPUT_HALF_LIFE_US = 30 * MINUTE  # this relay's own completed calls per second
 BASELINE_HALF_LIFE_US = 7 * DAY  # baselines of kinds and tenants, and activity by hour of the week
 RETENTION_US = 60 * DAY  # records not updated for so long are deleted
 MIN_WEIGHT = 0.05  # weight below which a value is ignored
@@ -46,13 +46,13 @@
     prior_us = usual_us or INITIAL_ANSWER_US
     response_weight = weight(gap_us, RESPONSE_TIME_HALF_LIFE_US)
     learned, learned_us = decayed_limit(it, now_us, gap_us)
-    pace_weight = weight(gap_us, PACE_HALF_LIFE_US)
+    throughput_weight = weight(gap_us, THROUGHPUT_HALF_LIFE_US)
     return replace(
         it,
         usual_us=int(interpolate(it.usual_us, prior_us, response_weight))
         if response_weight >= MIN_WEIGHT
         else int(prior_us),
-        throughput=interpolate(it.throughput, 1.0, pace_weight),
+        throughput=interpolate(it.throughput, 1.0, throughput_weight),
         learned=learned,
         learned_us=learned_us,
     )
--- a/benchmarks/learning.py
+++ b/benchmarks/learning.py
@@ -168,7 +168,7 @@
 WORLDS: dict[str, tuple[World, int]] = {
     "failure rate": (failures, decay.FAILURE_RATE_HALF_LIFE_US),
     "answer time": (answers, decay.RESPONSE_TIME_HALF_LIFE_US),
-    "pace": (paces, decay.PACE_HALF_LIFE_US),
+    "pace": (paces, decay.THROUGHPUT_HALF_LIFE_US),
     "limit": (limits, decay.LIMIT_HALF_LIFE_US),
 }
 PAUSES = {"1 s": 1.0, "1 minute": MINUTE, "1 hour": HOUR, "1 week": WEEK}
