--- a/amberlug/library/endpoints.py
+++ b/amberlug/library/endpoints.py
@@ -167,11 +167,11 @@
         self._where, self._known = parse_address(where), known
         self._watch: Watch | None = None
         self._on_confirmed: Callable[[float], None] = _ignore_validity
-        self._heard: ListConfirmation | None = None
+        self._confirmation: ListConfirmation | None = None
 
     def confirms(self, current: Callable[[float], None], heard: ListConfirmation) -> None:
         """Set the callback for a confirmed list, called with the seconds for which the list is valid."""
-        self._on_confirmed, self._heard = current, heard
+        self._on_confirmed, self._confirmation = current, heard
 
     async def tried(self, seconds: float) -> None:
         """Wait for the first answer or failure of discovery, for `seconds` at most."""
@@ -182,16 +182,16 @@
         if self._known is not None:
             run_to_end(listed(self._known))
         revision = self._known.revision if self._known is not None else 0
-        pauses = DiscoveryBackoff(settings.relays, settings.drain_grace_us / SECOND)
-        age_s = None if self._heard is None else self._heard.age_s()
-        self._on_confirmed(pauses.initial_list_validity_s(True, age_s))
+        backoff = DiscoveryBackoff(settings.relays, settings.drain_grace_us / SECOND)
+        age_s = None if self._confirmation is None else self._confirmation.age_s()
+        self._on_confirmed(backoff.initial_list_validity_s(True, age_s))
 
         def confirmed() -> None:
-            self._on_confirmed(pauses.list_validity_s())
-            if self._heard is not None:
-                self._heard.record()
+            self._on_confirmed(backoff.list_validity_s())
+            if self._confirmation is not None:
+                self._confirmation.record()
 
-        self._watch = Watch(self._where, settings.kinds, revision, listed, pauses, confirmed)
+        self._watch = Watch(self._where, settings.kinds, revision, listed, backoff, confirmed)
         self._watch.start()
 
     def stop(self) -> None:
