--- a/amberlug/core/attempt_clearance.py
+++ b/amberlug/core/attempt_clearance.py
@@ -25,4 +25,4 @@
     # nothing is sent, although the recorded attempts count as possibly executed.
     done, _ = await asyncio.wait({recorded}, timeout=calls.left_s(cleared))
     # Check again: a drain, a requested pause or an outcome may have arrived meanwhile.
-    return calls.still(cleared) if done else []
+    return calls.may_still_send(cleared) if done else []
--- a/amberlug/core/node.py
+++ b/amberlug/core/node.py
@@ -447,7 +447,7 @@
     def clear(self, attempts: Sequence[Attempt]) -> list[Attempt]:
         """Record and return the attempts that may still be sent, before their first byte is sent."""
         cleared = []
-        for attempt in self.still(attempts):
+        for attempt in self.may_still_send(attempts):
             try:
                 self._journal.attempt(attempt, self._clock.wall_ms())
             except OSError as error:  # an unrecorded attempt could be made twice
@@ -458,7 +458,7 @@
                 self._observer.attempt(attempt)
         return cleared
 
-    def still(self, attempts: Sequence[Attempt]) -> list[Attempt]:
+    def may_still_send(self, attempts: Sequence[Attempt]) -> list[Attempt]:
         """Return the attempts that may be sent now.
 
         Excluded are those that closing, a cancellation, an outcome, the time limit, a drain, a pause, the age
--- a/amberlug/core/ports.py
+++ b/amberlug/core/ports.py
@@ -58,7 +58,7 @@
     def left_s(self, attempts: Sequence[Attempt]) -> float:
         """Seconds until the earliest time limit among these attempts."""
 
-    def still(self, attempts: Sequence[Attempt]) -> list[Attempt]:
+    def may_still_send(self, attempts: Sequence[Attempt]) -> list[Attempt]:
         """Return which of these recorded attempts may be sent now."""
 
     def ended(self, attempt: Attempt, how: AttemptResult) -> None:
