--- a/amberlug/core/node.py
+++ b/amberlug/core/node.py
@@ -61,7 +61,7 @@
         clock: Clock,
         observer: Observer | None = None,
     ) -> None:
-        self._settings, self._journal, self._transport, self._ends = settings, journal, transport, ends
+        self._settings, self._journal, self._transport, self._notifier = settings, journal, transport, ends
         self._observer, self._learning = observer, learning
         self._clock, self.now_us = clock, clock.now_us
         self._sender = LastingSender(settings, seed, learning.recall)
@@ -87,7 +87,7 @@
     @property
     def busy(self) -> bool:
         """Whether a call is in progress or an acknowledgement is outstanding."""
-        return self._transport.busy or self._ends.waiting
+        return self._transport.busy or self._notifier.waiting
 
     # External events.
 
@@ -187,7 +187,7 @@
         """
         if (known := self._names.get(message.name)) is not None and not known.taken:
             known.exchanges.append(exchange)
-            _add_reply_address(known, message)
+            _replace_reply_address(known, message)
         elif known is not None or self._journal.knows(message.name):
             self._handle_duplicate(message, exchange)  # already accepted: never accept it twice
         elif self.closing:
@@ -211,7 +211,7 @@
         """Confirm a message that was accepted before; its outcome goes to the new reply address, if any."""
         known = self._names.get(message.name)
         before = (known.reply, known.noticed, known.replies) if known is not None else (b"", True, 0)
-        if known is not None and _add_reply_address(known, message):
+        if known is not None and _replace_reply_address(known, message):
             try:
                 if known.replies > MAX_REPLY_CHANGES:
                     raise OSError(f"message {message.name} was submitted with too many reply addresses")
@@ -512,14 +512,14 @@
                 else:
                     told = End(message.name, Outcome.GIVEN_UP)
                 self._finish(message, told)
-        self._ends.send()
+        self._notifier.send()
 
     def _finish(self, message: Message, end: End) -> None:
         """Record a message's final outcome, then report it."""
         self._remove_message(message)
         if message.replies:
             end = replace(end, reply=message.reply, noticed=message.noticed)
-        if self._ends.owed(end):
+        if self._notifier.owed(end):
             self._owed[message.name] = message.deadline_ms, end
             self._journal.owe(message, end)
         else:
@@ -530,9 +530,9 @@
 
     def _report_outcome(self, end: End) -> None:
         """Report a durable outcome: with the others of its round, or now if records become durable later."""
-        self._ends.tell(end)
+        self._notifier.tell(end)
         if self._journal.waits:
-            self._ends.send()
+            self._notifier.send()
 
     def _remove_message(self, message: Message) -> None:
         message.over = True
@@ -540,7 +540,7 @@
         self._names.pop(message.name, None)
 
 
-def _add_reply_address(known: Message, again: Message) -> bool:
+def _replace_reply_address(known: Message, again: Message) -> bool:
     """Replace the reply address by that of a repeated submission; return whether anything changed."""
     reply, noticed = again.reply or known.reply, known.noticed or again.noticed
     if (reply, noticed) == (known.reply, known.noticed):
