--- a/amberlug/copies/machine.py
+++ b/amberlug/copies/machine.py
@@ -102,7 +102,7 @@
 
     def own(self, meta: LogMetadata) -> Owner:
         """Own a log under its origin's ballot."""
-        return self._owner(meta, meta.origin_ballot, self.name)
+        return self._create_owner(meta, meta.origin_ballot, self.name)
 
     def reopen(
         self,
@@ -124,7 +124,7 @@
             owner.state = State.FENCED
             self._superseded(owner, held_log.promised)
 
-    def _owner(self, meta: LogMetadata, ballot: Ballot, kept: str | None) -> Owner:
+    def _create_owner(self, meta: LogMetadata, ballot: Ballot, kept: str | None) -> Owner:
         owner = Owner(
             meta, ballot, kept, self._send, partial(self._host.committed, meta.log), self._superseded
         )
@@ -478,7 +478,7 @@
             if copy.live and (copy.taken is None or int(copy.taken[5]) > forgotten_ms)
         }
         log_line(f"copies: took over log {log}, {len(live)} messages")
-        owner = self._owner(takeover.meta, takeover.ballot, None)
+        owner = self._create_owner(takeover.meta, takeover.ballot, None)
         for name, copy in live.items():
             owner.adopt(name, copy, now_us)
         self._host.adopted(log, live)
