--- a/amberlug/core/journal/space.py
+++ b/amberlug/core/journal/space.py
@@ -52,9 +52,9 @@
         self._rate = 0.0  # bytes freed per microsecond
         self._last_freed_us: int | None = None
 
-    def needs_new_segment(self, size: int, record: int) -> bool:
-        """Whether a record of `record` bytes does not fit into a segment that holds `size` bytes."""
-        return size + record > self.segment_bytes
+    def needs_new_segment(self, size: int, record_bytes: int) -> bool:
+        """Whether a record of `record_bytes` bytes does not fit into a segment that holds `size` bytes."""
+        return size + record_bytes > self.segment_bytes
 
     def reserve(self, held_messages: int) -> int:
         """Space reserved for later records of held messages and for copies during compaction."""
