--- a/amberlug/learning/decay.py
+++ b/amberlug/learning/decay.py
@@ -23,7 +23,7 @@
 # it is stricter.
 LIMIT_DOUBLING_TIME_US = 30 * MINUTE
 RESPONSE_TIME_HALF_LIFE_US = 7 * DAY  # response times, towards the baseline of the kind
-PACE_HALF_LIFE_US = 30 * MINUTE  # this relay's own completed calls per second, towards 1
+THROUGHPUT_HALF_LIFE_US = 30 * MINUTE  # this relay's own completed calls per second, towards 1
 # Response-time and reuse counts; activity by hour of the week has twice this. Also used for the weight that
 # is shown for baselines of kinds and tenants; the stored baselines never decay.
 BASELINE_HALF_LIFE_US = 7 * DAY
@@ -51,13 +51,13 @@
     prior_us = baseline_us or INITIAL_ANSWER_US
     response_weight = weight(gap_us, RESPONSE_TIME_HALF_LIFE_US)
     learned, learned_us = decayed_limit(route, now_us, gap_us)
-    pace_weight = weight(gap_us, PACE_HALF_LIFE_US)
+    throughput_weight = weight(gap_us, THROUGHPUT_HALF_LIFE_US)
     return replace(
         route,
         usual_us=int(interpolate(route.usual_us, prior_us, response_weight))
         if response_weight >= MIN_WEIGHT
         else int(prior_us),
-        throughput=interpolate(route.throughput, 1.0, pace_weight),
+        throughput=interpolate(route.throughput, 1.0, throughput_weight),
         learned=learned,
         learned_us=learned_us,
     )
