--- a/amberlug/lab/clock.py
+++ b/amberlug/lab/clock.py
@@ -21,6 +21,7 @@
         self.callback: Callable[[], object] | None = callback
 
     def cancel(self) -> None:
+        """Cancel the callback; no effect once it has started."""
         self.callback = None
 
 
@@ -66,13 +67,18 @@
         self._ended = True
 
     def now_us(self) -> int:
+        """Return the monotonic time in microseconds."""
         return self._time.now_us
 
     def wall_ms(self) -> int:
+        """Return the Unix time in milliseconds."""
         return START_MS + (self._time.now_us - START_US) // 1000
 
     def at(self, when_us: int, callback: Callable[..., object], *args: object) -> Timer:
+        """Schedule a callback at a time in microseconds, at least one microsecond from now."""
+
         def alive() -> None:
+            """Run the callback, unless the process has ended."""
             if not self._ended:
                 callback(*args)
 
--- a/amberlug/lab/copies.py
+++ b/amberlug/lab/copies.py
@@ -34,12 +34,15 @@
         self.full, self.kept = False, 0
 
     def promise(self, meta: LogMetadata, ballot: Ballot) -> None:
+        """Store a log's metadata and its promised ballot; raises `OSError` if the store is full."""
         self._keep(meta.encoded(), meta.log, "", "", ballot, [])
 
     def record(self, log: str, name: str, kind: str, ballot: Ballot, told: list[Any]) -> None:
+        """Store a record of a message; raises `OSError` if the store is full."""
         self._keep(None, log, name, kind, ballot, told)
 
     def drop(self, log: str) -> None:
+        """Remove all entries of a log."""
         self.entries = [it for it in self.entries if it[1] != log]
 
     def _keep(self, *entry: Any) -> None:
@@ -80,16 +83,19 @@
         self.broken: list[str] = []
 
     def called(self, name: str) -> None:
+        """Record a call to the partner; a second call for the same message is a violation."""
         self.calls[name] += 1
         if self.calls[name] > 1:
             self.broken.append(f"{name}: twice")
 
     def told(self, name: str, end: str) -> None:
+        """Record a reported outcome; two different outcomes of one message are a violation."""
         self.ends[name].add(end)
         if len(self.ends[name]) > 1:
             self.broken.append(f"{name}: told {sorted(self.ends[name])}")
 
     def finish(self) -> list[str]:
+        """Return all violations; an accepted message without an outcome is one."""
         lost = [f"{name}: lost" for name in sorted(self.promised) if not self.ends[name]]
         return [*self.broken, *lost]
 
@@ -123,27 +129,35 @@
     # Callbacks of the state machine.
 
     def watermark(self) -> Watermark:
+        """Return how much this disk has stored: records of own messages, and entries of the store."""
         return self.disk.records, self.disk.store.kept
 
     def watermark_observed(self, name: str, incarnation: str, watermark: Watermark) -> None:
+        """Persist another relay's watermark and the incarnation to which it belongs."""
         self.disk.seen[name] = {incarnation: watermark}
 
     def outdated_directory(self) -> None:
+        """Report that this relay's directory is older than other relays have seen it."""
         self.world.outdated.append(self.name)
 
     def wall_ms(self) -> int:
+        """Return the simulated Unix time in milliseconds."""
         return START_MS + self.world.now_us // 1000
 
     def random_fraction(self) -> float:
+        """Return a random number from 0 to 1 from the seeded generator."""
         return self.world.chance.random()
 
     def until_ms(self, name: str) -> int:
+        """Return the Unix time in milliseconds one message lifetime from now."""
         return self.wall_ms() + LIFE_MS
 
     def opened(self, meta: LogMetadata, older: dict[str, list[str]]) -> None:
+        """Persist the metadata of the newest log."""
         self.disk.metas[meta.log] = meta
 
     def committed(self, log: str, name: str) -> None:
+        """Take the next step of a message, now that its records are committed."""
         what = self.next_steps.get(name, "")
         if what != "answer":  # a state that is recorded again is reported as committed again
             self.next_steps.pop(name, None)
@@ -160,11 +174,13 @@
             self.log_of.pop(name, None)
 
     def adopted(self, log: str, copies: dict[str, MessageState]) -> None:
+        """Resume the messages of a log that this relay has taken over."""
         for name, it in copies.items():
             self.log_of[name] = log
             self._resume(name, it)
 
     def superseded(self, log: str, names: list[str], kept: bool) -> None:
+        """Stop work on the messages of a log that another relay has taken over."""
         for name in names:
             self.next_steps.pop(name, None)
             self.log_of.pop(name, None)
--- a/amberlug/lab/play.py
+++ b/amberlug/lab/play.py
@@ -100,6 +100,7 @@
         self.over = False  # answered, or the client has disconnected
 
     def settle(self, refusal: Refusal | None) -> None:
+        """Handle the relay's decision, unless this submission is over."""
         if not self.over:
             self.over = True
             self._play.answered(self, refusal)
--- a/amberlug/lab/relay.py
+++ b/amberlug/lab/relay.py
@@ -44,15 +44,19 @@
 
     @property
     def waiting(self) -> bool:
+        """Whether an acknowledgement is outstanding."""
         return bool(self._waiting)
 
     def bind(self, acknowledged: Callable[[str], None]) -> None:
+        """Set the callback for acknowledged outcomes; its argument is the message's name."""
         self._acknowledged = acknowledged
 
     def owed(self, end: End) -> bool:
+        """Whether this outcome must be acknowledged."""
         return end.outcome is not Outcome.DELIVERED and not end.known
 
     def tell(self, end: End) -> None:
+        """Send an outcome that must be acknowledged, unless it has already been sent and is outstanding."""
         if not self.owed(end) or end.message in self._waiting:
             return
         self._waiting.add(end.message)
@@ -162,6 +166,7 @@
         arrived_us = self._time.now_us
 
         def read() -> None:
+            """Submit the message to the node, with the time that it waited for the CPU."""
             now = self._time.now_us
             self.node.hand_in(message, max(0, deadline_us - now), now - arrived_us, exchange)
 
--- a/amberlug/lab/transport.py
+++ b/amberlug/lab/transport.py
@@ -50,12 +50,15 @@
 
     @property
     def busy(self) -> bool:
+        """Whether a call is in progress."""
         return bool(self._active_calls)
 
     def bind(self, calls: Calls) -> None:
+        """Set the callbacks; called before any other method."""
         self._calls = calls
 
     def call(self, endpoint: str, attempts: list[Attempt], fresh: bool) -> None:
+        """Call an endpoint on an idle connection, or on a new one if there is none or `fresh` is set."""
         out, idle, now = ActiveCall(endpoint, attempts), self._idle.get(endpoint), self._clock.now_us()
         for attempt in attempts:
             self._active_calls[attempt] = out
@@ -95,6 +98,7 @@
         names = [it.message.name for it in out.attempts]
 
         def answered(answer: Answer) -> None:
+            """Deliver the response after the network delay; it is lost in a partition."""
             if self._is_partitioned(out.endpoint):
                 return
             at_us = self._clock.now_us() + self._network_us
@@ -137,6 +141,7 @@
             self._calls.ended(attempt, how)
 
     def call_off(self, attempt: Attempt) -> None:
+        """Call off an attempt; the call is abandoned once all its attempts are called off."""
         attempt.called_off = True
         if (out := self._active_calls.get(attempt)) is not None and all(it.called_off for it in out.attempts):
             self._give_up(out, AttemptResult(Result.CALLED_OFF))
@@ -149,6 +154,7 @@
                 self._endpoints[out.endpoint].connection_closed(out.pending)
 
     def probe(self, endpoint: str, ended: Callable[[AttemptResult], None]) -> None:
+        """Probe an endpoint; after a round trip, `ended` gets `DONE`, or `RESET` if the probe failed."""
         well = not self._is_partitioned(endpoint) and self._endpoints[endpoint].receive_probe(self._checker)
         self._clock.at(
             self._clock.now_us() + 2 * self._network_us,
@@ -157,8 +163,10 @@
         )
 
     def locate(self, endpoint: str, address: Address | None, kind: str = "") -> None:
+        """Close an endpoint's idle connections if it has no address any more."""
         if address is None:
             self.close_idle(endpoint)
 
     def close_idle(self, endpoint: str) -> None:
+        """Close idle connections to an endpoint."""
         self._idle.pop(endpoint, None)
--- a/amberlug/mqtt/ends.py
+++ b/amberlug/mqtt/ends.py
@@ -48,13 +48,16 @@
 
     @property
     def waiting(self) -> bool:
+        """Whether an acknowledgement is outstanding, from an origin or the platform."""
         return self._notices.waiting or bool(self._in_flight)
 
     def bind(self, acknowledged: Callable[[str], None]) -> None:
+        """Set the callback for acknowledged outcomes; its argument is the message's name."""
         self._acknowledged = acknowledged
         self._notices.bind(self._notice_acknowledged)
 
     def owed(self, end: End) -> bool:
+        """Whether this outcome must be acknowledged, by the message's origin or the platform."""
         return bool(end.reply) or (end.noticed and self._notices.owed(end))
 
     def tell(self, end: End) -> None:
@@ -74,6 +77,7 @@
             self._publish(end.message)
 
     def send(self) -> None:
+        """Send the outcomes queued for the platform now; origins get theirs without this."""
         self._notices.send()
 
     def start(self) -> None:
--- a/amberlug/mqtt/fields.py
+++ b/amberlug/mqtt/fields.py
@@ -47,12 +47,15 @@
         return self.take(self.left)
 
     def u8(self) -> int:
+        """Read a one byte integer; raises `MqttError` if the data is too short."""
         return self.take(1)[0]
 
     def u16(self) -> int:
+        """Read a two byte integer; raises `MqttError` if the data is too short."""
         return int(_U16.unpack(self.take(2))[0])
 
     def u32(self) -> int:
+        """Read a four byte integer; raises `MqttError` if the data is too short."""
         return int(_U32.unpack(self.take(4))[0])
 
     def variable(self) -> int:
@@ -68,6 +71,7 @@
         raise malformed("variable byte integer is longer than four bytes")
 
     def binary(self) -> bytes:
+        """Read binary data after its two byte length; raises `MqttError` if the data is too short."""
         return self.take(self.u16())
 
     def text(self) -> str:
--- a/amberlug/mqtt/intake.py
+++ b/amberlug/mqtt/intake.py
@@ -24,10 +24,17 @@
     ready: bool
 
     @property
-    def crowded(self) -> bool: ...
-    def serves(self, destination: int) -> bool: ...
-    def hand_in(self, message: Message, left_us: int, waited_us: int, exchange: PendingRequest) -> None: ...
-    def client_disconnected(self, exchange: PendingRequest) -> None: ...
+    def crowded(self) -> bool:
+        """Whether so many messages are held that the policy will soon have to hand some back."""
+
+    def serves(self, destination: int) -> bool:
+        """Whether the endpoint list contains a destination."""
+
+    def hand_in(self, message: Message, left_us: int, waited_us: int, exchange: PendingRequest) -> None:
+        """Submit a message, with the time left and the time already waited in microseconds."""
+
+    def client_disconnected(self, exchange: PendingRequest) -> None:
+        """Withdraw a message whose sender disconnected before the decision."""
 
 
 @dataclass(frozen=True, slots=True)
--- a/amberlug/mqtt/listener.py
+++ b/amberlug/mqtt/listener.py
@@ -163,6 +163,7 @@
         pending: list[PendingPublish] = []
 
         def done(decision: Decision) -> None:
+            """Stop tracking the publish, and answer it."""
             for publish in pending:
                 self._pending.pop(publish, None)
             self._on_decision(packet, decision)
@@ -298,14 +299,17 @@
             older.disconnect(SESSION_TAKEN_OVER, "taken over by another connection")
 
     def closed(self, session: Session) -> None:
+        """Unregister a session whose connection has ended."""
         self._sessions.pop(session, None)
         if self._clients.get(session.client_id) is session:
             del self._clients[session.client_id]
 
     def subscribed(self, session: Session) -> None:
+        """Publish the pending outcomes to whose topics a session is subscribed."""
         self._ends.subscribed(LISTENER, session.is_subscribed)
 
     def tell(self, packet: Publish, done: PublishDone) -> bool | None:
+        """Publish an outcome. Returns None without a subscriber, False while the send window is full."""
         client = packet.topic.split("/")[1] if packet.topic.startswith(f"{OUTCOME_TOPICS}/") else ""
         session = self._clients.get(client)
         if session is None or session.phase is not Phase.OPEN or not session.is_subscribed(packet.topic):
--- a/amberlug/mqtt/mapping.py
+++ b/amberlug/mqtt/mapping.py
@@ -277,6 +277,7 @@
             problems.append(Problem(where, "not a table"))
 
     def wrong(self, key: str, what: str) -> None:
+        """Add a problem with a key."""
         self._problems.append(Problem(f"{self.where}.{key}" if self.where else key, what))
 
     def get(self, key: str, kind: type, default: Any = None, wanted: bool = False) -> Any:
@@ -293,6 +294,7 @@
         return value
 
     def number(self, key: str, default: int, least: int, most: int) -> int:
+        """Return a whole number; the default, with a problem added, if it is out of range."""
         value = self.get(key, int, default)
         if not least <= value <= most:
             self.wrong(key, f"not from {least} to {most}: {value}")
@@ -300,6 +302,7 @@
         return int(value)
 
     def address(self, key: str) -> Address:
+        """Return an IP address and port; a placeholder, with a problem added, if missing or malformed."""
         value = self.get(key, str, "", wanted=True)
         try:
             return parse_address(value)
@@ -309,6 +312,7 @@
         return "127.0.0.1", 1
 
     def source(self, key: str, levels: int, wanted: bool = False) -> Source | None:
+        """Return a source; None if missing or malformed, with a problem added if malformed or `wanted`."""
         self._read.add(key)
         value = self._data.get(key)
         if value is None:
@@ -322,10 +326,12 @@
             return None
 
     def raw(self, key: str) -> Any:
+        """Return a value of any type; None if it is missing."""
         self._read.add(key)
         return self._data.get(key)
 
     def finish(self) -> None:
+        """Add a problem for each key that was not read."""
         for key in self._data:
             if key not in self._read:
                 self.wrong(key, f"unknown; known are {', '.join(sorted(self._read))}")
--- a/amberlug/mqtt/publisher.py
+++ b/amberlug/mqtt/publisher.py
@@ -58,9 +58,11 @@
 
     @property
     def busy(self) -> bool:
+        """Whether a call is in progress, here or in the transport for other kinds."""
         return bool(self._tasks) or self._others.busy
 
     def bind(self, calls: Calls) -> None:
+        """Set the callbacks; called before any other method."""
         self._calls = calls
         self._others.bind(calls)
 
@@ -89,6 +91,7 @@
             self._others.close_idle(endpoint)
 
     def call(self, endpoint: str, attempts: list[Attempt], fresh: bool) -> None:
+        """Publish each attempt to the endpoint's broker; other kinds are delegated."""
         key = self._broker_keys.get(endpoint)
         if key is None:
             self._others.call(endpoint, attempts, fresh)
@@ -103,6 +106,7 @@
             task.add_done_callback(self._tasks.discard)
 
     def call_off(self, attempt: Attempt) -> None:
+        """Stop waiting for an attempt; its result is reported like any other."""
         waits = self._calls_in_flight.get(attempt)
         if waits is None:
             self._others.call_off(attempt)
@@ -111,6 +115,7 @@
         _set_result(waits, AttemptResult(Result.CALLED_OFF))
 
     def probe(self, endpoint: str, ended: Callable[[AttemptResult], None]) -> None:
+        """Report `UNSENT` for a topic, which can't be probed; other kinds are delegated."""
         if endpoint not in self._broker_keys:
             self._others.probe(endpoint, ended)
             return
--- a/amberlug/mqtt/subscriber.py
+++ b/amberlug/mqtt/subscriber.py
@@ -42,6 +42,7 @@
         ends.origins[login.name] = self
 
     def start(self) -> None:
+        """Start the connection to the broker."""
         self.link.start()
 
     def close(self) -> None:
@@ -82,6 +83,7 @@
         pending: list[PendingPublish] = []
 
         def done(decision: Decision) -> None:
+            """Stop tracking the publish, and handle the decision."""
             self._pending.difference_update(pending)
             self._on_decision(packet, decision, connection)
 
--- a/amberlug/mqtt/wire.py
+++ b/amberlug/mqtt/wire.py
@@ -39,6 +39,7 @@
         return 0.0 if self._partial_since is None else now - self._partial_since
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Start the connection; it is aborted if it was closed before it was made."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
         transport.set_write_buffer_limits(WRITE_BUFFER_LIMIT)
@@ -47,10 +48,12 @@
             transport.abort()
 
     def connection_lost(self, error: Exception | None) -> None:
+        """Report the end of the connection with its reason."""
         self.closing = True
         self._on_lost(self._why if error is None else f"{self._why}: {error}")
 
     def data_received(self, data: bytes) -> None:
+        """Decode the received data and pass on each packet."""
         self.last_received = asyncio.get_running_loop().time()
         self._decoder.feed(data)
         self._read()
@@ -74,6 +77,7 @@
         self.pause_reading()
 
     def resume_writing(self) -> None:
+        """Resume reading once the write buffer has drained."""
         self.resume_reading()
 
     def pause_reading(self) -> None:
