--- a/amberlug/policy/connections.py
+++ b/amberlug/policy/connections.py
@@ -16,8 +16,7 @@
 JITTER = 0.7, 1.3  # jitter factor of retry delays: relays that fail together must not retry together
 FIRST_TABLE_PAUSE_US = SECOND // 10  # initial backoff after a full table, doubled with each consecutive one
 MAX_TABLE_PAUSE_US = SECOND // 2
-# Share of the fastest answer that included a handshake; a faster answer did not include one.
-HANDSHAKE_SHARE = 0.6
+HANDSHAKE_SHARE = 0.6  # of the fastest answer that included a handshake; a faster one included none
 # Consecutive full tables after which each counts as an ordinary refusal, as in a small fleet.
 MAX_FULL_TABLES = 5
 KEEP_GROWTH = 1.5  # growth of the keep time with each new connection served, before the first full table
--- a/amberlug/policy/decide.py
+++ b/amberlug/policy/decide.py
@@ -22,10 +22,8 @@
 NO_ANSWER_WEIGHT = 0.4  # weight of a missing answer: two in a row are treated as an outage
 AVOID_US = 3 * SECOND  # how long other endpoints are preferred to one that failed
 TABLE_FULL_US = 10 * SECOND  # how long a full connection table is assumed to stay full
-# Averaging time of a relay's own throughput at a destination without a listed rate.
-THROUGHPUT_AVERAGING_US = 20 * SECOND
-# Maximum window of the cold-start limit, in OverloadForUs: longer would let messages expire.
-MAX_WINDOW_FACTOR = 3
+THROUGHPUT_AVERAGING_US = 20 * SECOND  # of a relay's own throughput at a destination without a listed rate
+MAX_WINDOW_FACTOR = 3  # maximum window of the cold-start limit, in OverloadForUs: longer expires messages
 # Concurrent calls to an endpoint without a recent delivery; more might all be lost at once.
 MAX_UNPROVEN_CALLS = 4
 RECENT_DELIVERY_US = 60 * SECOND
@@ -233,9 +231,8 @@
         endpoint.jitter = self.rng.uniform(*JITTER)
         weight = ANSWER_WEIGHT if result in (Result.ERROR, Result.RESET) else NO_ANSWER_WEIGHT
         endpoint.failure_rate += (1 - endpoint.failure_rate) * weight
-        # Protects an endpoint that has recovered and is cold from hundreds of relays that each saw only one
-        # failure; a full table would answer. Cost: after a single failed connect this relay is limited to its
-        # share for a while.
+        # Protects a recovered, cold endpoint from hundreds of relays that each saw only one failure; a full
+        # table would answer. Cost: after one failed connect a relay is limited to its share for a while.
         down = result is Result.REFUSED or (result is Result.UNCONNECTED and self.relays_per_connection > 1)
         if endpoint.cold or endpoint.failure_rate >= OUTAGE_RATE or down:
             if not endpoint.cold:
--- a/amberlug/policy/destinations.py
+++ b/amberlug/policy/destinations.py
@@ -75,12 +75,8 @@
         account = to.accounts.get(where) or Account(self.settings, self.listed_rate(entry))
         to.accounts[where] = account
         if name not in self.endpoints:
-            made = Endpoint(
-                entry,
-                account,
-                deque(maxlen=HISTORY_SIZE),
-                idle_keep_us=0 if entry.kind in self.small_table_kinds else self.initial_idle_keep_us,
-            )
+            keep_us = 0 if entry.kind in self.small_table_kinds else self.initial_idle_keep_us
+            made = Endpoint(entry, account, deque(maxlen=HISTORY_SIZE), idle_keep_us=keep_us)
             to.endpoints[name] = self.endpoints[name] = made
         self.endpoints[name].entry, to.gone = entry, False
         self.affected[to] = None
--- a/amberlug/policy/eviction.py
+++ b/amberlug/policy/eviction.py
@@ -16,9 +16,7 @@
 from amberlug.policy.state import NEVER, Destination, Endpoint
 
 MIN_IDLE_US = 10 * SECOND  # minimum time without a message or call before a destination is evicted
-OUTDATED_US = (
-    600 * SECOND
-)  # age at which answer times, throughput and failures outside an outage are discarded
+OUTDATED_US = 600 * SECOND  # age at which answer times, throughput and non-outage failures are discarded
 SMALL_TABLE_SIZE = 4  # assumed size of a small connection table that relays with idle connections share
 CHECKS_PER_STEP = 8  # maximum destinations checked per step: more evict sooner but make a step more expensive
 
@@ -35,9 +33,7 @@
 
 def idle_before_eviction_us(settings: Settings) -> int:
     """Idle time before eviction: by then connections are closed and no bucket is in the window."""
-    longest = (
-        max(kind.deadline_us for kind in settings.classes.values()) // MIN_ATTEMPTS
-    )  # maximum length of w
+    longest = max(kind.deadline_us for kind in settings.classes.values()) // MIN_ATTEMPTS  # maximum w
     return max(MIN_IDLE_US, settings.idle_us, longest) + SECOND
 
 
@@ -209,22 +205,13 @@
         it.usual_us, it.throughput, it.throughput_us = route.usual_us, route.throughput, route.throughput_us
         it.learned, it.learned_us = route.learned, route.learned_us
         it.stretched_window = int(it.window / min(1.0, it.learned))
-        it.blocked_until, it.last_retry_after_us = (
-            max(it.blocked_until, route.blocked_until_us),
-            route.last_retry_after_us,
-        )
+        it.blocked_until = max(it.blocked_until, route.blocked_until_us)
+        it.last_retry_after_us = route.last_retry_after_us
     for endpoint in known.endpoints:
         if (of := to.endpoints.get(endpoint.entry.endpoint)) is not None:
-            of.cold, of.outage_since_us, of.last_failure_us = (
-                endpoint.cold,
-                endpoint.outage_since_us,
-                endpoint.last_failure_us,
-            )
-            of.last_success_us, of.recovered_us, of.may_have_run = (
-                endpoint.last_success_us,
-                endpoint.recovered_us,
-                endpoint.may_have_run,
-            )
+            of.cold, of.outage_since_us = endpoint.cold, endpoint.outage_since_us
+            of.last_failure_us, of.last_success_us = endpoint.last_failure_us, endpoint.last_success_us
+            of.recovered_us, of.may_have_run = endpoint.recovered_us, endpoint.may_have_run
             of.failure_rate, of.jitter = endpoint.failure_rate, endpoint.jitter
             of.starts.extend(endpoint.starts)
         else:
--- a/amberlug/policy/lasting.py
+++ b/amberlug/policy/lasting.py
@@ -19,8 +19,7 @@
 
 MIN_ADVICE_US = 500_000  # minimum Retry-After for a refused client: a queue takes as long to drain
 RESTART_US = 5_000_000  # duration of a planned restart: shutdown, startup and the backlog that builds up
-# Margin by which a message ends before its deadline: half of the tolerated lateness.
-DEADLINE_MARGIN_US = 150_000
+DEADLINE_MARGIN_US = 150_000  # how long before its deadline a message ends: half the tolerated lateness
 MAX_SEND_DELAY_US = 300_000  # maximum time from the start of a send until it reaches the endpoint
 USUAL_QUEUEING_US = 30_000  # usual queueing time of input under load; the answer takes several times as long
 OVERLOAD_ADVICE_US = 1_000_000  # Retry-After of a message refused because this relay was behind
@@ -29,8 +28,7 @@
 ISOLATED_RATE, REUSED_RATE = 0.25, 0.45
 RESET_WEIGHT = 0.02  # weight of the latest call on a reused connection in the reset rate
 MAX_RESET_RATE = 0.05  # reset rate above which unsafe messages use new connections, at a handshake each
-# Maximum Retry-After assumed to have been lost in an answer when the process ended.
-MAX_LOST_WAIT_US = 2_000_000
+MAX_LOST_WAIT_US = 2_000_000  # maximum Retry-After assumed lost in an answer when the process ended
 # A message that keeps less of its value over a planned restart is returned for another relay.
 MIN_KEPT_WORTH = 0.75
 
@@ -74,8 +72,7 @@
         # Messages must not wait out a restart here and end late while another relay could send them.
         if not self.closing:
             # Prevents calls to endpoints that drain or are gone; a drain counts as known some seconds after
-            # its announcement whether or not that arrived. Cost: nothing is sent while discovery is down for
-            # long.
+            # it is announced, received or not. Cost: nothing is sent while discovery is down for long.
             if not self.list_expired:
                 super().serve(destination)
             elif destination.waiting:
@@ -169,10 +166,8 @@
     def take(self, event: api.Taken) -> None:
         """Accept a message with a slightly earlier deadline, or refuse it if this relay is too far behind."""
         if self.overloaded(event):
-            advice_us = (
-                min(OVERLOAD_ADVICE_US, self.settings.max_advice_us) if self.settings.may_advise else 0
-            )
-            self.actions.append(api.Refuse(event.ref, advice_us))
+            max_us = self.settings.max_advice_us if self.settings.may_advise else 0
+            self.actions.append(api.Refuse(event.ref, min(OVERLOAD_ADVICE_US, max_us)))
             return
         # The margin covers a delayed process: a message that ends after its deadline counts as lost.
         left_us = event.left_us - event.waited_us
@@ -229,11 +224,8 @@
         super().register_message(message)
         if self.resumed is not None:
             message.attempts = self.resumed.attempts
-            message.ran = [
-                self.earlier(attempt, message)
-                for attempt in self.resumed.earlier
-                if attempt.result is None or attempt.result in MAY_HAVE_RUN
-            ]
+            ran = [it for it in self.resumed.earlier if it.result is None or it.result in MAY_HAVE_RUN]
+            message.ran = [self.earlier(attempt, message) for attempt in ran]
 
     def earlier(self, attempt: api.Earlier, message: Message) -> Call:
         """Rebuild an attempt that may have been executed; without a known zone its key has expired."""
