--- a/amberlug/mqtt/front.py
+++ b/amberlug/mqtt/front.py
@@ -7,9 +7,9 @@
 
 from amberlug.core.ports import Clock, OutcomeNotifier, Transport
 from amberlug.mqtt import mapping
-from amberlug.mqtt.ends import MqttEnds
 from amberlug.mqtt.intake import Intake, Node
 from amberlug.mqtt.listener import Listener
+from amberlug.mqtt.outcomes import MqttEnds
 from amberlug.mqtt.publisher import Publisher
 from amberlug.mqtt.subscriber import Subscriber
 from amberlug.policy.interface import Settings
--- a/amberlug/mqtt/listener.py
+++ b/amberlug/mqtt/listener.py
@@ -9,11 +9,11 @@
 from uuid import uuid4
 
 from amberlug.core.log import log
-from amberlug.mqtt.ends import MqttEnds, PublishDone
 from amberlug.mqtt.fields import MqttError
 from amberlug.mqtt.intake import Decision, Intake, PendingPublish
 from amberlug.mqtt.mapping import LISTENER, NOT_AUTHORIZED
 from amberlug.mqtt.mapping import Listener as ListenerConfig
+from amberlug.mqtt.outcomes import MqttEnds, PublishDone
 from amberlug.mqtt.packets import (
     V5,
     Ack,
--- a/amberlug/mqtt/subscriber.py
+++ b/amberlug/mqtt/subscriber.py
@@ -6,10 +6,10 @@
 
 from amberlug.core.log import log
 from amberlug.mqtt import replies
-from amberlug.mqtt.ends import MqttEnds, PublishDone
 from amberlug.mqtt.intake import Decision, Intake, PendingPublish
 from amberlug.mqtt.link import Link
 from amberlug.mqtt.mapping import QUOTA_EXCEEDED, Login, MqttConfig
+from amberlug.mqtt.outcomes import MqttEnds, PublishDone
 from amberlug.mqtt.packets import V5, Publish, TopicSubscription
 from amberlug.mqtt.properties import P
 
--- a/tests/test_mqtt_sessions.py
+++ b/tests/test_mqtt_sessions.py
@@ -9,9 +9,9 @@
 from hypothesis import strategies as st
 
 from amberlug.core.messages import End, Outcome
-from amberlug.mqtt import ends as ends_module
-from amberlug.mqtt.ends import MqttEnds, PublishDone
+from amberlug.mqtt import outcomes as outcomes_module
 from amberlug.mqtt.fields import MqttError
+from amberlug.mqtt.outcomes import MqttEnds, PublishDone
 from amberlug.mqtt.packets import V5, Ack, Kind, Publish
 from amberlug.mqtt.publisher import attempt_result
 from amberlug.mqtt.replies import Reply, decode
@@ -360,7 +360,7 @@
 
 def test_refused_outcomes_are_dropped_and_those_over_quota_resent(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario() -> None:
-        monkeypatch.setattr(ends_module, "QUOTA_RETRY_DELAY", 0.0)
+        monkeypatch.setattr(outcomes_module, "QUOTA_RETRY_DELAY", 0.0)
         ends, origin, _, acknowledged = notifier()
         origin.heard = {"t"}
         ends.tell(end("a"))
@@ -377,7 +377,7 @@
 
 def test_unacknowledged_outcomes_expire(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario() -> None:
-        monkeypatch.setattr(ends_module, "EXPIRY_CHECK_INTERVAL", 0.001)
+        monkeypatch.setattr(outcomes_module, "EXPIRY_CHECK_INTERVAL", 0.001)
         ends, _, _, acknowledged = notifier(keep_s=0)
         ends.start()
         ends.tell(end("m"))
