--- a/amberlug/mqtt/front.py
+++ b/amberlug/mqtt/front.py
@@ -9,7 +9,7 @@
 from amberlug.mqtt import mapping
 from amberlug.mqtt.intake import Intake, Node
 from amberlug.mqtt.listener import Listener
-from amberlug.mqtt.outcomes import MqttEnds
+from amberlug.mqtt.outcomes import MqttOutcomeNotifier
 from amberlug.mqtt.publisher import Publisher
 from amberlug.mqtt.subscriber import Subscriber
 from amberlug.policy.interface import Settings
@@ -40,7 +40,7 @@
 
     def ends(self, notices: OutcomeNotifier) -> OutcomeNotifier:
         """Wrap a notifier: send outcomes to the origins of their messages as well."""
-        self._ends = MqttEnds(notices, self._config.keep_ends_s)
+        self._ends = MqttOutcomeNotifier(notices, self._config.keep_ends_s)
         self._subscribers = [
             Subscriber(login, self._config, self._intake, self._ends)
             for login in self._config.brokers.values()
--- a/amberlug/mqtt/listener.py
+++ b/amberlug/mqtt/listener.py
@@ -13,7 +13,7 @@
 from amberlug.mqtt.intake import Decision, Intake, PendingPublish
 from amberlug.mqtt.mapping import LISTENER, NOT_AUTHORIZED
 from amberlug.mqtt.mapping import Listener as ListenerConfig
-from amberlug.mqtt.outcomes import MqttEnds, PublishDone
+from amberlug.mqtt.outcomes import MqttOutcomeNotifier, PublishDone
 from amberlug.mqtt.packets import (
     V5,
     Ack,
@@ -245,7 +245,7 @@
 class Listener:
     """Accepts connections up to a limit, and sends publishers the outcomes of their messages."""
 
-    def __init__(self, allowed: ListenerConfig, intake: Intake, ends: MqttEnds) -> None:
+    def __init__(self, allowed: ListenerConfig, intake: Intake, ends: MqttOutcomeNotifier) -> None:
         self.allowed, self.intake, self._ends = allowed, intake, ends
         self._sessions: dict[Session, None] = {}  # the oldest first
         self._clients: dict[str, Session] = {}
--- a/amberlug/mqtt/outcomes.py
+++ b/amberlug/mqtt/outcomes.py
@@ -30,7 +30,7 @@
         """Publish at QoS 1. Returns None without a recipient, False while the send window is full."""
 
 
-class MqttEnds:
+class MqttOutcomeNotifier:
     """The core's `OutcomeNotifier`.
 
     Sends each outcome to the origin of its message, and to the platform if the platform is to be notified.
--- a/amberlug/mqtt/subscriber.py
+++ b/amberlug/mqtt/subscriber.py
@@ -9,7 +9,7 @@
 from amberlug.mqtt.intake import Decision, Intake, PendingPublish
 from amberlug.mqtt.link import Link
 from amberlug.mqtt.mapping import QUOTA_EXCEEDED, Login, MqttConfig
-from amberlug.mqtt.outcomes import MqttEnds, PublishDone
+from amberlug.mqtt.outcomes import MqttOutcomeNotifier, PublishDone
 from amberlug.mqtt.packets import V5, Publish, TopicSubscription
 from amberlug.mqtt.properties import P
 
@@ -25,7 +25,7 @@
     bounded. For 3.1.1, which has no receive maximum, reading pauses at that number.
     """
 
-    def __init__(self, login: Login, config: MqttConfig, intake: Intake, ends: MqttEnds) -> None:
+    def __init__(self, login: Login, config: MqttConfig, intake: Intake, ends: MqttOutcomeNotifier) -> None:
         self._login, self._intake, self._ends = login, intake, ends
         routes = [it for it in config.routes if login.name in it.sources]
         never = 2 * (login.version == V5)  # retain handling "never", an option of 5.0 only
--- a/tests/test_mqtt_sessions.py
+++ b/tests/test_mqtt_sessions.py
@@ -11,7 +11,7 @@
 from amberlug.core.messages import End, Outcome
 from amberlug.mqtt import outcomes as outcomes_module
 from amberlug.mqtt.fields import MqttError
-from amberlug.mqtt.outcomes import MqttEnds, PublishDone
+from amberlug.mqtt.outcomes import MqttOutcomeNotifier, PublishDone
 from amberlug.mqtt.packets import V5, Ack, Kind, Publish
 from amberlug.mqtt.publisher import attempt_result
 from amberlug.mqtt.replies import Reply, decode
@@ -281,9 +281,9 @@
     return End(name, Outcome.GIVEN_UP, reply=Reply(origin, topic, b"\0c").encode(), noticed=noticed)
 
 
-def notifier(room: int = 2, keep_s: int = 100) -> tuple[MqttEnds, Origin, NoNotices, list[str]]:
+def notifier(room: int = 2, keep_s: int = 100) -> tuple[MqttOutcomeNotifier, Origin, NoNotices, list[str]]:
     notices, origin, acknowledged = NoNotices(), Origin(room), list[str]()
-    ends = MqttEnds(notices, keep_s)
+    ends = MqttOutcomeNotifier(notices, keep_s)
     ends.bind(acknowledged.append)
     ends.origins["hall"] = origin
     return ends, origin, notices, acknowledged
