--- a/amberlug/cli/main.py
+++ b/amberlug/cli/main.py
@@ -108,7 +108,7 @@
 
     front = guard = None
     if os.environ.get("AMBERLUG_MQTT"):
-        from amberlug.mqtt.front import Mqtt
+        from amberlug.mqtt.components import Mqtt
 
         front = partial(Mqtt, Path(os.environ["AMBERLUG_MQTT"]))
     if os.environ.get("AMBERLUG_FLEET"):
