--- a/amberlug/mqtt/link.py
+++ b/amberlug/mqtt/link.py
@@ -243,9 +243,9 @@
         if self._wire is not None:
             self._wire.write(packet)
 
-    def answer(self, packet_id: int, code: int = 0, told: Properties | None = None) -> None:
+    def answer(self, packet_id: int, code: int = 0, properties: Properties | None = None) -> None:
         """Acknowledge a received publish."""
-        if (ack := self.incoming.answer(packet_id, code, told or {})) is not None:
+        if (ack := self.incoming.answer(packet_id, code, properties or {})) is not None:
             self._write(ack)
 
     def set_reading_paused(self, paused: bool) -> None:
--- a/amberlug/mqtt/listener.py
+++ b/amberlug/mqtt/listener.py
@@ -123,7 +123,7 @@
         allowed = self._listener.allowed
         most = allowed.keep_alive
         keep_alive = min(packet.keep_alive or most, most)
-        told: dict[P, object] = {
+        properties: dict[P, object] = {
             P.RECEIVE_MAXIMUM: allowed.window,
             P.MAXIMUM_PACKET_SIZE: MAX_PACKET_BYTES,
             P.SESSION_EXPIRY: 0,
@@ -132,16 +132,16 @@
             P.SUBSCRIPTION_ID_AVAILABLE: 0,
         }
         if keep_alive != packet.keep_alive:
-            told[P.SERVER_KEEP_ALIVE] = keep_alive
+            properties[P.SERVER_KEEP_ALIVE] = keep_alive
         self.client_id = packet.client_id
         if not self.client_id:
-            self.client_id = told[P.ASSIGNED_CLIENT_ID] = uuid4().hex
+            self.client_id = properties[P.ASSIGNED_CLIENT_ID] = uuid4().hex
         self._keep_alive = (packet.keep_alive if packet.version != V5 else keep_alive) * 1.5 or most * 1.5
         self.phase = Phase.OPEN
         receive_maximum = packet.properties.get(P.RECEIVE_MAXIMUM, 0xFFFF)
         self._outgoing.connected(False, receive_maximum if packet.version == V5 else DEFAULT_WINDOW_V3)
         self._listener.register(self)
-        self.wire.write(Connack(0, False, told))
+        self.wire.write(Connack(0, False, properties))
 
     def _on_publish(self, packet: Publish) -> None:
         if packet.retain and self.wire.version == V5:
@@ -184,12 +184,12 @@
             # publishes again what was not acknowledged.
             self.wire.close(f"{packet.topic[:80]!r} refused by closing the 3.1.1 connection: {decision.text}")
             return
-        told: dict[P, object] = {}
+        properties: dict[P, object] = {}
         if decision.code:
-            told[P.REASON_STRING] = decision.text
+            properties[P.REASON_STRING] = decision.text
         if decision.retry_ms:
-            told[P.USER] = [(RETRY, str(decision.retry_ms))]
-        if (ack := self._incoming.answer(packet.packet_id, decision.code, told)) is not None:
+            properties[P.USER] = [(RETRY, str(decision.retry_ms))]
+        if (ack := self._incoming.answer(packet.packet_id, decision.code, properties)) is not None:
             self.wire.write(ack)
 
     def _on_subscribe(self, packet: Subscribe) -> None:
@@ -223,7 +223,7 @@
         """Publish an outcome; False while the send window is full."""
         if not self._outgoing.has_room:
             return False
-        self._outgoing.publish(packet, lambda result, code, told: done(result, code))
+        self._outgoing.publish(packet, lambda result, code, properties: done(result, code))
         return True
 
     def disconnect(self, code: int, why: str) -> None:
--- a/amberlug/mqtt/mapping.py
+++ b/amberlug/mqtt/mapping.py
@@ -181,8 +181,8 @@
             raise BadPublishError(PACKET_TOO_LARGE, "the payload is over 64 KiB")
         destination = _number(self.destination(received), "destination", MAX_DESTINATION)
         left_ms = self.deadline_ms
-        if self.deadline is not None and (told := self.deadline(received)) is not None:
-            left_ms = _number(told, "deadline", MAX_DEADLINE_MS)
+        if self.deadline is not None and (value := self.deadline(received)) is not None:
+            left_ms = _number(value, "deadline", MAX_DEADLINE_MS)
         if (expiry := received.packet.properties.get(P.MESSAGE_EXPIRY)) is not None:
             left_ms = min(left_ms, expiry * 1000)
         tenant = None if self.tenant is None else self.tenant(received)
@@ -392,9 +392,9 @@
 def _login(table: _Table, name: str, needs_address: bool) -> Login:
     where = table.address("address") if needs_address else ("127.0.0.1", 1)
     client_id = table.get("client_id", str, name, wanted=True)
-    version = {"5.0": V5, "3.1.1": V3}.get(told := table.get("version", str, "5.0"))
+    version = {"5.0": V5, "3.1.1": V3}.get(version_text := table.get("version", str, "5.0"))
     if version is None:
-        table.wrong("version", f"neither 5.0 nor 3.1.1: {told!r}")
+        table.wrong("version", f"neither 5.0 nor 3.1.1: {version_text!r}")
     username, password = table.get("username", str), table.get("password", str)
     if password is not None and username is None:
         table.wrong("password", "without a username")
--- a/amberlug/mqtt/publisher.py
+++ b/amberlug/mqtt/publisher.py
@@ -24,7 +24,7 @@
 BrokerKey = tuple[str, Address]  # endpoint kind and broker address
 
 
-def attempt_result(result: PublishResult, code: int, told: Properties) -> AttemptResult:
+def attempt_result(result: PublishResult, code: int, properties: Properties) -> AttemptResult:
     """Map the result of a publish to the result of its attempt."""
     if result is PublishResult.ACKNOWLEDGED:
         return AttemptResult(Result.DONE)
@@ -33,13 +33,13 @@
     if result is PublishResult.LOST:
         return AttemptResult(Result.RESET)
     if code == QUOTA_EXCEEDED:
-        return AttemptResult(Result.REFUSED, retry_delay_us(told))
+        return AttemptResult(Result.REFUSED, retry_delay_us(properties))
     return AttemptResult(Result.UNSENT if code in PERMANENT_REFUSALS else Result.ERROR)
 
 
-def retry_delay_us(told: Properties) -> int:
+def retry_delay_us(properties: Properties) -> int:
     """Return the retry delay that the broker asked for; 0 if it is missing or malformed."""
-    text = user(told, RETRY) or ""
+    text = user(properties, RETRY) or ""
     if not (text.isascii() and text.isdigit()):
         return 0
     return min(int(text[:18]), MAX_WAIT_MS) * 1000
@@ -155,7 +155,10 @@
             if not left:
                 link.release()
         written = asyncio.get_running_loop().time()
-        link.send(self._packet(target, attempt), lambda *told: _set_result(called_off, attempt_result(*told)))
+        link.send(
+            self._packet(target, attempt),
+            lambda *publish_result: _set_result(called_off, attempt_result(*publish_result)),
+        )
         await asyncio.wait({called_off}, timeout=self._remaining(attempt))
         if called_off.done():
             return called_off.result()
--- a/amberlug/mqtt/replies.py
+++ b/amberlug/mqtt/replies.py
@@ -34,11 +34,11 @@
 def publish(end: End, reply: Reply) -> Publish:
     """Build the QoS 1 PUBLISH for an outcome."""
     fields: dict[str, str | int] = {"message": end.message, "outcome": end.outcome.value}
-    told = [("outcome", end.outcome.value)]
+    user_properties = [("outcome", end.outcome.value)]
     if end.retry_ms > 0:
         fields["retry_in_ms"] = end.retry_ms
-        told.append((RETRY, str(end.retry_ms)))
-    return _publish(reply, fields, told)
+        user_properties.append((RETRY, str(end.retry_ms)))
+    return _publish(reply, fields, user_properties)
 
 
 def refusal(reply: Reply, text: str) -> Publish:
@@ -46,8 +46,8 @@
     return _publish(reply, {"outcome": "refused", "reason": text}, [("outcome", "refused")])
 
 
-def _publish(reply: Reply, fields: dict[str, str | int], told: list[tuple[str, str]]) -> Publish:
-    properties: dict[P, object] = {P.USER: told}
+def _publish(reply: Reply, fields: dict[str, str | int], user_properties: list[tuple[str, str]]) -> Publish:
+    properties: dict[P, object] = {P.USER: user_properties}
     if reply.correlation:
         properties[P.CORRELATION_DATA] = reply.correlation
     payload = json.dumps(fields, separators=(",", ":")).encode()
--- a/amberlug/mqtt/sessions.py
+++ b/amberlug/mqtt/sessions.py
@@ -44,16 +44,16 @@
         self._open[packet.packet_id] = packet.qos
         return True, None
 
-    def answer(self, packet_id: int, code: int = 0, told: Properties = NONE) -> Ack | None:
+    def answer(self, packet_id: int, code: int = 0, properties: Properties = NONE) -> Ack | None:
         """Return the acknowledgement of a publish; None if its connection was lost meanwhile."""
         qos = self._open.pop(packet_id, 0)
         if not qos:
             return None
         if qos == 1:
-            return Ack(Kind.PUBACK, packet_id, code, told)
+            return Ack(Kind.PUBACK, packet_id, code, properties)
         if code < 0x80:
             self._received.add(packet_id)
-        return Ack(Kind.PUBREC, packet_id, code, told)
+        return Ack(Kind.PUBREC, packet_id, code, properties)
 
     def release(self, packet_id: int) -> Ack:
         """Return the answer to a PUBREL."""
--- a/amberlug/mqtt/subscriber.py
+++ b/amberlug/mqtt/subscriber.py
@@ -117,8 +117,8 @@
 
     def _answer(self, packet: Publish, decision: Decision) -> None:
         if packet.qos:
-            told: dict[P, object] = {P.REASON_STRING: decision.text} if decision.code else {}
-            self.link.answer(packet.packet_id, decision.code, told)
+            properties: dict[P, object] = {P.REASON_STRING: decision.text} if decision.code else {}
+            self.link.answer(packet.packet_id, decision.code, properties)
 
     def tell(self, packet: Publish, done: PublishDone) -> bool | None:
         """Publish an outcome. Returns None while disconnected, False while the send window is full."""
@@ -126,5 +126,5 @@
             return None
         if not self.link.outgoing.has_room:
             return False
-        self.link.outgoing.publish(packet, lambda result, code, told: done(result, code))
+        self.link.outgoing.publish(packet, lambda result, code, properties: done(result, code))
         return True
--- a/tests/test_mqtt_mapping.py
+++ b/tests/test_mqtt_mapping.py
@@ -129,8 +129,8 @@
 def test_ends_go_to_the_response_topic_or_the_file_s() -> None:
     route, levels = config().route("hall", "results/x/y") or pytest.fail("no route")
     assert route.end_topic(ReceivedPublish(publish("results/x/y"), levels)) == "ends/x"
-    told = Publish("results/x/y", b"", 1, 1, properties={P.RESPONSE_TOPIC: "mine"})
-    assert route.end_topic(ReceivedPublish(told, levels)) == "mine"
+    with_response_topic = Publish("results/x/y", b"", 1, 1, properties={P.RESPONSE_TOPIC: "mine"})
+    assert route.end_topic(ReceivedPublish(with_response_topic, levels)) == "mine"
     assert route.subscription == "$share/relays/results/+/#"
 
 
@@ -248,7 +248,7 @@
     bad = tmp_path / "bad.toml"
     bad.write_text(example.read_text().replace("fees/+/paid", "fees/#/paid"))
     assert main(["check", str(bad), "--json"]) == 1
-    told = json.loads(capsys.readouterr().out.splitlines()[-1])
-    assert [it["where"] for it in told["problems"]] == ["in[0].filter", "in[0].destination"]
+    report = json.loads(capsys.readouterr().out.splitlines()[-1])
+    assert [it["where"] for it in report["problems"]] == ["in[0].filter", "in[0].destination"]
     bad.write_text("[[in]\n")
     assert main(["check", str(bad)]) == 1
--- a/tests/test_mqtt_packets.py
+++ b/tests/test_mqtt_packets.py
@@ -118,9 +118,9 @@
 
 
 @given(st.lists(PACKETS, min_size=1, max_size=4), st.integers(1, 9))
-def test_what_is_written_is_read_again_in_any_pieces(told: list[Packet], piece: int) -> None:
-    data = b"".join(packets.encode(it, V5) for it in told)
-    assert read(data, piece=piece) == told
+def test_what_is_written_is_read_again_in_any_pieces(written: list[Packet], piece: int) -> None:
+    data = b"".join(packets.encode(it, V5) for it in written)
+    assert read(data, piece=piece) == written
 
 
 def test_the_older_version_has_neither_properties_nor_reasons() -> None:
--- a/tests/test_mqtt_sessions.py
+++ b/tests/test_mqtt_sessions.py
@@ -32,7 +32,7 @@
         self.out.connected(False, 10)
 
     def publish(self, name: str, qos: int = 2) -> int:
-        def done(result: PublishResult, code: int, told: object) -> None:
+        def done(result: PublishResult, code: int, properties: object) -> None:
             assert name not in self.results
             self.results[name] = result
 
@@ -97,7 +97,7 @@
     side.out.release()
     assert side.out.has_room is True
     side.out.connection_lost()
-    side.out.publish(Publish("b", b"", 1), lambda result, code, told: side.results.update(b=result))
+    side.out.publish(Publish("b", b"", 1), lambda result, code, properties: side.results.update(b=result))
     assert side.results["b"] is PublishResult.DROPPED
 
 
