--- a/amberlug/mqtt/link.py
+++ b/amberlug/mqtt/link.py
@@ -192,8 +192,11 @@
 
     def _send_connect(self, wire: Wire) -> None:
         keep = bool(self._filters) or self.outgoing.awaiting_pubcomp
-        own: dict[P, object] = {P.RECEIVE_MAXIMUM: self.login.window, P.MAXIMUM_PACKET_SIZE: MAX_PACKET_BYTES}
-        own[P.SESSION_EXPIRY] = self.login.session_expiry
+        properties: dict[P, object] = {
+            P.RECEIVE_MAXIMUM: self.login.window,
+            P.MAXIMUM_PACKET_SIZE: MAX_PACKET_BYTES,
+        }
+        properties[P.SESSION_EXPIRY] = self.login.session_expiry
         login = self.login
         password = None if login.password is None else login.password.encode()
         wire.write(
@@ -204,7 +207,7 @@
                 login.keep_alive,
                 login.username,
                 password,
-                properties=own,
+                properties=properties,
             )
         )
 
--- a/amberlug/mqtt/listener.py
+++ b/amberlug/mqtt/listener.py
@@ -210,8 +210,8 @@
         return code if self.wire.version == V5 else 0x80
 
     def _may_subscribe(self, topic: str) -> bool:
-        own = own_topic(self.client_id)
-        return topic == own or topic.startswith(own + "/")
+        client_topic = own_topic(self.client_id)
+        return topic == client_topic or topic.startswith(client_topic + "/")
 
     # Sent packets.
 
--- a/amberlug/mqtt/packets.py
+++ b/amberlug/mqtt/packets.py
@@ -350,15 +350,15 @@
             case K.SUBSCRIBE:
                 return self._subscribe(reader)
             case K.UNSUBSCRIBE:
-                packet_id, own = _packet_id(reader), self._properties(kind, reader)
+                packet_id, packet_properties = _packet_id(reader), self._properties(kind, reader)
                 filters: list[str] = []
                 while reader.left or not filters:
                     filters.append(_filter(reader))
-                return Unsubscribe(packet_id, tuple(filters), own)
+                return Unsubscribe(packet_id, tuple(filters), packet_properties)
             case K.SUBACK | K.UNSUBACK:
                 packet_id = _packet_id(reader)
-                own = properties.read(reader, _ANY) if self.version == V5 else NONE
-                return SubscriptionAck(kind, packet_id, tuple(reader.rest()), own)
+                packet_properties = properties.read(reader, _ANY) if self.version == V5 else NONE
+                return SubscriptionAck(kind, packet_id, tuple(reader.rest()), packet_properties)
             case K.DISCONNECT:
                 return Disconnect(*self._reason(_ALLOWED[K.DISCONNECT], reader))
             case K.PINGREQ | K.PINGRESP:
@@ -381,17 +381,17 @@
             raise malformed("invalid PUBLISH flags")
         topic = reader.text()
         packet_id = _packet_id(reader) if qos else 0
-        own = self._properties(K.PUBLISH, reader)
+        packet_properties = self._properties(K.PUBLISH, reader)
         if topic and not is_topic(topic):
             raise MqttError(TOPIC_NAME_INVALID, "invalid topic name")
-        if not topic and P.TOPIC_ALIAS not in own:
+        if not topic and P.TOPIC_ALIAS not in packet_properties:
             raise MqttError(PROTOCOL_ERROR, "PUBLISH has neither a topic nor a topic alias")
-        if P.RESPONSE_TOPIC in own and not is_topic(own[P.RESPONSE_TOPIC]):
+        if P.RESPONSE_TOPIC in packet_properties and not is_topic(packet_properties[P.RESPONSE_TOPIC]):
             raise MqttError(PROTOCOL_ERROR, "response topic is empty or has a wildcard")
-        return Publish(topic, reader.rest(), qos, packet_id, dup, retain, own)
+        return Publish(topic, reader.rest(), qos, packet_id, dup, retain, packet_properties)
 
     def _subscribe(self, reader: Reader) -> Subscribe:
-        packet_id, own = _packet_id(reader), self._properties(K.SUBSCRIBE, reader)
+        packet_id, packet_properties = _packet_id(reader), self._properties(K.SUBSCRIBE, reader)
         subscriptions: list[TopicSubscription] = []
         while reader.left or not subscriptions:
             name, options = _filter(reader), reader.u8()
@@ -401,7 +401,7 @@
             subscriptions.append(
                 TopicSubscription(name, options & 3, no_local, as_published, options >> 4 & 3)
             )
-        return Subscribe(packet_id, tuple(subscriptions), own)
+        return Subscribe(packet_id, tuple(subscriptions), packet_properties)
 
 
 def _packet_id(reader: Reader) -> int:
@@ -427,7 +427,7 @@
     if flags & 1 or flags >> 3 & 3 == 3 or (not will and flags & 0x38) or (version == V3 and secret > named):
         raise malformed("invalid CONNECT flags")
     keep_alive = reader.u16()
-    own = properties.read(reader, _ALLOWED[K.CONNECT]) if version == V5 else NONE
+    packet_properties = properties.read(reader, _ALLOWED[K.CONNECT]) if version == V5 else NONE
     client_id = reader.text()
     if will:
         if version == V5:
@@ -437,4 +437,6 @@
         reader.binary()
     username = reader.text() if named else None
     password = reader.binary() if secret else None
-    return Connect(client_id, version, bool(flags & 2), keep_alive, username, password, will, own)
+    return Connect(
+        client_id, version, bool(flags & 2), keep_alive, username, password, will, packet_properties
+    )
--- a/amberlug/mqtt/publisher.py
+++ b/amberlug/mqtt/publisher.py
@@ -168,12 +168,12 @@
 
     def _packet(self, target: Target, attempt: Attempt) -> Publish:
         message = attempt.message
-        own: list[tuple[str, str]] = [("id", message.name)]
+        user_properties: list[tuple[str, str]] = [("id", message.name)]
         if message.key is not None:
-            own.append(("idempotency-key", message.key))
+            user_properties.append(("idempotency-key", message.key))
         expiry = max(1, -(-(attempt.until_us - self._clock.now_us()) // 1_000_000))
         topic = target.topic_of(message.destination, attempt.endpoint)
-        properties: dict[P, object] = {P.USER: own, P.MESSAGE_EXPIRY: expiry}
+        properties: dict[P, object] = {P.USER: user_properties, P.MESSAGE_EXPIRY: expiry}
         return Publish(topic, message.body, target.qos.get(message.message_class, 1), properties=properties)
 
 
