--- a/amberlug/mqtt/publisher.py
+++ b/amberlug/mqtt/publisher.py
@@ -126,15 +126,15 @@
         return max(0.0, (attempt.until_us - self._clock.now_us()) / 1e6)
 
     async def _call(self, key: BrokerKey, link: Link, attempt: Attempt) -> None:
-        how = AttemptResult(Result.RESET)
+        result = AttemptResult(Result.RESET)
         try:
-            how = await self._attempt(self._targets[key[0]], link, attempt)
+            result = await self._attempt(self._targets[key[0]], link, attempt)
         finally:
             # Guards against an error that leaves an attempt without a result, which would leak its slot.
             del self._calls_in_flight[attempt]
             attempt.ended = True
             self._release(key)
-            self._calls.ended(attempt, how)
+            self._calls.ended(attempt, result)
 
     async def _attempt(self, target: Target, link: Link, attempt: Attempt) -> AttemptResult:
         called_off = self._calls_in_flight[attempt]
@@ -177,6 +177,6 @@
         return Publish(topic, message.body, target.qos.get(message.message_class, 1), properties=properties)
 
 
-def _set_result(future: asyncio.Future[AttemptResult], how: AttemptResult) -> None:
+def _set_result(future: asyncio.Future[AttemptResult], result: AttemptResult) -> None:
     if not future.done():
-        future.set_result(how)
+        future.set_result(result)
