--- a/amberlug/mqtt/link.py
+++ b/amberlug/mqtt/link.py
@@ -271,9 +271,12 @@
                 self.outgoing.handle_ack(packet)
                 self._wake_waiters()
             case SubscriptionAck(Kind.SUBACK, _, codes):
-                for it, code in zip(self._filters, codes, strict=False):
+                for subscription, code in zip(self._filters, codes, strict=False):
                     if code >= 0x80:
-                        log(f"mqtt: {self.login.name}: subscription to {it.filter} refused: 0x{code:02x}")
+                        log(
+                            f"mqtt: {self.login.name}: "
+                            f"subscription to {subscription.filter} refused: 0x{code:02x}"
+                        )
             case Ping(Kind.PINGRESP) | SubscriptionAck():
                 pass
             case Disconnect(code):
--- a/amberlug/mqtt/listener.py
+++ b/amberlug/mqtt/listener.py
@@ -158,7 +158,7 @@
             text = f"ends go to {own_topic(self.client_id)} alone"
             self._on_decision(packet, Decision(NOT_AUTHORIZED, text))
             return
-        listens = any(matches(it, own_topic(self.client_id)) for it in self.filters)
+        listens = any(matches(topic_filter, own_topic(self.client_id)) for topic_filter in self.filters)
         default = own_topic(self.client_id) if listens else ""
         pending: list[PendingPublish] = []
 
@@ -217,7 +217,7 @@
 
     def is_subscribed(self, topic: str) -> bool:
         """Whether the client has subscribed to a topic."""
-        return any(matches(it, topic) for it in self.filters)
+        return any(matches(topic_filter, topic) for topic_filter in self.filters)
 
     def tell(self, packet: Publish, done: PublishDone) -> bool:
         """Publish an outcome; False while the send window is full."""
@@ -270,7 +270,9 @@
         self._sessions[session] = None
         if len(self._sessions) > self.allowed.connections:
             # Guards against hundreds of connections without a CONNECT: the oldest of those is closed.
-            silent = next((it for it in self._sessions if it.phase is Phase.AWAITING_CONNECT), session)
+            silent = next(
+                (other for other in self._sessions if other.phase is Phase.AWAITING_CONNECT), session
+            )
             asyncio.get_running_loop().call_soon(silent.wire.abort, "too many connections")
         return session.wire
 
--- a/amberlug/mqtt/mapping.py
+++ b/amberlug/mqtt/mapping.py
@@ -211,7 +211,7 @@
         topic = received.packet.properties.get(P.RESPONSE_TOPIC, "")
         if topic or not self.ends:
             return str(topic)
-        return _fill_placeholders(self.ends, {str(at): it for at, it in enumerate(received.levels, 1)})
+        return _fill_placeholders(self.ends, {str(at): level for at, level in enumerate(received.levels, 1)})
 
 
 @dataclass(frozen=True, slots=True)
@@ -381,8 +381,8 @@
 ) -> None:
     """Guard against two connections that share a client id and keep taking over each other's session."""
     seen: dict[str, str] = {}
-    logins = [(f"broker.{name}", it) for name, it in brokers.items()]
-    logins += [(f"out.{kind}", it.login) for kind, it in targets.items()]
+    logins = [(f"broker.{name}", login) for name, login in brokers.items()]
+    logins += [(f"out.{kind}", target.login) for kind, target in targets.items()]
     for where, login in logins:
         if login.client_id in seen:
             problems.append(Problem(f"{where}.client_id", f"the same as in {seen[login.client_id]}"))
@@ -455,7 +455,7 @@
     placeholders = re.findall(r"\{(\w+)\}", ends)
     if ends and not is_topic(re.sub(r"[{}]", "", ends)):
         table.wrong("ends", f"not a topic: {ends!r}")
-    if any(not (it.isdigit() and 1 <= int(it) <= levels) for it in placeholders):
+    if any(not (placeholder.isdigit() and 1 <= int(placeholder) <= levels) for placeholder in placeholders):
         table.wrong("ends", f"refers to a + level that the filter does not have: {ends!r}")
     if share and ("/" in share or not is_filter(f"$share/{share}/x")):
         table.wrong("share", f"not a valid group name: {share!r}")
@@ -488,7 +488,7 @@
     for name in sources:
         if name not in known:
             table.wrong("from", f"no such broker or listener: {name!r}")
-    return [str(it) for it in sources]
+    return [str(source) for source in sources]
 
 
 def _destination(table: _Table, levels: int) -> Source | None:
@@ -530,7 +530,7 @@
     placeholders = re.findall(r"\{(\w*)\}", topic)
     if topic and not is_topic(topic):
         table.wrong("topic", f"not a topic: {topic!r}")
-    if any(it not in ("destination", "endpoint") for it in placeholders):
+    if any(placeholder not in ("destination", "endpoint") for placeholder in placeholders):
         table.wrong("topic", f"placeholder other than {{destination}} and {{endpoint}}: {topic!r}")
     login = _login(table, f"out.{kind}", needs_address=False)
     qos = table.get("qos", dict, {})
--- a/amberlug/mqtt/outcomes.py
+++ b/amberlug/mqtt/outcomes.py
@@ -89,7 +89,7 @@
 
     def subscribed(self, origin: str, is_subscribed: Callable[[str], bool]) -> None:
         """Publish the pending outcomes that an origin has subscribers for again."""
-        for address in [it for it in self._by_address if it[0] == origin and is_subscribed(it[1])]:
+        for address in [key for key in self._by_address if key[0] == origin and is_subscribed(key[1])]:
             for name in list(self._by_address.get(address, ())):
                 self._publish(name)
         for name in self._queued.pop(origin, {}):
--- a/amberlug/mqtt/packets.py
+++ b/amberlug/mqtt/packets.py
@@ -218,7 +218,10 @@
             body = bytes((packet.session_present, packet.code)) + _properties(packet.properties, version)
         case Subscribe():
             kind, flags = K.SUBSCRIBE, 2
-            filters = (fields.text(it.filter) + bytes((_options(it),)) for it in packet.subscriptions)
+            filters = (
+                fields.text(subscription.filter) + bytes((_options(subscription),))
+                for subscription in packet.subscriptions
+            )
             body = fields.u16(packet.packet_id) + _properties(packet.properties, version) + b"".join(filters)
         case Unsubscribe():
             kind, flags = K.UNSUBSCRIBE, 2
@@ -266,8 +269,13 @@
     return body
 
 
-def _options(it: TopicSubscription) -> int:
-    return it.qos | it.no_local << 2 | it.as_published << 3 | it.retain << 4
+def _options(subscription: TopicSubscription) -> int:
+    return (
+        subscription.qos
+        | subscription.no_local << 2
+        | subscription.as_published << 3
+        | subscription.retain << 4
+    )
 
 
 # Decoding.
--- a/amberlug/mqtt/sessions.py
+++ b/amberlug/mqtt/sessions.py
@@ -121,7 +121,7 @@
     @property
     def awaiting_pubcomp(self) -> bool:
         """Whether the session must be kept, because a PUBREL is to be sent or answered."""
-        return any(it.stage is Stage.PUBCOMP for it in self._in_flight.values())
+        return any(publish.stage is Stage.PUBCOMP for publish in self._in_flight.values())
 
     def reserve(self) -> None:
         """Reserve a place in the send window."""
@@ -168,13 +168,17 @@
     def connection_lost(self) -> None:
         """Handle a lost connection: unacknowledged publishes are lost, except those waiting for PUBCOMP."""
         self._window = 0
-        lost = {number: it for number, it in self._in_flight.items() if it.stage is not Stage.PUBCOMP}
-        for number, it in lost.items():
+        lost = {
+            number: publish
+            for number, publish in self._in_flight.items()
+            if publish.stage is not Stage.PUBCOMP
+        }
+        for number, publish in lost.items():
             del self._in_flight[number]
-            if it.stage is Stage.PUBREC:
+            if publish.stage is Stage.PUBREC:
                 self._blocked_ids.add(number)
-        for it in lost.values():
-            it.done(PublishResult.LOST, 0, NONE)
+        for publish in lost.values():
+            publish.done(PublishResult.LOST, 0, NONE)
 
     def connected(self, session_present: bool, window: int) -> None:
         """Resume on a new connection; `window` is the peer's receive maximum."""
@@ -188,8 +192,8 @@
     def abandon(self) -> None:
         """Report everything in flight as lost, because the session no longer exists."""
         lost, self._in_flight = self._in_flight, {}
-        for it in lost.values():
-            it.done(PublishResult.LOST, 0, NONE)
+        for publish in lost.values():
+            publish.done(PublishResult.LOST, 0, NONE)
 
 
 _STAGES = {Kind.PUBACK: Stage.PUBACK, Kind.PUBREC: Stage.PUBREC, Kind.PUBCOMP: Stage.PUBCOMP}
--- a/amberlug/mqtt/subscriber.py
+++ b/amberlug/mqtt/subscriber.py
@@ -27,10 +27,11 @@
 
     def __init__(self, login: Login, config: MqttConfig, intake: Intake, ends: MqttOutcomeNotifier) -> None:
         self._login, self._intake, self._ends = login, intake, ends
-        routes = [it for it in config.routes if login.name in it.sources]
+        routes = [route for route in config.routes if login.name in route.sources]
         never = 2 * (login.version == V5)  # retain handling "never", an option of 5.0 only
         subscriptions = {
-            it.subscription: TopicSubscription(it.subscription, it.qos, retain=never) for it in routes
+            route.subscription: TopicSubscription(route.subscription, route.qos, retain=never)
+            for route in routes
         }
         self.link = Link(
             login, login.address, tuple(subscriptions.values()), self._on_publish, self._on_connected
--- a/tests/test_mqtt_mapping.py
+++ b/tests/test_mqtt_mapping.py
@@ -226,7 +226,9 @@
     text, ((good, bad), (where, what)) = cases[number]
     assert good in text
     problems = mapping.read(tomllib.loads(text.replace(good, bad, 1)), SETTINGS)[1]
-    assert [it for it in problems if it.where.rstrip(".") == where and what in it.what], problems
+    assert [
+        problem for problem in problems if problem.where.rstrip(".") == where and what in problem.what
+    ], problems
 
 
 def test_all_mistakes_are_told_at_once() -> None:
@@ -249,6 +251,6 @@
     bad.write_text(example.read_text().replace("fees/+/paid", "fees/#/paid"))
     assert main(["check", str(bad), "--json"]) == 1
     report = json.loads(capsys.readouterr().out.splitlines()[-1])
-    assert [it["where"] for it in report["problems"]] == ["in[0].filter", "in[0].destination"]
+    assert [problem["where"] for problem in report["problems"]] == ["in[0].filter", "in[0].destination"]
     bad.write_text("[[in]\n")
     assert main(["check", str(bad)]) == 1
--- a/tests/test_mqtt_packets.py
+++ b/tests/test_mqtt_packets.py
@@ -119,7 +119,7 @@
 
 @given(st.lists(PACKETS, min_size=1, max_size=4), st.integers(1, 9))
 def test_what_is_written_is_read_again_in_any_pieces(written: list[Packet], piece: int) -> None:
-    data = b"".join(packets.encode(it, V5) for it in written)
+    data = b"".join(packets.encode(packet, V5) for packet in written)
     assert read(data, piece=piece) == written
 
 
@@ -144,7 +144,7 @@
     assert packets.encode(Publish("a/b", b"hi", 1, 10), V5) == bytes.fromhex("32 0a 0003 612f62 000a 00 6869")
     assert packets.encode(Ack(Kind.PUBREL, 10), V5) == bytes.fromhex("62 02 000a")
     assert packets.encode(Ack(Kind.PUBACK, 10, 0x97), V5) == bytes.fromhex("40 03 000a 97")
-    assert [variable(it).hex() for it in (0, 127, 128, 16_383, 16_384, 268_435_455)] == [
+    assert [variable(value).hex() for value in (0, 127, 128, 16_383, 16_384, 268_435_455)] == [
         "00",
         "7f",
         "8001",
@@ -255,7 +255,7 @@
 
 
 def test_topics_and_filters() -> None:
-    assert [is_topic(it) for it in ("a/b", "", "a/+", "#", "a\0", "x" * 65_536)] == [True, *[False] * 5]
+    assert [is_topic(value) for value in ("a/b", "", "a/+", "#", "a\0", "x" * 65_536)] == [True, *[False] * 5]
     good = ("a", "+", "#", "a/+/b", "a/#", "$share/g/a/#", "/")
     bad = ("", "a#", "a/#/b", "a+", "$share/g", "$share//a", "$share/+/a", "$share/g/", "a\0")
     assert all(map(is_filter, good))
--- a/tests/test_mqtt_sessions.py
+++ b/tests/test_mqtt_sessions.py
@@ -42,7 +42,11 @@
         return packet.packet_id
 
     def released(self) -> list[int]:
-        return [it.packet_id for it in self.written if isinstance(it, Ack) and it.kind is Kind.PUBREL]
+        return [
+            packet.packet_id
+            for packet in self.written
+            if isinstance(packet, Ack) and packet.kind is Kind.PUBREL
+        ]
 
 
 def test_a_qos_2_publish_is_acknowledged_by_pubcomp() -> None:
@@ -127,8 +131,8 @@
         elif step in ("kept", "new") and not up:
             side.out.connected(step == "kept", 4)
             up = True
-    published = [it.packet_id for it in side.written if isinstance(it, Publish)]
-    assert all(1 <= it <= 0xFFFF for it in published)
+    published = [packet.packet_id for packet in side.written if isinstance(packet, Publish)]
+    assert all(1 <= packet_id <= 0xFFFF for packet_id in published)
     side.out.connection_lost()
     side.out.connected(False, 4)
     assert len(side.results) == names  # `publish` asserts that none has two
