--- a/tests/test_mqtt_sessions.py
+++ b/tests/test_mqtt_sessions.py
@@ -245,7 +245,7 @@
     def __init__(self, room: int) -> None:
         self.room, self.heard = room, set[str]()
         self.out: dict[str, PublishDone] = {}
-        self.told: list[str] = []
+        self.published: list[str] = []
 
     def tell(self, packet: Publish, done: PublishDone) -> bool | None:
         if packet.topic not in self.heard:
@@ -255,7 +255,7 @@
         name = packet.payload.split(b'"')[3].decode()
         assert name not in self.out
         self.out[name] = done
-        self.told.append(name)
+        self.published.append(name)
         return True
 
     def finish(self, name: str, result: PublishResult = PublishResult.ACKNOWLEDGED, code: int = 0) -> None:
@@ -266,7 +266,7 @@
     waiting = False
 
     def __init__(self) -> None:
-        self.told: list[str] = []
+        self.sent: list[str] = []
 
     def bind(self, acknowledged: Callable[[str], None]) -> None:
         self.acknowledged = acknowledged
@@ -275,7 +275,7 @@
         return end.outcome is not Outcome.DELIVERED
 
     def tell(self, end: End) -> None:
-        self.told.append(end.message)
+        self.sent.append(end.message)
 
     def send(self) -> None:
         pass
@@ -299,10 +299,10 @@
         origin.heard = {f"t{number}" for number in range(7)}
         for number in range(7):
             ends.tell(end(f"m{number}", f"t{number}"))
-        assert origin.told == ["m0", "m1"]
+        assert origin.published == ["m0", "m1"]
         while origin.out:
             origin.finish(next(iter(origin.out)))
-        assert origin.told == acknowledged == [f"m{number}" for number in range(7)]
+        assert origin.published == acknowledged == [f"m{number}" for number in range(7)]
         assert not ends.waiting
 
     asyncio.run(scenario())
@@ -312,18 +312,18 @@
     async def scenario() -> None:
         ends, origin, _, acknowledged = notifier()
         ends.tell(end("m"))
-        assert origin.told == []
+        assert origin.published == []
         origin.heard = {"t"}
         ends.subscribed("other", lambda topic: True)
-        assert origin.told == []
+        assert origin.published == []
         ends.subscribed("hall", lambda topic: topic == "t")
         origin.finish("m", PublishResult.LOST)
-        assert (origin.told, acknowledged) == (["m"], [])
+        assert (origin.published, acknowledged) == (["m"], [])
         ends.subscribed("hall", lambda topic: True)
         origin.finish("m")
-        assert (origin.told, acknowledged) == (["m", "m"], ["m"])
+        assert (origin.published, acknowledged) == (["m", "m"], ["m"])
         ends.subscribed("hall", lambda topic: True)
-        assert origin.told == ["m", "m"]
+        assert origin.published == ["m", "m"]
 
     asyncio.run(scenario())
 
@@ -333,7 +333,7 @@
         ends, origin, notices, acknowledged = notifier()
         origin.heard = {"t"}
         ends.tell(end("m", noticed=True))
-        assert notices.told == ["m"]
+        assert notices.sent == ["m"]
         origin.finish("m")
         assert acknowledged == []
         notices.acknowledged("m")
