--- a/amberlug/mqtt/outcomes.py
+++ b/amberlug/mqtt/outcomes.py
@@ -105,9 +105,9 @@
             return  # no longer configured; kept until it expires, in case it is configured again
         if len(self._in_flight) < MAX_IN_FLIGHT:
             self._in_flight.add(name)
-            accepted = origin.tell(replies.publish(end, reply), partial(self._on_published, name, reply))
-            if accepted is not False:
-                if accepted is None:
+            published = origin.tell(replies.publish(end, reply), partial(self._on_published, name, reply))
+            if published is not False:
+                if published is None:
                     self._in_flight.discard(name)  # published once there is a recipient
                 return
             self._in_flight.discard(name)
