--- a/amberlug/mqtt/components.py
+++ b/amberlug/mqtt/components.py
@@ -40,21 +40,21 @@
 
     def ends(self, notices: OutcomeNotifier) -> OutcomeNotifier:
         """Wrap a notifier: send outcomes to the origins of their messages as well."""
-        self._ends = MqttOutcomeNotifier(notices, self._config.keep_ends_s)
+        self._notifier = MqttOutcomeNotifier(notices, self._config.keep_ends_s)
         self._subscribers = [
-            Subscriber(login, self._config, self._intake, self._ends)
+            Subscriber(login, self._config, self._intake, self._notifier)
             for login in self._config.brokers.values()
         ]
         listener = self._config.listener
-        self._listener = None if listener is None else Listener(listener, self._intake, self._ends)
-        return self._ends
+        self._listener = None if listener is None else Listener(listener, self._intake, self._notifier)
+        return self._notifier
 
     async def start(self, node: Node) -> None:
         """Start accepting messages; raises `OSError` if the listener's address can't be bound."""
         self._intake.node = node
         if self._listener is not None:
             await self._listener.start()
-        self._ends.start()
+        self._notifier.start()
         for subscriber in self._subscribers:
             subscriber.start()
 
@@ -67,5 +67,5 @@
 
     def stop(self) -> None:
         """Close all connections."""
-        self._ends.stop()
+        self._notifier.stop()
         self._publisher.stop()
--- a/amberlug/mqtt/listener.py
+++ b/amberlug/mqtt/listener.py
@@ -245,14 +245,14 @@
 class Listener:
     """Accepts connections up to a limit, and sends publishers the outcomes of their messages."""
 
-    def __init__(self, allowed: ListenerConfig, intake: Intake, ends: MqttOutcomeNotifier) -> None:
-        self.allowed, self.intake, self._ends = allowed, intake, ends
+    def __init__(self, allowed: ListenerConfig, intake: Intake, notifier: MqttOutcomeNotifier) -> None:
+        self.allowed, self.intake, self._notifier = allowed, intake, notifier
         self._sessions: dict[Session, None] = {}  # the oldest first
         self._clients: dict[str, Session] = {}
         self._server: asyncio.Server | None = None
         self._timeout_timer: asyncio.TimerHandle | None = None
         self._closing = False
-        ends.origins[LISTENER] = self
+        notifier.origins[LISTENER] = self
 
     async def start(self) -> None:
         """Start listening; raises `OSError` if the address can't be bound."""
@@ -305,7 +305,7 @@
             del self._clients[session.client_id]
 
     def subscribed(self, session: Session) -> None:
-        self._ends.subscribed(LISTENER, session.is_subscribed)
+        self._notifier.subscribed(LISTENER, session.is_subscribed)
 
     def tell(self, packet: Publish, done: PublishDone) -> bool | None:
         client = packet.topic.split("/")[1] if packet.topic.startswith(f"{OUTCOME_TOPICS}/") else ""
--- a/amberlug/mqtt/subscriber.py
+++ b/amberlug/mqtt/subscriber.py
@@ -25,8 +25,10 @@
     bounded. For 3.1.1, which has no receive maximum, reading pauses at that number.
     """
 
-    def __init__(self, login: Login, config: MqttConfig, intake: Intake, ends: MqttOutcomeNotifier) -> None:
-        self._login, self._intake, self._ends = login, intake, ends
+    def __init__(
+        self, login: Login, config: MqttConfig, intake: Intake, notifier: MqttOutcomeNotifier
+    ) -> None:
+        self._login, self._intake, self._notifier = login, intake, notifier
         routes = [route for route in config.routes if login.name in route.sources]
         never = 2 * (login.version == V5)  # retain handling "never", an option of 5.0 only
         subscriptions = {
@@ -40,7 +42,7 @@
         self._connection_number = 0  # connection counter: publishes of earlier connections are redelivered
         self._unacknowledged = 0  # publishes that are not acknowledged yet
         self._closing = False
-        ends.origins[login.name] = self
+        notifier.origins[login.name] = self
 
     def start(self) -> None:
         self.link.start()
@@ -59,7 +61,7 @@
         for publish in list(self._pending):
             self._intake.withdraw(publish)  # redelivered here, or to another relay
         self._pending.clear()
-        self._ends.subscribed(self._login.name, lambda topic: True)
+        self._notifier.subscribed(self._login.name, lambda topic: True)
 
     def _on_publish(self, packet: Publish) -> None:
         if packet.retain:
--- a/tests/test_mqtt_sessions.py
+++ b/tests/test_mqtt_sessions.py
@@ -285,44 +285,46 @@
     return End(name, Outcome.GIVEN_UP, reply=Reply(origin, topic, b"\0c").encode(), noticed=noticed)
 
 
-def notifier(room: int = 2, keep_s: int = 100) -> tuple[MqttOutcomeNotifier, Origin, NoNotices, list[str]]:
+def make_notifier(
+    room: int = 2, keep_s: int = 100
+) -> tuple[MqttOutcomeNotifier, Origin, NoNotices, list[str]]:
     notices, origin, acknowledged = NoNotices(), Origin(room), list[str]()
-    ends = MqttOutcomeNotifier(notices, keep_s)
-    ends.bind(acknowledged.append)
-    ends.origins["hall"] = origin
-    return ends, origin, notices, acknowledged
+    notifier = MqttOutcomeNotifier(notices, keep_s)
+    notifier.bind(acknowledged.append)
+    notifier.origins["hall"] = origin
+    return notifier, origin, notices, acknowledged
 
 
 def test_outcomes_over_the_window_are_sent_as_others_are_acknowledged() -> None:
     async def scenario() -> None:
-        ends, origin, _, acknowledged = notifier(room=2)
+        notifier, origin, _, acknowledged = make_notifier(room=2)
         origin.heard = {f"t{number}" for number in range(7)}
         for number in range(7):
-            ends.tell(end(f"m{number}", f"t{number}"))
+            notifier.tell(end(f"m{number}", f"t{number}"))
         assert origin.published == ["m0", "m1"]
         while origin.out:
             origin.finish(next(iter(origin.out)))
         assert origin.published == acknowledged == [f"m{number}" for number in range(7)]
-        assert not ends.waiting
+        assert not notifier.waiting
 
     asyncio.run(scenario())
 
 
 def test_an_outcome_waits_for_a_subscriber_and_is_resent_when_lost() -> None:
     async def scenario() -> None:
-        ends, origin, _, acknowledged = notifier()
-        ends.tell(end("m"))
+        notifier, origin, _, acknowledged = make_notifier()
+        notifier.tell(end("m"))
         assert origin.published == []
         origin.heard = {"t"}
-        ends.subscribed("other", lambda topic: True)
+        notifier.subscribed("other", lambda topic: True)
         assert origin.published == []
-        ends.subscribed("hall", lambda topic: topic == "t")
+        notifier.subscribed("hall", lambda topic: topic == "t")
         origin.finish("m", PublishResult.LOST)
         assert (origin.published, acknowledged) == (["m"], [])
-        ends.subscribed("hall", lambda topic: True)
+        notifier.subscribed("hall", lambda topic: True)
         origin.finish("m")
         assert (origin.published, acknowledged) == (["m", "m"], ["m"])
-        ends.subscribed("hall", lambda topic: True)
+        notifier.subscribed("hall", lambda topic: True)
         assert origin.published == ["m", "m"]
 
     asyncio.run(scenario())
@@ -330,32 +332,32 @@
 
 def test_an_outcome_with_a_notice_is_done_once_both_are_acknowledged() -> None:
     async def scenario() -> None:
-        ends, origin, notices, acknowledged = notifier()
+        notifier, origin, notices, acknowledged = make_notifier()
         origin.heard = {"t"}
-        ends.tell(end("m", noticed=True))
+        notifier.tell(end("m", noticed=True))
         assert notices.sent == ["m"]
         origin.finish("m")
         assert acknowledged == []
         notices.acknowledged("m")
         assert acknowledged == ["m"]
-        ends.tell(End("h", Outcome.GIVEN_UP))  # over HTTP only
+        notifier.tell(End("h", Outcome.GIVEN_UP))  # over HTTP only
         notices.acknowledged("h")
         assert acknowledged == ["m", "h"]
-        assert ends.owed(End("h", Outcome.DELIVERED)) is False
-        assert ends.owed(End("m", Outcome.DELIVERED, reply=b"x")) is True
+        assert notifier.owed(End("h", Outcome.DELIVERED)) is False
+        assert notifier.owed(End("m", Outcome.DELIVERED, reply=b"x")) is True
 
     asyncio.run(scenario())
 
 
 def test_an_outcome_replaced_in_flight_is_sent_to_the_new_address() -> None:
     async def scenario() -> None:
-        ends, origin, _, acknowledged = notifier()
+        notifier, origin, _, acknowledged = make_notifier()
         origin.heard = {"t", "u"}
-        ends.tell(end("m", "t"))
-        ends.tell(end("m", "u"))
+        notifier.tell(end("m", "t"))
+        notifier.tell(end("m", "u"))
         origin.finish("m")  # acknowledged at the old reply address, which the later one replaced
         assert acknowledged == []
-        ends.subscribed("hall", lambda topic: topic == "u")
+        notifier.subscribed("hall", lambda topic: topic == "u")
         origin.finish("m")
         assert acknowledged == ["m"]
 
@@ -365,10 +367,10 @@
 def test_refused_outcomes_are_dropped_and_those_over_quota_resent(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario() -> None:
         monkeypatch.setattr(outcomes_module, "QUOTA_RETRY_DELAY", 0.0)
-        ends, origin, _, acknowledged = notifier()
+        notifier, origin, _, acknowledged = make_notifier()
         origin.heard = {"t"}
-        ends.tell(end("a"))
-        ends.tell(end("b"))
+        notifier.tell(end("a"))
+        notifier.tell(end("b"))
         origin.finish("a", PublishResult.REFUSED, 0x87)
         origin.finish("b", PublishResult.REFUSED, 0x97)
         assert acknowledged == ["a"]
@@ -382,15 +384,15 @@
 def test_unacknowledged_outcomes_expire(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario() -> None:
         monkeypatch.setattr(outcomes_module, "EXPIRY_CHECK_INTERVAL", 0.001)
-        ends, _, _, acknowledged = notifier(keep_s=0)
-        ends.start()
-        ends.tell(end("m"))
-        ends.tell(end("gone", origin="no longer in the file"))
-        ends.tell(End("bad", Outcome.GIVEN_UP, reply=b"no address", noticed=False))
+        notifier, _, _, acknowledged = make_notifier(keep_s=0)
+        notifier.start()
+        notifier.tell(end("m"))
+        notifier.tell(end("gone", origin="no longer in the file"))
+        notifier.tell(End("bad", Outcome.GIVEN_UP, reply=b"no address", noticed=False))
         assert acknowledged == ["bad"]
         await asyncio.sleep(0.02)
         assert set(acknowledged) == {"bad", "m", "gone"}
-        ends.stop()
+        notifier.stop()
 
     asyncio.run(scenario())
 
