--- a/amberlug/mqtt/listener.py
+++ b/amberlug/mqtt/listener.py
@@ -121,8 +121,8 @@
             self.wire.close(f"connection refused: 0x{code:02x}")
             return
         allowed = self._listener.allowed
-        most = allowed.keep_alive
-        keep_alive = min(packet.keep_alive or most, most)
+        max_keep_alive = allowed.keep_alive
+        keep_alive = min(packet.keep_alive or max_keep_alive, max_keep_alive)
         properties: dict[P, object] = {
             P.RECEIVE_MAXIMUM: allowed.window,
             P.MAXIMUM_PACKET_SIZE: MAX_PACKET_BYTES,
@@ -136,7 +136,9 @@
         self.client_id = packet.client_id
         if not self.client_id:
             self.client_id = properties[P.ASSIGNED_CLIENT_ID] = uuid4().hex
-        self._keep_alive = (packet.keep_alive if packet.version != V5 else keep_alive) * 1.5 or most * 1.5
+        self._keep_alive = (
+            packet.keep_alive if packet.version != V5 else keep_alive
+        ) * 1.5 or max_keep_alive * 1.5
         self.phase = Phase.OPEN
         receive_maximum = packet.properties.get(P.RECEIVE_MAXIMUM, 0xFFFF)
         self._outgoing.connected(False, receive_maximum if packet.version == V5 else DEFAULT_WINDOW_V3)
@@ -158,8 +160,8 @@
             text = f"ends go to {own_topic(self.client_id)} alone"
             self._on_decision(packet, Decision(NOT_AUTHORIZED, text))
             return
-        listens = any(matches(topic_filter, own_topic(self.client_id)) for topic_filter in self.filters)
-        default = own_topic(self.client_id) if listens else ""
+        is_subscribed = any(matches(topic_filter, own_topic(self.client_id)) for topic_filter in self.filters)
+        default = own_topic(self.client_id) if is_subscribed else ""
         pending: list[PendingPublish] = []
 
         def done(decision: Decision) -> None:
