--- a/amberlug/mqtt/listener.py
+++ b/amberlug/mqtt/listener.py
@@ -47,7 +47,7 @@
 RETURN_CODES = {BAD_CREDENTIALS: 4, SERVER_BUSY: 3, 0x84: 1, 0x85: 2, NOT_AUTHORIZED: 5}
 
 
-def own_topic(client_id: str) -> str:
+def outcome_topic(client_id: str) -> str:
     """Return the topic for a client's outcomes, unless a publish names a response topic below it."""
     return f"{OUTCOME_TOPICS}/{client_id}"
 
@@ -157,11 +157,13 @@
             return
         topic = packet.properties.get(P.RESPONSE_TOPIC, "")
         if topic and not self._may_subscribe(topic):
-            text = f"ends go to {own_topic(self.client_id)} alone"
+            text = f"ends go to {outcome_topic(self.client_id)} alone"
             self._on_decision(packet, Decision(NOT_AUTHORIZED, text))
             return
-        is_subscribed = any(matches(topic_filter, own_topic(self.client_id)) for topic_filter in self.filters)
-        default = own_topic(self.client_id) if is_subscribed else ""
+        is_subscribed = any(
+            matches(topic_filter, outcome_topic(self.client_id)) for topic_filter in self.filters
+        )
+        default = outcome_topic(self.client_id) if is_subscribed else ""
         pending: list[PendingPublish] = []
 
         def done(decision: Decision) -> None:
@@ -212,7 +214,7 @@
         return code if self.wire.version == V5 else 0x80
 
     def _may_subscribe(self, topic: str) -> bool:
-        client_topic = own_topic(self.client_id)
+        client_topic = outcome_topic(self.client_id)
         return topic == client_topic or topic.startswith(client_topic + "/")
 
     # Sent packets.
