--- a/amberlug/mqtt/link.py
+++ b/amberlug/mqtt/link.py
@@ -192,8 +192,11 @@
 
     def _send_connect(self, wire: Wire) -> None:
         keep = bool(self._filters) or self.outgoing.awaiting_pubcomp
-        own: dict[P, object] = {P.RECEIVE_MAXIMUM: self.login.window, P.MAXIMUM_PACKET_SIZE: MAX_PACKET_BYTES}
-        own[P.SESSION_EXPIRY] = self.login.session_expiry
+        properties: dict[P, object] = {
+            P.RECEIVE_MAXIMUM: self.login.window,
+            P.MAXIMUM_PACKET_SIZE: MAX_PACKET_BYTES,
+        }
+        properties[P.SESSION_EXPIRY] = self.login.session_expiry
         login = self.login
         password = None if login.password is None else login.password.encode()
         wire.write(
@@ -204,7 +207,7 @@
                 login.keep_alive,
                 login.username,
                 password,
-                properties=own,
+                properties=properties,
             )
         )
 
@@ -243,9 +246,9 @@
         if self._wire is not None:
             self._wire.write(packet)
 
-    def answer(self, packet_id: int, code: int = 0, told: Properties | None = None) -> None:
+    def answer(self, packet_id: int, code: int = 0, properties: Properties | None = None) -> None:
         """Acknowledge a received publish."""
-        if (ack := self.incoming.answer(packet_id, code, told or {})) is not None:
+        if (ack := self.incoming.answer(packet_id, code, properties or {})) is not None:
             self._write(ack)
 
     def set_reading_paused(self, paused: bool) -> None:
@@ -268,9 +271,12 @@
                 self.outgoing.handle_ack(packet)
                 self._wake_waiters()
             case SubscriptionAck(Kind.SUBACK, _, codes):
-                for it, code in zip(self._filters, codes, strict=False):
+                for subscription, code in zip(self._filters, codes, strict=False):
                     if code >= 0x80:
-                        log(f"mqtt: {self.login.name}: subscription to {it.filter} refused: 0x{code:02x}")
+                        log(
+                            f"mqtt: {self.login.name}: "
+                            f"subscription to {subscription.filter} refused: 0x{code:02x}"
+                        )
             case Ping(Kind.PINGRESP) | SubscriptionAck():
                 pass
             case Disconnect(code):
--- a/amberlug/mqtt/listener.py
+++ b/amberlug/mqtt/listener.py
@@ -9,11 +9,11 @@
 from uuid import uuid4
 
 from amberlug.core.log import log
-from amberlug.mqtt.ends import MqttEnds, PublishDone
 from amberlug.mqtt.fields import MqttError
 from amberlug.mqtt.intake import Decision, Intake, PendingPublish
 from amberlug.mqtt.mapping import LISTENER, NOT_AUTHORIZED
 from amberlug.mqtt.mapping import Listener as ListenerConfig
+from amberlug.mqtt.outcomes import MqttOutcomeNotifier, PublishDone
 from amberlug.mqtt.packets import (
     V5,
     Ack,
@@ -47,7 +47,7 @@
 RETURN_CODES = {BAD_CREDENTIALS: 4, SERVER_BUSY: 3, 0x84: 1, 0x85: 2, NOT_AUTHORIZED: 5}
 
 
-def own_topic(client_id: str) -> str:
+def outcome_topic(client_id: str) -> str:
     """Return the topic for a client's outcomes, unless a publish names a response topic below it."""
     return f"{OUTCOME_TOPICS}/{client_id}"
 
@@ -121,9 +121,9 @@
             self.wire.close(f"connection refused: 0x{code:02x}")
             return
         allowed = self._listener.allowed
-        most = allowed.keep_alive
-        keep_alive = min(packet.keep_alive or most, most)
-        told: dict[P, object] = {
+        max_keep_alive = allowed.keep_alive
+        keep_alive = min(packet.keep_alive or max_keep_alive, max_keep_alive)
+        properties: dict[P, object] = {
             P.RECEIVE_MAXIMUM: allowed.window,
             P.MAXIMUM_PACKET_SIZE: MAX_PACKET_BYTES,
             P.SESSION_EXPIRY: 0,
@@ -132,16 +132,18 @@
             P.SUBSCRIPTION_ID_AVAILABLE: 0,
         }
         if keep_alive != packet.keep_alive:
-            told[P.SERVER_KEEP_ALIVE] = keep_alive
+            properties[P.SERVER_KEEP_ALIVE] = keep_alive
         self.client_id = packet.client_id
         if not self.client_id:
-            self.client_id = told[P.ASSIGNED_CLIENT_ID] = uuid4().hex
-        self._keep_alive = (packet.keep_alive if packet.version != V5 else keep_alive) * 1.5 or most * 1.5
+            self.client_id = properties[P.ASSIGNED_CLIENT_ID] = uuid4().hex
+        self._keep_alive = (
+            packet.keep_alive if packet.version != V5 else keep_alive
+        ) * 1.5 or max_keep_alive * 1.5
         self.phase = Phase.OPEN
         receive_maximum = packet.properties.get(P.RECEIVE_MAXIMUM, 0xFFFF)
         self._outgoing.connected(False, receive_maximum if packet.version == V5 else DEFAULT_WINDOW_V3)
         self._listener.register(self)
-        self.wire.write(Connack(0, False, told))
+        self.wire.write(Connack(0, False, properties))
 
     def _on_publish(self, packet: Publish) -> None:
         if packet.retain and self.wire.version == V5:
@@ -155,11 +157,13 @@
             return
         topic = packet.properties.get(P.RESPONSE_TOPIC, "")
         if topic and not self._may_subscribe(topic):
-            text = f"ends go to {own_topic(self.client_id)} alone"
+            text = f"ends go to {outcome_topic(self.client_id)} alone"
             self._on_decision(packet, Decision(NOT_AUTHORIZED, text))
             return
-        listens = any(matches(it, own_topic(self.client_id)) for it in self.filters)
-        default = own_topic(self.client_id) if listens else ""
+        is_subscribed = any(
+            matches(topic_filter, outcome_topic(self.client_id)) for topic_filter in self.filters
+        )
+        default = outcome_topic(self.client_id) if is_subscribed else ""
         pending: list[PendingPublish] = []
 
         def done(decision: Decision) -> None:
@@ -185,12 +189,12 @@
             # publishes again what was not acknowledged.
             self.wire.close(f"{packet.topic[:80]!r} refused by closing the 3.1.1 connection: {decision.text}")
             return
-        told: dict[P, object] = {}
+        properties: dict[P, object] = {}
         if decision.code:
-            told[P.REASON_STRING] = decision.text
+            properties[P.REASON_STRING] = decision.text
         if decision.retry_ms:
-            told[P.USER] = [(RETRY, str(decision.retry_ms))]
-        if (ack := self._incoming.answer(packet.packet_id, decision.code, told)) is not None:
+            properties[P.USER] = [(RETRY, str(decision.retry_ms))]
+        if (ack := self._incoming.answer(packet.packet_id, decision.code, properties)) is not None:
             self.wire.write(ack)
 
     def _on_subscribe(self, packet: Subscribe) -> None:
@@ -211,20 +215,20 @@
         return code if self.wire.version == V5 else 0x80
 
     def _may_subscribe(self, topic: str) -> bool:
-        own = own_topic(self.client_id)
-        return topic == own or topic.startswith(own + "/")
+        client_topic = outcome_topic(self.client_id)
+        return topic == client_topic or topic.startswith(client_topic + "/")
 
     # Sent packets.
 
     def is_subscribed(self, topic: str) -> bool:
         """Whether the client has subscribed to a topic."""
-        return any(matches(it, topic) for it in self.filters)
+        return any(matches(topic_filter, topic) for topic_filter in self.filters)
 
     def tell(self, packet: Publish, done: PublishDone) -> bool:
         """Publish an outcome; False while the send window is full."""
         if not self._outgoing.has_room:
             return False
-        self._outgoing.publish(packet, lambda result, code, told: done(result, code))
+        self._outgoing.publish(packet, lambda result, code, properties: done(result, code))
         return True
 
     def disconnect(self, code: int, why: str) -> None:
@@ -246,14 +250,14 @@
 class Listener:
     """Accepts connections up to a limit, and sends publishers the outcomes of their messages."""
 
-    def __init__(self, allowed: ListenerConfig, intake: Intake, ends: MqttEnds) -> None:
-        self.allowed, self.intake, self._ends = allowed, intake, ends
+    def __init__(self, allowed: ListenerConfig, intake: Intake, notifier: MqttOutcomeNotifier) -> None:
+        self.allowed, self.intake, self._notifier = allowed, intake, notifier
         self._sessions: dict[Session, None] = {}  # the oldest first
         self._clients: dict[str, Session] = {}
         self._server: asyncio.Server | None = None
         self._timeout_timer: asyncio.TimerHandle | None = None
         self._closing = False
-        ends.origins[LISTENER] = self
+        notifier.origins[LISTENER] = self
 
     async def start(self) -> None:
         """Start listening; raises `OSError` if the address can't be bound."""
@@ -271,7 +275,9 @@
         self._sessions[session] = None
         if len(self._sessions) > self.allowed.connections:
             # Guards against hundreds of connections without a CONNECT: the oldest of those is closed.
-            silent = next((it for it in self._sessions if it.phase is Phase.AWAITING_CONNECT), session)
+            silent = next(
+                (other for other in self._sessions if other.phase is Phase.AWAITING_CONNECT), session
+            )
             asyncio.get_running_loop().call_soon(silent.wire.abort, "too many connections")
         return session.wire
 
@@ -306,7 +312,7 @@
 
     def subscribed(self, session: Session) -> None:
         """Publish the pending outcomes to whose topics a session is subscribed."""
-        self._ends.subscribed(LISTENER, session.is_subscribed)
+        self._notifier.subscribed(LISTENER, session.is_subscribed)
 
     def tell(self, packet: Publish, done: PublishDone) -> bool | None:
         """Publish an outcome. Returns None without a subscriber, False while the send window is full."""
--- a/amberlug/mqtt/mapping.py
+++ b/amberlug/mqtt/mapping.py
@@ -181,8 +181,8 @@
             raise BadPublishError(PACKET_TOO_LARGE, "the payload is over 64 KiB")
         destination = _number(self.destination(received), "destination", MAX_DESTINATION)
         left_ms = self.deadline_ms
-        if self.deadline is not None and (told := self.deadline(received)) is not None:
-            left_ms = _number(told, "deadline", MAX_DEADLINE_MS)
+        if self.deadline is not None and (value := self.deadline(received)) is not None:
+            left_ms = _number(value, "deadline", MAX_DEADLINE_MS)
         if (expiry := received.packet.properties.get(P.MESSAGE_EXPIRY)) is not None:
             left_ms = min(left_ms, expiry * 1000)
         tenant = None if self.tenant is None else self.tenant(received)
@@ -211,7 +211,7 @@
         topic = received.packet.properties.get(P.RESPONSE_TOPIC, "")
         if topic or not self.ends:
             return str(topic)
-        return _fill_placeholders(self.ends, {str(at): it for at, it in enumerate(received.levels, 1)})
+        return _fill_placeholders(self.ends, {str(at): level for at, level in enumerate(received.levels, 1)})
 
 
 @dataclass(frozen=True, slots=True)
@@ -387,8 +387,8 @@
 ) -> None:
     """Guard against two connections that share a client id and keep taking over each other's session."""
     seen: dict[str, str] = {}
-    logins = [(f"broker.{name}", it) for name, it in brokers.items()]
-    logins += [(f"out.{kind}", it.login) for kind, it in targets.items()]
+    logins = [(f"broker.{name}", login) for name, login in brokers.items()]
+    logins += [(f"out.{kind}", target.login) for kind, target in targets.items()]
     for where, login in logins:
         if login.client_id in seen:
             problems.append(Problem(f"{where}.client_id", f"the same as in {seen[login.client_id]}"))
@@ -398,9 +398,9 @@
 def _login(table: _Table, name: str, needs_address: bool) -> Login:
     where = table.address("address") if needs_address else ("127.0.0.1", 1)
     client_id = table.get("client_id", str, name, wanted=True)
-    version = {"5.0": V5, "3.1.1": V3}.get(told := table.get("version", str, "5.0"))
+    version = {"5.0": V5, "3.1.1": V3}.get(version_text := table.get("version", str, "5.0"))
     if version is None:
-        table.wrong("version", f"neither 5.0 nor 3.1.1: {told!r}")
+        table.wrong("version", f"neither 5.0 nor 3.1.1: {version_text!r}")
     username, password = table.get("username", str), table.get("password", str)
     if password is not None and username is None:
         table.wrong("password", "without a username")
@@ -461,7 +461,7 @@
     placeholders = re.findall(r"\{(\w+)\}", ends)
     if ends and not is_topic(re.sub(r"[{}]", "", ends)):
         table.wrong("ends", f"not a topic: {ends!r}")
-    if any(not (it.isdigit() and 1 <= int(it) <= levels) for it in placeholders):
+    if any(not (placeholder.isdigit() and 1 <= int(placeholder) <= levels) for placeholder in placeholders):
         table.wrong("ends", f"refers to a + level that the filter does not have: {ends!r}")
     if share and ("/" in share or not is_filter(f"$share/{share}/x")):
         table.wrong("share", f"not a valid group name: {share!r}")
@@ -494,7 +494,7 @@
     for name in sources:
         if name not in known:
             table.wrong("from", f"no such broker or listener: {name!r}")
-    return [str(it) for it in sources]
+    return [str(source) for source in sources]
 
 
 def _destination(table: _Table, levels: int) -> Source | None:
@@ -536,7 +536,7 @@
     placeholders = re.findall(r"\{(\w*)\}", topic)
     if topic and not is_topic(topic):
         table.wrong("topic", f"not a topic: {topic!r}")
-    if any(it not in ("destination", "endpoint") for it in placeholders):
+    if any(placeholder not in ("destination", "endpoint") for placeholder in placeholders):
         table.wrong("topic", f"placeholder other than {{destination}} and {{endpoint}}: {topic!r}")
     login = _login(table, f"out.{kind}", needs_address=False)
     qos = table.get("qos", dict, {})
--- a/amberlug/mqtt/ends.py
+++ b/amberlug/mqtt/outcomes.py
@@ -30,7 +30,7 @@
         """Publish at QoS 1. Returns None without a recipient, False while the send window is full."""
 
 
-class MqttEnds:
+class MqttOutcomeNotifier:
     """The core's `OutcomeNotifier`.
 
     Sends each outcome to the origin of its message, and to the platform if the platform is to be notified.
@@ -93,7 +93,7 @@
 
     def subscribed(self, origin: str, is_subscribed: Callable[[str], bool]) -> None:
         """Publish the pending outcomes that an origin has subscribers for again."""
-        for address in [it for it in self._by_address if it[0] == origin and is_subscribed(it[1])]:
+        for address in [key for key in self._by_address if key[0] == origin and is_subscribed(key[1])]:
             for name in list(self._by_address.get(address, ())):
                 self._publish(name)
         for name in self._queued.pop(origin, {}):
@@ -109,9 +109,9 @@
             return  # no longer configured; kept until it expires, in case it is configured again
         if len(self._in_flight) < MAX_IN_FLIGHT:
             self._in_flight.add(name)
-            how = origin.tell(replies.publish(end, reply), partial(self._on_published, name, reply))
-            if how is not False:
-                if how is None:
+            published = origin.tell(replies.publish(end, reply), partial(self._on_published, name, reply))
+            if published is not False:
+                if published is None:
                     self._in_flight.discard(name)  # published once there is a recipient
                 return
             self._in_flight.discard(name)
--- a/amberlug/mqtt/publisher.py
+++ b/amberlug/mqtt/publisher.py
@@ -24,7 +24,7 @@
 BrokerKey = tuple[str, Address]  # endpoint kind and broker address
 
 
-def attempt_result(result: PublishResult, code: int, told: Properties) -> AttemptResult:
+def attempt_result(result: PublishResult, code: int, properties: Properties) -> AttemptResult:
     """Map the result of a publish to the result of its attempt."""
     if result is PublishResult.ACKNOWLEDGED:
         return AttemptResult(Result.DONE)
@@ -33,13 +33,13 @@
     if result is PublishResult.LOST:
         return AttemptResult(Result.RESET)
     if code == QUOTA_EXCEEDED:
-        return AttemptResult(Result.REFUSED, retry_delay_us(told))
+        return AttemptResult(Result.REFUSED, retry_delay_us(properties))
     return AttemptResult(Result.UNSENT if code in PERMANENT_REFUSALS else Result.ERROR)
 
 
-def retry_delay_us(told: Properties) -> int:
+def retry_delay_us(properties: Properties) -> int:
     """Return the retry delay that the broker asked for; 0 if it is missing or malformed."""
-    text = user(told, RETRY) or ""
+    text = user(properties, RETRY) or ""
     if not (text.isascii() and text.isdigit()):
         return 0
     return min(int(text[:18]), MAX_WAIT_MS) * 1000
@@ -131,15 +131,15 @@
         return max(0.0, (attempt.until_us - self._clock.now_us()) / 1e6)
 
     async def _call(self, key: BrokerKey, link: Link, attempt: Attempt) -> None:
-        how = AttemptResult(Result.RESET)
+        result = AttemptResult(Result.RESET)
         try:
-            how = await self._attempt(self._targets[key[0]], link, attempt)
+            result = await self._attempt(self._targets[key[0]], link, attempt)
         finally:
             # Guards against an error that leaves an attempt without a result, which would leak its slot.
             del self._calls_in_flight[attempt]
             attempt.ended = True
             self._release(key)
-            self._calls.ended(attempt, how)
+            self._calls.ended(attempt, result)
 
     async def _attempt(self, target: Target, link: Link, attempt: Attempt) -> AttemptResult:
         called_off = self._calls_in_flight[attempt]
@@ -160,7 +160,10 @@
             if not left:
                 link.release()
         written = asyncio.get_running_loop().time()
-        link.send(self._packet(target, attempt), lambda *told: _set_result(called_off, attempt_result(*told)))
+        link.send(
+            self._packet(target, attempt),
+            lambda *publish_result: _set_result(called_off, attempt_result(*publish_result)),
+        )
         await asyncio.wait({called_off}, timeout=self._remaining(attempt))
         if called_off.done():
             return called_off.result()
@@ -170,15 +173,15 @@
 
     def _packet(self, target: Target, attempt: Attempt) -> Publish:
         message = attempt.message
-        own: list[tuple[str, str]] = [("id", message.name)]
+        user_properties: list[tuple[str, str]] = [("id", message.name)]
         if message.key is not None:
-            own.append(("idempotency-key", message.key))
+            user_properties.append(("idempotency-key", message.key))
         expiry = max(1, -(-(attempt.until_us - self._clock.now_us()) // 1_000_000))
         topic = target.topic_of(message.destination, attempt.endpoint)
-        properties: dict[P, object] = {P.USER: own, P.MESSAGE_EXPIRY: expiry}
+        properties: dict[P, object] = {P.USER: user_properties, P.MESSAGE_EXPIRY: expiry}
         return Publish(topic, message.body, target.qos.get(message.message_class, 1), properties=properties)
 
 
-def _set_result(future: asyncio.Future[AttemptResult], how: AttemptResult) -> None:
+def _set_result(future: asyncio.Future[AttemptResult], result: AttemptResult) -> None:
     if not future.done():
-        future.set_result(how)
+        future.set_result(result)
--- a/amberlug/mqtt/subscriber.py
+++ b/amberlug/mqtt/subscriber.py
@@ -6,10 +6,10 @@
 
 from amberlug.core.log import log
 from amberlug.mqtt import replies
-from amberlug.mqtt.ends import MqttEnds, PublishDone
 from amberlug.mqtt.intake import Decision, Intake, PendingPublish
 from amberlug.mqtt.link import Link
 from amberlug.mqtt.mapping import QUOTA_EXCEEDED, Login, MqttConfig
+from amberlug.mqtt.outcomes import MqttOutcomeNotifier, PublishDone
 from amberlug.mqtt.packets import V5, Publish, TopicSubscription
 from amberlug.mqtt.properties import P
 
@@ -25,12 +25,15 @@
     bounded. For 3.1.1, which has no receive maximum, reading pauses at that number.
     """
 
-    def __init__(self, login: Login, config: MqttConfig, intake: Intake, ends: MqttEnds) -> None:
-        self._login, self._intake, self._ends = login, intake, ends
-        routes = [it for it in config.routes if login.name in it.sources]
+    def __init__(
+        self, login: Login, config: MqttConfig, intake: Intake, notifier: MqttOutcomeNotifier
+    ) -> None:
+        self._login, self._intake, self._notifier = login, intake, notifier
+        routes = [route for route in config.routes if login.name in route.sources]
         never = 2 * (login.version == V5)  # retain handling "never", an option of 5.0 only
         subscriptions = {
-            it.subscription: TopicSubscription(it.subscription, it.qos, retain=never) for it in routes
+            route.subscription: TopicSubscription(route.subscription, route.qos, retain=never)
+            for route in routes
         }
         self.link = Link(
             login, login.address, tuple(subscriptions.values()), self._on_publish, self._on_connected
@@ -39,7 +42,7 @@
         self._connection_number = 0  # connection counter: publishes of earlier connections are redelivered
         self._unacknowledged = 0  # publishes that are not acknowledged yet
         self._closing = False
-        ends.origins[login.name] = self
+        notifier.origins[login.name] = self
 
     def start(self) -> None:
         """Start the connection to the broker."""
@@ -59,7 +62,7 @@
         for publish in list(self._pending):
             self._intake.withdraw(publish)  # redelivered here, or to another relay
         self._pending.clear()
-        self._ends.subscribed(self._login.name, lambda topic: True)
+        self._notifier.subscribed(self._login.name, lambda topic: True)
 
     def _on_publish(self, packet: Publish) -> None:
         if packet.retain:
@@ -119,8 +122,8 @@
 
     def _answer(self, packet: Publish, decision: Decision) -> None:
         if packet.qos:
-            told: dict[P, object] = {P.REASON_STRING: decision.text} if decision.code else {}
-            self.link.answer(packet.packet_id, decision.code, told)
+            properties: dict[P, object] = {P.REASON_STRING: decision.text} if decision.code else {}
+            self.link.answer(packet.packet_id, decision.code, properties)
 
     def tell(self, packet: Publish, done: PublishDone) -> bool | None:
         """Publish an outcome. Returns None while disconnected, False while the send window is full."""
@@ -128,5 +131,5 @@
             return None
         if not self.link.outgoing.has_room:
             return False
-        self.link.outgoing.publish(packet, lambda result, code, told: done(result, code))
+        self.link.outgoing.publish(packet, lambda result, code, properties: done(result, code))
         return True
--- a/tests/test_mqtt_sessions.py
+++ b/tests/test_mqtt_sessions.py
@@ -9,9 +9,9 @@
 from hypothesis import strategies as st
 
 from amberlug.core.messages import End, Outcome
-from amberlug.mqtt import ends as ends_module
-from amberlug.mqtt.ends import MqttEnds, PublishDone
+from amberlug.mqtt import outcomes as outcomes_module
 from amberlug.mqtt.fields import MqttError
+from amberlug.mqtt.outcomes import MqttOutcomeNotifier, PublishDone
 from amberlug.mqtt.packets import V5, Ack, Kind, Publish
 from amberlug.mqtt.publisher import attempt_result
 from amberlug.mqtt.replies import Reply, decode
@@ -32,7 +32,7 @@
         self.out.connected(False, 10)
 
     def publish(self, name: str, qos: int = 2) -> int:
-        def done(result: PublishResult, code: int, told: object) -> None:
+        def done(result: PublishResult, code: int, properties: object) -> None:
             assert name not in self.results
             self.results[name] = result
 
@@ -42,7 +42,11 @@
         return packet.packet_id
 
     def released(self) -> list[int]:
-        return [it.packet_id for it in self.written if isinstance(it, Ack) and it.kind is Kind.PUBREL]
+        return [
+            packet.packet_id
+            for packet in self.written
+            if isinstance(packet, Ack) and packet.kind is Kind.PUBREL
+        ]
 
 
 def test_a_qos_2_publish_is_acknowledged_by_pubcomp() -> None:
@@ -97,7 +101,7 @@
     side.out.release()
     assert side.out.has_room is True
     side.out.connection_lost()
-    side.out.publish(Publish("b", b"", 1), lambda result, code, told: side.results.update(b=result))
+    side.out.publish(Publish("b", b"", 1), lambda result, code, properties: side.results.update(b=result))
     assert side.results["b"] is PublishResult.DROPPED
 
 
@@ -127,8 +131,8 @@
         elif step in ("kept", "new") and not up:
             side.out.connected(step == "kept", 4)
             up = True
-    published = [it.packet_id for it in side.written if isinstance(it, Publish)]
-    assert all(1 <= it <= 0xFFFF for it in published)
+    published = [packet.packet_id for packet in side.written if isinstance(packet, Publish)]
+    assert all(1 <= packet_id <= 0xFFFF for packet_id in published)
     side.out.connection_lost()
     side.out.connected(False, 4)
     assert len(side.results) == names  # `publish` asserts that none has two
@@ -241,7 +245,7 @@
     def __init__(self, room: int) -> None:
         self.room, self.heard = room, set[str]()
         self.out: dict[str, PublishDone] = {}
-        self.told: list[str] = []
+        self.published: list[str] = []
 
     def tell(self, packet: Publish, done: PublishDone) -> bool | None:
         if packet.topic not in self.heard:
@@ -251,7 +255,7 @@
         name = packet.payload.split(b'"')[3].decode()
         assert name not in self.out
         self.out[name] = done
-        self.told.append(name)
+        self.published.append(name)
         return True
 
     def finish(self, name: str, result: PublishResult = PublishResult.ACKNOWLEDGED, code: int = 0) -> None:
@@ -262,7 +266,7 @@
     waiting = False
 
     def __init__(self) -> None:
-        self.told: list[str] = []
+        self.sent: list[str] = []
 
     def bind(self, acknowledged: Callable[[str], None]) -> None:
         self.acknowledged = acknowledged
@@ -271,7 +275,7 @@
         return end.outcome is not Outcome.DELIVERED
 
     def tell(self, end: End) -> None:
-        self.told.append(end.message)
+        self.sent.append(end.message)
 
     def send(self) -> None:
         pass
@@ -281,77 +285,79 @@
     return End(name, Outcome.GIVEN_UP, reply=Reply(origin, topic, b"\0c").encode(), noticed=noticed)
 
 
-def notifier(room: int = 2, keep_s: int = 100) -> tuple[MqttEnds, Origin, NoNotices, list[str]]:
+def make_notifier(
+    room: int = 2, keep_s: int = 100
+) -> tuple[MqttOutcomeNotifier, Origin, NoNotices, list[str]]:
     notices, origin, acknowledged = NoNotices(), Origin(room), list[str]()
-    ends = MqttEnds(notices, keep_s)
-    ends.bind(acknowledged.append)
-    ends.origins["hall"] = origin
-    return ends, origin, notices, acknowledged
+    notifier = MqttOutcomeNotifier(notices, keep_s)
+    notifier.bind(acknowledged.append)
+    notifier.origins["hall"] = origin
+    return notifier, origin, notices, acknowledged
 
 
 def test_outcomes_over_the_window_are_sent_as_others_are_acknowledged() -> None:
     async def scenario() -> None:
-        ends, origin, _, acknowledged = notifier(room=2)
+        notifier, origin, _, acknowledged = make_notifier(room=2)
         origin.heard = {f"t{number}" for number in range(7)}
         for number in range(7):
-            ends.tell(end(f"m{number}", f"t{number}"))
-        assert origin.told == ["m0", "m1"]
+            notifier.tell(end(f"m{number}", f"t{number}"))
+        assert origin.published == ["m0", "m1"]
         while origin.out:
             origin.finish(next(iter(origin.out)))
-        assert origin.told == acknowledged == [f"m{number}" for number in range(7)]
-        assert not ends.waiting
+        assert origin.published == acknowledged == [f"m{number}" for number in range(7)]
+        assert not notifier.waiting
 
     asyncio.run(scenario())
 
 
 def test_an_outcome_waits_for_a_subscriber_and_is_resent_when_lost() -> None:
     async def scenario() -> None:
-        ends, origin, _, acknowledged = notifier()
-        ends.tell(end("m"))
-        assert origin.told == []
+        notifier, origin, _, acknowledged = make_notifier()
+        notifier.tell(end("m"))
+        assert origin.published == []
         origin.heard = {"t"}
-        ends.subscribed("other", lambda topic: True)
-        assert origin.told == []
-        ends.subscribed("hall", lambda topic: topic == "t")
+        notifier.subscribed("other", lambda topic: True)
+        assert origin.published == []
+        notifier.subscribed("hall", lambda topic: topic == "t")
         origin.finish("m", PublishResult.LOST)
-        assert (origin.told, acknowledged) == (["m"], [])
-        ends.subscribed("hall", lambda topic: True)
+        assert (origin.published, acknowledged) == (["m"], [])
+        notifier.subscribed("hall", lambda topic: True)
         origin.finish("m")
-        assert (origin.told, acknowledged) == (["m", "m"], ["m"])
-        ends.subscribed("hall", lambda topic: True)
-        assert origin.told == ["m", "m"]
+        assert (origin.published, acknowledged) == (["m", "m"], ["m"])
+        notifier.subscribed("hall", lambda topic: True)
+        assert origin.published == ["m", "m"]
 
     asyncio.run(scenario())
 
 
 def test_an_outcome_with_a_notice_is_done_once_both_are_acknowledged() -> None:
     async def scenario() -> None:
-        ends, origin, notices, acknowledged = notifier()
+        notifier, origin, notices, acknowledged = make_notifier()
         origin.heard = {"t"}
-        ends.tell(end("m", noticed=True))
-        assert notices.told == ["m"]
+        notifier.tell(end("m", noticed=True))
+        assert notices.sent == ["m"]
         origin.finish("m")
         assert acknowledged == []
         notices.acknowledged("m")
         assert acknowledged == ["m"]
-        ends.tell(End("h", Outcome.GIVEN_UP))  # over HTTP only
+        notifier.tell(End("h", Outcome.GIVEN_UP))  # over HTTP only
         notices.acknowledged("h")
         assert acknowledged == ["m", "h"]
-        assert ends.owed(End("h", Outcome.DELIVERED)) is False
-        assert ends.owed(End("m", Outcome.DELIVERED, reply=b"x")) is True
+        assert notifier.owed(End("h", Outcome.DELIVERED)) is False
+        assert notifier.owed(End("m", Outcome.DELIVERED, reply=b"x")) is True
 
     asyncio.run(scenario())
 
 
 def test_an_outcome_replaced_in_flight_is_sent_to_the_new_address() -> None:
     async def scenario() -> None:
-        ends, origin, _, acknowledged = notifier()
+        notifier, origin, _, acknowledged = make_notifier()
         origin.heard = {"t", "u"}
-        ends.tell(end("m", "t"))
-        ends.tell(end("m", "u"))
+        notifier.tell(end("m", "t"))
+        notifier.tell(end("m", "u"))
         origin.finish("m")  # acknowledged at the old reply address, which the later one replaced
         assert acknowledged == []
-        ends.subscribed("hall", lambda topic: topic == "u")
+        notifier.subscribed("hall", lambda topic: topic == "u")
         origin.finish("m")
         assert acknowledged == ["m"]
 
@@ -360,11 +366,11 @@
 
 def test_refused_outcomes_are_dropped_and_those_over_quota_resent(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario() -> None:
-        monkeypatch.setattr(ends_module, "QUOTA_RETRY_DELAY", 0.0)
-        ends, origin, _, acknowledged = notifier()
+        monkeypatch.setattr(outcomes_module, "QUOTA_RETRY_DELAY", 0.0)
+        notifier, origin, _, acknowledged = make_notifier()
         origin.heard = {"t"}
-        ends.tell(end("a"))
-        ends.tell(end("b"))
+        notifier.tell(end("a"))
+        notifier.tell(end("b"))
         origin.finish("a", PublishResult.REFUSED, 0x87)
         origin.finish("b", PublishResult.REFUSED, 0x97)
         assert acknowledged == ["a"]
@@ -377,16 +383,16 @@
 
 def test_unacknowledged_outcomes_expire(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario() -> None:
-        monkeypatch.setattr(ends_module, "EXPIRY_CHECK_INTERVAL", 0.001)
-        ends, _, _, acknowledged = notifier(keep_s=0)
-        ends.start()
-        ends.tell(end("m"))
-        ends.tell(end("gone", origin="no longer in the file"))
-        ends.tell(End("bad", Outcome.GIVEN_UP, reply=b"no address", noticed=False))
+        monkeypatch.setattr(outcomes_module, "EXPIRY_CHECK_INTERVAL", 0.001)
+        notifier, _, _, acknowledged = make_notifier(keep_s=0)
+        notifier.start()
+        notifier.tell(end("m"))
+        notifier.tell(end("gone", origin="no longer in the file"))
+        notifier.tell(End("bad", Outcome.GIVEN_UP, reply=b"no address", noticed=False))
         assert acknowledged == ["bad"]
         await asyncio.sleep(0.02)
         assert set(acknowledged) == {"bad", "m", "gone"}
-        ends.stop()
+        notifier.stop()
 
     asyncio.run(scenario())
 
