--- a/amberlug/standin/crowd.py
+++ b/amberlug/standin/crowd.py
@@ -66,6 +66,7 @@
     _ports: list[int] = field(default_factory=list)
 
     async def start(self) -> Crowd:
+        """Open the listeners on free ports."""
         loop = asyncio.get_running_loop()
         for _ in range(self.listeners):
             server = await loop.create_server(lambda: _Served(self), "127.0.0.1", 0, backlog=1024)
@@ -74,6 +75,7 @@
         return self
 
     async def stop(self) -> None:
+        """Close the listeners; open connections stay."""
         for server in self._servers:
             server.close()
 
@@ -92,6 +94,7 @@
         }
 
     def members(self, destinations: Iterable[int], life: int = 0) -> list[dict[str, Any]]:
+        """Return the endpoints of several destinations as discovery lists them."""
         return [self.member(destination, life=life) for destination in destinations]
 
     def call(self, name: str, served: _Served) -> None:
@@ -184,10 +187,12 @@
         self._ready = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Allow messages to be submitted on the new connection."""
         assert isinstance(transport, asyncio.Transport)
         self._transport, self._ready = transport, True
 
     def connection_lost(self, error: Exception | None) -> None:
+        """Stop submitting messages."""
         self._ready = False
 
     def hand_in(self, name: str, message_class: str, deadline: float) -> None:
@@ -213,6 +218,7 @@
             self._transport.write(self._asked[0][1])
 
     def data_received(self, data: bytes) -> None:
+        """Process complete responses: schedule retries of refused messages, and send the next request."""
         self._rest += data
         while self._asked and (found := _response(self._rest)) is not None:
             status, again, self._rest = found
--- a/amberlug/standin/proxy.py
+++ b/amberlug/standin/proxy.py
@@ -24,6 +24,7 @@
         self._tasks: set[asyncio.Task[None]] = set()
 
     async def start(self) -> Proxy:
+        """Listen on a free port of 127.0.0.1, and start forwarding."""
         self._server = await asyncio.start_server(self._accepted, "127.0.0.1", 0)
         self.port = self._server.sockets[0].getsockname()[1]
         self._open.set()
--- a/amberlug/standin/wire.py
+++ b/amberlug/standin/wire.py
@@ -31,18 +31,22 @@
 
     @property
     def name(self) -> str:
+        """Return the message id from the `Req-Id` header, or an empty string without one."""
         return self.headers.get("req-id", "")
 
     def answer(self, answer: Answer) -> None:
+        """Send a complete response."""
         status, headers, body = answer
         self.write(h11.Response(status_code=status, headers=[*headers, ("Content-Length", str(len(body)))]))
         self.write(h11.Data(data=body))
         self.write(h11.EndOfMessage())
 
     def write(self, event: Any) -> None:
+        """Send one h11 event, for example a part of a response."""
         self.writer.write(self.http.send(event) or b"")
 
     def reset(self) -> None:
+        """Abort the connection without a response."""
         self.writer.transport.abort()
 
 
@@ -61,6 +65,7 @@
         self.port = 0
 
     async def start(self, port: int = 0) -> StandIn:
+        """Listen on `port` of 127.0.0.1; 0 picks a free port."""
         self._server = await asyncio.start_server(self._serve, "127.0.0.1", port)
         self.port = self._server.sockets[0].getsockname()[1]
         return self
@@ -73,10 +78,12 @@
             seen.writer.transport.abort()
 
     async def until(self, true: Callable[[], bool]) -> None:
+        """Wait until the condition holds; raises `TimeoutError` after `PATIENCE` seconds."""
         async with asyncio.timeout(PATIENCE), self._news:
             await self._news.wait_for(true)
 
     async def requests(self, count: int) -> list[Seen]:
+        """Wait until at least `count` requests have been received; return all of them."""
         await self.until(lambda: len(self.seen) >= count)
         return self.seen
 
@@ -158,16 +165,20 @@
         return True
 
     def tell(self, line: bytes) -> None:
+        """Send one line on the latest discovery watch."""
         self.watches[-1].write(h11.Data(data=line + b"\n"))
 
     async def watched(self, count: int) -> None:
+        """Wait until exactly `count` discovery watches have been opened."""
         await self.until(lambda: len(self.watches) == count)
 
     @property
     def notices(self) -> list[dict[str, Any]]:
+        """Return all notices received so far, decoded."""
         posts = [seen for seen in self.seen if seen.path == "/v1/notices"]
         return [json.loads(line) for seen in posts for line in seen.body.splitlines()]
 
     async def noticed(self, count: int = 1) -> list[dict[str, Any]]:
+        """Wait until at least `count` notices have been received; return all of them."""
         await self.until(lambda: len(self.notices) >= count)
         return self.notices
