--- a/amberlug/standin/fleet.py
+++ b/amberlug/standin/fleet.py
@@ -115,14 +115,14 @@
         assert self.process is not None
         self.process.send_signal(signal.SIGCONT)
 
-    def keep_folder(self) -> Path:
+    def copy_state(self) -> Path:
         """Copy the state folder."""
         kept = self.folder / "kept"
         shutil.rmtree(kept, ignore_errors=True)
         shutil.copytree(self.state, kept)
         return kept
 
-    def put_back(self, kept: Path) -> None:
+    def restore_state(self, kept: Path) -> None:
         """Replace the state folder with a copy."""
         shutil.rmtree(self.state)
         shutil.copytree(kept, self.state)
--- a/tests/test_copies.py
+++ b/tests/test_copies.py
@@ -194,12 +194,12 @@
         async with fleet(tmp_path) as rig:
             relay = rig.relays[0]
             await hand_in_unanswered(rig, relay, *ALL_KINDS)
-            saved = relay.keep_folder()
+            saved = relay.copy_state()
             rig.release()
             assert await rig.ended() == []
             assert await rig.hand_in(relay) == 202  # other relays have now seen newer data of its folder
             await relay.kill()
-            relay.put_back(saved)
+            relay.restore_state(saved)
             await relay.start()
             await relay.said("this state directory is outdated")
             await rig.linked()
