--- a/amberlug/cli/trial.py
+++ b/amberlug/cli/trial.py
@@ -11,7 +11,7 @@
 from pathlib import Path
 from typing import Any, TextIO
 
-from amberlug.standin.checker import Track
+from amberlug.standin.checker import MessageRecord
 from amberlug.standin.deployment import CLASSES, DEADLINE, Deployment
 from amberlug.standin.partners import DRAINING, DROPPING, LIMITED, SLOW, STEADY
 
@@ -76,7 +76,7 @@
         row["calls"] += partner.calls
         row["waits"] += partner.waits
     for destination, row in partners.items():
-        row |= _ends([it for it in deployment.checker.tracks.values() if it.destination == destination])
+        row |= _ends([it for it in deployment.checker.records.values() if it.destination == destination])
     return {
         **asdict(deployment.tally),
         "partners": [{"destination": number, **row} for number, row in sorted(partners.items())],
@@ -84,12 +84,12 @@
     }
 
 
-def _ends(tracks: list[Track]) -> dict[str, int | None]:
-    taken = [it for it in tracks if it.taken is not None]
+def _ends(records: list[MessageRecord]) -> dict[str, int | None]:
+    taken = [it for it in records if it.taken is not None]
     times = sorted(it.delivered - it.handed_in for it in taken if it.delivered is not None)
     told = [it.ends[0][1] for it in taken if it.ends and it.delivered is None]
     return {
-        "messages": len(tracks),
+        "messages": len(records),
         "delivered": len(times),
         "handed_back": told.count("handed_back"),
         "given_up": told.count("given_up"),
--- a/amberlug/lab/partners.py
+++ b/amberlug/lab/partners.py
@@ -11,7 +11,7 @@
 from amberlug.lab.clock import SECOND, EventQueue
 from amberlug.lab.scenario import Partner
 from amberlug.policy.interface import Result
-from amberlug.standin.checker import Call, Checker, Ran
+from amberlug.standin.checker import Call, Checker, Execution
 
 OVERLOAD_SLACK_CALLS = 3  # calls above the overload threshold that random arrivals may cause
 AWARE_SHARE = 2 / 3  # fraction of an overload, from relays that knew of the outage, that makes it a violation
@@ -123,16 +123,16 @@
             wait_us = int(profile.wait_ms * 1000) if drawn[0] < profile.tells_wait else 0
             if wait_us:
                 checker.told_wait(self.of.number, now / SECOND, wait_us / SECOND)
-            self._end(pending, Answer(Result.REFUSED, wait_us), Ran.NEVER)
+            self._end(pending, Answer(Result.REFUSED, wait_us), Execution.NEVER)
         elif reused and drawn[1] < profile.resets:
-            self._end(pending, Answer(Result.RESET), Ran.MAY)
+            self._end(pending, Answer(Result.RESET), Execution.MAY)
         elif drawn[2] < (self.part if self.state == "errors" else profile.errors):
-            self._end(pending, Answer(Result.ERROR), Ran.MAY)
+            self._end(pending, Answer(Result.ERROR), Execution.MAY)
         elif drawn[3] < profile.lost:
-            self._end(pending, Answer(Result.RESET), Ran.YES)
+            self._end(pending, Answer(Result.RESET), Execution.YES)
         elif drawn[3] < profile.lost + profile.garbage:  # an unparsable response ends the connection
             served = drawn[3] < profile.lost + profile.garbage / 2
-            self._end(pending, Answer(Result.RESET), Ran.YES if served else Ran.MAY)
+            self._end(pending, Answer(Result.RESET), Execution.YES if served else Execution.MAY)
         else:
             self._queue.append(pending)
             self._serve()
@@ -174,10 +174,10 @@
 
     def _done(self, pending: Pending) -> None:
         self._serving -= 1
-        self._end(pending, Answer(Result.DONE), Ran.YES)
+        self._end(pending, Answer(Result.DONE), Execution.YES)
         self._serve()
 
-    def _end(self, pending: Pending, answer: Answer, ran: Ran) -> None:
+    def _end(self, pending: Pending, answer: Answer, ran: Execution) -> None:
         if pending.gone:
             return
         pending.gone = True
@@ -190,7 +190,7 @@
         """Handle a call abandoned by the relay during a partition: the endpoint still executes it."""
         for call in pending.calls:
             call.delivered = False  # a response in flight reaches nobody
-            pending.checker.ended(call, self._time.now_us / SECOND, Ran.MAY)
+            pending.checker.ended(call, self._time.now_us / SECOND, Execution.MAY)
 
     def connection_closed(self, pending: Pending) -> None:
         """Handle a closed connection: queued calls are dropped, calls being served may complete."""
@@ -199,5 +199,5 @@
         for call in pending.calls:
             call.delivered = False  # a response in flight reaches nobody
             if not pending.gone:
-                pending.checker.ended(call, self._time.now_us / SECOND, Ran.MAY)
+                pending.checker.ended(call, self._time.now_us / SECOND, Execution.MAY)
         pending.gone = True
--- a/amberlug/lab/play.py
+++ b/amberlug/lab/play.py
@@ -17,7 +17,7 @@
 from amberlug.lab.scenario import Fault, Scenario
 from amberlug.policy import interface as api
 from amberlug.policy.settings import read_settings
-from amberlug.standin.checker import LATE, Repeat, Track
+from amberlug.standin.checker import LATE, MessageRecord, Repeat
 from amberlug.standin.deployment import settings as usual_settings
 
 KEY_LIFE_S = 15.0
@@ -198,8 +198,8 @@
         now, kind = self.time.now_us, client_message.kind
         until_us = client_message.began_us + int(kind.deadline_s * SECOND)
         relay = self.relays[place % len(self.relays)]
-        track = Track(name, number, kind.repeat, KEY_LIFE_S, now / SECOND, until_us / SECOND)
-        relay.checker.handed_in(track)
+        record = MessageRecord(name, number, kind.repeat, KEY_LIFE_S, now / SECOND, until_us / SECOND)
+        relay.checker.handed_in(record)
         self._requests[name] = request = Request(self, relay, client_message, name, number)
         key = f"key-{name}" if kind.repeat is Repeat.KEYED else None
         deadline_ms = START_MS + (until_us - START_US) // 1000
@@ -313,14 +313,14 @@
 
     def _figures(self) -> dict[str, Any]:
         for name, request in self._requests.items():
-            track, client_message = request.relay.checker.tracks[name], request.client_message
+            record, client_message = request.relay.checker.records[name], request.client_message
             for began_us, over_us in request.relay.downtimes:  # an outcome due meanwhile may come after it
-                if began_us <= (track.until + LATE) * SECOND <= over_us + LATE * SECOND:
-                    track.until = over_us / SECOND
-            if track.delivered is not None and track.taken is not None:  # accepted, and the client was told
-                at_us = int(track.delivered * SECOND)
+                if began_us <= (record.until + LATE) * SECOND <= over_us + LATE * SECOND:
+                    record.until = over_us / SECOND
+            if record.delivered is not None and record.taken is not None:  # accepted, and the client was told
+                at_us = int(record.delivered * SECOND)
                 client_message.delivered_us = min(at_us, client_message.delivered_us or at_us)
-                self._trace.update(f"{at_us} delivered {name} {len(track.calls)}\n".encode())
+                self._trace.update(f"{at_us} delivered {name} {len(record.calls)}\n".encode())
         broken = [line for relay in self.relays for line in relay.checker.finish(self.time.now_us / SECOND)]
         broken += [f"{it.name} was pushed over" for it in self.endpoints.values() if it.overload_violation]
         done = [(it, it.delivered_us) for it in self._client_messages if it.delivered_us is not None]
--- a/amberlug/standin/checker.py
+++ b/amberlug/standin/checker.py
@@ -24,7 +24,7 @@
     UNSAFE = "unsafe"
 
 
-class Ran(Enum):
+class Execution(Enum):
     """Whether a call took effect, as its partner knows; the relay learns it only from a response."""
 
     NEVER = "never"
@@ -38,12 +38,12 @@
 
     began: float
     ended: float | None = None
-    ran: Ran = Ran.MAY
+    ran: Execution = Execution.MAY
     delivered: bool = False
 
 
 @dataclass(slots=True)
-class Track:
+class MessageRecord:
     """All observed traffic about one message."""
 
     name: str
@@ -66,18 +66,18 @@
 class Checker:
     """Records observed traffic, and reports broken rules."""
 
-    tracks: dict[str, Track] = field(default_factory=dict)
+    records: dict[str, MessageRecord] = field(default_factory=dict)
     broken: list[str] = field(default_factory=list)
     _drained: dict[str, float] = field(default_factory=dict)
     _waits: dict[int, list[tuple[float, float]]] = field(default_factory=dict)  # reported at, valid until
 
-    def handed_in(self, track: Track) -> None:
+    def handed_in(self, record: MessageRecord) -> None:
         """Record that a client submits a message."""
-        self.tracks[track.name] = track
+        self.records[record.name] = record
 
     def taken(self, name: str, at: float) -> None:
         """Record that the client is told that its message was accepted."""
-        self.tracks[name].taken = at
+        self.records[name].taken = at
 
     def drained(self, endpoint: str, at: float) -> None:
         """Record that the relay is told that an endpoint is draining or gone."""
@@ -89,68 +89,70 @@
 
     def began(self, name: str, endpoint: str, at: float) -> Call | None:
         """Record that a call is received; returns None if its message was never submitted."""
-        track = self.tracks.get(name)
-        if track is None:
+        record = self.records.get(name)
+        if record is None:
             self.broken.append(f"{name}: a call with a message that nobody handed in")
             return None
-        self._check_repeat(track, at)
-        self._check_place(track, endpoint, at)
+        self._check_repeat(record, at)
+        self._check_place(record, endpoint, at)
         call = Call(at)
-        track.calls.append(call)
-        if len(track.calls) > MOST_CALLS:
-            self.broken.append(f"{name}: call {len(track.calls)}, {MOST_CALLS} at most")
+        record.calls.append(call)
+        if len(record.calls) > MOST_CALLS:
+            self.broken.append(f"{name}: call {len(record.calls)}, {MOST_CALLS} at most")
         return call
 
-    def ended(self, call: Call, at: float, ran: Ran, delivered: bool = False) -> None:
+    def ended(self, call: Call, at: float, ran: Execution, delivered: bool = False) -> None:
         """Record the end of a call; only the first report counts."""
         if call.ended is None:
             call.ended, call.ran, call.delivered = at, ran, delivered
 
     def told_end(self, name: str, outcome: str, at: float) -> None:
         """Record the reported outcome of a message that was not delivered."""
-        track = self.tracks.get(name)
-        if track is None:
+        record = self.records.get(name)
+        if record is None:
             self.broken.append(f"{name}: an end of a message that nobody handed in")
             return
-        if any(told != outcome for _, told in track.ends):
-            self.broken.append(f"{name}: told {track.ends[0][1]}, then {outcome}")
-        if track.delivered is not None and track.delivered + CROSSING < at:
+        if any(told != outcome for _, told in record.ends):
+            self.broken.append(f"{name}: told {record.ends[0][1]}, then {outcome}")
+        if record.delivered is not None and record.delivered + CROSSING < at:
             self.broken.append(f"{name}: told {outcome}, though it was delivered")
-        may_have = any(it.ran is not Ran.NEVER for it in track.calls)
-        if outcome == "handed_back" and track.repeat is Repeat.UNSAFE and may_have:
+        may_have = any(it.ran is not Execution.NEVER for it in record.calls)
+        if outcome == "handed_back" and record.repeat is Repeat.UNSAFE and may_have:
             self.broken.append(f"{name}: handed back, though it may have run")
-        track.ends.append((at, outcome))
+        record.ends.append((at, outcome))
 
     def finish(self, now: float) -> list[str]:
         """Return all broken rules, including messages past their deadline without an outcome."""
         lost = [
             f"{it.name}: lost, with {len(it.calls)} calls"
-            for it in self.tracks.values()
+            for it in self.records.values()
             if it.taken is not None and it.until + LATE < now and not self._in_time(it)
         ]
         return [*self.broken, *lost]
 
-    def _in_time(self, track: Track) -> bool:
-        times = [at for at, _ in track.ends]
-        if track.delivered is not None:
-            times.append(track.delivered)
-        return bool(times) and min(times) <= track.until + LATE
-
-    def _check_repeat(self, track: Track, at: float) -> None:
-        if any(it.ended is None for it in track.calls):
-            self.broken.append(f"{track.name}: a second copy while a call is out")
-        if track.delivered is not None and track.repeat is Repeat.UNSAFE:
-            self.broken.append(f"{track.name}: sent again, though it was delivered")
-        ran = [it for it in track.calls if it.ended is not None and it.ran is not Ran.NEVER]
-        if track.repeat is Repeat.UNSAFE and ran:
-            self.broken.append(f"{track.name}: sent again, though it may have run")
-        if track.repeat is Repeat.KEYED and any(at - it.began > track.key_life for it in ran):
-            self.broken.append(f"{track.name}: sent again after its key's life")
-
-    def _check_place(self, track: Track, endpoint: str, at: float) -> None:
+    def _in_time(self, record: MessageRecord) -> bool:
+        times = [at for at, _ in record.ends]
+        if record.delivered is not None:
+            times.append(record.delivered)
+        return bool(times) and min(times) <= record.until + LATE
+
+    def _check_repeat(self, record: MessageRecord, at: float) -> None:
+        if any(it.ended is None for it in record.calls):
+            self.broken.append(f"{record.name}: a second copy while a call is out")
+        if record.delivered is not None and record.repeat is Repeat.UNSAFE:
+            self.broken.append(f"{record.name}: sent again, though it was delivered")
+        ran = [it for it in record.calls if it.ended is not None and it.ran is not Execution.NEVER]
+        if record.repeat is Repeat.UNSAFE and ran:
+            self.broken.append(f"{record.name}: sent again, though it may have run")
+        if record.repeat is Repeat.KEYED and any(at - it.began > record.key_life for it in ran):
+            self.broken.append(f"{record.name}: sent again after its key's life")
+
+    def _check_place(self, record: MessageRecord, endpoint: str, at: float) -> None:
         if at - self._drained.get(endpoint, at) > DRAIN_GRACE:
-            self.broken.append(f"{track.name}: a call to {endpoint}, which drains")
-        for told, until in self._waits.get(track.destination, ()):
+            self.broken.append(f"{record.name}: a call to {endpoint}, which drains")
+        for told, until in self._waits.get(record.destination, ()):
             if told + WAIT_SLACK < at < until:
-                self.broken.append(f"{track.name}: a call in a told wait at destination {track.destination}")
+                self.broken.append(
+                    f"{record.name}: a call in a told wait at destination {record.destination}"
+                )
                 return
--- a/amberlug/standin/deployment.py
+++ b/amberlug/standin/deployment.py
@@ -13,7 +13,7 @@
 from typing import Any
 
 from amberlug.http.link import ConnectionLostError, OutgoingConnection, dial
-from amberlug.standin.checker import Checker, Repeat, Track
+from amberlug.standin.checker import Checker, MessageRecord, Repeat
 from amberlug.standin.partners import Behavior, Partner
 from amberlug.standin.wire import PATIENCE, Platform
 
@@ -168,7 +168,7 @@
     async def hand_in(self, name: str, message_class: str, destination: int, body: bytes) -> None:
         """Submit a message as a client does, reusing an idle connection if there is one."""
         now, repeat = self.clock(), CLASSES[message_class]
-        self.checker.handed_in(Track(name, destination, repeat, KEY_LIFE, now, now + DEADLINE))
+        self.checker.handed_in(MessageRecord(name, destination, repeat, KEY_LIFE, now, now + DEADLINE))
         self.tally.handed_in += 1
         headers = [
             ("Req-Id", name),
@@ -201,8 +201,8 @@
     @property
     def unended(self) -> int:
         """Number of accepted messages without an outcome."""
-        tracks = self.checker.tracks.values()
-        return sum(it.taken is not None and it.delivered is None and not it.ends for it in tracks)
+        records = self.checker.records.values()
+        return sum(it.taken is not None and it.delivered is None and not it.ends for it in records)
 
     async def stop_relay(self) -> int:
         """Stop the relay with SIGTERM, as in a planned restart; return its exit code."""
--- a/amberlug/standin/fleet.py
+++ b/amberlug/standin/fleet.py
@@ -279,8 +279,8 @@
         for seen in self.waiting:
             if not seen.writer.transport.is_closing():
                 seen.answer(OK)
-                track = self.promises.tracks[seen.name]
-                track.ends.append((self.clock(), "delivered"))
+                record = self.promises.records[seen.name]
+                record.ends.append((self.clock(), "delivered"))
         self.waiting.clear()
 
     # Networks.
--- a/amberlug/standin/partners.py
+++ b/amberlug/standin/partners.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from amberlug.standin.checker import Call, Checker, Ran
+from amberlug.standin.checker import Call, Checker, Execution
 from amberlug.standin.wire import OK, Answer, Seen, StandIn
 
 Clock = Callable[[], float]
@@ -57,7 +57,7 @@
         if self._over_limit():
             self.waits += 1
             self._checker.told_wait(self.destination, self._clock(), self.behavior.wait_ms / 1000)
-            self._answer(seen, (429, [("Wait-Ms", str(self.behavior.wait_ms))], b""), Ran.NEVER)
+            self._answer(seen, (429, [("Wait-Ms", str(self.behavior.wait_ms))], b""), Execution.NEVER)
             return True
         drawn = self._rng.random()
         seconds = self._rng.uniform(*self.behavior.seconds)
@@ -65,9 +65,9 @@
         if drawn < self.behavior.drops:
             loop.call_later(seconds, self._drop, seen)
         elif drawn < self.behavior.drops + self.behavior.errors:
-            loop.call_later(seconds, self._answer, seen, (500, [], b""), Ran.MAY)
+            loop.call_later(seconds, self._answer, seen, (500, [], b""), Execution.MAY)
         else:
-            loop.call_later(seconds, self._answer, seen, OK, Ran.YES)
+            loop.call_later(seconds, self._answer, seen, OK, Execution.YES)
         return True
 
     def _over_limit(self) -> bool:
@@ -78,11 +78,11 @@
         self._window = (second, count + 1) if now < second + 1 else (now, 1)
         return self._window[1] > self.behavior.per_second
 
-    def _answer(self, seen: Seen, answer: Answer, ran: Ran) -> None:
+    def _answer(self, seen: Seen, answer: Answer, ran: Execution) -> None:
         call = self._out.pop(seen.writer, None)
         if call is None:
             return  # connection closed meanwhile
-        self._checker.ended(call, self._clock(), ran, delivered=ran is Ran.YES)
+        self._checker.ended(call, self._clock(), ran, delivered=ran is Execution.YES)
         seen.answer(answer)
 
     def _drop(self, seen: Seen) -> None:
@@ -91,4 +91,4 @@
     def _closed(self, writer: asyncio.StreamWriter) -> None:
         call = self._out.pop(writer, None)
         if call is not None:
-            self._checker.ended(call, self._clock(), Ran.MAY)
+            self._checker.ended(call, self._clock(), Execution.MAY)
--- a/amberlug/standin/promises.py
+++ b/amberlug/standin/promises.py
@@ -11,7 +11,7 @@
 
 
 @dataclass(slots=True)
-class Track:
+class MessageRecord:
     """All observed traffic about one message."""
 
     name: str
@@ -28,54 +28,54 @@
 class Promises:
     """Records observed traffic, and reports broken guarantees."""
 
-    tracks: dict[str, Track] = field(default_factory=dict)
+    records: dict[str, MessageRecord] = field(default_factory=dict)
     strange: list[str] = field(default_factory=list)
 
     def handed_in(self, name: str, unsafe: bool, until: float) -> None:
         """Record that a client submits a message."""
-        self.tracks.setdefault(name, Track(name, unsafe, until))
+        self.records.setdefault(name, MessageRecord(name, unsafe, until))
 
     def answered(self, name: str, relay: str, taken: bool, at: float) -> None:
         """Record that a relay accepted or refused a message."""
-        track = self.tracks[name]
+        record = self.records[name]
         if taken:
-            track.taken.append((at, relay))
+            record.taken.append((at, relay))
         else:
-            track.refused += 1
+            record.refused += 1
 
     def called(self, name: str, took_effect: bool, delivered: bool, at: float) -> None:
         """Record that a partner served or refused a call."""
-        track = self.tracks.get(name)
-        if track is None:
+        record = self.records.get(name)
+        if record is None:
             self.strange.append(f"{name}: a call with a message that nobody handed in")
             return
-        track.effects += took_effect
-        if delivered and not track.delivered:
-            track.delivered = True
-            track.ends.append((at, "delivered"))
+        record.effects += took_effect
+        if delivered and not record.delivered:
+            record.delivered = True
+            record.ends.append((at, "delivered"))
 
     def told(self, name: str, outcome: str, at: float) -> None:
         """Record an outcome reported to the platform."""
-        track = self.tracks.get(name)
-        if track is None:
+        record = self.records.get(name)
+        if record is None:
             self.strange.append(f"{name}: an end of a message that nobody handed in")
         else:
-            track.ends.append((at, outcome))
+            record.ends.append((at, outcome))
 
     @property
-    def promised(self) -> list[Track]:
+    def promised(self) -> list[MessageRecord]:
         """Accepted messages."""
-        return [it for it in self.tracks.values() if it.taken]
+        return [it for it in self.records.values() if it.taken]
 
     @property
-    def open(self) -> list[Track]:
+    def open(self) -> list[MessageRecord]:
         """Accepted messages without an outcome."""
         return [it for it in self.promised if not it.ends]
 
     def broken(self) -> list[str]:
         """Return all broken guarantees; call it once every deadline has passed."""
         found = list(self.strange)
-        for it in self.tracks.values():
+        for it in self.records.values():
             if it.taken and not it.ends:
                 found.append(f"{it.name}: lost, taken on by {it.taken[0][1]}")
             if it.unsafe and it.effects > 1:
@@ -84,6 +84,6 @@
                 found.append(f"{it.name}: handed back, though it took effect")
         return found
 
-    def late(self, slack: float) -> list[Track]:
+    def late(self, slack: float) -> list[MessageRecord]:
         """Return messages whose outcome came more than `slack` seconds after their deadline."""
         return [it for it in self.promised if it.ends and min(at for at, _ in it.ends) > it.until + slack]
--- a/tests/test_copies.py
+++ b/tests/test_copies.py
@@ -74,9 +74,9 @@
             rig.holding = False
             assert await rig.ended() == []
             for name in names:
-                track = rig.promises.tracks[name]
-                wanted = (1, "given_up") if track.unsafe else (2, "delivered")
-                assert (track.effects, track.ends[-1][1]) == wanted
+                record = rig.promises.records[name]
+                wanted = (1, "given_up") if record.unsafe else (2, "delivered")
+                assert (record.effects, record.ends[-1][1]) == wanted
 
     run(scenario())
 
@@ -270,10 +270,10 @@
             asks = [asyncio.ensure_future(it.said("attempting take-over from n0")) for it in rig.relays[1:]]
             await asyncio.wait(asks, return_when=asyncio.FIRST_COMPLETED)
             holder = rig.relays[1:][[it.done() for it in asks].index(True)]
-            while not rig.promises.tracks[name].ends:
+            while not rig.promises.records[name].ends:
                 assert await rig.hand_in(holder, "payment", name) in (202, 503)
             assert await rig.hand_in(holder, "payment", name) == 202  # another relay has accepted it
-            assert rig.promises.tracks[name].effects == 1
+            assert rig.promises.records[name].effects == 1
             for it in asks:
                 it.cancel()
 
