--- a/amberlug/lab/partners.py
+++ b/amberlug/lab/partners.py
@@ -122,7 +122,7 @@
             self.refused += 1
             wait_us = int(profile.wait_ms * 1000) if drawn[0] < profile.tells_wait else 0
             if wait_us:
-                checker.told_wait(self.of.number, now / SECOND, wait_us / SECOND)
+                checker.retry_delay_sent(self.of.number, now / SECOND, wait_us / SECOND)
             self._end(pending, Answer(Result.REFUSED, wait_us), Execution.NEVER)
         elif reused and drawn[1] < profile.resets:
             self._end(pending, Answer(Result.RESET), Execution.MAY)
--- a/amberlug/lab/play.py
+++ b/amberlug/lab/play.py
@@ -244,7 +244,7 @@
             self.time.after(seconds * SECOND, self._hand_in, again, client_message, request.number, place)
 
     def _on_outcome(self, relay: Relay, end: End) -> None:
-        relay.checker.told_end(end.message, end.outcome.value, self.time.now_us / SECOND)
+        relay.checker.outcome_reported(end.message, end.outcome.value, self.time.now_us / SECOND)
         self._trace_event(end.outcome.value, end.message)
         if end.outcome.value == "handed_back" and end.message in self._requests:
             self._retry(self._requests[end.message], end.retry_ms / 1000)
--- a/amberlug/standin/checker.py
+++ b/amberlug/standin/checker.py
@@ -83,7 +83,7 @@
         """Record that the relay is told that an endpoint is draining or gone."""
         self._drained.setdefault(endpoint, at)
 
-    def told_wait(self, destination: int, at: float, seconds: float) -> None:
+    def retry_delay_sent(self, destination: int, at: float, seconds: float) -> None:
         """Record that a response with a retry delay is written to the relay."""
         self._waits.setdefault(destination, []).append((at, at + seconds))
 
@@ -106,7 +106,7 @@
         if call.ended is None:
             call.ended, call.ran, call.delivered = at, ran, delivered
 
-    def told_end(self, name: str, outcome: str, at: float) -> None:
+    def outcome_reported(self, name: str, outcome: str, at: float) -> None:
         """Record the reported outcome of a message that was not delivered."""
         record = self.records.get(name)
         if record is None:
--- a/amberlug/standin/deployment.py
+++ b/amberlug/standin/deployment.py
@@ -225,7 +225,7 @@
             for line in seen.body.splitlines():
                 told = json.loads(line)
                 at = self._deployment.clock()
-                self._deployment.checker.told_end(told["message"], told["outcome"], at)
+                self._deployment.checker.outcome_reported(told["message"], told["outcome"], at)
         return self._watch(seen)
 
 
--- a/amberlug/standin/partners.py
+++ b/amberlug/standin/partners.py
@@ -56,7 +56,7 @@
         self._out[seen.writer] = call
         if self._over_limit():
             self.waits += 1
-            self._checker.told_wait(self.destination, self._clock(), self.behavior.wait_ms / 1000)
+            self._checker.retry_delay_sent(self.destination, self._clock(), self.behavior.wait_ms / 1000)
             self._answer(seen, (429, [("Wait-Ms", str(self.behavior.wait_ms))], b""), Execution.NEVER)
             return True
         drawn = self._rng.random()
--- a/tests/test_checker.py
+++ b/tests/test_checker.py
@@ -67,28 +67,28 @@
 def test_an_end_that_comes_late_or_never_is_a_loss(at: float | None, lost: bool) -> None:
     it = checker()
     if at is not None:
-        it.told_end("m", "given_up", at)
+        it.outcome_reported("m", "given_up", at)
     assert it.finish(100.0) == (["m: lost, with 0 calls"] if lost else [])
     assert it.finish(8.3) == []
 
 
 def test_ends_that_contradict_each_other() -> None:
     it = checker()
-    it.told_end("m", "given_up", 1.0)
-    it.told_end("m", "given_up", 1.1)  # a repeated report is allowed
+    it.outcome_reported("m", "given_up", 1.0)
+    it.outcome_reported("m", "given_up", 1.1)  # a repeated report is allowed
     assert it.finish(100.0) == []
-    it.told_end("m", "handed_back", 1.2)
+    it.outcome_reported("m", "handed_back", 1.2)
     assert it.finish(100.0) == ["m: told given_up, then handed_back"]
 
 
 def test_an_end_though_it_was_delivered_and_a_refusal_though_it_may_have_run() -> None:
     it = checker()
     call(it, 0.1, 0.2, Execution.MAY)
-    it.told_end("m", "handed_back", 1.0)
+    it.outcome_reported("m", "handed_back", 1.0)
     assert it.finish(100.0) == ["m: handed back, though it may have run"]
     other = checker()
     call(other, 0.1, 0.2, Execution.YES)
-    other.told_end("m", "given_up", 1.0)
+    other.outcome_reported("m", "given_up", 1.0)
     assert other.finish(100.0) == ["m: told given_up, though it was delivered"]
 
 
@@ -103,7 +103,7 @@
 @pytest.mark.parametrize(("at", "kept"), [(1.1, True), (1.2, False), (1.49, False), (1.5, True)])
 def test_waits(at: float, kept: bool) -> None:
     it = checker()
-    it.told_wait(1, 1.0, 0.5)
+    it.retry_delay_sent(1, 1.0, 0.5)
     call(it, at, at + 0.1, Execution.YES)
     assert (it.finish(100.0) == []) is kept
 
@@ -113,5 +113,5 @@
     for count in range(13):
         call(it, count / 10, count / 10 + 0.05, Execution.NEVER if count < 12 else Execution.YES)
     it.began("other", "e", 2.0)
-    it.told_end("other", "given_up", 2.1)
+    it.outcome_reported("other", "given_up", 2.1)
     assert [line.partition(":")[0] for line in it.finish(100.0)] == ["m", "other", "other"]
