--- a/amberlug/lab/play.py
+++ b/amberlug/lab/play.py
@@ -17,7 +17,7 @@
 from amberlug.lab.scenario import Fault, Scenario
 from amberlug.policy import interface as api
 from amberlug.policy.settings import read_settings
-from amberlug.standin.checker import LATE, MessageRecord, Repeat
+from amberlug.standin.checker import OUTCOME_GRACE, MessageRecord, Repeat
 from amberlug.standin.deployment import settings as usual_settings
 
 KEY_LIFE_S = 15.0
@@ -315,7 +315,7 @@
         for name, request in self._requests.items():
             record, client_message = request.relay.checker.records[name], request.client_message
             for began_us, over_us in request.relay.downtimes:  # an outcome due meanwhile may come after it
-                if began_us <= (record.until + LATE) * SECOND <= over_us + LATE * SECOND:
+                if began_us <= (record.until + OUTCOME_GRACE) * SECOND <= over_us + OUTCOME_GRACE * SECOND:
                     record.until = over_us / SECOND
             if record.delivered is not None and record.taken is not None:  # accepted, and the client was told
                 at_us = int(record.delivered * SECOND)
--- a/amberlug/standin/checker.py
+++ b/amberlug/standin/checker.py
@@ -9,11 +9,13 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-LATE = 0.35  # seconds after its deadline in which a message may still get its outcome
-WAIT_SLACK = 0.15  # seconds after a retry delay is written in which a call may still cross it
-CROSSING = 0.15  # seconds in which a response may reach the relay; outcomes reported meanwhile are harmless
+OUTCOME_GRACE = 0.35  # seconds after its deadline in which a message may still get its outcome
+RETRY_DELAY_SLACK = 0.15  # seconds after a retry delay is written in which a call may still be on its way
+RESPONSE_TRANSIT = (
+    0.15  # seconds in which a response may reach the relay; outcomes reported meanwhile are harmless
+)
 DRAIN_GRACE = 2.05  # seconds after a drain is announced in which a call may still begin
-MOST_CALLS = 12
+MAX_CALLS = 12
 
 
 class Repeat(Enum):
@@ -97,8 +99,8 @@
         self._check_place(record, endpoint, at)
         call = Call(at)
         record.calls.append(call)
-        if len(record.calls) > MOST_CALLS:
-            self.broken.append(f"{name}: call {len(record.calls)}, {MOST_CALLS} at most")
+        if len(record.calls) > MAX_CALLS:
+            self.broken.append(f"{name}: call {len(record.calls)}, {MAX_CALLS} at most")
         return call
 
     def ended(self, call: Call, at: float, ran: Execution, delivered: bool = False) -> None:
@@ -114,7 +116,7 @@
             return
         if any(told != outcome for _, told in record.ends):
             self.broken.append(f"{name}: told {record.ends[0][1]}, then {outcome}")
-        if record.delivered is not None and record.delivered + CROSSING < at:
+        if record.delivered is not None and record.delivered + RESPONSE_TRANSIT < at:
             self.broken.append(f"{name}: told {outcome}, though it was delivered")
         may_have = any(it.ran is not Execution.NEVER for it in record.calls)
         if outcome == "handed_back" and record.repeat is Repeat.UNSAFE and may_have:
@@ -126,7 +128,7 @@
         lost = [
             f"{it.name}: lost, with {len(it.calls)} calls"
             for it in self.records.values()
-            if it.taken is not None and it.until + LATE < now and not self._in_time(it)
+            if it.taken is not None and it.until + OUTCOME_GRACE < now and not self._in_time(it)
         ]
         return [*self.broken, *lost]
 
@@ -134,7 +136,7 @@
         times = [at for at, _ in record.ends]
         if record.delivered is not None:
             times.append(record.delivered)
-        return bool(times) and min(times) <= record.until + LATE
+        return bool(times) and min(times) <= record.until + OUTCOME_GRACE
 
     def _check_repeat(self, record: MessageRecord, at: float) -> None:
         if any(it.ended is None for it in record.calls):
@@ -151,7 +153,7 @@
         if at - self._drained.get(endpoint, at) > DRAIN_GRACE:
             self.broken.append(f"{record.name}: a call to {endpoint}, which drains")
         for told, until in self._waits.get(record.destination, ()):
-            if told + WAIT_SLACK < at < until:
+            if told + RETRY_DELAY_SLACK < at < until:
                 self.broken.append(
                     f"{record.name}: a call in a told wait at destination {record.destination}"
                 )
