--- a/amberlug/standin/crowd.py
+++ b/amberlug/standin/crowd.py
@@ -19,7 +19,9 @@
 from amberlug.standin.wire import Platform, Seen
 
 BODY = b"x" * 300
-PASSING = 0.1  # seconds after a retry delay was sent in which calls may already have been in flight
+RETRY_DELAY_TRANSIT = (
+    0.1  # seconds after a retry delay was sent in which calls may already have been in flight
+)
 OK = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
 
 
@@ -34,7 +36,7 @@
 
 
 @dataclass(slots=True)
-class Called:
+class DestinationStats:
     """Call statistics of one destination; times by the loop's clock, in seconds."""
 
     first: float = 0.0
@@ -58,7 +60,7 @@
     quick: float = 0.02  # seconds until a normal response
     slow: float = 1.5
     wait_ms: int = 1500
-    called: dict[int, Called] = field(default_factory=dict)
+    called: dict[int, DestinationStats] = field(default_factory=dict)
     delivered: dict[str, float] = field(default_factory=dict)  # delivery time by message name
     gone: set[int] = field(default_factory=set)
     late: int = 0  # calls to removed destinations
@@ -101,10 +103,10 @@
         """Record a call, and answer it according to its destination's behavior."""
         loop = asyncio.get_running_loop()
         now, destination = loop.time(), int(name.partition("-")[0])
-        it = self.called.setdefault(destination, Called(now))
+        it = self.called.setdefault(destination, DestinationStats(now))
         it.calls, it.out = it.calls + 1, it.out + 1
         it.most = max(it.most, it.out)
-        it.early += now < it.wait_until and now > it.told + PASSING
+        it.early += now < it.wait_until and now > it.told + RETRY_DELAY_TRANSIT
         self.late += destination in self.gone
         behavior = self.behavior(destination)
         if behavior is Behavior.DEAD:
@@ -119,7 +121,7 @@
             seconds = self.slow if behavior is Behavior.SLOW else self.quick
             loop.call_later(seconds, self._answer, it, served, name, OK)
 
-    def _answer(self, it: Called, served: _Served, name: str | None, answer: bytes) -> None:
+    def _answer(self, it: DestinationStats, served: _Served, name: str | None, answer: bytes) -> None:
         it.out -= 1
         if served.write(answer) and name is not None:
             self.delivered.setdefault(name.partition("~")[0], asyncio.get_running_loop().time())
@@ -166,7 +168,7 @@
 
 
 @dataclass(slots=True)
-class Told:
+class SubmittedMessage:
     """A submitted message: when it was first submitted, its latest status, and how often it was repeated."""
 
     made: float
@@ -181,7 +183,7 @@
 class Client(asyncio.Protocol):
     """A client with one persistent connection; refused messages are submitted again after the given delay."""
 
-    def __init__(self, told: dict[str, Told]) -> None:
+    def __init__(self, told: dict[str, SubmittedMessage]) -> None:
         self._told, self._rest = told, b""
         self._asked: list[tuple[str, bytes]] = []
         self._ready = False
@@ -197,7 +199,7 @@
 
     def hand_in(self, name: str, message_class: str, deadline: float) -> None:
         """Queue a new message, and submit it again whenever it is refused; `deadline` in seconds."""
-        self._told[name] = Told(asyncio.get_running_loop().time(), message_class, deadline, self)
+        self._told[name] = SubmittedMessage(asyncio.get_running_loop().time(), message_class, deadline, self)
         self.ask(name)
 
     def ask(self, name: str) -> None:
@@ -243,7 +245,7 @@
     return int(first.split()[1]), float(headers.get(b"retry-after", b"1")), rest[length:]
 
 
-def ends(told: Iterable[Told]) -> Counter[int]:
+def ends(told: Iterable[SubmittedMessage]) -> Counter[int]:
     """Count submitted messages by status."""
     return Counter(it.status for it in told)
 
@@ -251,7 +253,7 @@
 class Directory(Platform):
     """The platform: streams endpoint lists, and has clients submit again what was handed back."""
 
-    def __init__(self, told: dict[str, Told]) -> None:
+    def __init__(self, told: dict[str, SubmittedMessage]) -> None:
         super().__init__()
         self._handed_in = told
         self.revision = 1
--- a/benchmarks/sleeping.py
+++ b/benchmarks/sleeping.py
@@ -25,7 +25,7 @@
 from amberlug.platform.discovery import Watch
 from amberlug.platform.notices import NoticeSender
 from amberlug.policy.settings import read_settings
-from amberlug.standin.crowd import Behavior, Client, Crowd, Directory, Told, ends
+from amberlug.standin.crowd import Behavior, Client, Crowd, Directory, SubmittedMessage, ends
 from amberlug.standin.deployment import settings
 from amberlug.standin.wire import PATIENCE
 from benchmarks.cost import ROOT, cpu_seconds, free_port
@@ -48,7 +48,7 @@
 
     def __init__(self, folder: Path, crowd: Crowd, listed: int) -> None:
         self._folder, self._crowd, self._listed = folder, crowd, listed
-        self.told: dict[str, Told] = {}
+        self.told: dict[str, SubmittedMessage] = {}
         self.platform = Directory(self.told)
         self.port = free_port()
 
--- a/tests/test_crowd.py
+++ b/tests/test_crowd.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from amberlug.standin.crowd import Behavior, Client, Crowd, Directory, Told
+from amberlug.standin.crowd import Behavior, Client, Crowd, Directory, SubmittedMessage
 from amberlug.standin.wire import PATIENCE
 from tests.conftest import setup
 from tests.rig import Relay, run
@@ -30,7 +30,7 @@
 
 @asynccontextmanager
 async def crowded(
-    folder: Path, crowd: Crowd, listed: int, told: dict[str, Told]
+    folder: Path, crowd: Crowd, listed: int, told: dict[str, SubmittedMessage]
 ) -> AsyncIterator[tuple[Relay, Directory]]:
     platform = Directory(told)
     await platform.start()
@@ -48,7 +48,7 @@
         await platform.stop()
 
 
-async def clients(relay: Relay, count: int, told: dict[str, Told]) -> list[Client]:
+async def clients(relay: Relay, count: int, told: dict[str, SubmittedMessage]) -> list[Client]:
     loop = asyncio.get_running_loop()
     made = [await loop.create_connection(lambda: Client(told), "127.0.0.1", relay.port) for _ in range(count)]
     return [client for _, client in made]
@@ -60,7 +60,7 @@
             await asyncio.sleep(0.01)
 
 
-async def busy(relay: Relay, told: dict[str, Told], stop: asyncio.Event) -> set[str]:
+async def busy(relay: Relay, told: dict[str, SubmittedMessage], stop: asyncio.Event) -> set[str]:
     """Submit messages for a few destinations at a steady rate until `stop`; return their names."""
     own, names = await clients(relay, 4, told), set[str]()
     while not stop.is_set():
@@ -77,7 +77,7 @@
     crowd = Crowd(lambda number: BEHAVIORS[number % 8] if bad and number >= BUSY else Behavior.WELL)
 
     async def scenario() -> None:
-        told: dict[str, Told] = {}
+        told: dict[str, SubmittedMessage] = {}
         async with crowded(tmp_path, crowd, 3000, told) as (relay, _):
             stop = asyncio.Event()
             going_on = asyncio.ensure_future(busy(relay, told, stop))
@@ -120,7 +120,7 @@
     crowd = Crowd()
 
     async def scenario() -> None:
-        told: dict[str, Told] = {}
+        told: dict[str, SubmittedMessage] = {}
         async with crowded(tmp_path, crowd, listed, told) as (relay, platform):
             stop = asyncio.Event()
             going_on = asyncio.ensure_future(busy(relay, told, stop))
@@ -159,7 +159,7 @@
     crowd = Crowd(lambda number: behaviors.get(number, Behavior.WELL))
 
     async def scenario() -> None:
-        told: dict[str, Told] = {}
+        told: dict[str, SubmittedMessage] = {}
         async with crowded(tmp_path, crowd, listed, told) as (relay, platform):
             own = await clients(relay, 2, told)
             safe = {f"{number}-s" for number in asked[::2]}
