--- a/amberlug/standin/fleet.py
+++ b/amberlug/standin/fleet.py
@@ -21,7 +21,7 @@
 from amberlug.http.link import ConnectionLostError, dial
 from amberlug.standin.deployment import SECOND
 from amberlug.standin.deployment import settings as usual_settings
-from amberlug.standin.promises import Promises
+from amberlug.standin.promises import GuaranteeChecker
 from amberlug.standin.proxy import Proxy
 from amberlug.standin.wire import OK, PATIENCE, Platform, Seen, StandIn
 
@@ -134,7 +134,7 @@
     def __init__(self, folder: Path, relays: int, seed: int = 1, **options: Any) -> None:
         self.folder, self._seed = folder, seed
         self.options = {"copies": 1, "suspect_s": 0.8, "stagger_s": 0.3, "replace_s": 1.5, **options}
-        self.promises, self.platform = Promises(), _Platform(self)
+        self.promises, self.platform = GuaranteeChecker(), _Platform(self)
         self.partner = StandIn(None)
         self.partner.on_request = self.called
         self.holding = False  # whether the partner leaves calls unanswered
@@ -312,7 +312,7 @@
 
 
 class _Platform(Platform):
-    """The platform of all relays; passes its notices on to `Promises`."""
+    """The platform of all relays; passes its notices on to `GuaranteeChecker`."""
 
     def __init__(self, fleet: Fleet) -> None:
         super().__init__()
--- a/amberlug/standin/promises.py
+++ b/amberlug/standin/promises.py
@@ -25,11 +25,11 @@
 
 
 @dataclass(slots=True)
-class Promises:
+class GuaranteeChecker:
     """Records observed traffic, and reports broken guarantees."""
 
     records: dict[str, MessageRecord] = field(default_factory=dict)
-    strange: list[str] = field(default_factory=list)
+    unknown_messages: list[str] = field(default_factory=list)
 
     def handed_in(self, name: str, unsafe: bool, until: float) -> None:
         """Record that a client submits a message."""
@@ -47,7 +47,7 @@
         """Record that a partner served or refused a call."""
         record = self.records.get(name)
         if record is None:
-            self.strange.append(f"{name}: a call with a message that nobody handed in")
+            self.unknown_messages.append(f"{name}: a call with a message that nobody handed in")
             return
         record.effects += took_effect
         if delivered and not record.delivered:
@@ -58,7 +58,7 @@
         """Record an outcome reported to the platform."""
         record = self.records.get(name)
         if record is None:
-            self.strange.append(f"{name}: an end of a message that nobody handed in")
+            self.unknown_messages.append(f"{name}: an end of a message that nobody handed in")
         else:
             record.ends.append((at, outcome))
 
@@ -74,7 +74,7 @@
 
     def broken(self) -> list[str]:
         """Return all broken guarantees; call it once every deadline has passed."""
-        found = list(self.strange)
+        found = list(self.unknown_messages)
         for it in self.records.values():
             if it.taken and not it.ends:
                 found.append(f"{it.name}: lost, taken on by {it.taken[0][1]}")
