--- a/amberlug/standin/fleet.py
+++ b/amberlug/standin/fleet.py
@@ -26,16 +26,16 @@
 from amberlug.standin.wire import OK, PATIENCE, Platform, Seen, StandIn
 
 DEADLINE = 12.0  # seconds: longer than it takes to detect a lost relay and to take over its messages
-PATIENT = 0.4  # seconds for which a client waits for its response
+RESPONSE_TIMEOUT = 0.4  # seconds for which a client waits for its response
 UNSAFE = "payment"
 
 
 class Relay:
     """One relay's process and folder; the process can be stopped and restarted."""
 
-    def __init__(self, rig: Fleet, number: int) -> None:
-        self.name, self._rig = f"n{number}", rig
-        self.folder = rig.folder / self.name
+    def __init__(self, fleet: Fleet, number: int) -> None:
+        self.name, self._fleet = f"n{number}", fleet
+        self.folder = fleet.folder / self.name
         self.port, self.link_port = _free_port(), _free_port()
         self.process: asyncio.subprocess.Process | None = None
         self.log: list[str] = []
@@ -55,13 +55,13 @@
     async def start(self) -> None:
         """Start the process on the folder's present state, and wait until it is ready."""
         self.state.mkdir(parents=True, exist_ok=True)
-        config, fleet = self.folder / "config.json", self.folder / "fleet.toml"
-        config.write_text(json.dumps(self._rig.config(self)), encoding="utf-8")
-        fleet.write_text(self._rig.fleet_file(self), encoding="utf-8")
+        config, node_file = self.folder / "config.json", self.folder / "fleet.toml"
+        config.write_text(json.dumps(self._fleet.config(self)), encoding="utf-8")
+        node_file.write_text(self._fleet.fleet_file(self), encoding="utf-8")
         variables = os.environ | {
             "ROUTER_CONFIG": str(config),
             "ROUTER_STATE": str(self.state),
-            "AMBERLUG_FLEET": str(fleet),
+            "AMBERLUG_FLEET": str(node_file),
         }
         self.process = await asyncio.create_subprocess_exec(
             sys.executable, "-m", "amberlug", "serve", env=variables, stderr=asyncio.subprocess.PIPE
@@ -217,7 +217,9 @@
 
     # Clients.
 
-    async def hand_in(self, relay: Relay, kind: str = UNSAFE, name: str = "", wait: float = PATIENT) -> int:
+    async def hand_in(
+        self, relay: Relay, kind: str = UNSAFE, name: str = "", wait: float = RESPONSE_TIMEOUT
+    ) -> int:
         """Submit a message; return the response status, 0 if none arrived in time."""
         self._names += 1
         name = name or f"m{self._names}"
