--- a/amberlug/standin/checker.py
+++ b/amberlug/standin/checker.py
@@ -11,9 +11,8 @@
 
 OUTCOME_GRACE = 0.35  # seconds after its deadline in which a message may still get its outcome
 RETRY_DELAY_SLACK = 0.15  # seconds after a retry delay is written in which a call may still be on its way
-RESPONSE_TRANSIT = (
-    0.15  # seconds in which a response may reach the relay; outcomes reported meanwhile are harmless
-)
+# Seconds in which a response may reach the relay; outcomes reported meanwhile are harmless.
+RESPONSE_TRANSIT = 0.15
 DRAIN_GRACE = 2.05  # seconds after a drain is announced in which a call may still begin
 MAX_CALLS = 12
 
--- a/amberlug/standin/crowd.py
+++ b/amberlug/standin/crowd.py
@@ -19,9 +19,8 @@
 from amberlug.standin.wire import Platform, Seen
 
 BODY = b"x" * 300
-RETRY_DELAY_TRANSIT = (
-    0.1  # seconds after a retry delay was sent in which calls may already have been in flight
-)
+# Seconds after a retry delay was sent in which calls may already have been in flight.
+RETRY_DELAY_TRANSIT = 0.1
 OK = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
 
 
