--- a/amberlug/standin/proxy.py
+++ b/amberlug/standin/proxy.py
@@ -6,7 +6,7 @@
 import random
 from contextlib import suppress
 
-READ = 1 << 14
+READ_BYTES = 1 << 14
 
 
 class Proxy:
@@ -61,7 +61,10 @@
             onward, other = await asyncio.open_connection("127.0.0.1", self._to)
             self._writers.add(other)
             loop = asyncio.get_running_loop()
-            both = [loop.create_task(self._pass(reader, other)), loop.create_task(self._pass(onward, writer))]
+            both = [
+                loop.create_task(self._forward(reader, other)),
+                loop.create_task(self._forward(onward, writer)),
+            ]
             self._tasks.update(both)
             await asyncio.wait(both, return_when=asyncio.FIRST_COMPLETED)
             for task in both:
@@ -75,9 +78,9 @@
                     self._writers.discard(it)
                     it.transport.abort()
 
-    async def _pass(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def _forward(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         with suppress(OSError):
-            while data := await reader.read(READ):
+            while data := await reader.read(READ_BYTES):
                 await self._open.wait()
                 if self.delay:
                     await asyncio.sleep(self.delay + self._rng.random() * self.spread)
