--- a/amberlug/standin/checker.py
+++ b/amberlug/standin/checker.py
@@ -95,7 +95,7 @@
             self.broken.append(f"{name}: a call with a message that nobody handed in")
             return None
         self._check_repeat(record, at)
-        self._check_place(record, endpoint, at)
+        self._check_endpoint(record, endpoint, at)
         call = Call(at)
         record.calls.append(call)
         if len(record.calls) > MAX_CALLS:
@@ -148,7 +148,7 @@
         if record.repeat is Repeat.KEYED and any(at - it.began > record.key_life for it in ran):
             self.broken.append(f"{record.name}: sent again after its key's life")
 
-    def _check_place(self, record: MessageRecord, endpoint: str, at: float) -> None:
+    def _check_endpoint(self, record: MessageRecord, endpoint: str, at: float) -> None:
         if at - self._drained.get(endpoint, at) > DRAIN_GRACE:
             self.broken.append(f"{record.name}: a call to {endpoint}, which drains")
         for told, until in self._waits.get(record.destination, ()):
