--- a/amberlug/standin/crowd.py
+++ b/amberlug/standin/crowd.py
@@ -19,7 +19,8 @@
 from amberlug.standin.wire import Platform, Seen
 
 BODY = b"x" * 300
-PASSING = 0.1  # seconds after a retry delay was sent in which calls may already have been in flight
+# Seconds after a retry delay was sent in which calls may already have been in flight.
+RETRY_DELAY_TRANSIT = 0.1
 OK = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
 
 
@@ -34,7 +35,7 @@
 
 
 @dataclass(slots=True)
-class Called:
+class DestinationStats:
     """Call statistics of one destination; times by the loop's clock, in seconds."""
 
     first: float = 0.0
@@ -58,7 +59,7 @@
     quick: float = 0.02  # seconds until a normal response
     slow: float = 1.5
     wait_ms: int = 1500
-    called: dict[int, Called] = field(default_factory=dict)
+    called: dict[int, DestinationStats] = field(default_factory=dict)
     delivered: dict[str, float] = field(default_factory=dict)  # delivery time by message name
     gone: set[int] = field(default_factory=set)
     late: int = 0  # calls to removed destinations
@@ -66,6 +67,7 @@
     _ports: list[int] = field(default_factory=list)
 
     async def start(self) -> Crowd:
+        """Open the listeners on free ports."""
         loop = asyncio.get_running_loop()
         for _ in range(self.listeners):
             server = await loop.create_server(lambda: _Served(self), "127.0.0.1", 0, backlog=1024)
@@ -74,6 +76,7 @@
         return self
 
     async def stop(self) -> None:
+        """Close the listeners; open connections stay."""
         for server in self._servers:
             server.close()
 
@@ -92,16 +95,17 @@
         }
 
     def members(self, destinations: Iterable[int], life: int = 0) -> list[dict[str, Any]]:
+        """Return the endpoints of several destinations as discovery lists them."""
         return [self.member(destination, life=life) for destination in destinations]
 
     def call(self, name: str, served: _Served) -> None:
         """Record a call, and answer it according to its destination's behavior."""
         loop = asyncio.get_running_loop()
         now, destination = loop.time(), int(name.partition("-")[0])
-        it = self.called.setdefault(destination, Called(now))
+        it = self.called.setdefault(destination, DestinationStats(now))
         it.calls, it.out = it.calls + 1, it.out + 1
         it.most = max(it.most, it.out)
-        it.early += now < it.wait_until and now > it.told + PASSING
+        it.early += now < it.wait_until and now > it.told + RETRY_DELAY_TRANSIT
         self.late += destination in self.gone
         behavior = self.behavior(destination)
         if behavior is Behavior.DEAD:
@@ -116,7 +120,7 @@
             seconds = self.slow if behavior is Behavior.SLOW else self.quick
             loop.call_later(seconds, self._answer, it, served, name, OK)
 
-    def _answer(self, it: Called, served: _Served, name: str | None, answer: bytes) -> None:
+    def _answer(self, it: DestinationStats, served: _Served, name: str | None, answer: bytes) -> None:
         it.out -= 1
         if served.write(answer) and name is not None:
             self.delivered.setdefault(name.partition("~")[0], asyncio.get_running_loop().time())
@@ -163,7 +167,7 @@
 
 
 @dataclass(slots=True)
-class Told:
+class SubmittedMessage:
     """A submitted message: when it was first submitted, its latest status, and how often it was repeated."""
 
     made: float
@@ -178,21 +182,23 @@
 class Client(asyncio.Protocol):
     """A client with one persistent connection; refused messages are submitted again after the given delay."""
 
-    def __init__(self, told: dict[str, Told]) -> None:
+    def __init__(self, told: dict[str, SubmittedMessage]) -> None:
         self._told, self._rest = told, b""
         self._asked: list[tuple[str, bytes]] = []
         self._ready = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Allow messages to be submitted on the new connection."""
         assert isinstance(transport, asyncio.Transport)
         self._transport, self._ready = transport, True
 
     def connection_lost(self, error: Exception | None) -> None:
+        """Stop submitting messages."""
         self._ready = False
 
     def hand_in(self, name: str, message_class: str, deadline: float) -> None:
         """Queue a new message, and submit it again whenever it is refused; `deadline` in seconds."""
-        self._told[name] = Told(asyncio.get_running_loop().time(), message_class, deadline, self)
+        self._told[name] = SubmittedMessage(asyncio.get_running_loop().time(), message_class, deadline, self)
         self.ask(name)
 
     def ask(self, name: str) -> None:
@@ -213,6 +219,7 @@
             self._transport.write(self._asked[0][1])
 
     def data_received(self, data: bytes) -> None:
+        """Process complete responses: schedule retries of refused messages, and send the next request."""
         self._rest += data
         while self._asked and (found := _response(self._rest)) is not None:
             status, again, self._rest = found
@@ -237,7 +244,7 @@
     return int(first.split()[1]), float(headers.get(b"retry-after", b"1")), rest[length:]
 
 
-def ends(told: Iterable[Told]) -> Counter[int]:
+def ends(told: Iterable[SubmittedMessage]) -> Counter[int]:
     """Count submitted messages by status."""
     return Counter(it.status for it in told)
 
@@ -245,7 +252,7 @@
 class Directory(Platform):
     """The platform: streams endpoint lists, and has clients submit again what was handed back."""
 
-    def __init__(self, told: dict[str, Told]) -> None:
+    def __init__(self, told: dict[str, SubmittedMessage]) -> None:
         super().__init__()
         self._handed_in = told
         self.revision = 1
